--- a/src/decide.rs
+++ b/src/decide.rs
@@ -19,7 +19,7 @@
 
 use crate::interface::{
     Action, Allowed, AttemptNumber, Class, ClassId, DedupScope, DiscoveryMode, Effect, Event, KindId,
-    ListUpdate, Member, Outcome, Phase, Request, RequestId, Settings, SettingsError, TenantId, Time,
+    ListUpdate, Member, Outcome, Phase, Request, RequestId, Rules, Settings, SettingsError, TenantId, Time,
     UpstreamId,
 };
 
@@ -123,6 +123,15 @@
 const WHOLE: f64 = 0.9;
 /// Tier failure share from which an error counts as crowding below and not as a bad upstream.
 const CROWDED_ERRORS: f64 = 0.1;
+/// Part of the room between a cold upstream's capacity and its fall that each may use where no warm one is beside it:
+/// growth, sends saved up, and sends that no answer has earned. With all three, chance still has a quarter of it.
+const COLD_ROOM: f64 = 0.25;
+/// Largest growth with each answer of a cold upstream: doubled within four, as fast as a slow start needs.
+const COLD_GROWTH_MOST: f64 = 0.25;
+/// What an answer past its aim earns: a queue has formed, which must get shorter.
+const COLD_LATE: f64 = 0.5;
+/// Sends that all copies together may begin with in each window of overload, while nothing is known of an upstream.
+const COLD_FIRST: f64 = 1.0;
 /// Seconds that an attempt must have left: a time-out at the deadline may be off by a rounding.
 const LEAST_S: f64 = 0.001;
 /// Seconds between sweeps.
@@ -353,10 +362,29 @@
     warm_rate: f64,
     /// Calls served by warm members since the last sweep.
     warm_served: u32,
+    /// No member is warm: cold ones go by their own answers, and `warm_rate` is that of before.
+    all_cold: bool,
     /// Time that calls take, failed ones at what they took, in parts of their aims.
     delay: f64,
 }
 
+impl Group {
+    /// Learns what a warm member serves from the calls since the last sweep. Where none is warm, the latest is the best
+    /// there is.
+    fn learn_warm_rate(&mut self, warm: usize) {
+        let served = f64::from(take(&mut self.warm_served));
+        self.all_cold = warm == 0;
+        if warm > 0 {
+            self.warm_rate += 0.2 * (served / SWEEP_S / warm as f64 - self.warm_rate);
+        }
+    }
+
+    /// Of all copies, those that send to one member of the group, on average.
+    fn sharers(&self, copies: u32) -> f64 {
+        (f64::from(copies) * self.members.len() as f64 / self.listed.max(1) as f64).max(1.0)
+    }
+}
+
 impl Subset {
     /// A site prices each crossing of zones, yet one zone may have more calls than its upstreams can carry,
     /// and no copy is told: from an even spread on, more stays at home for as long as home is no slower than
@@ -418,6 +446,9 @@
     aside_s: f64,
     /// Chance of being taken when drawn, after its return.
     returning: f64,
+    /// Calls that it has served since the last sweep and, of late, a second.
+    served: u32,
+    served_rate: f64,
     /// Sends that a cold upstream may still get, and when that was reckoned.
     tokens: f64,
     tokens_at: f64,
@@ -440,6 +471,8 @@
             aside_until: 0.0,
             aside_s: ASIDE_S.0,
             returning: 1.0,
+            served: 0,
+            served_rate: 0.0,
             tokens: rng.rand_float(),
             tokens_at: now,
         }
@@ -960,7 +993,8 @@
 
     /// Whether a cold upstream's budget holds another send. A copy gives it, of what a warm peer gets from
     /// the same copy, the part that it surely can do; summed over the copies that stays within its capacity,
-    /// whoever else sends.
+    /// whoever else sends. Where no peer is warm, its own answers earn further sends, a few more than they are: what
+    /// all copies together get answered is what it can do, so that their sum stays little above it.
     fn cold_allows(&mut self, now: f64, slot: usize) -> bool {
         let upstream = &mut self.upstreams[slot];
         let warmth = upstream.warmth(now, &self.settings);
@@ -968,8 +1002,15 @@
             return true;
         }
         let group = if upstream.home { &self.subset.home } else { &self.subset.away };
-        let rate = warmth * group.warm_rate;
-        upstream.tokens = (upstream.tokens + rate * (now - upstream.tokens_at)).min(1.0 + rate * 0.5);
+        let mut rate = warmth * group.warm_rate;
+        let mut most = 1.0 + rate * 0.5;
+        if group.all_cold {
+            let window = self.settings.rules.overload_window.as_secs_f64().max(SWEEP_S);
+            let room = cold_room(&self.settings.rules);
+            most = 1.0 + room * window * upstream.served_rate;
+            rate = room * rate + COLD_FIRST / (window * group.sharers(self.settings.copies));
+        }
+        upstream.tokens = (upstream.tokens + rate * (now - upstream.tokens_at)).min(most);
         upstream.tokens_at = now;
         upstream.tokens >= 1.0
     }
@@ -1106,6 +1147,11 @@
         let warm = upstream.warmth(now, &self.settings) >= 1.0;
         let group = if upstream.home { &mut self.subset.home } else { &mut self.subset.away };
         group.warm_served += u32::from(warm && outcome == Outcome::Good);
+        upstream.served += u32::from(outcome == Outcome::Good);
+        if group.all_cold && !warm && outcome == Outcome::Good {
+            let growth = cold_room(&self.settings.rules).min(COLD_GROWTH_MOST);
+            upstream.tokens += if took <= aim { 1.0 + growth } else { COLD_LATE };
+        }
         let delay =
             if matches!(outcome, Outcome::Good | Outcome::Error) { took } else { took.max(aim) } / aim;
         group.delay += DELAY_WEIGHT * (delay - group.delay);
@@ -1260,12 +1306,20 @@
         self.subset.learn_stay(self.settings.prices.cross_zone, &mut self.rng);
         for group in [&mut self.subset.home, &mut self.subset.away] {
             let warm = group.members.iter().filter(|&slot| has(slot) >= 1.0).count();
-            let rate = f64::from(take(&mut group.warm_served)) / SWEEP_S / warm.max(1) as f64;
-            group.warm_rate += 0.2 * (rate - group.warm_rate);
+            group.learn_warm_rate(warm);
+        }
+        for upstream in &mut self.upstreams {
+            let rate = f64::from(take(&mut upstream.served)) / SWEEP_S;
+            upstream.served_rate += 0.2 * (rate - upstream.served_rate);
         }
     }
 }
 
+/// Part of its capacity by which a cold upstream may be sent more than it can do, for each of the three uses of that.
+fn cold_room(rules: &Rules) -> f64 {
+    ((rules.overload_multiple - 1.0) * COLD_ROOM).max(0.0)
+}
+
 /// For how many seconds more the rules on effects let a request out again to `member`, if they do.
 fn may_repeat(now: f64, effect: Effect, first_run: Option<&Attempt>, member: &Member) -> Option<f64> {
     let Some(first) = first_run else { return Some(f64::MAX) };
