--- a/dahliahead/src/connection.rs
+++ b/dahliahead/src/connection.rs
@@ -1,7 +1,8 @@
 //! One HTTP/1.1 connection to an upstream or to discovery.
 
-use std::cell::Cell;
-use std::io;
+use std::cell::{Cell, RefCell};
+use std::fmt::{self, Debug, Formatter};
+use std::io::{self, IoSlice};
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -36,6 +37,58 @@
     }
 }
 
+/// Whether the bytes of a request may go out, asked as they are written: since the request was handed over, others had
+/// their turn, or the process was held up.
+pub trait Clearance {
+    /// Before the first byte: whether the attempt may begin.
+    fn begin(&self) -> bool;
+    /// Before further bytes: whether they may follow.
+    fn go_on(&self) -> bool;
+}
+
+/// Holds the clearance of the request that goes out on a connection.
+#[derive(Default)]
+pub struct Gate {
+    clearance: RefCell<Option<Box<dyn Clearance>>>,
+    refused: Cell<bool>,
+}
+
+impl Debug for Gate {
+    fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Gate").field("refused", &self.refused).finish_non_exhaustive()
+    }
+}
+
+impl Gate {
+    /// Asks for this clearance from now on.
+    pub fn set(&self, clearance: Box<dyn Clearance>) {
+        self.clearance.replace(Some(clearance));
+    }
+
+    /// Asks for none any more.
+    pub fn clear(&self) {
+        self.clearance.take();
+    }
+
+    /// Whether a clearance was refused, which breaks the connection.
+    #[must_use]
+    pub fn has_refused(&self) -> bool {
+        self.refused.get()
+    }
+
+    /// Asks whether bytes may go out, of a request of which some have or have not yet.
+    fn ask(&self, begun: bool) -> io::Result<()> {
+        let ask = if begun { Clearance::go_on } else { Clearance::begin };
+        let may = self.clearance.borrow().as_deref().is_none_or(ask);
+        if may { Ok(()) } else { Err(self.refuse()) }
+    }
+
+    fn refuse(&self) -> io::Error {
+        self.refused.set(true);
+        io::Error::other("the request must not go out any more")
+    }
+}
+
 /// An open connection. Dropping it closes the socket, whatever is still under way on it: an attempt that is
 /// no longer waited for must not come to its end unseen.
 #[derive(Debug)]
@@ -44,6 +97,8 @@
     pub sender: SendRequest<Full<Bytes>>,
     /// Bytes that the socket has taken.
     pub written: Rc<Cell<u64>>,
+    /// Asked before a request's bytes are written.
+    pub gate: Rc<Gate>,
     socket: Socket,
     task: AbortHandle,
 }
@@ -77,13 +132,13 @@
 /// It breaks as it comes up.
 pub async fn speak(stream: TcpStream, permit: Permit) -> Result<Connection, hyper::Error> {
     let io = Counted::new(stream, permit);
-    let (socket, written) = (io.socket.clone(), Rc::clone(&io.written));
+    let (socket, written, gate) = (io.socket.clone(), Rc::clone(&io.written), Rc::clone(&io.gate));
     let (sender, connection) = http1::handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
         // How it ends shows in the request that is out on it, if one is.
         let _ = connection.await;
     });
-    Ok(Connection { sender, written, socket, task: task.abort_handle() })
+    Ok(Connection { sender, written, gate, socket, task: task.abort_handle() })
 }
 
 /// A socket that counts the bytes it has taken: what was never written whole never ran.
@@ -91,12 +146,13 @@
 pub struct Counted {
     socket: Socket,
     written: Rc<Cell<u64>>,
+    gate: Rc<Gate>,
     _permit: Permit,
 }
 
 impl Counted {
     fn new(stream: TcpStream, permit: Permit) -> Self {
-        Self { socket: Socket::new(stream), written: Rc::default(), _permit: permit }
+        Self { socket: Socket::new(stream), written: Rc::default(), gate: Rc::default(), _permit: permit }
     }
 
     fn count(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
@@ -117,13 +173,8 @@
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(
-        mut self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-        bytes: &[u8],
-    ) -> Poll<io::Result<usize>> {
-        let done = Pin::new(&mut self.socket).poll_write(context, bytes);
-        self.count(done)
+    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        self.poll_write_vectored(context, &[IoSlice::new(bytes)])
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -137,8 +188,9 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        parts: &[io::IoSlice<'_>],
+        parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
+        self.gate.ask(self.written.get() > 0)?;
         let done = Pin::new(&mut self.socket).poll_write_vectored(context, parts);
         self.count(done)
     }
--- a/dahliahead/src/driver.rs
+++ b/dahliahead/src/driver.rs
@@ -24,6 +24,7 @@
 use crate::counters::{self, Counters};
 use crate::discovery::{self, Endpoint, Patience, TOLD_AFTER, Update};
 use crate::pool::{AcquireError, Host, Pool};
+use crate::socket::WeakSocket;
 use crate::upstream::{self, Call, Ended, Job};
 
 /// How far the module's clock runs ahead of the program's start: upstreams that started before it have a
@@ -67,11 +68,14 @@
     pub deadline: Instant,
     /// What goes on to upstreams.
     pub call: Rc<Call>,
+    /// The caller's connection.
+    pub client: WeakSocket,
 }
 
 /// A request that is held, or has attempts out.
 struct Held {
     call: Rc<Call>,
+    client: WeakSocket,
     deadline: Instant,
     /// Taken by the final answer.
     answer: Option<oneshot::Sender<Answer>>,
@@ -309,6 +313,15 @@
         self.core.borrow().requests.get(&request).is_some_and(|held| held.answer.is_some())
     }
 
+    /// The same, and its caller is still there: asks the system, as the end of a connection may lie in its socket
+    /// while the process was held up or others had their turn.
+    #[must_use]
+    pub fn is_awaited(&self, request: RequestId) -> bool {
+        let core = self.core.borrow();
+        let held = core.requests.get(&request).filter(|held| held.answer.is_some());
+        held.is_some_and(|held| !held.client.has_ended())
+    }
+
     /// Counts a connection to an upstream.
     pub fn count_opened(&self) {
         self.core.borrow_mut().counters.opened += 1;
@@ -334,6 +347,7 @@
             core.counters.taken += 1;
             let held = Held {
                 call: taken.call,
+                client: taken.client,
                 deadline: taken.deadline,
                 answer: Some(answer),
                 attempts: Vec::new(),
--- a/dahliahead/src/server.rs
+++ b/dahliahead/src/server.rs
@@ -31,7 +31,7 @@
 use crate::config::Config;
 use crate::configuration::Offered;
 use crate::driver::{Answer, Driver, Taken};
-use crate::socket::Socket;
+use crate::socket::{Socket, WeakSocket};
 use crate::upstream::{BODY_MOST, Call};
 
 /// Taken off a caller's time: the answer must arrive before it is up.
@@ -312,7 +312,8 @@
             if driver.pool().crowded() {
                 callers.make_room();
             }
-            let mut response = respond(driver, request, whole_by, last, &link.waiting).await;
+            let client = socket.downgrade();
+            let mut response = respond(driver, request, client, whole_by, last, &link.waiting).await;
             link.busy.set(false);
             link.since.set(Instant::now());
             if *callers.phases.borrow() != Phase::Serving || driver.pool().full() || socket.spilled() {
@@ -412,6 +413,7 @@
 async fn respond(
     driver: &Rc<Driver>,
     request: Request<Incoming>,
+    client: WeakSocket,
     whole_by: Instant,
     last: Option<Instant>,
     waiting: &Cell<bool>,
@@ -420,7 +422,7 @@
         let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         return plain(status, "");
     }
-    let answer = match read(driver, request, whole_by).await {
+    let answer = match read(driver, request, client, whole_by).await {
         // No socket is left for an attempt either; nothing has run.
         Ok(_) if driver.pool().full() => Answer::Refused { retry_after: None },
         Ok(mut taken) => {
@@ -536,7 +538,12 @@
 }
 
 /// Reads a request to its last byte, which must come by then.
-async fn read(driver: &Driver, request: Request<Incoming>, whole_by: Instant) -> Result<Taken, BadRequest> {
+async fn read(
+    driver: &Driver,
+    request: Request<Incoming>,
+    client: WeakSocket,
+    whole_by: Instant,
+) -> Result<Taken, BadRequest> {
     let (head, body) = request.into_parts();
     let offered = driver.offered();
     let mut asked = Asked::read(&head, &offered)?;
@@ -566,6 +573,7 @@
         expected_work: cost.map(Duration::from_micros),
         repeat: text(&head.headers, "x-retry") == Some("1"),
         deadline: now + time.saturating_sub(MARGIN),
+        client,
         call: Rc::new(Call {
             method: head.method,
             host: head.headers.get(HOST).cloned().unwrap_or(HeaderValue::from_static("upstream")),
--- a/dahliahead/src/socket.rs
+++ b/dahliahead/src/socket.rs
@@ -2,10 +2,10 @@
 //! at, such as the peer's end behind bytes that nobody has asked for yet.
 
 use std::cell::{Cell, RefCell};
-use std::io;
+use std::io::{self, ErrorKind, Read};
 use std::mem::MaybeUninit;
 use std::pin::Pin;
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
@@ -35,6 +35,18 @@
     spilled: Cell<bool>,
 }
 
+/// A handle on a socket that does not keep it open.
+#[derive(Debug, Clone)]
+pub struct WeakSocket(Weak<Shared>);
+
+impl WeakSocket {
+    /// Whether the peer has gone, as [`Socket::has_ended`] tells, or the socket has been closed on this side.
+    #[must_use]
+    pub fn has_ended(&self) -> bool {
+        self.0.upgrade().is_none_or(|shared| Socket(shared).has_ended())
+    }
+}
+
 impl Socket {
     /// Takes over a socket that has come up. Small writes go out at once: held back by the system they would go down
     /// with a close. That the option can't be set is no reason to hang up.
@@ -58,6 +70,28 @@
         SockRef::from(&*self.0.stream.borrow()).peek(&mut [MaybeUninit::uninit()]).is_err()
     }
 
+    /// A handle that does not keep the socket open.
+    #[must_use]
+    pub fn downgrade(&self) -> WeakSocket {
+        WeakSocket(Rc::downgrade(&self.0))
+    }
+
+    /// Whether the peer has ended its sending or the connection has broken. Asks the system, and not what the runtime
+    /// last heard of it. Reads what comes before that, for the HTTP code to find.
+    #[must_use]
+    pub fn has_ended(&self) -> bool {
+        let mut room = [0; 4096];
+        for _ in 0..READS {
+            match self.receive_now(&mut room) {
+                Ok(0) => return true,
+                Ok(bytes) => self.keep_ahead(&room[..bytes]),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return error.kind() != ErrorKind::WouldBlock,
+            }
+        }
+        false
+    }
+
     /// Ready once the peer has ended its sending or the connection has broken. Reads what comes before that, for the
     /// HTTP code to find; to be asked from the task that reads for it too, as only one is woken.
     pub fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
@@ -68,12 +102,7 @@
                 Ok(()) if !buffer.filled().is_empty() => {}
                 _ => return Poll::Ready(()),
             }
-            let mut ahead = self.0.ahead.borrow_mut();
-            if self.spilled() || ahead.len() + buffer.filled().len() > AHEAD_MOST {
-                self.0.spilled.set(true);
-            } else {
-                ahead.extend_from_slice(buffer.filled());
-            }
+            self.keep_ahead(buffer.filled());
         }
         context.waker().wake_by_ref();
         Poll::Pending
@@ -89,6 +118,23 @@
         }
     }
 
+    /// Keeps bytes that the HTTP code has not asked for yet, as many as are kept.
+    fn keep_ahead(&self, bytes: &[u8]) {
+        let mut ahead = self.0.ahead.borrow_mut();
+        if self.spilled() || ahead.len() + bytes.len() > AHEAD_MOST {
+            self.0.spilled.set(true);
+        } else {
+            ahead.extend_from_slice(bytes);
+        }
+    }
+
+    /// Reads past the runtime, which may not have heard yet of what has come.
+    fn receive_now(&self, room: &mut [u8]) -> io::Result<usize> {
+        let stream = self.0.stream.borrow();
+        let socket = SockRef::from(&*stream);
+        (&*socket).read(room)
+    }
+
     fn poll_receive(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(context, buffer)
     }
--- a/dahliahead/src/upstream.rs
+++ b/dahliahead/src/upstream.rs
@@ -15,7 +15,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::connection::Connection;
+use crate::connection::{Clearance, Connection};
 use crate::driver::Driver;
 use crate::pool::{AcquireError, Host};
 
@@ -104,6 +104,47 @@
     pub last: bool,
 }
 
+/// What must hold as the bytes of an attempt's request are written.
+struct Bounds {
+    driver: Rc<Driver>,
+    request: RequestId,
+    upstream: UpstreamId,
+    address: SocketAddr,
+    begin_by: Option<Instant>,
+}
+
+impl Bounds {
+    fn of(driver: &Rc<Driver>, job: &Job) -> Self {
+        let &Job { request, upstream, address, begin_by, .. } = job;
+        Self { driver: Rc::clone(driver), request, upstream, address, begin_by }
+    }
+
+    /// Whether the time is over in which upstreams drop a repeat.
+    fn is_late(&self) -> bool {
+        self.begin_by.is_some_and(|by| Instant::now() > by)
+    }
+
+    /// Why the attempt must not begin, if it must not.
+    fn refusal(&self) -> Option<Outcome> {
+        // While it connected, the upstream may have begun to drain, or gone: nothing new goes there.
+        if !self.driver.may_send(self.upstream, self.address) {
+            return Some(Outcome::ConnectFailed);
+        }
+        // Its caller may have gone meanwhile, or another attempt have served it.
+        (!self.driver.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
+    }
+}
+
+impl Clearance for Bounds {
+    fn begin(&self) -> bool {
+        self.refusal().is_none() && self.driver.is_awaited(self.request)
+    }
+
+    fn go_on(&self) -> bool {
+        !self.is_late() && self.driver.is_awaited(self.request)
+    }
+}
+
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct Ended {
@@ -215,26 +256,32 @@
             driver.count_opened();
         }
         progress.connecting.set(Some(job.asked.elapsed()));
-        // While it connected, the upstream may have begun to drain, or gone: nothing new goes there.
-        if !driver.may_send(job.upstream, job.address) {
-            return (Outcome::ConnectFailed.into(), None);
-        }
-        // Its caller may have gone meanwhile, or the time be over in which upstreams drop a repeat.
-        if !driver.is_wanted(job.request) || job.begin_by.is_some_and(|by| Instant::now() > by) {
-            return (Outcome::NotSent.into(), None);
+        let bounds = Bounds::of(driver, job);
+        if let Some(outcome) = bounds.refusal() {
+            return (outcome.into(), None);
         }
         let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
         connection.written.set(0);
+        connection.gate.set(Box::new(bounds));
         progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
         if let Ok(response) = connection.sender.send_request(request).await {
             if let Some(idle) = idle {
                 driver.learn_idle(idle, true);
             }
-            return match read(driver, response).await {
+            let ended = read(driver, response).await;
+            connection.gate.clear();
+            return match ended {
                 Some(ended) => (ended, Some(connection)),
                 None => (Outcome::Reset.into(), None),
             };
         }
+        if connection.gate.has_refused() {
+            if !driver.is_awaited(job.request) {
+                driver.caller_left(job.request);
+            }
+            let outcome = Bounds::of(driver, job).refusal().unwrap_or(Outcome::NotSent);
+            return (outcome.into(), None);
+        }
         if let Some(idle) = idle {
             driver.learn_idle(idle, false);
         }
--- /dev/null
+++ b/dahliahead/tests/departures.rs
@@ -0,0 +1,292 @@
+//! Clients that leave while nobody looks: the end of their connection lies in its socket, but the process was held up,
+//! or the task that reads it has not had its turn. No attempt begins for them. Requests are taken here with no such
+//! task at all, so that the system alone can tell.
+
+mod common;
+
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use bytes::Bytes;
+use common::*;
+use dahliahead::config::Config;
+use dahliahead::driver::{Answer, Driver, Taken};
+use dahliahead::socket::Socket;
+use dahliahead::upstream::Call;
+use hyper::header::HeaderValue;
+use hyper::{Method, Uri};
+use serde_json::Value;
+use socket2::SockRef;
+use tokio::sync::oneshot;
+use tokio::task::{LocalSet, spawn_local, yield_now};
+use tokio::time::Instant;
+
+/// How a client leaves.
+#[derive(Debug, Clone, Copy)]
+enum Departure {
+    Close,
+    Reset,
+    EndOfSending,
+    CloseBehindMore,
+}
+
+const DEPARTURES: [Departure; 4] =
+    [Departure::Close, Departure::Reset, Departure::EndOfSending, Departure::CloseBehindMore];
+
+/// A client's side of its connection. Shared, so that an upstream's script can let it leave.
+#[derive(Clone)]
+struct Client(Arc<Mutex<Option<TcpStream>>>);
+
+impl Client {
+    /// A client, and the balancer's side of its connection.
+    fn connect() -> (Self, Socket) {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
+        let (near, _) = listener.accept().expect("a connection");
+        near.set_nonblocking(true).expect("set");
+        let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
+        (Self(Arc::new(Mutex::new(Some(client)))), Socket::new(near))
+    }
+
+    fn leave(&self, how: Departure) {
+        let mut held = self.0.lock().expect("no panic");
+        let mut stream = held.take().expect("it is still there");
+        match how {
+            Departure::Close => {}
+            Departure::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set"),
+            Departure::EndOfSending => {
+                stream.shutdown(Shutdown::Write).expect("up");
+                *held = Some(stream);
+            }
+            Departure::CloseBehindMore => stream.write_all(b"GET /read HTTP/1.1\r\n").expect("up"),
+        }
+    }
+}
+
+/// Runs on a runtime of its own, with a driver that has these upstreams.
+fn drive(known: &[Value], test: impl AsyncFnOnce(&Rc<Driver>)) {
+    let discovery = Discovery::start();
+    let text = configuration(discovery.address, known, 50.0, 1024);
+    drive_with(&with_dial_timeout(&text, LONG.as_secs_f64()), test);
+}
+
+fn drive_with(configuration: &str, test: impl AsyncFnOnce(&Rc<Driver>)) {
+    let config = Config::parse(configuration, |_| None).expect("a sound configuration");
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+    LocalSet::new().block_on(&runtime, async {
+        let driver = Driver::start(config).expect("sound settings");
+        test(&driver).await;
+    });
+}
+
+/// Takes a request of this class for the client at the other end of `near`.
+fn take(driver: &Rc<Driver>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
+    let offered = driver.offered();
+    let (class_id, _) = offered.class(class).expect("it is offered");
+    let method = if class == "read" { Method::GET } else { Method::POST };
+    let call = Call {
+        method,
+        uri: format!("/{class}").parse::<Uri>().expect("a path"),
+        host: HeaderValue::from_static("origin.svc"),
+        id: HeaderValue::from_static("r-1"),
+        key: (class == "pay").then(|| HeaderValue::from_static("k-1")),
+        body: Bytes::new(),
+        once: class == "order",
+    };
+    let taken = Taken {
+        class: class_id,
+        tenant: offered.tenant("acme"),
+        key: None,
+        expected_work: None,
+        repeat: false,
+        deadline: Instant::now() + LONG,
+        call: Rc::new(call),
+        client: near.downgrade(),
+    };
+    driver.take(taken).1
+}
+
+/// Lets a client leave, and waits until the system has heard of it.
+fn depart(client: &Client, near: &Socket, how: Departure) {
+    client.leave(how);
+    wait_for("the system has heard of the departure", || near.has_ended().then_some(()));
+}
+
+/// Guards what everything else here rests on: the system is asked, whatever the runtime has heard, and what came before
+/// the end is kept for the HTTP code.
+#[test]
+fn a_departure_is_seen_without_the_runtime() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+    runtime.block_on(async {
+        for how in DEPARTURES {
+            let (client, mut near) = Client::connect();
+            assert!(!near.has_ended(), "{how:?}");
+            depart(&client, &near, how);
+            if matches!(how, Departure::CloseBehindMore) {
+                let mut bytes = [0; 64];
+                let read = tokio::io::AsyncReadExt::read(&mut near, &mut bytes).await.expect("kept");
+                assert_eq!(&bytes[..read], b"GET /read HTTP/1.1\r\n");
+            }
+            let weak = near.downgrade();
+            drop(near);
+            assert!(weak.has_ended(), "a connection closed on this side has no client");
+        }
+    });
+}
+
+/// Guards clients that stay, also with bytes of a next request behind the first one.
+#[test]
+fn a_client_that_stays_is_served() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    drive(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+        let (client, near) = Client::connect();
+        client.0.lock().expect("no panic").as_mut().expect("up").write_all(b"GET /").expect("up");
+        let answer = take(driver, "order", &near).await;
+        assert_eq!(answer, Ok(Answer::Served(Bytes::from_static(b"served"))));
+    });
+}
+
+/// Guards first attempts, on a new connection and on a kept one.
+#[test]
+fn a_first_attempt_does_not_begin_for_a_client_that_left() {
+    for how in DEPARTURES {
+        let upstream = Upstream::start(|_, _| ok("served"));
+        drive(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+            let (client, near) = Client::connect();
+            depart(&client, &near, how);
+            assert!(take(driver, "order", &near).await.is_err(), "{how:?}, on a new connection");
+            let (_stays, at_hand) = Client::connect();
+            assert!(take(driver, "read", &at_hand).await.is_ok());
+            assert!(take(driver, "read", &near).await.is_err(), "{how:?}, on a kept connection");
+        });
+        assert_eq!(upstream.requests().len(), 1, "{how:?}");
+    }
+}
+
+/// Guards the last step: the client leaves when its request was already handed to the connection, which has not
+/// written it yet.
+#[test]
+fn a_departure_between_hand_over_and_write_is_seen() {
+    for how in DEPARTURES {
+        let upstream = Upstream::start(|_, _| ok("served"));
+        drive(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+            let (client, near) = Client::connect();
+            assert!(take(driver, "read", &near).await.is_ok());
+            wait_for_rest().await;
+            let answer = take(driver, "read", &near);
+            // Runs after the attempt, and before the connection that the attempt wakes.
+            spawn_local(async move { depart(&client, &near, how) });
+            assert!(answer.await.is_err(), "{how:?}");
+        });
+        assert_eq!((upstream.requests().len(), upstream.connections()), (1, 1), "{how:?}");
+    }
+}
+
+/// Waits until a connection that has just carried an answer may carry the next request.
+async fn wait_for_rest() {
+    tokio::time::sleep(Duration::from_millis(30)).await;
+}
+
+/// Guards attempts whose connection comes up after their client has left.
+#[test]
+fn an_attempt_that_waits_for_a_connection_does_not_begin_for_a_client_that_left() {
+    std::thread::scope(|scope| {
+        for how in DEPARTURES {
+            scope.spawn(move || {
+                let late = Late::start();
+                drive(&[endpoint("s-1", late.address, 0, "ready")], async |driver| {
+                    let (client, near) = Client::connect();
+                    let answer = take(driver, "order", &near);
+                    while connecting(late.address).is_empty() {
+                        yield_now().await;
+                    }
+                    depart(&client, &near, how);
+                    let upstream = late.serve(|_, _| ok("served"));
+                    assert!(answer.await.is_err(), "{how:?}");
+                    assert_eq!(upstream.requests().len(), 0, "{how:?}");
+                });
+            });
+        }
+    });
+}
+
+/// Guards retries: the client leaves while its first attempt is out, which then fails in a way that allows another.
+#[test]
+fn a_retry_does_not_begin_for_a_client_that_left() {
+    for how in DEPARTURES {
+        for (class, reply) in [
+            ("order", status("503 Full\r\nX-Not-Run: 1")),
+            ("read", Reply::Last(Vec::new())),
+            ("pay", Reply::Last(Vec::new())),
+        ] {
+            let leaving: Arc<Mutex<Option<Client>>> = Arc::default();
+            let failing = || {
+                let (leaving, reply) = (Arc::clone(&leaving), reply.clone());
+                Upstream::start(move |_, _| {
+                    if let Some(client) = leaving.lock().expect("no panic").take() {
+                        client.leave(how);
+                    }
+                    reply.clone()
+                })
+            };
+            let (first, second) = (failing(), failing());
+            let known =
+                [endpoint("s-1", first.address, 4, "ready"), endpoint("s-2", second.address, 4, "ready")];
+            drive(&known, async |driver| {
+                let (client, near) = Client::connect();
+                leaving.lock().expect("no panic").replace(client);
+                assert!(take(driver, class, &near).await.is_err(), "{how:?}, {class}");
+            });
+            assert_eq!(first.requests().len() + second.requests().len(), 1, "{how:?}, {class}");
+        }
+    }
+}
+
+/// Guards the rest of a request: its client leaves when a part of it is out, and the last byte is never written.
+#[test]
+fn the_rest_of_a_request_does_not_follow_for_a_client_that_left() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("bound");
+    let known = [endpoint("s-1", address, 0, "ready")];
+    // So little room that a body does not go out at once.
+    SockRef::from(&listener).set_recv_buffer_size(1024).expect("set");
+    drive(&known, async |driver| {
+        let (client, near) = Client::connect();
+        let offered = driver.offered();
+        let body = Bytes::from(vec![b'x'; 8 << 20]);
+        let size = body.len();
+        let call = Call {
+            method: Method::POST,
+            uri: Uri::from_static("/order"),
+            host: HeaderValue::from_static("origin.svc"),
+            id: HeaderValue::from_static("r-1"),
+            key: None,
+            body,
+            once: true,
+        };
+        let taken = Taken {
+            class: offered.class("order").expect("it is offered").0,
+            tenant: offered.tenant("acme"),
+            key: None,
+            expected_work: None,
+            repeat: false,
+            deadline: Instant::now() + LONG,
+            call: Rc::new(call),
+            client: near.downgrade(),
+        };
+        let (_, answer) = driver.take(taken);
+        let accepted = tokio::task::spawn_blocking(move || {
+            let (mut stream, _) = listener.accept().expect("a connection");
+            stream.read_exact(&mut [0; 64]).expect("it has begun");
+            stream
+        });
+        let stream = accepted.await.expect("no panic");
+        depart(&client, &near, Departure::Close);
+        let read = tokio::task::spawn_blocking(move || all_of(stream).len());
+        assert!(answer.await.is_err());
+        assert!(read.await.expect("no panic") + 64 < size, "the whole of it came");
+    });
+}
