--- a/dahliahead/src/connection.rs
+++ b/dahliahead/src/connection.rs
@@ -3,10 +3,12 @@
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
 use std::io::{self, IoSlice};
+use std::iter;
 use std::net::SocketAddr;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, ready};
+use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -40,8 +42,8 @@
 /// Whether the bytes of a request may go out, asked as they are written: since the request was handed over, others had
 /// their turn, or the process was held up.
 pub trait Clearance {
-    /// Before the first byte: whether the attempt may begin.
-    fn begin(&self) -> bool;
+    /// Before the first byte: how long the attempt waits from now on; `None` if it must not begin.
+    fn begin(&self) -> Option<Duration>;
     /// Before further bytes: whether they may follow.
     fn go_on(&self) -> bool;
 }
@@ -76,10 +78,17 @@
         self.refused.get()
     }
 
-    /// Asks whether bytes may go out, of a request of which some have or have not yet.
-    fn ask(&self, begun: bool) -> io::Result<()> {
-        let ask = if begun { Clearance::go_on } else { Clearance::begin };
-        let may = self.clearance.borrow().as_deref().is_none_or(ask);
+    /// Asks whether the first bytes of a request may go out, and gives them with the time that is left now.
+    fn begin(&self, head: &[u8]) -> io::Result<Option<Head>> {
+        match self.clearance.borrow().as_deref().map(Clearance::begin) {
+            None => Ok(None),
+            Some(Some(time_left)) => Ok(Head::with(head, time_left)),
+            Some(None) => Err(self.refuse()),
+        }
+    }
+
+    fn go_on(&self) -> io::Result<()> {
+        let may = self.clearance.borrow().as_deref().is_none_or(Clearance::go_on);
         if may { Ok(()) } else { Err(self.refuse()) }
     }
 
@@ -89,6 +98,39 @@
     }
 }
 
+/// The head of a request whose deadline is that of the moment of its writing.
+struct Head {
+    bytes: Vec<u8>,
+    /// Where the deadline ends in it.
+    told: usize,
+}
+
+impl Head {
+    /// The same bytes with another time in the deadline's place, if it has one.
+    fn with(head: &[u8], time_left: Duration) -> Option<Self> {
+        let start = head.windows(DEADLINE.len()).position(|part| part == DEADLINE)? + DEADLINE.len();
+        let length = head[start..].iter().position(|&byte| byte == b'\r')?;
+        let value = seconds_in(time_left, length)?;
+        let mut bytes = head.to_vec();
+        bytes[start..start + length].copy_from_slice(value.as_bytes());
+        Some(Self { bytes, told: start + length })
+    }
+}
+
+/// What a deadline stands behind in the head of a request.
+const DEADLINE: &[u8] = b"\r\nx-deadline: ";
+
+/// Seconds with as many decimals as make them so long, rounded down; `None` if they are longer.
+fn seconds_in(time: Duration, length: usize) -> Option<String> {
+    let mut text = format!("{}.{:09}", time.as_secs(), time.subsec_nanos());
+    while text.len() < length {
+        text.push('0');
+    }
+    text.truncate(length);
+    (text.len() == length && text.trim_end_matches(|c: char| c.is_ascii_digit()).ends_with('.'))
+        .then_some(text)
+}
+
 /// An open connection. Dropping it closes the socket, whatever is still under way on it: an attempt that is
 /// no longer waited for must not come to its end unseen.
 #[derive(Debug)]
@@ -155,6 +197,21 @@
         Self { socket: Socket::new(stream), written: Rc::default(), gate: Rc::default(), _permit: permit }
     }
 
+    /// Writes the first bytes of a request.
+    fn begin(
+        &mut self,
+        context: &mut Context<'_>,
+        head: &Head,
+        rest: &[IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        let parts: Vec<_> = iter::once(IoSlice::new(&head.bytes)).chain(rest.iter().copied()).collect();
+        let done = Pin::new(&mut self.socket).poll_write_vectored(context, &parts);
+        let bytes = ready!(self.count(done))?;
+        // What follows is as it was before, so the whole of the deadline must be out.
+        let error = || io::Error::new(io::ErrorKind::WriteZero, "the socket has no room for a head");
+        Poll::Ready(if bytes < head.told { Err(error()) } else { Ok(bytes) })
+    }
+
     fn count(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         let bytes = ready!(done)?;
         self.written.set(self.written.get() + bytes as u64);
@@ -190,7 +247,13 @@
         context: &mut Context<'_>,
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.gate.ask(self.written.get() > 0)?;
+        if self.written.get() > 0 {
+            self.gate.go_on()?;
+        } else if let Some((first, rest)) = parts.split_first()
+            && let Some(head) = self.gate.begin(first)?
+        {
+            return self.begin(context, &head, rest);
+        }
         let done = Pin::new(&mut self.socket).poll_write_vectored(context, parts);
         self.count(done)
     }
--- a/dahliahead/src/upstream.rs
+++ b/dahliahead/src/upstream.rs
@@ -111,12 +111,13 @@
     upstream: UpstreamId,
     address: SocketAddr,
     begin_by: Option<Instant>,
+    until: Instant,
 }
 
 impl Bounds {
     fn of(driver: &Rc<Driver>, job: &Job) -> Self {
-        let &Job { request, upstream, address, begin_by, .. } = job;
-        Self { driver: Rc::clone(driver), request, upstream, address, begin_by }
+        let &Job { request, upstream, address, begin_by, until, .. } = job;
+        Self { driver: Rc::clone(driver), request, upstream, address, begin_by, until }
     }
 
     /// Whether the time is over in which upstreams drop a repeat.
@@ -136,8 +137,9 @@
 }
 
 impl Clearance for Bounds {
-    fn begin(&self) -> bool {
-        self.refusal().is_none() && self.driver.is_awaited(self.request)
+    fn begin(&self) -> Option<Duration> {
+        let may = self.refusal().is_none() && self.driver.is_awaited(self.request);
+        may.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
     fn go_on(&self) -> bool {
--- a/dahliahead/tests/sending.rs
+++ b/dahliahead/tests/sending.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dahliahead::connection::{Permit, speak};
+use dahliahead::connection::{Clearance, Permit, speak};
 use dahliahead::upstream::{Call, Progress, size_on_wire};
 use http_body_util::Full;
 use hyper::client::conn::http1;
@@ -98,3 +98,53 @@
         assert_eq!(answer.expect("it is answered").status(), StatusCode::OK);
     });
 }
+
+/// Says that an attempt has so long left, and then that the rest may follow.
+struct Left(Duration);
+
+impl Clearance for Left {
+    fn begin(&self) -> Option<Duration> {
+        Some(self.0)
+    }
+
+    fn go_on(&self) -> bool {
+        true
+    }
+}
+
+/// Guards the deadline that is passed on against what happens between the forming of a request and its writing: it is
+/// that of the write, in as many bytes as were reckoned.
+#[test]
+fn the_deadline_is_that_of_the_write() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+    let millis = Duration::from_millis;
+    let cases = [
+        (millis(2500), millis(2350), "2.350"),
+        (millis(10_002), millis(9_870), "9.8700"),
+        (millis(100), millis(0), "0.000"),
+        (millis(1000), Duration::from_micros(999_999), "0.999"),
+    ];
+    for (formed, written, passed_on) in cases {
+        LocalSet::new().block_on(&runtime, async {
+            let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+            let near = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
+            let (mut far, _) = listener.accept().await.expect("a connection");
+            let mut connection = speak(near, Permit::of(&Rc::default())).await.expect("it is up");
+            let call = call(Method::POST, b"instalments");
+            let request = call.request(formed);
+            let size = size_on_wire(&request, call.body.len());
+            connection.gate.set(Box::new(Left(written)));
+            let upstream = async {
+                let mut bytes = vec![0; size as usize];
+                far.read_exact(&mut bytes).await.expect("so many bytes come");
+                far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("read");
+                String::from_utf8(bytes).expect("text")
+            };
+            let (answer, text) = tokio::join!(connection.sender.send_request(request), upstream);
+            assert_eq!(answer.expect("it is answered").status(), StatusCode::OK);
+            assert!(text.contains(&format!("\r\nx-deadline: {passed_on}\r\n")), "{text}");
+            assert!(text.ends_with("\r\n\r\ninstalments"), "{text}");
+            assert_eq!(connection.written.get(), size);
+        });
+    }
+}
