--- a/dahliahead/src/connection.rs
+++ b/dahliahead/src/connection.rs
@@ -79,10 +79,10 @@
     }
 
     /// Asks whether the first bytes of a request may go out, and gives them with the time that is left now.
-    fn begin(&self, head: &[u8]) -> io::Result<Option<Head>> {
+    fn begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
         match self.clearance.borrow().as_deref().map(Clearance::begin) {
             None => Ok(None),
-            Some(Some(time_left)) => Ok(Head::with(head, time_left)),
+            Some(Some(time_left)) => Ok(with_deadline(head, time_left)),
             Some(None) => Err(self.refuse()),
         }
     }
@@ -98,23 +98,14 @@
     }
 }
 
-/// The head of a request whose deadline is that of the moment of its writing.
-struct Head {
-    bytes: Vec<u8>,
-    /// Where the deadline ends in it.
-    told: usize,
-}
-
-impl Head {
-    /// The same bytes with another time in the deadline's place, if it has one.
-    fn with(head: &[u8], time_left: Duration) -> Option<Self> {
-        let start = head.windows(DEADLINE.len()).position(|part| part == DEADLINE)? + DEADLINE.len();
-        let length = head[start..].iter().position(|&byte| byte == b'\r')?;
-        let value = seconds_in(time_left, length)?;
-        let mut bytes = head.to_vec();
-        bytes[start..start + length].copy_from_slice(value.as_bytes());
-        Some(Self { bytes, told: start + length })
-    }
+/// The same bytes with another time in the deadline's place, if they have one.
+fn with_deadline(head: &[u8], time_left: Duration) -> Option<Vec<u8>> {
+    let start = head.windows(DEADLINE.len()).position(|part| part == DEADLINE)? + DEADLINE.len();
+    let length = head[start..].iter().position(|&byte| byte == b'\r')?;
+    let value = seconds_in(time_left, length)?;
+    let mut bytes = head.to_vec();
+    bytes[start..start + length].copy_from_slice(value.as_bytes());
+    Some(bytes)
 }
 
 /// What a deadline stands behind in the head of a request.
@@ -189,27 +180,32 @@
     socket: Socket,
     written: Rc<Cell<u64>>,
     gate: Rc<Gate>,
+    /// The first bytes of the request that is written, with the deadline of the moment at which it began.
+    head: Option<Vec<u8>>,
     _permit: Permit,
 }
 
 impl Counted {
     fn new(stream: TcpStream, permit: Permit) -> Self {
-        Self { socket: Socket::new(stream), written: Rc::default(), gate: Rc::default(), _permit: permit }
+        Self {
+            socket: Socket::new(stream),
+            written: Rc::default(),
+            gate: Rc::default(),
+            head: None,
+            _permit: permit,
+        }
     }
 
-    /// Writes the first bytes of a request.
-    fn begin(
+    /// Writes what the socket has not taken yet of a request's head, and what follows.
+    fn write_head(
         &mut self,
         context: &mut Context<'_>,
-        head: &Head,
+        head: &[u8],
         rest: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let parts: Vec<_> = iter::once(IoSlice::new(&head.bytes)).chain(rest.iter().copied()).collect();
+        let parts: Vec<_> = iter::once(IoSlice::new(head)).chain(rest.iter().copied()).collect();
         let done = Pin::new(&mut self.socket).poll_write_vectored(context, &parts);
-        let bytes = ready!(self.count(done))?;
-        // What follows is as it was before, so the whole of the deadline must be out.
-        let error = || io::Error::new(io::ErrorKind::WriteZero, "the socket has no room for a head");
-        Poll::Ready(if bytes < head.told { Err(error()) } else { Ok(bytes) })
+        self.count(done)
     }
 
     fn count(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
@@ -247,12 +243,18 @@
         context: &mut Context<'_>,
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        if self.written.get() > 0 {
+        let Some((first, rest)) = parts.split_first() else { return Poll::Ready(Ok(0)) };
+        let written = self.written.get() as usize;
+        if written > 0 {
             self.gate.go_on()?;
-        } else if let Some((first, rest)) = parts.split_first()
-            && let Some(head) = self.gate.begin(first)?
-        {
-            return self.begin(context, &head, rest);
+        } else {
+            self.head = self.gate.begin(first)?;
+        }
+        // The socket may take a head in parts: the rest of it goes with the first part's deadline.
+        if let Some(head) = self.head.take_if(|head| written + first.len() == head.len()) {
+            let done = self.write_head(context, &head[written..], rest);
+            self.head = Some(head);
+            return done;
         }
         let done = Pin::new(&mut self.socket).poll_write_vectored(context, parts);
         self.count(done)
