--- /dev/null
+++ b/crates/fault-injection/src/faults.rs
@@ -0,0 +1,182 @@
+//! Which call is affected, and how.
+
+use std::env;
+use std::fs::{File, OpenOptions};
+use std::io::Write;
+use std::os::fd::RawFd;
+use std::process::abort;
+use std::sync::OnceLock;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+use libc::c_int;
+
+use crate::descriptors;
+
+/// Seed of the draw of the calls that are affected.
+const SEED: u64 = 0x5eed_0ffa;
+
+/// Errors by their names.
+const ERRORS: [(&str, c_int); 22] = [
+    ("EACCES", libc::EACCES),
+    ("EADDRINUSE", libc::EADDRINUSE),
+    ("EADDRNOTAVAIL", libc::EADDRNOTAVAIL),
+    ("EAGAIN", libc::EAGAIN),
+    ("ECONNABORTED", libc::ECONNABORTED),
+    ("ECONNREFUSED", libc::ECONNREFUSED),
+    ("ECONNRESET", libc::ECONNRESET),
+    ("EHOSTUNREACH", libc::EHOSTUNREACH),
+    ("EINTR", libc::EINTR),
+    ("EINVAL", libc::EINVAL),
+    ("EIO", libc::EIO),
+    ("EMFILE", libc::EMFILE),
+    ("ENETDOWN", libc::ENETDOWN),
+    ("ENETUNREACH", libc::ENETUNREACH),
+    ("ENFILE", libc::ENFILE),
+    ("ENOBUFS", libc::ENOBUFS),
+    ("ENOMEM", libc::ENOMEM),
+    ("ENOPROTOOPT", libc::ENOPROTOOPT),
+    ("EPERM", libc::EPERM),
+    ("EPIPE", libc::EPIPE),
+    ("EPROTO", libc::EPROTO),
+    ("ETIMEDOUT", libc::ETIMEDOUT),
+];
+
+/// A kind of calls.
+#[derive(Debug, Clone, Copy)]
+pub enum Call {
+    Accept,
+    Socket,
+    Connect,
+    Read,
+    Write,
+    Wait,
+    SoError,
+    SetSockOpt,
+}
+
+/// The kinds by their names, in the order of their numbers.
+const CALLS: [&str; 8] = ["ACCEPT", "SOCKET", "CONNECT", "READ", "WRITE", "WAIT", "SO_ERROR", "SETSOCKOPT"];
+
+/// What happens to a call.
+#[derive(Debug, Clone, Copy)]
+pub enum Fault {
+    /// It is not made and fails with this error.
+    Fails(c_int),
+    /// It is made with so many bytes at most. With an error, all later transfers on the socket fail with that.
+    Short(usize, Option<c_int>),
+}
+
+/// What happens to a kind of calls.
+#[derive(Debug, Default)]
+struct Plan {
+    name: &'static str,
+    errors: Vec<(String, c_int)>,
+    short: Option<usize>,
+    every: u64,
+    skip: u64,
+    count: u64,
+    ports: Vec<u16>,
+    seen: AtomicU64,
+    affected: AtomicU64,
+}
+
+impl Plan {
+    fn parse(name: &'static str, text: &str) -> Option<Self> {
+        let mut plan = Self { name, every: 1, count: u64::MAX, ..Self::default() };
+        for part in text.split(',') {
+            let (key, value) = part.split_once('=')?;
+            match key {
+                "errno" => plan.errors = value.split('+').map(error).collect::<Option<_>>()?,
+                "short" => plan.short = Some(value.parse().ok().filter(|&bytes| bytes > 0)?),
+                "every" => plan.every = value.parse().ok().filter(|&every| every > 0)?,
+                "skip" => plan.skip = value.parse().ok()?,
+                "count" => plan.count = value.parse().ok()?,
+                "ports" => {
+                    plan.ports = value.split('+').map(|port| port.parse().ok()).collect::<Option<_>>()?
+                }
+                _ => return None,
+            }
+        }
+        (plan.short.is_some() || !plan.errors.is_empty()).then_some(())?;
+        Some(plan)
+    }
+
+    fn next(&self, port: Option<u16>) -> Option<Fault> {
+        if !self.ports.is_empty() && !port.is_some_and(|port| self.ports.contains(&port)) {
+            return None;
+        }
+        let number = self.seen.fetch_add(1, Ordering::Relaxed);
+        if number < self.skip || !mix(SEED ^ number).is_multiple_of(self.every) {
+            return None;
+        }
+        let affected = self.affected.fetch_add(1, Ordering::Relaxed);
+        if affected >= self.count {
+            return None;
+        }
+        let error = self.errors.get(affected as usize % self.errors.len().max(1));
+        if let Some((text, _)) = error {
+            log(self.name, text);
+        }
+        let error = error.map(|(_, error)| *error);
+        match self.short {
+            Some(bytes) => Some(Fault::Short(bytes, error)),
+            None => error.map(Fault::Fails),
+        }
+    }
+}
+
+fn error(name: &str) -> Option<(String, c_int)> {
+    ERRORS.iter().find(|(known, _)| *known == name).map(|(known, error)| ((*known).to_owned(), *error))
+}
+
+/// The finalizer of SplitMix64.
+fn mix(mut value: u64) -> u64 {
+    value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
+}
+
+fn plans() -> &'static [Option<Plan>; CALLS.len()] {
+    static PLANS: OnceLock<[Option<Plan>; CALLS.len()]> = OnceLock::new();
+    PLANS.get_or_init(|| {
+        CALLS.map(|name| {
+            let text = env::var(format!("FAULT_{name}")).ok()?;
+            let plan = Plan::parse(name, &text);
+            if plan.is_none() {
+                eprintln!("FAULT_{name} is not understood: {text}");
+                abort();
+            }
+            plan
+        })
+    })
+}
+
+/// What happens to this call on a socket; `port` is where it connects to, if it does.
+pub fn next(call: Call, port: Option<u16>) -> Option<Fault> {
+    plans()[call as usize].as_ref()?.next(port)
+}
+
+/// What happens to this call on a socket that is there; nothing if the descriptor is none.
+pub fn next_on(call: Call, descriptor: RawFd) -> Option<Fault> {
+    // Looked at first: a message on a word that is not understood is itself written.
+    let socket = descriptors::find(descriptor)?;
+    next(call, socket.port)
+}
+
+/// Notes that a call was cut short.
+pub fn log_short(call: Call) {
+    log(CALLS[call as usize], "short");
+}
+
+fn log(call: &str, what: &str) {
+    static FILE: OnceLock<Option<File>> = OnceLock::new();
+    let file = FILE.get_or_init(|| {
+        let path = env::var_os("FAULT_LOG")?;
+        Some(OpenOptions::new().append(true).create(true).open(path).expect("FAULT_LOG can be written"))
+    });
+    if let Some(mut file) = file.as_ref() {
+        // The file is no socket, so that this write is not affected.
+        let _ = file.write_all(format!("{call} {what}\n").as_bytes());
+    }
+}
--- /dev/null
+++ b/crates/fault-injection/src/wrappers.rs
@@ -0,0 +1,444 @@
+//! The wrapped functions. Each has the signature and the contract of the C library's function of its name, which it
+//! calls with the same arguments, or with fewer bytes, unless the call is to fail.
+
+use std::ffi::CStr;
+use std::mem::transmute;
+use std::ptr;
+use std::sync::OnceLock;
+
+use libc::{
+    c_int, c_void, clockid_t, epoll_event, iovec, msghdr, size_t, sockaddr, socklen_t, ssize_t, timespec,
+};
+
+use crate::clock;
+use crate::descriptors::{self, Watched};
+use crate::faults::{self, Call, Fault, log_short};
+
+/// The address of the C library's own function of this name.
+fn address_of(name: &CStr) -> usize {
+    // SAFETY: the name is a C string; `RTLD_NEXT` needs nothing else.
+    let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
+    assert!(!address.is_null(), "the C library has no {name:?}");
+    address as usize
+}
+
+/// Calls the C library's own function: `real!(name(argument: type, ...) -> type)`.
+macro_rules! real {
+    ($name:ident($($argument:expr => $type:ty),*) -> $result:ty) => {{
+        static ADDRESS: OnceLock<usize> = OnceLock::new();
+        let name = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
+            Ok(name) => name,
+            Err(_) => unreachable!("the name has no zero byte"),
+        };
+        let address = *ADDRESS.get_or_init(|| address_of(name));
+        // SAFETY: the function of this name has this signature; what it asks of its arguments the caller of the
+        // wrapper, which has the same contract, has seen to.
+        unsafe {
+            transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(address)($($argument),*)
+        }
+    }};
+}
+
+fn fail(error: c_int) -> c_int {
+    // SAFETY: the location is this thread's own, and valid for as long as the thread lives.
+    unsafe { *libc::__errno_location() = error };
+    -1
+}
+
+/// Brings about the edge that a call which was cut short is taken to have used up.
+fn bring_edge(descriptor: c_int) {
+    let watched = descriptors::find(descriptor).and_then(|socket| socket.watched);
+    if let Some(Watched { epoll, events, data }) = watched {
+        let mut event = epoll_event { events, u64: data };
+        real!(epoll_ctl(
+            epoll => c_int, libc::EPOLL_CTL_MOD => c_int, descriptor => c_int, &raw mut event => *mut epoll_event
+        ) -> c_int);
+    }
+}
+
+/// Makes a call on `length` bytes by what is to happen to it; `make` makes it on so many of them.
+fn transfer(call: Call, descriptor: c_int, length: usize, make: impl Fn(usize) -> ssize_t) -> ssize_t {
+    if let Some(error) = descriptors::find(descriptor).and_then(|socket| socket.broken) {
+        return fail(error) as ssize_t;
+    }
+    let (most, error) = match faults::next_on(call, descriptor) {
+        Some(Fault::Fails(error)) => return fail(error) as ssize_t,
+        Some(Fault::Short(most, error)) if most < length => (most, error),
+        _ => return make(length),
+    };
+    let done = make(most);
+    // One that did less by itself has used the socket up.
+    if done == most as ssize_t {
+        log_short(call);
+        if let Some(error) = error {
+            descriptors::breaks(descriptor, error);
+        }
+        bring_edge(descriptor);
+    }
+    done
+}
+
+/// The error with which a call other than a transfer is to fail.
+fn error_of(fault: Option<Fault>) -> Option<c_int> {
+    match fault? {
+        Fault::Fails(error) => Some(error),
+        Fault::Short(..) => None,
+    }
+}
+
+// --- Sockets ---
+
+/// `socket(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+    let internet = domain == libc::AF_INET || domain == libc::AF_INET6;
+    if internet && let Some(error) = error_of(faults::next(Call::Socket, None)) {
+        return fail(error);
+    }
+    let descriptor = real!(socket(domain => c_int, kind => c_int, protocol => c_int) -> c_int);
+    if internet && descriptor >= 0 {
+        descriptors::opened(descriptor);
+    }
+    descriptor
+}
+
+/// `accept4(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn accept4(
+    listener: c_int,
+    address: *mut sockaddr,
+    length: *mut socklen_t,
+    flags: c_int,
+) -> c_int {
+    if let Some(error) = error_of(faults::next_on(Call::Accept, listener)) {
+        return fail(error);
+    }
+    let descriptor = real!(accept4(
+        listener => c_int, address => *mut sockaddr, length => *mut socklen_t, flags => c_int
+    ) -> c_int);
+    if descriptor >= 0 && descriptors::find(listener).is_some() {
+        descriptors::opened(descriptor);
+    }
+    descriptor
+}
+
+/// The port of an address; `None` if it is of no internet family.
+///
+/// # Safety
+/// `address` points to an address of its family's length.
+unsafe fn port_of(address: *const sockaddr) -> Option<u16> {
+    // SAFETY: each address begins with its family; those of the internet families have the length of theirs.
+    unsafe {
+        match c_int::from((*address).sa_family) {
+            libc::AF_INET => Some(u16::from_be((*address.cast::<libc::sockaddr_in>()).sin_port)),
+            libc::AF_INET6 => Some(u16::from_be((*address.cast::<libc::sockaddr_in6>()).sin6_port)),
+            _ => None,
+        }
+    }
+}
+
+/// `connect(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
+    // SAFETY: the caller hands over an address of this length.
+    if let Some(port) = unsafe { port_of(address) } {
+        descriptors::connects(descriptor, port);
+        if let Some(error) = error_of(faults::next_on(Call::Connect, descriptor)) {
+            return fail(error);
+        }
+    }
+    real!(connect(descriptor => c_int, address => *const sockaddr, length => socklen_t) -> c_int)
+}
+
+/// `close(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
+    descriptors::closed(descriptor);
+    real!(close(descriptor => c_int) -> c_int)
+}
+
+/// `getsockopt(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn getsockopt(
+    descriptor: c_int,
+    level: c_int,
+    name: c_int,
+    value: *mut c_void,
+    length: *mut socklen_t,
+) -> c_int {
+    let done = real!(getsockopt(
+        descriptor => c_int, level => c_int, name => c_int, value => *mut c_void, length => *mut socklen_t
+    ) -> c_int);
+    if done == 0
+        && (level, name) == (libc::SOL_SOCKET, libc::SO_ERROR)
+        && let Some(error) = error_of(faults::next_on(Call::SoError, descriptor))
+    {
+        // SAFETY: this option is a C integer, and the call has just written one there.
+        unsafe { *value.cast::<c_int>() = error };
+    }
+    done
+}
+
+/// `setsockopt(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn setsockopt(
+    descriptor: c_int,
+    level: c_int,
+    name: c_int,
+    value: *const c_void,
+    length: socklen_t,
+) -> c_int {
+    if let Some(error) = error_of(faults::next_on(Call::SetSockOpt, descriptor)) {
+        return fail(error);
+    }
+    real!(setsockopt(
+        descriptor => c_int, level => c_int, name => c_int, value => *const c_void, length => socklen_t
+    ) -> c_int)
+}
+
+// --- Reads ---
+
+/// `read(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
+    transfer(
+        Call::Read,
+        descriptor,
+        length,
+        |length| real!(read(descriptor => c_int, buffer => *mut c_void, length => size_t) -> ssize_t),
+    )
+}
+
+/// `recv(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn recv(
+    descriptor: c_int,
+    buffer: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    let make = |length| {
+        real!(recv(
+            descriptor => c_int, buffer => *mut c_void, length => size_t, flags => c_int
+        ) -> ssize_t)
+    };
+    if flags & libc::MSG_PEEK != 0 {
+        return make(length);
+    }
+    transfer(Call::Read, descriptor, length, make)
+}
+
+/// `recvfrom(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn recvfrom(
+    descriptor: c_int,
+    buffer: *mut c_void,
+    length: size_t,
+    flags: c_int,
+    address: *mut sockaddr,
+    address_length: *mut socklen_t,
+) -> ssize_t {
+    let make = |length| {
+        real!(recvfrom(
+            descriptor => c_int, buffer => *mut c_void, length => size_t, flags => c_int,
+            address => *mut sockaddr, address_length => *mut socklen_t
+        ) -> ssize_t)
+    };
+    if flags & libc::MSG_PEEK != 0 {
+        return make(length);
+    }
+    transfer(Call::Read, descriptor, length, make)
+}
+
+// --- Writes ---
+
+/// `write(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
+    transfer(
+        Call::Write,
+        descriptor,
+        length,
+        |length| real!(write(descriptor => c_int, buffer => *const c_void, length => size_t) -> ssize_t),
+    )
+}
+
+/// `send(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn send(
+    descriptor: c_int,
+    buffer: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    transfer(Call::Write, descriptor, length, |length| {
+        real!(send(
+            descriptor => c_int, buffer => *const c_void, length => size_t, flags => c_int
+        ) -> ssize_t)
+    })
+}
+
+/// `sendto(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn sendto(
+    descriptor: c_int,
+    buffer: *const c_void,
+    length: size_t,
+    flags: c_int,
+    address: *const sockaddr,
+    address_length: socklen_t,
+) -> ssize_t {
+    transfer(Call::Write, descriptor, length, |length| {
+        real!(sendto(
+            descriptor => c_int, buffer => *const c_void, length => size_t, flags => c_int,
+            address => *const sockaddr, address_length => socklen_t
+        ) -> ssize_t)
+    })
+}
+
+/// The bytes of some parts together, and the first `most` of them as parts.
+///
+/// # Safety
+/// `parts` points to `count` of them.
+unsafe fn first_of(parts: *const iovec, count: usize, most: usize) -> (usize, Vec<iovec>) {
+    let (mut length, mut first) = (0, Vec::new());
+    for place in 0..count {
+        // SAFETY: there are as many.
+        let mut part = unsafe { *parts.add(place) };
+        let left = most.saturating_sub(length);
+        length += part.iov_len;
+        part.iov_len = part.iov_len.min(left);
+        first.push(part);
+    }
+    (length, first)
+}
+
+/// `writev(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
+    let number = usize::try_from(count).unwrap_or(0);
+    // SAFETY: the caller hands over as many parts.
+    let (length, _) = unsafe { first_of(parts, number, 0) };
+    transfer(Call::Write, descriptor, length, |most| {
+        // SAFETY: as above.
+        let (_, first) = unsafe { first_of(parts, number, most) };
+        real!(writev(descriptor => c_int, first.as_ptr() => *const iovec, count => c_int) -> ssize_t)
+    })
+}
+
+/// `sendmsg(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn sendmsg(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
+    // SAFETY: the caller hands over a message, and as many parts as it says.
+    let (whole, (length, _)) = unsafe { (*message, first_of((*message).msg_iov, (*message).msg_iovlen, 0)) };
+    transfer(Call::Write, descriptor, length, |most| {
+        // SAFETY: as above.
+        let (_, mut first) = unsafe { first_of(whole.msg_iov, whole.msg_iovlen, most) };
+        let message = msghdr { msg_iov: first.as_mut_ptr(), ..whole };
+        real!(sendmsg(descriptor => c_int, &raw const message => *const msghdr, flags => c_int) -> ssize_t)
+    })
+}
+
+// --- Events ---
+
+/// `epoll_ctl(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn epoll_ctl(
+    epoll: c_int,
+    operation: c_int,
+    descriptor: c_int,
+    event: *mut epoll_event,
+) -> c_int {
+    let done = real!(epoll_ctl(
+        epoll => c_int, operation => c_int, descriptor => c_int, event => *mut epoll_event
+    ) -> c_int);
+    if done == 0 {
+        let watched = (operation != libc::EPOLL_CTL_DEL).then(|| {
+            // SAFETY: the call, which needs an event unless it ends the watch, has succeeded; it may lie unaligned.
+            let event = unsafe { ptr::read_unaligned(event) };
+            Watched { epoll, events: event.events, data: event.u64 }
+        });
+        descriptors::watched(descriptor, watched);
+    }
+    done
+}
+
+/// `epoll_wait(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn epoll_wait(
+    epoll: c_int,
+    events: *mut epoll_event,
+    most: c_int,
+    timeout_ms: c_int,
+) -> c_int {
+    if let Some(error) = error_of(faults::next(Call::Wait, None)) {
+        return fail(error);
+    }
+    real!(epoll_wait(
+        epoll => c_int, events => *mut epoll_event, most => c_int, timeout_ms => c_int
+    ) -> c_int)
+}
+
+// --- Clock ---
+
+/// `clock_gettime(2)`.
+///
+/// # Safety
+/// As the C library's.
+#[unsafe(no_mangle)]
+pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
+    let done = real!(clock_gettime(clock => clockid_t, time => *mut timespec) -> c_int);
+    if done == 0 && clock == libc::CLOCK_REALTIME {
+        // SAFETY: the call has just written it.
+        unsafe { *time = clock::shifted(*time) };
+    }
+    done
+}
--- /dev/null
+++ b/dahliahead/tests/system_calls.rs
@@ -0,0 +1,340 @@
+//! System calls that fail, are interrupted, or do less than they were asked for: the program runs with the library of
+//! `crates/fault-injection` before the C library, and every request gets its one answer all the same.
+
+mod common;
+
+use std::fs;
+use std::io::{BufRead, BufReader, Read};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, Stdio};
+use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use common::*;
+
+/// Callers at a time.
+const CALLERS: usize = 8;
+/// Requests of each.
+const REQUESTS: usize = 150;
+/// Upstreams.
+const UPSTREAMS: usize = 4;
+/// The classes of a caller's requests, in turn.
+const CLASSES: [&str; 3] = ["read", "pay", "order"];
+
+/// Where the library is: cargo builds it beside the tests, as their package names it.
+fn library() -> PathBuf {
+    let tests = std::env::current_exe().expect("a test");
+    let library = tests.with_file_name("libfennelhatch_fault_injection.so");
+    assert!(library.exists(), "not built: {}", library.display());
+    library
+}
+
+/// The program with faults, and the world around it.
+struct Site {
+    upstreams: Vec<Upstream>,
+    _discovery: Discovery,
+    program: Child,
+    address: SocketAddr,
+    log: Arc<Mutex<Vec<String>>>,
+    faults: PathBuf,
+}
+
+impl Site {
+    /// Starts the program with these variables of the library, which are told the ports of the upstreams.
+    fn start(variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
+        let upstreams: Vec<Upstream> =
+            (0..UPSTREAMS).map(|_| Upstream::start(|_, request| ok(&echo(request)))).collect();
+        let ports: Vec<String> =
+            upstreams.iter().map(|upstream| upstream.address.port().to_string()).collect();
+        let known: Vec<_> = upstreams
+            .iter()
+            .enumerate()
+            .map(|(place, upstream)| endpoint(&format!("s-{place}"), upstream.address, place as u32, "ready"))
+            .collect();
+        let discovery = Discovery::start();
+        let file = write_configuration(&configuration(discovery.address, &known, 50.0, 1024));
+        let faults = file.with_extension("faults");
+        let _ = fs::remove_file(&faults);
+        let mut program = Command::new(env!("CARGO_BIN_EXE_dahliahead"))
+            .env_clear()
+            .env("PROXY_CONFIG", file)
+            .env("LD_PRELOAD", library())
+            .env("FAULT_LOG", &faults)
+            .envs(variables(&ports.join("+")))
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .spawn()
+            .expect("starts");
+        let (address, reader) = address(&mut program);
+        let log = Arc::new(Mutex::new(Vec::new()));
+        keep_lines(reader, Arc::clone(&log));
+        Self { upstreams, _discovery: discovery, program, address, log, faults }
+    }
+
+    /// How many calls of that name were affected so, or at all.
+    fn faults(&self, call: &str, what: Option<&str>) -> usize {
+        let text = fs::read_to_string(&self.faults).unwrap_or_default();
+        let affected = text.lines().filter_map(|line| line.split_once(' '));
+        affected.filter(|(name, how)| *name == call && what.is_none_or(|what| what == *how)).count()
+    }
+
+    /// How often the upstreams together had a request with this body.
+    fn runs(&self, body: &str) -> usize {
+        self.upstreams.iter().map(|upstream| upstream.count_of(body)).sum()
+    }
+
+    /// Has all callers ask, and checks what holds under any fault: an answer on each connection that was not closed
+    /// before it, with the upstream's own text if served, nothing behind the last, and nothing unsafe run twice.
+    fn ask_all(&self) -> Tally {
+        self.ask_all_on(false)
+    }
+
+    /// The same, on a `fresh` connection for each request.
+    fn ask_all_on(&self, fresh: bool) -> Tally {
+        let tally = Tally::default();
+        thread::scope(|scope| {
+            for caller in 0..CALLERS {
+                let (address, tally) = (self.address, &tally);
+                scope.spawn(move || ask_in_turn(address, caller, fresh, tally));
+            }
+        });
+        tally
+    }
+
+    /// Checks that no request that must not be sent again was.
+    fn check_runs(&self) {
+        for caller in 0..CALLERS {
+            for request in (0..REQUESTS).filter(|request| CLASSES[request % CLASSES.len()] == "order") {
+                let body = format!("{caller}-{request}");
+                let runs = self.runs(&body);
+                assert!(runs <= 1, "{body} ran {runs} times");
+            }
+        }
+    }
+}
+
+impl Drop for Site {
+    fn drop(&mut self) {
+        if thread::panicking() {
+            eprintln!("{:#?}", self.log.lock().map(|log| log.clone()));
+        }
+        let _ = self.program.kill();
+        let _ = self.program.wait();
+    }
+}
+
+/// Asks one after the other, on one connection as long as it stands.
+fn ask_in_turn(address: SocketAddr, number: usize, fresh: bool, tally: &Tally) {
+    let mut caller = None;
+    for request in 0..REQUESTS {
+        let (class, body) = (CLASSES[request % CLASSES.len()], format!("{number}-{request}"));
+        let mut connection = caller.take().unwrap_or_else(|| Caller::connect(address));
+        match connection.try_ask(class, &body) {
+            Some(answer) => {
+                tally.take(&answer, &body);
+                let stays = !fresh && answer.header("connection") != Some("close");
+                caller = stays.then_some(connection);
+            }
+            None => tally.add(&tally.closed),
+        }
+    }
+    if let Some(Caller(stream)) = caller {
+        assert_eq!(rest_of(stream), b"", "behind the last answer");
+    }
+}
+
+/// What an upstream answers.
+fn echo(request: &Message) -> String {
+    format!("{} served", String::from_utf8_lossy(&request.body))
+}
+
+fn keep_lines(log: BufReader<ChildStderr>, lines: Arc<Mutex<Vec<String>>>) {
+    thread::spawn(move || {
+        for line in log.lines().map_while(Result::ok) {
+            lines.lock().expect("no panic").push(line);
+        }
+    });
+}
+
+fn rest_of(mut stream: TcpStream) -> Vec<u8> {
+    let _ = stream.shutdown(Shutdown::Write);
+    let mut rest = Vec::new();
+    let _ = stream.read_to_end(&mut rest);
+    rest
+}
+
+/// How requests ended for their callers.
+#[derive(Debug, Default)]
+struct Tally {
+    served: AtomicUsize,
+    refused: AtomicUsize,
+    failed: AtomicUsize,
+    /// The connection was closed with no answer.
+    closed: AtomicUsize,
+}
+
+impl Tally {
+    fn add(&self, count: &AtomicUsize) {
+        count.fetch_add(1, Ordering::Relaxed);
+    }
+
+    fn take(&self, answer: &Message, body: &str) {
+        match answer.status() {
+            200 => {
+                assert_eq!(answer.body, format!("{body} served").into_bytes());
+                self.add(&self.served);
+            }
+            503 => self.add(&self.refused),
+            502 | 504 => self.add(&self.failed),
+            _ => panic!("{body} was answered {}", answer.line),
+        }
+    }
+
+    /// Served, refused, failed, closed.
+    fn counts(&self) -> [usize; 4] {
+        [&self.served, &self.refused, &self.failed, &self.closed].map(|count| count.load(Ordering::Relaxed))
+    }
+}
+
+/// All requests there are.
+const ALL: usize = CALLERS * REQUESTS;
+
+// --- Interrupted waits and short transfers ---
+
+/// Guards requests against waits for events that are interrupted.
+#[test]
+fn interrupted_waits_lose_nothing() {
+    let site = Site::start(|_| vec![("FAULT_WAIT", "errno=EINTR,every=2".into())]);
+    let tally = site.ask_all();
+    assert!(site.faults("WAIT", Some("EINTR")) > REQUESTS);
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+/// Guards requests and answers against reads and writes that do a part of what they were asked for.
+#[test]
+fn short_reads_and_writes_lose_nothing() {
+    let site = Site::start(|_| {
+        vec![("FAULT_READ", "short=7,every=2".into()), ("FAULT_WRITE", "short=11,every=2".into())]
+    });
+    let tally = site.ask_all();
+    assert!(site.faults("READ", None) > REQUESTS && site.faults("WRITE", None) > REQUESTS);
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+// --- Faults of the own machine ---
+
+/// Guards requests against options that can't be set.
+#[test]
+fn options_that_are_not_set_lose_nothing() {
+    // The first is the listener's.
+    let site = Site::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
+    let tally = site.ask_all();
+    assert!(site.faults("SETSOCKOPT", None) > CALLERS);
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+/// Guards callers against accepts that fail for a moment.
+#[test]
+fn accepts_that_fail_lose_nobody() {
+    let errors = "ECONNABORTED+EMFILE+ENFILE+ENOBUFS+ENOMEM+EPROTO+EINTR";
+    let site = Site::start(|_| vec![("FAULT_ACCEPT", format!("errno={errors},every=3"))]);
+    let tally = site.ask_all_on(true);
+    for error in errors.split('+') {
+        assert!(site.faults("ACCEPT", Some(error)) > 0, "{error}");
+    }
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+// --- Faults of the path ---
+
+/// What holds where connections to upstreams do not come up or break: each request has its answer, which says for one
+/// that never ran that trying again is harmless, and what must not be sent again is not.
+fn check_answered(site: &Site, tally: &Tally) {
+    let [served, refused, failed, closed] = tally.counts();
+    assert_eq!((served + refused + failed, closed), (ALL, 0), "{tally:?}");
+    site.check_runs();
+}
+
+/// Guards requests against connects that fail on the way to the upstream: none of them ever ran.
+#[test]
+fn connects_that_fail_on_the_way_are_made_elsewhere() {
+    let errors = "ENETUNREACH+EHOSTUNREACH+ECONNREFUSED+ETIMEDOUT";
+    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
+    let tally = site.ask_all();
+    assert!(site.faults("CONNECT", None) > 0);
+    check_answered(&site, &tally);
+    assert_eq!(tally.counts()[2], 0, "{tally:?}");
+}
+
+/// Guards the same where the failure shows in `SO_ERROR`.
+#[test]
+fn connects_whose_error_shows_late_are_made_elsewhere() {
+    let errors = "ETIMEDOUT+EHOSTUNREACH";
+    let site = Site::start(|ports| vec![("FAULT_SO_ERROR", format!("errno={errors},every=3,ports={ports}"))]);
+    let tally = site.ask_all();
+    assert!(site.faults("SO_ERROR", None) > 0);
+    check_answered(&site, &tally);
+    assert_eq!(tally.counts()[2], 0, "{tally:?}");
+}
+
+/// Guards requests whose connection breaks before their last byte is written, with none or a part of them out: they
+/// never ran, so that each is sent again.
+#[test]
+fn a_break_before_the_last_byte_is_sent_again() {
+    for short in ["", ",short=60"] {
+        let site = Site::start(|ports| {
+            let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET+EPIPE";
+            vec![("FAULT_WRITE", format!("errno={errors},every=9,ports={ports}{short}"))]
+        });
+        let tally = site.ask_all();
+        assert!(site.faults("WRITE", None) > REQUESTS / 2);
+        check_answered(&site, &tally);
+        assert_eq!(tally.counts()[2], 0, "none failed{short}: {tally:?}");
+    }
+}
+
+/// Guards requests whose connection breaks after their last byte is written, with none or a part of the answer in: what
+/// must not run twice is not sent again.
+#[test]
+fn a_break_after_the_last_byte_is_not_sent_again() {
+    for short in ["", ",short=20"] {
+        let site = Site::start(|ports| {
+            let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET";
+            vec![("FAULT_READ", format!("errno={errors},every=9,ports={ports}{short}"))]
+        });
+        let tally = site.ask_all();
+        assert!(site.faults("READ", None) > REQUESTS / 2);
+        check_answered(&site, &tally);
+        // Of those that may run again none is lost.
+        assert!(tally.counts()[2] <= ALL / CLASSES.len(), "{tally:?}");
+    }
+}
+
+// --- The wall clock ---
+
+/// Guards tests that move the wall clock: a program reads it as the file says, also after that has changed.
+#[test]
+fn the_wall_clock_is_off_as_the_file_says() {
+    let file = std::env::temp_dir().join(format!("dahliahead-clock-{}", std::process::id()));
+    let shown = |offset_ms: i64| {
+        fs::write(&file, offset_ms.to_string()).expect("written");
+        let program = Command::new("/bin/date")
+            .args(["+%s"])
+            .env("LD_PRELOAD", library())
+            .env("FAULT_CLOCK", &file)
+            .output()
+            .expect("runs");
+        String::from_utf8_lossy(&program.stdout).trim().parse::<u64>().expect("seconds")
+    };
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
+    for (offset_ms, expected) in [(-3_600_500, now - 3601), (7_200_000, now + 7200)] {
+        assert!(shown(offset_ms).abs_diff(expected) <= LONG.as_secs(), "off by {offset_ms} ms");
+    }
+}
