--- a/dahliahead/src/pool.rs
+++ b/dahliahead/src/pool.rs
@@ -42,6 +42,9 @@
 /// Least part of the settings' connect timeout that an attempt waits for, as a busy machine adds to a connect: those of
 /// the three or four attempts before a request's last one take a quarter of it together.
 const PATIENCE_LEAST: f64 = 0.0625;
+/// Wait before a connect that failed on this machine is tried again, doubled each time up to the second: a lack of ports or
+/// memory may pass at once, and one that lasts must not keep the machine busy with looking for a port.
+const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(2), Duration::from_millis(64));
 /// Weight of one connect in the usual time: the gain of TCP's own timer.
 const CONNECT_WEIGHT: f64 = 0.125;
 
@@ -51,6 +54,9 @@
     /// Short of sockets, which is no fault of the upstream's.
     #[error("no socket is free")]
     NoSocket,
+    /// This machine has none to give, which is no fault of the upstream's either.
+    #[error("this machine has no socket: {0}")]
+    Local(io::Error),
     /// None came up in time; one may yet.
     #[error("it did not come up in time")]
     TimedOut,
@@ -65,6 +71,22 @@
     Broken(#[from] hyper::Error),
 }
 
+/// Whether a connect failed for want of something on this machine: a port, a descriptor, memory. What a filter forbids
+/// (`EPERM`, `EACCES`) stays with the upstream: it lasts, and another one may be allowed.
+fn is_local(error: &io::Error) -> bool {
+    const LOCAL: [i32; 8] = [
+        libc::EADDRINUSE,
+        libc::EADDRNOTAVAIL,
+        libc::EAGAIN,
+        libc::EINTR,
+        libc::EMFILE,
+        libc::ENFILE,
+        libc::ENOBUFS,
+        libc::ENOMEM,
+    ];
+    error.raw_os_error().is_some_and(|error| LOCAL.contains(&error))
+}
+
 /// The usual time in which connections to a zone come up: a mean of logarithms, in which a late one counts for at
 /// most e times the usual.
 #[derive(Debug, Default)]
@@ -160,18 +182,34 @@
     }
 }
 
+/// A connect that failed on this machine, and is to be tried again.
+struct Retry {
+    error: io::Error,
+    at: Instant,
+}
+
 /// A connection that an attempt waits for. Dropped before it is up, it goes on coming up for the next one.
 struct Dial<'a> {
     pool: &'a Rc<Pool>,
     host: &'a Rc<Host>,
     connecting: Option<Connecting>,
+    /// The latest connect that failed on this machine, until the next one is under way.
+    retry: Option<Retry>,
+    /// The latest pause before another try.
+    pause: Duration,
 }
 
 impl<'a> Dial<'a> {
     fn start(pool: &'a Rc<Pool>, host: &'a Rc<Host>, permit: Permit) -> Self {
         host.waiting.set(host.waiting.get() + 1);
-        let stream = Box::pin(TcpStream::connect(host.address));
-        Self { pool, host, connecting: Some(Connecting { stream, permit, since: Instant::now() }) }
+        let mut dial = Self { pool, host, connecting: None, retry: None, pause: Duration::ZERO };
+        dial.connect(permit);
+        dial
+    }
+
+    fn connect(&mut self, permit: Permit) {
+        let stream = Box::pin(TcpStream::connect(self.host.address));
+        self.connecting = Some(Connecting { stream, permit, since: Instant::now() });
     }
 
     async fn up(&mut self) -> Result<Connection, AcquireError> {
@@ -183,10 +221,19 @@
         let Some(Connecting { permit, since, .. }) = self.connecting.take() else {
             return Err(AcquireError::TimedOut);
         };
-        let stream = stream?;
+        let failed = |error| {
+            if is_local(&error) { AcquireError::Local(error) } else { AcquireError::Failed(error) }
+        };
+        let stream = stream.map_err(failed)?;
         self.pool.learn_connect(self.host, since.elapsed(), true);
         Ok(speak(stream, permit).await?)
     }
+
+    /// Connects again after a pause.
+    fn retry_after(&mut self, error: io::Error) {
+        self.pause = (self.pause * 2).clamp(RETRY_PAUSE.0, RETRY_PAUSE.1);
+        self.retry = Some(Retry { error, at: Instant::now() + self.pause });
+    }
 }
 
 impl Drop for Dial<'_> {
@@ -363,7 +410,9 @@
 
     // --- Connections ---
 
-    /// A connection for an attempt, and for how long it stood idle if it is not new.
+    /// A connection for an attempt, and for how long it stood idle if it is not new. What this machine lacks for a
+    /// connect may come any moment, and would be lacking for another upstream too: it is waited for up to `until`, for
+    /// as long as the settings allow.
     ///
     /// # Errors
     /// There is none within the usual time of a connect; if `last`, within the whole of the settings'.
@@ -372,22 +421,30 @@
         host: &Rc<Host>,
         once: bool,
         last: bool,
+        until: Instant,
     ) -> Result<(Connection, Option<Duration>), AcquireError> {
         if let Some((connection, idle)) = self.take_idle(host, once) {
             return Ok((connection, Some(idle)));
         }
-        let since = Instant::now();
-        let patience = if last { self.connect_timeout.get() } else { self.patience(host) };
+        let most = self.connect_timeout.get();
+        let mut since = Instant::now();
+        let local_until = until.min(since + most);
+        let patience = if last { most } else { self.patience(host) };
         let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
         loop {
+            let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
             // One that rests is free sooner than a connection elsewhere may be up.
-            let free_at = host.next_free();
-            let look_at = free_at.unwrap_or(since + patience);
+            let look_at = host.next_free().unwrap_or(give_up_at);
+            let retry_at = dial.retry.as_ref().map_or(look_at, |retry| retry.at);
             tokio::select! {
                 biased;
-                up = dial.up() => return Ok((up?, None)),
+                up = dial.up() => match up {
+                    Ok(connection) => return Ok((connection, None)),
+                    Err(AcquireError::Local(error)) => dial.retry_after(error),
+                    Err(error) => return Err(error),
+                },
                 () = host.changed.notified() => {}
-                () = sleep_until(look_at) => {}
+                () = sleep_until(look_at.min(retry_at)) => {}
             }
             if host.gone.get() {
                 return Err(AcquireError::Gone);
@@ -395,7 +452,14 @@
             if let Some((connection, idle)) = self.take_idle(host, once) {
                 return Ok((connection, Some(idle)));
             }
-            if host.next_free().is_none() && since.elapsed() >= patience {
+            let now = Instant::now();
+            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
+                if now >= local_until {
+                    return Err(AcquireError::Local(retry.error));
+                }
+                dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
+                since = now;
+            } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
                 self.learn_connect(host, since.elapsed(), false);
                 return Err(AcquireError::TimedOut);
             }
--- a/dahliahead/src/upstream.rs
+++ b/dahliahead/src/upstream.rs
@@ -196,16 +196,16 @@
     progress: &Progress,
 ) -> (Ended, Option<Connection>) {
     loop {
-        let acquired = driver.pool().acquire(host, job.call.once, job.last).await;
+        let acquired = driver.pool().acquire(host, job.call.once, job.last, job.until).await;
         let (mut connection, idle) = match acquired {
             Ok(acquired) => acquired,
             Err(error) => {
                 let outcome = match error {
-                    AcquireError::NoSocket => Outcome::NotSent,
+                    AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
                     AcquireError::TimedOut => Outcome::ConnectTimedOut,
                     _ => Outcome::ConnectFailed,
                 };
-                if outcome != Outcome::NotSent {
+                if !matches!(error, AcquireError::NoSocket) {
                     driver.tell_unreached(job.address, &error);
                 }
                 return (outcome.into(), None);
--- a/dahliahead/tests/system_calls.rs
+++ b/dahliahead/tests/system_calls.rs
@@ -21,6 +21,8 @@
 const REQUESTS: usize = 150;
 /// Upstreams.
 const UPSTREAMS: usize = 4;
+/// An attempt waits so long for a connection at the most.
+const USUAL_DIAL_S: f64 = 5.0;
 /// The classes of a caller's requests, in turn.
 const CLASSES: [&str; 3] = ["read", "pay", "order"];
 
@@ -45,6 +47,11 @@
 impl Site {
     /// Starts the program with these variables of the library, which are told the ports of the upstreams.
     fn start(variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
+        Self::start_with(USUAL_DIAL_S, variables)
+    }
+
+    /// The same where an attempt waits so long for a connection at the most.
+    fn start_with(dial_timeout: f64, variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
         let upstreams: Vec<Upstream> =
             (0..UPSTREAMS).map(|_| Upstream::start(|_, request| ok(&echo(request)))).collect();
         let ports: Vec<String> =
@@ -55,7 +62,8 @@
             .map(|(place, upstream)| endpoint(&format!("s-{place}"), upstream.address, place as u32, "ready"))
             .collect();
         let discovery = Discovery::start();
-        let file = write_configuration(&configuration(discovery.address, &known, 50.0, 1024));
+        let text = configuration(discovery.address, &known, 50.0, 1024);
+        let file = write_configuration(&with_dial_timeout(&text, dial_timeout));
         let faults = file.with_extension("faults");
         let _ = fs::remove_file(&faults);
         let mut program = Command::new(env!("CARGO_BIN_EXE_dahliahead"))
@@ -114,6 +122,16 @@
             }
         }
     }
+
+    /// The counts of the program's next line that tells of `taken` requests or more since the start.
+    fn vitals(&self, taken: u64) -> Vitals {
+        wait_for("a line of counts", || {
+            let log = self.log.lock().expect("no panic");
+            let lines = log.iter().filter(|line| line.contains("requests: "));
+            let vitals = lines.fold(Vitals::default(), |vitals, line| vitals.with(line));
+            (vitals.taken >= taken).then_some(vitals)
+        })
+    }
 }
 
 impl Drop for Site {
@@ -199,6 +217,44 @@
     }
 }
 
+/// What lines of counts tell together.
+#[derive(Debug, Default)]
+struct Vitals {
+    taken: u64,
+    unreached: u64,
+    late: u64,
+    unsent: u64,
+    /// The least part of the tier that the program took itself to have.
+    had: Option<f64>,
+    /// The most that it took for a crowd.
+    crowding: f64,
+}
+
+impl Vitals {
+    fn with(mut self, line: &str) -> Self {
+        self.taken += before(line, " taken");
+        self.unreached += before(line, " unreached");
+        self.late += before(line, " not connected in time");
+        self.unsent += before(line, " unsent");
+        let had: f64 = behind(line, "had ");
+        self.had = Some(self.had.map_or(had, |least| least.min(had)));
+        self.crowding = self.crowding.max(behind(line, "crowding "));
+        self
+    }
+}
+
+/// The number before a word of a line.
+fn before(line: &str, word: &str) -> u64 {
+    let (text, _) = line.split_once(word).unwrap_or_else(|| panic!("no{word} in {line}"));
+    text.rsplit(' ').next().and_then(|text| text.parse().ok()).expect("a number")
+}
+
+/// The number behind a word of a line.
+fn behind(line: &str, word: &str) -> f64 {
+    let (_, text) = line.split_once(word).unwrap_or_else(|| panic!("no {word} in {line}"));
+    text.split([',', ' ']).next().and_then(|text| text.parse().ok()).expect("a number")
+}
+
 /// All requests there are.
 const ALL: usize = CALLERS * REQUESTS;
 
@@ -228,6 +284,73 @@
 
 // --- Faults of the own machine ---
 
+/// Checks that no upstream was charged with anything, and that none passes for gone.
+fn check_uncharged(vitals: &Vitals) {
+    assert_eq!((vitals.unreached, vitals.late, vitals.had), (0, 0, Some(1.0)), "{vitals:?}");
+}
+
+/// Guards upstreams and requests against connects for which the own machine has no port or no memory: each request is
+/// served, and no upstream is charged.
+#[test]
+fn connects_that_fail_on_the_own_machine_are_not_charged() {
+    let errors = "EADDRNOTAVAIL+EADDRINUSE+ENOBUFS+ENOMEM+EMFILE+ENFILE+EAGAIN+EINTR";
+    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
+    let tally = site.ask_all();
+    for error in errors.split('+') {
+        assert!(site.faults("CONNECT", Some(error)) > 0, "{error}");
+    }
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+    check_uncharged(&site.vitals(ALL as u64));
+}
+
+/// Guards the same against a lack of sockets.
+#[test]
+fn sockets_that_are_not_had_are_not_charged() {
+    let errors = "EMFILE+ENFILE+ENOBUFS+ENOMEM";
+    // The first is the listener's.
+    let site = Site::start(|_| vec![("FAULT_SOCKET", format!("errno={errors},every=3,skip=1"))]);
+    let tally = site.ask_all();
+    for error in errors.split('+') {
+        assert!(site.faults("SOCKET", Some(error)) > 0, "{error}");
+    }
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+    check_uncharged(&site.vitals(ALL as u64));
+}
+
+/// Guards callers against waiting for a port that does not come: within the time for a connect they are refused, which
+/// tells them that trying again is harmless, and no upstream is charged.
+#[test]
+fn a_lasting_lack_of_ports_refuses() {
+    let site =
+        Site::start_with(0.5, |ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
+    for class in CLASSES {
+        let answer = Caller::connect(site.address).ask(class, class);
+        assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}");
+    }
+    let vitals = site.vitals(CLASSES.len() as u64);
+    check_uncharged(&vitals);
+    assert_eq!(vitals.unsent, CLASSES.len() as u64);
+    let faults = site.faults("CONNECT", None);
+    assert!((2 * CLASSES.len()..40 * CLASSES.len()).contains(&faults), "{faults} connects");
+}
+
+/// Guards the same where the caller's time is over before that for a connect.
+#[test]
+fn a_lack_of_ports_past_the_deadline_is_not_charged() {
+    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
+    for number in 0..5 {
+        let mut caller = Caller::connect(site.address);
+        let request = String::from_utf8(order_with(b"")).expect("text");
+        caller.raw(request.replace("X-Tenant", "X-Deadline: 0.4\r\nX-Tenant").as_bytes());
+        let status = caller.answer().expect("an answer").status();
+        assert!(matches!(status, 503 | 504), "{number}: {status}");
+    }
+    check_uncharged(&site.vitals(5));
+    assert_eq!(site.runs("one"), 0);
+}
+
 /// Guards requests against options that can't be set.
 #[test]
 fn options_that_are_not_set_lose_nothing() {
