--- a/crates/fault-injection/src/wrappers.rs
+++ b/crates/fault-injection/src/wrappers.rs
@@ -63,7 +63,9 @@
     }
     let (most, error) = match faults::next_on(call, descriptor) {
         Some(Fault::Fails(error)) => return fail(error) as ssize_t,
-        Some(Fault::Short(most, error)) if most < length => (most, error),
+        Some(Fault::Short(most, error)) if most < length || most == length && error.is_some() => {
+            (most, error)
+        }
         _ => return make(length),
     };
     let done = make(most);
--- a/dahliahead/tests/system_calls.rs
+++ b/dahliahead/tests/system_calls.rs
@@ -37,7 +37,7 @@
 /// The program with faults, and the world around it.
 struct Site {
     upstreams: Vec<Upstream>,
-    _discovery: Discovery,
+    discovery: Discovery,
     program: Child,
     address: SocketAddr,
     log: Arc<Mutex<Vec<String>>>,
@@ -79,7 +79,7 @@
         let (address, reader) = address(&mut program);
         let log = Arc::new(Mutex::new(Vec::new()));
         keep_lines(reader, Arc::clone(&log));
-        Self { upstreams, _discovery: discovery, program, address, log, faults }
+        Self { upstreams, discovery, program, address, log, faults }
     }
 
     /// How many calls of that name were affected so, or at all.
@@ -440,6 +440,60 @@
     }
 }
 
+/// How an order ends whose first connection breaks with that many of its bytes written, and how often it ran.
+fn order_broken_after(bytes: usize) -> (u16, usize) {
+    let site = Site::start(|ports| {
+        vec![("FAULT_WRITE", format!("errno=ETIMEDOUT,short={bytes},count=1,ports={ports}"))]
+    });
+    let status = Caller::connect(site.address).ask("order", "one").status();
+    assert_eq!(site.faults("WRITE", Some("ETIMEDOUT")), 1, "after {bytes} bytes");
+    // The last byte of a request that was answered as one that may have run may still be on its way.
+    if status == 502 {
+        wait_for("the order runs", || (site.runs("one") == 1).then_some(()));
+    }
+    (status, site.runs("one"))
+}
+
+/// Guards the line between what never ran and what may have: it is the last byte.
+#[test]
+fn the_last_byte_decides_whether_an_order_is_sent_again() {
+    let site = Site::start(|_| Vec::new());
+    assert_eq!(Caller::connect(site.address).ask("order", "one").status(), 200);
+    let size = site.upstreams.iter().find_map(|upstream| upstream.requests().first().cloned());
+    let size = size.expect("it ran").1.size;
+    for bytes in [1, size / 2, size - 1] {
+        assert_eq!(order_broken_after(bytes), (200, 1), "broken after {bytes} of {size} bytes");
+    }
+    assert_eq!(order_broken_after(size), (502, 1), "broken after the last byte");
+}
+
+// --- The watch on discovery ---
+
+/// Guards drains against reads of the watch that are short, waits that are interrupted, and connects to discovery that
+/// fail for a moment: the word comes through, and nothing new goes to what drains.
+#[test]
+fn a_drain_is_heard_in_spite_of_faults() {
+    let site = Site::start(|_| {
+        vec![
+            ("FAULT_READ", "short=5,every=2".into()),
+            ("FAULT_WAIT", "errno=EINTR,every=2".into()),
+            ("FAULT_CONNECT", "errno=EADDRNOTAVAIL+ENOBUFS,count=3".into()),
+        ]
+    });
+    let (_, watch) = site.discovery.watch();
+    let [drains, ..] = &site.upstreams[..] else { panic!("there are some") };
+    watch.says(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
+    // A line of counts tells the index of the list in hand.
+    wait_for("the list is taken in", || {
+        let log = site.log.lock().expect("no panic");
+        log.iter().any(|line| line.contains("list 8;")).then_some(())
+    });
+    assert_eq!(site.ask_all().counts(), [ALL, 0, 0, 0]);
+    assert_eq!(drains.requests().len(), 0);
+    assert!(site.faults("READ", None) > REQUESTS);
+    site.check_runs();
+}
+
 // --- The wall clock ---
 
 /// Guards tests that move the wall clock: a program reads it as the file says, also after that has changed.
