--- a/dahliahead/src/socket.rs
+++ b/dahliahead/src/socket.rs
@@ -64,10 +64,11 @@
     }
 
     /// Whether the peer has sent nothing, not even its end, that is still to be read. Asks the system, and not what
-    /// the runtime last heard of it.
+    /// the runtime last heard of it. A connection that has broken is not silent: only that there is nothing yet is.
     #[must_use]
     pub fn is_silent(&self) -> bool {
-        SockRef::from(&*self.0.stream.borrow()).peek(&mut [MaybeUninit::uninit()]).is_err()
+        let peeked = SockRef::from(&*self.0.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
+        peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
     /// A handle that does not keep the socket open.
