--- /dev/null
+++ b/dahliahead/src/clock.rs
@@ -0,0 +1,185 @@
+//! When upstreams started, on the clock of the decisions. Discovery stamps a start with the wall clock of another
+//! machine; this is the one place that reads the wall clock of this one, and any of the two may step at any time. So a
+//! stamp names a start, and only says roughly when it was: the monotonic clock bounds that by when the list told of it.
+
+use std::collections::BTreeMap;
+use std::fmt;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use peathatch::interface::{Time, UpstreamId};
+use rustc_hash::{FxHashMap, FxHashSet};
+
+/// Starts of processes that are not listed any more that are kept, the latest ones: enough for a tier of this size to
+/// leave the list and to return, in a fraction of a megabyte. One that returns later goes through slow start once more.
+pub const PAST_STARTS_MOST: usize = 4096;
+
+/// Tells the time of day, which may step.
+pub trait WallClock: fmt::Debug + Send {
+    /// Unix time in milliseconds.
+    fn unix_ms(&self) -> u64;
+}
+
+/// The wall clock of this machine.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct SystemClock;
+
+impl WallClock for SystemClock {
+    fn unix_ms(&self) -> u64 {
+        SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    }
+}
+
+/// The moment at which a list is taken in, as all its entries are placed by it.
+#[derive(Debug, Clone, Copy)]
+pub struct Moment {
+    now: Time,
+    /// Unix time in milliseconds, as far as is known.
+    unix_ms: u64,
+    /// A start that is new in this list is not older than this; `None` for a first list, which bounds nothing.
+    earliest: Option<Time>,
+}
+
+impl Moment {
+    /// When a process started that this list is the first to name.
+    fn start(&self, since_ms: u64) -> Option<Time> {
+        // A stamp of the future counts as one of now.
+        let age = Duration::from_millis(self.unix_ms.saturating_sub(since_ms));
+        let start = self.now.checked_sub(age);
+        match self.earliest {
+            Some(earliest) => Some(start.unwrap_or(earliest).max(earliest).min(self.now)),
+            None => start.filter(|start| !start.is_zero()),
+        }
+    }
+}
+
+/// A start as it was named, and the time that it was given.
+#[derive(Debug, Clone, Copy)]
+struct Start {
+    since_ms: u64,
+    time: Option<Time>,
+}
+
+/// The start times of the upstreams. A start that has been given a time keeps it, however clocks step later: to the
+/// decisions another time is another process.
+#[derive(Debug)]
+pub struct StartTimes {
+    clock: Box<dyn WallClock>,
+    listed: FxHashMap<UpstreamId, Start>,
+    past: PastStarts,
+    /// Some list has named an upstream, so that what the next one adds to it is new.
+    has_list: bool,
+    /// When discovery last said a line: what it had by then is in the list in hand.
+    told_at: Option<Time>,
+}
+
+impl StartTimes {
+    /// Before any list.
+    #[must_use]
+    pub fn new(clock: Box<dyn WallClock>) -> Self {
+        Self {
+            clock,
+            listed: FxHashMap::default(),
+            past: PastStarts::default(),
+            has_list: false,
+            told_at: None,
+        }
+    }
+
+    /// Reads the wall clock for a list whose newest stamp is this. In a first list the machine that stamps had reached
+    /// that time, so that a clock of this one that is behind does not make the whole tier just started. Later lists
+    /// have bounds, and one stamp that is ahead must not make the others old.
+    #[must_use]
+    pub fn moment(&self, now: Time, newest_ms: u64) -> Moment {
+        let least_ms = if self.told_at.is_none() { newest_ms } else { 0 };
+        Moment { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.told_at }
+    }
+
+    /// Discovery has said a line, if an empty one, and what it holds has been taken in.
+    pub fn told(&mut self, now: Time) {
+        if self.has_list {
+            self.told_at = Some(now);
+        }
+    }
+
+    /// The start time of an upstream that a list names with this stamp; `None` for long ago.
+    pub fn listed(&mut self, moment: &Moment, id: UpstreamId, since_ms: u64) -> Option<Time> {
+        self.has_list = true;
+        if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
+            return start.time;
+        }
+        self.left(id);
+        if since_ms == 0 {
+            return None;
+        }
+        let time = self.past.take(id, since_ms).unwrap_or_else(|| moment.start(since_ms));
+        self.listed.insert(id, Start { since_ms, time });
+        time
+    }
+
+    /// An upstream is not listed any more, or not with the start that it had.
+    pub fn left(&mut self, id: UpstreamId) {
+        if let Some(start) = self.listed.remove(&id) {
+            self.past.put(id, start);
+        }
+    }
+
+    /// Only these are listed.
+    pub fn retain(&mut self, ids: &FxHashSet<UpstreamId>) {
+        let past = &mut self.past;
+        self.listed.retain(|&id, start| {
+            let stays = ids.contains(&id);
+            if !stays {
+                past.put(id, *start);
+            }
+            stays
+        });
+    }
+
+    /// Whether a list has named this start of the upstream, which then is no new one. The order of two stamps says
+    /// nothing, as the clock behind them may have stepped back between two starts.
+    #[must_use]
+    pub fn has_seen(&self, id: UpstreamId, since_ms: u64) -> bool {
+        let is_listed = self.listed.get(&id).is_some_and(|start| start.since_ms == since_ms);
+        since_ms == 0 || is_listed || self.past.has(id, since_ms)
+    }
+
+    /// How many starts are remembered of processes that are not listed any more.
+    #[must_use]
+    pub fn past_len(&self) -> usize {
+        self.past.by_start.len()
+    }
+}
+
+/// The starts of processes that are not listed any more, of which the oldest are forgotten.
+#[derive(Debug, Default)]
+struct PastStarts {
+    /// The number of its departure, and its start time.
+    by_start: FxHashMap<(UpstreamId, u64), (u64, Option<Time>)>,
+    by_departure: BTreeMap<u64, (UpstreamId, u64)>,
+    next_departure: u64,
+}
+
+impl PastStarts {
+    fn has(&self, id: UpstreamId, since_ms: u64) -> bool {
+        self.by_start.contains_key(&(id, since_ms))
+    }
+
+    fn put(&mut self, id: UpstreamId, start: Start) {
+        let departure = self.next_departure;
+        self.next_departure += 1;
+        self.by_start.insert((id, start.since_ms), (departure, start.time));
+        self.by_departure.insert(departure, (id, start.since_ms));
+        if self.by_start.len() > PAST_STARTS_MOST
+            && let Some((_, oldest)) = self.by_departure.pop_first()
+        {
+            self.by_start.remove(&oldest);
+        }
+    }
+
+    /// The time that this start was given, if it is remembered.
+    fn take(&mut self, id: UpstreamId, since_ms: u64) -> Option<Option<Time>> {
+        let (departure, time) = self.by_start.remove(&(id, since_ms))?;
+        self.by_departure.remove(&departure);
+        Some(time)
+    }
+}
--- a/dahliahead/src/config.rs
+++ b/dahliahead/src/config.rs
@@ -12,6 +12,7 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
+use crate::clock::{SystemClock, WallClock};
 use crate::discovery::Update;
 
 /// Why the configuration cannot be used.
@@ -114,6 +115,8 @@
     pub distribution: Option<Distribution>,
     /// The file it was read from, which a reload reads again.
     pub path: Option<PathBuf>,
+    /// Tells the time of day: the machine's clock, except in a test.
+    pub wall_clock: Box<dyn WallClock>,
 }
 
 impl Config {
@@ -169,6 +172,7 @@
                 .transpose()?,
             loaded,
             path: None,
+            wall_clock: Box::new(SystemClock),
         })
     }
 }
--- a/dahliahead/src/discovery.rs
+++ b/dahliahead/src/discovery.rs
@@ -149,6 +149,8 @@
         } else if !heard {
             // Nothing has changed since; the watch stands all the same.
             driver.learn(Update { index: since, snapshot: false, endpoints: Vec::new() });
+        } else {
+            driver.hear_life_sign();
         }
         heard = true;
         Ok(())
--- a/dahliahead/src/driver.rs
+++ b/dahliahead/src/driver.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 
 use bytes::Bytes;
 use peathatch::interface::{
@@ -19,6 +19,7 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
 
+use crate::clock::{Moment, StartTimes};
 use crate::config::Config;
 use crate::configuration::{self, Offered};
 use crate::counters::{self, Counters};
@@ -102,6 +103,7 @@
     ids: FxHashMap<Box<str>, UpstreamId>,
     taken_ids: FxHashSet<UpstreamId>,
     listed: FxHashMap<UpstreamId, Listed>,
+    starts: StartTimes,
     index: u64,
     /// Some list has come, with the configuration or from discovery.
     has_list: bool,
@@ -125,8 +127,6 @@
     /// The settings in force are those that are distributed, as far as has been told.
     configured: Cell<bool>,
     zero: Instant,
-    /// Unix time in milliseconds at the zero of the module's clock.
-    zero_ms: u64,
     discovery: Cell<SocketAddr>,
     patience: Patience,
     pool: Rc<Pool>,
@@ -138,7 +138,6 @@
     /// # Errors
     /// The settings make no sense.
     pub fn start(config: Config) -> Result<Rc<Self>, SettingsError> {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let mut loaded = config.loaded;
         fit_to_sockets(&mut loaded.settings);
         let patience = Patience::of(loaded.settings.discovery);
@@ -152,6 +151,7 @@
             ids: FxHashMap::default(),
             taken_ids: FxHashSet::default(),
             listed: FxHashMap::default(),
+            starts: StartTimes::new(config.wall_clock),
             index: 0,
             has_list: false,
             told: false,
@@ -167,7 +167,6 @@
             offered: RefCell::new(Rc::new(offered)),
             configured: Cell::new(config.distribution.is_none()),
             zero: Instant::now(),
-            zero_ms: unix.saturating_sub(CLOCK_LEAD).as_millis() as u64,
             discovery: Cell::new(config.discovery),
             patience,
             pool: {
@@ -414,6 +413,7 @@
             if update.index < core.index {
                 crate::log(format_args!("an older list: {} after {}", update.index, core.index));
                 if !update.snapshot {
+                    core.starts.told(self.now());
                     return;
                 }
                 for endpoint in update.endpoints.iter_mut().filter(|endpoint| core.drains(endpoint)) {
@@ -424,6 +424,7 @@
         }
         let kind = if update.snapshot { ListUpdate::Whole } else { ListUpdate::Patch };
         self.take_list(update, kind);
+        self.hear_life_sign();
         // To the decisions a word means that the watch stands. On one at the address of before it must not keep them
         // from asking at the new one.
         let moved = self.core.borrow().watch_at != self.discovery.get();
@@ -435,6 +436,11 @@
         }
     }
 
+    /// The watch has said a line, if an empty one: a start that a later one names lies after it.
+    pub fn hear_life_sign(&self) {
+        self.core.borrow_mut().starts.told(self.now());
+    }
+
     /// Discovery listens elsewhere now: the decisions hear it, and ask for a watch there. Until then the old one
     /// goes on.
     pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
@@ -460,11 +466,13 @@
     fn take_list(self: &Rc<Self>, update: Update, kind: fn(Vec<Member>) -> ListUpdate) {
         let members = {
             let mut core = self.core.borrow_mut();
+            let newest_ms = update.endpoints.iter().map(|endpoint| endpoint.since_ms).max().unwrap_or(0);
+            let moment = core.starts.moment(self.now(), newest_ms);
             let whole = !matches!(kind(Vec::new()), ListUpdate::Patch(_));
             let mut seen = FxHashSet::default();
             let mut members = Vec::with_capacity(update.endpoints.len());
             for endpoint in &update.endpoints {
-                match self.member(&mut core, endpoint) {
+                match self.member(&mut core, &moment, endpoint) {
                     Some(member) => {
                         seen.insert(member.id);
                         members.push(member);
@@ -477,6 +485,7 @@
             core.has_list |= !members.is_empty() || kind(Vec::new()) != ListUpdate::StaleCopy(Vec::new());
             if whole {
                 core.listed.retain(|id, _| seen.contains(id));
+                core.starts.retain(&seen);
             }
             // Nothing kept goes to an upstream that drains, is gone, or has moved.
             let listed = &core.listed;
@@ -486,7 +495,7 @@
         self.handle(Event::List(kind(members)));
     }
 
-    fn member(&self, core: &mut Core, endpoint: &Endpoint) -> Option<Member> {
+    fn member(&self, core: &mut Core, moment: &Moment, endpoint: &Endpoint) -> Option<Member> {
         let phase = match endpoint.status.as_str() {
             "ready" => Phase::Ready,
             "draining" => Phase::Draining,
@@ -508,6 +517,10 @@
                 self.pool.close(id);
             }
         }
+        let started = core.starts.listed(moment, id, endpoint.since_ms);
+        if phase == Phase::Gone {
+            core.starts.left(id);
+        }
         let weight = endpoint.weight;
         Some(Member {
             id,
@@ -516,11 +529,7 @@
             cell: endpoint.group,
             phase,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
-            started: endpoint
-                .since_ms
-                .checked_sub(self.zero_ms)
-                .filter(|&since| since > 0)
-                .map(Duration::from_millis),
+            started,
         })
     }
 
--- a/dahliahead/src/lib.rs
+++ b/dahliahead/src/lib.rs
@@ -4,6 +4,7 @@
 //! One thread, one runtime: [`driver::Driver`] owns the state behind a `RefCell` that is never
 //! borrowed across an await.
 
+pub mod clock;
 pub mod config;
 pub mod configuration;
 pub mod connection;
