--- a/dahliahead/src/clock.rs
+++ b/dahliahead/src/clock.rs
@@ -66,8 +66,8 @@
     clock: Box<dyn WallClock>,
     listed: FxHashMap<UpstreamId, Start>,
     past: PastStarts,
-    /// Some list has named an upstream, so that what the next one adds to it is new.
-    has_list: bool,
+    /// When a list first named an upstream: what later ones add to it is new.
+    first_list_at: Option<Time>,
     /// When discovery last said a line: what it had by then is in the list in hand.
     told_at: Option<Time>,
 }
@@ -80,7 +80,7 @@
             clock,
             listed: FxHashMap::default(),
             past: PastStarts::default(),
-            has_list: false,
+            first_list_at: None,
             told_at: None,
         }
     }
@@ -96,14 +96,14 @@
 
     /// Discovery has said a line, if an empty one, and what it holds has been taken in.
     pub fn told(&mut self, now: Time) {
-        if self.has_list {
+        if self.first_list_at.is_some() {
             self.told_at = Some(now);
         }
     }
 
     /// The start time of an upstream that a list names with this stamp; `None` for long ago.
     pub fn listed(&mut self, moment: &Moment, id: UpstreamId, since_ms: u64) -> Option<Time> {
-        self.has_list = true;
+        self.first_list_at.get_or_insert(moment.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
             return start.time;
         }
@@ -135,12 +135,27 @@
         });
     }
 
-    /// Whether a list has named this start of the upstream, which then is no new one. The order of two stamps says
-    /// nothing, as the clock behind them may have stepped back between two starts.
+    /// Whether a list that may be older than the one in hand names a new start of an upstream, and not one before. An
+    /// earlier stamp may be either, as the clock behind the stamps may have stepped back: it is a new start if no list
+    /// has named it though it seems to lie after the first one. Before that there may have been starts that none named.
     #[must_use]
-    pub fn has_seen(&self, id: UpstreamId, since_ms: u64) -> bool {
-        let is_listed = self.listed.get(&id).is_some_and(|start| start.since_ms == since_ms);
-        since_ms == 0 || is_listed || self.past.has(id, since_ms)
+    pub fn is_new_start(&self, now: Time, id: UpstreamId, since_ms: u64) -> bool {
+        let listed_ms = self.listed.get(&id).map_or(0, |start| start.since_ms);
+        if since_ms == 0 || since_ms == listed_ms || self.past.has(id, since_ms) {
+            return false;
+        }
+        since_ms > listed_ms || self.age(since_ms, listed_ms) < self.listed_for(now)
+    }
+
+    /// How long ago a stamp was, as far as is known: the machine that stamps has reached `least_ms`.
+    fn age(&self, since_ms: u64, least_ms: u64) -> Duration {
+        let unix_ms = self.clock.unix_ms().max(least_ms);
+        Duration::from_millis(unix_ms.saturating_sub(since_ms))
+    }
+
+    /// The time since the first list.
+    fn listed_for(&self, now: Time) -> Duration {
+        self.first_list_at.map_or(Duration::ZERO, |first| now.saturating_sub(first))
     }
 
     /// How many starts are remembered of processes that are not listed any more.
--- a/dahliahead/src/driver.rs
+++ b/dahliahead/src/driver.rs
@@ -407,16 +407,17 @@
     /// asked before, must not end a drain: changes from then are passed over; a whole list is what there is now, but
     /// for upstreams that drain, which only a new start brings back.
     pub fn learn(self: &Rc<Self>, mut update: Update) {
+        let now = self.now();
         {
             let mut core = self.core.borrow_mut();
             core.told = true;
             if update.index < core.index {
                 crate::log(format_args!("an older list: {} after {}", update.index, core.index));
                 if !update.snapshot {
-                    core.starts.told(self.now());
+                    core.starts.told(now);
                     return;
                 }
-                for endpoint in update.endpoints.iter_mut().filter(|endpoint| core.drains(endpoint)) {
+                for endpoint in update.endpoints.iter_mut().filter(|endpoint| core.drains(now, endpoint)) {
                     "draining".clone_into(&mut endpoint.status);
                 }
             }
@@ -659,10 +660,11 @@
         self.release(id);
     }
 
-    /// Whether an upstream is listed as draining, since the start that the entry names or a later one.
-    fn drains(&self, entry: &Endpoint) -> bool {
-        let listed = self.ids.get(entry.name.as_str()).and_then(|id| self.listed.get(id));
-        listed.is_some_and(|listed| !listed.ready && listed.since_ms >= entry.since_ms)
+    /// Whether an upstream is listed as draining, and the entry of an older list names no new start of it.
+    fn drains(&self, now: Time, entry: &Endpoint) -> bool {
+        let Some(&id) = self.ids.get(entry.name.as_str()) else { return false };
+        let drains = self.listed.get(&id).is_some_and(|listed| !listed.ready);
+        drains && !self.starts.is_new_start(now, id, entry.since_ms)
     }
 
     /// Forgets a request that has its answer and no attempt out.
--- a/dahliahead/tests/discovery.rs
+++ b/dahliahead/tests/discovery.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use common::*;
 
@@ -293,6 +293,93 @@
     wait_for("the new start is taken in", || (caller.ask("read", "").body == b"old").then_some(()));
 }
 
+/// The entry of a process that started at this time.
+fn since(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> serde_json::Value {
+    let mut entry = endpoint(name, address, 0, status);
+    entry["since_ms"] = since_ms.into();
+    entry
+}
+
+/// Guards a new process against the drain of the one before, where the clock behind the stamps stepped back between
+/// the two: also in a list of a lower index, as from a discovery that counts anew, a start never named is a new one.
+#[test]
+fn a_new_start_with_an_earlier_stamp_ends_the_drain() {
+    let (restarted, other) = (Upstream::start(|_, _| ok("restarted")), Upstream::start(|_, _| ok("other")));
+    let beside = endpoint("s-2", other.address, 0, "ready");
+    let (balancer, discovery) = Balancer::with(std::slice::from_ref(&beside), 30.0);
+    let (_, watch) = discovery.watch();
+    let first_list = Instant::now();
+    // The clock steps back by less than the time since the first list.
+    let step_ms = 20;
+    wait_for("time passes", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
+    watch.says(9, false, &[since("s-1", restarted.address, "ready", now)]);
+    let mut caller = balancer.caller();
+    wait_for("it is listed", || (caller.ask("read", "").body == b"restarted").then_some(()));
+    watch.says(10, false, &[since("s-1", restarted.address, "draining", now)]);
+    wait_for("the drain is taken in", || {
+        (0..16).all(|_| caller.ask("read", "").body == b"other").then_some(())
+    });
+    let restart = since("s-1", restarted.address, "ready", now - step_ms as u64);
+    // Only the new start serves from here on.
+    watch.says(3, true, &[restart]);
+    wait_for("the new start is taken in", || (caller.ask("read", "").body == b"restarted").then_some(()));
+}
+
+/// Guards a drain against an older list that names the process before, from a time when this one had no list yet.
+#[test]
+fn an_older_list_with_a_start_never_named_ends_no_drain() {
+    let (drained, other) = (Upstream::start(|_, _| ok("drained")), Upstream::start(|_, _| ok("other")));
+    let known = [since("s-1", drained.address, "ready", 5_000)];
+    let discovery = Discovery::start();
+    let text = configuration(discovery.address, &known, 30.0, 1024);
+    // Were it taken for a new start, slow start must not hide it.
+    let (usual, short) = ("\"coldS\":10.0", "\"coldS\":0.001");
+    assert!(text.contains(usual));
+    let balancer = Balancer::start(&text.replace(usual, short));
+    let (_, watch) = discovery.watch();
+    let beside = endpoint("s-2", other.address, 0, "ready");
+    watch.says(9, false, &[since("s-1", drained.address, "draining", 5_000), beside.clone()]);
+    let mut caller = balancer.caller();
+    wait_for("the drain is taken in", || (caller.ask("read", "").body == b"other").then_some(()));
+    let told = drained.requests().len();
+    let third = Upstream::start(|_, _| ok("third"));
+    watch.says(3, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
+    // What comes last is taken in last.
+    watch.says(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
+    wait_for("the last word is taken in", || (caller.ask("read", "").body == b"third").then_some(()));
+    for _ in 0..20 {
+        caller.ask("read", "");
+    }
+    assert_eq!(drained.requests().len(), told, "the older list ended its drain");
+}
+
+/// Guards a drain against an older list that names the process before, whose stamp is the later one as the clock
+/// behind the stamps stepped back between the two.
+#[test]
+fn an_older_list_with_a_later_stamp_of_a_start_before_ends_no_drain() {
+    let (drained, other) = (Upstream::start(|_, _| ok("drained")), Upstream::start(|_, _| ok("other")));
+    let known = [since("s-1", drained.address, "ready", 5_000)];
+    let (balancer, discovery) = Balancer::with(&known, 30.0);
+    let (_, watch) = discovery.watch();
+    let beside = endpoint("s-2", other.address, 0, "ready");
+    watch.says(8, false, &[since("s-1", drained.address, "ready", 2_000)]);
+    watch.says(9, false, &[since("s-1", drained.address, "draining", 2_000), beside.clone()]);
+    let mut caller = balancer.caller();
+    wait_for("the drain is taken in", || (caller.ask("read", "").body == b"other").then_some(()));
+    let told = drained.requests().len();
+    // What comes last is taken in last; the list before it may say that start again, and the one after.
+    let third = Upstream::start(|_, _| ok("third"));
+    watch.says(7, true, &[since("s-1", drained.address, "ready", 5_000), beside.clone()]);
+    watch.says(6, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
+    watch.says(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
+    wait_for("the last word is taken in", || (caller.ask("read", "").body == b"third").then_some(()));
+    for _ in 0..20 {
+        caller.ask("read", "");
+    }
+    assert_eq!(drained.requests().len(), told, "the older list ended its drain");
+}
+
 /// Guards the list in hand against a watch that was given up: what still comes on it is not heard.
 #[test]
 fn a_watch_given_up_is_not_heard() {
