--- a/crates/distribution/src/host/store.rs
+++ b/crates/distribution/src/host/store.rs
@@ -1,12 +1,15 @@
 //! What a process keeps on disk: records by index in one table of a redb file, each commit synced. redb keeps the last
 //! good commit beside the one that is being written and checks both by digest, so that a torn write leaves the former.
 
+use std::any::Any;
 use std::collections::BTreeSet;
-use std::fs::{self, File};
+use std::fs::{self, File, OpenOptions};
 use std::io;
+use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
-use redb::{Builder, Database, DatabaseError, ReadableTable, StorageError, TableDefinition};
+use redb::backends::FileBackend;
+use redb::{Builder, Database, DatabaseError, ReadableTable, StorageBackend, StorageError, TableDefinition};
 use thiserror::Error;
 
 use crate::origin::Record;
@@ -16,6 +19,8 @@
 const FIGURES: TableDefinition<&str, u64> = TableDefinition::new("figures");
 /// The file in the directory.
 const FILE: &str = "configuration.redb";
+/// The file while it is made. It gets its name once it is whole, so that a file of that name was whole once.
+const NEW_FILE: &str = "configuration.redb.new";
 /// Bytes of the file that are held in memory; records are read once, at the start.
 const CACHE: usize = 4 << 20;
 
@@ -33,6 +38,9 @@
         /// Why.
         error: serde_json::Error,
     },
+    /// The file is not what its header says, which redb answers with a panic.
+    #[error("the file is damaged: {0}")]
+    Damaged(String),
 }
 
 impl<E: Into<redb::Error>> From<E> for StoreError {
@@ -90,7 +98,10 @@
     pub fn at(directory: &Path) -> Result<(Self, Found), StoreError> {
         fs::create_dir_all(directory)?;
         let path = directory.join(FILE);
-        let opened = Self::over(move || Builder::new().set_cache_size(CACHE).create(&path))?;
+        if !path.try_exists()? {
+            make(&directory.join(NEW_FILE), &path)?;
+        }
+        let opened = Self::over(move || Builder::new().set_cache_size(CACHE).open(&path))?;
         // The file's name is to outlast a loss of power as well.
         File::open(directory)?.sync_all()?;
         Ok(opened)
@@ -135,6 +146,19 @@
     }
 
     fn commit(&mut self, records: &[Record], delete: &[u64], index: Option<u64>) -> Result<(), StoreError> {
+        caught(|| self.try_commit(records, delete, index))
+    }
+
+    fn read(&mut self) -> Result<Found, StoreError> {
+        caught(|| self.try_read())
+    }
+
+    fn try_commit(
+        &mut self,
+        records: &[Record],
+        delete: &[u64],
+        index: Option<u64>,
+    ) -> Result<(), StoreError> {
         let transaction = self.database()?.begin_write()?;
         {
             let mut table = transaction.open_table(RECORDS)?;
@@ -156,7 +180,7 @@
         Ok(())
     }
 
-    fn read(&mut self) -> Result<Found, StoreError> {
+    fn try_read(&mut self) -> Result<Found, StoreError> {
         let transaction = self.database()?.begin_read()?;
         let missing = |error: &redb::TableError| matches!(error, redb::TableError::TableDoesNotExist(_));
         let mut found = Found::default();
@@ -188,3 +212,31 @@
         self.database.as_ref().ok_or_else(|| StorageError::PreviousIo.into())
     }
 }
+
+/// Makes a store without records under a name of its own, and gives it its own name once it is synced. What a process
+/// that was killed in the middle of this left is written over.
+fn make(new: &Path, path: &Path) -> Result<(), StoreError> {
+    let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(new)?;
+    // Locked, so that of two processes one makes it, and no longer than until it has its name.
+    let backend = FileBackend::new(file)?;
+    if path.try_exists()? {
+        return Ok(());
+    }
+    backend.set_len(0)?;
+    let database = Builder::new().create_with_backend(backend)?;
+    fs::rename(new, path)?;
+    drop(database);
+    Ok(())
+}
+
+/// Makes an error of a panic: redb checks some of what it reads by assertions, and a damaged file must not end a process
+/// that has more to do than to keep it.
+fn caught<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    catch_unwind(AssertUnwindSafe(work))
+        .unwrap_or_else(|panic| Err(StoreError::Damaged(text_of(&*panic).to_owned())))
+}
+
+fn text_of(panic: &(dyn Any + Send)) -> &str {
+    let text = panic.downcast_ref::<String>().map(String::as_str);
+    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no reason told")
+}
--- a/crates/distribution/tests/hosts_common/mod.rs
+++ b/crates/distribution/tests/hosts_common/mod.rs
@@ -1,6 +1,8 @@
 //! Real processes and children on loopback, for the tests of the hosts.
 #![allow(dead_code, reason = "each test file uses a part")]
 
+pub mod disk;
+
 use std::collections::BTreeMap;
 use std::fs;
 use std::io::{BufRead, BufReader};
--- a/crates/distribution/tests/hosts_disk.rs
+++ b/crates/distribution/tests/hosts_disk.rs
@@ -5,147 +5,23 @@
 use std::collections::BTreeSet;
 use std::io;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex};
 
-use fennelhatch_distribution::document::Document;
 use fennelhatch_distribution::host::origin::OriginHost;
 use fennelhatch_distribution::host::server::Limits;
-use fennelhatch_distribution::host::store::{Found, Outcome, Store};
-use fennelhatch_distribution::origin::{Bounds, Record};
+use fennelhatch_distribution::host::store::{Outcome, Store};
+use fennelhatch_distribution::origin::Bounds;
+use hosts_common::disk::{Shared, Write, indexes, offset, record};
 use hosts_common::{
     Directory, Follower, Process, address, big_document, change, document, get, play, publish, within,
 };
 use hyper::StatusCode;
-use redb::{Builder, Database, DatabaseError, StorageBackend};
+use redb::{Builder, StorageBackend};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 
-/// A disk that fails as it is told. What was not synced is lost with its power.
-#[derive(Debug, Default, Clone)]
-struct Disk {
-    synced: Vec<u8>,
-    /// As readers see it.
-    seen: Vec<u8>,
-    /// Since the last sync, in order.
-    writes: Vec<Write>,
-    /// Syncs that fail from now on.
-    failing_syncs: u32,
-    /// Openings that fail from now on.
-    failing_openings: u32,
-    /// Bytes that it takes.
-    room: Option<usize>,
-}
-
-#[derive(Debug, Clone)]
-enum Write {
-    Length(usize),
-    Bytes(usize, Vec<u8>),
-}
-
-impl Write {
-    fn apply(&self, image: &mut Vec<u8>) {
-        match self {
-            Self::Length(length) => image.resize(*length, 0),
-            Self::Bytes(at, bytes) => image[*at..at + bytes.len()].copy_from_slice(bytes),
-        }
-    }
-}
-
-#[derive(Debug, Default, Clone)]
-struct Shared(Arc<Mutex<Disk>>);
-
-impl Shared {
-    fn disk(&self) -> MutexGuard<'_, Disk> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    fn open(&self) -> Result<Database, DatabaseError> {
-        let mut disk = self.disk();
-        if disk.failing_openings > 0 {
-            disk.failing_openings -= 1;
-            return Err(io::Error::other("the disk is gone").into());
-        }
-        drop(disk);
-        Builder::new().create_with_backend(self.clone())
-    }
-
-    fn store(&self) -> (Store, Found) {
-        let disk = self.clone();
-        Store::over(move || disk.open()).expect("it opens")
-    }
-
-    fn with(image: Vec<u8>) -> Self {
-        Self(Arc::new(Mutex::new(Disk { synced: image.clone(), seen: image, ..Disk::default() })))
-    }
-
-    /// After a loss of power.
-    fn rebooted(&self) -> Self {
-        Self::with(self.disk().synced.clone())
-    }
-}
-
-fn offset(value: u64) -> usize {
-    usize::try_from(value).expect("it fits")
-}
-
-impl StorageBackend for Shared {
-    fn len(&self) -> io::Result<u64> {
-        Ok(self.disk().seen.len() as u64)
-    }
-
-    fn read(&self, at: u64, length: usize) -> io::Result<Vec<u8>> {
-        let at = offset(at);
-        let part = self.disk().seen.get(at..at + length).map(<[u8]>::to_vec);
-        part.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))
-    }
-
-    fn set_len(&self, length: u64) -> io::Result<()> {
-        let (mut disk, length) = (self.disk(), offset(length));
-        if disk.room.is_some_and(|room| length > room) {
-            return Err(io::ErrorKind::StorageFull.into());
-        }
-        disk.seen.resize(length, 0);
-        disk.writes.push(Write::Length(length));
-        Ok(())
-    }
-
-    fn sync_data(&self, _: bool) -> io::Result<()> {
-        let mut disk = self.disk();
-        if disk.failing_syncs > 0 {
-            disk.failing_syncs -= 1;
-            // What readers see is not on disk, and is not tried again.
-            disk.writes.clear();
-            return Err(io::Error::other("the sync failed"));
-        }
-        let writes = std::mem::take(&mut disk.writes);
-        for write in writes {
-            write.apply(&mut disk.synced);
-        }
-        Ok(())
-    }
-
-    fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        let (mut disk, at) = (self.disk(), offset(at));
-        if at + bytes.len() > disk.seen.len() {
-            return Err(io::ErrorKind::UnexpectedEof.into());
-        }
-        disk.seen[at..at + bytes.len()].copy_from_slice(bytes);
-        disk.writes.push(Write::Bytes(at, bytes.to_vec()));
-        Ok(())
-    }
-}
-
-fn record(index: u64, body: &str) -> Record {
-    let scope = "service/api".parse().unwrap();
-    Record { index, document: Document::new(scope, index, body.into()), request: format!("r{index}").into() }
-}
-
-fn indexes(found: &Found) -> Vec<u64> {
-    found.records.iter().map(|record| record.index).collect()
-}
-
 #[test]
 fn a_last_write_torn_anywhere_leaves_all_that_was_acknowledged() {
     let disk = Shared::default();
@@ -472,3 +348,43 @@
         assert!(rest.starts_with(b"HTTP/1.1 200"));
     });
 }
+
+#[test]
+fn an_origin_whose_disk_fails_for_a_while_refuses_meanwhile_and_goes_on_by_itself() {
+    play(async {
+        let disk = Shared::default();
+        let (origin, running) = origin_over(&disk).await;
+        publish(origin, "service/api", &document(1), "1").await;
+        let mut child = Follower::start("api-1", &[origin], &["service/api"], 1);
+        child.until_index(1).await;
+        disk.disk().failing_each_second = true;
+        let (mut acknowledged, mut refused) = (1, 0);
+        for number in 2..=60 {
+            let body = document(number);
+            let (status, answer) =
+                change(origin, "service/api", Some(&body), &number.to_string(), None).await.unwrap();
+            if status == StatusCode::OK {
+                let index = answer["index"].as_u64().unwrap();
+                assert!(index > acknowledged, "{index} after {acknowledged}");
+                acknowledged = index;
+            } else {
+                let told = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::INSUFFICIENT_STORAGE];
+                assert!(told.contains(&status), "{status} {answer}");
+                refused += 1;
+            }
+            // Readers are served on with what was acknowledged.
+            let whole = get(origin, "/configuration").await.unwrap().1;
+            assert!(whole["index"].as_u64().unwrap() >= acknowledged, "{whole}");
+        }
+        assert!(refused > 0, "the disk did not fail");
+        disk.disk().failing_each_second = false;
+        let last = publish(origin, "service/api", &document(61), "61").await;
+        assert!(last > acknowledged, "{last} after {acknowledged}");
+        child.until_index(last).await;
+        assert_eq!(child.body("service/api"), Some(document(61)));
+        running.abort();
+        let found = disk.rebooted().store().1;
+        assert_eq!(indexes(&found).last(), Some(&last));
+        assert!(found.records.iter().all(|record| record.document.is_whole()));
+    });
+}
--- /dev/null
+++ b/crates/distribution/tests/hosts_store.rs
@@ -0,0 +1,137 @@
+//! A process killed in the middle of a write, and a file that is cut off or torn: what was acknowledged is there, and
+//! half a file is never taken for a whole one.
+
+mod hosts_common;
+
+use std::fs::{self, OpenOptions};
+use std::panic;
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+use std::time::{Duration, Instant};
+
+use fennelhatch_distribution::host::store::{Outcome, Store};
+use hosts_common::disk::{indexes, record};
+use hosts_common::{Directory, Process, address, binary, change, document, get, play, publish, within};
+use tokio::task::spawn_local;
+use tokio::time::sleep;
+
+const FILE: &str = "configuration.redb";
+/// Of the file from its start, and before its end, every length is played; in between one in `STEP`.
+const EVERY: usize = 8 << 10;
+/// No power of two, so that pages are cut at all their places.
+const STEP: usize = 4093;
+
+/// A file of a store with three records, as a process that ended in order left it.
+fn file_of_three(directory: &Directory) -> Vec<u8> {
+    let (mut store, _) = Store::at(directory.path()).unwrap();
+    for index in 1..=3 {
+        let outcome = store.write(&[record(index, &document(index))], &[], Some(index));
+        assert!(matches!(outcome, Outcome::Written));
+    }
+    drop(store);
+    fs::read(directory.path().join(FILE)).unwrap()
+}
+
+fn lengths(whole: usize) -> impl DoubleEndedIterator<Item = usize> {
+    (0..whole).filter(move |length| *length < EVERY || *length + EVERY >= whole || length % STEP == 0)
+}
+
+/// Leaves out of the log that redb's assertions failed, which each file that is cut off leads to.
+fn hush_assertions_of_redb() {
+    let hook = panic::take_hook();
+    panic::set_hook(Box::new(move |panic| {
+        if !panic.location().is_some_and(|place| place.file().contains("/redb-")) {
+            hook(panic);
+        }
+    }));
+}
+
+#[test]
+fn a_file_cut_off_at_any_length_is_refused() {
+    hush_assertions_of_redb();
+    let (made, cut) = (Directory::new("whole"), Directory::new("cut"));
+    let whole = file_of_three(&made);
+    let path = cut.path().join(FILE);
+    fs::write(&path, &whole).unwrap();
+    let found = Store::at(cut.path()).map(|(_, found)| indexes(&found));
+    assert_eq!(found.unwrap(), [1, 2, 3]);
+    fs::write(&path, &whole).unwrap();
+    let file = OpenOptions::new().write(true).open(&path).unwrap();
+    // Shorter and shorter, since a refusal leaves the file as it is.
+    for length in lengths(whole.len()).rev() {
+        file.set_len(length as u64).unwrap();
+        let found = Store::at(cut.path()).ok().map(|(_, found)| found);
+        assert!(found.is_none(), "cut off at {length} of {}: {found:?}", whole.len());
+    }
+}
+
+/// Kills a process as soon as it has begun to write a file in its directory.
+fn kill_in_the_middle_of_the_first_start(arguments: &[&str], directory: &Path) {
+    let mut child = binary()
+        .args(arguments)
+        .args(["--listen", &address().to_string()])
+        .stdout(Stdio::null())
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
+    let by = Instant::now() + hosts_common::WITHIN;
+    let written = |path: PathBuf| fs::metadata(path).is_ok_and(|file| file.len() > 0);
+    while !fs::read_dir(directory).unwrap().flatten().any(|entry| written(entry.path())) {
+        assert!(Instant::now() < by, "it wrote nothing");
+    }
+    child.kill().unwrap();
+    child.wait().unwrap();
+}
+
+#[test]
+fn an_origin_killed_in_the_middle_of_its_first_start_begins_again() {
+    play(async {
+        for round in 0..20 {
+            let directory = Directory::new(&format!("first-{round}"));
+            let place = directory.path().to_str().unwrap();
+            kill_in_the_middle_of_the_first_start(&["origin", "--dir", place], directory.path());
+            let origin = Process::origin(&directory, address());
+            assert_eq!(publish(origin.address, "fleet", &document(1), "1").await, 1);
+        }
+    });
+}
+
+#[test]
+fn ten_kills_in_the_middle_of_publications_lose_nothing_acknowledged() {
+    play(async {
+        let directory = Directory::new("ten-kills");
+        let own = address();
+        let mut acknowledged = 0;
+        let mut number = 0;
+        for round in 0..10_u64 {
+            let mut origin = Process::origin(&directory, own);
+            let whole = get(own, "/configuration").await.unwrap().1;
+            let index = whole["index"].as_u64().unwrap();
+            assert!(index >= acknowledged, "round {round}: back to {index} after {acknowledged}");
+            // Publications one after another; the last one has no answer, since the process is killed under it.
+            let publishing = spawn_local(async move {
+                let mut last = acknowledged;
+                loop {
+                    number += 1;
+                    let body = document(number);
+                    let id = format!("{round} {number}");
+                    match change(own, "service/api", Some(&body), &id, None).await {
+                        Ok((status, answer)) if status.is_success() => {
+                            let index = answer["index"].as_u64().unwrap();
+                            assert!(index > last, "{index} after {last}");
+                            last = index;
+                        }
+                        _ => return (last, number),
+                    }
+                }
+            });
+            sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
+            origin.kill();
+            (acknowledged, number) = within("the publisher hears of the end", publishing).await.unwrap();
+        }
+        assert!(acknowledged > 10, "only {acknowledged} were acknowledged");
+        let _origin = Process::origin(&directory, own);
+        let whole = get(own, "/configuration").await.unwrap().1;
+        assert!(whole["index"].as_u64().unwrap() >= acknowledged, "{whole}");
+    });
+}
