--- a/crates/distribution/src/host/relay.rs
+++ b/crates/distribution/src/host/relay.rs
@@ -17,7 +17,7 @@
 use super::client::{Following, report};
 use super::log::log;
 use super::server::{Answer, Below, Change, Limits, Server, Source, refuse};
-use super::store::{Outcome, Store, StoreError};
+use super::store::{Found, Outcome, Store, StoreError};
 use crate::document::{Document, Update};
 use crate::origin::Record;
 use crate::parents::Parents;
@@ -62,10 +62,19 @@
 /// A relay, ready to serve.
 pub struct RelayHost {
     options: RelayOptions,
-    store: Option<Store>,
+    disk: Option<RelayDisk>,
     server: Rc<Server<Held>>,
 }
 
+type Open = Arc<dyn Fn() -> Result<(Store, Found), StoreError> + Send + Sync>;
+
+/// Where a relay keeps what it has.
+struct RelayDisk {
+    open: Open,
+    /// None while the disk fails.
+    store: Option<Store>,
+}
+
 struct Held {
     start: Instant,
     state: RefCell<State>,
@@ -92,40 +101,79 @@
     }
 }
 
+impl Held {
+    /// Takes in what was found on disk, unless what it holds is as new. Tells whether readers have to be told.
+    fn restore(&self, found: Found) -> Result<bool, Refusal> {
+        let last = found.records.iter().map(|record| record.index).max().unwrap_or(0);
+        let index = last.max(found.index);
+        let mut state = self.state.borrow_mut();
+        if index <= state.index() {
+            return Ok(false);
+        }
+        let live = found.records.into_iter().map(|record| record.document);
+        let documents = live.filter(|document| !document.is_withdrawn()).collect();
+        state.take(Update { index, snapshot: true, after: 0, stale_s: 0, documents }, &Wanted::All)?;
+        self.spoken.set(true);
+        Ok(true)
+    }
+}
+
+/// Opens the store at the start; `None` where the disk fails in a way that may pass.
+fn first_opening(held: &Held, open: &Open) -> Result<Option<Store>, RelayError> {
+    match open() {
+        Ok((store, found)) => {
+            held.restore(found)?;
+            Ok(Some(store))
+        }
+        Err(error) if error.may_pass() => {
+            log(format_args!("beginning with nothing, the disk fails: {error}"));
+            Ok(None)
+        }
+        Err(error) => Err(error.into()),
+    }
+}
+
 impl RelayHost {
-    /// With what its directory holds.
+    /// With what its directory holds. It begins with nothing where that is damaged, or the disk fails for the time being.
     ///
     /// # Errors
-    /// The disk, or what is on it.
+    /// The directory cannot be used, or what is on it is no relay's.
     pub fn new(options: RelayOptions) -> Result<Self, RelayError> {
-        let mut state = State::default();
-        let mut store = None;
-        if let Some(directory) = &options.directory {
-            let (opened, found) = Store::at(directory)?;
-            store = Some(opened);
-            let last = found.records.iter().map(|record| record.index).max().unwrap_or(0);
-            let live = found.records.into_iter().map(|record| record.document);
-            let documents = live.filter(|document| !document.is_withdrawn()).collect();
-            let index = last.max(found.index);
-            if index > 0 {
-                let update = Update { index, snapshot: true, after: 0, stale_s: 0, documents };
-                state.take(update, &Wanted::All)?;
-            }
-        }
-        log(format_args!("relay {} at index {}", options.name, state.index()));
+        let Some(directory) = options.directory.clone() else { return Self::with(options, None) };
+        Self::over(options, move || Store::at_or_anew(&directory))
+    }
+
+    /// Over what `open` opens in place of the directory; it is asked again while the disk fails.
+    ///
+    /// # Errors
+    /// As [`RelayHost::new`].
+    pub fn over(
+        options: RelayOptions,
+        open: impl Fn() -> Result<(Store, Found), StoreError> + Send + Sync + 'static,
+    ) -> Result<Self, RelayError> {
+        let open: Open = Arc::new(open);
+        Self::with(options, Some(open))
+    }
+
+    fn with(options: RelayOptions, open: Option<Open>) -> Result<Self, RelayError> {
         let held = Held {
             start: Instant::now(),
-            spoken: Cell::new(state.index() > 0),
-            state: RefCell::new(state),
+            spoken: Cell::new(false),
+            state: RefCell::default(),
             parents: RefCell::new(Parents::new(options.parents.len(), options.seed)),
         };
+        let disk = match open {
+            Some(open) => Some(RelayDisk { store: first_opening(&held, &open)?, open }),
+            None => None,
+        };
+        log(format_args!("relay {} at index {}", options.name, held.state.borrow().index()));
         let server = Server::new(Rc::new(held), options.level, options.limits, !options.seed);
-        Ok(Self { options, store, server })
+        Ok(Self { options, disk, server })
     }
 
     /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`.
     pub async fn run(self, listener: TcpListener, stop: impl Future<Output = ()>) {
-        let Self { options, store, server } = self;
+        let Self { options, disk, server } = self;
         let held = Rc::clone(&server.source);
         let current = Cell::new(None);
         let following = Following {
@@ -160,8 +208,8 @@
             },
         );
         let kept = async {
-            match store {
-                Some(store) => keep(&held, store, server.changes()).await,
+            match disk {
+                Some(disk) => keep(&server, disk).await,
                 None => std::future::pending().await,
             }
         };
@@ -192,7 +240,13 @@
 }
 
 /// Keeps what is held on disk, as of each change. It is served before it is kept: what is lost comes again from above.
-async fn keep(held: &Held, store: Store, mut changes: tokio::sync::watch::Receiver<()>) {
+async fn keep(server: &Server<Held>, disk: RelayDisk) {
+    let mut changes = server.changes();
+    let held = &server.source;
+    let store = match disk.store {
+        Some(store) => store,
+        None => opened_later(server, &disk.open).await,
+    };
     let store = Arc::new(Mutex::new(store));
     loop {
         if changes.changed().await.is_err() {
@@ -230,3 +284,23 @@
         }
     }
 }
+
+/// The store of a disk that failed at the start, once it does no more, with what it holds taken in.
+async fn opened_later(server: &Server<Held>, open: &Open) -> Store {
+    loop {
+        sleep(KEEP_AGAIN).await;
+        let open = Arc::clone(open);
+        match spawn_blocking(move || open()).await {
+            Ok(Ok((store, found))) => {
+                match server.source.restore(found) {
+                    Ok(true) => server.changed(),
+                    Ok(false) => {}
+                    Err(refusal) => log(format_args!("what is on disk is not taken: {refusal}")),
+                }
+                return store;
+            }
+            Ok(Err(error)) => log(format_args!("the disk still fails: {error}")),
+            Err(error) => log(format_args!("the disk still fails: {error}")),
+        }
+    }
+}
--- a/crates/distribution/src/host/store.rs
+++ b/crates/distribution/src/host/store.rs
@@ -12,6 +12,7 @@
 use redb::{Builder, Database, DatabaseError, ReadableTable, StorageBackend, StorageError, TableDefinition};
 use thiserror::Error;
 
+use super::log::log;
 use crate::origin::Record;
 
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
@@ -21,6 +22,10 @@
 const FILE: &str = "configuration.redb";
 /// The file while it is made. It gets its name once it is whole, so that a file of that name was whole once.
 const NEW_FILE: &str = "configuration.redb.new";
+/// A damaged file that was set aside, the last one only.
+const DAMAGED_FILE: &str = "configuration.redb.damaged";
+/// Faults that pass and have no stable `io::ErrorKind`: `EIO`, `ENFILE` and `EMFILE`.
+const PASSING_CODES: [i32; 3] = [5, 23, 24];
 /// Bytes of the file that are held in memory; records are read once, at the start.
 const CACHE: usize = 4 << 20;
 
@@ -58,6 +63,31 @@
         let redb::Error::Io(error) = &**error else { return false };
         matches!(error.kind(), StorageFull | QuotaExceeded | FileTooLarge)
     }
+
+    /// Whether the disk fails in a way that may pass by itself, so that the same may succeed later.
+    #[must_use]
+    pub fn may_pass(&self) -> bool {
+        use io::ErrorKind::{Interrupted, OutOfMemory, ResourceBusy, TimedOut};
+        let Self::Database(error) = self else { return false };
+        let redb::Error::Io(error) = &**error else { return false };
+        self.is_full()
+            || matches!(error.kind(), Interrupted | OutOfMemory | ResourceBusy | TimedOut)
+            || error.raw_os_error().is_some_and(|code| PASSING_CODES.contains(&code))
+    }
+
+    /// Whether what stands in the file is no store, or no longer.
+    #[must_use]
+    pub fn is_damage(&self) -> bool {
+        use io::ErrorKind::{InvalidData, UnexpectedEof};
+        match self {
+            Self::Record { .. } | Self::Damaged(_) => true,
+            Self::Database(error) => match &**error {
+                redb::Error::Corrupted(_) | redb::Error::TableTypeMismatch { .. } => true,
+                redb::Error::Io(error) => matches!(error.kind(), InvalidData | UnexpectedEof),
+                _ => false,
+            },
+        }
+    }
 }
 
 /// What became of a write.
@@ -90,6 +120,12 @@
     pub index: u64,
 }
 
+impl Found {
+    fn is_whole(&self) -> bool {
+        self.records.iter().all(|record| record.document.is_whole())
+    }
+}
+
 impl Store {
     /// In a directory, which is made if need be.
     ///
@@ -107,6 +143,24 @@
         Ok(opened)
     }
 
+    /// As [`Store::at`], for what can be had again from elsewhere: a damaged file is set aside under another name, and a
+    /// store without records takes its place.
+    ///
+    /// # Errors
+    /// As [`Store::at`], but for damage.
+    pub fn at_or_anew(directory: &Path) -> Result<(Self, Found), StoreError> {
+        let error = match Self::at(directory) {
+            Ok((store, found)) if found.is_whole() => return Ok((store, found)),
+            // The file is closed with its store, before another takes its place.
+            Ok(_) => StoreError::Damaged("a document differs from its digest".to_owned()),
+            Err(error) if error.is_damage() => error,
+            Err(error) => return Err(error),
+        };
+        log(format_args!("set aside as {DAMAGED_FILE}: {error}"));
+        fs::rename(directory.join(FILE), directory.join(DAMAGED_FILE))?;
+        Self::at(directory)
+    }
+
     /// Over what `open` opens, which is asked again after each failure.
     ///
     /// # Errors
--- a/crates/distribution/tests/hosts_common/disk.rs
+++ b/crates/distribution/tests/hosts_common/disk.rs
@@ -71,7 +71,7 @@
         let mut disk = self.disk();
         if disk.failing_openings > 0 {
             disk.failing_openings -= 1;
-            return Err(io::Error::other("the disk is gone").into());
+            return Err(io::Error::from_raw_os_error(EIO).into());
         }
         drop(disk);
         Builder::new().create_with_backend(self.clone())
@@ -161,3 +161,34 @@
 pub fn indexes(found: &Found) -> Vec<u64> {
     found.records.iter().map(|record| record.index).collect()
 }
+
+/// Notes each write of a disk.
+#[derive(Debug, Clone)]
+pub struct Catching {
+    pub disk: Shared,
+    pub log: Arc<Mutex<Vec<Write>>>,
+}
+
+impl StorageBackend for Catching {
+    fn len(&self) -> io::Result<u64> {
+        self.disk.len()
+    }
+
+    fn read(&self, at: u64, length: usize) -> io::Result<Vec<u8>> {
+        self.disk.read(at, length)
+    }
+
+    fn set_len(&self, length: u64) -> io::Result<()> {
+        self.log.lock().unwrap().push(Write::Length(offset(length)));
+        self.disk.set_len(length)
+    }
+
+    fn sync_data(&self, eventual: bool) -> io::Result<()> {
+        self.disk.sync_data(eventual)
+    }
+
+    fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
+        self.log.lock().unwrap().push(Write::Bytes(offset(at), bytes.to_vec()));
+        self.disk.write(at, bytes)
+    }
+}
--- a/crates/distribution/tests/hosts_disk.rs
+++ b/crates/distribution/tests/hosts_disk.rs
@@ -3,7 +3,6 @@
 mod hosts_common;
 
 use std::collections::BTreeSet;
-use std::io;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
@@ -11,12 +10,12 @@
 use fennelhatch_distribution::host::server::Limits;
 use fennelhatch_distribution::host::store::{Outcome, Store};
 use fennelhatch_distribution::origin::Bounds;
-use hosts_common::disk::{Shared, Write, indexes, offset, record};
+use hosts_common::disk::{Catching, Shared, Write, indexes, record};
 use hosts_common::{
     Directory, Follower, Process, address, big_document, change, document, get, play, publish, within,
 };
 use hyper::StatusCode;
-use redb::{Builder, StorageBackend};
+use redb::Builder;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -68,37 +67,6 @@
     assert!(seen.contains(&5), "{seen:?}");
 }
 
-/// Notes each write of a disk.
-#[derive(Debug, Clone)]
-struct Catching {
-    disk: Shared,
-    log: Arc<Mutex<Vec<Write>>>,
-}
-
-impl StorageBackend for Catching {
-    fn len(&self) -> io::Result<u64> {
-        self.disk.len()
-    }
-
-    fn read(&self, at: u64, length: usize) -> io::Result<Vec<u8>> {
-        self.disk.read(at, length)
-    }
-
-    fn set_len(&self, length: u64) -> io::Result<()> {
-        self.log.lock().unwrap().push(Write::Length(offset(length)));
-        self.disk.set_len(length)
-    }
-
-    fn sync_data(&self, eventual: bool) -> io::Result<()> {
-        self.disk.sync_data(eventual)
-    }
-
-    fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.log.lock().unwrap().push(Write::Bytes(offset(at), bytes.to_vec()));
-        self.disk.write(at, bytes)
-    }
-}
-
 #[test]
 fn what_was_written_outlasts_a_loss_of_power_and_what_was_not_does_not_come_back() {
     // Each of the syncs of a write may be the one that fails.
--- /dev/null
+++ b/crates/distribution/tests/hosts_relay_disk.rs
@@ -0,0 +1,209 @@
+//! A relay's directory: a relay is served by its memory, and by what its disk has whole. A disk that fails for a while, or
+//! a file that is damaged, ends no relay.
+
+mod hosts_common;
+
+use std::fs;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use fennelhatch_distribution::host::relay::{RelayHost, RelayOptions};
+use fennelhatch_distribution::host::server::Limits;
+use fennelhatch_distribution::host::store::{Outcome, Store};
+use hosts_common::disk::{Catching, Shared, Write, indexes, record};
+use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
+use redb::Builder;
+use tokio::net::TcpListener;
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::sleep;
+
+const FILE: &str = "configuration.redb";
+
+/// A relay's file with one document, as a process that ended in order left it.
+fn file_of_one(directory: &Directory) -> Vec<u8> {
+    let (mut store, _) = Store::at(directory.path()).unwrap();
+    assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
+    drop(store);
+    fs::read(directory.path().join(FILE)).unwrap()
+}
+
+/// A relay on a directory whose file is this; nobody is above it.
+fn relay_on(directory: &Directory, image: &[u8]) -> Process {
+    fs::write(directory.path().join(FILE), image).unwrap();
+    let (place, nobody) = (directory.path().to_str().unwrap(), address().to_string());
+    Process::start(&["relay", "--level", "1", "--parent", &nobody, "--dir", place], address())
+}
+
+#[test]
+fn a_relay_on_a_file_that_is_cut_off_begins_with_nothing_and_keeps_again() {
+    play(async {
+        let made = Directory::new("relay-whole");
+        let whole = file_of_one(&made);
+        for length in [0, 1, 9, 300, 4096, whole.len() / 2, whole.len() - 1] {
+            let directory = Directory::new(&format!("relay-cut-{length}"));
+            drop(relay_on(&directory, &whole[..length]));
+            let (above, kept) = (Directory::new("relay-cut-above"), address());
+            let origin = Process::origin(&above, address());
+            assert_eq!(publish(origin.address, "fleet", &document(7), "7").await, 1);
+            let (place, parent) = (directory.path().to_str().unwrap(), origin.address.to_string());
+            let arguments = ["relay", "--level", "1", "--parent", &parent, "--dir", place];
+            let mut relay = Process::start(&arguments, kept);
+            relay.says("kept index 1").await;
+            relay.kill();
+            drop(origin);
+            let relay = Process::start(&arguments, kept);
+            let told = get(relay.address, "/configuration").await.unwrap().1;
+            assert_eq!(told["index"], 1, "cut off at {length}");
+        }
+    });
+}
+
+#[test]
+fn a_relay_on_a_file_with_a_damaged_document_begins_with_nothing() {
+    play(async {
+        let made = Directory::new("relay-sound");
+        let mut image = file_of_one(&made);
+        // One letter of the newest document, in all copies of its page.
+        let told = document(3);
+        let needle = told.as_bytes();
+        let places: Vec<usize> =
+            (0..image.len() - needle.len()).filter(|&at| image[at..].starts_with(needle)).collect();
+        assert!(!places.is_empty());
+        for place in places {
+            let digit = place + told.find('3').unwrap();
+            image[digit] = b'4';
+        }
+        let directory = Directory::new("relay-damaged");
+        let relay = relay_on(&directory, &image);
+        let (status, answer) = get(relay.address, "/configuration").await.unwrap();
+        assert_eq!(status.as_u16(), 503, "{answer}");
+    });
+}
+
+/// A relay in this process, over a disk that fails as it is told.
+async fn relay_over(disk: &Shared, parent: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
+    let options = RelayOptions {
+        name: "relay".to_owned(),
+        level: 1,
+        parents: vec![parent],
+        directory: None,
+        limits: Limits::default(),
+        seed: 1,
+    };
+    let disk = disk.clone();
+    let opened = move || {
+        let disk = disk.clone();
+        Store::over(move || disk.open())
+    };
+    let host = RelayHost::over(options, opened).expect("a relay begins");
+    let listener = TcpListener::bind(address()).await.unwrap();
+    let own = listener.local_addr().unwrap();
+    (own, spawn_local(host.run(listener, std::future::pending())))
+}
+
+/// Waits until a document of this version is on a disk, synced.
+async fn kept(disk: &Shared, version: u64) {
+    within("it is kept on disk", async {
+        while disk.rebooted().store().1.records.iter().all(|record| record.index != version) {
+            sleep(Duration::from_millis(20)).await;
+        }
+    })
+    .await;
+}
+
+#[test]
+fn a_relay_whose_disk_fails_for_a_while_serves_on_and_keeps_again_by_itself() {
+    play(async {
+        let (above, disk) = (Directory::new("relay-failing"), Shared::default());
+        let mut origin = Process::origin(&above, address());
+        publish(origin.address, "service/api", &document(1), "1").await;
+        let (relay, running) = relay_over(&disk, origin.address).await;
+        let mut child = Follower::start("api-1", &[relay], &["service/api"], 1);
+        child.until_index(1).await;
+        kept(&disk, 1).await;
+        disk.disk().failing_each_second = true;
+        for number in 2..=20 {
+            assert_eq!(
+                publish(origin.address, "service/api", &document(number), &number.to_string()).await,
+                number
+            );
+            child.until_index(number).await;
+            assert_eq!(child.body("service/api"), Some(document(number)));
+        }
+        disk.disk().failing_each_second = false;
+        kept(&disk, 20).await;
+        // It begins again with the newest, and nobody above it.
+        running.abort();
+        origin.kill();
+        let (relay, _running) = relay_over(&disk.rebooted(), origin.address).await;
+        let mut late = Follower::start("api-2", &[relay], &["service/api"], 1);
+        late.until_index(20).await;
+        assert_eq!(late.body("service/api"), Some(document(20)));
+    });
+}
+
+#[test]
+fn a_relay_that_begins_while_its_disk_fails_serves_what_comes_from_above_and_keeps_it_later() {
+    play(async {
+        let (above, disk) = (Directory::new("relay-begins"), Shared::default());
+        let origin = Process::origin(&above, address());
+        publish(origin.address, "fleet", &document(1), "1").await;
+        disk.disk().failing_openings = 1;
+        let (relay, _running) = relay_over(&disk, origin.address).await;
+        let mut child = Follower::start("api-1", &[relay], &["fleet"], 1);
+        child.until_index(1).await;
+        kept(&disk, 1).await;
+    });
+}
+
+#[test]
+fn a_relay_takes_in_what_its_disk_holds_once_it_fails_no_more() {
+    play(async {
+        let (disk, nobody) = (Shared::default(), address());
+        let (mut store, _) = disk.store();
+        assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
+        drop(store);
+        disk.disk().failing_openings = 1;
+        let (relay, _running) = relay_over(&disk, nobody).await;
+        let mut child = Follower::start("api-1", &[relay], &["service/api"], 1);
+        child.until_index(3).await;
+        assert_eq!(child.body("service/api"), Some(document(3)));
+    });
+}
+
+/// Of a write as long as a header every byte is played, of a longer one one in `STEP`, since each place opens a store.
+const HEADER: usize = 512;
+const STEP: usize = 61;
+
+#[test]
+fn a_relays_write_torn_at_any_byte_leaves_the_one_before_it_or_itself() {
+    let disk = Shared::default();
+    let (mut store, _) = disk.store();
+    assert!(matches!(store.write(&[record(1, &document(1))], &[], Some(1)), Outcome::Written));
+    drop(store);
+    let log = Arc::new(Mutex::new(Vec::new()));
+    let caught = Catching { disk: disk.clone(), log: Arc::clone(&log) };
+    let (mut store, _) = Store::over(move || Builder::new().create_with_backend(caught.clone())).unwrap();
+    let (begun, before) = (log.lock().unwrap().len(), disk.disk().seen.clone());
+    assert!(matches!(store.write(&[record(2, &document(2))], &[1], Some(2)), Outcome::Written));
+    let writes: Vec<Write> = log.lock().unwrap()[begun..].to_vec();
+    let mut image = before;
+    let mut played = 0;
+    for write in &writes {
+        if let Write::Bytes(at, bytes) = write {
+            let step = if bytes.len() <= HEADER { 1 } else { STEP };
+            for length in (0..bytes.len()).step_by(step) {
+                let mut torn = image.clone();
+                Write::Bytes(*at, bytes[..length].to_vec()).apply(&mut torn);
+                let (_, found) = Shared::with(torn).store();
+                // Index and document are of the same write.
+                assert!(found.records.iter().all(|record| record.document.is_whole()));
+                assert_eq!(indexes(&found), [found.index], "torn at {length} of {}", bytes.len());
+                played += 1;
+            }
+        }
+        write.apply(&mut image);
+    }
+    assert!(played > HEADER, "only {played} places");
+}
