--- a/crates/distribution/src/host/mod.rs
+++ b/crates/distribution/src/host/mod.rs
@@ -1,5 +1,6 @@
 //! Hosts around the core: sockets, timers, disk. They decide nothing.
 
+pub mod accept;
 pub mod call;
 pub mod client;
 pub mod log;
--- a/crates/distribution/src/host/origin.rs
+++ b/crates/distribution/src/host/origin.rs
@@ -8,9 +8,9 @@
 use hyper::{Response, StatusCode};
 use serde_json::json;
 use thiserror::Error;
-use tokio::net::TcpListener;
 use tokio::task::spawn_blocking;
 
+use super::accept::Listen;
 use super::log::log;
 use super::server::{Answer, Change, Limits, Server, Source, answer, refuse};
 use super::store::{Found, Outcome, Store, StoreError};
@@ -93,7 +93,7 @@
     }
 
     /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`.
-    pub async fn run(self, listener: TcpListener, stop: impl Future<Output = ()>) {
+    pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
         self.server.run(listener, stop).await;
     }
 }
--- a/crates/distribution/src/host/relay.rs
+++ b/crates/distribution/src/host/relay.rs
@@ -10,10 +10,11 @@
 
 use hyper::{Response, StatusCode};
 use thiserror::Error;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::task::spawn_blocking;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
+use super::accept::Listen;
 use super::client::{Following, report};
 use super::log::log;
 use super::server::{Answer, Below, Change, Limits, Server, Source, refuse};
@@ -172,7 +173,7 @@
     }
 
     /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`.
-    pub async fn run(self, listener: TcpListener, stop: impl Future<Output = ()>) {
+    pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
         let Self { options, disk, server } = self;
         let held = Rc::clone(&server.source);
         let current = Cell::new(None);
--- a/crates/distribution/src/host/server.rs
+++ b/crates/distribution/src/host/server.rs
@@ -23,11 +23,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use socket2::SockRef;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc, watch};
-use tokio::task::{JoinSet, spawn_local};
+use tokio::task::{JoinSet, spawn_local, yield_now};
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, sleep_until, timeout};
 
+use super::accept::{AcceptFailures, Listen};
 use super::log::log;
 use crate::document::{NAME_MOST, Scope, Update};
 use crate::parents::SIGN_OF_LIFE;
@@ -245,8 +246,9 @@
     }
 
     /// Serves until `stop`, then ends all watches in order.
-    pub(crate) async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
+    pub(crate) async fn run(self: Rc<Self>, listener: impl Listen, stop: impl Future<Output = ()>) {
         let mut connections = JoinSet::new();
+        let mut failures = AcceptFailures::default();
         let mut stop = std::pin::pin!(stop);
         loop {
             let accepted = tokio::select! {
@@ -254,16 +256,23 @@
                 Some(_) = connections.join_next() => continue,
                 accepted = listener.accept() => accepted,
             };
+            if accepted.is_ok() {
+                failures = AcceptFailures::default();
+            }
             match accepted {
                 Ok(_) if connections.len() >= self.limits.readers_most + OTHERS_MOST => {
                     log(format_args!("refused a connection: {} are open", connections.len()));
                 }
-                Ok((stream, _)) => {
+                Ok(stream) => {
                     connections.spawn_local(Rc::clone(&self).connection(stream));
                 }
                 Err(error) => {
-                    log(format_args!("cannot accept a connection: {error}"));
-                    sleep(Duration::from_millis(100)).await;
+                    let pause = failures.pause_after(&error);
+                    if failures.is_news() {
+                        log(format_args!("cannot accept a connection: {error}"));
+                    }
+                    // Connections that are up go on: each has its own task.
+                    if pause.is_zero() { yield_now().await } else { sleep(pause).await }
                 }
             }
         }
--- /dev/null
+++ b/crates/distribution/tests/hosts_sockets.rs
@@ -0,0 +1,194 @@
+//! System calls of sockets that fail for a moment: at the accept of a host, and at a child's connections.
+
+mod hosts_common;
+
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::io;
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+use std::time::{Duration, Instant};
+
+use fennelhatch_distribution::host::accept::Listen;
+use fennelhatch_distribution::host::origin::OriginHost;
+use fennelhatch_distribution::host::server::Limits;
+use fennelhatch_distribution::origin::Bounds;
+use hosts_common::disk::Shared;
+use hosts_common::{Directory, Follower, Process, address, document, get, play, publish};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::spawn_local;
+
+const EINTR: i32 = 4;
+const ENOMEM: i32 = 12;
+const ENFILE: i32 = 23;
+const EMFILE: i32 = 24;
+const EPROTO: i32 = 71;
+const EADDRNOTAVAIL: i32 = 99;
+const ENETUNREACH: i32 = 101;
+const ECONNABORTED: i32 = 103;
+const ENOBUFS: i32 = 105;
+const ETIMEDOUT: i32 = 110;
+const EHOSTUNREACH: i32 = 113;
+
+/// A listener whose next accepts fail with these codes.
+struct FailingListener {
+    listener: TcpListener,
+    codes: RefCell<VecDeque<i32>>,
+}
+
+impl Listen for FailingListener {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        let code = self.codes.borrow_mut().pop_front();
+        match code {
+            Some(code) => Err(io::Error::from_raw_os_error(code)),
+            None => Ok(self.listener.accept().await?.0),
+        }
+    }
+}
+
+/// An origin in this process whose first accepts fail with these codes.
+async fn origin_failing(codes: impl IntoIterator<Item = i32>) -> SocketAddr {
+    let check = Box::new(|_: &_, _: &str| Vec::new());
+    let store = Shared::default().store();
+    let host = OriginHost::new(store, Bounds::default(), Limits::default(), 0, check, 1).unwrap();
+    let listener = TcpListener::bind(address()).await.unwrap();
+    let own = listener.local_addr().unwrap();
+    let codes = RefCell::new(codes.into_iter().collect());
+    spawn_local(host.run(FailingListener { listener, codes }, std::future::pending()));
+    own
+}
+
+#[test]
+fn accepts_that_fail_for_one_connection_hold_up_no_other() {
+    play(async {
+        let codes = [ECONNABORTED, EINTR, EPROTO, ENETUNREACH, EHOSTUNREACH];
+        let origin = origin_failing(codes.into_iter().cycle().take(100)).await;
+        let began = Instant::now();
+        assert_eq!(publish(origin, "fleet", &document(1), "1").await, 1);
+        let took = began.elapsed();
+        assert!(took < Duration::from_secs(3), "it took {took:?}");
+    });
+}
+
+#[test]
+fn an_accept_short_of_descriptors_or_memory_is_made_again() {
+    play(async {
+        let origin = origin_failing([EMFILE, ENFILE, ENOBUFS, ENOMEM]).await;
+        assert_eq!(publish(origin, "fleet", &document(1), "1").await, 1);
+        let mut child = Follower::start("api-1", &[origin], &["fleet"], 1);
+        child.until_index(1).await;
+    });
+}
+
+/// A connection that breaks with a code once it is told to.
+struct Breaking {
+    stream: TcpStream,
+    breaks: Rc<Breaks>,
+}
+
+#[derive(Default)]
+struct Breaks {
+    code: Cell<Option<i32>>,
+    waker: Cell<Option<Waker>>,
+}
+
+impl Breaks {
+    fn with(&self, code: i32) {
+        self.code.set(Some(code));
+        self.waker.take().into_iter().for_each(Waker::wake);
+    }
+}
+
+impl AsyncRead for Breaking {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        into: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        if let Some(code) = self.breaks.code.take() {
+            return Poll::Ready(Err(io::Error::from_raw_os_error(code)));
+        }
+        self.breaks.waker.set(Some(context.waker().clone()));
+        // Short: a byte at a time.
+        let mut byte = [0];
+        let mut buffer = ReadBuf::new(&mut byte);
+        let read = Pin::new(&mut self.stream).poll_read(context, &mut buffer);
+        into.put_slice(buffer.filled());
+        read
+    }
+}
+
+impl AsyncWrite for Breaking {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        let short = bytes.len().min(1);
+        Pin::new(&mut self.stream).poll_write(context, &bytes[..short])
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(context)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(context)
+    }
+}
+
+#[test]
+fn a_watch_that_breaks_is_opened_anew_and_goes_on_over_short_reads_and_writes() {
+    play(async {
+        let directory = Directory::new("breaking");
+        let origin = Process::origin(&directory, address());
+        let (parent, breaks) = (origin.address, Rc::new(Breaks::default()));
+        let made = Rc::clone(&breaks);
+        let connect = move |address| {
+            let breaks = Rc::clone(&made);
+            async move { Ok(Breaking { stream: TcpStream::connect(address).await?, breaks }) }
+        };
+        let mut child = Follower::over("api-1", &[parent], &["fleet"], 1, connect);
+        publish(parent, "fleet", &document(1), "1").await;
+        child.until_index(1).await;
+        for (number, code) in (2..).zip([ETIMEDOUT, EHOSTUNREACH, ENETUNREACH]) {
+            breaks.with(code);
+            child.calls(parent).await;
+            publish(parent, "fleet", &document(number), &number.to_string()).await;
+            child.until_index(number).await;
+            assert_eq!(child.body("fleet"), Some(document(number)));
+        }
+    });
+}
+
+#[test]
+fn a_connect_that_fails_here_is_made_again() {
+    play(async {
+        let directory = Directory::new("connecting");
+        let origin = Process::origin(&directory, address());
+        publish(origin.address, "fleet", &document(1), "1").await;
+        let codes = [EADDRNOTAVAIL, ENOBUFS, EMFILE, ENFILE, ENOMEM, ENETUNREACH];
+        let left = Rc::new(RefCell::new(VecDeque::from(codes)));
+        let failing = Rc::clone(&left);
+        let connect = move |address| {
+            let code = failing.borrow_mut().pop_front();
+            async move {
+                match code {
+                    Some(code) => Err(io::Error::from_raw_os_error(code)),
+                    None => TcpStream::connect(address).await,
+                }
+            }
+        };
+        let mut child = Follower::over("api-1", &[origin.address], &["fleet"], 1, connect);
+        child.until_index(1).await;
+        assert!(left.borrow().is_empty());
+        // Its watch is told on, and its reports go up over connections of their own.
+        publish(origin.address, "fleet", &document(2), "2").await;
+        child.until_index(2).await;
+        let status = get(origin.address, "/configuration/report").await.unwrap().1;
+        assert!(status.is_object(), "{status}");
+    });
+}
