--- a/crates/distribution/src/host/server.rs
+++ b/crates/distribution/src/host/server.rs
@@ -40,7 +40,9 @@
 
 /// A reader that takes nothing of a line for so long is closed.
 const STALL: Duration = Duration::from_secs(10);
-/// A request has so long to come whole.
+/// The head of a request has so long to come, so that one that stops in the middle of it holds no connection.
+const HEAD_WITHIN: Duration = Duration::from_millis(2500);
+/// A request has so long to come whole, from the connection's start.
 const REQUEST_WITHIN: Duration = Duration::from_secs(5);
 /// An answer that is no watch has so long to be made and taken.
 const ANSWER_WITHIN: Duration = Duration::from_secs(20);
@@ -289,11 +291,12 @@
         // Lines are small and are to go at once.
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER);
-        let watched =
-            Rc::new(Watched { by: Cell::new(Some(Instant::now() + REQUEST_WITHIN)), stalled: Notify::new() });
+        let began = Instant::now();
+        let watched = Rc::new(Watched { by: Cell::new(Some(began + HEAD_WITHIN)), stalled: Notify::new() });
         let service = service_fn(|request| {
             let (server, watched) = (Rc::clone(&self), Rc::clone(&watched));
             async move {
+                watched.by.set(Some(began + REQUEST_WITHIN));
                 let mut response = server.handle(request, &watched).await;
                 response.headers_mut().insert(LEVEL, u16::from(server.level).into());
                 Ok::<_, Infallible>(response)
--- a/crates/distribution/tests/hosts_sockets.rs
+++ b/crates/distribution/tests/hosts_sockets.rs
@@ -16,8 +16,8 @@
 use fennelhatch_distribution::host::server::Limits;
 use fennelhatch_distribution::origin::Bounds;
 use hosts_common::disk::Shared;
-use hosts_common::{Directory, Follower, Process, address, document, get, play, publish};
-use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
+use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 
@@ -83,6 +83,32 @@
     });
 }
 
+/// How long a connection stays that says this and no more, and what is answered.
+async fn stays(to: SocketAddr, said: &[u8]) -> (Duration, String) {
+    let mut stream = TcpStream::connect(to).await.unwrap();
+    stream.write_all(said).await.unwrap();
+    let began = Instant::now();
+    let mut answer = Vec::new();
+    let _ = within("the connection ends", stream.read_to_end(&mut answer)).await;
+    (began.elapsed(), String::from_utf8_lossy(&answer).into_owned())
+}
+
+#[test]
+fn a_client_that_stops_in_the_middle_of_a_head_is_closed_within_three_seconds() {
+    play(async {
+        let directory = Directory::new("half-head");
+        let origin = Process::origin(&directory, address());
+        let whole = "GET /configuration HTTP/1.1\r\nhost: x\r\n\r\n";
+        let half = "GET /configuration HTTP/1.1\r\nho";
+        let second = format!("{whole}{half}");
+        let (first, later) =
+            tokio::join!(stays(origin.address, half.as_bytes()), stays(origin.address, second.as_bytes()));
+        assert!(first.0 < Duration::from_secs(3), "{first:?}");
+        assert!(later.0 < Duration::from_secs(3), "{later:?}");
+        assert_eq!((first.1.as_str(), later.1.matches("HTTP/1.1 200").count()), ("", 1));
+    });
+}
+
 /// A connection that breaks with a code once it is told to.
 struct Breaking {
     stream: TcpStream,
