--- a/crates/distribution/tests/hosts_relay_disk.rs
+++ b/crates/distribution/tests/hosts_relay_disk.rs
@@ -207,3 +207,39 @@
     }
     assert!(played > HEADER, "only {played} places");
 }
+
+#[test]
+fn ten_kills_of_a_relay_under_changes_leave_a_whole_version_and_never_an_older_one() {
+    play(async {
+        let (above, directory) = (Directory::new("relay-kills-above"), Directory::new("relay-kills"));
+        let origin = Process::origin(&above, address());
+        let to = origin.address;
+        let place = directory.path().to_str().unwrap().to_owned();
+        let started = |parent: SocketAddr| {
+            let parent = parent.to_string();
+            Process::start(&["relay", "--level", "1", "--parent", &parent, "--dir", &place], address())
+        };
+        publish(to, "service/api", &document(1), "1").await;
+        let publishing = spawn_local(async move {
+            for number in 2.. {
+                assert_eq!(publish(to, "service/api", &document(number), &number.to_string()).await, number);
+            }
+        });
+        let mut kept = 0;
+        for round in 0..10_u64 {
+            let mut relay = started(to);
+            relay.says("kept index").await;
+            sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
+            relay.kill();
+            // Nobody above it tells it anything.
+            let alone = started(address());
+            let whole = get(alone.address, "/configuration").await.unwrap().1;
+            let index = whole["index"].as_u64().unwrap();
+            assert!(index > kept, "round {round}: {index} after {kept}");
+            assert_eq!(whole["documents"][0]["version"], index);
+            assert_eq!(whole["documents"][0]["body"]["settings"]["prices"]["crossZone"], index);
+            kept = index;
+        }
+        publishing.abort();
+    });
+}
