--- a/crates/distribution/tests/hosts_sockets.rs
+++ b/crates/distribution/tests/hosts_sockets.rs
@@ -109,9 +109,11 @@
     });
 }
 
-/// A connection that breaks with a code once it is told to.
+/// A connection that breaks with a code once it is told to, if it is a watch's and not a report's.
 struct Breaking {
     stream: TcpStream,
+    is_watch: bool,
+    has_written: bool,
     breaks: Rc<Breaks>,
 }
 
@@ -134,10 +136,12 @@
         context: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if let Some(code) = self.breaks.code.take() {
-            return Poll::Ready(Err(io::Error::from_raw_os_error(code)));
+        if self.is_watch {
+            if let Some(code) = self.breaks.code.take() {
+                return Poll::Ready(Err(io::Error::from_raw_os_error(code)));
+            }
+            self.breaks.waker.set(Some(context.waker().clone()));
         }
-        self.breaks.waker.set(Some(context.waker().clone()));
         // Short: a byte at a time.
         let mut byte = [0];
         let mut buffer = ReadBuf::new(&mut byte);
@@ -153,6 +157,9 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
+        // A report is a POST.
+        self.is_watch |= bytes.first() == Some(&b'G') && !self.has_written;
+        self.has_written = true;
         let short = bytes.len().min(1);
         Pin::new(&mut self.stream).poll_write(context, &bytes[..short])
     }
@@ -175,7 +182,10 @@
         let made = Rc::clone(&breaks);
         let connect = move |address| {
             let breaks = Rc::clone(&made);
-            async move { Ok(Breaking { stream: TcpStream::connect(address).await?, breaks }) }
+            async move {
+                let stream = TcpStream::connect(address).await?;
+                Ok(Breaking { stream, is_watch: false, has_written: false, breaks })
+            }
         };
         let mut child = Follower::over("api-1", &[parent], &["fleet"], 1, connect);
         publish(parent, "fleet", &document(1), "1").await;
@@ -186,6 +196,7 @@
             publish(parent, "fleet", &document(number), &number.to_string()).await;
             child.until_index(number).await;
             assert_eq!(child.body("fleet"), Some(document(number)));
+            assert_eq!(breaks.code.get(), None, "the watch did not break");
         }
     });
 }
