--- a/crates/distribution/src/host/server.rs
+++ b/crates/distribution/src/host/server.rs
@@ -23,11 +23,12 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use socket2::SockRef;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpStream;
 use tokio::sync::{Notify, mpsc, watch};
-use tokio::task::{JoinSet, spawn_local};
+use tokio::task::{JoinSet, spawn_local, yield_now};
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep, sleep_until, timeout};
 
+use super::accept::{AcceptFailures, Listen};
 use super::log::log;
 use crate::document::{NAME_MOST, Scope, Update};
 use crate::parents::SIGN_OF_LIFE;
@@ -39,7 +40,9 @@
 
 /// A reader that takes nothing of a line for so long is closed.
 const STALL: Duration = Duration::from_secs(10);
-/// A request has so long to come whole.
+/// The head of a request has so long to come, so that one that stops in the middle of it holds no connection.
+const HEAD_WITHIN: Duration = Duration::from_millis(2500);
+/// A request has so long to come whole, from the connection's start.
 const REQUEST_WITHIN: Duration = Duration::from_secs(5);
 /// An answer that is no watch has so long to be made and taken.
 const ANSWER_WITHIN: Duration = Duration::from_secs(20);
@@ -245,8 +248,9 @@
     }
 
     /// Serves until `stop`, then ends all watches in order.
-    pub(crate) async fn run(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
+    pub(crate) async fn run(self: Rc<Self>, listener: impl Listen, stop: impl Future<Output = ()>) {
         let mut connections = JoinSet::new();
+        let mut failures = AcceptFailures::default();
         let mut stop = std::pin::pin!(stop);
         loop {
             let accepted = tokio::select! {
@@ -254,16 +258,23 @@
                 Some(_) = connections.join_next() => continue,
                 accepted = listener.accept() => accepted,
             };
+            if accepted.is_ok() {
+                failures = AcceptFailures::default();
+            }
             match accepted {
                 Ok(_) if connections.len() >= self.limits.readers_most + OTHERS_MOST => {
                     log(format_args!("refused a connection: {} are open", connections.len()));
                 }
-                Ok((stream, _)) => {
+                Ok(stream) => {
                     connections.spawn_local(Rc::clone(&self).connection(stream));
                 }
                 Err(error) => {
-                    log(format_args!("cannot accept a connection: {error}"));
-                    sleep(Duration::from_millis(100)).await;
+                    let pause = failures.pause_after(&error);
+                    if failures.is_news() {
+                        log(format_args!("cannot accept a connection: {error}"));
+                    }
+                    // Connections that are up go on: each has its own task.
+                    if pause.is_zero() { yield_now().await } else { sleep(pause).await }
                 }
             }
         }
@@ -280,11 +291,12 @@
         // Lines are small and are to go at once.
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER);
-        let watched =
-            Rc::new(Watched { by: Cell::new(Some(Instant::now() + REQUEST_WITHIN)), stalled: Notify::new() });
+        let began = Instant::now();
+        let watched = Rc::new(Watched { by: Cell::new(Some(began + HEAD_WITHIN)), stalled: Notify::new() });
         let service = service_fn(|request| {
             let (server, watched) = (Rc::clone(&self), Rc::clone(&watched));
             async move {
+                watched.by.set(Some(began + REQUEST_WITHIN));
                 let mut response = server.handle(request, &watched).await;
                 response.headers_mut().insert(LEVEL, u16::from(server.level).into());
                 Ok::<_, Infallible>(response)
--- a/crates/distribution/src/host/store.rs
+++ b/crates/distribution/src/host/store.rs
@@ -1,14 +1,18 @@
 //! What a process keeps on disk: records by index in one table of a redb file, each commit synced. redb keeps the last
 //! good commit beside the one that is being written and checks both by digest, so that a torn write leaves the former.
 
+use std::any::Any;
 use std::collections::BTreeSet;
-use std::fs::{self, File};
+use std::fs::{self, File, OpenOptions};
 use std::io;
+use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 
-use redb::{Builder, Database, DatabaseError, ReadableTable, StorageError, TableDefinition};
+use redb::backends::FileBackend;
+use redb::{Builder, Database, DatabaseError, ReadableTable, StorageBackend, StorageError, TableDefinition};
 use thiserror::Error;
 
+use super::log::log;
 use crate::origin::Record;
 
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
@@ -16,6 +20,12 @@
 const FIGURES: TableDefinition<&str, u64> = TableDefinition::new("figures");
 /// The file in the directory.
 const FILE: &str = "configuration.redb";
+/// The file while it is made. It gets its name once it is whole, so that a file of that name was whole once.
+const NEW_FILE: &str = "configuration.redb.new";
+/// A damaged file that was set aside, the last one only.
+const DAMAGED_FILE: &str = "configuration.redb.damaged";
+/// Faults that pass and have no stable `io::ErrorKind`: `EIO`, `ENFILE` and `EMFILE`.
+const PASSING_CODES: [i32; 3] = [5, 23, 24];
 /// Bytes of the file that are held in memory; records are read once, at the start.
 const CACHE: usize = 4 << 20;
 
@@ -33,6 +43,9 @@
         /// Why.
         error: serde_json::Error,
     },
+    /// The file is not what its header says, which redb answers with a panic.
+    #[error("the file is damaged: {0}")]
+    Damaged(String),
 }
 
 impl<E: Into<redb::Error>> From<E> for StoreError {
@@ -50,6 +63,31 @@
         let redb::Error::Io(error) = &**error else { return false };
         matches!(error.kind(), StorageFull | QuotaExceeded | FileTooLarge)
     }
+
+    /// Whether the disk fails in a way that may pass by itself, so that the same may succeed later.
+    #[must_use]
+    pub fn may_pass(&self) -> bool {
+        use io::ErrorKind::{Interrupted, OutOfMemory, ResourceBusy, TimedOut};
+        let Self::Database(error) = self else { return false };
+        let redb::Error::Io(error) = &**error else { return false };
+        self.is_full()
+            || matches!(error.kind(), Interrupted | OutOfMemory | ResourceBusy | TimedOut)
+            || error.raw_os_error().is_some_and(|code| PASSING_CODES.contains(&code))
+    }
+
+    /// Whether what stands in the file is no store, or no longer.
+    #[must_use]
+    pub fn is_damage(&self) -> bool {
+        use io::ErrorKind::{InvalidData, UnexpectedEof};
+        match self {
+            Self::Record { .. } | Self::Damaged(_) => true,
+            Self::Database(error) => match &**error {
+                redb::Error::Corrupted(_) | redb::Error::TableTypeMismatch { .. } => true,
+                redb::Error::Io(error) => matches!(error.kind(), InvalidData | UnexpectedEof),
+                _ => false,
+            },
+        }
+    }
 }
 
 /// What became of a write.
@@ -82,6 +120,12 @@
     pub index: u64,
 }
 
+impl Found {
+    fn is_whole(&self) -> bool {
+        self.records.iter().all(|record| record.document.is_whole())
+    }
+}
+
 impl Store {
     /// In a directory, which is made if need be.
     ///
@@ -90,12 +134,33 @@
     pub fn at(directory: &Path) -> Result<(Self, Found), StoreError> {
         fs::create_dir_all(directory)?;
         let path = directory.join(FILE);
-        let opened = Self::over(move || Builder::new().set_cache_size(CACHE).create(&path))?;
+        if !path.try_exists()? {
+            make(&directory.join(NEW_FILE), &path)?;
+        }
+        let opened = Self::over(move || Builder::new().set_cache_size(CACHE).open(&path))?;
         // The file's name is to outlast a loss of power as well.
         File::open(directory)?.sync_all()?;
         Ok(opened)
     }
 
+    /// As [`Store::at`], for what can be had again from elsewhere: a damaged file is set aside under another name, and a
+    /// store without records takes its place.
+    ///
+    /// # Errors
+    /// As [`Store::at`], but for damage.
+    pub fn at_or_anew(directory: &Path) -> Result<(Self, Found), StoreError> {
+        let error = match Self::at(directory) {
+            Ok((store, found)) if found.is_whole() => return Ok((store, found)),
+            // The file is closed with its store, before another takes its place.
+            Ok(_) => StoreError::Damaged("a document differs from its digest".to_owned()),
+            Err(error) if error.is_damage() => error,
+            Err(error) => return Err(error),
+        };
+        log(format_args!("set aside as {DAMAGED_FILE}: {error}"));
+        fs::rename(directory.join(FILE), directory.join(DAMAGED_FILE))?;
+        Self::at(directory)
+    }
+
     /// Over what `open` opens, which is asked again after each failure.
     ///
     /// # Errors
@@ -135,6 +200,19 @@
     }
 
     fn commit(&mut self, records: &[Record], delete: &[u64], index: Option<u64>) -> Result<(), StoreError> {
+        caught(|| self.try_commit(records, delete, index))
+    }
+
+    fn read(&mut self) -> Result<Found, StoreError> {
+        caught(|| self.try_read())
+    }
+
+    fn try_commit(
+        &mut self,
+        records: &[Record],
+        delete: &[u64],
+        index: Option<u64>,
+    ) -> Result<(), StoreError> {
         let transaction = self.database()?.begin_write()?;
         {
             let mut table = transaction.open_table(RECORDS)?;
@@ -156,7 +234,7 @@
         Ok(())
     }
 
-    fn read(&mut self) -> Result<Found, StoreError> {
+    fn try_read(&mut self) -> Result<Found, StoreError> {
         let transaction = self.database()?.begin_read()?;
         let missing = |error: &redb::TableError| matches!(error, redb::TableError::TableDoesNotExist(_));
         let mut found = Found::default();
@@ -188,3 +266,31 @@
         self.database.as_ref().ok_or_else(|| StorageError::PreviousIo.into())
     }
 }
+
+/// Makes a store without records under a name of its own, and gives it its own name once it is synced. What a process
+/// that was killed in the middle of this left is written over.
+fn make(new: &Path, path: &Path) -> Result<(), StoreError> {
+    let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(new)?;
+    // Locked, so that of two processes one makes it, and no longer than until it has its name.
+    let backend = FileBackend::new(file)?;
+    if path.try_exists()? {
+        return Ok(());
+    }
+    backend.set_len(0)?;
+    let database = Builder::new().create_with_backend(backend)?;
+    fs::rename(new, path)?;
+    drop(database);
+    Ok(())
+}
+
+/// Makes an error of a panic: redb checks some of what it reads by assertions, and a damaged file must not end a process
+/// that has more to do than to keep it.
+fn caught<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+    catch_unwind(AssertUnwindSafe(work))
+        .unwrap_or_else(|panic| Err(StoreError::Damaged(text_of(&*panic).to_owned())))
+}
+
+fn text_of(panic: &(dyn Any + Send)) -> &str {
+    let text = panic.downcast_ref::<String>().map(String::as_str);
+    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no reason told")
+}
