--- a/dahliahead/src/server.rs
+++ b/dahliahead/src/server.rs
@@ -78,8 +78,16 @@
 const UNREAD: Duration = Duration::from_secs(2);
 /// Bytes of a request's head at most: more is no proper request, and many such must not fill the memory.
 const HEAD_MOST: usize = 32 * 1024;
-/// Wait after a failed accept, and between looks for room, so that running out of descriptors does not spin.
+/// Wait after an accept that failed for want of something, and between looks for room, so that this does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
+/// that is under way frees one sooner, and costs nobody a connection.
+const SHORTAGE_LASTS: Duration = Duration::from_millis(25);
+/// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
+/// were given up in the queue, few enough that a listener that only fails does not spin.
+const FAILURES_AT_ONCE: u32 = 16;
+/// How often a failed accept is logged at most, or the log would cost more than the trouble.
+const FAILURE_LOGGED: Duration = Duration::from_secs(1);
 /// Idle connections closed at each such look: with [`ACCEPT_PAUSE`] a thousand in a second or so.
 const EVICTED_TOGETHER: usize = 4;
 
@@ -91,6 +99,103 @@
     Closing,
 }
 
+/// Where callers' connections come from.
+pub trait Accept {
+    /// The next connection. Nothing is lost if it is not waited for.
+    fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
+}
+
+impl Accept for TcpListener {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        Ok(Self::accept(self).await?.0)
+    }
+}
+
+/// What a failed accept asks of the accept loop.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AcceptFailure {
+    /// It concerns the one connection, or the one call: the next accept may follow at once.
+    Transient,
+    /// The process or the system has no descriptor left; the connection stays in the queue.
+    OutOfDescriptors,
+    /// The system is short of memory: the next accept waits a moment, and closing a connection would not help.
+    OutOfMemory,
+    /// None that is known here. It may come again at once, so that the next accept waits as well.
+    Unknown,
+}
+
+impl AcceptFailure {
+    /// Sorts an error of accept(2). Linux also passes on network errors that were pending on the new socket.
+    #[must_use]
+    pub fn of(error: &io::Error) -> Self {
+        match error.raw_os_error() {
+            Some(libc::EMFILE | libc::ENFILE) => Self::OutOfDescriptors,
+            Some(libc::ENOBUFS | libc::ENOMEM | libc::ENOSR) => Self::OutOfMemory,
+            Some(
+                libc::EAGAIN
+                | libc::ECONNABORTED
+                | libc::ECONNRESET
+                | libc::EHOSTDOWN
+                | libc::EHOSTUNREACH
+                | libc::EINTR
+                | libc::ENETDOWN
+                | libc::ENETUNREACH
+                | libc::ENONET
+                | libc::ENOPROTOOPT
+                | libc::EOPNOTSUPP
+                | libc::EPERM
+                | libc::EPROTO
+                | libc::ETIMEDOUT,
+            ) => Self::Transient,
+            _ => Self::Unknown,
+        }
+    }
+}
+
+/// The accepts that failed since the last one that succeeded.
+#[derive(Debug, Default)]
+struct FailedAccepts {
+    in_a_row: u32,
+    /// When the latest failed, also before one that succeeded.
+    latest: Option<Instant>,
+    /// Since when descriptors have been short.
+    short_since: Option<Instant>,
+    /// When one was last logged.
+    logged: Option<Instant>,
+}
+
+/// What the accept loop does about a failed accept.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct AcceptReaction {
+    evict: bool,
+    pause: bool,
+}
+
+impl FailedAccepts {
+    fn succeeded(&mut self) {
+        self.in_a_row = 0;
+        self.short_since = None;
+    }
+
+    fn failed(&mut self, error: &io::Error) -> AcceptReaction {
+        self.log(error);
+        self.in_a_row += 1;
+        self.latest = Some(Instant::now());
+        let failure = AcceptFailure::of(error);
+        let evict = failure == AcceptFailure::OutOfDescriptors
+            && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_LASTS;
+        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_AT_ONCE;
+        AcceptReaction { evict, pause }
+    }
+
+    fn log(&mut self, error: &io::Error) {
+        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOGGED) {
+            crate::log(format_args!("a connection could not be accepted: {error}"));
+            self.logged = Some(Instant::now());
+        }
+    }
+}
+
 /// A caller's connection as seen from outside it.
 struct Link {
     /// A request has come on it whose answer is not yet out.
@@ -149,7 +254,7 @@
 
     /// The next connection, once there is a descriptor for it that neither discovery nor an attempt may need. Nothing
     /// is lost if it is not waited for.
-    async fn next(&self, listener: &TcpListener) -> io::Result<TcpStream> {
+    async fn next(&self, listener: &impl Accept) -> io::Result<TcpStream> {
         while self.driver.pool().full() {
             // A few at a time: each may take its moment to close.
             for _ in 0..EVICTED_TOGETHER {
@@ -157,7 +262,7 @@
             }
             sleep(ACCEPT_PAUSE).await;
         }
-        Ok(listener.accept().await?.0)
+        listener.accept().await
     }
 
     /// Closes the connection that has stood idle for longest: a caller's, which costs it a new one at most,
@@ -174,6 +279,10 @@
         }
     }
 
+    fn is_draining(&self) -> bool {
+        self.last.get().is_some()
+    }
+
     /// Connections on which an answer may still be owed, and those of them in a request.
     fn owed(&self) -> (usize, usize) {
         let links = self.links.borrow();
@@ -205,7 +314,7 @@
 /// # Errors
 /// The settings make no sense.
 pub async fn serve_on(
-    listener: TcpListener,
+    listener: impl Accept,
     config: Config,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
@@ -224,24 +333,28 @@
         next: Cell::new(0),
         last: Cell::new(None),
     });
-    accept_until(&listener, &callers, stop).await;
+    let mut failed = FailedAccepts::default();
+    accept_until(&listener, &callers, &mut failed, stop).await;
     // The front still sends here, and clients keep their connections: go on as before for as long as is safe.
     let stopped = Instant::now();
     let kill = longest.min(KILL_COUNTS) + KILL_EXTRA;
     callers.last.set(Some(stopped + kill.saturating_sub(DRAIN_LAST)));
     callers.log_drain(stopped);
-    accept_until(&listener, &callers, sleep(kill.saturating_sub(DRAIN_TAIL).max(DRAIN_OPEN))).await;
+    let open = kill.saturating_sub(DRAIN_TAIL).max(DRAIN_OPEN);
+    accept_until(&listener, &callers, &mut failed, sleep(open)).await;
     let _ = phase.send(Phase::Closing);
     callers.log_drain(stopped);
-    accept_until(&listener, &callers, sleep(DRAIN_LATE)).await;
+    accept_until(&listener, &callers, &mut failed, sleep(DRAIN_LATE)).await;
     // Connections that carried a request end with its answer, and one that has not yet may have it in the socket
     // until its own time is over; a caller that never takes its answer must not hold up the end.
     let mut quiet = Instant::now();
     while quiet.elapsed() < DRAIN_QUIET && stopped.elapsed() < callers.driver.longest() + DRAIN_OPEN {
-        accept_until(&listener, &callers, sleep(DRAIN_LOOK)).await;
+        accept_until(&listener, &callers, &mut failed, sleep(DRAIN_LOOK)).await;
         if !callers.links.borrow().is_empty() {
             quiet = Instant::now();
         }
+        // What an accept failed to take may still stand in the queue.
+        quiet = failed.latest.map_or(quiet, |latest| quiet.max(latest));
     }
     callers.log_drain(stopped);
     Ok(())
@@ -257,27 +370,35 @@
     }
 }
 
-async fn accept_until(listener: &TcpListener, callers: &Rc<Callers>, until: impl Future<Output = ()>) {
+async fn accept_until(
+    listener: &impl Accept,
+    callers: &Rc<Callers>,
+    failed: &mut FailedAccepts,
+    until: impl Future<Output = ()>,
+) {
     let mut until = pin!(until);
-    let mut logged: Option<Instant> = None;
     loop {
-        tokio::select! {
+        let accepted = tokio::select! {
             biased;
             // First: in a flood there is always another connection, and this would never be looked at.
             () = until.as_mut() => return,
-            accepted = callers.next(listener) => match accepted {
-                Ok(stream) => callers.accept(stream),
-                Err(error) => {
-                    // Out of descriptors, most likely: the loop goes on with one given up.
-                    // At most a line a second, or the log would cost more than the trouble.
-                    if logged.is_none_or(|at| at.elapsed() >= Duration::from_secs(1)) {
-                        crate::log(format_args!("a connection could not be accepted: {error}"));
-                        logged = Some(Instant::now());
-                    }
+            accepted = callers.next(listener) => accepted,
+        };
+        match accepted {
+            Ok(stream) => {
+                failed.succeeded();
+                callers.accept(stream);
+            }
+            Err(error) => {
+                let reaction = failed.failed(&error);
+                // In a drain all connections end soon, and those that are left may be their callers' last.
+                if reaction.evict && !callers.is_draining() {
                     callers.make_room();
+                }
+                if reaction.pause {
                     sleep(ACCEPT_PAUSE).await;
                 }
-            },
+            }
         }
     }
 }
