--- a/dahliahead/src/server.rs
+++ b/dahliahead/src/server.rs
@@ -67,7 +67,9 @@
 /// The first request of a connection must have come whole within this time: a peer that sends none is owed an
 /// error or a close within 3 s, and holds a socket until then.
 const FIRST_WITHIN: Duration = Duration::from_millis(2500);
-/// A connection that has carried a request is closed after this long without a whole head of the next.
+/// The head of a later request must have come whole within this time of its first byte, for the same reason.
+const HEAD_WITHIN: Duration = FIRST_WITHIN;
+/// A connection that has carried a request is closed after this long without the next.
 const IDLE_MOST: Duration = Duration::from_secs(60);
 /// The body of a later request must come within this time of its head.
 const BODY_WITHIN: Duration = Duration::from_secs(2);
@@ -198,6 +200,7 @@
 
 /// A caller's connection as seen from outside it.
 struct Link {
+    socket: Socket,
     /// A request has come on it whose answer is not yet out.
     busy: Cell<bool>,
     /// It gives way to others.
@@ -214,6 +217,32 @@
     close: Notify,
 }
 
+impl Link {
+    fn new(stream: TcpStream) -> Self {
+        Self {
+            socket: Socket::of_requests(stream),
+            busy: Cell::new(false),
+            evicted: Cell::new(false),
+            waiting: Cell::new(false),
+            used: Cell::new(false),
+            opened: Instant::now(),
+            since: Cell::new(Instant::now()),
+            close: Notify::new(),
+        }
+    }
+
+    /// Until when a connection that is to be closed waits for a request that has not come whole: its first, which may
+    /// be on its way, or one whose head is there in part.
+    fn patience(&self) -> Option<Instant> {
+        let (now, evicted) = (Instant::now(), self.evicted.get());
+        if !self.used.get() {
+            return Some(if evicted { self.opened + EVICTED_GRACE } else { now + UNUSED_GRACE });
+        }
+        let grace = if evicted { EVICTED_GRACE } else { UNUSED_GRACE };
+        self.socket.head_since().map(|since| (since + HEAD_WITHIN).min(now + grace))
+    }
+}
+
 /// The callers' connections.
 struct Callers {
     driver: Rc<Driver>,
@@ -230,15 +259,7 @@
         if self.driver.pool().crowded() {
             self.make_room();
         }
-        let link = Rc::new(Link {
-            busy: Cell::new(false),
-            evicted: Cell::new(false),
-            waiting: Cell::new(false),
-            used: Cell::new(false),
-            opened: Instant::now(),
-            since: Cell::new(Instant::now()),
-            close: Notify::new(),
-        });
+        let link = Rc::new(Link::new(stream));
         let number = self.next.get();
         self.next.set(number + 1);
         self.links.borrow_mut().insert(number, Rc::clone(&link));
@@ -246,9 +267,9 @@
         let permit = self.driver.pool().reserved_permit();
         let callers = Rc::clone(self);
         spawn_local(async move {
-            connection(&callers, stream, &link).await;
+            connection(&callers, &link).await;
             callers.links.borrow_mut().remove(&number);
-            drop(permit);
+            drop((link, permit));
         });
     }
 
@@ -266,11 +287,11 @@
     }
 
     /// Closes the connection that has stood idle for longest: a caller's, which costs it a new one at most,
-    /// or else one to an upstream.
+    /// or else one to an upstream. One on which a request has begun to come goes last.
     fn make_room(&self) {
         let links = self.links.borrow();
         let idle = links.values().filter(|link| !link.busy.get() && !link.evicted.get());
-        if let Some(link) = idle.min_by_key(|link| link.since.get()) {
+        if let Some(link) = idle.min_by_key(|link| (link.socket.head_since().is_some(), link.since.get())) {
             // Marked, so that the next in need finds another.
             link.evicted.set(true);
             link.close.notify_one();
@@ -403,11 +424,13 @@
     }
 }
 
-async fn connection(callers: &Rc<Callers>, stream: TcpStream, link: &Rc<Link>) {
-    let socket = Socket::new(stream);
-    if talk(callers, &socket, link).await == End::Closing {
+async fn connection(callers: &Rc<Callers>, link: &Rc<Link>) {
+    if talk(callers, link).await == End::Closing {
         // Short of sockets it reads out what has come, and does not wait for more.
-        socket.close(if callers.driver.pool().crowded() { Duration::ZERO } else { LINGER }).await;
+        link.socket
+            .clone()
+            .close(if callers.driver.pool().crowded() { Duration::ZERO } else { LINGER })
+            .await;
     }
 }
 
@@ -420,10 +443,12 @@
     Gone,
 }
 
-async fn talk(callers: &Rc<Callers>, socket: &Socket, link: &Rc<Link>) -> End {
+async fn talk(callers: &Rc<Callers>, link: &Rc<Link>) -> End {
+    let socket = &link.socket;
     let service = service_fn(|request: Request<Incoming>| {
         let driver = &callers.driver;
         link.busy.set(true);
+        socket.head_over(request.body().size_hint().exact());
         let first = !link.used.get();
         link.used.set(!first || request.uri().path() != HEALTH);
         let whole_by = if first { link.opened + FIRST_WITHIN } else { Instant::now() + BODY_WITHIN };
@@ -433,7 +458,8 @@
             if driver.pool().crowded() {
                 callers.make_room();
             }
-            let mut response = respond(driver, request, whole_by, last, &link.waiting).await;
+            let mut response = respond(driver, request, whole_by, last, link).await;
+            socket.answered();
             link.busy.set(false);
             link.since.set(Instant::now());
             if *callers.phases.borrow() != Phase::Serving || driver.pool().full() || socket.spilled() {
@@ -455,6 +481,7 @@
             _ = phases.wait_for(|&phase| phase == Phase::Closing) => {}
             () = link.close.notified() => {}
             () = unused(link) => {}
+            () = head_overdue(socket) => {}
         }
     };
     tokio::select! {
@@ -463,11 +490,9 @@
         () = gone() => return End::Gone,
         () = closing => {}
     }
-    // The server would end one that never had a request at once, though the first may be on its way or in the
-    // socket: that one gets a moment, and is then closed like the others.
-    if !link.used.get() {
-        let until =
-            if link.evicted.get() { link.opened + EVICTED_GRACE } else { Instant::now() + UNUSED_GRACE };
+    // The server would end one that is not in a request at once, though one may be on its way, in the socket or there
+    // in part: that one gets a moment, and its connection is then closed like the others.
+    if let Some(until) = link.patience() {
         tokio::select! {
             biased;
             _ = served.as_mut() => return End::Closing,
@@ -507,6 +532,17 @@
     }
 }
 
+/// Waits until a part of a head has had its time, in vain.
+async fn head_overdue(socket: &Socket) {
+    loop {
+        let due = socket.head_begins().await + HEAD_WITHIN;
+        sleep_until(due).await;
+        if socket.head_since().is_some_and(|since| since + HEAD_WITHIN <= Instant::now()) {
+            return;
+        }
+    }
+}
+
 /// What is wrong with a caller's request.
 #[derive(Debug, Error, PartialEq, Eq)]
 enum BadRequest {
@@ -535,7 +571,7 @@
     request: Request<Incoming>,
     whole_by: Instant,
     last: Option<Instant>,
-    waiting: &Cell<bool>,
+    link: &Link,
 ) -> Response<Full<Bytes>> {
     if request.uri().path() == HEALTH {
         let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -546,9 +582,10 @@
         Ok(_) if driver.pool().full() => Answer::Refused { retry_after: None },
         Ok(mut taken) => {
             taken.deadline = last.map_or(taken.deadline, |last| taken.deadline.min(last));
-            waiting.set(true);
+            link.socket.body_over();
+            link.waiting.set(true);
             let answer = answer(driver, taken).await;
-            waiting.set(false);
+            link.waiting.set(false);
             answer
         }
         Err(error) => {
--- a/dahliahead/src/socket.rs
+++ b/dahliahead/src/socket.rs
@@ -13,11 +13,12 @@
 use socket2::SockRef;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
-use tokio::time::timeout;
+use tokio::sync::Notify;
+use tokio::time::{Instant, timeout};
 
-/// Bytes read ahead of the HTTP code at most, for each socket: a next request's head. What a peer sends beyond that
-/// while it is owed an answer is thrown away, and its connection closed behind the answer.
-const AHEAD_MOST: usize = 16 * 1024;
+/// Bytes read ahead of the HTTP code at most, for each socket: the next requests. What a peer sends beyond that while
+/// it is owed an answer is thrown away, and its connection closed behind the answer.
+const AHEAD_MOST: usize = 32 * 1024;
 /// Reads in a row before others have their turn.
 const READS: usize = 16;
 
@@ -33,6 +34,49 @@
     ahead: RefCell<BytesMut>,
     /// Some of what came was thrown away: nothing after it makes sense.
     spilled: Cell<bool>,
+    reading: RefCell<Reading>,
+    /// Since when the HTTP code has had a part of a head, or else since the last byte before it was written.
+    head_since: Cell<Option<Instant>>,
+    /// Told when a head begins.
+    head_begins: Notify,
+}
+
+/// What the HTTP code is given. A server gets no byte beyond the request that it reads, so that what it holds of the
+/// next one is known.
+#[derive(Debug)]
+enum Reading {
+    /// Whatever comes.
+    All,
+    /// A request's head, up to its end.
+    Head(HeadEnd),
+    /// So many bytes more, and then only the end of the connection.
+    Most(u64),
+}
+
+/// Looks for the empty line that ends a request's head. Empty lines before its first line are no part of it.
+#[derive(Debug, Default)]
+struct HeadEnd {
+    begun: bool,
+    /// Something stands on the line that is looked at.
+    in_line: bool,
+}
+
+impl HeadEnd {
+    /// Bytes of these up to the end of the head, if it ends among them.
+    fn find(&mut self, bytes: &[u8]) -> Option<usize> {
+        for (position, byte) in bytes.iter().enumerate() {
+            match byte {
+                b'\r' => {}
+                b'\n' if self.begun && !self.in_line => return Some(position + 1),
+                b'\n' => self.in_line = false,
+                _ => {
+                    self.begun = true;
+                    self.in_line = true;
+                }
+            }
+        }
+        None
+    }
 }
 
 impl Socket {
@@ -40,9 +84,58 @@
     /// with a close. That the option can't be set is no reason to hang up.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
+        Self::reading(stream, Reading::All)
+    }
+
+    /// The same for the server's end of a connection, which reads a request at a time: [`Self::head_over`] and
+    /// [`Self::answered`] are to be called for each.
+    #[must_use]
+    pub fn of_requests(stream: TcpStream) -> Self {
+        Self::reading(stream, Reading::Head(HeadEnd::default()))
+    }
+
+    fn reading(stream: TcpStream, reading: Reading) -> Self {
         let _ = stream.set_nodelay(true);
-        let stream = RefCell::new(stream);
-        Self(Rc::new(Shared { stream, ahead: RefCell::default(), spilled: Cell::new(false) }))
+        Self(Rc::new(Shared {
+            stream: RefCell::new(stream),
+            ahead: RefCell::default(),
+            spilled: Cell::new(false),
+            reading: RefCell::new(reading),
+            head_since: Cell::new(None),
+            head_begins: Notify::new(),
+        }))
+    }
+
+    /// Tells that the head of a request is whole, and how long its body is, if that is known.
+    pub fn head_over(&self, body: Option<u64>) {
+        self.0.head_since.set(None);
+        self.0.reading.replace(body.map_or(Reading::All, Reading::Most));
+    }
+
+    /// Tells that a request's body is whole: what comes now belongs to the next one.
+    pub fn body_over(&self) {
+        self.0.reading.replace(Reading::Most(0));
+    }
+
+    /// Tells that a request has its answer, and the next one may be read.
+    pub fn answered(&self) {
+        self.0.reading.replace(Reading::Head(HeadEnd::default()));
+    }
+
+    /// Since when a part of a head has been there, if one is.
+    #[must_use]
+    pub fn head_since(&self) -> Option<Instant> {
+        self.0.head_since.get()
+    }
+
+    /// Waits until a part of a head is there; tells since when.
+    pub async fn head_begins(&self) -> Instant {
+        loop {
+            if let Some(since) = self.head_since() {
+                return since;
+            }
+            self.0.head_begins.notified().await;
+        }
     }
 
     /// Whether more came than is kept, so that the connection can only be closed.
@@ -89,6 +182,62 @@
         }
     }
 
+    /// How many of these bytes the HTTP code is given.
+    fn given(&self, bytes: &[u8]) -> usize {
+        let mut reading = self.0.reading.borrow_mut();
+        match &mut *reading {
+            Reading::All => bytes.len(),
+            Reading::Head(head) => {
+                let end = head.find(bytes);
+                if head.begun && self.head_since().is_none() {
+                    self.0.head_since.set(Some(Instant::now()));
+                    self.0.head_begins.notify_waiters();
+                }
+                // What follows the head is known once the HTTP code has read it.
+                if end.is_some() {
+                    *reading = Reading::All;
+                }
+                end.unwrap_or(bytes.len())
+            }
+            Reading::Most(left) => {
+                let given = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
+                *left -= given as u64;
+                given
+            }
+        }
+    }
+
+    /// Gives the HTTP code what has been read ahead.
+    fn give_ahead(&self, buffer: &mut ReadBuf<'_>) {
+        let mut ahead = self.0.ahead.borrow_mut();
+        let room = ahead.len().min(buffer.remaining());
+        let given = self.given(&ahead[..room]);
+        buffer.put_slice(&ahead[..given]);
+        ahead.advance(given);
+        // Its memory is not kept by connections that rest.
+        if ahead.is_empty() {
+            *ahead = BytesMut::new();
+        }
+    }
+
+    /// Gives the HTTP code what comes now, and keeps what is beyond its request.
+    fn poll_give(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let before = buffer.filled().len();
+        ready!(self.poll_receive(context, buffer))?;
+        let came = &buffer.filled()[before..];
+        let given = self.given(came);
+        self.0.ahead.borrow_mut().extend_from_slice(&came[given..]);
+        buffer.set_filled(before + given);
+        Poll::Ready(Ok(()))
+    }
+
+    /// The time of a head counts from the end of the answer before it, for as long as that goes out.
+    fn wrote(&self, done: &Poll<io::Result<usize>>) {
+        if matches!(done, Poll::Ready(Ok(_))) && self.head_since().is_some() {
+            self.0.head_since.set(Some(Instant::now()));
+        }
+    }
+
     fn poll_receive(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(context, buffer)
     }
@@ -100,23 +249,23 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        {
-            let mut ahead = self.0.ahead.borrow_mut();
-            if !ahead.is_empty() {
-                let take = ahead.len().min(buffer.remaining());
-                buffer.put_slice(&ahead[..take]);
-                ahead.advance(take);
-                return Poll::Ready(Ok(()));
-            }
+        if matches!(*self.0.reading.borrow(), Reading::Most(0)) {
+            return self.poll_gone(context).map(Ok);
+        }
+        if !self.0.ahead.borrow().is_empty() {
+            self.give_ahead(buffer);
+            return Poll::Ready(Ok(()));
         }
         // It is closed from this side, behind the answer.
-        if self.spilled() { Poll::Pending } else { self.poll_receive(context, buffer) }
+        if self.spilled() { Poll::Pending } else { self.poll_give(context, buffer) }
     }
 }
 
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(context, bytes)
+        let done = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(context, bytes);
+        self.wrote(&done);
+        done
     }
 
     fn poll_flush(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -132,7 +281,9 @@
         context: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(context, parts)
+        let done = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(context, parts);
+        self.wrote(&done);
+        done
     }
 
     fn is_write_vectored(&self) -> bool {
