--- a/dahliahead/src/socket.rs
+++ b/dahliahead/src/socket.rs
@@ -178,7 +178,12 @@
         let ended = std::future::poll_fn(|context| Pin::new(&mut self).poll_shutdown(context)).await;
         if ended.is_ok() {
             self.0.spilled.set(true);
-            let _ = timeout(most, std::future::poll_fn(|context| self.poll_gone(context))).await;
+            if most.is_zero() {
+                // Once, without a timer: its next tick is up to a millisecond away, and others need the socket.
+                std::future::poll_fn(|context| Poll::Ready(self.poll_gone(context).is_ready())).await;
+            } else {
+                let _ = timeout(most, std::future::poll_fn(|context| self.poll_gone(context))).await;
+            }
         }
     }
 
