--- /dev/null
+++ b/dahliahead/tests/ending.rs
@@ -0,0 +1,196 @@
+//! Requests that meet the end of their connection, whatever ends it: each one that was read has its one answer.
+
+mod common;
+
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use common::*;
+
+/// A request of its own: its body is that of no other.
+fn order(body: &str) -> Vec<u8> {
+    let head =
+        "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n";
+    format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
+}
+
+fn try_order(caller: &mut Caller, body: &str) -> Option<Message> {
+    use std::io::Write;
+    caller.0.write_all(&order(body)).ok()?;
+    caller.answer()
+}
+
+/// What became of the requests of a client.
+#[derive(Default)]
+struct Sent {
+    answered: Vec<(String, u16)>,
+    /// Closed without an answer.
+    crossed: Vec<String>,
+    /// Closed without an answer also on the new connection on which it went out once more.
+    lost: Vec<String>,
+}
+
+/// What clients may do.
+#[derive(Default)]
+struct Orders {
+    /// They end between requests.
+    over: AtomicBool,
+    /// The front deals them no new connection to this balancer.
+    dealt_elsewhere: AtomicBool,
+}
+
+impl Orders {
+    fn connect(&self, address: SocketAddr) -> Option<Caller> {
+        let here = !self.dealt_elsewhere.load(Ordering::Relaxed);
+        here.then(|| TcpStream::connect(address).ok().map(Caller::new)).flatten()
+    }
+}
+
+/// A client that sends one request after the other on a connection, and takes a new one where that is closed; it ends
+/// where there is none, or when it is told to.
+fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
+    let mut sent = Sent::default();
+    let mut kept: Option<Caller> = None;
+    for number in 0.. {
+        if orders.over.load(Ordering::Relaxed) {
+            break;
+        }
+        let mut resent = false;
+        loop {
+            let body = format!("{name}-{number}-{resent}");
+            let is_new = kept.is_none();
+            let Some(mut caller) = kept.take().or_else(|| orders.connect(address)) else {
+                return sent;
+            };
+            match try_order(&mut caller, &body) {
+                Some(answer) => {
+                    sent.answered.push((body, answer.status()));
+                    kept = (answer.header("connection") != Some("close")).then_some(caller);
+                    break;
+                }
+                None if is_new => {
+                    sent.lost.push(body);
+                    break;
+                }
+                None => sent.crossed.push(body),
+            }
+            resent = true;
+        }
+    }
+    sent
+}
+
+/// Each answer 200 is of one run; a request without an answer never ran.
+fn check_runs(upstream: &Upstream, sent: &Sent) {
+    for (body, status) in &sent.answered {
+        let runs = upstream.count_of(body);
+        assert!(runs <= 1 && (*status != 200 || runs == 1), "{body}: {status}, run {runs} times");
+    }
+    for body in sent.crossed.iter().chain(&sent.lost) {
+        assert_eq!(upstream.count_of(body), 0, "{body}: run, and not answered");
+    }
+}
+
+/// Guards planned restarts where deadlines are short: with 0.2 s, SIGKILL may come 0.9 s after SIGTERM. Clients send on
+/// for as long as their connections stay open, and the front deals new ones for 0.4 s: each request has its one answer,
+/// and the program has ended by itself before.
+#[test]
+fn a_drain_with_short_deadlines_ends_before_the_kill() {
+    let upstream = Upstream::start(|_, _| {
+        thread::sleep(Duration::from_millis(10));
+        ok("served")
+    });
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let text = configuration(discovery.address, &known, 0.2, 1024).replace("60.0", "0.2");
+    let mut child = program(&text);
+    let (address, _log) = address(&mut child);
+    let orders = Orders::default();
+    let (sent, ended) = thread::scope(|scope| {
+        let orders = &orders;
+        let clients: Vec<_> =
+            (0..8).map(|name| scope.spawn(move || send_on(address, name, orders))).collect();
+        upstream.wait_requests(50);
+        signal(&child, "-TERM");
+        let told = Instant::now();
+        thread::sleep(Duration::from_millis(400));
+        orders.dealt_elsewhere.store(true, Ordering::Relaxed);
+        let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| told.elapsed()));
+        let sent: Vec<Sent> = clients.into_iter().map(|client| client.join().expect("no panic")).collect();
+        (sent, ended)
+    });
+    assert!(ended < Duration::from_millis(900), "SIGKILL finds the program after {ended:?}");
+    assert!(child.wait().expect("ends").success());
+    for sent in &sent {
+        check_runs(&upstream, sent);
+    }
+    let answered: usize = sent.iter().map(|sent| sent.answered.len()).sum();
+    let lost: Vec<&String> = sent.iter().flat_map(|sent| &sent.lost).collect();
+    assert!(lost.is_empty(), "{lost:?} lost beside {answered} answers");
+}
+
+/// Guards requests against a shortage of descriptors: connections that give way do so between requests.
+#[test]
+fn connections_that_give_way_lose_no_request() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 64));
+    let orders = Orders::default();
+    let sent: Vec<Sent> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..6)
+            .map(|name| {
+                let (orders, address) = (&orders, balancer.address);
+                scope.spawn(move || send_on(address, name, orders))
+            })
+            .collect();
+        upstream.wait_requests(20);
+        let mut crowd = Vec::new();
+        // Fewer than the system queues: beyond that it would ask again seconds later.
+        for _ in 0..100 {
+            crowd.push(balancer.caller());
+            thread::sleep(Duration::from_millis(2));
+        }
+        orders.over.store(true, Ordering::Relaxed);
+        clients.into_iter().map(|client| client.join().expect("no panic")).collect()
+    });
+    for sent in &sent {
+        check_runs(&upstream, sent);
+        assert!(sent.lost.is_empty(), "{:?}", sent.lost);
+    }
+}
+
+/// Guards requests against new configurations in a row and a log that nobody reads.
+#[test]
+fn reloads_and_a_full_log_close_no_connection() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let text = configuration(discovery.address, &known, 30.0, 1024);
+    let mut child = program(&text);
+    let (address, _unread) = address(&mut child);
+    let orders = Orders::default();
+    let sent: Vec<Sent> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..4)
+            .map(|name| {
+                let orders = &orders;
+                scope.spawn(move || send_on(address, name, orders))
+            })
+            .collect();
+        upstream.wait_requests(20);
+        for turn in 0..60 {
+            write_configuration(if turn % 2 == 0 { "{" } else { &text });
+            signal(&child, "-HUP");
+        }
+        orders.over.store(true, Ordering::Relaxed);
+        clients.into_iter().map(|client| client.join().expect("no panic")).collect()
+    });
+    for sent in &sent {
+        check_runs(&upstream, sent);
+        assert!(sent.lost.is_empty() && sent.crossed.is_empty(), "{:?} {:?}", sent.lost, sent.crossed);
+    }
+    child.kill().expect("it runs");
+    child.wait().expect("ends");
+}
