--- a/dahliahead/src/server.rs
+++ b/dahliahead/src/server.rs
@@ -25,7 +25,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch};
-use tokio::task::spawn_local;
+use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use crate::config::Config;
@@ -490,6 +490,13 @@
         () = gone() => return End::Gone,
         () = closing => {}
     }
+    // What came while the program was held up is in the socket, and the server has not been told of it.
+    tokio::select! {
+        biased;
+        _ = served.as_mut() => return End::Closing,
+        () = gone() => return End::Gone,
+        () = heard_of(socket) => {}
+    }
     // The server would end one that is not in a request at once, though one may be on its way, in the socket or there
     // in part: that one gets a moment, and its connection is then closed like the others.
     if let Some(until) = link.patience() {
@@ -532,6 +539,13 @@
     }
 }
 
+/// Waits until the runtime has heard from the system of what is in the socket.
+async fn heard_of(socket: &Socket) {
+    if !socket.is_silent() {
+        yield_now().await;
+    }
+}
+
 /// Waits until a part of a head has had its time, in vain.
 async fn head_overdue(socket: &Socket) {
     loop {
--- a/dahliahead/tests/accept.rs
+++ b/dahliahead/tests/accept.rs
@@ -5,6 +5,7 @@
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
+use std::sync::mpsc;
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
@@ -40,6 +41,19 @@
 
 /// A balancer behind such a listener; it drains once the sender is dropped.
 fn start_failing(errno: i32, configuration: &str) -> (SocketAddr, oneshot::Sender<()>, JoinHandle<()>) {
+    start_on(configuration, move |listener| Failing {
+        listener,
+        errno,
+        accepted: Cell::default(),
+        waiting: RefCell::default(),
+    })
+}
+
+/// The same behind any listener that is made of a real one.
+fn start_on<A: Accept>(
+    configuration: &str,
+    listens: impl FnOnce(tokio::net::TcpListener) -> A + Send + 'static,
+) -> (SocketAddr, oneshot::Sender<()>, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.set_nonblocking(true).expect("set");
     let address = listener.local_addr().expect("bound");
@@ -49,11 +63,10 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
         let served = tokio::task::LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::from_std(listener)?;
-            let failing = Failing { listener, errno, accepted: Cell::default(), waiting: RefCell::default() };
             let stop = async {
                 let _ = stopped.await;
             };
-            server::serve_on(failing, config, stop).await
+            server::serve_on(listens(listener), config, stop).await
         });
         served.expect("serves");
     });
@@ -170,3 +183,72 @@
         }
     });
 }
+
+/// A turn to hold up the program: tells that it is held up, and hears when to go on.
+type Turn = (mpsc::Sender<()>, mpsc::Receiver<()>);
+
+/// A listener that holds up the whole program as it accepts a connection, once for each turn.
+struct Holding {
+    listener: tokio::net::TcpListener,
+    turns: mpsc::Receiver<Turn>,
+}
+
+impl Accept for Holding {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        let stream = self.listener.accept().await?.0;
+        if let Ok((held, go_on)) = self.turns.try_recv() {
+            let _ = held.send(());
+            let _ = go_on.recv();
+        }
+        Ok(stream)
+    }
+}
+
+/// Connects, and holds up the balancer as it accepts the connection until it is told to go on.
+fn connect_held(address: SocketAddr, hold: &mpsc::Sender<Turn>) -> (Caller, mpsc::Sender<()>) {
+    let ((held, is_held), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
+    hold.send((held, goes_on)).expect("the balancer serves");
+    let caller = Caller::connect(address);
+    is_held.recv().expect("the balancer is held up");
+    (caller, go_on)
+}
+
+/// Guards requests that came while the program was held up: the connection that is to give way then is not closed over
+/// one. How many connections it takes is the budget's, so that each number is played up to the first that closes one.
+#[test]
+fn a_request_that_came_in_a_hold_up_is_answered_before_its_connection_gives_way() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let text = configuration(discovery.address, &known, 30.0, 48);
+    let mut threads = Vec::new();
+    for count in 20.. {
+        let (hold, turns) = mpsc::channel();
+        let (address, stop, thread) = start_on(&text, move |listener| Holding { listener, turns });
+        threads.push(thread);
+        let mut callers: Vec<Caller> = (0..count).map(|_| Caller::connect(address)).collect();
+        for caller in &mut callers {
+            assert_eq!(caller.ask("order", "one").status(), 200);
+        }
+        // It has rested for longest, and is the first to give way.
+        let oldest = &mut callers[0];
+        oldest.0.set_nonblocking(true).expect("set");
+        let closed = matches!(oldest.0.peek(&mut [0]), Ok(0));
+        oldest.0.set_nonblocking(false).expect("set");
+        if closed {
+            assert!(count > 20, "the budget is smaller than the test takes it to be");
+            break;
+        }
+        // One that brings nothing, so that the newest may be the first to meet a budget that is short.
+        let (_silent, go_on) = connect_held(address, &hold);
+        go_on.send(()).expect("the balancer is held up");
+        let (_newest, go_on) = connect_held(address, &hold);
+        oldest.raw(&order_with(b""));
+        go_on.send(()).expect("the balancer is held up");
+        assert!(oldest.answer().is_some(), "closed over a request, beside {count} connections");
+        drop(stop);
+    }
+    for thread in threads {
+        thread.join().expect("no panic");
+    }
+}
