--- a/dahliahead/tests/ending.rs
+++ b/dahliahead/tests/ending.rs
@@ -171,6 +171,9 @@
     let text = configuration(discovery.address, &known, 30.0, 1024);
     let mut child = program(&text);
     let (address, _unread) = address(&mut child);
+    // Each entry is told of in a line; a pipe holds 64 KiB.
+    let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
+    discovery.watch().1.says(8, false, &odd);
     let orders = Orders::default();
     let sent: Vec<Sent> = thread::scope(|scope| {
         let clients: Vec<_> = (0..4)
