--- a/dahliahead/src/server.rs
+++ b/dahliahead/src/server.rs
@@ -25,7 +25,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{Notify, watch};
-use tokio::task::spawn_local;
+use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
 use crate::config::Config;
@@ -67,7 +67,9 @@
 /// The first request of a connection must have come whole within this time: a peer that sends none is owed an
 /// error or a close within 3 s, and holds a socket until then.
 const FIRST_WITHIN: Duration = Duration::from_millis(2500);
-/// A connection that has carried a request is closed after this long without a whole head of the next.
+/// The head of a later request must have come whole within this time of its first byte, for the same reason.
+const HEAD_WITHIN: Duration = FIRST_WITHIN;
+/// A connection that has carried a request is closed after this long without the next.
 const IDLE_MOST: Duration = Duration::from_secs(60);
 /// The body of a later request must come within this time of its head.
 const BODY_WITHIN: Duration = Duration::from_secs(2);
@@ -78,8 +80,16 @@
 const UNREAD: Duration = Duration::from_secs(2);
 /// Bytes of a request's head at most: more is no proper request, and many such must not fill the memory.
 const HEAD_MOST: usize = 32 * 1024;
-/// Wait after a failed accept, and between looks for room, so that running out of descriptors does not spin.
+/// Wait after an accept that failed for want of something, and between looks for room, so that this does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+/// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
+/// that is under way frees one sooner, and costs nobody a connection.
+const SHORTAGE_LASTS: Duration = Duration::from_millis(25);
+/// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
+/// were given up in the queue, few enough that a listener that only fails does not spin.
+const FAILURES_AT_ONCE: u32 = 16;
+/// How often a failed accept is logged at most, or the log would cost more than the trouble.
+const FAILURE_LOGGED: Duration = Duration::from_secs(1);
 /// Idle connections closed at each such look: with [`ACCEPT_PAUSE`] a thousand in a second or so.
 const EVICTED_TOGETHER: usize = 4;
 
@@ -91,8 +101,106 @@
     Closing,
 }
 
+/// Where callers' connections come from.
+pub trait Accept {
+    /// The next connection. Nothing is lost if it is not waited for.
+    fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
+}
+
+impl Accept for TcpListener {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        Ok(Self::accept(self).await?.0)
+    }
+}
+
+/// What a failed accept asks of the accept loop.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AcceptFailure {
+    /// It concerns the one connection, or the one call: the next accept may follow at once.
+    Transient,
+    /// The process or the system has no descriptor left; the connection stays in the queue.
+    OutOfDescriptors,
+    /// The system is short of memory: the next accept waits a moment, and closing a connection would not help.
+    OutOfMemory,
+    /// None that is known here. It may come again at once, so that the next accept waits as well.
+    Unknown,
+}
+
+impl AcceptFailure {
+    /// Sorts an error of accept(2). Linux also passes on network errors that were pending on the new socket.
+    #[must_use]
+    pub fn of(error: &io::Error) -> Self {
+        match error.raw_os_error() {
+            Some(libc::EMFILE | libc::ENFILE) => Self::OutOfDescriptors,
+            Some(libc::ENOBUFS | libc::ENOMEM | libc::ENOSR) => Self::OutOfMemory,
+            Some(
+                libc::EAGAIN
+                | libc::ECONNABORTED
+                | libc::ECONNRESET
+                | libc::EHOSTDOWN
+                | libc::EHOSTUNREACH
+                | libc::EINTR
+                | libc::ENETDOWN
+                | libc::ENETUNREACH
+                | libc::ENONET
+                | libc::ENOPROTOOPT
+                | libc::EOPNOTSUPP
+                | libc::EPERM
+                | libc::EPROTO
+                | libc::ETIMEDOUT,
+            ) => Self::Transient,
+            _ => Self::Unknown,
+        }
+    }
+}
+
+/// The accepts that failed since the last one that succeeded.
+#[derive(Debug, Default)]
+struct FailedAccepts {
+    in_a_row: u32,
+    /// When the latest failed, also before one that succeeded.
+    latest: Option<Instant>,
+    /// Since when descriptors have been short.
+    short_since: Option<Instant>,
+    /// When one was last logged.
+    logged: Option<Instant>,
+}
+
+/// What the accept loop does about a failed accept.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct AcceptReaction {
+    evict: bool,
+    pause: bool,
+}
+
+impl FailedAccepts {
+    fn succeeded(&mut self) {
+        self.in_a_row = 0;
+        self.short_since = None;
+    }
+
+    fn failed(&mut self, error: &io::Error) -> AcceptReaction {
+        self.log(error);
+        self.in_a_row += 1;
+        self.latest = Some(Instant::now());
+        let failure = AcceptFailure::of(error);
+        let evict = failure == AcceptFailure::OutOfDescriptors
+            && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_LASTS;
+        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_AT_ONCE;
+        AcceptReaction { evict, pause }
+    }
+
+    fn log(&mut self, error: &io::Error) {
+        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOGGED) {
+            crate::log(format_args!("a connection could not be accepted: {error}"));
+            self.logged = Some(Instant::now());
+        }
+    }
+}
+
 /// A caller's connection as seen from outside it.
 struct Link {
+    socket: Socket,
     /// A request has come on it whose answer is not yet out.
     busy: Cell<bool>,
     /// It gives way to others.
@@ -109,6 +217,32 @@
     close: Notify,
 }
 
+impl Link {
+    fn new(stream: TcpStream) -> Self {
+        Self {
+            socket: Socket::of_requests(stream),
+            busy: Cell::new(false),
+            evicted: Cell::new(false),
+            waiting: Cell::new(false),
+            used: Cell::new(false),
+            opened: Instant::now(),
+            since: Cell::new(Instant::now()),
+            close: Notify::new(),
+        }
+    }
+
+    /// Until when a connection that is to be closed waits for a request that has not come whole: its first, which may
+    /// be on its way, or one whose head is there in part.
+    fn patience(&self) -> Option<Instant> {
+        let (now, evicted) = (Instant::now(), self.evicted.get());
+        if !self.used.get() {
+            return Some(if evicted { self.opened + EVICTED_GRACE } else { now + UNUSED_GRACE });
+        }
+        let grace = if evicted { EVICTED_GRACE } else { UNUSED_GRACE };
+        self.socket.head_since().map(|since| (since + HEAD_WITHIN).min(now + grace))
+    }
+}
+
 /// The callers' connections.
 struct Callers {
     driver: Rc<Driver>,
@@ -125,15 +259,7 @@
         if self.driver.pool().crowded() {
             self.make_room();
         }
-        let link = Rc::new(Link {
-            busy: Cell::new(false),
-            evicted: Cell::new(false),
-            waiting: Cell::new(false),
-            used: Cell::new(false),
-            opened: Instant::now(),
-            since: Cell::new(Instant::now()),
-            close: Notify::new(),
-        });
+        let link = Rc::new(Link::new(stream));
         let number = self.next.get();
         self.next.set(number + 1);
         self.links.borrow_mut().insert(number, Rc::clone(&link));
@@ -141,15 +267,15 @@
         let permit = self.driver.pool().reserved_permit();
         let callers = Rc::clone(self);
         spawn_local(async move {
-            connection(&callers, stream, &link).await;
+            connection(&callers, &link).await;
             callers.links.borrow_mut().remove(&number);
-            drop(permit);
+            drop((link, permit));
         });
     }
 
     /// The next connection, once there is a descriptor for it that neither discovery nor an attempt may need. Nothing
     /// is lost if it is not waited for.
-    async fn next(&self, listener: &TcpListener) -> io::Result<TcpStream> {
+    async fn next(&self, listener: &impl Accept) -> io::Result<TcpStream> {
         while self.driver.pool().full() {
             // A few at a time: each may take its moment to close.
             for _ in 0..EVICTED_TOGETHER {
@@ -157,15 +283,15 @@
             }
             sleep(ACCEPT_PAUSE).await;
         }
-        Ok(listener.accept().await?.0)
+        listener.accept().await
     }
 
     /// Closes the connection that has stood idle for longest: a caller's, which costs it a new one at most,
-    /// or else one to an upstream.
+    /// or else one to an upstream. One on which a request has begun to come goes last.
     fn make_room(&self) {
         let links = self.links.borrow();
         let idle = links.values().filter(|link| !link.busy.get() && !link.evicted.get());
-        if let Some(link) = idle.min_by_key(|link| link.since.get()) {
+        if let Some(link) = idle.min_by_key(|link| (link.socket.head_since().is_some(), link.since.get())) {
             // Marked, so that the next in need finds another.
             link.evicted.set(true);
             link.close.notify_one();
@@ -174,6 +300,10 @@
         }
     }
 
+    fn is_draining(&self) -> bool {
+        self.last.get().is_some()
+    }
+
     /// Connections on which an answer may still be owed, and those of them in a request.
     fn owed(&self) -> (usize, usize) {
         let links = self.links.borrow();
@@ -205,7 +335,7 @@
 /// # Errors
 /// The settings make no sense.
 pub async fn serve_on(
-    listener: TcpListener,
+    listener: impl Accept,
     config: Config,
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
@@ -224,24 +354,28 @@
         next: Cell::new(0),
         last: Cell::new(None),
     });
-    accept_until(&listener, &callers, stop).await;
+    let mut failed = FailedAccepts::default();
+    accept_until(&listener, &callers, &mut failed, stop).await;
     // The front still sends here, and clients keep their connections: go on as before for as long as is safe.
     let stopped = Instant::now();
     let kill = longest.min(KILL_COUNTS) + KILL_EXTRA;
     callers.last.set(Some(stopped + kill.saturating_sub(DRAIN_LAST)));
     callers.log_drain(stopped);
-    accept_until(&listener, &callers, sleep(kill.saturating_sub(DRAIN_TAIL).max(DRAIN_OPEN))).await;
+    let open = kill.saturating_sub(DRAIN_TAIL).max(DRAIN_OPEN);
+    accept_until(&listener, &callers, &mut failed, sleep(open)).await;
     let _ = phase.send(Phase::Closing);
     callers.log_drain(stopped);
-    accept_until(&listener, &callers, sleep(DRAIN_LATE)).await;
+    accept_until(&listener, &callers, &mut failed, sleep(DRAIN_LATE)).await;
     // Connections that carried a request end with its answer, and one that has not yet may have it in the socket
     // until its own time is over; a caller that never takes its answer must not hold up the end.
     let mut quiet = Instant::now();
     while quiet.elapsed() < DRAIN_QUIET && stopped.elapsed() < callers.driver.longest() + DRAIN_OPEN {
-        accept_until(&listener, &callers, sleep(DRAIN_LOOK)).await;
+        accept_until(&listener, &callers, &mut failed, sleep(DRAIN_LOOK)).await;
         if !callers.links.borrow().is_empty() {
             quiet = Instant::now();
         }
+        // What an accept failed to take may still stand in the queue.
+        quiet = failed.latest.map_or(quiet, |latest| quiet.max(latest));
     }
     callers.log_drain(stopped);
     Ok(())
@@ -257,36 +391,46 @@
     }
 }
 
-async fn accept_until(listener: &TcpListener, callers: &Rc<Callers>, until: impl Future<Output = ()>) {
+async fn accept_until(
+    listener: &impl Accept,
+    callers: &Rc<Callers>,
+    failed: &mut FailedAccepts,
+    until: impl Future<Output = ()>,
+) {
     let mut until = pin!(until);
-    let mut logged: Option<Instant> = None;
     loop {
-        tokio::select! {
+        let accepted = tokio::select! {
             biased;
             // First: in a flood there is always another connection, and this would never be looked at.
             () = until.as_mut() => return,
-            accepted = callers.next(listener) => match accepted {
-                Ok(stream) => callers.accept(stream),
-                Err(error) => {
-                    // Out of descriptors, most likely: the loop goes on with one given up.
-                    // At most a line a second, or the log would cost more than the trouble.
-                    if logged.is_none_or(|at| at.elapsed() >= Duration::from_secs(1)) {
-                        crate::log(format_args!("a connection could not be accepted: {error}"));
-                        logged = Some(Instant::now());
-                    }
+            accepted = callers.next(listener) => accepted,
+        };
+        match accepted {
+            Ok(stream) => {
+                failed.succeeded();
+                callers.accept(stream);
+            }
+            Err(error) => {
+                let reaction = failed.failed(&error);
+                // In a drain all connections end soon, and those that are left may be their callers' last.
+                if reaction.evict && !callers.is_draining() {
                     callers.make_room();
+                }
+                if reaction.pause {
                     sleep(ACCEPT_PAUSE).await;
                 }
-            },
+            }
         }
     }
 }
 
-async fn connection(callers: &Rc<Callers>, stream: TcpStream, link: &Rc<Link>) {
-    let socket = Socket::new(stream);
-    if talk(callers, &socket, link).await == End::Closing {
+async fn connection(callers: &Rc<Callers>, link: &Rc<Link>) {
+    if talk(callers, link).await == End::Closing {
         // Short of sockets it reads out what has come, and does not wait for more.
-        socket.close(if callers.driver.pool().crowded() { Duration::ZERO } else { LINGER }).await;
+        link.socket
+            .clone()
+            .close(if callers.driver.pool().crowded() { Duration::ZERO } else { LINGER })
+            .await;
     }
 }
 
@@ -299,10 +443,12 @@
     Gone,
 }
 
-async fn talk(callers: &Rc<Callers>, socket: &Socket, link: &Rc<Link>) -> End {
+async fn talk(callers: &Rc<Callers>, link: &Rc<Link>) -> End {
+    let socket = &link.socket;
     let service = service_fn(|request: Request<Incoming>| {
         let driver = &callers.driver;
         link.busy.set(true);
+        socket.head_over(request.body().size_hint().exact());
         let first = !link.used.get();
         link.used.set(!first || request.uri().path() != HEALTH);
         let whole_by = if first { link.opened + FIRST_WITHIN } else { Instant::now() + BODY_WITHIN };
@@ -313,7 +459,8 @@
                 callers.make_room();
             }
             let client = socket.downgrade();
-            let mut response = respond(driver, request, client, whole_by, last, &link.waiting).await;
+            let mut response = respond(driver, request, client, whole_by, last, link).await;
+            socket.answered();
             link.busy.set(false);
             link.since.set(Instant::now());
             if *callers.phases.borrow() != Phase::Serving || driver.pool().full() || socket.spilled() {
@@ -335,6 +482,7 @@
             _ = phases.wait_for(|&phase| phase == Phase::Closing) => {}
             () = link.close.notified() => {}
             () = unused(link) => {}
+            () = head_overdue(socket) => {}
         }
     };
     tokio::select! {
@@ -343,11 +491,16 @@
         () = gone() => return End::Gone,
         () = closing => {}
     }
-    // The server would end one that never had a request at once, though the first may be on its way or in the
-    // socket: that one gets a moment, and is then closed like the others.
-    if !link.used.get() {
-        let until =
-            if link.evicted.get() { link.opened + EVICTED_GRACE } else { Instant::now() + UNUSED_GRACE };
+    // What came while the program was held up is in the socket, and the server has not been told of it.
+    tokio::select! {
+        biased;
+        _ = served.as_mut() => return End::Closing,
+        () = gone() => return End::Gone,
+        () = heard_of(socket) => {}
+    }
+    // The server would end one that is not in a request at once, though one may be on its way, in the socket or there
+    // in part: that one gets a moment, and its connection is then closed like the others.
+    if let Some(until) = link.patience() {
         tokio::select! {
             biased;
             _ = served.as_mut() => return End::Closing,
@@ -387,6 +540,24 @@
     }
 }
 
+/// Waits until the runtime has heard from the system of what is in the socket.
+async fn heard_of(socket: &Socket) {
+    if !socket.is_silent() {
+        yield_now().await;
+    }
+}
+
+/// Waits until a part of a head has had its time, in vain.
+async fn head_overdue(socket: &Socket) {
+    loop {
+        let due = socket.head_begins().await + HEAD_WITHIN;
+        sleep_until(due).await;
+        if socket.head_since().is_some_and(|since| since + HEAD_WITHIN <= Instant::now()) {
+            return;
+        }
+    }
+}
+
 /// What is wrong with a caller's request.
 #[derive(Debug, Error, PartialEq, Eq)]
 enum BadRequest {
@@ -416,7 +587,7 @@
     client: WeakSocket,
     whole_by: Instant,
     last: Option<Instant>,
-    waiting: &Cell<bool>,
+    link: &Link,
 ) -> Response<Full<Bytes>> {
     if request.uri().path() == HEALTH {
         let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -427,9 +598,10 @@
         Ok(_) if driver.pool().full() => Answer::Refused { retry_after: None },
         Ok(mut taken) => {
             taken.deadline = last.map_or(taken.deadline, |last| taken.deadline.min(last));
-            waiting.set(true);
+            link.socket.body_over();
+            link.waiting.set(true);
             let answer = answer(driver, taken).await;
-            waiting.set(false);
+            link.waiting.set(false);
             answer
         }
         Err(error) => {
--- /dev/null
+++ b/dahliahead/tests/accept.rs
@@ -0,0 +1,253 @@
+//! Accepts that fail: what each error asks of the loop, and that it costs no other connection.
+
+mod common;
+
+use std::cell::{Cell, RefCell};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::mpsc;
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+
+use common::*;
+use dahliahead::config::Config;
+use dahliahead::server::{self, Accept, AcceptFailure};
+use tokio::net::TcpStream;
+use tokio::sync::oneshot;
+
+/// A listener on which the accept of every third connection fails; the connection stays for the next one.
+struct Failing {
+    listener: tokio::net::TcpListener,
+    errno: i32,
+    accepted: Cell<usize>,
+    /// Where an accept failed.
+    waiting: RefCell<Option<TcpStream>>,
+}
+
+impl Accept for Failing {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        if let Some(stream) = self.waiting.take() {
+            return Ok(stream);
+        }
+        let stream = self.listener.accept().await?.0;
+        self.accepted.set(self.accepted.get() + 1);
+        if self.accepted.get().is_multiple_of(3) {
+            self.waiting.replace(Some(stream));
+            return Err(io::Error::from_raw_os_error(self.errno));
+        }
+        Ok(stream)
+    }
+}
+
+/// A balancer behind such a listener; it drains once the sender is dropped.
+fn start_failing(errno: i32, configuration: &str) -> (SocketAddr, oneshot::Sender<()>, JoinHandle<()>) {
+    start_on(configuration, move |listener| Failing {
+        listener,
+        errno,
+        accepted: Cell::default(),
+        waiting: RefCell::default(),
+    })
+}
+
+/// The same behind any listener that is made of a real one.
+fn start_on<A: Accept>(
+    configuration: &str,
+    listens: impl FnOnce(tokio::net::TcpListener) -> A + Send + 'static,
+) -> (SocketAddr, oneshot::Sender<()>, JoinHandle<()>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    listener.set_nonblocking(true).expect("set");
+    let address = listener.local_addr().expect("bound");
+    let config = Config::parse(configuration, |_| None).expect("a sound configuration");
+    let (stop, stopped) = oneshot::channel();
+    let thread = thread::spawn(move || {
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+        let served = tokio::task::LocalSet::new().block_on(&runtime, async {
+            let listener = tokio::net::TcpListener::from_std(listener)?;
+            let stop = async {
+                let _ = stopped.await;
+            };
+            server::serve_on(listens(listener), config, stop).await
+        });
+        served.expect("serves");
+    });
+    (address, stop, thread)
+}
+
+/// Errors that say nothing about connections which are already up, one of each kind.
+const ERRORS: [i32; 7] = [
+    libc::ECONNABORTED,
+    libc::EINTR,
+    libc::EPROTO,
+    libc::EHOSTUNREACH,
+    libc::EMFILE,
+    libc::ENOBUFS,
+    libc::ENOMEM,
+];
+
+/// Guards the sorting of the errors that accept(2) of Linux documents.
+#[test]
+fn each_error_of_accept_has_its_kind() {
+    let kinds: [(AcceptFailure, &[i32]); 4] = [
+        (
+            AcceptFailure::Transient,
+            &[
+                libc::EAGAIN,
+                libc::EWOULDBLOCK,
+                libc::ECONNABORTED,
+                libc::EINTR,
+                libc::EPERM,
+                libc::EPROTO,
+                libc::ENETDOWN,
+                libc::ENOPROTOOPT,
+                libc::EHOSTDOWN,
+                libc::ENONET,
+                libc::EHOSTUNREACH,
+                libc::EOPNOTSUPP,
+                libc::ENETUNREACH,
+                libc::ETIMEDOUT,
+            ],
+        ),
+        (AcceptFailure::OutOfDescriptors, &[libc::EMFILE, libc::ENFILE]),
+        (AcceptFailure::OutOfMemory, &[libc::ENOBUFS, libc::ENOMEM, libc::ENOSR]),
+        (AcceptFailure::Unknown, &[libc::EBADF, libc::EFAULT, libc::EINVAL, libc::ENOTSOCK, 9999]),
+    ];
+    for (kind, errors) in kinds {
+        for &errno in errors {
+            assert_eq!(AcceptFailure::of(&io::Error::from_raw_os_error(errno)), kind, "errno {errno}");
+        }
+    }
+    assert_eq!(AcceptFailure::of(&io::Error::other("no errno")), AcceptFailure::Unknown);
+}
+
+/// Guards the connections of clients that have nothing to do with a failed accept: all stay open, and the connection
+/// whose accept failed is served too.
+#[test]
+fn a_failed_accept_closes_no_other_connection() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    thread::scope(|scope| {
+        for errno in ERRORS {
+            let text = configuration(discovery.address, &known, 30.0, 1024);
+            scope.spawn(move || {
+                let (address, stop, thread) = start_failing(errno, &text);
+                let mut kept: Vec<Caller> = Vec::new();
+                for number in 0..60 {
+                    let mut caller = Caller::connect(address);
+                    let answer = caller.try_ask("order", "one").map(|answer| answer.status());
+                    assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
+                    kept.push(caller);
+                }
+                let again = kept.iter_mut().map(|caller| caller.try_ask("order", "again"));
+                let closed = again.filter(Option::is_none).count();
+                assert_eq!(closed, 0, "errno {errno}: connections closed");
+                drop((kept, stop));
+                thread.join().expect("no panic");
+            });
+        }
+    });
+}
+
+/// Guards the same in a drain: a connection is kept until an answer on it says that it closes, and one whose accept
+/// failed is served up to the end.
+#[test]
+fn a_failed_accept_in_a_drain_closes_no_other_connection() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    thread::scope(|scope| {
+        for errno in ERRORS {
+            let text = configuration(discovery.address, &known, 30.0, 1024);
+            scope.spawn(move || {
+                let (address, stop, thread) = start_failing(errno, &text);
+                let mut kept: Vec<Caller> = (0..12).map(|_| Caller::connect(address)).collect();
+                let mut told = vec![false; kept.len()];
+                for caller in &mut kept {
+                    assert_eq!(caller.ask("order", "one").status(), 200);
+                }
+                drop(stop);
+                let began = Instant::now();
+                // The front goes on dealing for so long.
+                while began.elapsed() < Duration::from_millis(400) {
+                    let mut new = Caller::connect(address);
+                    assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
+                    for (caller, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
+                        let answer = caller.try_ask("order", "still");
+                        let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
+                        *told = answer.header("connection") == Some("close");
+                    }
+                }
+                drop(kept);
+                thread.join().expect("no panic");
+            });
+        }
+    });
+}
+
+/// A turn to hold up the program: tells that it is held up, and hears when to go on.
+type Turn = (mpsc::Sender<()>, mpsc::Receiver<()>);
+
+/// A listener that holds up the whole program as it accepts a connection, once for each turn.
+struct Holding {
+    listener: tokio::net::TcpListener,
+    turns: mpsc::Receiver<Turn>,
+}
+
+impl Accept for Holding {
+    async fn accept(&self) -> io::Result<TcpStream> {
+        let stream = self.listener.accept().await?.0;
+        if let Ok((held, go_on)) = self.turns.try_recv() {
+            let _ = held.send(());
+            let _ = go_on.recv();
+        }
+        Ok(stream)
+    }
+}
+
+/// Connects, and holds up the balancer as it accepts the connection until it is told to go on.
+fn connect_held(address: SocketAddr, hold: &mpsc::Sender<Turn>) -> (Caller, mpsc::Sender<()>) {
+    let ((held, is_held), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
+    hold.send((held, goes_on)).expect("the balancer serves");
+    let caller = Caller::connect(address);
+    is_held.recv().expect("the balancer is held up");
+    (caller, go_on)
+}
+
+/// Guards requests that came while the program was held up: the connection that is to give way then is not closed over
+/// one. How many connections it takes is the budget's, so that each number is played up to the first that closes one.
+#[test]
+fn a_request_that_came_in_a_hold_up_is_answered_before_its_connection_gives_way() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let text = configuration(discovery.address, &known, 30.0, 48);
+    let mut threads = Vec::new();
+    for count in 20.. {
+        let (hold, turns) = mpsc::channel();
+        let (address, stop, thread) = start_on(&text, move |listener| Holding { listener, turns });
+        threads.push(thread);
+        let mut callers: Vec<Caller> = (0..count).map(|_| Caller::connect(address)).collect();
+        // On a busy machine one of too many may be closed before it has asked.
+        let served = callers.iter_mut().all(|caller| caller.try_ask("order", "one").is_some());
+        // It has rested for longest, and is the first to give way.
+        let oldest = &mut callers[0];
+        oldest.0.set_nonblocking(true).expect("set");
+        let closed = matches!(oldest.0.peek(&mut [0]), Ok(0));
+        oldest.0.set_nonblocking(false).expect("set");
+        if closed || !served {
+            assert!(count > 20, "the budget is smaller than the test takes it to be");
+            break;
+        }
+        // One that brings nothing, so that the newest may be the first to meet a budget that is short.
+        let (_silent, go_on) = connect_held(address, &hold);
+        go_on.send(()).expect("the balancer is held up");
+        let (_newest, go_on) = connect_held(address, &hold);
+        oldest.raw(&order_with(b""));
+        go_on.send(()).expect("the balancer is held up");
+        assert!(oldest.answer().is_some(), "closed over a request, beside {count} connections");
+        drop(stop);
+    }
+    for thread in threads {
+        thread.join().expect("no panic");
+    }
+}
