--- a/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
     let read = Class {
--- a/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use peathatch::{Action, Balancer, Event, interface::*};
+//! use balancer_policy::{Action, Balancer, Event, interface::*};
 //!
 //! let settings = Settings::single_zone(vec![Class {
 //!     aim: Duration::from_millis(500),
--- a/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -7,10 +7,10 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::time::Duration;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Balancer, Event, Settings};
 use common::*;
 use oorandom::Rand64;
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
 
 /// A deployment and a day for it.
 #[derive(Debug, Clone)]
--- a/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use std::time::Duration;
 
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Balancer, Event, Settings};
 
 /// Where the test clocks start; any time will do.
 pub const START: Duration = Duration::from_secs(1000);
--- a/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Event, Settings};
 use common::*;
 use oorandom::Rand64;
-use peathatch::interface::*;
-use peathatch::{Action, Event, Settings};
 
 /// What an attempt meets: how long its connection takes to come up, `None` for one that never does, and how it then
 /// ends after how long.
--- a/tests/pick.rs
+++ b/crates/policy/tests/pick.rs
@@ -4,9 +4,9 @@
 
 use std::collections::BTreeMap;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Settings};
 use common::*;
-use peathatch::interface::*;
-use peathatch::{Action, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/reconfigured.rs
+++ b/crates/policy/tests/reconfigured.rs
@@ -5,10 +5,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Balancer, Event, Settings};
 use common::{Bench, START, class, member, millis, sent};
 use oorandom::Rand64;
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
 
 // --- A world of chance on fixed seeds ---
 
--- a/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Balancer, Event, Settings};
 use common::{START, class, millis};
-use peathatch::interface::*;
-use peathatch::{Action, Balancer, Event, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/tests/suppressor.rs
+++ b/crates/policy/tests/suppressor.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Event, Settings};
 use common::*;
-use peathatch::interface::*;
-use peathatch::{Action, Event, Settings};
 
 /// The aim of the class that the tests use.
 const AIM: std::time::Duration = millis(1000);
--- a/tests/time_left.rs
+++ b/crates/policy/tests/time_left.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Settings};
 use common::*;
-use peathatch::interface::*;
-use peathatch::{Action, Settings};
 
 /// Calls of the tests take this long.
 const USUAL_MS: u64 = 20;
@@ -74,7 +74,7 @@
                 went += 1;
                 let leaves = call % 2 == 0;
                 if leaves {
-                    bench.tell(peathatch::Event::ClientLeft(id));
+                    bench.tell(balancer_policy::Event::ClientLeft(id));
                 }
                 let (outcome, took) =
                     if leaves { (Outcome::Withdrawn, waited) } else { (Outcome::Good, USUAL_MS) };
@@ -198,7 +198,7 @@
             none_in_time(&mut bench, id, number);
         }
         // They are within reach all the same.
-        (0..4).for_each(|id| drop(bench.tell(peathatch::Event::Connected(UpstreamId(id)))));
+        (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(UpstreamId(id)))));
         last(&actions) == Some(true)
     });
     assert!(told, "a first attempt that none could follow was not told so");
--- a/crates/scale/src/arithmetic.rs
+++ b/crates/scale/src/arithmetic.rs
@@ -235,11 +235,12 @@
     Mechanism::Ours { what, file, sign }
 }
 
-const DECISIONS: Mechanism = ours("`peathatch` `Balancer`", "src/decide.rs", "pub struct Balancer");
+const DECISIONS: Mechanism =
+    ours("`balancer-policy` `Balancer`", "crates/policy/src/decide.rs", "pub struct Balancer");
 const LIST_CLIENT: Mechanism =
     ours("`dahliahead` `discovery::watch`", "dahliahead/src/discovery.rs", "pub async fn watch(");
 const CONFIGURATION_CLIENT: Mechanism = ours(
-    "`dahliahead` `configuration`, `peathatch` `Event::Reconfigured`",
+    "`dahliahead` `configuration`, `balancer-policy` `Event::Reconfigured`",
     "dahliahead/src/configuration.rs",
     "pub fn follow(",
 );
--- a/crates/scale/src/decisions.rs
+++ b/crates/scale/src/decisions.rs
@@ -8,12 +8,12 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use clap::Args;
-use peathatch::interface::{
+use balancer_policy::interface::{
     AttemptNumber, Class, ClassId, Effect, ListUpdate, Member, Outcome, Phase, Request, RequestId,
     SettingsError, Tenant, TenantId, Time, UpstreamId, ZoneId,
 };
-use peathatch::{Action, Balancer, Event, Settings};
+use balancer_policy::{Action, Balancer, Event, Settings};
+use clap::Args;
 
 use crate::ScaleError;
 use crate::plan::Plan;
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/scale/src/hollow/mod.rs
@@ -1,6 +1,6 @@
 //! The hollow fleet: the real decision cores of all balancers in one process, in virtual time.
 //!
-//! Each upstream of the plan has one `peathatch::Balancer` for each service that it calls, and each front one for each
+//! Each upstream of the plan has one `balancer_policy::Balancer` for each service that it calls, and each front one for each
 //! service that clients come to. All else is modelled: servers, queues, cold starts, links, lists, clients. The same
 //! seed gives the same run, to the byte.
 
--- a/crates/scale/src/hollow/world.rs
+++ b/crates/scale/src/hollow/world.rs
@@ -5,12 +5,12 @@
 use std::mem;
 use std::time::Duration;
 
-use oorandom::Rand64;
-use peathatch::interface::{
+use balancer_policy::interface::{
     Allowed, AttemptNumber, Class, ClassId, DedupScope, DiscoveryMode, Effect, ListUpdate, Member, Outcome,
     Phase, Prices, Request, RequestId, Rules, Settings, Tenant, TenantId, UpstreamId, ZoneId,
 };
-use peathatch::{Action, Balancer, Event};
+use balancer_policy::{Action, Balancer, Event};
+use oorandom::Rand64;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::topology::{Topology, place};
--- a/dahliahead/src/clock.rs
+++ b/dahliahead/src/clock.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use peathatch::interface::{Time, UpstreamId};
+use balancer_policy::interface::{Time, UpstreamId};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Starts of processes that are not listed any more that are kept, the latest ones: enough for a tier of this size to
--- a/dahliahead/src/configuration.rs
+++ b/dahliahead/src/configuration.rs
@@ -5,13 +5,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer_policy::Settings;
+use balancer_policy::interface::{Class, ClassId, Tenant, TenantId};
 use fennelhatch_distribution::document::{Document, Scope};
 use fennelhatch_distribution::effective::effective;
 use fennelhatch_distribution::host::client::{self, Client};
 use fennelhatch_distribution::report::{InForce, Refused};
 use fennelhatch_distribution::state::State;
-use peathatch::Settings;
-use peathatch::interface::{Class, ClassId, Tenant, TenantId};
 use peathatch_wirehost::setup::{self, Names};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use serde_json::Value;
--- a/dahliahead/src/counters.rs
+++ b/dahliahead/src/counters.rs
@@ -3,7 +3,7 @@
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-use peathatch::interface::Outcome;
+use balancer_policy::interface::Outcome;
 
 /// Time between two lines: a few bytes a second, however busy the balancer is.
 pub const EVERY: Duration = Duration::from_secs(5);
--- a/dahliahead/src/discovery.rs
+++ b/dahliahead/src/discovery.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer_policy::interface::DiscoveryMode;
 use fennelhatch_distribution::host::watch::{self, Ask, WatchError};
-use peathatch::interface::DiscoveryMode;
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use thiserror::Error;
--- a/dahliahead/src/driver.rs
+++ b/dahliahead/src/driver.rs
@@ -7,12 +7,12 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use bytes::Bytes;
-use peathatch::interface::{
+use balancer_policy::interface::{
     AttemptNumber, ClassId, DiscoveryMode, KindId, ListUpdate, Member, Outcome, Phase, Request, RequestId,
     SettingsError, TenantId, Time, UpstreamId, ZoneId,
 };
-use peathatch::{Action, Balancer, Event, Settings};
+use balancer_policy::{Action, Balancer, Event, Settings};
+use bytes::Bytes;
 use peathatch_wirehost::setup::{Loaded, Names};
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::oneshot;
--- a/dahliahead/src/pool.rs
+++ b/dahliahead/src/pool.rs
@@ -12,7 +12,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use peathatch::interface::{UpstreamId, ZoneId};
+use balancer_policy::interface::{UpstreamId, ZoneId};
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 use tokio::net::TcpStream;
--- a/dahliahead/src/server.rs
+++ b/dahliahead/src/server.rs
@@ -11,6 +11,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
+use balancer_policy::interface::{ClassId, Effect, RequestId, TenantId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -20,7 +21,6 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use peathatch::interface::{ClassId, Effect, RequestId, TenantId};
 use thiserror::Error;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::signal::unix::{Signal, SignalKind, signal};
--- a/dahliahead/src/upstream.rs
+++ b/dahliahead/src/upstream.rs
@@ -5,12 +5,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer_policy::interface::{AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use peathatch::interface::{AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId};
 use peathatch_wirehost::setup;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
--- a/dahliahead/tests/beyond_the_bench.rs
+++ b/dahliahead/tests/beyond_the_bench.rs
@@ -2,7 +2,7 @@
 //! hours have to pass, on its decisions in virtual time. `docs/STANDING-RESULTS.md` lists them with their tests.
 
 mod common;
-#[path = "../../tests/common/mod.rs"]
+#[path = "../../crates/policy/tests/common/mod.rs"]
 mod virtual_time;
 
 use std::collections::BTreeMap;
@@ -13,9 +13,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use balancer_policy::interface::{
+    DiscoveryMode, Effect, Event, ListUpdate, Member, Outcome, Phase, UpstreamId,
+};
+use balancer_policy::{Action, Settings};
 use common::*;
-use peathatch::interface::{DiscoveryMode, Effect, Event, ListUpdate, Member, Outcome, Phase, UpstreamId};
-use peathatch::{Action, Settings};
 use socket2::SockRef;
 use virtual_time::{Bench, class, member, millis, sent};
 
--- a/dahliahead/tests/clock.rs
+++ b/dahliahead/tests/clock.rs
@@ -8,11 +8,11 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+use balancer_policy::interface::{Time, UpstreamId};
 use common::*;
 use dahliahead::clock::{PAST_STARTS_MOST, StartTimes, SystemClock, WallClock};
 use dahliahead::config::Config;
 use dahliahead::server;
-use peathatch::interface::{Time, UpstreamId};
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
--- a/wirehost/src/host.rs
+++ b/wirehost/src/host.rs
@@ -4,11 +4,11 @@
 use std::str::from_utf8;
 use std::time::Duration;
 
-use peathatch::interface::{
+use balancer_policy::interface::{
     AttemptNumber, ClassId, KindId, ListUpdate, LoadReport, Member, Request, RequestId, TenantId, UpstreamId,
     ZoneId,
 };
-use peathatch::{Action, Balancer, Event};
+use balancer_policy::{Action, Balancer, Event};
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
--- a/wirehost/src/setup.rs
+++ b/wirehost/src/setup.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use peathatch::interface::{
+use balancer_policy::interface::{
     Allowed, Class, DedupScope, DiscoveryMode, Effect, LoadReport, Prices, Rules, Settings, Tenant, ZoneId,
 };
 use rustc_hash::FxHashMap;
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use peathatch::interface::{Outcome, Phase, SettingsError};
+use balancer_policy::interface::{Outcome, Phase, SettingsError};
 use thiserror::Error;
 
 use crate::setup::SetupError;
