--- a/dahliahead/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -8,5 +8,5 @@
 
 /// Writes a line sooner or later, or loses it; never waits.
 pub(crate) fn log(line: Arguments<'_>) {
-    log_as("dahliahead", line);
+    log_as("balancer-proxy", line);
 }
--- a/dahliahead/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -3,8 +3,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use dahliahead::config::Config;
-use dahliahead::{log, server};
+use balancer_proxy::config::Config;
+use balancer_proxy::{log, server};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::LocalSet;
@@ -13,7 +13,7 @@
     let config = match Config::from_environment() {
         Ok(config) => config,
         Err(error) => {
-            eprintln!("dahliahead: {error}");
+            eprintln!("balancer-proxy: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -35,7 +35,7 @@
     match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("dahliahead: {error}");
+            eprintln!("balancer-proxy: {error}");
             ExitCode::FAILURE
         }
     }
--- a/dahliahead/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -9,9 +9,9 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+use balancer_proxy::config::Config;
+use balancer_proxy::server::{self, Accept, AcceptFailure};
 use common::*;
-use dahliahead::config::Config;
-use dahliahead::server::{self, Accept, AcceptFailure};
 use tokio::net::TcpStream;
 use tokio::sync::oneshot;
 
--- a/dahliahead/tests/beyond_the_bench.rs
+++ b/crates/proxy/tests/beyond_the_bench.rs
@@ -2,7 +2,7 @@
 //! hours have to pass, on its decisions in virtual time. `docs/STANDING-RESULTS.md` lists them with their tests.
 
 mod common;
-#[path = "../../crates/policy/tests/common/mod.rs"]
+#[path = "../../policy/tests/common/mod.rs"]
 mod virtual_time;
 
 use std::collections::BTreeMap;
--- a/dahliahead/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use balancer_policy::interface::{Time, UpstreamId};
+use balancer_proxy::clock::{PAST_STARTS_MOST, StartTimes, SystemClock, WallClock};
+use balancer_proxy::config::Config;
+use balancer_proxy::server;
 use common::*;
-use dahliahead::clock::{PAST_STARTS_MOST, StartTimes, SystemClock, WallClock};
-use dahliahead::config::Config;
-use dahliahead::server;
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
--- a/dahliahead/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -11,8 +11,8 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use dahliahead::config::Config;
-use dahliahead::server;
+use balancer_proxy::config::Config;
+use balancer_proxy::server;
 use fennelhatch_distribution::document::{Document, Update};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -660,7 +660,7 @@
 /// Writes the configuration file of the test that runs on this thread.
 pub fn write_configuration(configuration: &str) -> PathBuf {
     let mut file = std::env::temp_dir();
-    file.push(format!("dahliahead-{}-{:?}.json", std::process::id(), std::thread::current().id()));
+    file.push(format!("balancer-proxy-{}-{:?}.json", std::process::id(), std::thread::current().id()));
     std::fs::File::create(&file)
         .and_then(|mut file| file.write_all(configuration.as_bytes()))
         .expect("written");
@@ -680,7 +680,7 @@
 /// The same on a file that is there.
 pub fn program_on(descriptors: usize, file: &Path) -> Child {
     Command::new("/bin/sh")
-        .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_dahliahead")])
+        .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_balancer-proxy")])
         .env_clear()
         .env("PROXY_CONFIG", file)
         // A failed test leaves it behind, which must not keep the test's own output open.
--- a/dahliahead/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use balancer_proxy::config::Config;
+use balancer_proxy::driver::{Answer, Driver, Taken};
+use balancer_proxy::socket::Socket;
+use balancer_proxy::upstream::Call;
 use bytes::Bytes;
 use common::*;
-use dahliahead::config::Config;
-use dahliahead::driver::{Answer, Driver, Taken};
-use dahliahead::socket::Socket;
-use dahliahead::upstream::Call;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use serde_json::Value;
--- a/dahliahead/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -12,13 +12,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use balancer_proxy::config::Config;
+use balancer_proxy::discovery::Update;
+use balancer_proxy::driver::{Answer, Driver, Taken};
+use balancer_proxy::socket::Socket;
+use balancer_proxy::upstream::Call;
 use bytes::Bytes;
 use common::*;
-use dahliahead::config::Config;
-use dahliahead::discovery::Update;
-use dahliahead::driver::{Answer, Driver, Taken};
-use dahliahead::socket::Socket;
-use dahliahead::upstream::Call;
 use hyper::header::HeaderValue;
 use hyper::{Method, Uri};
 use serde_json::{Value, json};
--- a/dahliahead/tests/sending.rs
+++ b/crates/proxy/tests/sending.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use balancer_proxy::connection::{Clearance, Permit, speak};
+use balancer_proxy::upstream::{Call, Progress, size_on_wire};
 use bytes::Bytes;
-use dahliahead::connection::{Clearance, Permit, speak};
-use dahliahead::upstream::{Call, Progress, size_on_wire};
 use http_body_util::Full;
 use hyper::client::conn::http1;
 use hyper::header::HeaderValue;
--- a/dahliahead/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -66,7 +66,7 @@
         let file = write_configuration(&with_dial_timeout(&text, dial_timeout));
         let faults = file.with_extension("faults");
         let _ = fs::remove_file(&faults);
-        let mut program = Command::new(env!("CARGO_BIN_EXE_dahliahead"))
+        let mut program = Command::new(env!("CARGO_BIN_EXE_balancer-proxy"))
             .env_clear()
             .env("PROXY_CONFIG", file)
             .env("LD_PRELOAD", library())
@@ -499,7 +499,7 @@
 /// Guards tests that move the wall clock: a program reads it as the file says, also after that has changed.
 #[test]
 fn the_wall_clock_is_off_as_the_file_says() {
-    let file = std::env::temp_dir().join(format!("dahliahead-clock-{}", std::process::id()));
+    let file = std::env::temp_dir().join(format!("balancer-proxy-clock-{}", std::process::id()));
     let shown = |offset_ms: i64| {
         fs::write(&file, offset_ms.to_string()).expect("written");
         let program = Command::new("/bin/date")
--- a/crates/scale/src/arithmetic.rs
+++ b/crates/scale/src/arithmetic.rs
@@ -238,10 +238,10 @@
 const DECISIONS: Mechanism =
     ours("`balancer-policy` `Balancer`", "crates/policy/src/decide.rs", "pub struct Balancer");
 const LIST_CLIENT: Mechanism =
-    ours("`dahliahead` `discovery::watch`", "dahliahead/src/discovery.rs", "pub async fn watch(");
+    ours("`balancer-proxy` `discovery::watch`", "crates/proxy/src/discovery.rs", "pub async fn watch(");
 const CONFIGURATION_CLIENT: Mechanism = ours(
-    "`dahliahead` `configuration`, `balancer-policy` `Event::Reconfigured`",
-    "dahliahead/src/configuration.rs",
+    "`balancer-proxy` `configuration`, `balancer-policy` `Event::Reconfigured`",
+    "crates/proxy/src/configuration.rs",
     "pub fn follow(",
 );
 const ORIGIN: Mechanism =
--- a/crates/scale/src/sockets/hollow.rs
+++ b/crates/scale/src/sockets/hollow.rs
@@ -12,8 +12,8 @@
 use std::thread;
 use std::time::Duration;
 
-use dahliahead::config::Config;
-use dahliahead::driver::Driver;
+use balancer_proxy::config::Config;
+use balancer_proxy::driver::Driver;
 use fennelhatch_distribution::document::Scope;
 use fennelhatch_distribution::host::client::{self, Client};
 use fennelhatch_distribution::report::InForce;
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -48,7 +48,7 @@
     /// A quick version with few sizes and calls, whose figures are none.
     #[arg(long)]
     pub small: bool,
-    /// The balancer's program; without it `dahliahead` beside this one.
+    /// The balancer's program; without it `balancer-proxy` beside this one.
     #[arg(long)]
     pub program: Option<PathBuf>,
 }
@@ -88,7 +88,7 @@
 }
 
 /// The balancer's program.
-pub const BALANCER: &str = "dahliahead";
+pub const BALANCER: &str = "balancer-proxy";
 /// The distribution's program.
 pub const DISTRIBUTION: &str = "fennelhatch-distribution";
 
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/scale/tests/common/mod.rs
@@ -20,7 +20,7 @@
 /// The balancer's program.
 pub fn balancer_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| program("dahliahead", "dahliahead")).clone()
+    BUILT.get_or_init(|| program("balancer-proxy", "balancer-proxy")).clone()
 }
 
 /// The distribution's program, beside the balancer's.
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -319,7 +319,7 @@
         fs::write(path, text).unwrap();
     };
     has("crates/policy/src/decide.rs", "pub struct Balancer;");
-    has("dahliahead/src/discovery.rs", "pub async fn watch(");
+    has("crates/proxy/src/discovery.rs", "pub async fn watch(");
     let today = rows();
     assert!(today[0].contains("a change of configuration") && today[0].contains("none today"), "{today:#?}");
     assert!(today[0].contains("138,904 restarts"), "{today:#?}");
@@ -330,7 +330,7 @@
     has("crates/distribution/src/host/relay.rs", "pub struct RelayHost");
     has("crates/distribution/src/command.rs", "Publish {");
     assert_eq!(rows()[0], today[0], "no balancer takes it in yet");
-    has("dahliahead/src/configuration.rs", "pub fn follow(");
+    has("crates/proxy/src/configuration.rs", "pub fn follow(");
     let then = rows();
     assert!(then.iter().all(|row| !row.contains("none today") && !row.contains("restarts")), "{then:#?}");
     assert!(then[0].contains("repeats stay bounded"), "{then:#?}");
