--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 
 use fennelhatch_distribution::document::{Scope, ScopeError};
-use peathatch_wirehost::setup::{self, Loaded, SetupError};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
+use simulator_adapter::setup::{self, Loaded, SetupError};
 use thiserror::Error;
 
 use crate::clock::{SystemClock, WallClock};
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -12,9 +12,9 @@
 use fennelhatch_distribution::host::client::{self, Client};
 use fennelhatch_distribution::report::{InForce, Refused};
 use fennelhatch_distribution::state::State;
-use peathatch_wirehost::setup::{self, Names};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use serde_json::Value;
+use simulator_adapter::setup::{self, Names};
 use tokio::task::spawn_local;
 
 use crate::config::Distribution;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -13,8 +13,8 @@
 };
 use balancer_policy::{Action, Balancer, Event, Settings};
 use bytes::Bytes;
-use peathatch_wirehost::setup::{Loaded, Names};
 use rustc_hash::{FxHashMap, FxHashSet};
+use simulator_adapter::setup::{Loaded, Names};
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,4 +1,4 @@
-//! A load balancer on real sockets. All decisions are peathatch's; this crate turns what happens on
+//! A load balancer on real sockets. All decisions are those of `balancer-policy`; this crate turns what happens on
 //! the network into its events and carries out its actions.
 //!
 //! One thread, one runtime: [`driver::Driver`] owns the state behind a `RefCell` that is never
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use peathatch_wirehost::setup;
+use simulator_adapter::setup;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
--- a/crates/scale/src/slope.rs
+++ b/crates/scale/src/slope.rs
@@ -181,6 +181,6 @@
         Some(String::from_utf8_lossy(&done.stdout).trim().to_owned())
     };
     let Some(commit) = git(&["rev-parse", "--short", "HEAD"]) else { return "unknown".to_owned() };
-    let changed = git(&["status", "--porcelain", "--", "src", "wirehost", "crates/*/src"]);
+    let changed = git(&["status", "--porcelain", "--", "src", "crates/*/src"]);
     if changed.is_none_or(|changed| changed.is_empty()) { commit } else { commit + "+" }
 }
--- a/wirehost/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,4 +1,4 @@
-//! The simulator's side of peathatch: the settings object, which the real balancer reads as well, and
+//! The simulator's side of the balancer: the settings object, which the real balancer reads as well, and
 //! the host of the line protocol.
 
 mod check;
--- a/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,10 +1,10 @@
-//! Hosts peathatch balancers on the bench's line protocol: events on standard input, actions on
+//! Hosts balancers on the bench's line protocol: events on standard input, actions on
 //! standard output. It translates and decides nothing.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-use peathatch_wirehost::Host;
+use simulator_adapter::Host;
 
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 16, io::stdin().lock());
@@ -12,7 +12,7 @@
     match Host::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("peathatch-wirehost: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -11,7 +11,7 @@
 }
 
 fn run(input: &[u8]) -> Run {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_peathatch-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
