--- a/crates/distribution/src/command.rs
+++ b/crates/config-distribution/src/command.rs
@@ -39,10 +39,10 @@
     2  bad arguments, or a file or directory that cannot be used\n  \
     3  no answer: whether the change was accepted is unknown; say it again with the same --request\n\n\
 EXAMPLES\n  \
-    fennelhatch-distribution origin --listen 127.0.0.1:9100 --dir /var/lib/configuration\n  \
-    fennelhatch-distribution relay --listen 127.0.0.1:9101 --level 1 --parent 127.0.0.1:9100\n  \
-    fennelhatch-distribution publish --to 127.0.0.1:9100 service/api api.json --if-version 41\n  \
-    fennelhatch-distribution status --to 127.0.0.1:9100"
+    config-distribution origin --listen 127.0.0.1:9100 --dir /var/lib/configuration\n  \
+    config-distribution relay --listen 127.0.0.1:9101 --level 1 --parent 127.0.0.1:9100\n  \
+    config-distribution publish --to 127.0.0.1:9100 service/api api.json --if-version 41\n  \
+    config-distribution status --to 127.0.0.1:9100"
 )]
 struct Arguments {
     #[command(subcommand)]
--- a/crates/distribution/src/main.rs
+++ b/crates/config-distribution/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    fennelhatch_distribution::command::run(std::env::args_os())
+    config_distribution::command::run(std::env::args_os())
 }
--- a/crates/distribution/tests/core_common/mod.rs
+++ b/crates/config-distribution/tests/core_common/mod.rs
@@ -7,13 +7,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use fennelhatch_distribution::document::{Document, Scope, Update};
-use fennelhatch_distribution::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record};
-use fennelhatch_distribution::parents::{
-    FIRST_LINE, Parents, SIGN_OF_LIFE, SILENCE, Step, Verdict, may_serve,
-};
-use fennelhatch_distribution::report::{InForce, REPORT_EVERY, Reports, Sums};
-use fennelhatch_distribution::state::{Refusal, State, Wanted};
+use config_distribution::document::{Document, Scope, Update};
+use config_distribution::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record};
+use config_distribution::parents::{FIRST_LINE, Parents, SIGN_OF_LIFE, SILENCE, Step, Verdict, may_serve};
+use config_distribution::report::{InForce, REPORT_EVERY, Reports, Sums};
+use config_distribution::state::{Refusal, State, Wanted};
 use oorandom::Rand64;
 
 pub const ORIGIN: usize = 0;
--- a/crates/distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -1,7 +1,7 @@
 //! The settings in force: JSON merge patch over a process's own, the narrower last, and every fault with its place.
 
-use fennelhatch_distribution::document::{Document, Scope};
-use fennelhatch_distribution::effective::effective;
+use config_distribution::document::{Document, Scope};
+use config_distribution::effective::effective;
 use serde_json::{Value, json};
 
 fn document(scope: &str, settings: &Value) -> Document {
--- a/crates/distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -5,12 +5,12 @@
 
 use std::time::Duration;
 
+use config_distribution::parents::{FIRST_LINE, HELD, SILENCE, WAIT_MOST};
+use config_distribution::report::{REPORT_EVERY, SILENT_AFTER};
+use config_distribution::state::{Refusal, Wanted};
 use core_common::{
     Act, Model, Network, ORIGIN, REGIONS, ZONES, balancer, live, ms, region_relay, scope, zone_relay,
 };
-use fennelhatch_distribution::parents::{FIRST_LINE, HELD, SILENCE, WAIT_MOST};
-use fennelhatch_distribution::report::{REPORT_EVERY, SILENT_AFTER};
-use fennelhatch_distribution::state::{Refusal, Wanted};
 
 const WITHIN: Duration = Duration::from_secs(13);
 const BALANCERS: usize = 280;
--- a/crates/distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use core_common::{body, live, scope};
-use fennelhatch_distribution::document::{Document, Scope};
-use fennelhatch_distribution::origin::{
+use config_distribution::document::{Document, Scope};
+use config_distribution::origin::{
     Accepted, Bounds, INDEX_MOST, Origin, Publication, PublishError, Record, RestoreError,
 };
-use fennelhatch_distribution::state::{Refusal, State, Wanted};
+use config_distribution::state::{Refusal, State, Wanted};
+use core_common::{body, live, scope};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fennelhatch_distribution::parents::{
+use config_distribution::parents::{
     HELD, Parents, SIGN_OF_LIFE, SILENCE, STALE, Step, Verdict, WAIT_FIRST, WAIT_MOST, may_serve,
 };
 use proptest::prelude::*;
--- a/crates/distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use core_common::{change, document, scope, snapshot};
-use fennelhatch_distribution::document::{Document, Scope};
-use fennelhatch_distribution::report::{
+use config_distribution::document::{Document, Scope};
+use config_distribution::report::{
     CHILDREN_MOST, FORGOTTEN_AFTER, InForce, NAMED_MOST, RELAYS_MOST, REPORT_EVERY, Refused, Reports,
     SILENT_AFTER, Sums, TEXT_MOST, VERSIONS_MOST,
 };
-use fennelhatch_distribution::state::{State, Wanted};
+use config_distribution::state::{State, Wanted};
+use core_common::{change, document, scope, snapshot};
 
 const START: Duration = Duration::from_secs(100);
 
--- a/crates/distribution/tests/core_state.rs
+++ b/crates/config-distribution/tests/core_state.rs
@@ -2,10 +2,10 @@
 
 mod core_common;
 
+use config_distribution::document::{Document, Scope, Update};
+use config_distribution::origin::{Accepted, Bounds, Origin, Publication};
+use config_distribution::state::{Refusal, State, WITHDRAWN_MOST, Wanted};
 use core_common::{Model, body, change, document, live, scope, snapshot};
-use fennelhatch_distribution::document::{Document, Scope, Update};
-use fennelhatch_distribution::origin::{Accepted, Bounds, Origin, Publication};
-use fennelhatch_distribution::state::{Refusal, State, WITHDRAWN_MOST, Wanted};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -3,9 +3,9 @@
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use fennelhatch_distribution::document::Document;
-use fennelhatch_distribution::host::store::{Found, Store};
-use fennelhatch_distribution::origin::Record;
+use config_distribution::document::Document;
+use config_distribution::host::store::{Found, Store};
+use config_distribution::origin::Record;
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 
 /// A disk that fails as it is told. What was not synced is lost with its power.
--- a/crates/distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -14,12 +14,12 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use fennelhatch_distribution::document::Scope;
-use fennelhatch_distribution::host::call::{Call, CallError, call_to};
-use fennelhatch_distribution::host::client::{self, Client};
-use fennelhatch_distribution::parents::{Parents, Step};
-use fennelhatch_distribution::report::InForce;
-use fennelhatch_distribution::state::State;
+use config_distribution::document::Scope;
+use config_distribution::host::call::{Call, CallError, call_to};
+use config_distribution::host::client::{self, Client};
+use config_distribution::parents::{Parents, Step};
+use config_distribution::report::InForce;
+use config_distribution::state::State;
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 use tokio::io::{AsyncRead, AsyncWrite};
@@ -76,7 +76,7 @@
 }
 
 pub fn binary() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_fennelhatch-distribution"))
+    Command::new(env!("CARGO_BIN_EXE_config-distribution"))
 }
 
 /// A process of the binary, which ends with the test.
--- a/crates/distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -6,10 +6,10 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use fennelhatch_distribution::host::origin::OriginHost;
-use fennelhatch_distribution::host::server::Limits;
-use fennelhatch_distribution::host::store::{Outcome, Store};
-use fennelhatch_distribution::origin::Bounds;
+use config_distribution::host::origin::OriginHost;
+use config_distribution::host::server::Limits;
+use config_distribution::host::store::{Outcome, Store};
+use config_distribution::origin::Bounds;
 use hosts_common::disk::{Catching, Shared, Write, indexes, record};
 use hosts_common::{
     Directory, Follower, Process, address, big_document, change, document, get, play, publish, within,
--- a/crates/distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-use fennelhatch_distribution::document::{Digest, Document, Scope, Update};
+use config_distribution::document::{Digest, Document, Scope, Update};
 use hosts_common::{
     Directory, Follower, Process, address, beginning_with, big_document, document, get, play, publish,
     status_until, told, within,
--- a/crates/distribution/tests/hosts_path.rs
+++ b/crates/config-distribution/tests/hosts_path.rs
@@ -79,7 +79,7 @@
         assert_eq!(run(vec!["publish", "--to", &to, "services/api", "-"], "").0, Some(2));
         let nobody = address().to_string();
         assert_eq!(run(vec!["status", "--to", &nobody], "").0, Some(3));
-        let version = Command::new(env!("CARGO_BIN_EXE_fennelhatch-distribution")).arg("--help").output();
+        let version = Command::new(env!("CARGO_BIN_EXE_config-distribution")).arg("--help").output();
         assert!(String::from_utf8(version.unwrap().stdout).unwrap().contains("EXIT STATUS"));
     });
 }
--- a/crates/distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -8,9 +8,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use fennelhatch_distribution::host::relay::{RelayHost, RelayOptions};
-use fennelhatch_distribution::host::server::Limits;
-use fennelhatch_distribution::host::store::{Outcome, Store};
+use config_distribution::host::relay::{RelayHost, RelayOptions};
+use config_distribution::host::server::Limits;
+use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{Catching, Shared, Write, indexes, record};
 use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
 use redb::Builder;
--- a/crates/distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use fennelhatch_distribution::report::Sums;
+use config_distribution::report::Sums;
 use hosts_common::{
     Directory, Follower, Process, address, big_document, change, document, get, padded, play, publish, told,
     within,
--- a/crates/distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -11,10 +11,10 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-use fennelhatch_distribution::host::accept::Listen;
-use fennelhatch_distribution::host::origin::OriginHost;
-use fennelhatch_distribution::host::server::Limits;
-use fennelhatch_distribution::origin::Bounds;
+use config_distribution::host::accept::Listen;
+use config_distribution::host::origin::OriginHost;
+use config_distribution::host::server::Limits;
+use config_distribution::origin::Bounds;
 use hosts_common::disk::Shared;
 use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
--- a/crates/distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -9,7 +9,7 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-use fennelhatch_distribution::host::store::{Outcome, Store};
+use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{indexes, record};
 use hosts_common::{Directory, Process, address, binary, change, document, get, play, publish, within};
 use tokio::task::spawn_local;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use fennelhatch_distribution::document::{Scope, ScopeError};
+use config_distribution::document::{Scope, ScopeError};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -7,11 +7,11 @@
 
 use balancer_policy::Settings;
 use balancer_policy::interface::{Class, ClassId, Tenant, TenantId};
-use fennelhatch_distribution::document::{Document, Scope};
-use fennelhatch_distribution::effective::effective;
-use fennelhatch_distribution::host::client::{self, Client};
-use fennelhatch_distribution::report::{InForce, Refused};
-use fennelhatch_distribution::state::State;
+use config_distribution::document::{Document, Scope};
+use config_distribution::effective::effective;
+use config_distribution::host::client::{self, Client};
+use config_distribution::report::{InForce, Refused};
+use config_distribution::state::State;
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use serde_json::Value;
 use simulator_adapter::setup::{self, Names};
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use balancer_policy::interface::DiscoveryMode;
-use fennelhatch_distribution::host::watch::{self, Ask, WatchError};
+use config_distribution::host::watch::{self, Ask, WatchError};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use thiserror::Error;
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -3,8 +3,8 @@
 
 use std::fmt::Arguments;
 
-pub use fennelhatch_distribution::host::log::flush;
-use fennelhatch_distribution::host::log::log_as;
+pub use config_distribution::host::log::flush;
+use config_distribution::host::log::log_as;
 
 /// Writes a line sooner or later, or loses it; never waits.
 pub(crate) fn log(line: Arguments<'_>) {
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -13,7 +13,7 @@
 
 use balancer_proxy::config::Config;
 use balancer_proxy::server;
-use fennelhatch_distribution::document::{Document, Update};
+use config_distribution::document::{Document, Update};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
 use tokio::sync::oneshot;
--- a/crates/scale/src/arithmetic.rs
+++ b/crates/scale/src/arithmetic.rs
@@ -245,14 +245,14 @@
     "pub fn follow(",
 );
 const ORIGIN: Mechanism =
-    ours("`fennelhatch-distribution` `Origin`", "crates/distribution/src/origin.rs", "pub struct Origin");
+    ours("`config-distribution` `Origin`", "crates/config-distribution/src/origin.rs", "pub struct Origin");
 const RELAY: Mechanism = ours(
-    "`fennelhatch-distribution` `RelayHost`",
-    "crates/distribution/src/host/relay.rs",
+    "`config-distribution` `RelayHost`",
+    "crates/config-distribution/src/host/relay.rs",
     "pub struct RelayHost",
 );
 const PUBLISHER: Mechanism =
-    ours("`fennelhatch-distribution publish`", "crates/distribution/src/command.rs", "Publish {");
+    ours("`config-distribution publish`", "crates/config-distribution/src/command.rs", "Publish {");
 const LIST_SERVICE: Mechanism = Mechanism::Platform("the platform's discovery, none of ours");
 
 impl Mechanism {
--- a/crates/scale/src/control.rs
+++ b/crates/scale/src/control.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, ValueEnum};
-use fennelhatch_distribution::document::{Scope, Update};
+use config_distribution::document::{Scope, Update};
 
 use crate::ScaleError;
 use crate::plan::Plan;
--- a/crates/scale/src/sockets.rs
+++ b/crates/scale/src/sockets.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, ValueEnum};
-use fennelhatch_distribution::document::Scope;
+use config_distribution::document::Scope;
 use oorandom::Rand64;
 
 use crate::ScaleError;
--- a/crates/scale/src/sockets/hollow.rs
+++ b/crates/scale/src/sockets/hollow.rs
@@ -14,10 +14,10 @@
 
 use balancer_proxy::config::Config;
 use balancer_proxy::driver::Driver;
-use fennelhatch_distribution::document::Scope;
-use fennelhatch_distribution::host::client::{self, Client};
-use fennelhatch_distribution::report::InForce;
-use fennelhatch_distribution::state::State;
+use config_distribution::document::Scope;
+use config_distribution::host::client::{self, Client};
+use config_distribution::report::InForce;
+use config_distribution::state::State;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
--- a/crates/scale/src/sockets/plane.rs
+++ b/crates/scale/src/sockets/plane.rs
@@ -11,7 +11,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use fennelhatch_distribution::document::Scope;
+use config_distribution::document::Scope;
 use serde::Deserialize;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::{oneshot, watch};
@@ -23,7 +23,7 @@
 use crate::plan::Plan;
 
 /// The program that the processes are.
-const PROGRAM: &str = "fennelhatch-distribution";
+const PROGRAM: &str = "config-distribution";
 /// Below the ports that the kernel gives to callers, so that none is taken meanwhile.
 const FIRST_PORT: u16 = 7100;
 /// How long a process may take to listen, and a publication to be taken.
--- a/crates/scale/src/sockets/swarm.rs
+++ b/crates/scale/src/sockets/swarm.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
 
-use fennelhatch_distribution::document::Scope;
+use config_distribution::document::Scope;
 use hdrhistogram::Histogram;
 
 use super::child::{self, Child, Said};
--- a/crates/scale/src/world.rs
+++ b/crates/scale/src/world.rs
@@ -90,7 +90,7 @@
 /// The balancer's program.
 pub const BALANCER: &str = "balancer-proxy";
 /// The distribution's program.
-pub const DISTRIBUTION: &str = "fennelhatch-distribution";
+pub const DISTRIBUTION: &str = "config-distribution";
 
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/scale/tests/common/mod.rs
@@ -26,7 +26,7 @@
 /// The distribution's program, beside the balancer's.
 pub fn distribution_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
-    BUILT.get_or_init(|| program("fennelhatch-distribution", "fennelhatch-distribution")).clone()
+    BUILT.get_or_init(|| program("config-distribution", "config-distribution")).clone()
 }
 
 /// A program of another package: cargo names a test only the programs of its own package, and builds the others only
