--- a/crates/scale/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Results, Slope};
 
@@ -406,7 +406,7 @@
     ///
     /// # Errors
     /// A file makes no sense, or is of another name than what it holds.
-    pub fn read(folder: &Path) -> Result<Self, ScaleError> {
+    pub fn read(folder: &Path) -> Result<Self, CapacityError> {
         let (slopes, results) = (folder.join("slopes"), folder.join("results"));
         Ok(Self {
             slopes: named(&slopes, Slope::read, |slope| &slope.name)?,
@@ -468,13 +468,13 @@
 
 fn named<T>(
     folder: &Path,
-    read: fn(&Path, &str) -> Result<T, ScaleError>,
+    read: fn(&Path, &str) -> Result<T, CapacityError>,
     name_of: fn(&T) -> &str,
-) -> Result<BTreeMap<String, T>, ScaleError> {
+) -> Result<BTreeMap<String, T>, CapacityError> {
     if !folder.is_dir() {
         return Ok(BTreeMap::new());
     }
-    let entries = fs::read_dir(folder).map_err(|cause| ScaleError::file(folder, cause))?;
+    let entries = fs::read_dir(folder).map_err(|cause| CapacityError::file(folder, cause))?;
     let paths = entries.filter_map(Result::ok).map(|entry| entry.path());
     paths
         .filter(|path| path.extension().is_some_and(|end| end == "json"))
@@ -482,7 +482,7 @@
             let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
             let held = read(folder, &name)?;
             if name_of(&held) != name {
-                return Err(ScaleError::file(&path, format!("it holds {}", name_of(&held))));
+                return Err(CapacityError::file(&path, format!("it holds {}", name_of(&held))));
             }
             Ok((name, held))
         })
--- a/crates/scale/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -11,7 +11,7 @@
 use clap::{Args, ValueEnum};
 use config_distribution::document::{Scope, Update};
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::Plan;
 use crate::slope::{Fit, Point, Slope, commit};
 use crate::sockets::child;
@@ -52,7 +52,7 @@
     #[arg(long)]
     small: bool,
     /// Where `slopes` is written.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     out: PathBuf,
 }
 
@@ -60,9 +60,9 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !(1..=100).contains(&arguments.plays) {
-        return Err(ScaleError::Argument { name: "plays", expected: "1 to 100".to_owned() });
+        return Err(CapacityError::Argument { name: "plays", expected: "1 to 100".to_owned() });
     }
     child::heed_signals()?;
     let rig = Rig {
@@ -122,7 +122,7 @@
 }
 
 impl Rig<'_> {
-    fn write(&self, part: &str, plays: Plays, about: About) -> Result<(), ScaleError> {
+    fn write(&self, part: &str, plays: Plays, about: About) -> Result<(), CapacityError> {
         let most = plays.0.iter().map(|(_, plays)| plays.len()).max().unwrap_or(0);
         let points: Vec<Point> = plays.0.into_iter().filter_map(|(x, plays)| Point::of(x, plays)).collect();
         let fit = Fit::through(&points);
@@ -131,7 +131,7 @@
             what: about.what.to_owned(),
             x_unit: about.x.to_owned(),
             y_unit: about.y.to_owned(),
-            command: format!("target/release/scale control --part {part}"),
+            command: format!("target/release/capacity control --part {part}"),
             commit: commit(),
             plays: most,
             points,
@@ -148,7 +148,7 @@
         slope.write(&self.folder)
     }
 
-    fn server(&self, upstreams: usize) -> Result<ListServer, ScaleError> {
+    fn server(&self, upstreams: usize) -> Result<ListServer, CapacityError> {
         ListServer::start(
             upstreams,
             self.plan.list.entry_bytes.value,
@@ -158,7 +158,7 @@
     }
 
     /// One client of the list at a time: bytes of a whole list and of a catch-up, processor time to take them in.
-    fn lists(&self) -> Result<(), ScaleError> {
+    fn lists(&self) -> Result<(), CapacityError> {
         let (mut whole_bytes, mut whole_us, mut change_us) =
             (Plays::default(), Plays::default(), Plays::default());
         for &size in &self.sizes {
@@ -231,7 +231,7 @@
     }
 
     /// Many clients of the list at rest.
-    fn list_watchers(&self) -> Result<(), ScaleError> {
+    fn list_watchers(&self) -> Result<(), CapacityError> {
         let (mut bytes, mut server_core, mut server_kb) =
             (Plays::default(), Plays::default(), Plays::default());
         let (mut client_core, mut client_kb) = (Plays::default(), Plays::default());
@@ -241,7 +241,7 @@
             let server = self.server(entries)?;
             let mut swarm = self.swarm(watchers, Some(server.address), &|_, _| Vec::new())?;
             if !swarm.hear_until(PATIENCE, Swarm::all_listed)? {
-                return Err(ScaleError::run("watches of the list", "not all have a list in time"));
+                return Err(CapacityError::run("watches of the list", "not all have a list in time"));
             }
             swarm.hear(self.window / 6)?;
             for _ in 0..self.plays {
@@ -327,7 +327,7 @@
         watchers: usize,
         list: Option<SocketAddr>,
         parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
-    ) -> Result<Swarm, ScaleError> {
+    ) -> Result<Swarm, CapacityError> {
         let balancers: Vec<Hollow> = fleet(self.plan, watchers)
             .into_iter()
             .enumerate()
@@ -350,7 +350,7 @@
     }
 
     /// Watches of the configuration at one relay below an origin.
-    fn configuration(&self) -> Result<(), ScaleError> {
+    fn configuration(&self) -> Result<(), CapacityError> {
         let mut all = Measured::default();
         for &watchers in &self.sizes {
             self.relay(watchers, &mut all)?;
@@ -452,7 +452,7 @@
         )
     }
 
-    fn relay(&self, watchers: usize, all: &mut Measured) -> Result<(), ScaleError> {
+    fn relay(&self, watchers: usize, all: &mut Measured) -> Result<(), CapacityError> {
         let place = format!("configuration to {watchers} balancers");
         let machine = |role, parents| Machine { role, region: 0, zone: None, parents };
         let mut plane =
@@ -464,7 +464,7 @@
             let id = format!("{scope}-{turn}");
             let change = plane::publish(origin, &scope, &plane::body(bytes, turn), &id)?;
             newest.insert(scope, change.version);
-            Ok::<_, ScaleError>((change, newest.clone()))
+            Ok::<_, CapacityError>((change, newest.clone()))
         };
         publish(Scope::Fleet, configuration.fleet_bytes.value, 0)?;
         for region in 0..self.plan.fleet.regions.value {
@@ -485,7 +485,7 @@
         }
         let mut swarm = self.swarm(watchers, None, &|_, _| vec![relay])?;
         if !swarm.hear_until(PATIENCE, |swarm| swarm.missing(&last) == 0)? {
-            return Err(ScaleError::run(place, "not all have a configuration in time"));
+            return Err(CapacityError::run(place, "not all have a configuration in time"));
         }
         swarm.hear(self.window / 6)?;
         let mut at_rest = Vec::new();
@@ -507,7 +507,7 @@
         for turn in 1..=changes {
             let (change, last) = publish(Scope::Fleet, configuration.fleet_bytes.value, turn)?;
             if !swarm.hear_until(PATIENCE, |swarm| swarm.missing(&last) == 0)? {
-                return Err(ScaleError::run(place, "a change has not come to all in time"));
+                return Err(CapacityError::run(place, "a change has not come to all in time"));
             }
             let (mut times, mut sent) = (Times::new()?, Times::new()?);
             for (_, at_ns) in swarm.times(&change) {
@@ -565,7 +565,7 @@
 }
 
 impl Moment {
-    fn of(swarm: &mut Swarm, plane: &mut Plane) -> Result<Self, ScaleError> {
+    fn of(swarm: &mut Swarm, plane: &mut Plane) -> Result<Self, CapacityError> {
         let bytes = swarm.carried()?.bytes;
         Ok(Self { at: Instant::now(), bytes, server: plane.usage(1), clients: swarm.usage() })
     }
@@ -596,7 +596,7 @@
 
 impl Client<'_> {
     /// Takes in its first list, then so many whole ones and changes.
-    fn play(&self, count: u32) -> Result<Costs, ScaleError> {
+    fn play(&self, count: u32) -> Result<Costs, CapacityError> {
         let place = "a client of the list";
         let zones = zone_names(self.plan);
         let hollow = Hollow {
@@ -633,8 +633,8 @@
             });
         });
         match costs.recv() {
-            Ok(costs) => costs.map_err(|cause| ScaleError::run(place, cause)),
-            Err(cause) => Err(ScaleError::run(place, cause)),
+            Ok(costs) => costs.map_err(|cause| CapacityError::run(place, cause)),
+            Err(cause) => Err(CapacityError::run(place, cause)),
         }
     }
 }
@@ -650,9 +650,9 @@
 }
 
 /// Bytes of a watch of the list that asks from `since`, to the end of its first line, as both ends count them.
-fn first_line(server: &ListServer, since: u64) -> Result<u64, ScaleError> {
+fn first_line(server: &ListServer, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the list from {since}");
-    let wrong = |cause| ScaleError::run(&place, cause);
+    let wrong = |cause| CapacityError::run(&place, cause);
     let before = server.carried();
     let mut stream = TcpStream::connect(server.address).map_err(wrong)?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(wrong)?;
@@ -664,7 +664,7 @@
     // A chunk ends with an empty line; so does the head.
     while !answer.ends_with(b"}\n\r\n") {
         match stream.read(&mut part).map_err(wrong)? {
-            0 => return Err(ScaleError::run(&place, "the watch has ended")),
+            0 => return Err(CapacityError::run(&place, "the watch has ended")),
             read => answer.extend_from_slice(&part[..read]),
         }
     }
@@ -678,24 +678,24 @@
         }
         // The server counts once it has written.
         if Instant::now() > until {
-            return Err(ScaleError::run(&place, format!("{here} bytes here, {there} at the server")));
+            return Err(CapacityError::run(&place, format!("{here} bytes here, {there} at the server")));
         }
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 /// Bytes of a relay's question to the origin from `since`, which stands at `index`.
-fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, ScaleError> {
+fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the configuration from {since}");
     let head = format!("GET /configuration?since={since}&scopes=* HTTP/1.1\r\n");
     let until = Instant::now() + PATIENCE;
     loop {
         let Answer { status, body, bytes } =
-            plane::ask(origin, &head, "").map_err(|cause| ScaleError::run(&place, cause))?;
+            plane::ask(origin, &head, "").map_err(|cause| CapacityError::run(&place, cause))?;
         match serde_json::from_str::<Update>(body.trim()) {
             Ok(update) if status == 200 && update.index == index => return Ok(bytes as u64),
             _ if Instant::now() < until => thread::sleep(Duration::from_millis(10)),
-            _ => return Err(ScaleError::run(&place, format!("answered {status}"))),
+            _ => return Err(CapacityError::run(&place, format!("answered {status}"))),
         }
     }
 }
--- a/crates/scale/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -15,7 +15,7 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 use clap::Args;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::Plan;
 use crate::slope::{self, Fit, Point, Slope};
 
@@ -29,7 +29,7 @@
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Where the folder `slopes` is.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
     /// Builds cores of UPSTREAMS,TENANTS,IN_FLIGHT,COPIES in this process and prints the bytes that each one took.
     #[arg(long, hide = true, value_delimiter = ',')]
@@ -47,7 +47,7 @@
 /// The sizes of a slope, each with what it counts.
 type Sizes<'a> = &'a [(usize, Size)];
 /// Processor time of one play.
-type Cost = fn(&Plan, Size, u64, bool) -> Result<f64, ScaleError>;
+type Cost = fn(&Plan, Size, u64, bool) -> Result<f64, CapacityError>;
 /// A slope of time: its name, what it is, what it grows with, its sizes, its cost and its note.
 type Timed<'a> = (&'a str, &'a str, &'a str, Sizes<'a>, Cost, &'a str);
 /// A slope of bytes: the same, and what calls are held.
@@ -70,10 +70,10 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !arguments.hold.is_empty() {
         let &[upstreams, tenants, in_flight, copies] = &arguments.hold[..] else {
-            return Err(ScaleError::Argument {
+            return Err(CapacityError::Argument {
                 name: "hold",
                 expected: "UPSTREAMS,TENANTS,IN_FLIGHT,COPIES".to_owned(),
             });
@@ -83,7 +83,7 @@
         return Ok(());
     }
     let folder = arguments.out.join("slopes");
-    std::fs::create_dir_all(&folder).map_err(|cause| ScaleError::file(&folder, cause))?;
+    std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     let small = arguments.small;
     let upstreams: &[usize] =
         if small { &[6, 20, 60, 190] } else { &[6, 12, 20, 40, 60, 120, 190, 380, 600, 1200, 1900] };
@@ -196,8 +196,8 @@
 fn measure(
     sizes: &[(usize, Size)],
     plays: u64,
-    mut cost: impl FnMut(Size, u64) -> Result<f64, ScaleError>,
-) -> Result<Vec<Point>, ScaleError> {
+    mut cost: impl FnMut(Size, u64) -> Result<f64, CapacityError>,
+) -> Result<Vec<Point>, CapacityError> {
     // Round after round over all sizes, so that what the machine does in some seconds is not one size's alone.
     let mut costs: Vec<Vec<f64>> = vec![Vec::new(); sizes.len()];
     for play in 0..plays {
@@ -216,7 +216,7 @@
     plays: usize,
     points: Vec<Point>,
     mut note: String,
-) -> Result<(), ScaleError> {
+) -> Result<(), CapacityError> {
     let fit = straight(&points, &mut note);
     for point in &points {
         println!(
@@ -230,7 +230,7 @@
         x_unit: x_unit.to_owned(),
         y_unit: y_unit.to_owned(),
         command: format!(
-            "target/release/scale decisions{} --seed {}",
+            "target/release/capacity decisions{} --seed {}",
             if arguments.small { " --small" } else { "" },
             arguments.seed
         ),
@@ -332,8 +332,8 @@
 }
 
 impl Played {
-    fn new(plan: &Plan, size: Size, seed: u64) -> Result<Self, ScaleError> {
-        let wrong = |cause: SettingsError| ScaleError::run("decisions", cause);
+    fn new(plan: &Plan, size: Size, seed: u64) -> Result<Self, CapacityError> {
+        let wrong = |cause: SettingsError| CapacityError::run("decisions", cause);
         let mut balancer = Balancer::new(settings(plan, size), seed).map_err(wrong)?;
         let mut actions = Vec::new();
         let members = (0..size.upstreams).map(|number| member(number, plan.fleet.zones.value)).collect();
@@ -414,7 +414,7 @@
     began.elapsed().as_nanos() as f64 / count as f64
 }
 
-fn request_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, ScaleError> {
+fn request_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, CapacityError> {
     let mut played = Played::new(plan, size, seed)?;
     played.settle(small);
     let (rounds, batch) = if small { (20, 100) } else { (400, 500) };
@@ -431,12 +431,12 @@
     let wanted = size.in_flight.max(1);
     if played.out.len() != wanted {
         let cause = format!("{} calls of {wanted} were out: some were not sent", played.out.len());
-        return Err(ScaleError::run(format!("decisions, {size:?}"), cause));
+        return Err(CapacityError::run(format!("decisions, {size:?}"), cause));
     }
     Ok(spent.as_nanos() as f64 / (played.number - before) as f64)
 }
 
-fn list_change_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, ScaleError> {
+fn list_change_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, CapacityError> {
     let mut played = Played::new(plan, size, seed)?;
     played.settle(small);
     let count = if small { 50 } else { 500 + 100_000 / size.upstreams as u64 };
@@ -457,7 +457,7 @@
     Ok(per_each(began, count))
 }
 
-fn timer_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, ScaleError> {
+fn timer_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, CapacityError> {
     let mut played = Played::new(plan, size, seed)?;
     played.settle(small);
     let count = if small { 200 } else { 2000 + 200_000 / size.tenants.max(1) as u64 };
@@ -477,25 +477,25 @@
 ///
 /// # Errors
 /// The system does not tell.
-pub fn resident_bytes() -> Result<u64, ScaleError> {
+pub fn resident_bytes() -> Result<u64, CapacityError> {
     let path = Path::new("/proc/self/status");
-    let text = std::fs::read_to_string(path).map_err(|cause| ScaleError::file(path, cause))?;
+    let text = std::fs::read_to_string(path).map_err(|cause| CapacityError::file(path, cause))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.split_whitespace().next()).and_then(|word| word.parse::<u64>().ok());
-    kib.map(|kib| kib * 1024).ok_or_else(|| ScaleError::file(path, "no line VmRSS in kB"))
+    kib.map(|kib| kib * 1024).ok_or_else(|| CapacityError::file(path, "no line VmRSS in kB"))
 }
 
 /// Bytes of each of so many cores built here.
-fn held(plan: &Plan, size: Size, copies: usize, seed: u64) -> Result<u64, ScaleError> {
+fn held(plan: &Plan, size: Size, copies: usize, seed: u64) -> Result<u64, CapacityError> {
     let mut cores = Vec::with_capacity(copies);
-    let mut build = |number: u64| -> Result<(), ScaleError> {
+    let mut build = |number: u64| -> Result<(), CapacityError> {
         let mut played = Played::new(plan, size, seed + number)?;
         for _ in 0..size.in_flight {
             played.now += CALL_S / size.in_flight as f64;
             played.take();
         }
         if played.out.len() != size.in_flight {
-            return Err(ScaleError::run(format!("decisions, {size:?}"), "some calls were not sent"));
+            return Err(CapacityError::run(format!("decisions, {size:?}"), "some calls were not sent"));
         }
         cores.push(played.balancer);
         Ok(())
@@ -512,12 +512,12 @@
 }
 
 /// The same in a fresh process, with as many cores as take about `most` bytes.
-fn held_in_child(size: Size, most: usize, seed: u64) -> Result<f64, ScaleError> {
+fn held_in_child(size: Size, most: usize, seed: u64) -> Result<f64, CapacityError> {
     let place = format!("decisions, bytes of {size:?}");
     let about = 2500 + size.upstreams * 250 + size.tenants * 400 + size.in_flight * 300;
     let copies = (most / about).max(4);
     let Size { upstreams, tenants, in_flight } = size;
-    let program = std::env::current_exe().map_err(|cause| ScaleError::run(&place, cause))?;
+    let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
     // The plan may be named on the command line, which the child must be told too.
     let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
     let done = Command::new(program)
@@ -525,10 +525,10 @@
         .args(["decisions", "--seed", &seed.to_string(), "--hold"])
         .arg(format!("{upstreams},{tenants},{in_flight},{copies}"))
         .output()
-        .map_err(|cause| ScaleError::run(&place, cause))?;
+        .map_err(|cause| CapacityError::run(&place, cause))?;
     if !done.status.success() {
-        return Err(ScaleError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
+        return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
     }
     let text = String::from_utf8_lossy(&done.stdout);
-    text.trim().parse().map_err(|_| ScaleError::run(place, format!("no number: {text}")))
+    text.trim().parse().map_err(|_| CapacityError::run(place, format!("no number: {text}")))
 }
--- a/crates/scale/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -7,7 +7,7 @@
 
 use clap::Args;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::decisions::straight;
 use crate::hollow::topology::Topology;
 use crate::hollow::world::{Play, Report, Trouble, World};
@@ -24,7 +24,7 @@
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// Where the folders `slopes` and `results` are.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
 }
 
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     /// The plan's figures make no settings, or the memory bound is passed.
-    pub fn play(&self, plan: &Plan) -> Result<Report, ScaleError> {
+    pub fn play(&self, plan: &Plan) -> Result<Report, CapacityError> {
         let mut plan = plan.clone();
         plan.graph.depth.value = self.depth;
         // One tenant: here a call is asked about, not the shares of many.
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let small = arguments.small;
     let seconds = if small { SECONDS.1 } else { SECONDS.0 };
     let plays = if small { 1 } else { 3 };
@@ -200,12 +200,12 @@
         ),
     ];
     let command = format!(
-        "target/release/scale depth{} --seed {}",
+        "target/release/capacity depth{} --seed {}",
         if small { " --small" } else { "" },
         arguments.seed
     );
     let folder = arguments.out.join("slopes");
-    std::fs::create_dir_all(&folder).map_err(|cause| ScaleError::file(&folder, cause))?;
+    std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     for (name, what, unit, points, mut note) in slopes {
         let fit = straight(&points, &mut note);
         for point in &points {
@@ -255,7 +255,7 @@
         }
     }
     let folder = arguments.out.join("results");
-    std::fs::create_dir_all(&folder).map_err(|cause| ScaleError::file(&folder, cause))?;
+    std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     Results {
         name: "depth".to_owned(),
         what: format!("a chain of {longest} services with one in trouble"),
--- a/crates/scale/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -10,7 +10,7 @@
 
 use clap::{Args, ValueEnum};
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{self, Results};
 
@@ -77,7 +77,7 @@
     #[arg(long)]
     pub small: bool,
     /// Where the folder `results` is.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
     /// Plays one run and prints its row.
     #[arg(long, hide = true)]
@@ -118,10 +118,10 @@
 ///
 /// # Errors
 /// The number is too small for the chains of the plan, or too large.
-pub fn scaled(plan: &Plan, upstreams: usize) -> Result<Plan, ScaleError> {
+pub fn scaled(plan: &Plan, upstreams: usize) -> Result<Plan, CapacityError> {
     let least = plan.graph.depth.value * 2;
     if !(least..=100_000).contains(&upstreams) {
-        return Err(ScaleError::Argument { name: "upstreams", expected: format!("{least} to 100000") });
+        return Err(CapacityError::Argument { name: "upstreams", expected: format!("{least} to 100000") });
     }
     let part = upstreams as f64 / plan.fleet.upstreams.value as f64;
     let mut plan = plan.clone();
@@ -138,14 +138,14 @@
 ///
 /// # Errors
 /// The seconds are out of range, the plan's figures make no settings, or the memory bound is passed.
-pub fn play(plan: &Plan, run: &Run) -> Result<Played, ScaleError> {
+pub fn play(plan: &Plan, run: &Run) -> Result<Played, CapacityError> {
     let Run { scenario, reading, seed, seconds, memory_mb } = *run;
     if !(5.0..=3600.0).contains(&seconds) {
-        return Err(ScaleError::Argument { name: "seconds", expected: "5 to 3600".to_owned() });
+        return Err(CapacityError::Argument { name: "seconds", expected: "5 to 3600".to_owned() });
     }
     if plan.fleet.services.value < plan.graph.depth.value {
         let expected = "as many services as graph.depth at least, one for each depth".to_owned();
-        return Err(ScaleError::Plan(vec![format!("fleet.services: {expected}")]));
+        return Err(CapacityError::Plan(vec![format!("fleet.services: {expected}")]));
     }
     let topology = Topology::draw(plan, reading, seed);
     let (script, trouble) = scenario.script(plan, &topology, seconds, seed);
@@ -183,12 +183,12 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let upstreams = arguments.upstreams.or(arguments.small.then_some(SMALL));
     let scaled_plan = upstreams.map(|upstreams| scaled(plan, upstreams)).transpose()?;
     let plan = scaled_plan.as_ref().unwrap_or(plan);
     if arguments.seeds == 0 {
-        return Err(ScaleError::Argument { name: "seeds", expected: "1 at least".to_owned() });
+        return Err(CapacityError::Argument { name: "seeds", expected: "1 at least".to_owned() });
     }
     let seeds = || arguments.seed..arguments.seed.saturating_add(arguments.seeds);
     let runs: Vec<Run> = arguments
@@ -205,12 +205,15 @@
         .collect();
     if arguments.row {
         let [run] = &runs[..] else {
-            return Err(ScaleError::Argument { name: "row", expected: "one scenario and seed".to_owned() });
+            return Err(CapacityError::Argument {
+                name: "row",
+                expected: "one scenario and seed".to_owned(),
+            });
         };
         let began = Instant::now();
         let played = play(plan, run)?;
         let row = row(run, &played, began.elapsed().as_secs_f64());
-        let text = serde_json::to_string(&row).map_err(|cause| ScaleError::run("hollow", cause))?;
+        let text = serde_json::to_string(&row).map_err(|cause| CapacityError::run("hollow", cause))?;
         println!("{text}");
         return Ok(());
     }
@@ -228,17 +231,17 @@
         }
         let (run, child) = out.remove(0);
         let place = format!("hollow fleet, {} with seed {}", run.scenario.name(), run.seed);
-        let done = child.wait_with_output().map_err(|cause| ScaleError::run(&place, cause))?;
+        let done = child.wait_with_output().map_err(|cause| CapacityError::run(&place, cause))?;
         if !done.status.success() {
             for (_, mut child) in out {
                 // The others would play on for nobody.
                 let _ = child.kill();
                 let _ = child.wait();
             }
-            return Err(ScaleError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
+            return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
         }
         let row: Vec<String> =
-            serde_json::from_slice(&done.stdout).map_err(|cause| ScaleError::run(&place, cause))?;
+            serde_json::from_slice(&done.stdout).map_err(|cause| CapacityError::run(&place, cause))?;
         for (column, cell) in COLUMNS.iter().zip(&row) {
             println!("{column}: {cell}");
         }
@@ -246,7 +249,7 @@
         rows.push(row);
     }
     let folder = arguments.out.join("results");
-    std::fs::create_dir_all(&folder).map_err(|cause| ScaleError::file(&folder, cause))?;
+    std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     // Runs of other scenarios, seeds and readings stay, as a full table takes longer than one sitting at the machine.
     let mut all = Results::read(&folder, "hollow").map_or_else(|_| Vec::new(), |before| before.rows);
     let key = |row: &Vec<String>| row.iter().take(KEY).cloned().collect::<Vec<String>>();
@@ -264,7 +267,7 @@
         name: "hollow".to_owned(),
         what: "scenarios of the fleet in virtual time, on the real decision cores".to_owned(),
         command: format!(
-            "target/release/scale hollow{small} --scenario SCENARIO --reading READING --seed SEED --jobs 3"
+            "target/release/capacity hollow{small} --scenario SCENARIO --reading READING --seed SEED --jobs 3"
         ),
         commit: slope::commit(),
         columns: COLUMNS.map(str::to_owned).to_vec(),
@@ -275,9 +278,9 @@
 }
 
 /// Starts a run in a process of its own.
-fn start(arguments: &Arguments, run: &Run, upstreams: Option<usize>) -> Result<Child, ScaleError> {
+fn start(arguments: &Arguments, run: &Run, upstreams: Option<usize>) -> Result<Child, CapacityError> {
     let place = format!("hollow fleet, {} with seed {}", run.scenario.name(), run.seed);
-    let program = std::env::current_exe().map_err(|cause| ScaleError::run(&place, cause))?;
+    let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
     // The plan may be named on the command line, which the child must be told too.
     let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
     let reading = if arguments.reading == ReadAs::Front { "front" } else { "hops" };
@@ -293,7 +296,7 @@
     if let Some(upstreams) = upstreams {
         command.args(["--upstreams", &upstreams.to_string()]);
     }
-    command.spawn().map_err(|cause| ScaleError::run(place, cause))
+    command.spawn().map_err(|cause| CapacityError::run(place, cause))
 }
 
 // --- The table ---
--- a/crates/scale/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -15,7 +15,7 @@
 
 use super::topology::{Topology, place};
 use super::wheel::Wheel;
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::decisions::resident_bytes;
 use crate::plan::Plan;
 
@@ -464,7 +464,7 @@
     ///
     /// # Errors
     /// The plan's figures make no settings.
-    pub fn new(plan: &'a Plan, topology: &'a Topology, play: &'a Play) -> Result<Self, ScaleError> {
+    pub fn new(plan: &'a Plan, topology: &'a Topology, play: &'a Play) -> Result<Self, CapacityError> {
         let services = topology.services.len();
         let mut world = Self {
             plan,
@@ -551,7 +551,7 @@
     ///
     /// # Errors
     /// The memory bound is passed, or a process that is to start gets no settings.
-    pub fn run(mut self) -> Result<Report, ScaleError> {
+    pub fn run(mut self) -> Result<Report, CapacityError> {
         let last = ns(self.play.seconds);
         // Then no client comes, and each call ends by its deadline.
         let end = last + ns(self.plan.traffic.deadline_s.value * 1.5 + 0.5);
@@ -580,7 +580,7 @@
         self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(SPAN);
     }
 
-    fn happen(&mut self, due: Due, last: u64) -> Result<(), ScaleError> {
+    fn happen(&mut self, due: Due, last: u64) -> Result<(), CapacityError> {
         match due {
             Due::Client => {
                 let gap = -(1.0 - self.rng.rand_float()).ln() / self.topology.front_per_s;
@@ -613,7 +613,7 @@
                 let used_mb = resident_bytes()? >> 20;
                 self.report.memory_mb = self.report.memory_mb.max(used_mb);
                 if used_mb > self.play.memory_mb {
-                    return Err(ScaleError::Memory {
+                    return Err(CapacityError::Memory {
                         place: format!("hollow fleet, {} at {:.2} s", self.play.name, seconds(self.now)),
                         used_mb,
                         bound_mb: self.play.memory_mb,
@@ -701,7 +701,7 @@
     }
 
     /// The balancers of a process, each with the list as it is.
-    fn add_cores(&mut self, process: usize) -> Result<(), ScaleError> {
+    fn add_cores(&mut self, process: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         let slot = self.processes[process].slot;
         let Slot { service, zone, .. } = self.slots[slot];
@@ -713,7 +713,7 @@
         Ok(())
     }
 
-    fn add_front(&mut self, front: usize) -> Result<(), ScaleError> {
+    fn add_front(&mut self, front: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         self.fronts[front].clear();
         self.front_up[front] = true;
@@ -724,9 +724,16 @@
         Ok(())
     }
 
-    fn add_core(&mut self, front: bool, service: usize, zone: usize, index: u32) -> Result<u32, ScaleError> {
+    fn add_core(
+        &mut self,
+        front: bool,
+        service: usize,
+        zone: usize,
+        index: u32,
+    ) -> Result<u32, CapacityError> {
         let settings = self.settings(service, zone, index);
-        let wrong = |cause| ScaleError::run(format!("hollow fleet, a balancer for service {service}"), cause);
+        let wrong =
+            |cause| CapacityError::run(format!("hollow fleet, a balancer for service {service}"), cause);
         let balancer = Balancer::new(settings, self.rng.rand_u64()).map_err(wrong)?;
         let core = self.cores.len() as u32;
         let members = self.members(service);
@@ -800,7 +807,7 @@
         self.watchers[service] = watchers;
     }
 
-    fn step(&mut self, number: usize) -> Result<(), ScaleError> {
+    fn step(&mut self, number: usize) -> Result<(), CapacityError> {
         let in_zone = |slots: &[Slot], zone: usize| -> Vec<usize> {
             (0..slots.len()).filter(|&slot| slots[slot].zone == zone).collect()
         };
@@ -921,7 +928,7 @@
         }
     }
 
-    fn start(&mut self, slot: usize) -> Result<(), ScaleError> {
+    fn start(&mut self, slot: usize) -> Result<(), CapacityError> {
         if self.slots[slot].process.is_some() || self.zone_lost == Some(self.slots[slot].zone) {
             return Ok(());
         }
--- a/crates/scale/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -8,7 +8,7 @@
 use clap::{Args, ValueEnum};
 use oorandom::Rand64;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Fit, Point, Results, Slope, commit};
 use crate::world::{
@@ -66,8 +66,8 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
-    let wrong = |name, expected: String| Err(ScaleError::Argument { name, expected });
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
+    let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
     let mut rates = arguments.rates.clone();
     if rates.is_empty() {
         // What it is made of takes many plays, so that only the higher reading is looked at.
@@ -88,7 +88,7 @@
         return wrong("upstreams", "1 to 2000".to_owned());
     }
     let cores =
-        thread::available_parallelism().map_err(|cause| ScaleError::run("counting cores", cause))?.get();
+        thread::available_parallelism().map_err(|cause| CapacityError::run("counting cores", cause))?.get();
     let placement =
         if arguments.anywhere || arguments.common.small { Placement::Anywhere } else { Placement::Apart };
     if placement == Placement::Apart && cores < CORES_LEAST {
@@ -137,7 +137,7 @@
 impl Placement {
     /// Places this thread and what it starts but the caller; tells where the balancer is held to. `held` says whether
     /// another play was placed before.
-    fn place(self, cores: usize, held: bool) -> Result<Option<usize>, ScaleError> {
+    fn place(self, cores: usize, held: bool) -> Result<Option<usize>, CapacityError> {
         match self {
             Self::Anywhere if !held => Ok(None),
             Self::Anywhere => world::hold_to(&format!("0-{}", cores - 1)).map(|()| None),
@@ -229,7 +229,7 @@
         }
     }
 
-    fn play(&mut self, setup: &Setup) -> Result<Play, ScaleError> {
+    fn play(&mut self, setup: &Setup) -> Result<Play, CapacityError> {
         let warm = if self.arguments.common.small { WARM / 5 } else { WARM };
         let length = span(setup.rate, self.arguments.common.small) + warm;
         let calls =
@@ -298,10 +298,10 @@
             }
             (caller.join(), marks, published.map(|_| changes))
         });
-        let played = played.map_err(|_| ScaleError::run("calling", "the caller's thread ended"))??;
+        let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
         let changes = changes?;
         let Some((stolen, before, opened)) = marks else {
-            return Err(ScaleError::run("calling", "the play was over before its start"));
+            return Err(CapacityError::run("calling", "the play was over before its start"));
         };
         let used = Usage::of(balancer.process.id())?.since(before?);
         let counts = Counts::of(&calls, &played, &upstreams.seen, first);
@@ -312,7 +312,7 @@
     }
 
     /// Added latency against the rate.
-    fn slopes(&mut self, rates: &[f64]) -> Result<Vec<Slope>, ScaleError> {
+    fn slopes(&mut self, rates: &[f64]) -> Result<Vec<Slope>, CapacityError> {
         let plays = if self.arguments.common.small { 1 } else { self.arguments.plays };
         let mut figures: [Vec<Point>; 4] = [const { Vec::new() }; 4];
         let mut told = Vec::new();
@@ -392,13 +392,13 @@
         let rates = if rates.is_empty() { String::new() } else { format!(" --rates {}", rates.join(",")) };
         let anywhere = if self.arguments.anywhere { " --anywhere" } else { "" };
         format!(
-            "target/release/scale latency --beside {beside} --plays {}{rates}{anywhere} --seed {}",
+            "target/release/capacity latency --beside {beside} --plays {}{rates}{anywhere} --seed {}",
             self.arguments.plays, self.arguments.common.seed
         )
     }
 
     /// What runs by itself: the watch, the decisions' timers, the sweeps of connections, the log.
-    fn timers(&self) -> Result<Vec<String>, ScaleError> {
+    fn timers(&self) -> Result<Vec<String>, CapacityError> {
         let upstreams = Upstreams::start(self.arguments.upstreams, 1, 0)?;
         let discovery =
             Discovery::start(upstreams.entries(), Duration::from_secs_f64(self.plan.list.beat_s.value))?;
@@ -420,7 +420,7 @@
     }
 
     /// What the added latency is made of.
-    fn made_of(&mut self, rates: &[f64]) -> Result<Results, ScaleError> {
+    fn made_of(&mut self, rates: &[f64]) -> Result<Results, CapacityError> {
         let mut rows = vec![self.timers()?];
         for &rate in rates {
             let plain = Setup { relay: true, ..self.setup(rate) };
@@ -528,7 +528,7 @@
     discovery.change(upstream, upstreams.entry(upstream, status, since));
 }
 
-fn sort_out(calls: &[Call], played: &[Played], around: Around) -> Result<Play, ScaleError> {
+fn sort_out(calls: &[Call], played: &[Played], around: Around) -> Result<Play, CapacityError> {
     // A call without its own answer has no latency; how many there are is told beside it.
     let right = || calls.iter().zip(played).filter(|(_, played)| played.is_right());
     let of = |way: usize| {
--- a/crates/scale/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -23,7 +23,7 @@
 
 /// What ends a run.
 #[derive(Debug, Error)]
-pub enum ScaleError {
+pub enum CapacityError {
     /// A text that cannot be read as what it should be.
     #[error("{0}")]
     Text(String),
@@ -66,7 +66,7 @@
     },
 }
 
-impl ScaleError {
+impl CapacityError {
     /// Of a file.
     pub fn file(path: &Path, cause: impl Display) -> Self {
         Self::File { path: path.display().to_string(), cause: cause.to_string() }
--- a/crates/scale/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -3,11 +3,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use capacity::plan::Plan;
+use capacity::{CapacityError, control, decisions, depth, hollow, latency, page, process, real, sockets};
 use clap::{Parser, Subcommand};
-use fennelhatch_scale::plan::Plan;
-use fennelhatch_scale::{
-    ScaleError, control, decisions, depth, hollow, latency, page, process, real, sockets,
-};
 
 /// Plays and measures the fleet to come, and writes its capacity page.
 ///
@@ -16,7 +14,7 @@
 #[command(version)]
 struct Arguments {
     /// The plan of the fleet.
-    #[arg(long, global = true, default_value = "crates/scale/plan.toml")]
+    #[arg(long, global = true, default_value = "crates/capacity/plan.toml")]
     plan: PathBuf,
     #[command(subcommand)]
     command: Command,
@@ -47,7 +45,7 @@
     }
 }
 
-fn run(arguments: &Arguments) -> Result<(), ScaleError> {
+fn run(arguments: &Arguments) -> Result<(), CapacityError> {
     let plan = Plan::read(&arguments.plan)?;
     match &arguments.command {
         Command::Plan => {
--- a/crates/scale/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -8,7 +8,7 @@
 
 use clap::Args;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::arithmetic::{Basis, Cost, Figure, Measured, Need, Occasion, Requirement, needs};
 use crate::plan::{Plan, Reading, Source};
 use crate::plots;
@@ -19,7 +19,7 @@
 /// From which part of its budget on a row is shown among the tight ones.
 const TIGHT: f64 = 0.8;
 /// What gives the figures that follow from the plan alone.
-const PLAN_COMMAND: &str = "target/release/scale plan";
+const PLAN_COMMAND: &str = "target/release/capacity plan";
 
 /// Writes the generated blocks of `docs/CAPACITY.md` and its plots from the plan and what was measured, and prints what
 /// is missing first.
@@ -32,7 +32,7 @@
     #[arg(long, default_value = "docs")]
     pub out: PathBuf,
     /// Where the folders slopes and results are.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     pub from: PathBuf,
     /// The checkout in which the mechanisms are looked for.
     #[arg(long, default_value = ".")]
@@ -43,24 +43,24 @@
 ///
 /// # Errors
 /// A file cannot be read, written or understood; a block has no marker; with `--check`, what differs.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let measured = Measured::read(&arguments.from)?;
     let blocks = blocks(plan, &measured, &arguments.tree);
     let page = arguments.out.join("CAPACITY.md");
-    let before = fs::read_to_string(&page).map_err(|cause| ScaleError::file(&page, cause))?;
-    let after = filled(&before, &blocks).map_err(|cause| ScaleError::file(&page, cause))?;
+    let before = fs::read_to_string(&page).map_err(|cause| CapacityError::file(&page, cause))?;
+    let after = filled(&before, &blocks).map_err(|cause| CapacityError::file(&page, cause))?;
     let folder = arguments.out.join("capacity");
     let drawn: Vec<(PathBuf, String)> = measured
         .slopes
         .values()
         .map(|slope| Ok((folder.join(format!("{}.svg", slope.name)), plots::svg(slope)?)))
-        .collect::<Result<_, ScaleError>>()?;
+        .collect::<Result<_, CapacityError>>()?;
     let stale = stale_plots(&folder, &drawn)?;
     if arguments.check {
         let differs = |what: String| {
-            Err(ScaleError::run(
+            Err(CapacityError::run(
                 what,
-                "differs from what the plan and the measurements give; run `scale page`",
+                "differs from what the plan and the measurements give; run `capacity page`",
             ))
         };
         if let Some(name) = first_difference(&before, &blocks) {
@@ -76,24 +76,24 @@
             None => Ok(()),
         };
     }
-    fs::create_dir_all(&folder).map_err(|cause| ScaleError::file(&folder, cause))?;
+    fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     for (path, svg) in &drawn {
-        fs::write(path, svg).map_err(|cause| ScaleError::file(path, cause))?;
+        fs::write(path, svg).map_err(|cause| CapacityError::file(path, cause))?;
     }
     for path in &stale {
-        fs::remove_file(path).map_err(|cause| ScaleError::file(path, cause))?;
+        fs::remove_file(path).map_err(|cause| CapacityError::file(path, cause))?;
     }
-    fs::write(&page, after).map_err(|cause| ScaleError::file(&page, cause))?;
+    fs::write(&page, after).map_err(|cause| CapacityError::file(&page, cause))?;
     print!("{}", ranking(plan, &measured, &arguments.tree));
     Ok(())
 }
 
 /// Plots that no slope stands behind.
-fn stale_plots(folder: &Path, drawn: &[(PathBuf, String)]) -> Result<Vec<PathBuf>, ScaleError> {
+fn stale_plots(folder: &Path, drawn: &[(PathBuf, String)]) -> Result<Vec<PathBuf>, CapacityError> {
     if !folder.is_dir() {
         return Ok(Vec::new());
     }
-    let entries = fs::read_dir(folder).map_err(|cause| ScaleError::file(folder, cause))?;
+    let entries = fs::read_dir(folder).map_err(|cause| CapacityError::file(folder, cause))?;
     let all: BTreeSet<PathBuf> = entries.filter_map(Result::ok).map(|entry| entry.path()).collect();
     let is_plot = |path: &PathBuf| path.extension().is_some_and(|end| end == "svg");
     Ok(all
--- a/crates/scale/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use crate::ScaleError;
+use crate::CapacityError;
 
 /// Where a figure is from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -289,10 +289,10 @@
     ///
     /// # Errors
     /// The file cannot be read or is malformed, or the plan contradicts itself: all faults at once, each with its place.
-    pub fn read(path: &Path) -> Result<Self, ScaleError> {
-        let text = fs::read_to_string(path).map_err(|cause| ScaleError::file(path, cause))?;
+    pub fn read(path: &Path) -> Result<Self, CapacityError> {
+        let text = fs::read_to_string(path).map_err(|cause| CapacityError::file(path, cause))?;
         Self::parse(&text).map_err(|error| match error {
-            ScaleError::Text(cause) => ScaleError::file(path, cause),
+            CapacityError::Text(cause) => CapacityError::file(path, cause),
             other => other,
         })
     }
@@ -301,10 +301,10 @@
     ///
     /// # Errors
     /// As for [`Self::read`].
-    pub fn parse(text: &str) -> Result<Self, ScaleError> {
-        let plan: Self = toml::from_str(text).map_err(|cause| ScaleError::Text(cause.to_string()))?;
+    pub fn parse(text: &str) -> Result<Self, CapacityError> {
+        let plan: Self = toml::from_str(text).map_err(|cause| CapacityError::Text(cause.to_string()))?;
         let faults = plan.faults();
-        if faults.is_empty() { Ok(plan) } else { Err(ScaleError::Plan(faults)) }
+        if faults.is_empty() { Ok(plan) } else { Err(CapacityError::Plan(faults)) }
     }
 
     /// All its figures, in the order of the file.
--- a/crates/scale/src/plots.rs
+++ b/crates/capacity/src/plots.rs
@@ -2,7 +2,7 @@
 
 use plotters::prelude::*;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::slope::Slope;
 
 /// Steps in which a fit is drawn.
@@ -12,8 +12,8 @@
 ///
 /// # Errors
 /// The slope has no points that could be drawn.
-pub fn svg(slope: &Slope) -> Result<String, ScaleError> {
-    let fail = |cause: &dyn std::fmt::Display| ScaleError::run(format!("plot of {}", slope.name), cause);
+pub fn svg(slope: &Slope) -> Result<String, CapacityError> {
+    let fail = |cause: &dyn std::fmt::Display| CapacityError::run(format!("plot of {}", slope.name), cause);
     let points = &slope.points;
     let figures = || points.iter().flat_map(|point| [point.x, point.y, point.low, point.high]);
     if points.is_empty() || figures().any(|figure| !figure.is_finite()) {
--- a/crates/scale/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -8,7 +8,7 @@
 use clap::{Args, ValueEnum};
 use oorandom::Rand64;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Fit, Point, Slope, commit};
 use crate::world::{self, Balancer, Common, Counts, Discovery, Upstreams, Usage, Way};
@@ -59,8 +59,8 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
-    let wrong = |name, expected: String| Err(ScaleError::Argument { name, expected });
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
+    let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
     let mut sizes = arguments.sizes.clone();
     sizes.sort_unstable();
     sizes.dedup();
@@ -127,7 +127,7 @@
             x_unit: "upstreams in the list".to_owned(),
             y_unit: unit.to_owned(),
             command: format!(
-                "target/release/scale process --part {part} --plays {} --seed {}",
+                "target/release/capacity process --part {part} --plays {} --seed {}",
                 self.plays, self.arguments.common.seed
             ),
             commit: commit(),
@@ -139,21 +139,21 @@
     }
 
     /// A balancer with so many upstreams in its list, from its configuration and from discovery alike.
-    fn balancer(&self, upstreams: &Upstreams, discovery: &Discovery) -> Result<Balancer, ScaleError> {
+    fn balancer(&self, upstreams: &Upstreams, discovery: &Discovery) -> Result<Balancer, CapacityError> {
         let entries = upstreams.entries();
         let settings = world::settings(self.plan, entries.len());
         let configuration = world::configuration("b0", discovery.address, &entries, &settings);
         Balancer::start(self.program, &configuration, None, |_| ())
     }
 
-    fn world(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), ScaleError> {
+    fn world(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
         let upstreams = Upstreams::start(size, 2, calls)?;
         let discovery = Discovery::start(upstreams.entries(), beat(self.plan))?;
         Ok((upstreams, discovery))
     }
 
     /// One process after the other.
-    fn start(&self) -> Result<Vec<Slope>, ScaleError> {
+    fn start(&self) -> Result<Vec<Slope>, CapacityError> {
         let (mut listens, mut serves, mut memory) = (Plays::new(), Plays::new(), Plays::new());
         for &size in &self.sizes {
             let (upstreams, discovery) = self.world(size, 0)?;
@@ -202,7 +202,7 @@
     }
 
     /// All sizes at once: at rest they take next to nothing from each other.
-    fn idle(&self) -> Result<Vec<Slope>, ScaleError> {
+    fn idle(&self) -> Result<Vec<Slope>, CapacityError> {
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
         let mut shares: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
         let mut worlds = Vec::new();
@@ -235,11 +235,11 @@
         )])
     }
 
-    fn usages(&self, worlds: &[(Upstreams, Discovery, Balancer)]) -> Result<Vec<Usage>, ScaleError> {
+    fn usages(&self, worlds: &[(Upstreams, Discovery, Balancer)]) -> Result<Vec<Usage>, CapacityError> {
         worlds.iter().map(|(_, _, balancer)| Usage::of(balancer.process.id())).collect()
     }
 
-    fn request(&self) -> Result<Vec<Slope>, ScaleError> {
+    fn request(&self) -> Result<Vec<Slope>, CapacityError> {
         let (warm, span) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
         let span = Duration::from_secs_f64(span);
         let (mut request, mut memory, mut opened) = (Plays::new(), Plays::new(), Vec::new());
@@ -258,7 +258,7 @@
                     tenants: self.plan.traffic.tenants.value,
                 };
                 let ways = [way];
-                let mut make = |span| -> Result<usize, ScaleError> {
+                let mut make = |span| -> Result<usize, CapacityError> {
                     let calls = world::paired(&mut rng, 1, self.rate, span, false);
                     let first = upstreams.seen.take_ids(calls.len())?;
                     let played = world::play(
@@ -270,7 +270,7 @@
                     )?;
                     let counts = Counts::of(&calls, &played, &upstreams.seen, first);
                     if counts.right < counts.calls {
-                        return Err(ScaleError::run(
+                        return Err(CapacityError::run(
                             format!("calls with {size} upstreams"),
                             format!("{counts:?}"),
                         ));
--- a/crates/scale/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -8,7 +8,7 @@
 use clap::{Args, ValueEnum};
 use oorandom::Rand64;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Results, commit};
 use crate::world::{
@@ -71,8 +71,8 @@
 /// # Errors
 /// With the place where it went wrong; also where a call was lost, wrongly answered or ran twice though it must not,
 /// after the table of it is written.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
-    let wrong = |name, expected: String| Err(ScaleError::Argument { name, expected });
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
+    let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
     let small = arguments.common.small;
     let (balancers, changes) =
         if small { (3, BLOCK.min(arguments.changes)) } else { (arguments.balancers, arguments.changes) };
@@ -116,7 +116,7 @@
         name: "real".to_owned(),
         what: "Real balancers under load through changes of the list and of configuration.".to_owned(),
         command: format!(
-            "target/release/scale real --balancers {balancers} --changes {changes}{} --seed {}",
+            "target/release/capacity real --balancers {balancers} --changes {changes}{} --seed {}",
             arguments.every.map_or(String::new(), |every| format!(" --every {every}")),
             arguments.common.seed
         ),
@@ -140,7 +140,7 @@
     }
     table.write(&results)?;
     if bad.wrong + bad.lost + bad.twice > 0 {
-        return Err(ScaleError::run("real balancers", format!("{bad:?}")));
+        return Err(CapacityError::run("real balancers", format!("{bad:?}")));
     }
     Ok(())
 }
@@ -212,7 +212,7 @@
         self.every * (2 * BLOCK * self.changes.div_ceil(BLOCK)) as u32
     }
 
-    fn play(&self, rng: &mut Rand64) -> Result<Outcome, ScaleError> {
+    fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
         let program = self.arguments.common.program(world::BALANCER)?;
         let apart = !self.arguments.anywhere && !self.arguments.common.small;
         if apart {
@@ -276,7 +276,7 @@
             let published = self.make_changes(zero, &over, &upstreams, &discovery, distribution.as_ref());
             (caller.join(), published)
         });
-        let played = played.map_err(|_| ScaleError::run("calling", "the caller's thread ended"))??;
+        let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
         let (published, mut in_force) = published?;
         if distribution.is_some() {
             let words = words(&says, &published, self.balancers);
@@ -296,7 +296,7 @@
         upstreams: &Upstreams,
         discovery: &Discovery,
         distribution: Option<&Distribution>,
-    ) -> Result<(Vec<Published>, Vec<Duration>), ScaleError> {
+    ) -> Result<(Vec<Published>, Vec<Duration>), CapacityError> {
         let (mut published, mut drained) = (Vec::new(), Vec::new());
         let mut drains: Option<(usize, Instant)> = None;
         for number in 0..self.changes {
@@ -326,7 +326,7 @@
     }
 
     /// When a change was in force at the last balancer: that version, or a later one of its scope.
-    fn last(&self, change: &Published, words: &[InForce]) -> Result<Duration, ScaleError> {
+    fn last(&self, change: &Published, words: &[InForce]) -> Result<Duration, CapacityError> {
         let mut last = Duration::ZERO;
         for balancer in 0..self.balancers {
             let word = words.iter().find(|word| {
@@ -335,7 +335,7 @@
             let Some(word) = word else {
                 let cause =
                     format!("{} {} never came to be in force at b{balancer}", change.scope, change.version);
-                return Err(ScaleError::run("changes of configuration", cause));
+                return Err(CapacityError::run("changes of configuration", cause));
             };
             last = last.max(word.at.saturating_duration_since(change.at));
         }
@@ -379,14 +379,14 @@
 }
 
 impl Outcome {
-    fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, ScaleError> {
+    fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, CapacityError> {
         let times = |through: bool, wanted: &dyn Fn(usize) -> bool| {
             let own = self.calls.iter().zip(&self.played).filter(|(call, played)| {
                 played.is_right() && (call.way > 0) == through && wanted(setup.block(call.at))
             });
             Times::of(own.map(|(call, played)| played.latency(call)))
         };
-        let added = |quantile: f64, wanted: &dyn Fn(usize) -> bool| -> Result<f64, ScaleError> {
+        let added = |quantile: f64, wanted: &dyn Fn(usize) -> bool| -> Result<f64, CapacityError> {
             Ok(times(true, wanted)?.us(quantile) - times(false, wanted)?.us(quantile))
         };
         let (without, with) =
--- a/crates/scale/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::ScaleError;
+use crate::CapacityError;
 
 /// One measured size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
     }
 }
 
-/// A measured slope, as it is kept in `crates/scale/slopes/NAME.json`.
+/// A measured slope, as it is kept in `crates/capacity/slopes/NAME.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
     /// Its name, also of its file: `part.what_by_what`.
@@ -110,7 +110,7 @@
     ///
     /// # Errors
     /// The file is missing or makes no sense.
-    pub fn read(folder: &Path, name: &str) -> Result<Self, ScaleError> {
+    pub fn read(folder: &Path, name: &str) -> Result<Self, CapacityError> {
         read(folder, name)
     }
 
@@ -118,12 +118,12 @@
     ///
     /// # Errors
     /// The file cannot be written.
-    pub fn write(&self, folder: &Path) -> Result<(), ScaleError> {
+    pub fn write(&self, folder: &Path) -> Result<(), CapacityError> {
         write(folder, &self.name, self)
     }
 }
 
-/// Measured figures that are no slope, such as those of a scenario: a table, kept in `crates/scale/results/NAME.json`.
+/// Measured figures that are no slope, such as those of a scenario: a table, kept in `crates/capacity/results/NAME.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Results {
     /// Its name, also of its file.
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// The file is missing or makes no sense.
-    pub fn read(folder: &Path, name: &str) -> Result<Self, ScaleError> {
+    pub fn read(folder: &Path, name: &str) -> Result<Self, CapacityError> {
         read(folder, name)
     }
 
@@ -156,21 +156,21 @@
     ///
     /// # Errors
     /// The file cannot be written.
-    pub fn write(&self, folder: &Path) -> Result<(), ScaleError> {
+    pub fn write(&self, folder: &Path) -> Result<(), CapacityError> {
         write(folder, &self.name, self)
     }
 }
 
-fn read<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<T, ScaleError> {
+fn read<T: DeserializeOwned>(folder: &Path, name: &str) -> Result<T, CapacityError> {
     let path = folder.join(format!("{name}.json"));
-    let text = fs::read_to_string(&path).map_err(|cause| ScaleError::file(&path, cause))?;
-    serde_json::from_str(&text).map_err(|cause| ScaleError::file(&path, cause))
+    let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
+    serde_json::from_str(&text).map_err(|cause| CapacityError::file(&path, cause))
 }
 
-fn write(folder: &Path, name: &str, value: &impl Serialize) -> Result<(), ScaleError> {
+fn write(folder: &Path, name: &str, value: &impl Serialize) -> Result<(), CapacityError> {
     let path = folder.join(format!("{name}.json"));
-    let text = serde_json::to_string_pretty(value).map_err(|cause| ScaleError::file(&path, cause))?;
-    fs::write(&path, text + "\n").map_err(|cause| ScaleError::file(&path, cause))
+    let text = serde_json::to_string_pretty(value).map_err(|cause| CapacityError::file(&path, cause))?;
+    fs::write(&path, text + "\n").map_err(|cause| CapacityError::file(&path, cause))
 }
 
 /// The commit that the tree stands at, with `+` where it has changes; `unknown` outside a checkout.
--- a/crates/scale/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -11,7 +11,7 @@
 use config_distribution::document::Scope;
 use oorandom::Rand64;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::Plan;
 use crate::slope::{Results, commit};
 
@@ -91,7 +91,7 @@
     #[arg(long)]
     add: bool,
     /// Where `results` is written.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     out: PathBuf,
     /// Plays the balancers of a job on standard input: for the rig's own use.
     #[arg(long, hide = true)]
@@ -102,7 +102,7 @@
 ///
 /// # Errors
 /// With the place where it went wrong.
-pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), ScaleError> {
+pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if arguments.hollow_balancers {
         return hollow::run();
     }
@@ -136,7 +136,7 @@
             "{balancers} hollow balancers on real sockets behind {} control processes, {changes} changes a play",
             plan.budget.control_machines.value
         ),
-        command: "target/release/scale sockets --seeds 3".to_owned(),
+        command: "target/release/capacity sockets --seeds 3".to_owned(),
         commit: commit(),
         columns: COLUMNS.map(str::to_owned).to_vec(),
         rows: kept,
@@ -156,7 +156,7 @@
         ),
     }
     .write(&folder)?;
-    if missed.is_empty() { Ok(()) } else { Err(ScaleError::run("sockets", missed.join("; "))) }
+    if missed.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", missed.join("; "))) }
 }
 
 fn scenario_place(name: &str) -> usize {
@@ -174,8 +174,8 @@
 }
 
 impl Size {
-    fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, ScaleError> {
-        let fault = |name, expected: String| Err(ScaleError::Argument { name, expected });
+    fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
+        let fault = |name, expected: String| Err(CapacityError::Argument { name, expected });
         let balancers = match arguments.balancers {
             None if arguments.small => 60,
             None => plan.fleet.upstreams.value,
@@ -302,7 +302,7 @@
 }
 
 /// Publishes the changes when they are due, on a thread of its own.
-fn publish_all(origin: SocketAddr, planned: Vec<Planned>) -> Receiver<Result<Change, ScaleError>> {
+fn publish_all(origin: SocketAddr, planned: Vec<Planned>) -> Receiver<Result<Change, CapacityError>> {
     let (said, changes) = channel();
     thread::spawn(move || {
         let start = Instant::now();
@@ -470,7 +470,7 @@
 }
 
 impl Play<'_> {
-    fn mark(&mut self) -> Result<Mark, ScaleError> {
+    fn mark(&mut self) -> Result<Mark, CapacityError> {
         let carried = self.swarm.carried()?;
         let places = self.plane.machines().count();
         let control = (0..places)
@@ -492,7 +492,7 @@
         let own = machine::usage(std::process::id()).unwrap_or_default().resident_kb;
         let used: u64 = own + mark.balancers.resident_kb + mark.control.iter().map(|one| one.1).sum::<u64>();
         if used > self.memory_most_kb {
-            return Err(ScaleError::Memory {
+            return Err(CapacityError::Memory {
                 place: self.place.clone(),
                 used_mb: used / 1024,
                 bound_mb: self.memory_most_kb / 1024,
@@ -523,7 +523,7 @@
     far_region: usize,
 }
 
-fn play(scenario: Scenario, seed: u64, size: &Size, plan: &Plan) -> Result<Outcome, ScaleError> {
+fn play(scenario: Scenario, seed: u64, size: &Size, plan: &Plan) -> Result<Outcome, CapacityError> {
     let place = format!("sockets {} {seed}", scenario.name());
     let machines = plane::deal(plan);
     let regions = plan.fleet.regions.value;
@@ -590,7 +590,7 @@
     let up = play.swarm.hear_until(PATIENCE, |swarm| swarm.all_listed() && swarm.missing(&newest) == 0)?;
     if !up {
         let missing = play.swarm.missing(&newest);
-        return Err(ScaleError::run(
+        return Err(CapacityError::run(
             place,
             format!("{missing} balancers have no configuration at the start"),
         ));
@@ -684,7 +684,7 @@
     scenario: Scenario,
     target: &Target,
     planned: Vec<Planned>,
-) -> Result<Played, ScaleError> {
+) -> Result<Played, CapacityError> {
     let count = planned.len();
     let published = publish_all(play.plane.address(0), planned);
     let start = Instant::now();
@@ -703,7 +703,7 @@
                 Ok(change) => changes.push(change?),
                 Err(TryRecvError::Empty) => break,
                 Err(TryRecvError::Disconnected) if changes.len() < count => {
-                    return Err(ScaleError::run(&play.place, "the publisher has ended early"));
+                    return Err(CapacityError::run(&play.place, "the publisher has ended early"));
                 }
                 Err(TryRecvError::Disconnected) => break,
             }
@@ -751,7 +751,7 @@
         }
         play.swarm.hear(Duration::from_millis(10))?;
     }
-    let missing = || ScaleError::run(&play.place, "the play ended before its fault");
+    let missing = || CapacityError::run(&play.place, "the play ended before its fault");
     Ok(Played {
         changes,
         cut_ns,
--- a/crates/scale/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -8,7 +8,7 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::ScaleError;
+use crate::CapacityError;
 
 /// The number of a process and a line of its output, `None` at its end.
 pub type Said = (usize, Option<String>);
@@ -19,8 +19,8 @@
 ///
 /// # Errors
 /// There is no runtime for it.
-pub fn heed_signals() -> Result<(), ScaleError> {
-    let wrong = |cause| ScaleError::run("signals", cause);
+pub fn heed_signals() -> Result<(), CapacityError> {
+    let wrong = |cause| CapacityError::run("signals", cause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
     let (mut terminate, mut interrupt) = {
         let _within = runtime.enter();
@@ -40,8 +40,8 @@
 ///
 /// # Errors
 /// It has.
-pub fn go_on() -> Result<(), ScaleError> {
-    if ASKED.load(Ordering::Acquire) { Err(ScaleError::run("signals", "asked to end")) } else { Ok(()) }
+pub fn go_on() -> Result<(), CapacityError> {
+    if ASKED.load(Ordering::Acquire) { Err(CapacityError::run("signals", "asked to end")) } else { Ok(()) }
 }
 
 /// A process that ends when this is dropped.
@@ -61,11 +61,11 @@
         name: &str,
         command: &mut Command,
         lines: Option<(usize, Sender<Said>)>,
-    ) -> Result<Self, ScaleError> {
+    ) -> Result<Self, CapacityError> {
         let output = if lines.is_some() { Stdio::piped() } else { Stdio::null() };
         command.stdin(Stdio::piped()).stdout(output).stderr(Stdio::null());
         let mut process = command.spawn().map_err(|cause| {
-            ScaleError::run(format!("{name}: {}", command.get_program().display()), cause)
+            CapacityError::run(format!("{name}: {}", command.get_program().display()), cause)
         })?;
         if let (Some((number, lines)), Some(output)) = (lines, process.stdout.take()) {
             thread::spawn(move || {
@@ -92,12 +92,12 @@
     ///
     /// # Errors
     /// It has gone.
-    pub fn tell(&mut self, line: &str) -> Result<(), ScaleError> {
+    pub fn tell(&mut self, line: &str) -> Result<(), CapacityError> {
         let told = self.input.as_mut().map(|input| writeln!(input, "{line}").and_then(|()| input.flush()));
         match told {
             Some(Ok(())) => Ok(()),
-            Some(Err(cause)) => Err(ScaleError::run(&self.name, cause)),
-            None => Err(ScaleError::run(&self.name, "has been ended")),
+            Some(Err(cause)) => Err(CapacityError::run(&self.name, cause)),
+            None => Err(CapacityError::run(&self.name, "has been ended")),
         }
     }
 }
--- a/crates/scale/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -27,7 +27,7 @@
 use tokio::time::{Instant, interval, sleep};
 
 use super::machine;
-use crate::ScaleError;
+use crate::CapacityError;
 
 /// Seconds over which the busiest balancer's bytes are told: the time in which a change has to be in force.
 pub const WINDOW_S: usize = 13;
@@ -186,14 +186,14 @@
 ///
 /// # Errors
 /// The job makes no sense, or there is no runtime for it.
-pub fn run() -> Result<(), ScaleError> {
+pub fn run() -> Result<(), CapacityError> {
     let mut first = String::new();
     io::stdin()
         .lock()
         .read_line(&mut first)
-        .map_err(|cause| ScaleError::run("hollow balancers: job", cause))?;
+        .map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
     let job: Job =
-        serde_json::from_str(&first).map_err(|cause| ScaleError::run("hollow balancers: job", cause))?;
+        serde_json::from_str(&first).map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
     let (told, commands) = mpsc::channel(16);
     thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
@@ -207,7 +207,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .map_err(|cause| ScaleError::run("hollow balancers", cause))?;
+        .map_err(|cause| CapacityError::run("hollow balancers", cause))?;
     LocalSet::new().block_on(&runtime, play(job, commands));
     Ok(())
 }
@@ -337,11 +337,11 @@
 ///
 /// # Errors
 /// It has not come within the minute.
-pub async fn wait_until(place: &str, mut done: impl FnMut() -> bool) -> Result<(), ScaleError> {
+pub async fn wait_until(place: &str, mut done: impl FnMut() -> bool) -> Result<(), CapacityError> {
     let until = Instant::now() + Duration::from_secs(60);
     while !done() {
         if Instant::now() > until {
-            return Err(ScaleError::run(place, "not within a minute"));
+            return Err(CapacityError::run(place, "not within a minute"));
         }
         sleep(Duration::from_millis(1)).await;
     }
--- a/crates/scale/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use super::machine;
-use crate::ScaleError;
+use crate::CapacityError;
 
 /// Bytes of a request's head at most.
 const HEAD_MOST: usize = 8192;
@@ -133,8 +133,8 @@
         entry_bytes: usize,
         zones: usize,
         beat: Duration,
-    ) -> Result<Self, ScaleError> {
-        let wrong = |cause| ScaleError::run("the stand-in list server", cause);
+    ) -> Result<Self, CapacityError> {
+        let wrong = |cause| CapacityError::run("the stand-in list server", cause);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(wrong)?;
         listener.set_nonblocking(true).map_err(wrong)?;
         let address = listener.local_addr().map_err(wrong)?;
--- a/crates/scale/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -19,7 +19,7 @@
 
 use super::child::{self, Child};
 use super::machine::{self, Usage};
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::Plan;
 
 /// The program that the processes are.
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     /// The program is missing, or a process does not come up.
-    pub fn start(machines: Vec<Machine>) -> Result<Self, ScaleError> {
+    pub fn start(machines: Vec<Machine>) -> Result<Self, CapacityError> {
         let program = program()?;
         let turn = PLANES.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
@@ -161,14 +161,14 @@
         let [_, high, middle, low] = pid.to_be_bytes();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 64 + high % 64, middle, low));
         let port = |place: usize| FIRST_PORT + ((turn % 64) * 128 + place) as u16;
-        let directory = std::env::temp_dir().join(format!("fennelhatch-scale-{pid}-{turn}"));
-        fs::create_dir_all(&directory).map_err(|cause| ScaleError::file(&directory, cause))?;
+        let directory = std::env::temp_dir().join(format!("capacity-{pid}-{turn}"));
+        fs::create_dir_all(&directory).map_err(|cause| CapacityError::file(&directory, cause))?;
         let (cut, cuts) = watch::channel(None);
         let mut edges = Vec::new();
         let mut forwarders = Vec::new();
         for (child, machine) in machines.iter().enumerate() {
             for &parent in &machine.parents {
-                let wrong = |cause| ScaleError::run("a forwarder between control processes", cause);
+                let wrong = |cause| CapacityError::run("a forwarder between control processes", cause);
                 let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(wrong)?;
                 listener.set_nonblocking(true).map_err(wrong)?;
                 let address = listener.local_addr().map_err(wrong)?;
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// It cannot be started.
-    pub fn launch(&mut self, place: usize) -> Result<(), ScaleError> {
+    pub fn launch(&mut self, place: usize) -> Result<(), CapacityError> {
         let running = &self.running[place];
         let role = running.machine.role;
         let name = format!("{} {place}", role.name());
@@ -230,14 +230,14 @@
     ///
     /// # Errors
     /// One does not in time.
-    pub fn wait_listening(&self) -> Result<(), ScaleError> {
+    pub fn wait_listening(&self) -> Result<(), CapacityError> {
         let until = Instant::now() + PATIENCE;
         for running in self.running.iter().filter(|running| running.child.is_some()) {
             while let Err(cause) = TcpStream::connect(running.address) {
                 child::go_on()?;
                 if Instant::now() > until {
                     let place = format!("{} at {}", running.machine.role.name(), running.address);
-                    return Err(ScaleError::run(place, cause));
+                    return Err(CapacityError::run(place, cause));
                 }
                 thread::sleep(Duration::from_millis(5));
             }
@@ -316,13 +316,13 @@
 }
 
 /// The program, beside this one.
-fn program() -> Result<PathBuf, ScaleError> {
-    let own = std::env::current_exe().map_err(|cause| ScaleError::run("this program's place", cause))?;
+fn program() -> Result<PathBuf, CapacityError> {
+    let own = std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
     // Tests lie one folder further down.
     let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM));
     beside.into_iter().find(|path| path.is_file()).ok_or_else(|| {
         let wanted = own.with_file_name(PROGRAM);
-        ScaleError::file(&wanted, "missing: build the whole workspace (cargo build --release --locked)")
+        CapacityError::file(&wanted, "missing: build the whole workspace (cargo build --release --locked)")
     })
 }
 
@@ -341,8 +341,8 @@
 fn forward_all(
     forwarders: Vec<Forwarder>,
     cuts: watch::Receiver<Option<usize>>,
-) -> Result<Forwarders, ScaleError> {
-    let wrong = |cause| ScaleError::run("the forwarders between control processes", cause);
+) -> Result<Forwarders, CapacityError> {
+    let wrong = |cause| CapacityError::run("the forwarders between control processes", cause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
     let (stop, stopped) = oneshot::channel();
     let thread = thread::spawn(move || {
@@ -429,7 +429,7 @@
 ///
 /// # Errors
 /// It is refused, or not taken for half a minute.
-pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, ScaleError> {
+pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
     let sent_ns = machine::now_ns();
     let until = Instant::now() + PATIENCE;
     let head = format!("PUT /configuration/{scope} HTTP/1.1\r\nX-Request-Id: {id}\r\n");
@@ -437,13 +437,14 @@
         let failed = match ask(origin, &head, body) {
             Ok(Answer { status: 200, body: text, .. }) => {
                 let acknowledged_ns = machine::now_ns();
-                let Acknowledged { index } = serde_json::from_str(&text)
-                    .map_err(|cause| ScaleError::run(format!("publication of {scope}: {text:?}"), cause))?;
+                let Acknowledged { index } = serde_json::from_str(&text).map_err(|cause| {
+                    CapacityError::run(format!("publication of {scope}: {text:?}"), cause)
+                })?;
                 return Ok(Change { scope: scope.clone(), version: index, sent_ns, acknowledged_ns });
             }
             Ok(Answer { status: 503, body: text, .. }) => text,
             Ok(Answer { status, body: text, .. }) => {
-                return Err(ScaleError::run(
+                return Err(CapacityError::run(
                     format!("publication of {scope}"),
                     format!("answered {status}: {text}"),
                 ));
@@ -451,7 +452,7 @@
             Err(cause) => cause.to_string(),
         };
         if Instant::now() > until {
-            return Err(ScaleError::run(format!("publication of {scope}"), failed));
+            return Err(CapacityError::run(format!("publication of {scope}"), failed));
         }
         thread::sleep(Duration::from_millis(50));
     }
@@ -509,8 +510,8 @@
 ///
 /// # Errors
 /// It is not.
-pub fn folder(out: &Path, part: &str) -> Result<PathBuf, ScaleError> {
+pub fn folder(out: &Path, part: &str) -> Result<PathBuf, CapacityError> {
     let folder = out.join(part);
-    fs::create_dir_all(&folder).map_err(|cause| ScaleError::file(&folder, cause))?;
+    fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     Ok(folder)
 }
--- a/crates/scale/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -13,7 +13,7 @@
 use super::hollow::{Figures, Hollow, Job, Word};
 use super::machine::{self, Usage};
 use super::plane::Change;
-use crate::ScaleError;
+use crate::CapacityError;
 
 /// The longest time of a histogram, in microseconds.
 const LONGEST_US: u64 = 600_000_000;
@@ -53,8 +53,9 @@
     ///
     /// # Errors
     /// A process cannot be started.
-    pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, ScaleError> {
-        let own = std::env::current_exe().map_err(|cause| ScaleError::run("this program's place", cause))?;
+    pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
+        let own =
+            std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
         let (said, words): (Sender<_>, _) = channel();
         let most = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
         let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; most];
@@ -70,7 +71,7 @@
             command.args(["sockets", "--hollow-balancers"]);
             let mut child = Child::start(&name, &mut command, Some((number, said.clone())))?;
             let job = Job { balancers: part.to_vec(), ..job.clone() };
-            let job = serde_json::to_string(&job).map_err(|cause| ScaleError::run(&name, cause))?;
+            let job = serde_json::to_string(&job).map_err(|cause| CapacityError::run(&name, cause))?;
             child.tell(&job)?;
             children.push(child);
         }
@@ -95,7 +96,7 @@
     ///
     /// # Errors
     /// One has ended or cannot go on.
-    pub fn hear(&mut self, span: Duration) -> Result<(), ScaleError> {
+    pub fn hear(&mut self, span: Duration) -> Result<(), CapacityError> {
         let until = Instant::now() + span;
         loop {
             child::go_on()?;
@@ -105,7 +106,7 @@
                 Err(RecvTimeoutError::Timeout) if left <= LOOK_EVERY => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
-                    return Err(ScaleError::run("hollow balancers", "all have ended"));
+                    return Err(CapacityError::run("hollow balancers", "all have ended"));
                 }
             }
         }
@@ -119,7 +120,7 @@
         &mut self,
         most: Duration,
         mut done: impl FnMut(&Self) -> bool,
-    ) -> Result<bool, ScaleError> {
+    ) -> Result<bool, CapacityError> {
         let until = Instant::now() + most;
         loop {
             if done(self) {
@@ -132,17 +133,17 @@
         }
     }
 
-    fn take(&mut self, process: usize, line: Option<String>) -> Result<(), ScaleError> {
+    fn take(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
         let place = || format!("hollow balancers, process {process}");
-        let Some(line) = line else { return Err(ScaleError::run(place(), "has ended")) };
-        match serde_json::from_str(&line).map_err(|cause| ScaleError::run(place(), cause))? {
+        let Some(line) = line else { return Err(CapacityError::run(place(), "has ended")) };
+        match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
             Word::Listed(balancer) => self.listed[balancer] = true,
             Word::InForce { balancer, scope, version, at_ns } => {
                 self.in_force[balancer].entry(scope).or_default().push((version, at_ns));
             }
             Word::Back { .. } => self.back += 1,
             Word::Figures(figures) => self.figures[process] = Some(figures),
-            Word::Failed(cause) => return Err(ScaleError::run(place(), cause)),
+            Word::Failed(cause) => return Err(CapacityError::run(place(), cause)),
         }
         Ok(())
     }
@@ -184,14 +185,14 @@
     ///
     /// # Errors
     /// One does not answer.
-    pub fn carried(&mut self) -> Result<Carried, ScaleError> {
+    pub fn carried(&mut self) -> Result<Carried, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
             child.tell("figures")?;
         }
         let all = |swarm: &Self| swarm.figures.iter().all(Option::is_some);
         if !self.hear_until(Duration::from_secs(20), all)? {
-            return Err(ScaleError::run("hollow balancers", "no figures within 20 s"));
+            return Err(CapacityError::run("hollow balancers", "no figures within 20 s"));
         }
         let mut sum = Carried::default();
         for figures in self.figures.iter().flatten() {
@@ -225,9 +226,9 @@
     ///
     /// # Errors
     /// Never, as its bounds are sound.
-    pub fn new() -> Result<Self, ScaleError> {
+    pub fn new() -> Result<Self, CapacityError> {
         let histogram = Histogram::new_with_bounds(1, LONGEST_US, 3);
-        histogram.map(Self).map_err(|cause| ScaleError::run("histogram", cause))
+        histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
     /// Adds one, in nanoseconds.
--- a/crates/scale/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -20,7 +20,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-use crate::ScaleError;
+use crate::CapacityError;
 use crate::plan::Plan;
 
 /// Where everything listens: a free port of this machine alone.
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Args)]
 pub struct Common {
     /// Folder that gets `slopes/` and `results/`.
-    #[arg(long, default_value = "crates/scale")]
+    #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
     /// Seed of all that is drawn.
     #[arg(long, default_value_t = 1)]
@@ -58,19 +58,19 @@
     ///
     /// # Errors
     /// There is no such file.
-    pub fn program(&self, name: &'static str) -> Result<PathBuf, ScaleError> {
+    pub fn program(&self, name: &'static str) -> Result<PathBuf, CapacityError> {
         let beside = |folder: &Path| folder.join(name);
         let path = match (&self.program, std::env::current_exe()) {
             (Some(path), _) if name == BALANCER => path.clone(),
             (Some(path), _) => beside(path.parent().unwrap_or(Path::new("."))),
             (None, Ok(own)) => beside(own.parent().unwrap_or(Path::new("."))),
-            (None, Err(cause)) => return Err(ScaleError::run("finding this program", cause)),
+            (None, Err(cause)) => return Err(CapacityError::run("finding this program", cause)),
         };
         if path.is_file() {
             Ok(path)
         } else {
             let expected = format!("no program at {}: build it, or name it", path.display());
-            Err(ScaleError::Argument { name: "program", expected })
+            Err(CapacityError::Argument { name: "program", expected })
         }
     }
 
@@ -78,10 +78,10 @@
     ///
     /// # Errors
     /// They cannot be made.
-    pub fn folders(&self) -> Result<(PathBuf, PathBuf), ScaleError> {
+    pub fn folders(&self) -> Result<(PathBuf, PathBuf), CapacityError> {
         let (slopes, results) = (self.out.join("slopes"), self.out.join("results"));
         for folder in [&slopes, &results] {
-            fs::create_dir_all(folder).map_err(|cause| ScaleError::file(folder, cause))?;
+            fs::create_dir_all(folder).map_err(|cause| CapacityError::file(folder, cause))?;
         }
         Ok((slopes, results))
     }
@@ -96,10 +96,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn listen() -> Result<(TcpListener, SocketAddr), ScaleError> {
+fn listen() -> Result<(TcpListener, SocketAddr), CapacityError> {
     TcpListener::bind(ANYWHERE)
         .and_then(|listener| listener.local_addr().map(|address| (listener, address)))
-        .map_err(|cause| ScaleError::run("listening on a free port", cause))
+        .map_err(|cause| CapacityError::run("listening on a free port", cause))
 }
 
 // --- Messages ---
@@ -145,10 +145,10 @@
     ///
     /// # Errors
     /// More than was reckoned with.
-    pub fn take_ids(&self, count: usize) -> Result<usize, ScaleError> {
+    pub fn take_ids(&self, count: usize) -> Result<usize, CapacityError> {
         let first = self.next_id.fetch_add(count, Ordering::Relaxed);
         if first + count > self.runs.len() {
-            return Err(ScaleError::run(
+            return Err(CapacityError::run(
                 "giving ids to calls",
                 format!("only {} are there", self.runs.len()),
             ));
@@ -210,7 +210,7 @@
     ///
     /// # Errors
     /// No port is free, or a thread does not start.
-    pub fn start(count: usize, threads: usize, calls: usize) -> Result<Self, ScaleError> {
+    pub fn start(count: usize, threads: usize, calls: usize) -> Result<Self, CapacityError> {
         let mut listeners = Vec::new();
         for _ in 0..count {
             listeners.push(listen()?);
@@ -234,7 +234,7 @@
             let (seen, stopped) = (Arc::clone(&started.seen), stopped.clone());
             let thread = thread::Builder::new().name("upstreams".to_owned());
             let thread = thread.spawn(move || on_runtime(stopped, || serve_part(part, &seen)));
-            started.threads.push(thread.map_err(|cause| ScaleError::run("starting upstreams", cause))?);
+            started.threads.push(thread.map_err(|cause| CapacityError::run("starting upstreams", cause))?);
         }
         Ok(started)
     }
@@ -331,7 +331,7 @@
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
-    pub fn start(upstreams: Vec<SocketAddr>) -> Result<Self, ScaleError> {
+    pub fn start(upstreams: Vec<SocketAddr>) -> Result<Self, CapacityError> {
         let (listener, address) = listen()?;
         let (stop, stopped) = watch::channel(false);
         let thread = thread::Builder::new().name("relay".to_owned()).spawn(move || {
@@ -352,7 +352,7 @@
                 Ok(())
             });
         });
-        let thread = thread.map_err(|cause| ScaleError::run("starting a relay", cause))?;
+        let thread = thread.map_err(|cause| CapacityError::run("starting a relay", cause))?;
         Ok(Self { address, stop, thread: Some(thread) })
     }
 }
@@ -390,7 +390,7 @@
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
-    pub fn start(entries: Vec<Value>, beat: Duration) -> Result<Self, ScaleError> {
+    pub fn start(entries: Vec<Value>, beat: Duration) -> Result<Self, CapacityError> {
         let (listener, address) = listen()?;
         let list = Arc::new(Mutex::new(List { index: 1, entries, watches: Vec::new() }));
         let stopped = Arc::new(AtomicBool::new(false));
@@ -404,7 +404,7 @@
                 thread::spawn(move || tell(stream, &list, beat));
             }
         });
-        let thread = thread.map_err(|cause| ScaleError::run("starting a discovery", cause))?;
+        let thread = thread.map_err(|cause| CapacityError::run("starting a discovery", cause))?;
         Ok(Self { address, list, stopped, thread: Some(thread) })
     }
 
@@ -529,9 +529,10 @@
     ///
     /// # Errors
     /// It does not start.
-    fn start(mut command: Command, file: Option<PathBuf>, line: Arc<Heard>) -> Result<Self, ScaleError> {
+    fn start(mut command: Command, file: Option<PathBuf>, line: Arc<Heard>) -> Result<Self, CapacityError> {
         let started = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
-        let mut child = started.map_err(|cause| ScaleError::run(format!("starting {command:?}"), cause))?;
+        let mut child =
+            started.map_err(|cause| CapacityError::run(format!("starting {command:?}"), cause))?;
         let log: Arc<Mutex<VecDeque<String>>> = Arc::default();
         let outputs: [Option<Box<dyn Read + Send>>; 2] = [
             child.stdout.take().map(|output| Box::new(output) as Box<dyn Read + Send>),
@@ -563,7 +564,7 @@
         command: Command,
         file: Option<PathBuf>,
         line: impl Fn(&str) + Send + Sync + 'static,
-    ) -> Result<(Self, SocketAddr, Instant), ScaleError> {
+    ) -> Result<(Self, SocketAddr, Instant), CapacityError> {
         let (listens, listening) = mpsc::channel();
         let place = format!("starting {}", command.get_program().display());
         let process = Self::start(
@@ -581,7 +582,7 @@
         )?;
         match listening.recv_timeout(START_MOST) {
             Ok((address, at)) => Ok((process, address, at)),
-            Err(_) => Err(ScaleError::run(place, format!("it does not listen: {}", process.last_words()))),
+            Err(_) => Err(CapacityError::run(place, format!("it does not listen: {}", process.last_words()))),
         }
     }
 
@@ -641,9 +642,9 @@
         configuration: &Value,
         core: Option<usize>,
         line: impl Fn(&str) + Send + Sync + 'static,
-    ) -> Result<Self, ScaleError> {
+    ) -> Result<Self, CapacityError> {
         let file = own_path("balancer.json");
-        fs::write(&file, configuration.to_string()).map_err(|cause| ScaleError::file(&file, cause))?;
+        fs::write(&file, configuration.to_string()).map_err(|cause| CapacityError::file(&file, cause))?;
         let mut command = match core {
             Some(core) => {
                 let mut command = Command::new("taskset");
@@ -661,7 +662,7 @@
         while !health(address) {
             if process.has_ended() || began.elapsed() > START_MOST {
                 let cause = format!("it does not serve: {}", process.last_words());
-                return Err(ScaleError::run("starting a balancer", cause));
+                return Err(CapacityError::run("starting a balancer", cause));
             }
             thread::sleep(Duration::from_micros(200));
         }
@@ -674,7 +675,7 @@
 fn own_path(name: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-    std::env::temp_dir().join(format!("fennelhatch-scale-{}-{number}-{name}", std::process::id()))
+    std::env::temp_dir().join(format!("capacity-{}-{number}-{name}", std::process::id()))
 }
 
 /// Whether a balancer says that it can serve.
@@ -705,7 +706,7 @@
     ///
     /// # Errors
     /// One does not come to listen.
-    pub fn start(program: &Path, relays: usize) -> Result<Self, ScaleError> {
+    pub fn start(program: &Path, relays: usize) -> Result<Self, CapacityError> {
         let folder = own_path("origin");
         let command = |arguments: &[&str]| {
             let mut command = Command::new(program);
@@ -736,8 +737,8 @@
     ///
     /// # Errors
     /// It is refused, or no answer comes.
-    pub fn publish(&self, scope: &str, request: &str, document: &Value) -> Result<u64, ScaleError> {
-        let failed = |cause: String| ScaleError::run(format!("publishing {scope} {document}"), cause);
+    pub fn publish(&self, scope: &str, request: &str, document: &Value) -> Result<u64, CapacityError> {
+        let failed = |cause: String| CapacityError::run(format!("publishing {scope} {document}"), cause);
         let body = document.to_string();
         let text = format!(
             "PUT /configuration/{scope} HTTP/1.1\r\nHost: origin\r\nX-Request-Id: {request}\r\n\
@@ -807,15 +808,15 @@
     ///
     /// # Errors
     /// It is not there, or the system does not tell.
-    pub fn of(process: u32) -> Result<Self, ScaleError> {
+    pub fn of(process: u32) -> Result<Self, CapacityError> {
         let folder = PathBuf::from(format!("/proc/{process}/task"));
         let mut usage = Self { cpu_ns: 0, waited_ns: 0, slices: 0 };
-        for thread in fs::read_dir(&folder).map_err(|cause| ScaleError::file(&folder, cause))? {
-            let path = thread.map_err(|cause| ScaleError::file(&folder, cause))?.path().join("schedstat");
-            let text = fs::read_to_string(&path).map_err(|cause| ScaleError::file(&path, cause))?;
+        for thread in fs::read_dir(&folder).map_err(|cause| CapacityError::file(&folder, cause))? {
+            let path = thread.map_err(|cause| CapacityError::file(&folder, cause))?.path().join("schedstat");
+            let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
             let figures: Vec<u64> = text.split_whitespace().filter_map(|part| part.parse().ok()).collect();
             let &[cpu, waited, slices] = figures.as_slice() else {
-                return Err(ScaleError::file(&path, "not three figures"));
+                return Err(CapacityError::file(&path, "not three figures"));
             };
             usage.cpu_ns += cpu;
             usage.waited_ns += waited;
@@ -839,29 +840,29 @@
 ///
 /// # Errors
 /// It is not there, or the system does not tell.
-pub fn memory_kb(process: u32) -> Result<u64, ScaleError> {
+pub fn memory_kb(process: u32) -> Result<u64, CapacityError> {
     let path = PathBuf::from(format!("/proc/{process}/status"));
-    let text = fs::read_to_string(&path).map_err(|cause| ScaleError::file(&path, cause))?;
+    let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     line.and_then(|line| line.split_whitespace().next())
         .and_then(|value| value.parse().ok())
-        .ok_or_else(|| ScaleError::file(&path, "no VmRSS"))
+        .ok_or_else(|| CapacityError::file(&path, "no VmRSS"))
 }
 
 /// Holds this thread, and all that it starts from now on, to these cores, as `taskset` writes them.
 ///
 /// # Errors
 /// `taskset` is missing, or does not take them.
-pub fn hold_to(cores: &str) -> Result<(), ScaleError> {
+pub fn hold_to(cores: &str) -> Result<(), CapacityError> {
     let place = format!("holding a thread to cores {cores}");
-    let own = fs::read_link("/proc/thread-self").map_err(|cause| ScaleError::run(&place, cause))?;
+    let own = fs::read_link("/proc/thread-self").map_err(|cause| CapacityError::run(&place, cause))?;
     let thread = own.file_name().unwrap_or_default();
     let done = Command::new("taskset").args(["-c", "-p", cores]).arg(thread).output();
-    let done = done.map_err(|cause| ScaleError::run(&place, cause))?;
+    let done = done.map_err(|cause| CapacityError::run(&place, cause))?;
     if done.status.success() {
         Ok(())
     } else {
-        Err(ScaleError::run(place, String::from_utf8_lossy(&done.stderr).trim()))
+        Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()))
     }
 }
 
@@ -1013,13 +1014,13 @@
     first_id: usize,
     zero: Instant,
     progress: &AtomicUsize,
-) -> Result<Vec<Played>, ScaleError> {
+) -> Result<Vec<Played>, CapacityError> {
     let mut idle: Vec<Vec<TcpStream>> = Vec::new();
     let mut turns = vec![0; ways.len()];
     for (way, turn) in ways.iter().zip(&mut turns) {
         let mut warm = Vec::new();
         for _ in 0..way.warm {
-            warm.push(connect(way, turn).map_err(|cause| ScaleError::run("connecting a caller", cause))?);
+            warm.push(connect(way, turn).map_err(|cause| CapacityError::run("connecting a caller", cause))?);
         }
         idle.push(warm);
     }
@@ -1199,9 +1200,9 @@
     ///
     /// # Errors
     /// The histogram cannot be made.
-    pub fn of(times: impl IntoIterator<Item = Duration>) -> Result<Self, ScaleError> {
+    pub fn of(times: impl IntoIterator<Item = Duration>) -> Result<Self, CapacityError> {
         let made = Histogram::new_with_bounds(1, MINUTE_NS, 3);
-        let mut histogram = made.map_err(|cause| ScaleError::run("making a histogram", cause))?;
+        let mut histogram = made.map_err(|cause| CapacityError::run("making a histogram", cause))?;
         for time in times {
             histogram.saturating_record((time.as_nanos() as u64).clamp(1, MINUTE_NS));
         }
--- a/crates/scale/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -6,11 +6,11 @@
 use std::process::{Command, Output};
 use std::sync::OnceLock;
 
-use fennelhatch_scale::plan::Plan;
+use capacity::plan::Plan;
 
 /// The plan of the repository.
 pub fn plan() -> Plan {
-    Plan::read(&root().join("crates/scale/plan.toml")).expect("a sound plan")
+    Plan::read(&root().join("crates/capacity/plan.toml")).expect("a sound plan")
 }
 
 fn root() -> PathBuf {
@@ -32,7 +32,7 @@
 /// A program of another package: cargo names a test only the programs of its own package, and builds the others only
 /// where their own tests are run too. So it is looked for beside this test's programs and built if it isn't there.
 fn program(package: &str, name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_BIN_EXE_scale")).parent().expect("in a folder");
+    let folder = Path::new(env!("CARGO_BIN_EXE_capacity")).parent().expect("in a folder");
     let program = folder.join(name);
     if !program.is_file() {
         let release = folder.file_name().is_some_and(|name| name == "release");
@@ -51,7 +51,7 @@
 }
 
 fn run(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_scale"))
+    Command::new(env!("CARGO_BIN_EXE_capacity"))
         .args(arguments)
         .current_dir(root())
         .output()
@@ -78,7 +78,7 @@
 impl Folder {
     /// Makes it.
     pub fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("fennelhatch-scale-{}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("capacity-{}-{name}", std::process::id()));
         fs::create_dir_all(&path).expect("made");
         Self(path)
     }
--- a/crates/scale/tests/control.rs
+++ b/crates/capacity/tests/control.rs
@@ -8,14 +8,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fennelhatch_scale::slope::Slope;
-use fennelhatch_scale::sockets::list::ListServer;
+use capacity::slope::Slope;
+use capacity::sockets::list::ListServer;
 
 /// Longer than anything takes that works.
 const LONG: Duration = Duration::from_secs(60);
 
 fn scale(arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_capacity"));
     let plan = Path::new(env!("CARGO_MANIFEST_DIR")).join("plan.toml");
     command.arg("--plan").arg(plan).args(arguments);
     command
--- a/crates/scale/tests/decisions.rs
+++ b/crates/capacity/tests/decisions.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use fennelhatch_scale::decisions::straight;
-use fennelhatch_scale::slope::{Point, Slope};
+use capacity::decisions::straight;
+use capacity::slope::{Point, Slope};
 
 const NAMES: [&str; 9] = [
     "decisions.request_ns_by_upstreams",
@@ -21,7 +21,7 @@
 #[test]
 fn each_slope_has_four_sizes_over_a_decade() {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("decisions");
-    let done = Command::new(env!("CARGO_BIN_EXE_scale"))
+    let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
         .args(["--plan", "plan.toml", "decisions", "--small", "--out"])
         .arg(&out)
         .output()
@@ -42,7 +42,7 @@
 #[test]
 fn more_upstreams_tenants_and_calls_take_more_bytes() {
     let held = |size: &str| -> u64 {
-        let done = Command::new(env!("CARGO_BIN_EXE_scale"))
+        let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "decisions", "--hold", size])
             .output()
             .expect("the rig starts");
@@ -58,7 +58,7 @@
 #[test]
 fn a_malformed_size_is_named() {
     for wrong in ["1,2,3", "1,2,3,x"] {
-        let done = Command::new(env!("CARGO_BIN_EXE_scale"))
+        let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "decisions", "--hold", wrong])
             .output()
             .expect("the rig starts");
--- a/crates/scale/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -3,10 +3,10 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use fennelhatch_scale::depth::{Chain, Figures};
-use fennelhatch_scale::hollow::world::{Faults, Trouble};
-use fennelhatch_scale::plan::Plan;
-use fennelhatch_scale::slope::{Results, Slope};
+use capacity::depth::{Chain, Figures};
+use capacity::hollow::world::{Faults, Trouble};
+use capacity::plan::Plan;
+use capacity::slope::{Results, Slope};
 
 fn plan() -> Plan {
     Plan::parse(include_str!("../plan.toml")).expect("the plan makes sense")
@@ -71,7 +71,7 @@
 #[test]
 fn the_command_writes_its_slopes_and_table() {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("depth");
-    let done = Command::new(env!("CARGO_BIN_EXE_scale"))
+    let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
         .args(["--plan", "plan.toml", "depth", "--small", "--out"])
         .arg(&out)
         .output()
--- a/crates/scale/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -4,14 +4,14 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use fennelhatch_scale::ScaleError;
-use fennelhatch_scale::hollow::scenario::Scenario;
-use fennelhatch_scale::hollow::topology::Topology;
-use fennelhatch_scale::hollow::wheel::Wheel;
-use fennelhatch_scale::hollow::world::{Faults, Report};
-use fennelhatch_scale::hollow::{Played, Run, play, scaled, sum};
-use fennelhatch_scale::plan::{Plan, Reading};
-use fennelhatch_scale::slope::Results;
+use capacity::CapacityError;
+use capacity::hollow::scenario::Scenario;
+use capacity::hollow::topology::Topology;
+use capacity::hollow::wheel::Wheel;
+use capacity::hollow::world::{Faults, Report};
+use capacity::hollow::{Played, Run, play, scaled, sum};
+use capacity::plan::{Plan, Reading};
+use capacity::slope::Results;
 use oorandom::Rand64;
 
 fn plan() -> Plan {
@@ -139,7 +139,7 @@
     let plan = scaled(&plan(), 60).expect("enough upstreams");
     let run = Run { scenario: Scenario::Rack, reading: Reading::Hops, seed: 1, seconds: 6.0, memory_mb: 1 };
     match play(&plan, &run) {
-        Err(ScaleError::Memory { place, used_mb, bound_mb: 1 }) => {
+        Err(CapacityError::Memory { place, used_mb, bound_mb: 1 }) => {
             assert!(place.contains("rack at 0.25 s"), "{place}");
             assert!(used_mb > 1);
         }
@@ -159,7 +159,7 @@
         (&["--reading", "both"], "--reading"),
         (&["--memory-mb", "1", "--small", "--scenario", "rack"], "rack"),
     ] {
-        let done = Command::new(env!("CARGO_BIN_EXE_scale"))
+        let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "hollow", "--out", env!("CARGO_TARGET_TMPDIR")])
             .args(wrong)
             .output()
@@ -174,7 +174,7 @@
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("hollow-rows");
     let _ = std::fs::remove_dir_all(&out);
     for seed in ["1", "2", "2"] {
-        let done = Command::new(env!("CARGO_BIN_EXE_scale"))
+        let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "hollow", "--scenario", "rack", "--upstreams", "30"])
             .args(["--seconds", "5", "--seed", seed, "--out"])
             .arg(&out)
--- a/crates/scale/tests/latency.rs
+++ b/crates/capacity/tests/latency.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use capacity::slope::{Results, Slope};
 use common::{balancer_program, distribution_program, fails_with, scale};
-use fennelhatch_scale::slope::{Results, Slope};
 
 /// Guards the command: each way of playing it writes its slopes, with every call answered by its own upstream.
 #[test]
--- a/crates/scale/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -4,11 +4,11 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use fennelhatch_scale::arithmetic::{Basis, Cost, Measured, Need, Occasion, Played, Read, Term, needs};
-use fennelhatch_scale::page::{self, Arguments, blocks, filled, ranking, show};
-use fennelhatch_scale::plan::Plan;
-use fennelhatch_scale::plots;
-use fennelhatch_scale::slope::{Fit, Point, Results, Slope};
+use capacity::arithmetic::{Basis, Cost, Measured, Need, Occasion, Played, Read, Term, needs};
+use capacity::page::{self, Arguments, blocks, filled, ranking, show};
+use capacity::plan::Plan;
+use capacity::plots;
+use capacity::slope::{Fit, Point, Results, Slope};
 
 fn tree() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -26,7 +26,7 @@
         what: "A test.".into(),
         x_unit: "things".into(),
         y_unit: "us".into(),
-        command: format!("target/release/scale {name}"),
+        command: format!("target/release/capacity {name}"),
         commit: "0".into(),
         plays: 3,
         fit: Fit::through(&points),
@@ -80,8 +80,12 @@
 
 #[test]
 fn the_page_is_what_the_plan_and_the_measurements_give() {
-    let arguments =
-        Arguments { check: true, out: tree().join("docs"), from: tree().join("crates/scale"), tree: tree() };
+    let arguments = Arguments {
+        check: true,
+        out: tree().join("docs"),
+        from: tree().join("crates/capacity"),
+        tree: tree(),
+    };
     page::run(&arguments, &plan()).unwrap();
 }
 
@@ -235,7 +239,7 @@
     let table = Results {
         name: "sockets".into(),
         what: "A test".into(),
-        command: "target/release/scale sockets".into(),
+        command: "target/release/capacity sockets".into(),
         commit: "0".into(),
         columns: cells(["scenario", "seed", "last, ms"]),
         rows: vec![
--- a/crates/scale/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use fennelhatch_scale::ScaleError;
-use fennelhatch_scale::page::derived;
-use fennelhatch_scale::plan::{Plan, Reading, Source};
+use capacity::CapacityError;
+use capacity::page::derived;
+use capacity::plan::{Plan, Reading, Source};
 
 const PLAN: &str = include_str!("../plan.toml");
 
@@ -22,7 +22,7 @@
 
 fn faults(text: &str) -> Vec<String> {
     match Plan::parse(text) {
-        Err(ScaleError::Plan(faults)) => faults,
+        Err(CapacityError::Plan(faults)) => faults,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/scale/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -7,10 +7,8 @@
 use std::sync::atomic::AtomicUsize;
 use std::time::{Duration, Instant};
 
-use fennelhatch_scale::slope::Slope;
-use fennelhatch_scale::world::{
-    self, Balancer, Call, Class, Counts, Discovery, End, Played, Upstreams, Usage, Way,
-};
+use capacity::slope::Slope;
+use capacity::world::{self, Balancer, Call, Class, Counts, Discovery, End, Played, Upstreams, Usage, Way};
 
 mod common;
 
--- a/crates/scale/tests/real.rs
+++ b/crates/capacity/tests/real.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
+use capacity::slope::Results;
 use common::{balancer_program, distribution_program, fails_with, scale};
-use fennelhatch_scale::slope::Results;
 
 /// Guards the whole: every call through three real balancers has its own answer while the list changes, and while the
 /// configuration does over a real origin and relays, and each change comes to be in force at all of them.
--- a/crates/scale/tests/slope.rs
+++ b/crates/capacity/tests/slope.rs
@@ -3,7 +3,7 @@
 use std::fs;
 use std::path::PathBuf;
 
-use fennelhatch_scale::slope::{Fit, Point, Results, Slope};
+use capacity::slope::{Fit, Point, Results, Slope};
 
 fn points(of: impl Fn(f64) -> f64, sizes: &[f64]) -> Vec<Point> {
     sizes.iter().map(|&x| Point { x, y: of(x), low: of(x), high: of(x) }).collect()
--- a/crates/scale/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use fennelhatch_scale::plan::Plan;
-use fennelhatch_scale::slope::Results;
-use fennelhatch_scale::sockets::plane::{self, Role};
-use fennelhatch_scale::sockets::{fleet, machine};
+use capacity::plan::Plan;
+use capacity::slope::Results;
+use capacity::sockets::plane::{self, Role};
+use capacity::sockets::{fleet, machine};
 
 /// Longer than anything takes that works.
 const LONG: Duration = Duration::from_secs(60);
@@ -32,7 +32,7 @@
 }
 
 fn scale(arguments: &[&str]) -> Command {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_scale"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_capacity"));
     command.arg("--plan").arg(plan_path()).args(arguments);
     command
 }
