--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -29,7 +29,7 @@
 /// Where the library is: cargo builds it beside the tests, as their package names it.
 fn library() -> PathBuf {
     let tests = std::env::current_exe().expect("a test");
-    let library = tests.with_file_name("libfennelhatch_fault_injection.so");
+    let library = tests.with_file_name("libfault_injection.so");
     assert!(library.exists(), "not built: {}", library.display());
     library
 }
