--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
+use balancer_settings::{Loaded, SetupError};
 use config_distribution::document::{Scope, ScopeError};
 use serde::Deserialize;
 use serde_json::Value;
 use serde_json::value::RawValue;
-use simulator_adapter::setup::{self, Loaded, SetupError};
 use thiserror::Error;
 
 use crate::clock::{SystemClock, WallClock};
@@ -145,7 +145,7 @@
     /// The text makes no sense.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_str(text)?;
-        let loaded = setup::read(file.settings.get())?;
+        let loaded = balancer_settings::read(file.settings.get())?;
         let listen = variable("PROXY_LISTEN").or(file.listen);
         let discovery = variable("PROXY_DISCOVERY").or(file.discovery);
         let name = variable("PROXY_NAME").unwrap_or(file.name);
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -7,6 +7,7 @@
 
 use balancer_policy::Settings;
 use balancer_policy::interface::{Class, ClassId, Tenant, TenantId};
+use balancer_settings::Names;
 use config_distribution::document::{Document, Scope};
 use config_distribution::effective::effective;
 use config_distribution::host::client::{self, Client};
@@ -14,7 +15,6 @@
 use config_distribution::state::State;
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 use serde_json::Value;
-use simulator_adapter::setup::{self, Names};
 use tokio::task::spawn_local;
 
 use crate::config::Distribution;
@@ -220,11 +220,12 @@
     /// Applies the settings that these documents make: whole, or not at all.
     fn apply(&mut self, documents: Documents) -> Result<(), Vec<String>> {
         let settings = effective(&self.own_settings, documents.each_ref().map(Option::as_ref))?;
-        let faults = setup::check(&settings);
+        let faults = balancer_settings::check(&settings);
         if !faults.is_empty() {
             return Err(faults);
         }
-        let loaded = setup::read(&settings.to_string()).map_err(|error| vec![error.to_string()])?;
+        let loaded =
+            balancer_settings::read(&settings.to_string()).map_err(|error| vec![error.to_string()])?;
         self.driver.reconfigure(loaded).map_err(|fault| vec![fault])?;
         let stands: Vec<String> = documents
             .iter()
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -12,9 +12,9 @@
     SettingsError, TenantId, Time, UpstreamId, ZoneId,
 };
 use balancer_policy::{Action, Balancer, Event, Settings};
+use balancer_settings::{Loaded, Names};
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
-use simulator_adapter::setup::{Loaded, Names};
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream.rs
@@ -11,7 +11,6 @@
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use simulator_adapter::setup;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
@@ -330,7 +329,7 @@
         let name = name.trim();
         let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
         if driver.has_load_field(name) {
-            setup::set_load_field(&mut report, name, value);
+            balancer_settings::set_load_field(&mut report, name, value);
         }
     }
     Some(report)
--- a/crates/simulator-adapter/src/setup.rs
+++ b/crates/settings/src/read.rs
@@ -12,8 +12,6 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-pub use crate::check::{check, check_part};
-
 /// Why the settings cannot be used.
 #[derive(Debug, Error)]
 pub enum SetupError {
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Checks of settings: what a whole and what a document's part may hold, and that all faults are told at once.
 
+use balancer_settings::{check, check_part, read};
 use serde_json::{Value, json};
-use simulator_adapter::setup::{check, check_part, read};
 
 fn whole() -> Value {
     json!({
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -9,10 +9,10 @@
     ZoneId,
 };
 use balancer_policy::{Action, Balancer, Event};
+use balancer_settings::{Loaded, Names};
 use rustc_hash::FxHashMap;
 use thiserror::Error;
 
-use crate::setup::{self, Loaded, Names};
 use crate::wire::{self, Fields, Malformed, bad};
 
 /// Why the adapter stops early.
@@ -268,7 +268,7 @@
 
     fn start(&mut self, number: u32, mut fields: Fields) -> Result<(), Malformed> {
         let seed = fields.number("nonce64")?;
-        let Loaded { settings, names, .. } = setup::read(fields.remainder("setup")?)?;
+        let Loaded { settings, names, .. } = balancer_settings::read(fields.remainder("setup")?)?;
         let mut balancer = Balancer::new(settings, seed)?;
         balancer.handle(self.now, Event::Started, &mut self.actions);
         let instance = Instance {
@@ -418,7 +418,7 @@
     for (position, value) in text.split(',').enumerate() {
         let number: f64 = value.parse().map_err(|_| bad("stats", text))?;
         let name = names.load_fields.get(position).ok_or_else(|| bad("stats", text))?;
-        setup::set_load_field(&mut report, name, number);
+        balancer_settings::set_load_field(&mut report, name, number);
     }
     Ok(Some(report))
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,10 +4,9 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{Outcome, Phase, SettingsError};
+use balancer_settings::SetupError;
 use thiserror::Error;
 
-use crate::setup::SetupError;
-
 /// What is wrong with a line.
 #[derive(Debug, Error)]
 pub enum Malformed {
