--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,136 +1,18 @@
 //! Checks settings before they are taken over: every fault at once, each with its path and what was expected there.
 
+mod field;
+mod fields;
+
 use std::collections::BTreeSet;
 
 use serde_json::{Map, Value};
 
+use field::Form::{Count, Flag, Named, Number, Object, Text, Texts, Word};
+use field::{Field, Form, Need};
+use fields::{PART, PLACE};
+
 /// Faults told by name; of further ones only how many there are.
 const FAULTS_MOST: usize = 100;
-/// Classes at most, and tenants: each costs memory for life, and time in every sweep.
-const LANES_MOST: usize = 1000;
-const PROJECTS_MOST: usize = 10_000;
-/// Seconds at most, some thirty years: clocks go no further than some hundreds.
-const SECONDS_MOST: f64 = 1e9;
-/// Seconds at least where there must be some: less would be none in the clocks' nanoseconds.
-const SECONDS_LEAST: f64 = 1e-6;
-
-/// What may stand at a key.
-#[derive(Clone, Copy)]
-enum Form {
-    Flag,
-    /// From this on.
-    Count(u32),
-    /// From the one up to the other.
-    Number(f64, f64),
-    /// One of these words.
-    Word(&'static [&'static str]),
-    /// Not empty.
-    Text,
-    Texts,
-    Object(&'static [Field]),
-    /// So many at least and at most, each with a name of its own.
-    Named(&'static [Field], usize, usize),
-}
-
-use Form::{Count, Flag, Named, Number, Object, Text, Texts, Word};
-
-#[derive(Clone, Copy)]
-struct Field {
-    key: &'static str,
-    need: Need,
-    form: Form,
-}
-
-#[derive(Clone, Copy, PartialEq, Eq)]
-enum Need {
-    Must,
-    May,
-    /// It may also be null, which says that there is none.
-    Null,
-}
-
-const fn must(key: &'static str, form: Form) -> Field {
-    Field { key, need: Need::Must, form }
-}
-
-const fn may(key: &'static str, form: Form) -> Field {
-    Field { key, need: Need::May, form }
-}
-
-const fn null(key: &'static str, form: Form) -> Field {
-    Field { key, need: Need::Null, form }
-}
-
-const SPAN: Form = Number(0.0, SECONDS_MOST);
-const SOME_TIME: Form = Number(SECONDS_LEAST, SECONDS_MOST);
-const SHARE: Form = Number(0.0, 1.0);
-const PRICE: Form = Number(0.0, 1e6);
-
-const LANE: &[Field] = &[
-    must("name", Text),
-    must("onTimeS", SOME_TIME),
-    must("hardLimitS", SOME_TIME),
-    may("lateWorth", SHARE),
-    must("effect", Word(&["idempotent", "deduplicated", "at_most_once"])),
-    null("dedupScope", Word(&["all", "zone", "cell"])),
-    null("windowS", SPAN),
-];
-
-const PROJECT: &[Field] = &[must("name", Text), null("quotaPerS", Number(0.0, 1e12))];
-
-const CAPS: &[Field] = &[
-    must("tryLimit", Count(1)),
-    may("secondCopies", Flag),
-    may("cancel", Flag),
-    may("mayProbe", Flag),
-    may("mayTell", Flag),
-    may("retryAfter", Flag),
-    may("maxRetryAfterS", SPAN),
-    may("keepaliveS", SOME_TIME),
-    may("multiplex", Count(1)),
-    may("dialTimeoutS", SOME_TIME),
-];
-
-const RULES: &[Field] = &[
-    may("answerSlackS", SPAN),
-    may("drainGraceS", SPAN),
-    null("askWithinS", SPAN),
-    must("coldShare", Number(f64::MIN_POSITIVE, 1.0)),
-    must("coldS", SPAN),
-    must("fallMultiple", Number(f64::MIN_POSITIVE, 1e6)),
-    must("overloadForS", SPAN),
-];
-
-const PRICES: &[Field] = &[
-    may("crossZone", PRICE),
-    may("waste", PRICE),
-    may("lateFail", PRICE),
-    may("handshake", PRICE),
-    may("probe", PRICE),
-];
-
-/// What a document may hold.
-const PART: &[Field] = &[
-    must("lanes", Named(LANE, 1, LANES_MOST)),
-    may("projects", Named(PROJECT, 0, PROJECTS_MOST)),
-    may("overShareWorth", SHARE),
-    must("caps", Object(CAPS)),
-    must("rules", Object(RULES)),
-    may("prices", Object(PRICES)),
-    must("balancers", Count(1)),
-];
-
-/// What belongs to a balancer's own place.
-const PLACE: &[Field] = &[
-    must("me", Count(0)),
-    may("tier", Count(0)),
-    must("zone", Text),
-    must("zones", Texts),
-    may("kinds", Texts),
-    must("discovery", Word(&["automatic", "subscribe"])),
-    may("familyInfo", Object(&[may("passesDeadline", Flag)])),
-    may("loadInfo", Object(&[may("fields", Texts)])),
-];
 
 /// Checks a whole settings object; keys that it does not know are passed over. Gives every fault, with its path.
 #[must_use]
@@ -205,7 +87,7 @@
         for &Field { key, need, form } in fields {
             let path = format!("{path}.{key}");
             match object.get(key) {
-                None if need == Need::Must && !merged => self.fault(&path, &expected(form), None),
+                None if need == Need::Must && !merged => self.fault(&path, &form.expected(), None),
                 None => {}
                 Some(Value::Null) if need == Need::Null || (merged && need == Need::May) => {}
                 Some(value) => self.value(&path, value, form),
@@ -245,7 +127,7 @@
             }
         };
         if !sound {
-            self.fault(path, &expected(form), Some(value));
+            self.fault(path, &form.expected(), Some(value));
         }
     }
 
@@ -288,17 +170,3 @@
         }
     }
 }
-
-fn expected(form: Form) -> String {
-    match form {
-        Flag => "true or false".to_owned(),
-        Count(least) => format!("a whole number from {least} to {}", u32::MAX),
-        Number(least, most) if least == f64::MIN_POSITIVE => format!("a number above 0, up to {most}"),
-        Number(least, most) => format!("a number from {least} to {most}"),
-        Word(words) => format!("one of {}", words.join(", ")),
-        Text => "a text that is not empty".to_owned(),
-        Texts => "a list of texts".to_owned(),
-        Object(_) => "an object".to_owned(),
-        Named(_, least, most) => format!("a list of {least} to {most}"),
-    }
-}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,11 @@
 //! The settings object of a balancer: read into the terms of `balancer-policy`, and checked.
 
 mod check;
+mod convert;
+mod load_report;
 mod read;
+mod schema;
 
 pub use check::{check, check_part};
-pub use read::{Loaded, Names, SetupError, read, set_load_field};
+pub use load_report::set_load_field;
+pub use read::{Loaded, Names, SetupError, read};
