--- a/crates/config-distribution/src/command.rs
+++ b/crates/config-distribution/src/command.rs
@@ -230,7 +230,8 @@
 /// The faults of a document whose form is sound.
 fn check(_: &Scope, body: &str) -> Vec<String> {
     match serde_json::from_str::<serde_json::Value>(body) {
-        Ok(body) => balancer_settings::check_part(&body["settings"]),
+        Ok(body) => balancer_settings::check_part(&body["settings"])
+            .map_or_else(|faults| faults.messages(), |()| Vec::new()),
         Err(error) => vec![error.to_string()],
     }
 }
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -220,10 +220,7 @@
     /// Applies the settings that these documents make: whole, or not at all.
     fn apply(&mut self, documents: Documents) -> Result<(), Vec<String>> {
         let settings = effective(&self.own_settings, documents.each_ref().map(Option::as_ref))?;
-        let faults = balancer_settings::check(&settings);
-        if !faults.is_empty() {
-            return Err(faults);
-        }
+        balancer_settings::check(&settings).map_err(|faults| faults.messages())?;
         let loaded =
             balancer_settings::read(&settings.to_string()).map_err(|error| vec![error.to_string()])?;
         self.driver.reconfigure(loaded).map_err(|fault| vec![fault])?;
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -11,13 +11,14 @@
 use field::{Field, Form, Need};
 use fields::{PART, PLACE};
 
-/// Faults told by name; of further ones only how many there are.
-const FAULTS_MOST: usize = 100;
+use crate::fault::{Fault, Faults, Found, excerpt};
 
 /// Checks a whole settings object; keys that it does not know are passed over. Gives every fault, with its path.
-#[must_use]
-pub fn check(settings: &Value) -> Vec<String> {
-    let mut walk = Walk { part: false, faults: Vec::new(), more: 0 };
+///
+/// # Errors
+/// Whatever is wrong, all at once.
+pub fn check(settings: &Value) -> Result<(), Faults> {
+    let mut walk = Walk { part: false, faults: Faults::none() };
     if let Some(object) = walk.object("settings", settings) {
         walk.fields("settings", object, PART, false);
         walk.fields("settings", object, PLACE, false);
@@ -27,52 +28,46 @@
             walk.fault("settings.zone", "one of settings.zones", Some(zone));
         }
     }
-    walk.end()
+    walk.faults.into_result()
 }
 
 /// Checks the part of the settings that a document holds, as far as it stands: a key may be absent, and null takes an
 /// optional one away. Gives every fault, with its path; a key that is not known is one.
-#[must_use]
-pub fn check_part(settings: &Value) -> Vec<String> {
-    let mut walk = Walk { part: true, faults: Vec::new(), more: 0 };
+///
+/// # Errors
+/// Whatever is wrong, all at once.
+pub fn check_part(settings: &Value) -> Result<(), Faults> {
+    let mut walk = Walk { part: true, faults: Faults::none() };
     if let Some(object) = walk.object("settings", settings) {
         walk.fields("settings", object, PART, true);
     }
-    walk.end()
+    walk.faults.into_result()
 }
 
 struct Walk {
     /// Of a document.
     part: bool,
-    faults: Vec<String>,
-    /// Faults beyond those told.
-    more: usize,
+    faults: Faults,
 }
 
 impl Walk {
-    fn tell(&mut self, fault: impl FnOnce() -> String) {
-        if self.faults.len() < FAULTS_MOST {
-            self.faults.push(fault());
-        } else {
-            self.more += 1;
-        }
-    }
-
     fn fault(&mut self, path: &str, expected: &str, found: Option<&Value>) {
-        self.tell(|| match found {
-            Some(found) => {
-                let text: String = found.to_string().chars().take(60).collect();
-                format!("{path}: expected {expected}, found {text}")
-            }
-            None => format!("{path}: missing, expected {expected}"),
+        self.faults.add(|| Fault {
+            path: path.to_owned(),
+            expected: expected.to_owned(),
+            found: found.map_or(Found::Missing, |found| Found::Value(excerpt(&found.to_string()))),
         });
     }
 
-    fn end(mut self) -> Vec<String> {
-        if self.more > 0 {
-            self.faults.push(format!("and {} more", self.more));
-        }
-        self.faults
+    fn unknown_key(&mut self, path: &str, key: &str, fields: &[Field]) {
+        self.faults.add(|| {
+            let known: Vec<_> = fields.iter().map(|field| field.key).collect();
+            Fault {
+                path: format!("{path}.{}", excerpt(key)),
+                expected: format!("one of {}", known.join(", ")),
+                found: Found::UnknownKey,
+            }
+        });
     }
 
     fn object<'a>(&mut self, path: &str, value: &'a Value) -> Option<&'a Map<String, Value>> {
@@ -95,9 +90,7 @@
         }
         if self.part {
             for key in object.keys().filter(|key| fields.iter().all(|field| field.key != *key)) {
-                let known: Vec<_> = fields.iter().map(|field| field.key).collect();
-                let key: String = key.chars().take(60).collect();
-                self.tell(|| format!("{path}.{key}: not known, expected one of {}", known.join(", ")));
+                self.unknown_key(path, key, fields);
             }
         }
     }
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -133,12 +133,12 @@
     }
 }
 
-fn span(name: &str, seconds: f64) -> Result<Duration, SetupError> {
+fn span(name: &'static str, seconds: f64) -> Result<Duration, SetupError> {
     Duration::try_from_secs_f64(seconds).map_err(|_| wrong(name, &seconds.to_string()))
 }
 
-fn wrong(name: &str, value: &str) -> SetupError {
-    SetupError::Value { name: name.to_owned(), value: value.to_owned() }
+fn wrong(name: &'static str, value: &str) -> SetupError {
+    SetupError::Value { name, value: value.to_owned() }
 }
 
 fn positions(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -22,7 +22,7 @@
     #[error("{name} makes no sense: {value:?}")]
     Value {
         /// Where it stands.
-        name: String,
+        name: &'static str,
         /// What stands there.
         value: String,
     },
--- /dev/null
+++ b/crates/settings/tests/faults.rs
@@ -0,0 +1,46 @@
+//! Faults as values: what stands where, what was expected, what was found.
+
+use balancer_settings::{Fault, Found, check, check_part};
+use serde_json::json;
+
+#[test]
+fn a_fault_holds_its_place_and_what_was_expected_and_found() {
+    let faults = check_part(&json!({"caps": {"tryLimit": 0}})).expect_err("no attempt is allowed");
+    let fault = Fault {
+        path: "settings.caps.tryLimit".to_owned(),
+        expected: "a whole number from 1 to 4294967295".to_owned(),
+        found: Found::Value("0".to_owned()),
+    };
+    assert_eq!(faults.listed(), [fault]);
+    assert_eq!(faults.unlisted(), 0);
+}
+
+#[test]
+fn a_missing_key_and_an_unknown_one_are_told_apart() {
+    let faults = check_part(&json!({"projects": [{}], "strange": 1})).expect_err("two faults");
+    let found: Vec<(&str, &Found)> =
+        faults.listed().iter().map(|fault| (fault.path.as_str(), &fault.found)).collect();
+    assert_eq!(
+        found,
+        [("settings.projects[0].name", &Found::Missing), ("settings.strange", &Found::UnknownKey)]
+    );
+}
+
+#[test]
+fn faults_are_written_out_in_one_line() {
+    let faults = check_part(&json!({"balancers": 0, "strange": 1})).expect_err("two faults");
+    assert_eq!(
+        faults.to_string(),
+        "settings.balancers: expected a whole number from 1 to 4294967295, found 0; settings.strange: not known, \
+         expected one of lanes, projects, overShareWorth, caps, rules, prices, balancers"
+    );
+}
+
+#[test]
+fn faults_beyond_a_bound_are_counted() {
+    let projects = vec![json!({}); 130];
+    let faults = check(&json!({"projects": projects})).expect_err("130 without a name, and much is missing");
+    assert_eq!(faults.listed().len(), 100);
+    assert!(faults.unlisted() >= 30, "{}", faults.unlisted());
+    assert_eq!(faults.messages().last(), Some(&format!("and {} more", faults.unlisted())));
+}
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,8 +1,18 @@
 //! Checks of settings: what a whole and what a document's part may hold, and that all faults are told at once.
 
-use balancer_settings::{check, check_part, read};
+use balancer_settings::read;
 use serde_json::{Value, json};
 
+/// The faults of a whole settings object as they are written out.
+fn check(settings: &Value) -> Vec<String> {
+    balancer_settings::check(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
+}
+
+/// The faults of a document's part as they are written out.
+fn check_part(settings: &Value) -> Vec<String> {
+    balancer_settings::check_part(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
+}
+
 fn whole() -> Value {
     json!({
         "balancers": 3, "me": 0, "tier": 0, "zone": "north", "zones": ["north", "south"], "kinds": ["std"],
