--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -7,28 +7,25 @@
 
 use serde_json::{Map, Value};
 
-use field::Form::{Count, Flag, Named, Number, Object, Text, Texts, Word};
-use field::{Field, Form, Need};
-use fields::{PART, PLACE};
-
+use self::field::{Field, Presence, ValueKind};
+use self::fields::{DEDUPLICATED, OWN, SHARED, key};
 use crate::fault::{Fault, Faults, Found, excerpt};
 
+/// The path of the settings object itself.
+const ROOT: &str = "settings";
+
 /// Checks a whole settings object; keys that it does not know are passed over. Gives every fault, with its path.
 ///
 /// # Errors
 /// Whatever is wrong, all at once.
 pub fn check(settings: &Value) -> Result<(), Faults> {
-    let mut walk = Walk { part: false, faults: Faults::none() };
-    if let Some(object) = walk.object("settings", settings) {
-        walk.fields("settings", object, PART, false);
-        walk.fields("settings", object, PLACE, false);
-        if let (Some(zone), Some(Value::Array(zones))) = (object.get("zone"), object.get("zones"))
-            && !zones.contains(zone)
-        {
-            walk.fault("settings.zone", "one of settings.zones", Some(zone));
-        }
+    let mut checker = Checker::new(Scope::Whole);
+    if let Some(object) = checker.object(ROOT, settings) {
+        checker.fields(ROOT, object, SHARED, Completeness::Complete);
+        checker.fields(ROOT, object, OWN, Completeness::Complete);
+        checker.zone(object);
     }
-    walk.faults.into_result()
+    checker.faults.into_result()
 }
 
 /// Checks the part of the settings that a document holds, as far as it stands: a key may be absent, and null takes an
@@ -37,20 +34,42 @@
 /// # Errors
 /// Whatever is wrong, all at once.
 pub fn check_part(settings: &Value) -> Result<(), Faults> {
-    let mut walk = Walk { part: true, faults: Faults::none() };
-    if let Some(object) = walk.object("settings", settings) {
-        walk.fields("settings", object, PART, true);
+    let mut checker = Checker::new(Scope::Document);
+    if let Some(object) = checker.object(ROOT, settings) {
+        checker.fields(ROOT, object, SHARED, Completeness::Merged);
     }
-    walk.faults.into_result()
+    checker.faults.into_result()
+}
+
+/// What is checked.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Scope {
+    /// All settings of a balancer.
+    Whole,
+    /// The part that a document holds.
+    Document,
+}
+
+/// How much of an object is there.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Completeness {
+    /// All of it.
+    Complete,
+    /// What changes in another that it is merged into: any key may be absent.
+    Merged,
 }
 
-struct Walk {
-    /// Of a document.
-    part: bool,
+/// A walk over settings that gathers faults.
+struct Checker {
+    scope: Scope,
     faults: Faults,
 }
 
-impl Walk {
+impl Checker {
+    fn new(scope: Scope) -> Self {
+        Self { scope, faults: Faults::none() }
+    }
+
     fn fault(&mut self, path: &str, expected: &str, found: Option<&Value>) {
         self.faults.add(|| Fault {
             path: path.to_owned(),
@@ -71,95 +90,141 @@
     }
 
     fn object<'a>(&mut self, path: &str, value: &'a Value) -> Option<&'a Map<String, Value>> {
-        if value.as_object().is_none() {
-            self.fault(path, "an object", Some(value));
+        let object = value.as_object();
+        if object.is_none() {
+            self.fault(path, &ValueKind::Object(&[]).expected(), Some(value));
         }
-        value.as_object()
+        object
     }
 
-    /// Checks an object's fields; in one that is merged into another each may be absent.
-    fn fields(&mut self, path: &str, object: &Map<String, Value>, fields: &[Field], merged: bool) {
-        for &Field { key, need, form } in fields {
-            let path = format!("{path}.{key}");
-            match object.get(key) {
-                None if need == Need::Must && !merged => self.fault(&path, &form.expected(), None),
-                None => {}
-                Some(Value::Null) if need == Need::Null || (merged && need == Need::May) => {}
-                Some(value) => self.value(&path, value, form),
-            }
+    fn fields(
+        &mut self,
+        path: &str,
+        object: &Map<String, Value>,
+        fields: &[Field],
+        completeness: Completeness,
+    ) {
+        for field in fields {
+            self.field(path, object, field, completeness);
         }
-        if self.part {
+        if self.scope == Scope::Document {
             for key in object.keys().filter(|key| fields.iter().all(|field| field.key != *key)) {
                 self.unknown_key(path, key, fields);
             }
         }
     }
 
-    fn value(&mut self, path: &str, value: &Value, form: Form) {
-        let sound = match form {
-            Flag => value.is_boolean(),
-            Count(least) => {
-                value.as_u64().is_some_and(|count| (u64::from(least)..=u64::from(u32::MAX)).contains(&count))
-            }
-            Number(least, most) => value.as_f64().is_some_and(|number| (least..=most).contains(&number)),
-            Word(words) => value.as_str().is_some_and(|word| words.contains(&word)),
-            Text => value.as_str().is_some_and(|text| !text.is_empty()),
-            Texts => value.as_array().is_some_and(|texts| texts.iter().all(Value::is_string)),
-            Object(fields) => {
-                if let Some(object) = self.object(path, value) {
-                    self.fields(path, object, fields, self.part);
-                }
-                true
+    fn field(&mut self, path: &str, object: &Map<String, Value>, field: &Field, completeness: Completeness) {
+        let path = format!("{path}.{}", field.key);
+        let merged = completeness == Completeness::Merged;
+        match (object.get(field.key), field.presence) {
+            (None, Presence::Required) if !merged => self.fault(&path, &field.kind.expected(), None),
+            (None, _) | (Some(Value::Null), Presence::Nullable) => {}
+            (Some(Value::Null), Presence::Optional) if merged => {}
+            (Some(value), _) => self.value(&path, value, &field.kind),
+        }
+    }
+
+    fn value(&mut self, path: &str, value: &Value, kind: &ValueKind) {
+        let valid = match kind {
+            ValueKind::Bool => value.is_boolean(),
+            ValueKind::Integer { min } => is_integer(value, *min),
+            ValueKind::Number(range) => value.as_f64().is_some_and(|number| range.contains(&number)),
+            ValueKind::PositiveNumber { max } => {
+                value.as_f64().is_some_and(|number| (f64::MIN_POSITIVE..=*max).contains(&number))
             }
-            Named(fields, least, most) => {
-                let list = value.as_array().filter(|list| (least..=most).contains(&list.len()));
+            ValueKind::OneOf(words) => value.as_str().is_some_and(|word| words.contains(&word)),
+            ValueKind::NonEmptyString => value.as_str().is_some_and(|text| !text.is_empty()),
+            ValueKind::StringList => value.as_array().is_some_and(|texts| texts.iter().all(Value::is_string)),
+            ValueKind::Object(fields) => return self.section(path, value, fields),
+            ValueKind::NamedObjects { fields, count } => {
+                let list = value.as_array().filter(|list| count.contains(&list.len()));
                 if let Some(list) = list {
-                    self.named(path, list, fields);
+                    self.named_objects(path, list, fields);
                 }
                 list.is_some()
             }
         };
-        if !sound {
-            self.fault(path, &form.expected(), Some(value));
+        if !valid {
+            self.fault(path, &kind.expected(), Some(value));
         }
     }
 
-    /// Checks a list of objects with names. A list takes the place of another whole.
-    fn named(&mut self, path: &str, list: &[Value], fields: &[Field]) {
+    /// Checks an object within the settings, which a document's is merged into.
+    fn section(&mut self, path: &str, value: &Value, fields: &[Field]) {
+        let completeness = match self.scope {
+            Scope::Whole => Completeness::Complete,
+            Scope::Document => Completeness::Merged,
+        };
+        if let Some(object) = self.object(path, value) {
+            self.fields(path, object, fields, completeness);
+        }
+    }
+
+    /// Checks a list of objects with names. A list takes the place of another whole, so that each is complete.
+    fn named_objects(&mut self, path: &str, list: &[Value], fields: &[Field]) {
         let mut names = BTreeSet::new();
-        for (place, value) in list.iter().enumerate() {
-            let path = format!("{path}[{place}]");
+        for (position, value) in list.iter().enumerate() {
+            let path = format!("{path}[{position}]");
             let Some(object) = self.object(&path, value) else { continue };
-            self.fields(&path, object, fields, false);
-            if let Some(name) = object.get("name").and_then(Value::as_str)
+            self.fields(&path, object, fields, Completeness::Complete);
+            if let Some(name) = object.get(key::NAME).and_then(Value::as_str)
                 && !names.insert(name)
             {
-                self.fault(&format!("{path}.name"), "a name of its own", object.get("name"));
+                self.fault(&format!("{path}.{}", key::NAME), "a name of its own", object.get(key::NAME));
             }
-            self.lane(&path, object);
-            if self.part && object.get("quotaPerS").and_then(Value::as_f64) == Some(0.0) {
-                // It would be taken for none at all, which lifts the limit.
-                self.fault(
-                    &format!("{path}.quotaPerS"),
-                    "a number above 0, or null for no quota",
-                    object.get("quotaPerS"),
-                );
+            self.class_times(&path, object);
+            self.class_dedup_scope(&path, object);
+            if self.scope == Scope::Document {
+                self.tenant_quota(&path, object);
             }
         }
     }
 
-    /// Checks what a class's fields say together.
-    fn lane(&mut self, path: &str, lane: &Map<String, Value>) {
-        let seconds = |key: &str| lane.get(key).and_then(Value::as_f64);
-        if let (Some(aim), Some(deadline)) = (seconds("onTimeS"), seconds("hardLimitS"))
-            && aim > deadline
+    /// A class's latency objective lies within its deadline.
+    fn class_times(&mut self, path: &str, class: &Map<String, Value>) {
+        let seconds = |key: &str| class.get(key).and_then(Value::as_f64);
+        if let (Some(latency_objective), Some(deadline)) =
+            (seconds(key::LATENCY_OBJECTIVE), seconds(key::DEADLINE))
+            && latency_objective > deadline
         {
-            let expected = format!("no more than hardLimitS, {deadline}");
-            self.fault(&format!("{path}.onTimeS"), &expected, lane.get("onTimeS"));
+            let path = format!("{path}.{}", key::LATENCY_OBJECTIVE);
+            let expected = format!("no more than {}, {deadline}", key::DEADLINE);
+            self.fault(&path, &expected, class.get(key::LATENCY_OBJECTIVE));
+        }
+    }
+
+    /// A class whose repeats are discarded names the group that does.
+    fn class_dedup_scope(&mut self, path: &str, class: &Map<String, Value>) {
+        let deduplicated = class.get(key::EFFECT).and_then(Value::as_str) == Some(DEDUPLICATED);
+        let scope = class.get(key::DEDUP_SCOPE).filter(|scope| !scope.is_null());
+        if deduplicated && scope.is_none() {
+            let path = format!("{path}.{}", key::DEDUP_SCOPE);
+            self.fault(&path, "all, zone or cell where repeats are dropped", None);
+        }
+    }
+
+    /// A quota of 0 would be taken for none at all, which lifts the limit.
+    fn tenant_quota(&mut self, path: &str, tenant: &Map<String, Value>) {
+        let quota = tenant.get(key::QUOTA);
+        if quota.and_then(Value::as_f64) == Some(0.0) {
+            let path = format!("{path}.{}", key::QUOTA);
+            self.fault(&path, "a number above 0, or null for no quota", quota);
         }
-        let scope = lane.get("dedupScope").filter(|scope| !scope.is_null());
-        if lane.get("effect").and_then(Value::as_str) == Some("deduplicated") && scope.is_none() {
-            self.fault(&format!("{path}.dedupScope"), "all, zone or cell where repeats are dropped", scope);
+    }
+
+    /// The balancer's zone is one of the zones.
+    fn zone(&mut self, settings: &Map<String, Value>) {
+        if let (Some(zone), Some(Value::Array(zones))) = (settings.get(key::ZONE), settings.get(key::ZONES))
+            && !zones.contains(zone)
+        {
+            let path = format!("{ROOT}.{}", key::ZONE);
+            self.fault(&path, &format!("one of {ROOT}.{}", key::ZONES), Some(zone));
         }
     }
 }
+
+fn is_integer(value: &Value, min: u32) -> bool {
+    let range = u64::from(min)..=u64::from(u32::MAX);
+    value.as_u64().is_some_and(|number| range.contains(&number))
+}
--- a/crates/settings/src/check/field.rs
+++ b/crates/settings/src/check/field.rs
@@ -1,65 +1,72 @@
 //! What may stand at a key of the settings.
 
-/// What may stand at a key.
-#[derive(Clone, Copy)]
-pub enum Form {
-    Flag,
-    /// From this on.
-    Count(u32),
-    /// From the one up to the other.
-    Number(f64, f64),
-    /// One of these words.
-    Word(&'static [&'static str]),
-    /// Not empty.
-    Text,
-    Texts,
-    Object(&'static [Field]),
-    /// So many at least and at most, each with a name of its own.
-    Named(&'static [Field], usize, usize),
-}
+use std::ops::RangeInclusive;
 
-#[derive(Clone, Copy)]
+/// A key of an object.
 pub struct Field {
     pub key: &'static str,
-    pub need: Need,
-    pub form: Form,
+    pub presence: Presence,
+    pub kind: ValueKind,
 }
 
+/// Whether a key must be there.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Need {
-    Must,
-    May,
+pub enum Presence {
+    Required,
+    Optional,
     /// It may also be null, which says that there is none.
-    Null,
+    Nullable,
+}
+
+/// What may be at a key.
+pub enum ValueKind {
+    Bool,
+    /// A whole number of 32 bits, at least this.
+    Integer {
+        min: u32,
+    },
+    /// A number within these bounds.
+    Number(RangeInclusive<f64>),
+    /// A number above 0 up to a bound. The policy takes only normal numbers for above 0, so this does.
+    PositiveNumber {
+        max: f64,
+    },
+    OneOf(&'static [&'static str]),
+    NonEmptyString,
+    StringList,
+    Object(&'static [Field]),
+    /// A list of objects, each with a name of its own.
+    NamedObjects {
+        fields: &'static [Field],
+        count: RangeInclusive<usize>,
+    },
 }
 
-pub const fn must(key: &'static str, form: Form) -> Field {
-    Field { key, need: Need::Must, form }
+pub const fn required(key: &'static str, kind: ValueKind) -> Field {
+    Field { key, presence: Presence::Required, kind }
 }
 
-pub const fn may(key: &'static str, form: Form) -> Field {
-    Field { key, need: Need::May, form }
+pub const fn optional(key: &'static str, kind: ValueKind) -> Field {
+    Field { key, presence: Presence::Optional, kind }
 }
 
-pub const fn null(key: &'static str, form: Form) -> Field {
-    Field { key, need: Need::Null, form }
+pub const fn nullable(key: &'static str, kind: ValueKind) -> Field {
+    Field { key, presence: Presence::Nullable, kind }
 }
 
-impl Form {
-    /// What stands in a fault as expected.
-    pub fn expected(self) -> String {
+impl ValueKind {
+    /// What a fault says was expected.
+    pub fn expected(&self) -> String {
         match self {
-            Self::Flag => "true or false".to_owned(),
-            Self::Count(least) => format!("a whole number from {least} to {}", u32::MAX),
-            Self::Number(least, most) if least == f64::MIN_POSITIVE => {
-                format!("a number above 0, up to {most}")
-            }
-            Self::Number(least, most) => format!("a number from {least} to {most}"),
-            Self::Word(words) => format!("one of {}", words.join(", ")),
-            Self::Text => "a text that is not empty".to_owned(),
-            Self::Texts => "a list of texts".to_owned(),
+            Self::Bool => "true or false".to_owned(),
+            Self::Integer { min } => format!("a whole number from {min} to {}", u32::MAX),
+            Self::Number(range) => format!("a number from {} to {}", range.start(), range.end()),
+            Self::PositiveNumber { max } => format!("a number above 0, up to {max}"),
+            Self::OneOf(words) => format!("one of {}", words.join(", ")),
+            Self::NonEmptyString => "a text that is not empty".to_owned(),
+            Self::StringList => "a list of texts".to_owned(),
             Self::Object(_) => "an object".to_owned(),
-            Self::Named(_, least, most) => format!("a list of {least} to {most}"),
+            Self::NamedObjects { count, .. } => format!("a list of {} to {}", count.start(), count.end()),
         }
     }
 }
--- a/crates/settings/src/check/fields.rs
+++ b/crates/settings/src/check/fields.rs
@@ -1,83 +1,108 @@
 //! Every key that the settings have, and what may stand there.
 
-use super::field::Form::{Count, Flag, Named, Number, Object, Text, Texts, Word};
-use super::field::{Field, Form, may, must, null};
+use super::field::ValueKind::{
+    Bool, Integer, NamedObjects, NonEmptyString, Number, Object, OneOf, PositiveNumber, StringList,
+};
+use super::field::{Field, ValueKind, nullable, optional, required};
 
-/// Classes at most, and tenants: each costs memory for life, and time in every sweep.
-const LANES_MOST: usize = 1000;
-const PROJECTS_MOST: usize = 10_000;
-/// Seconds at most, some thirty years: clocks go no further than some hundreds.
-const SECONDS_MOST: f64 = 1e9;
-/// Seconds at least where there must be some: less would be none in the clocks' nanoseconds.
-const SECONDS_LEAST: f64 = 1e-6;
+/// Keys that a check of several values together reads.
+pub mod key {
+    pub const NAME: &str = "name";
+    pub const LATENCY_OBJECTIVE: &str = "onTimeS";
+    pub const DEADLINE: &str = "hardLimitS";
+    pub const EFFECT: &str = "effect";
+    pub const DEDUP_SCOPE: &str = "dedupScope";
+    pub const QUOTA: &str = "quotaPerS";
+    pub const ZONE: &str = "zone";
+    pub const ZONES: &str = "zones";
+}
 
-const SPAN: Form = Number(0.0, SECONDS_MOST);
-const SOME_TIME: Form = Number(SECONDS_LEAST, SECONDS_MOST);
-const SHARE: Form = Number(0.0, 1.0);
-const PRICE: Form = Number(0.0, 1e6);
+/// The effect whose repeats a group of upstreams discards, so that the group must be named.
+pub const DEDUPLICATED: &str = "deduplicated";
 
-const LANE: &[Field] = &[
-    must("name", Text),
-    must("onTimeS", SOME_TIME),
-    must("hardLimitS", SOME_TIME),
-    may("lateWorth", SHARE),
-    must("effect", Word(&["idempotent", "deduplicated", "at_most_once"])),
-    null("dedupScope", Word(&["all", "zone", "cell"])),
-    null("windowS", SPAN),
+/// Classes: each costs memory for life, and time in every sweep.
+const MAX_CLASSES: usize = 1000;
+/// Tenants, for the same reason; there is a tenant for each customer.
+const MAX_TENANTS: usize = 10_000;
+/// Some thirty years: clocks go no further than some hundreds.
+const MAX_SECONDS: f64 = 1e9;
+/// Where there must be some time: less would be none in the clocks' nanoseconds.
+const MIN_POSITIVE_SECONDS: f64 = 1e-6;
+/// Requests a second; the policy's bound.
+const MAX_QUOTA_PER_S: f64 = 1e12;
+/// In requests of full weight; the policy's bound.
+const MAX_PRICE: f64 = 1e6;
+/// The policy's bound.
+const MAX_OVERLOAD_MULTIPLE: f64 = 1e6;
+
+const SECONDS: ValueKind = Number(0.0..=MAX_SECONDS);
+const POSITIVE_SECONDS: ValueKind = Number(MIN_POSITIVE_SECONDS..=MAX_SECONDS);
+const FRACTION: ValueKind = Number(0.0..=1.0);
+const PRICE: ValueKind = Number(0.0..=MAX_PRICE);
+
+const CLASS: &[Field] = &[
+    required(key::NAME, NonEmptyString),
+    required(key::LATENCY_OBJECTIVE, POSITIVE_SECONDS),
+    required(key::DEADLINE, POSITIVE_SECONDS),
+    optional("lateWorth", FRACTION),
+    required(key::EFFECT, OneOf(&["idempotent", DEDUPLICATED, "at_most_once"])),
+    nullable(key::DEDUP_SCOPE, OneOf(&["all", "zone", "cell"])),
+    nullable("windowS", SECONDS),
 ];
 
-const PROJECT: &[Field] = &[must("name", Text), null("quotaPerS", Number(0.0, 1e12))];
+const TENANT: &[Field] =
+    &[required(key::NAME, NonEmptyString), nullable(key::QUOTA, Number(0.0..=MAX_QUOTA_PER_S))];
 
-const CAPS: &[Field] = &[
-    must("tryLimit", Count(1)),
-    may("secondCopies", Flag),
-    may("cancel", Flag),
-    may("mayProbe", Flag),
-    may("mayTell", Flag),
-    may("retryAfter", Flag),
-    may("maxRetryAfterS", SPAN),
-    may("keepaliveS", SOME_TIME),
-    may("multiplex", Count(1)),
-    may("dialTimeoutS", SOME_TIME),
+const CAPABILITIES: &[Field] = &[
+    required("tryLimit", Integer { min: 1 }),
+    optional("secondCopies", Bool),
+    optional("cancel", Bool),
+    optional("mayProbe", Bool),
+    optional("mayTell", Bool),
+    optional("retryAfter", Bool),
+    optional("maxRetryAfterS", SECONDS),
+    optional("keepaliveS", POSITIVE_SECONDS),
+    optional("multiplex", Integer { min: 1 }),
+    optional("dialTimeoutS", POSITIVE_SECONDS),
 ];
 
 const RULES: &[Field] = &[
-    may("answerSlackS", SPAN),
-    may("drainGraceS", SPAN),
-    null("askWithinS", SPAN),
-    must("coldShare", Number(f64::MIN_POSITIVE, 1.0)),
-    must("coldS", SPAN),
-    must("fallMultiple", Number(f64::MIN_POSITIVE, 1e6)),
-    must("overloadForS", SPAN),
+    optional("answerSlackS", SECONDS),
+    optional("drainGraceS", SECONDS),
+    nullable("askWithinS", SECONDS),
+    required("coldShare", PositiveNumber { max: 1.0 }),
+    required("coldS", SECONDS),
+    required("fallMultiple", PositiveNumber { max: MAX_OVERLOAD_MULTIPLE }),
+    required("overloadForS", SECONDS),
 ];
 
 const PRICES: &[Field] = &[
-    may("crossZone", PRICE),
-    may("waste", PRICE),
-    may("lateFail", PRICE),
-    may("handshake", PRICE),
-    may("probe", PRICE),
+    optional("crossZone", PRICE),
+    optional("waste", PRICE),
+    optional("lateFail", PRICE),
+    optional("handshake", PRICE),
+    optional("probe", PRICE),
 ];
 
-/// What a document may hold.
-pub const PART: &[Field] = &[
-    must("lanes", Named(LANE, 1, LANES_MOST)),
-    may("projects", Named(PROJECT, 0, PROJECTS_MOST)),
-    may("overShareWorth", SHARE),
-    must("caps", Object(CAPS)),
-    must("rules", Object(RULES)),
-    may("prices", Object(PRICES)),
-    must("balancers", Count(1)),
+/// What a distributed document may hold.
+pub const SHARED: &[Field] = &[
+    required("lanes", NamedObjects { fields: CLASS, count: 1..=MAX_CLASSES }),
+    optional("projects", NamedObjects { fields: TENANT, count: 0..=MAX_TENANTS }),
+    optional("overShareWorth", FRACTION),
+    required("caps", Object(CAPABILITIES)),
+    required("rules", Object(RULES)),
+    optional("prices", Object(PRICES)),
+    required("balancers", Integer { min: 1 }),
 ];
 
-/// What belongs to a balancer's own place.
-pub const PLACE: &[Field] = &[
-    must("me", Count(0)),
-    may("tier", Count(0)),
-    must("zone", Text),
-    must("zones", Texts),
-    may("kinds", Texts),
-    must("discovery", Word(&["automatic", "subscribe"])),
-    may("familyInfo", Object(&[may("passesDeadline", Flag)])),
-    may("loadInfo", Object(&[may("fields", Texts)])),
+/// What is each balancer's own.
+pub const OWN: &[Field] = &[
+    required("me", Integer { min: 0 }),
+    optional("tier", Integer { min: 0 }),
+    required(key::ZONE, NonEmptyString),
+    required(key::ZONES, StringList),
+    optional("kinds", StringList),
+    required("discovery", OneOf(&["automatic", "subscribe"])),
+    optional("familyInfo", Object(&[optional("passesDeadline", Bool)])),
+    optional("loadInfo", Object(&[optional("fields", StringList)])),
 ];
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,37 +1,37 @@
-//! From the JSON form to the library's terms, section by section. The first value that makes no sense ends it.
+//! From the JSON form to the policy's types, section by section. The first value that makes no sense ends it.
 
 use std::time::Duration;
 
-use balancer_policy::Settings;
 use balancer_policy::interface::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Tenant, ZoneId,
+    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Settings, Tenant, ZoneId,
 };
 use rustc_hash::FxHashMap;
 
 use crate::read::{Loaded, Names, SetupError};
 use crate::schema::{Caps, Discovery, EffectName, Lane, PriceFigures, Project, RuleFigures, Setup};
 
+/// Converts the whole object.
 pub fn loaded(setup: Setup) -> Result<Loaded, SetupError> {
     let settings = settings(&setup)?;
-    let connect_timeout = span("caps.dialTimeoutS", setup.caps.dial_timeout_s)?;
+    let connect_timeout = duration("caps.dialTimeoutS", setup.capabilities.connect_timeout_s)?;
     let names = names(setup);
     Ok(Loaded { settings, names, connect_timeout })
 }
 
 fn settings(setup: &Setup) -> Result<Settings, SetupError> {
     Ok(Settings {
-        index: setup.me,
-        copies: setup.balancers,
+        index: setup.index,
+        copies: setup.replicas,
         tier: setup.tier,
-        zone: own_zone(setup)?,
+        zone: local_zone(setup)?,
         zones: setup.zones.len(),
-        kinds: setup.kinds.len(),
-        classes: setup.lanes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: setup.projects.iter().map(tenant).collect(),
-        over_share_worth: setup.over_share_worth,
-        discovery: discovery(&setup.discovery),
-        passes_deadline: setup.family_info.passes_deadline,
-        allowed: allowed(&setup.caps)?,
+        kinds: setup.machine_kinds.len(),
+        classes: setup.classes.iter().map(class).collect::<Result<_, _>>()?,
+        tenants: setup.tenants.iter().map(tenant).collect(),
+        over_share_worth: setup.over_quota_weight,
+        discovery: discovery_mode(&setup.discovery),
+        passes_deadline: setup.family.passes_deadline,
+        allowed: allowed(&setup.capabilities)?,
         rules: rules(&setup.rules)?,
         prices: prices(&setup.prices),
     })
@@ -39,37 +39,37 @@
 
 fn names(setup: Setup) -> Names {
     Names {
-        classes: positions(setup.lanes.into_iter().map(|lane| lane.name)),
-        tenants: positions(setup.projects.into_iter().map(|project| project.name)),
+        classes: positions(setup.classes.into_iter().map(|class| class.name)),
+        tenants: positions(setup.tenants.into_iter().map(|tenant| tenant.name)),
         zones: positions(setup.zones),
-        kinds: positions(setup.kinds),
-        load_fields: setup.load_info.fields,
+        kinds: positions(setup.machine_kinds),
+        load_fields: setup.load_reports.fields,
     }
 }
 
-fn own_zone(setup: &Setup) -> Result<ZoneId, SetupError> {
+fn local_zone(setup: &Setup) -> Result<ZoneId, SetupError> {
     // Of two zones with one name the last counts, as it does in `Names`.
     let position = setup.zones.iter().rposition(|zone| *zone == setup.zone);
-    position.map(ZoneId).ok_or_else(|| wrong("zone", &setup.zone))
+    position.map(ZoneId).ok_or_else(|| invalid("zone", &setup.zone))
 }
 
-fn class(lane: &Lane) -> Result<Class, SetupError> {
-    let effect = effect(lane)?;
+fn class(class: &Lane) -> Result<Class, SetupError> {
+    let effect = effect(class)?;
     Ok(Class {
-        aim: span("onTimeS", lane.on_time_s)?,
-        deadline: span("hardLimitS", lane.hard_limit_s)?,
-        late_worth: lane.late_worth,
+        aim: duration("onTimeS", class.latency_objective_s)?,
+        deadline: duration("hardLimitS", class.deadline_s)?,
+        late_worth: class.late_weight,
         effect,
     })
 }
 
-fn effect(lane: &Lane) -> Result<Effect, SetupError> {
-    Ok(match lane.effect {
+fn effect(class: &Lane) -> Result<Effect, SetupError> {
+    Ok(match class.effect {
         EffectName::Idempotent => Effect::Safe,
         EffectName::AtMostOnce => Effect::Unsafe,
         EffectName::Deduplicated => Effect::Keyed {
-            scope: dedup_scope(lane.dedup_scope.as_deref())?,
-            window: span("windowS", lane.window_s.unwrap_or(0.0))?,
+            scope: dedup_scope(class.dedup_scope.as_deref())?,
+            window: duration("windowS", class.dedup_window_s.unwrap_or(0.0))?,
         },
     })
 }
@@ -79,66 +79,70 @@
         Some("all") => Ok(DedupScope::All),
         Some("zone") => Ok(DedupScope::Zone),
         Some("cell") => Ok(DedupScope::Cell),
-        other => Err(wrong("dedupScope", other.unwrap_or("-"))),
+        other => Err(invalid("dedupScope", other.unwrap_or("-"))),
     }
 }
 
-fn tenant(project: &Project) -> Tenant {
-    Tenant { quota: project.quota_per_s }
+fn tenant(tenant: &Project) -> Tenant {
+    Tenant { quota: tenant.quota_per_s }
 }
 
-fn discovery(discovery: &Discovery) -> DiscoveryMode {
+fn discovery_mode(discovery: &Discovery) -> DiscoveryMode {
     match discovery {
         Discovery::Automatic => DiscoveryMode::Push,
         Discovery::Subscribe => DiscoveryMode::Subscribe,
     }
 }
 
-fn allowed(caps: &Caps) -> Result<Allowed, SetupError> {
+fn allowed(capabilities: &Caps) -> Result<Allowed, SetupError> {
     Ok(Allowed {
-        attempts: caps.try_limit,
-        second_copies: caps.second_copies,
-        cancel: caps.cancel,
-        probes: caps.may_probe,
-        messages: caps.may_tell,
-        keepalive: span("caps.keepaliveS", caps.keepalive_s)?,
-        streams: caps.multiplex,
-        retry_after: if caps.retry_after {
-            Some(span("caps.maxRetryAfterS", caps.max_retry_after_s)?)
-        } else {
-            None
-        },
+        attempts: capabilities.max_attempts,
+        second_copies: capabilities.hedging,
+        cancel: capabilities.cancellation,
+        probes: capabilities.health_checks,
+        messages: capabilities.gossip,
+        keepalive: duration("caps.keepaliveS", capabilities.keepalive_s)?,
+        streams: capabilities.streams_per_connection,
+        retry_after: max_retry_after(capabilities)?,
     })
 }
 
-fn rules(figures: &RuleFigures) -> Result<Rules, SetupError> {
+/// `None` where clients get no Retry-After; what the longest would be is not looked at then.
+fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, SetupError> {
+    if !capabilities.retry_after {
+        return Ok(None);
+    }
+    duration("caps.maxRetryAfterS", capabilities.max_retry_after_s).map(Some)
+}
+
+fn rules(rules: &RuleFigures) -> Result<Rules, SetupError> {
     Ok(Rules {
-        answer_slack: span("rules.answerSlackS", figures.answer_slack_s)?,
-        drain_grace: span("rules.drainGraceS", figures.drain_grace_s)?,
-        ask_within: figures.ask_within_s.map(|seconds| span("rules.askWithinS", seconds)).transpose()?,
-        cold_share: figures.cold_share,
-        cold_time: span("rules.coldS", figures.cold_s)?,
-        overload_multiple: figures.fall_multiple,
-        overload_window: span("rules.overloadForS", figures.overload_for_s)?,
+        answer_slack: duration("rules.answerSlackS", rules.answer_slack_s)?,
+        drain_grace: duration("rules.drainGraceS", rules.drain_grace_s)?,
+        ask_within: rules.poll_within_s.map(|seconds| duration("rules.askWithinS", seconds)).transpose()?,
+        cold_share: rules.slow_start_fraction,
+        cold_time: duration("rules.coldS", rules.slow_start_s)?,
+        overload_multiple: rules.overload_multiple,
+        overload_window: duration("rules.overloadForS", rules.overload_window_s)?,
     })
 }
 
-fn prices(figures: &PriceFigures) -> Prices {
+fn prices(prices: &PriceFigures) -> Prices {
     Prices {
-        cross_zone: figures.cross_zone,
-        waste: figures.waste,
-        late_failure: figures.late_fail,
-        handshake: figures.handshake,
-        probe: figures.probe,
+        cross_zone: prices.cross_zone,
+        waste: prices.wasted_work,
+        late_failure: prices.late_failure,
+        handshake: prices.handshake,
+        probe: prices.health_check,
     }
 }
 
-fn span(name: &'static str, seconds: f64) -> Result<Duration, SetupError> {
-    Duration::try_from_secs_f64(seconds).map_err(|_| wrong(name, &seconds.to_string()))
+fn duration(key: &'static str, seconds: f64) -> Result<Duration, SetupError> {
+    Duration::try_from_secs_f64(seconds).map_err(|_| invalid(key, &seconds.to_string()))
 }
 
-fn wrong(name: &'static str, value: &str) -> SetupError {
-    SetupError::Value { name, value: value.to_owned() }
+fn invalid(key: &'static str, value: &str) -> SetupError {
+    SetupError::Value { name: key, value: value.to_owned() }
 }
 
 fn positions(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
