--- /dev/null
+++ b/crates/simulator-adapter/src/action.rs
@@ -0,0 +1,67 @@
+//! From the actions of the policy to the lines of the wire.
+
+use std::io::{self, Write};
+use std::time::Duration;
+
+use balancer_policy::Action;
+use balancer_policy::interface::RequestId;
+
+use crate::instance::Instance;
+
+/// The request that an action ends or names.
+pub fn named(action: &Action) -> Option<RequestId> {
+    match *action {
+        Action::Send { request, .. }
+        | Action::Withdraw { request, .. }
+        | Action::Refuse { request, .. }
+        | Action::Fail { request } => Some(request),
+        Action::Subscribe
+        | Action::Probe { .. }
+        | Action::DropIdle { .. }
+        | Action::WakeAfter(_)
+        | Action::Log(_) => None,
+    }
+}
+
+/// Keeps the tickets in step with what the balancer has asked for.
+pub fn note_actions(instance: &mut Instance, actions: &[Action]) {
+    for action in actions {
+        let Some(ticket) = named(action).and_then(|id| instance.tickets.get_mut(&id)) else {
+            continue;
+        };
+        match action {
+            Action::Send { .. } => ticket.out += 1,
+            Action::Refuse { .. } | Action::Fail { .. } => ticket.ended = true,
+            _ => {}
+        }
+    }
+}
+
+pub fn write_action(instance: &Instance, action: &Action, output: &mut impl Write) -> io::Result<()> {
+    let ticket = named(action).and_then(|id| instance.tickets.get(&id));
+    let ticket = ticket.map_or("-", |ticket| &*ticket.text);
+    match action {
+        Action::Send { upstream, timeout, .. } => {
+            write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
+            write_seconds(*timeout, output)
+        }
+        Action::Withdraw { attempt, .. } => writeln!(output, "WITHDRAW\t{ticket}\t{}", attempt.0),
+        Action::Refuse { retry_after, .. } => {
+            write!(output, "DENY\t{ticket}\t")?;
+            write_seconds(*retry_after, output)
+        }
+        Action::Fail { .. } => writeln!(output, "ABORT\t{ticket}"),
+        Action::Subscribe => writeln!(output, "OBSERVE\t1"),
+        Action::Probe { upstream } => writeln!(output, "POLL\t{}", upstream.0),
+        Action::DropIdle { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
+        Action::WakeAfter(span) => writeln!(output, "AFTER\t{:.6}\tsweep", span.as_secs_f64()),
+        Action::Log(text) => writeln!(output, "DEBUG\t{text}"),
+    }
+}
+
+fn write_seconds(span: Option<Duration>, output: &mut impl Write) -> io::Result<()> {
+    match span {
+        Some(span) => writeln!(output, "{:.6}", span.as_secs_f64()),
+        None => writeln!(output, "-"),
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/error.rs
@@ -0,0 +1,89 @@
+//! Why the adapter stops.
+
+use std::io;
+
+use balancer_policy::interface::SettingsError;
+use balancer_settings::SetupError;
+use thiserror::Error;
+
+/// Why the adapter stops early.
+#[derive(Debug, Error)]
+pub enum HostError {
+    /// A line makes no sense.
+    #[error("line {line}: {cause}")]
+    Line {
+        /// Its number, from 1.
+        line: u64,
+        /// What is wrong with it.
+        cause: Malformed,
+    },
+    /// The pipe broke.
+    #[error("reading or writing failed: {0}")]
+    Io(#[from] io::Error),
+}
+
+/// What is wrong with a line.
+#[derive(Debug, Error)]
+pub enum Malformed {
+    /// Bytes that are no text.
+    #[error("not UTF-8 text")]
+    NotText,
+    /// A line ends before this value.
+    #[error("value {field} is missing")]
+    Missing {
+        /// The value's name.
+        field: &'static str,
+    },
+    /// A value of the wrong form.
+    #[error("value {field} is malformed: {value:?}")]
+    Value {
+        /// The value's name.
+        field: &'static str,
+        /// What stands there, shortened.
+        value: String,
+    },
+    /// A line goes on past its last value.
+    #[error("more values than the message has")]
+    TooMany,
+    /// A name that the wire does not have.
+    #[error("unknown message {0:?}")]
+    UnknownMessage(String),
+    /// A line where none may stand.
+    #[error("{0} outside a batch")]
+    OutsideBatch(&'static str),
+    /// No more input, yet the batch is open.
+    #[error("the input ends within a batch")]
+    EndsWithin,
+    /// A batch earlier than the one before.
+    #[error("the clock goes back")]
+    ClockBack,
+    /// An event for nobody.
+    #[error("no TO line before the first event")]
+    NoInstance,
+    /// An event before the instance has its settings.
+    #[error("instance {0} has not started")]
+    NotStarted(u32),
+    /// A list that was never defined.
+    #[error("list {0} has not been sent")]
+    NoList(u32),
+    /// A list cut off by another line.
+    #[error("list {list} lacks {missing} of its entries")]
+    ShortList {
+        /// The list's number.
+        list: u32,
+        /// How many entries are missing.
+        missing: usize,
+    },
+    /// An entry with no list open.
+    #[error("an entry outside a list")]
+    StrayEntry,
+    /// The id of a request that is still held.
+    #[error("request {0} was sent before")]
+    RequestAgain(String),
+    /// The settings cannot be read.
+    #[error("setup: {0}")]
+    Setup(#[from] SetupError),
+    /// The decisions cannot work with the settings.
+    #[error("setup: {0}")]
+    Settings(#[from] SettingsError),
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/fields.rs
@@ -0,0 +1,72 @@
+//! The values of a line.
+
+use std::str::FromStr;
+use std::time::Duration;
+
+use crate::error::Malformed;
+
+/// The values of a line, taken from left to right.
+pub struct Fields<'a> {
+    rest: Option<&'a str>,
+}
+
+impl<'a> Fields<'a> {
+    pub fn new(rest: Option<&'a str>) -> Self {
+        Self { rest }
+    }
+
+    pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
+        let rest = self.rest.ok_or(Malformed::Missing { field })?;
+        let (value, rest) = match rest.split_once('\t') {
+            Some((value, rest)) => (value, Some(rest)),
+            None => (rest, None),
+        };
+        self.rest = rest;
+        if value.is_empty() { Err(Malformed::Missing { field }) } else { Ok(value) }
+    }
+
+    /// A value that `-` marks as absent.
+    pub fn optional(&mut self, field: &'static str) -> Result<Option<&'a str>, Malformed> {
+        Ok(Some(self.text(field)?).filter(|&value| value != "-"))
+    }
+
+    pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
+        let value = self.text(field)?;
+        value.parse().map_err(|_| bad(field, value))
+    }
+
+    pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
+        let value = self.text(field)?;
+        seconds(value).ok_or_else(|| bad(field, value))
+    }
+
+    pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, Malformed> {
+        let value = self.optional(field)?;
+        value.map(|value| seconds(value).ok_or_else(|| bad(field, value))).transpose()
+    }
+
+    pub fn flag(&mut self, field: &'static str) -> Result<bool, Malformed> {
+        match self.text(field)? {
+            "1" => Ok(true),
+            "0" => Ok(false),
+            value => Err(bad(field, value)),
+        }
+    }
+
+    /// Text to the end of the line.
+    pub fn remainder(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
+        self.rest.take().ok_or(Malformed::Missing { field })
+    }
+
+    pub fn end(&self) -> Result<(), Malformed> {
+        if self.rest.is_some() { Err(Malformed::TooMany) } else { Ok(()) }
+    }
+}
+
+pub fn bad(field: &'static str, value: &str) -> Malformed {
+    Malformed::Value { field, value: value.chars().take(80).collect() }
+}
+
+fn seconds(value: &str) -> Option<Duration> {
+    Duration::try_from_secs_f64(value.parse().ok()?).ok()
+}
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,13 @@
 //! The simulator's side of the balancer: the host of the line protocol.
 
+mod action;
+mod error;
+mod event;
+mod fields;
 mod host;
+mod instance;
+mod list;
 mod wire;
 
-pub use host::{Host, HostError};
-pub use wire::Malformed;
+pub use error::{HostError, Malformed};
+pub use host::Host;
