--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -6,7 +6,7 @@
 use balancer_policy::Action;
 use balancer_policy::interface::RequestId;
 
-use crate::instance::Instance;
+use crate::requests::RequestTable;
 
 /// The request that an action ends or names.
 pub fn named(action: &Action) -> Option<RequestId> {
@@ -23,23 +23,9 @@
     }
 }
 
-/// Keeps the tickets in step with what the balancer has asked for.
-pub fn note_actions(instance: &mut Instance, actions: &[Action]) {
-    for action in actions {
-        let Some(ticket) = named(action).and_then(|id| instance.tickets.get_mut(&id)) else {
-            continue;
-        };
-        match action {
-            Action::Send { .. } => ticket.out += 1,
-            Action::Refuse { .. } | Action::Fail { .. } => ticket.ended = true,
-            _ => {}
-        }
-    }
-}
-
-pub fn write_action(instance: &Instance, action: &Action, output: &mut impl Write) -> io::Result<()> {
-    let ticket = named(action).and_then(|id| instance.tickets.get(&id));
-    let ticket = ticket.map_or("-", |ticket| &*ticket.text);
+/// Writes an action as a line.
+pub fn write_action(requests: &RequestTable, action: &Action, output: &mut impl Write) -> io::Result<()> {
+    let ticket = named(action).and_then(|id| requests.wire_id(id)).unwrap_or("-");
     match action {
         Action::Send { upstream, timeout, .. } => {
             write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -6,6 +6,9 @@
 use balancer_settings::SetupError;
 use thiserror::Error;
 
+/// Characters of a value that an error repeats.
+const MAX_EXCERPT_CHARS: usize = 80;
+
 /// Why the adapter stops early.
 #[derive(Debug, Error)]
 pub enum HostError {
@@ -87,3 +90,33 @@
     #[error("setup: {0}")]
     Settings(#[from] SettingsError),
 }
+
+impl Malformed {
+    pub(crate) fn unknown_message(name: &str) -> Self {
+        Self::UnknownMessage(excerpt(name))
+    }
+}
+
+/// Why a line is the last.
+#[derive(Debug, Error)]
+pub(crate) enum LineError {
+    #[error(transparent)]
+    Malformed(#[from] Malformed),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+impl LineError {
+    /// The same, with the line's number.
+    pub fn at(self, line: u64) -> HostError {
+        match self {
+            Self::Malformed(cause) => HostError::Line { line, cause },
+            Self::Io(error) => HostError::Io(error),
+        }
+    }
+}
+
+/// The beginning of a value that may be long.
+pub(crate) fn excerpt(value: &str) -> String {
+    value.chars().take(MAX_EXCERPT_CHARS).collect()
+}
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,87 +1,160 @@
 //! From the messages of the wire to the events of the policy.
 
+use std::str::FromStr;
 use std::time::Duration;
 
 use balancer_policy::Event;
-use balancer_policy::interface::{AttemptNumber, ClassId, LoadReport, Request, RequestId, TenantId};
+use balancer_policy::interface::{AttemptNumber, ClassId, LoadReport, Request, TenantId, UpstreamId};
 use balancer_settings::Names;
 
 use crate::error::Malformed;
 use crate::fields::{Fields, bad};
-use crate::instance::{Instance, Ticket};
+use crate::instance::Instance;
+use crate::list::Lists;
+use crate::requests::RequestTable;
 use crate::wire;
 
-pub fn known(name: &str) -> Result<(), Malformed> {
-    const EVENTS: [&str; 9] = [
-        "PEERS_KNOWN",
-        "ASK",
-        "FIRST",
-        "ATTEMPT_END",
-        "TIMED_OUT_CLIENT",
-        "REMINDER",
-        "HEALTH",
-        "NOTE_FROM",
-        "DESTROY",
-    ];
-    if EVENTS.contains(&name) {
-        Ok(())
-    } else {
-        Err(Malformed::UnknownMessage(name.chars().take(80).collect()))
+/// Set in `stateBits` if the hint of the expected work may be used.
+const EXPECTED_WORK_VALID: u32 = 1;
+/// Set in `stateBits` if the client has marked the request as a repeat.
+const REPEAT: u32 = 2;
+
+/// A message that is an event for an instance that runs.
+#[derive(Clone, Copy)]
+pub enum EventKind {
+    List,
+    Request,
+    StreamStarted,
+    AttemptEnded,
+    ClientLeft,
+    Reminder,
+    HealthChecked,
+    Message,
+}
+
+impl FromStr for EventKind {
+    type Err = Malformed;
+
+    fn from_str(name: &str) -> Result<Self, Malformed> {
+        Ok(match name {
+            "PEERS_KNOWN" => Self::List,
+            "ASK" => Self::Request,
+            "FIRST" => Self::StreamStarted,
+            "ATTEMPT_END" => Self::AttemptEnded,
+            "TIMED_OUT_CLIENT" => Self::ClientLeft,
+            "REMINDER" => Self::Reminder,
+            "HEALTH" => Self::HealthChecked,
+            "NOTE_FROM" => Self::Message,
+            _ => return Err(Malformed::unknown_message(name)),
+        })
     }
 }
 
-pub fn ask(instance: &mut Instance, fields: &mut Fields) -> Result<Event, Malformed> {
-    const HINT_VALID: u32 = 1;
-    const REPEAT: u32 = 2;
-    let text = fields.text("ticket")?;
-    if instance.ids.contains_key(text) {
-        return Err(Malformed::RequestAgain(text.to_owned()));
+/// Reads an event; `None` for one of a request that is over or was never seen.
+pub fn read(
+    kind: EventKind,
+    instance: &mut Instance,
+    lists: &Lists,
+    fields: &mut Fields,
+) -> Result<Option<Event>, Malformed> {
+    let Instance { names, requests, .. } = instance;
+    match kind {
+        EventKind::List => lists.update(names, fields).map(|update| Some(Event::List(update))),
+        EventKind::Request => request(names, requests, fields).map(Some),
+        EventKind::StreamStarted => stream_started(requests, fields),
+        EventKind::AttemptEnded => attempt_ended(names, requests, fields),
+        EventKind::ClientLeft => client_left(requests, fields),
+        EventKind::Reminder => reminder(fields).map(Some),
+        EventKind::HealthChecked => health_checked(names, fields).map(Some),
+        EventKind::Message => message(fields).map(Some),
+    }
+}
+
+fn request(names: &Names, requests: &mut RequestTable, fields: &mut Fields) -> Result<Event, Malformed> {
+    let wire_id = fields.text("ticket")?;
+    if requests.contains(wire_id) {
+        return Err(Malformed::RequestAgain(wire_id.to_owned()));
     }
     let class = fields.text("cls")?;
-    let class = *instance.names.classes.get(class).ok_or_else(|| bad("cls", class))?;
+    let class = *names.classes.get(class).ok_or_else(|| bad("cls", class))?;
     let tenant = match fields.optional("owner")? {
         None | Some("0") => None,
-        Some(name) => Some(*instance.names.tenants.get(name).ok_or_else(|| bad("owner", name))?),
+        Some(name) => Some(*names.tenants.get(name).ok_or_else(|| bad("owner", name))?),
     };
-    let key = fields.optional("pathKey")?;
-    let key = key.map(|key| key.parse().map_err(|_| bad("pathKey", key))).transpose()?;
+    let key = fields.optional_number("pathKey")?;
     let time_left = fields.seconds("ttlS")?;
-    let hint = fields.optional_seconds("expectedS")?;
-    let bits = fields.optional("stateBits")?.unwrap_or("0");
-    let bits: u32 = bits.parse().map_err(|_| bad("stateBits", bits))?;
-    let id = RequestId(instance.next_id);
-    instance.next_id += 1;
-    instance.ids.insert(text.into(), id);
-    instance.tickets.insert(id, Ticket { text: text.into(), out: 0, ended: false });
+    let expected_work = fields.optional_seconds("expectedS")?;
+    let bits: u32 = fields.optional_number("stateBits")?.unwrap_or_default();
     Ok(Event::Request(Request {
-        id,
+        id: requests.add(wire_id),
         class: ClassId(class),
         tenant: tenant.map(TenantId),
         key,
         time_left,
-        expected_work: hint.filter(|_| bits & HINT_VALID != 0),
+        expected_work: expected_work.filter(|_| bits & EXPECTED_WORK_VALID != 0),
         repeat: bits & REPEAT != 0,
     }))
 }
 
-pub fn attempt_end(instance: &mut Instance, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
-    let id = instance.ids.get(fields.text("ticket")?).copied();
+fn stream_started(requests: &RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
+    let id = requests.id(fields.text("ticket")?);
+    let attempt = AttemptNumber(fields.number("n")?);
+    fields.number::<u32>("upstream")?;
+    fields.seconds("durationS")?;
+    Ok(id.map(|request| Event::StreamStarted { request, attempt }))
+}
+
+fn attempt_ended(
+    names: &Names,
+    requests: &mut RequestTable,
+    fields: &mut Fields,
+) -> Result<Option<Event>, Malformed> {
+    let id = requests.id(fields.text("ticket")?);
     let attempt = AttemptNumber(fields.number("n")?);
     fields.number::<u32>("upstream")?;
     let outcome = wire::outcome(fields.text("outcome")?)?;
     let took = fields.seconds("durationS")?;
     let finished = fields.flag("terminal")?;
-    let load = load(&instance.names, fields)?;
+    let load = load_report(names, fields)?;
     let Some(request) = id else { return Ok(None) };
-    if let Some(ticket) = instance.tickets.get_mut(&request) {
-        ticket.out = ticket.out.saturating_sub(1);
-        ticket.ended |= finished;
+    requests.attempt_ended(request);
+    if finished {
+        requests.ended(request);
     }
+    // The wire does not tell how long an attempt had no connection.
     let connecting = Duration::ZERO;
     Ok(Some(Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load }))
 }
 
-pub fn load(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
+fn client_left(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
+    let id = requests.id(fields.text("ticket")?);
+    if let Some(id) = id {
+        requests.ended(id);
+    }
+    Ok(id.map(Event::ClientLeft))
+}
+
+fn reminder(fields: &mut Fields) -> Result<Event, Malformed> {
+    fields.text("ref")?;
+    Ok(Event::Wake)
+}
+
+fn health_checked(names: &Names, fields: &mut Fields) -> Result<Event, Malformed> {
+    let outcome = wire::outcome(fields.text("outcome")?)?;
+    let took = fields.seconds("durationS")?;
+    let upstream = UpstreamId(fields.number("upstream")?);
+    let load = load_report(names, fields)?;
+    Ok(Event::Probed { upstream, outcome, took, load })
+}
+
+fn message(fields: &mut Fields) -> Result<Event, Malformed> {
+    let from = fields.number("by")?;
+    let content = wire::bytes(fields.text("content")?)?;
+    Ok(Event::Message { from, content })
+}
+
+/// Values in the order that the settings name.
+fn load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
     for (position, value) in text.split(',').enumerate() {
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use crate::error::Malformed;
+use crate::error::{Malformed, excerpt};
 
 /// The values of a line, taken from left to right.
 pub struct Fields<'a> {
@@ -11,8 +11,12 @@
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(rest: Option<&'a str>) -> Self {
-        Self { rest }
+    /// Takes the message's name off a line.
+    pub fn of_line(line: &'a str) -> (&'a str, Self) {
+        match line.split_once('\t') {
+            Some((name, rest)) => (name, Self { rest: Some(rest) }),
+            None => (line, Self { rest: None }),
+        }
     }
 
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
@@ -35,6 +39,11 @@
         value.parse().map_err(|_| bad(field, value))
     }
 
+    pub fn optional_number<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, Malformed> {
+        let value = self.optional(field)?;
+        value.map(|value| value.parse().map_err(|_| bad(field, value))).transpose()
+    }
+
     pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
         let value = self.text(field)?;
         seconds(value).ok_or_else(|| bad(field, value))
@@ -64,7 +73,7 @@
 }
 
 pub fn bad(field: &'static str, value: &str) -> Malformed {
-    Malformed::Value { field, value: value.chars().take(80).collect() }
+    Malformed::Value { field, value: excerpt(value) }
 }
 
 fn seconds(value: &str) -> Option<Duration> {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,33 +1,79 @@
-//! An instance: its balancer, and the ids of its requests on the wire.
+//! An instance: a balancer, the names in its settings and its requests.
 
-use balancer_policy::Balancer;
-use balancer_policy::interface::RequestId;
-use balancer_settings::Names;
-use rustc_hash::FxHashMap;
+use std::io::{self, Write};
 
+use balancer_policy::interface::{RequestId, SettingsError, Time};
+use balancer_policy::{Action, Balancer, Event};
+use balancer_settings::{Loaded, Names};
+
+use crate::action::{named, write_action};
+use crate::requests::RequestTable;
+
+/// A balancer of the simulator.
 pub struct Instance {
-    pub balancer: Balancer,
+    balancer: Balancer,
     pub names: Names,
-    pub ids: FxHashMap<Box<str>, RequestId>,
-    pub tickets: FxHashMap<RequestId, Ticket>,
-    pub next_id: u64,
-}
-
-/// A request's id on the wire, kept until nothing can name it any more.
-pub struct Ticket {
-    pub text: Box<str>,
-    pub out: u32,
-    pub ended: bool,
+    pub requests: RequestTable,
 }
 
 impl Instance {
-    pub fn release(&mut self, id: RequestId) {
-        if let Some(ticket) = self.tickets.get(&id)
-            && ticket.ended
-            && ticket.out == 0
+    /// Starts a balancer; what it asks for goes to `actions`.
+    pub fn start(
+        loaded: Loaded,
+        seed: u64,
+        now: Time,
+        actions: &mut Vec<Action>,
+    ) -> Result<Self, SettingsError> {
+        let Loaded { settings, names, .. } = loaded;
+        let mut balancer = Balancer::new(settings, seed)?;
+        balancer.handle(now, Event::Started, actions);
+        Ok(Self { balancer, names, requests: RequestTable::default() })
+    }
+
+    /// Hands an event over; what the balancer asks for goes to `actions`, which are written before the next event.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        let ended = request_ended(&event);
+        self.balancer.handle(now, event, actions);
+        for action in &*actions {
+            self.track(action);
+        }
+        // Else it is removed once the actions are written, which may still name it.
+        if let Some(id) = ended
+            && actions.is_empty()
         {
-            self.ids.remove(&ticket.text);
-            self.tickets.remove(&id);
+            self.requests.remove_if_over(id);
+        }
+    }
+
+    /// Keeps the requests in step with what the balancer has asked for.
+    fn track(&mut self, action: &Action) {
+        match *action {
+            Action::Send { request, .. } => self.requests.attempt_sent(request),
+            Action::Refuse { request, .. } | Action::Fail { request } => self.requests.ended(request),
+            _ => {}
+        }
+    }
+
+    /// Writes the actions.
+    pub fn write(
+        &mut self,
+        actions: impl Iterator<Item = Action>,
+        output: &mut impl Write,
+    ) -> io::Result<()> {
+        for action in actions {
+            write_action(&self.requests, &action, output)?;
+            if let Some(id) = named(&action) {
+                self.requests.remove_if_over(id);
+            }
         }
+        Ok(())
+    }
+}
+
+/// The request that may be over with an event.
+fn request_ended(event: &Event) -> Option<RequestId> {
+    match *event {
+        Event::ClientLeft(id) | Event::AttemptEnded { request: id, .. } => Some(id),
+        _ => None,
     }
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -7,6 +7,7 @@
 mod host;
 mod instance;
 mod list;
+mod requests;
 mod wire;
 
 pub use error::{HostError, Malformed};
--- a/crates/simulator-adapter/src/list.rs
+++ b/crates/simulator-adapter/src/list.rs
@@ -1,45 +1,112 @@
 //! Lists of upstreams, which instances share.
 
-use balancer_policy::Event;
-use balancer_policy::interface::{KindId, ListUpdate, Member, ZoneId};
+use balancer_policy::interface::{KindId, ListUpdate, Member, UpstreamId, ZoneId};
 use balancer_settings::Names;
 use rustc_hash::FxHashMap;
 
 use crate::error::Malformed;
 use crate::fields::{Fields, bad};
+use crate::wire;
+
+/// Size beside the others where none is told.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// All lists of the process by their numbers.
+#[derive(Default)]
+pub struct Lists {
+    lists: FxHashMap<u32, Vec<Entry>>,
+    open: Option<OpenList>,
+}
+
+/// The list whose entries are being read.
+struct OpenList {
+    number: u32,
+    missing: usize,
+}
 
 /// An entry of a list before an instance's names are applied to it.
-pub struct Entry {
-    pub zone: String,
-    pub kind: String,
-    pub member: Member,
+struct Entry {
+    zone: String,
+    kind: String,
+    member: Member,
+}
+
+impl Lists {
+    /// Checks that no list lacks entries.
+    pub fn check_complete(&self) -> Result<(), Malformed> {
+        match self.open {
+            Some(OpenList { number: list, missing }) => Err(Malformed::ShortList { list, missing }),
+            None => Ok(()),
+        }
+    }
+
+    /// Begins a list, in place of one with the same number.
+    pub fn open(&mut self, mut fields: Fields) -> Result<(), Malformed> {
+        let number = fields.number("buffer")?;
+        let missing = fields.number("membersList")?;
+        fields.end()?;
+        self.lists.insert(number, Vec::new());
+        self.set_open(number, missing);
+        Ok(())
+    }
+
+    /// Adds an entry to the list that was begun.
+    pub fn add(&mut self, fields: Fields) -> Result<(), Malformed> {
+        let Some(OpenList { number, missing }) = self.open else { return Err(Malformed::StrayEntry) };
+        let entry = Entry::read(fields)?;
+        self.lists.entry(number).or_default().push(entry);
+        self.set_open(number, missing - 1);
+        Ok(())
+    }
+
+    fn set_open(&mut self, number: u32, missing: usize) {
+        self.open = (missing > 0).then_some(OpenList { number, missing });
+    }
+
+    /// What discovery tells an instance with these names.
+    pub fn update(&self, names: &Names, fields: &mut Fields) -> Result<ListUpdate, Malformed> {
+        let scope = fields.text("scope")?;
+        fields.number::<u64>("version")?;
+        let buffer = fields.text("buffer")?;
+        if scope == "broken" {
+            return Ok(ListUpdate::Broken);
+        }
+        let number = buffer.parse().map_err(|_| bad("buffer", buffer))?;
+        let entries = self.lists.get(&number).ok_or(Malformed::NoList(number))?;
+        let members = entries.iter().map(|entry| entry.member(names)).collect();
+        match scope {
+            "patch" => Ok(ListUpdate::Patch(members)),
+            "whole" => Ok(ListUpdate::Whole(members)),
+            "stale_copy" => Ok(ListUpdate::StaleCopy(members)),
+            _ => Err(bad("scope", scope)),
+        }
+    }
 }
 
-pub fn list_event(
-    lists: &FxHashMap<u32, Vec<Entry>>,
-    names: &Names,
-    fields: &mut Fields,
-) -> Result<Event, Malformed> {
-    let scope = fields.text("scope")?;
-    fields.number::<u64>("version")?;
-    let buffer = fields.text("buffer")?;
-    if scope == "broken" {
-        return Ok(Event::List(ListUpdate::Broken));
+impl Entry {
+    fn read(mut fields: Fields) -> Result<Self, Malformed> {
+        let id = UpstreamId(fields.number("upstream")?);
+        let zone = fields.optional("regionPart")?.unwrap_or_default().to_owned();
+        let kind = fields.optional("machine")?.unwrap_or_default().to_owned();
+        let cell = fields.optional_number("cluster")?.unwrap_or_default();
+        let phase = wire::phase(fields.text("phase")?)?;
+        let weight = fields.optional("nominal")?.map_or(Ok(DEFAULT_WEIGHT), weight)?;
+        let started = fields.optional_seconds("readyAtS")?.filter(|start| !start.is_zero());
+        fields.end()?;
+        let member = Member { id, zone: None, kind: None, cell, phase, weight, started };
+        Ok(Self { zone, kind, member })
+    }
+
+    fn member(&self, names: &Names) -> Member {
+        Member {
+            zone: names.zones.get(&self.zone).copied().map(ZoneId),
+            kind: names.kinds.get(&self.kind).copied().map(KindId),
+            ..self.member
+        }
     }
-    let list = buffer.parse().map_err(|_| bad("buffer", buffer))?;
-    let entries = lists.get(&list).ok_or(Malformed::NoList(list))?;
-    let members = entries
-        .iter()
-        .map(|entry| Member {
-            zone: names.zones.get(&entry.zone).copied().map(ZoneId),
-            kind: names.kinds.get(&entry.kind).copied().map(KindId),
-            ..entry.member
-        })
-        .collect();
-    Ok(Event::List(match scope {
-        "patch" => ListUpdate::Patch(members),
-        "whole" => ListUpdate::Whole(members),
-        "stale_copy" => ListUpdate::StaleCopy(members),
-        _ => return Err(bad("scope", scope)),
-    }))
+}
+
+fn weight(value: &str) -> Result<f64, Malformed> {
+    let weight = value.parse().ok().filter(|weight: &f64| weight.is_finite() && *weight >= 0.0);
+    weight.ok_or_else(|| bad("nominal", value))
 }
