--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -9,7 +9,7 @@
 use crate::requests::RequestTable;
 
 /// The request that an action ends or names.
-pub fn named(action: &Action) -> Option<RequestId> {
+pub fn request_of(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
         | Action::Withdraw { request, .. }
@@ -25,7 +25,7 @@
 
 /// Writes an action as a line.
 pub fn write_action(requests: &RequestTable, action: &Action, output: &mut impl Write) -> io::Result<()> {
-    let ticket = named(action).and_then(|id| requests.wire_id(id)).unwrap_or("-");
+    let ticket = request_of(action).and_then(|id| requests.wire_id(id)).unwrap_or("-");
     match action {
         Action::Send { upstream, timeout, .. } => {
             write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
--- a/crates/simulator-adapter/src/list.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::error::Malformed;
-use crate::fields::{Fields, bad};
+use crate::fields::Fields;
 use crate::wire;
 
 /// Size beside the others where none is told.
@@ -13,8 +13,8 @@
 
 /// All lists of the process by their numbers.
 #[derive(Default)]
-pub struct Lists {
-    lists: FxHashMap<u32, Vec<Entry>>,
+pub struct EndpointLists {
+    lists: FxHashMap<u32, Vec<ListEntry>>,
     open: Option<OpenList>,
 }
 
@@ -25,17 +25,17 @@
 }
 
 /// An entry of a list before an instance's names are applied to it.
-struct Entry {
+struct ListEntry {
     zone: String,
     kind: String,
     member: Member,
 }
 
-impl Lists {
+impl EndpointLists {
     /// Checks that no list lacks entries.
-    pub fn check_complete(&self) -> Result<(), Malformed> {
+    pub fn ensure_complete(&self) -> Result<(), Malformed> {
         match self.open {
-            Some(OpenList { number: list, missing }) => Err(Malformed::ShortList { list, missing }),
+            Some(OpenList { number: list, missing }) => Err(Malformed::IncompleteList { list, missing }),
             None => Ok(()),
         }
     }
@@ -53,7 +53,7 @@
     /// Adds an entry to the list that was begun.
     pub fn add(&mut self, fields: Fields) -> Result<(), Malformed> {
         let Some(OpenList { number, missing }) = self.open else { return Err(Malformed::StrayEntry) };
-        let entry = Entry::read(fields)?;
+        let entry = ListEntry::read(fields)?;
         self.lists.entry(number).or_default().push(entry);
         self.set_open(number, missing - 1);
         Ok(())
@@ -71,19 +71,19 @@
         if scope == "broken" {
             return Ok(ListUpdate::Broken);
         }
-        let number = buffer.parse().map_err(|_| bad("buffer", buffer))?;
-        let entries = self.lists.get(&number).ok_or(Malformed::NoList(number))?;
+        let number = buffer.parse().map_err(|_| Malformed::value("buffer", buffer))?;
+        let entries = self.lists.get(&number).ok_or(Malformed::UnknownList(number))?;
         let members = entries.iter().map(|entry| entry.member(names)).collect();
         match scope {
             "patch" => Ok(ListUpdate::Patch(members)),
             "whole" => Ok(ListUpdate::Whole(members)),
             "stale_copy" => Ok(ListUpdate::StaleCopy(members)),
-            _ => Err(bad("scope", scope)),
+            _ => Err(Malformed::value("scope", scope)),
         }
     }
 }
 
-impl Entry {
+impl ListEntry {
     fn read(mut fields: Fields) -> Result<Self, Malformed> {
         let id = UpstreamId(fields.number("upstream")?);
         let zone = fields.optional("regionPart")?.unwrap_or_default().to_owned();
@@ -108,5 +108,5 @@
 
 fn weight(value: &str) -> Result<f64, Malformed> {
     let weight = value.parse().ok().filter(|weight: &f64| weight.is_finite() && *weight >= 0.0);
-    weight.ok_or_else(|| bad("nominal", value))
+    weight.ok_or_else(|| Malformed::value("nominal", value))
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -47,7 +47,7 @@
     },
     /// A line goes on past its last value.
     #[error("more values than the message has")]
-    TooMany,
+    TooManyValues,
     /// A name that the wire does not have.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
@@ -56,22 +56,22 @@
     OutsideBatch(&'static str),
     /// No more input, yet the batch is open.
     #[error("the input ends within a batch")]
-    EndsWithin,
+    IncompleteBatch,
     /// A batch earlier than the one before.
     #[error("the clock goes back")]
-    ClockBack,
+    ClockWentBack,
     /// An event for nobody.
     #[error("no TO line before the first event")]
-    NoInstance,
+    NoRecipient,
     /// An event before the instance has its settings.
     #[error("instance {0} has not started")]
     NotStarted(u32),
     /// A list that was never defined.
     #[error("list {0} has not been sent")]
-    NoList(u32),
+    UnknownList(u32),
     /// A list cut off by another line.
     #[error("list {list} lacks {missing} of its entries")]
-    ShortList {
+    IncompleteList {
         /// The list's number.
         list: u32,
         /// How many entries are missing.
@@ -82,7 +82,7 @@
     StrayEntry,
     /// The id of a request that is still held.
     #[error("request {0} was sent before")]
-    RequestAgain(String),
+    DuplicateRequest(String),
     /// The settings cannot be read.
     #[error("setup: {0}")]
     Setup(#[from] SetupError),
@@ -92,6 +92,12 @@
 }
 
 impl Malformed {
+    /// A value of the wrong form.
+    pub(crate) fn value(field: &'static str, value: &str) -> Self {
+        Self::Value { field, value: excerpt(value) }
+    }
+
+    /// A name that the wire does not have.
     pub(crate) fn unknown_message(name: &str) -> Self {
         Self::UnknownMessage(excerpt(name))
     }
@@ -117,6 +123,6 @@
 }
 
 /// The beginning of a value that may be long.
-pub(crate) fn excerpt(value: &str) -> String {
+fn excerpt(value: &str) -> String {
     value.chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -7,10 +7,10 @@
 use balancer_policy::interface::{AttemptNumber, ClassId, LoadReport, Request, TenantId, UpstreamId};
 use balancer_settings::Names;
 
+use crate::endpoint_lists::EndpointLists;
 use crate::error::Malformed;
-use crate::fields::{Fields, bad};
+use crate::fields::Fields;
 use crate::instance::Instance;
-use crate::list::Lists;
 use crate::requests::RequestTable;
 use crate::wire;
 
@@ -54,7 +54,7 @@
 pub fn read(
     kind: EventKind,
     instance: &mut Instance,
-    lists: &Lists,
+    lists: &EndpointLists,
     fields: &mut Fields,
 ) -> Result<Option<Event>, Malformed> {
     let Instance { names, requests, .. } = instance;
@@ -73,13 +73,13 @@
 fn request(names: &Names, requests: &mut RequestTable, fields: &mut Fields) -> Result<Event, Malformed> {
     let wire_id = fields.text("ticket")?;
     if requests.contains(wire_id) {
-        return Err(Malformed::RequestAgain(wire_id.to_owned()));
+        return Err(Malformed::DuplicateRequest(wire_id.to_owned()));
     }
     let class = fields.text("cls")?;
-    let class = *names.classes.get(class).ok_or_else(|| bad("cls", class))?;
+    let class = *names.classes.get(class).ok_or_else(|| Malformed::value("cls", class))?;
     let tenant = match fields.optional("owner")? {
         None | Some("0") => None,
-        Some(name) => Some(*names.tenants.get(name).ok_or_else(|| bad("owner", name))?),
+        Some(name) => Some(*names.tenants.get(name).ok_or_else(|| Malformed::value("owner", name))?),
     };
     let key = fields.optional_number("pathKey")?;
     let time_left = fields.seconds("ttlS")?;
@@ -158,8 +158,8 @@
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
     for (position, value) in text.split(',').enumerate() {
-        let number: f64 = value.parse().map_err(|_| bad("stats", text))?;
-        let name = names.load_fields.get(position).ok_or_else(|| bad("stats", text))?;
+        let number: f64 = value.parse().map_err(|_| Malformed::value("stats", text))?;
+        let name = names.load_fields.get(position).ok_or_else(|| Malformed::value("stats", text))?;
         balancer_settings::set_load_field(&mut report, name, number);
     }
     Ok(Some(report))
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -3,7 +3,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-use crate::error::{Malformed, excerpt};
+use crate::error::Malformed;
 
 /// The values of a line, taken from left to right.
 pub struct Fields<'a> {
@@ -36,29 +36,29 @@
 
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
         let value = self.text(field)?;
-        value.parse().map_err(|_| bad(field, value))
+        value.parse().map_err(|_| Malformed::value(field, value))
     }
 
     pub fn optional_number<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, Malformed> {
         let value = self.optional(field)?;
-        value.map(|value| value.parse().map_err(|_| bad(field, value))).transpose()
+        value.map(|value| value.parse().map_err(|_| Malformed::value(field, value))).transpose()
     }
 
     pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
         let value = self.text(field)?;
-        seconds(value).ok_or_else(|| bad(field, value))
+        seconds(value).ok_or_else(|| Malformed::value(field, value))
     }
 
     pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, Malformed> {
         let value = self.optional(field)?;
-        value.map(|value| seconds(value).ok_or_else(|| bad(field, value))).transpose()
+        value.map(|value| seconds(value).ok_or_else(|| Malformed::value(field, value))).transpose()
     }
 
     pub fn flag(&mut self, field: &'static str) -> Result<bool, Malformed> {
         match self.text(field)? {
             "1" => Ok(true),
             "0" => Ok(false),
-            value => Err(bad(field, value)),
+            value => Err(Malformed::value(field, value)),
         }
     }
 
@@ -68,14 +68,10 @@
     }
 
     pub fn end(&self) -> Result<(), Malformed> {
-        if self.rest.is_some() { Err(Malformed::TooMany) } else { Ok(()) }
+        if self.rest.is_some() { Err(Malformed::TooManyValues) } else { Ok(()) }
     }
 }
 
-pub fn bad(field: &'static str, value: &str) -> Malformed {
-    Malformed::Value { field, value: excerpt(value) }
-}
-
 fn seconds(value: &str) -> Option<Duration> {
     Duration::try_from_secs_f64(value.parse().ok()?).ok()
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -7,19 +7,19 @@
 use balancer_policy::interface::Time;
 use rustc_hash::FxHashMap;
 
+use crate::endpoint_lists::EndpointLists;
 use crate::error::{HostError, LineError, Malformed};
 use crate::event::{self, EventKind};
-use crate::fields::{Fields, bad};
+use crate::fields::Fields;
 use crate::instance::Instance;
-use crate::list::Lists;
 
 /// All instances of the process and the lists they share.
 #[derive(Default)]
 pub struct Host {
     /// `None` for an instance that was killed.
     instances: FxHashMap<u32, Option<Instance>>,
-    lists: Lists,
-    now: Time,
+    lists: EndpointLists,
+    clock: Time,
     batch: Option<Batch>,
     /// Asked for by the last event, and not written yet.
     actions: Vec<Action>,
@@ -29,9 +29,9 @@
 struct Batch {
     number: String,
     /// The instance that events are for.
-    to: Option<u32>,
+    recipient: Option<u32>,
     /// The instance whose actions were written last.
-    from: Option<u32>,
+    last_writer: Option<u32>,
 }
 
 impl Host {
@@ -54,14 +54,14 @@
     }
 
     fn end(&self) -> Result<(), Malformed> {
-        if self.batch.is_some() { Err(Malformed::EndsWithin) } else { Ok(()) }
+        if self.batch.is_some() { Err(Malformed::IncompleteBatch) } else { Ok(()) }
     }
 
     fn line(&mut self, text: &[u8], output: &mut impl Write) -> Result<(), LineError> {
         let text = from_utf8(text).map_err(|_| Malformed::NotText)?;
         let (name, mut fields) = Fields::of_line(text);
         if name != "M" {
-            self.lists.check_complete()?;
+            self.lists.ensure_complete()?;
         }
         if name == "TURN" {
             return Ok(self.begin_batch(fields)?);
@@ -70,13 +70,13 @@
         match name {
             "YOUR_TURN" => return self.end_batch(&fields, output),
             "TO" => {
-                batch.to = Some(fields.number("balancerId")?);
+                batch.recipient = Some(fields.number("balancerId")?);
                 fields.end()?;
             }
             "INVENTORY" => self.lists.open(fields)?,
             "M" => self.lists.add(fields)?,
             _ => {
-                let number = batch.to.ok_or(Malformed::NoInstance)?;
+                let number = batch.recipient.ok_or(Malformed::NoRecipient)?;
                 self.event(number, name, fields)?;
                 self.write_actions(number, output)?;
             }
@@ -88,15 +88,15 @@
         if self.batch.is_some() {
             return Err(Malformed::OutsideBatch("TURN stands within a batch, not"));
         }
-        let now = fields.seconds("clock")?;
+        let clock = fields.seconds("clock")?;
         let number = fields.text("batch")?;
-        number.parse::<u64>().map_err(|_| bad("batch", number))?;
+        number.parse::<u64>().map_err(|_| Malformed::value("batch", number))?;
         fields.end()?;
-        if now < self.now {
-            return Err(Malformed::ClockBack);
+        if clock < self.clock {
+            return Err(Malformed::ClockWentBack);
         }
-        self.now = now;
-        self.batch = Some(Batch { number: number.to_owned(), to: None, from: None });
+        self.clock = clock;
+        self.batch = Some(Batch { number: number.to_owned(), recipient: None, last_writer: None });
         Ok(())
     }
 
@@ -124,7 +124,7 @@
         let event = event::read(kind, instance, &self.lists, &mut fields)?;
         fields.end()?;
         if let Some(event) = event {
-            instance.handle(self.now, event, &mut self.actions);
+            instance.handle(self.clock, event, &mut self.actions);
         }
         Ok(())
     }
@@ -132,7 +132,7 @@
     fn start(&mut self, number: u32, mut fields: Fields) -> Result<(), Malformed> {
         let seed = fields.number("nonce64")?;
         let loaded = balancer_settings::read(fields.remainder("setup")?)?;
-        let instance = Instance::start(loaded, seed, self.now, &mut self.actions)?;
+        let instance = Instance::start(loaded, seed, self.clock, &mut self.actions)?;
         self.instances.insert(number, Some(instance));
         Ok(())
     }
@@ -143,9 +143,9 @@
         }
         let Some(Some(instance)) = self.instances.get_mut(&number) else { return Ok(()) };
         if let Some(batch) = &mut self.batch
-            && batch.from != Some(number)
+            && batch.last_writer != Some(number)
         {
-            batch.from = Some(number);
+            batch.last_writer = Some(number);
             writeln!(output, "INSTANCE\t{number}")?;
         }
         instance.write(self.actions.drain(..), output)?;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -6,7 +6,7 @@
 use balancer_policy::{Action, Balancer, Event};
 use balancer_settings::{Loaded, Names};
 
-use crate::action::{named, write_action};
+use crate::action::{request_of, write_action};
 use crate::requests::RequestTable;
 
 /// A balancer of the simulator.
@@ -62,7 +62,7 @@
     ) -> io::Result<()> {
         for action in actions {
             write_action(&self.requests, &action, output)?;
-            if let Some(id) = named(&action) {
+            if let Some(id) = request_of(&action) {
                 self.requests.remove_if_over(id);
             }
         }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -3,7 +3,6 @@
 use balancer_policy::interface::{Outcome, Phase};
 
 use crate::error::Malformed;
-use crate::fields::bad;
 
 pub fn outcome(value: &str) -> Result<Outcome, Malformed> {
     Ok(match value {
@@ -15,7 +14,7 @@
         "RST" => Outcome::Reset,
         "CXL" => Outcome::Withdrawn,
         "NOP" => Outcome::NotSent,
-        _ => return Err(bad("outcome", value)),
+        _ => return Err(Malformed::value("outcome", value)),
     })
 }
 
@@ -24,7 +23,7 @@
         "Ready" => Phase::Ready,
         "Terminating" => Phase::Draining,
         "Gone" => Phase::Gone,
-        _ => return Err(bad("phase", value)),
+        _ => return Err(Malformed::value("phase", value)),
     })
 }
 
@@ -42,5 +41,5 @@
             _ => None,
         })
         .collect::<Option<_>>()
-        .ok_or_else(|| bad("content", value))
+        .ok_or_else(|| Malformed::value("content", value))
 }
