--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,10 @@
-//! Checks settings before they are taken over: every fault at once, each with its path and what was expected there.
+//! Checks settings before they are taken over: every fault at once, each with its path and what was expected
+//! there.
+//!
+//! Reading stops at the first fault, and settings that are changed while a balancer runs must not be found
+//! wrong half way. The check walks the JSON beside a table of all keys ([`fields`]) and gathers what does not
+//! fit; what values say together (an objective within its deadline, a zone among the zones) has a function
+//! each. Whoever adds a key adds it to the table and to `schema.rs`.
 
 mod field;
 mod fields;
@@ -14,7 +20,8 @@
 /// The path of the settings object itself.
 const ROOT: &str = "settings";
 
-/// Checks a whole settings object; keys that it does not know are passed over. Gives every fault, with its path.
+/// Checks a whole settings object; keys that it does not know are passed over. Gives every fault, with its
+/// path.
 ///
 /// # Errors
 /// Whatever is wrong, all at once.
@@ -28,8 +35,9 @@
     checker.faults.into_result()
 }
 
-/// Checks the part of the settings that a document holds, as far as it stands: a key may be absent, and null takes an
-/// optional one away. Gives every fault, with its path; a key that is not known is one.
+/// Checks the part of the settings that a distributed document holds, before it is merged into a balancer's
+/// own: a key may be absent, and null takes an optional one away. Gives every fault, with its path; a key
+/// that is not known, or that belongs to each balancer's own place, is one.
 ///
 /// # Errors
 /// Whatever is wrong, all at once.
@@ -161,7 +169,8 @@
         }
     }
 
-    /// Checks a list of objects with names. A list takes the place of another whole, so that each is complete.
+    /// Checks a list of objects with names. A list takes the place of another whole, so that each is
+    /// complete.
     fn named_objects(&mut self, path: &str, list: &[Value], fields: &[Field]) {
         let mut names = BTreeSet::new();
         for (position, value) in list.iter().enumerate() {
--- a/crates/settings/src/check/field.rs
+++ b/crates/settings/src/check/field.rs
@@ -1,4 +1,4 @@
-//! What may stand at a key of the settings.
+//! The types that the table of keys is made of: a key, whether it must be there, and what may stand at it.
 
 use std::ops::RangeInclusive;
 
--- a/crates/settings/src/check/fields.rs
+++ b/crates/settings/src/check/fields.rs
@@ -1,4 +1,7 @@
 //! Every key that the settings have, and what may stand there.
+//!
+//! Bounds are at least as strict as those of the policy's own validation: a document that passes here must
+//! not be refused by a balancer later.
 
 use super::field::ValueKind::{
     Bool, Integer, NamedObjects, NonEmptyString, Number, Object, OneOf, PositiveNumber, StringList,
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,4 +1,8 @@
-//! From the JSON form to the policy's types, section by section. The first value that makes no sense ends it.
+//! From the JSON form to the policy's types, section by section.
+//!
+//! JSON has seconds as numbers and zones by name; the policy has durations and positions. The first value
+//! that has no counterpart ends the conversion. Ranges that only the policy cares about are not looked at
+//! here: it validates what it is given.
 
 use std::time::Duration;
 
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,10 +1,13 @@
 //! What a check finds: faults, each with its place, what was expected there and what was found.
+//!
+//! An operator who publishes a document reads these lines at a prompt, and the distribution passes them on in
+//! its answers, so they are short, bounded in number and size, and say what to write instead.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
-/// Faults that are listed one by one; of further ones only how many there are. A document of garbage would else give
-/// an answer many times its own size.
+/// Faults that are listed one by one; of further ones only how many there are. A document of garbage would
+/// else give an answer many times its own size.
 const MAX_LISTED: usize = 100;
 
 /// Characters of a value or a strange key that a fault repeats.
@@ -46,7 +49,7 @@
 
 impl Error for Fault {}
 
-/// All faults of a settings object, at least one. Written out, they stand one behind the other, parted by `; `.
+/// All faults of a settings object, at least one. Written out, they stand in one line, with semicolons between.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Faults {
     listed: Vec<Fault>,
@@ -104,7 +107,7 @@
 
 impl Error for Faults {}
 
-/// The beginning of a text that may be long.
+/// The beginning of a text that may be long, for a fault.
 pub(crate) fn excerpt(text: &str) -> String {
     text.chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,7 +1,7 @@
-//! The settings of an instance: from JSON to the library's terms.
+//! What a host gets from the settings: the policy's settings, and the names behind the positions in them.
 //!
-//! The simulator's first message and a real balancer's configuration hold the same object; both
-//! programs read it here.
+//! The policy knows classes, tenants, zones and kinds of machine by position only; a host needs their names
+//! for what it reads from the wire.
 
 use std::time::Duration;
 
@@ -15,49 +15,53 @@
 /// Why the settings cannot be used.
 #[derive(Debug, Error)]
 pub enum SetupError {
-    /// Not the JSON that settings are written in.
+    /// The text is not JSON, or a section lacks a key or has a value of another type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A value that makes no sense.
+    /// A value that has the right type and makes no sense.
     #[error("{name} makes no sense: {value:?}")]
     Value {
-        /// Where it stands.
+        /// Its key, with the section's before it where that is needed to find it.
         name: &'static str,
-        /// What stands there.
+        /// The value as text.
         value: String,
     },
 }
 
-/// Names in the settings and their positions there.
+/// Names in the settings, with their positions in [`Settings`].
+///
+/// Of two entries with one name the later counts; [`check`](crate::check) refuses such classes and tenants.
 #[derive(Debug)]
 pub struct Names {
-    /// The classes.
+    /// Classes of requests (`lanes`).
     pub classes: FxHashMap<String, usize>,
-    /// The tenants.
+    /// Tenants (`projects`).
     pub tenants: FxHashMap<String, usize>,
-    /// The zones.
+    /// Zones (`zones`).
     pub zones: FxHashMap<String, usize>,
-    /// The kinds of machine.
+    /// Kinds of machine (`kinds`).
     pub kinds: FxHashMap<String, usize>,
-    /// The values of a load report, in their order.
+    /// Names of the values of a load report, in the order in which reports hold them (`loadInfo.fields`).
     pub load_fields: Vec<String>,
 }
 
-/// What the settings hold.
+/// Settings as a host uses them.
 #[derive(Debug)]
 pub struct Loaded {
-    /// What the decisions go by.
+    /// What the policy is given. Not validated yet: `Balancer::new` does that.
     pub settings: Settings,
     /// The names behind the positions in it.
     pub names: Names,
-    /// How long a connection may take to come up.
+    /// How long a connection may take to come up (`caps.dialTimeoutS`); hosts with sockets need it, the
+    /// policy does not.
     pub connect_timeout: Duration,
 }
 
-/// Reads the settings.
+/// Reads a settings object. Keys that are not known are passed over, since the platform may add some.
 ///
 /// # Errors
-/// The text is not JSON of the expected form, or a value makes no sense.
+/// The text is not JSON of the expected form, or a value makes no sense: the first that is met. To name all
+/// of them, use [`check`](crate::check).
 pub fn read(json: &str) -> Result<Loaded, SetupError> {
     let setup: Setup = serde_json::from_str(json)?;
     convert::loaded(setup)
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,7 +1,9 @@
-//! The settings object as JSON has it.
+//! The settings object as JSON has it: keys, types and defaults.
 //!
-//! Types are named for the sections of the JSON, since the errors of reading name them ("expected struct Lane");
-//! fields have the names of the field, with the key of the JSON beside each.
+//! Keys are given by the platform and older than the terms that the code uses.
+//!
+//! Types are named for the sections of the JSON, since the errors of reading name them ("expected struct
+//! Lane"); fields have the names of the field, with the key of the JSON beside each.
 
 use serde::Deserialize;
 
@@ -57,7 +59,8 @@
     #[serde(rename = "lateWorth", default)]
     pub late_weight: f64,
     pub effect: EffectName,
-    /// The group that discards repeats; an unknown name is refused by the conversion, and only where it matters.
+    /// The group that discards repeats; an unknown name is refused by the conversion, and only where it
+    /// matters.
     #[serde(rename = "dedupScope", default)]
     pub dedup_scope: Option<String>,
     #[serde(rename = "windowS", default)]
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,4 +1,7 @@
 //! From the actions of the policy to the lines of the wire.
+//!
+//! What the wire has no place for is left out: the span in which an attempt must begin, and whether it is the
+//! last one.
 
 use std::io::{self, Write};
 use std::time::Duration;
@@ -8,7 +11,7 @@
 
 use crate::requests::RequestTable;
 
-/// The request that an action ends or names.
+/// The request that an action names.
 pub fn request_of(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,4 +1,8 @@
-//! Lists of upstreams, which instances share.
+//! Endpoint lists, which instances share.
+//!
+//! Many instances of one process are told the same list at the same time, so the wire sends it once,
+//! numbered, and each instance's message refers to the number. An entry names its zone and its kind of
+//! machine; their positions differ by instance and are looked up when the list is handed over.
 
 use balancer_policy::interface::{KindId, ListUpdate, Member, UpstreamId, ZoneId};
 use balancer_settings::Names;
@@ -14,6 +18,7 @@
 /// All lists of the process by their numbers.
 #[derive(Default)]
 pub struct EndpointLists {
+    /// By number; one sent again takes the place of the one before.
     lists: FxHashMap<u32, Vec<ListEntry>>,
     open: Option<OpenList>,
 }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,6 @@
 //! Why the adapter stops.
+//!
+//! Whoever reads these has a simulator run that broke off: each names the line, and in it the value.
 
 use std::io;
 
@@ -18,9 +20,10 @@
         /// Its number, from 1.
         line: u64,
         /// What is wrong with it.
+        #[source]
         cause: Malformed,
     },
-    /// The pipe broke.
+    /// Standard input or output failed, most often since the simulator has ended.
     #[error("reading or writing failed: {0}")]
     Io(#[from] io::Error),
 }
@@ -80,13 +83,13 @@
     /// An entry with no list open.
     #[error("an entry outside a list")]
     StrayEntry,
-    /// The id of a request that is still held.
+    /// The id of a request that has not ended, or has attempts in flight.
     #[error("request {0} was sent before")]
     DuplicateRequest(String),
     /// The settings cannot be read.
     #[error("setup: {0}")]
     Setup(#[from] SetupError),
-    /// The decisions cannot work with the settings.
+    /// The policy refuses the settings.
     #[error("setup: {0}")]
     Settings(#[from] SettingsError),
 }
@@ -103,7 +106,7 @@
     }
 }
 
-/// Why a line is the last.
+/// Why a line is the last one handled; its number is not known here.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
     #[error(transparent)]
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,4 +1,8 @@
 //! From the messages of the wire to the events of the policy.
+//!
+//! The wire names requests by text and classes, tenants and load values as the settings do; the policy knows
+//! ids and positions. A late message may name a request that is over: its values are checked like all others,
+//! and there is no event.
 
 use std::str::FromStr;
 use std::time::Duration;
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,7 @@
 //! The values of a line.
+//!
+//! A line is a message's name and its values, parted by tabs. Values have no names on the wire; the name
+//! given to each call here is for the error that a malformed one ends in.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -19,6 +22,7 @@
         }
     }
 
+    /// Any text but an empty one.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         let rest = self.rest.ok_or(Malformed::Missing { field })?;
         let (value, rest) = match rest.split_once('\t') {
@@ -34,26 +38,31 @@
         Ok(Some(self.text(field)?).filter(|&value| value != "-"))
     }
 
+    /// A number of the type that is asked for.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
         let value = self.text(field)?;
         value.parse().map_err(|_| Malformed::value(field, value))
     }
 
+    /// A number that `-` marks as absent.
     pub fn optional_number<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, Malformed> {
         let value = self.optional(field)?;
         value.map(|value| value.parse().map_err(|_| Malformed::value(field, value))).transpose()
     }
 
+    /// A span in seconds, not negative.
     pub fn seconds(&mut self, field: &'static str) -> Result<Duration, Malformed> {
         let value = self.text(field)?;
         seconds(value).ok_or_else(|| Malformed::value(field, value))
     }
 
+    /// A span in seconds that `-` marks as absent.
     pub fn optional_seconds(&mut self, field: &'static str) -> Result<Option<Duration>, Malformed> {
         let value = self.optional(field)?;
         value.map(|value| seconds(value).ok_or_else(|| Malformed::value(field, value))).transpose()
     }
 
+    /// `1` or `0`.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, Malformed> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -62,11 +71,12 @@
         }
     }
 
-    /// Text to the end of the line.
+    /// Text to the end of the line, tabs and all.
     pub fn remainder(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         self.rest.take().ok_or(Malformed::Missing { field })
     }
 
+    /// Checks that no value is left.
     pub fn end(&self) -> Result<(), Malformed> {
         if self.rest.is_some() { Err(Malformed::TooManyValues) } else { Ok(()) }
     }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,8 @@
-//! The instances of a process: hands each its events and writes down its actions.
+//! The line loop: batches, and whose event each line is.
+//!
+//! A batch opens with `TURN` and its time, and ends with `YOUR_TURN`, which is answered by `READY`. Within it
+//! `TO` says for which instance the events are that follow, and actions stand behind an `INSTANCE` line in
+//! the same way. The output is flushed only at the end of a batch, which the simulator waits for.
 
 use std::io::{BufRead, Write};
 use std::str::from_utf8;
@@ -16,9 +20,10 @@
 /// All instances of the process and the lists they share.
 #[derive(Default)]
 pub struct Host {
-    /// `None` for an instance that was killed.
+    /// By number; `None` for one that was killed.
     instances: FxHashMap<u32, Option<Instance>>,
     lists: EndpointLists,
+    /// The time of the batch; it never goes back.
     clock: Time,
     batch: Option<Batch>,
     /// Asked for by the last event, and not written yet.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,7 @@
 //! An instance: a balancer, the names in its settings and its requests.
+//!
+//! The simulator starts, kills and restarts many in one process; each has its own names and ids, and shares
+//! nothing with the others but the endpoint lists.
 
 use std::io::{self, Write};
 
@@ -12,12 +15,14 @@
 /// A balancer of the simulator.
 pub struct Instance {
     balancer: Balancer,
+    /// Names in its settings, for what is read from the wire.
     pub names: Names,
+    /// Requests by their ids.
     pub requests: RequestTable,
 }
 
 impl Instance {
-    /// Starts a balancer; what it asks for goes to `actions`.
+    /// Starts a balancer; what it asks for is added to `actions`.
     pub fn start(
         loaded: Loaded,
         seed: u64,
@@ -30,14 +35,15 @@
         Ok(Self { balancer, names, requests: RequestTable::default() })
     }
 
-    /// Hands an event over; what the balancer asks for goes to `actions`, which are written before the next event.
+    /// Hands an event over; what the balancer asks for goes to `actions`, which are written before the next
+    /// event.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let ended = request_ended(&event);
         self.balancer.handle(now, event, actions);
         for action in &*actions {
             self.track(action);
         }
-        // Else it is removed once the actions are written, which may still name it.
+        // Actions that follow these events name the request: then it is removed once they are written.
         if let Some(id) = ended
             && actions.is_empty()
         {
@@ -54,7 +60,7 @@
         }
     }
 
-    /// Writes the actions.
+    /// Writes the actions, and removes requests that are over with them.
     pub fn write(
         &mut self,
         actions: impl Iterator<Item = Action>,
--- a/crates/simulator-adapter/src/requests.rs
+++ b/crates/simulator-adapter/src/requests.rs
@@ -1,4 +1,8 @@
 //! The requests of an instance, by their ids on the wire and in the policy.
+//!
+//! The wire's ids are texts, the policy's small integers, and a message may name a request after its final
+//! answer: the end of an attempt that was withdrawn, say. So a request stays in the table until it has ended
+//! and its last attempt has, and no longer: an instance must not grow with the requests that it has served.
 
 use balancer_policy::interface::RequestId;
 use rustc_hash::FxHashMap;
@@ -8,6 +12,7 @@
 pub struct RequestTable {
     ids: FxHashMap<Box<str>, RequestId>,
     requests: FxHashMap<RequestId, TrackedRequest>,
+    /// Ids are never used again.
     next_id: u64,
 }
 
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,12 @@
-//! The words of the wire for outcomes and phases, and the bytes of messages.
+//! Words and encodings of the wire: outcomes, phases, bytes.
+//!
+//! The protocol's words are older than the policy's terms; this is the one place that pairs them.
 
 use balancer_policy::interface::{Outcome, Phase};
 
 use crate::error::Malformed;
 
+/// How an attempt or a health check ended.
 pub fn outcome(value: &str) -> Result<Outcome, Malformed> {
     Ok(match value {
         "GOOD" => Outcome::Good,
@@ -18,6 +21,7 @@
     })
 }
 
+/// What discovery says of an upstream.
 pub fn phase(value: &str) -> Result<Phase, Malformed> {
     Ok(match value {
         "Ready" => Phase::Ready,
@@ -27,7 +31,7 @@
     })
 }
 
-/// A message's bytes from hex digits, `-` for none.
+/// The bytes of a gossip message: hex digits, `-` for none.
 pub fn bytes(value: &str) -> Result<Vec<u8>, Malformed> {
     if value == "-" {
         return Ok(Vec::new());
