--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -102,6 +102,7 @@
 
 /// What the site allows.
 #[derive(Deserialize)]
+#[allow(clippy::struct_excessive_bools, reason = "each is a key of the JSON that stands for itself")]
 pub struct Caps {
     #[serde(rename = "tryLimit")]
     pub max_attempts: u32,
@@ -144,7 +145,7 @@
     pub overload_window_s: f64,
 }
 
-/// PriceFigures of what choices cost, in requests of full priority weight.
+/// Prices of what choices cost, in requests of full priority weight.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PriceFigures {
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -36,7 +36,7 @@
     if value == "-" {
         return Ok(Vec::new());
     }
-    let digit = |byte: u8| (byte as char).to_digit(16).map(|digit| digit as u8);
+    let digit = |byte: u8| char::from(byte).to_digit(16).and_then(|digit| u8::try_from(digit).ok());
     value
         .as_bytes()
         .chunks(2)
