--- /dev/null
+++ b/crates/policy/tests/golden.rs
@@ -0,0 +1,454 @@
+//! A golden record of the decisions: fixed settings, seeds and events must give the same actions, to the last bit.
+//!
+//! A change that is meant to keep behaviour (a move, a split, a rename) keeps every hash below: the order in which
+//! random numbers are drawn and the order of floating-point sums are part of it. A change that is meant to alter
+//! decisions records new hashes and says so in its commit.
+
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+use std::time::Duration;
+
+use balancer_policy::interface::*;
+use balancer_policy::{Action, Balancer, Event, Settings};
+use oorandom::Rand64;
+
+/// How long each stream of events runs.
+const RUN: Duration = Duration::from_secs(30);
+/// Where the clock of each stream starts.
+const START: Duration = Duration::from_secs(1000);
+/// Span between two requests, on average: some 120 a second.
+const BETWEEN_REQUESTS_S: f64 = 1.0 / 120.0;
+
+/// FNV-1a with 64 bits: small, and the same on every machine.
+struct Hash(u64);
+
+impl Hash {
+    fn new() -> Self {
+        Self(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
+        }
+    }
+
+    fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+
+    fn span(&mut self, span: Option<Duration>) {
+        self.number(span.map_or(u64::MAX, |span| span.as_nanos() as u64));
+    }
+
+    fn action(&mut self, action: &Action) {
+        match action {
+            Action::Send { request, upstream, timeout, begin_within, last } => {
+                self.number(1);
+                self.number(request.0);
+                self.number(u64::from(upstream.0));
+                self.span(*timeout);
+                self.span(*begin_within);
+                self.number(u64::from(*last));
+            }
+            Action::Withdraw { request, attempt } => {
+                self.number(2);
+                self.number(request.0);
+                self.number(u64::from(attempt.0));
+            }
+            Action::Refuse { request, retry_after } => {
+                self.number(3);
+                self.number(request.0);
+                self.span(*retry_after);
+            }
+            Action::Fail { request } => {
+                self.number(4);
+                self.number(request.0);
+            }
+            Action::Subscribe => self.number(5),
+            Action::Probe { upstream } => {
+                self.number(6);
+                self.number(u64::from(upstream.0));
+            }
+            Action::DropIdle { upstream } => {
+                self.number(7);
+                self.number(u64::from(upstream.0));
+            }
+            Action::WakeAfter(span) => {
+                self.number(8);
+                self.span(Some(*span));
+            }
+            Action::Log(line) => {
+                self.number(9);
+                self.bytes(line.as_bytes());
+            }
+        }
+    }
+}
+
+/// What lies ahead in a stream.
+enum Next {
+    /// An event of its own.
+    Event(Box<Event>),
+    /// A new request.
+    Request,
+    /// Something happens to an upstream or to its list.
+    Change,
+    /// The service gets much slower, or as it was.
+    Congestion(bool),
+}
+
+/// Upstreams and clients drawn from a seed, with the balancer under test between them.
+struct Stream {
+    balancer: Balancer,
+    settings: Settings,
+    rng: Rand64,
+    now: Duration,
+    next: BinaryHeap<Reverse<(Duration, u64)>>,
+    ahead: HashMap<u64, Next>,
+    scheduled: u64,
+    members: Vec<Member>,
+    /// Requests not ended yet, with the attempts sent.
+    open: HashMap<RequestId, u32>,
+    requests: u64,
+    congested: bool,
+    actions: u64,
+    hash: Hash,
+}
+
+impl Stream {
+    fn new(settings: Settings, seed: u64, upstreams: u32) -> Self {
+        let balancer = Balancer::new(settings.clone(), seed).expect("the settings make sense");
+        let mut stream = Self {
+            balancer,
+            settings,
+            rng: Rand64::new(u128::from(seed) + 99),
+            now: START,
+            next: BinaryHeap::new(),
+            ahead: HashMap::new(),
+            scheduled: 0,
+            members: Vec::new(),
+            open: HashMap::new(),
+            requests: 0,
+            congested: false,
+            actions: 0,
+            hash: Hash::new(),
+        };
+        for id in 0..upstreams {
+            let started = (id % 4 == 0).then(|| START - Duration::from_secs(u64::from(id)));
+            let member = stream.member(id, started);
+            stream.members.push(member);
+        }
+        stream.schedule_event(Duration::ZERO, Event::Started);
+        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Whole(stream.members.clone())));
+        stream.schedule(Duration::ZERO, Next::Request);
+        stream.schedule(Duration::from_millis(700), Next::Change);
+        for (at, congested) in [(10, true), (14, false), (20, true), (22, false)] {
+            stream.schedule(Duration::from_secs(at), Next::Congestion(congested));
+        }
+        stream
+    }
+
+    fn member(&mut self, id: u32, started: Option<Duration>) -> Member {
+        Member {
+            id: UpstreamId(id),
+            zone: (id % 7 != 6).then_some(ZoneId(id as usize % self.settings.zones)),
+            kind: (id % 5 != 4).then_some(KindId(id as usize % self.settings.kinds)),
+            cell: id % 4,
+            phase: Phase::Ready,
+            weight: 1.0 + f64::from(id % 3),
+            started,
+        }
+    }
+
+    fn schedule(&mut self, after: Duration, next: Next) {
+        self.scheduled += 1;
+        self.next.push(Reverse((self.now + after, self.scheduled)));
+        self.ahead.insert(self.scheduled, next);
+    }
+
+    fn schedule_event(&mut self, after: Duration, event: Event) {
+        self.schedule(after, Next::Event(Box::new(event)));
+    }
+
+    fn chance(&mut self, probability: f64) -> bool {
+        self.rng.rand_float() < probability
+    }
+
+    fn below(&mut self, bound: usize) -> usize {
+        self.rng.rand_range(0..bound as u64) as usize
+    }
+
+    /// Plays the stream to its end and gives the count of actions and their hash.
+    fn play(mut self) -> (u64, u64) {
+        while let Some(Reverse((at, number))) = self.next.pop() {
+            if at > START + RUN {
+                break;
+            }
+            self.now = at;
+            match self.ahead.remove(&number).expect("each entry is scheduled once") {
+                Next::Event(event) => self.handle(*event),
+                Next::Request => self.request(),
+                Next::Change => self.change(),
+                Next::Congestion(congested) => self.congested = congested,
+            }
+        }
+        (self.actions, self.hash.0)
+    }
+
+    fn handle(&mut self, event: Event) {
+        if let Event::AttemptEnded { request, finished: true, .. } | Event::ClientLeft(request) = event {
+            self.open.remove(&request);
+        }
+        let woke = event == Event::Wake;
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        if woke {
+            self.hash.bytes(self.balancer.vitals().as_bytes());
+        }
+        for action in actions {
+            self.actions += 1;
+            self.hash.action(&action);
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
+            Action::Withdraw { request, attempt } => {
+                let took = Duration::from_millis(30);
+                self.end(Duration::ZERO, (request, attempt), Outcome::Withdrawn, took, Duration::ZERO);
+            }
+            Action::Refuse { request, .. } | Action::Fail { request } => {
+                self.open.remove(&request);
+            }
+            Action::WakeAfter(span) => self.schedule_event(span, Event::Wake),
+            Action::Subscribe if self.chance(0.4) => {
+                self.schedule_event(Duration::from_millis(5), Event::List(ListUpdate::Broken));
+            }
+            Action::Subscribe => {
+                let list = ListUpdate::Whole(self.members.clone());
+                self.schedule_event(Duration::from_millis(5), Event::List(list));
+            }
+            Action::Probe { .. } | Action::DropIdle { .. } | Action::Log(_) => {}
+        }
+    }
+
+    /// Draws what becomes of an attempt.
+    fn attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
+        let attempt = AttemptNumber(*self.open.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
+        let timeout = timeout.unwrap_or(Duration::from_secs(3));
+        let slow = if self.congested { 9.0 } else { 1.0 } * if upstream.0 % 5 == 1 { 2.5 } else { 1.0 };
+        let work = Duration::from_secs_f64((0.02 + 0.08 * self.rng.rand_float()) * slow);
+        let late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
+        let connecting = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
+        let bad = if upstream.0 == 8 { 0.5 } else { 0.01 };
+        let outcome = if late {
+            Outcome::ConnectTimedOut
+        } else if self.chance(bad) {
+            let ways =
+                [Outcome::Error, Outcome::Refused, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent];
+            ways[self.below(ways.len())]
+        } else if self.chance(0.01) {
+            Outcome::Rejected
+        } else if self.congested && self.chance(0.2) {
+            Outcome::Refused
+        } else {
+            Outcome::Good
+        };
+        let took = match outcome {
+            Outcome::ConnectTimedOut => Duration::from_millis(120),
+            Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent => Duration::from_millis(2),
+            _ => connecting + work,
+        };
+        if late && self.chance(0.5) {
+            self.schedule_event(took + Duration::from_millis(200), Event::Connected(upstream));
+        }
+        if took > timeout {
+            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connecting.min(timeout));
+            return;
+        }
+        if outcome == Outcome::Good && self.chance(0.05) {
+            self.schedule_event(took / 2, Event::StreamStarted { request, attempt });
+        }
+        self.end(took, (request, attempt), outcome, took, connecting.min(took));
+    }
+
+    fn end(
+        &mut self,
+        after: Duration,
+        (request, attempt): (RequestId, AttemptNumber),
+        outcome: Outcome,
+        took: Duration,
+        connecting: Duration,
+    ) {
+        let finished = outcome == Outcome::Good || !self.open.contains_key(&request);
+        let load = None;
+        let end = Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load };
+        self.schedule_event(after, end);
+    }
+
+    fn request(&mut self) {
+        let id = RequestId(self.requests);
+        self.requests += 1;
+        let class = ClassId(self.below(self.settings.classes.len()));
+        let tenant = (!self.settings.tenants.is_empty()).then(|| {
+            // The first tenant sends several times its part.
+            let first = self.chance(0.6);
+            TenantId(if first { 0 } else { self.below(self.settings.tenants.len()) })
+        });
+        let time_left = Duration::from_secs_f64(0.05 + 2.0 * self.rng.rand_float());
+        let request = Request { id, class, tenant, key: None, time_left, expected_work: None, repeat: false };
+        if self.chance(0.02) {
+            let stays = Duration::from_secs_f64(0.1 * self.rng.rand_float());
+            self.schedule_event(stays, Event::ClientLeft(id));
+        }
+        let pause = Duration::from_secs_f64(2.0 * BETWEEN_REQUESTS_S * self.rng.rand_float());
+        self.schedule(pause, Next::Request);
+        self.handle(Event::Request(request));
+    }
+
+    /// One change to the list, its source or the settings.
+    fn change(&mut self) {
+        let place = self.below(self.members.len());
+        let kind = self.below(8);
+        let list = match kind {
+            0 => {
+                self.members[place].phase = Phase::Draining;
+                ListUpdate::Patch(vec![self.members[place]])
+            }
+            1 => {
+                self.members[place].phase = Phase::Gone;
+                ListUpdate::Patch(vec![self.members[place]])
+            }
+            2..=4 => {
+                // The process is replaced.
+                self.members[place].phase = Phase::Ready;
+                self.members[place].started = Some(self.now);
+                ListUpdate::Patch(vec![self.members[place]])
+            }
+            5 => {
+                let listed = self.members.iter().filter(|member| member.phase == Phase::Ready);
+                let list = listed.copied().collect();
+                if self.chance(0.5) { ListUpdate::StaleCopy(list) } else { ListUpdate::Whole(list) }
+            }
+            6 => {
+                if self.chance(0.5) {
+                    ListUpdate::Broken
+                } else {
+                    ListUpdate::Moved
+                }
+            }
+            _ => {
+                self.reconfigure();
+                ListUpdate::Patch(Vec::new())
+            }
+        };
+        self.handle(Event::List(list));
+        self.schedule(Duration::from_millis(700), Next::Change);
+    }
+
+    fn reconfigure(&mut self) {
+        match self.below(4) {
+            0 => self.settings.copies += 1,
+            1 if !self.settings.tenants.is_empty() && self.settings.tenants.len() < 5 => {
+                self.settings.tenants.push(Tenant { quota: Some(15.0) });
+            }
+            2 if !self.settings.tenants.is_empty() => {
+                let quota = 10.0 + 60.0 * self.rng.rand_float();
+                self.settings.tenants[0].quota = Some(quota);
+            }
+            _ => {
+                let mut wrong = self.settings.clone();
+                wrong.classes.pop();
+                self.handle(Event::Reconfigured(wrong));
+            }
+        }
+        self.handle(Event::Reconfigured(self.settings.clone()));
+    }
+}
+
+fn classes() -> Vec<Class> {
+    let effects = [
+        Effect::Safe,
+        Effect::Unsafe,
+        Effect::Keyed { scope: DedupScope::All, window: Duration::from_millis(400) },
+        Effect::Keyed { scope: DedupScope::Zone, window: Duration::from_millis(400) },
+        Effect::Keyed { scope: DedupScope::Cell, window: Duration::from_millis(400) },
+    ];
+    let class = |(number, effect): (usize, Effect)| Class {
+        aim: Duration::from_millis(400 + 100 * number as u64),
+        deadline: Duration::from_secs(2),
+        late_worth: if number % 2 == 0 { 0.5 } else { 0.0 },
+        effect,
+    };
+    effects.into_iter().enumerate().map(class).collect()
+}
+
+fn first_tier() -> Settings {
+    let mut settings = Settings::single_zone(classes());
+    settings.index = 1;
+    settings.copies = 4;
+    settings.zones = 3;
+    settings.kinds = 2;
+    settings.tenants =
+        vec![Tenant { quota: Some(120.0) }, Tenant { quota: Some(60.0) }, Tenant { quota: None }];
+    settings.over_share_worth = 0.2;
+    settings.discovery = DiscoveryMode::Subscribe;
+    settings.rules.ask_within = Some(Duration::from_secs(4));
+    settings.allowed.second_copies = true;
+    settings.allowed.retry_after = Some(Duration::from_millis(250));
+    settings.prices.cross_zone = 0.05;
+    settings.prices.handshake = 0.01;
+    settings
+}
+
+#[track_caller]
+fn check(settings: Settings, seed: u64, upstreams: u32, recorded: (u64, u64)) {
+    let played = Stream::new(settings, seed, upstreams).play();
+    assert_eq!(played, recorded, "(actions, hash); played {:#x}", played.1);
+}
+
+#[test]
+fn quotas_in_three_zones_keep_their_record() {
+    check(first_tier(), 1, 24, (4036, 0xf85e1da52e161db7));
+    check(first_tier(), 2, 24, (3969, 0xd57eadd668c00872));
+}
+
+#[test]
+fn a_lone_zone_without_quotas_keeps_its_record() {
+    check(Settings::single_zone(classes()), 3, 10, (4538, 0x9831ce64647e0326));
+}
+
+#[test]
+fn a_lower_tier_with_an_agent_keeps_its_record() {
+    let mut settings = first_tier();
+    settings.tier = 1;
+    settings.tenants.clear();
+    settings.discovery = DiscoveryMode::Agent;
+    settings.passes_deadline = false;
+    settings.allowed.streams = 1;
+    settings.allowed.second_copies = false;
+    settings.allowed.cancel = false;
+    check(settings, 4, 40, (4569, 0x91e6ea3b696f58a0));
+}
+
+#[test]
+fn a_fleet_of_many_copies_keeps_its_record() {
+    let mut settings = first_tier();
+    settings.copies = 40;
+    settings.over_share_worth = 1.0;
+    settings.tenants = vec![Tenant { quota: Some(2000.0) }, Tenant { quota: Some(1500.0) }];
+    check(settings, 5, 60, (3910, 0xb8033d2a3c305e4d));
+}
+
+#[test]
+fn a_cold_start_of_all_upstreams_keeps_its_record() {
+    let mut stream = Stream::new(first_tier(), 6, 24);
+    for member in &mut stream.members {
+        member.started = Some(START);
+    }
+    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Whole(stream.members.clone())));
+    assert_eq!(stream.play(), (3853, 0xf30defdbb8cd0fb8));
+}
