--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,4 +1,4 @@
-//! Every decision of the balancer. Its settings, events and actions are in `interface.rs`.
+//! Every decision of the balancer. Its settings, events and actions are in `settings.rs`, `event.rs` and `action.rs`.
 //!
 //! The parts, in the order in which a request meets them:
 //! 1. [`Suppressor`] counts a tenant's calls and admits with a smoothly falling probability;
--- /dev/null
+++ b/crates/policy/src/ids.rs
@@ -0,0 +1,37 @@
+//! Identifiers and time, as the embedding program and the policy exchange them.
+//!
+//! Identifiers are small integers that the embedding program assigns. A class, tenant, zone or kind of machine is
+//! identified by its position in the [`Settings`](crate::Settings).
+
+use std::time::Duration;
+
+/// A point in time: the time since any fixed moment of the embedding program's clock.
+pub type Time = Duration;
+
+/// Names a request; never used again once the request has ended and its attempts are over.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct RequestId(pub u64);
+
+/// Names an upstream; the same at every copy.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct UpstreamId(pub u32);
+
+/// Position of a class in [`Settings::classes`](crate::Settings::classes).
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ClassId(pub usize);
+
+/// Position of a tenant in [`Settings::tenants`](crate::Settings::tenants).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct TenantId(pub usize);
+
+/// Position of a zone among [`Settings::zones`](crate::Settings::zones).
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct ZoneId(pub usize);
+
+/// Position of a kind of machine among those the embedding program knows.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct KindId(pub usize);
+
+/// Number of an attempt of a request, from 0 in the order sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct AttemptNumber(pub u32);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -57,8 +57,14 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+mod action;
 mod decide;
+mod event;
+mod ids;
 pub mod interface;
+mod member;
+mod outcome;
+mod settings;
 
 pub use decide::Balancer;
 pub use interface::{Action, Event, Settings};
--- /dev/null
+++ b/crates/policy/src/outcome.rs
@@ -0,0 +1,53 @@
+//! What an attempt tells when it is over: its outcome and the load report that came with the answer.
+
+use std::time::Duration;
+
+/// How an attempt ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Outcome {
+    /// Served.
+    Good,
+    /// Answered with an error; it may have run.
+    Error,
+    /// Rejected unseen; it never ran.
+    Refused,
+    /// Answered that the request itself is wrong, as it would be anywhere; counted as one that may have run.
+    Rejected,
+    /// No answer in time; it may have run or still run.
+    TimedOut,
+    /// No connection: the upstream turned it down, or it broke before the last byte; it never ran.
+    ConnectFailed,
+    /// No connection came up in time, though one may yet; it never ran.
+    ConnectTimedOut,
+    /// The connection broke; it may have run.
+    Reset,
+    /// Withdrawn; it may have run.
+    Withdrawn,
+    /// Never sent.
+    NotSent,
+}
+
+impl Outcome {
+    /// Whether this outcome proves that the attempt never ran.
+    #[must_use]
+    pub fn never_ran(self) -> bool {
+        matches!(self, Self::Refused | Self::ConnectFailed | Self::ConnectTimedOut | Self::NotSent)
+    }
+}
+
+/// A load report that came with an answer; fields that the site does not report are `None`.
+#[derive(Debug, Clone, Copy, PartialEq, Default)]
+pub struct LoadReport {
+    /// Requests being handled.
+    pub active: Option<f64>,
+    /// Requests waiting.
+    pub waiting: Option<f64>,
+    /// Fraction of the processor in use.
+    pub utilization: Option<f64>,
+    /// How long serving took lately, waiting not counted.
+    pub latency: Option<Duration>,
+    /// Requests served a second.
+    pub rate: Option<f64>,
+    /// Errors a second.
+    pub error_rate: Option<f64>,
+}
--- /dev/null
+++ b/crates/policy/src/settings.rs
@@ -0,0 +1,286 @@
+//! What the operator decides before the first request arrives: the classes of requests, the tenants' quotas, what the
+//! site allows, and the figures of its rules.
+//!
+//! [`Settings`] are validated once, by [`Settings::validate`], or by [`Settings::may_follow`] where they replace
+//! others in a running balancer.
+
+use std::time::Duration;
+
+use thiserror::Error;
+
+use crate::ids::ZoneId;
+
+/// The group of upstreams that discard repeats of a keyed request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DedupScope {
+    /// All upstreams share what they remember.
+    All,
+    /// Those of one zone do.
+    Zone,
+    /// Those of one cell do.
+    Cell,
+}
+
+/// How often a request's effect may happen.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Effect {
+    /// Repeating does no harm.
+    Safe,
+    /// Repeats carry a key, and a group of upstreams discards them for a while.
+    Keyed {
+        /// The upstreams that discard repeats.
+        scope: DedupScope,
+        /// For how long after the first attempt that may have run.
+        window: Duration,
+    },
+    /// Must never run twice.
+    Unsafe,
+}
+
+/// A class of requests.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Class {
+    /// Answers within this time earn the full worth.
+    pub aim: Duration,
+    /// How long a client waits in all.
+    pub deadline: Duration,
+    /// The fraction of the worth that an answer after the aim still earns, 0 to 1.
+    pub late_worth: f64,
+    /// What may be repeated.
+    pub effect: Effect,
+}
+
+/// A tenant and its share.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Tenant {
+    /// Requests a second over all copies that lie inside its share; `None` if not told.
+    pub quota: Option<f64>,
+}
+
+/// How the list of upstreams is had.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DiscoveryMode {
+    /// Changes come by themselves.
+    Push,
+    /// Changes come only to a copy that has subscribed.
+    Subscribe,
+    /// Changes come over a subscription at an agent on the copy's own machine, which is told at once what there is
+    /// and answers at no cost: a broken one is opened anew without a wait.
+    Agent,
+}
+
+/// What the site allows.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Allowed {
+    /// Attempts a request may have in all.
+    pub attempts: u32,
+    /// A second attempt may be out while the first still is.
+    pub second_copies: bool,
+    /// Attempts may be withdrawn.
+    pub cancel: bool,
+    /// Health checks may be sent.
+    pub probes: bool,
+    /// Copies may send each other messages.
+    pub messages: bool,
+    /// Idle connections are closed after this.
+    pub keepalive: Duration,
+    /// Attempts that one connection can carry together.
+    pub streams: u32,
+    /// The longest stay-away advice that clients honour; `None` if they get none.
+    pub retry_after: Option<Duration>,
+}
+
+/// Figures of the four rules.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Rules {
+    /// Time past the client's deadline in which a final answer still counts.
+    pub answer_slack: Duration,
+    /// Time within which sends to a draining or gone upstream must end.
+    pub drain_grace: Duration,
+    /// A copy without a subscription must ask at least this often; `None` if lists are pushed.
+    pub ask_within: Option<Duration>,
+    /// The least fraction of its capacity with which an upstream starts, above 0 and up to 1.
+    pub cold_share: f64,
+    /// A started upstream is warm after this at the latest.
+    pub cold_time: Duration,
+    /// Sent more than this many times its present capacity, a cold upstream falls over ...
+    pub overload_multiple: f64,
+    /// ... when it goes on for this long.
+    pub overload_window: Duration,
+}
+
+/// Prices that bear on choices, in worth of one request of full worth.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Prices {
+    /// An attempt that crosses zones.
+    pub cross_zone: f64,
+    /// The work of one request wasted.
+    pub waste: f64,
+    /// A request that ends unserved after its aim.
+    pub late_failure: f64,
+    /// A connection opened.
+    pub handshake: f64,
+    /// A health check.
+    pub probe: f64,
+}
+
+/// What a copy is told at its start, and again with [`Event::Reconfigured`](crate::Event::Reconfigured) when it changes.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Settings {
+    /// This copy's number, from 0.
+    pub index: u32,
+    /// How many copies send to this tier.
+    pub copies: u32,
+    /// The tier sent to, 0 for the one that clients reach.
+    pub tier: usize,
+    /// This copy's zone.
+    pub zone: ZoneId,
+    /// How many zones there are.
+    pub zones: usize,
+    /// How many kinds of machine there are.
+    pub kinds: usize,
+    /// The classes of requests, at least one.
+    pub classes: Vec<Class>,
+    /// The tenants; may be empty.
+    pub tenants: Vec<Tenant>,
+    /// The part of its worth that a request keeps beyond its tenant's share.
+    pub over_share_worth: f64,
+    /// How lists come.
+    pub discovery: DiscoveryMode,
+    /// Calls from tier to tier carry the time that the caller has left.
+    pub passes_deadline: bool,
+    /// What the site allows.
+    pub allowed: Allowed,
+    /// Figures of the rules.
+    pub rules: Rules,
+    /// Prices.
+    pub prices: Prices,
+}
+
+/// Why [`Settings`] make no sense.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum SettingsError {
+    /// There is no class.
+    #[error("there is no class of requests")]
+    NoClass,
+    /// There is no zone, or the copy's own is not among them.
+    #[error("the zone of this copy is not among the zones")]
+    UnknownZone,
+    /// The number of copies is 0.
+    #[error("the number of copies is 0")]
+    NoCopies,
+    /// No attempt is allowed.
+    #[error("no attempt is allowed")]
+    NoAttempts,
+    /// A class's aim or deadline is 0, or the aim lies past the deadline.
+    #[error("class {0}: the aim and the deadline must be above 0, the aim not past the deadline")]
+    ClassTimes(usize),
+    /// It holds fewer classes or tenants than the settings before: positions never change their meaning.
+    #[error("there are fewer classes or tenants than before")]
+    Fewer,
+    /// They are of another copy, tier, zone or kinds than the settings before.
+    #[error("they are those of another place: its number, tier, zone, zones and kinds stay for life")]
+    Elsewhere,
+    /// A fraction or a figure lies outside its range.
+    #[error("{0} is out of range")]
+    OutOfRange(&'static str),
+}
+
+impl Settings {
+    /// Settings of a lone copy in a single zone, with common rules and no tenants; change what
+    /// differs.
+    #[must_use]
+    pub fn single_zone(classes: Vec<Class>) -> Self {
+        Self {
+            index: 0,
+            copies: 1,
+            tier: 0,
+            zone: ZoneId(0),
+            zones: 1,
+            kinds: 1,
+            classes,
+            tenants: Vec::new(),
+            over_share_worth: 1.0,
+            discovery: DiscoveryMode::Push,
+            passes_deadline: true,
+            allowed: Allowed {
+                attempts: 3,
+                second_copies: false,
+                cancel: true,
+                probes: false,
+                messages: false,
+                keepalive: Duration::from_secs(15),
+                streams: 100,
+                retry_after: None,
+            },
+            rules: Rules {
+                answer_slack: Duration::from_millis(20),
+                drain_grace: Duration::from_secs(1),
+                ask_within: None,
+                cold_share: 0.1,
+                cold_time: Duration::from_secs(30),
+                overload_multiple: 3.0,
+                overload_window: Duration::from_secs(2),
+            },
+            prices: Prices { cross_zone: 0.0, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+        }
+    }
+
+    /// Checks that the settings make sense.
+    ///
+    /// # Errors
+    /// The first thing found wrong.
+    pub fn validate(&self) -> Result<(), SettingsError> {
+        if self.classes.is_empty() {
+            return Err(SettingsError::NoClass);
+        }
+        if self.zone.0 >= self.zones {
+            return Err(SettingsError::UnknownZone);
+        }
+        if self.copies == 0 {
+            return Err(SettingsError::NoCopies);
+        }
+        if self.allowed.attempts == 0 {
+            return Err(SettingsError::NoAttempts);
+        }
+        if self.allowed.streams == 0 {
+            return Err(SettingsError::OutOfRange("streams"));
+        }
+        for (number, class) in self.classes.iter().enumerate() {
+            if class.aim.is_zero() || class.aim > class.deadline {
+                return Err(SettingsError::ClassTimes(number));
+            }
+            in_range(class.late_worth, 0.0, 1.0, "late worth")?;
+        }
+        for quota in self.tenants.iter().filter_map(|tenant| tenant.quota) {
+            in_range(quota, 0.0, 1e12, "quota")?;
+        }
+        in_range(self.over_share_worth, 0.0, 1.0, "over-share worth")?;
+        in_range(self.rules.cold_share, f64::MIN_POSITIVE, 1.0, "cold share")?;
+        in_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
+        let Prices { cross_zone, waste, late_failure, handshake, probe } = self.prices;
+        for price in [cross_zone, waste, late_failure, handshake, probe] {
+            in_range(price, 0.0, 1e6, "price")?;
+        }
+        Ok(())
+    }
+
+    /// Checks that a running copy may go over to these from `before`.
+    ///
+    /// # Errors
+    /// The first thing found wrong.
+    pub fn may_follow(&self, before: &Self) -> Result<(), SettingsError> {
+        let place = |of: &Self| (of.index, of.tier, of.zone, of.zones, of.kinds);
+        if place(self) != place(before) {
+            return Err(SettingsError::Elsewhere);
+        }
+        if self.classes.len() < before.classes.len() || self.tenants.len() < before.tenants.len() {
+            return Err(SettingsError::Fewer);
+        }
+        self.validate()
+    }
+}
+
+fn in_range(value: f64, low: f64, high: f64, name: &'static str) -> Result<(), SettingsError> {
+    if (low..=high).contains(&value) { Ok(()) } else { Err(SettingsError::OutOfRange(name)) }
+}
