--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -236,7 +236,7 @@
 }
 
 const DECISIONS: Mechanism =
-    ours("`balancer-policy` `Balancer`", "crates/policy/src/decide.rs", "pub struct Balancer");
+    ours("`balancer-policy` `Balancer`", "crates/policy/src/balancer.rs", "pub struct Balancer");
 const LIST_CLIENT: Mechanism =
     ours("`balancer-proxy` `discovery::watch`", "crates/proxy/src/discovery.rs", "pub async fn watch(");
 const CONFIGURATION_CLIENT: Mechanism = ours(
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -322,7 +322,7 @@
         fs::create_dir_all(path.parent().unwrap()).unwrap();
         fs::write(path, text).unwrap();
     };
-    has("crates/policy/src/decide.rs", "pub struct Balancer;");
+    has("crates/policy/src/balancer.rs", "pub struct Balancer;");
     has("crates/proxy/src/discovery.rs", "pub async fn watch(");
     let today = rows();
     assert!(today[0].contains("a change of configuration") && today[0].contains("none today"), "{today:#?}");
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -58,13 +58,18 @@
 //! ```
 
 mod action;
-mod decide;
+mod admission;
+mod balancer;
+mod endpoints;
 mod event;
 mod ids;
 pub mod interface;
 mod member;
 mod outcome;
+mod random;
+mod requests;
+mod routing;
 mod settings;
 
-pub use decide::Balancer;
+pub use balancer::Balancer;
 pub use interface::{Action, Event, Settings};
