--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -30,7 +30,7 @@
 
 /// A rate limit learned from what becomes of the calls.
 #[derive(Debug, Clone, Copy)]
-pub struct LearnedLimit {
+pub struct AdaptiveLimit {
     pub rate: f64,
     /// The fair part of a quota, bare and with its chance, where there is one.
     pub fair: f64,
@@ -40,7 +40,7 @@
     pub usual: f64,
 }
 
-impl LearnedLimit {
+impl AdaptiveLimit {
     /// Quotas count requests of the first tier; below it calls are more, and no part of a quota can be told.
     pub fn new(settings: &Settings, quota: Option<f64>) -> Self {
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
@@ -64,21 +64,21 @@
         Self { rate: rate.min(fresh.ceiling), usual: self.usual, ..fresh }
     }
 
-    pub fn rise(&mut self) {
+    pub fn increase(&mut self) {
         // Below the fair part the calls denied are the ones that count: come back from a jam faster.
-        let rise = if self.quota.is_some_and(|quota| self.rate < quota) { RISE.1 } else { RISE.0 };
-        self.rate = (self.rate + rise).min(self.ceiling);
+        let increase = if self.quota.is_some_and(|quota| self.rate < quota) { RISE.1 } else { RISE.0 };
+        self.rate = (self.rate + increase).min(self.ceiling);
     }
 
-    pub fn drop(&mut self, crowding: f64, accepted: f64) {
+    pub fn decrease(&mut self, congestion: f64, accepted: f64) {
         // A lone refusal or slow call happens on the quietest day; a cut for each one denies calls without
         // need, which below the first tier fails the whole request above.
-        if crowding < self.quota.map_or(JAMMED, |_| CROWDED) {
+        if congestion < self.quota.map_or(JAMMED, |_| CROWDED) {
             return;
         }
         // A fair part is kept through common trouble. The more calls meet a crowd, the less it is what the
         // servers can do; once they have choked only much less lets them recover.
-        let jam = ((crowding - CROWDED) / (JAMMED - CROWDED)).min(1.0);
+        let jam = ((congestion - CROWDED) / (JAMMED - CROWDED)).min(1.0);
         let part = 1.0 - (1.0 - FLOOR_JAMMED) * jam;
         let floor = self.quota.map_or((self.usual * FLOOR_UNQUOTED).max(1.0), |quota| quota * part);
         let drop = DROP.0 + (DROP.1 - DROP.0) * jam;
@@ -96,10 +96,10 @@
 }
 
 /// With what limits a copy begins: of each tenant and, last, of all together, their fair parts until a crowd is met.
-pub fn limits(settings: &Settings) -> Vec<LearnedLimit> {
+pub fn limits(settings: &Settings) -> Vec<AdaptiveLimit> {
     let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
-    let mut limits: Vec<_> = quotas.clone().map(|quota| LearnedLimit::new(settings, quota)).collect();
-    let mut all = LearnedLimit::new(settings, quotas.sum());
+    let mut limits: Vec<_> = quotas.clone().map(|quota| AdaptiveLimit::new(settings, quota)).collect();
+    let mut all = AdaptiveLimit::new(settings, quotas.sum());
     if all.quota.is_some() && limits.len() > 1 && settings.over_share_worth < EXCESS_COUNTS {
         all.quota = Some(all.fair);
         all.rate = all.fair * busiest(settings);
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -34,8 +34,8 @@
     pub first: Option<u64>,
     pub sum: Bucket,
     /// The part of a call that the room under the soft limit must pass, and the bucket of the next cast.
-    pub cast: f64,
-    pub cast_at: u64,
+    pub sampled_threshold: f64,
+    pub next_sample_bucket: u64,
     pub factor: f64,
     pub factor_bucket: u64,
 }
@@ -72,23 +72,24 @@
     /// Whether a call fits under the soft limit; of a part of a call, that part of them. A limit of less than
     /// a call a window let a whole one through each, several times the limits over many copies. The die is
     /// cast once a window and admission: cast for each call, denied ones that come again would wear it down.
-    pub fn fits(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
+    pub fn fits_soft_limit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
         self.roll(now);
         self.first.get_or_insert(self.current);
-        if self.current >= self.cast_at {
-            (self.cast, self.cast_at) = (rng.rand_float(), self.current + BUCKETS as u64);
+        if self.current >= self.next_sample_bucket {
+            (self.sampled_threshold, self.next_sample_bucket) =
+                (rng.rand_float(), self.current + BUCKETS as u64);
         }
-        self.span() * limit - f64::from(self.sum.accepted) > self.cast
+        self.span() * limit - f64::from(self.sum.accepted) > self.sampled_threshold
     }
 
     /// Decides on a call, which is to be counted next.
     pub fn admit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
-        let fits = self.fits(now, limit, rng);
-        !self.is_over(limit) && (fits || rng.rand_float() >= self.factor(limit))
+        let fits_soft_limit = self.fits_soft_limit(now, limit, rng);
+        !self.is_over_hard_limit(limit) && (fits_soft_limit || rng.rand_float() >= self.factor(limit))
     }
 
     /// Whether the hard limit is reached, at which all calls are denied.
-    pub fn is_over(&self, limit: f64) -> bool {
+    pub fn is_over_hard_limit(&self, limit: f64) -> bool {
         f64::from(self.sum.total) >= self.span() * limit * HARD_LIMIT_FACTOR
     }
 
@@ -98,7 +99,7 @@
             bucket.accepted += u32::from(admitted);
         }
         if admitted {
-            self.cast_at = 0;
+            self.next_sample_bucket = 0;
         }
     }
 
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -7,9 +7,9 @@
 
 /// What the copy knows of an upstream.
 #[derive(Debug)]
-pub struct Upstream {
+pub struct Endpoint {
     pub member: Member,
-    pub home: bool,
+    pub local: bool,
     /// Its place in the slowness of kinds.
     pub kind: usize,
     pub in_flight: u32,
@@ -17,59 +17,59 @@
     pub connections: u32,
     pub used: f64,
     /// Latest answer, or the send that ended an idle time.
-    pub heard: f64,
+    pub last_answer: f64,
     pub failures: f64,
     /// Connect timeouts since its latest answer or connection.
-    pub late_connects: u32,
+    pub connect_timeouts: u32,
     /// Latency over the usual of its classes, and the latencies learned from.
     pub slowness: f64,
-    pub measured: f64,
-    pub aside_until: f64,
-    pub aside_s: f64,
+    pub latency_samples: f64,
+    pub ejected_until: f64,
+    pub ejection_s: f64,
     /// Chance of being taken when drawn, after its return.
-    pub returning: f64,
+    pub recovery_chance: f64,
     /// Calls that it has served since the last sweep and, of late, a second.
     pub served: u32,
-    pub served_rate: f64,
+    pub answer_rate: f64,
     /// Sends that a cold upstream may still get, and when that was reckoned.
     pub tokens: f64,
     pub tokens_at: f64,
 }
 
-impl Upstream {
+impl Endpoint {
     pub fn new(member: Member, now: f64, rng: &mut Rand64) -> Self {
         Self {
             member,
-            home: false,
+            local: false,
             kind: 0,
             in_flight: 0,
             connections: 0,
             used: now,
-            heard: now,
+            last_answer: now,
             failures: 0.0,
-            late_connects: 0,
+            connect_timeouts: 0,
             slowness: 1.0,
-            measured: 0.0,
-            aside_until: 0.0,
-            aside_s: ASIDE_S.0,
-            returning: 1.0,
+            latency_samples: 0.0,
+            ejected_until: 0.0,
+            ejection_s: ASIDE_S.0,
+            recovery_chance: 1.0,
             served: 0,
-            served_rate: 0.0,
+            answer_rate: 0.0,
             tokens: rng.rand_float(),
             tokens_at: now,
         }
     }
 
     /// It is within reach: what connect timeouts alone made of it is over.
-    pub fn reached(&mut self) {
-        if self.late_connects >= LATE_IN_A_ROW && self.failures < FAIL_OVER.0 {
-            (self.aside_until, self.aside_s, self.returning) = (0.0, ASIDE_S.0, 1.0);
+    pub fn mark_reachable(&mut self) {
+        if self.connect_timeouts >= LATE_IN_A_ROW && self.failures < FAIL_OVER.0 {
+            (self.ejected_until, self.ejection_s, self.recovery_chance) = (0.0, ASIDE_S.0, 1.0);
         }
-        self.late_connects = 0;
+        self.connect_timeouts = 0;
     }
 
     /// The part of its capacity that it surely has: it rises at least evenly from the cold share.
-    pub fn warmth(&self, now: f64, settings: &Settings) -> f64 {
+    pub fn warm_fraction(&self, now: f64, settings: &Settings) -> f64 {
         let Some(started) = self.member.started else { return 1.0 };
         let age = (now - started.as_secs_f64()).max(0.0);
         let share = settings.rules.cold_share;
@@ -77,13 +77,13 @@
     }
 
     /// Whether an open connection has room for another attempt.
-    pub fn has_room(&self, now: f64, allowed: &Allowed) -> bool {
+    pub fn has_free_stream(&self, now: f64, allowed: &Allowed) -> bool {
         let open = self.connections.saturating_mul(allowed.streams);
         self.in_flight < open && (self.in_flight > 0 || now - self.used < allowed.keepalive.as_secs_f64())
     }
 
     /// Counts a connection more; those that nobody used for long have been closed.
-    pub fn opened(&mut self, now: f64, allowed: &Allowed) {
+    pub fn count_connection(&mut self, now: f64, allowed: &Allowed) {
         let lapsed = self.in_flight == 0 && now - self.used >= allowed.keepalive.as_secs_f64();
         self.connections = if lapsed { 1 } else { self.connections.saturating_add(1) };
         self.used = now;
@@ -92,7 +92,7 @@
     /// Own calls in flight that another attempt would meet, and one for a handshake with a price: a copy that sees few
     /// calls then uses few of its members, over connections that stay fresh.
     pub fn cost(&self, now: f64, settings: &Settings) -> u32 {
-        let handshake = settings.prices.handshake > 0.0 && !self.has_room(now, &settings.allowed);
+        let handshake = settings.prices.handshake > 0.0 && !self.has_free_stream(now, &settings.allowed);
         self.in_flight + u32::from(handshake)
     }
 }
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -13,6 +13,6 @@
 pub const COLD_FIRST: f64 = 1.0;
 
 /// Part of its capacity by which a cold upstream may be sent more than it can do, for each of the three uses of that.
-pub fn cold_room(rules: &Rules) -> f64 {
+pub fn overload_headroom(rules: &Rules) -> f64 {
     ((rules.overload_multiple - 1.0) * COLD_ROOM).max(0.0)
 }
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -18,7 +18,7 @@
 /// How an attempt ended, after how long, for how long of that it had a connection, the aim of its request, and whether
 /// that ended too.
 #[derive(Debug, Clone, Copy)]
-pub struct Ending {
+pub struct AttemptEnd {
     pub number: AttemptNumber,
     pub outcome: Outcome,
     pub took: f64,
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -8,7 +8,7 @@
 use crate::requests::attempt::Attempt;
 
 #[derive(Debug)]
-pub struct Entry {
+pub struct PendingRequest {
     /// Those that it was taken under: no later ones let more of its attempts run.
     pub settings: Arc<Settings>,
     pub class: ClassId,
@@ -18,12 +18,12 @@
     pub attempts: Vec<Attempt>,
     /// Time that they spent without a connection.
     pub connecting: f64,
-    pub out: u32,
+    pub in_flight: u32,
     pub closed: bool,
     pub streaming: bool,
 }
 
-impl Entry {
+impl PendingRequest {
     pub fn rules(&self) -> &Class {
         &self.settings.classes[self.class.0]
     }
@@ -54,8 +54,8 @@
 
 /// The requests held, and the budgets for further attempts.
 #[derive(Debug, Default)]
-pub struct Ledger {
-    pub entries: FxHashMap<RequestId, Entry>,
+pub struct RequestTable {
+    pub by_id: FxHashMap<RequestId, PendingRequest>,
     /// What is saved up for repeats and for reroutes.
     pub budgets: [f64; 2],
 }
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -20,16 +20,16 @@
 #[derive(Debug, Default)]
 pub struct Subset {
     /// Members of the own zone.
-    pub home: Group,
+    pub local: Group,
     /// Members of other zones.
-    pub away: Group,
+    pub remote: Group,
     /// The part of the calls that stays in the own zone; `None` before the first list.
-    pub stay: Option<f64>,
+    pub local_fraction: Option<f64>,
     /// Members in all.
     pub size: usize,
     /// Upstreams ready in the first list, and the part of their capacity that is still had.
     pub first: usize,
-    pub had: f64,
+    pub available: f64,
     /// Own calls in flight, to members or not.
     pub in_flight: u32,
 }
@@ -45,7 +45,7 @@
     /// Calls served by warm members since the last sweep.
     pub warm_served: u32,
     /// No member is warm: cold ones go by their own answers, and `warm_rate` is that of before.
-    pub all_cold: bool,
+    pub all_warming_up: bool,
     /// Time that calls take, failed ones at what they took, in parts of their aims.
     pub delay: f64,
 }
@@ -55,7 +55,7 @@
     /// there is.
     pub fn learn_warm_rate(&mut self, warm: usize) {
         let served = f64::from(take(&mut self.warm_served));
-        self.all_cold = warm == 0;
+        self.all_warming_up = warm == 0;
         if warm > 0 {
             self.warm_rate += 0.2 * (served / SWEEP_S / warm as f64 - self.warm_rate);
         }
@@ -71,17 +71,17 @@
     /// A site prices each crossing of zones, yet one zone may have more calls than its upstreams can carry,
     /// and no copy is told: from an even spread on, more stays at home for as long as home is no slower than
     /// elsewhere.
-    pub fn learn_stay(&mut self, price: f64, rng: &mut Rand64) {
+    pub fn adapt_local_fraction(&mut self, price: f64, rng: &mut Rand64) {
         let even = self.even();
-        let Some(stay) = &mut self.stay else { return };
-        let worse = self.home.delay > self.away.delay + WORSE.0 + price * WORSE.1;
+        let Some(local_fraction) = &mut self.local_fraction else { return };
+        let worse = self.local.delay > self.remote.delay + WORSE.0 + price * WORSE.1;
         let step = if worse { -STAY_STEPS.1 } else { STAY_STEPS.0 };
-        *stay = (*stay + step * between(rng, (0.5, 1.5))).clamp(even.min(1.0), 1.0);
+        *local_fraction = (*local_fraction + step * between(rng, (0.5, 1.5))).clamp(even.min(1.0), 1.0);
     }
 
     pub fn even(&self) -> f64 {
-        let (home, away) = (self.home.listed as f64, self.away.listed as f64);
-        home / (home + away).max(1.0)
+        let (local, remote) = (self.local.listed as f64, self.remote.listed as f64);
+        local / (local + remote).max(1.0)
     }
 }
 
