--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -1,110 +1,176 @@
 //! The rate limit that the suppressor of a tenant is held to, learned from what becomes of the calls.
+//!
+//! Quotas are promised over all replicas, but a replica sees only its own part of the calls and cannot tell what the
+//! tier can serve. Each limit starts at the replica's fair share of the quota, with a margin for chance, falls
+//! multiplicatively while calls meet congestion, and rises with each call that is served in time.
 
-use crate::admission::congestion::CROWDED;
 use crate::admission::suppression::WINDOW_S;
 use crate::interface::Settings;
 
-/// What all tenants of a copy may send beyond their fair parts while no crowd is met, in fair parts...
-pub const EXCESS: f64 = 0.4;
-/// ...half of it, and of what the busiest copy may be dealt, at about this many calls a second: the fewer a copy
-/// sees, the later it sees a crowd come.
-pub const NOTICE: f64 = 12.0;
+/// What all tenants of a replica may send beyond their fair shares while no congestion is met, in fair shares...
+const EXCESS: f64 = 0.4;
+/// ...half of it, and of what the busiest replica may be dealt, at about this many calls a second: the fewer a
+/// replica sees, the later it sees congestion come.
+const EXCESS_HALF_RATE: f64 = 12.0;
 /// Over-share worth from which the excess is worth serving, so that no ceiling holds.
-pub const EXCESS_COUNTS: f64 = 0.5;
-/// Standard deviations of chance allowed above a fair part or a crowd, so that few calls are not taken for many.
-pub const CHANCE: f64 = 1.0;
-/// Calls a second gained by a finish in time, about 5% a second at the limit, and below the fair part, about 15% a
-/// second: back from a quarter in ten seconds.
-pub const RISE: (f64, f64) = (0.05, 0.15);
-/// What a sweep makes of a cut limit while all calls are denied: about 30% a second.
-pub const REOPEN: f64 = 1.05;
-/// What a drop leaves of the limit, and what in a jam: servers choke within seconds.
-pub const DROP: (f64, f64) = (0.85, 0.7);
-/// Crowding in a jam, at which the floor has given way...
-pub const JAMMED: f64 = 0.7;
-/// ...to this part of the fair part: what a choked tier can still serve.
-pub const FLOOR_JAMMED: f64 = 0.25;
-/// Floor of a limit without a quota, as a part of the usual rate. High, since a call denied below the first
-/// tier is work lost above.
-pub const FLOOR_UNQUOTED: f64 = 0.7;
+const EXCESS_COUNTS: f64 = 0.5;
+/// Standard deviations of chance allowed above a fair share or in congestion, so that few calls are not taken for
+/// many.
+pub const CHANCE_DEVIATIONS: f64 = 1.0;
+/// Calls a second gained by a call served in time: about 5% a second at the limit...
+const INCREASE: f64 = 0.05;
+/// ...and below the fair share, about 15% a second: back from a quarter in ten seconds.
+const INCREASE_BELOW_SHARE: f64 = 0.15;
+/// What a maintenance pass makes of a decreased limit while all calls are denied: about 30% a second.
+const REOPEN_FACTOR: f64 = 1.05;
+/// What a decrease leaves of the limit...
+const DECREASE_FACTOR: f64 = 0.85;
+/// ...and in overload: servers choke within seconds.
+const DECREASE_FACTOR_OVERLOADED: f64 = 0.7;
+/// Congestion from which a limit decreases.
+pub const CONGESTED: f64 = 0.2;
+/// Congestion in overload, at which the floor has given way...
+const OVERLOADED: f64 = 0.7;
+/// ...to this part of the fair share: what a choked tier can still serve.
+const OVERLOADED_FLOOR: f64 = 0.25;
+/// Floor of a limit without a quota, as a part of the recent rate. High, since a call denied below the first tier is
+/// work lost above.
+const FLOOR_WITHOUT_QUOTA: f64 = 0.7;
+/// Least floor of a limit without a quota, in calls a second.
+const MIN_FLOOR_WITHOUT_QUOTA: f64 = 1.0;
+/// Weight of one maintenance pass in the recent rate: some ten seconds.
+const RECENT_RATE_WEIGHT: f64 = 0.02;
 
 /// A rate limit learned from what becomes of the calls.
 #[derive(Debug, Clone, Copy)]
 pub struct AdaptiveLimit {
+    /// The limit, in calls a second.
     pub rate: f64,
-    /// The fair part of a quota, bare and with its chance, where there is one.
-    pub fair: f64,
-    pub quota: Option<f64>,
-    pub ceiling: f64,
-    /// The rate of late, in which a floor without a quota is reckoned.
-    pub usual: f64,
+    /// This replica's fair share of the quota, in calls a second; `f64::MAX` without one.
+    pub fair_share: f64,
+    /// The fair share with its margin for chance; `None` without a quota.
+    share_with_margin: Option<f64>,
+    /// What the limit may rise to.
+    ceiling: f64,
+    /// Calls admitted a second of late, of which the floor without a quota is a part.
+    recent_rate: f64,
 }
 
 impl AdaptiveLimit {
+    /// The limit that a fresh replica begins with.
+    ///
     /// Quotas count requests of the first tier; below it calls are more, and no part of a quota can be told.
-    pub fn new(settings: &Settings, quota: Option<f64>) -> Self {
+    fn new(settings: &Settings, quota: Option<f64>) -> Self {
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
-            return Self { rate: f64::MAX, fair: f64::MAX, quota: None, ceiling: f64::MAX, usual: 0.0 };
+            return Self::unlimited();
         };
-        let fair = quota / f64::from(settings.copies);
-        let quota = fair + CHANCE * (fair / WINDOW_S).sqrt();
-        let rate = quota * busiest(settings);
+        let fair_share = quota / f64::from(settings.copies);
+        let with_margin = fair_share + CHANCE_DEVIATIONS * (fair_share / WINDOW_S).sqrt();
+        let rate = with_margin * busiest_replica(settings);
         let ceiling = if settings.over_share_worth < EXCESS_COUNTS { rate } else { f64::MAX };
-        Self { rate, fair, quota: Some(quota), ceiling, usual: 0.0 }
+        Self { rate, fair_share, share_with_margin: Some(with_margin), ceiling, recent_rate: 0.0 }
     }
 
-    /// What it becomes under other settings, where a new copy has `fresh`: what was learned stays, in parts of the quota. A
-    /// lower quota holds at once; to a higher one it goes up at once as far as a new copy begins, and rises from there.
+    fn unlimited() -> Self {
+        Self {
+            rate: f64::MAX,
+            fair_share: f64::MAX,
+            share_with_margin: None,
+            ceiling: f64::MAX,
+            recent_rate: 0.0,
+        }
+    }
+
+    /// The limits of a fresh replica: of each tenant and, last, of all together, which is the sum of their fair
+    /// shares until congestion is met.
+    #[must_use]
+    pub fn all(settings: &Settings) -> Vec<Self> {
+        let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
+        let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
+        let mut all = Self::new(settings, quotas.sum());
+        if all.has_quota() && limits.len() > 1 && settings.over_share_worth < EXCESS_COUNTS {
+            all.share_with_margin = Some(all.fair_share);
+            all.rate = all.fair_share * busiest_replica(settings);
+            all.ceiling = all.rate * (1.0 + EXCESS * all.fair_share / (all.fair_share + EXCESS_HALF_RATE));
+        }
+        limits.push(all);
+        limits
+    }
+
+    /// What the limit becomes under other settings, where a fresh replica has `fresh`.
+    ///
+    /// What was learned stays, in parts of the quota. A lower quota holds at once; to a higher one the limit goes up
+    /// at once as far as a fresh replica begins, and rises from there.
+    #[must_use]
     pub fn under(self, fresh: Self) -> Self {
-        let rate = match self.quota.zip(fresh.quota) {
-            Some(_) => (self.rate * (fresh.fair / self.fair)).min(self.rate.max(fresh.rate)),
-            None if self.quota.is_some() => fresh.rate,
+        let rate = match self.share_with_margin.zip(fresh.share_with_margin) {
+            Some(_) => {
+                let scaled = self.rate * (fresh.fair_share / self.fair_share);
+                scaled.min(self.rate.max(fresh.rate))
+            }
+            None if self.has_quota() => fresh.rate,
             None => self.rate.min(fresh.rate),
         };
-        Self { rate: rate.min(fresh.ceiling), usual: self.usual, ..fresh }
+        Self { rate: rate.min(fresh.ceiling), recent_rate: self.recent_rate, ..fresh }
+    }
+
+    /// Whether the limit comes from a quota.
+    #[must_use]
+    pub fn has_quota(&self) -> bool {
+        self.share_with_margin.is_some()
     }
 
+    /// Raises the limit for a call served in time.
     pub fn increase(&mut self) {
-        // Below the fair part the calls denied are the ones that count: come back from a jam faster.
-        let increase = if self.quota.is_some_and(|quota| self.rate < quota) { RISE.1 } else { RISE.0 };
+        // Below the fair share the calls denied are the ones that count: recover from an overload faster.
+        let is_below_share = self.share_with_margin.is_some_and(|share| self.rate < share);
+        let increase = if is_below_share { INCREASE_BELOW_SHARE } else { INCREASE };
         self.rate = (self.rate + increase).min(self.ceiling);
     }
 
+    /// Lowers the limit for congestion, where `accepted` calls a second were admitted.
     pub fn decrease(&mut self, congestion: f64, accepted: f64) {
-        // A lone refusal or slow call happens on the quietest day; a cut for each one denies calls without
+        // A lone refusal or slow call happens on the quietest day; a decrease for each one denies calls without
         // need, which below the first tier fails the whole request above.
-        if congestion < self.quota.map_or(JAMMED, |_| CROWDED) {
+        if congestion < self.share_with_margin.map_or(OVERLOADED, |_| CONGESTED) {
             return;
         }
-        // A fair part is kept through common trouble. The more calls meet a crowd, the less it is what the
+        // A fair share is kept through common trouble. The more calls meet congestion, the less it is what the
         // servers can do; once they have choked only much less lets them recover.
-        let jam = ((congestion - CROWDED) / (JAMMED - CROWDED)).min(1.0);
-        let part = 1.0 - (1.0 - FLOOR_JAMMED) * jam;
-        let floor = self.quota.map_or((self.usual * FLOOR_UNQUOTED).max(1.0), |quota| quota * part);
-        let drop = DROP.0 + (DROP.1 - DROP.0) * jam;
-        self.rate = (self.rate.min(accepted.max(floor)) * drop).max(floor).min(self.rate);
+        let overload = ((congestion - CONGESTED) / (OVERLOADED - CONGESTED)).min(1.0);
+        let part = 1.0 - (1.0 - OVERLOADED_FLOOR) * overload;
+        let floor = match self.share_with_margin {
+            Some(share) => share * part,
+            None => (self.recent_rate * FLOOR_WITHOUT_QUOTA).max(MIN_FLOOR_WITHOUT_QUOTA),
+        };
+        let factor = DECREASE_FACTOR + (DECREASE_FACTOR_OVERLOADED - DECREASE_FACTOR) * overload;
+        self.rate = (self.rate.min(accepted.max(floor)) * factor).max(floor).min(self.rate);
     }
-}
 
-/// What the busiest copy may be dealt, in fair parts: callers dealt out by chance give the busiest of n copies
-/// about ln n means. Of two that see twice their parts the tier has too many calls, but one of fifty may just
-/// have more callers. The fewer calls a copy sees, the less of it, as it sees late that there is a crowd.
-pub fn busiest(settings: &Settings) -> f64 {
-    let copies = f64::from(settings.copies);
-    let fair = settings.tenants.iter().filter_map(|tenant| tenant.quota).sum::<f64>() / copies;
-    1.0 + (copies.ln().max(1.0) - 1.0) * fair / (fair + NOTICE)
-}
+    /// Takes note of the rate admitted at a maintenance pass.
+    pub fn record_accepted_rate(&mut self, accepted: f64) {
+        self.recent_rate += RECENT_RATE_WEIGHT * (accepted - self.recent_rate);
+    }
 
-/// With what limits a copy begins: of each tenant and, last, of all together, their fair parts until a crowd is met.
-pub fn limits(settings: &Settings) -> Vec<AdaptiveLimit> {
-    let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
-    let mut limits: Vec<_> = quotas.clone().map(|quota| AdaptiveLimit::new(settings, quota)).collect();
-    let mut all = AdaptiveLimit::new(settings, quotas.sum());
-    if all.quota.is_some() && limits.len() > 1 && settings.over_share_worth < EXCESS_COUNTS {
-        all.quota = Some(all.fair);
-        all.rate = all.fair * busiest(settings);
-        all.ceiling = all.rate * (1.0 + EXCESS * all.fair / (all.fair + NOTICE));
+    /// Whether the limit lies below what a replica of a quiet tier is held to.
+    #[must_use]
+    pub fn is_decreased(&self) -> bool {
+        self.share_with_margin.is_none_or(|share| self.rate < share)
     }
-    limits.push(all);
-    limits
+
+    /// Raises a limit at which every call is denied, so that none is served from which it could learn.
+    pub fn reopen(&mut self) {
+        self.rate *= REOPEN_FACTOR;
+    }
+}
+
+/// What the busiest replica may be dealt, in fair shares.
+///
+/// Clients dealt out by chance give the busiest of n replicas about ln n means. Of two that see twice their shares
+/// the tier has too many calls, but one of fifty may just have more clients. The fewer calls a replica sees, the
+/// less of it is allowed, as it sees congestion late.
+fn busiest_replica(settings: &Settings) -> f64 {
+    let replicas = f64::from(settings.copies);
+    let fair = settings.tenants.iter().filter_map(|tenant| tenant.quota).sum::<f64>() / replicas;
+    1.0 + (replicas.ln().max(1.0) - 1.0) * fair / (fair + EXCESS_HALF_RATE)
 }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -9,23 +9,21 @@
 use oorandom::Rand64;
 use rustc_hash::FxHashMap;
 
-use crate::admission::adaptive_limit::{AdaptiveLimit, CHANCE, REOPEN, limits};
-use crate::admission::baseline_latency::{BaselineLatency, TYPICAL};
-use crate::admission::congestion::{
-    BEFORE_DROP, CROWDED, CROWDED_ERRORS, CROWDED_MOST, CROWDING, DROP_EVERY_S, WHOLE,
-};
-use crate::admission::suppression::{BUCKET_S, CALLS, LAST_SECOND, Suppressor, WINDOW_S};
+use crate::admission::Admission;
+use crate::admission::baseline_latency::BaselineLatency;
+use crate::admission::congestion::{CallEnd, TierState};
 use crate::endpoints::endpoint::Endpoint;
 use crate::endpoints::endpoint_list::{ASK_PART, RESUBSCRIBE_S};
 use crate::endpoints::outlier::{
-    ASIDE_MOST, ASIDE_S, DELAY_WEIGHT, FAIL_OVER, FAIL_WEIGHT, KIND_SLOW_MOST, KIND_SLOW_WEIGHT,
-    LATE_IN_A_ROW, RETURN_AT, SLOW_WEIGHT, STALL, TIER_WEIGHT,
+    ASIDE_MOST, ASIDE_S, DELAY_WEIGHT, FAIL_OVER, FAIL_WEIGHT, KIND_SLOW_MOST, KIND_SLOW_WEIGHT, RETURN_AT,
+    SLOW_WEIGHT, STALL, TIER_WEIGHT, UNREACHABLE_AFTER,
 };
 use crate::endpoints::slow_start::{COLD_FIRST, COLD_GROWTH_MOST, COLD_LATE, overload_headroom};
 use crate::interface::{
     Action, ClassId, DedupScope, DiscoveryMode, Effect, Event, KindId, ListUpdate, Member, Outcome, Phase,
     Request, RequestId, Settings, SettingsError, TenantId, Time, UpstreamId,
 };
+use crate::maintenance::MAINTENANCE_PERIOD_S;
 use crate::random::between;
 use crate::requests::attempt::{Attempt, AttemptEnd, LEAST_S};
 use crate::requests::idempotency::may_repeat;
@@ -34,27 +32,17 @@
 use crate::routing::selection::{DRAWS, PAIRS, SLOW_CHANCE};
 use crate::routing::subset::{HAD_LEAST, Subset, arc};
 
-/// Seconds between sweeps.
-pub const SWEEP_S: f64 = 0.2;
-
 /// One copy's decisions.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Arc<Settings>,
     rng: Rand64,
-    suppressors: Vec<Suppressor>,
-    limits: Vec<AdaptiveLimit>,
+    admission: Admission,
     subset: Subset,
     endpoints: Vec<Endpoint>,
     slot_by_id: FxHashMap<UpstreamId, usize>,
     free_slots: Vec<usize>,
     ready: Vec<usize>,
-    /// Share of the calls that met crowding lately and its spread (a variance), and the times of the latest drop
-    /// and of the next at the earliest.
-    congestion: (f64, f64),
-    decreases: (f64, f64),
-    /// Time of the latest answer of any upstream, and the calls since that ended with no connection.
-    answered: (f64, u32),
     tier_failures: f64,
     tier_slowness: f64,
     /// Slowness of each kind of machine and, last, of those of no known kind: what is expected of an upstream
@@ -75,22 +63,14 @@
     /// The settings make no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let limits = limits(&settings);
-        let mut suppressors: Vec<_> = settings.tenants.iter().map(|_| Suppressor::new(BUCKET_S)).collect();
-        let fair = limits[suppressors.len()].fair;
-        suppressors.push(Suppressor::new(BUCKET_S * (CALLS / (fair * WINDOW_S)).clamp(1.0, 4.0)));
         Ok(Self {
             rng: Rand64::new(u128::from(seed)),
-            suppressors,
-            limits,
+            admission: Admission::new(&settings),
             subset: Subset { available: 1.0, ..Subset::default() },
             endpoints: Vec::new(),
             slot_by_id: FxHashMap::default(),
             free_slots: Vec::new(),
             ready: Vec::new(),
-            congestion: (0.0, 0.0),
-            decreases: (0.0, 0.0),
-            answered: (f64::MIN, 0),
             tier_failures: 0.0,
             tier_slowness: 1.0,
             kind_slowness: vec![1.0; settings.kinds + 1],
@@ -145,14 +125,7 @@
 
     /// Goes by other settings for what follows. Requests held keep theirs, and what was learned of what stays, stays.
     fn reconfigure(&mut self, settings: Settings) {
-        let (before, after) = (self.settings.tenants.len(), settings.tenants.len());
-        let fresh = limits(&settings);
-        // New tenants come before the last place, which is that of all together.
-        drop(self.limits.splice(before..before, fresh[before..after].iter().copied()));
-        drop(self.suppressors.splice(before..before, (before..after).map(|_| Suppressor::new(BUCKET_S))));
-        for (limit, fresh) in self.limits.iter_mut().zip(fresh) {
-            *limit = limit.under(fresh);
-        }
+        self.admission.reconfigure(&settings);
         self.latencies.resize(settings.classes.len(), BaselineLatency::default());
         let laid_from = replace(&mut self.settings, Arc::new(settings)).copies;
         if laid_from != self.settings.copies && self.subset.local_fraction.is_some() {
@@ -163,10 +136,10 @@
     /// How the limits and the tier stand, for the operator's log.
     #[must_use]
     pub fn vitals(&self) -> String {
-        let rates: String = self.limits.iter().map(|l| format!(" {:.1}", l.rate.min(1e6))).collect();
+        let rates: String = self.admission.limits().map(|rate| format!(" {:.1}", rate.min(1e6))).collect();
         let usual: String = self.latencies.iter().map(|l| format!(" {:.0}", l.seconds() * 1e3)).collect();
-        let (congestion, failures, available) =
-            (self.congestion.0, self.tier_failures, self.subset.available);
+        let congestion = self.admission.congestion().level();
+        let (failures, available) = (self.tier_failures, self.subset.available);
         format!(
             "crowding {congestion:.2}, failing {failures:.2}, had {available:.2}, limits{rates}, usual ms{usual}"
         )
@@ -176,7 +149,7 @@
 
     /// Asks for the next sweep and, where it is time, for the list.
     fn schedule_next_sweep(&mut self, now: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::WakeAfter(Duration::from_secs_f64(SWEEP_S)));
+        actions.push(Action::WakeAfter(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
         if self.settings.discovery != DiscoveryMode::Push && now >= self.ask_at {
             actions.push(Action::Subscribe);
             self.ask_at = now + self.ask_within();
@@ -198,7 +171,7 @@
             let most = if own { 0.0 } else { self.ask_within().max(RESUBSCRIBE_S) };
             let before = if moved { 0.0 } else { self.backoff_s };
             self.backoff_s = (before * 2.0).max(RESUBSCRIBE_S).min(most);
-            self.ask_at = now + between(&mut self.rng, (self.backoff_s / 2.0, self.backoff_s));
+            self.ask_at = now + between(&mut self.rng, self.backoff_s / 2.0..self.backoff_s);
             return;
         };
         if !stale {
@@ -293,7 +266,9 @@
             streaming: false,
         };
         self.requests.by_id.insert(request.id, pending);
-        let admitted = self.admit(now, request.id, tenant);
+        let can_meet_deadline = self.can_meet_deadline(now, request.id);
+        let admitted =
+            self.admission.admit(now, tenant, can_meet_deadline, self.subset.available, &mut self.rng);
         // Only admitted calls earn further attempts: a storm of denied ones must not pay for them.
         let earned = if admitted { [REPEATS, REROUTES].as_slice() } else { &[] };
         for (budget, (each, most)) in self.requests.budgets.iter_mut().zip(earned) {
@@ -304,31 +279,12 @@
         }
     }
 
-    /// A tenant over its fair part must also find room in what all tenants of this copy may send: the chance
-    /// allowed to each of many small limits, over all copies, would add up to more than the tier.
-    fn admit(&mut self, now: f64, id: RequestId, tenant: usize) -> bool {
-        let can_meet_deadline = self.can_meet_deadline(now, id);
-        let Self { suppressors, limits, rng, subset: Subset { available, .. }, .. } = self;
-        let all = limits.len() - 1;
-        // Each tenant's part of what they may send together is its own.
-        let rate = limits[all].rate * *available;
-        let level = (rate / limits[all].fair).min(1.0);
-        let own = suppressors[tenant].fits_soft_limit(now, limits[tenant].fair * level, rng);
-        let mut admitted = can_meet_deadline && suppressors[tenant].admit(now, limits[tenant].rate, rng);
-        if admitted && all != tenant {
-            admitted = own || suppressors[all].fits_soft_limit(now, rate, rng);
-            suppressors[all].count(admitted);
-        }
-        suppressors[tenant].count(admitted);
-        admitted
-    }
-
     /// Whether a request has the time that its class takes, the longer the more of a crowd is met, or by chance the part
     /// that it has suffices: what can't end in time keeps others out, but a usual time learned too long must not stand.
     fn can_meet_deadline(&mut self, now: f64, id: RequestId) -> bool {
         let Some(pending) = self.requests.by_id.get(&id) else { return false };
         let left = pending.useful_until() - now;
-        let usual = self.latencies[pending.class.0].seconds() * self.congestion.0.clamp(0.0, 1.0).exp();
+        let usual = self.latencies[pending.class.0].seconds() * self.admission.congestion().slowdown();
         left >= usual || left > usual * self.rng.rand_float()
     }
 
@@ -435,7 +391,7 @@
         let mut rate = warm_fraction * group.warm_rate;
         let mut most = 1.0 + rate * 0.5;
         if group.all_warming_up {
-            let window = self.settings.rules.overload_window.as_secs_f64().max(SWEEP_S);
+            let window = self.settings.rules.overload_window.as_secs_f64().max(MAINTENANCE_PERIOD_S);
             let room = overload_headroom(&self.settings.rules);
             most = 1.0 + room * window * endpoint.answer_rate;
             rate = room * rate + COLD_FIRST / (window * group.sharers(self.settings.copies));
@@ -532,7 +488,15 @@
         // a row are a crowd.
         let refusals = outcome == Outcome::Refused && turned_away;
         if refusals || !(again && outcome.never_ran()) {
-            self.record_call_end(now, class, tenant, end, arrived, connecting);
+            let AttemptEnd { outcome, served, aim, .. } = end;
+            let call = CallEnd { tenant, outcome, served, aim, arrived, connecting };
+            let tier = TierState {
+                is_first: self.settings.tier == 0,
+                failure_rate: self.tier_failures,
+                available: self.subset.available,
+            };
+            let baseline = &mut self.latencies[class.0];
+            self.admission.record_call_end(now, &call, baseline, tier, &mut self.rng);
         }
     }
 
@@ -564,7 +528,9 @@
         let last_answer = !unreachable && !given_up && outcome != Outcome::NotSent;
         if last_answer {
             endpoint.last_answer = now;
-            self.answered = if broken { self.answered } else { (now, 0) };
+            if !broken {
+                self.admission.record_answer(now);
+            }
         }
         if outcome == Outcome::ConnectTimedOut {
             endpoint.connect_timeouts += 1;
@@ -589,7 +555,7 @@
         // No work is told by a late connection, nor by a time-out before which it left less than the usual time.
         let late = outcome == Outcome::ConnectTimedOut;
         if late || outcome == Outcome::TimedOut && served < usual {
-            if late && endpoint.connect_timeouts.is_multiple_of(LATE_IN_A_ROW) {
+            if late && endpoint.connect_timeouts.is_multiple_of(UNREACHABLE_AFTER) {
                 self.eject_if_outlier(now, slot, true);
             }
             return;
@@ -625,81 +591,11 @@
         }
     }
 
-    /// What the end of a call tells of the crowd that it met, and so of the limits.
-    fn record_call_end(
-        &mut self,
-        now: f64,
-        class: ClassId,
-        tenant: usize,
-        end: AttemptEnd,
-        arrived: f64,
-        connecting: f64,
-    ) {
-        let AttemptEnd { outcome, served, aim, .. } = end;
-        self.answered.1 += u32::from(outcome == Outcome::ConnectTimedOut);
-        let silent = now - self.answered.0 > CROWDING.0 && self.answered.1 >= LATE_IN_A_ROW;
-        let bad = match outcome {
-            Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Withdrawn => true,
-            // Late connections tell nothing of a tier that answers others.
-            Outcome::ConnectTimedOut if silent => true,
-            Outcome::Error => self.tier_failures > CROWDED_ERRORS,
-            Outcome::Good => now - arrived - connecting > aim,
-            _ => return,
-        };
-        let latency = self.latencies[class.0];
-        let slower = served.max(1e-4).ln() - latency.ln_seconds;
-        // One given up tells how long it took at least: nothing, where the upstream had less than the usual time.
-        let short = outcome == Outcome::Withdrawn || outcome == Outcome::TimedOut && served < aim * WHOLE;
-        if short && slower < 0.0 {
-            return;
-        }
-        let sample = match outcome {
-            _ if short => slower.min(CROWDED_MOST),
-            _ if bad => CROWDED_MOST,
-            // Shed early at the first tier only: a call denied below is work lost above.
-            Outcome::Good if self.settings.tier == 0 => slower.clamp(-1.0, CROWDED_MOST),
-            _ => 0.0,
-        };
-        // The tenants meet the same tier: a small one's own calls are too few to tell of a jam in time.
-        let all = self.settings.tenants.len();
-        let rate = self.suppressors[all].accepted_rate(now);
-        let fresh = if arrived < self.decreases.0 { BEFORE_DROP } else { 1.0 };
-        // Without quotas a limit is cut to what was let in, and what is usual is learned from what came first: before a
-        // second is over neither is known. Below the first tier no latency is taken for a crowd.
-        let Suppressor { first, current, .. } = self.suppressors[tenant];
-        let unquoted = self.settings.tier == 0 && self.limits[tenant].quota.is_none();
-        let new = unquoted && first.is_none_or(|first| current < first + LAST_SECOND);
-        let weight = if new { 0.0 } else { (1.0 / (rate * CROWDING.0)).min(CROWDING.1) * fresh };
-        let off = sample - self.congestion.0;
-        self.congestion.1 += weight * (off * off - self.congestion.1);
-        self.congestion.0 += weight * off;
-        // Of the few calls of one of many copies, chance alone makes a crowd: one is met only beyond that of the
-        // calls and of the usual latency, which a fresh copy has from few.
-        let few = weight / (2.0 - weight) + 1.0 / latency.samples.max(1.0);
-        let congested = self.congestion.0 - CHANCE * (self.congestion.1 * few).sqrt() > CROWDED;
-        if outcome == Outcome::Good {
-            self.latencies[class.0].learn(served.max(1e-4), 1.0 / (rate * TYPICAL.0), congested);
-        }
-        if congested && now >= self.decreases.1 {
-            self.decreases = (now, now + between(&mut self.rng, DROP_EVERY_S));
-            for (place, limit) in self.limits.iter_mut().enumerate() {
-                // What all may send was let in by the part of the tier that is had, which is taken off again.
-                let available = if place == all && all > 0 { self.subset.available } else { 1.0 };
-                limit.decrease(self.congestion.0, self.suppressors[place].accepted_rate(now) / available);
-            }
-        } else if !congested && !bad && outcome == Outcome::Good {
-            self.limits[tenant].increase();
-            if all != tenant {
-                self.limits[all].increase();
-            }
-        }
-    }
-
     /// Sets an upstream aside where it fails and the tier does not; one out of reach in any case.
     fn eject_if_outlier(&mut self, now: f64, slot: usize, out_of_reach: bool) {
         let endpoint = &self.endpoints[slot];
         let tier = if out_of_reach { 0.0 } else { FAIL_OVER.1 * self.tier_failures };
-        let stays = endpoint.failures < FAIL_OVER.0 + tier && endpoint.connect_timeouts < LATE_IN_A_ROW;
+        let stays = endpoint.failures < FAIL_OVER.0 + tier && endpoint.connect_timeouts < UNREACHABLE_AFTER;
         if stays || endpoint.ejected_until > now {
             return;
         }
@@ -709,7 +605,7 @@
             return;
         }
         let endpoint = &mut self.endpoints[slot];
-        endpoint.ejected_until = now + endpoint.ejection_s * between(&mut self.rng, (0.75, 1.25));
+        endpoint.ejected_until = now + endpoint.ejection_s * between(&mut self.rng, 0.75..1.25);
         endpoint.ejection_s = (endpoint.ejection_s * 2.0).min(ASIDE_S.1);
         endpoint.recovery_chance = RETURN_AT;
     }
@@ -718,24 +614,13 @@
 
     fn sweep(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.schedule_next_sweep(now, actions);
-        let unmet = self.suppressors.last_mut().is_some_and(|all| all.accepted_rate(now) == 0.0);
-        let faded = self.congestion.0 * if unmet { 1.0 - SWEEP_S / CROWDING.0 } else { 1.0 };
-        for (suppressor, limit) in self.suppressors.iter_mut().zip(&mut self.limits) {
-            let accepted = suppressor.accepted_rate(now);
-            limit.usual += 0.02 * (accepted - limit.usual);
-            // Calls denied whole tell nothing: callers that come again at once would keep a cut limit for good.
-            let cut = limit.quota.is_none_or(|quota| limit.rate < quota);
-            if cut && accepted == 0.0 && suppressor.is_over_hard_limit(limit.rate) {
-                limit.rate *= REOPEN;
-                // Nor do they tell that the crowd of a window ago still stands.
-                self.congestion.0 = faded;
-            }
-        }
+        self.admission.maintain(now);
         // Quotas are parts of a whole tier: while some is gone, cold or set aside, the rest would choke.
         let has = |&slot: &usize| {
             let endpoint = &self.endpoints[slot];
             // The first time that connect timeouts put it aside a connection that is just late comes up.
-            let late = endpoint.connect_timeouts >= LATE_IN_A_ROW && endpoint.ejection_s <= ASIDE_S.0 * 2.0;
+            let late =
+                endpoint.connect_timeouts >= UNREACHABLE_AFTER && endpoint.ejection_s <= ASIDE_S.0 * 2.0;
             if endpoint.ejected_until > now && !late {
                 0.0
             } else {
@@ -752,7 +637,7 @@
             group.learn_warm_rate(warm);
         }
         for endpoint in &mut self.endpoints {
-            let rate = f64::from(take(&mut endpoint.served)) / SWEEP_S;
+            let rate = f64::from(take(&mut endpoint.served)) / MAINTENANCE_PERIOD_S;
             endpoint.answer_rate += 0.2 * (rate - endpoint.answer_rate);
         }
     }
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -2,7 +2,7 @@
 
 use oorandom::Rand64;
 
-use crate::endpoints::outlier::{ASIDE_S, FAIL_OVER, LATE_IN_A_ROW};
+use crate::endpoints::outlier::{ASIDE_S, FAIL_OVER, UNREACHABLE_AFTER};
 use crate::interface::{Allowed, Member, Settings};
 
 /// What the copy knows of an upstream.
@@ -62,7 +62,7 @@
 
     /// It is within reach: what connect timeouts alone made of it is over.
     pub fn mark_reachable(&mut self) {
-        if self.connect_timeouts >= LATE_IN_A_ROW && self.failures < FAIL_OVER.0 {
+        if self.connect_timeouts >= UNREACHABLE_AFTER && self.failures < FAIL_OVER.0 {
             (self.ejected_until, self.ejection_s, self.recovery_chance) = (0.0, ASIDE_S.0, 1.0);
         }
         self.connect_timeouts = 0;
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -12,7 +12,7 @@
 pub const ASIDE_S: (f64, f64) = (1.5, 12.0);
 /// Connect timeouts of an upstream, with neither an answer nor a connection between them, that show it out of reach:
 /// where a third of all connections come up late, two in a row are chance 1 time in 9, three 1 in 27.
-pub const LATE_IN_A_ROW: u32 = 3;
+pub const UNREACHABLE_AFTER: u32 = 3;
 /// Part of its usual chance with which an upstream returns; doubled by each good answer.
 pub const RETURN_AT: f64 = 0.1;
 /// An upstream that owes answers and has been silent for this many usual latencies, and seconds, is stalled.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -64,6 +64,7 @@
 mod event;
 mod ids;
 pub mod interface;
+mod maintenance;
 mod member;
 mod outcome;
 mod random;
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -1,7 +1,10 @@
-//! Random draws that several components need.
+//! Draws that several components need, from the random source that the balancer owns.
+
+use std::ops::Range;
 
 use oorandom::Rand64;
 
-pub fn between(rng: &mut Rand64, (low, high): (f64, f64)) -> f64 {
-    low + (high - low) * rng.rand_float()
+/// Draws evenly from a range.
+pub fn between(rng: &mut Rand64, range: Range<f64>) -> f64 {
+    range.start + (range.end - range.start) * rng.rand_float()
 }
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -5,7 +5,7 @@
 
 use oorandom::Rand64;
 
-use crate::balancer::SWEEP_S;
+use crate::maintenance::MAINTENANCE_PERIOD_S;
 use crate::random::between;
 use crate::routing::locality::{STAY_STEPS, WORSE};
 
@@ -57,7 +57,7 @@
         let served = f64::from(take(&mut self.warm_served));
         self.all_warming_up = warm == 0;
         if warm > 0 {
-            self.warm_rate += 0.2 * (served / SWEEP_S / warm as f64 - self.warm_rate);
+            self.warm_rate += 0.2 * (served / MAINTENANCE_PERIOD_S / warm as f64 - self.warm_rate);
         }
     }
 
@@ -76,7 +76,7 @@
         let Some(local_fraction) = &mut self.local_fraction else { return };
         let worse = self.local.delay > self.remote.delay + WORSE.0 + price * WORSE.1;
         let step = if worse { -STAY_STEPS.1 } else { STAY_STEPS.0 };
-        *local_fraction = (*local_fraction + step * between(rng, (0.5, 1.5))).clamp(even.min(1.0), 1.0);
+        *local_fraction = (*local_fraction + step * between(rng, 0.5..1.5)).clamp(even.min(1.0), 1.0);
     }
 
     pub fn even(&self) -> f64 {
