--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -25,10 +25,10 @@
 };
 use crate::maintenance::MAINTENANCE_PERIOD_S;
 use crate::random::between;
-use crate::requests::attempt::{Attempt, AttemptEnd, LEAST_S};
+use crate::requests::attempt::{Attempt, AttemptEnd, MIN_TIMEOUT_S};
 use crate::requests::idempotency::may_repeat;
 use crate::requests::request_table::{PendingRequest, RequestTable};
-use crate::requests::retry_budget::{REPEATS, REROUTES};
+use crate::requests::retry_budget::RetryBudgets;
 use crate::routing::selection::{DRAWS, PAIRS, SLOW_CHANCE};
 use crate::routing::subset::{HAD_LEAST, Subset, arc};
 
@@ -50,6 +50,7 @@
     kind_slowness: Vec<f64>,
     latencies: Vec<BaselineLatency>,
     requests: RequestTable,
+    retry_budgets: RetryBudgets,
     /// When to ask for the list next, which with a subscription is never, and how long the latest wait for it was.
     ask_at: f64,
     backoff_s: f64,
@@ -75,10 +76,8 @@
             tier_slowness: 1.0,
             kind_slowness: vec![1.0; settings.kinds + 1],
             latencies: vec![BaselineLatency::default(); settings.classes.len()],
-            requests: RequestTable {
-                budgets: [REPEATS.1 / 2.0, REROUTES.1 / 2.0],
-                ..RequestTable::default()
-            },
+            requests: RequestTable::default(),
+            retry_budgets: RetryBudgets::new(),
             ask_at: 0.0,
             backoff_s: 0.0,
             largest_weight: 1.0,
@@ -94,16 +93,16 @@
             Event::List(update) => self.learn_list(now, update),
             Event::Request(request) => self.accept(now, request, actions),
             Event::StreamStarted { request, attempt } => {
-                let Some(pending) = self.requests.by_id.get_mut(&request) else { return };
+                let Some(pending) = self.requests.get_mut(request) else { return };
                 pending.streaming = true;
                 if self.settings.allowed.cancel {
-                    pending.withdraw(request, Some(attempt), actions);
+                    pending.withdraw(Some(attempt), actions);
                 }
             }
             Event::AttemptEnded { request, attempt: number, outcome, took, connecting, finished, .. } => {
                 let unconnected = if outcome == Outcome::ConnectTimedOut { took } else { connecting };
                 let served = took.saturating_sub(unconnected).as_secs_f64();
-                let Some(pending) = self.requests.by_id.get(&request) else { return };
+                let Some(pending) = self.requests.get(request) else { return };
                 let (took, aim) = (took.as_secs_f64(), pending.rules().aim.as_secs_f64());
                 let end = AttemptEnd { number, outcome, took, served, aim, finished };
                 self.attempt_ended(now, request, end, actions);
@@ -245,7 +244,7 @@
 
     fn accept(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
         // An id in use or a class that the settings do not have is the embedding program's mistake.
-        if self.requests.by_id.contains_key(&request.id) {
+        if self.requests.contains(request.id) {
             return;
         }
         if request.class.0 >= self.settings.classes.len() {
@@ -253,26 +252,13 @@
         }
         let last = self.settings.tenants.len().saturating_sub(1);
         let tenant = request.tenant.map_or(0, |TenantId(tenant)| tenant.min(last));
-        let pending = PendingRequest {
-            settings: Arc::clone(&self.settings),
-            class: request.class,
-            tenant,
-            arrived: now,
-            deadline: now + request.time_left.as_secs_f64(),
-            attempts: Vec::new(),
-            connecting: 0.0,
-            in_flight: 0,
-            closed: false,
-            streaming: false,
-        };
-        self.requests.by_id.insert(request.id, pending);
+        let pending = PendingRequest::new(now, &request, tenant, Arc::clone(&self.settings));
+        self.requests.insert(pending);
         let can_meet_deadline = self.can_meet_deadline(now, request.id);
         let admitted =
             self.admission.admit(now, tenant, can_meet_deadline, self.subset.available, &mut self.rng);
-        // Only admitted calls earn further attempts: a storm of denied ones must not pay for them.
-        let earned = if admitted { [REPEATS, REROUTES].as_slice() } else { &[] };
-        for (budget, (each, most)) in self.requests.budgets.iter_mut().zip(earned) {
-            *budget = (*budget + each).min(*most);
+        if admitted {
+            self.retry_budgets.earn();
         }
         if !admitted || !self.send_to_selected(now, request.id, actions) {
             self.finish(request.id, false, actions);
@@ -282,7 +268,7 @@
     /// Whether a request has the time that its class takes, the longer the more of a crowd is met, or by chance the part
     /// that it has suffices: what can't end in time keeps others out, but a usual time learned too long must not stand.
     fn can_meet_deadline(&mut self, now: f64, id: RequestId) -> bool {
-        let Some(pending) = self.requests.by_id.get(&id) else { return false };
+        let Some(pending) = self.requests.get(id) else { return false };
         let left = pending.useful_until() - now;
         let usual = self.latencies[pending.class.0].seconds() * self.admission.congestion().slowdown();
         left >= usual || left > usual * self.rng.rand_float()
@@ -295,7 +281,7 @@
     /// Picks an upstream: two draws from the own zone's members or, for what the own zone's suppressor
     /// declines, from the others; then whatever is left.
     fn pick(&mut self, now: f64, id: RequestId) -> Option<usize> {
-        let pending = self.requests.by_id.get(&id)?;
+        let pending = self.requests.get(id)?;
         if let Effect::Keyed { scope, .. } = pending.rules().effect
             && let Some(&Attempt { member, .. }) = pending.first_run().filter(|_| scope != DedupScope::All)
         {
@@ -337,7 +323,7 @@
     }
 
     fn draw_candidate(&mut self, now: f64, id: RequestId, from: &[usize]) -> Option<usize> {
-        let pending = self.requests.by_id.get(&id).filter(|_| !from.is_empty())?;
+        let pending = self.requests.get(id).filter(|_| !from.is_empty())?;
         let usual = self.latencies[pending.class.0].seconds();
         for _ in 0..DRAWS {
             let slot = from[self.rng.rand_range(0..from.len() as u64) as usize];
@@ -367,7 +353,7 @@
         let available = |pending: &PendingRequest| {
             pending.attempts.iter().any(|tried| tried.member.id == endpoint.member.id)
         };
-        endpoint.member.phase == Phase::Ready && !self.requests.by_id.get(&id).is_some_and(available)
+        endpoint.member.phase == Phase::Ready && !self.requests.get(id).is_some_and(available)
     }
 
     /// A member that may be sent to at all, the least busy, when draws found none.
@@ -404,14 +390,14 @@
     /// The ONE gate that every attempt passes; it keeps the rules on effects, drains and cold upstreams.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
         let too_cold = !self.slow_start_allows(now, slot);
-        let Some(pending) = self.requests.by_id.get_mut(&id) else { return false };
+        let Some(pending) = self.requests.get_mut(id) else { return false };
         let endpoint = &mut self.endpoints[slot];
         let timeout = pending.useful_until() - now;
         let allowed = self.settings.allowed.attempts.min(pending.settings.allowed.attempts) as usize;
         let left = may_repeat(now, pending.rules().effect, pending.first_run(), &endpoint.member);
         if too_cold
             || left.is_none()
-            || timeout < LEAST_S
+            || timeout < MIN_TIMEOUT_S
             || pending.closed
             || pending.streaming
             || endpoint.member.phase != Phase::Ready
@@ -431,9 +417,10 @@
         self.subset.in_flight += 1;
         endpoint.tokens -= 1.0;
         let member = endpoint.member;
-        pending.attempts.push(Attempt { slot, member, sent: now, ended: None, withdrawn: false });
+        pending.attempts.push(Attempt::new(slot, member, now));
         pending.in_flight += 1;
-        let last = pending.attempts.len() >= self.ready.len().min(allowed) || self.requests.budgets[1] < 1.0;
+        let last =
+            pending.attempts.len() >= self.ready.len().min(allowed) || !self.retry_budgets.allow_reroute();
         let [timeout, begin_within] = [Some(timeout), left].map(|s| Duration::try_from_secs_f64(s?).ok());
         actions.push(Action::Send { request: id, upstream: member.id, timeout, begin_within, last });
         true
@@ -441,7 +428,7 @@
 
     /// The ONE path that ends a request unserved: refused where that is true and invites no wrong one again.
     fn finish(&mut self, id: RequestId, wrong: bool, actions: &mut Vec<Action>) {
-        let Some(pending) = self.requests.by_id.get(&id).filter(|pending| !pending.closed) else { return };
+        let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
         let harmless = pending.first_run().is_none()
             || matches!(pending.rules().effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
         let refusal = Action::Refuse { request: id, retry_after: self.settings.allowed.retry_after };
@@ -451,29 +438,16 @@
 
     /// Marks a request as ended and calls off what is still out for it.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(pending) = self.requests.by_id.get_mut(&id) else { return };
-        pending.closed = true;
-        if self.settings.allowed.cancel && !pending.streaming {
-            pending.withdraw(id, None, actions);
-        }
-        if pending.in_flight == 0 {
-            self.requests.by_id.remove(&id);
-        }
+        self.requests.close(id, self.settings.allowed.cancel, actions);
     }
 
     fn attempt_ended(&mut self, now: f64, id: RequestId, end: AttemptEnd, actions: &mut Vec<Action>) {
         let AttemptEnd { number, outcome, finished, .. } = end;
-        let Some(pending) = self.requests.by_id.get_mut(&id) else { return };
-        let attempt = pending.attempts.get_mut(number.0 as usize);
-        let Some(attempt) = attempt.filter(|attempt| attempt.ended.is_none()) else { return };
-        let slot = attempt.slot;
-        attempt.ended = Some(outcome);
-        pending.in_flight -= 1;
-        self.subset.in_flight = self.subset.in_flight.saturating_sub(1);
-        pending.connecting += end.took - end.served;
+        let Some(pending) = self.requests.get_mut(id) else { return };
+        let Some(slot) = pending.end_attempt(&end) else { return };
         let PendingRequest { class, tenant, arrived, connecting, .. } = *pending;
-        let mut earlier = pending.attempts[..number.0 as usize].iter();
-        let turned_away = earlier.any(|attempt| attempt.ended != Some(Outcome::ConnectTimedOut));
+        let turned_away = pending.was_tried_before(number);
+        self.subset.in_flight = self.subset.in_flight.saturating_sub(1);
         let (closed, idle) = (pending.closed || finished, pending.in_flight == 0);
         self.record_outcome(now, slot, class, end);
         if closed {
@@ -503,11 +477,11 @@
     fn retry(&mut self, now: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
         let over =
             matches!(outcome, Outcome::NotSent | Outcome::Rejected) || !self.can_meet_deadline(now, id);
-        let budget = usize::from(outcome.never_ran());
-        if over || self.requests.budgets[budget] < 1.0 || !self.send_to_selected(now, id, actions) {
+        if over || !self.retry_budgets.allow_retry_after(outcome) || !self.send_to_selected(now, id, actions)
+        {
             return false;
         }
-        self.requests.budgets[budget] -= 1.0;
+        self.retry_budgets.spend(outcome);
         true
     }
 
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -1,19 +1,31 @@
 //! Which endpoints the rules on effects let a retry go to.
+//!
+//! An attempt that may have run binds those that follow: an unsafe request must never run twice, and one with an
+//! idempotency key only where the endpoints that remember the key discard the repeat.
 
 use crate::interface::{DedupScope, Effect, Member};
 use crate::requests::attempt::Attempt;
 
-/// For how many seconds more the rules on effects let a request out again to `member`, if they do.
+/// For how many seconds more a request may go to `member`, after `first_run`, the first of its attempts that may have
+/// run; `None` if it may not. Without such an attempt it may at any time.
+#[must_use]
 pub fn may_repeat(now: f64, effect: Effect, first_run: Option<&Attempt>, member: &Member) -> Option<f64> {
     let Some(first) = first_run else { return Some(f64::MAX) };
-    let Effect::Keyed { scope, window } = effect else {
-        return (effect == Effect::Safe).then_some(f64::MAX);
-    };
-    let same = match scope {
+    match effect {
+        Effect::Safe => Some(f64::MAX),
+        Effect::Unsafe => None,
+        Effect::Keyed { scope, window } => {
+            let left = first.sent + window.as_secs_f64() - now;
+            (shares_scope(scope, &first.member, member) && left >= 0.0).then_some(left)
+        }
+    }
+}
+
+/// Whether two endpoints surely share what they remember of idempotency keys.
+fn shares_scope(scope: DedupScope, first: &Member, other: &Member) -> bool {
+    match scope {
         DedupScope::All => true,
-        DedupScope::Zone => first.member.zone.is_some() && member.zone == first.member.zone,
-        DedupScope::Cell => member.cell == first.member.cell,
-    };
-    let left = first.sent + window.as_secs_f64() - now;
-    (same && left >= 0.0).then_some(left)
+        DedupScope::Zone => first.zone.is_some() && other.zone == first.zone,
+        DedupScope::Cell => other.cell == first.cell,
+    }
 }
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -1,61 +1,150 @@
-//! The requests that are not over.
+//! The requests that are not over: received, and with an answer or the end of an attempt still to come.
+//!
+//! A request leaves the table once it is closed and its last attempt has ended, so the table holds no more than what
+//! is in flight.
 
 use std::sync::Arc;
 
 use rustc_hash::FxHashMap;
 
-use crate::interface::{Action, AttemptNumber, Class, ClassId, RequestId, Settings};
-use crate::requests::attempt::Attempt;
+use crate::interface::{Action, AttemptNumber, Class, ClassId, Outcome, Request, RequestId, Settings};
+use crate::requests::attempt::{Attempt, AttemptEnd};
 
+/// A request that is not over. Times are in seconds of the clock.
 #[derive(Debug)]
 pub struct PendingRequest {
-    /// Those that it was taken under: no later ones let more of its attempts run.
+    id: RequestId,
+    /// Those that it was received under: no later ones let more of its attempts run.
     pub settings: Arc<Settings>,
+    /// Its class.
     pub class: ClassId,
+    /// The place of its tenant among the limits.
     pub tenant: usize,
+    /// When it arrived.
     pub arrived: f64,
-    pub deadline: f64,
+    /// When its client gives up.
+    deadline: f64,
+    /// Its attempts by number.
     pub attempts: Vec<Attempt>,
-    /// Time that they spent without a connection.
+    /// Time that its attempts spent without a connection.
     pub connecting: f64,
+    /// Attempts in flight.
     pub in_flight: u32,
+    /// It has ended; only attempts are left to end.
     pub closed: bool,
+    /// Its answer has begun to stream.
     pub streaming: bool,
 }
 
 impl PendingRequest {
+    /// A request received at `now`, for the tenant at the place `tenant`.
+    #[must_use]
+    pub fn new(now: f64, request: &Request, tenant: usize, settings: Arc<Settings>) -> Self {
+        Self {
+            id: request.id,
+            settings,
+            class: request.class,
+            tenant,
+            arrived: now,
+            deadline: now + request.time_left.as_secs_f64(),
+            attempts: Vec::new(),
+            connecting: 0.0,
+            in_flight: 0,
+            closed: false,
+            streaming: false,
+        }
+    }
+
+    /// The rules of its class.
+    #[must_use]
     pub fn rules(&self) -> &Class {
         &self.settings.classes[self.class.0]
     }
 
     /// The time until which an answer is worth waiting for.
+    #[must_use]
     pub fn useful_until(&self) -> f64 {
         let aim = self.arrived + self.rules().aim.as_secs_f64();
-        // Where no deadline is passed on, a caller's slot would be held for a client long gone.
-        let blind = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if self.rules().late_worth > 0.0 && !blind { self.deadline } else { self.deadline.min(aim) }
+        // Where no deadline is passed on, a slot of the tier above would be held for a client long gone.
+        let is_blind = self.settings.tier > 0 && !self.settings.passes_deadline;
+        if self.rules().late_worth > 0.0 && !is_blind { self.deadline } else { self.deadline.min(aim) }
     }
 
     /// The first attempt not proved never to have run: it binds those that follow.
+    #[must_use]
     pub fn first_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|attempt| attempt.ended.is_none_or(|outcome| !outcome.never_ran()))
+        self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Calls off the attempts still out, but for the one to keep.
-    pub fn withdraw(&mut self, id: RequestId, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
+    /// Withdraws the attempts in flight, but for the one to keep.
+    pub fn withdraw(&mut self, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
             if Some(number) != keep && attempt.ended.is_none() && !attempt.withdrawn {
                 attempt.withdrawn = true;
-                actions.push(Action::Withdraw { request: id, attempt: number });
+                actions.push(Action::Withdraw { request: self.id, attempt: number });
             }
         }
     }
+
+    /// Takes note of the end of an attempt and gives the slot of its endpoint; `None` if it is unknown or has ended
+    /// before.
+    pub fn end_attempt(&mut self, end: &AttemptEnd) -> Option<usize> {
+        let attempt = self.attempts.get_mut(end.number.0 as usize)?;
+        if attempt.ended.is_some() {
+            return None;
+        }
+        attempt.ended = Some(end.outcome);
+        self.in_flight -= 1;
+        self.connecting += end.took - end.served;
+        Some(attempt.slot)
+    }
+
+    /// Whether an attempt before this one has ended in another way than by a connection that was late.
+    #[must_use]
+    pub fn was_tried_before(&self, number: AttemptNumber) -> bool {
+        let mut earlier = self.attempts[..number.0 as usize].iter();
+        earlier.any(|attempt| attempt.ended != Some(Outcome::ConnectTimedOut))
+    }
 }
 
-/// The requests held, and the budgets for further attempts.
+/// The requests that are not over, by their ids.
 #[derive(Debug, Default)]
 pub struct RequestTable {
-    pub by_id: FxHashMap<RequestId, PendingRequest>,
-    /// What is saved up for repeats and for reroutes.
-    pub budgets: [f64; 2],
+    by_id: FxHashMap<RequestId, PendingRequest>,
+}
+
+impl RequestTable {
+    /// Whether the request is not over.
+    #[must_use]
+    pub fn contains(&self, id: RequestId) -> bool {
+        self.by_id.contains_key(&id)
+    }
+
+    /// The request, if it is not over.
+    #[must_use]
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.by_id.get(&id)
+    }
+
+    /// The request, if it is not over.
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// Adds a request.
+    pub fn insert(&mut self, request: PendingRequest) {
+        self.by_id.insert(request.id, request);
+    }
+
+    /// Marks a request as ended and, where attempts may be cancelled, withdraws those still in flight.
+    pub fn close(&mut self, id: RequestId, may_cancel: bool, actions: &mut Vec<Action>) {
+        let Some(request) = self.by_id.get_mut(&id) else { return };
+        request.closed = true;
+        if may_cancel && !request.streaming {
+            request.withdraw(None, actions);
+        }
+        if request.in_flight == 0 {
+            self.by_id.remove(&id);
+        }
+    }
 }
