--- /dev/null
+++ b/crates/policy/src/endpoints/connections.rs
@@ -0,0 +1,50 @@
+//! An estimate of the connections that are open to an endpoint.
+//!
+//! The embedding program owns the connections. Their count matters to the decisions only where a handshake has a
+//! price, so it is followed here from what attempts tell, without asking.
+
+use crate::interface::Allowed;
+
+/// Connections thought to be open to an endpoint.
+#[derive(Debug)]
+pub struct Connections {
+    open: u32,
+    /// When one was last used, in seconds of the clock.
+    last_used: f64,
+}
+
+impl Connections {
+    /// None is open.
+    #[must_use]
+    pub fn new(now: f64) -> Self {
+        Self { open: 0, last_used: now }
+    }
+
+    /// Whether an open connection has a free stream beside `in_flight` attempts.
+    #[must_use]
+    pub fn has_free_stream(&self, now: f64, in_flight: u32, allowed: &Allowed) -> bool {
+        let streams = self.open.saturating_mul(allowed.streams);
+        in_flight < streams && !self.are_idle_closed(now, in_flight, allowed)
+    }
+
+    /// Counts a connection more; those that nobody used for long have been closed.
+    pub fn record_opened(&mut self, now: f64, in_flight: u32, allowed: &Allowed) {
+        let are_closed = self.are_idle_closed(now, in_flight, allowed);
+        self.open = if are_closed { 1 } else { self.open.saturating_add(1) };
+        self.last_used = now;
+    }
+
+    /// An attempt begins or ends now.
+    pub fn record_use(&mut self, now: f64) {
+        self.last_used = now;
+    }
+
+    /// A connection was closed.
+    pub fn record_closed(&mut self) {
+        self.open = self.open.saturating_sub(1);
+    }
+
+    fn are_idle_closed(&self, now: f64, in_flight: u32, allowed: &Allowed) -> bool {
+        in_flight == 0 && now - self.last_used >= allowed.keepalive.as_secs_f64()
+    }
+}
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -1,98 +1,135 @@
 //! What is known of one endpoint.
+//!
+//! An endpoint is one process of the tier. Its state is what this replica has seen of it, and is forgotten when
+//! discovery names another start of the process.
 
 use oorandom::Rand64;
 
-use crate::endpoints::outlier::{ASIDE_S, FAIL_OVER, UNREACHABLE_AFTER};
-use crate::interface::{Allowed, Member, Settings};
+use crate::endpoints::connections::Connections;
+use crate::endpoints::outlier::Health;
+use crate::endpoints::slow_start::{SendBudget, warm_fraction};
+use crate::interface::{Allowed, Member, Outcome, Rules, Settings};
+use crate::requests::attempt::AttemptEnd;
 
-/// What the copy knows of an upstream.
+/// An endpoint that owes answers and has been silent for this many baseline latencies is stalled...
+const STALLED_BASELINES: f64 = 3.0;
+/// ...but not before this many seconds.
+const MIN_STALL_S: f64 = 0.25;
+
+/// An endpoint as this replica has seen it.
 #[derive(Debug)]
 pub struct Endpoint {
+    /// What discovery says of it.
     pub member: Member,
-    pub local: bool,
-    /// Its place in the slowness of kinds.
+    /// It is of the replica's own zone.
+    pub is_local: bool,
+    /// The place of its kind of machine in [`OutlierDetector`](crate::endpoints::outlier::OutlierDetector).
     pub kind: usize,
+    /// Attempts of this replica in flight to it.
     pub in_flight: u32,
-    /// Connections thought to be open, and when one was last used.
-    pub connections: u32,
-    pub used: f64,
-    /// Latest answer, or the send that ended an idle time.
-    pub last_answer: f64,
-    pub failures: f64,
-    /// Connect timeouts since its latest answer or connection.
-    pub connect_timeouts: u32,
-    /// Latency over the usual of its classes, and the latencies learned from.
-    pub slowness: f64,
-    pub latency_samples: f64,
-    pub ejected_until: f64,
-    pub ejection_s: f64,
-    /// Chance of being taken when drawn, after its return.
-    pub recovery_chance: f64,
-    /// Calls that it has served since the last sweep and, of late, a second.
-    pub served: u32,
-    pub answer_rate: f64,
-    /// Sends that a cold upstream may still get, and when that was reckoned.
-    pub tokens: f64,
-    pub tokens_at: f64,
+    /// Connections thought to be open.
+    pub connections: Connections,
+    /// Time of its latest answer, or of the send that ended an idle time.
+    last_answer: f64,
+    /// How well it answers.
+    pub health: Health,
+    /// What it may be sent while it warms up.
+    pub send_budget: SendBudget,
 }
 
 impl Endpoint {
+    /// An endpoint of which nothing is known but its membership.
     pub fn new(member: Member, now: f64, rng: &mut Rand64) -> Self {
         Self {
             member,
-            local: false,
+            is_local: false,
             kind: 0,
             in_flight: 0,
-            connections: 0,
-            used: now,
+            connections: Connections::new(now),
             last_answer: now,
-            failures: 0.0,
-            connect_timeouts: 0,
-            slowness: 1.0,
-            latency_samples: 0.0,
-            ejected_until: 0.0,
-            ejection_s: ASIDE_S.0,
-            recovery_chance: 1.0,
-            served: 0,
-            answer_rate: 0.0,
-            tokens: rng.rand_float(),
-            tokens_at: now,
+            health: Health::new(),
+            send_budget: SendBudget::new(now, rng),
         }
     }
 
-    /// It is within reach: what connect timeouts alone made of it is over.
-    pub fn mark_reachable(&mut self) {
-        if self.connect_timeouts >= UNREACHABLE_AFTER && self.failures < FAIL_OVER.0 {
-            (self.ejected_until, self.ejection_s, self.recovery_chance) = (0.0, ASIDE_S.0, 1.0);
+    /// Takes over what discovery says now. A new process knows nothing of what the old one did, so what was learned
+    /// of that goes; attempts in flight stay counted.
+    pub fn update(&mut self, member: Member, now: f64, rng: &mut Rand64) {
+        let is_restarted = member.started != self.member.started;
+        self.member = member;
+        if is_restarted {
+            let Self { in_flight, is_local, kind, .. } = *self;
+            *self = Self { in_flight, is_local, kind, ..Self::new(member, now, rng) };
         }
-        self.connect_timeouts = 0;
     }
 
-    /// The part of its capacity that it surely has: it rises at least evenly from the cold share.
-    pub fn warm_fraction(&self, now: f64, settings: &Settings) -> f64 {
-        let Some(started) = self.member.started else { return 1.0 };
-        let age = (now - started.as_secs_f64()).max(0.0);
-        let share = settings.rules.cold_share;
-        (share + (1.0 - share) * age / settings.rules.cold_time.as_secs_f64().max(1e-6)).min(1.0)
+    /// The part of its capacity that it surely has.
+    #[must_use]
+    pub fn warm_fraction(&self, now: f64, rules: &Rules) -> f64 {
+        warm_fraction(self.member.started, now, rules)
     }
 
-    /// Whether an open connection has room for another attempt.
-    pub fn has_free_stream(&self, now: f64, allowed: &Allowed) -> bool {
-        let open = self.connections.saturating_mul(allowed.streams);
-        self.in_flight < open && (self.in_flight > 0 || now - self.used < allowed.keepalive.as_secs_f64())
+    /// The part of its capacity that the tier has of it: none while it is ejected.
+    #[must_use]
+    pub fn available_fraction(&self, now: f64, rules: &Rules) -> f64 {
+        if self.health.is_lost(now) { 0.0 } else { self.warm_fraction(now, rules) }
     }
 
-    /// Counts a connection more; those that nobody used for long have been closed.
-    pub fn count_connection(&mut self, now: f64, allowed: &Allowed) {
-        let lapsed = self.in_flight == 0 && now - self.used >= allowed.keepalive.as_secs_f64();
-        self.connections = if lapsed { 1 } else { self.connections.saturating_add(1) };
-        self.used = now;
+    /// Whether it owes answers and has been silent for long, where requests take `baseline_s` seconds.
+    #[must_use]
+    pub fn is_stalled(&self, now: f64, baseline_s: f64) -> bool {
+        let patience = (baseline_s * STALLED_BASELINES).max(MIN_STALL_S);
+        self.in_flight > 0 && now - self.last_answer > patience
     }
 
-    /// Own calls in flight that another attempt would meet, and one for a handshake with a price: a copy that sees few
-    /// calls then uses few of its members, over connections that stay fresh.
+    /// What another attempt costs: the attempts in flight that it would meet, and one for a handshake with a price. A
+    /// replica that sees few requests then uses few of its endpoints, over connections that stay fresh.
+    #[must_use]
     pub fn cost(&self, now: f64, settings: &Settings) -> u32 {
-        let handshake = settings.prices.handshake > 0.0 && !self.has_free_stream(now, &settings.allowed);
-        self.in_flight + u32::from(handshake)
+        let needs_handshake = settings.prices.handshake > 0.0
+            && !self.connections.has_free_stream(now, self.in_flight, &settings.allowed);
+        self.in_flight + u32::from(needs_handshake)
+    }
+
+    /// An attempt is sent to it.
+    pub fn begin_attempt(&mut self, now: f64, allowed: &Allowed) {
+        if self.in_flight == 0 {
+            self.last_answer = now;
+        }
+        if !self.connections.has_free_stream(now, self.in_flight, allowed) {
+            self.connections.record_opened(now, self.in_flight, allowed);
+        }
+        self.connections.record_use(now);
+        self.in_flight += 1;
+        self.send_budget.spend();
+    }
+
+    /// An attempt to it has ended. Returns whether it has answered.
+    pub fn end_attempt(&mut self, now: f64, end: &AttemptEnd, allowed: &Allowed) -> bool {
+        let outcome = end.outcome;
+        let is_given_up = outcome.is_given_up();
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.connections.record_use(now);
+        // A connection goes with what broke it and, where it carries one attempt at a time, with an answer that is no
+        // longer waited for.
+        if outcome.breaks_connection() || (is_given_up && allowed.streams == 1) {
+            self.connections.record_closed();
+        }
+        let has_answered = !outcome.found_no_connection() && !is_given_up && outcome != Outcome::NotSent;
+        if has_answered {
+            self.last_answer = now;
+        }
+        if outcome == Outcome::ConnectTimedOut {
+            self.health.record_connect_timeout();
+        } else if has_answered || (is_given_up && end.served > 0.0) {
+            self.health.mark_reachable();
+        }
+        has_answered
+    }
+
+    /// A connection has come up that no attempt waits for any more.
+    pub fn record_late_connection(&mut self, now: f64, allowed: &Allowed) {
+        self.connections.record_opened(now, self.in_flight, allowed);
+        self.health.mark_reachable();
     }
 }
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -1,6 +1,144 @@
-//! The list of endpoints, and when it is asked for.
+//! The endpoints that discovery has named.
+//!
+//! Each endpoint has a slot, by which the rest of the policy refers to it. A slot is used again only when its endpoint
+//! is gone and the last attempt to it has ended.
 
-/// Seconds before a failed subscription is tried again, at first.
-pub const RESUBSCRIBE_S: f64 = 0.5;
-/// Largest wait for a subscription, in parts of the time within which a copy must ask.
-pub const ASK_PART: f64 = 0.4;
+use oorandom::Rand64;
+use rustc_hash::FxHashMap;
+
+use crate::endpoints::endpoint::Endpoint;
+use crate::interface::{KindId, Member, Phase, Settings, UpstreamId};
+
+/// Smallest weight that others are measured by, so that no weight is divided by 0.
+const MIN_WEIGHT: f64 = 1e-9;
+
+/// Slots of the ready endpoints by zone, in the order of their ids.
+#[derive(Debug, Default)]
+pub struct ReadyByZone {
+    /// Those of the replica's own zone.
+    pub local: Vec<usize>,
+    /// Those of other zones.
+    pub remote: Vec<usize>,
+}
+
+/// The endpoints by slot.
+#[derive(Debug)]
+pub struct EndpointList {
+    endpoints: Vec<Endpoint>,
+    slot_by_id: FxHashMap<UpstreamId, usize>,
+    free_slots: Vec<usize>,
+    /// Slots of the ready endpoints, in the order of their ids.
+    ready: Vec<usize>,
+    largest_weight: f64,
+}
+
+impl EndpointList {
+    /// No endpoint is known.
+    #[must_use]
+    pub fn new() -> Self {
+        Self {
+            endpoints: Vec::new(),
+            slot_by_id: FxHashMap::default(),
+            free_slots: Vec::new(),
+            ready: Vec::new(),
+            largest_weight: 1.0,
+        }
+    }
+
+    /// The endpoint of a slot.
+    #[must_use]
+    pub fn get(&self, slot: usize) -> &Endpoint {
+        &self.endpoints[slot]
+    }
+
+    /// The endpoint of a slot.
+    pub fn get_mut(&mut self, slot: usize) -> &mut Endpoint {
+        &mut self.endpoints[slot]
+    }
+
+    /// The endpoint of an id, if it is known.
+    pub fn by_id_mut(&mut self, id: UpstreamId) -> Option<&mut Endpoint> {
+        let slot = *self.slot_by_id.get(&id)?;
+        Some(&mut self.endpoints[slot])
+    }
+
+    /// All endpoints.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
+        self.endpoints.iter_mut()
+    }
+
+    /// Slots of the ready endpoints, in the order of their ids.
+    #[must_use]
+    pub fn ready(&self) -> &[usize] {
+        &self.ready
+    }
+
+    /// The weight of an endpoint in parts of the largest.
+    #[must_use]
+    pub fn relative_weight(&self, slot: usize) -> f64 {
+        self.endpoints[slot].member.weight / self.largest_weight
+    }
+
+    /// Takes in a whole list: what is absent is gone.
+    pub fn replace(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
+        for endpoint in &mut self.endpoints {
+            endpoint.member.phase = Phase::Gone;
+        }
+        self.patch(now, members, rng);
+    }
+
+    /// Takes in changed entries.
+    pub fn patch(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
+        for member in members {
+            self.update_member(now, member, rng);
+        }
+    }
+
+    fn update_member(&mut self, now: f64, member: Member, rng: &mut Rand64) {
+        if let Some(endpoint) = self.by_id_mut(member.id) {
+            endpoint.update(member, now, rng);
+        } else if member.phase != Phase::Gone {
+            let endpoint = Endpoint::new(member, now, rng);
+            let slot = self.insert(endpoint);
+            self.slot_by_id.insert(member.id, slot);
+        }
+    }
+
+    /// Puts an endpoint into a free slot, or into a new one behind the last.
+    fn insert(&mut self, endpoint: Endpoint) -> usize {
+        if let Some(slot) = self.free_slots.pop() {
+            self.endpoints[slot] = endpoint;
+            return slot;
+        }
+        self.endpoints.push(endpoint);
+        self.endpoints.len() - 1
+    }
+
+    /// Sorts the endpoints anew after updates: frees the slots of those that are gone, and gives the ready ones.
+    pub fn sort(&mut self, settings: &Settings) -> ReadyByZone {
+        let mut order: Vec<(UpstreamId, usize)> =
+            self.slot_by_id.iter().map(|(&id, &slot)| (id, slot)).collect();
+        order.sort_unstable();
+        self.ready.clear();
+        self.largest_weight = MIN_WEIGHT;
+        let mut by_zone = ReadyByZone::default();
+        for (id, slot) in order {
+            let endpoint = &mut self.endpoints[slot];
+            if endpoint.member.phase != Phase::Ready {
+                if endpoint.member.phase == Phase::Gone && endpoint.in_flight == 0 {
+                    self.slot_by_id.remove(&id);
+                    self.free_slots.push(slot);
+                }
+                continue;
+            }
+            endpoint.is_local = endpoint.member.zone == Some(settings.zone);
+            endpoint.kind =
+                endpoint.member.kind.map_or(settings.kinds, |KindId(kind)| kind.min(settings.kinds));
+            self.largest_weight = self.largest_weight.max(endpoint.member.weight);
+            self.ready.push(slot);
+            let zone = if endpoint.is_local { &mut by_zone.local } else { &mut by_zone.remote };
+            zone.push(slot);
+        }
+        by_zone
+    }
+}
--- /dev/null
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -0,0 +1,65 @@
+//! When to ask discovery for the list of endpoints, where it does not push it.
+//!
+//! A subscription that broke is opened anew after a backoff. Replicas whose subscriptions break together must not come
+//! back together, so the pause is drawn.
+
+use oorandom::Rand64;
+
+use crate::interface::{DiscoveryMode, Settings};
+use crate::random::between;
+
+/// Seconds before a failed subscription is tried again, at first.
+const MIN_BACKOFF_S: f64 = 0.5;
+/// Largest wait for a subscription, in parts of the time within which a replica must ask.
+const WAIT_PART: f64 = 0.4;
+/// Seconds within which a replica asks where the settings do not say.
+const DEFAULT_ASK_WITHIN_S: f64 = 10.0;
+
+/// Why there is no subscription.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Interruption {
+    /// It broke, or asking for it failed.
+    Broken,
+    /// Discovery is elsewhere now, so earlier failures tell nothing of it.
+    Moved,
+}
+
+/// The subscription to the list. Times are in seconds.
+#[derive(Debug, Default)]
+pub struct ListSubscription {
+    /// When to ask next; never, while a subscription stands.
+    next_at: f64,
+    /// How long the latest pause was, at most.
+    backoff_s: f64,
+}
+
+impl ListSubscription {
+    /// Whether to ask for a subscription now; if so, it takes note that it is asked for.
+    pub fn begin_if_due(&mut self, now: f64, settings: &Settings) -> bool {
+        let is_due = settings.discovery != DiscoveryMode::Push && now >= self.next_at;
+        if is_due {
+            self.next_at = now + longest_wait(settings);
+        }
+        is_due
+    }
+
+    /// A list has come over it.
+    pub fn record_update(&mut self) {
+        self.next_at = f64::MAX;
+        self.backoff_s = 0.0;
+    }
+
+    /// It is interrupted: asks again after a pause, which grows while it fails.
+    pub fn back_off(&mut self, now: f64, why: Interruption, settings: &Settings, rng: &mut Rand64) {
+        // Each agent has one replica alone, so there is nobody to come back together with.
+        let has_own_agent = settings.discovery == DiscoveryMode::Agent;
+        let most = if has_own_agent { 0.0 } else { longest_wait(settings).max(MIN_BACKOFF_S) };
+        let before = if why == Interruption::Moved { 0.0 } else { self.backoff_s };
+        self.backoff_s = (before * 2.0).max(MIN_BACKOFF_S).min(most);
+        self.next_at = now + between(rng, self.backoff_s / 2.0..self.backoff_s);
+    }
+}
+
+fn longest_wait(settings: &Settings) -> f64 {
+    settings.rules.ask_within.map_or(DEFAULT_ASK_WITHIN_S, |span| span.as_secs_f64()) * WAIT_PART
+}
--- a/crates/policy/src/endpoints/mod.rs
+++ b/crates/policy/src/endpoints/mod.rs
@@ -1,6 +1,14 @@
-//! What is known of the endpoints.
+//! What is known of the endpoints that requests may go to.
+//!
+//! * [`endpoint_list`] holds the endpoints that discovery has named;
+//! * [`list_subscription`] tells when to ask discovery for them;
+//! * [`endpoint`] is what is known of one of them, with its [`connections`];
+//! * [`outlier`] finds those that fail or are slow, and ejects them for a while;
+//! * [`slow_start`] bounds what one that has just started is sent.
 
+pub mod connections;
 pub mod endpoint;
 pub mod endpoint_list;
+pub mod list_subscription;
 pub mod outlier;
 pub mod slow_start;
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -33,6 +33,21 @@
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Refused | Self::ConnectFailed | Self::ConnectTimedOut | Self::NotSent)
     }
+
+    /// Whether the balancer no longer waited for an answer.
+    pub(crate) fn is_given_up(self) -> bool {
+        matches!(self, Self::TimedOut | Self::Withdrawn)
+    }
+
+    /// Whether there was no connection to send it over.
+    pub(crate) fn found_no_connection(self) -> bool {
+        matches!(self, Self::ConnectFailed | Self::ConnectTimedOut)
+    }
+
+    /// Whether a connection is lost with it.
+    pub(crate) fn breaks_connection(self) -> bool {
+        self.found_no_connection() || self == Self::Reset
+    }
 }
 
 /// A load report that came with an answer; fields that the site does not report are `None`.
--- a/crates/policy/src/routing/mod.rs
+++ b/crates/policy/src/routing/mod.rs
@@ -1,4 +1,8 @@
 //! Which endpoint an attempt goes to.
+//!
+//! * [`subset`] is the part of the endpoints that one replica sends to;
+//! * [`locality`] tells how much of the requests stays in the replica's own zone;
+//! * [`selection`] takes the less busy of two random members.
 
 pub mod locality;
 pub mod selection;
