--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -30,8 +30,8 @@
 const MAX_SIGNAL: f64 = 2.0;
 /// Smallest signal of a call served in time.
 const MIN_SIGNAL: f64 = -1.0;
-/// Part of the aim from which a time-out is taken for one of the whole: the rest may go to connections.
-const WHOLE_AIM: f64 = 0.9;
+/// Part of the latency objective from which a time-out is taken for one of the whole: the rest may go to connections.
+const WHOLE_OBJECTIVE: f64 = 0.9;
 /// Failure rate of the tier from which an error counts as congestion below and not as a bad endpoint.
 const CONGESTED_FAILURE_RATE: f64 = 0.1;
 /// Shortest time that a call is taken to have been served in, in seconds, so that its logarithm is finite.
@@ -46,8 +46,8 @@
     pub outcome: Outcome,
     /// How long the last attempt had a connection.
     pub served: f64,
-    /// The aim of its class.
-    pub aim: f64,
+    /// The latency objective of its class.
+    pub latency_objective: f64,
     /// When the call arrived.
     pub arrived: f64,
     /// How long its attempts waited for connections.
@@ -144,7 +144,7 @@
         // One given up tells how long it took at least: nothing, where the endpoint had less than the usual time.
         let is_cut_short = match end.outcome {
             Outcome::Withdrawn => true,
-            Outcome::TimedOut => end.served < end.aim * WHOLE_AIM,
+            Outcome::TimedOut => end.served < end.latency_objective * WHOLE_OBJECTIVE,
             _ => false,
         };
         if is_cut_short && slower < 0.0 {
@@ -174,7 +174,7 @@
             // Late connections tell nothing of a tier that answers others.
             Outcome::ConnectTimedOut if is_silent => Some(true),
             Outcome::Error => Some(tier_failure_rate > CONGESTED_FAILURE_RATE),
-            Outcome::Good => Some(now - end.arrived - end.connecting > end.aim),
+            Outcome::Good => Some(now - end.arrived - end.connecting > end.latency_objective),
             Outcome::ConnectTimedOut | Outcome::Rejected | Outcome::Reset | Outcome::NotSent => None,
         }
     }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -76,8 +76,9 @@
                 let unconnected = if outcome == Outcome::ConnectTimedOut { took } else { connecting };
                 let served = took.saturating_sub(unconnected).as_secs_f64();
                 let Some(pending) = self.requests.get(request) else { return };
-                let aim = pending.rules().aim.as_secs_f64();
-                let end = AttemptEnd { number, outcome, took: took.as_secs_f64(), served, aim, finished };
+                let latency_objective = pending.rules().aim.as_secs_f64();
+                let took = took.as_secs_f64();
+                let end = AttemptEnd { number, outcome, took, served, latency_objective, finished };
                 self.end_attempt(now, request, end, actions);
             }
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
@@ -275,8 +276,8 @@
         // are congestion.
         let is_refused_again = outcome == Outcome::Refused && was_tried_before;
         if is_refused_again || !(is_retried && outcome.never_ran()) {
-            let AttemptEnd { served, aim, .. } = end;
-            let call = CallEnd { tenant, outcome, served, aim, arrived, connecting };
+            let AttemptEnd { served, latency_objective, .. } = end;
+            let call = CallEnd { tenant, outcome, served, latency_objective, arrived, connecting };
             self.record_call_end(now, class, &call);
         }
     }
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -18,7 +18,7 @@
 const HEADROOM_PART: f64 = 0.25;
 /// Largest growth with each answer of a cold endpoint: doubled within four, as fast as a slow start needs.
 const MAX_GROWTH: f64 = 0.25;
-/// Sends that an answer past its aim earns: a queue has formed, which must get shorter.
+/// Sends that an answer past its latency objective earns: a queue has formed, which must get shorter.
 const LATE_ANSWER_EARNS: f64 = 0.5;
 /// Sends that all replicas together may begin with in each overload window, while nothing is known of an endpoint.
 const FIRST_SENDS: f64 = 1.0;
@@ -50,7 +50,7 @@
     /// Answers of warm members since the last maintenance pass.
     answers: u32,
     /// No member is warm: cold ones go by their own answers, and the rate is that of before.
-    are_all_cold: bool,
+    are_all_warming_up: bool,
 }
 
 impl WarmPeers {
@@ -63,7 +63,7 @@
     /// latest is the best there is.
     pub fn maintain(&mut self, warm: usize) {
         let answers = f64::from(take(&mut self.answers));
-        self.are_all_cold = warm == 0;
+        self.are_all_warming_up = warm == 0;
         if warm > 0 {
             self.rate += RATE_WEIGHT * (answers / MAINTENANCE_PERIOD_S / warm as f64 - self.rate);
         }
@@ -105,7 +105,7 @@
     ) -> bool {
         let mut rate = warm_fraction * peers.rate;
         let mut most = 1.0 + rate * SAVED_UP_S;
-        if peers.are_all_cold {
+        if peers.are_all_warming_up {
             let window = rules.overload_window.as_secs_f64().max(MAINTENANCE_PERIOD_S);
             let headroom = overload_headroom(rules);
             most = 1.0 + headroom * window * self.answer_rate;
@@ -128,7 +128,7 @@
 
     /// A cold endpoint has served a request, and earns sends by it where no peer is warm.
     pub fn earn(&mut self, peers: &WarmPeers, is_in_time: bool, rules: &Rules) {
-        if peers.are_all_cold {
+        if peers.are_all_warming_up {
             let growth = overload_headroom(rules).min(MAX_GROWTH);
             self.tokens += if is_in_time { 1.0 + growth } else { LATE_ANSWER_EARNS };
         }
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -47,8 +47,8 @@
     pub took: f64,
     /// For how long of that it had a connection.
     pub served: f64,
-    /// The aim of its request.
-    pub aim: f64,
+    /// The latency objective of its class.
+    pub latency_objective: f64,
     /// Whether its request has ended too.
     pub finished: bool,
 }
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -64,10 +64,10 @@
     /// The time until which an answer is worth waiting for.
     #[must_use]
     pub fn useful_until(&self) -> f64 {
-        let aim = self.arrived + self.rules().aim.as_secs_f64();
+        let objective = self.arrived + self.rules().aim.as_secs_f64();
         // Where no deadline is passed on, a slot of the tier above would be held for a client long gone.
         let is_blind = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if self.rules().late_worth > 0.0 && !is_blind { self.deadline } else { self.deadline.min(aim) }
+        if self.rules().late_worth > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
     }
 
     /// The first attempt not proved never to have run: it binds those that follow.
--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -7,7 +7,7 @@
 
 use crate::random::between;
 
-/// Aims by which requests of the own zone must take longer than elsewhere before any leave it, over the noise of some
+/// Latency objectives by which requests of the own zone must take longer than elsewhere before any leave it, over the noise of some
 /// twenty requests...
 const SLOWER_BY: f64 = 0.03;
 /// ...and for each point of price of a crossing.
@@ -43,7 +43,7 @@
         rng.rand_float() < self.local_fraction.unwrap_or(1.0)
     }
 
-    /// Learns from the delays in the own zone and elsewhere, in aims. The fraction never falls below `even`, that of an
+    /// Learns from the delays in the own zone and elsewhere, in latency objectives. The fraction never falls below `even`, that of an
     /// even spread.
     pub fn adapt(&mut self, local_delay: f64, remote_delay: f64, even: f64, price: f64, rng: &mut Rand64) {
         let Some(fraction) = &mut self.local_fraction else { return };
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -34,7 +34,7 @@
     pub members: Vec<usize>,
     /// What the warm members answer.
     pub peers: WarmPeers,
-    /// Time that requests take, failed ones at what they took, in parts of their aims.
+    /// Time that requests take, failed ones at what they took, in latency objectives.
     delay: f64,
 }
 
@@ -44,10 +44,11 @@
         (f64::from(replicas) * self.members.len() as f64 / self.listed.max(1) as f64).max(1.0)
     }
 
-    /// Takes the time of an attempt into the group's delay; a failed one counts as no less than its aim.
+    /// Takes the time of an attempt into the group's delay; a failed one counts as no less than its latency objective.
     fn record_delay(&mut self, end: &AttemptEnd) {
         let is_answered = matches!(end.outcome, Outcome::Good | Outcome::Error);
-        let delay = if is_answered { end.took } else { end.took.max(end.aim) } / end.aim;
+        let delay =
+            if is_answered { end.took } else { end.took.max(end.latency_objective) } / end.latency_objective;
         self.delay += DELAY_WEIGHT * (delay - self.delay);
     }
 }
@@ -167,7 +168,7 @@
             if is_warm {
                 group.peers.record_answer();
             } else {
-                endpoint.send_budget.earn(&group.peers, end.took <= end.aim, &settings.rules);
+                endpoint.send_budget.earn(&group.peers, end.took <= end.latency_objective, &settings.rules);
             }
         }
         group.record_delay(end);
