--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,7 +1,7 @@
-//! A copy from its start to its end, with a made-up clock: list, requests, outcomes, wake-ups.
+//! A replica from its start to its end, with a made-up clock: list, requests, outcomes, wake-ups.
 //!
 //! The embedding program must deliver each wake-up that was asked for, report every outcome once, and keep
-//! its clock from going back. A wake-up lost leaves the copy without sweeps, so that limits and lists stand
+//! its clock from going back. A wake-up lost leaves the replica without maintenance, so that limits and lists stand
 //! still; an outcome lost leaves a call in flight for good; a second one is passed over.
 
 use std::time::Duration;
@@ -65,7 +65,7 @@
             balancer.handle(now + Duration::from_millis(20), ended, &mut actions);
         }
     }
-    // A copy is shut down by dropping it, once nothing it holds is owed an answer.
+    // A replica is shut down by dropping it, once no request in flight is owed an answer.
     Ok(())
 }
 
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -6,51 +6,51 @@
 
 use crate::ids::{AttemptNumber, RequestId, UpstreamId};
 
-/// What a copy asks for.
+/// What a replica asks the embedding program to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request to an upstream. Attempts are numbered from 0 in the order sent.
+    /// Send the request to an endpoint. Attempts are numbered from 0 in the order sent.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint.
         upstream: UpstreamId,
-        /// Give the attempt up after this long; `None` for as long as the client waits.
+        /// The timeout of the attempt; `None` for as long as the client waits.
         timeout: Option<Duration>,
         /// Its first byte must be out within this; `None` for any time. Past it the attempt could repeat an effect.
         begin_within: Option<Duration>,
-        /// No other attempt can follow if it finds no connection: it waits for one as long as the settings allow.
+        /// No retry can follow if it finds no connection: it waits for one as long as the settings allow.
         last: bool,
     },
-    /// Stop waiting on an attempt; its end is still reported.
+    /// Cancel an attempt; its end is still to be reported.
     Withdraw {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNumber,
     },
-    /// End the request unserved: the client may safely come again.
+    /// End the request unserved: the client may safely retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// The value of Retry-After: how long the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// End the request as failed: nothing is said of its effect.
+    /// End the request as failed: it may or may not have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Open a standing subscription to the list.
+    /// Open a subscription to the list of endpoints.
     Subscribe,
     /// Send a health check; its result comes as [`Event::Probed`](crate::Event::Probed).
     Probe {
-        /// The upstream.
+        /// The endpoint.
         upstream: UpstreamId,
     },
-    /// Close the idle connections to an upstream.
+    /// Close the idle connections to an endpoint.
     DropIdle {
-        /// The upstream.
+        /// The endpoint.
         upstream: UpstreamId,
     },
     /// Deliver [`Event::Wake`](crate::Event::Wake) after this long.
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -9,7 +9,7 @@
 use crate::outcome::{LoadReport, Outcome};
 use crate::settings::Settings;
 
-/// A request taken by the copy.
+/// A request received from a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
     /// The request.
@@ -22,22 +22,22 @@
     pub key: Option<u64>,
     /// How long the client still waits.
     pub time_left: Duration,
-    /// The work expected, as time on a standard core, where it is told.
+    /// The work expected, as time on a standard core, where it is known.
     pub expected_work: Option<Duration>,
-    /// The client has marked it as a repeat.
+    /// The client has marked it as a retry of its own.
     pub repeat: bool,
 }
 
-/// What happens to a copy.
+/// What happens at a replica of the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The copy has started; it may ask for the list.
+    /// The replica has started; it may ask for the list of endpoints.
     Started,
-    /// Discovery has spoken.
+    /// Service discovery has sent an update, or failed to.
     List(ListUpdate),
-    /// A request was taken.
+    /// A request was received.
     Request(Request),
-    /// A streamed answer has begun: the attempt belongs to the client now.
+    /// A streamed answer has begun: its attempt can no longer be retried or withdrawn.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -54,38 +54,41 @@
         outcome: Outcome,
         /// How long it took.
         took: Duration,
-        /// How long of that it had no connection yet: nothing that the upstream's work took.
+        /// For how long of that it waited for a connection, which is no part of the endpoint's latency.
         connecting: Duration,
         /// The request has ended with it, or before.
         finished: bool,
-        /// The upstream's load report, if one came.
+        /// The endpoint's load report, if one came.
         load: Option<LoadReport>,
     },
-    /// A connection has come up that no attempt waits for any more: the upstream is within reach.
+    /// A connection has come up that no attempt waits for any more: the endpoint is reachable.
     Connected(UpstreamId),
-    /// The client has left, or the final answer is overdue: nothing more is owed.
+    /// The client has closed its connection, or the final answer is overdue: no answer is owed any more.
     ClientLeft(RequestId),
-    /// The sweep asked for by [`Action::WakeAfter`](crate::Action::WakeAfter) is due.
+    /// The maintenance pass asked for by [`Action::WakeAfter`](crate::Action::WakeAfter) is due.
     Wake,
-    /// The settings have changed. Positions keep their meaning: classes and tenants known before stand where they stood,
-    /// new ones behind them, and those that went stay as they were, named by no request any more; the quota of a tenant
-    /// that went is 0. Requests already taken keep the rules that they were taken under. Settings that make no sense,
-    /// or that are no successor ([`Settings::may_follow`]), change nothing but the log.
+    /// The settings have changed.
+    ///
+    /// Positions keep their meaning: classes and tenants known before stand where they stood, new ones behind them, and
+    /// removed ones stay as they were, referred to by no request any more; the quota of a removed tenant is 0. Requests
+    /// already received keep the rules that they were received under. Settings that are invalid, or that may not follow
+    /// those in force ([`Settings::may_follow`]), change nothing and are reported by
+    /// [`Action::Log`](crate::Action::Log).
     Reconfigured(Settings),
     /// The result of a health check.
     Probed {
-        /// The upstream.
+        /// The endpoint.
         upstream: UpstreamId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
         took: Duration,
-        /// The upstream's load report, if one came.
+        /// The endpoint's load report, if one came.
         load: Option<LoadReport>,
     },
-    /// Another copy has sent a message.
+    /// Another replica has sent a message.
     Message {
-        /// The sender's number.
+        /// The sender's [`index`](Settings::index).
         from: u32,
         /// What it sent.
         content: Vec<u8>,
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -8,11 +8,11 @@
 /// A point in time: the time since any fixed moment of the embedding program's clock.
 pub type Time = Duration;
 
-/// Names a request; never used again once the request has ended and its attempts are over.
+/// Identifies a request; not to be used again before the request has ended and its attempts are over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// Names an upstream; the same at every copy.
+/// Identifies an endpoint; the same at every replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct UpstreamId(pub u32);
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,24 @@
 //! The decisions of a load balancer for services that call services.
 //!
-//! Each copy of a balancer embeds one [`Balancer`]: it hands over what happens as an [`Event`] and
-//! carries out the [`Action`]s it gets back. The state machine does no input or output, reads no
-//! clock and keeps no threads; equal settings, seed and events give equal actions.
+//! Which requests to admit, which endpoint to send each to, when to retry and when to eject: decisions like these
+//! are hard to test where they are tangled with sockets and timers. This crate holds them alone, sans-IO. Each replica
+//! of a balancer embeds one [`Balancer`]: it reports what happens as an [`Event`] and carries out the [`Action`]s that
+//! it gets back. The state machine does no input or output, reads no clock and has no threads; equal settings, seed and
+//! events give equal actions.
+//!
+//! # Modules
+//!
+//! Each component owns its state and knows nothing of those above it in the list:
+//!
+//! * `balancer` dispatches events over the components and owns the random source;
+//! * `routing` selects the endpoint of an attempt: subset, locality, power of two choices;
+//! * `admission` holds tenants to limits that follow congestion;
+//! * `endpoints` is what is known of each endpoint: health, slow start, connections, and the list of them;
+//! * `requests` holds the requests in flight, their attempts, and what lets them be retried.
+//!
+//! The types that an embedding program exchanges with the balancer are in [`interface`].
+//!
+//! # Example
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -2,47 +2,47 @@
 
 use crate::ids::{KindId, Time, UpstreamId, ZoneId};
 
-/// What discovery says of an upstream's process.
+/// The lifecycle of an endpoint's process, as discovery reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
     /// It runs.
     Ready,
-    /// It finishes its work and takes nothing new.
+    /// It finishes the requests in flight and accepts no new ones.
     Draining,
     /// It was removed.
     Gone,
 }
 
-/// One upstream of a list.
+/// One entry of the list of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Member {
-    /// The upstream.
+    /// The endpoint.
     pub id: UpstreamId,
     /// Its zone; `None` for one that the settings do not name.
     pub zone: Option<ZoneId>,
     /// Its kind of machine; `None` for one that the settings do not name.
     pub kind: Option<KindId>,
-    /// Its cell, for keyed classes whose group is the cell.
+    /// Its cell, for classes whose idempotency keys are remembered by cell.
     pub cell: u32,
     /// Its phase.
     pub phase: Phase,
-    /// Its size beside the others; 1 where sizes are not told.
+    /// Its capacity relative to the others; 1 where capacities are not known.
     pub weight: f64,
     /// The time of its latest start; `None` for long ago.
     pub started: Option<Time>,
 }
 
-/// A word from discovery.
+/// An update of the list of endpoints, or the failure to get one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListUpdate {
-    /// The whole list: what is absent has been removed.
+    /// A snapshot: what is absent has been removed.
     Whole(Vec<Member>),
-    /// The whole list as the copy last had it, maybe old.
+    /// The latest snapshot that the replica has cached, which may be stale.
     StaleCopy(Vec<Member>),
     /// Changed entries only.
     Patch(Vec<Member>),
-    /// The question failed or the subscription broke; the old list stands.
+    /// The request for the list failed, or the subscription broke; the list stays as it is.
     Broken,
-    /// Discovery is elsewhere now: as after [`ListUpdate::Broken`], but earlier failures tell nothing of it.
+    /// Discovery is at another address now: as after [`ListUpdate::Broken`], but the backoff starts anew.
     Moved,
 }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -9,13 +9,13 @@
     Good,
     /// Answered with an error; it may have run.
     Error,
-    /// Rejected unseen; it never ran.
+    /// Refused by an endpoint that sheds load; it never ran.
     Refused,
-    /// Answered that the request itself is wrong, as it would be anywhere; counted as one that may have run.
+    /// Answered that the request itself is invalid, as any endpoint would; it may have run.
     Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
-    /// No connection: the upstream turned it down, or it broke before the last byte; it never ran.
+    /// No connection: the endpoint refused it, or it broke before the last byte of the request; it never ran.
     ConnectFailed,
     /// No connection came up in time, though one may yet; it never ran.
     ConnectTimedOut,
@@ -28,7 +28,7 @@
 }
 
 impl Outcome {
-    /// Whether this outcome proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran, so that a retry repeats no effect.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Refused | Self::ConnectFailed | Self::ConnectTimedOut | Self::NotSent)
@@ -50,16 +50,16 @@
     }
 }
 
-/// A load report that came with an answer; fields that the site does not report are `None`.
+/// A load report that came with an answer; fields that the endpoint does not report are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Requests being handled.
+    /// Requests in flight at the endpoint.
     pub active: Option<f64>,
-    /// Requests waiting.
+    /// Requests queued.
     pub waiting: Option<f64>,
     /// Fraction of the processor in use.
     pub utilization: Option<f64>,
-    /// How long serving took lately, waiting not counted.
+    /// Recent latency, without the time in the queue.
     pub latency: Option<Duration>,
     /// Requests served a second.
     pub rate: Option<f64>,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -10,25 +10,25 @@
 
 use crate::ids::ZoneId;
 
-/// The group of upstreams that discard repeats of a keyed request.
+/// The endpoints that share what they remember of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All upstreams share what they remember.
+    /// All endpoints.
     All,
-    /// Those of one zone do.
+    /// Those of one zone.
     Zone,
-    /// Those of one cell do.
+    /// Those of one cell.
     Cell,
 }
 
-/// How often a request's effect may happen.
+/// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// Repeating does no harm.
+    /// Idempotent: repeating it does no harm.
     Safe,
-    /// Repeats carry a key, and a group of upstreams discards them for a while.
+    /// Idempotent by its key: the endpoints of a scope discard repeats for a while.
     Keyed {
-        /// The upstreams that discard repeats.
+        /// The endpoints that discard repeats.
         scope: DedupScope,
         /// For how long after the first attempt that may have run.
         window: Duration,
@@ -40,83 +40,83 @@
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
+    /// The latency objective: answers within this time earn the full weight.
     pub aim: Duration,
     /// How long a client waits in all.
     pub deadline: Duration,
-    /// The fraction of the worth that an answer after the aim still earns, 0 to 1.
+    /// The fraction of its weight that an answer past the latency objective still earns, 0 to 1.
     pub late_worth: f64,
-    /// What may be repeated.
+    /// Whether it may run more than once.
     pub effect: Effect,
 }
 
-/// A tenant and its share.
+/// A tenant with its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all copies that lie inside its share; `None` if not told.
+    /// Requests a second, over all replicas, that lie within its quota; `None` without one.
     pub quota: Option<f64>,
 }
 
-/// How the list of upstreams is had.
+/// How the list of endpoints is received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes come by themselves.
+    /// Changes are pushed.
     Push,
-    /// Changes come only to a copy that has subscribed.
+    /// Changes come over a subscription, which the replica has to open.
     Subscribe,
-    /// Changes come over a subscription at an agent on the copy's own machine, which is told at once what there is
-    /// and answers at no cost: a broken one is opened anew without a wait.
+    /// Changes come over a subscription to an agent on the replica's own machine, which it shares with nobody: a broken
+    /// one is opened anew without a backoff.
     Agent,
 }
 
-/// What the site allows.
+/// What a site permits the balancer to do.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Allowed {
-    /// Attempts a request may have in all.
+    /// Attempts that a request may have in all, at least 1.
     pub attempts: u32,
-    /// A second attempt may be out while the first still is.
+    /// Hedged requests: a second attempt may be sent while the first is in flight.
     pub second_copies: bool,
-    /// Attempts may be withdrawn.
+    /// Attempts may be cancelled.
     pub cancel: bool,
     /// Health checks may be sent.
     pub probes: bool,
-    /// Copies may send each other messages.
+    /// Replicas may send each other messages.
     pub messages: bool,
     /// Idle connections are closed after this.
     pub keepalive: Duration,
-    /// Attempts that one connection can carry together.
+    /// Concurrent streams of one connection.
     pub streams: u32,
-    /// The longest stay-away advice that clients honour; `None` if they get none.
+    /// The longest Retry-After that clients honour; `None` if they are sent none.
     pub retry_after: Option<Duration>,
 }
 
-/// Figures of the four rules.
+/// Figures of the rules that the balancer must keep.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     /// Time past the client's deadline in which a final answer still counts.
     pub answer_slack: Duration,
-    /// Time within which sends to a draining or gone upstream must end.
+    /// Grace within which sends to an endpoint that was reported draining or gone must end.
     pub drain_grace: Duration,
-    /// A copy without a subscription must ask at least this often; `None` if lists are pushed.
+    /// A replica without a subscription must ask for the list at least this often; `None` if lists are pushed.
     pub ask_within: Option<Duration>,
-    /// The least fraction of its capacity with which an upstream starts, above 0 and up to 1.
+    /// The least fraction of its capacity with which an endpoint starts, above 0 and up to 1.
     pub cold_share: f64,
-    /// A started upstream is warm after this at the latest.
+    /// The longest time that an endpoint takes to warm up.
     pub cold_time: Duration,
-    /// Sent more than this many times its present capacity, a cold upstream falls over ...
+    /// An endpoint that is warming up is overloaded by more than this many times its present capacity...
     pub overload_multiple: f64,
-    /// ... when it goes on for this long.
+    /// ...when it is sent that for this long.
     pub overload_window: Duration,
 }
 
-/// Prices that bear on choices, in worth of one request of full worth.
+/// Costs that bear on choices, in parts of the weight of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prices {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
     /// The work of one request wasted.
     pub waste: f64,
-    /// A request that ends unserved after its aim.
+    /// A request that ends unserved past its latency objective.
     pub late_failure: f64,
     /// A connection opened.
     pub handshake: f64,
@@ -124,16 +124,16 @@
     pub probe: f64,
 }
 
-/// What a copy is told at its start, and again with [`Event::Reconfigured`](crate::Event::Reconfigured) when it changes.
+/// The settings of a replica, given at its start, and again with [`Event::Reconfigured`](crate::Event::Reconfigured) when it changes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This copy's number, from 0.
+    /// This replica's number, from 0.
     pub index: u32,
-    /// How many copies send to this tier.
+    /// How many replicas send to this tier.
     pub copies: u32,
     /// The tier sent to, 0 for the one that clients reach.
     pub tier: usize,
-    /// This copy's zone.
+    /// This replica's zone.
     pub zone: ZoneId,
     /// How many zones there are.
     pub zones: usize,
@@ -143,42 +143,42 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The part of its worth that a request keeps beyond its tenant's share.
+    /// The fraction of its weight that a request keeps beyond its tenant's quota, 0 to 1.
     pub over_share_worth: f64,
-    /// How lists come.
+    /// How the list of endpoints is received.
     pub discovery: DiscoveryMode,
-    /// Calls from tier to tier carry the time that the caller has left.
+    /// Calls from tier to tier carry the time left until the client's deadline.
     pub passes_deadline: bool,
-    /// What the site allows.
+    /// What a site permits the balancer to do.
     pub allowed: Allowed,
-    /// Figures of the rules.
+    /// Figures of the rules that must be kept.
     pub rules: Rules,
-    /// Prices.
+    /// Costs that bear on choices.
     pub prices: Prices,
 }
 
-/// Why [`Settings`] make no sense.
+/// Why [`Settings`] are refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// There is no class.
     #[error("there is no class of requests")]
     NoClass,
-    /// There is no zone, or the copy's own is not among them.
+    /// There is no zone, or the replica's own is not among them.
     #[error("the zone of this copy is not among the zones")]
     UnknownZone,
-    /// The number of copies is 0.
+    /// The number of replicas is 0.
     #[error("the number of copies is 0")]
     NoCopies,
     /// No attempt is allowed.
     #[error("no attempt is allowed")]
     NoAttempts,
-    /// A class's aim or deadline is 0, or the aim lies past the deadline.
+    /// A class's latency objective or deadline is 0, or the objective lies past the deadline.
     #[error("class {0}: the aim and the deadline must be above 0, the aim not past the deadline")]
     ClassTimes(usize),
-    /// It holds fewer classes or tenants than the settings before: positions never change their meaning.
+    /// There are fewer classes or tenants than in the settings in force: positions never change their meaning.
     #[error("there are fewer classes or tenants than before")]
     Fewer,
-    /// They are of another copy, tier, zone or kinds than the settings before.
+    /// They are of another replica, tier, zone or kinds than the settings in force.
     #[error("they are those of another place: its number, tier, zone, zones and kinds stay for life")]
     Elsewhere,
     /// A fraction or a figure lies outside its range.
@@ -187,7 +187,7 @@
 }
 
 impl Settings {
-    /// Settings of a lone copy in a single zone, with common rules and no tenants; change what
+    /// Settings of a lone replica in a single zone, with common rules and no tenants; change what
     /// differs.
     #[must_use]
     pub fn single_zone(classes: Vec<Class>) -> Self {
@@ -265,7 +265,7 @@
         Ok(())
     }
 
-    /// Checks that a running copy may go over to these from `before`.
+    /// Checks that a running replica may go over to these from `before`.
     ///
     /// # Errors
     /// The first thing found wrong.
