--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -13,6 +13,8 @@
 pub mod baseline_latency;
 pub mod congestion;
 pub mod suppression;
+#[cfg(test)]
+mod tests;
 
 use oorandom::Rand64;
 
--- /dev/null
+++ b/crates/policy/src/admission/tests.rs
@@ -0,0 +1,156 @@
+//! The parts of admission, each alone.
+
+use oorandom::Rand64;
+
+use crate::admission::adaptive_limit::AdaptiveLimit;
+use crate::admission::baseline_latency::BaselineLatency;
+use crate::admission::congestion::{CallEnd, Congestion, TierState};
+use crate::admission::suppression::Suppressor;
+use crate::interface::{Class, Effect, Outcome, Settings, Tenant};
+
+const TIER: TierState = TierState { is_first: true, failure_rate: 0.0, available: 1.0 };
+
+/// Offers calls at an even rate from the first second on and gives the calls admitted in the last two seconds.
+fn admitted_in_two_seconds(limit: f64, calls_per_s: u32, seconds: u32) -> u32 {
+    let mut suppressor = Suppressor::for_tenant();
+    let mut rng = Rand64::new(1);
+    let mut admitted = 0;
+    for call in 0..calls_per_s * seconds {
+        let now = 1.0 + f64::from(call) / f64::from(calls_per_s);
+        let is_admitted = suppressor.admit(now, limit, &mut rng);
+        suppressor.count(is_admitted);
+        admitted += u32::from(is_admitted && call >= calls_per_s * (seconds - 2));
+    }
+    admitted
+}
+
+fn limits(quotas: &[f64]) -> Vec<AdaptiveLimit> {
+    let span = std::time::Duration::from_secs(1);
+    let class = Class { aim: span, deadline: span, late_worth: 0.0, effect: Effect::Safe };
+    let mut settings = Settings::single_zone(vec![class]);
+    settings.over_share_worth = 0.2;
+    settings.tenants = quotas.iter().map(|&quota| Tenant { quota: Some(quota) }).collect();
+    AdaptiveLimit::all(&settings)
+}
+
+fn call(outcome: Outcome, served: f64) -> CallEnd {
+    CallEnd { tenant: 0, outcome, served, latency_objective: 1.0, arrived: 10.0, connecting: 0.0 }
+}
+
+fn baseline(seconds: f64) -> BaselineLatency {
+    BaselineLatency { ln_seconds: seconds.ln(), samples: 100.0 }
+}
+
+#[test]
+fn every_call_under_the_soft_limit_is_admitted() {
+    assert_eq!(admitted_in_two_seconds(100.0, 50, 6), 100);
+}
+
+#[test]
+fn twice_the_limit_is_admitted_at_about_the_limit() {
+    let admitted = admitted_in_two_seconds(100.0, 200, 8);
+    assert!((180..=230).contains(&admitted), "{admitted}");
+}
+
+#[test]
+fn no_call_over_the_hard_limit_is_admitted() {
+    assert_eq!(admitted_in_two_seconds(1.0, 100, 8), 0);
+}
+
+#[test]
+fn a_limit_begins_at_the_fair_share_with_a_margin() {
+    let limit = limits(&[100.0])[0];
+    assert_eq!(limit.fair_share, 100.0);
+    assert!((100.0..110.0).contains(&limit.rate), "{}", limit.rate);
+}
+
+#[test]
+fn a_limit_keeps_the_fair_share_in_light_congestion_and_gives_it_up_in_overload() {
+    let fresh = limits(&[100.0])[0];
+    let after_ten = |congestion: f64| {
+        let mut limit = fresh;
+        (0..10).for_each(|_| limit.decrease(congestion, 100.0));
+        limit.rate
+    };
+    let (light, overload) = (after_ten(0.21), after_ten(0.7));
+    assert!(light > 95.0, "{light}");
+    assert!((24.0..30.0).contains(&overload), "{overload}");
+}
+
+#[test]
+fn a_limit_below_the_fair_share_rises_faster() {
+    let mut limit = limits(&[100.0])[0];
+    let gain = |limit: &mut AdaptiveLimit| {
+        let before = limit.rate;
+        limit.increase();
+        limit.rate - before
+    };
+    let ceiling_gain = gain(&mut limit);
+    limit.decrease(0.7, 1.0);
+    let below = gain(&mut limit);
+    assert_eq!(ceiling_gain, 0.0, "it begins at its ceiling");
+    assert!((below - 0.15).abs() < 1e-9, "{below}");
+}
+
+#[test]
+fn the_first_request_sets_the_baseline_and_congestion_moves_it_a_tenth_as_far() {
+    let mut known = BaselineLatency::default();
+    known.record(0.2, 0.01, false);
+    assert!((known.seconds() - 0.2).abs() < 1e-9, "{}", known.seconds());
+    let moved = |is_congested: bool| {
+        let mut latency = BaselineLatency { samples: 10_000.0, ..known };
+        latency.record(0.3, 0.01, is_congested);
+        latency.ln_seconds - known.ln_seconds
+    };
+    let (calm, congested) = (moved(false), moved(true));
+    assert!((congested / calm - 0.1).abs() < 1e-6, "{congested} {calm}");
+}
+
+#[test]
+fn refused_calls_are_congestion_and_usual_ones_are_not() {
+    let level = |outcome: Outcome| {
+        let mut congestion = Congestion::new();
+        for _ in 0..50 {
+            let signal = congestion.signal(10.1, &call(outcome, 0.1), baseline(0.1), TIER).expect("it tells");
+            congestion.record(signal.value, 0.1);
+        }
+        (congestion.level(), congestion.is_met(0.1, 100.0))
+    };
+    let (refused, is_met) = level(Outcome::Refused);
+    assert!(refused > 1.9 && is_met, "{refused}");
+    let (usual, is_met) = level(Outcome::Good);
+    assert!(usual.abs() < 1e-9 && !is_met, "{usual}");
+}
+
+#[test]
+fn late_connections_tell_of_congestion_only_while_nothing_answers() {
+    let late = call(Outcome::ConnectTimedOut, 0.0);
+    let mut congestion = Congestion::new();
+    congestion.record_answer(9.0);
+    for _ in 0..5 {
+        assert!(congestion.signal(10.1, &late, baseline(0.1), TIER).is_none());
+    }
+    let signal = congestion.signal(11.1, &late, baseline(0.1), TIER);
+    assert!(signal.is_some_and(|signal| signal.is_bad), "silent for over two seconds: {signal:?}");
+}
+
+#[test]
+fn an_answer_past_the_latency_objective_is_bad_but_not_for_the_wait_for_a_connection() {
+    let mut congestion = Congestion::new();
+    let mut signal = |connecting: f64| {
+        let end = CallEnd { connecting, ..call(Outcome::Good, 0.1) };
+        congestion.signal(11.5, &end, baseline(0.1), TIER).expect("it tells").is_bad
+    };
+    assert!(signal(0.0));
+    assert!(!signal(0.8));
+}
+
+#[test]
+fn limits_decrease_at_most_four_times_a_second() {
+    let mut congestion = Congestion::new();
+    let mut rng = Rand64::new(3);
+    assert!(congestion.may_decrease(10.0));
+    congestion.record_decrease(10.0, &mut rng);
+    assert!(!congestion.may_decrease(10.24));
+    assert!(congestion.may_decrease(10.51));
+}
--- a/crates/policy/src/endpoints/mod.rs
+++ b/crates/policy/src/endpoints/mod.rs
@@ -12,3 +12,5 @@
 pub mod list_subscription;
 pub mod outlier;
 pub mod slow_start;
+#[cfg(test)]
+mod tests;
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -11,7 +11,8 @@
 use crate::random::between;
 use crate::requests::attempt::AttemptEnd;
 
-/// Weight of one outcome in an endpoint's failure rate: the second failure in a row stands out.
+/// Weight of one outcome in an endpoint's failure rate: the second failed connect in a row stands out, and the third
+/// error, as errors count for the tier too.
 const FAILURE_WEIGHT: f64 = 0.2;
 /// Weight of one outcome in the tier's failure rate, and of one latency in its slowness.
 const TIER_WEIGHT: f64 = 0.02;
--- a/crates/policy/src/requests/mod.rs
+++ b/crates/policy/src/requests/mod.rs
@@ -9,3 +9,5 @@
 pub mod idempotency;
 pub mod request_table;
 pub mod retry_budget;
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/requests/tests.rs
@@ -0,0 +1,169 @@
+//! The parts of the requests' state, each alone.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::interface::{
+    Action, AttemptNumber, Class, ClassId, DedupScope, Effect, Member, Outcome, Phase, Request, RequestId,
+    Settings, UpstreamId, ZoneId,
+};
+use crate::requests::attempt::{Attempt, AttemptEnd};
+use crate::requests::idempotency::may_repeat;
+use crate::requests::request_table::{PendingRequest, RequestTable};
+use crate::requests::retry_budget::RetryBudgets;
+
+fn member(zone: Option<usize>, cell: u32) -> Member {
+    let zone = zone.map(ZoneId);
+    Member { id: UpstreamId(0), zone, kind: None, cell, phase: Phase::Ready, weight: 1.0, started: None }
+}
+
+fn pending(late_worth: f64) -> PendingRequest {
+    let (aim, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
+    let settings = Settings::single_zone(vec![Class { aim, deadline, late_worth, effect: Effect::Safe }]);
+    let request = Request {
+        id: RequestId(1),
+        class: ClassId(0),
+        tenant: None,
+        key: None,
+        time_left: deadline,
+        expected_work: None,
+        repeat: false,
+    };
+    PendingRequest::new(10.0, &request, 0, Arc::new(settings))
+}
+
+/// A request with two attempts in flight.
+fn with_two_attempts() -> PendingRequest {
+    let mut request = pending(0.0);
+    request.attempts = vec![Attempt::new(3, member(None, 0), 10.0), Attempt::new(5, member(None, 0), 10.1)];
+    request.in_flight = 2;
+    request
+}
+
+fn end(number: u32, outcome: Outcome) -> AttemptEnd {
+    let number = AttemptNumber(number);
+    AttemptEnd { number, outcome, took: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
+}
+
+fn keyed(scope: DedupScope) -> Effect {
+    Effect::Keyed { scope, window: Duration::from_secs(1) }
+}
+
+#[test]
+fn ten_admitted_requests_pay_for_one_retry_that_may_repeat_work() {
+    let mut budgets = RetryBudgets::new();
+    while budgets.allow_retry_after(Outcome::Error) {
+        budgets.spend(Outcome::Error);
+    }
+    (0..9).for_each(|_| budgets.earn());
+    assert!(!budgets.allow_retry_after(Outcome::Error));
+    // One more, and one for the rounding of tenths.
+    (0..2).for_each(|_| budgets.earn());
+    assert!(budgets.allow_retry_after(Outcome::Error));
+}
+
+#[test]
+fn retries_that_repeat_no_work_have_a_budget_of_their_own() {
+    let mut budgets = RetryBudgets::new();
+    while budgets.allow_retry_after(Outcome::Error) {
+        budgets.spend(Outcome::Error);
+    }
+    assert!(budgets.allow_retry_after(Outcome::Refused) && budgets.allow_reroute());
+}
+
+#[test]
+fn a_retry_budget_saves_up_no_more_than_its_bound() {
+    let mut budgets = RetryBudgets::new();
+    (0..1000).for_each(|_| budgets.earn());
+    let mut retries = 0;
+    while budgets.allow_retry_after(Outcome::Refused) {
+        budgets.spend(Outcome::Refused);
+        retries += 1;
+    }
+    assert_eq!(retries, 20);
+}
+
+#[test]
+fn an_unsafe_request_goes_nowhere_after_an_attempt_that_may_have_run() {
+    let first = Attempt::new(0, member(Some(0), 0), 10.0);
+    let other = member(Some(0), 0);
+    assert_eq!(may_repeat(10.1, Effect::Unsafe, Some(&first), &other), None);
+    assert_eq!(may_repeat(10.1, Effect::Unsafe, None, &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Effect::Safe, Some(&first), &other), Some(f64::MAX));
+}
+
+#[test]
+fn a_keyed_request_repeats_only_within_its_scope() {
+    let first = Attempt::new(0, member(Some(0), 7), 10.0);
+    let may = |scope: DedupScope, zone: Option<usize>, cell: u32| {
+        may_repeat(10.5, keyed(scope), Some(&first), &member(zone, cell)).is_some()
+    };
+    assert!(may(DedupScope::All, Some(1), 8));
+    assert!(may(DedupScope::Zone, Some(0), 8) && !may(DedupScope::Zone, Some(1), 7));
+    assert!(may(DedupScope::Cell, Some(1), 7) && !may(DedupScope::Cell, Some(0), 8));
+    let of_no_zone = Attempt::new(0, member(None, 7), 10.0);
+    let left = may_repeat(10.5, keyed(DedupScope::Zone), Some(&of_no_zone), &member(None, 7));
+    assert_eq!(left, None, "two endpoints of no known zone may share nothing");
+}
+
+#[test]
+fn a_keyed_request_repeats_only_within_its_window() {
+    let first = Attempt::new(0, member(Some(0), 0), 10.0);
+    let at = |now: f64| may_repeat(now, keyed(DedupScope::All), Some(&first), &member(Some(0), 0));
+    assert_eq!(at(10.75), Some(0.25));
+    assert_eq!(at(11.01), None);
+}
+
+#[test]
+fn an_answer_is_useful_until_the_latency_objective_or_where_late_ones_count_the_deadline() {
+    assert!((pending(0.0).useful_until() - 10.5).abs() < 1e-9);
+    assert!((pending(0.5).useful_until() - 12.0).abs() < 1e-9);
+}
+
+#[test]
+fn an_attempt_ends_once() {
+    let mut request = with_two_attempts();
+    assert_eq!(request.end_attempt(&end(1, Outcome::Error)), Some(5));
+    assert_eq!(request.end_attempt(&end(1, Outcome::Good)), None);
+    assert_eq!(request.end_attempt(&end(2, Outcome::Good)), None, "it was never sent");
+    assert_eq!(request.in_flight, 1);
+    assert!((request.connecting - 0.1).abs() < 1e-9, "{}", request.connecting);
+}
+
+#[test]
+fn the_first_attempt_that_may_have_run_binds_the_others() {
+    let mut request = with_two_attempts();
+    assert_eq!(request.first_run().map(|attempt| attempt.slot), Some(3), "it is in flight");
+    request.end_attempt(&end(0, Outcome::Refused));
+    assert_eq!(request.first_run().map(|attempt| attempt.slot), Some(5));
+    request.end_attempt(&end(1, Outcome::NotSent));
+    assert!(request.first_run().is_none());
+}
+
+#[test]
+fn a_closed_request_withdraws_its_attempts_and_leaves_with_the_last() {
+    let mut table = RequestTable::default();
+    table.insert(with_two_attempts());
+    let (id, mut actions) = (RequestId(1), Vec::new());
+    table.close(id, true, &mut actions);
+    let withdraw = |number| Action::Withdraw { request: id, attempt: AttemptNumber(number) };
+    assert_eq!(actions, [withdraw(0), withdraw(1)]);
+    for number in 0..2 {
+        assert!(table.contains(id));
+        table.get_mut(id).expect("in flight").end_attempt(&end(number, Outcome::Withdrawn));
+        table.close(id, true, &mut actions);
+    }
+    assert!(!table.contains(id));
+    assert_eq!(actions.len(), 2, "each attempt is withdrawn once");
+}
+
+#[test]
+fn a_streamed_answer_is_not_withdrawn() {
+    let mut request = with_two_attempts();
+    request.streaming = true;
+    let mut table = RequestTable::default();
+    table.insert(request);
+    let mut actions = Vec::new();
+    table.close(RequestId(1), true, &mut actions);
+    assert_eq!(actions, []);
+}
--- a/crates/policy/src/routing/mod.rs
+++ b/crates/policy/src/routing/mod.rs
@@ -7,3 +7,5 @@
 pub mod locality;
 pub mod selection;
 pub mod subset;
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/routing/tests.rs
@@ -0,0 +1,88 @@
+//! Locality and subsetting, each alone.
+
+use std::time::Duration;
+
+use oorandom::Rand64;
+
+use crate::endpoints::endpoint_list::ReadyByZone;
+use crate::interface::{Class, Effect, Settings};
+use crate::routing::locality::Locality;
+use crate::routing::subset::Subset;
+
+/// The part of 10,000 requests that a locality keeps in the own zone.
+fn local_part(locality: &Locality, rng: &mut Rand64) -> f64 {
+    (0..10_000).filter(|_| locality.draw_local(rng)).count() as f64 / 10_000.0
+}
+
+/// The members of the subsets of all replicas, of `ready` endpoints in the own zone.
+fn subsets(replicas: u32, ready: usize) -> Vec<Vec<usize>> {
+    let span = Duration::from_secs(1);
+    let class = Class { aim: span, deadline: span, late_worth: 0.0, effect: Effect::Safe };
+    let mut settings = Settings::single_zone(vec![class]);
+    settings.copies = replicas;
+    let ready = ReadyByZone { local: (0..ready).collect(), remote: Vec::new() };
+    let members = |index: u32| {
+        settings.index = index;
+        let mut subset = Subset::new();
+        subset.lay_out(&settings, &ready);
+        subset.local.members
+    };
+    (0..replicas).map(members).collect()
+}
+
+#[test]
+fn a_slower_own_zone_sends_requests_away_down_to_an_even_spread() {
+    let mut rng = Rand64::new(1);
+    let mut locality = Locality::default();
+    locality.begin(1.0);
+    for _ in 0..1000 {
+        locality.adapt(0.5, 0.4, 0.25, 0.0, &mut rng);
+    }
+    let part = local_part(&locality, &mut rng);
+    assert!((0.23..0.27).contains(&part), "{part}");
+}
+
+#[test]
+fn an_own_zone_that_is_no_slower_gets_all_requests_back() {
+    let mut rng = Rand64::new(1);
+    let mut locality = Locality::default();
+    locality.begin(0.25);
+    for _ in 0..1000 {
+        locality.adapt(0.4, 0.4, 0.25, 0.0, &mut rng);
+    }
+    assert_eq!(local_part(&locality, &mut rng), 1.0);
+}
+
+#[test]
+fn a_price_of_crossing_keeps_requests_in_a_slightly_slower_zone() {
+    let mut rng = Rand64::new(1);
+    let mut locality = Locality::default();
+    locality.begin(1.0);
+    for _ in 0..100 {
+        locality.adapt(0.5, 0.4, 0.25, 0.2, &mut rng);
+    }
+    assert_eq!(local_part(&locality, &mut rng), 1.0);
+}
+
+#[test]
+fn before_the_first_list_all_requests_stay_and_nothing_is_learned() {
+    let mut rng = Rand64::new(1);
+    let mut locality = Locality::default();
+    locality.adapt(0.5, 0.4, 0.25, 0.0, &mut rng);
+    assert!(!locality.is_known());
+    assert_eq!(local_part(&locality, &mut rng), 1.0);
+}
+
+#[test]
+fn the_subsets_of_all_replicas_cover_each_endpoint_about_evenly() {
+    let subsets = subsets(40, 200);
+    let covered = |slot: usize| subsets.iter().filter(|members| members.contains(&slot)).count();
+    let counts: Vec<usize> = (0..200).map(covered).collect();
+    assert!(counts.iter().all(|count| (3..=5).contains(count)), "{counts:?}");
+}
+
+#[test]
+fn a_subset_has_eight_members_or_all_there_are() {
+    assert!(subsets(100, 20).iter().all(|members| members.len() == 8));
+    assert!(subsets(100, 5).iter().all(|members| members.len() == 5));
+}
