--- /dev/null
+++ b/crates/proxy/src/downstream/accept.rs
@@ -0,0 +1,100 @@
+//! Failed accepts: what each asks of the accept loop, so that neither a shortage nor a broken listener makes it spin.
+
+use std::io;
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+/// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
+/// that is under way frees one sooner, and costs nobody a connection.
+const SHORTAGE_LASTS: Duration = Duration::from_millis(25);
+/// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
+/// were given up in the queue, few enough that a listener that only fails does not spin.
+const FAILURES_AT_ONCE: u32 = 16;
+/// How often a failed accept is logged at most, or the log would cost more than the trouble.
+const FAILURE_LOGGED: Duration = Duration::from_secs(1);
+
+/// What a failed accept asks of the accept loop.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AcceptFailure {
+    /// It concerns the one connection, or the one call: the next accept may follow at once.
+    Transient,
+    /// The process or the system has no descriptor left; the connection stays in the queue.
+    OutOfDescriptors,
+    /// The system is short of memory: the next accept waits a moment, and closing a connection would not help.
+    OutOfMemory,
+    /// None that is known here. It may come again at once, so that the next accept waits as well.
+    Unknown,
+}
+
+impl AcceptFailure {
+    /// Sorts an error of accept(2). Linux also passes on network errors that were pending on the new socket.
+    #[must_use]
+    pub fn of(error: &io::Error) -> Self {
+        match error.raw_os_error() {
+            Some(libc::EMFILE | libc::ENFILE) => Self::OutOfDescriptors,
+            Some(libc::ENOBUFS | libc::ENOMEM | libc::ENOSR) => Self::OutOfMemory,
+            Some(
+                libc::EAGAIN
+                | libc::ECONNABORTED
+                | libc::ECONNRESET
+                | libc::EHOSTDOWN
+                | libc::EHOSTUNREACH
+                | libc::EINTR
+                | libc::ENETDOWN
+                | libc::ENETUNREACH
+                | libc::ENONET
+                | libc::ENOPROTOOPT
+                | libc::EOPNOTSUPP
+                | libc::EPERM
+                | libc::EPROTO
+                | libc::ETIMEDOUT,
+            ) => Self::Transient,
+            _ => Self::Unknown,
+        }
+    }
+}
+
+/// The accepts that failed since the last one that succeeded.
+#[derive(Debug, Default)]
+pub(super) struct FailedAccepts {
+    in_a_row: u32,
+    /// When the latest failed, also before one that succeeded.
+    pub(super) latest: Option<Instant>,
+    /// Since when descriptors have been short.
+    short_since: Option<Instant>,
+    /// When one was last logged.
+    logged: Option<Instant>,
+}
+
+/// What the accept loop does about a failed accept.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct AcceptReaction {
+    pub(super) evict: bool,
+    pub(super) pause: bool,
+}
+
+impl FailedAccepts {
+    pub(super) fn succeeded(&mut self) {
+        self.in_a_row = 0;
+        self.short_since = None;
+    }
+
+    pub(super) fn failed(&mut self, error: &io::Error) -> AcceptReaction {
+        self.log(error);
+        self.in_a_row += 1;
+        self.latest = Some(Instant::now());
+        let failure = AcceptFailure::of(error);
+        let evict = failure == AcceptFailure::OutOfDescriptors
+            && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_LASTS;
+        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_AT_ONCE;
+        AcceptReaction { evict, pause }
+    }
+
+    fn log(&mut self, error: &io::Error) {
+        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOGGED) {
+            crate::log(format_args!("a connection could not be accepted: {error}"));
+            self.logged = Some(Instant::now());
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/downstream/health.rs
@@ -0,0 +1,16 @@
+//! The health check: whether the front may send requests here.
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{Response, StatusCode};
+
+use super::response::plain;
+use crate::driver::Driver;
+
+/// Where the front asks whether it may send here.
+pub(super) const HEALTH: &str = "/_health";
+
+pub(super) fn health(driver: &Driver) -> Response<Full<Bytes>> {
+    let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+    plain(status, "")
+}
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/downstream/socket.rs
@@ -16,6 +16,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
+use super::framing::{HeadEnd, Reading};
+
 /// Bytes read ahead of the HTTP code at most, for each socket: the next requests. What a peer sends beyond that while
 /// it is owed an answer is thrown away, and its connection closed behind the answer.
 const AHEAD_MOST: usize = 32 * 1024;
@@ -41,44 +43,6 @@
     head_begins: Notify,
 }
 
-/// What the HTTP code is given. A server gets no byte beyond the request that it reads, so that what it holds of the
-/// next one is known.
-#[derive(Debug)]
-enum Reading {
-    /// Whatever comes.
-    All,
-    /// A request's head, up to its end.
-    Head(HeadEnd),
-    /// So many bytes more, and then only the end of the connection.
-    Most(u64),
-}
-
-/// Looks for the empty line that ends a request's head. Empty lines before its first line are no part of it.
-#[derive(Debug, Default)]
-struct HeadEnd {
-    begun: bool,
-    /// Something stands on the line that is looked at.
-    in_line: bool,
-}
-
-impl HeadEnd {
-    /// Bytes of these up to the end of the head, if it ends among them.
-    fn find(&mut self, bytes: &[u8]) -> Option<usize> {
-        for (position, byte) in bytes.iter().enumerate() {
-            match byte {
-                b'\r' => {}
-                b'\n' if self.begun && !self.in_line => return Some(position + 1),
-                b'\n' => self.in_line = false,
-                _ => {
-                    self.begun = true;
-                    self.in_line = true;
-                }
-            }
-        }
-        None
-    }
-}
-
 /// A handle on a socket that does not keep it open.
 #[derive(Debug, Clone)]
 pub struct WeakSocket(Weak<Shared>);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,12 +10,13 @@
 pub mod connection;
 pub mod counters;
 pub mod discovery;
+pub mod downstream;
 pub mod driver;
 pub mod log;
 pub mod pool;
-pub mod server;
-pub mod socket;
 pub mod trust;
 pub mod upstream;
 
+pub use downstream as server;
+pub use downstream::socket;
 use log::log;
