--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -7,12 +7,12 @@
 
 /// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
 /// that is under way frees one sooner, and costs nobody a connection.
-const SHORTAGE_LASTS: Duration = Duration::from_millis(25);
+const SHORTAGE_BEFORE_EVICTION: Duration = Duration::from_millis(25);
 /// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
 /// were given up in the queue, few enough that a listener that only fails does not spin.
-const FAILURES_AT_ONCE: u32 = 16;
+const FAILURES_BEFORE_PAUSE: u32 = 16;
 /// How often a failed accept is logged at most, or the log would cost more than the trouble.
-const FAILURE_LOGGED: Duration = Duration::from_secs(1);
+const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What a failed accept asks of the accept loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -86,13 +86,13 @@
         self.latest = Some(Instant::now());
         let failure = AcceptFailure::of(error);
         let evict = failure == AcceptFailure::OutOfDescriptors
-            && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_LASTS;
-        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_AT_ONCE;
+            && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_BEFORE_EVICTION;
+        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_BEFORE_PAUSE;
         AcceptReaction { evict, pause }
     }
 
     fn log(&mut self, error: &io::Error) {
-        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOGGED) {
+        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
             crate::log(format_args!("a connection could not be accepted: {error}"));
             self.logged = Some(Instant::now());
         }
--- a/crates/proxy/src/downstream/framing.rs
+++ b/crates/proxy/src/downstream/framing.rs
@@ -3,13 +3,13 @@
 /// What the HTTP code is given. A server gets no byte beyond the request that it reads, so that what it holds of the
 /// next one is known.
 #[derive(Debug)]
-pub(super) enum Reading {
+pub(super) enum ReadLimit {
     /// Whatever comes.
-    All,
+    Unlimited,
     /// A request's head, up to its end.
-    Head(HeadEnd),
+    ToHeadEnd(HeadEnd),
     /// So many bytes more, and then only the end of the connection.
-    Most(u64),
+    Bytes(u64),
 }
 
 /// Looks for the empty line that ends a request's head. Empty lines before its first line are no part of it.
--- a/crates/proxy/src/downstream/health.rs
+++ b/crates/proxy/src/downstream/health.rs
@@ -4,13 +4,13 @@
 use http_body_util::Full;
 use hyper::{Response, StatusCode};
 
-use super::response::plain;
+use super::response::plain_text;
 use crate::driver::Driver;
 
 /// Where the front asks whether it may send here.
-pub(super) const HEALTH: &str = "/_health";
+pub(super) const HEALTH_PATH: &str = "/_health";
 
-pub(super) fn health(driver: &Driver) -> Response<Full<Bytes>> {
+pub(super) fn check_health(driver: &Driver) -> Response<Full<Bytes>> {
     let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    plain(status, "")
+    plain_text(status, "")
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -16,9 +16,10 @@
 use tokio::time::{Instant, sleep};
 
 use super::accept::FailedAccepts;
-use super::connection_set::Callers;
+use super::connection_set::ConnectionSet;
 use super::shutdown::{
-    DRAIN_LAST, DRAIN_LATE, DRAIN_LOOK, DRAIN_OPEN, DRAIN_QUIET, DRAIN_TAIL, KILL_COUNTS, KILL_EXTRA, Phase,
+    ANSWER_BEFORE_KILL, CLOSE_BEFORE_KILL, DRAIN_OPEN_MIN, KILL_DEADLINE_CAP, KILL_DELAY, LATE_ACCEPT_PERIOD,
+    Phase, QUIET_PERIOD, QUIET_POLL_INTERVAL,
 };
 use crate::config::Config;
 use crate::driver::Driver;
@@ -26,9 +27,9 @@
 /// Wait after an accept that failed for want of something, and between looks for room, so that this does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 /// Idle connections closed at each such look: with [`ACCEPT_PAUSE`] a thousand in a second or so.
-const EVICTED_TOGETHER: usize = 4;
+const EVICTIONS_PER_CHECK: usize = 4;
 
-/// Where callers' connections come from.
+/// Where clients' connections come from.
 pub trait Accept {
     /// The next connection. Nothing is lost if it is not waited for.
     fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
@@ -67,37 +68,38 @@
         spawn_local(reload(Rc::clone(&driver), path, signal(SignalKind::hangup())?));
     }
     let (phase, phases) = watch::channel(Phase::Serving);
-    let callers = Rc::new(Callers {
+    let connections = Rc::new(ConnectionSet {
         driver,
         phases,
-        links: RefCell::new(BTreeMap::new()),
-        next: Cell::new(0),
-        last: Cell::new(None),
+        open: RefCell::new(BTreeMap::new()),
+        next_number: Cell::new(0),
+        answer_by: Cell::new(None),
     });
     let mut failed = FailedAccepts::default();
-    accept_until(&listener, &callers, &mut failed, stop).await;
+    accept_until(&listener, &connections, &mut failed, stop).await;
     // The front still sends here, and clients keep their connections: go on as before for as long as is safe.
     let stopped = Instant::now();
-    let kill = longest.min(KILL_COUNTS) + KILL_EXTRA;
-    callers.last.set(Some(stopped + kill.saturating_sub(DRAIN_LAST)));
-    callers.log_drain(stopped);
-    let open = kill.saturating_sub(DRAIN_TAIL).max(DRAIN_OPEN);
-    accept_until(&listener, &callers, &mut failed, sleep(open)).await;
+    let kill = longest.min(KILL_DEADLINE_CAP) + KILL_DELAY;
+    connections.answer_by.set(Some(stopped + kill.saturating_sub(ANSWER_BEFORE_KILL)));
+    connections.log_drain(stopped);
+    let open = kill.saturating_sub(CLOSE_BEFORE_KILL).max(DRAIN_OPEN_MIN);
+    accept_until(&listener, &connections, &mut failed, sleep(open)).await;
     let _ = phase.send(Phase::Closing);
-    callers.log_drain(stopped);
-    accept_until(&listener, &callers, &mut failed, sleep(DRAIN_LATE)).await;
+    connections.log_drain(stopped);
+    accept_until(&listener, &connections, &mut failed, sleep(LATE_ACCEPT_PERIOD)).await;
     // Connections that carried a request end with its answer, and one that has not yet may have it in the socket
-    // until its own time is over; a caller that never takes its answer must not hold up the end.
+    // until its own time is over; a client that never takes its answer must not hold up the end.
     let mut quiet = Instant::now();
-    while quiet.elapsed() < DRAIN_QUIET && stopped.elapsed() < callers.driver.longest() + DRAIN_OPEN {
-        accept_until(&listener, &callers, &mut failed, sleep(DRAIN_LOOK)).await;
-        if !callers.links.borrow().is_empty() {
+    while quiet.elapsed() < QUIET_PERIOD && stopped.elapsed() < connections.driver.longest() + DRAIN_OPEN_MIN
+    {
+        accept_until(&listener, &connections, &mut failed, sleep(QUIET_POLL_INTERVAL)).await;
+        if !connections.open.borrow().is_empty() {
             quiet = Instant::now();
         }
         // What an accept failed to take may still stand in the queue.
         quiet = failed.latest.map_or(quiet, |latest| quiet.max(latest));
     }
-    callers.log_drain(stopped);
+    connections.log_drain(stopped);
     Ok(())
 }
 
@@ -113,7 +115,7 @@
 
 async fn accept_until(
     listener: &impl Accept,
-    callers: &Rc<Callers>,
+    connections: &Rc<ConnectionSet>,
     failed: &mut FailedAccepts,
     until: impl Future<Output = ()>,
 ) {
@@ -123,18 +125,18 @@
             biased;
             // First: in a flood there is always another connection, and this would never be looked at.
             () = until.as_mut() => return,
-            accepted = next(callers, listener) => accepted,
+            accepted = next(connections, listener) => accepted,
         };
         match accepted {
             Ok(stream) => {
                 failed.succeeded();
-                callers.accept(stream);
+                connections.accept(stream);
             }
             Err(error) => {
                 let reaction = failed.failed(&error);
-                // In a drain all connections end soon, and those that are left may be their callers' last.
-                if reaction.evict && !callers.is_draining() {
-                    callers.make_room();
+                // In a drain all connections end soon, and those that are left may be their clients' last.
+                if reaction.evict && !connections.is_draining() {
+                    connections.evict_idle_connection();
                 }
                 if reaction.pause {
                     sleep(ACCEPT_PAUSE).await;
@@ -146,11 +148,11 @@
 
 /// The next connection, once there is a descriptor for it that neither discovery nor an attempt may need. Nothing
 /// is lost if it is not waited for.
-async fn next(callers: &Callers, listener: &impl Accept) -> io::Result<TcpStream> {
-    while callers.driver.pool().full() {
+async fn next(connections: &ConnectionSet, listener: &impl Accept) -> io::Result<TcpStream> {
+    while connections.driver.pool().full() {
         // A few at a time: each may take its moment to close.
-        for _ in 0..EVICTED_TOGETHER {
-            callers.make_room();
+        for _ in 0..EVICTIONS_PER_CHECK {
+            connections.evict_idle_connection();
         }
         sleep(ACCEPT_PAUSE).await;
     }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -17,10 +17,10 @@
 use crate::driver::{Driver, Taken};
 use crate::upstream::{BODY_MOST, Call};
 
-/// Taken off a caller's time: the answer must arrive before it is up.
+/// Taken off a client's time: the answer must arrive before it is up.
 const MARGIN: Duration = Duration::from_millis(30);
 
-/// What is wrong with a caller's request.
+/// What is wrong with a client's request.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum BadRequest {
     #[error("no such class")]
@@ -43,26 +43,26 @@
     Slow,
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Seconds as a caller writes them.
-fn seconds(value: &str) -> Option<Duration> {
+/// Seconds as a client writes them.
+fn parse_seconds(value: &str) -> Option<Duration> {
     value.trim().parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
 
 /// What the head of a request asks for.
-struct Asked {
+struct RequestHead {
     class: ClassId,
     tenant: Option<TenantId>,
     /// How long its client waits.
-    time: Duration,
+    client_timeout: Duration,
     /// It must not run twice.
     once: bool,
 }
 
-impl Asked {
+impl RequestHead {
     fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
         let (class, figures) = offered.class(class).ok_or(BadRequest::Class)?;
@@ -76,37 +76,37 @@
             }
             _ => {}
         }
-        let tenant = match text(&head.headers, "x-tenant") {
+        let tenant = match header_text(&head.headers, "x-tenant") {
             Some(name) => Some(offered.tenant(name).ok_or(BadRequest::Tenant)?),
             None if offered.has_no_tenants() => None,
             None => return Err(BadRequest::Tenant),
         };
-        // A caller that does not say how long it waits is held to wait as long as its class allows.
-        let time = match head.headers.get("x-deadline") {
-            Some(value) => value.to_str().ok().and_then(seconds).ok_or(BadRequest::Deadline)?,
+        // A client that does not say how long it waits is held to wait as long as its class allows.
+        let client_timeout = match head.headers.get("x-deadline") {
+            Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
             None => figures.deadline,
         };
         let once = figures.effect == Effect::Unsafe;
-        Ok(Self { class, tenant, time: time.min(figures.deadline * 10), once })
+        Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), once })
     }
 }
 
 /// Reads a request to its last byte, which must come by then.
-pub(super) async fn read(
+pub(super) async fn read_request(
     driver: &Driver,
     request: Request<Incoming>,
     client: WeakSocket,
-    whole_by: Instant,
+    complete_by: Instant,
 ) -> Result<Taken, BadRequest> {
     let (head, body) = request.into_parts();
     let offered = driver.offered();
-    let mut asked = Asked::read(&head, &offered)?;
+    let mut checked = RequestHead::read(&head, &offered)?;
     let key = head.headers.get("idempotency-key").cloned();
     let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::Id)?;
     if body.size_hint().lower() > BODY_MOST as u64 {
         return Err(BadRequest::TooLarge);
     }
-    let body = match timeout_at(whole_by, Limited::new(body, BODY_MOST).collect()).await {
+    let body = match timeout_at(complete_by, Limited::new(body, BODY_MOST).collect()).await {
         Err(_) => return Err(BadRequest::Slow),
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(BadRequest::TooLarge),
@@ -115,23 +115,23 @@
     // While the rest of it came the settings may have changed, and it is taken under those in force now.
     let latest = driver.offered();
     if !Rc::ptr_eq(&offered, &latest) {
-        asked = Asked::read(&head, &latest)?;
+        checked = RequestHead::read(&head, &latest)?;
     }
-    let Asked { class, tenant, time, once } = asked;
+    let RequestHead { class, tenant, client_timeout, once } = checked;
     let now = Instant::now();
-    let cost = text(&head.headers, "x-cost-hint").and_then(|value| value.trim().parse().ok());
+    let cost = header_text(&head.headers, "x-cost-hint").and_then(|value| value.trim().parse().ok());
     Ok(Taken {
         class,
         tenant,
-        key: subject(head.uri.query()),
+        key: affinity_key(head.uri.query()),
         expected_work: cost.map(Duration::from_micros),
-        repeat: text(&head.headers, "x-retry") == Some("1"),
-        deadline: now + time.saturating_sub(MARGIN),
+        repeat: header_text(&head.headers, "x-retry") == Some("1"),
+        deadline: now + client_timeout.saturating_sub(MARGIN),
         client,
         call: Rc::new(Call {
             method: head.method,
             host: head.headers.get(HOST).cloned().unwrap_or(HeaderValue::from_static("upstream")),
-            uri: path_only(head.uri),
+            uri: origin_form(head.uri),
             id,
             key,
             body,
@@ -141,7 +141,7 @@
 }
 
 /// What goes on is the path, also of a request that names its host there.
-fn path_only(uri: Uri) -> Uri {
+fn origin_form(uri: Uri) -> Uri {
     if uri.scheme().is_none() {
         return uri;
     }
@@ -149,7 +149,7 @@
 }
 
 /// What a request is about, from the query parameter `k`.
-fn subject(query: Option<&str>) -> Option<u64> {
+fn affinity_key(query: Option<&str>) -> Option<u64> {
     let value = query?.split('&').find_map(|pair| pair.strip_prefix("k="))?;
     u64::from_str_radix(value, 16).ok()
 }
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -11,35 +11,35 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::{Instant, sleep_until};
 
-use super::connection::Link;
-use super::health::{HEALTH, health};
-use super::request::{BadRequest, read};
+use super::connection::ClientConnection;
+use super::health::{HEALTH_PATH, check_health};
+use super::request::{BadRequest, read_request};
 use super::socket::WeakSocket;
 use crate::driver::{Answer, Driver, Taken};
 
 /// Left to the decisions for a last word past that, before the answer is given for them.
-const LAST_WORD: Duration = Duration::from_millis(10);
+const DECISION_GRACE: Duration = Duration::from_millis(10);
 
 pub(super) async fn respond(
     driver: &Rc<Driver>,
     request: Request<Incoming>,
     client: WeakSocket,
-    whole_by: Instant,
-    last: Option<Instant>,
-    link: &Link,
+    complete_by: Instant,
+    answer_by: Option<Instant>,
+    connection: &ClientConnection,
 ) -> Response<Full<Bytes>> {
-    if request.uri().path() == HEALTH {
-        return health(driver);
+    if request.uri().path() == HEALTH_PATH {
+        return check_health(driver);
     }
-    let answer = match read(driver, request, client, whole_by).await {
+    let answer = match read_request(driver, request, client, complete_by).await {
         // No socket is left for an attempt either; nothing has run.
         Ok(_) if driver.pool().full() => Answer::Refused { retry_after: None },
-        Ok(mut taken) => {
-            taken.deadline = last.map_or(taken.deadline, |last| taken.deadline.min(last));
-            link.socket.body_over();
-            link.waiting.set(true);
-            let answer = answer(driver, taken).await;
-            link.waiting.set(false);
+        Ok(mut received) => {
+            received.deadline = answer_by.map_or(received.deadline, |by| received.deadline.min(by));
+            connection.socket.body_complete();
+            connection.awaiting_answer.set(true);
+            let answer = await_answer(driver, received).await;
+            connection.awaiting_answer.set(false);
             answer
         }
         Err(error) => {
@@ -49,7 +49,7 @@
                 _ => StatusCode::BAD_REQUEST,
             };
             // The end of its request is not to be trusted.
-            let mut response = plain(status, error.to_string());
+            let mut response = plain_text(status, error.to_string());
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             return response;
         }
@@ -57,44 +57,44 @@
     match answer {
         Answer::Served(body) => Response::new(Full::new(body)),
         Answer::Refused { retry_after } => {
-            let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
             let value = retry_after.map(|span| HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64())));
             if let Some(Ok(value)) = value {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
         }
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-pub(super) fn plain(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+pub(super) fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// Tells the driver of a caller that leaves before its answer: the connection drops this with the request.
-struct Waiting {
+/// Tells the driver of a client that leaves before its answer: the connection drops this with the request.
+struct DepartureGuard {
     driver: Rc<Driver>,
     id: RequestId,
 }
 
-impl Drop for Waiting {
+impl Drop for DepartureGuard {
     fn drop(&mut self) {
         self.driver.caller_left(self.id);
     }
 }
 
-async fn answer(driver: &Rc<Driver>, taken: Taken) -> Answer {
-    let overdue = taken.deadline + LAST_WORD;
-    let (id, answer) = driver.take(taken);
-    let waiting = Waiting { driver: Rc::clone(driver), id };
+async fn await_answer(driver: &Rc<Driver>, received: Taken) -> Answer {
+    let overdue = received.deadline + DECISION_GRACE;
+    let (id, answer) = driver.take(received);
+    let guard = DepartureGuard { driver: Rc::clone(driver), id };
     let answer = tokio::select! {
         biased;
         answer = answer => answer.unwrap_or(Answer::Failed),
         () = sleep_until(overdue) => Answer::Failed,
     };
-    drop(waiting);
+    drop(guard);
     answer
 }
--- a/crates/proxy/src/downstream/socket.rs
+++ b/crates/proxy/src/downstream/socket.rs
@@ -16,13 +16,13 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use super::framing::{HeadEnd, Reading};
+use super::framing::{HeadEnd, ReadLimit};
 
 /// Bytes read ahead of the HTTP code at most, for each socket: the next requests. What a peer sends beyond that while
 /// it is owed an answer is thrown away, and its connection closed behind the answer.
-const AHEAD_MOST: usize = 32 * 1024;
+const READ_AHEAD_MAX_BYTES: usize = 32 * 1024;
 /// Reads in a row before others have their turn.
-const READS: usize = 16;
+const READS_PER_TURN: usize = 16;
 
 /// A handle on a socket; it is closed with the last one.
 #[derive(Debug, Clone)]
@@ -33,10 +33,10 @@
     /// Never borrowed across an await.
     stream: RefCell<TcpStream>,
     /// Read, but not yet asked for.
-    ahead: RefCell<BytesMut>,
+    read_ahead: RefCell<BytesMut>,
     /// Some of what came was thrown away: nothing after it makes sense.
-    spilled: Cell<bool>,
-    reading: RefCell<Reading>,
+    overflowed: Cell<bool>,
+    limit: RefCell<ReadLimit>,
     /// Since when the HTTP code has had a part of a head, or else since the last byte before it was written.
     head_since: Cell<Option<Instant>>,
     /// Told when a head begins.
@@ -60,42 +60,42 @@
     /// with a close. That the option can't be set is no reason to hang up.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
-        Self::reading(stream, Reading::All)
+        Self::with_limit(stream, ReadLimit::Unlimited)
     }
 
-    /// The same for the server's end of a connection, which reads a request at a time: [`Self::head_over`] and
-    /// [`Self::answered`] are to be called for each.
+    /// The same for the server's end of a connection, which reads a request at a time: [`Self::head_complete`] and
+    /// [`Self::response_ready`] are to be called for each.
     #[must_use]
     pub fn of_requests(stream: TcpStream) -> Self {
-        Self::reading(stream, Reading::Head(HeadEnd::default()))
+        Self::with_limit(stream, ReadLimit::ToHeadEnd(HeadEnd::default()))
     }
 
-    fn reading(stream: TcpStream, reading: Reading) -> Self {
+    fn with_limit(stream: TcpStream, limit: ReadLimit) -> Self {
         let _ = stream.set_nodelay(true);
         Self(Rc::new(Shared {
             stream: RefCell::new(stream),
-            ahead: RefCell::default(),
-            spilled: Cell::new(false),
-            reading: RefCell::new(reading),
+            read_ahead: RefCell::default(),
+            overflowed: Cell::new(false),
+            limit: RefCell::new(limit),
             head_since: Cell::new(None),
             head_begins: Notify::new(),
         }))
     }
 
     /// Tells that the head of a request is whole, and how long its body is, if that is known.
-    pub fn head_over(&self, body: Option<u64>) {
+    pub fn head_complete(&self, body: Option<u64>) {
         self.0.head_since.set(None);
-        self.0.reading.replace(body.map_or(Reading::All, Reading::Most));
+        self.0.limit.replace(body.map_or(ReadLimit::Unlimited, ReadLimit::Bytes));
     }
 
     /// Tells that a request's body is whole: what comes now belongs to the next one.
-    pub fn body_over(&self) {
-        self.0.reading.replace(Reading::Most(0));
+    pub fn body_complete(&self) {
+        self.0.limit.replace(ReadLimit::Bytes(0));
     }
 
     /// Tells that a request has its answer, and the next one may be read.
-    pub fn answered(&self) {
-        self.0.reading.replace(Reading::Head(HeadEnd::default()));
+    pub fn response_ready(&self) {
+        self.0.limit.replace(ReadLimit::ToHeadEnd(HeadEnd::default()));
     }
 
     /// Since when a part of a head has been there, if one is.
@@ -116,8 +116,8 @@
 
     /// Whether more came than is kept, so that the connection can only be closed.
     #[must_use]
-    pub fn spilled(&self) -> bool {
-        self.0.spilled.get()
+    pub fn overflowed(&self) -> bool {
+        self.0.overflowed.get()
     }
 
     /// Whether the peer has sent nothing, not even its end, that is still to be read. Asks the system, and not what
@@ -138,11 +138,11 @@
     /// last heard of it. Reads what comes before that, for the HTTP code to find.
     #[must_use]
     pub fn has_ended(&self) -> bool {
-        let mut room = [0; 4096];
-        for _ in 0..READS {
-            match self.receive_now(&mut room) {
+        let mut scratch = [0; 4096];
+        for _ in 0..READS_PER_TURN {
+            match self.receive_now(&mut scratch) {
                 Ok(0) => return true,
-                Ok(bytes) => self.keep_ahead(&room[..bytes]),
+                Ok(bytes) => self.store_read_ahead(&scratch[..bytes]),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => return error.kind() != ErrorKind::WouldBlock,
             }
@@ -153,14 +153,14 @@
     /// Ready once the peer has ended its sending or the connection has broken. Reads what comes before that, for the
     /// HTTP code to find; to be asked from the task that reads for it too, as only one is woken.
     pub fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
-        let mut room = [0; 4096];
-        for _ in 0..READS {
-            let mut buffer = ReadBuf::new(&mut room);
+        let mut scratch = [0; 4096];
+        for _ in 0..READS_PER_TURN {
+            let mut buffer = ReadBuf::new(&mut scratch);
             match ready!(self.poll_receive(context, &mut buffer)) {
                 Ok(()) if !buffer.filled().is_empty() => {}
                 _ => return Poll::Ready(()),
             }
-            self.keep_ahead(buffer.filled());
+            self.store_read_ahead(buffer.filled());
         }
         context.waker().wake_by_ref();
         Poll::Pending
@@ -171,7 +171,7 @@
     pub async fn close(mut self, most: Duration) {
         let ended = std::future::poll_fn(|context| Pin::new(&mut self).poll_shutdown(context)).await;
         if ended.is_ok() {
-            self.0.spilled.set(true);
+            self.0.overflowed.set(true);
             if most.is_zero() {
                 // Once, without a timer: its next tick is up to a millisecond away, and others need the socket.
                 std::future::poll_fn(|context| Poll::Ready(self.poll_gone(context).is_ready())).await;
@@ -182,11 +182,11 @@
     }
 
     /// How many of these bytes the HTTP code is given.
-    fn given(&self, bytes: &[u8]) -> usize {
-        let mut reading = self.0.reading.borrow_mut();
-        match &mut *reading {
-            Reading::All => bytes.len(),
-            Reading::Head(head) => {
+    fn deliverable(&self, bytes: &[u8]) -> usize {
+        let mut limit = self.0.limit.borrow_mut();
+        match &mut *limit {
+            ReadLimit::Unlimited => bytes.len(),
+            ReadLimit::ToHeadEnd(head) => {
                 let end = head.find(bytes);
                 if head.begun && self.head_since().is_none() {
                     self.0.head_since.set(Some(Instant::now()));
@@ -194,11 +194,11 @@
                 }
                 // What follows the head is known once the HTTP code has read it.
                 if end.is_some() {
-                    *reading = Reading::All;
+                    *limit = ReadLimit::Unlimited;
                 }
                 end.unwrap_or(bytes.len())
             }
-            Reading::Most(left) => {
+            ReadLimit::Bytes(left) => {
                 let given = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
                 *left -= given as u64;
                 given
@@ -207,10 +207,10 @@
     }
 
     /// Gives the HTTP code what has been read ahead.
-    fn give_ahead(&self, buffer: &mut ReadBuf<'_>) {
-        let mut ahead = self.0.ahead.borrow_mut();
-        let room = ahead.len().min(buffer.remaining());
-        let given = self.given(&ahead[..room]);
+    fn deliver_read_ahead(&self, buffer: &mut ReadBuf<'_>) {
+        let mut ahead = self.0.read_ahead.borrow_mut();
+        let offered = ahead.len().min(buffer.remaining());
+        let given = self.deliverable(&ahead[..offered]);
         buffer.put_slice(&ahead[..given]);
         ahead.advance(given);
         // Its memory is not kept by connections that rest.
@@ -220,12 +220,12 @@
     }
 
     /// Gives the HTTP code what comes now, and keeps what is beyond its request.
-    fn poll_give(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_deliver(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(self.poll_receive(context, buffer))?;
-        let came = &buffer.filled()[before..];
-        let given = self.given(came);
-        self.0.ahead.borrow_mut().extend_from_slice(&came[given..]);
+        let received = &buffer.filled()[before..];
+        let given = self.deliverable(received);
+        self.0.read_ahead.borrow_mut().extend_from_slice(&received[given..]);
         buffer.set_filled(before + given);
         Poll::Ready(Ok(()))
     }
@@ -238,20 +238,20 @@
     }
 
     /// Keeps bytes that the HTTP code has not asked for yet, as many as are kept.
-    fn keep_ahead(&self, bytes: &[u8]) {
-        let mut ahead = self.0.ahead.borrow_mut();
-        if self.spilled() || ahead.len() + bytes.len() > AHEAD_MOST {
-            self.0.spilled.set(true);
+    fn store_read_ahead(&self, bytes: &[u8]) {
+        let mut ahead = self.0.read_ahead.borrow_mut();
+        if self.overflowed() || ahead.len() + bytes.len() > READ_AHEAD_MAX_BYTES {
+            self.0.overflowed.set(true);
         } else {
             ahead.extend_from_slice(bytes);
         }
     }
 
     /// Reads past the runtime, which may not have heard yet of what has come.
-    fn receive_now(&self, room: &mut [u8]) -> io::Result<usize> {
+    fn receive_now(&self, scratch: &mut [u8]) -> io::Result<usize> {
         let stream = self.0.stream.borrow();
         let socket = SockRef::from(&*stream);
-        (&*socket).read(room)
+        (&*socket).read(scratch)
     }
 
     fn poll_receive(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
@@ -265,15 +265,15 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if matches!(*self.0.reading.borrow(), Reading::Most(0)) {
+        if matches!(*self.0.limit.borrow(), ReadLimit::Bytes(0)) {
             return self.poll_gone(context).map(Ok);
         }
-        if !self.0.ahead.borrow().is_empty() {
-            self.give_ahead(buffer);
+        if !self.0.read_ahead.borrow().is_empty() {
+            self.deliver_read_ahead(buffer);
             return Poll::Ready(Ok(()));
         }
         // It is closed from this side, behind the answer.
-        if self.spilled() { Poll::Pending } else { self.poll_give(context, buffer) }
+        if self.overflowed() { Poll::Pending } else { self.poll_deliver(context, buffer) }
     }
 }
 
