--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -6,76 +6,107 @@
 
 use tokio::net::TcpStream;
 use tokio::sync::watch;
-use tokio::task::spawn_local;
 use tokio::time::Instant;
 
-use super::connection::{ClientConnection, handle_connection};
+use super::connection_state::ClientConnection;
 use super::shutdown::Phase;
 use crate::driver::Driver;
 
-/// The clients' connections.
+/// The clients' connections, and what the whole of them goes by.
 pub(super) struct ConnectionSet {
-    pub(super) driver: Rc<Driver>,
-    pub(super) phases: watch::Receiver<Phase>,
-    /// By the order of their coming.
-    pub(super) open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    pub(super) next_number: Cell<u64>,
+    driver: Rc<Driver>,
+    phases: watch::Receiver<Phase>,
+    /// By number, which is the order of their coming.
+    open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
+    next_number: Cell<u64>,
     /// After SIGTERM: when what still comes must be answered.
-    pub(super) answer_by: Cell<Option<Instant>>,
+    answer_by: Cell<Option<Instant>>,
+}
+
+/// Connections on which an answer may still be owed.
+struct Owed {
+    open: usize,
+    in_request: usize,
 }
 
 impl ConnectionSet {
-    pub(super) fn accept(self: &Rc<Self>, stream: TcpStream) {
-        if self.driver.pool().crowded() {
-            self.evict_idle_connection();
+    pub(super) fn new(driver: Rc<Driver>, phases: watch::Receiver<Phase>) -> Self {
+        Self {
+            driver,
+            phases,
+            open: RefCell::new(BTreeMap::new()),
+            next_number: Cell::new(0),
+            answer_by: Cell::new(None),
         }
+    }
+
+    pub(super) fn driver(&self) -> &Rc<Driver> {
+        &self.driver
+    }
+
+    /// Notified of each change of the phase.
+    pub(super) fn phases(&self) -> watch::Receiver<Phase> {
+        self.phases.clone()
+    }
+
+    pub(super) fn phase(&self) -> Phase {
+        *self.phases.borrow()
+    }
+
+    pub(super) fn insert(&self, stream: TcpStream) -> (u64, Rc<ClientConnection>) {
         let connection = Rc::new(ClientConnection::new(stream));
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         self.open.borrow_mut().insert(number, Rc::clone(&connection));
-        // Counted from here on, or a burst of connections would not see itself.
-        let permit = self.driver.pool().reserved_permit();
-        let connections = Rc::clone(self);
-        spawn_local(async move {
-            handle_connection(&connections, &connection).await;
-            connections.open.borrow_mut().remove(&number);
-            drop((connection, permit));
-        });
+        (number, connection)
+    }
+
+    pub(super) fn remove(&self, number: u64) {
+        self.open.borrow_mut().remove(&number);
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.open.borrow().is_empty()
     }
 
     /// Closes the connection that has stood idle for longest: a client's, which costs it a new one at most,
     /// or else one to an upstream. One on which a request has begun to come goes last.
     pub(super) fn evict_idle_connection(&self) {
         let open = self.open.borrow();
-        let idle =
-            open.values().filter(|connection| !connection.in_request.get() && !connection.evicted.get());
-        if let Some(connection) = idle
-            .min_by_key(|connection| (connection.socket.head_since().is_some(), connection.idle_since.get()))
-        {
-            // Marked, so that the next in need finds another.
-            connection.evicted.set(true);
-            connection.close.notify_one();
-        } else {
-            self.driver.pool().make_room();
+        let idle = open.values().filter(|connection| connection.may_be_evicted());
+        let longest = idle.min_by_key(|connection| connection.eviction_order());
+        match longest {
+            Some(connection) => connection.evict(),
+            None => {
+                self.driver.pool().make_room();
+            }
         }
     }
 
+    /// From now on what comes must be answered by then.
+    pub(super) fn start_drain(&self, answer_by: Instant) {
+        self.answer_by.set(Some(answer_by));
+    }
+
     pub(super) fn is_draining(&self) -> bool {
         self.answer_by.get().is_some()
     }
 
-    /// Connections on which an answer may still be owed, and those of them in a request.
-    fn owed(&self) -> (usize, usize) {
+    /// In a drain: when a request that comes must have its answer.
+    pub(super) fn answer_by(&self) -> Option<Instant> {
+        self.answer_by.get()
+    }
+
+    fn owed(&self) -> Owed {
         let open = self.open.borrow();
         let used = open.values().filter(|connection| connection.has_carried_request.get());
-        (used.clone().count(), used.filter(|connection| connection.in_request.get()).count())
+        let in_request = used.clone().filter(|connection| connection.in_request.get());
+        Owed { open: used.count(), in_request: in_request.count() }
     }
 
     pub(super) fn log_drain(&self, stopped: Instant) {
-        let ((open, in_request), since) = (self.owed(), stopped.elapsed());
-        crate::log(format_args!(
-            "{} ms into the drain: {open} callers, {in_request} in a request",
-            since.as_millis()
-        ));
+        let Owed { open, in_request } = self.owed();
+        let since = stopped.elapsed().as_millis();
+        crate::log(format_args!("{since} ms into the drain: {open} callers, {in_request} in a request"));
     }
 }
--- a/crates/proxy/src/downstream/framing.rs
+++ b/crates/proxy/src/downstream/framing.rs
@@ -12,17 +12,49 @@
     Bytes(u64),
 }
 
+/// How far a limit has let the HTTP code go on.
+pub(super) struct Advance {
+    /// Bytes that it is given.
+    pub(super) bytes: usize,
+    /// They are part of a head, or end one, whose first line has begun.
+    pub(super) in_head: bool,
+}
+
+impl ReadLimit {
+    /// How many of these bytes the HTTP code is given; moves on by as many.
+    pub(super) fn advance(&mut self, bytes: &[u8]) -> Advance {
+        match self {
+            Self::Unlimited => Advance { bytes: bytes.len(), in_head: false },
+            Self::ToHeadEnd(head) => {
+                let end = head.find(bytes);
+                let in_head = head.begun;
+                // What follows the head is known once the HTTP code has read it.
+                if end.is_some() {
+                    *self = Self::Unlimited;
+                }
+                Advance { bytes: end.unwrap_or(bytes.len()), in_head }
+            }
+            Self::Bytes(left) => {
+                let given = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
+                *left -= given as u64;
+                Advance { bytes: given, in_head: false }
+            }
+        }
+    }
+}
+
 /// Looks for the empty line that ends a request's head. Empty lines before its first line are no part of it.
 #[derive(Debug, Default)]
 pub(super) struct HeadEnd {
-    pub(super) begun: bool,
+    /// A line that is not empty has begun.
+    begun: bool,
     /// Something stands on the line that is looked at.
     in_line: bool,
 }
 
 impl HeadEnd {
     /// Bytes of these up to the end of the head, if it ends among them.
-    pub(super) fn find(&mut self, bytes: &[u8]) -> Option<usize> {
+    fn find(&mut self, bytes: &[u8]) -> Option<usize> {
         for (position, byte) in bytes.iter().enumerate() {
             match byte {
                 b'\r' => {}
--- a/crates/proxy/src/downstream/health.rs
+++ b/crates/proxy/src/downstream/health.rs
@@ -2,13 +2,17 @@
 
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::{Response, StatusCode};
+use hyper::{Request, Response, StatusCode};
 
 use super::response::plain_text;
 use crate::driver::Driver;
 
 /// Where the front asks whether it may send here.
-pub(super) const HEALTH_PATH: &str = "/_health";
+const HEALTH_PATH: &str = "/_health";
+
+pub(super) fn is_health_check<B>(request: &Request<B>) -> bool {
+    request.uri().path() == HEALTH_PATH
+}
 
 pub(super) fn check_health(driver: &Driver) -> Response<Full<Bytes>> {
     let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -4,11 +4,12 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{ClassId, Effect, TenantId};
+use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HOST, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
-use hyper::{Method, Request, Uri};
+use hyper::{Method, Request, StatusCode, Uri};
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
@@ -43,6 +44,16 @@
     Slow,
 }
 
+impl BadRequest {
+    pub(super) fn status(&self) -> StatusCode {
+        match self {
+            Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::Slow => StatusCode::REQUEST_TIMEOUT,
+            _ => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
@@ -66,16 +77,7 @@
     fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
         let (class, figures) = offered.class(class).ok_or(BadRequest::Class)?;
-        match figures.effect {
-            Effect::Safe if head.method != Method::GET => return Err(BadRequest::Method),
-            Effect::Keyed { .. } if !head.headers.contains_key("idempotency-key") => {
-                return Err(BadRequest::Key);
-            }
-            Effect::Keyed { .. } | Effect::Unsafe if head.method != Method::POST => {
-                return Err(BadRequest::Method);
-            }
-            _ => {}
-        }
+        check_method(figures.effect, head)?;
         let tenant = match header_text(&head.headers, "x-tenant") {
             Some(name) => Some(offered.tenant(name).ok_or(BadRequest::Tenant)?),
             None if offered.has_no_tenants() => None,
@@ -91,7 +93,18 @@
     }
 }
 
-/// Reads a request to its last byte, which must come by then.
+/// Whether the method fits what the class does, and the key that it may want is there.
+fn check_method(effect: Effect, head: &Parts) -> Result<(), BadRequest> {
+    match effect {
+        Effect::Safe if head.method != Method::GET => Err(BadRequest::Method),
+        Effect::Keyed { .. } if !head.headers.contains_key("idempotency-key") => Err(BadRequest::Key),
+        Effect::Keyed { .. } | Effect::Unsafe if head.method != Method::POST => Err(BadRequest::Method),
+        _ => Ok(()),
+    }
+}
+
+/// Reads a request to its last byte, which must come by then. Not cancel safe: what was read of the body is lost, and
+/// the connection with it.
 pub(super) async fn read_request(
     driver: &Driver,
     request: Request<Incoming>,
@@ -103,15 +116,7 @@
     let mut checked = RequestHead::read(&head, &offered)?;
     let key = head.headers.get("idempotency-key").cloned();
     let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::Id)?;
-    if body.size_hint().lower() > BODY_MOST as u64 {
-        return Err(BadRequest::TooLarge);
-    }
-    let body = match timeout_at(complete_by, Limited::new(body, BODY_MOST).collect()).await {
-        Err(_) => return Err(BadRequest::Slow),
-        Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(error)) if error.is::<LengthLimitError>() => return Err(BadRequest::TooLarge),
-        Ok(Err(_)) => return Err(BadRequest::Body),
-    };
+    let body = read_body(body, complete_by).await?;
     // While the rest of it came the settings may have changed, and it is taken under those in force now.
     let latest = driver.offered();
     if !Rc::ptr_eq(&offered, &latest) {
@@ -140,6 +145,18 @@
     })
 }
 
+async fn read_body(body: Incoming, complete_by: Instant) -> Result<Bytes, BadRequest> {
+    if body.size_hint().lower() > BODY_MOST as u64 {
+        return Err(BadRequest::TooLarge);
+    }
+    match timeout_at(complete_by, Limited::new(body, BODY_MOST).collect()).await {
+        Err(_) => Err(BadRequest::Slow),
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::TooLarge),
+        Ok(Err(_)) => Err(BadRequest::Body),
+    }
+}
+
 /// What goes on is the path, also of a request that names its host there.
 fn origin_form(uri: Uri) -> Uri {
     if uri.scheme().is_none() {
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The answer to a request: the decisions', or an error of the request itself.
+//! The answer to a request: what the decisions say of it, or what is wrong with the request itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,69 +11,46 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::{Instant, sleep_until};
 
-use super::connection::ClientConnection;
-use super::health::{HEALTH_PATH, check_health};
+use super::connection_state::ClientConnection;
 use super::request::{BadRequest, read_request};
-use super::socket::WeakSocket;
 use crate::driver::{Answer, Driver, Taken};
 
-/// Left to the decisions for a last word past that, before the answer is given for them.
+/// Left to the decisions for a last word past a request's deadline, before the answer is given for them.
 const DECISION_GRACE: Duration = Duration::from_millis(10);
 
+/// The times that a request has.
+pub(super) struct Limits {
+    /// When its last byte must have come.
+    pub(super) complete_by: Instant,
+    /// In a drain: when it must have its answer, whatever its deadline is.
+    pub(super) answer_by: Option<Instant>,
+}
+
+/// Reads a request and waits for its answer. Dropped in the wait, it calls the request off.
 pub(super) async fn respond(
     driver: &Rc<Driver>,
-    request: Request<Incoming>,
-    client: WeakSocket,
-    complete_by: Instant,
-    answer_by: Option<Instant>,
     connection: &ClientConnection,
+    request: Request<Incoming>,
+    limits: Limits,
 ) -> Response<Full<Bytes>> {
-    if request.uri().path() == HEALTH_PATH {
-        return check_health(driver);
-    }
-    let answer = match read_request(driver, request, client, complete_by).await {
+    let client = connection.socket.downgrade();
+    match read_request(driver, request, client, limits.complete_by).await {
+        Err(error) => error_response(&error),
         // No socket is left for an attempt either; nothing has run.
-        Ok(_) if driver.pool().full() => Answer::Refused { retry_after: None },
+        Ok(_) if driver.pool().full() => answer_response(Answer::Refused { retry_after: None }),
         Ok(mut received) => {
-            received.deadline = answer_by.map_or(received.deadline, |by| received.deadline.min(by));
+            if let Some(answer_by) = limits.answer_by {
+                received.deadline = received.deadline.min(answer_by);
+            }
             connection.socket.body_complete();
             connection.awaiting_answer.set(true);
             let answer = await_answer(driver, received).await;
             connection.awaiting_answer.set(false);
-            answer
-        }
-        Err(error) => {
-            let status = match error {
-                BadRequest::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-                BadRequest::Slow => StatusCode::REQUEST_TIMEOUT,
-                _ => StatusCode::BAD_REQUEST,
-            };
-            // The end of its request is not to be trusted.
-            let mut response = plain_text(status, error.to_string());
-            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
-            return response;
-        }
-    };
-    match answer {
-        Answer::Served(body) => Response::new(Full::new(body)),
-        Answer::Refused { retry_after } => {
-            let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
-            let value = retry_after.map(|span| HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64())));
-            if let Some(Ok(value)) = value {
-                response.headers_mut().insert(RETRY_AFTER, value);
-            }
-            response
+            answer_response(answer)
         }
-        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-pub(super) fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(text.into()));
-    *response.status_mut() = status;
-    response
-}
-
 /// Tells the driver of a client that leaves before its answer: the connection drops this with the request.
 struct DepartureGuard {
     driver: Rc<Driver>,
@@ -86,6 +63,8 @@
     }
 }
 
+/// Hands a request to the driver and waits for its answer. Dropped in the wait, it tells the driver that the client
+/// has left.
 async fn await_answer(driver: &Rc<Driver>, received: Taken) -> Answer {
     let overdue = received.deadline + DECISION_GRACE;
     let (id, answer) = driver.take(received);
@@ -98,3 +77,31 @@
     drop(guard);
     answer
 }
+
+/// What is wrong with a request. The end of it is not to be trusted, so that the connection closes behind this.
+fn error_response(error: &BadRequest) -> Response<Full<Bytes>> {
+    let mut response = plain_text(error.status(), error.to_string());
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+}
+
+fn answer_response(answer: Answer) -> Response<Full<Bytes>> {
+    match answer {
+        Answer::Served(body) => Response::new(Full::new(body)),
+        Answer::Refused { retry_after } => {
+            let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            let value = retry_after.map(|span| HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64())));
+            if let Some(Ok(value)) = value {
+                response.headers_mut().insert(RETRY_AFTER, value);
+            }
+            response
+        }
+        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed"),
+    }
+}
+
+pub(super) fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+}
--- a/crates/proxy/src/downstream/socket.rs
+++ b/crates/proxy/src/downstream/socket.rs
@@ -39,7 +39,7 @@
     limit: RefCell<ReadLimit>,
     /// Since when the HTTP code has had a part of a head, or else since the last byte before it was written.
     head_since: Cell<Option<Instant>>,
-    /// Told when a head begins.
+    /// Notified when a head begins.
     head_begins: Notify,
 }
 
@@ -71,6 +71,7 @@
     }
 
     fn with_limit(stream: TcpStream, limit: ReadLimit) -> Self {
+        // That it can't be set is no reason to hang up.
         let _ = stream.set_nodelay(true);
         Self(Rc::new(Shared {
             stream: RefCell::new(stream),
@@ -104,7 +105,7 @@
         self.0.head_since.get()
     }
 
-    /// Waits until a part of a head is there; tells since when.
+    /// Waits until a part of a head is there; tells since when. Cancel safe.
     pub async fn head_begins(&self) -> Instant {
         loop {
             if let Some(since) = self.head_since() {
@@ -167,7 +168,7 @@
     }
 
     /// Ends the connection so that the peer gets all that was written: closing over unread bytes would reset it. Waits
-    /// for the peer to close too, for `most` at the longest.
+    /// for the peer to close too, for `most` at the longest. Dropped before that, the connection may be reset.
     pub async fn close(mut self, most: Duration) {
         let ended = std::future::poll_fn(|context| Pin::new(&mut self).poll_shutdown(context)).await;
         if ended.is_ok() {
@@ -176,34 +177,20 @@
                 // Once, without a timer: its next tick is up to a millisecond away, and others need the socket.
                 std::future::poll_fn(|context| Poll::Ready(self.poll_gone(context).is_ready())).await;
             } else {
+                // Either the peer has closed or its time is over: the socket goes in both cases.
                 let _ = timeout(most, std::future::poll_fn(|context| self.poll_gone(context))).await;
             }
         }
     }
 
-    /// How many of these bytes the HTTP code is given.
+    /// How many of these bytes the HTTP code is given; notes the time of a head that begins with them.
     fn deliverable(&self, bytes: &[u8]) -> usize {
-        let mut limit = self.0.limit.borrow_mut();
-        match &mut *limit {
-            ReadLimit::Unlimited => bytes.len(),
-            ReadLimit::ToHeadEnd(head) => {
-                let end = head.find(bytes);
-                if head.begun && self.head_since().is_none() {
-                    self.0.head_since.set(Some(Instant::now()));
-                    self.0.head_begins.notify_waiters();
-                }
-                // What follows the head is known once the HTTP code has read it.
-                if end.is_some() {
-                    *limit = ReadLimit::Unlimited;
-                }
-                end.unwrap_or(bytes.len())
-            }
-            ReadLimit::Bytes(left) => {
-                let given = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                *left -= given as u64;
-                given
-            }
+        let advance = self.0.limit.borrow_mut().advance(bytes);
+        if advance.in_head && self.head_since().is_none() {
+            self.0.head_since.set(Some(Instant::now()));
+            self.0.head_begins.notify_waiters();
         }
+        advance.bytes
     }
 
     /// Gives the HTTP code what has been read ahead.
