--- /dev/null
+++ b/crates/proxy/src/downstream/response.rs
@@ -0,0 +1,107 @@
+//! The answer to a request: what the decisions say of it, or what is wrong with the request itself.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use balancer_policy::interface::RequestId;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue, RETRY_AFTER};
+use hyper::{Request, Response, StatusCode};
+use tokio::time::{Instant, sleep_until};
+
+use super::connection_state::ClientConnection;
+use super::request::{BadRequest, read_request};
+use crate::driver::{Answer, Driver, Taken};
+
+/// Left to the decisions for a last word past a request's deadline, before the answer is given for them.
+const DECISION_GRACE: Duration = Duration::from_millis(10);
+
+/// The times that a request has.
+pub(super) struct Limits {
+    /// When its last byte must have come.
+    pub(super) complete_by: Instant,
+    /// In a drain: when it must have its answer, whatever its deadline is.
+    pub(super) answer_by: Option<Instant>,
+}
+
+/// Reads a request and waits for its answer. Dropped in the wait, it calls the request off.
+pub(super) async fn respond(
+    driver: &Rc<Driver>,
+    connection: &ClientConnection,
+    request: Request<Incoming>,
+    limits: Limits,
+) -> Response<Full<Bytes>> {
+    let client = connection.socket.downgrade();
+    match read_request(driver, request, client, limits.complete_by).await {
+        Err(error) => error_response(&error),
+        // No socket is left for an attempt either; nothing has run.
+        Ok(_) if driver.pool().full() => answer_response(Answer::Refused { retry_after: None }),
+        Ok(mut received) => {
+            if let Some(answer_by) = limits.answer_by {
+                received.deadline = received.deadline.min(answer_by);
+            }
+            connection.socket.body_complete();
+            connection.awaiting_answer.set(true);
+            let answer = await_answer(driver, received).await;
+            connection.awaiting_answer.set(false);
+            answer_response(answer)
+        }
+    }
+}
+
+/// Tells the driver of a client that leaves before its answer: the connection drops this with the request.
+struct DepartureGuard {
+    driver: Rc<Driver>,
+    id: RequestId,
+}
+
+impl Drop for DepartureGuard {
+    fn drop(&mut self) {
+        self.driver.caller_left(self.id);
+    }
+}
+
+/// Hands a request to the driver and waits for its answer. Dropped in the wait, it tells the driver that the client
+/// has left.
+async fn await_answer(driver: &Rc<Driver>, received: Taken) -> Answer {
+    let overdue = received.deadline + DECISION_GRACE;
+    let (id, answer) = driver.take(received);
+    let guard = DepartureGuard { driver: Rc::clone(driver), id };
+    let answer = tokio::select! {
+        biased;
+        answer = answer => answer.unwrap_or(Answer::Failed),
+        () = sleep_until(overdue) => Answer::Failed,
+    };
+    drop(guard);
+    answer
+}
+
+/// What is wrong with a request. The end of it is not to be trusted, so that the connection closes behind this.
+fn error_response(error: &BadRequest) -> Response<Full<Bytes>> {
+    let mut response = plain_text(error.status(), error.to_string());
+    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+}
+
+fn answer_response(answer: Answer) -> Response<Full<Bytes>> {
+    match answer {
+        Answer::Served(body) => Response::new(Full::new(body)),
+        Answer::Refused { retry_after } => {
+            let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "refused");
+            let value = retry_after.map(|span| HeaderValue::from_str(&format!("{:.3}", span.as_secs_f64())));
+            if let Some(Ok(value)) = value {
+                response.headers_mut().insert(RETRY_AFTER, value);
+            }
+            response
+        }
+        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed"),
+    }
+}
+
+pub(super) fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response
+}
