--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,16 +7,14 @@
 pub mod clock;
 pub mod config;
 pub mod configuration;
-pub mod connection;
 pub mod counters;
 pub mod discovery;
 pub mod downstream;
 pub mod driver;
 pub mod log;
-pub mod pool;
-pub mod trust;
 pub mod upstream;
 
 pub use downstream as server;
 pub use downstream::socket;
 use log::log;
+pub use upstream::{connection, pool};
--- a/crates/proxy/src/upstream.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts: what is sent to an upstream, and what became of it.
+//! One attempt: its request on a connection from the pool, and what became of it. An attempt never tries again by itself:
+//! whether another may follow is the policy's decision.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -7,79 +8,22 @@
 
 use balancer_policy::interface::{AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId};
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
-use hyper::body::Incoming;
-use hyper::header::{HOST, HeaderValue};
-use hyper::{Method, Request, Response, StatusCode, Uri};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::connection::{Clearance, Connection};
 use crate::driver::Driver;
-use crate::pool::{AcquireError, Host};
 
-/// Bytes of a body at most, either way.
-pub const BODY_MOST: usize = 64 * 1024;
+use super::acquire_error::AcquireError;
+use super::call::{Call, size_on_wire};
+use super::connection::Connection;
+use super::gate::Clearance;
+use super::host::Host;
+use super::response::read;
+
 /// How long a connection may take to be ready again after an answer. One whose upstream answered without
 /// reading the request to its end never is.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// What of a caller's request goes on to upstreams, the same in each attempt.
-#[derive(Debug)]
-pub struct Call {
-    /// The method.
-    pub method: Method,
-    /// Path and query.
-    pub uri: Uri,
-    /// `Host`.
-    pub host: HeaderValue,
-    /// `X-Request-Id`.
-    pub id: HeaderValue,
-    /// `Idempotency-Key`.
-    pub key: Option<HeaderValue>,
-    /// The body.
-    pub body: Bytes,
-    /// It must not run twice.
-    pub once: bool,
-}
-
-impl Call {
-    /// The request of an attempt that will wait for so long.
-    #[must_use]
-    pub fn request(&self, time_left: Duration) -> Request<Full<Bytes>> {
-        let mut request = Request::new(Full::new(self.body.clone()));
-        *request.method_mut() = self.method.clone();
-        *request.uri_mut() = self.uri.clone();
-        let headers = request.headers_mut();
-        headers.insert(HOST, self.host.clone());
-        headers.insert("x-request-id", self.id.clone());
-        if let Some(key) = &self.key {
-            headers.insert("idempotency-key", key.clone());
-        }
-        if let Ok(value) = HeaderValue::from_str(&format!("{:.3}", time_left.as_secs_f64())) {
-            headers.insert("x-deadline", value);
-        }
-        if self.method != Method::GET {
-            headers.insert(hyper::header::CONTENT_LENGTH, HeaderValue::from(self.body.len()));
-        }
-        request
-    }
-}
-
-/// Bytes of a request on the socket, as few as they can be: counted low, so that a doubt is settled as 'may
-/// have run'.
-#[must_use]
-pub fn size_on_wire(request: &Request<Full<Bytes>>, body: usize) -> u64 {
-    let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
-    let line = request.method().as_str().len() + 1 + path + " HTTP/1.1\r\n".len();
-    let headers: usize = request
-        .headers()
-        .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + ": \r\n".len())
-        .sum();
-    (line + headers + "\r\n".len() + body) as u64
-}
-
 /// An attempt to make.
 #[derive(Debug)]
 pub struct Job {
@@ -295,42 +239,3 @@
         return (outcome.into(), None);
     }
 }
-
-/// Reads an answer to its end; `None` if it breaks off.
-async fn read(driver: &Driver, response: Response<Incoming>) -> Option<Ended> {
-    let (head, body) = response.into_parts();
-    let load = head.headers.get("x-load").and_then(|value| load_report(driver, value));
-    // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
-    let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
-        && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
-    let body = match Limited::new(body, BODY_MOST).collect().await {
-        Ok(body) => body.to_bytes(),
-        // Too large to pass on, yet an answer.
-        Err(error) if error.is::<LengthLimitError>() => return Some(Outcome::Error.into()),
-        // Refused unseen, it stays refused though the rest of the answer is lost.
-        Err(_) if not_run => Bytes::new(),
-        Err(_) => return None,
-    };
-    let outcome = match head.status {
-        StatusCode::OK => Outcome::Good,
-        _ if not_run => Outcome::Refused,
-        // What a caller got wrong is no fault of the upstream's.
-        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::Rejected,
-        _ => Outcome::Error,
-    };
-    Some(Ended { body: (outcome == Outcome::Good).then_some(body), load, ..outcome.into() })
-}
-
-/// Reads `name=value,name=value`.
-fn load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
-    let mut report = LoadReport::default();
-    for part in value.to_str().ok()?.split(',') {
-        let (name, value) = part.split_once('=')?;
-        let name = name.trim();
-        let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
-        if driver.has_load_field(name) {
-            balancer_settings::set_load_field(&mut report, name, value);
-        }
-    }
-    Some(report)
-}
--- a/crates/proxy/src/trust.rs
+++ b/crates/proxy/src/upstream/idle_trust.rs
@@ -8,10 +8,10 @@
 
 /// Trust is not cut below this, nor by what was idle for less: connections break under a request now and then
 /// however short they were idle, and a new one for each request costs the upstream work.
-const LEAST: Duration = Duration::from_millis(50);
+pub const LEAST: Duration = Duration::from_millis(50);
 /// Answers in a row on connections idle for longer than is trusted, after which that time is doubled: where one
 /// in ten is reset, so many in a row are one chance in two hundred.
-const ANSWERS: u32 = 50;
+pub const ANSWERS: u32 = 50;
 
 /// The longest idle time that is trusted.
 #[derive(Debug)]
@@ -60,37 +60,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards both ways: one reset is enough to distrust, and trust comes back in steps, up to where it was.
-    #[test]
-    fn trust_falls_at_once_and_returns_with_answers() {
-        let most = Duration::from_secs(21);
-        let mut trust = Trust::new(most);
-        trust.answered(Duration::from_secs(20));
-        assert_eq!(trust.trusted(), most);
-        trust.reset(Duration::from_millis(240));
-        assert_eq!(trust.trusted(), Duration::from_millis(120));
-        trust.reset(Duration::from_secs(3));
-        assert_eq!(trust.trusted(), Duration::from_millis(120));
-        trust.reset(Duration::from_millis(5));
-        assert_eq!(trust.trusted(), Duration::from_millis(120));
-        trust.reset(Duration::from_millis(80));
-        assert_eq!(trust.trusted(), LEAST);
-        for _ in 0..ANSWERS * 2 {
-            trust.answered(Duration::ZERO);
-        }
-        assert_eq!(trust.trusted(), LEAST);
-        for _ in 0..ANSWERS {
-            trust.answered(Duration::from_secs(1));
-        }
-        assert_eq!(trust.trusted(), LEAST * 2);
-        for _ in 0..ANSWERS * 20 {
-            trust.answered(most);
-        }
-        assert_eq!(trust.trusted(), most);
-    }
-}
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -5,23 +5,26 @@
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
 use std::future::poll_fn;
-use std::io;
 use std::net::SocketAddr;
-use std::pin::Pin;
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
 
 use balancer_policy::interface::{UpstreamId, ZoneId};
 use rustc_hash::FxHashMap;
-use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
-use tokio::task::{AbortHandle, spawn_local};
+use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::connection::{Connection, Permit, speak};
-use crate::trust::Trust;
+use super::connect_time::ConnectTime;
+use super::connection::{Connection, Permit, speak};
+use super::dial::Dial;
+use super::host::{Connecting, Idle, Late};
+use super::idle_trust::Trust;
+
+pub use super::acquire_error::AcquireError;
+pub use super::host::Host;
 
 /// Part of the settings' idle limit after which a kept connection is closed: one that the upstream closes as a
 /// request is written ends that request as a reset.
@@ -36,215 +39,6 @@
 /// How long a dial that no attempt waits for goes on, counted from its start: TCP asks again after 1 s and after 3 s
 /// (RFC 6298, with the doubling), and the answer to the second repeat needs a round trip more.
 const LATE_MOST: Duration = Duration::from_millis(3500);
-/// Usual connect times that an attempt waits for its connection: as many deviations as TCP's own timer waits beyond
-/// its mean (RFC 6298).
-const PATIENCE_TIMES: f64 = 4.0;
-/// Least part of the settings' connect timeout that an attempt waits for, as a busy machine adds to a connect: those of
-/// the three or four attempts before a request's last one take a quarter of it together.
-const PATIENCE_LEAST: f64 = 0.0625;
-/// Wait before a connect that failed on this machine is tried again, doubled each time up to the second: a lack of ports or
-/// memory may pass at once, and one that lasts must not keep the machine busy with looking for a port.
-const RETRY_PAUSE: (Duration, Duration) = (Duration::from_millis(2), Duration::from_millis(64));
-/// Weight of one connect in the usual time: the gain of TCP's own timer.
-const CONNECT_WEIGHT: f64 = 0.125;
-
-/// Why there is no connection for an attempt.
-#[derive(Debug, Error)]
-pub enum AcquireError {
-    /// Short of sockets, which is no fault of the upstream's.
-    #[error("no socket is free")]
-    NoSocket,
-    /// This machine has none to give, which is no fault of the upstream's either.
-    #[error("this machine has no socket: {0}")]
-    Local(io::Error),
-    /// None came up in time; one may yet.
-    #[error("it did not come up in time")]
-    TimedOut,
-    /// The upstream has left the list.
-    #[error("it left the list")]
-    Gone,
-    /// The upstream does not take it.
-    #[error("{0}")]
-    Failed(#[from] io::Error),
-    /// It broke as it came up.
-    #[error("{0}")]
-    Broken(#[from] hyper::Error),
-}
-
-/// Whether a connect failed for want of something on this machine: a port, a descriptor, memory. What a filter forbids
-/// (`EPERM`, `EACCES`) stays with the upstream: it lasts, and another one may be allowed.
-fn is_local(error: &io::Error) -> bool {
-    const LOCAL: [i32; 8] = [
-        libc::EADDRINUSE,
-        libc::EADDRNOTAVAIL,
-        libc::EAGAIN,
-        libc::EINTR,
-        libc::EMFILE,
-        libc::ENFILE,
-        libc::ENOBUFS,
-        libc::ENOMEM,
-    ];
-    error.raw_os_error().is_some_and(|error| LOCAL.contains(&error))
-}
-
-/// The usual time in which connections to a zone come up: a mean of logarithms, in which a late one counts for at
-/// most e times the usual.
-#[derive(Debug, Default)]
-struct ConnectTime {
-    ln_s: f64,
-    known: f64,
-}
-
-impl ConnectTime {
-    /// Takes in a connect that took so long, or was given up then.
-    fn learn(&mut self, took: Duration, up: bool) {
-        // One given up tells how much longer it takes than what is known.
-        if self.known == 0.0 && !up {
-            return;
-        }
-        let over = took.as_secs_f64().max(1e-6).ln() - self.ln_s;
-        self.known += 1.0;
-        let over = if self.known > 1.0 { over.min(1.0) } else { over };
-        self.ln_s += CONNECT_WEIGHT.max(1.0 / self.known) * over;
-    }
-
-    /// How long an attempt waits for a connection.
-    fn patience(&self, most: Duration) -> Duration {
-        if self.known == 0.0 {
-            return most;
-        }
-        let times = Duration::try_from_secs_f64(self.ln_s.exp() * PATIENCE_TIMES).unwrap_or(most);
-        times.clamp(most.mul_f64(PATIENCE_LEAST), most)
-    }
-}
-
-struct Idle {
-    connection: Connection,
-    since: Instant,
-    /// When it may carry the next request.
-    free_at: Instant,
-}
-
-struct Connecting {
-    stream: Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>,
-    permit: Permit,
-    since: Instant,
-}
-
-/// A dial that goes on though the attempt that began it does not wait for it any more.
-struct Late {
-    connecting: Connecting,
-    /// Waits for it; `None` for the moment before it is started.
-    task: Option<AbortHandle>,
-}
-
-impl Drop for Late {
-    fn drop(&mut self) {
-        if let Some(task) = self.task.take() {
-            task.abort();
-        }
-    }
-}
-
-/// The connections to one process of an upstream, for as long as the list has it ready at that address.
-pub struct Host {
-    id: UpstreamId,
-    address: SocketAddr,
-    zone: Option<ZoneId>,
-    /// The most recently used last.
-    idle: RefCell<Vec<Idle>>,
-    /// At most one, so that an upstream out of reach holds no more sockets than this.
-    late: RefCell<Option<Late>>,
-    /// Attempts that wait for a connection.
-    waiting: Cell<usize>,
-    gone: Cell<bool>,
-    /// Something came for those that wait to look at.
-    changed: Notify,
-}
-
-impl Host {
-    /// When the next connection has rested, if one rests.
-    fn next_free(&self) -> Option<Instant> {
-        self.idle.borrow().iter().map(|idle| idle.free_at).min()
-    }
-
-    fn keep(&self, connection: Connection, rest: Duration) {
-        let since = Instant::now();
-        self.idle.borrow_mut().push(Idle { connection, since, free_at: since + rest });
-        self.changed.notify_waiters();
-    }
-
-    fn close(&self) {
-        self.gone.set(true);
-        self.idle.take();
-        self.late.take();
-        self.changed.notify_waiters();
-    }
-}
-
-/// A connect that failed on this machine, and is to be tried again.
-struct Retry {
-    error: io::Error,
-    at: Instant,
-}
-
-/// A connection that an attempt waits for. Dropped before it is up, it goes on coming up for the next one.
-struct Dial<'a> {
-    pool: &'a Rc<Pool>,
-    host: &'a Rc<Host>,
-    connecting: Option<Connecting>,
-    /// The latest connect that failed on this machine, until the next one is under way.
-    retry: Option<Retry>,
-    /// The latest pause before another try.
-    pause: Duration,
-}
-
-impl<'a> Dial<'a> {
-    fn start(pool: &'a Rc<Pool>, host: &'a Rc<Host>, permit: Permit) -> Self {
-        host.waiting.set(host.waiting.get() + 1);
-        let mut dial = Self { pool, host, connecting: None, retry: None, pause: Duration::ZERO };
-        dial.connect(permit);
-        dial
-    }
-
-    fn connect(&mut self, permit: Permit) {
-        let stream = Box::pin(TcpStream::connect(self.host.address));
-        self.connecting = Some(Connecting { stream, permit, since: Instant::now() });
-    }
-
-    async fn up(&mut self) -> Result<Connection, AcquireError> {
-        let stream = poll_fn(|context| match &mut self.connecting {
-            Some(connecting) => connecting.stream.as_mut().poll(context),
-            None => Poll::Pending,
-        })
-        .await;
-        let Some(Connecting { permit, since, .. }) = self.connecting.take() else {
-            return Err(AcquireError::TimedOut);
-        };
-        let failed = |error| {
-            if is_local(&error) { AcquireError::Local(error) } else { AcquireError::Failed(error) }
-        };
-        let stream = stream.map_err(failed)?;
-        self.pool.learn_connect(self.host, since.elapsed(), true);
-        Ok(speak(stream, permit).await?)
-    }
-
-    /// Connects again after a pause.
-    fn retry_after(&mut self, error: io::Error) {
-        self.pause = (self.pause * 2).clamp(RETRY_PAUSE.0, RETRY_PAUSE.1);
-        self.retry = Some(Retry { error, at: Instant::now() + self.pause });
-    }
-}
-
-impl Drop for Dial<'_> {
-    fn drop(&mut self) {
-        self.host.waiting.set(self.host.waiting.get() - 1);
-        if let Some(connecting) = self.connecting.take() {
-            self.pool.go_on(self.host, connecting);
-        }
-    }
-}
-
 /// All connections to upstreams, and the budget of sockets.
 pub struct Pool {
     hosts: RefCell<FxHashMap<UpstreamId, Rc<Host>>>,
@@ -472,7 +266,7 @@
         times.get(&host.zone).map_or(most, |time| time.patience(most))
     }
 
-    fn learn_connect(&self, host: &Host, took: Duration, up: bool) {
+    pub(super) fn learn_connect(&self, host: &Host, took: Duration, up: bool) {
         self.connect_times.borrow_mut().entry(host.zone).or_default().learn(took, up);
     }
 
@@ -509,7 +303,7 @@
     }
 
     /// Lets a dial go on that no attempt waits for any more, where there is use for it.
-    fn go_on(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
+    pub(super) fn go_on(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
         if host.gone.get() || host.late.borrow().is_some() || self.crowded() {
             return;
         }
--- /dev/null
+++ b/crates/proxy/src/upstream/response.rs
@@ -0,0 +1,51 @@
+//! An upstream's answer: its outcome, its body, its load report.
+
+use balancer_policy::interface::{LoadReport, Outcome};
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::{Response, StatusCode};
+
+use super::attempt::Ended;
+use super::call::BODY_MOST;
+use crate::driver::Driver;
+
+/// Reads an answer to its end; `None` if it breaks off.
+pub(super) async fn read(driver: &Driver, response: Response<Incoming>) -> Option<Ended> {
+    let (head, body) = response.into_parts();
+    let load = head.headers.get("x-load").and_then(|value| load_report(driver, value));
+    // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
+    let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
+        && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
+    let body = match Limited::new(body, BODY_MOST).collect().await {
+        Ok(body) => body.to_bytes(),
+        // Too large to pass on, yet an answer.
+        Err(error) if error.is::<LengthLimitError>() => return Some(Outcome::Error.into()),
+        // Refused unseen, it stays refused though the rest of the answer is lost.
+        Err(_) if not_run => Bytes::new(),
+        Err(_) => return None,
+    };
+    let outcome = match head.status {
+        StatusCode::OK => Outcome::Good,
+        _ if not_run => Outcome::Refused,
+        // What a caller got wrong is no fault of the upstream's.
+        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::Rejected,
+        _ => Outcome::Error,
+    };
+    Some(Ended { body: (outcome == Outcome::Good).then_some(body), load, ..outcome.into() })
+}
+
+/// Reads `name=value,name=value`.
+fn load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
+    let mut report = LoadReport::default();
+    for part in value.to_str().ok()?.split(',') {
+        let (name, value) = part.split_once('=')?;
+        let name = name.trim();
+        let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
+        if driver.has_load_field(name) {
+            balancer_settings::set_load_field(&mut report, name, value);
+        }
+    }
+    Some(report)
+}
--- /dev/null
+++ b/crates/proxy/tests/idle_trust.rs
@@ -0,0 +1,34 @@
+//! How long a connection may have stood idle and still carry a request that must not run twice.
+
+use std::time::Duration;
+
+use balancer_proxy::upstream::idle_trust::{ANSWERS, LEAST, Trust};
+
+/// Guards both ways: one reset is enough to distrust, and trust comes back in steps, up to where it was.
+#[test]
+fn trust_falls_at_once_and_returns_with_answers() {
+    let most = Duration::from_secs(21);
+    let mut trust = Trust::new(most);
+    trust.answered(Duration::from_secs(20));
+    assert_eq!(trust.trusted(), most);
+    trust.reset(Duration::from_millis(240));
+    assert_eq!(trust.trusted(), Duration::from_millis(120));
+    trust.reset(Duration::from_secs(3));
+    assert_eq!(trust.trusted(), Duration::from_millis(120));
+    trust.reset(Duration::from_millis(5));
+    assert_eq!(trust.trusted(), Duration::from_millis(120));
+    trust.reset(Duration::from_millis(80));
+    assert_eq!(trust.trusted(), LEAST);
+    for _ in 0..ANSWERS * 2 {
+        trust.answered(Duration::ZERO);
+    }
+    assert_eq!(trust.trusted(), LEAST);
+    for _ in 0..ANSWERS {
+        trust.answered(Duration::from_secs(1));
+    }
+    assert_eq!(trust.trusted(), LEAST * 2);
+    for _ in 0..ANSWERS * 20 {
+        trust.answered(most);
+    }
+    assert_eq!(trust.trusted(), most);
+}
