--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 use crate::clock::{SystemClock, WallClock};
-use crate::discovery::Update;
+use crate::discovery::update::Update;
 
 /// Why the configuration cannot be used.
 #[derive(Debug, Error)]
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,5 +1,7 @@
 //! The list of upstreams: its form and the watch on its changes.
 
+pub mod update;
+
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,71 +9,13 @@
 
 use balancer_policy::interface::DiscoveryMode;
 use config_distribution::host::watch::{self, Ask, WatchError};
-use serde::{Deserialize, Deserializer};
-use serde_json::value::RawValue;
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
 use crate::connection;
 use crate::driver::Driver;
 
-/// A word from discovery: the whole list or what changed.
-#[derive(Debug, Clone, Deserialize)]
-pub struct Update {
-    /// The list's version.
-    #[serde(default)]
-    pub index: u64,
-    /// The whole list: what is absent has been removed.
-    #[serde(default)]
-    pub snapshot: bool,
-    /// The upstreams.
-    #[serde(default, deserialize_with = "entries")]
-    pub endpoints: Vec<Endpoint>,
-}
-
-/// Reads each entry by itself: one that makes no sense must not cost the others, a drain among them.
-fn entries<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Endpoint>, D::Error> {
-    let raw: Vec<Box<RawValue>> = Vec::deserialize(input)?;
-    let read = |raw: &RawValue| {
-        serde_json::from_str(raw.get())
-            .inspect_err(|error| {
-                crate::log(format_args!("passed over a malformed entry of the list: {error}"))
-            })
-            .ok()
-    };
-    Ok(raw.iter().filter_map(|raw| read(raw)).collect())
-}
-
-/// An upstream as discovery lists it.
-#[derive(Debug, Clone, Deserialize)]
-pub struct Endpoint {
-    /// Its name, the same at every balancer.
-    pub name: String,
-    /// Where it listens.
-    #[serde(default)]
-    pub address: String,
-    /// Its zone.
-    #[serde(default)]
-    pub zone: String,
-    /// Its kind of machine.
-    #[serde(default, rename = "type")]
-    pub kind: String,
-    /// Its cell.
-    #[serde(default)]
-    pub group: u32,
-    /// `ready`, `draining` or `gone`.
-    pub status: String,
-    /// Its size beside the others.
-    #[serde(default = "one")]
-    pub weight: f64,
-    /// Its latest start, Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub since_ms: u64,
-}
-
-fn one() -> f64 {
-    1.0
-}
+pub use update::{Endpoint, Update};
 
 /// A change counts as told this long after discovery had it and could be reached, whatever call failed before. At its
 /// worst the way there is, in seconds, from when it can be reached again:
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod discovery;
 pub mod driver;
 pub mod log;
+pub mod offered;
 pub mod pool;
 pub mod server;
 pub mod socket;
