--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -1,9 +1,12 @@
-//! Changes of the settings while the balancer serves: followed from the parents, merged over the file's own settings,
-//! checked whole and applied whole. What has a fault is logged and reported up, and the last good stays.
+//! How do settings change while the balancer serves? They are followed from the parents, merged over the file's own
+//! settings, checked whole and applied whole to a [`Reconfigurable`]. What has a fault is logged and reported up, and the
+//! last good stays.
 
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
 
+use balancer_policy::interface::SettingsError;
+use balancer_settings::{Faults, Loaded, SetupError};
 use config_distribution::document::{Document, Scope};
 use config_distribution::effective::effective;
 use config_distribution::host::client::{self, Client};
@@ -11,27 +14,73 @@
 use config_distribution::state::State;
 use rustc_hash::FxHasher;
 use serde_json::Value;
+use thiserror::Error;
 use tokio::task::spawn_local;
 
 use crate::config::Distribution;
 use crate::connection;
-use crate::driver::Driver;
+use crate::pool::Pool;
 
-pub use crate::offered::Offered;
+pub use crate::offered::{Offered, TooManyNames};
 
 /// Letters of a reason in a report at most; the log has it whole.
 const WHY_MOST: usize = 200;
 
-/// Follows the parents for as long as the balancer runs.
-pub fn follow(driver: &Rc<Driver>, name: &str, seed: u64, distribution: Distribution) {
+/// What goes over to other settings while it runs.
+pub trait Reconfigurable {
+    /// Goes over to other settings, whole or not at all.
+    ///
+    /// # Errors
+    /// They are no successor of those before; nothing has changed.
+    fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError>;
+
+    /// The distribution of settings has spoken, and what it said has been taken in.
+    fn configured(&self);
+}
+
+/// Why settings that make sense by themselves cannot follow those in force.
+#[derive(Debug, Error)]
+pub enum ReconfigureError {
+    /// They have too many names beside those before.
+    #[error(transparent)]
+    Names(#[from] TooManyNames),
+    /// The decisions cannot work by them.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// Why documents are not applied.
+#[derive(Debug, Error)]
+enum ApplyError {
+    /// Their form has faults.
+    #[error("{}", .0.join("; "))]
+    Documents(Vec<String>),
+    /// The settings that they make have faults.
+    #[error("{}", .0.messages().join("; "))]
+    Settings(Faults),
+    /// The settings that they make cannot be read.
+    #[error(transparent)]
+    Read(#[from] SetupError),
+    /// The settings that they make cannot follow those in force.
+    #[error(transparent)]
+    Reconfigure(#[from] ReconfigureError),
+}
+
+/// Follows the parents for as long as the balancer runs. Connections to them count against the sockets of `pool`.
+pub fn follow(
+    target: Rc<impl Reconfigurable + 'static>,
+    pool: Rc<Pool>,
+    name: &str,
+    seed: u64,
+    distribution: Distribution,
+) {
     let Distribution { parents, wanted, own_settings } = distribution;
     // Balancers that are given no seed must not all follow the same parent.
     let mut hasher = FxHasher::default();
     (seed, name).hash(&mut hasher);
     let client = Client { name: name.to_owned(), parents, wanted: wanted.to_vec(), seed: hasher.finish() };
-    let pool = Rc::clone(driver.pool());
     let mut follower = Follower {
-        driver: Rc::clone(driver),
+        target,
         name: name.into(),
         own_settings,
         wanted,
@@ -48,8 +97,8 @@
 type Documents = [Option<Document>; 3];
 
 /// What this balancer makes of what it is told.
-struct Follower {
-    driver: Rc<Driver>,
+struct Follower<T> {
+    target: Rc<T>,
     name: Box<str>,
     own_settings: Value,
     wanted: [Scope; 3],
@@ -59,7 +108,7 @@
     refused: [Option<Refused>; 3],
 }
 
-impl Follower {
+impl<T: Reconfigurable> Follower<T> {
     /// Takes in the newest documents, and tells what is in force.
     fn take(&mut self, state: &State) -> InForce {
         let newest: Documents = self.wanted.each_ref().map(|scope| state.get(scope).cloned());
@@ -71,7 +120,7 @@
                 }
             }
         }
-        self.driver.configured();
+        self.target.configured();
         let version = |document: &Option<Document>| document.as_ref().map_or(0, |document| document.version);
         let versions = self.in_force.iter().map(version);
         let refused = self.refused.iter().flatten().max_by_key(|refused| refused.version);
@@ -94,8 +143,8 @@
         let version = document.as_ref().map_or(index, |document| document.version);
         let mut documents = self.in_force.clone();
         documents[place] = document;
-        let refused = self.apply(documents).err().map(|faults| {
-            let why = faults.join("; ");
+        let refused = self.apply(documents).err().map(|error| {
+            let why = error.to_string();
             let scope = self.wanted[place].clone();
             let refused = Refused { scope, version, why: why.chars().take(WHY_MOST).collect() };
             if self.refused[place].as_ref() != Some(&refused) {
@@ -107,12 +156,11 @@
     }
 
     /// Applies the settings that these documents make: whole, or not at all.
-    fn apply(&mut self, documents: Documents) -> Result<(), Vec<String>> {
-        let settings = effective(&self.own_settings, documents.each_ref().map(Option::as_ref))?;
-        balancer_settings::check(&settings).map_err(|faults| faults.messages())?;
-        let loaded =
-            balancer_settings::read(&settings.to_string()).map_err(|error| vec![error.to_string()])?;
-        self.driver.reconfigure(loaded).map_err(|fault| vec![fault])?;
+    fn apply(&mut self, documents: Documents) -> Result<(), ApplyError> {
+        let settings = effective(&self.own_settings, documents.each_ref().map(Option::as_ref))
+            .map_err(ApplyError::Documents)?;
+        balancer_settings::check(&settings).map_err(ApplyError::Settings)?;
+        self.target.reconfigure(balancer_settings::read(&settings.to_string())?)?;
         let stands: Vec<String> = documents
             .iter()
             .flatten()
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams: its form and the watch on its changes.
+//! How does a balancer learn of changes of the endpoint list? It watches discovery: one call that stays open, on which
+//! each line is an update ([`update`]) or, if empty, a sign of life. What a line means is for the [`WatchObserver`].
 
 pub mod update;
 
@@ -13,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::connection;
-use crate::driver::Driver;
+use crate::pool::Pool;
 
 pub use update::{Endpoint, Update};
 
@@ -50,32 +51,65 @@
 /// Bytes of one line at most, so that a broken discovery cannot fill the memory.
 const LINE_MOST: usize = 8 << 20;
 
+/// Is notified of what a watch brings.
+pub trait WatchObserver {
+    /// An update has come, or the first line of a watch has said that nothing has changed since it asked.
+    fn on_update(self: &Rc<Self>, update: Update);
+
+    /// A later line was empty: the watch is alive.
+    fn on_heartbeat(&self);
+
+    /// The watch of that number has ended; it notifies of nothing more.
+    fn on_broken(self: &Rc<Self>, number: u64, why: &BrokenError);
+}
+
+/// Why a watch has ended.
 #[derive(Debug, Error)]
-enum BrokenError {
+pub enum BrokenError {
+    /// Discovery was not reached in time.
     #[error("no connection")]
     Connect,
+    /// The call failed, its answer made no sense, or it fell silent.
     #[error("{0}")]
     Watch(#[from] WatchError<LineError>),
 }
 
+/// A line of a watch is not the JSON that is expected.
 #[derive(Debug, Error)]
 #[error("a line is malformed: {0}")]
-struct LineError(#[from] serde_json::Error);
+pub struct LineError(#[from] serde_json::Error);
 
-/// Watches the list from `since` on until the watch ends, then tells the driver so.
-pub async fn watch(driver: Rc<Driver>, address: SocketAddr, patience: Patience, since: u64, number: u64) {
-    let Err(error) = follow(&driver, address, patience, since).await;
-    driver.watch_broke(number, &error.to_string());
+/// A watch to be opened.
+#[derive(Debug, Clone, Copy)]
+pub struct WatchStart {
+    /// Where discovery listens.
+    pub address: SocketAddr,
+    /// How long it may take to the first whole line.
+    pub patience: Patience,
+    /// The version of the list in hand.
+    pub since: u64,
+    /// Tells this watch from those before it.
+    pub number: u64,
+}
+
+/// Watches the list until the watch ends, then notifies the observer of its end. The connection counts against the
+/// sockets of `pool`.
+///
+/// Cancellation: dropping the future closes the connection, and the observer is not notified of that end. Each line is
+/// handed over whole, without an await in between.
+pub async fn watch(observer: Rc<impl WatchObserver>, pool: Rc<Pool>, start: WatchStart) {
+    let Err(error) = follow(&observer, &pool, start).await;
+    observer.on_broken(start.number, &error);
 }
 
 async fn follow(
-    driver: &Rc<Driver>,
-    address: SocketAddr,
-    Patience(first_word): Patience,
-    since: u64,
+    observer: &Rc<impl WatchObserver>,
+    pool: &Pool,
+    start: WatchStart,
 ) -> Result<Infallible, BrokenError> {
+    let WatchStart { address, patience: Patience(first_word), since, number: _ } = start;
     let first_by = Instant::now() + first_word;
-    let permit = driver.pool().reserved_permit();
+    let permit = pool.reserved_permit();
     let Ok(Ok(stream)) = timeout_at(first_by, connection::open(address, permit)).await else {
         return Err(BrokenError::Connect);
     };
@@ -86,17 +120,17 @@
         silence: SILENCE,
         line_most: LINE_MOST,
     };
-    let mut heard = false;
+    let mut stands = false;
     let line = |line: &[u8]| {
         if !line.is_empty() {
-            driver.learn(serde_json::from_slice(line)?);
-        } else if !heard {
+            observer.on_update(serde_json::from_slice(line)?);
+        } else if !stands {
             // Nothing has changed since; the watch stands all the same.
-            driver.learn(Update { index: since, snapshot: false, endpoints: Vec::new() });
+            observer.on_update(Update { index: since, snapshot: false, endpoints: Vec::new() });
         } else {
-            driver.hear_life_sign();
+            observer.on_heartbeat();
         }
-        heard = true;
+        stands = true;
         Ok(())
     };
     Ok(watch::follow(stream, ask, line).await?)
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -21,9 +21,11 @@
 
 use crate::clock::{Moment, StartTimes};
 use crate::config::Config;
-use crate::configuration::{self, Offered};
+use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::counters::{self, Counters};
-use crate::discovery::{self, Endpoint, Patience, TOLD_AFTER, Update};
+use crate::discovery::{
+    self, BrokenError, Endpoint, Patience, TOLD_AFTER, Update, WatchObserver, WatchStart,
+};
 use crate::pool::{AcquireError, Host, Pool};
 use crate::socket::WeakSocket;
 use crate::upstream::{self, Call, Ended, Job};
@@ -203,33 +205,12 @@
             }
         });
         if let Some(distribution) = config.distribution {
-            configuration::follow(&driver, &config.name, config.seed, distribution);
+            let pool = Rc::clone(&driver.pool);
+            configuration::follow(Rc::clone(&driver), pool, &config.name, config.seed, distribution);
         }
         Ok(driver)
     }
 
-    /// Goes over to other settings, whole or not at all. Requests that were taken keep the rules that they were taken
-    /// under, attempts and connections go on.
-    ///
-    /// # Errors
-    /// The settings are no successor of those before; nothing has changed.
-    pub fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), String> {
-        let Loaded { mut settings, names, connect_timeout } = loaded;
-        fit_to_sockets(&mut settings);
-        let offered = self.offered().followed_by(&names, &mut settings)?;
-        settings.validate().map_err(|error| error.to_string())?;
-        self.pool.reconfigure(connect_timeout, settings.allowed.keepalive);
-        self.longest.set(self.longest.get().max(offered.longest()));
-        self.offered.replace(Rc::new(offered));
-        self.handle(Event::Reconfigured(settings));
-        Ok(())
-    }
-
-    /// The distribution of settings has spoken, and what it said has been taken in.
-    pub fn configured(&self) {
-        self.configured.set(true);
-    }
-
     /// Whether a load report may have a value of this name.
     #[must_use]
     pub fn has_load_field(&self, name: &str) -> bool {
@@ -465,19 +446,6 @@
         }
     }
 
-    /// The watch of that number has ended.
-    pub fn watch_broke(self: &Rc<Self>, number: u64, why: &str) {
-        {
-            let mut core = self.core.borrow_mut();
-            if core.watch_number != number {
-                return;
-            }
-            core.watch = None;
-        }
-        crate::log(format_args!("the watch on discovery broke: {why}"));
-        self.handle(Event::List(ListUpdate::Broken));
-    }
-
     fn take_list(self: &Rc<Self>, update: Update, kind: fn(Vec<Member>) -> ListUpdate) {
         let members = {
             let mut core = self.core.borrow_mut();
@@ -584,9 +552,14 @@
                     watch.abort();
                 }
                 core.watch_number += 1;
-                let (address, number) = (self.discovery.get(), core.watch_number);
-                core.watch_at = address;
-                let watch = discovery::watch(Rc::clone(self), address, self.patience, core.index, number);
+                core.watch_at = self.discovery.get();
+                let start = WatchStart {
+                    address: core.watch_at,
+                    patience: self.patience,
+                    since: core.index,
+                    number: core.watch_number,
+                };
+                let watch = discovery::watch(Rc::clone(self), Rc::clone(&self.pool), start);
                 core.watch = Some(spawn_local(watch).abort_handle());
             }
             // Health checks are not made here: where a site allowed them, they would end unsent.
@@ -646,6 +619,48 @@
     }
 }
 
+impl Reconfigurable for Driver {
+    /// Requests that were taken keep the rules that they were taken under, attempts and connections go on.
+    fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError> {
+        let Loaded { mut settings, names, connect_timeout } = loaded;
+        fit_to_sockets(&mut settings);
+        let offered = self.offered().followed_by(&names, &mut settings)?;
+        settings.validate()?;
+        self.pool.reconfigure(connect_timeout, settings.allowed.keepalive);
+        self.longest.set(self.longest.get().max(offered.longest()));
+        self.offered.replace(Rc::new(offered));
+        self.handle(Event::Reconfigured(settings));
+        Ok(())
+    }
+
+    fn configured(&self) {
+        self.configured.set(true);
+    }
+}
+
+impl WatchObserver for Driver {
+    fn on_update(self: &Rc<Self>, update: Update) {
+        self.learn(update);
+    }
+
+    /// A start that a later line names lies after this one.
+    fn on_heartbeat(&self) {
+        self.hear_life_sign();
+    }
+
+    fn on_broken(self: &Rc<Self>, number: u64, why: &BrokenError) {
+        {
+            let mut core = self.core.borrow_mut();
+            if core.watch_number != number {
+                return;
+            }
+            core.watch = None;
+        }
+        crate::log(format_args!("the watch on discovery broke: {why}"));
+        self.handle(Event::List(ListUpdate::Broken));
+    }
+}
+
 /// Fits the settings to real sockets.
 fn fit_to_sockets(settings: &mut Settings) {
     // 'Automatic' speaks of the simulator: here a change comes only over a watch, which the decisions keep. It means
--- a/crates/proxy/src/offered.rs
+++ b/crates/proxy/src/offered.rs
@@ -7,10 +7,26 @@
 use balancer_policy::interface::{Class, ClassId, Tenant, TenantId};
 use balancer_settings::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
+use thiserror::Error;
 
-/// Classes and tenants in all since the start, those that went among them: their places are never given to others, and
-/// a restart forgets them.
-const PLACES_MOST: (usize, usize) = (2000, 20_000);
+/// Classes in all since the start, those that went among them: their positions are never given to others, and a restart
+/// forgets them.
+const MAX_CLASSES: usize = 2000;
+/// Tenants in all since the start, likewise.
+const MAX_TENANTS: usize = 20_000;
+
+/// There have been too many names since the start.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error(
+    "settings: {classes} names of lanes and {tenants} of projects since the start, {MAX_CLASSES} and {MAX_TENANTS} \
+     at most: a restart forgets those that went"
+)]
+pub struct TooManyNames {
+    /// Classes since the start, those of the refused settings among them.
+    pub classes: usize,
+    /// Tenants, likewise.
+    pub tenants: usize,
+}
 
 /// What callers may ask for under the settings in force, with the positions that the decisions know it by. Positions
 /// never change their meaning: what is new comes behind what was known, and what went keeps its place, unnamed.
@@ -42,17 +58,11 @@
     ///
     /// # Errors
     /// There have been too many names since the start.
-    pub fn followed_by(&self, names: &Names, settings: &mut Settings) -> Result<Self, String> {
+    pub fn followed_by(&self, names: &Names, settings: &mut Settings) -> Result<Self, TooManyNames> {
         let (class_names, classes) = placed(&self.class_names, &names.classes, settings.classes.len());
         let (tenant_names, tenants) = placed(&self.tenant_names, &names.tenants, settings.tenants.len());
-        let (most_classes, most_tenants) = PLACES_MOST;
-        if class_names.len() > most_classes || tenant_names.len() > most_tenants {
-            return Err(format!(
-                "settings: {} names of lanes and {} of projects since the start, {most_classes} and {most_tenants} \
-                 at most: a restart forgets those that went",
-                class_names.len(),
-                tenant_names.len()
-            ));
+        if class_names.len() > MAX_CLASSES || tenant_names.len() > MAX_TENANTS {
+            return Err(TooManyNames { classes: class_names.len(), tenants: tenant_names.len() });
         }
         let new: Vec<Option<usize>> =
             class_names.iter().map(|name| names.classes.get(name).copied()).collect();
