--- /dev/null
+++ b/crates/proxy/src/endpoint_table.rs
@@ -0,0 +1,256 @@
+//! Which endpoints does discovery list, by which number do the decisions know each, and may new work go to it at its
+//! address? Keeps what the updates of discovery have said, one older than the list in hand among them. The table decides
+//! nothing: the numbers go to the decisions, and connections are closed by the event loop.
+
+use std::net::SocketAddr;
+
+use balancer_policy::interface::{KindId, ListUpdate, Member, Phase, Time, UpstreamId, ZoneId};
+use balancer_settings::Names;
+use rustc_hash::{FxHashMap, FxHashSet};
+
+use crate::clock::{Moment, StartTimes, WallClock};
+use crate::discovery::update::{Endpoint, Update};
+
+/// An endpoint that is listed and not gone.
+#[derive(Debug)]
+pub struct ListedEndpoint {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its zone, if the settings know it.
+    pub zone: Option<ZoneId>,
+    since_ms: u64,
+    ready: bool,
+}
+
+/// How a list came.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ListSource {
+    /// From discovery, the complete list.
+    Snapshot,
+    /// From discovery, changed entries only.
+    Patch,
+    /// From the configuration, complete and maybe old.
+    Configuration,
+}
+
+/// What of a list goes to the decisions, and what to the connections.
+#[derive(Debug)]
+pub struct AppliedList {
+    /// For the decisions.
+    pub update: ListUpdate,
+    /// Endpoints whose process is a new one; the old one took its connections along.
+    pub restarted: Vec<UpstreamId>,
+}
+
+/// An entry of a list in the form of the decisions.
+struct AppliedEntry {
+    member: Member,
+    restarted: bool,
+}
+
+/// The endpoints and their list.
+#[derive(Debug)]
+pub struct EndpointTable {
+    ids: EndpointIds,
+    listed: FxHashMap<UpstreamId, ListedEndpoint>,
+    starts: StartTimes,
+    index: u64,
+    has_list: bool,
+    has_update: bool,
+}
+
+impl EndpointTable {
+    /// A table without a list, to which `index` is the version known.
+    #[must_use]
+    pub fn new(wall_clock: Box<dyn WallClock>, index: u64) -> Self {
+        Self {
+            ids: EndpointIds::default(),
+            listed: FxHashMap::default(),
+            starts: StartTimes::new(wall_clock),
+            index,
+            has_list: false,
+            has_update: false,
+        }
+    }
+
+    /// The version of the list in hand.
+    #[must_use]
+    pub fn index(&self) -> u64 {
+        self.index
+    }
+
+    /// Whether some list has come, with the configuration or from discovery.
+    #[must_use]
+    pub fn has_list(&self) -> bool {
+        self.has_list
+    }
+
+    /// Whether discovery has sent an update, which goes before the list of the configuration.
+    #[must_use]
+    pub fn has_update(&self) -> bool {
+        self.has_update
+    }
+
+    /// How many endpoints are listed, draining ones among them.
+    #[must_use]
+    pub fn listed(&self) -> usize {
+        self.listed.len()
+    }
+
+    /// How many endpoints new work may go to.
+    #[must_use]
+    pub fn ready(&self) -> usize {
+        self.listed.values().filter(|endpoint| endpoint.ready).count()
+    }
+
+    /// An endpoint that new work may go to.
+    #[must_use]
+    pub fn ready_endpoint(&self, id: UpstreamId) -> Option<&ListedEndpoint> {
+        self.listed.get(&id).filter(|endpoint| endpoint.ready)
+    }
+
+    /// The same, if it is still at this address.
+    #[must_use]
+    pub fn ready_endpoint_at(&self, id: UpstreamId, address: SocketAddr) -> Option<&ListedEndpoint> {
+        self.ready_endpoint(id).filter(|endpoint| endpoint.address == address)
+    }
+
+    /// Discovery has said a line, if an empty one: a start that a later one names lies after it.
+    pub fn note_heartbeat(&mut self, now: Time) {
+        self.starts.told(now);
+    }
+
+    /// Whether an update of discovery is to be applied. One older than the list in hand, as from a discovery that lags
+    /// behind the one asked before, must not end a drain: changes from then are passed over; a snapshot is what there is
+    /// now, but for endpoints that drain, which only a new start brings back, and those entries are changed here.
+    #[must_use]
+    pub fn admit(&mut self, now: Time, update: &mut Update) -> bool {
+        self.has_update = true;
+        if update.index < self.index {
+            crate::log(format_args!("an older list: {} after {}", update.index, self.index));
+            if !update.snapshot {
+                self.starts.told(now);
+                return false;
+            }
+            for endpoint in update.endpoints.iter_mut().filter(|endpoint| self.drains(now, endpoint)) {
+                "draining".clone_into(&mut endpoint.status);
+            }
+        }
+        self.index = update.index;
+        true
+    }
+
+    /// Whether an endpoint is listed as draining, and the entry of an older list names no new start of it.
+    fn drains(&self, now: Time, entry: &Endpoint) -> bool {
+        let Some(id) = self.ids.get(&entry.name) else { return false };
+        let drains = self.listed.get(&id).is_some_and(|endpoint| !endpoint.ready);
+        drains && !self.starts.is_new_start(now, id, entry.since_ms)
+    }
+
+    /// Takes in the entries of a list. Malformed ones are logged and passed over.
+    pub fn apply(
+        &mut self,
+        now: Time,
+        entries: &[Endpoint],
+        source: ListSource,
+        names: &Names,
+    ) -> AppliedList {
+        let newest_ms = entries.iter().map(|entry| entry.since_ms).max().unwrap_or(0);
+        let moment = self.starts.moment(now, newest_ms);
+        let mut members = Vec::with_capacity(entries.len());
+        let mut restarted = Vec::new();
+        for entry in entries {
+            let Some(applied) = self.apply_entry(&moment, entry, names) else {
+                crate::log(format_args!("passed over a malformed entry of the list: {entry:?}"));
+                continue;
+            };
+            if applied.restarted {
+                restarted.push(applied.member.id);
+            }
+            members.push(applied.member);
+        }
+        self.has_list |= !members.is_empty() || source != ListSource::Configuration;
+        if source != ListSource::Patch {
+            let seen: FxHashSet<UpstreamId> = members.iter().map(|member| member.id).collect();
+            self.listed.retain(|id, _| seen.contains(id));
+            self.starts.retain(&seen);
+        }
+        let update = match source {
+            ListSource::Snapshot => ListUpdate::Whole(members),
+            ListSource::Patch => ListUpdate::Patch(members),
+            ListSource::Configuration => ListUpdate::StaleCopy(members),
+        };
+        AppliedList { update, restarted }
+    }
+
+    fn apply_entry(&mut self, moment: &Moment, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
+        let phase = match entry.status.as_str() {
+            "ready" => Phase::Ready,
+            "draining" => Phase::Draining,
+            "gone" => Phase::Gone,
+            _ => return None,
+        };
+        let id = self.ids.get_or_assign(&entry.name);
+        let zone = names.zones.get(&entry.zone).copied().map(ZoneId);
+        let mut restarted = false;
+        if phase == Phase::Gone {
+            self.listed.remove(&id);
+        } else {
+            // A drain holds, whatever has become of the address.
+            let known = self.listed.get(&id).filter(|_| phase == Phase::Draining).map(|known| known.address);
+            let address = entry.address.parse().ok().or(known)?;
+            let (since_ms, ready) = (entry.since_ms, phase == Phase::Ready);
+            let before = self.listed.insert(id, ListedEndpoint { address, zone, since_ms, ready });
+            restarted = before.is_some_and(|before| before.since_ms != since_ms);
+        }
+        let started = self.starts.listed(moment, id, entry.since_ms);
+        if phase == Phase::Gone {
+            self.starts.left(id);
+        }
+        let weight = entry.weight;
+        let member = Member {
+            id,
+            zone,
+            kind: names.kinds.get(&entry.kind).copied().map(KindId),
+            cell: entry.group,
+            phase,
+            weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
+            started,
+        };
+        Some(AppliedEntry { member, restarted })
+    }
+}
+
+/// The numbers of endpoints, by name.
+#[derive(Debug, Default)]
+struct EndpointIds {
+    by_name: FxHashMap<Box<str>, UpstreamId>,
+    assigned: FxHashSet<UpstreamId>,
+}
+
+impl EndpointIds {
+    fn get(&self, name: &str) -> Option<UpstreamId> {
+        self.by_name.get(name).copied()
+    }
+
+    /// The number of an endpoint: from its name alone, so that all balancers sort them alike. Should two names meet, the
+    /// later one takes the next free number.
+    fn get_or_assign(&mut self, name: &str) -> UpstreamId {
+        if let Some(id) = self.get(name) {
+            return id;
+        }
+        let mut number = fnv1a(name);
+        while !self.assigned.insert(UpstreamId(number)) {
+            number = number.wrapping_add(1);
+        }
+        self.by_name.insert(name.into(), UpstreamId(number));
+        UpstreamId(number)
+    }
+}
+
+/// The 32-bit FNV-1a hash.
+fn fnv1a(name: &str) -> u32 {
+    const OFFSET_BASIS: u32 = 2_166_136_261;
+    const PRIME: u32 = 16_777_619;
+    name.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(PRIME))
+}
--- /dev/null
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -0,0 +1,129 @@
+//! What the decisions ask for, carried out.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use balancer_policy::interface::{Outcome, RequestId, UpstreamId};
+use balancer_policy::{Action, Event};
+use tokio::task::spawn_local;
+use tokio::time::{Instant, sleep};
+
+use super::{Driver, State};
+use crate::discovery::{self, WatchStart};
+use crate::request_table::Answer;
+use crate::upstream::{self, Job};
+
+impl Driver {
+    /// Hands an event to the decisions and carries out what they ask for.
+    pub(super) fn handle(self: &Rc<Self>, event: Event) {
+        let mut state = self.state.borrow_mut();
+        state.events.push_back(event);
+        let mut actions = Vec::new();
+        while let Some(event) = state.events.pop_front() {
+            state.balancer.handle(self.now(), event, &mut actions);
+            for action in actions.drain(..) {
+                self.carry_out(&mut state, action);
+            }
+        }
+    }
+
+    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+        match action {
+            Action::Send { request, upstream, timeout, begin_within, last } => {
+                self.send(state, &Send { request, upstream, timeout, begin_within, last });
+            }
+            Action::Withdraw { request, attempt } => state.requests.withdraw(request, attempt),
+            Action::Refuse { request, retry_after } => state.refuse(request, retry_after),
+            Action::Fail { request } => state.fail(request),
+            Action::Subscribe => self.subscribe(state),
+            // Health checks are not made here: where a site allowed them, they would end unsent.
+            Action::Probe { upstream } => state.events.push_back(Event::Probed {
+                upstream,
+                outcome: Outcome::NotSent,
+                took: Duration::ZERO,
+                load: None,
+            }),
+            Action::DropIdle { upstream } => self.pool.close_idle(upstream),
+            Action::WakeAfter(span) => {
+                let driver = Rc::clone(self);
+                spawn_local(async move {
+                    sleep(span).await;
+                    driver.handle(Event::Wake);
+                });
+            }
+            Action::Log(text) => crate::log(format_args!("{text}")),
+        }
+    }
+
+    fn subscribe(self: &Rc<Self>, state: &mut State) {
+        let State { watch, endpoints, .. } = state;
+        watch.abort();
+        watch.number += 1;
+        watch.address = self.discovery.get();
+        let start = WatchStart {
+            address: watch.address,
+            patience: self.patience,
+            since: endpoints.index(),
+            number: watch.number,
+        };
+        let task = discovery::watch(Rc::clone(self), Rc::clone(&self.pool), start);
+        watch.task = Some(spawn_local(task).abort_handle());
+    }
+
+    fn send(self: &Rc<Self>, state: &mut State, send: &Send) {
+        let &Send { request, upstream, timeout, begin_within, last } = send;
+        let Some(in_flight) = state.requests.get_mut(request) else { return };
+        let endpoint = state.endpoints.ready_endpoint(upstream);
+        let Some(endpoint) = endpoint.filter(|_| in_flight.is_unanswered()) else {
+            state.counters.attempt(Outcome::NotSent, Duration::ZERO);
+            return state.events.push_back(Event::AttemptEnded {
+                request,
+                attempt: in_flight.skip_attempt(),
+                outcome: Outcome::NotSent,
+                took: Duration::ZERO,
+                connecting: Duration::ZERO,
+                finished: !in_flight.is_unanswered(),
+                load: None,
+            });
+        };
+        let asked = Instant::now();
+        let attempt = in_flight.start_attempt();
+        let job = Job {
+            request,
+            attempt: attempt.number,
+            upstream,
+            address: endpoint.address,
+            call: Rc::clone(in_flight.call()),
+            asked,
+            begin_by: begin_within.map(|span| asked + span),
+            until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(asked + span)),
+            last,
+        };
+        spawn_local(upstream::attempt(Rc::clone(self), job, attempt.withdrawn));
+    }
+}
+
+/// [`Action::Send`].
+struct Send {
+    request: RequestId,
+    upstream: UpstreamId,
+    timeout: Option<Duration>,
+    begin_within: Option<Duration>,
+    last: bool,
+}
+
+impl State {
+    fn refuse(&mut self, id: RequestId, retry_after: Option<Duration>) {
+        match self.requests.answer(id, Answer::Refused { retry_after }) {
+            Some(0) => self.counters.denied += 1,
+            Some(_) => self.counters.refused += 1,
+            None => {}
+        }
+    }
+
+    fn fail(&mut self, id: RequestId) {
+        if self.requests.answer(id, Answer::Failed).is_some() {
+            self.counters.failed += 1;
+        }
+    }
+}
