--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -158,6 +158,13 @@
         self.first_list_at.map_or(Duration::ZERO, |first| now.saturating_sub(first))
     }
 
+    /// The upstreams of which a start is remembered, those that are not listed any more among them.
+    #[must_use]
+    pub fn remembered(&self) -> FxHashSet<UpstreamId> {
+        let past = self.past.by_start.keys().map(|&(id, _)| id);
+        self.listed.keys().copied().chain(past).collect()
+    }
+
     /// How many starts are remembered of processes that are not listed any more.
     #[must_use]
     pub fn past_len(&self) -> usize {
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -8,9 +8,13 @@
 use balancer_settings::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::clock::{Moment, StartTimes, WallClock};
+use crate::clock::{Moment, PAST_STARTS_MOST, StartTimes, WallClock};
 use crate::discovery::update::{Endpoint, Update};
 
+/// Names that are remembered before any is forgotten: more than one for each past start that the clock remembers, so that
+/// what is looked through to forget some is, on average, a few names for each new one.
+pub const MIN_NAMES_TO_PRUNE: usize = 2 * PAST_STARTS_MOST;
+
 /// An endpoint that is listed and not gone.
 #[derive(Debug)]
 pub struct ListedEndpoint {
@@ -64,7 +68,7 @@
     #[must_use]
     pub fn new(wall_clock: Box<dyn WallClock>, index: u64) -> Self {
         Self {
-            ids: EndpointIds::default(),
+            ids: EndpointIds::new(),
             listed: FxHashMap::default(),
             starts: StartTimes::new(wall_clock),
             index,
@@ -115,6 +119,22 @@
         self.ready_endpoint(id).filter(|endpoint| endpoint.address == address)
     }
 
+    /// How many names of endpoints are remembered.
+    #[must_use]
+    pub fn names(&self) -> usize {
+        self.ids.by_name.len()
+    }
+
+    /// Forgets the names of endpoints that are neither listed, nor have an attempt out, nor a start that is remembered.
+    /// Where names never repeat they would fill the memory otherwise. A name that returns gets its number again, as that
+    /// is the hash of the name; only of two names that meet the later one may get another number, when nothing is left
+    /// that it was known by.
+    fn prune_names(&mut self, in_attempts: &FxHashSet<UpstreamId>) {
+        let remembered = self.starts.remembered();
+        let listed = &self.listed;
+        self.ids.retain(|id| listed.contains_key(id) || in_attempts.contains(id) || remembered.contains(id));
+    }
+
     /// Discovery has said a line, if an empty one: a start that a later one names lies after it.
     pub fn note_heartbeat(&mut self, now: Time) {
         self.starts.told(now);
@@ -147,13 +167,15 @@
         drains && !self.starts.is_new_start(now, id, entry.since_ms)
     }
 
-    /// Takes in the entries of a list. Malformed ones are logged and passed over.
+    /// Takes in the entries of a list. Malformed ones are logged and passed over. `in_attempts` gives the endpoints that
+    /// attempts are out to, whose names must not be forgotten; it is called now and then.
     pub fn apply(
         &mut self,
         now: Time,
         entries: &[Endpoint],
         source: ListSource,
         names: &Names,
+        in_attempts: impl FnOnce() -> FxHashSet<UpstreamId>,
     ) -> AppliedList {
         let newest_ms = entries.iter().map(|entry| entry.since_ms).max().unwrap_or(0);
         let moment = self.starts.moment(now, newest_ms);
@@ -175,6 +197,9 @@
             self.listed.retain(|id, _| seen.contains(id));
             self.starts.retain(&seen);
         }
+        if self.names() >= self.ids.prune_at {
+            self.prune_names(&in_attempts());
+        }
         let update = match source {
             ListSource::Snapshot => ListUpdate::Whole(members),
             ListSource::Patch => ListUpdate::Patch(members),
@@ -222,13 +247,25 @@
 }
 
 /// The numbers of endpoints, by name.
-#[derive(Debug, Default)]
+#[derive(Debug)]
 struct EndpointIds {
     by_name: FxHashMap<Box<str>, UpstreamId>,
     assigned: FxHashSet<UpstreamId>,
+    /// So many names are looked through for some to forget: twice those that the last look has left.
+    prune_at: usize,
 }
 
 impl EndpointIds {
+    fn new() -> Self {
+        Self { by_name: FxHashMap::default(), assigned: FxHashSet::default(), prune_at: MIN_NAMES_TO_PRUNE }
+    }
+
+    fn retain(&mut self, is_needed: impl Fn(&UpstreamId) -> bool) {
+        self.by_name.retain(|_, id| is_needed(id));
+        self.assigned.retain(is_needed);
+        self.prune_at = (2 * self.by_name.len()).max(MIN_NAMES_TO_PRUNE);
+    }
+
     fn get(&self, name: &str) -> Option<UpstreamId> {
         self.by_name.get(name).copied()
     }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -350,8 +350,9 @@
     fn apply_list(self: &Rc<Self>, update: &Update, source: ListSource) {
         let update = {
             let mut state = self.state.borrow_mut();
-            let endpoints = &mut state.endpoints;
-            let applied = endpoints.apply(self.now(), &update.endpoints, source, &self.names);
+            let State { endpoints, requests, .. } = &mut *state;
+            let applied =
+                endpoints.apply(self.now(), &update.endpoints, source, &self.names, || requests.upstreams());
             let AppliedList { update, restarted } = applied;
             for id in restarted {
                 self.pool.close(id);
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -87,7 +87,7 @@
             });
         };
         let asked = Instant::now();
-        let attempt = in_flight.start_attempt();
+        let attempt = in_flight.start_attempt(upstream);
         let job = Job {
             request,
             attempt: attempt.number,
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, TenantId};
+use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, TenantId, UpstreamId};
 use bytes::Bytes;
-use rustc_hash::FxHashMap;
+use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -56,11 +56,19 @@
     deadline: Instant,
     /// Used up by the final answer.
     answer: Option<oneshot::Sender<Answer>>,
-    /// By attempt: withdraws it, once.
-    withdrawals: Vec<Option<oneshot::Sender<()>>>,
+    attempts: Vec<Attempt>,
     attempts_out: u32,
 }
 
+/// An attempt of a request that is in the table.
+#[derive(Debug, Default)]
+struct Attempt {
+    /// Where it is out to, until it has ended.
+    upstream: Option<UpstreamId>,
+    /// Withdraws it, once.
+    withdraw: Option<oneshot::Sender<()>>,
+}
+
 /// An attempt that has been entered into the table.
 #[derive(Debug)]
 pub struct StartedAttempt {
@@ -99,10 +107,10 @@
     }
 
     /// Enters an attempt that goes out.
-    pub fn start_attempt(&mut self) -> StartedAttempt {
+    pub fn start_attempt(&mut self, upstream: UpstreamId) -> StartedAttempt {
         let (withdraw, withdrawn) = oneshot::channel();
         let number = self.next_attempt();
-        self.withdrawals.push(Some(withdraw));
+        self.attempts.push(Attempt { upstream: Some(upstream), withdraw: Some(withdraw) });
         self.attempts_out += 1;
         StartedAttempt { number, withdrawn }
     }
@@ -110,12 +118,12 @@
     /// Enters an attempt that ends before it goes out.
     pub fn skip_attempt(&mut self) -> AttemptNumber {
         let number = self.next_attempt();
-        self.withdrawals.push(None);
+        self.attempts.push(Attempt::default());
         number
     }
 
     fn next_attempt(&self) -> AttemptNumber {
-        AttemptNumber(self.withdrawals.len() as u32)
+        AttemptNumber(self.attempts.len() as u32)
     }
 
     fn is_over(&self) -> bool {
@@ -149,6 +157,13 @@
         self.requests.values().map(|request| request.attempts_out).sum()
     }
 
+    /// The upstreams that attempts are out to.
+    #[must_use]
+    pub fn upstreams(&self) -> FxHashSet<UpstreamId> {
+        let attempts = self.requests.values().flat_map(|request| &request.attempts);
+        attempts.filter_map(|attempt| attempt.upstream).collect()
+    }
+
     /// Enters a request, whose final answer goes to `answer`.
     pub fn insert(&mut self, taken: &Taken, answer: oneshot::Sender<Answer>) -> RequestId {
         let id = RequestId(self.next_id);
@@ -158,7 +173,7 @@
             client: taken.client.clone(),
             deadline: taken.deadline,
             answer: Some(answer),
-            withdrawals: Vec::new(),
+            attempts: Vec::new(),
             attempts_out: 0,
         };
         self.requests.insert(id, request);
@@ -187,7 +202,7 @@
     /// Gives a request its final answer, and returns how many attempts it had; `None` if it had its answer before.
     pub fn answer(&mut self, id: RequestId, answer: Answer) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
-        let attempts = request.withdrawals.len();
+        let attempts = request.attempts.len();
         let answered = request.answer.take().map(|sender| {
             // A client that has just left is noticed in a way of its own.
             let _ = sender.send(answer);
@@ -208,9 +223,9 @@
 
     /// Withdraws an attempt, if it has neither ended nor been withdrawn.
     pub fn withdraw(&mut self, id: RequestId, attempt: AttemptNumber) {
-        let slot =
-            self.requests.get_mut(&id).and_then(|request| request.withdrawals.get_mut(attempt.0 as usize));
-        if let Some(withdraw) = slot.and_then(Option::take) {
+        let attempt =
+            self.requests.get_mut(&id).and_then(|request| request.attempts.get_mut(attempt.0 as usize));
+        if let Some(withdraw) = attempt.and_then(|attempt| attempt.withdraw.take()) {
             // It may have ended this moment, which it then says itself.
             let _ = withdraw.send(());
         }
@@ -225,8 +240,8 @@
     ) -> Option<AttemptResult> {
         let request = self.requests.get_mut(&id)?;
         request.attempts_out -= 1;
-        if let Some(withdraw) = request.withdrawals.get_mut(attempt.0 as usize) {
-            *withdraw = None;
+        if let Some(attempt) = request.attempts.get_mut(attempt.0 as usize) {
+            *attempt = Attempt::default();
         }
         let mut served = false;
         if let Some(body) = body
--- /dev/null
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -0,0 +1,131 @@
+//! Names of endpoints: what is remembered of them is bounded, and a name that returns has its number again.
+
+mod common;
+
+use std::collections::HashSet;
+use std::time::Duration;
+
+use balancer_policy::interface::{ListUpdate, Time, UpstreamId};
+use balancer_proxy::clock::{PAST_STARTS_MOST, SystemClock};
+use balancer_proxy::discovery::Update;
+use balancer_proxy::endpoint_table::{EndpointTable, ListSource, MIN_NAMES_TO_PRUNE};
+use balancer_settings::Names;
+use common::settings;
+use rustc_hash::FxHashSet;
+use serde_json::json;
+
+/// Far more names than are remembered.
+const MANY: usize = 10 * MIN_NAMES_TO_PRUNE;
+/// A start that no list has named before.
+const NEW_START_MS: u64 = 1_700_000_000_000;
+
+/// A table that takes in patches, and what attempts are out.
+struct World {
+    table: EndpointTable,
+    names: Names,
+    now: Time,
+    in_attempts: FxHashSet<UpstreamId>,
+}
+
+impl World {
+    fn new() -> Self {
+        let names = balancer_settings::read(&settings(50.0).to_string()).expect("sound settings").names;
+        let table = EndpointTable::new(Box::new(SystemClock), 0);
+        Self { table, names, now: Duration::from_secs(3600), in_attempts: FxHashSet::default() }
+    }
+
+    /// One entry of a patch; gives the endpoint's number and start time.
+    fn patch(&mut self, name: &str, status: &str, since_ms: u64) -> (UpstreamId, Option<Time>) {
+        let entry = json!({ "name": name, "address": "127.0.0.1:9", "status": status, "since_ms": since_ms });
+        let update: Update = serde_json::from_value(json!({ "endpoints": [entry] })).expect("an update");
+        self.now += Duration::from_millis(1);
+        let in_attempts = || self.in_attempts.clone();
+        let applied =
+            self.table.apply(self.now, &update.endpoints, ListSource::Patch, &self.names, in_attempts);
+        let ListUpdate::Patch(members) = applied.update else { panic!("no patch: {:?}", applied.update) };
+        (members[0].id, members[0].started)
+    }
+
+    /// Names that are listed and gone again, and never return.
+    fn pass(&mut self, since_ms: u64) {
+        for number in 0..MANY {
+            let name = format!("passing-{since_ms}-{number}");
+            self.patch(&name, "ready", since_ms);
+            let needed = self.table.listed() + self.in_attempts.len() + PAST_STARTS_MOST;
+            self.patch(&name, "gone", since_ms);
+            assert!(self.table.names() <= 2 * needed, "{} names, {needed} needed", self.table.names());
+        }
+    }
+}
+
+#[test]
+fn names_that_never_repeat_are_forgotten() {
+    let mut world = World::new();
+    world.pass(0);
+    // Those whose starts are remembered stay longer.
+    world.pass(NEW_START_MS);
+}
+
+#[test]
+fn a_name_that_returns_has_its_number_again() {
+    let mut world = World::new();
+    let names: Vec<String> = (0..100).map(|number| format!("s-{number}")).collect();
+    let first: Vec<UpstreamId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
+    for name in &names {
+        world.patch(name, "gone", 0);
+    }
+    world.pass(0);
+    let again: Vec<UpstreamId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
+    assert_eq!(again, first);
+}
+
+/// `costarring` and `liquid` have the same hash.
+#[test]
+fn of_two_names_that_meet_each_keeps_its_number_while_it_is_known() {
+    let listed = |world: &mut World| {
+        world.patch("costarring", "ready", 0);
+        world.patch("liquid", "ready", 0).0
+    };
+    let mut world = World::new();
+    let later = listed(&mut world);
+    world.patch("costarring", "gone", 0);
+    world.pass(0);
+    assert_eq!(world.patch("liquid", "ready", 0).0, later, "listed");
+
+    let mut world = World::new();
+    let later = listed(&mut world);
+    world.in_attempts.insert(later);
+    world.patch("costarring", "gone", 0);
+    world.patch("liquid", "gone", 0);
+    world.pass(0);
+    assert_eq!(world.patch("liquid", "ready", 0).0, later, "an attempt is out to it");
+}
+
+#[test]
+fn the_names_of_past_starts_are_remembered() {
+    let mut world = World::new();
+    world.patch("older", "ready", 0);
+    let before: Vec<_> = (0..PAST_STARTS_MOST)
+        .map(|number| {
+            let started = world.patch(&format!("s-{number}"), "ready", NEW_START_MS);
+            world.patch(&format!("s-{number}"), "gone", NEW_START_MS);
+            started
+        })
+        .collect();
+    // Without a stamp they leave no start behind that would drive those out.
+    world.pass(0);
+    world.now += Duration::from_secs(60);
+    for (number, before) in before.into_iter().enumerate() {
+        assert_eq!(world.patch(&format!("s-{number}"), "ready", NEW_START_MS), before);
+    }
+}
+
+/// Guards the bound: one that is listed is never forgotten, however many there are.
+#[test]
+fn more_names_than_the_bound_may_be_listed() {
+    let mut world = World::new();
+    let ids: HashSet<UpstreamId> =
+        (0..2 * MIN_NAMES_TO_PRUNE).map(|number| world.patch(&format!("s-{number}"), "ready", 0).0).collect();
+    assert_eq!(ids.len(), 2 * MIN_NAMES_TO_PRUNE);
+    assert_eq!(world.table.names(), 2 * MIN_NAMES_TO_PRUNE);
+}
