--- /dev/null
+++ b/crates/proxy/tests/request_table.rs
@@ -0,0 +1,113 @@
+//! The table of requests: how long a request and its attempts stay in it.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, UpstreamId};
+use balancer_proxy::request_table::{Answer, AttemptResult, RequestTable, Taken};
+use balancer_proxy::socket::Socket;
+use balancer_proxy::upstream::Call;
+use bytes::Bytes;
+use hyper::header::HeaderValue;
+use hyper::{Method, Uri};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+const UPSTREAM: UpstreamId = UpstreamId(7);
+
+/// A table with one request of a client that is connected.
+struct World {
+    table: RequestTable,
+    request: RequestId,
+    answer: oneshot::Receiver<Answer>,
+    _client: (Socket, TcpStream),
+}
+
+impl World {
+    async fn new() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let far = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("listens");
+        let near = Socket::new(listener.accept().await.expect("connected").0);
+        let call = Call {
+            method: Method::GET,
+            uri: Uri::from_static("/read"),
+            host: HeaderValue::from_static("origin.svc"),
+            id: HeaderValue::from_static("r-1"),
+            key: None,
+            body: Bytes::new(),
+            once: false,
+        };
+        let taken = Taken {
+            class: ClassId(0),
+            tenant: None,
+            key: None,
+            expected_work: None,
+            repeat: false,
+            deadline: Instant::now() + Duration::from_secs(1),
+            call: Rc::new(call),
+            client: near.downgrade(),
+        };
+        let (sender, answer) = oneshot::channel();
+        let mut table = RequestTable::default();
+        let request = table.insert(&taken, sender);
+        Self { table, request, answer, _client: (near, far) }
+    }
+
+    fn start_attempt(&mut self) -> (AttemptNumber, oneshot::Receiver<()>) {
+        let attempt = self.table.get_mut(self.request).expect("in flight").start_attempt(UPSTREAM);
+        (attempt.number, attempt.withdrawn)
+    }
+
+    fn upstreams(&self) -> Vec<UpstreamId> {
+        self.table.upstreams().into_iter().collect()
+    }
+}
+
+fn run(test: impl Future<Output = ()>) {
+    tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts").block_on(test);
+}
+
+#[test]
+fn a_withdrawn_attempt_is_out_until_it_has_ended() {
+    run(async {
+        let mut world = World::new().await;
+        let (number, mut withdrawn) = world.start_attempt();
+        world.table.withdraw(world.request, number);
+        assert_eq!(withdrawn.try_recv(), Ok(()));
+        assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![UPSTREAM], 1));
+        let result = world.table.end_attempt(world.request, number, None);
+        assert_eq!(result, Some(AttemptResult { served: false, finished: false }));
+        assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![], 0));
+        assert!(world.table.is_awaited(world.request), "it still lacks its answer");
+    });
+}
+
+#[test]
+fn an_answered_request_stays_while_an_attempt_is_out() {
+    run(async {
+        let mut world = World::new().await;
+        let (first, _withdrawn) = world.start_attempt();
+        let (second, _withdrawn) = world.start_attempt();
+        let result = world.table.end_attempt(world.request, first, Some(Bytes::from_static(b"ok")));
+        assert_eq!(result, Some(AttemptResult { served: true, finished: true }));
+        assert_eq!(world.answer.try_recv(), Ok(Answer::Served(Bytes::from_static(b"ok"))));
+        assert!(!world.table.is_wanted(world.request));
+        assert_eq!((world.upstreams(), world.table.len()), (vec![UPSTREAM], 1));
+        assert_eq!(world.table.answer(world.request, Answer::Failed), None, "it has its answer");
+        let result = world.table.end_attempt(world.request, second, Some(Bytes::new()));
+        assert_eq!(result, Some(AttemptResult { served: false, finished: true }));
+        assert!(world.table.is_empty());
+    });
+}
+
+#[test]
+fn an_abandoned_request_without_an_attempt_goes_at_once() {
+    run(async {
+        let mut world = World::new().await;
+        world.table.get_mut(world.request).expect("in flight").skip_attempt();
+        assert!(world.table.abandon(world.request));
+        assert!(world.table.is_empty());
+        assert!(!world.table.abandon(world.request), "only once");
+    });
+}
