--- /dev/null
+++ b/crates/config-distribution/tests/hosts_stored_form.rs
@@ -0,0 +1,122 @@
+//! Stores that an earlier program left open in this one: an upgrade loses nothing that was acknowledged.
+
+mod hosts_common;
+
+use std::fs;
+
+use config_distribution::document::{Document, Scope};
+use config_distribution::host::store::{Found, Store};
+use hosts_common::{Directory, Process, address, get, play, publish};
+use serde_json::json;
+
+/// See `data/README.md`.
+const ORIGIN_STORE: &[u8] = include_bytes!("data/origin-store.redb.runs");
+const RELAY_STORE: &[u8] = include_bytes!("data/relay-store.redb.runs");
+/// Bytes of either file.
+const FILE_BYTES: usize = 4_755_456;
+
+/// Takes a count off the front.
+fn count(runs: &mut &[u8]) -> usize {
+    let (count, rest) = runs.split_first_chunk().expect("a count");
+    *runs = rest;
+    u32::from_le_bytes(*count) as usize
+}
+
+/// The file that runs stand for.
+fn file_of(mut runs: &[u8]) -> Vec<u8> {
+    let mut file = Vec::new();
+    while !runs.is_empty() {
+        let repeats = count(&mut runs);
+        let (byte, rest) = runs.split_first().expect("a byte");
+        file.resize(file.len() + repeats, *byte);
+        runs = rest;
+        let literals = count(&mut runs);
+        let (literal, rest) = runs.split_at(literals);
+        file.extend_from_slice(literal);
+        runs = rest;
+    }
+    file
+}
+
+/// A directory as the earlier program left it.
+fn directory_with(name: &str, runs: &[u8]) -> Directory {
+    let file = file_of(runs);
+    assert_eq!(file.len(), FILE_BYTES);
+    let directory = Directory::new(name);
+    fs::write(directory.path().join("configuration.redb"), file).unwrap();
+    directory
+}
+
+fn document(scope: &str, version: u64, cross_zone: u64) -> Document {
+    let body = format!("{{\"settings\": {{\"prices\": {{\"crossZone\": {cross_zone}}}}}}}");
+    Document::new(scope.parse().unwrap(), version, body.into())
+}
+
+fn withdrawn(scope: &str, version: u64) -> Document {
+    Document::new(scope.parse().unwrap(), version, "null".into())
+}
+
+fn found_in(directory: &Directory) -> Found {
+    Store::at(directory.path()).unwrap().1
+}
+
+fn documents(found: &Found) -> Vec<Document> {
+    found.records.iter().map(|record| record.document.clone()).collect()
+}
+
+#[test]
+fn an_origins_store_of_the_version_before_has_all_its_records() {
+    let found = found_in(&directory_with("stored-origin", ORIGIN_STORE));
+    let requests: Vec<&str> = found.records.iter().map(|record| &*record.request).collect();
+    let fleet = document("fleet", 1, 1);
+    let api = document("service/api", 2, 2);
+    let north = document("region/north", 4, 4);
+    assert_eq!(documents(&found), [fleet, api, withdrawn("service/api", 3), north]);
+    assert_eq!(requests, ["first", "second", "third", "fourth"]);
+    assert_eq!(found.index, 0, "an origin's index is that of its last record");
+}
+
+#[test]
+fn a_relays_store_of_the_version_before_has_its_documents_and_its_index() {
+    let found = found_in(&directory_with("stored-relay", RELAY_STORE));
+    let fleet = document("fleet", 1, 1);
+    let north = document("region/north", 4, 4);
+    assert_eq!(documents(&found), [fleet, withdrawn("service/api", 3), north]);
+    assert_eq!(found.index, 4);
+}
+
+#[test]
+fn an_origin_goes_on_from_the_store_of_the_version_before() {
+    play(async {
+        let directory = directory_with("stored-origin-goes-on", ORIGIN_STORE);
+        let origin = Process::origin(&directory, address());
+        let snapshot = get(origin.address, "/configuration").await.unwrap().1;
+        assert_eq!(snapshot["index"], 4);
+        let scopes: Vec<&str> = snapshot["documents"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|each| each["scope"].as_str().unwrap())
+            .collect();
+        assert_eq!(scopes, ["fleet", "region/north"]);
+        // A request id of before is known still, and a new one gets the next index.
+        let repeated = r#"{"settings": {"prices": {"crossZone": 4}}}"#;
+        assert_eq!(publish(origin.address, "region/north", repeated, "fourth").await, 4);
+        assert_eq!(publish(origin.address, "region/north", repeated, "fifth").await, 5);
+    });
+}
+
+#[test]
+fn a_relay_serves_what_it_stored_in_the_version_before_while_it_is_cut_off() {
+    play(async {
+        let directory = directory_with("stored-relay-serves", RELAY_STORE);
+        let (place, nobody) = (directory.path().to_str().unwrap(), address().to_string());
+        let arguments = ["relay", "--level", "1", "--parent", &nobody, "--dir", place];
+        let relay = Process::start(&arguments, address());
+        let snapshot = get(relay.address, "/configuration").await.unwrap().1;
+        let fleet: Scope = "fleet".parse().unwrap();
+        assert_eq!(snapshot["index"], 4);
+        assert_eq!(snapshot["documents"][0]["scope"], json!(fleet));
+        assert_eq!(snapshot["documents"].as_array().map(Vec::len), Some(2));
+    });
+}
