--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -244,8 +244,11 @@
     "crates/proxy/src/configuration.rs",
     "pub fn follow(",
 );
-const ORIGIN: Mechanism =
-    ours("`config-distribution` `Origin`", "crates/config-distribution/src/origin.rs", "pub struct Origin");
+const ORIGIN: Mechanism = ours(
+    "`config-distribution` `Origin`",
+    "crates/config-distribution/src/core/origin.rs",
+    "pub struct Origin",
+);
 const RELAY: Mechanism = ours(
     "`config-distribution` `RelayHost`",
     "crates/config-distribution/src/host/relay.rs",
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -330,7 +330,7 @@
     assert!(today[1..].iter().all(|row| !row.contains("none today")), "{today:#?}");
     assert!(today[1].contains("repeats stay bounded"), "{today:#?}");
 
-    has("crates/config-distribution/src/origin.rs", "pub struct Origin");
+    has("crates/config-distribution/src/core/origin.rs", "pub struct Origin");
     has("crates/config-distribution/src/host/relay.rs", "pub struct RelayHost");
     has("crates/config-distribution/src/command.rs", "Publish {");
     assert_eq!(rows()[0], today[0], "no balancer takes it in yet");
--- a/crates/config-distribution/src/host/mod.rs
+++ b/crates/config-distribution/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts around the core: sockets, timers, disk. They decide nothing.
+//! Hosts around the core: sockets and timers. They decide nothing.
 
 pub mod accept;
 pub mod call;
@@ -7,5 +7,6 @@
 pub mod origin;
 pub mod relay;
 pub mod server;
-pub mod store;
 pub mod watch;
+
+pub use crate::store;
--- a/crates/config-distribution/src/host/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -12,7 +12,7 @@
 use redb::{Builder, Database, DatabaseError, ReadableTable, StorageBackend, StorageError, TableDefinition};
 use thiserror::Error;
 
-use super::log::log;
+use crate::host::log::log;
 use crate::origin::Record;
 
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
