--- a/crates/config-distribution/src/host/accept.rs
+++ b/crates/config-distribution/src/host/accept.rs
@@ -34,7 +34,7 @@
 }
 
 impl AcceptFailures {
-    /// Counts a failure, and tells how long to wait before the next accept.
+    /// Counts a failure; returns how long to wait before the next accept.
     pub(crate) fn pause_after(&mut self, error: &io::Error) -> Duration {
         self.in_a_row = self.in_a_row.saturating_add(1);
         if concerns_one_connection(error) && self.in_a_row < IN_A_ROW {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Whether the last failure is the first in a row, which the log tells.
-    pub(crate) fn is_news(&self) -> bool {
+    /// Whether the last failure is the first in a row, which is the one to log.
+    pub(crate) fn is_first(&self) -> bool {
         self.in_a_row == 1
     }
 }
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -8,20 +8,21 @@
 use hyper::{Response, StatusCode};
 use serde_json::json;
 use thiserror::Error;
+use tokio::sync::Semaphore;
 use tokio::task::spawn_blocking;
 
 use super::accept::Listen;
 use super::log::log;
-use super::server::{Answer, Change, Limits, Server, Source, answer, refuse};
-use super::store::{Found, Outcome, Store, StoreError};
+use super::server::{Change, Limits, ResponseBody, Server, Source, error_response, json_response};
 use crate::document::Scope;
 use crate::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record, RestoreError};
 use crate::state::State;
+use crate::store::{Found, Outcome, Store, StoreError};
 
 /// Publications that may wait for their turn.
-const WAITING_MOST: usize = 64;
+const MAX_QUEUED: usize = 64;
 /// Records that are deleted with one write at most, so that none takes long.
-const DELETED_MOST: usize = 64;
+const MAX_DELETED: usize = 64;
 
 /// Tells the faults of a document whose form is sound.
 pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<String>>;
@@ -42,7 +43,7 @@
 
 /// An origin, ready to serve.
 pub struct OriginHost {
-    server: Rc<Server<Held>>,
+    server: Rc<Server<OriginSource>>,
 }
 
 impl OriginHost {
@@ -61,171 +62,209 @@
     ) -> Result<Self, OriginError> {
         let at_least = index_at_least.max(found.index);
         let mut origin = Origin::restore(bounds, found.records, at_least)?;
-        let first: Vec<Record> = origin.pending().to_vec();
-        if !first.is_empty() {
-            match store.write(&first, &[], None) {
-                // All at once, by the last.
-                Outcome::Written => first.last().into_iter().for_each(|record| origin.written(record.index)),
-                Outcome::NotWritten(error) | Outcome::Unknown(error) => {
-                    return Err(OriginError::First(error));
-                }
-            }
-        }
+        write_reissued(&mut origin, &mut store)?;
         log(format_args!("origin at index {}", origin.state().index()));
-        let held = Held {
+        let source = OriginSource {
             origin: RefCell::new(origin),
-            body_most: bounds.body_most,
+            max_body_bytes: bounds.body_most,
             store: Arc::new(Mutex::new(store)),
             turn: tokio::sync::Mutex::new(()),
-            waiting: tokio::sync::Semaphore::new(WAITING_MOST),
+            queue: Semaphore::new(MAX_QUEUED),
             check,
-            changed: RefCell::new(None),
+            notify_changed: RefCell::new(None),
         };
-        let server = Server::new(Rc::new(held), 0, limits, seed);
+        let server = Server::new(Rc::new(source), 0, limits, seed);
         let notified = Rc::downgrade(&server);
-        let changed = move || {
+        let notify_changed = move || {
             if let Some(server) = notified.upgrade() {
-                server.changed();
+                server.notify_changed();
             }
         };
-        *server.source.changed.borrow_mut() = Some(Box::new(changed));
+        *server.source.notify_changed.borrow_mut() = Some(Box::new(notify_changed));
         Ok(Self { server })
     }
 
-    /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`.
+    /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`. Where it is dropped, a change that is
+    /// being written may be on disk without an answer; its repeat is answered with its index.
     pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
         self.server.run(listener, stop).await;
     }
 }
 
-struct Held {
+/// Writes what the core reissued at its start, all at once.
+fn write_reissued(origin: &mut Origin, store: &mut Store) -> Result<(), OriginError> {
+    let reissued: Vec<Record> = origin.pending().to_vec();
+    let Some(last) = reissued.last().map(|record| record.index) else { return Ok(()) };
+    match store.write(&reissued, &[], None) {
+        Outcome::Written => {
+            origin.written(last);
+            Ok(())
+        }
+        Outcome::NotWritten(error) | Outcome::Unknown(error) => Err(OriginError::First(error)),
+    }
+}
+
+/// Why a change is not acknowledged.
+#[derive(Debug, Error)]
+enum ChangeError {
+    #[error("the body is no UTF-8")]
+    NoText,
+    #[error("too many publications wait")]
+    QueueFull,
+    #[error("{0}")]
+    Rejected(#[from] PublishError),
+    #[error("{0}")]
+    Write(#[from] WriteError),
+}
+
+/// Why a change is not known to be on disk.
+#[derive(Debug, Error)]
+enum WriteError {
+    /// The write's thread panicked.
+    #[error("the write came to no end: ask again")]
+    Aborted,
+    #[error("not written: {0}")]
+    NotWritten(StoreError),
+    #[error("whether it is written is unknown: {0}; nothing is accepted until it is known")]
+    Unknown(StoreError),
+}
+
+impl ChangeError {
+    fn status(&self) -> StatusCode {
+        match self {
+            Self::NoText | Self::Rejected(PublishError::Faults(_)) => StatusCode::BAD_REQUEST,
+            Self::Rejected(PublishError::Conflict { .. } | PublishError::Reused) => StatusCode::CONFLICT,
+            Self::Rejected(
+                PublishError::TooLarge { .. } | PublishError::TooMany { .. } | PublishError::Full { .. },
+            ) => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::Write(WriteError::NotWritten(error)) if error.is_full() => StatusCode::INSUFFICIENT_STORAGE,
+            Self::QueueFull | Self::Rejected(PublishError::Busy) | Self::Write(_) => {
+                StatusCode::SERVICE_UNAVAILABLE
+            }
+        }
+    }
+
+    fn response(&self) -> Response<ResponseBody> {
+        match self {
+            Self::Rejected(PublishError::Faults(faults)) => {
+                json_response(self.status(), &json!({ "faults": faults }))
+            }
+            Self::Rejected(error @ PublishError::Conflict { have }) => {
+                json_response(self.status(), &json!({ "error": error.to_string(), "have": have }))
+            }
+            error => error_response(error.status(), &error.to_string()),
+        }
+    }
+}
+
+/// The origin's core and its disk, behind the server.
+struct OriginSource {
     origin: RefCell<Origin>,
-    body_most: usize,
+    max_body_bytes: usize,
     store: Arc<Mutex<Store>>,
     /// One publication at a time.
     turn: tokio::sync::Mutex<()>,
-    waiting: tokio::sync::Semaphore,
+    /// Publications that wait for their turn, and the one whose turn it is.
+    queue: Semaphore,
     check: Check,
-    changed: RefCell<Option<Box<dyn Fn()>>>,
+    notify_changed: RefCell<Option<Box<dyn Fn()>>>,
 }
 
-impl Held {
-    /// Writes what the core waits for, and tells it.
-    async fn write(&self, records: Vec<Record>) -> Result<(), Response<Answer>> {
+impl OriginSource {
+    /// Writes what the core waits for, and notifies it of the outcome.
+    async fn write(&self, records: Vec<Record>) -> Result<(), WriteError> {
         let store = Arc::clone(&self.store);
         let indexes: Vec<u64> = records.iter().map(|record| record.index).collect();
-        let spare = self.spare();
+        let obsolete = self.obsolete_records();
         let written = spawn_blocking(move || {
             // After a panic in there the store opens the file anew with the next failure.
-            store.lock().unwrap_or_else(PoisonError::into_inner).write(&records, &spare, None)
+            store.lock().unwrap_or_else(PoisonError::into_inner).write(&records, &obsolete, None)
         });
         let Ok(outcome) = written.await else {
             log(format_args!("a write came to no end; nothing is accepted until it has been made"));
-            return Err(refuse(StatusCode::SERVICE_UNAVAILABLE, "the write came to no end: ask again"));
+            return Err(WriteError::Aborted);
         };
-        let mut origin = self.origin.borrow_mut();
         match outcome {
             Outcome::Written => {
-                indexes.last().into_iter().for_each(|&index| origin.written(index));
-                drop(origin);
-                if let Some(changed) = &*self.changed.borrow() {
-                    changed();
+                if let Some(&last) = indexes.last() {
+                    self.origin.borrow_mut().written(last);
+                }
+                if let Some(notify_changed) = &*self.notify_changed.borrow() {
+                    notify_changed();
                 }
                 Ok(())
             }
             Outcome::NotWritten(error) => {
+                let mut origin = self.origin.borrow_mut();
                 indexes.iter().for_each(|&index| origin.not_written(index));
                 log(format_args!("{indexes:?} not written: {error}"));
-                let status = if error.is_full() {
-                    StatusCode::INSUFFICIENT_STORAGE
-                } else {
-                    StatusCode::SERVICE_UNAVAILABLE
-                };
-                Err(refuse(status, &format!("not written: {error}")))
+                Err(WriteError::NotWritten(error))
             }
             Outcome::Unknown(error) => {
                 log(format_args!(
                     "whether {indexes:?} is written is unknown, nothing is accepted until it is: {error}"
                 ));
-                let why = format!(
-                    "whether it is written is unknown: {error}; nothing is accepted until it is known"
-                );
-                Err(refuse(StatusCode::SERVICE_UNAVAILABLE, &why))
+                Err(WriteError::Unknown(error))
             }
         }
     }
 
     /// Records on disk that nothing needs any more, the oldest.
-    fn spare(&self) -> Vec<u64> {
+    fn obsolete_records(&self) -> Vec<u64> {
         let origin = self.origin.borrow();
         let Ok(store) = self.store.lock() else { return Vec::new() };
-        store.indexes().filter(|&index| !origin.needs(index)).take(DELETED_MOST).collect()
+        store.indexes().filter(|&index| !origin.needs(index)).take(MAX_DELETED).collect()
     }
 
-    async fn publish(&self, publication: Publication) -> Response<Answer> {
+    /// Takes the change's turn and publishes it; returns its index.
+    async fn accept(&self, change: Change) -> Result<u64, ChangeError> {
+        let Change { scope, body, request, if_version } = change;
+        let body = body.map(|body| String::from_utf8(body.into())).transpose();
+        let body = body.map_err(|_| ChangeError::NoText)?.map(Into::into);
+        let _queued = self.queue.try_acquire().map_err(|_| ChangeError::QueueFull)?;
+        let _turn = self.turn.lock().await;
+        self.publish(Publication { scope, body, request, if_version }).await
+    }
+
+    async fn publish(&self, publication: Publication) -> Result<u64, ChangeError> {
         // What a failed disk left open comes first: written again, it is known.
         let open = self.origin.borrow().pending().to_vec();
         if !open.is_empty()
-            && let Err(refused) = self.write(open).await
+            && let Err(error) = self.write(open).await
             && !self.origin.borrow().pending().is_empty()
         {
-            return refused;
+            return Err(error.into());
         }
-        let accepted = self.origin.borrow_mut().publish(publication, &self.check);
-        let index = match accepted {
-            Ok(Accepted::Known(index)) => index,
-            Ok(Accepted::Write(record)) => {
+        let accepted = self.origin.borrow_mut().publish(publication, &self.check)?;
+        match accepted {
+            Accepted::Known(index) => Ok(index),
+            Accepted::Write(record) => {
                 let index = record.index;
                 log(format_args!("{} at index {index}, request {:?}", record.document.scope, record.request));
-                if let Err(refused) = self.write(vec![record]).await {
-                    return refused;
-                }
-                index
+                self.write(vec![record]).await?;
+                Ok(index)
             }
-            Err(error) => return refused(&error),
-        };
-        answer(StatusCode::OK, &json!({ "index": index }))
-    }
-}
-
-fn refused(error: &PublishError) -> Response<Answer> {
-    let status = match error {
-        PublishError::Faults(faults) => return answer(StatusCode::BAD_REQUEST, &json!({ "faults": faults })),
-        PublishError::Conflict { have } => {
-            return answer(StatusCode::CONFLICT, &json!({ "error": error.to_string(), "have": have }));
         }
-        PublishError::Reused => StatusCode::CONFLICT,
-        PublishError::TooLarge { .. } | PublishError::TooMany { .. } | PublishError::Full { .. } => {
-            StatusCode::PAYLOAD_TOO_LARGE
-        }
-        PublishError::Busy => StatusCode::SERVICE_UNAVAILABLE,
-    };
-    refuse(status, &error.to_string())
+    }
 }
 
-impl Source for Held {
-    fn see<T>(&self, look: impl FnOnce(&State) -> T) -> Option<T> {
-        Some(look(self.origin.borrow().state()))
+impl Source for OriginSource {
+    fn with_state<T>(&self, read: impl FnOnce(&State) -> T) -> Option<T> {
+        Some(read(self.origin.borrow().state()))
     }
 
     fn stale_s(&self) -> u64 {
         0
     }
 
-    fn body_most(&self) -> usize {
-        self.body_most
+    fn max_body_bytes(&self) -> usize {
+        self.max_body_bytes
     }
 
-    async fn change(self: Rc<Self>, change: Change) -> Response<Answer> {
-        let Change { scope, body, request, if_version } = change;
-        let body = match body.map(|body| String::from_utf8(body.into())).transpose() {
-            Ok(body) => body.map(Into::into),
-            Err(_) => return refuse(StatusCode::BAD_REQUEST, "the body is no UTF-8"),
-        };
-        let Ok(_waiting) = self.waiting.try_acquire() else {
-            return refuse(StatusCode::SERVICE_UNAVAILABLE, "too many publications wait");
-        };
-        let _turn = self.turn.lock().await;
-        self.publish(Publication { scope, body, request, if_version }).await
+    async fn change(self: Rc<Self>, change: Change) -> Response<ResponseBody> {
+        match self.accept(change).await {
+            Ok(index) => json_response(StatusCode::OK, &json!({ "index": index })),
+            Err(error) => error.response(),
+        }
     }
 }
