--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -1,4 +1,7 @@
-//! The origin: takes publications, gives each the next index, and shows it once it is on disk.
+//! The origin: accepts publications, gives each the next index, and shows it once it is on disk.
+//!
+//! A publisher that has no answer repeats its request, and a disk may fail between a write and its confirmation. So a change
+//! is pending until the host knows that it is stored or that it is not, and a request id gets the answer of before.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -7,7 +10,7 @@
 use thiserror::Error;
 
 use crate::document::{Digest, Document, Scope};
-use crate::effective;
+use crate::effective::{self, PartFault};
 use crate::state::State;
 
 /// Bytes of a request id at most.
@@ -15,7 +18,7 @@
 /// The highest index: what every reader of JSON tells apart.
 pub const INDEX_MOST: u64 = 1 << 53;
 
-/// What the origin takes at most.
+/// What the origin accepts at most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Bytes of a document's body.
@@ -47,7 +50,7 @@
     pub if_version: Option<u64>,
 }
 
-/// An accepted change, as it is kept on disk.
+/// An accepted change, as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The change's index, which is the document's version.
@@ -132,14 +135,22 @@
     },
 }
 
+/// A request id that is remembered: its newest change.
+#[derive(Debug)]
+struct KnownRequest {
+    index: u64,
+    /// Over what was asked, by which a repeat is told from another use of the id.
+    content: Digest,
+}
+
 /// The one process that accepts changes.
 #[derive(Debug)]
 pub struct Origin {
     bounds: Bounds,
     state: State,
-    /// Request ids that are remembered, by the index of their change, and what was asked.
+    /// Request ids that are remembered, by the index of their change.
     requests: BTreeMap<u64, Box<str>>,
-    asked: HashMap<Box<str>, (u64, Digest)>,
+    by_request: HashMap<Box<str>, KnownRequest>,
     /// What is to be written before anything else: one record, or all documents reissued.
     pending: Vec<Record>,
 }
@@ -147,7 +158,7 @@
 impl Origin {
     /// From what the disk has, in any order. Where the disk is known to have lost acknowledged changes, `index_at_least`
     /// is the highest index that may have been seen: if the records end before it, all documents that stand are
-    /// reissued past it, so that whoever holds a lost change takes them instead. These are [`Origin::pending`] and must be
+    /// reissued past it, so that whoever has a lost change accepts them instead. These are [`Origin::pending`] and must be
     /// written, in one transaction, before anything is published; until then readers see what the disk had.
     ///
     /// # Errors
@@ -163,7 +174,7 @@
             bounds,
             state: State::default(),
             requests: BTreeMap::new(),
-            asked: HashMap::new(),
+            by_request: HashMap::new(),
             pending: Vec::new(),
         };
         for record in records {
@@ -178,7 +189,7 @@
                 return Err(RestoreError::Twice { index: *index });
             }
             origin.remember(&record);
-            if documents.get(&document.scope).is_none_or(|held| held.version < *index) {
+            if documents.get(&document.scope).is_none_or(|newest| newest.version < *index) {
                 documents.insert(document.scope.clone(), record.document);
             }
         }
@@ -207,7 +218,7 @@
             .map(|document| (document.scope.clone(), Arc::clone(&document.body)))
             .collect();
         if standing.is_empty() {
-            // The index has to be kept by something.
+            // Something has to carry the index.
             standing.push((Scope::Fleet, "null".into()));
         }
         // One index stays free, so that nobody can stand at the one before.
@@ -243,9 +254,9 @@
         }
         let withdraws = body.is_none();
         let body: Arc<str> = body.map_or_else(|| "null".into(), |body| on_one_line(&body));
-        if let Some((index, content)) = self.asked.get(&request) {
-            let same = *content == Digest::of(&scope, 0, &body);
-            return if same { Ok(Accepted::Known(*index)) } else { Err(PublishError::Reused) };
+        if let Some(known) = self.by_request.get(&request) {
+            let same = known.content == Digest::of(&scope, 0, &body);
+            return if same { Ok(Accepted::Known(known.index)) } else { Err(PublishError::Reused) };
         }
         if !self.pending.is_empty() {
             return Err(PublishError::Busy);
@@ -253,34 +264,45 @@
         if !withdraws {
             let faults = match effective::part(&scope, &body) {
                 Ok(_) => check(&scope, &body),
-                Err(faults) => faults,
+                Err(faults) => faults.iter().map(PartFault::to_string).collect(),
             };
             if !faults.is_empty() {
                 return Err(PublishError::Faults(faults));
             }
         }
-        let held = self.state.get(&scope);
-        let have = held.map_or(0, |held| held.version);
+        let current = self.state.get(&scope);
+        let have = current.map_or(0, |current| current.version);
         if if_version.is_some_and(|version| version != have) {
             return Err(PublishError::Conflict { have });
         }
-        if withdraws && held.is_none() {
+        if withdraws && current.is_none() {
             return Err(PublishError::Faults(vec![format!("{scope}: there is no document to withdraw")]));
         }
+        self.check_capacity(current, &body, withdraws)?;
+        let index = self.state.index() + 1;
+        let record = Record { index, document: Document::new(scope, index, body), request };
+        self.pending.push(record.clone());
+        Ok(Accepted::Write(record))
+    }
+
+    /// Whether there is capacity for a body in place of the document that stands.
+    fn check_capacity(
+        &self,
+        current: Option<&Document>,
+        body: &str,
+        withdraws: bool,
+    ) -> Result<(), PublishError> {
         let standing = self.state.documents().filter(|document| !document.is_withdrawn());
         let (count, bytes) =
             standing.fold((0, 0), |(count, bytes), document| (count + 1, bytes + document.body.len()));
-        if held.is_none() && count >= self.bounds.scopes_most {
+        if current.is_none() && count >= self.bounds.scopes_most {
             return Err(PublishError::TooMany { most: self.bounds.scopes_most });
         }
-        let bytes = bytes + body.len() - held.map_or(0, |held| held.body.len());
+        let bytes = bytes + body.len() - current.map_or(0, |current| current.body.len());
         if !withdraws && bytes > self.bounds.total_most {
             return Err(PublishError::Full { bytes, most: self.bounds.total_most });
         }
-        let index = self.state.index() + 1;
-        let record = Record { index, document: Document::new(scope, index, body), request };
-        self.pending.push(record.clone());
-        Ok(Accepted::Write(record))
+        Ok(())
     }
 
     /// What was pending is on disk, synced, and `index` is that of its last record: readers see it from now on, and it may
@@ -338,14 +360,14 @@
         let content = Digest::of(&document.scope, 0, &document.body);
         self.requests.insert(*index, request.clone());
         // An id that was forgotten may have been used again.
-        if self.asked.get(request).is_none_or(|(before, _)| before < index) {
-            self.asked.insert(request.clone(), (*index, content));
+        if self.by_request.get(request).is_none_or(|known| known.index < *index) {
+            self.by_request.insert(request.clone(), KnownRequest { index: *index, content });
         }
         while self.requests.len() > self.bounds.requests_most
             && let Some((index, oldest)) = self.requests.pop_first()
         {
-            if self.asked.get(&oldest).is_some_and(|(newest, _)| *newest == index) {
-                self.asked.remove(&oldest);
+            if self.by_request.get(&oldest).is_some_and(|known| known.index == index) {
+                self.by_request.remove(&oldest);
             }
         }
     }
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -1,4 +1,7 @@
-//! Which parent to follow, and when: one at a time, in drawn order. Times are since any zero; draws come from a seed.
+//! Which parent to follow, and when: one at a time, in drawn order.
+//!
+//! A child has several parents, and any of them may be gone, silent, or cut off from the origin itself. Thousands of children
+//! must not all go to the same one, nor come back at one moment. Times are since any zero; draws come from a seed.
 
 use std::time::Duration;
 
@@ -6,21 +9,21 @@
 
 /// How long the first whole line of a call may take, from the call on.
 pub const FIRST_LINE: Duration = Duration::from_secs(2);
-/// How long each next one may take; a parent's sign of life comes every [`SIGN_OF_LIFE`].
+/// How long each next one may take; a parent's heartbeat comes every [`HEARTBEAT_EVERY`].
 pub const SILENCE: Duration = Duration::from_millis(3200);
-/// How often a parent that has nothing to tell gives a sign of life.
-pub const SIGN_OF_LIFE: Duration = Duration::from_secs(2);
+/// How often a parent that has nothing to send sends a heartbeat, an empty line.
+pub const HEARTBEAT_EVERY: Duration = Duration::from_secs(2);
 /// The wait before the next parent is drawn up to this after a watch that stood, and up to twice as much after each
 /// call that came to nothing.
 pub const WAIT_FIRST: Duration = Duration::from_millis(250);
 /// The wait is drawn up to this at most.
 pub const WAIT_MOST: Duration = Duration::from_secs(1);
-/// A watch that told something for so long has stood.
+/// A watch that has sent lines for so long has stood, so that its end begins no backoff.
 pub const STOOD: Duration = Duration::from_secs(2);
 /// From here to twice this is drawn how stale a parent has to be before it is left.
 pub const STALE: Duration = Duration::from_secs(2);
-/// From here to twice this is drawn how long a stale parent is kept when no other is known to be better.
-pub const HELD: Duration = Duration::from_secs(2);
+/// From here to twice this is drawn how long a stale parent is still followed when no other is known to be better.
+pub const STALE_GRACE: Duration = Duration::from_secs(2);
 
 /// Whether a process at a level may be read by one at another: levels grow away from the origin, which has 0, so that no
 /// loop of relays can form. A reader that is no relay names no level.
@@ -32,7 +35,7 @@
 /// What to do next where no watch is up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Follow this one of the parents; its end is told by [`Parents::ended`].
+    /// Follow this one of the parents; [`Parents::ended`] must follow at its end.
     Follow(usize),
     /// Ask again after so long.
     Wait(Duration),
@@ -69,7 +72,7 @@
     began: Duration,
     stood: bool,
     stale_most: Duration,
-    held_until: Option<Duration>,
+    grace_until: Option<Duration>,
 }
 
 impl Parents {
@@ -102,7 +105,7 @@
             return Step::Wait(self.not_before - now);
         }
         let stale_most = STALE + self.draw(STALE);
-        self.watch = Some(Watch { began: now, stood: false, stale_most, held_until: None });
+        self.watch = Some(Watch { began: now, stood: false, stale_most, grace_until: None });
         Step::Follow(parent)
     }
 
@@ -112,11 +115,11 @@
         let stale = Duration::from_secs(stale_s);
         self.fresh = self.fresh.max(Some(now.saturating_sub(stale)));
         let others_worse = (0..self.worse.len()).all(|place| place == self.at || self.worse[place]);
-        let held = HELD + self.draw(HELD);
+        let grace = STALE_GRACE + self.draw(STALE_GRACE);
         let Some(watch) = &mut self.watch else { return Verdict::Stay };
         watch.stood |= now >= watch.began + STOOD;
         if stale_s == 0 {
-            watch.held_until = None;
+            watch.grace_until = None;
             self.worse.fill(false);
             return Verdict::Stay;
         }
@@ -124,10 +127,10 @@
         if stale <= watch.stale_most || self.order.len() == 1 {
             return Verdict::Stay;
         }
-        if others_worse && now < *watch.held_until.get_or_insert(now + held) {
+        if others_worse && now < *watch.grace_until.get_or_insert(now + grace) {
             return Verdict::Stay;
         }
-        // After having been held, the others are tried anew, each once.
+        // After the grace, the others are tried anew, each once.
         if others_worse {
             self.worse.fill(false);
         }
@@ -148,7 +151,7 @@
         self.at = (self.at + 1) % self.order.len();
     }
 
-    /// For how many seconds nothing fresh came from above, as this process tells it to its own readers; 0 until that
+    /// For how many seconds nothing fresh came from above, as this process passes it on to its own readers; 0 until that
     /// lasts longer than the silence that ends a watch.
     #[must_use]
     pub fn stale_s(&self, now: Duration) -> u64 {
--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -1,4 +1,7 @@
 //! What is in force below: children's reports, and sums of them that go up.
+//!
+//! An operator asks one process what thousands have in force, and which of them lag. No process may need memory for each
+//! balancer of the fleet, so a relay sums its children within bounds, and names only the first few.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -37,7 +40,7 @@
     pub who: Box<str>,
     /// The version of each scope that it wants; 0 where there is none.
     pub versions: BTreeMap<Scope, u64>,
-    /// A document that it was told and does not apply.
+    /// A document that it received and does not apply.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<Refused>,
 }
@@ -120,7 +123,7 @@
         behind.fold(holders.older, |sum, (_, count)| sum.saturating_add(*count))
     }
 
-    /// Adds others, and keeps within the bounds.
+    /// Adds others, within the bounds.
     pub fn add(&mut self, other: &Self) {
         let add = |sum: &mut u64, more: u64| *sum = sum.saturating_add(more);
         add(&mut self.children, other.children);
@@ -150,8 +153,8 @@
 }
 
 fn add_names<T: Clone>(names: &mut Vec<T>, more: &[T]) {
-    let room = NAMED_MOST.saturating_sub(names.len());
-    names.extend(more.iter().take(room).cloned());
+    let capacity = NAMED_MOST.saturating_sub(names.len());
+    names.extend(more.iter().take(capacity).cloned());
 }
 
 /// Whether a version is another than the one that stands, and no newer one than the state knows of.
@@ -160,14 +163,20 @@
     version != stands && version <= state.index()
 }
 
-/// Reports by name, each with its time.
-type Kept<T> = BTreeMap<Box<str>, (Duration, T)>;
+/// The newest report of a child, and when it came.
+#[derive(Debug, Clone)]
+struct Received<T> {
+    at: Duration,
+    content: T,
+}
+
+type ByName<T> = BTreeMap<Box<str>, Received<T>>;
 
 /// The reports of the children of one process.
 #[derive(Debug, Clone, Default)]
 pub struct Reports {
-    children: Kept<InForce>,
-    relays: Kept<Sums>,
+    children: ByName<InForce>,
+    relays: ByName<Sums>,
 }
 
 impl Reports {
@@ -178,7 +187,7 @@
     }
 
     /// A balancer's report. Over the bounds, names and reasons are cut and scopes left out, and one past
-    /// [`CHILDREN_MOST`] is not kept.
+    /// [`CHILDREN_MOST`] is left out.
     pub fn take(&mut self, now: Duration, mut report: InForce) {
         report.who = cut(&report.who);
         while report.versions.len() > CHILD_SCOPES_MOST {
@@ -187,10 +196,10 @@
         if let Some(refused) = &mut report.refused {
             refused.why = cut(&refused.why);
         }
-        keep(&mut self.children, CHILDREN_MOST, now, report.who.clone(), report);
+        insert(&mut self.children, CHILDREN_MOST, now, report.who.clone(), report);
     }
 
-    /// A relay's sums. They are bounded likewise, and one past [`RELAYS_MOST`] is not kept.
+    /// A relay's sums. They are bounded likewise, and one past [`RELAYS_MOST`] is left out.
     pub fn take_sums(&mut self, now: Duration, who: &str, sums: Sums) {
         // As added to nothing they are within the bounds.
         let mut bounded = Sums::default();
@@ -207,44 +216,45 @@
         for refused in &mut bounded.refused {
             refused.refused.why = cut(&refused.refused.why);
         }
-        keep(&mut self.relays, RELAYS_MOST, now, cut(who), bounded);
+        insert(&mut self.relays, RELAYS_MOST, now, cut(who), bounded);
     }
 
     /// Sums over all children, as they go up.
     #[must_use]
     pub fn sums(&self, now: Duration, state: &State) -> Sums {
         let mut sums = Sums::default();
-        let mut add = |who: &str, at: Duration, told: &dyn Fn() -> Sums| {
+        let mut add = |who: &str, at: Duration, child_sums: &dyn Fn() -> Sums| {
             let age = now.saturating_sub(at);
             if age <= SILENT_AFTER {
-                sums.add(&told());
+                sums.add(&child_sums());
             } else if age <= FORGOTTEN_AFTER {
                 sums.add(&Sums { silent: 1, silent_names: vec![who.into()], ..Sums::default() });
             }
         };
-        for (who, (at, report)) in &self.children {
-            add(who, *at, &|| report.alone(state));
+        for (who, report) in &self.children {
+            add(who, report.at, &|| report.content.sums(state));
         }
-        for (who, (at, below)) in &self.relays {
-            add(who, *at, &|| below.clone());
+        for (who, below) in &self.relays {
+            add(who, below.at, &|| below.content.clone());
         }
         sums
     }
 }
 
-/// Keeps a report; where there is no room, of those that are not silent.
-fn keep<T>(kept: &mut Kept<T>, most: usize, now: Duration, who: Box<str>, told: T) {
-    if kept.len() >= most && !kept.contains_key(&who) {
-        kept.retain(|_, (at, _)| now.saturating_sub(*at) <= SILENT_AFTER);
-        if kept.len() >= most {
+/// Replaces a child's report; a new child at capacity evicts those that are silent, or is left out.
+fn insert<T>(reports: &mut ByName<T>, max: usize, now: Duration, who: Box<str>, content: T) {
+    if reports.len() >= max && !reports.contains_key(&who) {
+        reports.retain(|_, report| now.saturating_sub(report.at) <= SILENT_AFTER);
+        if reports.len() >= max {
             return;
         }
     }
-    kept.insert(who, (now, told));
+    reports.insert(who, Received { at: now, content });
 }
 
 impl InForce {
-    fn alone(&self, state: &State) -> Sums {
+    /// The sums of this child alone.
+    fn sums(&self, state: &State) -> Sums {
         let holders = |(scope, version): (&Scope, &u64)| {
             (scope.clone(), Holders { versions: BTreeMap::from([(*version, 1)]), older: 0 })
         };
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -1,4 +1,7 @@
-//! What a process holds: the newest document of each scope and one index that never goes back.
+//! What a process knows: the newest document of each scope, and one index that never goes back.
+//!
+//! Parents fall behind, restart on older disks and lie; a balancer must not go back because one of them did. So an update
+//! is accepted complete or refused, by rules that look at the index, the digests and what is known already.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +9,11 @@
 
 use crate::document::{Document, Scope, Update};
 
-/// Withdrawn documents that are kept as such at most; a reader that stands before one that was let go is told the whole.
+/// Withdrawn documents that are remembered as such at most; a reader that stands before one that was forgotten is sent a
+/// snapshot.
 pub const WITHDRAWN_MOST: usize = 256;
 
-/// Why an update was refused; nothing of it was taken in.
+/// Why an update was refused; nothing of it was accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Refusal {
     /// It would take the index back.
@@ -36,7 +40,7 @@
         /// Its version.
         version: u64,
     },
-    /// A document's version goes back, or it is another one than the one held at the same index, or it comes twice.
+    /// A document's version goes back, or it is another one than the one known at the same index, or it comes twice.
     #[error("{scope} {version} after {have}")]
     Conflict {
         /// Whose.
@@ -84,12 +88,12 @@
     }
 }
 
-/// The newest documents. It is of one set of scopes for as long as it is kept: a reader that comes to want others begins
+/// The newest documents. It is of one set of scopes for as long as it lives: a reader that comes to want others begins
 /// with an empty one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
     index: u64,
-    /// Of changes before it, withdrawals may be unknown here: a reader that stands before it is told the whole.
+    /// Of changes before it, withdrawals may be unknown here: a reader that stands before it is sent a snapshot.
     floor: u64,
     documents: BTreeMap<Scope, Document>,
 }
@@ -112,7 +116,7 @@
         self.documents.values()
     }
 
-    /// Takes in an update whole, or refuses it and stays as it was. Tells the scopes that changed.
+    /// Accepts an update complete, or refuses it and stays as it was. Returns the scopes that changed.
     ///
     /// # Errors
     /// It goes back, has a gap before it, is damaged, of another service, or of another history than this state.
@@ -125,64 +129,87 @@
         if !snapshot && after > have {
             return Err(Refusal::Gap { after, have });
         }
-        let mut told = BTreeMap::new();
-        for document in documents {
-            let Document { scope, version, .. } = &document;
-            let (scope, version) = (scope.clone(), *version);
-            if !wanted.has(&scope) {
-                return Err(Refusal::Foreign { scope });
-            }
-            if !document.is_whole() {
-                return Err(Refusal::Damaged { scope, version });
-            }
-            if version > index {
-                return Err(Refusal::Beyond { scope, version, index });
-            }
-            let held = self.documents.get(&scope);
-            // What was made up to the index that stands has been seen; a withdrawn one may have been let go since.
-            let sound = match held {
-                Some(held) if version <= have => *held == document,
-                Some(_) => true,
-                None => version > have || version > 0 && document.is_withdrawn(),
-            };
-            if !sound || told.contains_key(&scope) {
-                return Err(Refusal::Conflict { scope, version, have: held.map_or(0, |held| held.version) });
-            }
-            told.insert(scope, document);
-        }
-        let mut changed = Vec::new();
-        if snapshot {
-            for held in self.documents.values().filter(|held| !held.is_withdrawn()) {
-                if told.contains_key(&held.scope) {
-                    continue;
-                }
-                if index == have {
-                    let (scope, version) = (held.scope.clone(), index);
-                    return Err(Refusal::Conflict { scope, version, have: held.version });
-                }
-                changed.push(held.scope.clone());
-            }
-        }
-        for (scope, document) in &told {
-            let held = self.documents.get(scope);
-            if held.is_none_or(|held| held.version < document.version)
-                && !(document.is_withdrawn() && held.is_none_or(Document::is_withdrawn))
-            {
-                changed.push(scope.clone());
-            }
-        }
+        let accepted = self.check_all(documents, index, wanted)?;
+        let mut changed = if snapshot { self.check_absent(index, &accepted)? } else { Vec::new() };
+        changed.extend(
+            accepted.values().filter(|document| self.is_change(document)).map(|each| each.scope.clone()),
+        );
         if snapshot && index > have {
             // What was withdrawn on the way here is not in it.
             self.floor = index;
-            self.documents = told;
+            self.documents = accepted;
         } else {
-            self.documents.extend(told);
+            self.documents.extend(accepted);
         }
         self.index = index;
-        self.let_go();
+        self.forget_oldest_withdrawn();
         Ok(changed)
     }
 
+    /// The documents of an update by scope, each of which can be accepted.
+    fn check_all(
+        &self,
+        documents: Vec<Document>,
+        index: u64,
+        wanted: &Wanted,
+    ) -> Result<BTreeMap<Scope, Document>, Refusal> {
+        let mut accepted = BTreeMap::new();
+        for document in documents {
+            self.check(&document, index, wanted)?;
+            let (scope, version) = (document.scope.clone(), document.version);
+            if accepted.contains_key(&scope) {
+                return Err(self.conflict(scope, version));
+            }
+            accepted.insert(scope, document);
+        }
+        Ok(accepted)
+    }
+
+    /// Whether a document that comes at an index can be accepted.
+    fn check(&self, document: &Document, index: u64, wanted: &Wanted) -> Result<(), Refusal> {
+        let (scope, version) = (document.scope.clone(), document.version);
+        if !wanted.has(&scope) {
+            return Err(Refusal::Foreign { scope });
+        }
+        if !document.is_whole() {
+            return Err(Refusal::Damaged { scope, version });
+        }
+        if version > index {
+            return Err(Refusal::Beyond { scope, version, index });
+        }
+        // What was made up to the index that stands has been seen; a withdrawn one may have been forgotten since.
+        let is_sound = match self.documents.get(&scope) {
+            Some(current) if version <= self.index => current == document,
+            Some(_) => true,
+            None => version > self.index || version > 0 && document.is_withdrawn(),
+        };
+        if is_sound { Ok(()) } else { Err(self.conflict(scope, version)) }
+    }
+
+    fn conflict(&self, scope: Scope, version: u64) -> Refusal {
+        let have = self.documents.get(&scope).map_or(0, |current| current.version);
+        Refusal::Conflict { scope, version, have }
+    }
+
+    /// The scopes whose documents a snapshot at an index no longer has; at the index that stands there can be none.
+    fn check_absent(&self, index: u64, snapshot: &BTreeMap<Scope, Document>) -> Result<Vec<Scope>, Refusal> {
+        let is_absent =
+            |current: &&Document| !current.is_withdrawn() && !snapshot.contains_key(&current.scope);
+        let absent: Vec<Scope> =
+            self.documents.values().filter(is_absent).map(|current| current.scope.clone()).collect();
+        match absent.first() {
+            Some(scope) if index == self.index => Err(self.conflict(scope.clone(), index)),
+            _ => Ok(absent),
+        }
+    }
+
+    /// Whether an accepted document changes what its scope says.
+    fn is_change(&self, document: &Document) -> bool {
+        let current = self.documents.get(&document.scope);
+        current.is_none_or(|current| current.version < document.version)
+            && !(document.is_withdrawn() && current.is_none_or(Document::is_withdrawn))
+    }
+
     /// What a reader that stands at `since` has to be told, merged to the newest: the whole where it has nothing or
     /// stands before what is known here, else the changes; `None` where there are none. A reader that stands past this
     /// state is told its index, so that it refuses it and looks for another parent.
@@ -195,11 +222,11 @@
             return update(false, self.index, Vec::new());
         }
         let snapshot = since == 0 || since < self.floor;
-        let told = |document: &&Document| {
+        let is_sent = |document: &&Document| {
             wanted.has(&document.scope)
                 && if snapshot { !document.is_withdrawn() } else { document.version > since }
         };
-        let documents: Vec<Document> = self.documents.values().filter(told).cloned().collect();
+        let documents: Vec<Document> = self.documents.values().filter(is_sent).cloned().collect();
         if snapshot {
             update(true, 0, documents)
         } else if documents.is_empty() {
@@ -223,7 +250,7 @@
     /// One of documents that are known to be all up to `index`; withdrawals before `floor` may be missing.
     pub(crate) fn restored(index: u64, floor: u64, documents: BTreeMap<Scope, Document>) -> Self {
         let mut state = Self { index, floor, documents };
-        state.let_go();
+        state.forget_oldest_withdrawn();
         state
     }
 
@@ -231,11 +258,11 @@
     pub(crate) fn put(&mut self, document: Document) {
         self.index = document.version;
         self.documents.insert(document.scope.clone(), document);
-        self.let_go();
+        self.forget_oldest_withdrawn();
     }
 
-    /// Lets the oldest withdrawn documents go over the bound.
-    fn let_go(&mut self) {
+    /// Forgets the oldest withdrawn documents over the bound; who stands before them is sent a snapshot.
+    fn forget_oldest_withdrawn(&mut self) {
         let withdrawn = |document: &&Document| document.is_withdrawn();
         let mut versions: Vec<u64> =
             self.documents.values().filter(withdrawn).map(|document| document.version).collect();
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -1,4 +1,4 @@
-//! One request and its answer, on a connection of its own.
+//! One request and its answer, on a connection of its own, so that nothing of one waits behind another.
 
 use std::io;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
     pub body: Bytes,
 }
 
-/// Asks on a connection that is up.
+/// Asks on a connection that is up. Where it is dropped, what was asked for may still be done.
 ///
 /// # Errors
 /// There is no whole answer.
@@ -60,7 +60,7 @@
 {
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let mut connection = pin!(connection);
-    let asked = async {
+    let answer = async {
         let mut request =
             Request::builder().method(call.method).uri(call.path).header(header::HOST, call.host);
         for (name, value) in call.headers {
@@ -77,28 +77,29 @@
             }
         }
     };
-    let mut asked = pin!(asked);
+    let mut answer = pin!(answer);
     tokio::select! {
         biased;
-        answered = asked.as_mut() => return answered,
+        answer = answer.as_mut() => return answer,
         _ = connection.as_mut() => {}
     }
-    asked.await
+    answer.await
 }
 
-/// Connects and asks.
+/// Connects and asks. Where it is dropped, what was asked for may still be done.
 ///
 /// # Errors
 /// There is no whole answer within `within`.
 pub async fn call_to(
     address: SocketAddr,
     within: Duration,
-    asked: Call<'_>,
+    request: Call<'_>,
 ) -> Result<(StatusCode, Bytes), CallError> {
     let whole = async {
         let stream = TcpStream::connect(address).await.map_err(CallError::Connect)?;
+        // Without it the request is slower and works.
         let _ = stream.set_nodelay(true);
-        call(stream, asked).await
+        call(stream, request).await
     };
     timeout(within, whole).await.map_err(|_| CallError::Late)?
 }
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -1,4 +1,7 @@
 //! The child's side: follows its parents and reports up.
+//!
+//! The core decides which parent to follow and whether an update is accepted; this module opens the connections, feeds lines
+//! to the core and waits as it says.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,17 +32,17 @@
 pub const LINE_MOST: usize = 3 * (256 << 10) + (16 << 10);
 /// Reports after a change wait up to this, so that a parent does not get all at one moment.
 const REPORT_JITTER: Duration = Duration::from_millis(500);
-/// A report has so long to be taken.
-const REPORT_WITHIN: Duration = Duration::from_secs(2);
+/// A report has so long to be answered.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A child that follows its parents.
 #[derive(Debug, Clone)]
 pub struct Client {
-    /// As it is told to its parents.
+    /// As its parents know it.
     pub name: String,
     /// Whom it may follow.
     pub parents: Vec<SocketAddr>,
-    /// What it wants to be told.
+    /// The scopes that it uses.
     pub wanted: Vec<Scope>,
     /// Of its draws: the order of the parents, and jitter.
     pub seed: u64,
@@ -58,7 +61,7 @@
     Level,
 }
 
-/// What is followed and how.
+/// Which parents are followed, and how.
 pub(crate) struct Following<'a> {
     pub name: &'a str,
     pub addresses: &'a [SocketAddr],
@@ -74,20 +77,20 @@
 }
 
 impl Following<'_> {
-    /// Follows the parents for ever, one after another. `since` tells the index that the child stands at, `take` takes
-    /// an update in, or hears of a sign of life.
+    /// Follows the parents for ever, one after another. `since` is the index that the child stands at; `accept` gets
+    /// each update, or `None` for a heartbeat. Where it is dropped, the watch is closed, and no update is half accepted.
     pub(crate) async fn run<I, C>(
         &self,
         connect: &impl Fn(SocketAddr) -> C,
         since: impl Fn() -> u64,
-        mut take: impl FnMut(Option<Update>) -> Result<(), Refusal>,
+        mut accept: impl FnMut(Option<Update>) -> Result<(), Refusal>,
     ) -> Infallible
     where
         C: Future<Output = io::Result<I>>,
         I: AsyncRead + AsyncWrite + Unpin,
     {
-        // Said once by parent, until it speaks again: a cut of minutes is not to fill the log.
-        let mut said: BTreeMap<SocketAddr, String> = BTreeMap::new();
+        // Logged once by parent, until it has sent lines again: a cut of minutes is not to fill the log.
+        let mut logged: BTreeMap<SocketAddr, String> = BTreeMap::new();
         loop {
             let step = self.parents.borrow_mut().next(self.start.elapsed());
             let address = match step {
@@ -97,42 +100,52 @@
                 }
                 Step::Follow(number) => self.addresses[number],
             };
-            let first_by = Instant::now() + FIRST_LINE;
-            let ended = match timeout_at(first_by, connect(address)).await {
-                Err(_) => "no connection in time".to_owned(),
-                Ok(Err(error)) => format!("no connection: {error}"),
-                Ok(Ok(stream)) => {
-                    let ask = Ask {
-                        host: address.to_string(),
-                        path: format!(
-                            "/configuration?follow=1&since={}&scopes={}&name={}",
-                            since(),
-                            self.scopes,
-                            query_text(self.name)
-                        ),
-                        first_by,
-                        silence: SILENCE,
-                        line_most: self.line_most,
-                    };
-                    let Err(error) = self.watch(stream, ask, address, &mut take).await;
-                    error.to_string()
-                }
-            };
-            let spoke = self.current.take().is_some();
+            let ended = self.follow(address, connect, &since, &mut accept).await;
+            let had_lines = self.current.take().is_some();
             self.parents.borrow_mut().ended(self.start.elapsed());
-            if spoke || said.get(&address) != Some(&ended) {
+            if had_lines || logged.get(&address) != Some(&ended) {
                 log(format_args!("{}: the watch at {address} ended: {ended}", self.name));
-                said.insert(address, ended);
+                logged.insert(address, ended);
             }
         }
     }
 
+    /// Follows one parent to the end of its watch; returns why it ended, for the log.
+    async fn follow<I, C>(
+        &self,
+        address: SocketAddr,
+        connect: &impl Fn(SocketAddr) -> C,
+        since: &impl Fn() -> u64,
+        accept: &mut impl FnMut(Option<Update>) -> Result<(), Refusal>,
+    ) -> String
+    where
+        C: Future<Output = io::Result<I>>,
+        I: AsyncRead + AsyncWrite + Unpin,
+    {
+        let first_by = Instant::now() + FIRST_LINE;
+        let stream = match timeout_at(first_by, connect(address)).await {
+            Err(_) => return "no connection in time".to_owned(),
+            Ok(Err(error)) => return format!("no connection: {error}"),
+            Ok(Ok(stream)) => stream,
+        };
+        let (since, scopes, name) = (since(), self.scopes, query_text(self.name));
+        let ask = Ask {
+            host: address.to_string(),
+            path: format!("/configuration?follow=1&since={since}&scopes={scopes}&name={name}"),
+            first_by,
+            silence: SILENCE,
+            line_most: self.line_most,
+        };
+        let Err(error) = self.watch(stream, ask, address, accept).await;
+        error.to_string()
+    }
+
     async fn watch<I>(
         &self,
         stream: I,
         ask: Ask,
         address: SocketAddr,
-        take: &mut impl FnMut(Option<Update>) -> Result<(), Refusal>,
+        accept: &mut impl FnMut(Option<Update>) -> Result<(), Refusal>,
     ) -> Result<Infallible, WatchError<LeaveError>>
     where
         I: AsyncRead + AsyncWrite + Unpin,
@@ -146,11 +159,11 @@
         let line = |text: &[u8]| {
             let mut stale_s = 0;
             if text.is_empty() {
-                take(None)?;
+                accept(None)?;
             } else {
                 let update: Update = serde_json::from_slice(text)?;
                 stale_s = update.stale_s;
-                take(Some(update))?;
+                accept(Some(update))?;
             }
             self.current.set(Some(address));
             let verdict = self.parents.borrow_mut().line(self.start.elapsed(), stale_s);
@@ -166,33 +179,34 @@
     name.chars().map(|letter| if fits(letter) { letter } else { '_' }).collect()
 }
 
-/// Tells a parent what is in force here or below; whether it was taken.
+/// Reports to a parent what is in force here or below; returns whether it was accepted.
 pub(crate) async fn report<I, C>(
     connect: &impl Fn(SocketAddr) -> C,
     address: SocketAddr,
-    word: &impl Serialize,
+    content: &impl Serialize,
 ) -> bool
 where
     C: Future<Output = io::Result<I>>,
     I: AsyncRead + AsyncWrite + Unpin,
 {
-    let Ok(text) = serde_json::to_vec(word) else { return false };
-    let told = async {
-        let asked = Call {
+    let Ok(text) = serde_json::to_vec(content) else { return false };
+    let answered = async {
+        let request = Call {
             method: Method::POST,
             host: address.to_string(),
             path: "/configuration/report",
             headers: &[],
             body: Bytes::from(text),
         };
-        call(connect(address).await.ok()?, asked).await.ok()
+        call(connect(address).await.ok()?, request).await.ok()
     };
-    matches!(timeout(REPORT_WITHIN, told).await, Ok(Some((status, _))) if status.is_success())
+    matches!(timeout(REPORT_TIMEOUT, answered).await, Ok(Some((status, _))) if status.is_success())
 }
 
-/// Follows the parents for ever, one after another; `connect` opens a connection, `take` gets the state after each
-/// update that was taken in, with the scopes that changed, and tells what is now in force, which is reported up.
-pub async fn run<I, C, F>(client: Client, connect: impl Fn(SocketAddr) -> C, mut take: F) -> Infallible
+/// Follows the parents for ever, one after another; `connect` opens a connection, `apply` gets the state after each
+/// update that was accepted, with the scopes that changed, and returns what is now in force, which is reported up. Where it is
+/// dropped, the watch is closed; what was applied stays.
+pub async fn run<I, C, F>(client: Client, connect: impl Fn(SocketAddr) -> C, mut apply: F) -> Infallible
 where
     C: Future<Output = io::Result<I>>,
     I: AsyncRead + AsyncWrite + Unpin,
@@ -221,26 +235,39 @@
             let Some(update) = update else { return Ok(()) };
             let scopes = state.borrow_mut().take(update, &wanted)?;
             if !scopes.is_empty() || in_force.borrow().is_none() {
-                *in_force.borrow_mut() = Some(take(&state.borrow(), &scopes));
+                *in_force.borrow_mut() = Some(apply(&state.borrow(), &scopes));
                 changed.notify_one();
             }
             Ok(())
         },
     );
-    let mut draws = Rand64::new(u128::from(!seed));
-    let reported = async {
-        loop {
-            let every = REPORT_EVERY.mul_f64(0.9 + 0.1 * draws.rand_float());
-            if timeout(every, changed.notified()).await.is_ok() {
-                sleep(REPORT_JITTER.mul_f64(draws.rand_float())).await;
-            }
-            let Some(word) = in_force.borrow().clone() else { continue };
-            let Some(address) = current.get() else { continue };
-            report(&connect, address, &word).await;
-        }
-    };
+    let reported = report_in_force(&connect, &in_force, &changed, &current, Rand64::new(u128::from(!seed)));
     tokio::select! {
         never = followed => never,
         never = reported => never,
     }
 }
+
+/// Reports what is in force: after each change with some jitter, and at intervals, to the parent whose watch is up.
+async fn report_in_force<I, C>(
+    connect: &impl Fn(SocketAddr) -> C,
+    in_force: &RefCell<Option<InForce>>,
+    changed: &Notify,
+    current: &Cell<Option<SocketAddr>>,
+    mut draws: Rand64,
+) -> Infallible
+where
+    C: Future<Output = io::Result<I>>,
+    I: AsyncRead + AsyncWrite + Unpin,
+{
+    loop {
+        let every = REPORT_EVERY.mul_f64(0.9 + 0.1 * draws.rand_float());
+        if timeout(every, changed.notified()).await.is_ok() {
+            sleep(REPORT_JITTER.mul_f64(draws.rand_float())).await;
+        }
+        let Some(content) = in_force.borrow().clone() else { continue };
+        let Some(address) = current.get() else { continue };
+        // A report that fails is made again with the next, at the latest after `REPORT_EVERY`.
+        report(connect, address, &content).await;
+    }
+}
--- a/crates/config-distribution/src/host/log.rs
+++ b/crates/config-distribution/src/host/log.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 /// Lines that may wait to be written; further ones are lost, and counted.
-const WAITING: usize = 256;
+const MAX_QUEUED: usize = 256;
 
 enum Line {
     Text(String),
     /// All before it has been written.
-    Mark(SyncSender<()>),
+    Flush(SyncSender<()>),
 }
 
 static WRITER: LazyLock<SyncSender<Line>> = LazyLock::new(|| {
-    let (sender, lines) = sync_channel(WAITING);
+    let (sender, lines) = sync_channel(MAX_QUEUED);
     // Without the thread all lines are lost, and nothing else is.
     let _ = thread::Builder::new().name("log".to_owned()).spawn(move || write(&lines));
     sender
@@ -30,9 +30,10 @@
 
 fn write(lines: &Receiver<Line>) {
     for line in lines {
+        // Where standard error or the waiter has gone, there is nobody to say it to.
         match line {
             Line::Text(text) => drop(writeln!(std::io::stderr(), "{text}")),
-            Line::Mark(reached) => drop(reached.send(())),
+            Line::Flush(reached) => drop(reached.send(())),
         }
     }
 }
@@ -55,7 +56,8 @@
 /// Waits until the lines so far have been written, for `most` at the longest.
 pub fn flush(most: Duration) {
     let (reached, mark) = sync_channel(1);
-    if WRITER.try_send(Line::Mark(reached)).is_ok() {
+    if WRITER.try_send(Line::Flush(reached)).is_ok() {
+        // Past that time the lines are lost, as any that nobody reads.
         let _ = mark.recv_timeout(most);
     }
 }
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -37,13 +37,13 @@
 /// What a relay is.
 #[derive(Debug, Clone)]
 pub struct RelayOptions {
-    /// As it is told to its parents.
+    /// As its parents know it.
     pub name: String,
     /// Its parents' levels must be lower.
     pub level: u8,
     /// Whom it follows.
     pub parents: Vec<SocketAddr>,
-    /// Where it keeps what it has; without, it begins with nothing.
+    /// Where it stores what it has; without, it begins with nothing.
     pub directory: Option<PathBuf>,
     /// Of its server.
     pub limits: Limits,
--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -17,7 +17,7 @@
 use super::{Server, Source};
 use crate::document::Update;
 use crate::host::log::log;
-use crate::parents::SIGN_OF_LIFE;
+use crate::parents::HEARTBEAT_EVERY;
 use crate::state::State;
 
 /// A reader that accepts nothing of a line for so long is closed.
@@ -91,8 +91,8 @@
 
     /// By itself and not counted from the last line, so that heartbeats stay spread after a change for all.
     fn heartbeat(&self) -> Interval {
-        let first = SIGN_OF_LIFE.mul_f64(self.draws.borrow_mut().rand_float());
-        let mut heartbeat = interval_at(Instant::now() + first, SIGN_OF_LIFE);
+        let first = HEARTBEAT_EVERY.mul_f64(self.draws.borrow_mut().rand_float());
+        let mut heartbeat = interval_at(Instant::now() + first, HEARTBEAT_EVERY);
         heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         heartbeat
     }
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -1,5 +1,7 @@
 //! The client of a watch: a chunked answer over HTTP/1.1 that stays open and holds one JSON object a line, with an
-//! empty line as a sign of life. The list of upstreams and configuration come the same way, by the same client.
+//! empty line as a heartbeat. The list of upstreams and configuration come the same way, by the same client.
+//!
+//! A parent may fall silent without closing, or send a line without end: both end the watch, by a deadline and a bound.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -53,6 +55,7 @@
 }
 
 /// Follows a watch on a connection that is up, until it ends; hands each whole line to `line`, an empty one as such.
+/// Where it is dropped, the connection is closed, and a line that had come in part is lost.
 ///
 /// # Errors
 /// Always: why it ended.
@@ -96,27 +99,16 @@
         }
         head(response.headers()).map_err(WatchError::Line)?;
         let mut body = response.into_body();
-        let mut text: Vec<u8> = Vec::new();
+        let mut lines = LineBuffer { text: Vec::new(), max: ask.line_most };
         loop {
             let frame = timeout_at(by, body.frame()).await.map_err(|_| WatchError::Silent)?;
             let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
-            // A chunk may hold several lines, or a part of one.
-            let mut rest = &data[..];
-            while let Some(end) = rest.iter().position(|&byte| byte == b'\n') {
-                text.extend_from_slice(&rest[..end]);
-                rest = &rest[end + 1..];
-                if text.len() > ask.line_most {
-                    return Err(WatchError::LongLine);
-                }
-                line(text.trim_ascii()).map_err(WatchError::Line)?;
-                // Only a whole line is a sign of life.
+            lines.push(&data, |text| {
+                line(text).map_err(WatchError::Line)?;
+                // Only a whole line ends the silence.
                 by = Instant::now() + ask.silence;
-                text.clear();
-            }
-            text.extend_from_slice(rest);
-            if text.len() > ask.line_most {
-                return Err(WatchError::LongLine);
-            }
+                Ok(())
+            })?;
         }
     };
     let mut followed = pin!(followed);
@@ -128,3 +120,33 @@
     }
     followed.await
 }
+
+/// A line that comes in parts.
+struct LineBuffer {
+    text: Vec<u8>,
+    /// Its bytes at most.
+    max: usize,
+}
+
+impl LineBuffer {
+    /// Hands on each line that these bytes end; they may hold several, or a part of one.
+    fn push<E: std::error::Error>(
+        &mut self,
+        bytes: &[u8],
+        mut line: impl FnMut(&[u8]) -> Result<(), WatchError<E>>,
+    ) -> Result<(), WatchError<E>> {
+        let mut rest = bytes;
+        while let Some(end) = rest.iter().position(|&byte| byte == b'\n') {
+            self.append(&rest[..end])?;
+            rest = &rest[end + 1..];
+            line(self.text.trim_ascii())?;
+            self.text.clear();
+        }
+        self.append(rest)
+    }
+
+    fn append<E: std::error::Error>(&mut self, part: &[u8]) -> Result<(), WatchError<E>> {
+        self.text.extend_from_slice(part);
+        if self.text.len() > self.max { Err(WatchError::LongLine) } else { Ok(()) }
+    }
+}
--- a/crates/config-distribution/tests/core_common/mod.rs
+++ b/crates/config-distribution/tests/core_common/mod.rs
@@ -9,7 +9,7 @@
 
 use config_distribution::document::{Document, Scope, Update};
 use config_distribution::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record};
-use config_distribution::parents::{FIRST_LINE, Parents, SIGN_OF_LIFE, SILENCE, Step, Verdict, may_serve};
+use config_distribution::parents::{FIRST_LINE, HEARTBEAT_EVERY, Parents, SILENCE, Step, Verdict, may_serve};
 use config_distribution::report::{InForce, REPORT_EVERY, Reports, Sums};
 use config_distribution::state::{Refusal, State, Wanted};
 use oorandom::Rand64;
@@ -285,7 +285,7 @@
 
     fn begin(&mut self, node: usize) {
         let life = self.nodes[node].life;
-        let beat = self.draw(SIGN_OF_LIFE);
+        let beat = self.draw(HEARTBEAT_EVERY);
         let report = self.draw(REPORT_EVERY);
         if !self.nodes[node].above.is_empty() {
             self.push(node, self.now, Event::Step(life));
@@ -423,7 +423,7 @@
             Event::Beat(life) => {
                 if self.nodes[node].life == life {
                     self.beat(node);
-                    self.push(node, now + SIGN_OF_LIFE, Event::Beat(life));
+                    self.push(node, now + HEARTBEAT_EVERY, Event::Beat(life));
                 }
             }
             Event::ReportDue(life) => {
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use config_distribution::parents::{FIRST_LINE, HELD, SILENCE, WAIT_MOST};
+use config_distribution::parents::{FIRST_LINE, SILENCE, STALE_GRACE, WAIT_MOST};
 use config_distribution::report::{REPORT_EVERY, SILENT_AFTER};
 use config_distribution::state::{Refusal, Wanted};
 use core_common::{
@@ -147,7 +147,7 @@
         let most = region.iter().map(|node| network.calls_of(*node, cut)).max().expect("some");
         let mean = region.iter().map(|node| network.calls_of(*node, cut)).sum::<usize>() as f64
             / region.len() as f64;
-        assert!(most <= 300 / HELD.as_secs() as usize * 2, "{most} calls in the cut");
+        assert!(most <= 300 / STALE_GRACE.as_secs() as usize * 2, "{most} calls in the cut");
         let at = network.run_until_converged(heal + ms(1000) + WITHIN).expect("in force");
         println!(
             "seed {seed}: in force {:?} after the return; {mean:.0} calls a balancer in the cut, {most} at most",
@@ -379,7 +379,7 @@
     assert!((0..network.nodes.len()).all(|node| held(&network, node) == before[node]));
     for number in 0..BALANCERS {
         let calls = network.calls_of(balancer(number), ms(21_000));
-        assert!(calls <= 600 / HELD.as_secs() as usize * 2, "{calls}");
+        assert!(calls <= 600 / STALE_GRACE.as_secs() as usize * 2, "{calls}");
     }
     network.act(ms(621_000), Act::Start { node: ORIGIN, disk: true });
     network.publish(ms(621_100), "fleet");
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use config_distribution::parents::{
-    HELD, Parents, SIGN_OF_LIFE, SILENCE, STALE, Step, Verdict, WAIT_FIRST, WAIT_MOST, may_serve,
+    HEARTBEAT_EVERY, Parents, SILENCE, STALE, STALE_GRACE, Step, Verdict, WAIT_FIRST, WAIT_MOST, may_serve,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,8 +32,8 @@
 fn stand(parents: &mut Parents, now: &mut Duration, long: Duration) {
     assert_eq!(parents.line(*now, 0), Verdict::Stay);
     let until = *now + long;
-    while *now + SIGN_OF_LIFE < until {
-        *now += SIGN_OF_LIFE;
+    while *now + HEARTBEAT_EVERY < until {
+        *now += HEARTBEAT_EVERY;
         assert_eq!(parents.line(*now, 0), Verdict::Stay);
     }
     *now = until;
@@ -148,17 +148,17 @@
                 seen.insert(parent);
                 if seen.len() == count {
                     // A parent that came to be fresh is found within a hold and a round of calls.
-                    let most = 2 * HELD + SIGN_OF_LIFE + count as u32 * WAIT_MOST;
+                    let most = 2 * STALE_GRACE + HEARTBEAT_EVERY + count as u32 * WAIT_MOST;
                     assert!(now - since <= most, "{:?}", now - since);
                     seen = BTreeSet::from([parent]);
                     since = now;
                 }
                 while parents.line(now, 60) == Verdict::Stay && now < end {
-                    now += SIGN_OF_LIFE;
+                    now += HEARTBEAT_EVERY;
                 }
                 parents.ended(now);
             }
-            let most = if count == 1 { 1 } else { 600 / HELD.as_secs() as usize * count };
+            let most = if count == 1 { 1 } else { 600 / STALE_GRACE.as_secs() as usize * count };
             assert!(calls <= most, "{count} parents: {calls} calls");
         }
     }
@@ -190,7 +190,7 @@
     assert_eq!(parents.stale_s(now + SILENCE), 0);
     assert_eq!(parents.stale_s(now + ms(7999)), 7, "nothing was ever heard");
     parents.line(now, 0);
-    now += SIGN_OF_LIFE;
+    now += HEARTBEAT_EVERY;
     assert_eq!(parents.stale_s(now), 0);
     parents.line(now, 5);
     // The word of before is newer than what the parent has heard last.
