--- /dev/null
+++ b/crates/config-distribution/src/command/serve.rs
@@ -0,0 +1,98 @@
+//! Runs an origin or a relay until a signal ends it.
+
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+use tokio::net::TcpListener;
+use tokio::signal::unix::{SignalKind, signal};
+
+use super::failure::Failure;
+use super::seed;
+use crate::document::Scope;
+use crate::host::log::log;
+use crate::host::origin::OriginHost;
+use crate::host::relay::{RelayHost, RelayOptions};
+use crate::host::server::Limits;
+use crate::origin::Bounds;
+use crate::store::Store;
+
+/// What the arguments say of a relay.
+pub(super) struct Relay {
+    pub level: u8,
+    pub parents: Vec<SocketAddr>,
+    pub directory: Option<PathBuf>,
+    /// By default the address that it listens at.
+    pub name: Option<String>,
+}
+
+pub(super) async fn origin(
+    listen: SocketAddr,
+    directory: &Path,
+    index_at_least: u64,
+    limits: Limits,
+) -> Result<(), Failure> {
+    let opened =
+        Store::at(directory).map_err(|source| Failure::Store { directory: directory.to_owned(), source })?;
+    let host =
+        OriginHost::new(opened, Bounds::default(), limits, index_at_least, Box::new(check_settings), seed())
+            .map_err(|source| Failure::Origin { directory: directory.to_owned(), source })?;
+    let listener = bind(listen).await?;
+    announce(&listener);
+    host.run(listener, shutdown_signal()?).await;
+    Ok(())
+}
+
+pub(super) async fn relay(listen: SocketAddr, relay: Relay, limits: Limits) -> Result<(), Failure> {
+    let Relay { level, parents, directory, name } = relay;
+    let listener = bind(listen).await?;
+    let address = listener.local_addr().unwrap_or(listen);
+    let options = RelayOptions {
+        name: name.unwrap_or_else(|| address.to_string()),
+        level,
+        parents,
+        directory: directory.clone(),
+        limits,
+        seed: seed(),
+    };
+    let host = RelayHost::new(options)
+        .map_err(|source| Failure::Relay { directory: directory.unwrap_or_default(), source })?;
+    announce(&listener);
+    host.run(listener, shutdown_signal()?).await;
+    Ok(())
+}
+
+/// The faults of a document whose form is sound.
+fn check_settings(_: &Scope, body: &str) -> Vec<String> {
+    match serde_json::from_str::<serde_json::Value>(body) {
+        Ok(body) => balancer_settings::check_part(&body["settings"])
+            .map_or_else(|faults| faults.messages(), |()| Vec::new()),
+        Err(error) => vec![error.to_string()],
+    }
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, Failure> {
+    TcpListener::bind(address).await.map_err(|source| Failure::Listen { address, source })
+}
+
+/// Prints the address, which a starter that asked for any port waits for.
+fn announce(listener: &TcpListener) {
+    if let Ok(address) = listener.local_addr() {
+        let mut output = std::io::stdout();
+        // Whoever does not read it is served all the same.
+        let _ = writeln!(output, "listening on {address}").and_then(|()| output.flush());
+    }
+}
+
+/// Completes with SIGTERM or SIGINT.
+fn shutdown_signal() -> Result<impl Future<Output = ()>, Failure> {
+    let mut terminate = signal(SignalKind::terminate()).map_err(Failure::Signals)?;
+    let mut interrupt = signal(SignalKind::interrupt()).map_err(Failure::Signals)?;
+    Ok(async move {
+        let name = tokio::select! {
+            _ = terminate.recv() => "SIGTERM",
+            _ = interrupt.recv() => "SIGINT",
+        };
+        log(format_args!("ending by {name}"));
+    })
+}
