--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod disk;
+pub mod in_process;
 
 use std::collections::BTreeMap;
 use std::fs;
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -6,11 +6,10 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use config_distribution::host::origin::OriginHost;
-use config_distribution::host::server::Limits;
 use config_distribution::host::store::{Outcome, Store};
 use config_distribution::origin::Bounds;
 use hosts_common::disk::{Catching, Shared, Write, indexes, record};
+use hosts_common::in_process::origin_over;
 use hosts_common::{
     Directory, Follower, Process, address, big_document, change, document, get, play, publish, within,
 };
@@ -18,8 +17,8 @@
 use redb::Builder;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::{TcpListener, TcpStream};
-use tokio::task::{JoinHandle, spawn_local};
+use tokio::net::TcpStream;
+use tokio::task::JoinHandle;
 
 #[test]
 fn a_last_write_torn_anywhere_leaves_all_that_was_acknowledged() {
@@ -95,23 +94,20 @@
     }
 }
 
-/// An origin in this process, over a disk that fails as it is told.
-async fn origin_over(disk: &Shared) -> (SocketAddr, JoinHandle<()>) {
-    let check = Box::new(|_: &_, _: &str| Vec::new());
-    let host = OriginHost::new(disk.store(), Bounds::default(), Limits::default(), 0, check, 1).unwrap();
-    let listener = TcpListener::bind(address()).await.unwrap();
-    let own = listener.local_addr().unwrap();
-    (own, spawn_local(host.run(listener, std::future::pending())))
+/// An origin over a disk with one document, and a child that has it.
+async fn origin_and_child(disk: &Shared) -> (SocketAddr, JoinHandle<()>, Follower) {
+    let (origin, running) = origin_over(disk, Bounds::default()).await;
+    publish(origin, "service/api", &document(1), "1").await;
+    let mut child = Follower::start("api-1", &[origin], &["service/api"], 1);
+    child.until_index(1).await;
+    (origin, running, child)
 }
 
 #[test]
 fn a_full_disk_is_told_and_readers_are_served_on() {
     play(async {
         let disk = Shared::default();
-        let (origin, running) = origin_over(&disk).await;
-        publish(origin, "service/api", &document(1), "1").await;
-        let mut child = Follower::start("api-1", &[origin], &["service/api"], 1);
-        child.until_index(1).await;
+        let (origin, running, mut child) = origin_and_child(&disk).await;
         let full = disk.disk().seen.len();
         disk.disk().room = Some(full);
         let big = big_document(250_000);
@@ -142,7 +138,7 @@
         assert_eq!(publish(origin, "service/api", &document(2), "2").await, index + 2);
         child.until_index(index + 2).await;
         running.abort();
-        let (again, _running) = origin_over(&disk.rebooted()).await;
+        let (again, _running) = origin_over(&disk.rebooted(), Bounds::default()).await;
         assert_eq!(get(again, "/configuration").await.unwrap().1["index"], index + 2);
     });
 }
@@ -151,10 +147,7 @@
 fn where_a_write_cannot_be_known_nothing_is_accepted_until_it_is() {
     play(async {
         let disk = Shared::default();
-        let (origin, running) = origin_over(&disk).await;
-        publish(origin, "service/api", &document(1), "1").await;
-        let mut child = Follower::start("api-1", &[origin], &["service/api"], 1);
-        child.until_index(1).await;
+        let (origin, running, mut child) = origin_and_child(&disk).await;
         {
             let mut disk = disk.disk();
             (disk.failing_syncs, disk.failing_openings) = (1, 3);
@@ -184,7 +177,7 @@
 fn a_failed_sync_is_told_and_the_next_publication_goes_on() {
     play(async {
         let disk = Shared::default();
-        let (origin, _running) = origin_over(&disk).await;
+        let (origin, _running) = origin_over(&disk, Bounds::default()).await;
         publish(origin, "service/api", &document(1), "1").await;
         disk.disk().failing_syncs = 1;
         let body = document(2);
@@ -200,12 +193,8 @@
 fn records_that_nothing_needs_are_deleted() {
     play(async {
         let disk = Shared::default();
-        let check = Box::new(|_: &_, _: &str| Vec::new());
         let bounds = Bounds { requests_most: 3, ..Bounds::default() };
-        let host = OriginHost::new(disk.store(), bounds, Limits::default(), 0, check, 1).unwrap();
-        let listener = TcpListener::bind(address()).await.unwrap();
-        let origin = listener.local_addr().unwrap();
-        let running = spawn_local(host.run(listener, std::future::pending()));
+        let (origin, running) = origin_over(&disk, bounds).await;
         publish(origin, "fleet", &document(1), "1").await;
         for number in 2..=20 {
             publish(origin, "service/api", &document(number), &number.to_string()).await;
@@ -215,7 +204,7 @@
         let kept = indexes(&found);
         // The newest of each scope, the remembered ones, and what the last write did not know of yet.
         assert!(kept.len() <= 5 && kept.contains(&1) && kept.ends_with(&[18, 19, 20]), "{kept:?}");
-        let (again, _running) = origin_over(&disk.rebooted()).await;
+        let (again, _running) = origin_over(&disk.rebooted(), Bounds::default()).await;
         assert_eq!(publish(again, "service/api", &document(20), "20").await, 20);
         assert_eq!(publish(again, "service/api", &document(21), "21").await, 21);
     });
@@ -321,10 +310,7 @@
 fn an_origin_whose_disk_fails_for_a_while_refuses_meanwhile_and_goes_on_by_itself() {
     play(async {
         let disk = Shared::default();
-        let (origin, running) = origin_over(&disk).await;
-        publish(origin, "service/api", &document(1), "1").await;
-        let mut child = Follower::start("api-1", &[origin], &["service/api"], 1);
-        child.until_index(1).await;
+        let (origin, running, mut child) = origin_and_child(&disk).await;
         disk.disk().failing_each_second = true;
         let (mut acknowledged, mut refused) = (1, 0);
         for number in 2..=60 {
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -12,9 +12,9 @@
 use config_distribution::host::server::Limits;
 use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{Catching, Shared, Write, indexes, record};
+use hosts_common::in_process::listening;
 use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
 use redb::Builder;
-use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
@@ -97,8 +97,7 @@
         Store::over(move || disk.open())
     };
     let host = RelayHost::over(options, opened).expect("a relay begins");
-    let listener = TcpListener::bind(address()).await.unwrap();
-    let own = listener.local_addr().unwrap();
+    let (listener, own) = listening().await;
     (own, spawn_local(host.run(listener, std::future::pending())))
 }
 
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -12,10 +12,9 @@
 use std::time::{Duration, Instant};
 
 use config_distribution::host::accept::Listen;
-use config_distribution::host::origin::OriginHost;
-use config_distribution::host::server::Limits;
 use config_distribution::origin::Bounds;
 use hosts_common::disk::Shared;
+use hosts_common::in_process::{listening, origin_host};
 use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
@@ -51,11 +50,8 @@
 
 /// An origin in this process whose first accepts fail with these codes.
 async fn origin_failing(codes: impl IntoIterator<Item = i32>) -> SocketAddr {
-    let check = Box::new(|_: &_, _: &str| Vec::new());
-    let store = Shared::default().store();
-    let host = OriginHost::new(store, Bounds::default(), Limits::default(), 0, check, 1).unwrap();
-    let listener = TcpListener::bind(address()).await.unwrap();
-    let own = listener.local_addr().unwrap();
+    let host = origin_host(&Shared::default(), Bounds::default());
+    let (listener, own) = listening().await;
     let codes = RefCell::new(codes.into_iter().collect());
     spawn_local(host.run(FailingListener { listener, codes }, std::future::pending()));
     own
