--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,6 +1,6 @@
-//! When upstreams started, on the clock of the decisions. Discovery stamps a start with the wall clock of another
+//! When did an upstream start, on the clock of the decisions? Discovery stamps a start with the wall clock of another
 //! machine; this is the one place that reads the wall clock of this one, and any of the two may step at any time. So a
-//! stamp names a start, and only says roughly when it was: the monotonic clock bounds that by when the list told of it.
+//! stamp names a start, and only says roughly when it was: the monotonic clock bounds that by when the list named it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,7 +13,7 @@
 /// leave the list and to return, in a fraction of a megabyte. One that returns later goes through slow start once more.
 pub const PAST_STARTS_MOST: usize = 4096;
 
-/// Tells the time of day, which may step.
+/// Reads the time of day, which may step.
 pub trait WallClock: fmt::Debug + Send {
     /// Unix time in milliseconds.
     fn unix_ms(&self) -> u64;
@@ -69,7 +69,7 @@
     /// When a list first named an upstream: what later ones add to it is new.
     first_list_at: Option<Time>,
     /// When discovery last said a line: what it had by then is in the list in hand.
-    told_at: Option<Time>,
+    last_line_at: Option<Time>,
 }
 
 impl StartTimes {
@@ -81,7 +81,7 @@
             listed: FxHashMap::default(),
             past: PastStarts::default(),
             first_list_at: None,
-            told_at: None,
+            last_line_at: None,
         }
     }
 
@@ -90,14 +90,14 @@
     /// have bounds, and one stamp that is ahead must not make the others old.
     #[must_use]
     pub fn moment(&self, now: Time, newest_ms: u64) -> Moment {
-        let least_ms = if self.told_at.is_none() { newest_ms } else { 0 };
-        Moment { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.told_at }
+        let least_ms = if self.last_line_at.is_none() { newest_ms } else { 0 };
+        Moment { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
     }
 
     /// Discovery has said a line, if an empty one, and what it holds has been taken in.
     pub fn told(&mut self, now: Time) {
         if self.first_list_at.is_some() {
-            self.told_at = Some(now);
+            self.last_line_at = Some(now);
         }
     }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,7 +1,8 @@
-//! What a balancer is told at its start: the configuration file and the environment.
+//! What does a balancer know at its start? What its configuration file and the environment say, as plain data.
 
 use std::env;
 use std::fs;
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -15,6 +16,13 @@
 use crate::clock::{SystemClock, WallClock};
 use crate::discovery::update::Update;
 
+/// Fewer descriptors than this leave none to serve anybody.
+const MIN_SOCKETS: usize = 48;
+/// Descriptors that the process may hold where the file does not say.
+const DEFAULT_SOCKETS: usize = 1024;
+/// Parents at most: a balancer follows one at a time.
+const MAX_PARENTS: usize = 16;
+
 /// Why the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
@@ -27,7 +35,8 @@
         /// The file.
         path: PathBuf,
         /// Why.
-        cause: std::io::Error,
+        #[source]
+        cause: io::Error,
     },
     /// The file is not the JSON that is expected.
     #[error("the configuration is malformed: {0}")]
@@ -48,6 +57,7 @@
     },
 }
 
+/// The configuration file.
 #[derive(Deserialize)]
 struct File {
     #[serde(default)]
@@ -59,13 +69,13 @@
     #[serde(default)]
     limits: Limits,
     known: Option<Update>,
-    distribution: Option<Tree>,
+    distribution: Option<DistributionSection>,
     settings: Box<RawValue>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Tree {
+struct DistributionSection {
     parents: Vec<String>,
     region: String,
     service: String,
@@ -79,7 +89,7 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: 1024 }
+        Self { sockets: DEFAULT_SOCKETS }
     }
 }
 
@@ -99,7 +109,7 @@
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where callers connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// Where discovery listens.
     pub discovery: SocketAddr,
@@ -127,7 +137,7 @@
     /// The file is missing or makes no sense.
     pub fn from_environment() -> Result<Self, ConfigError> {
         let path = PathBuf::from(env::var_os("PROXY_CONFIG").ok_or(ConfigError::NoPath)?);
-        let config = Self::parse(&text(&path)?, |name| env::var(name).ok())?;
+        let config = Self::parse(&read_file(&path)?, |name| env::var(name).ok())?;
         Ok(Self { path: Some(path), ..config })
     }
 
@@ -136,7 +146,7 @@
     /// # Errors
     /// The file is missing or makes no sense.
     pub fn discovery_now(path: &Path) -> Result<SocketAddr, ConfigError> {
-        Ok(Self::parse(&text(path)?, |_| None)?.discovery)
+        Ok(Self::parse(&read_file(path)?, |_| None)?.discovery)
     }
 
     /// Reads a configuration from its text, with `variable` in place of the environment.
@@ -150,25 +160,21 @@
         let discovery = variable("PROXY_DISCOVERY").or(file.discovery);
         let name = variable("PROXY_NAME").unwrap_or(file.name);
         if file.distribution.is_some() && name.is_empty() {
-            return Err(wrong("name", &name));
+            return Err(invalid("name", &name));
         }
-        if file.limits.sockets < LEAST_SOCKETS {
-            return Err(wrong("limits.sockets", &file.limits.sockets.to_string()));
+        if file.limits.sockets < MIN_SOCKETS {
+            return Err(invalid("limits.sockets", &file.limits.sockets.to_string()));
         }
         Ok(Self {
             name,
             listen: address("listen", listen)?,
             discovery: address("discovery", discovery)?,
-            seed: if file.seed.is_empty() {
-                0
-            } else {
-                u64::from_str_radix(&file.seed, 16).map_err(|_| wrong("seed", &file.seed))?
-            },
+            seed: seed(&file.seed)?,
             sockets: file.limits.sockets,
             known: file.known,
             distribution: file
                 .distribution
-                .map(|tree| distribution(&tree, file.settings.get()))
+                .map(|section| distribution(&section, file.settings.get()))
                 .transpose()?,
             loaded,
             path: None,
@@ -177,34 +183,36 @@
     }
 }
 
-/// Fewer descriptors than this leave no room to serve anybody.
-const LEAST_SOCKETS: usize = 48;
-
-/// Parents at most: a balancer follows one at a time.
-const PARENTS_MOST: usize = 16;
-
-fn distribution(tree: &Tree, settings: &str) -> Result<Distribution, ConfigError> {
-    if !(1..=PARENTS_MOST).contains(&tree.parents.len()) {
-        return Err(wrong("distribution.parents", &format!("{} addresses", tree.parents.len())));
+fn distribution(section: &DistributionSection, settings: &str) -> Result<Distribution, ConfigError> {
+    if !(1..=MAX_PARENTS).contains(&section.parents.len()) {
+        return Err(invalid("distribution.parents", &format!("{} addresses", section.parents.len())));
     }
-    let parent = |text: &String| text.parse().map_err(|_| wrong("distribution.parents", text));
+    let parent = |text: &String| text.parse().map_err(|_| invalid("distribution.parents", text));
     let named = |kind: &str, name: &str| format!("{kind}/{name}").parse::<Scope>();
     Ok(Distribution {
-        parents: tree.parents.iter().map(parent).collect::<Result<_, _>>()?,
-        wanted: [Scope::Fleet, named("region", &tree.region)?, named("service", &tree.service)?],
+        parents: section.parents.iter().map(parent).collect::<Result<_, _>>()?,
+        wanted: [Scope::Fleet, named("region", &section.region)?, named("service", &section.service)?],
         own_settings: serde_json::from_str(settings)?,
     })
 }
 
-fn text(path: &Path) -> Result<String, ConfigError> {
+fn read_file(path: &Path) -> Result<String, ConfigError> {
     fs::read_to_string(path).map_err(|cause| ConfigError::Read { path: path.to_owned(), cause })
 }
 
+/// A seed in hexadecimal digits; none is 0.
+fn seed(digits: &str) -> Result<u64, ConfigError> {
+    if digits.is_empty() {
+        return Ok(0);
+    }
+    u64::from_str_radix(digits, 16).map_err(|_| invalid("seed", digits))
+}
+
 fn address(name: &'static str, value: Option<String>) -> Result<SocketAddr, ConfigError> {
     let value = value.unwrap_or_default();
-    value.parse().map_err(|_| wrong(name, &value))
+    value.parse().map_err(|_| invalid(name, &value))
 }
 
-fn wrong(name: &'static str, value: &str) -> ConfigError {
+fn invalid(name: &'static str, value: &str) -> ConfigError {
     ConfigError::Value { name, value: value.to_owned() }
 }
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -23,8 +23,8 @@
 
 pub use crate::offered::{Offered, TooManyNames};
 
-/// Letters of a reason in a report at most; the log has it whole.
-const WHY_MOST: usize = 200;
+/// Characters of a reason in a report at most; the log has it whole.
+const MAX_REASON_CHARS: usize = 200;
 
 /// What goes over to other settings while it runs.
 pub trait Reconfigurable {
@@ -90,13 +90,13 @@
     spawn_local(client::run(
         client,
         move |address| connection::open(address, pool.reserved_permit()),
-        move |state, _| follower.take(state),
+        move |state, _| follower.on_state(state),
     ));
 }
 
 type Documents = [Option<Document>; 3];
 
-/// What this balancer makes of what it is told.
+/// Applies the documents that concern this balancer, and knows which are in force.
 struct Follower<T> {
     target: Rc<T>,
     name: Box<str>,
@@ -109,8 +109,8 @@
 }
 
 impl<T: Reconfigurable> Follower<T> {
-    /// Takes in the newest documents, and tells what is in force.
-    fn take(&mut self, state: &State) -> InForce {
+    /// Takes in the newest documents, and reports what is in force.
+    fn on_state(&mut self, state: &State) -> InForce {
         let newest: Documents = self.wanted.each_ref().map(|scope| state.get(scope).cloned());
         if newest != self.in_force && !self.apply_all(newest.clone()) {
             // Together they make no sense: those that do beside what stands are applied, the others stay as they were.
@@ -146,7 +146,7 @@
         let refused = self.apply(documents).err().map(|error| {
             let why = error.to_string();
             let scope = self.wanted[place].clone();
-            let refused = Refused { scope, version, why: why.chars().take(WHY_MOST).collect() };
+            let refused = Refused { scope, version, why: why.chars().take(MAX_REASON_CHARS).collect() };
             if self.refused[place].as_ref() != Some(&refused) {
                 crate::log(format_args!("{} {version} is not applied: {why}", refused.scope));
             }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -224,7 +224,7 @@
     /// Learns whether a connection that was idle for so long has carried its request.
     pub fn learn_idle(&self, idle: Duration, answered: bool) {
         self.pool.learn_idle(idle, answered);
-        self.state.borrow_mut().counters.kept_reset += u32::from(!answered);
+        self.state.borrow_mut().counters.reused_reset += u32::from(!answered);
     }
 
     /// Whether discovery's latest update allows new work for an upstream at this address.
@@ -241,7 +241,7 @@
     /// Logs why a connection did not come up, once between two lines of counts: upstreams may be out of reach
     /// for long.
     pub fn tell_unreached(&self, address: SocketAddr, error: &AcquireError) {
-        if !std::mem::replace(&mut self.state.borrow_mut().counters.unreached_told, true) {
+        if !std::mem::replace(&mut self.state.borrow_mut().counters.unreachable_logged, true) {
             crate::log(format_args!("{address} was not reached: {error}"));
         }
     }
@@ -266,7 +266,7 @@
         let (answer, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
-            state.counters.taken += 1;
+            state.counters.accepted += 1;
             state.requests.insert(&taken, answer)
         };
         self.handle(Event::Request(Request {
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -1,4 +1,5 @@
-//! Counts of what the balancer did, for one log line every [`EVERY`].
+//! What has the balancer done lately? Counts since the last line of the log, which gets one every [`EVERY`]. The words of
+//! the line stay as they are: pages and operators search for them.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -11,8 +12,8 @@
 /// What happened since the last line.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests taken.
-    pub taken: u32,
+    /// Requests accepted.
+    pub accepted: u32,
     /// Answered with what an upstream answered.
     pub served: u32,
     /// Refused with no attempt made.
@@ -21,20 +22,21 @@
     pub refused: u32,
     /// Failed.
     pub failed: u32,
-    /// Left by the caller, or overdue.
+    /// Given up as the client left, or overdue.
     pub left: u32,
     /// Connections to upstreams that were opened.
     pub opened: u32,
-    /// Attempts reset on a connection that had been kept.
-    pub kept_reset: u32,
+    /// Attempts reset on a connection that had been idle before.
+    pub reused_reset: u32,
     /// The reason for one of the connections that did not come up has been logged.
-    pub unreached_told: bool,
+    pub unreachable_logged: bool,
     /// Attempts by their outcome: good, error, refused, rejected, timed out, no connection, none in time,
     /// reset, withdrawn, not sent.
     outcomes: [u32; 10],
-    /// Time that the good ones took, and the longest.
-    took: Duration,
-    longest: Duration,
+    /// Time that the good ones took in all.
+    good_total: Duration,
+    /// The longest of them.
+    good_max: Duration,
 }
 
 impl Counters {
@@ -42,8 +44,8 @@
     pub fn attempt(&mut self, outcome: Outcome, took: Duration) {
         self.outcomes[outcome as usize] += 1;
         if outcome == Outcome::Good {
-            self.took += took;
-            self.longest = self.longest.max(took);
+            self.good_total += took;
+            self.good_max = self.good_max.max(took);
         }
     }
 }
@@ -51,29 +53,30 @@
 impl Display for Counters {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let Self {
-            taken,
+            accepted,
             served,
             denied,
             refused,
             failed,
             left,
             opened,
-            kept_reset,
-            unreached_told: _,
+            reused_reset,
+            unreachable_logged: _,
             outcomes,
-            took,
-            longest,
+            good_total,
+            good_max,
         } = self;
-        let [good, error, full, rejected, late, unreached, unconnected, reset, withdrawn, unsent] = *outcomes;
+        let [good, error, full, rejected, late, unreachable, unconnected, reset, withdrawn, unsent] =
+            *outcomes;
         write!(
             f,
-            "requests: {taken} taken, {served} served, {denied} denied, {refused} refused, {failed} failed, \
+            "requests: {accepted} taken, {served} served, {denied} denied, {refused} refused, {failed} failed, \
              {left} left; attempts: {good} good ({:.0} ms, {:.0} at most), {error} error, {full} full, \
-             {rejected} rejected, {late} late, {unreached} unreached, {unconnected} not connected in time, \
-             {reset} reset ({kept_reset} on kept connections), {withdrawn} withdrawn, \
+             {rejected} rejected, {late} late, {unreachable} unreached, {unconnected} not connected in time, \
+             {reset} reset ({reused_reset} on kept connections), {withdrawn} withdrawn, \
              {unsent} unsent; {opened} connections opened",
-            took.as_secs_f64() * 1000.0 / f64::from(good.max(1)),
-            longest.as_secs_f64() * 1000.0,
+            good_total.as_secs_f64() * 1000.0 / f64::from(good.max(1)),
+            good_max.as_secs_f64() * 1000.0,
         )
     }
 }
