--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use balancer_proxy::config::Config;
-use balancer_proxy::driver::Driver;
+use balancer_proxy::event_loop::EventLoop;
 use config_distribution::document::Scope;
 use config_distribution::host::client::{self, Client};
 use config_distribution::report::InForce;
@@ -272,7 +272,7 @@
 ///
 /// # Errors
 /// The settings make no sense.
-pub fn driver(list: SocketAddr, hollow: &Hollow, zones: &[String]) -> Result<Rc<Driver>, String> {
+pub fn driver(list: SocketAddr, hollow: &Hollow, zones: &[String]) -> Result<Rc<EventLoop>, String> {
     let settings = json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": zones.get(hollow.zone), "zones": zones, "kinds": ["std"],
         "lanes": [
@@ -285,10 +285,10 @@
         "name": format!("balancer-{}", hollow.number), "listen": "127.0.0.1:0", "discovery": list.to_string(),
         "seed": format!("{:x}", hollow.seed), "settings": settings});
     let config = Config::parse(&text.to_string(), |_| None).map_err(|cause| cause.to_string())?;
-    Driver::start(config).map_err(|cause| cause.to_string())
+    EventLoop::start(config).map_err(|cause| cause.to_string())
 }
 
-async fn listed(driver: Rc<Driver>, number: usize) {
+async fn listed(driver: Rc<EventLoop>, number: usize) {
     while !driver.can_serve() {
         sleep(Duration::from_millis(10)).await;
     }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -95,7 +95,7 @@
     }
 
     /// Discovery has said a line, if an empty one, and what it holds has been taken in.
-    pub fn told(&mut self, now: Time) {
+    pub fn note_line(&mut self, now: Time) {
         if self.first_list_at.is_some() {
             self.last_line_at = Some(now);
         }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -30,7 +30,7 @@
 ///
 /// And from the last line of a watch that fell silent: its silence 3.2, back-off 0.5 or 0, sweep 0.2; left are 2.1
 /// and 2.6. A reload starts at the back-off of a first failure, 0.5 or 0, and has 4 s.
-pub const TOLD_AFTER: Duration = Duration::from_secs(6);
+pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
 /// How long a new watch may take from its asking to its first whole line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -10,11 +10,11 @@
 
 use super::connection_state::ClientConnection;
 use super::shutdown::Phase;
-use crate::driver::Driver;
+use crate::event_loop::EventLoop;
 
 /// The clients' connections, and what the whole of them goes by.
 pub(super) struct ConnectionSet {
-    driver: Rc<Driver>,
+    driver: Rc<EventLoop>,
     phases: watch::Receiver<Phase>,
     /// By number, which is the order of their coming.
     open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -30,7 +30,7 @@
 }
 
 impl ConnectionSet {
-    pub(super) fn new(driver: Rc<Driver>, phases: watch::Receiver<Phase>) -> Self {
+    pub(super) fn new(driver: Rc<EventLoop>, phases: watch::Receiver<Phase>) -> Self {
         Self {
             driver,
             phases,
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) fn driver(&self) -> &Rc<Driver> {
+    pub(super) fn driver(&self) -> &Rc<EventLoop> {
         &self.driver
     }
 
--- a/crates/proxy/src/downstream/health.rs
+++ b/crates/proxy/src/downstream/health.rs
@@ -5,7 +5,7 @@
 use hyper::{Request, Response, StatusCode};
 
 use super::response::plain_text;
-use crate::driver::Driver;
+use crate::event_loop::EventLoop;
 
 /// Where the front asks whether it may send here.
 const HEALTH_PATH: &str = "/_health";
@@ -14,7 +14,7 @@
     request.uri().path() == HEALTH_PATH
 }
 
-pub(super) fn check_health(driver: &Driver) -> Response<Full<Bytes>> {
+pub(super) fn check_health(driver: &EventLoop) -> Response<Full<Bytes>> {
     let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     plain_text(status, "")
 }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -15,10 +15,10 @@
 
 use super::socket::WeakSocket;
 use crate::configuration::Offered;
-use crate::driver::{Driver, Taken};
+use crate::event_loop::{AcceptedRequest, EventLoop};
 use crate::upstream::{BODY_MOST, Call};
 
-/// Taken off a client's time: the answer must arrive before it is up.
+/// AcceptedRequest off a client's time: the answer must arrive before it is up.
 const MARGIN: Duration = Duration::from_millis(30);
 
 /// What is wrong with a client's request.
@@ -106,11 +106,11 @@
 /// Reads a request to its last byte, which must come by then. Not cancel safe: what was read of the body is lost, and
 /// the connection with it.
 pub(super) async fn read_request(
-    driver: &Driver,
+    driver: &EventLoop,
     request: Request<Incoming>,
     client: WeakSocket,
     complete_by: Instant,
-) -> Result<Taken, BadRequest> {
+) -> Result<AcceptedRequest, BadRequest> {
     let (head, body) = request.into_parts();
     let offered = driver.offered();
     let mut checked = RequestHead::read(&head, &offered)?;
@@ -125,7 +125,7 @@
     let RequestHead { class, tenant, client_timeout, once } = checked;
     let now = Instant::now();
     let cost = header_text(&head.headers, "x-cost-hint").and_then(|value| value.trim().parse().ok());
-    Ok(Taken {
+    Ok(AcceptedRequest {
         class,
         tenant,
         key: affinity_key(head.uri.query()),
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -13,7 +13,7 @@
 
 use super::connection_state::ClientConnection;
 use super::request::{BadRequest, read_request};
-use crate::driver::{Answer, Driver, Taken};
+use crate::event_loop::{AcceptedRequest, Answer, EventLoop};
 
 /// Left to the decisions for a last word past a request's deadline, before the answer is given for them.
 const DECISION_GRACE: Duration = Duration::from_millis(10);
@@ -28,7 +28,7 @@
 
 /// Reads a request and waits for its answer. Dropped in the wait, it calls the request off.
 pub(super) async fn respond(
-    driver: &Rc<Driver>,
+    driver: &Rc<EventLoop>,
     connection: &ClientConnection,
     request: Request<Incoming>,
     limits: Limits,
@@ -53,21 +53,21 @@
 
 /// Tells the driver of a client that leaves before its answer: the connection drops this with the request.
 struct DepartureGuard {
-    driver: Rc<Driver>,
+    driver: Rc<EventLoop>,
     id: RequestId,
 }
 
 impl Drop for DepartureGuard {
     fn drop(&mut self) {
-        self.driver.caller_left(self.id);
+        self.driver.client_left(self.id);
     }
 }
 
 /// Hands a request to the driver and waits for its answer. Dropped in the wait, it tells the driver that the client
 /// has left.
-async fn await_answer(driver: &Rc<Driver>, received: Taken) -> Answer {
+async fn await_answer(driver: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
     let overdue = received.deadline + DECISION_GRACE;
-    let (id, answer) = driver.take(received);
+    let (id, answer) = driver.accept(received);
     let guard = DepartureGuard { driver: Rc::clone(driver), id };
     let answer = tokio::select! {
         biased;
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -15,7 +15,7 @@
 use super::listener::{Accept, AcceptLoop};
 use super::shutdown::{DrainSchedule, Phase, QUIET_PERIOD, QUIET_POLL_INTERVAL};
 use crate::config::Config;
-use crate::driver::Driver;
+use crate::event_loop::EventLoop;
 
 /// Binds the address of the configuration and serves until `stop` and the drain after it are over.
 ///
@@ -37,7 +37,7 @@
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let path = config.path.clone();
-    let driver = Driver::start(config).map_err(io::Error::other)?;
+    let driver = EventLoop::start(config).map_err(io::Error::other)?;
     // The platform goes by the settings of the start.
     let schedule = DrainSchedule::new(driver.longest());
     if let Some(path) = path {
@@ -84,7 +84,7 @@
 }
 
 /// On each SIGHUP takes over where discovery listens. A file that makes no sense changes nothing.
-async fn reload_on_hangup(driver: Rc<Driver>, path: PathBuf, mut hangup: Signal) {
+async fn reload_on_hangup(driver: Rc<EventLoop>, path: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match Config::discovery_now(&path) {
             Ok(address) => driver.move_discovery(address),
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -137,7 +137,7 @@
 
     /// Discovery has said a line, if an empty one: a start that a later one names lies after it.
     pub fn note_heartbeat(&mut self, now: Time) {
-        self.starts.told(now);
+        self.starts.note_line(now);
     }
 
     /// Whether an update of discovery is to be applied. One older than the list in hand, as from a discovery that lags
@@ -149,7 +149,7 @@
         if update.index < self.index {
             crate::log(format_args!("an older list: {} after {}", update.index, self.index));
             if !update.snapshot {
-                self.starts.told(now);
+                self.starts.note_line(now);
                 return false;
             }
             for endpoint in update.endpoints.iter_mut().filter(|endpoint| self.drains(now, endpoint)) {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -24,14 +24,14 @@
 
 use crate::config::Config;
 use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
-use crate::discovery::{BrokenError, Patience, TOLD_AFTER, Update, WatchObserver};
+use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
 use crate::pool::{AcquireError, Host, Pool};
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
 use crate::upstream::{Ended, Job};
 
-pub use crate::request_table::{Answer, Taken};
+pub use crate::request_table::{AcceptedRequest, Answer};
 
 /// How far the policy's clock runs ahead of the program's start: upstreams that started before it have a time on that
 /// clock too. One that started earlier still has been warm for long.
@@ -71,7 +71,7 @@
 }
 
 /// The state of a running balancer.
-pub struct Driver {
+pub struct EventLoop {
     state: RefCell<State>,
     /// Those of the start: zones, kinds and the fields of a load report stay for life.
     names: Names,
@@ -86,7 +86,7 @@
     pool: Rc<Pool>,
 }
 
-impl Driver {
+impl EventLoop {
     /// Starts the decisions with the list from the configuration.
     ///
     /// # Errors
@@ -240,7 +240,7 @@
 
     /// Logs why a connection did not come up, once between two lines of counts: upstreams may be out of reach
     /// for long.
-    pub fn tell_unreached(&self, address: SocketAddr, error: &AcquireError) {
+    pub fn log_unreachable(&self, address: SocketAddr, error: &AcquireError) {
         if !std::mem::replace(&mut self.state.borrow_mut().counters.unreachable_logged, true) {
             crate::log(format_args!("{address} was not reached: {error}"));
         }
@@ -262,7 +262,7 @@
     }
 
     /// Accepts a request; its final answer comes through the receiver.
-    pub fn take(self: &Rc<Self>, taken: Taken) -> (RequestId, oneshot::Receiver<Answer>) {
+    pub fn accept(self: &Rc<Self>, taken: AcceptedRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
@@ -282,7 +282,7 @@
     }
 
     /// The client has left, or its time is up: nothing more is owed.
-    pub fn caller_left(self: &Rc<Self>, id: RequestId) {
+    pub fn client_left(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
             if !state.requests.abandon(id) {
@@ -323,7 +323,7 @@
             return;
         }
         self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Patch });
-        self.hear_life_sign();
+        self.note_heartbeat();
         // To the decisions an update means that the watch stands. On one at the address of before it must not keep them
         // from asking at the new one.
         let moved = self.state.borrow().watch.address != self.discovery.get();
@@ -334,7 +334,7 @@
     }
 
     /// The watch has said a line, if an empty one.
-    pub fn hear_life_sign(&self) {
+    pub fn note_heartbeat(&self) {
         self.state.borrow_mut().endpoints.note_heartbeat(self.now());
     }
 
@@ -365,7 +365,7 @@
     }
 }
 
-impl Reconfigurable for Driver {
+impl Reconfigurable for EventLoop {
     /// Requests that were accepted keep the rules that they were accepted under, attempts and connections go on.
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError> {
         let Loaded { mut settings, names, connect_timeout } = loaded;
@@ -384,13 +384,13 @@
     }
 }
 
-impl WatchObserver for Driver {
+impl WatchObserver for EventLoop {
     fn on_update(self: &Rc<Self>, update: Update) {
         self.learn(update);
     }
 
     fn on_heartbeat(&self) {
-        self.hear_life_sign();
+        self.note_heartbeat();
     }
 
     fn on_broken(self: &Rc<Self>, number: u64, why: &BrokenError) {
@@ -415,5 +415,5 @@
     }
     // Where lists are asked for, the settings may allow to ask more seldom than changes count as told.
     let ask_within = &mut settings.rules.ask_within;
-    *ask_within = Some(ask_within.unwrap_or(TOLD_AFTER).min(TOLD_AFTER));
+    *ask_within = Some(ask_within.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -8,12 +8,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
 
-use super::{Driver, State};
+use super::{EventLoop, State};
 use crate::discovery::{self, WatchStart};
 use crate::request_table::Answer;
 use crate::upstream::{self, Job};
 
-impl Driver {
+impl EventLoop {
     /// Hands an event to the decisions and carries out what they ask for.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,7 @@
 //! A load balancer on real sockets. All decisions are those of `balancer-policy`; this crate turns what happens on
 //! the network into its events and carries out its actions.
 //!
-//! One thread, one runtime: [`event_loop::Driver`] owns the state behind a `RefCell` that is never borrowed across an
+//! One thread, one runtime: [`event_loop::EventLoop`] owns the state behind a `RefCell` that is never borrowed across an
 //! await.
 //!
 //! # Control side
@@ -48,7 +48,6 @@
 
 pub use downstream as server;
 pub use downstream::socket;
-pub use event_loop as driver;
 pub use telemetry::{counters, log};
 pub use upstream::{connection, pool};
 
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -29,7 +29,7 @@
 
 /// A client's request, ready for the decisions.
 #[derive(Debug)]
-pub struct Taken {
+pub struct AcceptedRequest {
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -165,7 +165,7 @@
     }
 
     /// Enters a request, whose final answer goes to `answer`.
-    pub fn insert(&mut self, taken: &Taken, answer: oneshot::Sender<Answer>) -> RequestId {
+    pub fn insert(&mut self, taken: &AcceptedRequest, answer: oneshot::Sender<Answer>) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let request = InFlight {
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::driver::Driver;
+use crate::event_loop::EventLoop;
 
 use super::acquire_error::AcquireError;
 use super::call::{Call, size_on_wire};
@@ -49,7 +49,7 @@
 
 /// What must hold as the bytes of an attempt's request are written.
 struct Bounds {
-    driver: Rc<Driver>,
+    driver: Rc<EventLoop>,
     request: RequestId,
     upstream: UpstreamId,
     address: SocketAddr,
@@ -58,7 +58,7 @@
 }
 
 impl Bounds {
-    fn of(driver: &Rc<Driver>, job: &Job) -> Self {
+    fn of(driver: &Rc<EventLoop>, job: &Job) -> Self {
         let &Job { request, upstream, address, begin_by, until, .. } = job;
         Self { driver: Rc::clone(driver), request, upstream, address, begin_by, until }
     }
@@ -141,7 +141,7 @@
 }
 
 /// Makes an attempt and tells the driver how it ended.
-pub async fn attempt(driver: Rc<Driver>, job: Job, withdrawn: oneshot::Receiver<()>) {
+pub async fn attempt(driver: Rc<EventLoop>, job: Job, withdrawn: oneshot::Receiver<()>) {
     let progress = Progress::default();
     let ended = match driver.host(job.upstream, job.address) {
         Some(host) => {
@@ -176,7 +176,7 @@
 }
 
 async fn exchange(
-    driver: &Rc<Driver>,
+    driver: &Rc<EventLoop>,
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
@@ -192,7 +192,7 @@
                     _ => Outcome::ConnectFailed,
                 };
                 if !matches!(error, AcquireError::NoSocket) {
-                    driver.tell_unreached(job.address, &error);
+                    driver.log_unreachable(job.address, &error);
                 }
                 return (outcome.into(), None);
             }
@@ -222,7 +222,7 @@
         }
         if connection.gate.has_refused() {
             if !driver.is_awaited(job.request) {
-                driver.caller_left(job.request);
+                driver.client_left(job.request);
             }
             let outcome = Bounds::of(driver, job).refusal().unwrap_or(Outcome::NotSent);
             return (outcome.into(), None);
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -9,10 +9,10 @@
 
 use super::attempt::Ended;
 use super::call::BODY_MOST;
-use crate::driver::Driver;
+use crate::event_loop::EventLoop;
 
 /// Reads an answer to its end; `None` if it breaks off.
-pub(super) async fn read(driver: &Driver, response: Response<Incoming>) -> Option<Ended> {
+pub(super) async fn read(driver: &EventLoop, response: Response<Incoming>) -> Option<Ended> {
     let (head, body) = response.into_parts();
     let load = head.headers.get("x-load").and_then(|value| load_report(driver, value));
     // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
@@ -37,7 +37,7 @@
 }
 
 /// Reads `name=value,name=value`.
-fn load_report(driver: &Driver, value: &HeaderValue) -> Option<LoadReport> {
+fn load_report(driver: &EventLoop, value: &HeaderValue) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for part in value.to_str().ok()?.split(',') {
         let (name, value) = part.split_once('=')?;
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -82,7 +82,7 @@
     /// A list from discovery with these upstreams and stamps; gives their start times.
     fn hear(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let times = self.read(entries);
-        self.starts.told(self.now);
+        self.starts.note_line(self.now);
         times
     }
 
@@ -185,7 +185,7 @@
 fn a_start_is_not_older_than_the_last_sign_of_life() {
     let mut world = World::with_list(HOUR_MS);
     world.pass(seconds(20));
-    world.starts.told(world.now);
+    world.starts.note_line(world.now);
     let alive = world.now;
     world.pass(seconds(1));
     let since_ms = world.stamp();
@@ -240,7 +240,7 @@
         let first_ms = world.stamp();
         let first = world.hear_one(1, first_ms);
         world.pass(seconds(60));
-        world.starts.told(world.now);
+        world.starts.note_line(world.now);
         let told = world.now;
         world.pass(seconds(1));
         world.stamps_ahead_ms = stamps_ahead_ms;
@@ -360,7 +360,7 @@
 #[test]
 fn signs_of_life_before_any_list_bound_nothing() {
     let mut world = World::new(0);
-    world.starts.told(world.now);
+    world.starts.note_line(world.now);
     world.pass(seconds(2));
     assert_eq!(world.hear_one(1, BEGIN_MS - 60 * SECOND_MS), Some(BEGIN - seconds(60)));
 }
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use balancer_proxy::config::Config;
-use balancer_proxy::driver::{Answer, Driver, Taken};
+use balancer_proxy::event_loop::{AcceptedRequest, Answer, EventLoop};
 use balancer_proxy::socket::Socket;
 use balancer_proxy::upstream::Call;
 use bytes::Bytes;
@@ -67,23 +67,23 @@
 }
 
 /// Runs on a runtime of its own, with a driver that has these upstreams.
-fn drive(known: &[Value], test: impl AsyncFnOnce(&Rc<Driver>)) {
+fn drive(known: &[Value], test: impl AsyncFnOnce(&Rc<EventLoop>)) {
     let discovery = Discovery::start();
     let text = configuration(discovery.address, known, 50.0, 1024);
     drive_with(&with_dial_timeout(&text, LONG.as_secs_f64()), test);
 }
 
-fn drive_with(configuration: &str, test: impl AsyncFnOnce(&Rc<Driver>)) {
+fn drive_with(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
     let config = Config::parse(configuration, |_| None).expect("a sound configuration");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     LocalSet::new().block_on(&runtime, async {
-        let driver = Driver::start(config).expect("sound settings");
+        let driver = EventLoop::start(config).expect("sound settings");
         test(&driver).await;
     });
 }
 
 /// Takes a request of this class for the client at the other end of `near`.
-fn take(driver: &Rc<Driver>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
+fn take(driver: &Rc<EventLoop>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
     let offered = driver.offered();
     let (class_id, _) = offered.class(class).expect("it is offered");
     let method = if class == "read" { Method::GET } else { Method::POST };
@@ -96,7 +96,7 @@
         body: Bytes::new(),
         once: class == "order",
     };
-    let taken = Taken {
+    let taken = AcceptedRequest {
         class: class_id,
         tenant: offered.tenant("acme"),
         key: None,
@@ -106,7 +106,7 @@
         call: Rc::new(call),
         client: near.downgrade(),
     };
-    driver.take(taken).1
+    driver.accept(taken).1
 }
 
 /// Lets a client leave, and waits until the system has heard of it.
@@ -267,7 +267,7 @@
             body,
             once: true,
         };
-        let taken = Taken {
+        let taken = AcceptedRequest {
             class: offered.class("order").expect("it is offered").0,
             tenant: offered.tenant("acme"),
             key: None,
@@ -277,7 +277,7 @@
             call: Rc::new(call),
             client: near.downgrade(),
         };
-        let (_, answer) = driver.take(taken);
+        let (_, answer) = driver.accept(taken);
         let accepted = tokio::task::spawn_blocking(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             stream.read_exact(&mut [0; 64]).expect("it has begun");
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -14,7 +14,7 @@
 
 use balancer_proxy::config::Config;
 use balancer_proxy::discovery::Update;
-use balancer_proxy::driver::{Answer, Driver, Taken};
+use balancer_proxy::event_loop::{AcceptedRequest, Answer, EventLoop};
 use balancer_proxy::socket::Socket;
 use balancer_proxy::upstream::Call;
 use bytes::Bytes;
@@ -37,11 +37,11 @@
 // --- Between the hand-over of a request and its writing ---
 
 /// Runs on a runtime of its own, with a driver of this configuration.
-fn drive(configuration: &str, test: impl AsyncFnOnce(&Rc<Driver>)) {
+fn drive(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
     let config = Config::parse(configuration, |_| None).expect("a sound configuration");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     LocalSet::new().block_on(&runtime, async {
-        let driver = Driver::start(config).expect("sound settings");
+        let driver = EventLoop::start(config).expect("sound settings");
         test(&driver).await;
     });
 }
@@ -57,7 +57,7 @@
 }
 
 /// Takes a request of a class that may be repeated.
-fn take(driver: &Rc<Driver>, near: &Socket, deadline: tokio::time::Instant) -> oneshot::Receiver<Answer> {
+fn take(driver: &Rc<EventLoop>, near: &Socket, deadline: tokio::time::Instant) -> oneshot::Receiver<Answer> {
     let offered = driver.offered();
     let call = Call {
         method: Method::GET,
@@ -68,7 +68,7 @@
         body: Bytes::new(),
         once: false,
     };
-    let taken = Taken {
+    let taken = AcceptedRequest {
         class: offered.class("read").expect("it is offered").0,
         tenant: offered.tenant("acme"),
         key: None,
@@ -78,7 +78,7 @@
         call: Rc::new(call),
         client: near.downgrade(),
     };
-    driver.take(taken).1
+    driver.accept(taken).1
 }
 
 /// Waits until a connection that has just carried an answer may carry the next request.
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, UpstreamId};
-use balancer_proxy::request_table::{Answer, AttemptResult, RequestTable, Taken};
+use balancer_proxy::request_table::{AcceptedRequest, Answer, AttemptResult, RequestTable};
 use balancer_proxy::socket::Socket;
 use balancer_proxy::upstream::Call;
 use bytes::Bytes;
@@ -38,7 +38,7 @@
             body: Bytes::new(),
             once: false,
         };
-        let taken = Taken {
+        let taken = AcceptedRequest {
             class: ClassId(0),
             tenant: None,
             key: None,
