--- /dev/null
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -0,0 +1,135 @@
+//! Attempts on the modelled network: connections, delays, cuts and timeouts between a balancer and an upstream.
+
+use std::time::Duration;
+
+use balancer_policy::Event;
+use balancer_policy::interface::{AttemptNumber, Outcome, RequestId};
+
+use super::event::Due;
+use super::settings::GRACE_S;
+use super::state::{Attempt, End, State};
+use super::{World, ns};
+
+/// Until a balancer closes an attempt's wait for a connection: not its last one, and its last one.
+const CONNECT: (f64, f64) = (1.0 / 16.0, 1.0);
+
+impl World<'_> {
+    pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
+        let [from, to] = [from, to].map(|zone| self.topology.region_of[zone]);
+        from != to && self.cut.is_some_and(|region| region == from || region == to)
+    }
+
+    /// One way, with up to a tenth of noise.
+    pub(super) fn delay(&mut self, from: usize, to: usize) -> u64 {
+        let network = &self.plan.network;
+        let regions = &self.topology.region_of;
+        let ms = if from == to {
+            network.zone_ms.value
+        } else if regions[from] == regions[to] {
+            network.region_ms.value
+        } else {
+            network.far_ms.value
+        };
+        ns(ms / 1e3 * (1.0 + 0.1 * self.rng.rand_float()))
+    }
+
+    pub(super) fn send(
+        &mut self,
+        core: u32,
+        id: u64,
+        process: u32,
+        timeout: Option<Duration>,
+        begin_within: Option<Duration>,
+        last: bool,
+    ) {
+        let now = self.now;
+        let held = &self.cores[core as usize];
+        let from = held.zone;
+        let to = self.slots[self.processes[process as usize].slot].zone;
+        if held.told.get(&process).is_some_and(|&told| now > told + ns(GRACE_S)) {
+            self.report.faults.after_grace += 1;
+        }
+        let depth = self.depth_of(core);
+        self.report.depths[depth].attempts += 1;
+        let regions = &self.topology.region_of;
+        self.report.crossed.0 += u64::from(from != to && regions[from] == regions[to]);
+        self.report.crossed.1 += u64::from(regions[from] != regions[to]);
+        let state = self.processes[process as usize].state;
+        let cut = self.is_cut(from, to);
+        let one = self.delay(from, to);
+        let Some(hop) = self.hops.get(id) else { return };
+        let attempt = hop.attempts.len() as u8;
+        let wait = timeout
+            .map_or(hop.deadline.saturating_sub(now), |span| span.as_nanos() as u64)
+            .min(hop.deadline.saturating_sub(now));
+        let connected = self.cores[core as usize].connected.contains(&process) && state != State::Ended;
+        let reply = |outcome| Due::Reply { hop: id, attempt, outcome };
+        let (at, due, connecting) = if connected && !cut {
+            (now + one, Due::Reach { hop: id, attempt }, 0)
+        } else if connected {
+            (now + wait, reply(Outcome::TimedOut), 0)
+        } else if cut || state == State::Lost {
+            let wait = wait.min(ns(if last { CONNECT.1 } else { CONNECT.0 }));
+            (now + wait, reply(Outcome::ConnectTimedOut), wait)
+        } else if state == State::Ended {
+            (now + 2 * one, reply(Outcome::ConnectFailed), 2 * one)
+        } else if begin_within.is_some_and(|span| span.as_nanos() < u128::from(2 * one)) {
+            (now + 2 * one, reply(Outcome::NotSent), 2 * one)
+        } else {
+            self.cores[core as usize].connected.insert(process);
+            (now + 3 * one, Due::Reach { hop: id, attempt }, 2 * one)
+        };
+        if connected && (cut || state == State::Lost) {
+            // What is out on it ends in time; the next attempt opens a connection anew.
+            self.cores[core as usize].connected.remove(&process);
+        }
+        if let Some(hop) = self.hops.get(id) {
+            hop.attempts.push(Attempt { process, sent: now, connecting, over: false });
+        }
+        self.due.push(at, due);
+        if matches!(due, Due::Reach { .. }) {
+            self.due.push(now + wait, Due::Timeout { hop: id, attempt });
+        }
+    }
+
+    /// An attempt is over at its balancer.
+    pub(super) fn attempt_over(&mut self, id: u64, number: u8, outcome: Outcome) {
+        let now = self.now;
+        let Some(hop) = self.hops.get(id) else { return };
+        let core = hop.core;
+        let Some(attempt) = hop.attempts.get_mut(usize::from(number)).filter(|attempt| !attempt.over) else {
+            return;
+        };
+        attempt.over = true;
+        let Attempt { sent, connecting, process, .. } = *attempt;
+        let good = outcome == Outcome::Good;
+        let depth = self.depth_of(core);
+        let end = match outcome {
+            Outcome::Good => 0,
+            Outcome::Error | Outcome::Rejected => 1,
+            Outcome::Refused => 2,
+            Outcome::TimedOut | Outcome::Withdrawn => 3,
+            Outcome::ConnectFailed | Outcome::ConnectTimedOut | Outcome::NotSent => 4,
+            Outcome::Reset => 5,
+        };
+        self.report.depths[depth].ends[end] += 1;
+        if outcome == Outcome::Reset {
+            self.cores[core as usize].connected.remove(&process);
+        }
+        let took = now - sent;
+        let ended = Event::AttemptEnded {
+            request: RequestId(id),
+            attempt: AttemptNumber(number.into()),
+            outcome,
+            took: Duration::from_nanos(took),
+            connecting: Duration::from_nanos(connecting.min(took)),
+            finished: good || self.hops.get(id).is_some_and(|hop| hop.answered),
+            load: None,
+        };
+        if good {
+            self.answer(id, End::Good);
+        }
+        self.drive(core, ended);
+        self.forget(id);
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/calls.rs
@@ -0,0 +1,124 @@
+//! A call at the balancer that carries it: from its request to the decision core, through the actions of the core, to
+//! the answer.
+
+use std::mem;
+use std::time::Duration;
+
+use balancer_policy::interface::{ClassId, Outcome, Request, RequestId, TenantId};
+use balancer_policy::{Action, Event};
+
+use super::event::Due;
+use super::state::{End, Hop, Parent};
+use super::{World, seconds};
+
+impl World<'_> {
+    pub(super) fn open(&mut self, core: u32, parent: Parent, class: u8, left: u8, deadline: u64) {
+        let attempts = Vec::with_capacity(1);
+        let hop = Hop { core, parent, class, left, answered: false, ran: 0, deadline, attempts };
+        let id = self.hops.insert(hop);
+        let depth = self.depth_of(core);
+        let time_left = deadline.saturating_sub(self.now);
+        self.report.depths[depth].calls += 1;
+        self.report.depths[depth].left_s += seconds(time_left);
+        let (tenant, repeat) = match parent {
+            Parent::Client(client) => {
+                let client = &self.clients[client as usize];
+                (Some(TenantId(client.tenant as usize)), client.tries > 1)
+            }
+            Parent::Work(_) => (None, false),
+        };
+        let request = Request {
+            id: RequestId(id),
+            class: ClassId(class.into()),
+            tenant,
+            key: (class == 1).then_some(id),
+            time_left: Duration::from_nanos(time_left),
+            expected_work: None,
+            repeat,
+        };
+        self.drive(core, Event::Request(request));
+    }
+
+    pub(super) fn depth_of(&self, core: u32) -> usize {
+        self.topology.services[self.cores[core as usize].service].depth - 1
+    }
+
+    /// An event for a core, and what it asks for.
+    pub(super) fn drive(&mut self, core: u32, event: Event) {
+        let Some(balancer) = &mut self.cores[core as usize].balancer else { return };
+        let mut actions = mem::take(&mut self.actions);
+        balancer.handle(Duration::from_nanos(self.now), event, &mut actions);
+        for action in actions.drain(..) {
+            match action {
+                Action::Send { request, upstream, timeout, begin_within, last } => {
+                    self.mix(request.0 ^ u64::from(upstream.0) << 40);
+                    self.send(core, request.0, upstream.0, timeout, begin_within, last);
+                }
+                Action::Withdraw { request, attempt } => {
+                    self.due.push(
+                        self.now,
+                        Due::Reply { hop: request.0, attempt: attempt.0 as u8, outcome: Outcome::Withdrawn },
+                    );
+                }
+                Action::Refuse { request, .. } => {
+                    self.mix(request.0 ^ 1 << 61);
+                    let depth = self.depth_of(core);
+                    self.report.depths[depth].refused += 1;
+                    let bare = self.hops.get(request.0).is_some_and(|hop| hop.attempts.is_empty());
+                    self.report.depths[depth].denied += u64::from(bare);
+                    self.answer(request.0, End::Refused);
+                }
+                Action::Fail { request } => {
+                    self.mix(request.0 ^ 1 << 62);
+                    let depth = self.depth_of(core);
+                    self.report.depths[depth].failed += 1;
+                    self.answer(request.0, End::Failed);
+                }
+                Action::WakeAfter(span) => {
+                    self.due.push(self.now + span.as_nanos() as u64, Due::Wake(core));
+                }
+                Action::Subscribe | Action::Probe { .. } | Action::DropIdle { .. } | Action::Log(_) => {}
+            }
+        }
+        self.actions = actions;
+    }
+
+    /// The answer to a call goes to who called.
+    pub(super) fn answer(&mut self, id: u64, end: End) {
+        let Some(hop) = self.hops.get(id) else { return };
+        if hop.answered {
+            self.report.faults.doubled += 1;
+            return;
+        }
+        hop.answered = true;
+        let (parent, ran, class) = (hop.parent, hop.ran, hop.class);
+        if class == 2 && ran > 1 {
+            self.report.faults.run_twice += 1;
+        }
+        match parent {
+            Parent::Client(client) => self.client_answered(client, end),
+            Parent::Work(work) => {
+                let outcome = if end == End::Good { Outcome::Good } else { Outcome::Error };
+                self.work_over(work, outcome);
+            }
+        }
+        self.forget(id);
+    }
+
+    /// Forgets a call once it is over; one of a balancer that has ended is over with its attempts.
+    pub(super) fn forget(&mut self, id: u64) {
+        let Some(hop) = self.hops.get(id) else { return };
+        if hop.attempts.iter().any(|attempt| !attempt.over) {
+            return;
+        }
+        let (answered, parent, core) = (hop.answered, hop.parent, hop.core);
+        if answered {
+            self.hops.remove(id);
+        } else if self.cores[core as usize].balancer.is_none() {
+            self.hops.remove(id);
+            if let Parent::Client(client) = parent {
+                self.client_answered(client, End::Failed);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/clients.rs
@@ -0,0 +1,102 @@
+//! Clients: where their calls come in, how they repeat, and how each call is counted at its end.
+
+use super::event::Due;
+use super::report::Second;
+use super::state::{Client, End, Parent};
+use super::{World, ns};
+use crate::hollow::topology::place;
+
+/// Parts of the calls that may be repeated freely, and with a key; the others never.
+const EFFECTS: (f64, f64) = (0.7, 0.15);
+/// A client waits this long, and up to as much again, before it comes again.
+const AGAIN_S: f64 = 0.1;
+
+impl World<'_> {
+    pub(super) fn client_comes(&mut self) {
+        let topology = self.topology;
+        let mut zone = place(topology.clients.iter().copied(), self.rng.rand_float());
+        // Clients of a lost zone come to the next one.
+        if self.zone_lost == Some(zone) {
+            zone = (zone + 1) % topology.region_of.len();
+        }
+        let here: Vec<usize> =
+            (0..topology.fronts.len()).filter(|&front| topology.fronts[front] == zone).collect();
+        let front = here[self.rng.rand_range(0..here.len() as u64) as usize];
+        let entry = place(topology.entries.iter().map(|&(_, until)| until), self.rng.rand_float());
+        let left = 1 + place(topology.lengths.iter().copied(), self.rng.rand_float());
+        let draw = self.rng.rand_float();
+        let (free, keyed) = self.play.effects.unwrap_or(EFFECTS);
+        let class = u8::from(draw >= free) + u8::from(draw >= free + keyed);
+        let client = Client {
+            came: self.now,
+            front: front as u32,
+            entry: entry as u32,
+            tenant: place(self.tenants.iter().copied(), self.rng.rand_float()) as u32,
+            class,
+            left: left as u8,
+            tries: 0,
+            ran: 0,
+            answered: false,
+        };
+        let second = (self.now / 1_000_000_000) as usize;
+        if self.report.seconds.len() <= second {
+            self.report.seconds.resize(second + 1, Second::default());
+        }
+        self.report.seconds[second].calls += 1;
+        let number = if let Some(number) = self.clients_free.pop() {
+            self.clients[number as usize] = client;
+            number
+        } else {
+            self.clients.push(client);
+            self.clients.len() as u32 - 1
+        };
+        self.call(number);
+    }
+
+    /// A client calls, the first time or again.
+    pub(super) fn call(&mut self, number: u32) {
+        let client = &mut self.clients[number as usize];
+        client.tries += 1;
+        let Client { came, front, entry, class, left, .. } = *client;
+        let deadline = came + ns(self.plan.traffic.deadline_s.value);
+        if !self.front_up[front as usize] {
+            return self.client_answered(number, End::Failed);
+        }
+        let core = self.fronts[front as usize][entry as usize];
+        self.open(core, Parent::Client(number), class, left, deadline);
+    }
+
+    pub(super) fn client_answered(&mut self, number: u32, end: End) {
+        let now = self.now;
+        let client = &mut self.clients[number as usize];
+        if client.answered {
+            self.report.faults.doubled += 1;
+            return;
+        }
+        let pause = ns(AGAIN_S * (1.0 + self.rng.rand_float()));
+        let Client { came, class, tries, .. } = *client;
+        let deadline = came + ns(self.plan.traffic.deadline_s.value);
+        let may = end == End::Refused || (end == End::Failed && class < 2);
+        if may && tries <= self.play.repeats && now + pause < deadline {
+            return self.due.push(now + pause, Due::Again(number));
+        }
+        client.answered = true;
+        if class == 2 && client.ran > 1 {
+            self.report.faults.run_twice += 1;
+        }
+        let took = now - came;
+        let second = &mut self.report.seconds[(came / 1_000_000_000) as usize];
+        match end {
+            End::Good if took <= ns(self.plan.traffic.aim_s.value) => second.served += 1,
+            End::Good => second.late += 1,
+            End::Refused => second.refused += 1,
+            End::Failed => second.failed += 1,
+        }
+        if end == End::Good {
+            let place = ((took as f64 / 1e3).max(1.0).log2() * 8.0) as usize;
+            let last = self.report.times.len() - 1;
+            self.report.times[place.min(last)] += 1;
+        }
+        self.clients_free.push(number);
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -0,0 +1,81 @@
+//! Service discovery: the list of each service, and its changes on their way to the balancers that watch it, each late
+//! by its own time. A region that is cut off misses them and asks for whole lists after.
+
+use std::mem;
+use std::time::Duration;
+
+use balancer_policy::Event;
+use balancer_policy::interface::{ListUpdate, Member, Phase, UpstreamId, ZoneId};
+
+use super::event::Due;
+use super::state::Process;
+use super::{World, ns};
+
+/// A list comes this late, and up to this much later by balancer.
+pub(super) const LIST: (f64, f64) = (0.2, 0.3);
+
+impl World<'_> {
+    pub(super) fn member(&self, process: u32) -> Member {
+        let Process { slot, phase, started, .. } = self.processes[process as usize];
+        Member {
+            id: UpstreamId(process),
+            zone: Some(ZoneId(self.slots[slot].zone)),
+            kind: None,
+            cell: 0,
+            phase,
+            weight: 1.0,
+            started: started.map(Duration::from_nanos),
+        }
+    }
+
+    pub(super) fn members(&self, service: usize) -> Vec<Member> {
+        self.listed[service].iter().map(|&process| self.member(process)).collect()
+    }
+
+    /// A core takes in a list.
+    pub(super) fn tell(&mut self, core: u32, update: ListUpdate) {
+        let held = &mut self.cores[core as usize];
+        if held.balancer.is_none() {
+            return;
+        }
+        if let ListUpdate::Whole(members) | ListUpdate::Patch(members) = &update {
+            for member in members.iter().filter(|member| member.phase != Phase::Ready) {
+                held.told.entry(member.id.0).or_insert(self.now);
+            }
+        }
+        self.report.lists += 1;
+        self.drive(core, Event::List(update));
+    }
+
+    /// Sends changed entries to all that watch the list.
+    pub(super) fn spread(&mut self, service: usize, members: Vec<Member>) {
+        self.changed[service] = Some(self.now);
+        let change = self.changes.len() as u32;
+        self.changes.push(members);
+        let mut watchers = mem::take(&mut self.watchers[service]);
+        watchers.retain(|&core| self.cores[core as usize].balancer.is_some());
+        for &core in &watchers {
+            let region = self.topology.region_of[self.cores[core as usize].zone];
+            if self.cut == Some(region) {
+                self.cores[core as usize].missed = true;
+                continue;
+            }
+            let at = self.now + ns(LIST.0 + LIST.1 * self.rng.rand_float());
+            let at = at.max(self.cores[core as usize].listed_at);
+            self.cores[core as usize].listed_at = at;
+            self.due.push(at, Due::List { core, change });
+        }
+        self.watchers[service] = watchers;
+    }
+
+    pub(super) fn unlist(&mut self, process: usize) {
+        let service = self.slots[self.processes[process].slot].service;
+        let listed = &mut self.listed[service];
+        let before = listed.len();
+        listed.retain(|&other| other as usize != process);
+        if listed.len() < before {
+            self.processes[process].phase = Phase::Gone;
+            self.spread(service, vec![self.member(process as u32)]);
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/minds.rs
@@ -0,0 +1,51 @@
+//! Once a second: how many balancers have limits cut, upstreams set aside, or an upstream that is short of capacity.
+
+use balancer_policy::interface::Phase;
+
+use super::lists::LIST;
+use super::report::Minds;
+use super::settings::QUOTAS;
+use super::upstreams::COLD;
+use super::{World, ns};
+
+impl World<'_> {
+    pub(super) fn look_at_minds(&mut self) {
+        let mut minds = Minds { at_s: (self.now + 500_000_000) / 1_000_000_000, ..Minds::default() };
+        // While a list changes or one of it is cold, the figure that falls with those set aside falls with these.
+        let late = ns(LIST.0 + LIST.1);
+        let unclear: Vec<bool> = (0..self.listed.len())
+            .map(|service| {
+                let cold = |&process: &u32| {
+                    let started = self.processes[process as usize].started;
+                    started.is_some_and(|started| self.now < started + ns(COLD.1) + late)
+                };
+                self.cut.is_some()
+                    || self.changed[service].is_some_and(|at| self.now < at + 2 * late)
+                    || self.listed[service].iter().any(cold)
+            })
+            .collect();
+        for core in &self.cores {
+            let Some(balancer) = &core.balancer else { continue };
+            minds.cores += 1;
+            let vitals = balancer.vitals();
+            let figure = |name: &str| -> f64 {
+                let rest = vitals.split_once(name).map_or("", |(_, rest)| rest);
+                rest.split([' ', ',']).find_map(|word| word.parse().ok()).unwrap_or(0.0)
+            };
+            minds.crowded += usize::from(figure("crowding ") > 0.2);
+            // The last of the limits is that of all calls together; where it is none it reads 1000000.
+            let limits = vitals.split_once("limits ").map_or("", |(_, rest)| rest);
+            let limits = limits.split_once(", usual").map_or("", |(limits, _)| limits);
+            let all = limits.split(' ').filter_map(|word| word.parse::<f64>().ok()).next_back();
+            let fair = QUOTAS * self.topology.services[core.service].rate / self.topology.fronts.len() as f64;
+            let fair = if core.front { fair } else { 1e6 };
+            minds.limited += usize::from(all.is_some_and(|all| all < fair * 0.99));
+            let is_ready = |&&process: &&u32| self.processes[process as usize].phase == Phase::Ready;
+            let ready = self.listed[core.service].iter().filter(is_ready).count() as f64;
+            let ready = ready / core.first.max(1) as f64;
+            let had = ready.clamp(0.5, 1.0);
+            minds.aside += usize::from(!unclear[core.service] && figure("had ") < had - 0.01);
+        }
+        self.report.minds.push(minds);
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -0,0 +1,98 @@
+//! The steps of a scenario: planned replacements, failures of machines and zones, and cuts between regions.
+
+use std::mem;
+
+use balancer_policy::interface::Phase;
+
+use super::event::Due;
+use super::lists::LIST;
+use super::state::{Slot, State};
+use super::{World, ns};
+use crate::CapacityError;
+
+/// From a machine's failure to its next start.
+const REPAIR_S: f64 = 6.0;
+/// From a planned stop to the end of the process, and then the next one starts.
+pub const DRAIN_S: f64 = 2.0;
+
+/// What happens to the fleet, by plan of the scenario.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Step {
+    /// A planned stop of an upstream's process; another one follows it.
+    Replace(usize),
+    /// A machine fails, and comes back later.
+    Fail(usize),
+    /// A zone is lost whole, with its fronts and clients.
+    LoseZone(usize),
+    /// It comes back cold.
+    ReturnZone(usize),
+    /// A region is cut off from the others, and from where lists come from.
+    Cut(usize),
+    /// It is back.
+    Heal(usize),
+}
+
+impl World<'_> {
+    pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
+        let in_zone = |slots: &[Slot], zone: usize| -> Vec<usize> {
+            (0..slots.len()).filter(|&slot| slots[slot].zone == zone).collect()
+        };
+        match self.play.script[number].1 {
+            Step::Replace(slot) => {
+                let Some(process) = self.slots[slot].process else { return Ok(()) };
+                if self.processes[process].phase != Phase::Ready || self.processes[process].state != State::Up
+                {
+                    return Ok(());
+                }
+                self.processes[process].phase = Phase::Draining;
+                self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
+                self.due.push(self.now + ns(DRAIN_S), Due::Stop(process as u32));
+                self.due.push(self.now + ns(DRAIN_S) + 1, Due::Start(slot as u32));
+            }
+            Step::Fail(slot) => {
+                self.lose(slot);
+                self.due.push(self.now + ns(REPAIR_S), Due::Start(slot as u32));
+            }
+            Step::LoseZone(zone) => {
+                self.zone_lost = Some(zone);
+                for slot in in_zone(&self.slots, zone) {
+                    self.lose(slot);
+                }
+                for front in 0..self.fronts.len() {
+                    if self.topology.fronts[front] == zone {
+                        self.front_up[front] = false;
+                        for core in self.fronts[front].clone() {
+                            self.cores[core as usize].balancer = None;
+                        }
+                    }
+                }
+            }
+            Step::ReturnZone(zone) => {
+                self.zone_lost = None;
+                for slot in in_zone(&self.slots, zone) {
+                    self.start(slot)?;
+                }
+                for front in 0..self.fronts.len() {
+                    if self.topology.fronts[front] == zone {
+                        self.add_front(front)?;
+                    }
+                }
+            }
+            Step::Cut(region) => self.cut = Some(region),
+            Step::Heal(region) => {
+                self.cut = None;
+                // Its watches open anew and ask for whole lists.
+                for core in 0..self.cores.len() {
+                    if self.topology.region_of[self.cores[core].zone] == region
+                        && mem::take(&mut self.cores[core].missed)
+                    {
+                        let at = self.now + ns(LIST.0 + LIST.1 * self.rng.rand_float());
+                        self.cores[core].listed_at = at;
+                        self.due.push(at, Due::Whole(core as u32));
+                    }
+                }
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -0,0 +1,68 @@
+//! Settings of a modelled balancer: the figures of the plan, and what the plan leaves open.
+
+use std::mem;
+use std::time::Duration;
+
+use balancer_policy::interface::{
+    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Settings, Tenant, ZoneId,
+};
+
+use super::World;
+use super::upstreams::{COLD, OVERLOAD};
+
+/// Time in which sends to a draining or gone upstream must end.
+pub(super) const GRACE_S: f64 = 1.0;
+/// Quotas of all tenants over the calls that come.
+pub(super) const QUOTAS: f64 = 1.5;
+
+impl World<'_> {
+    pub(super) fn settings(&self, service: usize, zone: usize, index: u32) -> Settings {
+        let traffic = &self.plan.traffic;
+        let tier = self.topology.services[service].depth - 1;
+        let class = |effect| Class {
+            aim: Duration::from_secs_f64(traffic.aim_s.value),
+            deadline: Duration::from_secs_f64(traffic.deadline_s.value),
+            late_worth: 0.3,
+            effect,
+        };
+        let keyed = Effect::Keyed { scope: DedupScope::All, window: Duration::from_secs(10) };
+        let mut before = 0.0;
+        let quota = |&until: &f64| {
+            let part = until - mem::replace(&mut before, until);
+            Tenant { quota: Some(part * QUOTAS * self.topology.services[service].rate) }
+        };
+        Settings {
+            index,
+            copies: self.callers[service],
+            tier,
+            zone: ZoneId(zone),
+            zones: self.topology.region_of.len(),
+            kinds: 1,
+            classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+            tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
+            over_share_worth: 0.3,
+            discovery: DiscoveryMode::Push,
+            passes_deadline: true,
+            allowed: Allowed {
+                attempts: traffic.attempts.value,
+                second_copies: false,
+                cancel: true,
+                probes: false,
+                messages: false,
+                keepalive: Duration::from_secs(30),
+                streams: 1,
+                retry_after: None,
+            },
+            rules: Rules {
+                answer_slack: Duration::from_millis(20),
+                drain_grace: Duration::from_secs_f64(GRACE_S),
+                ask_within: None,
+                cold_share: COLD.0,
+                cold_time: Duration::from_secs_f64(COLD.1),
+                overload_multiple: OVERLOAD.0,
+                overload_window: Duration::from_secs_f64(OVERLOAD.1),
+            },
+            prices: Prices { cross_zone: 0.02, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/slab.rs
@@ -0,0 +1,40 @@
+//! Storage for calls and works. Millions of them come and go in a run: their places are used again, and a generation in
+//! the identifier tells a new entry from an old one at the same place.
+
+/// Things with numbers that are used again under another one.
+#[derive(Debug)]
+pub(super) struct Slab<T> {
+    pub(super) entries: Vec<(u32, bool, T)>,
+    pub(super) free: Vec<u32>,
+}
+
+impl<T> Default for Slab<T> {
+    fn default() -> Self {
+        Self { entries: Vec::new(), free: Vec::new() }
+    }
+}
+
+impl<T> Slab<T> {
+    pub(super) fn insert(&mut self, value: T) -> u64 {
+        if let Some(place) = self.free.pop() {
+            let entry = &mut self.entries[place as usize];
+            (entry.1, entry.2) = (true, value);
+            return u64::from(entry.0) << 32 | u64::from(place);
+        }
+        self.entries.push((0, true, value));
+        self.entries.len() as u64 - 1
+    }
+
+    pub(super) fn get(&mut self, id: u64) -> Option<&mut T> {
+        let (number, held, value) = self.entries.get_mut(id as u32 as usize)?;
+        (*held && u64::from(*number) == id >> 32).then_some(value)
+    }
+
+    pub(super) fn remove(&mut self, id: u64) {
+        if self.get(id).is_some() {
+            let entry = &mut self.entries[id as u32 as usize];
+            (entry.0, entry.1) = (entry.0.wrapping_add(1), false);
+            self.free.push(id as u32);
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -0,0 +1,181 @@
+//! The servers of an upstream: cores, a queue, a slow start after a cold one, and the fall of a process that is sent too
+//! much while it is cold.
+
+use balancer_policy::interface::Outcome;
+
+use super::event::Due;
+use super::state::{Parent, Process, Slot, State, Work};
+use super::{Trouble, World, ns, seconds};
+use crate::hollow::topology::place;
+
+/// Part of its capacity with which a process starts, and the time until it has all of it.
+pub(super) const COLD: (f64, f64) = (0.3, 8.0);
+/// A cold process falls over when it is sent this many times what it can do, for this long.
+pub(super) const OVERLOAD: (f64, f64) = (2.8, 1.6);
+/// A process that fell over is started again after this.
+const FALLEN_S: f64 = 2.0;
+/// Requests waiting for each core before more are turned away unseen.
+const QUEUE: usize = 16;
+/// Requests held for each core, those that wait for other services among them.
+const PLACES: usize = 400;
+
+pub(super) fn warmth(age_s: f64) -> f64 {
+    (COLD.0 + (1.0 - COLD.0) * age_s / COLD.1).min(1.0)
+}
+
+impl World<'_> {
+    /// An attempt's request reaches its upstream.
+    pub(super) fn reach(&mut self, id: u64, number: u8) {
+        let now = self.now;
+        let Some(hop) = self.hops.get(id) else { return };
+        let Some(&attempt) = hop.attempts.get(usize::from(number)) else { return };
+        let (class, left, deadline) = (hop.class, hop.left, hop.deadline);
+        let core = hop.core;
+        let process = attempt.process as usize;
+        let slot = self.processes[process].slot;
+        let Slot { service, zone, .. } = self.slots[slot];
+        if self.is_cut(self.cores[core as usize].zone, zone) {
+            return;
+        }
+        match self.processes[process].state {
+            State::Lost => return,
+            State::Ended => return self.reply(zone, id, number, Outcome::Reset),
+            State::Up => {}
+        }
+        let depth = self.topology.services[service].depth - 1;
+        self.report.depths[depth].reached += 1;
+        match self.play.trouble {
+            Some((troubled, Trouble::Failing)) if troubled == service => {
+                self.begins(id);
+                return self.reply(zone, id, number, Outcome::Error);
+            }
+            Some((troubled, Trouble::Silent)) if troubled == service => return self.begins(id),
+            _ => {}
+        }
+        if self.falls_over(process) {
+            self.report.pushed_over += 1;
+            self.stop(process, State::Ended);
+            self.due.push(now + ns(FALLEN_S), Due::Start(slot as u32));
+            return self.reply(zone, id, number, Outcome::Reset);
+        }
+        let cores = self.topology.services[service].cores;
+        let held = &mut self.processes[process];
+        let full = held.busy >= cores && held.queue.len() >= cores * QUEUE;
+        if full || held.held >= cores * PLACES {
+            return self.reply(zone, id, number, Outcome::Refused);
+        }
+        held.held += 1;
+        let work =
+            Work { process: process as u32, hop: id, attempt: number, class, left, begun: false, deadline };
+        let work = self.works.insert(work);
+        if self.processes[process].busy < cores {
+            self.begin(work);
+        } else {
+            self.processes[process].queue.push_back(work);
+        }
+    }
+
+    /// Whether a cold process has been sent more in the window than it can bear, by the sum over all balancers.
+    pub(super) fn falls_over(&mut self, number: usize) -> bool {
+        let now = self.now;
+        let cold = ns(COLD.1);
+        let Process { started: Some(started), slot, .. } = self.processes[number] else { return false };
+        if now - started >= cold {
+            return false;
+        }
+        let window = &mut self.processes[number].window;
+        window.push_back(now);
+        while window.front().is_some_and(|&at| at + ns(OVERLOAD.1) < now) {
+            window.pop_front();
+        }
+        let sent = window.len() as f64;
+        let age = seconds(now - started);
+        let cores = self.topology.services[self.slots[slot].service].cores as f64;
+        let middle = (age - OVERLOAD.1 / 2.0).max(age / 2.0);
+        let rate = cores / (self.plan.traffic.work_ms.value / 1e3) * warmth(middle);
+        let budget = OVERLOAD.0 * rate * OVERLOAD.1.min(age.max(0.1));
+        sent > budget + 2.0 * budget.sqrt() + 2.0
+    }
+
+    pub(super) fn begins(&mut self, hop: u64) {
+        let Some(hop) = self.hops.get(hop) else { return };
+        hop.ran += 1;
+        if let Parent::Client(client) = hop.parent {
+            self.clients[client as usize].ran += 1;
+        }
+    }
+
+    /// A work gets a core, unless its caller has gone.
+    pub(super) fn begin(&mut self, id: u64) {
+        let now = self.now;
+        let Some(work) = self.works.get(id) else { return };
+        work.begun = true;
+        let (process, hop, attempt, deadline) =
+            (work.process as usize, work.hop, work.attempt, work.deadline);
+        let waits = self
+            .hops
+            .get(hop)
+            .and_then(|hop| hop.attempts.get(usize::from(attempt)))
+            .is_some_and(|attempt| !attempt.over);
+        if !waits || now >= deadline {
+            self.works.remove(id);
+            self.processes[process].held -= 1;
+            return self.next(process);
+        }
+        self.begins(hop);
+        self.processes[process].busy += 1;
+        let speed = self.processes[process].started.map_or(1.0, |started| warmth(seconds(now - started)));
+        let times = 0.4 - 0.6 * (1.0 - self.rng.rand_float()).ln();
+        let work_s = self.plan.traffic.work_ms.value / 1e3 * times / speed;
+        self.due.push(now + ns(work_s), Due::Done { work: id });
+    }
+
+    /// The next of a process's queue gets a core.
+    pub(super) fn next(&mut self, process: usize) {
+        if let Some(work) = self.processes[process].queue.pop_front() {
+            self.begin(work);
+        }
+    }
+
+    /// A work's own part is done: the next service is called, or the answer goes back.
+    pub(super) fn work_done(&mut self, id: u64) {
+        let Some(work) = self.works.get(id) else { return };
+        let Work { process, class, left, deadline, .. } = *work;
+        let process = process as usize;
+        self.processes[process].busy -= 1;
+        let service = self.slots[self.processes[process].slot].service;
+        let topology = self.topology;
+        let calls = &topology.services[service].calls;
+        if left <= 1 || calls.is_empty() {
+            self.work_over(id, Outcome::Good);
+        } else {
+            let call = place(calls.iter().map(|&(_, until)| until), self.rng.rand_float());
+            let core = self.processes[process].cores[call];
+            self.open(core, Parent::Work(id), class, left - 1, deadline);
+        }
+        if self.processes[process].state == State::Up {
+            self.next(process);
+        }
+    }
+
+    /// A work is over: its upstream answers.
+    pub(super) fn work_over(&mut self, id: u64, outcome: Outcome) {
+        let Some(work) = self.works.get(id) else { return };
+        let Work { process, hop, attempt, .. } = *work;
+        self.works.remove(id);
+        self.processes[process as usize].held -= 1;
+        let zone = self.slots[self.processes[process as usize].slot].zone;
+        self.reply(zone, hop, attempt, outcome);
+    }
+
+    /// An answer goes from an upstream to the balancer that sent the attempt; a cut swallows it.
+    pub(super) fn reply(&mut self, zone: usize, hop: u64, attempt: u8, outcome: Outcome) {
+        let Some(core) = self.hops.get(hop).map(|hop| hop.core) else { return };
+        let to = self.cores[core as usize].zone;
+        if self.is_cut(zone, to) {
+            return;
+        }
+        let at = self.now + self.delay(zone, to);
+        self.due.push(at, Due::Reply { hop, attempt, outcome });
+    }
+}
