--- /dev/null
+++ b/crates/capacity/src/world/balancer.rs
@@ -0,0 +1,79 @@
+//! A balancer under test as a process, from its start until it serves.
+
+use std::fs;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::process::Command;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+
+use super::child::{Process, START_MOST, own_path};
+use crate::CapacityError;
+
+/// The balancer's program.
+pub const BALANCER: &str = "balancer-proxy";
+
+/// A balancer that serves.
+#[derive(Debug)]
+pub struct Balancer {
+    /// The process.
+    pub process: Process,
+    /// Where callers connect.
+    pub address: SocketAddr,
+    /// From its start to its listening.
+    pub listens_after: Duration,
+    /// From its start to its first 200 for its health.
+    pub serves_after: Duration,
+}
+
+impl Balancer {
+    /// Starts one with this configuration, on this core alone where one is named, and waits until it serves. `line`
+    /// hears its log.
+    ///
+    /// # Errors
+    /// It does not start, or does not come to serve.
+    pub fn start(
+        program: &Path,
+        configuration: &Value,
+        core: Option<usize>,
+        line: impl Fn(&str) + Send + Sync + 'static,
+    ) -> Result<Self, CapacityError> {
+        let file = own_path("balancer.json");
+        fs::write(&file, configuration.to_string()).map_err(|cause| CapacityError::file(&file, cause))?;
+        let mut command = match core {
+            Some(core) => {
+                let mut command = Command::new("taskset");
+                command.args(["-c", &core.to_string()]).arg(program);
+                command
+            }
+            None => Command::new(program),
+        };
+        command.env_clear().env("PROXY_CONFIG", &file);
+        if let Some(path) = std::env::var_os("PATH") {
+            command.env("PATH", path);
+        }
+        let began = Instant::now();
+        let (mut process, address, listened) = Process::listening(command, Some(file), line)?;
+        while !health(address) {
+            if process.has_ended() || began.elapsed() > START_MOST {
+                let cause = format!("it does not serve: {}", process.last_words());
+                return Err(CapacityError::run("starting a balancer", cause));
+            }
+            thread::sleep(Duration::from_micros(200));
+        }
+        let serves_after = began.elapsed();
+        Ok(Self { process, address, listens_after: listened - began, serves_after })
+    }
+}
+
+/// Whether a balancer says that it can serve.
+fn health(address: SocketAddr) -> bool {
+    let Ok(mut stream) = TcpStream::connect(address) else { return false };
+    let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
+    let asked = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    let mut status = [0; 12];
+    asked.is_ok() && stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
+}
--- /dev/null
+++ b/crates/capacity/src/world/configuration.rs
@@ -0,0 +1,59 @@
+//! What a balancer under test is configured with, by the figures of the plan, and changes of it for the distribution.
+
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+
+use crate::plan::Plan;
+
+/// Settings of a balancer that so many copies share the list with, by the plan.
+#[must_use]
+pub fn settings(plan: &Plan, copies: usize) -> Value {
+    let (aim, limit) = (plan.traffic.aim_s.value, plan.traffic.deadline_s.value);
+    let tenants: Vec<Value> =
+        (0..plan.traffic.tenants.value).map(|number| json!({"name": format!("t{number}")})).collect();
+    json!({
+        "balancers": copies.max(1), "me": 0, "tier": 1, "zone": "north-1", "zones": ["north-1"],
+        "kinds": ["std"],
+        "lanes": [
+            {"name": "read", "onTimeS": aim, "hardLimitS": limit, "effect": "idempotent"},
+            {"name": "pay", "onTimeS": aim, "hardLimitS": limit, "effect": "deduplicated",
+             "dedupScope": "cell", "windowS": 10.0},
+            {"name": "order", "onTimeS": aim, "hardLimitS": limit, "effect": "at_most_once"}],
+        "projects": tenants, "overShareWorth": 0.1, "discovery": "subscribe",
+        "caps": {"tryLimit": plan.traffic.attempts.value, "secondCopies": false, "cancel": true,
+                 "retryAfter": true, "maxRetryAfterS": 1.5, "keepaliveS": 30.0, "multiplex": 1,
+                 "dialTimeoutS": 0.25},
+        "rules": {"answerSlackS": 0.02, "askWithinS": 10.0, "coldShare": 0.2, "coldS": 10.0,
+                  "drainGraceS": 1.0, "fallMultiple": 3.0, "overloadForS": 2.0}})
+}
+
+/// The configuration of a balancer with this list in hand.
+#[must_use]
+pub fn configuration(name: &str, discovery: SocketAddr, known: &[Value], settings: &Value) -> Value {
+    json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
+           "limits": {"sockets": 1024},
+           "known": {"index": 1, "snapshot": true, "endpoints": known}, "settings": settings})
+}
+
+/// The change of that number: of each scope in turn, and of each kind of setting.
+#[must_use]
+pub fn configuration_change(plan: &Plan, number: usize) -> (&'static str, Value) {
+    let step = (number / 5 % 10) as f64;
+    let (scope, settings) = match number % 5 {
+        0 => ("service/api", json!({"rules": {"coldShare": 0.2 + step / 100.0}})),
+        1 => ("fleet", json!({"caps": {"tryLimit": 2 + number / 5 % 2}})),
+        2 => ("region/north", json!({"prices": {"waste": step / 100.0}})),
+        3 => {
+            let mut lanes = settings(plan, 1)["lanes"].take();
+            lanes[0]["onTimeS"] = json!(plan.traffic.aim_s.value * (1.0 - step / 100.0));
+            ("service/api", json!({"lanes": lanes}))
+        }
+        _ => {
+            let mut projects = settings(plan, 1)["projects"].take();
+            projects[number % plan.traffic.tenants.value]["quotaPerS"] = json!(20_000.0 + step);
+            ("service/api", json!({"projects": projects}))
+        }
+    };
+    (scope, json!({"settings": settings}))
+}
--- /dev/null
+++ b/crates/capacity/src/world/discovery.rs
@@ -0,0 +1,127 @@
+//! A stand-in service discovery: balancers under test watch a list of upstreams that the test changes as it likes.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::Duration;
+
+use serde_json::{Value, json};
+
+use super::message::{MESSAGE_MOST, head_end};
+use super::{listen, lock};
+use crate::CapacityError;
+
+#[derive(Debug)]
+struct List {
+    index: u64,
+    entries: Vec<Value>,
+    watches: Vec<Sender<Arc<[u8]>>>,
+}
+
+/// A stand-in discovery: tells each watch the whole list, then each change, and an empty line every beat.
+#[derive(Debug)]
+pub struct Discovery {
+    /// Where it listens.
+    pub address: SocketAddr,
+    list: Arc<Mutex<List>>,
+    stopped: Arc<AtomicBool>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl Discovery {
+    /// Starts one with this list at index 1.
+    ///
+    /// # Errors
+    /// No port is free, or the thread does not start.
+    pub fn start(entries: Vec<Value>, beat: Duration) -> Result<Self, CapacityError> {
+        let (listener, address) = listen()?;
+        let list = Arc::new(Mutex::new(List { index: 1, entries, watches: Vec::new() }));
+        let stopped = Arc::new(AtomicBool::new(false));
+        let (shared, stop) = (Arc::clone(&list), Arc::clone(&stopped));
+        let thread = thread::Builder::new().name("discovery".to_owned()).spawn(move || {
+            for stream in listener.incoming().flatten() {
+                if stop.load(Ordering::Acquire) {
+                    return;
+                }
+                let list = Arc::clone(&shared);
+                thread::spawn(move || tell(stream, &list, beat));
+            }
+        });
+        let thread = thread.map_err(|cause| CapacityError::run("starting a discovery", cause))?;
+        Ok(Self { address, list, stopped, thread: Some(thread) })
+    }
+
+    /// Watches that stand.
+    #[must_use]
+    pub fn watches(&self) -> usize {
+        lock(&self.list).watches.len()
+    }
+
+    /// Publishes a change of one entry.
+    pub fn change(&self, number: usize, entry: Value) {
+        let mut list = lock(&self.list);
+        list.index += 1;
+        let line = json!({"index": list.index, "snapshot": false, "endpoints": [entry]}).to_string();
+        if let Some(place) = list.entries.get_mut(number) {
+            *place = entry;
+        }
+        let line: Arc<[u8]> = (line + "\n").into_bytes().into();
+        list.watches.retain(|watch| watch.send(Arc::clone(&line)).is_ok());
+    }
+}
+
+impl Drop for Discovery {
+    fn drop(&mut self) {
+        self.stopped.store(true, Ordering::Release);
+        lock(&self.list).watches.clear();
+        // Wakes the thread that waits for a connection.
+        let _ = TcpStream::connect(self.address);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
+
+fn tell(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
+    let mut head = Vec::new();
+    let mut part = [0; 512];
+    while head_end(&head).is_none() {
+        match stream.read(&mut part) {
+            Ok(count @ 1..) if head.len() < MESSAGE_MOST => head.extend_from_slice(&part[..count]),
+            _ => return,
+        }
+    }
+    let (whole, changes): (String, Receiver<Arc<[u8]>>) = {
+        let mut list = lock(list);
+        let (watch, changes) = mpsc::channel();
+        list.watches.push(watch);
+        (
+            json!({"index": list.index, "snapshot": true, "endpoints": list.entries}).to_string() + "\n",
+            changes,
+        )
+    };
+    let _ = stream.set_nodelay(true);
+    if stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").is_err() {
+        return;
+    }
+    let mut chunk = |bytes: &[u8]| {
+        let framed = [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat();
+        stream.write_all(&framed)
+    };
+    if chunk(whole.as_bytes()).is_err() {
+        return;
+    }
+    loop {
+        let told = match changes.recv_timeout(beat) {
+            Ok(line) => chunk(&line),
+            Err(RecvTimeoutError::Timeout) => chunk(b"\n"),
+            Err(RecvTimeoutError::Disconnected) => return,
+        };
+        if told.is_err() {
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/world/distribution.rs
@@ -0,0 +1,95 @@
+//! The distribution of configuration as processes, an origin and relays, to publish changes to balancers under test.
+
+use std::fs;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::Command;
+use std::time::Duration;
+
+use serde_json::{Value, json};
+
+use super::child::{Process, own_path};
+use crate::CapacityError;
+
+/// The distribution's program.
+pub const DISTRIBUTION: &str = "config-distribution";
+
+/// An origin and relays below it, as processes.
+#[derive(Debug)]
+pub struct Distribution {
+    /// Where the origin listens.
+    pub origin: SocketAddr,
+    /// Where the relays do.
+    pub relays: Vec<SocketAddr>,
+    /// Ended before the folder goes.
+    processes: Vec<Process>,
+    folder: PathBuf,
+}
+
+impl Distribution {
+    /// Starts them.
+    ///
+    /// # Errors
+    /// One does not come to listen.
+    pub fn start(program: &Path, relays: usize) -> Result<Self, CapacityError> {
+        let folder = own_path("origin");
+        let command = |arguments: &[&str]| {
+            let mut command = Command::new(program);
+            command.args(arguments).args(["--listen", "127.0.0.1:0"]);
+            command
+        };
+        let mut origin = command(&["origin"]);
+        origin.arg("--dir").arg(&folder);
+        let (process, address, _) = Process::listening(origin, None, |_| ())?;
+        let mut started = Self { origin: address, relays: Vec::new(), processes: vec![process], folder };
+        for _ in 0..relays {
+            let relay = command(&["relay", "--level", "1", "--parent", &address.to_string()]);
+            let (process, address, _) = Process::listening(relay, None, |_| ())?;
+            started.processes.push(process);
+            started.relays.push(address);
+        }
+        Ok(started)
+    }
+
+    /// What a balancer's configuration names it by.
+    #[must_use]
+    pub fn named(&self) -> Value {
+        let parents: Vec<String> = self.relays.iter().map(SocketAddr::to_string).collect();
+        json!({"parents": parents, "region": "north", "service": "api"})
+    }
+
+    /// Publishes a document, and gives the index of the change once it is acknowledged.
+    ///
+    /// # Errors
+    /// It is refused, or no answer comes.
+    pub fn publish(&self, scope: &str, request: &str, document: &Value) -> Result<u64, CapacityError> {
+        let failed = |cause: String| CapacityError::run(format!("publishing {scope} {document}"), cause);
+        let body = document.to_string();
+        let text = format!(
+            "PUT /configuration/{scope} HTTP/1.1\r\nHost: origin\r\nX-Request-Id: {request}\r\n\
+             Connection: close\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        let mut answer = String::new();
+        let asked = TcpStream::connect(self.origin).and_then(|mut stream| {
+            stream.set_read_timeout(Some(Duration::from_secs(5)))?;
+            stream.write_all(text.as_bytes())?;
+            stream.read_to_string(&mut answer)
+        });
+        asked.map_err(|cause| failed(cause.to_string()))?;
+        let index = answer
+            .split_once("\r\n\r\n")
+            .filter(|_| answer.split(' ').nth(1) == Some("200"))
+            .and_then(|(_, body)| serde_json::from_str::<Value>(body).ok())
+            .and_then(|body| body["index"].as_u64());
+        index.ok_or_else(|| failed(answer))
+    }
+}
+
+impl Drop for Distribution {
+    fn drop(&mut self) {
+        self.processes.clear();
+        let _ = fs::remove_dir_all(&self.folder);
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/world/message.rs
@@ -0,0 +1,24 @@
+//! Just enough HTTP/1.1 to find where a message ends: the stand-ins and the clients need no more.
+
+/// Bytes of a message at most.
+pub(super) const MESSAGE_MOST: usize = 64 * 1024;
+
+/// The length of a message's head with the empty line, once it is whole.
+pub(super) fn head_end(bytes: &[u8]) -> Option<usize> {
+    bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4)
+}
+
+pub(super) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
+    head.split("\r\n").skip(1).find_map(|line| {
+        let (key, value) = line.split_once(':')?;
+        key.eq_ignore_ascii_case(name).then(|| value.trim())
+    })
+}
+
+/// A whole message at the start of some bytes: its head and where its body ends.
+pub(super) fn message(bytes: &[u8]) -> Option<(&str, usize, usize)> {
+    let head_end = head_end(bytes)?;
+    let head = std::str::from_utf8(&bytes[..head_end]).ok()?;
+    let length: usize = header(head, "content-length").map_or(Some(0), |value| value.parse().ok())?;
+    (bytes.len() >= head_end + length).then_some((head, head_end, head_end + length))
+}
--- /dev/null
+++ b/crates/capacity/src/world/relay.rs
@@ -0,0 +1,61 @@
+//! A relay of bytes: the floor of what any process between clients and upstreams costs on this machine, which the
+//! balancer is compared with.
+
+use std::net::SocketAddr;
+use std::thread::{self, JoinHandle};
+
+use tokio::sync::watch;
+
+use super::listen;
+use super::runtime::on_runtime;
+use crate::CapacityError;
+
+/// Passes bytes on between callers and upstreams, on the same kind of runtime as the balancer, and does nothing else:
+/// what any process between the two costs on this machine.
+#[derive(Debug)]
+pub struct ByteRelay {
+    /// Where it listens.
+    pub address: SocketAddr,
+    stop: watch::Sender<bool>,
+    thread: Option<JoinHandle<()>>,
+}
+
+impl ByteRelay {
+    /// Starts one that deals its connections to these in turn.
+    ///
+    /// # Errors
+    /// No port is free, or the thread does not start.
+    pub fn start(upstreams: Vec<SocketAddr>) -> Result<Self, CapacityError> {
+        let (listener, address) = listen()?;
+        let (stop, stopped) = watch::channel(false);
+        let thread = thread::Builder::new().name("relay".to_owned()).spawn(move || {
+            on_runtime(stopped, || {
+                listener.set_nonblocking(true)?;
+                let listener = tokio::net::TcpListener::from_std(listener)?;
+                tokio::task::spawn_local(async move {
+                    for upstream in upstreams.iter().cycle() {
+                        let Ok((mut near, _)) = listener.accept().await else { return };
+                        let upstream = *upstream;
+                        tokio::task::spawn_local(async move {
+                            let Ok(mut far) = tokio::net::TcpStream::connect(upstream).await else { return };
+                            let _ = (near.set_nodelay(true), far.set_nodelay(true));
+                            let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+                        });
+                    }
+                });
+                Ok(())
+            });
+        });
+        let thread = thread.map_err(|cause| CapacityError::run("starting a relay", cause))?;
+        Ok(Self { address, stop, thread: Some(thread) })
+    }
+}
+
+impl Drop for ByteRelay {
+    fn drop(&mut self) {
+        let _ = self.stop.send(true);
+        if let Some(thread) = self.thread.take() {
+            let _ = thread.join();
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/world/times.rs
@@ -0,0 +1,46 @@
+//! Latencies in a histogram, and their quantiles.
+
+use std::time::Duration;
+
+use hdrhistogram::Histogram;
+
+use crate::CapacityError;
+
+const MINUTE_NS: u64 = 60_000_000_000;
+
+/// Times in a histogram, told in microseconds.
+#[derive(Debug, Clone)]
+pub struct Times(Histogram<u64>);
+
+impl Times {
+    /// Of these; times over a minute count as one.
+    ///
+    /// # Errors
+    /// The histogram cannot be made.
+    pub fn of(times: impl IntoIterator<Item = Duration>) -> Result<Self, CapacityError> {
+        let made = Histogram::new_with_bounds(1, MINUTE_NS, 3);
+        let mut histogram = made.map_err(|cause| CapacityError::run("making a histogram", cause))?;
+        for time in times {
+            histogram.saturating_record((time.as_nanos() as u64).clamp(1, MINUTE_NS));
+        }
+        Ok(Self(histogram))
+    }
+
+    /// The time that this part of them is not over, in microseconds.
+    #[must_use]
+    pub fn us(&self, quantile: f64) -> f64 {
+        self.0.value_at_quantile(quantile) as f64 / 1000.0
+    }
+
+    /// How many there are.
+    #[must_use]
+    pub fn count(&self) -> u64 {
+        self.0.len()
+    }
+
+    /// How many are over a time.
+    #[must_use]
+    pub fn over(&self, time: Duration) -> u64 {
+        self.0.len() - self.0.count_between(0, time.as_nanos() as u64)
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/world/upstreams.rs
@@ -0,0 +1,195 @@
+//! Stand-in upstreams: the balancer under test needs servers that answer at once and that record what reached them, so
+//! that a call that ran twice, or not at all, is seen.
+
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread::{self, JoinHandle};
+use std::time::{Duration, Instant};
+
+use serde_json::{Value, json};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::watch;
+
+use super::message::{MESSAGE_MOST, header, message};
+use super::runtime::on_runtime;
+use super::{listen, lock};
+use crate::CapacityError;
+
+/// What the stand-in upstreams saw.
+#[derive(Debug)]
+pub struct Seen {
+    /// How many times each request ran, by its id.
+    runs: Vec<AtomicU8>,
+    next_id: AtomicUsize,
+    /// Connections that came up.
+    opened: AtomicU64,
+    zero: Instant,
+    /// By upstream: nanoseconds from `zero` to its latest request, 0 for none.
+    latest: Vec<AtomicU64>,
+    stall: Mutex<Option<(usize, Duration)>>,
+}
+
+impl Seen {
+    /// Ids for so many calls: the first of them.
+    ///
+    /// # Errors
+    /// More than was reckoned with.
+    pub fn take_ids(&self, count: usize) -> Result<usize, CapacityError> {
+        let first = self.next_id.fetch_add(count, Ordering::Relaxed);
+        if first + count > self.runs.len() {
+            return Err(CapacityError::run(
+                "giving ids to calls",
+                format!("only {} are there", self.runs.len()),
+            ));
+        }
+        Ok(first)
+    }
+
+    /// How many times a request ran.
+    #[must_use]
+    pub fn runs(&self, id: usize) -> u8 {
+        self.runs.get(id).map_or(0, |runs| runs.load(Ordering::Acquire))
+    }
+
+    /// Connections that came up until now.
+    #[must_use]
+    pub fn opened(&self) -> u64 {
+        self.opened.load(Ordering::Relaxed)
+    }
+
+    /// When the latest request came to an upstream.
+    #[must_use]
+    pub fn latest(&self, upstream: usize) -> Option<Instant> {
+        let latest = self.latest.get(upstream)?.load(Ordering::Acquire);
+        (latest > 0).then(|| self.zero + Duration::from_nanos(latest))
+    }
+
+    /// The request of that id holds up its upstream's thread for so long.
+    pub fn stall(&self, id: usize, span: Duration) {
+        *lock(&self.stall) = Some((id, span));
+    }
+
+    fn note(&self, id: usize, upstream: usize) {
+        if let Some(runs) = self.runs.get(id) {
+            runs.fetch_add(1, Ordering::AcqRel);
+        }
+        self.latest[upstream].store(self.zero.elapsed().as_nanos() as u64, Ordering::Release);
+        let mut stall = lock(&self.stall);
+        if let Some((_, span)) = stall.take_if(|(at, _)| *at == id) {
+            drop(stall);
+            thread::sleep(span);
+        }
+    }
+}
+
+/// Stand-in upstreams: each a port that answers each request at once with its id, how many its connection has had,
+/// and its own number.
+#[derive(Debug)]
+pub struct Upstreams {
+    /// Where they listen.
+    pub addresses: Vec<SocketAddr>,
+    /// What they saw.
+    pub seen: Arc<Seen>,
+    stop: watch::Sender<bool>,
+    threads: Vec<JoinHandle<()>>,
+}
+
+impl Upstreams {
+    /// Starts so many on so many threads, for at most so many calls in all.
+    ///
+    /// # Errors
+    /// No port is free, or a thread does not start.
+    pub fn start(count: usize, threads: usize, calls: usize) -> Result<Self, CapacityError> {
+        let mut listeners = Vec::new();
+        for _ in 0..count {
+            listeners.push(listen()?);
+        }
+        let addresses = listeners.iter().map(|(_, address)| *address).collect();
+        let seen = Arc::new(Seen {
+            runs: (0..calls).map(|_| AtomicU8::new(0)).collect(),
+            next_id: AtomicUsize::new(0),
+            opened: AtomicU64::new(0),
+            zero: Instant::now(),
+            latest: (0..count).map(|_| AtomicU64::new(0)).collect(),
+            stall: Mutex::new(None),
+        });
+        let (stop, stopped) = watch::channel(false);
+        let mut parts: Vec<Vec<(usize, TcpListener)>> = (0..threads).map(|_| Vec::new()).collect();
+        for (number, (listener, _)) in listeners.into_iter().enumerate() {
+            parts[number % threads].push((number, listener));
+        }
+        let mut started = Self { addresses, seen, stop, threads: Vec::new() };
+        for part in parts {
+            let (seen, stopped) = (Arc::clone(&started.seen), stopped.clone());
+            let thread = thread::Builder::new().name("upstreams".to_owned());
+            let thread = thread.spawn(move || on_runtime(stopped, || serve_part(part, &seen)));
+            started.threads.push(thread.map_err(|cause| CapacityError::run("starting upstreams", cause))?);
+        }
+        Ok(started)
+    }
+
+    /// Their entries of the list, all ready.
+    #[must_use]
+    pub fn entries(&self) -> Vec<Value> {
+        (0..self.addresses.len()).map(|number| self.entry(number, "ready", 0)).collect()
+    }
+
+    /// The entry of one, as it stands now.
+    #[must_use]
+    pub fn entry(&self, number: usize, status: &str, since_ms: u64) -> Value {
+        entry(number, self.addresses[number], status, since_ms)
+    }
+}
+
+impl Drop for Upstreams {
+    fn drop(&mut self) {
+        let _ = self.stop.send(true);
+        for thread in self.threads.drain(..) {
+            let _ = thread.join();
+        }
+    }
+}
+
+/// An entry of a list, as discovery writes it.
+#[must_use]
+pub fn entry(number: usize, address: SocketAddr, status: &str, since_ms: u64) -> Value {
+    json!({"name": format!("api-{number:05}"), "address": address.to_string(), "zone": "north-1",
+           "type": "std", "group": number % 8, "status": status, "weight": 1.0, "since_ms": since_ms})
+}
+
+fn serve_part(part: Vec<(usize, TcpListener)>, seen: &Arc<Seen>) -> std::io::Result<()> {
+    for (number, listener) in part {
+        listener.set_nonblocking(true)?;
+        let listener = tokio::net::TcpListener::from_std(listener)?;
+        let seen = Arc::clone(seen);
+        tokio::task::spawn_local(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                seen.opened.fetch_add(1, Ordering::Relaxed);
+                tokio::task::spawn_local(serve(stream, number, Arc::clone(&seen)));
+            }
+        });
+    }
+    Ok(())
+}
+
+async fn serve(mut stream: tokio::net::TcpStream, number: usize, seen: Arc<Seen>) {
+    let _ = stream.set_nodelay(true);
+    let (mut bytes, mut count) = (Vec::with_capacity(1024), 0);
+    loop {
+        while let Some((head, _, end)) = message(&bytes) {
+            let id = header(head, "x-request-id").and_then(|id| id.parse().ok()).unwrap_or(usize::MAX);
+            bytes.drain(..end);
+            seen.note(id, number);
+            count += 1;
+            let body = format!("{id} {count} {number}");
+            let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
+            if stream.write_all(answer.as_bytes()).await.is_err() {
+                return;
+            }
+        }
+        if bytes.len() > MESSAGE_MOST || !matches!(stream.read_buf(&mut bytes).await, Ok(1..)) {
+            return;
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/world/usage.rs
@@ -0,0 +1,92 @@
+//! What a process uses of the machine, as the system counts it: processor time, waits for a core and memory; and the
+//! placement of threads on cores, without which such figures do not compare.
+
+use std::fs;
+use std::path::PathBuf;
+use std::process::Command;
+
+use crate::CapacityError;
+
+/// Processor time and waits of all threads of a process until now.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Usage {
+    /// Nanoseconds on a core.
+    pub cpu_ns: u64,
+    /// Nanoseconds in which it was ready to run and waited for a core.
+    pub waited_ns: u64,
+    /// Times that it was given a core.
+    pub slices: u64,
+}
+
+impl Usage {
+    /// Of a process.
+    ///
+    /// # Errors
+    /// It is not there, or the system does not tell.
+    pub fn of(process: u32) -> Result<Self, CapacityError> {
+        let folder = PathBuf::from(format!("/proc/{process}/task"));
+        let mut usage = Self { cpu_ns: 0, waited_ns: 0, slices: 0 };
+        for thread in fs::read_dir(&folder).map_err(|cause| CapacityError::file(&folder, cause))? {
+            let path = thread.map_err(|cause| CapacityError::file(&folder, cause))?.path().join("schedstat");
+            let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
+            let figures: Vec<u64> = text.split_whitespace().filter_map(|part| part.parse().ok()).collect();
+            let &[cpu, waited, slices] = figures.as_slice() else {
+                return Err(CapacityError::file(&path, "not three figures"));
+            };
+            usage.cpu_ns += cpu;
+            usage.waited_ns += waited;
+            usage.slices += slices;
+        }
+        Ok(usage)
+    }
+
+    /// What came after an earlier look.
+    #[must_use]
+    pub fn since(self, before: Self) -> Self {
+        Self {
+            cpu_ns: self.cpu_ns.saturating_sub(before.cpu_ns),
+            waited_ns: self.waited_ns.saturating_sub(before.waited_ns),
+            slices: self.slices.saturating_sub(before.slices),
+        }
+    }
+}
+
+/// Resident memory of a process, in KiB.
+///
+/// # Errors
+/// It is not there, or the system does not tell.
+pub fn memory_kb(process: u32) -> Result<u64, CapacityError> {
+    let path = PathBuf::from(format!("/proc/{process}/status"));
+    let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
+    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+    line.and_then(|line| line.split_whitespace().next())
+        .and_then(|value| value.parse().ok())
+        .ok_or_else(|| CapacityError::file(&path, "no VmRSS"))
+}
+
+/// Holds this thread, and all that it starts from now on, to these cores, as `taskset` writes them.
+///
+/// # Errors
+/// `taskset` is missing, or does not take them.
+pub fn hold_to(cores: &str) -> Result<(), CapacityError> {
+    let place = format!("holding a thread to cores {cores}");
+    let own = fs::read_link("/proc/thread-self").map_err(|cause| CapacityError::run(&place, cause))?;
+    let thread = own.file_name().unwrap_or_default();
+    let done = Command::new("taskset").args(["-c", "-p", cores]).arg(thread).output();
+    let done = done.map_err(|cause| CapacityError::run(&place, cause))?;
+    if done.status.success() {
+        Ok(())
+    } else {
+        Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()))
+    }
+}
+
+/// Time of a core that the machine under this one has taken for others since its start, in ms over all cores; 0 where
+/// the system does not tell.
+#[must_use]
+pub fn stolen_ms() -> u64 {
+    // Told in hundredths of a second, as the eighth figure of the first line.
+    let text = fs::read_to_string("/proc/stat").unwrap_or_default();
+    let stolen = text.lines().next().and_then(|line| line.split_whitespace().nth(8)?.parse::<u64>().ok());
+    stolen.unwrap_or(0) * 10
+}
