--- /dev/null
+++ b/crates/capacity/src/plan/checks.rs
@@ -0,0 +1,195 @@
+//! What the figures of a plan must satisfy together. A plan that contradicts itself would give figures that look sound, so
+//! that all its faults are named at once, each with its place, before anything is played.
+
+use super::{Deal, Plan, UPSTREAMS_MOST};
+
+/// Difference from 1 up to which shares count as a whole: decimal fractions do not sum up exactly.
+const WHOLE_WITHIN: f64 = 1e-6;
+
+/// The faults found so far, each as its place in the plan and what is expected there.
+struct Faults(Vec<String>);
+
+impl Faults {
+    fn want(&mut self, holds: bool, place: &str, expected: &str) {
+        if !holds {
+            self.0.push(format!("{place}: {expected}"));
+        }
+    }
+}
+
+fn is_whole(shares: &[f64]) -> bool {
+    shares.iter().all(|share| (0.0..=1.0).contains(share))
+        && (shares.iter().sum::<f64>() - 1.0).abs() < WHOLE_WITHIN
+}
+
+impl Plan {
+    /// All faults of the plan, in the order of its sections; figures that must be positive come last.
+    pub(super) fn faults(&self) -> Vec<String> {
+        let mut faults = Faults(Vec::new());
+        self.check_fleet(&mut faults);
+        self.check_graph(&mut faults);
+        self.check_traffic(&mut faults);
+        self.check_configuration(&mut faults);
+        self.check_deal(&mut faults);
+        for (place, value) in self.positive() {
+            faults.want(value.is_finite() && value > 0.0, place, "above 0");
+        }
+        faults.0
+    }
+
+    fn check_fleet(&self, faults: &mut Faults) {
+        let Self { fleet, .. } = self;
+        faults.want(fleet.services.value >= 1, "fleet.services", "one at least");
+        faults.want(
+            fleet.upstreams.value >= fleet.services.value,
+            "fleet.upstreams",
+            "one for each service at least",
+        );
+        faults.want(fleet.regions.value >= 1, "fleet.regions", "one at least");
+        faults.want(
+            fleet.zones_by_region.value.len() == fleet.regions.value,
+            "fleet.zones_by_region",
+            "as many entries as fleet.regions",
+        );
+        faults.want(
+            fleet.zones_by_region.value.iter().all(|&zones| zones > 0)
+                && fleet.zones_by_region.value.iter().sum::<usize>() == fleet.zones.value,
+            "fleet.zones_by_region",
+            "one at least in each, and fleet.zones in all",
+        );
+        faults.want(
+            fleet.region_shares.value.len() == fleet.regions.value && is_whole(&fleet.region_shares.value),
+            "fleet.region_shares",
+            "as many entries as fleet.regions, 1 in all",
+        );
+        faults.want((0.0..=3.0).contains(&fleet.size_skew.value), "fleet.size_skew", "0 to 3");
+        faults.want(
+            (1..=fleet.upstreams.value).contains(&fleet.machines_per_rack.value),
+            "fleet.machines_per_rack",
+            "1 to fleet.upstreams",
+        );
+        faults.want(fleet.upstreams.value <= UPSTREAMS_MOST, "fleet.upstreams", "1000000 at most");
+    }
+
+    fn check_graph(&self, faults: &mut Faults) {
+        let Self { fleet, graph, .. } = self;
+        faults.want(graph.depth.value >= 1, "graph.depth", "one at least");
+        faults.want(
+            graph.services_by_depth.value.len() == graph.depth.value
+                && is_whole(&graph.services_by_depth.value),
+            "graph.services_by_depth",
+            "as many entries as graph.depth, 1 in all",
+        );
+        faults.want(
+            graph.destinations_most.value < fleet.services.value.max(2),
+            "graph.destinations_most",
+            "under fleet.services",
+        );
+        faults.want(
+            (1.0..=graph.destinations_most.value as f64).contains(&graph.destinations_mean.value),
+            "graph.destinations_mean",
+            "1 to graph.destinations_most",
+        );
+        faults.want(
+            (1.0..=graph.depth.value as f64).contains(&graph.hops_per_call.value),
+            "graph.hops_per_call",
+            "1 to graph.depth",
+        );
+    }
+
+    fn check_traffic(&self, faults: &mut Faults) {
+        let Self { traffic, .. } = self;
+        faults.want(
+            (0.0..1.0).contains(&traffic.added_quantile.value),
+            "traffic.added_quantile",
+            "0 to under 1",
+        );
+        faults.want(
+            traffic.aim_s.value <= traffic.deadline_s.value,
+            "traffic.aim_s",
+            "not over traffic.deadline_s",
+        );
+        faults.want(traffic.attempts.value >= 1, "traffic.attempts", "one at least");
+        faults.want(traffic.tenants.value >= 1, "traffic.tenants", "one at least");
+        faults.want(traffic.headroom.value >= 1.0, "traffic.headroom", "not under 1");
+        faults.want(
+            self.tiers_over_mean().into_iter().all(|tier| tier <= traffic.busiest_over_mean.value),
+            "traffic.busiest_over_mean",
+            "not under the mean of a tier, by graph.services_by_depth and the calls that it gets",
+        );
+    }
+
+    fn check_configuration(&self, faults: &mut Faults) {
+        let Self { list, configuration, .. } = self;
+        faults.want(
+            configuration.peak_per_minute.value >= configuration.changes_per_day.value / 1440.0,
+            "configuration.peak_per_minute",
+            "not under the mean minute of configuration.changes_per_day",
+        );
+        faults.want(list.entry_bytes.value >= 1, "list.entry_bytes", "one at least");
+        faults.want(
+            configuration.scope_shares.value.len() == 3 && is_whole(&configuration.scope_shares.value),
+            "configuration.scope_shares",
+            "three entries, 1 in all",
+        );
+    }
+
+    fn check_deal(&self, faults: &mut Faults) {
+        let Self { fleet, budget, deal, .. } = self;
+        let Deal { origins, standbys, region_relays, zone_relays } = deal;
+        faults.want(origins.value >= 1, "deal.origins", "one at least");
+        faults.want(
+            origins.value + standbys.value + region_relays.value + zone_relays.value
+                == budget.control_machines.value,
+            "deal",
+            "budget.control_machines in all",
+        );
+        faults.want(
+            region_relays.value.is_multiple_of(fleet.regions.value.max(1)) && region_relays.value > 0,
+            "deal.region_relays",
+            "the same number in each of fleet.regions",
+        );
+        faults.want(
+            zone_relays.value.is_multiple_of(fleet.zones.value.max(1)) && zone_relays.value > 0,
+            "deal.zone_relays",
+            "the same number in each of fleet.zones",
+        );
+    }
+
+    /// The figures that must be positive, with their places.
+    fn positive(&self) -> [(&'static str, f64); 30] {
+        let Self { traffic, network, list, configuration, budget, failures, .. } = self;
+        [
+            ("traffic.calls_per_s", traffic.calls_per_s.value),
+            ("traffic.busiest_over_mean", traffic.busiest_over_mean.value),
+            ("traffic.work_ms", traffic.work_ms.value),
+            ("traffic.deadline_s", traffic.deadline_s.value),
+            ("traffic.aim_s", traffic.aim_s.value),
+            ("traffic.added_ms", traffic.added_ms.value),
+            ("network.zone_ms", network.zone_ms.value),
+            ("network.region_ms", network.region_ms.value),
+            ("network.far_ms", network.far_ms.value),
+            ("list.beat_s", list.beat_s.value),
+            ("list.lines_per_replacement", list.lines_per_replacement.value),
+            ("list.lines_per_failure", list.lines_per_failure.value),
+            ("list.renew_s", list.renew_s.value),
+            ("configuration.changes_per_day", configuration.changes_per_day.value),
+            ("configuration.in_force_s", configuration.in_force_s.value),
+            ("configuration.peak_per_minute", configuration.peak_per_minute.value),
+            ("configuration.bunch", configuration.bunch.value),
+            ("budget.core_share", budget.core_share.value),
+            ("budget.memory_mb", budget.memory_mb.value),
+            ("budget.bytes_per_s", budget.bytes_per_s.value),
+            ("budget.machine_cores", budget.machine_cores.value),
+            ("budget.machine_memory_mb", budget.machine_memory_mb.value),
+            ("budget.machine_bytes_per_s", budget.machine_bytes_per_s.value),
+            ("failures.machines_per_day", failures.machines_per_day.value),
+            ("failures.replaced_per_day", failures.replaced_per_day.value),
+            ("failures.racks_per_year", failures.racks_per_year.value),
+            ("failures.zones_per_year", failures.zones_per_year.value),
+            ("failures.region_cuts_per_year", failures.region_cuts_per_year.value),
+            ("failures.region_cut_s", failures.region_cut_s.value),
+            ("failures.replace_all_s", failures.replace_all_s.value),
+        ]
+    }
+}
