--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -3,7 +3,7 @@
 //! A chain of services, one after another, with one of them in trouble: how many attempts reach its deepest tier for
 //! one call at the front, how many refusals come back up, and what the deadline told leaves down there.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
 use clap::Args;
 
@@ -40,6 +40,20 @@
 /// What is wrong with the service in trouble.
 const KINDS: [Trouble; 3] = [Trouble::Failing, Trouble::Silent, Trouble::Halved];
 
+/// The heads of the table.
+const COLUMNS: [&str; 10] = [
+    "trouble",
+    "of the service at depth",
+    "repeats by clients at most",
+    "attempts there for a call at the front",
+    "attempts at the deepest service",
+    "attempts at all depths",
+    "calls refused or failed at all depths",
+    "of those at the front",
+    "left of the deadline there, ms",
+    "served in time %",
+];
+
 /// A chain with a service in trouble.
 #[derive(Debug, Clone, Copy)]
 pub struct Chain {
@@ -123,90 +137,169 @@
 /// # Errors
 /// With the place where it went wrong.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
-    let small = arguments.small;
-    let seconds = if small { SECONDS.1 } else { SECONDS.0 };
-    let plays = if small { 1 } else { 3 };
-    let longest = plan.graph.depth.value;
-    let depths: Vec<usize> = if small {
-        [1, 2, 6, longest].into_iter().filter(|&depth| depth <= longest).collect()
-    } else {
-        (1..=longest).collect()
-    };
-    let most = plan.traffic.client_repeats.value;
-    let chain = |depth, trouble, repeats, safe, play| Chain {
-        depth,
-        trouble,
-        repeats,
-        safe,
-        seed: arguments.seed + play,
-        seconds,
-    };
+    let session = Session::new(arguments, plan);
+    session.write_slopes()?;
+    session.write_table()
+}
+
+/// One run of the command: what is played, and what goes into each file that it writes.
+struct Session<'a> {
+    arguments: &'a Arguments,
+    plan: &'a Plan,
+    seconds: f64,
+    plays: u64,
+    depths: Vec<usize>,
+    /// Services of the longest chain.
+    longest: usize,
+    /// Repeats by a client at most, of the plan.
+    repeats: u32,
+    /// The play's figures in words, for the notes.
+    setting: String,
+    command: String,
+}
+
+/// The points of the slopes, and beside them what is only told in a note.
+#[derive(Default)]
+struct Points {
+    attempts: Vec<Point>,
+    refusals: Vec<Point>,
+    left_ms: Vec<Point>,
+    /// Attempts at the deepest service where clients do not repeat, as `depth: attempts`.
+    without_repeats: Vec<String>,
+}
+
+/// What one slope shows, apart from its points.
+struct SlopeText {
+    name: &'static str,
+    what: &'static str,
+    unit: &'static str,
+    note: String,
+}
+
+impl<'a> Session<'a> {
+    fn new(arguments: &'a Arguments, plan: &'a Plan) -> Self {
+        let small = arguments.small;
+        let seconds = if small { SECONDS.1 } else { SECONDS.0 };
+        let longest = plan.graph.depth.value;
+        let depths = if small {
+            [1, 2, 6, longest].into_iter().filter(|&depth| depth <= longest).collect()
+        } else {
+            (1..=longest).collect()
+        };
+        let setting = format!(
+            "A chain of services of {SIZE} upstreams each, {RATE} calls a second at the front, {seconds} virtual s, each balancer with up to {} attempts",
+            plan.traffic.attempts.value
+        );
+        let command = format!(
+            "target/release/capacity depth{} --seed {}",
+            if small { " --small" } else { "" },
+            arguments.seed
+        );
+        Self {
+            arguments,
+            plan,
+            seconds,
+            plays: if small { 1 } else { 3 },
+            depths,
+            longest,
+            repeats: plan.traffic.client_repeats.value,
+            setting,
+            command,
+        }
+    }
+
+    /// A chain of a depth in which nothing is in trouble and all calls may be repeated freely.
+    fn calm(&self, depth: usize, play: u64) -> Chain {
+        Chain {
+            depth,
+            trouble: None,
+            repeats: self.repeats,
+            safe: true,
+            seed: self.arguments.seed + play,
+            seconds: self.seconds,
+        }
+    }
+
+    /// The same chain whose last service fails each call at once.
+    fn failing(&self, depth: usize, play: u64) -> Chain {
+        Chain { trouble: Some((depth, Trouble::Failing)), ..self.calm(depth, play) }
+    }
 
-    // The slopes: the last service fails each call at once, all calls may be repeated, clients come again.
-    let (mut attempts, mut refusals, mut left) = (Vec::new(), Vec::new(), Vec::new());
-    let mut beside = Vec::new();
-    for &depth in &depths {
-        let mut plays_of: [Vec<f64>; 3] = Default::default();
-        for play in 0..plays {
-            let failing = chain(depth, Some((depth, Trouble::Failing)), most, true, play);
-            let figures = failing.figures(&failing.play(plan)?, depth);
-            let slow = chain(depth, None, most, true, play);
-            let calm = slow.figures(&slow.play(plan)?, depth);
-            for (all, figure) in plays_of.iter_mut().zip([figures.attempts, figures.refusals, calm.left_ms]) {
-                all.push(figure);
+    /// The folder of that name below the one for output; it is made.
+    fn folder(&self, name: &str) -> Result<PathBuf, CapacityError> {
+        let folder = self.arguments.out.join(name);
+        std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
+        Ok(folder)
+    }
+
+    /// Plays each depth for the slopes.
+    fn points(&self) -> Result<Points, CapacityError> {
+        let mut points = Points::default();
+        for &depth in &self.depths {
+            let (mut attempts, mut refusals, mut left_ms) = (Vec::new(), Vec::new(), Vec::new());
+            for play in 0..self.plays {
+                let failing = self.failing(depth, play);
+                let figures = failing.figures(&failing.play(self.plan)?, depth);
+                let calm = self.calm(depth, play);
+                attempts.push(figures.attempts);
+                refusals.push(figures.refusals);
+                left_ms.push(calm.figures(&calm.play(self.plan)?, depth).left_ms);
             }
+            let alone = Chain { repeats: 0, ..self.failing(depth, 0) };
+            let alone = alone.figures(&alone.play(self.plan)?, depth);
+            points.without_repeats.push(format!("{depth}: {:.2}", alone.attempts));
+            let x = depth as f64;
+            points.attempts.extend(Point::of(x, attempts));
+            points.refusals.extend(Point::of(x, refusals));
+            points.left_ms.extend(Point::of(x, left_ms));
         }
-        let alone = chain(depth, Some((depth, Trouble::Failing)), 0, true, 0);
-        let alone = alone.figures(&alone.play(plan)?, depth);
-        beside.push(format!("{depth}: {:.2}", alone.attempts));
-        let [a, r, l] = plays_of;
-        let x = depth as f64;
-        attempts.extend(Point::of(x, a));
-        refusals.extend(Point::of(x, r));
-        left.extend(Point::of(x, l));
+        Ok(points)
     }
-    let setting = format!(
-        "A chain of services of {SIZE} upstreams each, {RATE} calls a second at the front, {seconds} virtual s, each balancer with up to {} attempts",
-        plan.traffic.attempts.value
-    );
-    let failing = "its last service fails each call at once, all calls may be repeated freely";
-    let slopes = [
-        (
-            "depth.attempts_by_depth",
-            "attempts at the deepest service for one call at the front, which fails all of them",
-            "attempts",
-            attempts,
-            format!(
-                "{setting}; {failing}, clients come again up to {most} times (a new call at the front each time). Where clients don't, by depth: {}.",
-                beside.join(", ")
-            ),
-        ),
-        (
-            "depth.refusals_by_depth",
-            "calls that balancers of all depths end as refused or failed, for one call at the front, with the deepest service failing",
-            "calls",
-            refusals,
-            format!("{setting}; {failing}, clients come again up to {most} times."),
-        ),
-        (
-            "depth.deadline_ms_by_depth",
-            "time that is left to a call when it comes to the balancer before the deepest service",
-            "ms",
-            left,
-            format!(
-                "{setting}; nothing is in trouble, all in one zone; clients wait {} s.",
-                plan.traffic.deadline_s.value
-            ),
-        ),
-    ];
-    let command = format!(
-        "target/release/capacity depth{} --seed {}",
-        if small { " --small" } else { "" },
-        arguments.seed
-    );
-    let folder = arguments.out.join("slopes");
-    std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
-    for (name, what, unit, points, mut note) in slopes {
+
+    fn write_slopes(&self) -> Result<(), CapacityError> {
+        let Points { attempts, refusals, left_ms, without_repeats } = self.points()?;
+        let [of_attempts, of_refusals, of_left] = self.slope_texts(&without_repeats);
+        let folder = self.folder("slopes")?;
+        self.write_slope(&folder, of_attempts, attempts)?;
+        self.write_slope(&folder, of_refusals, refusals)?;
+        self.write_slope(&folder, of_left, left_ms)
+    }
+
+    /// Of attempts, refusals, and the time left.
+    fn slope_texts(&self, without_repeats: &[String]) -> [SlopeText; 3] {
+        let Self { setting, repeats: most, plan, .. } = self;
+        let beside = without_repeats;
+        let failing = "its last service fails each call at once, all calls may be repeated freely";
+        [
+            SlopeText {
+                name: "depth.attempts_by_depth",
+                what: "attempts at the deepest service for one call at the front, which fails all of them",
+                unit: "attempts",
+                note: format!(
+                    "{setting}; {failing}, clients come again up to {most} times (a new call at the front each time). Where clients don't, by depth: {}.",
+                    beside.join(", ")
+                ),
+            },
+            SlopeText {
+                name: "depth.refusals_by_depth",
+                what: "calls that balancers of all depths end as refused or failed, for one call at the front, with the deepest service failing",
+                unit: "calls",
+                note: format!("{setting}; {failing}, clients come again up to {most} times."),
+            },
+            SlopeText {
+                name: "depth.deadline_ms_by_depth",
+                what: "time that is left to a call when it comes to the balancer before the deepest service",
+                unit: "ms",
+                note: format!(
+                    "{setting}; nothing is in trouble, all in one zone; clients wait {} s.",
+                    plan.traffic.deadline_s.value
+                ),
+            },
+        ]
+    }
+
+    fn write_slope(&self, folder: &Path, text: SlopeText, points: Vec<Point>) -> Result<(), CapacityError> {
+        let SlopeText { name, what, unit, mut note } = text;
         let fit = straight(&points, &mut note);
         for point in &points {
             println!("{name} {}: {:.3} {unit} ({:.3} to {:.3})", point.x, point.y, point.low, point.high);
@@ -216,71 +309,65 @@
             what: what.to_owned(),
             x_unit: "services in the chain".to_owned(),
             y_unit: unit.to_owned(),
-            command: command.clone(),
+            command: self.command.clone(),
             commit: slope::commit(),
-            plays: plays as usize,
+            plays: self.plays as usize,
             points,
             fit,
             note,
         }
-        .write(&folder)?;
+        .write(folder)
     }
 
-    // The table: the longest chain, trouble at each depth.
-    let mut rows = Vec::new();
-    let at: Vec<usize> = if small { depths.clone() } else { (1..=longest).collect() };
-    for trouble in KINDS {
-        for &depth in &at {
-            for repeats in [0, most] {
-                let chain = chain(longest, Some((depth, trouble)), repeats, false, 0);
-                let report = chain.play(plan)?;
-                let figures = chain.figures(&report, depth);
-                let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
-                let per = |count: u64| format!("{:.3}", count as f64 / calls.max(1) as f64);
-                let left = report.depths[depth - 1];
-                rows.push(vec![
-                    kind(trouble).to_owned(),
-                    depth.to_string(),
-                    repeats.to_string(),
-                    format!("{:.3}", figures.attempts),
-                    per(report.depths[longest - 1].attempts),
-                    format!("{:.2}", figures.all_attempts),
-                    format!("{:.3}", figures.refusals),
-                    format!("{:.3}", figures.refusals_at_front),
-                    format!("{:.0}", left.left_s / left.calls.max(1) as f64 * 1e3),
-                    format!("{:.2}", figures.served * 100.0),
-                ]);
-                println!("{}", rows[rows.len() - 1].join("  "));
+    /// The row of the longest chain with a service in trouble.
+    fn row(&self, trouble: Trouble, depth: usize, repeats: u32) -> Result<Vec<String>, CapacityError> {
+        let longest = self.longest;
+        let trouble_at = Some((depth, trouble));
+        let chain = Chain { trouble: trouble_at, repeats, safe: false, ..self.calm(longest, 0) };
+        let report = chain.play(self.plan)?;
+        let figures = chain.figures(&report, depth);
+        let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
+        let per = |count: u64| format!("{:.3}", count as f64 / calls.max(1) as f64);
+        let left = report.depths[depth - 1];
+        Ok(vec![
+            kind(trouble).to_owned(),
+            depth.to_string(),
+            repeats.to_string(),
+            format!("{:.3}", figures.attempts),
+            per(report.depths[longest - 1].attempts),
+            format!("{:.2}", figures.all_attempts),
+            format!("{:.3}", figures.refusals),
+            format!("{:.3}", figures.refusals_at_front),
+            format!("{:.0}", left.left_s / left.calls.max(1) as f64 * 1e3),
+            format!("{:.2}", figures.served * 100.0),
+        ])
+    }
+
+    fn write_table(&self) -> Result<(), CapacityError> {
+        let mut rows = Vec::new();
+        for trouble in KINDS {
+            for &depth in &self.depths {
+                for repeats in [0, self.repeats] {
+                    let row = self.row(trouble, depth, repeats)?;
+                    println!("{}", row.join("  "));
+                    rows.push(row);
+                }
             }
         }
-    }
-    let folder = arguments.out.join("results");
-    std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
-    Results {
-        name: "depth".to_owned(),
-        what: format!("a chain of {longest} services with one in trouble"),
-        command,
-        commit: slope::commit(),
-        columns: [
-            "trouble",
-            "of the service at depth",
-            "repeats by clients at most",
-            "attempts there for a call at the front",
-            "attempts at the deepest service",
-            "attempts at all depths",
-            "calls refused or failed at all depths",
-            "of those at the front",
-            "left of the deadline there, ms",
-            "served in time %",
-        ]
-        .map(str::to_owned)
-        .to_vec(),
-        rows,
-        note: format!(
+        let setting = &self.setting;
+        Results {
+            name: "depth".to_owned(),
+            what: format!("a chain of {} services with one in trouble", self.longest),
+            command: self.command.clone(),
+            commit: slope::commit(),
+            columns: COLUMNS.map(str::to_owned).to_vec(),
+            rows,
+            note: format!(
             "{setting}; 70% of the calls may be repeated freely, 15% with a key, 15% never. One play of each. failing: each call there is answered with an error at once. silent: no call there is ever answered. halved: half of the upstreams there are lost, and no list says so."
-        ),
+            ),
+        }
+        .write(&self.folder("results")?)
     }
-    .write(&folder)
 }
 
 fn kind(trouble: Trouble) -> &'static str {
