--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -1,7 +1,7 @@
 //! The fleet at work in virtual time: upstreams with servers, queues and cold starts, links with delays and cuts, lists
 //! that come late, clients that repeat, and between them all the real decision cores.
 
-use balancer_policy::interface::{ListUpdate, Member, Outcome};
+use balancer_policy::interface::{Member, Outcome};
 use balancer_policy::{Action, Event};
 use oorandom::Rand64;
 
@@ -151,15 +151,30 @@
                 ..Report::default()
             },
         };
+        world.draw_tenants();
+        world.add_slots();
+        world.add_first_processes()?;
+        world.schedule_first_events();
+        Ok(world)
+    }
+
+    /// Shares of the tenants, of which the one of rank n has 1 over the root of n.
+    fn draw_tenants(&mut self) {
         let mut sum = 0.0;
-        let parts: Vec<f64> = (1..=plan.traffic.tenants.value).map(|rank| (rank as f64).powf(-0.5)).collect();
+        let parts: Vec<f64> =
+            (1..=self.plan.traffic.tenants.value).map(|rank| (rank as f64).powf(-0.5)).collect();
         let all: f64 = parts.iter().sum();
         for part in parts {
             sum += part / all;
-            world.tenants.push(sum);
+            self.tenants.push(sum);
         }
+    }
+
+    /// The slots of all services, and the number of each of their balancers among those that call the same service.
+    fn add_slots(&mut self) {
+        let topology = self.topology;
         for &(entry, _) in &topology.entries {
-            world.callers[entry] = topology.fronts.len() as u32;
+            self.callers[entry] = topology.fronts.len() as u32;
         }
         for (number, service) in topology.services.iter().enumerate() {
             for &zone in &service.zones {
@@ -167,38 +182,45 @@
                     .calls
                     .iter()
                     .map(|&(called, _)| {
-                        world.callers[called] += 1;
-                        world.callers[called] - 1
+                        self.callers[called] += 1;
+                        self.callers[called] - 1
                     })
                     .collect();
-                world.slots.push(Slot { service: number, zone, process: None, index });
+                self.slots.push(Slot { service: number, zone, process: None, index });
             }
         }
+    }
+
+    /// A process in each slot and all fronts. Balancers come after all processes, so that their first lists are whole.
+    fn add_first_processes(&mut self) -> Result<(), CapacityError> {
         let halved =
-            play.trouble.filter(|&(_, trouble)| trouble == Trouble::Halved).map(|(service, _)| service);
-        let mut seen = vec![0; services];
-        for slot in 0..world.slots.len() {
-            let process = world.add_process(slot, play.cold.then_some(0));
-            let service = world.slots[slot].service;
+            self.play.trouble.filter(|&(_, trouble)| trouble == Trouble::Halved).map(|(service, _)| service);
+        let mut seen = vec![0; self.topology.services.len()];
+        for slot in 0..self.slots.len() {
+            let process = self.add_process(slot, self.play.cold.then_some(0));
+            let service = self.slots[slot].service;
             seen[service] += 1;
             if halved == Some(service) && seen[service] % 2 == 0 {
-                world.processes[process].state = State::Lost;
+                self.processes[process].state = State::Lost;
             }
         }
-        for process in 0..world.processes.len() {
-            world.add_cores(process)?;
+        for process in 0..self.processes.len() {
+            self.add_cores(process)?;
         }
-        for front in 0..topology.fronts.len() {
-            world.add_front(front)?;
+        for front in 0..self.topology.fronts.len() {
+            self.add_front(front)?;
         }
-        world.report.cores = world.cores.len();
-        world.due.push(0, Due::Client);
-        world.due.push(ns(LOOK_S.0), Due::Look);
-        world.due.push(ns(LOOK_S.1), Due::LookAtMinds);
-        for (number, &(at, _)) in play.script.iter().enumerate() {
-            world.due.push(ns(at), Due::Script(number as u32));
+        self.report.cores = self.cores.len();
+        Ok(())
+    }
+
+    fn schedule_first_events(&mut self) {
+        self.due.push(0, Due::Client);
+        self.due.push(ns(LOOK_S.0), Due::Look);
+        self.due.push(ns(LOOK_S.1), Due::LookAtMinds);
+        for (number, &(at, _)) in self.play.script.iter().enumerate() {
+            self.due.push(ns(at), Due::Script(number as u32));
         }
-        Ok(world)
     }
 
     /// Plays it to its end: until all calls have been answered.
@@ -236,48 +258,36 @@
 
     fn happen(&mut self, due: Due, last: u64) -> Result<(), CapacityError> {
         match due {
-            Due::Client => {
-                let gap = -(1.0 - self.rng.rand_float()).ln() / self.topology.front_per_s;
-                let next = self.now + ns(gap).max(1);
-                if next < last {
-                    self.due.push(next, Due::Client);
-                }
-                self.client_comes();
-            }
+            Due::Client => self.next_client(last),
             Due::Again(client) => self.call(client),
             Due::Wake(core) => self.drive(core, Event::Wake),
             Due::Reach { hop, attempt } => self.reach(hop, attempt),
             Due::Done { work } => self.work_done(work),
             Due::Reply { hop, attempt, outcome } => self.attempt_over(hop, attempt, outcome),
             Due::Timeout { hop, attempt } => self.attempt_over(hop, attempt, Outcome::TimedOut),
-            Due::List { core, change } => {
-                let members = self.changes[change as usize].clone();
-                self.tell(core, ListUpdate::Patch(members));
-            }
-            Due::Whole(core) => {
-                let members = self.members(self.cores[core as usize].service);
-                self.tell(core, ListUpdate::Whole(members));
-            }
+            Due::List { core, change } => self.changed_list_arrives(core, change),
+            Due::Whole(core) => self.whole_list_arrives(core),
             Due::Script(step) => self.step(step as usize)?,
             Due::Stop(process) => self.stop(process as usize, State::Ended),
             Due::Start(slot) => self.start(slot as usize)?,
             Due::Unlist(process) => self.unlist(process as usize),
-            Due::Look => {
-                self.due.push(self.now + ns(LOOK_S.0), Due::Look);
-                let used_mb = resident_bytes()? >> 20;
-                self.report.memory_mb = self.report.memory_mb.max(used_mb);
-                if used_mb > self.play.memory_mb {
-                    return Err(CapacityError::Memory {
-                        place: format!("hollow fleet, {} at {:.2} s", self.play.name, seconds(self.now)),
-                        used_mb,
-                        bound_mb: self.play.memory_mb,
-                    });
-                }
-            }
-            Due::LookAtMinds => {
-                self.due.push(self.now + ns(LOOK_S.1), Due::LookAtMinds);
-                self.look_at_minds();
-            }
+            Due::Look => self.look_at_memory()?,
+            Due::LookAtMinds => self.look_at_minds(),
+        }
+        Ok(())
+    }
+
+    /// Notes the memory in use, and ends the run where it passes its bound.
+    fn look_at_memory(&mut self) -> Result<(), CapacityError> {
+        self.due.push(self.now + ns(LOOK_S.0), Due::Look);
+        let used_mb = resident_bytes()? >> 20;
+        self.report.memory_mb = self.report.memory_mb.max(used_mb);
+        if used_mb > self.play.memory_mb {
+            return Err(CapacityError::Memory {
+                place: format!("hollow fleet, {} at {:.2} s", self.play.name, seconds(self.now)),
+                used_mb,
+                bound_mb: self.play.memory_mb,
+            });
         }
         Ok(())
     }
--- a/crates/capacity/src/hollow/world/clients.rs
+++ b/crates/capacity/src/hollow/world/clients.rs
@@ -12,7 +12,17 @@
 const AGAIN_S: f64 = 0.1;
 
 impl World<'_> {
-    pub(super) fn client_comes(&mut self) {
+    /// A client comes now, and the next one after a gap of a Poisson process unless that is at `last` or later.
+    pub(super) fn next_client(&mut self, last: u64) {
+        let gap = -(1.0 - self.rng.rand_float()).ln() / self.topology.front_per_s;
+        let next = self.now + ns(gap).max(1);
+        if next < last {
+            self.due.push(next, Due::Client);
+        }
+        self.client_comes();
+    }
+
+    fn client_comes(&mut self) {
         let topology = self.topology;
         let mut zone = place(topology.clients.iter().copied(), self.rng.rand_float());
         // Clients of a lost zone come to the next one.
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -32,6 +32,16 @@
         self.listed[service].iter().map(|&process| self.member(process)).collect()
     }
 
+    pub(super) fn changed_list_arrives(&mut self, core: u32, change: u32) {
+        let members = self.changes[change as usize].clone();
+        self.tell(core, ListUpdate::Patch(members));
+    }
+
+    pub(super) fn whole_list_arrives(&mut self, core: u32) {
+        let members = self.members(self.cores[core as usize].service);
+        self.tell(core, ListUpdate::Whole(members));
+    }
+
     /// A core takes in a list.
     pub(super) fn tell(&mut self, core: u32, update: ListUpdate) {
         let held = &mut self.cores[core as usize];
--- a/crates/capacity/src/hollow/world/minds.rs
+++ b/crates/capacity/src/hollow/world/minds.rs
@@ -2,14 +2,16 @@
 
 use balancer_policy::interface::Phase;
 
+use super::event::Due;
 use super::lists::LIST;
 use super::report::Minds;
 use super::settings::QUOTAS;
 use super::upstreams::COLD;
-use super::{World, ns};
+use super::{LOOK_S, World, ns};
 
 impl World<'_> {
     pub(super) fn look_at_minds(&mut self) {
+        self.due.push(self.now + ns(LOOK_S.1), Due::LookAtMinds);
         let mut minds = Minds { at_s: (self.now + 500_000_000) / 1_000_000_000, ..Minds::default() };
         // While a list changes or one of it is cold, the figure that falls with those set aside falls with these.
         let late = ns(LIST.0 + LIST.1);
--- a/crates/capacity/src/hollow/world/script.rs
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -6,7 +6,7 @@
 
 use super::event::Due;
 use super::lists::LIST;
-use super::state::{Slot, State};
+use super::state::State;
 use super::{World, ns};
 use crate::CapacityError;
 
@@ -34,65 +34,75 @@
 
 impl World<'_> {
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
-        let in_zone = |slots: &[Slot], zone: usize| -> Vec<usize> {
-            (0..slots.len()).filter(|&slot| slots[slot].zone == zone).collect()
-        };
         match self.play.script[number].1 {
-            Step::Replace(slot) => {
-                let Some(process) = self.slots[slot].process else { return Ok(()) };
-                if self.processes[process].phase != Phase::Ready || self.processes[process].state != State::Up
-                {
-                    return Ok(());
-                }
-                self.processes[process].phase = Phase::Draining;
-                self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
-                self.due.push(self.now + ns(DRAIN_S), Due::Stop(process as u32));
-                self.due.push(self.now + ns(DRAIN_S) + 1, Due::Start(slot as u32));
-            }
+            Step::Replace(slot) => self.replace(slot),
             Step::Fail(slot) => {
                 self.lose(slot);
                 self.due.push(self.now + ns(REPAIR_S), Due::Start(slot as u32));
             }
-            Step::LoseZone(zone) => {
-                self.zone_lost = Some(zone);
-                for slot in in_zone(&self.slots, zone) {
-                    self.lose(slot);
-                }
-                for front in 0..self.fronts.len() {
-                    if self.topology.fronts[front] == zone {
-                        self.front_up[front] = false;
-                        for core in self.fronts[front].clone() {
-                            self.cores[core as usize].balancer = None;
-                        }
-                    }
-                }
-            }
-            Step::ReturnZone(zone) => {
-                self.zone_lost = None;
-                for slot in in_zone(&self.slots, zone) {
-                    self.start(slot)?;
-                }
-                for front in 0..self.fronts.len() {
-                    if self.topology.fronts[front] == zone {
-                        self.add_front(front)?;
-                    }
-                }
-            }
+            Step::LoseZone(zone) => self.lose_zone(zone),
+            Step::ReturnZone(zone) => self.return_zone(zone)?,
             Step::Cut(region) => self.cut = Some(region),
-            Step::Heal(region) => {
-                self.cut = None;
-                // Its watches open anew and ask for whole lists.
-                for core in 0..self.cores.len() {
-                    if self.topology.region_of[self.cores[core].zone] == region
-                        && mem::take(&mut self.cores[core].missed)
-                    {
-                        let at = self.now + ns(LIST.0 + LIST.1 * self.rng.rand_float());
-                        self.cores[core].listed_at = at;
-                        self.due.push(at, Due::Whole(core as u32));
-                    }
+            Step::Heal(region) => self.heal(region),
+        }
+        Ok(())
+    }
+
+    /// Drains the process of a slot for a planned stop, unless it is about to end already.
+    fn replace(&mut self, slot: usize) {
+        let Some(process) = self.slots[slot].process else { return };
+        if self.processes[process].phase != Phase::Ready || self.processes[process].state != State::Up {
+            return;
+        }
+        self.processes[process].phase = Phase::Draining;
+        self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
+        self.due.push(self.now + ns(DRAIN_S), Due::Stop(process as u32));
+        self.due.push(self.now + ns(DRAIN_S) + 1, Due::Start(slot as u32));
+    }
+
+    fn slots_in(&self, zone: usize) -> Vec<usize> {
+        (0..self.slots.len()).filter(|&slot| self.slots[slot].zone == zone).collect()
+    }
+
+    fn lose_zone(&mut self, zone: usize) {
+        self.zone_lost = Some(zone);
+        for slot in self.slots_in(zone) {
+            self.lose(slot);
+        }
+        for front in 0..self.fronts.len() {
+            if self.topology.fronts[front] == zone {
+                self.front_up[front] = false;
+                for core in self.fronts[front].clone() {
+                    self.cores[core as usize].balancer = None;
                 }
             }
         }
+    }
+
+    fn return_zone(&mut self, zone: usize) -> Result<(), CapacityError> {
+        self.zone_lost = None;
+        for slot in self.slots_in(zone) {
+            self.start(slot)?;
+        }
+        for front in 0..self.fronts.len() {
+            if self.topology.fronts[front] == zone {
+                self.add_front(front)?;
+            }
+        }
         Ok(())
     }
+
+    fn heal(&mut self, region: usize) {
+        self.cut = None;
+        // Its watches open anew and ask for whole lists.
+        for core in 0..self.cores.len() {
+            if self.topology.region_of[self.cores[core].zone] == region
+                && mem::take(&mut self.cores[core].missed)
+            {
+                let at = self.now + ns(LIST.0 + LIST.1 * self.rng.rand_float());
+                self.cores[core].listed_at = at;
+                self.due.push(at, Due::Whole(core as u32));
+            }
+        }
+    }
 }
