--- /dev/null
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -0,0 +1,279 @@
+//! Needs of control: what lists and configuration cost a balancer, the machines that spread them, and a registrant.
+
+use super::MB_PER_KIB;
+use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, ORIGIN, RELAY};
+use super::need::{Cost, Need, Read, Requirement};
+use super::occasion::Occasion;
+use super::role::{Part, Role};
+use crate::plan::Plan;
+
+/// Bytes of an empty line of a watch as one chunk of HTTP/1.1.
+const BEAT_BYTES: f64 = 6.0;
+
+/// What lists and configuration cost on the wire on an occasion, for so many balancers.
+struct Told {
+    list: [Part; 3],
+    list_reckoned: f64,
+    configuration: [Part; 2],
+    /// What is by the plan in either case: documents caught up with, and those longer than the measured one.
+    configuration_plain: f64,
+    configuration_reckoned: f64,
+    /// Changes a second that they take in, with those that they catch up with.
+    taken: f64,
+}
+
+impl Told {
+    fn of(plan: &Plan, on: &Occasion, balancers: f64) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let within = plan.configuration.in_force_s.value;
+        let beat = BEAT_BYTES / plan.list.beat_s.value;
+        let whole = plan.whole_list_bytes() as f64;
+        // The measured change is one of the fleet's document.
+        let longer = on.changes * (on.own_bytes - on.own * plan.configuration.fleet_bytes.value as f64);
+        let caught_up = on.caught_up / within;
+        let lines = on.lines * plan.list.entry_bytes.value as f64;
+        let wholes = on.wholes / within;
+        let changes = on.changes * on.own;
+        Self {
+            list: [
+                ("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                ("control.list_change_bytes_by_changes", Read::OneMore, balancers * on.lines),
+                ("control.list_whole_bytes_by_upstreams", Read::At(upstreams), balancers * wholes),
+            ],
+            list_reckoned: balancers * (beat + lines + wholes * whole),
+            configuration: [
+                ("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                ("control.configuration_change_bytes_by_watchers", Read::OneMore, balancers * changes),
+            ],
+            configuration_plain: balancers * (longer + caught_up),
+            configuration_reckoned: balancers * (beat + on.changes * on.own_bytes + caught_up),
+            taken: balancers * (changes + if on.caught_up > 0.0 { 1.0 / within } else { 0.0 }),
+        }
+    }
+}
+
+pub(super) fn balancer_control(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
+    let upstreams = plan.fleet.upstreams.value as f64;
+    let within = plan.configuration.in_force_s.value;
+    let (bytes, core, memory) = (
+        Some(plan.budget.bytes_per_s.value),
+        Some(plan.budget.core_share.value),
+        Some(plan.budget.memory_mb.value),
+    );
+    let whole = plan.whole_list_bytes() as f64;
+    let own_documents = plan.own_documents_bytes();
+    let told = Told::of(plan, on, 1.0);
+    let list_core: [Part; 3] = [
+        ("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
+        ("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
+        ("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
+    ];
+    let configuration_core: [Part; 2] = [
+        ("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
+        ("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
+    ];
+    let list_memory: [Part; 1] = [("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
+    let configuration_memory: [Part; 1] =
+        [("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
+
+    let mut role = Role {
+        name: "balancer, its list client",
+        mechanism: LIST_CLIENT,
+        requirement: Requirement::Lists,
+        rows: &mut *rows,
+    };
+    role.row(Cost::State, "upstreams x bytes of an entry", "bytes", whole, &[], None);
+    role.row(
+        Cost::Messages,
+        "beats + lines/s x bytes of one + whole lists x their bytes / time that a change has",
+        "bytes/s",
+        0.0,
+        &told.list,
+        bytes,
+    )
+    .instead = Some(told.list_reckoned);
+    role.row(
+        Cost::Processor,
+        "a process at rest + whole lists and lines/s taken in and decided on, at all upstreams",
+        "cores",
+        0.0,
+        &list_core,
+        core,
+    );
+    role.row(Cost::Memory, "the whole process at all upstreams", "MB", 0.0, &list_memory, memory);
+
+    let mut role = Role {
+        name: "balancer, its configuration",
+        mechanism: CONFIGURATION_CLIENT,
+        requirement: Requirement::Configuration,
+        rows: &mut *rows,
+    };
+    role.row(Cost::State, "three documents", "bytes", own_documents, &[], None);
+    role.row(
+        Cost::Messages,
+        "beats and reports + changes/s for it x bytes of one + documents caught up with / time that a change has",
+        "bytes/s",
+        told.configuration_plain,
+        &told.configuration,
+        bytes,
+    )
+    .instead = Some(told.configuration_reckoned);
+    role.row(
+        Cost::Processor,
+        "a client at rest + changes/s for it x time to take one in and report it",
+        "cores",
+        0.0,
+        &configuration_core,
+        core,
+    );
+    role.row(
+        Cost::Memory,
+        "one more client; reckoned: three documents as text, as settings and once more while they change",
+        "MB",
+        0.0,
+        &configuration_memory,
+        memory,
+    )
+    .instead = Some(3.0 * own_documents / 1e6);
+
+    let mut role = Role {
+        name: "balancer, all its control",
+        mechanism: LIST_CLIENT,
+        requirement: Requirement::Control,
+        rows,
+    };
+    role.row(Cost::State, "list + documents", "bytes", whole + own_documents, &[], None);
+    role.row(
+        Cost::Messages,
+        "list + configuration",
+        "bytes/s",
+        told.configuration_plain,
+        &[&told.list[..], &told.configuration].concat(),
+        bytes,
+    )
+    .instead = Some(told.list_reckoned + told.configuration_reckoned);
+    let both = [&list_core[..], &configuration_core].concat();
+    role.row(Cost::Processor, "list + configuration", "cores", 0.0, &both, core);
+    let both = [&list_memory[..], &configuration_memory].concat();
+    role.row(Cost::Memory, "process + one more client of the configuration", "MB", 0.0, &both, memory);
+}
+
+pub(super) fn control_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
+    let budget = &plan.budget;
+    let (bytes, core, memory) = (
+        Some(budget.machine_bytes_per_s.value),
+        Some(budget.machine_cores.value),
+        Some(budget.machine_memory_mb.value),
+    );
+    let documents = plan.documents_bytes();
+    // A relay asks for all scopes and catches up with all documents at worst, a balancer for its own.
+    let for_relays = Occasion {
+        own: 1.0,
+        own_bytes: plan.change_bytes().max(on.own_bytes),
+        caught_up: if on.caught_up > 0.0 { documents } else { 0.0 },
+        ..on.clone()
+    };
+    let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
+    let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
+    let below_region = on.region_children.min(relays * zones);
+    // With how many relays each has a watch, its own above among them, and how many balancers.
+    for (name, mechanism, above, below, balancers) in [
+        ("control: origin", ORIGIN, 0.0, on.origin_children, 0.0),
+        ("control: standby of the origin", RELAY, 1.0, 0.0, 0.0),
+        ("control: relay of a region", RELAY, 1.0, below_region, on.region_children - below_region),
+        ("control: relay of a zone", RELAY, 1.0, 0.0, on.zone_children),
+    ] {
+        let (to_relays, to_balancers) =
+            (Told::of(plan, &for_relays, above + below), Told::of(plan, on, balancers));
+        let mut role = Role { name, mechanism, requirement: Requirement::Configuration, rows: &mut *rows };
+        role.row(Cost::State, "all documents", "bytes", documents, &[], None);
+        role.row(
+            Cost::Messages,
+            "its watches, above and below, x what each is told and reports",
+            "bytes/s",
+            to_relays.configuration_plain + to_balancers.configuration_plain,
+            &[to_relays.configuration, to_balancers.configuration].concat(),
+            bytes,
+        )
+        .instead = Some(to_relays.configuration_reckoned + to_balancers.configuration_reckoned);
+        role.row(
+            Cost::Processor,
+            "its children's watches at rest + changes/s told, above and below, x time for one more told",
+            "cores",
+            0.0,
+            &[
+                ("control.configuration_server_core_by_watchers", Read::At(below + balancers), 1.0),
+                (
+                    "control.configuration_change_server_us_by_watchers",
+                    Read::OneMore,
+                    (to_relays.taken + to_balancers.taken) / 1e6,
+                ),
+            ],
+            core,
+        );
+        role.row(
+            Cost::Memory,
+            "a relay with so many children and all documents",
+            "MB",
+            0.0,
+            &[("control.configuration_server_kb_by_watchers", Read::At(below + balancers), MB_PER_KIB)],
+            memory,
+        );
+    }
+    let mut role = Role {
+        name: "control: lists, on the zone relays' machines",
+        mechanism: LIST_SERVICE,
+        requirement: Requirement::Lists,
+        rows,
+    };
+    let readers = on.zone_children.max(on.region_children);
+    let told = Told::of(plan, on, readers);
+    role.row(Cost::State, "the whole list", "bytes", plan.whole_list_bytes() as f64, &[], None);
+    role.row(
+        Cost::Messages,
+        "readers of the busiest x what each is told",
+        "bytes/s",
+        0.0,
+        &told.list,
+        bytes,
+    )
+    .instead = Some(told.list_reckoned);
+    role.row(
+        Cost::Processor,
+        "its readers' watches at rest, at a stand-in, + lines/s told",
+        "cores",
+        0.0,
+        &[
+            ("control.list_server_core_by_watchers", Read::At(readers), 1.0),
+            ("control.list_change_server_us_by_watchers", Read::OneMore, readers * on.lines / 1e6),
+        ],
+        core,
+    );
+    role.row(
+        Cost::Memory,
+        "its readers' watches, at a stand-in",
+        "MB",
+        0.0,
+        &[("control.list_server_kb_by_watchers", Read::At(readers), MB_PER_KIB)],
+        memory,
+    );
+}
+
+pub(super) fn registrant(plan: &Plan, rows: &mut Vec<Need>) {
+    let entry = plan.list.entry_bytes.value as f64;
+    let mut role =
+        Role { name: "registrant", mechanism: LIST_SERVICE, requirement: Requirement::Lists, rows };
+    role.row(Cost::State, "its own entry", "bytes", entry, &[], None);
+    role.row(
+        Cost::Messages,
+        "its entry / time between renewals",
+        "bytes/s",
+        entry / plan.list.renew_s.value,
+        &[],
+        Some(plan.budget.bytes_per_s.value),
+    );
+    let unknown: [Part; 1] =
+        [("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
+    role.row(Cost::Processor, "renewals", "cores", 0.0, &unknown, Some(plan.budget.core_share.value));
+    role.row(Cost::Memory, "its own entry", "MB", entry / 1e6, &[], Some(plan.budget.memory_mb.value));
+}
--- /dev/null
+++ b/crates/capacity/src/arithmetic/occasion.rs
@@ -0,0 +1,168 @@
+//! The ordinary day and the peaks. A control plane that is sized for the mean fails when a zone comes back or a peak of
+//! changes comes, so that each need is reckoned on every one of these.
+
+use crate::plan::Plan;
+
+/// When: the ordinary day or a peak. Figures a second are over the window.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Occasion {
+    /// Its name.
+    pub name: &'static str,
+    /// What it is, with the plan's figures.
+    pub what: String,
+    /// Lines of the list that a balancer is told, a second.
+    pub lines: f64,
+    /// Whole lists that a balancer is told in the time that a change has.
+    pub wholes: f64,
+    /// Changes of configuration a second.
+    pub changes: f64,
+    /// How long changes come at this pace, in seconds.
+    pub lasts_s: f64,
+    /// Part of a change that concerns one balancer.
+    pub own: f64,
+    /// Bytes of a change for one balancer.
+    pub own_bytes: f64,
+    /// Bytes of documents that a balancer catches up with in the time that a change has.
+    pub caught_up: f64,
+    /// Calls of a balancer, in those of the ordinary day.
+    pub rate: f64,
+    /// For how long a call is held, in seconds.
+    pub held_s: f64,
+    /// Balancers behind one relay of a zone.
+    pub zone_children: f64,
+    /// Children of one relay of a region.
+    pub region_children: f64,
+    /// Children of the origin.
+    pub origin_children: f64,
+    /// Whether a tier is in trouble, so that calls are repeated.
+    pub trouble: bool,
+}
+
+impl Occasion {
+    /// The ordinary day and the peaks.
+    #[must_use]
+    pub fn all(plan: &Plan) -> Vec<Self> {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let (region, zone) = (plan.largest_region(), plan.largest_zone());
+        let within = plan.configuration.in_force_s.value;
+        let failures = &plan.failures;
+        let list = &plan.list;
+        let regions = plan.fleet.regions.value as f64;
+        let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
+        let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
+        let (own, own_bytes) = plan.own_change();
+        let day = Self {
+            name: "ordinary day",
+            what: format!(
+                "{} failures, {} replacements and {} changes, evenly over the day",
+                failures.machines_per_day.value,
+                failures.replaced_per_day.value,
+                plan.configuration.changes_per_day.value
+            ),
+            lines: (failures.replaced_per_day.value * list.lines_per_replacement.value
+                + failures.machines_per_day.value * list.lines_per_failure.value)
+                / 86400.0,
+            wholes: 0.0,
+            changes: plan.configuration.changes_per_day.value / 86400.0,
+            lasts_s: 86400.0,
+            own,
+            own_bytes,
+            caught_up: 0.0,
+            rate: 1.0,
+            held_s: plan.held_s(),
+            zone_children: zone / relays,
+            region_children: zones * relays,
+            origin_children: regions + plan.deal.standbys.value as f64,
+            trouble: false,
+        };
+        let deadline = plan.traffic.deadline_s.value;
+        let back = Self { wholes: 1.0, caught_up: plan.own_documents_bytes(), ..day.clone() };
+        let minute = plan.configuration.peak_per_minute.value / 60.0;
+        let cut = failures.region_cut_s.value;
+        vec![
+            day.clone(),
+            Self {
+                name: "rolling replacement of everything",
+                what: format!(
+                    "all {upstreams} replaced one after another in {} s",
+                    failures.replace_all_s.value
+                ),
+                lines: upstreams * list.lines_per_replacement.value / failures.replace_all_s.value,
+                ..day.clone()
+            },
+            Self {
+                name: "a rack",
+                what: format!("{} upstreams gone at once", plan.fleet.machines_per_rack.value),
+                lines: plan.fleet.machines_per_rack.value as f64 / within,
+                rate: upstreams / (upstreams - plan.fleet.machines_per_rack.value as f64).max(1.0),
+                held_s: deadline,
+                trouble: true,
+                ..day.clone()
+            },
+            Self {
+                name: "a zone lost and back",
+                what: format!(
+                    "{zone:.0} upstreams gone at once; back, they ask for everything, and each entry is told once, listed or as a line"
+                ),
+                lines: zone / within,
+                wholes: 1.0 - zone / upstreams,
+                rate: upstreams / (upstreams - zone).max(1.0),
+                held_s: deadline,
+                trouble: true,
+                ..back.clone()
+            },
+            Self {
+                name: "a region cut off and back",
+                what: format!(
+                    "{region:.0} upstreams cut off for {cut} s; back, each asks for a whole list and for the documents that changed, at most all it uses"
+                ),
+                held_s: deadline,
+                trouble: true,
+                ..back.clone()
+            },
+            Self {
+                name: "one control machine lost",
+                what: "a relay of the largest zone; its readers go to the other, with a whole list each"
+                    .to_owned(),
+                zone_children: if relays > 1.0 { day.zone_children * relays / (relays - 1.0) } else { 0.0 },
+                ..back.clone()
+            },
+            Self {
+                name: "a zone of control machines lost",
+                what:
+                    "both relays of the largest zone; its readers go to the region's, with a whole list each"
+                        .to_owned(),
+                region_children: day.region_children - relays + zone,
+                ..back.clone()
+            },
+            Self {
+                name: "all balancers reconnecting",
+                what: format!("all {upstreams} at once, each for a whole list and its documents"),
+                ..back.clone()
+            },
+            Self {
+                name: "the busiest minute of changes",
+                what: format!(
+                    "{} changes in a minute, the worst for all: each of the fleet's document",
+                    plan.configuration.peak_per_minute.value
+                ),
+                changes: minute,
+                lasts_s: 60.0,
+                own: 1.0,
+                own_bytes: plan.configuration.fleet_bytes.value as f64,
+                ..day.clone()
+            },
+            Self {
+                name: "the whole fleet from cold",
+                what: format!(
+                    "all {upstreams} processes start, are listed and ask for everything within {within} s; half of the entries are there by then, half come as lines"
+                ),
+                lines: upstreams / within / 2.0,
+                wholes: 0.5,
+                held_s: deadline,
+                trouble: true,
+                ..back
+            },
+        ]
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -0,0 +1,75 @@
+//! Needs of the operator who publishes a change, up to the time until it is in force.
+
+use std::path::Path;
+
+use super::mechanism::{CONFIGURATION_CLIENT, PUBLISHER};
+use super::need::{Cost, Need, Played, Read, Requirement};
+use super::occasion::Occasion;
+use super::role::Role;
+use crate::plan::Plan;
+
+pub(super) fn operator(plan: &Plan, on: &Occasion, tree: &Path, rows: &mut Vec<Need>) {
+    let changes = &plan.configuration;
+    let mut role = Role {
+        name: "operator who publishes",
+        mechanism: PUBLISHER,
+        requirement: Requirement::Configuration,
+        rows,
+    };
+    role.row(
+        Cost::State,
+        "a request id and a document at a time",
+        "bytes",
+        changes.service_bytes.value as f64,
+        &[],
+        None,
+    );
+    role.row(
+        Cost::Messages,
+        "changes/s x bytes of a document, to the origin",
+        "bytes/s",
+        on.changes * plan.change_bytes(),
+        &[],
+        Some(plan.budget.machine_bytes_per_s.value),
+    );
+    role.row(
+        Cost::Processor,
+        "changes/s x time of the origin to check, keep and answer",
+        "cores",
+        0.0,
+        &[("control.publish_us_by_bytes", Read::At(plan.change_bytes()), on.changes / 1e6)],
+        Some(plan.budget.machine_cores.value),
+    );
+    role.row(Cost::Memory, "a document at a time", "MB", changes.service_bytes.value as f64 / 1e6, &[], None);
+    role.row(
+        Cost::Time,
+        "from a change's acknowledgement to the last balancer, as played; else from its sending, one relay for all",
+        "s",
+        0.0,
+        &[("control.change_sent_last_ms_by_watchers", Read::At(plan.fleet.upstreams.value as f64), 1e-3)],
+        Some(changes.in_force_s.value),
+    )
+    .played = Some(Played {
+        results: "sockets",
+        row: match on.name {
+            "a region cut off and back" => "cut",
+            "one control machine lost" => "relay",
+            "a zone of control machines lost" => "zone",
+            "all balancers reconnecting" => "reconnect",
+            _ => "none",
+        },
+        column: "last, ms",
+        times: 1e-3,
+    });
+    // A balancer that takes in a configuration while it serves is what spares the restarts.
+    let carried = CONFIGURATION_CLIENT.carried(tree).is_some();
+    role.mechanism = CONFIGURATION_CLIENT;
+    role.row(
+        Cost::Restarts,
+        "changes x balancers that each concerns, were a restart the only way; budget: those planned for a day",
+        "restarts",
+        if carried { 0.0 } else { on.changes * on.lasts_s * on.own * plan.fleet.upstreams.value as f64 },
+        &[],
+        Some(plan.failures.replaced_per_day.value),
+    );
+}
