--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -52,119 +52,188 @@
     }
 }
 
+/// What the control of a balancer, or a control machine, may use: bytes a second, cores and MB, as rows take them.
+struct Budget {
+    bytes: Option<f64>,
+    core: Option<f64>,
+    memory: Option<f64>,
+}
+
+impl Budget {
+    fn of_balancer(plan: &Plan) -> Self {
+        let budget = &plan.budget;
+        Self {
+            bytes: Some(budget.bytes_per_s.value),
+            core: Some(budget.core_share.value),
+            memory: Some(budget.memory_mb.value),
+        }
+    }
+
+    fn of_machine(plan: &Plan) -> Self {
+        let budget = &plan.budget;
+        Self {
+            bytes: Some(budget.machine_bytes_per_s.value),
+            core: Some(budget.machine_cores.value),
+            memory: Some(budget.machine_memory_mb.value),
+        }
+    }
+}
+
+/// What the control of one balancer costs on an occasion: the parts of which the rows of its clients, and of both
+/// together, are made.
+struct BalancerControl {
+    told: Told,
+    /// Bytes of the whole list.
+    whole: f64,
+    /// Bytes of the documents that it uses.
+    own_documents: f64,
+    list_core: [Part; 3],
+    configuration_core: [Part; 2],
+    list_memory: [Part; 1],
+    configuration_memory: [Part; 1],
+    budget: Budget,
+}
+
 pub(super) fn balancer_control(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
-    let upstreams = plan.fleet.upstreams.value as f64;
-    let within = plan.configuration.in_force_s.value;
-    let (bytes, core, memory) = (
-        Some(plan.budget.bytes_per_s.value),
-        Some(plan.budget.core_share.value),
-        Some(plan.budget.memory_mb.value),
-    );
-    let whole = plan.whole_list_bytes() as f64;
-    let own_documents = plan.own_documents_bytes();
-    let told = Told::of(plan, on, 1.0);
-    let list_core: [Part; 3] = [
-        ("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
-        ("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
-        ("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
-    ];
-    let configuration_core: [Part; 2] = [
-        ("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
-        ("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
-    ];
-    let list_memory: [Part; 1] = [("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
-    let configuration_memory: [Part; 1] =
-        [("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
+    let control = BalancerControl::of(plan, on);
+    control.list_client(rows);
+    control.configuration_client(rows);
+    control.both(rows);
+}
 
-    let mut role = Role {
-        name: "balancer, its list client",
-        mechanism: LIST_CLIENT,
-        requirement: Requirement::Lists,
-        rows: &mut *rows,
-    };
-    role.row(Cost::State, "upstreams x bytes of an entry", "bytes", whole, &[], None);
-    role.row(
-        Cost::Messages,
-        "beats + lines/s x bytes of one + whole lists x their bytes / time that a change has",
-        "bytes/s",
-        0.0,
-        &told.list,
-        bytes,
-    )
-    .instead = Some(told.list_reckoned);
-    role.row(
-        Cost::Processor,
-        "a process at rest + whole lists and lines/s taken in and decided on, at all upstreams",
-        "cores",
-        0.0,
-        &list_core,
-        core,
-    );
-    role.row(Cost::Memory, "the whole process at all upstreams", "MB", 0.0, &list_memory, memory);
+impl BalancerControl {
+    fn of(plan: &Plan, on: &Occasion) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let within = plan.configuration.in_force_s.value;
+        let told = Told::of(plan, on, 1.0);
+        let list_core: [Part; 3] = [
+            ("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
+            ("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
+            ("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
+        ];
+        let configuration_core: [Part; 2] = [
+            ("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
+            ("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
+        ];
+        let list_memory: [Part; 1] = [("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
+        let configuration_memory: [Part; 1] =
+            [("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
+        Self {
+            told,
+            whole: plan.whole_list_bytes() as f64,
+            own_documents: plan.own_documents_bytes(),
+            list_core,
+            configuration_core,
+            list_memory,
+            configuration_memory,
+            budget: Budget::of_balancer(plan),
+        }
+    }
 
-    let mut role = Role {
-        name: "balancer, its configuration",
-        mechanism: CONFIGURATION_CLIENT,
-        requirement: Requirement::Configuration,
-        rows: &mut *rows,
-    };
-    role.row(Cost::State, "three documents", "bytes", own_documents, &[], None);
-    role.row(
-        Cost::Messages,
-        "beats and reports + changes/s for it x bytes of one + documents caught up with / time that a change has",
-        "bytes/s",
-        told.configuration_plain,
-        &told.configuration,
-        bytes,
-    )
-    .instead = Some(told.configuration_reckoned);
-    role.row(
-        Cost::Processor,
-        "a client at rest + changes/s for it x time to take one in and report it",
-        "cores",
-        0.0,
-        &configuration_core,
-        core,
-    );
-    role.row(
-        Cost::Memory,
-        "one more client; reckoned: three documents as text, as settings and once more while they change",
-        "MB",
-        0.0,
-        &configuration_memory,
-        memory,
-    )
-    .instead = Some(3.0 * own_documents / 1e6);
+    fn list_client(&self, rows: &mut Vec<Need>) {
+        let mut role = Role {
+            name: "balancer, its list client",
+            mechanism: LIST_CLIENT,
+            requirement: Requirement::Lists,
+            rows,
+        };
+        role.row(Cost::State, "upstreams x bytes of an entry", "bytes", self.whole, &[], None);
+        role.row(
+            Cost::Messages,
+            "beats + lines/s x bytes of one + whole lists x their bytes / time that a change has",
+            "bytes/s",
+            0.0,
+            &self.told.list,
+            self.budget.bytes,
+        )
+        .instead = Some(self.told.list_reckoned);
+        role.row(
+            Cost::Processor,
+            "a process at rest + whole lists and lines/s taken in and decided on, at all upstreams",
+            "cores",
+            0.0,
+            &self.list_core,
+            self.budget.core,
+        );
+        role.row(
+            Cost::Memory,
+            "the whole process at all upstreams",
+            "MB",
+            0.0,
+            &self.list_memory,
+            self.budget.memory,
+        );
+    }
 
-    let mut role = Role {
-        name: "balancer, all its control",
-        mechanism: LIST_CLIENT,
-        requirement: Requirement::Control,
-        rows,
-    };
-    role.row(Cost::State, "list + documents", "bytes", whole + own_documents, &[], None);
-    role.row(
-        Cost::Messages,
-        "list + configuration",
-        "bytes/s",
-        told.configuration_plain,
-        &[&told.list[..], &told.configuration].concat(),
-        bytes,
-    )
-    .instead = Some(told.list_reckoned + told.configuration_reckoned);
-    let both = [&list_core[..], &configuration_core].concat();
-    role.row(Cost::Processor, "list + configuration", "cores", 0.0, &both, core);
-    let both = [&list_memory[..], &configuration_memory].concat();
-    role.row(Cost::Memory, "process + one more client of the configuration", "MB", 0.0, &both, memory);
+    fn configuration_client(&self, rows: &mut Vec<Need>) {
+        let mut role = Role {
+            name: "balancer, its configuration",
+            mechanism: CONFIGURATION_CLIENT,
+            requirement: Requirement::Configuration,
+            rows,
+        };
+        role.row(Cost::State, "three documents", "bytes", self.own_documents, &[], None);
+        role.row(
+            Cost::Messages,
+            "beats and reports + changes/s for it x bytes of one + documents caught up with / time that a change has",
+            "bytes/s",
+            self.told.configuration_plain,
+            &self.told.configuration,
+            self.budget.bytes,
+        )
+        .instead = Some(self.told.configuration_reckoned);
+        role.row(
+            Cost::Processor,
+            "a client at rest + changes/s for it x time to take one in and report it",
+            "cores",
+            0.0,
+            &self.configuration_core,
+            self.budget.core,
+        );
+        role.row(
+            Cost::Memory,
+            "one more client; reckoned: three documents as text, as settings and once more while they change",
+            "MB",
+            0.0,
+            &self.configuration_memory,
+            self.budget.memory,
+        )
+        .instead = Some(3.0 * self.own_documents / 1e6);
+    }
+
+    fn both(&self, rows: &mut Vec<Need>) {
+        let mut role = Role {
+            name: "balancer, all its control",
+            mechanism: LIST_CLIENT,
+            requirement: Requirement::Control,
+            rows,
+        };
+        role.row(Cost::State, "list + documents", "bytes", self.whole + self.own_documents, &[], None);
+        role.row(
+            Cost::Messages,
+            "list + configuration",
+            "bytes/s",
+            self.told.configuration_plain,
+            &[&self.told.list[..], &self.told.configuration].concat(),
+            self.budget.bytes,
+        )
+        .instead = Some(self.told.list_reckoned + self.told.configuration_reckoned);
+        let both = [&self.list_core[..], &self.configuration_core].concat();
+        role.row(Cost::Processor, "list + configuration", "cores", 0.0, &both, self.budget.core);
+        let both = [&self.list_memory[..], &self.configuration_memory].concat();
+        role.row(
+            Cost::Memory,
+            "process + one more client of the configuration",
+            "MB",
+            0.0,
+            &both,
+            self.budget.memory,
+        );
+    }
 }
 
 pub(super) fn control_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
-    let budget = &plan.budget;
-    let (bytes, core, memory) = (
-        Some(budget.machine_bytes_per_s.value),
-        Some(budget.machine_cores.value),
-        Some(budget.machine_memory_mb.value),
-    );
+    let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let documents = plan.documents_bytes();
     // A relay asks for all scopes and catches up with all documents at worst, a balancer for its own.
     let for_relays = Occasion {
@@ -220,6 +289,12 @@
             memory,
         );
     }
+    list_machines(plan, on, rows);
+}
+
+/// The service that hands out lists, on the machines of the zone relays.
+fn list_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
+    let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let mut role = Role {
         name: "control: lists, on the zone relays' machines",
         mechanism: LIST_SERVICE,
