--- a/crates/capacity/src/arithmetic/occasion.rs
+++ b/crates/capacity/src/arithmetic/occasion.rs
@@ -3,6 +3,9 @@
 
 use crate::plan::Plan;
 
+/// The plan gives figures of an ordinary day by the day; rates here are by the second.
+const DAY_S: f64 = 86400.0;
+
 /// When: the ordinary day or a peak. Figures a second are over the window.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Occasion {
@@ -38,20 +41,41 @@
     pub trouble: bool,
 }
 
+/// Relays of one zone.
+fn relays_of_zone(plan: &Plan) -> f64 {
+    plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64
+}
+
 impl Occasion {
     /// The ordinary day and the peaks.
     #[must_use]
     pub fn all(plan: &Plan) -> Vec<Self> {
-        let upstreams = plan.fleet.upstreams.value as f64;
-        let (region, zone) = (plan.largest_region(), plan.largest_zone());
-        let within = plan.configuration.in_force_s.value;
+        let day = Self::ordinary_day(plan);
+        // Balancers that come back ask for a whole list and their documents.
+        let back = Self { wholes: 1.0, caught_up: plan.own_documents_bytes(), ..day.clone() };
+        vec![
+            day.clone(),
+            Self::rolling_replacement(plan, &day),
+            Self::rack_lost(plan, &day),
+            Self::zone_lost(plan, &back),
+            Self::region_cut(plan, &back),
+            Self::control_machine_lost(plan, &back),
+            Self::control_zone_lost(plan, &back),
+            Self::reconnecting(plan, &back),
+            Self::busiest_minute(plan, &day),
+            Self::cold(plan, &back),
+        ]
+    }
+
+    fn ordinary_day(plan: &Plan) -> Self {
+        let (own, own_bytes) = plan.own_change();
+        let zone = plan.largest_zone();
         let failures = &plan.failures;
         let list = &plan.list;
-        let regions = plan.fleet.regions.value as f64;
-        let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
+        let relays = relays_of_zone(plan);
         let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
-        let (own, own_bytes) = plan.own_change();
-        let day = Self {
+        let regions = plan.fleet.regions.value as f64;
+        Self {
             name: "ordinary day",
             what: format!(
                 "{} failures, {} replacements and {} changes, evenly over the day",
@@ -61,10 +85,10 @@
             ),
             lines: (failures.replaced_per_day.value * list.lines_per_replacement.value
                 + failures.machines_per_day.value * list.lines_per_failure.value)
-                / 86400.0,
+                / DAY_S,
             wholes: 0.0,
-            changes: plan.configuration.changes_per_day.value / 86400.0,
-            lasts_s: 86400.0,
+            changes: plan.configuration.changes_per_day.value / DAY_S,
+            lasts_s: DAY_S,
             own,
             own_bytes,
             caught_up: 0.0,
@@ -74,95 +98,132 @@
             region_children: zones * relays,
             origin_children: regions + plan.deal.standbys.value as f64,
             trouble: false,
-        };
+        }
+    }
+
+    fn rolling_replacement(plan: &Plan, day: &Self) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let failures = &plan.failures;
+        let list = &plan.list;
+        Self {
+            name: "rolling replacement of everything",
+            what: format!("all {upstreams} replaced one after another in {} s", failures.replace_all_s.value),
+            lines: upstreams * list.lines_per_replacement.value / failures.replace_all_s.value,
+            ..day.clone()
+        }
+    }
+
+    fn rack_lost(plan: &Plan, day: &Self) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let within = plan.configuration.in_force_s.value;
         let deadline = plan.traffic.deadline_s.value;
-        let back = Self { wholes: 1.0, caught_up: plan.own_documents_bytes(), ..day.clone() };
+        Self {
+            name: "a rack",
+            what: format!("{} upstreams gone at once", plan.fleet.machines_per_rack.value),
+            lines: plan.fleet.machines_per_rack.value as f64 / within,
+            rate: upstreams / (upstreams - plan.fleet.machines_per_rack.value as f64).max(1.0),
+            held_s: deadline,
+            trouble: true,
+            ..day.clone()
+        }
+    }
+
+    fn zone_lost(plan: &Plan, back: &Self) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let zone = plan.largest_zone();
+        let within = plan.configuration.in_force_s.value;
+        let deadline = plan.traffic.deadline_s.value;
+        Self {
+            name: "a zone lost and back",
+            what: format!(
+                "{zone:.0} upstreams gone at once; back, they ask for everything, and each entry is told once, listed or as a line"
+            ),
+            lines: zone / within,
+            wholes: 1.0 - zone / upstreams,
+            rate: upstreams / (upstreams - zone).max(1.0),
+            held_s: deadline,
+            trouble: true,
+            ..back.clone()
+        }
+    }
+
+    fn region_cut(plan: &Plan, back: &Self) -> Self {
+        let region = plan.largest_region();
+        let deadline = plan.traffic.deadline_s.value;
+        let cut = plan.failures.region_cut_s.value;
+        Self {
+            name: "a region cut off and back",
+            what: format!(
+                "{region:.0} upstreams cut off for {cut} s; back, each asks for a whole list and for the documents that changed, at most all it uses"
+            ),
+            held_s: deadline,
+            trouble: true,
+            ..back.clone()
+        }
+    }
+
+    fn control_machine_lost(plan: &Plan, back: &Self) -> Self {
+        let relays = relays_of_zone(plan);
+        Self {
+            name: "one control machine lost",
+            what: "a relay of the largest zone; its readers go to the other, with a whole list each"
+                .to_owned(),
+            zone_children: if relays > 1.0 { back.zone_children * relays / (relays - 1.0) } else { 0.0 },
+            ..back.clone()
+        }
+    }
+
+    fn control_zone_lost(plan: &Plan, back: &Self) -> Self {
+        let zone = plan.largest_zone();
+        let relays = relays_of_zone(plan);
+        Self {
+            name: "a zone of control machines lost",
+            what: "both relays of the largest zone; its readers go to the region's, with a whole list each"
+                .to_owned(),
+            region_children: back.region_children - relays + zone,
+            ..back.clone()
+        }
+    }
+
+    fn reconnecting(plan: &Plan, back: &Self) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        Self {
+            name: "all balancers reconnecting",
+            what: format!("all {upstreams} at once, each for a whole list and its documents"),
+            ..back.clone()
+        }
+    }
+
+    fn busiest_minute(plan: &Plan, day: &Self) -> Self {
         let minute = plan.configuration.peak_per_minute.value / 60.0;
-        let cut = failures.region_cut_s.value;
-        vec![
-            day.clone(),
-            Self {
-                name: "rolling replacement of everything",
-                what: format!(
-                    "all {upstreams} replaced one after another in {} s",
-                    failures.replace_all_s.value
-                ),
-                lines: upstreams * list.lines_per_replacement.value / failures.replace_all_s.value,
-                ..day.clone()
-            },
-            Self {
-                name: "a rack",
-                what: format!("{} upstreams gone at once", plan.fleet.machines_per_rack.value),
-                lines: plan.fleet.machines_per_rack.value as f64 / within,
-                rate: upstreams / (upstreams - plan.fleet.machines_per_rack.value as f64).max(1.0),
-                held_s: deadline,
-                trouble: true,
-                ..day.clone()
-            },
-            Self {
-                name: "a zone lost and back",
-                what: format!(
-                    "{zone:.0} upstreams gone at once; back, they ask for everything, and each entry is told once, listed or as a line"
-                ),
-                lines: zone / within,
-                wholes: 1.0 - zone / upstreams,
-                rate: upstreams / (upstreams - zone).max(1.0),
-                held_s: deadline,
-                trouble: true,
-                ..back.clone()
-            },
-            Self {
-                name: "a region cut off and back",
-                what: format!(
-                    "{region:.0} upstreams cut off for {cut} s; back, each asks for a whole list and for the documents that changed, at most all it uses"
-                ),
-                held_s: deadline,
-                trouble: true,
-                ..back.clone()
-            },
-            Self {
-                name: "one control machine lost",
-                what: "a relay of the largest zone; its readers go to the other, with a whole list each"
-                    .to_owned(),
-                zone_children: if relays > 1.0 { day.zone_children * relays / (relays - 1.0) } else { 0.0 },
-                ..back.clone()
-            },
-            Self {
-                name: "a zone of control machines lost",
-                what:
-                    "both relays of the largest zone; its readers go to the region's, with a whole list each"
-                        .to_owned(),
-                region_children: day.region_children - relays + zone,
-                ..back.clone()
-            },
-            Self {
-                name: "all balancers reconnecting",
-                what: format!("all {upstreams} at once, each for a whole list and its documents"),
-                ..back.clone()
-            },
-            Self {
-                name: "the busiest minute of changes",
-                what: format!(
-                    "{} changes in a minute, the worst for all: each of the fleet's document",
-                    plan.configuration.peak_per_minute.value
-                ),
-                changes: minute,
-                lasts_s: 60.0,
-                own: 1.0,
-                own_bytes: plan.configuration.fleet_bytes.value as f64,
-                ..day.clone()
-            },
-            Self {
-                name: "the whole fleet from cold",
-                what: format!(
-                    "all {upstreams} processes start, are listed and ask for everything within {within} s; half of the entries are there by then, half come as lines"
-                ),
-                lines: upstreams / within / 2.0,
-                wholes: 0.5,
-                held_s: deadline,
-                trouble: true,
-                ..back
-            },
-        ]
+        Self {
+            name: "the busiest minute of changes",
+            what: format!(
+                "{} changes in a minute, the worst for all: each of the fleet's document",
+                plan.configuration.peak_per_minute.value
+            ),
+            changes: minute,
+            lasts_s: 60.0,
+            own: 1.0,
+            own_bytes: plan.configuration.fleet_bytes.value as f64,
+            ..day.clone()
+        }
+    }
+
+    fn cold(plan: &Plan, back: &Self) -> Self {
+        let upstreams = plan.fleet.upstreams.value as f64;
+        let within = plan.configuration.in_force_s.value;
+        let deadline = plan.traffic.deadline_s.value;
+        Self {
+            name: "the whole fleet from cold",
+            what: format!(
+                "all {upstreams} processes start, are listed and ask for everything within {within} s; half of the entries are there by then, half come as lines"
+            ),
+            lines: upstreams / within / 2.0,
+            wholes: 0.5,
+            held_s: deadline,
+            trouble: true,
+            ..back.clone()
+        }
     }
 }
