--- a/crates/capacity/src/arithmetic/mechanism.rs
+++ b/crates/capacity/src/arithmetic/mechanism.rs
@@ -36,8 +36,11 @@
     "pub fn follow(",
 );
 
-pub(super) const ORIGIN: Mechanism =
-    ours("`config-distribution` `Origin`", "crates/config-distribution/src/core/origin.rs", "pub struct Origin");
+pub(super) const ORIGIN: Mechanism = ours(
+    "`config-distribution` `Origin`",
+    "crates/config-distribution/src/core/origin.rs",
+    "pub struct Origin",
+);
 
 pub(super) const RELAY: Mechanism = ours(
     "`config-distribution` `RelayHost`",
