--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! The side of the upstreams: attempts, and the connections that they use.
 //!
 //! An attempt takes a connection from the [`pool`], which holds those of each process as a [`host::Host`]; a new one comes up
-//! as a [`dial`], within the time that [`connect_time`] knows. The bytes of its request pass the [`gate`] as they are
+//! as a dial (`dial.rs`), within the time that `connect_time.rs` knows. The bytes of its request pass the [`gate`] as they are
 //! written. [`idle_trust`] says how long a connection may have stood idle for a request that must not run twice.
 
 pub mod acquire_error;
