--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use balancer_policy::interface::{
-    AttemptNumber, Class, ClassId, Effect, ListUpdate, Member, Outcome, Phase, Request, RequestId,
-    SettingsError, Tenant, TenantId, Time, UpstreamId, ZoneId,
+    AttemptNumber, Class, ClassId, EndpointId, Idempotency, Lifecycle, ListUpdate, Member, Outcome, Request,
+    RequestId, SettingsError, Tenant, TenantId, Time, ZoneId,
 };
 use balancer_policy::{Action, Balancer, Event, Settings};
 use clap::Args;
@@ -299,11 +299,11 @@
 
 fn member(number: usize, zones: usize) -> Member {
     Member {
-        id: UpstreamId(number as u32 + 1),
+        id: EndpointId(number as u32 + 1),
         zone: Some(ZoneId(number % zones)),
         kind: None,
         cell: 0,
-        phase: Phase::Ready,
+        lifecycle: Lifecycle::Ready,
         weight: 1.0,
         started: None,
     }
@@ -314,7 +314,7 @@
         aim: Duration::from_secs_f64(plan.traffic.aim_s.value),
         deadline: Duration::from_secs_f64(plan.traffic.deadline_s.value),
         late_worth: 0.3,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Safe,
     };
     // Quotas that no tenant reaches: what is measured is the way of a request that is served.
     let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(COPIES);
@@ -444,8 +444,8 @@
     let patches: Vec<Event> = (0..count as usize)
         .map(|change| {
             // Each of some upstreams leaves and comes back.
-            let phase = if change % 2 == 0 { Phase::Draining } else { Phase::Ready };
-            let changed = Member { phase, ..member(change / 2 % size.upstreams, zones) };
+            let lifecycle = if change % 2 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
+            let changed = Member { lifecycle, ..member(change / 2 % size.upstreams, zones) };
             Event::List(ListUpdate::Patch(vec![changed]))
         })
         .collect();
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use balancer_policy::Event;
-use balancer_policy::interface::{ListUpdate, Member, Phase, UpstreamId, ZoneId};
+use balancer_policy::interface::{EndpointId, Lifecycle, ListUpdate, Member, ZoneId};
 
 use super::event::Due;
 use super::state::Process;
@@ -16,13 +16,13 @@
 
 impl World<'_> {
     pub(super) fn member(&self, process: u32) -> Member {
-        let Process { slot, phase, started, .. } = self.processes[process as usize];
+        let Process { slot, lifecycle, started, .. } = self.processes[process as usize];
         Member {
-            id: UpstreamId(process),
+            id: EndpointId(process),
             zone: Some(ZoneId(self.slots[slot].zone)),
             kind: None,
             cell: 0,
-            phase,
+            lifecycle,
             weight: 1.0,
             started: started.map(Duration::from_nanos),
         }
@@ -49,7 +49,7 @@
             return;
         }
         if let ListUpdate::Whole(members) | ListUpdate::Patch(members) = &update {
-            for member in members.iter().filter(|member| member.phase != Phase::Ready) {
+            for member in members.iter().filter(|member| member.lifecycle != Lifecycle::Ready) {
                 held.told.entry(member.id.0).or_insert(self.now);
             }
         }
@@ -84,7 +84,7 @@
         let before = listed.len();
         listed.retain(|&other| other as usize != process);
         if listed.len() < before {
-            self.processes[process].phase = Phase::Gone;
+            self.processes[process].lifecycle = Lifecycle::Gone;
             self.spread(service, vec![self.member(process as u32)]);
         }
     }
--- a/crates/capacity/src/hollow/world/minds.rs
+++ b/crates/capacity/src/hollow/world/minds.rs
@@ -1,6 +1,6 @@
 //! Once a second: how many balancers have limits cut, upstreams set aside, or an upstream that is short of capacity.
 
-use balancer_policy::interface::Phase;
+use balancer_policy::interface::Lifecycle;
 
 use super::event::Due;
 use super::lists::LIST;
@@ -42,7 +42,7 @@
             let fair = QUOTAS * self.topology.services[core.service].rate / self.topology.fronts.len() as f64;
             let fair = if core.front { fair } else { 1e6 };
             minds.limited += usize::from(all.is_some_and(|all| all < fair * 0.99));
-            let is_ready = |&&process: &&u32| self.processes[process as usize].phase == Phase::Ready;
+            let is_ready = |&&process: &&u32| self.processes[process as usize].lifecycle == Lifecycle::Ready;
             let ready = self.listed[core.service].iter().filter(is_ready).count() as f64;
             let ready = ready / core.first.max(1) as f64;
             let had = ready.clamp(0.5, 1.0);
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::mem;
 
-use balancer_policy::interface::{ListUpdate, Outcome, Phase};
+use balancer_policy::interface::{Lifecycle, ListUpdate, Outcome};
 use balancer_policy::{Balancer, Event};
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -22,7 +22,7 @@
         self.processes.push(Process {
             slot,
             state: State::Up,
-            phase: Phase::Ready,
+            lifecycle: Lifecycle::Ready,
             started,
             busy: 0,
             queue: VecDeque::new(),
@@ -82,7 +82,7 @@
             told: FxHashMap::default(),
             listed_at: self.now,
             missed: false,
-            first: members.iter().filter(|member| member.phase == Phase::Ready).count(),
+            first: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
         });
         self.watchers[service].push(core);
         self.drive(core, Event::Started);
--- a/crates/capacity/src/hollow/world/script.rs
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -2,7 +2,7 @@
 
 use std::mem;
 
-use balancer_policy::interface::Phase;
+use balancer_policy::interface::Lifecycle;
 
 use super::event::Due;
 use super::lists::LIST;
@@ -51,10 +51,11 @@
     /// Drains the process of a slot for a planned stop, unless it is about to end already.
     fn replace(&mut self, slot: usize) {
         let Some(process) = self.slots[slot].process else { return };
-        if self.processes[process].phase != Phase::Ready || self.processes[process].state != State::Up {
+        if self.processes[process].lifecycle != Lifecycle::Ready || self.processes[process].state != State::Up
+        {
             return;
         }
-        self.processes[process].phase = Phase::Draining;
+        self.processes[process].lifecycle = Lifecycle::Draining;
         self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
         self.due.push(self.now + ns(DRAIN_S), Due::Stop(process as u32));
         self.due.push(self.now + ns(DRAIN_S) + 1, Due::Start(slot as u32));
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Settings, Tenant, ZoneId,
+    Class, Costs, DeduplicationScope, DiscoveryMode, Idempotency, Permissions, Rules, Settings, Tenant,
+    ZoneId,
 };
 
 use super::World;
@@ -19,13 +20,13 @@
     pub(super) fn settings(&self, service: usize, zone: usize, index: u32) -> Settings {
         let traffic = &self.plan.traffic;
         let tier = self.topology.services[service].depth - 1;
-        let class = |effect| Class {
+        let class = |idempotency| Class {
             aim: Duration::from_secs_f64(traffic.aim_s.value),
             deadline: Duration::from_secs_f64(traffic.deadline_s.value),
             late_worth: 0.3,
-            effect,
+            idempotency,
         };
-        let keyed = Effect::Keyed { scope: DedupScope::All, window: Duration::from_secs(10) };
+        let keyed = Idempotency::Keyed { scope: DeduplicationScope::All, window: Duration::from_secs(10) };
         let mut before = 0.0;
         let quota = |&until: &f64| {
             let part = until - mem::replace(&mut before, until);
@@ -38,12 +39,12 @@
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
             kinds: 1,
-            classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+            classes: vec![class(Idempotency::Safe), class(keyed), class(Idempotency::Unsafe)],
             tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
             over_share_worth: 0.3,
             discovery: DiscoveryMode::Push,
             passes_deadline: true,
-            allowed: Allowed {
+            permissions: Permissions {
                 attempts: traffic.attempts.value,
                 second_copies: false,
                 cancel: true,
@@ -62,7 +63,7 @@
                 overload_multiple: OVERLOAD.0,
                 overload_window: Duration::from_secs_f64(OVERLOAD.1),
             },
-            prices: Prices { cross_zone: 0.02, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+            costs: Costs { cross_zone: 0.02, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
         }
     }
 }
--- a/crates/capacity/src/hollow/world/state.rs
+++ b/crates/capacity/src/hollow/world/state.rs
@@ -4,7 +4,7 @@
 use std::collections::VecDeque;
 
 use balancer_policy::Balancer;
-use balancer_policy::interface::Phase;
+use balancer_policy::interface::Lifecycle;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// One decision core: of a process, or of a front, for one service that it calls.
@@ -41,7 +41,7 @@
 pub(super) struct Process {
     pub(super) slot: usize,
     pub(super) state: State,
-    pub(super) phase: Phase,
+    pub(super) lifecycle: Lifecycle,
     pub(super) started: Option<u64>,
     pub(super) busy: usize,
     pub(super) queue: VecDeque<u64>,
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -14,18 +14,18 @@
         aim: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         late_worth: 0.0,
-        effect: Effect::Safe,
+        idempotency: Idempotency::Safe,
     };
     let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
     let mut now = Duration::from_secs(1);
     let mut actions = Vec::new();
     balancer.handle(now, Event::Started, &mut actions);
     let members = (1..=3).map(|id| Member {
-        id: UpstreamId(id),
+        id: EndpointId(id),
         zone: Some(ZoneId(0)),
         kind: None,
         cell: 0,
-        phase: Phase::Ready,
+        lifecycle: Lifecycle::Ready,
         weight: 1.0,
         started: None,
     });
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::ids::{AttemptNumber, RequestId, UpstreamId};
+use crate::ids::{AttemptNumber, EndpointId, RequestId};
 
 /// What a replica asks the embedding program to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -14,7 +14,7 @@
         /// The request.
         request: RequestId,
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
         /// The timeout of the attempt; `None` for as long as the client waits.
         timeout: Option<Duration>,
         /// Its first byte must be out within this; `None` for any time. Past it the attempt could repeat an effect.
@@ -46,12 +46,12 @@
     /// Send a health check; its result comes as [`Event::Probed`](crate::Event::Probed).
     Probe {
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
     },
     /// Close the idle connections to an endpoint.
     DropIdle {
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
     },
     /// Deliver [`Event::Wake`](crate::Event::Wake) after this long.
     WakeAfter(Duration),
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -6,7 +6,7 @@
 use crate::admission::baseline_latency::BaselineLatency;
 use crate::admission::congestion::{CallEnd, Congestion, TierState};
 use crate::admission::suppression::Suppressor;
-use crate::interface::{Class, Effect, Outcome, Settings, Tenant};
+use crate::interface::{Class, Idempotency, Outcome, Settings, Tenant};
 
 const TIER: TierState = TierState { is_first: true, failure_rate: 0.0, available: 1.0 };
 
@@ -26,7 +26,7 @@
 
 fn limits(quotas: &[f64]) -> Vec<AdaptiveLimit> {
     let span = std::time::Duration::from_secs(1);
-    let class = Class { aim: span, deadline: span, late_worth: 0.0, effect: Effect::Safe };
+    let class = Class { aim: span, deadline: span, late_worth: 0.0, idempotency: Idempotency::Safe };
     let mut settings = Settings::single_zone(vec![class]);
     settings.over_share_worth = 0.2;
     settings.tenants = quotas.iter().map(|&quota| Tenant { quota: Some(quota) }).collect();
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -16,8 +16,8 @@
 use crate::endpoints::list_subscription::{Interruption, ListSubscription};
 use crate::endpoints::outlier::{Fault, OutlierDetector, may_eject_another};
 use crate::interface::{
-    Action, AttemptNumber, ClassId, DedupScope, Effect, Event, ListUpdate, Outcome, Phase, Request,
-    RequestId, Settings, SettingsError, TenantId, Time, UpstreamId,
+    Action, AttemptNumber, ClassId, DeduplicationScope, EndpointId, Event, Idempotency, Lifecycle,
+    ListUpdate, Outcome, Request, RequestId, Settings, SettingsError, TenantId, Time,
 };
 use crate::maintenance::MAINTENANCE_PERIOD_S;
 use crate::requests::attempt::{Attempt, AttemptEnd, MIN_TIMEOUT_S};
@@ -148,9 +148,9 @@
         self.subset.lay_out(&self.settings, &ready);
     }
 
-    fn record_late_connection(&mut self, now: f64, upstream: UpstreamId) {
+    fn record_late_connection(&mut self, now: f64, upstream: EndpointId) {
         if let Some(endpoint) = self.endpoints.by_id_mut(upstream) {
-            endpoint.record_late_connection(now, &self.settings.allowed);
+            endpoint.record_late_connection(now, &self.settings.permissions);
         }
     }
 
@@ -211,23 +211,24 @@
         let endpoint = self.endpoints.get_mut(slot);
         let slow_start_allows = self.subset.slow_start_allows(now, endpoint, &self.settings);
         let Some(pending) = self.requests.get_mut(id) else { return false };
-        let allowed = &self.settings.allowed;
-        let max_attempts = allowed.attempts.min(pending.settings.allowed.attempts) as usize;
+        let permissions = &self.settings.permissions;
+        let max_attempts = permissions.attempts.min(pending.settings.permissions.attempts) as usize;
         let timeout = pending.useful_until() - now;
-        let repeat_within = may_repeat(now, pending.rules().effect, pending.first_run(), &endpoint.member);
+        let repeat_within =
+            may_repeat(now, pending.rules().idempotency, pending.first_run(), &endpoint.member);
         let is_over = pending.closed || pending.streaming || timeout < MIN_TIMEOUT_S;
         let has_attempts_left = pending.attempts.len() < max_attempts;
         let is_hedge = pending.in_flight > 0;
         if !slow_start_allows
             || repeat_within.is_none()
             || is_over
-            || endpoint.member.phase != Phase::Ready
+            || endpoint.member.lifecycle != Lifecycle::Ready
             || !has_attempts_left
-            || (is_hedge && !allowed.second_copies)
+            || (is_hedge && !permissions.second_copies)
         {
             return false;
         }
-        endpoint.begin_attempt(now, allowed);
+        endpoint.begin_attempt(now, permissions);
         self.subset.begin_attempt();
         let member = endpoint.member;
         pending.attempts.push(Attempt::new(slot, member, now));
@@ -248,7 +249,7 @@
     fn begin_stream(&mut self, id: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.streaming = true;
-        if self.settings.allowed.cancel {
+        if self.settings.permissions.cancel {
             pending.withdraw(Some(attempt), actions);
         }
     }
@@ -299,11 +300,13 @@
     /// again.
     fn finish(&mut self, id: RequestId, is_wrong: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
-        let is_safe_anywhere =
-            matches!(pending.rules().effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+        let is_safe_anywhere = matches!(
+            pending.rules().idempotency,
+            Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
+        );
         let may_come_again = is_safe_anywhere || pending.first_run().is_none();
         actions.push(if may_come_again && !is_wrong {
-            Action::Refuse { request: id, retry_after: self.settings.allowed.retry_after }
+            Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
         } else {
             Action::Fail { request: id }
         });
@@ -312,7 +315,7 @@
 
     /// Marks a request as ended and calls off what is still in flight for it.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.requests.close(id, self.settings.allowed.cancel, actions);
+        self.requests.close(id, self.settings.permissions.cancel, actions);
     }
 
     // --- Learning ---
@@ -321,7 +324,7 @@
     fn record_attempt(&mut self, now: f64, slot: usize, class: ClassId, end: &AttemptEnd) {
         let outcome = end.outcome;
         let endpoint = self.endpoints.get_mut(slot);
-        let has_answered = endpoint.end_attempt(now, end, &self.settings.allowed);
+        let has_answered = endpoint.end_attempt(now, end, &self.settings.permissions);
         if has_answered && !outcome.breaks_connection() {
             self.admission.record_answer(now);
         }
--- a/crates/policy/src/endpoints/connections.rs
+++ b/crates/policy/src/endpoints/connections.rs
@@ -3,7 +3,7 @@
 //! The embedding program owns the connections. Their count matters to the decisions only where a handshake has a
 //! price, so it is followed here from what attempts tell, without asking.
 
-use crate::interface::Allowed;
+use crate::interface::Permissions;
 
 /// Connections thought to be open to an endpoint.
 #[derive(Debug)]
@@ -22,14 +22,14 @@
 
     /// Whether an open connection has a free stream beside `in_flight` attempts.
     #[must_use]
-    pub fn has_free_stream(&self, now: f64, in_flight: u32, allowed: &Allowed) -> bool {
-        let streams = self.open.saturating_mul(allowed.streams);
-        in_flight < streams && !self.are_idle_closed(now, in_flight, allowed)
+    pub fn has_free_stream(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
+        let streams = self.open.saturating_mul(permissions.streams);
+        in_flight < streams && !self.are_idle_closed(now, in_flight, permissions)
     }
 
     /// Counts a connection more; those that nobody used for long have been closed.
-    pub fn record_opened(&mut self, now: f64, in_flight: u32, allowed: &Allowed) {
-        let are_closed = self.are_idle_closed(now, in_flight, allowed);
+    pub fn record_opened(&mut self, now: f64, in_flight: u32, permissions: &Permissions) {
+        let are_closed = self.are_idle_closed(now, in_flight, permissions);
         self.open = if are_closed { 1 } else { self.open.saturating_add(1) };
         self.last_used = now;
     }
@@ -44,7 +44,7 @@
         self.open = self.open.saturating_sub(1);
     }
 
-    fn are_idle_closed(&self, now: f64, in_flight: u32, allowed: &Allowed) -> bool {
-        in_flight == 0 && now - self.last_used >= allowed.keepalive.as_secs_f64()
+    fn are_idle_closed(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
+        in_flight == 0 && now - self.last_used >= permissions.keepalive.as_secs_f64()
     }
 }
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -8,7 +8,7 @@
 use crate::endpoints::connections::Connections;
 use crate::endpoints::outlier::Health;
 use crate::endpoints::slow_start::{SendBudget, warm_fraction};
-use crate::interface::{Allowed, Member, Outcome, Rules, Settings};
+use crate::interface::{Member, Outcome, Permissions, Rules, Settings};
 use crate::requests::attempt::AttemptEnd;
 
 /// An endpoint that owes answers and has been silent for this many baseline latencies is stalled...
@@ -86,18 +86,18 @@
     /// replica that sees few requests then uses few of its endpoints, over connections that stay fresh.
     #[must_use]
     pub fn cost(&self, now: f64, settings: &Settings) -> u32 {
-        let needs_handshake = settings.prices.handshake > 0.0
-            && !self.connections.has_free_stream(now, self.in_flight, &settings.allowed);
+        let needs_handshake = settings.costs.handshake > 0.0
+            && !self.connections.has_free_stream(now, self.in_flight, &settings.permissions);
         self.in_flight + u32::from(needs_handshake)
     }
 
     /// An attempt is sent to it.
-    pub fn begin_attempt(&mut self, now: f64, allowed: &Allowed) {
+    pub fn begin_attempt(&mut self, now: f64, permissions: &Permissions) {
         if self.in_flight == 0 {
             self.last_answer = now;
         }
-        if !self.connections.has_free_stream(now, self.in_flight, allowed) {
-            self.connections.record_opened(now, self.in_flight, allowed);
+        if !self.connections.has_free_stream(now, self.in_flight, permissions) {
+            self.connections.record_opened(now, self.in_flight, permissions);
         }
         self.connections.record_use(now);
         self.in_flight += 1;
@@ -105,14 +105,14 @@
     }
 
     /// An attempt to it has ended. Returns whether it has answered.
-    pub fn end_attempt(&mut self, now: f64, end: &AttemptEnd, allowed: &Allowed) -> bool {
+    pub fn end_attempt(&mut self, now: f64, end: &AttemptEnd, permissions: &Permissions) -> bool {
         let outcome = end.outcome;
         let is_given_up = outcome.is_given_up();
         self.in_flight = self.in_flight.saturating_sub(1);
         self.connections.record_use(now);
         // A connection goes with what broke it and, where it carries one attempt at a time, with an answer that is no
         // longer waited for.
-        if outcome.breaks_connection() || (is_given_up && allowed.streams == 1) {
+        if outcome.breaks_connection() || (is_given_up && permissions.streams == 1) {
             self.connections.record_closed();
         }
         let has_answered = !outcome.found_no_connection() && !is_given_up && outcome != Outcome::NotSent;
@@ -128,8 +128,8 @@
     }
 
     /// A connection has come up that no attempt waits for any more.
-    pub fn record_late_connection(&mut self, now: f64, allowed: &Allowed) {
-        self.connections.record_opened(now, self.in_flight, allowed);
+    pub fn record_late_connection(&mut self, now: f64, permissions: &Permissions) {
+        self.connections.record_opened(now, self.in_flight, permissions);
         self.health.mark_reachable();
     }
 }
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::endpoints::endpoint::Endpoint;
-use crate::interface::{KindId, Member, Phase, Settings, UpstreamId};
+use crate::interface::{EndpointId, KindId, Lifecycle, Member, Settings};
 
 /// Smallest weight that others are measured by, so that no weight is divided by 0.
 const MIN_WEIGHT: f64 = 1e-9;
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct EndpointList {
     endpoints: Vec<Endpoint>,
-    slot_by_id: FxHashMap<UpstreamId, usize>,
+    slot_by_id: FxHashMap<EndpointId, usize>,
     free_slots: Vec<usize>,
     /// Slots of the ready endpoints, in the order of their ids.
     ready: Vec<usize>,
@@ -57,7 +57,7 @@
     }
 
     /// The endpoint of an id, if it is known.
-    pub fn by_id_mut(&mut self, id: UpstreamId) -> Option<&mut Endpoint> {
+    pub fn by_id_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         let slot = *self.slot_by_id.get(&id)?;
         Some(&mut self.endpoints[slot])
     }
@@ -82,7 +82,7 @@
     /// Takes in a whole list: what is absent is gone.
     pub fn replace(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
         for endpoint in &mut self.endpoints {
-            endpoint.member.phase = Phase::Gone;
+            endpoint.member.lifecycle = Lifecycle::Gone;
         }
         self.patch(now, members, rng);
     }
@@ -97,7 +97,7 @@
     fn update_member(&mut self, now: f64, member: Member, rng: &mut Rand64) {
         if let Some(endpoint) = self.by_id_mut(member.id) {
             endpoint.update(member, now, rng);
-        } else if member.phase != Phase::Gone {
+        } else if member.lifecycle != Lifecycle::Gone {
             let endpoint = Endpoint::new(member, now, rng);
             let slot = self.insert(endpoint);
             self.slot_by_id.insert(member.id, slot);
@@ -116,7 +116,7 @@
 
     /// Sorts the endpoints anew after updates: frees the slots of those that are gone, and gives the ready ones.
     pub fn sort(&mut self, settings: &Settings) -> ReadyByZone {
-        let mut order: Vec<(UpstreamId, usize)> =
+        let mut order: Vec<(EndpointId, usize)> =
             self.slot_by_id.iter().map(|(&id, &slot)| (id, slot)).collect();
         order.sort_unstable();
         self.ready.clear();
@@ -124,8 +124,8 @@
         let mut by_zone = ReadyByZone::default();
         for (id, slot) in order {
             let endpoint = &mut self.endpoints[slot];
-            if endpoint.member.phase != Phase::Ready {
-                if endpoint.member.phase == Phase::Gone && endpoint.in_flight == 0 {
+            if endpoint.member.lifecycle != Lifecycle::Ready {
+                if endpoint.member.lifecycle == Lifecycle::Gone && endpoint.in_flight == 0 {
                     self.slot_by_id.remove(&id);
                     self.free_slots.push(slot);
                 }
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -10,13 +10,19 @@
 use crate::endpoints::outlier::{Fault, Health, OutlierDetector, may_eject_another};
 use crate::endpoints::slow_start::{SendBudget, WarmPeers, warm_fraction};
 use crate::interface::{
-    AttemptNumber, Class, DiscoveryMode, Effect, Member, Outcome, Phase, Settings, UpstreamId, ZoneId,
+    AttemptNumber, Class, DiscoveryMode, EndpointId, Idempotency, Lifecycle, Member, Outcome, Settings,
+    ZoneId,
 };
 use crate::requests::attempt::AttemptEnd;
 
 fn settings() -> Settings {
     let span = Duration::from_secs(1);
-    Settings::single_zone(vec![Class { aim: span, deadline: span, late_worth: 0.0, effect: Effect::Safe }])
+    Settings::single_zone(vec![Class {
+        aim: span,
+        deadline: span,
+        late_worth: 0.0,
+        idempotency: Idempotency::Safe,
+    }])
 }
 
 fn end(outcome: Outcome, served: f64) -> AttemptEnd {
@@ -24,8 +30,8 @@
     AttemptEnd { number, outcome, took: served, served, latency_objective: 1.0, finished: false }
 }
 
-fn member(id: u32, phase: Phase, started: Option<Duration>) -> Member {
-    Member { id: UpstreamId(id), zone: Some(ZoneId(0)), kind: None, cell: 0, phase, weight: 1.0, started }
+fn member(id: u32, lifecycle: Lifecycle, started: Option<Duration>) -> Member {
+    Member { id: EndpointId(id), zone: Some(ZoneId(0)), kind: None, cell: 0, lifecycle, weight: 1.0, started }
 }
 
 /// Whether a replica takes an endpoint for an outlier after `errors` of it in a row, and `tier_errors` of others before.
@@ -197,18 +203,18 @@
 fn a_slot_is_free_once_its_endpoint_is_gone_and_its_attempts_have_ended() {
     let (settings, mut rng) = (settings(), Rand64::new(1));
     let mut list = EndpointList::new();
-    list.replace(1.0, vec![member(1, Phase::Ready, None), member(2, Phase::Ready, None)], &mut rng);
+    list.replace(1.0, vec![member(1, Lifecycle::Ready, None), member(2, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(list.sort(&settings).local, [0, 1]);
-    list.by_id_mut(UpstreamId(1)).expect("listed").in_flight = 1;
+    list.by_id_mut(EndpointId(1)).expect("listed").in_flight = 1;
 
-    list.replace(2.0, vec![member(2, Phase::Ready, None)], &mut rng);
+    list.replace(2.0, vec![member(2, Lifecycle::Ready, None)], &mut rng);
     list.sort(&settings);
-    list.patch(3.0, vec![member(3, Phase::Ready, None)], &mut rng);
+    list.patch(3.0, vec![member(3, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(list.sort(&settings).local, [1, 2], "the slot of 1 still has an attempt in flight");
 
-    list.by_id_mut(UpstreamId(1)).expect("its attempt is in flight").in_flight = 0;
+    list.by_id_mut(EndpointId(1)).expect("its attempt is in flight").in_flight = 0;
     list.sort(&settings);
-    list.patch(4.0, vec![member(4, Phase::Ready, None)], &mut rng);
+    list.patch(4.0, vec![member(4, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(list.sort(&settings).local, [1, 2, 0], "4 has the slot that 1 had");
 }
 
@@ -216,23 +222,23 @@
 fn a_restart_forgets_the_health_and_keeps_the_attempts_in_flight() {
     let mut rng = Rand64::new(1);
     let mut list = EndpointList::new();
-    list.replace(1.0, vec![member(1, Phase::Ready, None)], &mut rng);
+    list.replace(1.0, vec![member(1, Lifecycle::Ready, None)], &mut rng);
     let endpoint = list.get_mut(0);
     endpoint.in_flight = 2;
     endpoint.health.eject(1.0, &mut rng);
-    list.patch(1.1, vec![member(1, Phase::Ready, Some(Duration::from_secs(1)))], &mut rng);
+    list.patch(1.1, vec![member(1, Lifecycle::Ready, Some(Duration::from_secs(1)))], &mut rng);
     assert_eq!(list.get(0).in_flight, 2);
     assert!(!list.get(0).health.is_ejected(1.2));
 }
 
 #[test]
 fn idle_connections_are_taken_for_closed_after_the_keepalive() {
-    let allowed = settings().allowed;
+    let permissions = settings().permissions;
     let mut connections = Connections::new(0.0);
-    connections.record_opened(1.0, 0, &allowed);
-    assert!(connections.has_free_stream(15.9, 0, &allowed));
-    assert!(!connections.has_free_stream(16.0, 0, &allowed));
-    assert!(connections.has_free_stream(16.0, 1, &allowed), "one with an attempt in flight is not idle");
+    connections.record_opened(1.0, 0, &permissions);
+    assert!(connections.has_free_stream(15.9, 0, &permissions));
+    assert!(!connections.has_free_stream(16.0, 0, &permissions));
+    assert!(connections.has_free_stream(16.0, 1, &permissions), "one with an attempt in flight is not idle");
 }
 
 #[test]
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::ids::{AttemptNumber, ClassId, RequestId, TenantId, UpstreamId};
+use crate::ids::{AttemptNumber, ClassId, EndpointId, RequestId, TenantId};
 use crate::member::ListUpdate;
 use crate::outcome::{LoadReport, Outcome};
 use crate::settings::Settings;
@@ -62,7 +62,7 @@
         load: Option<LoadReport>,
     },
     /// A connection has come up that no attempt waits for any more: the endpoint is reachable.
-    Connected(UpstreamId),
+    Connected(EndpointId),
     /// The client has closed its connection, or the final answer is overdue: no answer is owed any more.
     ClientLeft(RequestId),
     /// The maintenance pass asked for by [`Action::WakeAfter`](crate::Action::WakeAfter) is due.
@@ -78,7 +78,7 @@
     /// The result of a health check.
     Probed {
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -14,7 +14,7 @@
 
 /// Identifies an endpoint; the same at every replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct UpstreamId(pub u32);
+pub struct EndpointId(pub u32);
 
 /// Position of a class in [`Settings::classes`](crate::Settings::classes).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -4,9 +4,10 @@
 
 pub use crate::action::Action;
 pub use crate::event::{Event, Request};
-pub use crate::ids::{AttemptNumber, ClassId, KindId, RequestId, TenantId, Time, UpstreamId, ZoneId};
-pub use crate::member::{ListUpdate, Member, Phase};
+pub use crate::ids::{AttemptNumber, ClassId, EndpointId, KindId, RequestId, TenantId, Time, ZoneId};
+pub use crate::member::{Lifecycle, ListUpdate, Member};
 pub use crate::outcome::{LoadReport, Outcome};
 pub use crate::settings::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Settings, SettingsError, Tenant,
+    Class, Costs, DeduplicationScope, DiscoveryMode, Idempotency, Permissions, Rules, Settings,
+    SettingsError, Tenant,
 };
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -28,7 +28,7 @@
 //!     aim: Duration::from_millis(500),
 //!     deadline: Duration::from_secs(2),
 //!     late_worth: 0.0,
-//!     effect: Effect::Safe,
+//!     idempotency: Idempotency::Safe,
 //! }]);
 //! let mut balancer = Balancer::new(settings, 7)?;
 //! let mut actions = Vec::new();
@@ -36,11 +36,11 @@
 //!
 //! // Discovery names one upstream, then a client's request arrives and is sent there.
 //! let member = Member {
-//!     id: UpstreamId(42),
+//!     id: EndpointId(42),
 //!     zone: Some(ZoneId(0)),
 //!     kind: None,
 //!     cell: 0,
-//!     phase: Phase::Ready,
+//!     lifecycle: Lifecycle::Ready,
 //!     weight: 1.0,
 //!     started: None,
 //! };
@@ -57,7 +57,7 @@
 //!     repeat: false,
 //! };
 //! balancer.handle(second, Event::Request(request), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { upstream: UpstreamId(42), .. }));
+//! assert!(matches!(actions[0], Action::Send { upstream: EndpointId(42), .. }));
 //!
 //! // The answer finishes it.
 //! let answer = Event::AttemptEnded {
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -1,10 +1,10 @@
 //! What service discovery says of the endpoints: the members of the list and its updates.
 
-use crate::ids::{KindId, Time, UpstreamId, ZoneId};
+use crate::ids::{EndpointId, KindId, Time, ZoneId};
 
 /// The lifecycle of an endpoint's process, as discovery reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum Lifecycle {
     /// It runs.
     Ready,
     /// It finishes the requests in flight and accepts no new ones.
@@ -17,15 +17,15 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Member {
     /// The endpoint.
-    pub id: UpstreamId,
+    pub id: EndpointId,
     /// Its zone; `None` for one that the settings do not name.
     pub zone: Option<ZoneId>,
     /// Its kind of machine; `None` for one that the settings do not name.
     pub kind: Option<KindId>,
     /// Its cell, for classes whose idempotency keys are remembered by cell.
     pub cell: u32,
-    /// Its phase.
-    pub phase: Phase,
+    /// The state of its lifecycle.
+    pub lifecycle: Lifecycle,
     /// Its capacity relative to the others; 1 where capacities are not known.
     pub weight: f64,
     /// The time of its latest start; `None` for long ago.
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -3,18 +3,23 @@
 //! An attempt that may have run binds those that follow: an unsafe request must never run twice, and one with an
 //! idempotency key only where the endpoints that remember the key discard the repeat.
 
-use crate::interface::{DedupScope, Effect, Member};
+use crate::interface::{DeduplicationScope, Idempotency, Member};
 use crate::requests::attempt::Attempt;
 
 /// For how many seconds more a request may go to `member`, after `first_run`, the first of its attempts that may have
 /// run; `None` if it may not. Without such an attempt it may at any time.
 #[must_use]
-pub fn may_repeat(now: f64, effect: Effect, first_run: Option<&Attempt>, member: &Member) -> Option<f64> {
+pub fn may_repeat(
+    now: f64,
+    idempotency: Idempotency,
+    first_run: Option<&Attempt>,
+    member: &Member,
+) -> Option<f64> {
     let Some(first) = first_run else { return Some(f64::MAX) };
-    match effect {
-        Effect::Safe => Some(f64::MAX),
-        Effect::Unsafe => None,
-        Effect::Keyed { scope, window } => {
+    match idempotency {
+        Idempotency::Safe => Some(f64::MAX),
+        Idempotency::Unsafe => None,
+        Idempotency::Keyed { scope, window } => {
             let left = first.sent + window.as_secs_f64() - now;
             (shares_scope(scope, &first.member, member) && left >= 0.0).then_some(left)
         }
@@ -22,10 +27,10 @@
 }
 
 /// Whether two endpoints surely share what they remember of idempotency keys.
-fn shares_scope(scope: DedupScope, first: &Member, other: &Member) -> bool {
+fn shares_scope(scope: DeduplicationScope, first: &Member, other: &Member) -> bool {
     match scope {
-        DedupScope::All => true,
-        DedupScope::Zone => first.zone.is_some() && other.zone == first.zone,
-        DedupScope::Cell => other.cell == first.cell,
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => first.zone.is_some() && other.zone == first.zone,
+        DeduplicationScope::Cell => other.cell == first.cell,
     }
 }
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::interface::{
-    Action, AttemptNumber, Class, ClassId, DedupScope, Effect, Member, Outcome, Phase, Request, RequestId,
-    Settings, UpstreamId, ZoneId,
+    Action, AttemptNumber, Class, ClassId, DeduplicationScope, EndpointId, Idempotency, Lifecycle, Member,
+    Outcome, Request, RequestId, Settings, ZoneId,
 };
 use crate::requests::attempt::{Attempt, AttemptEnd};
 use crate::requests::idempotency::may_repeat;
@@ -14,12 +14,21 @@
 
 fn member(zone: Option<usize>, cell: u32) -> Member {
     let zone = zone.map(ZoneId);
-    Member { id: UpstreamId(0), zone, kind: None, cell, phase: Phase::Ready, weight: 1.0, started: None }
+    Member {
+        id: EndpointId(0),
+        zone,
+        kind: None,
+        cell,
+        lifecycle: Lifecycle::Ready,
+        weight: 1.0,
+        started: None,
+    }
 }
 
 fn pending(late_worth: f64) -> PendingRequest {
     let (aim, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
-    let settings = Settings::single_zone(vec![Class { aim, deadline, late_worth, effect: Effect::Safe }]);
+    let settings =
+        Settings::single_zone(vec![Class { aim, deadline, late_worth, idempotency: Idempotency::Safe }]);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
@@ -45,8 +54,8 @@
     AttemptEnd { number, outcome, took: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
 }
 
-fn keyed(scope: DedupScope) -> Effect {
-    Effect::Keyed { scope, window: Duration::from_secs(1) }
+fn keyed(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::Keyed { scope, window: Duration::from_secs(1) }
 }
 
 #[test]
@@ -87,29 +96,29 @@
 fn an_unsafe_request_goes_nowhere_after_an_attempt_that_may_have_run() {
     let first = Attempt::new(0, member(Some(0), 0), 10.0);
     let other = member(Some(0), 0);
-    assert_eq!(may_repeat(10.1, Effect::Unsafe, Some(&first), &other), None);
-    assert_eq!(may_repeat(10.1, Effect::Unsafe, None, &other), Some(f64::MAX));
-    assert_eq!(may_repeat(10.1, Effect::Safe, Some(&first), &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Idempotency::Unsafe, Some(&first), &other), None);
+    assert_eq!(may_repeat(10.1, Idempotency::Unsafe, None, &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Idempotency::Safe, Some(&first), &other), Some(f64::MAX));
 }
 
 #[test]
 fn a_keyed_request_repeats_only_within_its_scope() {
     let first = Attempt::new(0, member(Some(0), 7), 10.0);
-    let may = |scope: DedupScope, zone: Option<usize>, cell: u32| {
+    let may = |scope: DeduplicationScope, zone: Option<usize>, cell: u32| {
         may_repeat(10.5, keyed(scope), Some(&first), &member(zone, cell)).is_some()
     };
-    assert!(may(DedupScope::All, Some(1), 8));
-    assert!(may(DedupScope::Zone, Some(0), 8) && !may(DedupScope::Zone, Some(1), 7));
-    assert!(may(DedupScope::Cell, Some(1), 7) && !may(DedupScope::Cell, Some(0), 8));
+    assert!(may(DeduplicationScope::All, Some(1), 8));
+    assert!(may(DeduplicationScope::Zone, Some(0), 8) && !may(DeduplicationScope::Zone, Some(1), 7));
+    assert!(may(DeduplicationScope::Cell, Some(1), 7) && !may(DeduplicationScope::Cell, Some(0), 8));
     let of_no_zone = Attempt::new(0, member(None, 7), 10.0);
-    let left = may_repeat(10.5, keyed(DedupScope::Zone), Some(&of_no_zone), &member(None, 7));
+    let left = may_repeat(10.5, keyed(DeduplicationScope::Zone), Some(&of_no_zone), &member(None, 7));
     assert_eq!(left, None, "two endpoints of no known zone may share nothing");
 }
 
 #[test]
 fn a_keyed_request_repeats_only_within_its_window() {
     let first = Attempt::new(0, member(Some(0), 0), 10.0);
-    let at = |now: f64| may_repeat(now, keyed(DedupScope::All), Some(&first), &member(Some(0), 0));
+    let at = |now: f64| may_repeat(now, keyed(DeduplicationScope::All), Some(&first), &member(Some(0), 0));
     assert_eq!(at(10.75), Some(0.25));
     assert_eq!(at(11.01), None);
 }
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -9,7 +9,7 @@
 
 use crate::endpoints::endpoint_list::EndpointList;
 use crate::endpoints::outlier::OutlierDetector;
-use crate::interface::{DedupScope, Effect, Member, Phase, Settings};
+use crate::interface::{DeduplicationScope, Idempotency, Lifecycle, Member, Settings};
 use crate::requests::request_table::PendingRequest;
 use crate::routing::subset::Subset;
 
@@ -59,14 +59,14 @@
     /// The endpoints that a request with an idempotency key is bound to by an attempt that may have run; `None` if it
     /// may go anywhere.
     fn bound_members(&self) -> Option<Vec<usize>> {
-        let Effect::Keyed { scope, .. } = self.request.rules().effect else { return None };
+        let Idempotency::Keyed { scope, .. } = self.request.rules().idempotency else { return None };
         let first = self.request.first_run()?.member;
         let shares_scope = |member: &Member| match scope {
-            DedupScope::All => true,
-            DedupScope::Zone => member.zone == first.zone,
-            DedupScope::Cell => member.cell == first.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => member.zone == first.zone,
+            DeduplicationScope::Cell => member.cell == first.cell,
         };
-        if scope == DedupScope::All {
+        if scope == DeduplicationScope::All {
             return None;
         }
         let ready = self.endpoints.ready().iter().copied();
@@ -129,7 +129,7 @@
     fn is_eligible(&self, slot: usize) -> bool {
         let member = &self.endpoints.get(slot).member;
         let is_tried = self.request.attempts.iter().any(|attempt| attempt.member.id == member.id);
-        member.phase == Phase::Ready && !is_tried
+        member.lifecycle == Lifecycle::Ready && !is_tried
     }
 
     fn slow_start_allows(&mut self, slot: usize) -> bool {
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -183,7 +183,7 @@
         let ready = endpoints.ready().len() as f64 / self.first_ready.max(1) as f64;
         self.available = (part * ready).clamp(MIN_AVAILABLE, 1.0);
         let even = self.even_fraction();
-        self.locality.adapt(self.local.delay, self.remote.delay, even, settings.prices.cross_zone, rng);
+        self.locality.adapt(self.local.delay, self.remote.delay, even, settings.costs.cross_zone, rng);
         for group in [&mut self.local, &mut self.remote] {
             let warm = group.members.iter().filter(|&slot| capacity(slot) >= 1.0).count();
             group.peers.maintain(warm);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -12,7 +12,7 @@
 
 /// The endpoints that share what they remember of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DedupScope {
+pub enum DeduplicationScope {
     /// All endpoints.
     All,
     /// Those of one zone.
@@ -23,13 +23,13 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Idempotent: repeating it does no harm.
     Safe,
     /// Idempotent by its key: the endpoints of a scope discard repeats for a while.
     Keyed {
         /// The endpoints that discard repeats.
-        scope: DedupScope,
+        scope: DeduplicationScope,
         /// For how long after the first attempt that may have run.
         window: Duration,
     },
@@ -47,7 +47,7 @@
     /// The fraction of its weight that an answer past the latency objective still earns, 0 to 1.
     pub late_worth: f64,
     /// Whether it may run more than once.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant with its quota.
@@ -71,7 +71,7 @@
 
 /// What a site permits the balancer to do.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Allowed {
+pub struct Permissions {
     /// Attempts that a request may have in all, at least 1.
     pub attempts: u32,
     /// Hedged requests: a second attempt may be sent while the first is in flight.
@@ -111,7 +111,7 @@
 
 /// Costs that bear on choices, in parts of the weight of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Prices {
+pub struct Costs {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
     /// The work of one request wasted.
@@ -150,11 +150,11 @@
     /// Calls from tier to tier carry the time left until the client's deadline.
     pub passes_deadline: bool,
     /// What a site permits the balancer to do.
-    pub allowed: Allowed,
+    pub permissions: Permissions,
     /// Figures of the rules that must be kept.
     pub rules: Rules,
     /// Costs that bear on choices.
-    pub prices: Prices,
+    pub costs: Costs,
 }
 
 /// Why [`Settings`] are refused.
@@ -203,7 +203,7 @@
             over_share_worth: 1.0,
             discovery: DiscoveryMode::Push,
             passes_deadline: true,
-            allowed: Allowed {
+            permissions: Permissions {
                 attempts: 3,
                 second_copies: false,
                 cancel: true,
@@ -222,7 +222,7 @@
                 overload_multiple: 3.0,
                 overload_window: Duration::from_secs(2),
             },
-            prices: Prices { cross_zone: 0.0, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+            costs: Costs { cross_zone: 0.0, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
         }
     }
 
@@ -240,10 +240,10 @@
         if self.copies == 0 {
             return Err(SettingsError::NoCopies);
         }
-        if self.allowed.attempts == 0 {
+        if self.permissions.attempts == 0 {
             return Err(SettingsError::NoAttempts);
         }
-        if self.allowed.streams == 0 {
+        if self.permissions.streams == 0 {
             return Err(SettingsError::OutOfRange("streams"));
         }
         for (number, class) in self.classes.iter().enumerate() {
@@ -258,7 +258,7 @@
         in_range(self.over_share_worth, 0.0, 1.0, "over-share worth")?;
         in_range(self.rules.cold_share, f64::MIN_POSITIVE, 1.0, "cold share")?;
         in_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
-        let Prices { cross_zone, waste, late_failure, handshake, probe } = self.prices;
+        let Costs { cross_zone, waste, late_failure, handshake, probe } = self.costs;
         for price in [cross_zone, waste, late_failure, handshake, probe] {
             in_range(price, 0.0, 1e6, "price")?;
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -13,17 +13,17 @@
     Duration::from_millis(span)
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: millis(1000), deadline: millis(3000), late_worth: 0.0, effect }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { aim: millis(1000), deadline: millis(3000), late_worth: 0.0, idempotency }
 }
 
 pub fn member(id: u32) -> Member {
     Member {
-        id: UpstreamId(id),
+        id: EndpointId(id),
         zone: Some(ZoneId(0)),
         kind: None,
         cell: 0,
-        phase: Phase::Ready,
+        lifecycle: Lifecycle::Ready,
         weight: 1.0,
         started: None,
     }
@@ -111,7 +111,7 @@
 
     /// Offers a request and lets each attempt end with what `outcome` says of its upstream, after
     /// the time it says. Returns the upstreams tried.
-    pub fn run(&mut self, outcome: impl Fn(UpstreamId) -> (Outcome, Duration)) -> Vec<UpstreamId> {
+    pub fn run(&mut self, outcome: impl Fn(EndpointId) -> (Outcome, Duration)) -> Vec<EndpointId> {
         let (id, mut actions) = self.offer(None);
         let mut tried = Vec::new();
         while let Some(upstream) = sent(&actions) {
@@ -125,7 +125,7 @@
 }
 
 /// The upstream that the first send among the actions names.
-pub fn sent(actions: &[Action]) -> Option<UpstreamId> {
+pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
         _ => None,
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -12,7 +12,7 @@
 
 /// A first-tier copy whose tenant may send 10 calls a second and the chance of that.
 fn bench() -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(10.0) }];
     settings.over_share_worth = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
@@ -180,7 +180,7 @@
         (2, [Some(false), Some(true), None]),
         (4, [Some(false), Some(false), Some(true)]),
     ] {
-        let settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+        let settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
         let mut bench = Bench::new(settings, 5, (0..upstreams).map(member).collect());
         let (id, actions) = bench.offer(None);
         assert_eq!(last(&actions), said[0], "{upstreams} upstreams");
@@ -190,7 +190,7 @@
         }
     }
     // Each request earns half of a further attempt and pays two: what was saved up is used up.
-    let settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+    let settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let told = (0..40).any(|_| {
         let (id, actions) = bench.offer(None);
@@ -198,7 +198,7 @@
             none_in_time(&mut bench, id, number);
         }
         // They are within reach all the same.
-        (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(UpstreamId(id)))));
+        (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(EndpointId(id)))));
         last(&actions) == Some(true)
     });
     assert!(told, "a first attempt that none could follow was not told so");
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -151,11 +151,11 @@
 
     fn member(&mut self, id: u32, started: Option<Duration>) -> Member {
         Member {
-            id: UpstreamId(id),
+            id: EndpointId(id),
             zone: (id % 7 != 6).then_some(ZoneId(id as usize % self.settings.zones)),
             kind: (id % 5 != 4).then_some(KindId(id as usize % self.settings.kinds)),
             cell: id % 4,
-            phase: Phase::Ready,
+            lifecycle: Lifecycle::Ready,
             weight: 1.0 + f64::from(id % 3),
             started,
         }
@@ -236,7 +236,7 @@
     }
 
     /// Draws what becomes of an attempt.
-    fn attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
+    fn attempt(&mut self, request: RequestId, upstream: EndpointId, timeout: Option<Duration>) {
         let attempt = AttemptNumber(*self.open.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
         let timeout = timeout.unwrap_or(Duration::from_secs(3));
         let slow = if self.congested { 9.0 } else { 1.0 } * if upstream.0 % 5 == 1 { 2.5 } else { 1.0 };
@@ -315,21 +315,21 @@
         let kind = self.below(8);
         let list = match kind {
             0 => {
-                self.members[place].phase = Phase::Draining;
+                self.members[place].lifecycle = Lifecycle::Draining;
                 ListUpdate::Patch(vec![self.members[place]])
             }
             1 => {
-                self.members[place].phase = Phase::Gone;
+                self.members[place].lifecycle = Lifecycle::Gone;
                 ListUpdate::Patch(vec![self.members[place]])
             }
             2..=4 => {
                 // The process is replaced.
-                self.members[place].phase = Phase::Ready;
+                self.members[place].lifecycle = Lifecycle::Ready;
                 self.members[place].started = Some(self.now);
                 ListUpdate::Patch(vec![self.members[place]])
             }
             5 => {
-                let listed = self.members.iter().filter(|member| member.phase == Phase::Ready);
+                let listed = self.members.iter().filter(|member| member.lifecycle == Lifecycle::Ready);
                 let list = listed.copied().collect();
                 if self.chance(0.5) { ListUpdate::StaleCopy(list) } else { ListUpdate::Whole(list) }
             }
@@ -371,17 +371,17 @@
 
 fn classes() -> Vec<Class> {
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::Keyed { scope: DedupScope::All, window: Duration::from_millis(400) },
-        Effect::Keyed { scope: DedupScope::Zone, window: Duration::from_millis(400) },
-        Effect::Keyed { scope: DedupScope::Cell, window: Duration::from_millis(400) },
+        Idempotency::Safe,
+        Idempotency::Unsafe,
+        Idempotency::Keyed { scope: DeduplicationScope::All, window: Duration::from_millis(400) },
+        Idempotency::Keyed { scope: DeduplicationScope::Zone, window: Duration::from_millis(400) },
+        Idempotency::Keyed { scope: DeduplicationScope::Cell, window: Duration::from_millis(400) },
     ];
-    let class = |(number, effect): (usize, Effect)| Class {
+    let class = |(number, idempotency): (usize, Idempotency)| Class {
         aim: Duration::from_millis(400 + 100 * number as u64),
         deadline: Duration::from_secs(2),
         late_worth: if number % 2 == 0 { 0.5 } else { 0.0 },
-        effect,
+        idempotency,
     };
     effects.into_iter().enumerate().map(class).collect()
 }
@@ -397,10 +397,10 @@
     settings.over_share_worth = 0.2;
     settings.discovery = DiscoveryMode::Subscribe;
     settings.rules.ask_within = Some(Duration::from_secs(4));
-    settings.allowed.second_copies = true;
-    settings.allowed.retry_after = Some(Duration::from_millis(250));
-    settings.prices.cross_zone = 0.05;
-    settings.prices.handshake = 0.01;
+    settings.permissions.second_copies = true;
+    settings.permissions.retry_after = Some(Duration::from_millis(250));
+    settings.costs.cross_zone = 0.05;
+    settings.costs.handshake = 0.01;
     settings
 }
 
@@ -428,9 +428,9 @@
     settings.tenants.clear();
     settings.discovery = DiscoveryMode::Agent;
     settings.passes_deadline = false;
-    settings.allowed.streams = 1;
-    settings.allowed.second_copies = false;
-    settings.allowed.cancel = false;
+    settings.permissions.streams = 1;
+    settings.permissions.second_copies = false;
+    settings.permissions.cancel = false;
     check(settings, 4, 40, (4569, 0x91e6ea3b696f58a0));
 }
 
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -28,7 +28,7 @@
 enum Due {
     Call,
     End { request: RequestId, number: u32, outcome: Outcome, took: Duration, connecting: Duration },
-    Connected(UpstreamId),
+    Connected(EndpointId),
 }
 
 /// What became of the calls.
@@ -89,7 +89,7 @@
         &mut self,
         rate: f64,
         seconds: u64,
-        mut meets: impl FnMut(UpstreamId, &mut Rand64) -> Meets,
+        mut meets: impl FnMut(EndpointId, &mut Rand64) -> Meets,
     ) -> Tally {
         let mut tally = Tally { limit: f64::MAX, ..Tally::default() };
         let end = self.bench.now + Duration::from_secs(seconds);
@@ -126,7 +126,7 @@
         number: u32,
         actions: &[Action],
         tally: &mut Tally,
-        meets: &mut impl FnMut(UpstreamId, &mut Rand64) -> Meets,
+        meets: &mut impl FnMut(EndpointId, &mut Rand64) -> Meets,
     ) {
         let Some(Action::Send { upstream, timeout, .. }) =
             actions.iter().find(|action| matches!(action, Action::Send { .. }))
@@ -167,7 +167,7 @@
 
 /// One copy whose only tenant has a fair part of `part` calls a second.
 fn settings(copies: u32, part: f64) -> Settings {
-    let mut settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
     settings.copies = copies;
     settings.tenants = vec![Tenant { quota: Some(part * f64::from(copies)) }];
     settings.over_share_worth = 0.2;
@@ -185,11 +185,11 @@
     Some(if late { Duration::from_secs_f64(0.1 + 1.4 * rng.rand_float()) } else { Duration::ZERO })
 }
 
-fn idle(_: UpstreamId, rng: &mut Rand64) -> Meets {
+fn idle(_: EndpointId, rng: &mut Rand64) -> Meets {
     (Some(Duration::ZERO), Outcome::Good, usual(rng))
 }
 
-fn idle_third_late(_: UpstreamId, rng: &mut Rand64) -> Meets {
+fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> Meets {
     (third_late(rng), Outcome::Good, usual(rng))
 }
 
@@ -238,7 +238,7 @@
 fn short_deadlines(copies: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
     let mut settings = settings(copies, rate * 1.2);
     settings.classes[0] =
-        Class { aim: millis(200), deadline: millis(400), late_worth: 0.5, effect: Effect::Safe };
+        Class { aim: millis(200), deadline: millis(400), late_worth: 0.5, idempotency: Idempotency::Safe };
     let mut world = World::new(settings, 9, upstreams, patience);
     world.bench.time_left = millis(400);
     world
@@ -289,7 +289,7 @@
         let mut world = short_deadlines(30, 3.0, 6, millis(1000));
         world.run(3.0, 60, idle);
         let tally = world.run(3.0, 600, |id, rng| {
-            let late = id == UpstreamId(0) && rng.rand_float() < 0.5;
+            let late = id == EndpointId(0) && rng.rand_float() < 0.5;
             (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Good, usual(rng))
         });
         let part = tally.part_of(0..1) * 6.0;
@@ -303,7 +303,7 @@
     let run = |late: bool| {
         let mut world = World::new(settings(2, rate / 1.2), 5, 6, millis(12));
         world.run(rate, 20, idle);
-        let full = |_: UpstreamId, rng: &mut Rand64| {
+        let full = |_: EndpointId, rng: &mut Rand64| {
             let connects = if late { third_late(rng) } else { Some(Duration::ZERO) };
             let (how, took) =
                 if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Good, usual(rng)) };
@@ -336,7 +336,7 @@
     for (rate, most) in [(2.0, 0.25), (10.0, 0.1), (60.0, 0.05)] {
         let mut world = World::new(settings(2, rate * 2.0), 5, 8, millis(12));
         world.run(rate, 20, idle);
-        let half = |id: UpstreamId, rng: &mut Rand64| {
+        let half = |id: EndpointId, rng: &mut Rand64| {
             (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Good, usual(rng))
         };
         // The unreachable ones must be met first.
@@ -370,7 +370,7 @@
 fn a_handful_of_connect_timeouts_at_few_calls_a_second_cuts_nothing() {
     for seed in 0..20 {
         let mut settings = settings(30, 0.5);
-        settings.allowed.attempts = 2;
+        settings.permissions.attempts = 2;
         let mut world = World::new(settings, seed, 6, millis(12));
         let calm = world.run(0.3, 120, idle);
         let tally = world.run(0.3, 300, idle_third_late);
@@ -404,15 +404,15 @@
 
 /// The calls of 200 that go to the first of four upstreams, which answer all.
 fn calls_to_the_first(bench: &mut Bench) -> usize {
-    (0..200).filter(|_| bench.run(|_| (Outcome::Good, millis(2))) == [UpstreamId(0)]).count()
+    (0..200).filter(|_| bench.run(|_| (Outcome::Good, millis(2))) == [EndpointId(0)]).count()
 }
 
 /// Four upstreams, of which the first has ended each of its attempts with `outcome` until it was set aside.
 fn first_aside(outcome: Outcome) -> Bench {
     let mut bench =
-        Bench::new(Settings::single_zone(vec![class(Effect::Safe)]), 3, (0..4).map(member).collect());
+        Bench::new(Settings::single_zone(vec![class(Idempotency::Safe)]), 3, (0..4).map(member).collect());
     for _ in 0..40 {
-        bench.run(|id| (if id == UpstreamId(0) { outcome } else { Outcome::Good }, millis(2)));
+        bench.run(|id| (if id == EndpointId(0) { outcome } else { Outcome::Good }, millis(2)));
     }
     bench
 }
@@ -421,7 +421,7 @@
 fn a_connection_ends_an_aside_for_connect_timeouts() {
     assert_eq!(calls_to_the_first(&mut first_aside(Outcome::ConnectTimedOut)), 0, "not set aside");
     let mut bench = first_aside(Outcome::ConnectTimedOut);
-    assert_eq!(bench.tell(Event::Connected(UpstreamId(0))), []);
+    assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
     let calls = calls_to_the_first(&mut bench);
     assert!((30..70).contains(&calls), "{calls} of 200 after a connection came up");
 }
@@ -430,7 +430,7 @@
 fn a_connection_ends_no_aside_for_errors() {
     let mut bench = first_aside(Outcome::Error);
     for upstream in [0, 0, 99] {
-        assert_eq!(bench.tell(Event::Connected(UpstreamId(upstream))), []);
+        assert_eq!(bench.tell(Event::Connected(EndpointId(upstream))), []);
     }
     assert_eq!(calls_to_the_first(&mut bench), 0);
 }
@@ -439,19 +439,19 @@
 #[test]
 fn an_answer_or_a_connection_breaks_a_row_of_connect_timeouts() {
     for between in [None, Some(Outcome::Good), Some(Outcome::Refused), Some(Outcome::Rejected)] {
-        let mut bench = Bench::new(Settings::single_zone(vec![class(Effect::Safe)]), 3, vec![member(0)]);
+        let mut bench = Bench::new(Settings::single_zone(vec![class(Idempotency::Safe)]), 3, vec![member(0)]);
         // The second upstream shows by its calls whether the first is aside.
         bench.tell(Event::List(ListUpdate::Whole(vec![member(0), member(1)])));
         let mut met = 0;
         let mut calls = 0;
         for _ in 0..400 {
             let (id, actions) = bench.offer(None);
-            let first = sent(&actions) == Some(UpstreamId(0));
+            let first = sent(&actions) == Some(EndpointId(0));
             calls += u32::from(first);
             met += u32::from(first);
             let late = first && met % 3 != 0;
             if first && met % 3 == 0 && between.is_none() {
-                assert_eq!(bench.tell(Event::Connected(UpstreamId(0))), []);
+                assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
                 met += 1;
             }
             bench.pass(millis(2));
@@ -467,12 +467,12 @@
 
 /// Of benches whose handshakes have a price, the calls of 60 that go to the fourth of eight upstreams after `what`.
 fn calls_to_the_fourth(what: impl Fn(&mut Bench)) -> usize {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    settings.prices.handshake = 0.1;
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    settings.costs.handshake = 0.1;
     let calls = (0..60).filter(|&seed| {
         let mut bench = Bench::new(settings.clone(), seed, (0..8).map(member).collect());
         what(&mut bench);
-        sent(&bench.offer(None).1) == Some(UpstreamId(3))
+        sent(&bench.offer(None).1) == Some(EndpointId(3))
     });
     calls.count()
 }
@@ -480,11 +480,11 @@
 #[test]
 fn late_connections_are_counted_once_they_are_up() {
     let none = calls_to_the_fourth(|_| {});
-    let one = calls_to_the_fourth(|bench| assert_eq!(bench.tell(Event::Connected(UpstreamId(3))), []));
+    let one = calls_to_the_fourth(|bench| assert_eq!(bench.tell(Event::Connected(EndpointId(3))), []));
     assert!(none < 15 && one > 30, "{none} without, {one} with a connection");
     // The connection is not the one that the attempt waited for: that never came.
     let lost = calls_to_the_fourth(|bench| {
-        bench.tell(Event::Connected(UpstreamId(3)));
+        bench.tell(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
         bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
         bench.tell(Event::ClientLeft(id));
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -14,14 +14,14 @@
 
 /// Two zones, a class of each effect, three tenants with quotas.
 fn settings() -> Settings {
-    let keyed = Effect::Keyed { scope: DedupScope::Cell, window: millis(800) };
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: millis(800) };
     Settings {
         copies: 4,
         zones: 2,
         tenants: [30.0, 20.0, 10.0].map(|quota| Tenant { quota: Some(quota * 4.0) }).to_vec(),
         over_share_worth: 0.1,
         discovery: DiscoveryMode::Subscribe,
-        ..Settings::single_zone(vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)])
+        ..Settings::single_zone(vec![class(Idempotency::Safe), class(keyed), class(Idempotency::Unsafe)])
     }
 }
 
@@ -99,9 +99,9 @@
     }
 
     fn member(&mut self, id: u32) -> Member {
-        let phase = if self.rng.rand_float() < 0.1 { Phase::Draining } else { Phase::Ready };
+        let lifecycle = if self.rng.rand_float() < 0.1 { Lifecycle::Draining } else { Lifecycle::Ready };
         let started = (self.rng.rand_float() < 0.3).then_some(START - millis(1000));
-        Member { zone: Some(ZoneId(id as usize % 2)), cell: id % 3, phase, started, ..member(id) }
+        Member { zone: Some(ZoneId(id as usize % 2)), cell: id % 3, lifecycle, started, ..member(id) }
     }
 
     fn tell(&mut self, event: Event) {
@@ -112,7 +112,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.text.push_str(&format!("{:?} {action:?}\n", self.now));
+            self.text.push_str(&format!("{:?} {}\n", self.now, recorded_form(&action)));
             let (span, event) = match action {
                 Action::Send { request, .. } => self.ending(request),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
@@ -158,11 +158,48 @@
     }
 }
 
+/// An action as text, with every field, in the form in which the digest of
+/// `without_other_settings_nothing_is_different` was recorded: the `Debug` form of that time, whose names stay here
+/// whatever the code's names are.
+fn recorded_form(action: &Action) -> String {
+    match action {
+        Action::Send {
+            request: RequestId(request),
+            upstream: EndpointId(upstream),
+            timeout,
+            begin_within,
+            last,
+        } => {
+            format!(
+                "Send {{ request: RequestId({request}), upstream: UpstreamId({upstream}), timeout: {timeout:?}, \
+                 begin_within: {begin_within:?}, last: {last} }}"
+            )
+        }
+        Action::Withdraw { request: RequestId(request), attempt: AttemptNumber(attempt) } => {
+            format!("Withdraw {{ request: RequestId({request}), attempt: AttemptNumber({attempt}) }}")
+        }
+        Action::Refuse { request: RequestId(request), retry_after } => {
+            format!("Refuse {{ request: RequestId({request}), retry_after: {retry_after:?} }}")
+        }
+        Action::Fail { request: RequestId(request) } => format!("Fail {{ request: RequestId({request}) }}"),
+        Action::Subscribe => "Subscribe".to_owned(),
+        Action::Probe { upstream: EndpointId(upstream) } => {
+            format!("Probe {{ upstream: UpstreamId({upstream}) }}")
+        }
+        Action::DropIdle { upstream: EndpointId(upstream) } => {
+            format!("DropIdle {{ upstream: UpstreamId({upstream}) }}")
+        }
+        Action::WakeAfter(span) => format!("WakeAfter({span:?})"),
+        Action::Log(line) => format!("Log({line:?})"),
+    }
+}
+
 /// FNV-1a.
 fn digest(text: &str) -> u64 {
     let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
+
 /// Guards runs without any change of settings: seeds and events as before this event was there give the same actions
 /// to the byte. The digest is that of the decisions before it.
 #[test]
@@ -191,12 +228,12 @@
     Bench::new(settings, 7, members)
 }
 
-fn single(effect: Effect) -> Settings {
-    let settings = Settings::single_zone(vec![class(effect)]);
-    Settings { allowed: Allowed { attempts: 4, ..settings.allowed.clone() }, ..settings }
+fn single(idempotency: Idempotency) -> Settings {
+    let settings = Settings::single_zone(vec![class(idempotency)]);
+    Settings { permissions: Permissions { attempts: 4, ..settings.permissions.clone() }, ..settings }
 }
 
-const WINDOW: Effect = Effect::Keyed { scope: DedupScope::Cell, window: millis(300) };
+const WINDOW: Idempotency = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: millis(300) };
 
 /// Offers a request and gives the cells of all attempts, each of which ends as a reset after `took`.
 fn resets(bench: &mut Bench, id: RequestId, first: &[Action], took: Duration) -> usize {
@@ -214,8 +251,10 @@
 /// class is by the time that it breaks. One taken afterwards goes by what holds then.
 #[test]
 fn an_unsafe_request_in_flight_stays_unsafe() {
-    for other in [Effect::Safe, Effect::Keyed { scope: DedupScope::All, window: millis(60_000) }] {
-        let mut bench = bench(single(Effect::Unsafe));
+    for other in
+        [Idempotency::Safe, Idempotency::Keyed { scope: DeduplicationScope::All, window: millis(60_000) }]
+    {
+        let mut bench = bench(single(Idempotency::Unsafe));
         let (id, actions) = bench.offer(None);
         assert!(bench.tell(Event::Reconfigured(single(other))).is_empty());
         let upstream = sent(&actions).expect("sent");
@@ -230,9 +269,9 @@
 /// Guards the other way: a request keeps what it was promised, and the next one does not get it.
 #[test]
 fn a_safe_request_in_flight_stays_safe() {
-    let mut bench = bench(single(Effect::Safe));
+    let mut bench = bench(single(Idempotency::Safe));
     let (id, actions) = bench.offer(None);
-    bench.tell(Event::Reconfigured(single(Effect::Unsafe)));
+    bench.tell(Event::Reconfigured(single(Idempotency::Unsafe)));
     assert!(resets(&mut bench, id, &actions, millis(10)) > 1);
     let (id, actions) = bench.offer(None);
     assert_eq!(resets(&mut bench, id, &actions, millis(10)), 1);
@@ -241,10 +280,10 @@
 /// Guards the upstreams' memory of keys: neither the window nor the group of a request in flight grows under it.
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window_and_scope() {
-    let wider = Effect::Keyed { scope: DedupScope::All, window: millis(60_000) };
+    let wider = Idempotency::Keyed { scope: DeduplicationScope::All, window: millis(60_000) };
     for (other, took, sends) in [
         // Past its own window, within the other: no repeat.
-        (Effect::Keyed { scope: DedupScope::Cell, window: millis(60_000) }, millis(400), 1),
+        (Idempotency::Keyed { scope: DeduplicationScope::Cell, window: millis(60_000) }, millis(400), 1),
         // Within its own: only its own cell takes it, which has two upstreams.
         (wider, millis(100), 2),
     ] {
@@ -266,8 +305,10 @@
     let mut bench = Bench::new(single(WINDOW), 7, members);
     let (id, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
-    bench
-        .tell(Event::Reconfigured(single(Effect::Keyed { scope: DedupScope::Cell, window: millis(60_000) })));
+    bench.tell(Event::Reconfigured(single(Idempotency::Keyed {
+        scope: DeduplicationScope::Cell,
+        window: millis(60_000),
+    })));
     bench.pass(millis(100));
     let actions = bench.end(id, 0, Outcome::Reset, millis(100));
     let begin_within = actions.iter().find_map(|action| match action {
@@ -287,10 +328,10 @@
             _ => None,
         })
     };
-    let mut longer = single(Effect::Safe);
+    let mut longer = single(Idempotency::Safe);
     longer.classes[0].aim = millis(2000);
     longer.classes[0].late_worth = 0.5;
-    let mut bench = bench(single(Effect::Safe));
+    let mut bench = bench(single(Idempotency::Safe));
     let (id, first) = bench.offer(None);
     assert_eq!(timeout(&first), Some(millis(1000)));
     bench.tell(Event::Reconfigured(longer));
@@ -305,8 +346,8 @@
 #[test]
 fn a_request_in_flight_gets_no_more_attempts() {
     let with = |attempts| {
-        let settings = single(Effect::Safe);
-        Settings { allowed: Allowed { attempts, ..settings.allowed.clone() }, ..settings }
+        let settings = single(Idempotency::Safe);
+        Settings { permissions: Permissions { attempts, ..settings.permissions.clone() }, ..settings }
     };
     for (before, after, of_this, of_next) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
         let mut bench = bench(with(before));
@@ -324,7 +365,7 @@
     // What went stays as it was, the quota of its tenant is 0, and what is new stands behind it.
     let mut after = settings();
     after.tenants[1].quota = Some(0.0);
-    after.classes.push(class(Effect::Safe));
+    after.classes.push(class(Idempotency::Safe));
     let mut bench = bench(settings());
     let actions = bench.tell(Event::Request(request(900, 0, Some(1))));
     assert!(sent(&actions).is_some());
@@ -348,7 +389,7 @@
 }
 
 fn quotas(quotas: &[Option<f64>]) -> Settings {
-    let settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     let tenants = quotas.iter().map(|&quota| Tenant { quota }).collect();
     Settings { tenants, over_share_worth: 0.1, ..settings }
 }
@@ -429,7 +470,7 @@
     let cut = limits(&bench);
     assert!(cut[0] < 60.0, "{cut:?}");
     let mut other = quotas(&[Some(100.0), Some(50.0), Some(30.0)]);
-    other.prices.cross_zone = 0.01;
+    other.costs.cross_zone = 0.01;
     bench.tell(Event::Reconfigured(other));
     let kept = limits(&bench);
     assert_eq!(kept[..2], cut[..2]);
@@ -488,7 +529,7 @@
 /// Guards the tier: with more copies each sends to a part of it, with fewer again to all.
 #[test]
 fn the_subset_follows_the_number_of_copies() {
-    let with = |copies| Settings { index: 1, copies, ..single(Effect::Safe) };
+    let with = |copies| Settings { index: 1, copies, ..single(Idempotency::Safe) };
     let mut bench = Bench::new(with(1), 7, (0..64).map(member).collect());
     let seen = |bench: &mut Bench| {
         let mut seen: Vec<_> = (0..2000).flat_map(|_| bench.run(|_| (Outcome::Good, millis(1)))).collect();
@@ -506,7 +547,7 @@
 /// Guards the first list, from which a copy learns how far it spreads: a change before it leaves it the first.
 #[test]
 fn a_change_before_the_first_list_is_none_to_the_subset() {
-    let with = |copies| Settings { copies, zones: 2, ..single(Effect::Safe) };
+    let with = |copies| Settings { copies, zones: 2, ..single(Idempotency::Safe) };
     let members: Vec<Member> =
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
     let picked = |first| {
@@ -538,15 +579,15 @@
         but(|settings| settings.zones = 1),
         but(|settings| settings.kinds = 0),
         but(|settings| settings.copies = 0),
-        but(|settings| settings.allowed.attempts = 0),
-        but(|settings| settings.allowed.streams = 0),
+        but(|settings| settings.permissions.attempts = 0),
+        but(|settings| settings.permissions.streams = 0),
         but(|settings| settings.classes[0].aim = millis(9000)),
         but(|settings| settings.classes[1].late_worth = f64::NAN),
         but(|settings| settings.tenants[0].quota = Some(-1.0)),
         but(|settings| settings.tenants[0].quota = Some(f64::INFINITY)),
         but(|settings| settings.over_share_worth = 2.0),
         but(|settings| settings.rules.cold_share = 0.0),
-        but(|settings| settings.prices.waste = -0.1),
+        but(|settings| settings.costs.waste = -0.1),
     ];
     for other in refused_ones {
         let mut bench = bench(settings());
@@ -573,10 +614,10 @@
                     tenant.quota = (draws.rand_float() < 0.8).then(|| draws.rand_float() * 200.0);
                 }
                 other.classes[0].aim = millis(100 + draws.rand_range(0..900));
-                other.allowed.attempts = draws.rand_range(1..5) as u32;
+                other.permissions.attempts = draws.rand_range(1..5) as u32;
                 changed |= number >= middle;
                 if changed {
-                    other.classes[2].effect = Effect::Safe;
+                    other.classes[2].idempotency = Idempotency::Safe;
                 }
                 Event::Reconfigured(other)
             })
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -29,7 +29,7 @@
     /// Changes one upstream: its phase, or a restart.
     Change {
         upstream: u32,
-        phase: Phase,
+        lifecycle: Lifecycle,
         restarted: bool,
     },
     Replace {
@@ -57,14 +57,15 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let phase = prop_oneof![3 => Just(Phase::Ready), 1 => Just(Phase::Draining), 1 => Just(Phase::Gone)];
+    let lifecycle =
+        prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Gone)];
     prop_oneof![
         4 => (1u64..400).prop_map(Step::Pass),
         8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Ask { class, time_left }),
         8 => (any::<usize>(), outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
         1 => any::<usize>().prop_map(|which| Step::Leave { which }),
-        2 => (0u32..8, phase, any::<bool>())
-            .prop_map(|(upstream, phase, restarted)| Step::Change { upstream, phase, restarted }),
+        2 => (0u32..8, lifecycle, any::<bool>())
+            .prop_map(|(upstream, lifecycle, restarted)| Step::Change { upstream, lifecycle, restarted }),
         1 => (0u32..9, any::<bool>()).prop_map(|(keep, stale)| Step::Replace { keep, stale }),
         1 => Just(Step::Broken),
         1 => (0u32..10).prop_map(|upstream| Step::Connected { upstream }),
@@ -72,18 +73,18 @@
 }
 
 fn settings(second_copies: bool, subscribe: bool) -> Settings {
-    let class = |effect, late_worth| Class { late_worth, ..common::class(effect) };
-    let keyed = |scope| Effect::Keyed { scope, window: millis(800) };
+    let class = |idempotency, late_worth| Class { late_worth, ..common::class(idempotency) };
+    let keyed = |scope| Idempotency::Keyed { scope, window: millis(800) };
     let mut settings = Settings::single_zone(vec![
-        class(Effect::Safe, 0.0),
-        class(Effect::Unsafe, 0.5),
-        class(keyed(DedupScope::All), 0.5),
-        class(keyed(DedupScope::Zone), 0.0),
-        class(keyed(DedupScope::Cell), 0.5),
+        class(Idempotency::Safe, 0.0),
+        class(Idempotency::Unsafe, 0.5),
+        class(keyed(DeduplicationScope::All), 0.5),
+        class(keyed(DeduplicationScope::Zone), 0.0),
+        class(keyed(DeduplicationScope::Cell), 0.5),
     ]);
     settings.zones = 2;
-    settings.allowed.second_copies = second_copies;
-    settings.allowed.attempts = 4;
+    settings.permissions.second_copies = second_copies;
+    settings.permissions.attempts = 4;
     if subscribe {
         settings.discovery = DiscoveryMode::Subscribe;
         settings.rules.ask_within = Some(millis(10_000));
@@ -96,7 +97,7 @@
 }
 
 struct Sent {
-    upstream: UpstreamId,
+    upstream: EndpointId,
     at: Duration,
     until: Duration,
     ended: Option<Outcome>,
@@ -117,7 +118,7 @@
     settings: Settings,
     now: Duration,
     held: BTreeMap<RequestId, Held>,
-    list: BTreeMap<UpstreamId, Member>,
+    list: BTreeMap<EndpointId, Member>,
     wake: Option<Duration>,
     /// Since when the copy neither has a subscription nor has asked.
     unasked: Option<Duration>,
@@ -156,26 +157,26 @@
                 assert!(held.finals == 0 && !held.over, "sent after its end");
                 assert!(self.now < held.deadline, "sent after the deadline");
                 let target = self.list.get(&upstream).expect("an upstream that a list has named");
-                assert_eq!(target.phase, Phase::Ready, "sent to one that drains or is gone");
+                assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to one that drains or is gone");
                 let out = held.attempts.iter().filter(|sent| sent.ended.is_none()).count();
-                assert!(out == 0 || self.settings.allowed.second_copies, "two attempts at once");
-                let allowed = self.settings.allowed.attempts as usize;
+                assert!(out == 0 || self.settings.permissions.second_copies, "two attempts at once");
+                let allowed = self.settings.permissions.attempts as usize;
                 assert!(held.attempts.len() < allowed);
                 assert!(last || held.attempts.len() + 1 < allowed, "another is said to follow");
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
                 if let Some(first) = held.attempts.iter().find(ran) {
-                    match self.settings.classes[held.class].effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request sent twice"),
-                        Effect::Keyed { scope, window } => {
+                    match self.settings.classes[held.class].idempotency {
+                        Idempotency::Safe => {}
+                        Idempotency::Unsafe => panic!("an unsafe request sent twice"),
+                        Idempotency::Keyed { scope, window } => {
                             assert!(self.now <= first.at + window, "past the window");
                             let by = self.now + begin_within.expect("the window bounds its begin");
                             assert!(by <= first.at + window + Duration::from_micros(1), "may begin past it");
                             let (one, two) = (member(first.upstream.0), member(upstream.0));
                             match scope {
-                                DedupScope::All => {}
-                                DedupScope::Zone => assert_eq!(one.zone, two.zone),
-                                DedupScope::Cell => assert_eq!(one.cell, two.cell),
+                                DeduplicationScope::All => {}
+                                DeduplicationScope::Zone => assert_eq!(one.zone, two.zone),
+                                DeduplicationScope::Cell => assert_eq!(one.cell, two.cell),
                             }
                         }
                     }
@@ -188,9 +189,9 @@
                 held.finals += 1;
                 assert!(held.finals == 1 && !held.over, "a second final answer");
                 let ran = held.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
-                let free = match self.settings.classes[held.class].effect {
-                    Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
-                    Effect::Keyed { .. } | Effect::Unsafe => false,
+                let free = match self.settings.classes[held.class].idempotency {
+                    Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
+                    Idempotency::Keyed { .. } | Idempotency::Unsafe => false,
                 };
                 assert!(free || !ran, "refused though it may have run");
             }
@@ -206,7 +207,7 @@
                 assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
             }
             Action::Probe { upstream } => {
-                assert!(self.settings.allowed.probes, "a health check that is not allowed");
+                assert!(self.settings.permissions.probes, "a health check that is not allowed");
                 assert!(self.list.contains_key(&upstream), "checked one that no list has named");
             }
             Action::DropIdle { upstream } => assert!(self.list.contains_key(&upstream)),
@@ -309,15 +310,15 @@
                     self.tell(Event::ClientLeft(*id));
                 }
             }
-            Step::Change { upstream, phase, restarted } => {
+            Step::Change { upstream, lifecycle, restarted } => {
                 let started = if restarted { Some(self.now) } else { None };
-                let member = Member { phase, started, ..member(upstream) };
+                let member = Member { lifecycle, started, ..member(upstream) };
                 self.list.insert(member.id, member);
                 self.unasked = None;
                 self.tell(Event::List(ListUpdate::Patch(vec![member])));
             }
             Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
-            Step::Connected { upstream } => self.tell(Event::Connected(UpstreamId(upstream))),
+            Step::Connected { upstream } => self.tell(Event::Connected(EndpointId(upstream))),
             Step::Broken => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
                     self.unasked.get_or_insert(self.now);
@@ -438,7 +439,7 @@
     assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
     assert_eq!(with(|settings| settings.copies = 0), Some(SettingsError::NoCopies));
-    assert_eq!(with(|settings| settings.allowed.attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(with(|settings| settings.permissions.attempts = 0), Some(SettingsError::NoAttempts));
     assert_eq!(with(|settings| settings.classes[1].aim = millis(9_000)), Some(SettingsError::ClassTimes(1)));
     assert_eq!(
         with(|settings| settings.rules.cold_share = f64::NAN),
@@ -485,9 +486,9 @@
         let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
-    let odd = Event::Probed { upstream: UpstreamId(99), outcome: Outcome::Good, took: millis(1), load: None };
+    let odd = Event::Probed { upstream: EndpointId(99), outcome: Outcome::Good, took: millis(1), load: None };
     balancer.handle(START, odd, &mut actions);
-    balancer.handle(START, Event::Connected(UpstreamId(99)), &mut actions);
+    balancer.handle(START, Event::Connected(EndpointId(99)), &mut actions);
     assert!(actions.iter().all(|action| matches!(action, Action::Withdraw { .. })));
 }
 
@@ -495,7 +496,7 @@
 /// repeated at the second, as if 'unknown' were a zone of its own.
 #[test]
 fn upstreams_of_unknown_zones_share_no_zone() {
-    let keyed = Effect::Keyed { scope: DedupScope::Zone, window: millis(5000) };
+    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Zone, window: millis(5000) };
     let members = (0..2).map(|id| Member { zone: None, ..common::member(id) }).collect();
     let mut bench = common::Bench::new(Settings::single_zone(vec![common::class(keyed)]), 3, members);
     let request = Request {
@@ -523,7 +524,7 @@
 
 /// The seconds from a word of discovery's until the copy asks for a new watch, after five failures in a row.
 fn asks_after(mode: DiscoveryMode, word: ListUpdate) -> f64 {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.discovery = mode;
     settings.rules.ask_within = Some(millis(10_000));
     let mut balancer = Balancer::new(settings, 7).expect("the settings make sense");
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 fn settings() -> Settings {
-    Settings::single_zone(vec![class(Effect::Safe)])
+    Settings::single_zone(vec![class(Idempotency::Safe)])
 }
 
 /// The upstreams that a copy uses, over many calls.
@@ -77,10 +77,10 @@
     let mut first = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream {
-            UpstreamId(0) => (bad.0, millis(bad.1)),
+            EndpointId(0) => (bad.0, millis(bad.1)),
             _ => (Outcome::Good, millis(good_ms)),
         });
-        first += u32::from(tried.first() == Some(&UpstreamId(0)));
+        first += u32::from(tried.first() == Some(&EndpointId(0)));
     }
     f64::from(first) / f64::from(calls)
 }
@@ -116,7 +116,7 @@
         let (id, actions) = bench.offer(None);
         bench.pass(millis(20));
         match sent(&actions) {
-            Some(UpstreamId(0)) => swallowed += 1,
+            Some(EndpointId(0)) => swallowed += 1,
             _ => drop(bench.end(id, 0, Outcome::Good, millis(20))),
         }
     }
@@ -125,7 +125,7 @@
 
 fn two_zones(tier: usize, price: f64) -> Bench {
     let mut settings = Settings { zones: 2, tier, ..settings() };
-    settings.prices.cross_zone = price;
+    settings.costs.cross_zone = price;
     let members = (0..8).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) });
     Bench::new(settings, 9, members.collect())
 }
@@ -252,8 +252,8 @@
 fn a_sparse_copy_keeps_to_open_connections_where_handshakes_are_priced() {
     let distinct = |price: f64| {
         let mut settings = settings();
-        settings.prices.handshake = price;
-        settings.allowed.streams = 1;
+        settings.costs.handshake = price;
+        settings.permissions.streams = 1;
         let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
         let mut used = BTreeMap::new();
         for _ in 0..60 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -101,11 +101,11 @@
 fn play(day: &Day, chance: fn(f64) -> f64) -> Played {
     let mut rng = Rand64::new(u128::from(day.seed));
     let settings = |copy: u32| {
-        let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
         settings.index = copy;
         settings.copies = day.copies;
         settings.tier = day.tier;
-        settings.allowed.attempts = day.attempts;
+        settings.permissions.attempts = day.attempts;
         settings.rules.cold_share = day.cold_share;
         settings.rules.cold_time = Duration::from_secs_f64(day.cold_s);
         settings.rules.overload_multiple = day.multiple;
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -12,7 +12,7 @@
 /// A first-tier copy whose only tenant is held to 10 calls a second: a third of 25 and a standard
 /// deviation of its chance over the window.
 fn ten_a_second() -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     settings.over_share_worth = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
@@ -57,7 +57,7 @@
 #[test]
 fn one_of_many_copies_may_be_dealt_several_parts() {
     let part_of_copies = |copies: u32| {
-        let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
         settings.copies = copies;
         settings.tenants = vec![Tenant { quota: Some(10.0 * f64::from(copies)) }; 2];
         settings.over_share_worth = 0.2;
@@ -79,7 +79,7 @@
 /// met the hard limit for good, as calls denied whole tell nothing of the crowd's end.
 #[test]
 fn a_cut_limit_opens_again_under_calls_that_come_at_once() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     assert_eq!(admitted(&mut bench, 5.0, 0.0, 30.0, Outcome::Good), 1.0);
@@ -135,7 +135,7 @@
 /// a call denied there fails the whole request above.
 #[test]
 fn single_refusals_do_not_cut_a_limit() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tier = 1;
     settings.tenants = vec![Tenant { quota: Some(5.0) }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -156,7 +156,7 @@
 /// A copy whose tenant has been let to climb well over its part, offered 14 calls a second of which
 /// every fourth is first turned away `refusals` times; the calls denied in 20 s.
 fn denied_of_280(refusals: u32, outcome: Outcome, took: u64) -> u32 {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Good);
@@ -201,7 +201,7 @@
 /// Found at full size with 644 copies: a soft limit of a third of a call let a whole one a window through.
 #[test]
 fn a_limit_of_less_than_a_call_a_window_holds() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.copies = 400;
     settings.tenants = vec![Tenant { quota: Some(20.0) }];
     settings.over_share_worth = 0.0;
@@ -214,7 +214,7 @@
 /// A small tenant's own calls are too few to tell of a jam in time.
 #[test]
 fn a_jam_that_one_tenant_meets_cuts_all_limits() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }, Tenant { quota: Some(100.0) }];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -234,7 +234,7 @@
 /// tier could do, and the limits of single tenants never fell under it while less than a jam was seen.
 #[test]
 fn in_a_crowd_all_tenants_together_are_held_to_their_fair_parts() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(2.0) }; 6];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -257,7 +257,7 @@
 /// Found in an incident: a third of a tier died, the quotas stayed what they were, and the survivors choked.
 #[test]
 fn the_limits_shrink_with_the_tier() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(20.0) }; 2];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
@@ -284,7 +284,7 @@
 /// within eight seconds, and let the servers choke.
 #[test]
 fn a_crowd_does_not_become_the_custom_of_a_busy_copy() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: Some(50.0) }; 2];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
@@ -337,7 +337,7 @@
 /// every part of a call became a whole one.
 #[test]
 fn retries_do_not_wear_down_a_part_of_a_call() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.copies = 100;
     settings.tenants = vec![Tenant { quota: Some(4.0) }; 4];
     settings.over_share_worth = 0.0;
@@ -368,7 +368,7 @@
     for call in 0..280 {
         bench.pass(millis(125));
         let (id, actions) = bench.offer(Some(0));
-        let UpstreamId(upstream) = sent(&actions).expect("below the limit all pass");
+        let EndpointId(upstream) = sent(&actions).expect("below the limit all pass");
         tried[upstream as usize] += 1;
         let outcome = if call % 2 == 0 { Outcome::Rejected } else { Outcome::Good };
         let actions = bench.end(id, 0, outcome, millis(20));
@@ -383,7 +383,7 @@
 /// parts while the tier was at ease. Calls here take their usual times throughout, spread as on those days.
 #[test]
 fn few_calls_that_differ_by_far_are_no_crowd() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.copies = 20;
     settings.tenants = vec![Tenant { quota: Some(6.0 * 20.0) }; 2];
     settings.over_share_worth = 0.2;
@@ -458,7 +458,7 @@
 
 /// One copy of fifty whose two tenants have a fair part of `part` calls a second each.
 fn one_of_fifty(seed: u64, part: f64) -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
     settings.copies = 50;
     settings.tenants = vec![Tenant { quota: Some(part * 50.0) }; 2];
     settings.over_share_worth = 0.2;
@@ -521,7 +521,7 @@
 /// cut to what a few tens of milliseconds have brought would keep out nearly all for seconds.
 #[test]
 fn a_fresh_limit_is_not_cut_to_what_its_first_moments_brought() {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // Eight callers that come again 4 ms after each answer; calls are slower once there are several.
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use balancer_policy::interface::{Time, UpstreamId};
+use balancer_policy::interface::{EndpointId, Time};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Starts of processes that are not listed any more that are kept, the latest ones: enough for a tier of this size to
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub struct StartTimes {
     clock: Box<dyn WallClock>,
-    listed: FxHashMap<UpstreamId, Start>,
+    listed: FxHashMap<EndpointId, Start>,
     past: PastStarts,
     /// When a list first named an upstream: what later ones add to it is new.
     first_list_at: Option<Time>,
@@ -102,7 +102,7 @@
     }
 
     /// The start time of an upstream that a list names with this stamp; `None` for long ago.
-    pub fn listed(&mut self, moment: &Moment, id: UpstreamId, since_ms: u64) -> Option<Time> {
+    pub fn listed(&mut self, moment: &Moment, id: EndpointId, since_ms: u64) -> Option<Time> {
         self.first_list_at.get_or_insert(moment.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
             return start.time;
@@ -117,14 +117,14 @@
     }
 
     /// An upstream is not listed any more, or not with the start that it had.
-    pub fn left(&mut self, id: UpstreamId) {
+    pub fn left(&mut self, id: EndpointId) {
         if let Some(start) = self.listed.remove(&id) {
             self.past.put(id, start);
         }
     }
 
     /// Only these are listed.
-    pub fn retain(&mut self, ids: &FxHashSet<UpstreamId>) {
+    pub fn retain(&mut self, ids: &FxHashSet<EndpointId>) {
         let past = &mut self.past;
         self.listed.retain(|&id, start| {
             let stays = ids.contains(&id);
@@ -139,7 +139,7 @@
     /// earlier stamp may be either, as the clock behind the stamps may have stepped back: it is a new start if no list
     /// has named it though it seems to lie after the first one. Before that there may have been starts that none named.
     #[must_use]
-    pub fn is_new_start(&self, now: Time, id: UpstreamId, since_ms: u64) -> bool {
+    pub fn is_new_start(&self, now: Time, id: EndpointId, since_ms: u64) -> bool {
         let listed_ms = self.listed.get(&id).map_or(0, |start| start.since_ms);
         if since_ms == 0 || since_ms == listed_ms || self.past.has(id, since_ms) {
             return false;
@@ -160,7 +160,7 @@
 
     /// The upstreams of which a start is remembered, those that are not listed any more among them.
     #[must_use]
-    pub fn remembered(&self) -> FxHashSet<UpstreamId> {
+    pub fn remembered(&self) -> FxHashSet<EndpointId> {
         let past = self.past.by_start.keys().map(|&(id, _)| id);
         self.listed.keys().copied().chain(past).collect()
     }
@@ -176,17 +176,17 @@
 #[derive(Debug, Default)]
 struct PastStarts {
     /// The number of its departure, and its start time.
-    by_start: FxHashMap<(UpstreamId, u64), (u64, Option<Time>)>,
-    by_departure: BTreeMap<u64, (UpstreamId, u64)>,
+    by_start: FxHashMap<(EndpointId, u64), (u64, Option<Time>)>,
+    by_departure: BTreeMap<u64, (EndpointId, u64)>,
     next_departure: u64,
 }
 
 impl PastStarts {
-    fn has(&self, id: UpstreamId, since_ms: u64) -> bool {
+    fn has(&self, id: EndpointId, since_ms: u64) -> bool {
         self.by_start.contains_key(&(id, since_ms))
     }
 
-    fn put(&mut self, id: UpstreamId, start: Start) {
+    fn put(&mut self, id: EndpointId, start: Start) {
         let departure = self.next_departure;
         self.next_departure += 1;
         self.by_start.insert((id, start.since_ms), (departure, start.time));
@@ -199,7 +199,7 @@
     }
 
     /// The time that this start was given, if it is remembered.
-    fn take(&mut self, id: UpstreamId, since_ms: u64) -> Option<Option<Time>> {
+    fn take(&mut self, id: EndpointId, since_ms: u64) -> Option<Option<Time>> {
         let (departure, time) = self.by_start.remove(&(id, since_ms))?;
         self.by_departure.remove(&departure);
         Some(time)
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{ClassId, Effect, TenantId};
+use balancer_policy::interface::{ClassId, Idempotency, TenantId};
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -77,7 +77,7 @@
     fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
         let (class, figures) = offered.class(class).ok_or(BadRequest::Class)?;
-        check_method(figures.effect, head)?;
+        check_method(figures.idempotency, head)?;
         let tenant = match header_text(&head.headers, "x-tenant") {
             Some(name) => Some(offered.tenant(name).ok_or(BadRequest::Tenant)?),
             None if offered.has_no_tenants() => None,
@@ -88,17 +88,19 @@
             Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
             None => figures.deadline,
         };
-        let once = figures.effect == Effect::Unsafe;
+        let once = figures.idempotency == Idempotency::Unsafe;
         Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), once })
     }
 }
 
 /// Whether the method fits what the class does, and the key that it may want is there.
-fn check_method(effect: Effect, head: &Parts) -> Result<(), BadRequest> {
-    match effect {
-        Effect::Safe if head.method != Method::GET => Err(BadRequest::Method),
-        Effect::Keyed { .. } if !head.headers.contains_key("idempotency-key") => Err(BadRequest::Key),
-        Effect::Keyed { .. } | Effect::Unsafe if head.method != Method::POST => Err(BadRequest::Method),
+fn check_method(idempotency: Idempotency, head: &Parts) -> Result<(), BadRequest> {
+    match idempotency {
+        Idempotency::Safe if head.method != Method::GET => Err(BadRequest::Method),
+        Idempotency::Keyed { .. } if !head.headers.contains_key("idempotency-key") => Err(BadRequest::Key),
+        Idempotency::Keyed { .. } | Idempotency::Unsafe if head.method != Method::POST => {
+            Err(BadRequest::Method)
+        }
         _ => Ok(()),
     }
 }
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use balancer_policy::interface::{KindId, ListUpdate, Member, Phase, Time, UpstreamId, ZoneId};
+use balancer_policy::interface::{EndpointId, KindId, Lifecycle, ListUpdate, Member, Time, ZoneId};
 use balancer_settings::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -43,7 +43,7 @@
     /// For the decisions.
     pub update: ListUpdate,
     /// Endpoints whose process is a new one; the old one took its connections along.
-    pub restarted: Vec<UpstreamId>,
+    pub restarted: Vec<EndpointId>,
 }
 
 /// An entry of a list in the form of the decisions.
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct EndpointTable {
     ids: EndpointIds,
-    listed: FxHashMap<UpstreamId, ListedEndpoint>,
+    listed: FxHashMap<EndpointId, ListedEndpoint>,
     starts: StartTimes,
     index: u64,
     has_list: bool,
@@ -109,13 +109,13 @@
 
     /// An endpoint that new work may go to.
     #[must_use]
-    pub fn ready_endpoint(&self, id: UpstreamId) -> Option<&ListedEndpoint> {
+    pub fn ready_endpoint(&self, id: EndpointId) -> Option<&ListedEndpoint> {
         self.listed.get(&id).filter(|endpoint| endpoint.ready)
     }
 
     /// The same, if it is still at this address.
     #[must_use]
-    pub fn ready_endpoint_at(&self, id: UpstreamId, address: SocketAddr) -> Option<&ListedEndpoint> {
+    pub fn ready_endpoint_at(&self, id: EndpointId, address: SocketAddr) -> Option<&ListedEndpoint> {
         self.ready_endpoint(id).filter(|endpoint| endpoint.address == address)
     }
 
@@ -129,7 +129,7 @@
     /// Where names never repeat they would fill the memory otherwise. A name that returns gets its number again, as that
     /// is the hash of the name; only of two names that meet the later one may get another number, when nothing is left
     /// that it was known by.
-    fn prune_names(&mut self, in_attempts: &FxHashSet<UpstreamId>) {
+    fn prune_names(&mut self, in_attempts: &FxHashSet<EndpointId>) {
         let remembered = self.starts.remembered();
         let listed = &self.listed;
         self.ids.retain(|id| listed.contains_key(id) || in_attempts.contains(id) || remembered.contains(id));
@@ -175,7 +175,7 @@
         entries: &[Endpoint],
         source: ListSource,
         names: &Names,
-        in_attempts: impl FnOnce() -> FxHashSet<UpstreamId>,
+        in_attempts: impl FnOnce() -> FxHashSet<EndpointId>,
     ) -> AppliedList {
         let newest_ms = entries.iter().map(|entry| entry.since_ms).max().unwrap_or(0);
         let moment = self.starts.moment(now, newest_ms);
@@ -193,7 +193,7 @@
         }
         self.has_list |= !members.is_empty() || source != ListSource::Configuration;
         if source != ListSource::Patch {
-            let seen: FxHashSet<UpstreamId> = members.iter().map(|member| member.id).collect();
+            let seen: FxHashSet<EndpointId> = members.iter().map(|member| member.id).collect();
             self.listed.retain(|id, _| seen.contains(id));
             self.starts.retain(&seen);
         }
@@ -209,27 +209,28 @@
     }
 
     fn apply_entry(&mut self, moment: &Moment, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
-        let phase = match entry.status.as_str() {
-            "ready" => Phase::Ready,
-            "draining" => Phase::Draining,
-            "gone" => Phase::Gone,
+        let lifecycle = match entry.status.as_str() {
+            "ready" => Lifecycle::Ready,
+            "draining" => Lifecycle::Draining,
+            "gone" => Lifecycle::Gone,
             _ => return None,
         };
         let id = self.ids.get_or_assign(&entry.name);
         let zone = names.zones.get(&entry.zone).copied().map(ZoneId);
         let mut restarted = false;
-        if phase == Phase::Gone {
+        if lifecycle == Lifecycle::Gone {
             self.listed.remove(&id);
         } else {
             // A drain holds, whatever has become of the address.
-            let known = self.listed.get(&id).filter(|_| phase == Phase::Draining).map(|known| known.address);
+            let known =
+                self.listed.get(&id).filter(|_| lifecycle == Lifecycle::Draining).map(|known| known.address);
             let address = entry.address.parse().ok().or(known)?;
-            let (since_ms, ready) = (entry.since_ms, phase == Phase::Ready);
+            let (since_ms, ready) = (entry.since_ms, lifecycle == Lifecycle::Ready);
             let before = self.listed.insert(id, ListedEndpoint { address, zone, since_ms, ready });
             restarted = before.is_some_and(|before| before.since_ms != since_ms);
         }
         let started = self.starts.listed(moment, id, entry.since_ms);
-        if phase == Phase::Gone {
+        if lifecycle == Lifecycle::Gone {
             self.starts.left(id);
         }
         let weight = entry.weight;
@@ -238,7 +239,7 @@
             zone,
             kind: names.kinds.get(&entry.kind).copied().map(KindId),
             cell: entry.group,
-            phase,
+            lifecycle,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
             started,
         };
@@ -249,8 +250,8 @@
 /// The numbers of endpoints, by name.
 #[derive(Debug)]
 struct EndpointIds {
-    by_name: FxHashMap<Box<str>, UpstreamId>,
-    assigned: FxHashSet<UpstreamId>,
+    by_name: FxHashMap<Box<str>, EndpointId>,
+    assigned: FxHashSet<EndpointId>,
     /// So many names are looked through for some to forget: twice those that the last look has left.
     prune_at: usize,
 }
@@ -260,28 +261,28 @@
         Self { by_name: FxHashMap::default(), assigned: FxHashSet::default(), prune_at: MIN_NAMES_TO_PRUNE }
     }
 
-    fn retain(&mut self, is_needed: impl Fn(&UpstreamId) -> bool) {
+    fn retain(&mut self, is_needed: impl Fn(&EndpointId) -> bool) {
         self.by_name.retain(|_, id| is_needed(id));
         self.assigned.retain(is_needed);
         self.prune_at = (2 * self.by_name.len()).max(MIN_NAMES_TO_PRUNE);
     }
 
-    fn get(&self, name: &str) -> Option<UpstreamId> {
+    fn get(&self, name: &str) -> Option<EndpointId> {
         self.by_name.get(name).copied()
     }
 
     /// The number of an endpoint: from its name alone, so that all balancers sort them alike. Should two names meet, the
     /// later one takes the next free number.
-    fn get_or_assign(&mut self, name: &str) -> UpstreamId {
+    fn get_or_assign(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.get(name) {
             return id;
         }
         let mut number = fnv1a(name);
-        while !self.assigned.insert(UpstreamId(number)) {
+        while !self.assigned.insert(EndpointId(number)) {
             number = number.wrapping_add(1);
         }
-        self.by_name.insert(name.into(), UpstreamId(number));
-        UpstreamId(number)
+        self.by_name.insert(name.into(), EndpointId(number));
+        EndpointId(number)
     }
 }
 
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{
-    DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time, UpstreamId,
+    DiscoveryMode, EndpointId, ListUpdate, Request, RequestId, SettingsError, Time,
 };
 use balancer_policy::{Balancer, Event, Settings};
 use balancer_settings::{Loaded, Names};
@@ -95,7 +95,7 @@
         let mut loaded = config.loaded;
         fit_to_sockets(&mut loaded.settings);
         let patience = Patience::of(loaded.settings.discovery);
-        let keepalive = loaded.settings.allowed.keepalive;
+        let keepalive = loaded.settings.permissions.keepalive;
         let offered = Offered::new(&loaded.names, &loaded.settings);
         // The subscription asks for what came after the list in hand, so that its version is noted first.
         let index = config.known.as_ref().map_or(0, |known| known.index);
@@ -215,7 +215,7 @@
 
     /// The connections to an upstream, if discovery's latest update allows new work for it at this address.
     #[must_use]
-    pub fn host(&self, upstream: UpstreamId, address: SocketAddr) -> Option<Rc<Host>> {
+    pub fn host(&self, upstream: EndpointId, address: SocketAddr) -> Option<Rc<Host>> {
         let state = self.state.borrow();
         let endpoint = state.endpoints.ready_endpoint_at(upstream, address)?;
         Some(self.pool.host(upstream, address, endpoint.zone))
@@ -229,7 +229,7 @@
 
     /// Whether discovery's latest update allows new work for an upstream at this address.
     #[must_use]
-    pub fn may_send(&self, upstream: UpstreamId, address: SocketAddr) -> bool {
+    pub fn may_send(&self, upstream: EndpointId, address: SocketAddr) -> bool {
         self.state.borrow().endpoints.ready_endpoint_at(upstream, address).is_some()
     }
 
@@ -372,7 +372,7 @@
         fit_to_sockets(&mut settings);
         let offered = self.offered().followed_by(&names, &mut settings)?;
         settings.validate()?;
-        self.pool.reconfigure(connect_timeout, settings.allowed.keepalive);
+        self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
         self.longest.set(self.longest.get().max(offered.longest()));
         self.offered.replace(Rc::new(offered));
         self.handle(Event::Reconfigured(settings));
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{Outcome, RequestId, UpstreamId};
+use balancer_policy::interface::{EndpointId, Outcome, RequestId};
 use balancer_policy::{Action, Event};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -106,7 +106,7 @@
 /// [`Action::Send`].
 struct Send {
     request: RequestId,
-    upstream: UpstreamId,
+    upstream: EndpointId,
     timeout: Option<Duration>,
     begin_within: Option<Duration>,
     last: bool,
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, TenantId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, RequestId, TenantId};
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::oneshot;
@@ -64,7 +64,7 @@
 #[derive(Debug, Default)]
 struct Attempt {
     /// Where it is out to, until it has ended.
-    upstream: Option<UpstreamId>,
+    upstream: Option<EndpointId>,
     /// Withdraws it, once.
     withdraw: Option<oneshot::Sender<()>>,
 }
@@ -107,7 +107,7 @@
     }
 
     /// Enters an attempt that goes out.
-    pub fn start_attempt(&mut self, upstream: UpstreamId) -> StartedAttempt {
+    pub fn start_attempt(&mut self, upstream: EndpointId) -> StartedAttempt {
         let (withdraw, withdrawn) = oneshot::channel();
         let number = self.next_attempt();
         self.attempts.push(Attempt { upstream: Some(upstream), withdraw: Some(withdraw) });
@@ -159,7 +159,7 @@
 
     /// The upstreams that attempts are out to.
     #[must_use]
-    pub fn upstreams(&self) -> FxHashSet<UpstreamId> {
+    pub fn upstreams(&self) -> FxHashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts.filter_map(|attempt| attempt.upstream).collect()
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, EndpointId, LoadReport, Outcome, RequestId};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -32,7 +32,7 @@
     /// The attempt.
     pub attempt: AttemptNumber,
     /// Where to.
-    pub upstream: UpstreamId,
+    pub upstream: EndpointId,
     /// Its address.
     pub address: SocketAddr,
     /// What to send.
@@ -51,7 +51,7 @@
 struct Bounds {
     driver: Rc<EventLoop>,
     request: RequestId,
-    upstream: UpstreamId,
+    upstream: EndpointId,
     address: SocketAddr,
     begin_by: Option<Instant>,
     until: Instant,
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 use std::time::Duration;
 
-use balancer_policy::interface::{UpstreamId, ZoneId};
+use balancer_policy::interface::{EndpointId, ZoneId};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::AbortHandle;
@@ -48,7 +48,7 @@
 
 /// The connections to one process of an upstream, for as long as the list has it ready at that address.
 pub struct Host {
-    pub(super) id: UpstreamId,
+    pub(super) id: EndpointId,
     pub(super) address: SocketAddr,
     pub(super) zone: Option<ZoneId>,
     /// The most recently used last.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -10,7 +10,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use balancer_policy::interface::{UpstreamId, ZoneId};
+use balancer_policy::interface::{EndpointId, ZoneId};
 use rustc_hash::FxHashMap;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
@@ -41,7 +41,7 @@
 const LATE_MOST: Duration = Duration::from_millis(3500);
 /// All connections to upstreams, and the budget of sockets.
 pub struct Pool {
-    hosts: RefCell<FxHashMap<UpstreamId, Rc<Host>>>,
+    hosts: RefCell<FxHashMap<EndpointId, Rc<Host>>>,
     /// By zone: where upstreams stand decides how long a connect takes.
     connect_times: RefCell<FxHashMap<Option<ZoneId>, ConnectTime>>,
     connect_timeout: Cell<Duration>,
@@ -50,7 +50,7 @@
     sockets: Rc<Cell<usize>>,
     sockets_most: usize,
     /// Hears of each connection that came up with no attempt waiting for it.
-    connected: Box<dyn Fn(UpstreamId)>,
+    connected: Box<dyn Fn(EndpointId)>,
 }
 
 impl Debug for Pool {
@@ -65,7 +65,7 @@
         connect_timeout: Duration,
         keepalive: Duration,
         descriptors: usize,
-        connected: impl Fn(UpstreamId) + 'static,
+        connected: impl Fn(EndpointId) + 'static,
     ) -> Rc<Self> {
         let keep = keepalive.mul_f64(KEEP_PART);
         Rc::new(Self {
@@ -138,7 +138,7 @@
     // --- Hosts ---
 
     /// The connections to an upstream that the list has ready at this address.
-    pub fn host(&self, id: UpstreamId, address: SocketAddr, zone: Option<ZoneId>) -> Rc<Host> {
+    pub fn host(&self, id: EndpointId, address: SocketAddr, zone: Option<ZoneId>) -> Rc<Host> {
         let mut hosts = self.hosts.borrow_mut();
         if let Some(host) = hosts.get(&id).filter(|host| host.address == address) {
             return Rc::clone(host);
@@ -160,21 +160,21 @@
     }
 
     /// Closes all connections to an upstream but those that carry an attempt.
-    pub fn close(&self, id: UpstreamId) {
+    pub fn close(&self, id: EndpointId) {
         if let Some(host) = self.hosts.borrow_mut().remove(&id) {
             host.close();
         }
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn close_idle(&self, id: UpstreamId) {
+    pub fn close_idle(&self, id: EndpointId) {
         if let Some(host) = self.hosts.borrow().get(&id) {
             host.idle.take();
         }
     }
 
     /// Closes the connections to upstreams that are not, or no longer, `listed` as ready at their address.
-    pub fn retain(&self, listed: impl Fn(UpstreamId, SocketAddr) -> bool) {
+    pub fn retain(&self, listed: impl Fn(EndpointId, SocketAddr) -> bool) {
         self.hosts.borrow_mut().retain(|&id, host| {
             let listed = listed(id, host.address);
             if !listed {
--- a/crates/proxy/tests/beyond_the_bench.rs
+++ b/crates/proxy/tests/beyond_the_bench.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use balancer_policy::interface::{
-    DiscoveryMode, Effect, Event, ListUpdate, Member, Outcome, Phase, UpstreamId,
+    DiscoveryMode, EndpointId, Event, Idempotency, Lifecycle, ListUpdate, Member, Outcome,
 };
 use balancer_policy::{Action, Settings};
 use common::*;
@@ -28,7 +28,7 @@
 
 /// A copy of a fleet's first tier with eight upstreams, in a mode of having lists.
 fn copy(discovery: DiscoveryMode) -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
     settings.discovery = discovery;
     settings.rules.ask_within = Some(millis(10_000));
     Bench::new(settings, 11, (0..8).map(member).collect())
@@ -39,7 +39,7 @@
 fn send(bench: &mut Bench, requests: u32, failing: &[u32]) -> (u32, u32) {
     let (mut served, mut failed) = (0, 0);
     for _ in 0..requests {
-        let meets = |upstream: UpstreamId| match failing.contains(&upstream.0) {
+        let meets = |upstream: EndpointId| match failing.contains(&upstream.0) {
             true => (Outcome::ConnectFailed, millis(1)),
             false => (Outcome::Good, millis(20)),
         };
@@ -119,7 +119,10 @@
         );
         assert_eq!(send(&mut bench, 100, &[]).0, 100, "{mode:?}: the list in hand serves");
         // The first word tells that half of the tier has been replaced meanwhile.
-        let told = |id| Member { phase: if id < 4 { Phase::Draining } else { Phase::Ready }, ..member(id) };
+        let told = |id| Member {
+            lifecycle: if id < 4 { Lifecycle::Draining } else { Lifecycle::Ready },
+            ..member(id)
+        };
         bench.tell(Event::List(ListUpdate::Whole((0..8).map(told).collect())));
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -8,7 +8,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use balancer_policy::interface::{Time, UpstreamId};
+use balancer_policy::interface::{EndpointId, Time};
 use balancer_proxy::clock::{PAST_STARTS_MOST, StartTimes, SystemClock, WallClock};
 use balancer_proxy::config::Config;
 use balancer_proxy::server;
@@ -90,7 +90,7 @@
     fn read(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let newest_ms = entries.iter().map(|entry| entry.1).max().unwrap_or(0);
         let moment = self.starts.moment(self.now, newest_ms);
-        entries.iter().map(|&(id, since_ms)| self.starts.listed(&moment, UpstreamId(id), since_ms)).collect()
+        entries.iter().map(|&(id, since_ms)| self.starts.listed(&moment, EndpointId(id), since_ms)).collect()
     }
 
     fn hear_one(&mut self, id: u32, since_ms: u64) -> Option<Time> {
@@ -266,7 +266,7 @@
         let second_ms = world.stamp();
         world.hear_one(1, second_ms);
         for since_ms in [0, first_ms, second_ms] {
-            assert!(!world.starts.is_new_start(world.now, UpstreamId(1), since_ms), "{stamps_ahead_ms}");
+            assert!(!world.starts.is_new_start(world.now, EndpointId(1), since_ms), "{stamps_ahead_ms}");
         }
     }
 }
@@ -283,7 +283,7 @@
         world.pass(seconds(1));
         world.stamps_ahead_ms = step_ms;
         let second_ms = world.stamp();
-        assert!(world.starts.is_new_start(world.now, UpstreamId(1), second_ms), "{step_ms}");
+        assert!(world.starts.is_new_start(world.now, EndpointId(1), second_ms), "{step_ms}");
     }
 }
 
@@ -296,8 +296,8 @@
         world.hear_one(1, since_ms);
         world.pass(seconds(10));
         let before_ms = since_ms - 20 * SECOND_MS;
-        assert!(!world.starts.is_new_start(world.now, UpstreamId(1), before_ms), "{ahead_ms}");
-        assert!(world.starts.is_new_start(world.now, UpstreamId(1), since_ms + SECOND_MS), "{ahead_ms}");
+        assert!(!world.starts.is_new_start(world.now, EndpointId(1), before_ms), "{ahead_ms}");
+        assert!(world.starts.is_new_start(world.now, EndpointId(1), since_ms + SECOND_MS), "{ahead_ms}");
     }
 }
 
@@ -373,11 +373,11 @@
         world.pass(seconds(2));
         let since_ms = world.stamp();
         let started = world.hear_one(1, since_ms);
-        world.starts.left(UpstreamId(1));
+        world.starts.left(EndpointId(1));
         world.pass(seconds(60));
         world.step(ahead_ms);
         assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
-        world.starts.retain(&[UpstreamId(0)].into_iter().collect());
+        world.starts.retain(&[EndpointId(0)].into_iter().collect());
         world.pass(seconds(60));
         assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
     }
@@ -393,8 +393,8 @@
         world.pass(Duration::from_millis(20));
         let since_ms = world.stamp();
         world.hear_one(id, since_ms);
-        world.starts.left(UpstreamId(id));
-        world.starts.left(UpstreamId(0));
+        world.starts.left(EndpointId(id));
+        world.starts.left(EndpointId(0));
         assert!(world.starts.past_len() <= PAST_STARTS_MOST);
         assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are kept");
     }
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use balancer_policy::interface::{ListUpdate, Time, UpstreamId};
+use balancer_policy::interface::{EndpointId, ListUpdate, Time};
 use balancer_proxy::clock::{PAST_STARTS_MOST, SystemClock};
 use balancer_proxy::discovery::Update;
 use balancer_proxy::endpoint_table::{EndpointTable, ListSource, MIN_NAMES_TO_PRUNE};
@@ -24,7 +24,7 @@
     table: EndpointTable,
     names: Names,
     now: Time,
-    in_attempts: FxHashSet<UpstreamId>,
+    in_attempts: FxHashSet<EndpointId>,
 }
 
 impl World {
@@ -35,7 +35,7 @@
     }
 
     /// One entry of a patch; gives the endpoint's number and start time.
-    fn patch(&mut self, name: &str, status: &str, since_ms: u64) -> (UpstreamId, Option<Time>) {
+    fn patch(&mut self, name: &str, status: &str, since_ms: u64) -> (EndpointId, Option<Time>) {
         let entry = json!({ "name": name, "address": "127.0.0.1:9", "status": status, "since_ms": since_ms });
         let update: Update = serde_json::from_value(json!({ "endpoints": [entry] })).expect("an update");
         self.now += Duration::from_millis(1);
@@ -70,12 +70,12 @@
 fn a_name_that_returns_has_its_number_again() {
     let mut world = World::new();
     let names: Vec<String> = (0..100).map(|number| format!("s-{number}")).collect();
-    let first: Vec<UpstreamId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
+    let first: Vec<EndpointId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
     for name in &names {
         world.patch(name, "gone", 0);
     }
     world.pass(0);
-    let again: Vec<UpstreamId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
+    let again: Vec<EndpointId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
     assert_eq!(again, first);
 }
 
@@ -124,7 +124,7 @@
 #[test]
 fn more_names_than_the_bound_may_be_listed() {
     let mut world = World::new();
-    let ids: HashSet<UpstreamId> =
+    let ids: HashSet<EndpointId> =
         (0..2 * MIN_NAMES_TO_PRUNE).map(|number| world.patch(&format!("s-{number}"), "ready", 0).0).collect();
     assert_eq!(ids.len(), 2 * MIN_NAMES_TO_PRUNE);
     assert_eq!(world.table.names(), 2 * MIN_NAMES_TO_PRUNE);
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, RequestId};
 use balancer_proxy::request_table::{AcceptedRequest, Answer, AttemptResult, RequestTable};
 use balancer_proxy::socket::Socket;
 use balancer_proxy::upstream::Call;
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-const UPSTREAM: UpstreamId = UpstreamId(7);
+const UPSTREAM: EndpointId = EndpointId(7);
 
 /// A table with one request of a client that is connected.
 struct World {
@@ -59,7 +59,7 @@
         (attempt.number, attempt.withdrawn)
     }
 
-    fn upstreams(&self) -> Vec<UpstreamId> {
+    fn upstreams(&self) -> Vec<EndpointId> {
         self.table.upstreams().into_iter().collect()
     }
 }
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Settings, Tenant, ZoneId,
+    Class, Costs, DeduplicationScope, DiscoveryMode, Idempotency, Permissions, Rules, Settings, Tenant,
+    ZoneId,
 };
 use rustc_hash::FxHashMap;
 
@@ -35,9 +36,9 @@
         over_share_worth: setup.over_quota_weight,
         discovery: discovery_mode(&setup.discovery),
         passes_deadline: setup.family.passes_deadline,
-        allowed: allowed(&setup.capabilities)?,
+        permissions: permissions(&setup.capabilities)?,
         rules: rules(&setup.rules)?,
-        prices: prices(&setup.prices),
+        costs: costs(&setup.prices),
     })
 }
 
@@ -58,31 +59,31 @@
 }
 
 fn class(class: &Lane) -> Result<Class, SetupError> {
-    let effect = effect(class)?;
+    let idempotency = idempotency(class)?;
     Ok(Class {
         aim: duration("onTimeS", class.latency_objective_s)?,
         deadline: duration("hardLimitS", class.deadline_s)?,
         late_worth: class.late_weight,
-        effect,
+        idempotency,
     })
 }
 
-fn effect(class: &Lane) -> Result<Effect, SetupError> {
+fn idempotency(class: &Lane) -> Result<Idempotency, SetupError> {
     Ok(match class.effect {
-        EffectName::Idempotent => Effect::Safe,
-        EffectName::AtMostOnce => Effect::Unsafe,
-        EffectName::Deduplicated => Effect::Keyed {
-            scope: dedup_scope(class.dedup_scope.as_deref())?,
+        EffectName::Idempotent => Idempotency::Safe,
+        EffectName::AtMostOnce => Idempotency::Unsafe,
+        EffectName::Deduplicated => Idempotency::Keyed {
+            scope: deduplication_scope(class.dedup_scope.as_deref())?,
             window: duration("windowS", class.dedup_window_s.unwrap_or(0.0))?,
         },
     })
 }
 
-fn dedup_scope(name: Option<&str>) -> Result<DedupScope, SetupError> {
+fn deduplication_scope(name: Option<&str>) -> Result<DeduplicationScope, SetupError> {
     match name {
-        Some("all") => Ok(DedupScope::All),
-        Some("zone") => Ok(DedupScope::Zone),
-        Some("cell") => Ok(DedupScope::Cell),
+        Some("all") => Ok(DeduplicationScope::All),
+        Some("zone") => Ok(DeduplicationScope::Zone),
+        Some("cell") => Ok(DeduplicationScope::Cell),
         other => Err(invalid("dedupScope", other.unwrap_or("-"))),
     }
 }
@@ -98,8 +99,8 @@
     }
 }
 
-fn allowed(capabilities: &Caps) -> Result<Allowed, SetupError> {
-    Ok(Allowed {
+fn permissions(capabilities: &Caps) -> Result<Permissions, SetupError> {
+    Ok(Permissions {
         attempts: capabilities.max_attempts,
         second_copies: capabilities.hedging,
         cancel: capabilities.cancellation,
@@ -131,8 +132,8 @@
     })
 }
 
-fn prices(prices: &PriceFigures) -> Prices {
-    Prices {
+fn costs(prices: &PriceFigures) -> Costs {
+    Costs {
         cross_zone: prices.cross_zone,
         waste: prices.wasted_work,
         late_failure: prices.late_failure,
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -145,7 +145,7 @@
     pub overload_window_s: f64,
 }
 
-/// Prices of what choices cost, in requests of full priority weight.
+/// Costs of choices, in requests of full priority weight.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PriceFigures {
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -4,7 +4,7 @@
 //! numbered, and each instance's message refers to the number. An entry names its zone and its kind of
 //! machine; their positions differ by instance and are looked up when the list is handed over.
 
-use balancer_policy::interface::{KindId, ListUpdate, Member, UpstreamId, ZoneId};
+use balancer_policy::interface::{EndpointId, KindId, ListUpdate, Member, ZoneId};
 use balancer_settings::Names;
 use rustc_hash::FxHashMap;
 
@@ -90,15 +90,15 @@
 
 impl ListEntry {
     fn read(mut fields: Fields) -> Result<Self, Malformed> {
-        let id = UpstreamId(fields.number("upstream")?);
+        let id = EndpointId(fields.number("upstream")?);
         let zone = fields.optional("regionPart")?.unwrap_or_default().to_owned();
         let kind = fields.optional("machine")?.unwrap_or_default().to_owned();
         let cell = fields.optional_number("cluster")?.unwrap_or_default();
-        let phase = wire::phase(fields.text("phase")?)?;
+        let lifecycle = wire::lifecycle(fields.text("phase")?)?;
         let weight = fields.optional("nominal")?.map_or(Ok(DEFAULT_WEIGHT), weight)?;
         let started = fields.optional_seconds("readyAtS")?.filter(|start| !start.is_zero());
         fields.end()?;
-        let member = Member { id, zone: None, kind: None, cell, phase, weight, started };
+        let member = Member { id, zone: None, kind: None, cell, lifecycle, weight, started };
         Ok(Self { zone, kind, member })
     }
 
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use balancer_policy::Event;
-use balancer_policy::interface::{AttemptNumber, ClassId, LoadReport, Request, TenantId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, LoadReport, Request, TenantId};
 use balancer_settings::Names;
 
 use crate::endpoint_lists::EndpointLists;
@@ -146,7 +146,7 @@
 fn health_checked(names: &Names, fields: &mut Fields) -> Result<Event, Malformed> {
     let outcome = wire::outcome(fields.text("outcome")?)?;
     let took = fields.seconds("durationS")?;
-    let upstream = UpstreamId(fields.number("upstream")?);
+    let upstream = EndpointId(fields.number("upstream")?);
     let load = load_report(names, fields)?;
     Ok(Event::Probed { upstream, outcome, took, load })
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,7 +2,7 @@
 //!
 //! The protocol's words are older than the policy's terms; this is the one place that pairs them.
 
-use balancer_policy::interface::{Outcome, Phase};
+use balancer_policy::interface::{Lifecycle, Outcome};
 
 use crate::error::Malformed;
 
@@ -22,11 +22,11 @@
 }
 
 /// What discovery says of an upstream.
-pub fn phase(value: &str) -> Result<Phase, Malformed> {
+pub fn lifecycle(value: &str) -> Result<Lifecycle, Malformed> {
     Ok(match value {
-        "Ready" => Phase::Ready,
-        "Terminating" => Phase::Draining,
-        "Gone" => Phase::Gone,
+        "Ready" => Lifecycle::Ready,
+        "Terminating" => Lifecycle::Draining,
+        "Gone" => Lifecycle::Gone,
         _ => return Err(Malformed::value("phase", value)),
     })
 }
