--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -314,7 +314,7 @@
         aim: Duration::from_secs_f64(plan.traffic.aim_s.value),
         deadline: Duration::from_secs_f64(plan.traffic.deadline_s.value),
         late_worth: 0.3,
-        idempotency: Idempotency::Safe,
+        idempotency: Idempotency::Idempotent,
     };
     // Quotas that no tenant reaches: what is measured is the way of a request that is served.
     let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(COPIES);
@@ -338,7 +338,7 @@
         let mut actions = Vec::new();
         let members = (0..size.upstreams).map(|number| member(number, plan.fleet.zones.value)).collect();
         balancer.handle(Duration::ZERO, Event::Started, &mut actions);
-        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Whole(members)), &mut actions);
+        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(members)), &mut actions);
         actions.clear();
         Ok(Self { balancer, now: 1.0, wake: 1.2, size, number: 0, out: VecDeque::new(), actions })
     }
@@ -373,7 +373,7 @@
         let ended = Event::AttemptEnded {
             request,
             attempt: AttemptNumber(0),
-            outcome: Outcome::Good,
+            outcome: Outcome::Success,
             took: Duration::from_secs_f64(CALL_S),
             connecting: Duration::ZERO,
             finished: true,
@@ -394,7 +394,7 @@
 
     fn wake_when_due(&mut self) {
         if self.now >= self.wake {
-            self.balancer.handle(self.time(), Event::Wake, &mut self.actions);
+            self.balancer.handle(self.time(), Event::MaintenanceDue, &mut self.actions);
             self.actions.clear();
             self.wake = self.now + 0.2;
         }
@@ -446,7 +446,7 @@
             // Each of some upstreams leaves and comes back.
             let lifecycle = if change % 2 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
             let changed = Member { lifecycle, ..member(change / 2 % size.upstreams, zones) };
-            Event::List(ListUpdate::Patch(vec![changed]))
+            Event::List(ListUpdate::Delta(vec![changed]))
         })
         .collect();
     let now = played.time();
@@ -465,7 +465,7 @@
     for _ in 0..count {
         played.now += 0.2;
         let now = played.time();
-        played.balancer.handle(now, Event::Wake, &mut played.actions);
+        played.balancer.handle(now, Event::MaintenanceDue, &mut played.actions);
         played.actions.clear();
     }
     Ok(per_each(began, count))
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -260,7 +260,7 @@
         match due {
             Due::Client => self.next_client(last),
             Due::Again(client) => self.call(client),
-            Due::Wake(core) => self.drive(core, Event::Wake),
+            Due::Wake(core) => self.drive(core, Event::MaintenanceDue),
             Due::Reach { hop, attempt } => self.reach(hop, attempt),
             Due::Done { work } => self.work_done(work),
             Due::Reply { hop, attempt, outcome } => self.attempt_over(hop, attempt, outcome),
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -102,13 +102,13 @@
         };
         attempt.over = true;
         let Attempt { sent, connecting, process, .. } = *attempt;
-        let good = outcome == Outcome::Good;
+        let good = outcome == Outcome::Success;
         let depth = self.depth_of(core);
         let end = match outcome {
-            Outcome::Good => 0,
-            Outcome::Error | Outcome::Rejected => 1,
+            Outcome::Success => 0,
+            Outcome::Error | Outcome::InvalidRequest => 1,
             Outcome::Refused => 2,
-            Outcome::TimedOut | Outcome::Withdrawn => 3,
+            Outcome::TimedOut | Outcome::Cancelled => 3,
             Outcome::ConnectFailed | Outcome::ConnectTimedOut | Outcome::NotSent => 4,
             Outcome::Reset => 5,
         };
--- a/crates/capacity/src/hollow/world/calls.rs
+++ b/crates/capacity/src/hollow/world/calls.rs
@@ -54,10 +54,10 @@
                     self.mix(request.0 ^ u64::from(upstream.0) << 40);
                     self.send(core, request.0, upstream.0, timeout, begin_within, last);
                 }
-                Action::Withdraw { request, attempt } => {
+                Action::CancelAttempt { request, attempt } => {
                     self.due.push(
                         self.now,
-                        Due::Reply { hop: request.0, attempt: attempt.0 as u8, outcome: Outcome::Withdrawn },
+                        Due::Reply { hop: request.0, attempt: attempt.0 as u8, outcome: Outcome::Cancelled },
                     );
                 }
                 Action::Refuse { request, .. } => {
@@ -74,10 +74,13 @@
                     self.report.depths[depth].failed += 1;
                     self.answer(request.0, End::Failed);
                 }
-                Action::WakeAfter(span) => {
+                Action::ScheduleMaintenance(span) => {
                     self.due.push(self.now + span.as_nanos() as u64, Due::Wake(core));
                 }
-                Action::Subscribe | Action::Probe { .. } | Action::DropIdle { .. } | Action::Log(_) => {}
+                Action::Subscribe
+                | Action::HealthCheck { .. }
+                | Action::CloseIdle { .. }
+                | Action::Log(_) => {}
             }
         }
         self.actions = actions;
@@ -98,7 +101,7 @@
         match parent {
             Parent::Client(client) => self.client_answered(client, end),
             Parent::Work(work) => {
-                let outcome = if end == End::Good { Outcome::Good } else { Outcome::Error };
+                let outcome = if end == End::Good { Outcome::Success } else { Outcome::Error };
                 self.work_over(work, outcome);
             }
         }
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -34,12 +34,12 @@
 
     pub(super) fn changed_list_arrives(&mut self, core: u32, change: u32) {
         let members = self.changes[change as usize].clone();
-        self.tell(core, ListUpdate::Patch(members));
+        self.tell(core, ListUpdate::Delta(members));
     }
 
     pub(super) fn whole_list_arrives(&mut self, core: u32) {
         let members = self.members(self.cores[core as usize].service);
-        self.tell(core, ListUpdate::Whole(members));
+        self.tell(core, ListUpdate::Snapshot(members));
     }
 
     /// A core takes in a list.
@@ -48,7 +48,7 @@
         if held.balancer.is_none() {
             return;
         }
-        if let ListUpdate::Whole(members) | ListUpdate::Patch(members) = &update {
+        if let ListUpdate::Snapshot(members) | ListUpdate::Delta(members) = &update {
             for member in members.iter().filter(|member| member.lifecycle != Lifecycle::Ready) {
                 held.told.entry(member.id.0).or_insert(self.now);
             }
@@ -84,7 +84,7 @@
         let before = listed.len();
         listed.retain(|&other| other as usize != process);
         if listed.len() < before {
-            self.processes[process].lifecycle = Lifecycle::Gone;
+            self.processes[process].lifecycle = Lifecycle::Removed;
             self.spread(service, vec![self.member(process as u32)]);
         }
     }
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -86,7 +86,7 @@
         });
         self.watchers[service].push(core);
         self.drive(core, Event::Started);
-        self.tell(core, ListUpdate::Whole(members));
+        self.tell(core, ListUpdate::Snapshot(members));
         Ok(core)
     }
 
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -26,7 +26,8 @@
             late_worth: 0.3,
             idempotency,
         };
-        let keyed = Idempotency::Keyed { scope: DeduplicationScope::All, window: Duration::from_secs(10) };
+        let keyed =
+            Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_secs(10) };
         let mut before = 0.0;
         let quota = |&until: &f64| {
             let part = until - mem::replace(&mut before, until);
@@ -39,7 +40,7 @@
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
             kinds: 1,
-            classes: vec![class(Idempotency::Safe), class(keyed), class(Idempotency::Unsafe)],
+            classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NotIdempotent)],
             tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
             over_share_worth: 0.3,
             discovery: DiscoveryMode::Push,
--- a/crates/capacity/src/hollow/world/upstreams.rs
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -147,7 +147,7 @@
         let topology = self.topology;
         let calls = &topology.services[service].calls;
         if left <= 1 || calls.is_empty() {
-            self.work_over(id, Outcome::Good);
+            self.work_over(id, Outcome::Success);
         } else {
             let call = place(calls.iter().map(|&(_, until)| until), self.rng.rand_float());
             let core = self.processes[process].cores[call];
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -14,7 +14,7 @@
         aim: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         late_worth: 0.0,
-        idempotency: Idempotency::Safe,
+        idempotency: Idempotency::Idempotent,
     };
     let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
     let mut now = Duration::from_secs(1);
@@ -29,13 +29,13 @@
         weight: 1.0,
         started: None,
     });
-    balancer.handle(now, Event::List(ListUpdate::Whole(members.collect())), &mut actions);
+    balancer.handle(now, Event::List(ListUpdate::Snapshot(members.collect())), &mut actions);
 
     let mut wake = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
     for number in 0..20 {
         now += Duration::from_millis(50);
         if now >= wake {
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::MaintenanceDue, &mut actions);
             wake = carry_out(now, &mut actions).expect("each wake-up asks for the next");
         }
         let id = RequestId(number);
@@ -56,7 +56,7 @@
             let ended = Event::AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
-                outcome: Outcome::Good,
+                outcome: Outcome::Success,
                 took: Duration::from_millis(20),
                 connecting: Duration::ZERO,
                 finished: true,
@@ -74,7 +74,7 @@
     let mut wake = None;
     for action in actions.drain(..) {
         match action {
-            Action::WakeAfter(span) => wake = Some(now + span),
+            Action::ScheduleMaintenance(span) => wake = Some(now + span),
             other => println!("{:.2} s: {other:?}", now.as_secs_f64()),
         }
     }
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -23,7 +23,7 @@
         last: bool,
     },
     /// Cancel an attempt; its end is still to be reported.
-    Withdraw {
+    CancelAttempt {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -43,18 +43,18 @@
     },
     /// Open a subscription to the list of endpoints.
     Subscribe,
-    /// Send a health check; its result comes as [`Event::Probed`](crate::Event::Probed).
-    Probe {
+    /// Send a health check; its result comes as [`Event::HealthChecked`](crate::Event::HealthChecked).
+    HealthCheck {
         /// The endpoint.
         upstream: EndpointId,
     },
     /// Close the idle connections to an endpoint.
-    DropIdle {
+    CloseIdle {
         /// The endpoint.
         upstream: EndpointId,
     },
-    /// Deliver [`Event::Wake`](crate::Event::Wake) after this long.
-    WakeAfter(Duration),
+    /// Deliver [`Event::MaintenanceDue`](crate::Event::MaintenanceDue) after this long.
+    ScheduleMaintenance(Duration),
     /// A line for the operator's log.
     Log(String),
 }
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -143,7 +143,7 @@
         let slower = end.served.max(SHORTEST_S).ln() - baseline.ln_seconds;
         // One given up tells how long it took at least: nothing, where the endpoint had less than the usual time.
         let is_cut_short = match end.outcome {
-            Outcome::Withdrawn => true,
+            Outcome::Cancelled => true,
             Outcome::TimedOut => end.served < end.latency_objective * WHOLE_OBJECTIVE,
             _ => false,
         };
@@ -154,7 +154,7 @@
             slower.min(MAX_SIGNAL)
         } else if is_bad {
             MAX_SIGNAL
-        } else if end.outcome == Outcome::Good && tier.is_first {
+        } else if end.outcome == Outcome::Success && tier.is_first {
             // Shed early at the first tier only: a call denied below is work lost above.
             slower.clamp(MIN_SIGNAL, MAX_SIGNAL)
         } else {
@@ -170,12 +170,12 @@
         answer.connect_timeouts_since += u32::from(end.outcome == Outcome::ConnectTimedOut);
         let is_silent = now - answer.at > WINDOW_S && answer.connect_timeouts_since >= UNREACHABLE_AFTER;
         match end.outcome {
-            Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Withdrawn => Some(true),
+            Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled => Some(true),
             // Late connections tell nothing of a tier that answers others.
             Outcome::ConnectTimedOut if is_silent => Some(true),
             Outcome::Error => Some(tier_failure_rate > CONGESTED_FAILURE_RATE),
-            Outcome::Good => Some(now - end.arrived - end.connecting > end.latency_objective),
-            Outcome::ConnectTimedOut | Outcome::Rejected | Outcome::Reset | Outcome::NotSent => None,
+            Outcome::Success => Some(now - end.arrived - end.connecting > end.latency_objective),
+            Outcome::ConnectTimedOut | Outcome::InvalidRequest | Outcome::Reset | Outcome::NotSent => None,
         }
     }
 
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -134,7 +134,7 @@
         let weight = if has_no_history { 0.0 } else { self.congestion.weight(rate, end.arrived) };
         self.congestion.record(signal.value, weight);
         let is_congested = self.congestion.is_met(weight, baseline.samples);
-        let is_good = end.outcome == Outcome::Good;
+        let is_good = end.outcome == Outcome::Success;
         if is_good {
             baseline.record(end.served.max(SHORTEST_S), 1.0 / (rate * BASELINE_WINDOW_S), is_congested);
         }
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -26,7 +26,7 @@
 
 fn limits(quotas: &[f64]) -> Vec<AdaptiveLimit> {
     let span = std::time::Duration::from_secs(1);
-    let class = Class { aim: span, deadline: span, late_worth: 0.0, idempotency: Idempotency::Safe };
+    let class = Class { aim: span, deadline: span, late_worth: 0.0, idempotency: Idempotency::Idempotent };
     let mut settings = Settings::single_zone(vec![class]);
     settings.over_share_worth = 0.2;
     settings.tenants = quotas.iter().map(|&quota| Tenant { quota: Some(quota) }).collect();
@@ -118,7 +118,7 @@
     };
     let (refused, is_met) = level(Outcome::Refused);
     assert!(refused > 1.9 && is_met, "{refused}");
-    let (usual, is_met) = level(Outcome::Good);
+    let (usual, is_met) = level(Outcome::Success);
     assert!(usual.abs() < 1e-9 && !is_met, "{usual}");
 }
 
@@ -138,7 +138,7 @@
 fn an_answer_past_the_latency_objective_is_bad_but_not_for_the_wait_for_a_connection() {
     let mut congestion = Congestion::new();
     let mut signal = |connecting: f64| {
-        let end = CallEnd { connecting, ..call(Outcome::Good, 0.1) };
+        let end = CallEnd { connecting, ..call(Outcome::Success, 0.1) };
         congestion.signal(11.5, &end, baseline(0.1), TIER).expect("it tells").is_bad
     };
     assert!(signal(0.0));
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -82,13 +82,13 @@
                 self.end_attempt(now, request, end, actions);
             }
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
-            Event::ClientLeft(request) => self.close(request, actions),
-            Event::Wake => self.maintain(now, actions),
+            Event::ClientDisconnected(request) => self.close(request, actions),
+            Event::MaintenanceDue => self.maintain(now, actions),
             Event::Reconfigured(settings) => match settings.may_follow(&self.settings) {
                 Ok(()) => self.reconfigure(settings),
                 Err(why) => actions.push(Action::Log(format!("other settings were not taken over: {why}"))),
             },
-            Event::Probed { .. } | Event::Message { .. } => {}
+            Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
@@ -125,15 +125,15 @@
     fn update_list(&mut self, now: f64, update: ListUpdate) {
         match update {
             ListUpdate::Broken => return self.back_off(now, Interruption::Broken),
-            ListUpdate::Moved => return self.back_off(now, Interruption::Moved),
-            ListUpdate::Whole(members) => {
+            ListUpdate::Relocated => return self.back_off(now, Interruption::Relocated),
+            ListUpdate::Snapshot(members) => {
                 self.subscription.record_update();
                 self.endpoints.replace(now, members, &mut self.rng);
             }
-            ListUpdate::StaleCopy(members) => self.endpoints.replace(now, members, &mut self.rng),
-            ListUpdate::Patch(members) => {
+            ListUpdate::CachedSnapshot(members) => self.endpoints.replace(now, members, &mut self.rng),
+            ListUpdate::Delta(members) => {
                 self.subscription.record_update();
-                self.endpoints.patch(now, members, &mut self.rng);
+                self.endpoints.apply_delta(now, members, &mut self.rng);
             }
         }
         self.lay_out_subset();
@@ -250,7 +250,7 @@
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.streaming = true;
         if self.settings.permissions.cancel {
-            pending.withdraw(Some(attempt), actions);
+            pending.cancel_attempts(Some(attempt), actions);
         }
     }
 
@@ -270,7 +270,7 @@
         }
         let is_retried = is_idle && self.retry(now, id, outcome, actions);
         if is_idle && !is_retried {
-            self.finish(id, outcome == Outcome::Rejected, actions);
+            self.finish(id, outcome == Outcome::InvalidRequest, actions);
         }
         // A call that was refused and went elsewhere has met no congestion yet: behind a broken link or one full
         // server the tenant's limit would decrease although its calls are served. Refusals by two servers in a row
@@ -284,7 +284,7 @@
     }
 
     fn retry(&mut self, now: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
-        if matches!(outcome, Outcome::NotSent | Outcome::Rejected) {
+        if matches!(outcome, Outcome::NotSent | Outcome::InvalidRequest) {
             return false;
         }
         let is_sent = self.can_meet_deadline(now, id)
@@ -302,7 +302,7 @@
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
         let is_safe_anywhere = matches!(
             pending.rules().idempotency,
-            Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. }
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
         );
         let may_come_again = is_safe_anywhere || pending.first_run().is_none();
         actions.push(if may_come_again && !is_wrong {
@@ -329,7 +329,7 @@
             self.admission.record_answer(now);
         }
         // A rejection tells of the client, not of the endpoint.
-        if matches!(outcome, Outcome::NotSent | Outcome::Withdrawn | Outcome::Rejected) {
+        if matches!(outcome, Outcome::NotSent | Outcome::Cancelled | Outcome::InvalidRequest) {
             return;
         }
         self.subset.record_attempt(now, endpoint, end, &self.settings);
@@ -370,7 +370,7 @@
 
     /// Asks for the next maintenance pass and, where it is due, for the list.
     fn schedule_maintenance(&mut self, now: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::WakeAfter(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
+        actions.push(Action::ScheduleMaintenance(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
         if self.subscription.begin_if_due(now, &self.settings) {
             actions.push(Action::Subscribe);
         }
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -79,16 +79,16 @@
         self.endpoints[slot].member.weight / self.largest_weight
     }
 
-    /// Takes in a whole list: what is absent is gone.
+    /// Takes in a snapshot: what is absent was removed.
     pub fn replace(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
         for endpoint in &mut self.endpoints {
-            endpoint.member.lifecycle = Lifecycle::Gone;
+            endpoint.member.lifecycle = Lifecycle::Removed;
         }
-        self.patch(now, members, rng);
+        self.apply_delta(now, members, rng);
     }
 
     /// Takes in changed entries.
-    pub fn patch(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
+    pub fn apply_delta(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
         for member in members {
             self.update_member(now, member, rng);
         }
@@ -97,7 +97,7 @@
     fn update_member(&mut self, now: f64, member: Member, rng: &mut Rand64) {
         if let Some(endpoint) = self.by_id_mut(member.id) {
             endpoint.update(member, now, rng);
-        } else if member.lifecycle != Lifecycle::Gone {
+        } else if member.lifecycle != Lifecycle::Removed {
             let endpoint = Endpoint::new(member, now, rng);
             let slot = self.insert(endpoint);
             self.slot_by_id.insert(member.id, slot);
@@ -125,7 +125,7 @@
         for (id, slot) in order {
             let endpoint = &mut self.endpoints[slot];
             if endpoint.member.lifecycle != Lifecycle::Ready {
-                if endpoint.member.lifecycle == Lifecycle::Gone && endpoint.in_flight == 0 {
+                if endpoint.member.lifecycle == Lifecycle::Removed && endpoint.in_flight == 0 {
                     self.slot_by_id.remove(&id);
                     self.free_slots.push(slot);
                 }
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -21,7 +21,7 @@
     /// It broke, or asking for it failed.
     Broken,
     /// Discovery is elsewhere now, so earlier failures tell nothing of it.
-    Moved,
+    Relocated,
 }
 
 /// The subscription to the list. Times are in seconds.
@@ -54,7 +54,7 @@
         // Each agent has one replica alone, so there is nobody to come back together with.
         let has_own_agent = settings.discovery == DiscoveryMode::Agent;
         let most = if has_own_agent { 0.0 } else { longest_wait(settings).max(MIN_BACKOFF_S) };
-        let before = if why == Interruption::Moved { 0.0 } else { self.backoff_s };
+        let before = if why == Interruption::Relocated { 0.0 } else { self.backoff_s };
         self.backoff_s = (before * 2.0).max(MIN_BACKOFF_S).min(most);
         self.next_at = now + between(rng, self.backoff_s / 2.0..self.backoff_s);
     }
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -189,14 +189,14 @@
         if outcome == Outcome::TimedOut && served < baseline_s {
             return None;
         }
-        let has_failed = !matches!(outcome, Outcome::Good | Outcome::Refused);
+        let has_failed = !matches!(outcome, Outcome::Success | Outcome::Refused);
         self.record_failure(health, outcome, f64::from(u8::from(has_failed)));
-        if baseline_s > 0.0 && matches!(outcome, Outcome::Good | Outcome::TimedOut) {
+        if baseline_s > 0.0 && matches!(outcome, Outcome::Success | Outcome::TimedOut) {
             let slowness = (served / baseline_s).min(MAX_SLOWNESS);
-            self.record_slowness(health, kind, slowness, outcome == Outcome::Good);
+            self.record_slowness(health, kind, slowness, outcome == Outcome::Success);
         }
         match outcome {
-            Outcome::Good => {
+            Outcome::Success => {
                 health.record_good();
                 None
             }
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -21,7 +21,7 @@
         aim: span,
         deadline: span,
         late_worth: 0.0,
-        idempotency: Idempotency::Safe,
+        idempotency: Idempotency::Idempotent,
     }])
 }
 
@@ -120,7 +120,7 @@
     health.eject(10.0, &mut Rand64::new(1));
     let mut chances = vec![health.recovery_chance()];
     for _ in 0..4 {
-        detector.record(&mut health, 0, &end(Outcome::Good, 0.1), 0.1);
+        detector.record(&mut health, 0, &end(Outcome::Success, 0.1), 0.1);
         chances.push(health.recovery_chance());
     }
     assert_eq!(chances, [0.1, 0.2, 0.4, 0.8, 1.0]);
@@ -138,9 +138,9 @@
     let mut slow = Health::new();
     let mut quick = Health::new();
     for _ in 0..100 {
-        detector.record(&mut slow, 0, &end(Outcome::Good, 2.0), 0.1);
+        detector.record(&mut slow, 0, &end(Outcome::Success, 2.0), 0.1);
         for _ in 0..20 {
-            detector.record(&mut quick, 0, &end(Outcome::Good, 0.1), 0.1);
+            detector.record(&mut quick, 0, &end(Outcome::Success, 0.1), 0.1);
         }
     }
     assert_eq!(detector.slowness_chance(&quick, 0), 1.0);
@@ -209,12 +209,12 @@
 
     list.replace(2.0, vec![member(2, Lifecycle::Ready, None)], &mut rng);
     list.sort(&settings);
-    list.patch(3.0, vec![member(3, Lifecycle::Ready, None)], &mut rng);
+    list.apply_delta(3.0, vec![member(3, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(list.sort(&settings).local, [1, 2], "the slot of 1 still has an attempt in flight");
 
     list.by_id_mut(EndpointId(1)).expect("its attempt is in flight").in_flight = 0;
     list.sort(&settings);
-    list.patch(4.0, vec![member(4, Lifecycle::Ready, None)], &mut rng);
+    list.apply_delta(4.0, vec![member(4, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(list.sort(&settings).local, [1, 2, 0], "4 has the slot that 1 had");
 }
 
@@ -226,7 +226,7 @@
     let endpoint = list.get_mut(0);
     endpoint.in_flight = 2;
     endpoint.health.eject(1.0, &mut rng);
-    list.patch(1.1, vec![member(1, Lifecycle::Ready, Some(Duration::from_secs(1)))], &mut rng);
+    list.apply_delta(1.1, vec![member(1, Lifecycle::Ready, Some(Duration::from_secs(1)))], &mut rng);
     assert_eq!(list.get(0).in_flight, 2);
     assert!(!list.get(0).health.is_ejected(1.2));
 }
@@ -260,6 +260,6 @@
         let span = pause(Interruption::Broken);
         assert!((longest / 2.0..=longest + 0.001).contains(&span), "{longest}: {span}");
     }
-    let span = pause(Interruption::Moved);
+    let span = pause(Interruption::Relocated);
     assert!((0.25..=0.501).contains(&span), "{span}");
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -37,7 +37,7 @@
     List(ListUpdate),
     /// A request was received.
     Request(Request),
-    /// A streamed answer has begun: its attempt can no longer be retried or withdrawn.
+    /// A streamed answer has begun: its attempt can no longer be retried or cancelled.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -64,9 +64,9 @@
     /// A connection has come up that no attempt waits for any more: the endpoint is reachable.
     Connected(EndpointId),
     /// The client has closed its connection, or the final answer is overdue: no answer is owed any more.
-    ClientLeft(RequestId),
-    /// The maintenance pass asked for by [`Action::WakeAfter`](crate::Action::WakeAfter) is due.
-    Wake,
+    ClientDisconnected(RequestId),
+    /// The maintenance pass asked for by [`Action::ScheduleMaintenance`](crate::Action::ScheduleMaintenance) is due.
+    MaintenanceDue,
     /// The settings have changed.
     ///
     /// Positions keep their meaning: classes and tenants known before stand where they stood, new ones behind them, and
@@ -76,7 +76,7 @@
     /// [`Action::Log`](crate::Action::Log).
     Reconfigured(Settings),
     /// The result of a health check.
-    Probed {
+    HealthChecked {
         /// The endpoint.
         upstream: EndpointId,
         /// How it ended.
@@ -87,7 +87,7 @@
         load: Option<LoadReport>,
     },
     /// Another replica has sent a message.
-    Message {
+    PeerMessage {
         /// The sender's [`index`](Settings::index).
         from: u32,
         /// What it sent.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -28,7 +28,7 @@
 //!     aim: Duration::from_millis(500),
 //!     deadline: Duration::from_secs(2),
 //!     late_worth: 0.0,
-//!     idempotency: Idempotency::Safe,
+//!     idempotency: Idempotency::Idempotent,
 //! }]);
 //! let mut balancer = Balancer::new(settings, 7)?;
 //! let mut actions = Vec::new();
@@ -45,7 +45,7 @@
 //!     started: None,
 //! };
 //! balancer.handle(second, Event::Started, &mut actions);
-//! balancer.handle(second, Event::List(ListUpdate::Whole(vec![member])), &mut actions);
+//! balancer.handle(second, Event::List(ListUpdate::Snapshot(vec![member])), &mut actions);
 //! actions.clear();
 //! let request = Request {
 //!     id: RequestId(1),
@@ -63,7 +63,7 @@
 //! let answer = Event::AttemptEnded {
 //!     request: RequestId(1),
 //!     attempt: AttemptNumber(0),
-//!     outcome: Outcome::Good,
+//!     outcome: Outcome::Success,
 //!     took: Duration::from_millis(80),
 //!     connecting: Duration::ZERO,
 //!     finished: true,
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -10,7 +10,7 @@
     /// It finishes the requests in flight and accepts no new ones.
     Draining,
     /// It was removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the list of endpoints.
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListUpdate {
     /// A snapshot: what is absent has been removed.
-    Whole(Vec<Member>),
+    Snapshot(Vec<Member>),
     /// The latest snapshot that the replica has cached, which may be stale.
-    StaleCopy(Vec<Member>),
+    CachedSnapshot(Vec<Member>),
     /// Changed entries only.
-    Patch(Vec<Member>),
+    Delta(Vec<Member>),
     /// The request for the list failed, or the subscription broke; the list stays as it is.
     Broken,
     /// Discovery is at another address now: as after [`ListUpdate::Broken`], but the backoff starts anew.
-    Moved,
+    Relocated,
 }
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -6,13 +6,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
-    Good,
+    Success,
     /// Answered with an error; it may have run.
     Error,
     /// Refused by an endpoint that sheds load; it never ran.
     Refused,
     /// Answered that the request itself is invalid, as any endpoint would; it may have run.
-    Rejected,
+    InvalidRequest,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection: the endpoint refused it, or it broke before the last byte of the request; it never ran.
@@ -21,8 +21,8 @@
     ConnectTimedOut,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
-    Withdrawn,
+    /// Cancelled by the balancer; it may have run.
+    Cancelled,
     /// Never sent.
     NotSent,
 }
@@ -36,7 +36,7 @@
 
     /// Whether the balancer no longer waited for an answer.
     pub(crate) fn is_given_up(self) -> bool {
-        matches!(self, Self::TimedOut | Self::Withdrawn)
+        matches!(self, Self::TimedOut | Self::Cancelled)
     }
 
     /// Whether there was no connection to send it over.
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -19,14 +19,14 @@
     /// `None` while it is in flight.
     pub ended: Option<Outcome>,
     /// It was called off, though its end is still to come.
-    pub withdrawn: bool,
+    pub cancelled: bool,
 }
 
 impl Attempt {
     /// An attempt sent at `sent`.
     #[must_use]
     pub fn new(slot: usize, member: Member, sent: f64) -> Self {
-        Self { slot, member, sent, ended: None, withdrawn: false }
+        Self { slot, member, sent, ended: None, cancelled: false }
     }
 
     /// Whether its request may have run: it is in flight, or did not end in a way that rules it out.
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -17,9 +17,9 @@
 ) -> Option<f64> {
     let Some(first) = first_run else { return Some(f64::MAX) };
     match idempotency {
-        Idempotency::Safe => Some(f64::MAX),
-        Idempotency::Unsafe => None,
-        Idempotency::Keyed { scope, window } => {
+        Idempotency::Idempotent => Some(f64::MAX),
+        Idempotency::NotIdempotent => None,
+        Idempotency::IdempotencyKey { scope, window } => {
             let left = first.sent + window.as_secs_f64() - now;
             (shares_scope(scope, &first.member, member) && left >= 0.0).then_some(left)
         }
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -76,12 +76,12 @@
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Withdraws the attempts in flight, but for the one to keep.
-    pub fn withdraw(&mut self, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
+    /// Cancels the attempts in flight, but for the one to keep.
+    pub fn cancel_attempts(&mut self, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
-            if Some(number) != keep && attempt.ended.is_none() && !attempt.withdrawn {
-                attempt.withdrawn = true;
-                actions.push(Action::Withdraw { request: self.id, attempt: number });
+            if Some(number) != keep && attempt.ended.is_none() && !attempt.cancelled {
+                attempt.cancelled = true;
+                actions.push(Action::CancelAttempt { request: self.id, attempt: number });
             }
         }
     }
@@ -136,12 +136,12 @@
         self.by_id.insert(request.id, request);
     }
 
-    /// Marks a request as ended and, where attempts may be cancelled, withdraws those still in flight.
+    /// Marks a request as ended and, where attempts may be cancelled, cancels those still in flight.
     pub fn close(&mut self, id: RequestId, may_cancel: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         request.closed = true;
         if may_cancel && !request.streaming {
-            request.withdraw(None, actions);
+            request.cancel_attempts(None, actions);
         }
         if request.in_flight == 0 {
             self.by_id.remove(&id);
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -27,8 +27,12 @@
 
 fn pending(late_worth: f64) -> PendingRequest {
     let (aim, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
-    let settings =
-        Settings::single_zone(vec![Class { aim, deadline, late_worth, idempotency: Idempotency::Safe }]);
+    let settings = Settings::single_zone(vec![Class {
+        aim,
+        deadline,
+        late_worth,
+        idempotency: Idempotency::Idempotent,
+    }]);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
@@ -55,7 +59,7 @@
 }
 
 fn keyed(scope: DeduplicationScope) -> Idempotency {
-    Idempotency::Keyed { scope, window: Duration::from_secs(1) }
+    Idempotency::IdempotencyKey { scope, window: Duration::from_secs(1) }
 }
 
 #[test]
@@ -96,9 +100,9 @@
 fn an_unsafe_request_goes_nowhere_after_an_attempt_that_may_have_run() {
     let first = Attempt::new(0, member(Some(0), 0), 10.0);
     let other = member(Some(0), 0);
-    assert_eq!(may_repeat(10.1, Idempotency::Unsafe, Some(&first), &other), None);
-    assert_eq!(may_repeat(10.1, Idempotency::Unsafe, None, &other), Some(f64::MAX));
-    assert_eq!(may_repeat(10.1, Idempotency::Safe, Some(&first), &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Idempotency::NotIdempotent, Some(&first), &other), None);
+    assert_eq!(may_repeat(10.1, Idempotency::NotIdempotent, None, &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Idempotency::Idempotent, Some(&first), &other), Some(f64::MAX));
 }
 
 #[test]
@@ -133,8 +137,8 @@
 fn an_attempt_ends_once() {
     let mut request = with_two_attempts();
     assert_eq!(request.end_attempt(&end(1, Outcome::Error)), Some(5));
-    assert_eq!(request.end_attempt(&end(1, Outcome::Good)), None);
-    assert_eq!(request.end_attempt(&end(2, Outcome::Good)), None, "it was never sent");
+    assert_eq!(request.end_attempt(&end(1, Outcome::Success)), None);
+    assert_eq!(request.end_attempt(&end(2, Outcome::Success)), None, "it was never sent");
     assert_eq!(request.in_flight, 1);
     assert!((request.connecting - 0.1).abs() < 1e-9, "{}", request.connecting);
 }
@@ -155,15 +159,15 @@
     table.insert(with_two_attempts());
     let (id, mut actions) = (RequestId(1), Vec::new());
     table.close(id, true, &mut actions);
-    let withdraw = |number| Action::Withdraw { request: id, attempt: AttemptNumber(number) };
-    assert_eq!(actions, [withdraw(0), withdraw(1)]);
+    let cancel = |number| Action::CancelAttempt { request: id, attempt: AttemptNumber(number) };
+    assert_eq!(actions, [cancel(0), cancel(1)]);
     for number in 0..2 {
         assert!(table.contains(id));
-        table.get_mut(id).expect("in flight").end_attempt(&end(number, Outcome::Withdrawn));
+        table.get_mut(id).expect("in flight").end_attempt(&end(number, Outcome::Cancelled));
         table.close(id, true, &mut actions);
     }
     assert!(!table.contains(id));
-    assert_eq!(actions.len(), 2, "each attempt is withdrawn once");
+    assert_eq!(actions.len(), 2, "each attempt is cancelled once");
 }
 
 #[test]
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -59,7 +59,7 @@
     /// The endpoints that a request with an idempotency key is bound to by an attempt that may have run; `None` if it
     /// may go anywhere.
     fn bound_members(&self) -> Option<Vec<usize>> {
-        let Idempotency::Keyed { scope, .. } = self.request.rules().idempotency else { return None };
+        let Idempotency::IdempotencyKey { scope, .. } = self.request.rules().idempotency else { return None };
         let first = self.request.first_run()?.member;
         let shares_scope = |member: &Member| match scope {
             DeduplicationScope::All => true,
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -46,7 +46,7 @@
 
     /// Takes the time of an attempt into the group's delay; a failed one counts as no less than its latency objective.
     fn record_delay(&mut self, end: &AttemptEnd) {
-        let is_answered = matches!(end.outcome, Outcome::Good | Outcome::Error);
+        let is_answered = matches!(end.outcome, Outcome::Success | Outcome::Error);
         let delay =
             if is_answered { end.took } else { end.took.max(end.latency_objective) } / end.latency_objective;
         self.delay += DELAY_WEIGHT * (delay - self.delay);
@@ -163,7 +163,7 @@
     ) {
         let is_warm = endpoint.warm_fraction(now, &settings.rules) >= 1.0;
         let group = self.group_mut(endpoint.is_local);
-        if end.outcome == Outcome::Good {
+        if end.outcome == Outcome::Success {
             endpoint.send_budget.record_answer();
             if is_warm {
                 group.peers.record_answer();
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -25,16 +25,16 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
     /// Idempotent: repeating it does no harm.
-    Safe,
+    Idempotent,
     /// Idempotent by its key: the endpoints of a scope discard repeats for a while.
-    Keyed {
+    IdempotencyKey {
         /// The endpoints that discard repeats.
         scope: DeduplicationScope,
         /// For how long after the first attempt that may have run.
         window: Duration,
     },
     /// Must never run twice.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
@@ -168,7 +168,7 @@
     UnknownZone,
     /// The number of replicas is 0.
     #[error("the number of copies is 0")]
-    NoCopies,
+    NoReplicas,
     /// No attempt is allowed.
     #[error("no attempt is allowed")]
     NoAttempts,
@@ -177,10 +177,10 @@
     ClassTimes(usize),
     /// There are fewer classes or tenants than in the settings in force: positions never change their meaning.
     #[error("there are fewer classes or tenants than before")]
-    Fewer,
+    PositionsRemoved,
     /// They are of another replica, tier, zone or kinds than the settings in force.
     #[error("they are those of another place: its number, tier, zone, zones and kinds stay for life")]
-    Elsewhere,
+    DifferentPlace,
     /// A fraction or a figure lies outside its range.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
@@ -238,7 +238,7 @@
             return Err(SettingsError::UnknownZone);
         }
         if self.copies == 0 {
-            return Err(SettingsError::NoCopies);
+            return Err(SettingsError::NoReplicas);
         }
         if self.permissions.attempts == 0 {
             return Err(SettingsError::NoAttempts);
@@ -272,10 +272,10 @@
     pub fn may_follow(&self, before: &Self) -> Result<(), SettingsError> {
         let place = |of: &Self| (of.index, of.tier, of.zone, of.zones, of.kinds);
         if place(self) != place(before) {
-            return Err(SettingsError::Elsewhere);
+            return Err(SettingsError::DifferentPlace);
         }
         if self.classes.len() < before.classes.len() || self.tenants.len() < before.tenants.len() {
-            return Err(SettingsError::Fewer);
+            return Err(SettingsError::PositionsRemoved);
         }
         self.validate()
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -44,7 +44,7 @@
         let mut balancer = Balancer::new(settings, seed).expect("the settings make sense");
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
-        balancer.handle(START, Event::List(ListUpdate::Whole(members)), &mut actions);
+        balancer.handle(START, Event::List(ListUpdate::Snapshot(members)), &mut actions);
         Self { balancer, now: START, time_left: millis(3000), next_id: 0, next_wake: START }
     }
 
@@ -59,9 +59,9 @@
         let end = self.now + span;
         while self.next_wake <= end {
             self.now = self.now.max(self.next_wake);
-            let actions = self.tell(Event::Wake);
+            let actions = self.tell(Event::MaintenanceDue);
             let wake = actions.iter().find_map(|action| match action {
-                Action::WakeAfter(span) => Some(*span),
+                Action::ScheduleMaintenance(span) => Some(*span),
                 _ => None,
             });
             self.next_wake = self.now + wake.expect("a sweep asks for the next");
@@ -104,7 +104,7 @@
             outcome,
             took,
             connecting,
-            finished: outcome == Outcome::Good,
+            finished: outcome == Outcome::Success,
             load: None,
         })
     }
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -12,7 +12,7 @@
 
 /// A first-tier copy whose tenant may send 10 calls a second and the chance of that.
 fn bench() -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(10.0) }];
     settings.over_share_worth = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
@@ -32,7 +32,7 @@
         if sent(&actions).is_some() {
             *went += 1;
             let (outcome, took) =
-                if left < needs { (Outcome::TimedOut, left.min(1000)) } else { (Outcome::Good, USUAL_MS) };
+                if left < needs { (Outcome::TimedOut, left.min(1000)) } else { (Outcome::Success, USUAL_MS) };
             bench.end(id, 0, outcome, millis(took));
         }
     }
@@ -74,10 +74,10 @@
                 went += 1;
                 let leaves = call % 2 == 0;
                 if leaves {
-                    bench.tell(balancer_policy::Event::ClientLeft(id));
+                    bench.tell(balancer_policy::Event::ClientDisconnected(id));
                 }
                 let (outcome, took) =
-                    if leaves { (Outcome::Withdrawn, waited) } else { (Outcome::Good, USUAL_MS) };
+                    if leaves { (Outcome::Cancelled, waited) } else { (Outcome::Success, USUAL_MS) };
                 bench.end(id, 0, outcome, millis(took));
             }
         }
@@ -119,7 +119,7 @@
         if sent(&actions).is_some() {
             admitted[usize::from(!short)] += 1;
             let late = call % 4 == 1;
-            let (outcome, took) = if late { (Outcome::TimedOut, 1000) } else { (Outcome::Good, USUAL_MS) };
+            let (outcome, took) = if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_MS) };
             bench.end(id, 0, outcome, millis(took));
         }
     }
@@ -136,7 +136,7 @@
 fn a_usual_time_learned_too_long_does_not_shut_the_door() {
     let mut bench = bench();
     let (id, _) = bench.offer(Some(0));
-    bench.end(id, 0, Outcome::Good, millis(50 * USUAL_MS));
+    bench.end(id, 0, Outcome::Success, millis(50 * USUAL_MS));
     let first = run(&mut bench, 100, 0, |_| 100);
     let later = run(&mut bench, 100, 0, |_| 100);
     assert!(later[1] > 0.95, "{first:?} of 100 requests, then {later:?} of another 100");
@@ -180,7 +180,7 @@
         (2, [Some(false), Some(true), None]),
         (4, [Some(false), Some(false), Some(true)]),
     ] {
-        let settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
+        let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
         let mut bench = Bench::new(settings, 5, (0..upstreams).map(member).collect());
         let (id, actions) = bench.offer(None);
         assert_eq!(last(&actions), said[0], "{upstreams} upstreams");
@@ -190,7 +190,7 @@
         }
     }
     // Each request earns half of a further attempt and pays two: what was saved up is used up.
-    let settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
+    let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let told = (0..40).any(|_| {
         let (id, actions) = bench.offer(None);
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -51,7 +51,7 @@
                 self.span(*begin_within);
                 self.number(u64::from(*last));
             }
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.number(2);
                 self.number(request.0);
                 self.number(u64::from(attempt.0));
@@ -66,15 +66,15 @@
                 self.number(request.0);
             }
             Action::Subscribe => self.number(5),
-            Action::Probe { upstream } => {
+            Action::HealthCheck { upstream } => {
                 self.number(6);
                 self.number(u64::from(upstream.0));
             }
-            Action::DropIdle { upstream } => {
+            Action::CloseIdle { upstream } => {
                 self.number(7);
                 self.number(u64::from(upstream.0));
             }
-            Action::WakeAfter(span) => {
+            Action::ScheduleMaintenance(span) => {
                 self.number(8);
                 self.span(Some(*span));
             }
@@ -140,7 +140,7 @@
             stream.members.push(member);
         }
         stream.schedule_event(Duration::ZERO, Event::Started);
-        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Whole(stream.members.clone())));
+        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
         stream.schedule(Duration::ZERO, Next::Request);
         stream.schedule(Duration::from_millis(700), Next::Change);
         for (at, congested) in [(10, true), (14, false), (20, true), (22, false)] {
@@ -197,10 +197,12 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Event::AttemptEnded { request, finished: true, .. } | Event::ClientLeft(request) = event {
+        if let Event::AttemptEnded { request, finished: true, .. } | Event::ClientDisconnected(request) =
+            event
+        {
             self.open.remove(&request);
         }
-        let woke = event == Event::Wake;
+        let woke = event == Event::MaintenanceDue;
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         if woke {
@@ -216,22 +218,22 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let took = Duration::from_millis(30);
-                self.end(Duration::ZERO, (request, attempt), Outcome::Withdrawn, took, Duration::ZERO);
+                self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, took, Duration::ZERO);
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 self.open.remove(&request);
             }
-            Action::WakeAfter(span) => self.schedule_event(span, Event::Wake),
+            Action::ScheduleMaintenance(span) => self.schedule_event(span, Event::MaintenanceDue),
             Action::Subscribe if self.chance(0.4) => {
                 self.schedule_event(Duration::from_millis(5), Event::List(ListUpdate::Broken));
             }
             Action::Subscribe => {
-                let list = ListUpdate::Whole(self.members.clone());
+                let list = ListUpdate::Snapshot(self.members.clone());
                 self.schedule_event(Duration::from_millis(5), Event::List(list));
             }
-            Action::Probe { .. } | Action::DropIdle { .. } | Action::Log(_) => {}
+            Action::HealthCheck { .. } | Action::CloseIdle { .. } | Action::Log(_) => {}
         }
     }
 
@@ -251,11 +253,11 @@
                 [Outcome::Error, Outcome::Refused, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent];
             ways[self.below(ways.len())]
         } else if self.chance(0.01) {
-            Outcome::Rejected
+            Outcome::InvalidRequest
         } else if self.congested && self.chance(0.2) {
             Outcome::Refused
         } else {
-            Outcome::Good
+            Outcome::Success
         };
         let took = match outcome {
             Outcome::ConnectTimedOut => Duration::from_millis(120),
@@ -269,7 +271,7 @@
             self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connecting.min(timeout));
             return;
         }
-        if outcome == Outcome::Good && self.chance(0.05) {
+        if outcome == Outcome::Success && self.chance(0.05) {
             self.schedule_event(took / 2, Event::StreamStarted { request, attempt });
         }
         self.end(took, (request, attempt), outcome, took, connecting.min(took));
@@ -283,7 +285,7 @@
         took: Duration,
         connecting: Duration,
     ) {
-        let finished = outcome == Outcome::Good || !self.open.contains_key(&request);
+        let finished = outcome == Outcome::Success || !self.open.contains_key(&request);
         let load = None;
         let end = Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load };
         self.schedule_event(after, end);
@@ -302,7 +304,7 @@
         let request = Request { id, class, tenant, key: None, time_left, expected_work: None, repeat: false };
         if self.chance(0.02) {
             let stays = Duration::from_secs_f64(0.1 * self.rng.rand_float());
-            self.schedule_event(stays, Event::ClientLeft(id));
+            self.schedule_event(stays, Event::ClientDisconnected(id));
         }
         let pause = Duration::from_secs_f64(2.0 * BETWEEN_REQUESTS_S * self.rng.rand_float());
         self.schedule(pause, Next::Request);
@@ -316,33 +318,33 @@
         let list = match kind {
             0 => {
                 self.members[place].lifecycle = Lifecycle::Draining;
-                ListUpdate::Patch(vec![self.members[place]])
+                ListUpdate::Delta(vec![self.members[place]])
             }
             1 => {
-                self.members[place].lifecycle = Lifecycle::Gone;
-                ListUpdate::Patch(vec![self.members[place]])
+                self.members[place].lifecycle = Lifecycle::Removed;
+                ListUpdate::Delta(vec![self.members[place]])
             }
             2..=4 => {
                 // The process is replaced.
                 self.members[place].lifecycle = Lifecycle::Ready;
                 self.members[place].started = Some(self.now);
-                ListUpdate::Patch(vec![self.members[place]])
+                ListUpdate::Delta(vec![self.members[place]])
             }
             5 => {
                 let listed = self.members.iter().filter(|member| member.lifecycle == Lifecycle::Ready);
                 let list = listed.copied().collect();
-                if self.chance(0.5) { ListUpdate::StaleCopy(list) } else { ListUpdate::Whole(list) }
+                if self.chance(0.5) { ListUpdate::CachedSnapshot(list) } else { ListUpdate::Snapshot(list) }
             }
             6 => {
                 if self.chance(0.5) {
                     ListUpdate::Broken
                 } else {
-                    ListUpdate::Moved
+                    ListUpdate::Relocated
                 }
             }
             _ => {
                 self.reconfigure();
-                ListUpdate::Patch(Vec::new())
+                ListUpdate::Delta(Vec::new())
             }
         };
         self.handle(Event::List(list));
@@ -371,11 +373,11 @@
 
 fn classes() -> Vec<Class> {
     let effects = [
-        Idempotency::Safe,
-        Idempotency::Unsafe,
-        Idempotency::Keyed { scope: DeduplicationScope::All, window: Duration::from_millis(400) },
-        Idempotency::Keyed { scope: DeduplicationScope::Zone, window: Duration::from_millis(400) },
-        Idempotency::Keyed { scope: DeduplicationScope::Cell, window: Duration::from_millis(400) },
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_millis(400) },
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: Duration::from_millis(400) },
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: Duration::from_millis(400) },
     ];
     let class = |(number, idempotency): (usize, Idempotency)| Class {
         aim: Duration::from_millis(400 + 100 * number as u64),
@@ -449,6 +451,6 @@
     for member in &mut stream.members {
         member.started = Some(START);
     }
-    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Whole(stream.members.clone())));
+    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
     assert_eq!(stream.play(), (3853, 0xf30defdbb8cd0fb8));
 }
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -109,7 +109,7 @@
                 }
                 Due::End { request, number, outcome, took, connecting } => {
                     let actions = self.bench.end_late(request, number, outcome, took, connecting);
-                    tally.served += u32::from(outcome == Outcome::Good);
+                    tally.served += u32::from(outcome == Outcome::Success);
                     self.send(request, number + 1, &actions, &mut tally, &mut meets);
                 }
                 Due::Connected(upstream) => assert_eq!(self.bench.tell(Event::Connected(upstream)), []),
@@ -167,7 +167,7 @@
 
 /// One copy whose only tenant has a fair part of `part` calls a second.
 fn settings(copies: u32, part: f64) -> Settings {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     settings.copies = copies;
     settings.tenants = vec![Tenant { quota: Some(part * f64::from(copies)) }];
     settings.over_share_worth = 0.2;
@@ -186,11 +186,11 @@
 }
 
 fn idle(_: EndpointId, rng: &mut Rand64) -> Meets {
-    (Some(Duration::ZERO), Outcome::Good, usual(rng))
+    (Some(Duration::ZERO), Outcome::Success, usual(rng))
 }
 
 fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> Meets {
-    (third_late(rng), Outcome::Good, usual(rng))
+    (third_late(rng), Outcome::Success, usual(rng))
 }
 
 /// Found on days on which a third of the connections came up late while the upstreams answered in 13 to 30 ms: the
@@ -237,8 +237,12 @@
 /// A copy for clients that wait 0.4 s and want their answers within half of that.
 fn short_deadlines(copies: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
     let mut settings = settings(copies, rate * 1.2);
-    settings.classes[0] =
-        Class { aim: millis(200), deadline: millis(400), late_worth: 0.5, idempotency: Idempotency::Safe };
+    settings.classes[0] = Class {
+        aim: millis(200),
+        deadline: millis(400),
+        late_worth: 0.5,
+        idempotency: Idempotency::Idempotent,
+    };
     let mut world = World::new(settings, 9, upstreams, patience);
     world.bench.time_left = millis(400);
     world
@@ -272,7 +276,7 @@
             late += u32::from(is_late);
             // About a third of these time out with 10 ms to go for the upstream, which takes 15 to 30 ms.
             let after = if is_late { millis(350 + rng.rand_range(0..60)) } else { Duration::ZERO };
-            (Some(after), Outcome::Good, usual(rng))
+            (Some(after), Outcome::Success, usual(rng))
         });
         let case = format!("{rate}/s, {copies} copies, {late} late: {tally:?}");
         assert!(tally.served() < 0.95 && late > tally.offered / 4, "nothing timed out: {case}");
@@ -290,7 +294,7 @@
         world.run(3.0, 60, idle);
         let tally = world.run(3.0, 600, |id, rng| {
             let late = id == EndpointId(0) && rng.rand_float() < 0.5;
-            (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Good, usual(rng))
+            (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Success, usual(rng))
         });
         let part = tally.part_of(0..1) * 6.0;
         assert!(part > 0.6, "{part} of the mean sent to it after waits of {wait} ms: {tally:?}");
@@ -306,7 +310,7 @@
         let full = |_: EndpointId, rng: &mut Rand64| {
             let connects = if late { third_late(rng) } else { Some(Duration::ZERO) };
             let (how, took) =
-                if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Good, usual(rng)) };
+                if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Success, usual(rng)) };
             (connects, how, if how == Outcome::Refused { millis(2) } else { took })
         };
         world.run(rate, 15, full);
@@ -337,7 +341,7 @@
         let mut world = World::new(settings(2, rate * 2.0), 5, 8, millis(12));
         world.run(rate, 20, idle);
         let half = |id: EndpointId, rng: &mut Rand64| {
-            (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Good, usual(rng))
+            (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Success, usual(rng))
         };
         // The unreachable ones must be met first.
         let first = world.run(rate, 20, half);
@@ -398,21 +402,24 @@
             }
         }
         assert!(!climbed || sent(&actions).is_some(), "call {call} not sent elsewhere");
-        bench.end(id, number, Outcome::Good, millis(20));
+        bench.end(id, number, Outcome::Success, millis(20));
     }
 }
 
 /// The calls of 200 that go to the first of four upstreams, which answer all.
 fn calls_to_the_first(bench: &mut Bench) -> usize {
-    (0..200).filter(|_| bench.run(|_| (Outcome::Good, millis(2))) == [EndpointId(0)]).count()
+    (0..200).filter(|_| bench.run(|_| (Outcome::Success, millis(2))) == [EndpointId(0)]).count()
 }
 
 /// Four upstreams, of which the first has ended each of its attempts with `outcome` until it was set aside.
 fn first_aside(outcome: Outcome) -> Bench {
-    let mut bench =
-        Bench::new(Settings::single_zone(vec![class(Idempotency::Safe)]), 3, (0..4).map(member).collect());
+    let mut bench = Bench::new(
+        Settings::single_zone(vec![class(Idempotency::Idempotent)]),
+        3,
+        (0..4).map(member).collect(),
+    );
     for _ in 0..40 {
-        bench.run(|id| (if id == EndpointId(0) { outcome } else { Outcome::Good }, millis(2)));
+        bench.run(|id| (if id == EndpointId(0) { outcome } else { Outcome::Success }, millis(2)));
     }
     bench
 }
@@ -438,10 +445,11 @@
 /// Two late connections in a row are chance, as are many with answers between them.
 #[test]
 fn an_answer_or_a_connection_breaks_a_row_of_connect_timeouts() {
-    for between in [None, Some(Outcome::Good), Some(Outcome::Refused), Some(Outcome::Rejected)] {
-        let mut bench = Bench::new(Settings::single_zone(vec![class(Idempotency::Safe)]), 3, vec![member(0)]);
+    for between in [None, Some(Outcome::Success), Some(Outcome::Refused), Some(Outcome::InvalidRequest)] {
+        let mut bench =
+            Bench::new(Settings::single_zone(vec![class(Idempotency::Idempotent)]), 3, vec![member(0)]);
         // The second upstream shows by its calls whether the first is aside.
-        bench.tell(Event::List(ListUpdate::Whole(vec![member(0), member(1)])));
+        bench.tell(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
         let mut met = 0;
         let mut calls = 0;
         for _ in 0..400 {
@@ -455,10 +463,10 @@
                 met += 1;
             }
             bench.pass(millis(2));
-            let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Good) };
-            bench.end(id, 0, if first { outcome } else { Outcome::Good }, millis(2));
+            let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Success) };
+            bench.end(id, 0, if first { outcome } else { Outcome::Success }, millis(2));
             if late {
-                bench.tell(Event::ClientLeft(id));
+                bench.tell(Event::ClientDisconnected(id));
             }
         }
         assert!(calls > 120, "{calls} of 400 with {between:?} between");
@@ -467,7 +475,7 @@
 
 /// Of benches whose handshakes have a price, the calls of 60 that go to the fourth of eight upstreams after `what`.
 fn calls_to_the_fourth(what: impl Fn(&mut Bench)) -> usize {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.costs.handshake = 0.1;
     let calls = (0..60).filter(|&seed| {
         let mut bench = Bench::new(settings.clone(), seed, (0..8).map(member).collect());
@@ -487,7 +495,7 @@
         bench.tell(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
         bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
-        bench.tell(Event::ClientLeft(id));
+        bench.tell(Event::ClientDisconnected(id));
     });
     assert!(lost < 15, "{lost} with a connection that was lost");
 }
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -14,14 +14,18 @@
 
 /// Two zones, a class of each effect, three tenants with quotas.
 fn settings() -> Settings {
-    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: millis(800) };
+    let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(800) };
     Settings {
         copies: 4,
         zones: 2,
         tenants: [30.0, 20.0, 10.0].map(|quota| Tenant { quota: Some(quota * 4.0) }).to_vec(),
         over_share_worth: 0.1,
         discovery: DiscoveryMode::Subscribe,
-        ..Settings::single_zone(vec![class(Idempotency::Safe), class(keyed), class(Idempotency::Unsafe)])
+        ..Settings::single_zone(vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NotIdempotent),
+        ])
     }
 }
 
@@ -59,7 +63,7 @@
         };
         let whole = (0..12).map(|id| world.member(id)).collect();
         world.tell(Event::Started);
-        world.tell(Event::List(ListUpdate::Whole(whole)));
+        world.tell(Event::List(ListUpdate::Snapshot(whole)));
         for number in 0..requests {
             let next = world.now + Duration::from_secs_f64(world.rng.rand_float() * 0.02);
             while let Some(entry) = world.due.first_entry().filter(|entry| entry.key().0 <= next) {
@@ -74,7 +78,7 @@
             if world.rng.rand_float() < 0.02 {
                 let id = world.rng.rand_range(0..16) as u32;
                 let changed = vec![world.member(id)];
-                world.tell(Event::List(ListUpdate::Patch(changed)));
+                world.tell(Event::List(ListUpdate::Delta(changed)));
             }
             let (class, tenant) = (world.rng.rand_range(0..3) as usize, world.rng.rand_range(0..3) as usize);
             world.classes.insert(RequestId(number), class);
@@ -92,7 +96,7 @@
     fn end(&mut self) {
         while let Some(((at, _), event)) = self.due.pop_first() {
             self.now = at;
-            if event != Event::Wake {
+            if event != Event::MaintenanceDue {
                 self.tell(event);
             }
         }
@@ -107,7 +111,7 @@
     fn tell(&mut self, event: Event) {
         if let Event::AttemptEnded { request, outcome, .. } = event {
             *self.ran.entry(request).or_default() += u32::from(!outcome.never_ran());
-            *self.ended.entry(request).or_default() += u32::from(outcome == Outcome::Good);
+            *self.ended.entry(request).or_default() += u32::from(outcome == Outcome::Success);
         }
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -119,7 +123,7 @@
                     *self.ended.entry(request).or_default() += 1;
                     continue;
                 }
-                Action::WakeAfter(span) => (span, Event::Wake),
+                Action::ScheduleMaintenance(span) => (span, Event::MaintenanceDue),
                 _ => continue,
             };
             self.coming += 1;
@@ -138,10 +142,10 @@
             4 => Outcome::ConnectFailed,
             5 => Outcome::ConnectTimedOut,
             6 => Outcome::Error,
-            _ => Outcome::Good,
+            _ => Outcome::Success,
         };
         let took = Duration::from_secs_f64(0.02 + self.rng.rand_float() * 0.3);
-        let (connecting, finished) = (Duration::ZERO, outcome == Outcome::Good);
+        let (connecting, finished) = (Duration::ZERO, outcome == Outcome::Success);
         (took, Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load: None })
     }
 }
@@ -175,7 +179,7 @@
                  begin_within: {begin_within:?}, last: {last} }}"
             )
         }
-        Action::Withdraw { request: RequestId(request), attempt: AttemptNumber(attempt) } => {
+        Action::CancelAttempt { request: RequestId(request), attempt: AttemptNumber(attempt) } => {
             format!("Withdraw {{ request: RequestId({request}), attempt: AttemptNumber({attempt}) }}")
         }
         Action::Refuse { request: RequestId(request), retry_after } => {
@@ -183,13 +187,13 @@
         }
         Action::Fail { request: RequestId(request) } => format!("Fail {{ request: RequestId({request}) }}"),
         Action::Subscribe => "Subscribe".to_owned(),
-        Action::Probe { upstream: EndpointId(upstream) } => {
+        Action::HealthCheck { upstream: EndpointId(upstream) } => {
             format!("Probe {{ upstream: UpstreamId({upstream}) }}")
         }
-        Action::DropIdle { upstream: EndpointId(upstream) } => {
+        Action::CloseIdle { upstream: EndpointId(upstream) } => {
             format!("DropIdle {{ upstream: UpstreamId({upstream}) }}")
         }
-        Action::WakeAfter(span) => format!("WakeAfter({span:?})"),
+        Action::ScheduleMaintenance(span) => format!("WakeAfter({span:?})"),
         Action::Log(line) => format!("Log({line:?})"),
     }
 }
@@ -233,7 +237,8 @@
     Settings { permissions: Permissions { attempts: 4, ..settings.permissions.clone() }, ..settings }
 }
 
-const WINDOW: Idempotency = Idempotency::Keyed { scope: DeduplicationScope::Cell, window: millis(300) };
+const WINDOW: Idempotency =
+    Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(300) };
 
 /// Offers a request and gives the cells of all attempts, each of which ends as a reset after `took`.
 fn resets(bench: &mut Bench, id: RequestId, first: &[Action], took: Duration) -> usize {
@@ -251,10 +256,11 @@
 /// class is by the time that it breaks. One taken afterwards goes by what holds then.
 #[test]
 fn an_unsafe_request_in_flight_stays_unsafe() {
-    for other in
-        [Idempotency::Safe, Idempotency::Keyed { scope: DeduplicationScope::All, window: millis(60_000) }]
-    {
-        let mut bench = bench(single(Idempotency::Unsafe));
+    for other in [
+        Idempotency::Idempotent,
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) },
+    ] {
+        let mut bench = bench(single(Idempotency::NotIdempotent));
         let (id, actions) = bench.offer(None);
         assert!(bench.tell(Event::Reconfigured(single(other))).is_empty());
         let upstream = sent(&actions).expect("sent");
@@ -269,9 +275,9 @@
 /// Guards the other way: a request keeps what it was promised, and the next one does not get it.
 #[test]
 fn a_safe_request_in_flight_stays_safe() {
-    let mut bench = bench(single(Idempotency::Safe));
+    let mut bench = bench(single(Idempotency::Idempotent));
     let (id, actions) = bench.offer(None);
-    bench.tell(Event::Reconfigured(single(Idempotency::Unsafe)));
+    bench.tell(Event::Reconfigured(single(Idempotency::NotIdempotent)));
     assert!(resets(&mut bench, id, &actions, millis(10)) > 1);
     let (id, actions) = bench.offer(None);
     assert_eq!(resets(&mut bench, id, &actions, millis(10)), 1);
@@ -280,10 +286,14 @@
 /// Guards the upstreams' memory of keys: neither the window nor the group of a request in flight grows under it.
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window_and_scope() {
-    let wider = Idempotency::Keyed { scope: DeduplicationScope::All, window: millis(60_000) };
+    let wider = Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) };
     for (other, took, sends) in [
         // Past its own window, within the other: no repeat.
-        (Idempotency::Keyed { scope: DeduplicationScope::Cell, window: millis(60_000) }, millis(400), 1),
+        (
+            Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(60_000) },
+            millis(400),
+            1,
+        ),
         // Within its own: only its own cell takes it, which has two upstreams.
         (wider, millis(100), 2),
     ] {
@@ -305,7 +315,7 @@
     let mut bench = Bench::new(single(WINDOW), 7, members);
     let (id, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
-    bench.tell(Event::Reconfigured(single(Idempotency::Keyed {
+    bench.tell(Event::Reconfigured(single(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: millis(60_000),
     })));
@@ -328,10 +338,10 @@
             _ => None,
         })
     };
-    let mut longer = single(Idempotency::Safe);
+    let mut longer = single(Idempotency::Idempotent);
     longer.classes[0].aim = millis(2000);
     longer.classes[0].late_worth = 0.5;
-    let mut bench = bench(single(Idempotency::Safe));
+    let mut bench = bench(single(Idempotency::Idempotent));
     let (id, first) = bench.offer(None);
     assert_eq!(timeout(&first), Some(millis(1000)));
     bench.tell(Event::Reconfigured(longer));
@@ -346,7 +356,7 @@
 #[test]
 fn a_request_in_flight_gets_no_more_attempts() {
     let with = |attempts| {
-        let settings = single(Idempotency::Safe);
+        let settings = single(Idempotency::Idempotent);
         Settings { permissions: Permissions { attempts, ..settings.permissions.clone() }, ..settings }
     };
     for (before, after, of_this, of_next) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
@@ -365,7 +375,7 @@
     // What went stays as it was, the quota of its tenant is 0, and what is new stands behind it.
     let mut after = settings();
     after.tenants[1].quota = Some(0.0);
-    after.classes.push(class(Idempotency::Safe));
+    after.classes.push(class(Idempotency::Idempotent));
     let mut bench = bench(settings());
     let actions = bench.tell(Event::Request(request(900, 0, Some(1))));
     assert!(sent(&actions).is_some());
@@ -373,7 +383,7 @@
     bench.pass(millis(20));
     assert!(sent(&bench.end(RequestId(900), 0, Outcome::Refused, millis(20))).is_some());
     bench.pass(millis(20));
-    assert!(bench.end(RequestId(900), 1, Outcome::Good, millis(20)).is_empty());
+    assert!(bench.end(RequestId(900), 1, Outcome::Success, millis(20)).is_empty());
     let actions = bench.tell(Event::Request(request(901, 3, Some(0))));
     assert!(sent(&actions).is_some());
 }
@@ -389,7 +399,7 @@
 }
 
 fn quotas(quotas: &[Option<f64>]) -> Settings {
-    let settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     let tenants = quotas.iter().map(|&quota| Tenant { quota }).collect();
     Settings { tenants, over_share_worth: 0.1, ..settings }
 }
@@ -402,7 +412,7 @@
         bench.pass(Duration::from_secs_f64(1.0 / rate));
         let due = answers.iter().take_while(|(at, _)| *at <= bench.now).count();
         for (_, id) in answers.drain(..due) {
-            bench.end(id, 0, Outcome::Good, millis(10));
+            bench.end(id, 0, Outcome::Success, millis(10));
         }
         let (id, actions) = bench.offer(Some(tenant));
         if sent(&actions).is_some() {
@@ -412,7 +422,7 @@
     }
     bench.pass(millis(20));
     for (_, id) in answers {
-        bench.end(id, 0, Outcome::Good, millis(10));
+        bench.end(id, 0, Outcome::Success, millis(10));
     }
     f64::from(admitted) / seconds
 }
@@ -504,7 +514,7 @@
     assert!(sent(&actions).is_some());
     bench.tell(Event::Reconfigured(quotas(&[Some(50.0), Some(20.0)])));
     bench.pass(millis(10));
-    bench.end(early, 0, Outcome::Good, millis(10));
+    bench.end(early, 0, Outcome::Success, millis(10));
     let mut fresh = self::bench(quotas(&[Some(50.0), Some(20.0)]));
     for tenant in [0, 1] {
         let (held, usual) =
@@ -529,10 +539,10 @@
 /// Guards the tier: with more copies each sends to a part of it, with fewer again to all.
 #[test]
 fn the_subset_follows_the_number_of_copies() {
-    let with = |copies| Settings { index: 1, copies, ..single(Idempotency::Safe) };
+    let with = |copies| Settings { index: 1, copies, ..single(Idempotency::Idempotent) };
     let mut bench = Bench::new(with(1), 7, (0..64).map(member).collect());
     let seen = |bench: &mut Bench| {
-        let mut seen: Vec<_> = (0..2000).flat_map(|_| bench.run(|_| (Outcome::Good, millis(1)))).collect();
+        let mut seen: Vec<_> = (0..2000).flat_map(|_| bench.run(|_| (Outcome::Success, millis(1)))).collect();
         seen.sort_unstable();
         seen.dedup();
         seen.len()
@@ -547,16 +557,16 @@
 /// Guards the first list, from which a copy learns how far it spreads: a change before it leaves it the first.
 #[test]
 fn a_change_before_the_first_list_is_none_to_the_subset() {
-    let with = |copies| Settings { copies, zones: 2, ..single(Idempotency::Safe) };
+    let with = |copies| Settings { copies, zones: 2, ..single(Idempotency::Idempotent) };
     let members: Vec<Member> =
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
     let picked = |first| {
         let mut bench = Bench::new(with(first), 7, Vec::new());
         let mut balancer = Balancer::new(with(first), 7).expect("they make sense");
         balancer.handle(START, Event::Reconfigured(with(3)), &mut Vec::new());
-        balancer.handle(START, Event::List(ListUpdate::Whole(members.clone())), &mut Vec::new());
+        balancer.handle(START, Event::List(ListUpdate::Snapshot(members.clone())), &mut Vec::new());
         bench.balancer = balancer;
-        (0..200).flat_map(|_| bench.run(|_| (Outcome::Good, millis(1)))).collect::<Vec<_>>()
+        (0..200).flat_map(|_| bench.run(|_| (Outcome::Success, millis(1)))).collect::<Vec<_>>()
     };
     assert_eq!(picked(2), picked(3));
 }
@@ -617,7 +627,7 @@
                 other.permissions.attempts = draws.rand_range(1..5) as u32;
                 changed |= number >= middle;
                 if changed {
-                    other.classes[2].idempotency = Idempotency::Safe;
+                    other.classes[2].idempotency = Idempotency::Idempotent;
                 }
                 Event::Reconfigured(other)
             })
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -45,20 +45,19 @@
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
-        4 => Just(Outcome::Good),
+        4 => Just(Outcome::Success),
         2 => Just(Outcome::Error),
         2 => Just(Outcome::Refused),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::ConnectTimedOut),
         1 => Just(Outcome::Reset),
         1 => Just(Outcome::NotSent),
-        1 => Just(Outcome::Rejected),
+        1 => Just(Outcome::InvalidRequest),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let lifecycle =
-        prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Gone)];
+    let lifecycle = prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Removed)];
     prop_oneof![
         4 => (1u64..400).prop_map(Step::Pass),
         8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Ask { class, time_left }),
@@ -74,10 +73,10 @@
 
 fn settings(second_copies: bool, subscribe: bool) -> Settings {
     let class = |idempotency, late_worth| Class { late_worth, ..common::class(idempotency) };
-    let keyed = |scope| Idempotency::Keyed { scope, window: millis(800) };
+    let keyed = |scope| Idempotency::IdempotencyKey { scope, window: millis(800) };
     let mut settings = Settings::single_zone(vec![
-        class(Idempotency::Safe, 0.0),
-        class(Idempotency::Unsafe, 0.5),
+        class(Idempotency::Idempotent, 0.0),
+        class(Idempotency::NotIdempotent, 0.5),
         class(keyed(DeduplicationScope::All), 0.5),
         class(keyed(DeduplicationScope::Zone), 0.0),
         class(keyed(DeduplicationScope::Cell), 0.5),
@@ -166,9 +165,9 @@
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
                 if let Some(first) = held.attempts.iter().find(ran) {
                     match self.settings.classes[held.class].idempotency {
-                        Idempotency::Safe => {}
-                        Idempotency::Unsafe => panic!("an unsafe request sent twice"),
-                        Idempotency::Keyed { scope, window } => {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NotIdempotent => panic!("an unsafe request sent twice"),
+                        Idempotency::IdempotencyKey { scope, window } => {
                             assert!(self.now <= first.at + window, "past the window");
                             let by = self.now + begin_within.expect("the window bounds its begin");
                             assert!(by <= first.at + window + Duration::from_micros(1), "may begin past it");
@@ -190,8 +189,9 @@
                 assert!(held.finals == 1 && !held.over, "a second final answer");
                 let ran = held.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
                 let free = match self.settings.classes[held.class].idempotency {
-                    Idempotency::Safe | Idempotency::Keyed { scope: DeduplicationScope::All, .. } => true,
-                    Idempotency::Keyed { .. } | Idempotency::Unsafe => false,
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
+                    Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => false,
                 };
                 assert!(free || !ran, "refused though it may have run");
             }
@@ -200,17 +200,17 @@
                 held.finals += 1;
                 assert!(held.finals == 1 && !held.over, "a second final answer");
             }
-            Action::WakeAfter(span) => self.wake = Some(self.now + span),
+            Action::ScheduleMaintenance(span) => self.wake = Some(self.now + span),
             Action::Subscribe => self.unasked = Some(self.now),
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let held = self.held.get(&request).expect("a request that it has");
                 assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
             }
-            Action::Probe { upstream } => {
+            Action::HealthCheck { upstream } => {
                 assert!(self.settings.permissions.probes, "a health check that is not allowed");
                 assert!(self.list.contains_key(&upstream), "checked one that no list has named");
             }
-            Action::DropIdle { upstream } => assert!(self.list.contains_key(&upstream)),
+            Action::CloseIdle { upstream } => assert!(self.list.contains_key(&upstream)),
             Action::Log(_) => {}
         }
     }
@@ -228,7 +228,7 @@
                 Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
                 None => {
                     self.wake = None;
-                    self.tell(Event::Wake);
+                    self.tell(Event::MaintenanceDue);
                 }
             }
             self.check_asked();
@@ -257,7 +257,7 @@
         let held = self.held.get_mut(&request).expect("held");
         held.attempts[n].ended = Some(outcome);
         let took = self.now - held.attempts[n].at;
-        held.over |= outcome == Outcome::Good;
+        held.over |= outcome == Outcome::Success;
         let finished = held.over || held.finals > 0;
         let attempt = AttemptNumber(n as u32);
         let connecting = millis(0);
@@ -272,7 +272,7 @@
         if !stale {
             self.unasked = None;
         }
-        let update = if stale { ListUpdate::StaleCopy(members) } else { ListUpdate::Whole(members) };
+        let update = if stale { ListUpdate::CachedSnapshot(members) } else { ListUpdate::Snapshot(members) };
         self.tell(Event::List(update));
     }
 
@@ -307,7 +307,7 @@
                 let ids: Vec<_> = self.held.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
                     self.held.get_mut(id).expect("held").over = true;
-                    self.tell(Event::ClientLeft(*id));
+                    self.tell(Event::ClientDisconnected(*id));
                 }
             }
             Step::Change { upstream, lifecycle, restarted } => {
@@ -315,7 +315,7 @@
                 let member = Member { lifecycle, started, ..member(upstream) };
                 self.list.insert(member.id, member);
                 self.unasked = None;
-                self.tell(Event::List(ListUpdate::Patch(vec![member])));
+                self.tell(Event::List(ListUpdate::Delta(vec![member])));
             }
             Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
             Step::Connected { upstream } => self.tell(Event::Connected(EndpointId(upstream))),
@@ -369,7 +369,7 @@
             for (id, n) in world.outs() {
                 sends.push((world.now, world.held[&id].attempts[n].upstream.0));
                 let cold_one = world.held[&id].attempts[n].upstream.0 < cold;
-                world.end(id, n, if refusing && cold_one { Outcome::Refused } else { Outcome::Good });
+                world.end(id, n, if refusing && cold_one { Outcome::Refused } else { Outcome::Success });
             }
             world.pass(millis(gap));
         }
@@ -397,7 +397,7 @@
         let mut balancer = Balancer::new(settings(false, true), 11).unwrap();
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
-        balancer.handle(START, Event::List(ListUpdate::Whole((0..8).map(member).collect())), &mut actions);
+        balancer.handle(START, Event::List(ListUpdate::Snapshot((0..8).map(member).collect())), &mut actions);
         for id in 0..300 {
             let now = START + millis(id * 7);
             let request = Request {
@@ -410,7 +410,7 @@
                 repeat: false,
             };
             balancer.handle(now, Event::Request(request), &mut actions);
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::MaintenanceDue, &mut actions);
         }
         actions
     };
@@ -424,7 +424,7 @@
     let id = RequestId(0);
     world.tell(Event::StreamStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
-    world.balancer.handle(world.now + millis(5000), Event::ClientLeft(id), &mut actions);
+    world.balancer.handle(world.now + millis(5000), Event::ClientDisconnected(id), &mut actions);
     assert_eq!(actions, []);
 }
 
@@ -438,7 +438,7 @@
     assert_eq!(with(|_| {}), None);
     assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
-    assert_eq!(with(|settings| settings.copies = 0), Some(SettingsError::NoCopies));
+    assert_eq!(with(|settings| settings.copies = 0), Some(SettingsError::NoReplicas));
     assert_eq!(with(|settings| settings.permissions.attempts = 0), Some(SettingsError::NoAttempts));
     assert_eq!(with(|settings| settings.classes[1].aim = millis(9_000)), Some(SettingsError::ClassTimes(1)));
     assert_eq!(
@@ -452,7 +452,7 @@
 fn unknown_classes_upstreams_and_requests_do_no_harm() {
     let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
     let mut actions = Vec::new();
-    balancer.handle(START, Event::List(ListUpdate::Whole(Vec::new())), &mut actions);
+    balancer.handle(START, Event::List(ListUpdate::Snapshot(Vec::new())), &mut actions);
     let request = Request {
         id: RequestId(7),
         class: ClassId(99),
@@ -465,18 +465,18 @@
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions, [Action::Refuse { request: RequestId(7), retry_after: None }]);
     actions.clear();
-    balancer.handle(START, Event::List(ListUpdate::Whole(vec![member(1)])), &mut actions);
+    balancer.handle(START, Event::List(ListUpdate::Snapshot(vec![member(1)])), &mut actions);
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions.len(), 1, "an id in use is not taken twice");
     actions.clear();
     for id in [7, 8] {
-        balancer.handle(START, Event::ClientLeft(RequestId(id)), &mut actions);
+        balancer.handle(START, Event::ClientDisconnected(RequestId(id)), &mut actions);
         let ended = Event::AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNumber(5),
-            outcome: Outcome::Good,
+            outcome: Outcome::Success,
             took: millis(0),
             connecting: millis(0),
             finished: true,
@@ -486,17 +486,22 @@
         let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
-    let odd = Event::Probed { upstream: EndpointId(99), outcome: Outcome::Good, took: millis(1), load: None };
+    let odd = Event::HealthChecked {
+        upstream: EndpointId(99),
+        outcome: Outcome::Success,
+        took: millis(1),
+        load: None,
+    };
     balancer.handle(START, odd, &mut actions);
     balancer.handle(START, Event::Connected(EndpointId(99)), &mut actions);
-    assert!(actions.iter().all(|action| matches!(action, Action::Withdraw { .. })));
+    assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
 
 /// Upstreams of zones that the settings do not name need not share one: what may have run at the first is not
 /// repeated at the second, as if 'unknown' were a zone of its own.
 #[test]
 fn upstreams_of_unknown_zones_share_no_zone() {
-    let keyed = Idempotency::Keyed { scope: DeduplicationScope::Zone, window: millis(5000) };
+    let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: millis(5000) };
     let members = (0..2).map(|id| Member { zone: None, ..common::member(id) }).collect();
     let mut bench = common::Bench::new(Settings::single_zone(vec![common::class(keyed)]), 3, members);
     let request = Request {
@@ -524,7 +529,7 @@
 
 /// The seconds from a word of discovery's until the copy asks for a new watch, after five failures in a row.
 fn asks_after(mode: DiscoveryMode, word: ListUpdate) -> f64 {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = mode;
     settings.rules.ask_within = Some(millis(10_000));
     let mut balancer = Balancer::new(settings, 7).expect("the settings make sense");
@@ -534,7 +539,7 @@
         balancer.handle(now, event, &mut actions);
         while !actions.contains(&Action::Subscribe) {
             now += millis(200);
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::MaintenanceDue, &mut actions);
         }
         (now - said).as_secs_f64()
     };
@@ -551,6 +556,6 @@
 #[test]
 fn failures_hold_back_neither_a_moved_discovery_nor_an_agent() {
     assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Broken) > 1.0);
-    assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Moved) < 0.8);
+    assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Relocated) < 0.8);
     assert!(asks_after(DiscoveryMode::Agent, ListUpdate::Broken) < 0.25);
 }
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 fn settings() -> Settings {
-    Settings::single_zone(vec![class(Idempotency::Safe)])
+    Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
 /// The upstreams that a copy uses, over many calls.
@@ -20,7 +20,7 @@
     let mut bench = Bench::new(settings, u64::from(index), (0..upstreams).map(member).collect());
     let mut used = BTreeMap::new();
     for _ in 0..400 {
-        let tried = bench.run(|_| (Outcome::Good, millis(10)));
+        let tried = bench.run(|_| (Outcome::Success, millis(10)));
         used.insert(tried[0].0, ());
     }
     used.into_keys().collect()
@@ -78,7 +78,7 @@
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream {
             EndpointId(0) => (bad.0, millis(bad.1)),
-            _ => (Outcome::Good, millis(good_ms)),
+            _ => (Outcome::Success, millis(good_ms)),
         });
         first += u32::from(tried.first() == Some(&EndpointId(0)));
     }
@@ -89,11 +89,11 @@
 #[test]
 fn a_failing_upstream_is_set_aside_and_comes_back() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 200, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 200, (Outcome::Success, 20), 20);
     let failing = share_of_first(&mut bench, 1000, (Outcome::Error, 2), 20);
     assert!(failing < 0.04, "{failing} of the calls still went to it");
-    share_of_first(&mut bench, 1500, (Outcome::Good, 20), 20);
-    let back = share_of_first(&mut bench, 500, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 1500, (Outcome::Success, 20), 20);
+    let back = share_of_first(&mut bench, 500, (Outcome::Success, 20), 20);
     assert!(back > 0.1, "{back} of the calls go to it after it has recovered");
 }
 
@@ -101,8 +101,8 @@
 #[test]
 fn a_slow_upstream_gets_a_smaller_part() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
-    let slow = share_of_first(&mut bench, 600, (Outcome::Good, 100), 20);
+    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
+    let slow = share_of_first(&mut bench, 600, (Outcome::Success, 100), 20);
     assert!(slow < 0.07, "{slow} of the calls went to it");
 }
 
@@ -110,14 +110,14 @@
 #[test]
 fn a_silent_upstream_gets_no_more_while_it_owes_answers() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let mut swallowed = 0;
     for _ in 0..200 {
         let (id, actions) = bench.offer(None);
         bench.pass(millis(20));
         match sent(&actions) {
             Some(EndpointId(0)) => swallowed += 1,
-            _ => drop(bench.end(id, 0, Outcome::Good, millis(20))),
+            _ => drop(bench.end(id, 0, Outcome::Success, millis(20))),
         }
     }
     assert!(swallowed <= 2, "it swallowed {swallowed} calls");
@@ -135,8 +135,8 @@
     let mut home = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream.0 % 2 {
-            0 => (Outcome::Good, millis(home_ms)),
-            _ => (Outcome::Good, millis(50)),
+            0 => (Outcome::Success, millis(home_ms)),
+            _ => (Outcome::Success, millis(50)),
         });
         home += u32::from(tried[0].0.is_multiple_of(2));
     }
@@ -176,7 +176,7 @@
         let second = bench.now;
         let (mut cold, mut all) = (0, 0);
         while bench.now < second + millis(1000) {
-            let tried = bench.run(|_| (Outcome::Good, millis(10)));
+            let tried = bench.run(|_| (Outcome::Success, millis(10)));
             cold += u32::from(tried[0].0 == 0);
             all += 1;
         }
@@ -222,7 +222,7 @@
 #[test]
 fn an_attempt_is_not_given_up_before_its_aim() {
     let mut bench = Bench::new(settings(), 3, (0..8).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let (_, actions) = bench.offer(None);
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => *timeout,
@@ -239,7 +239,7 @@
     for call in 0..600 {
         let tried = bench.run(|upstream| match upstream.0 {
             0..5 => (Outcome::ConnectFailed, millis(20)),
-            _ => (Outcome::Good, millis(20)),
+            _ => (Outcome::Success, millis(20)),
         });
         lost += u32::from(call >= 100 && tried[0].0 < 5);
     }
@@ -257,7 +257,7 @@
         let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
         let mut used = BTreeMap::new();
         for _ in 0..60 {
-            used.insert(bench.run(|_| (Outcome::Good, millis(10)))[0], ());
+            used.insert(bench.run(|_| (Outcome::Success, millis(10)))[0], ());
             bench.pass(millis(300));
         }
         used.len()
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -54,7 +54,7 @@
     Ended { copy: usize, request: u64, attempt: u32, outcome: u8, took_us: u64 },
 }
 
-const OUTCOMES: [Outcome; 3] = [Outcome::Good, Outcome::Refused, Outcome::ConnectFailed];
+const OUTCOMES: [Outcome; 3] = [Outcome::Success, Outcome::Refused, Outcome::ConnectFailed];
 /// When the cold ones start, and when the day ends.
 const START_S: f64 = 12.0;
 const END_S: f64 = 24.0;
@@ -101,7 +101,7 @@
 fn play(day: &Day, chance: fn(f64) -> f64) -> Played {
     let mut rng = Rand64::new(u128::from(day.seed));
     let settings = |copy: u32| {
-        let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
         settings.index = copy;
         settings.copies = day.copies;
         settings.tier = day.tier;
@@ -128,7 +128,7 @@
     for (copy, balancer) in copies.iter_mut().enumerate() {
         let mut actions = Vec::new();
         balancer.handle(Duration::ZERO, Event::Started, &mut actions);
-        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Whole(before.clone())), &mut actions);
+        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(before.clone())), &mut actions);
         due.push(Reverse((micros(0.2 * rng.rand_float()), Due::Sweep(copy))));
         due.push(Reverse((micros(START_S + day.late_s * rng.rand_float()), Due::Told(copy))));
     }
@@ -186,8 +186,8 @@
                 };
                 (copy, Event::Request(request))
             }
-            Due::Sweep(copy) => (copy, Event::Wake),
-            Due::Told(copy) => (copy, Event::List(ListUpdate::Patch(after.clone()))),
+            Due::Sweep(copy) => (copy, Event::MaintenanceDue),
+            Due::Told(copy) => (copy, Event::List(ListUpdate::Delta(after.clone()))),
             Due::Ended { copy, request, attempt, outcome, took_us } => {
                 let outcome = OUTCOMES[usize::from(outcome)];
                 let event = Event::AttemptEnded {
@@ -196,7 +196,7 @@
                     outcome,
                     took: Duration::from_micros(took_us),
                     connecting: Duration::ZERO,
-                    finished: outcome == Outcome::Good,
+                    finished: outcome == Outcome::Success,
                     load: None,
                 };
                 (copy, event)
@@ -206,7 +206,7 @@
         copies[copy].handle(Duration::from_micros(at), event, &mut actions);
         for action in actions {
             match action {
-                Action::WakeAfter(span) => {
+                Action::ScheduleMaintenance(span) => {
                     due.push(Reverse((at + span.as_micros() as u64, Due::Sweep(copy))));
                 }
                 Action::Send { request, upstream, .. } => {
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -12,7 +12,7 @@
 /// A first-tier copy whose only tenant is held to 10 calls a second: a third of 25 and a standard
 /// deviation of its chance over the window.
 fn ten_a_second() -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     settings.over_share_worth = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
@@ -38,7 +38,7 @@
 
 #[test]
 fn everything_passes_below_the_limit() {
-    assert_eq!(admitted(&mut ten_a_second(), 8.0, 10.0, 60.0, Outcome::Good), 1.0);
+    assert_eq!(admitted(&mut ten_a_second(), 8.0, 10.0, 60.0, Outcome::Success), 1.0);
 }
 
 /// The page's probabilities, limit over rate, hold once the window is at its soft limit; while chance
@@ -46,7 +46,7 @@
 #[test]
 fn the_worked_examples_of_the_page_hold() {
     for (rate, probability) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
-        let part = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Good);
+        let part = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Success);
         let over = part - probability;
         assert!((-0.01..0.08).contains(&over), "{rate}/s: {part} admitted, {probability} expected");
     }
@@ -57,12 +57,12 @@
 #[test]
 fn one_of_many_copies_may_be_dealt_several_parts() {
     let part_of_copies = |copies: u32| {
-        let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+        let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
         settings.copies = copies;
         settings.tenants = vec![Tenant { quota: Some(10.0 * f64::from(copies)) }; 2];
         settings.over_share_worth = 0.2;
         let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-        admitted(&mut bench, 30.0, 5.0, 60.0, Outcome::Good)
+        admitted(&mut bench, 30.0, 5.0, 60.0, Outcome::Success)
     };
     let (many, few) = (part_of_copies(50), part_of_copies(2));
     assert!(many > 0.99, "one of fifty admitted {many}");
@@ -71,7 +71,7 @@
 
 #[test]
 fn the_hard_limit_denies_everything() {
-    let part = admitted(&mut ten_a_second(), 400.0, 5.0, 20.0, Outcome::Good);
+    let part = admitted(&mut ten_a_second(), 400.0, 5.0, 20.0, Outcome::Success);
     assert_eq!(part, 0.0);
 }
 
@@ -79,12 +79,12 @@
 /// met the hard limit for good, as calls denied whole tell nothing of the crowd's end.
 #[test]
 fn a_cut_limit_opens_again_under_calls_that_come_at_once() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    assert_eq!(admitted(&mut bench, 5.0, 0.0, 30.0, Outcome::Good), 1.0);
+    assert_eq!(admitted(&mut bench, 5.0, 0.0, 30.0, Outcome::Success), 1.0);
     admitted(&mut bench, 5.0, 0.0, 10.0, Outcome::TimedOut);
-    let after = admitted(&mut bench, 500.0, 15.0, 25.0, Outcome::Good);
+    let after = admitted(&mut bench, 500.0, 15.0, 25.0, Outcome::Success);
     assert!(after > 0.0, "all calls denied for as long as they come");
 }
 
@@ -100,7 +100,7 @@
     }
     assert!(denied > 100);
     // Were denied calls counted as accepted, the window would stay over its soft limit for good.
-    assert!(admitted(&mut bench, 9.5, 4.0, 20.0, Outcome::Good) > 0.95);
+    assert!(admitted(&mut bench, 9.5, 4.0, 20.0, Outcome::Success) > 0.95);
 }
 
 /// Found on the first days: every copy of a fresh fleet let seconds of overload through while its
@@ -108,7 +108,7 @@
 #[test]
 fn a_fresh_copy_does_not_let_a_window_of_overload_through() {
     let mut bench = ten_a_second();
-    let first_second = admitted(&mut bench, 50.0, 0.0, 1.0, Outcome::Good) * 50.0;
+    let first_second = admitted(&mut bench, 50.0, 0.0, 1.0, Outcome::Success) * 50.0;
     // A second's worth and what passes while the last second fills; with a whole window it were 35.
     assert!(first_second <= 28.0, "{first_second} calls in the first second");
 }
@@ -117,17 +117,17 @@
 #[test]
 fn the_floor_gives_way_only_in_a_jam_and_the_limit_climbs_back() {
     let mut bench = ten_a_second();
-    admitted(&mut bench, 9.5, 0.0, 20.0, Outcome::Good);
+    admitted(&mut bench, 9.5, 0.0, 20.0, Outcome::Success);
     let gap = millis(120);
     for call in 0..200 {
         bench.pass(gap);
         let (id, actions) = bench.offer(Some(0));
         assert!(sent(&actions).is_some(), "denied inside its share");
-        bench.end(id, 0, if call % 5 == 0 { Outcome::Reset } else { Outcome::Good }, millis(20));
+        bench.end(id, 0, if call % 5 == 0 { Outcome::Reset } else { Outcome::Success }, millis(20));
     }
     let jammed = admitted(&mut bench, 9.5, 15.0, 30.0, Outcome::TimedOut);
     assert!(jammed < 0.5, "{jammed} admitted in a jam");
-    let after = admitted(&mut bench, 8.5, 15.0, 25.0, Outcome::Good);
+    let after = admitted(&mut bench, 8.5, 15.0, 25.0, Outcome::Success);
     assert!(after > 0.95, "{after} admitted after it");
 }
 
@@ -135,7 +135,7 @@
 /// a call denied there fails the whole request above.
 #[test]
 fn single_refusals_do_not_cut_a_limit() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tier = 1;
     settings.tenants = vec![Tenant { quota: Some(5.0) }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -149,17 +149,17 @@
             assert!(sent(&actions).is_some(), "call {call} not sent elsewhere");
             number += 1;
         }
-        bench.end(id, number, Outcome::Good, millis(20));
+        bench.end(id, number, Outcome::Success, millis(20));
     }
 }
 
 /// A copy whose tenant has been let to climb well over its part, offered 14 calls a second of which
 /// every fourth is first turned away `refusals` times; the calls denied in 20 s.
 fn denied_of_280(refusals: u32, outcome: Outcome, took: u64) -> u32 {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
-    admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Good);
+    admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Success);
     let mut denied = 0;
     for call in 0..280 {
         bench.pass(millis(71));
@@ -171,7 +171,7 @@
             number += 1;
         }
         if sent(&actions).is_some() {
-            bench.end(id, number, Outcome::Good, millis(took));
+            bench.end(id, number, Outcome::Success, millis(took));
         }
     }
     denied
@@ -201,24 +201,24 @@
 /// Found at full size with 644 copies: a soft limit of a third of a call let a whole one a window through.
 #[test]
 fn a_limit_of_less_than_a_call_a_window_holds() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.copies = 400;
     settings.tenants = vec![Tenant { quota: Some(20.0) }];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // The part is 0.05 a second, 0.11 with its chance.
-    let part = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Good);
+    let part = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
     assert!(part < 0.3, "{part} of a call a second");
 }
 
 /// A small tenant's own calls are too few to tell of a jam in time.
 #[test]
 fn a_jam_that_one_tenant_meets_cuts_all_limits() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }, Tenant { quota: Some(100.0) }];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    admitted(&mut bench, 9.5, 0.0, 5.0, Outcome::Good);
+    admitted(&mut bench, 9.5, 0.0, 5.0, Outcome::Success);
     for _ in 0..2000 {
         bench.pass(millis(10));
         let (id, actions) = bench.offer(Some(1));
@@ -226,7 +226,7 @@
             bench.end(id, 0, Outcome::TimedOut, AIM);
         }
     }
-    let small = admitted(&mut bench, 20.0, 0.0, 1.5, Outcome::Good);
+    let small = admitted(&mut bench, 20.0, 0.0, 1.5, Outcome::Success);
     assert!(small < 0.6, "{small} of the small tenant's calls admitted in a jam");
 }
 
@@ -234,7 +234,7 @@
 /// tier could do, and the limits of single tenants never fell under it while less than a jam was seen.
 #[test]
 fn in_a_crowd_all_tenants_together_are_held_to_their_fair_parts() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(2.0) }; 6];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -245,7 +245,8 @@
         if sent(&actions).is_some() {
             passed[usize::from(call >= 1000)] += 1;
             let slow = call >= 1000 && call.is_multiple_of(5);
-            let (outcome, took) = if slow { (Outcome::TimedOut, AIM) } else { (Outcome::Good, millis(20)) };
+            let (outcome, took) =
+                if slow { (Outcome::TimedOut, AIM) } else { (Outcome::Success, millis(20)) };
             bench.end(id, 0, outcome, took);
         }
     }
@@ -257,7 +258,7 @@
 /// Found in an incident: a third of a tier died, the quotas stayed what they were, and the survivors choked.
 #[test]
 fn the_limits_shrink_with_the_tier() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(20.0) }; 2];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
@@ -268,14 +269,14 @@
             let (id, actions) = bench.offer(Some(call % 2));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Good, millis(20));
+                bench.end(id, 0, Outcome::Success, millis(20));
             }
         }
         passed
     };
     run(&mut bench);
     assert_eq!(run(&mut bench), 900);
-    bench.tell(Event::List(ListUpdate::Whole((0..4).map(member).collect())));
+    bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
     let passed = run(&mut bench);
     assert!(passed < 900 * 85 / 100, "{passed} of 900 passed to half a tier");
 }
@@ -284,7 +285,7 @@
 /// within eight seconds, and let the servers choke.
 #[test]
 fn a_crowd_does_not_become_the_custom_of_a_busy_copy() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(50.0) }; 2];
     settings.over_share_worth = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
@@ -295,7 +296,7 @@
             let (id, actions) = bench.offer(Some(call % 2));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Good, millis(took));
+                bench.end(id, 0, Outcome::Success, millis(took));
             }
         }
         passed
@@ -320,7 +321,7 @@
             let (id, actions) = bench.offer(Some(0));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Good, millis(took[passed % 7] * slower_tenths / 10));
+                bench.end(id, 0, Outcome::Success, millis(took[passed % 7] * slower_tenths / 10));
             }
         }
         passed
@@ -337,7 +338,7 @@
 /// every part of a call became a whole one.
 #[test]
 fn retries_do_not_wear_down_a_part_of_a_call() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.copies = 100;
     settings.tenants = vec![Tenant { quota: Some(4.0) }; 4];
     settings.over_share_worth = 0.0;
@@ -349,7 +350,7 @@
             let (id, actions) = bench.offer(Some(call % 4));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Good, millis(20));
+                bench.end(id, 0, Outcome::Success, millis(20));
             }
         }
     }
@@ -363,16 +364,16 @@
 #[test]
 fn rejected_requests_are_neither_a_crowd_nor_a_failing_upstream() {
     let mut bench = ten_a_second();
-    assert_eq!(admitted(&mut bench, 8.0, 10.0, 20.0, Outcome::Good), 1.0);
+    assert_eq!(admitted(&mut bench, 8.0, 10.0, 20.0, Outcome::Success), 1.0);
     let mut tried = [0; 4];
     for call in 0..280 {
         bench.pass(millis(125));
         let (id, actions) = bench.offer(Some(0));
         let EndpointId(upstream) = sent(&actions).expect("below the limit all pass");
         tried[upstream as usize] += 1;
-        let outcome = if call % 2 == 0 { Outcome::Rejected } else { Outcome::Good };
+        let outcome = if call % 2 == 0 { Outcome::InvalidRequest } else { Outcome::Success };
         let actions = bench.end(id, 0, outcome, millis(20));
-        assert_eq!(actions.contains(&Action::Fail { request: id }), outcome == Outcome::Rejected);
+        assert_eq!(actions.contains(&Action::Fail { request: id }), outcome == Outcome::InvalidRequest);
         assert!(sent(&actions).is_none() && !refused(&actions));
     }
     assert!(tried.iter().all(|&calls| calls > 40), "{tried:?}");
@@ -383,7 +384,7 @@
 /// parts while the tier was at ease. Calls here take their usual times throughout, spread as on those days.
 #[test]
 fn few_calls_that_differ_by_far_are_no_crowd() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.copies = 20;
     settings.tenants = vec![Tenant { quota: Some(6.0 * 20.0) }; 2];
     settings.over_share_worth = 0.2;
@@ -396,7 +397,7 @@
         offered += u32::from(call >= 200);
         if sent(&actions).is_some() {
             passed += u32::from(call >= 200);
-            bench.end(id, 0, Outcome::Good, millis(spread(150)));
+            bench.end(id, 0, Outcome::Success, millis(spread(150)));
         }
     }
     // Twenty calls a second are a part and two thirds of this copy's: one of twenty may be dealt that many.
@@ -440,7 +441,7 @@
                 out.sort_by_key(|&(end, ..)| std::cmp::Reverse(end));
                 while let Some((end, id, span)) = out.pop_if(|&mut (end, ..)| end <= due) {
                     bench.pass(end.saturating_sub(bench.now));
-                    let outcome = if span < aim { Outcome::Good } else { Outcome::TimedOut };
+                    let outcome = if span < aim { Outcome::Success } else { Outcome::TimedOut };
                     bench.end(id, 0, outcome, span);
                 }
                 bench.pass(due.saturating_sub(bench.now));
@@ -458,7 +459,7 @@
 
 /// One copy of fifty whose two tenants have a fair part of `part` calls a second each.
 fn one_of_fifty(seed: u64, part: f64) -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Unsafe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     settings.copies = 50;
     settings.tenants = vec![Tenant { quota: Some(part * 50.0) }; 2];
     settings.over_share_worth = 0.2;
@@ -488,7 +489,7 @@
             let mut bench = one_of_fifty(seed, 20.0);
             let calm = admitted_by_second(&mut bench, 20, |_| 60, |_| 100);
             assert_eq!(calm.iter().sum::<u64>(), 1200);
-            bench.tell(Event::List(ListUpdate::Whole((0..4).map(member).collect())));
+            bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
             // Slower by half until that has been noticed, then as usual.
             let took = |second| if second < 2 { 150 } else { 100 };
             admitted_by_second(&mut bench, 6, |_| 60, took)[2..].iter().sum::<u64>()
@@ -521,7 +522,7 @@
 /// cut to what a few tens of milliseconds have brought would keep out nearly all for seconds.
 #[test]
 fn a_fresh_limit_is_not_cut_to_what_its_first_moments_brought() {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // Eight callers that come again 4 ms after each answer; calls are slower once there are several.
@@ -532,7 +533,7 @@
             bench.pass(took);
             let sent: Vec<_> = calls.iter().filter(|(_, actions)| sent(actions).is_some()).collect();
             for (id, _) in &sent {
-                bench.end(*id, 0, Outcome::Good, took);
+                bench.end(*id, 0, Outcome::Success, took);
             }
             bench.pass(millis(4));
             sent.len()
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -88,7 +88,7 @@
             Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
             None => figures.deadline,
         };
-        let once = figures.idempotency == Idempotency::Unsafe;
+        let once = figures.idempotency == Idempotency::NotIdempotent;
         Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), once })
     }
 }
@@ -96,9 +96,11 @@
 /// Whether the method fits what the class does, and the key that it may want is there.
 fn check_method(idempotency: Idempotency, head: &Parts) -> Result<(), BadRequest> {
     match idempotency {
-        Idempotency::Safe if head.method != Method::GET => Err(BadRequest::Method),
-        Idempotency::Keyed { .. } if !head.headers.contains_key("idempotency-key") => Err(BadRequest::Key),
-        Idempotency::Keyed { .. } | Idempotency::Unsafe if head.method != Method::POST => {
+        Idempotency::Idempotent if head.method != Method::GET => Err(BadRequest::Method),
+        Idempotency::IdempotencyKey { .. } if !head.headers.contains_key("idempotency-key") => {
+            Err(BadRequest::Key)
+        }
+        Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent if head.method != Method::POST => {
             Err(BadRequest::Method)
         }
         _ => Ok(()),
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -201,9 +201,9 @@
             self.prune_names(&in_attempts());
         }
         let update = match source {
-            ListSource::Snapshot => ListUpdate::Whole(members),
-            ListSource::Patch => ListUpdate::Patch(members),
-            ListSource::Configuration => ListUpdate::StaleCopy(members),
+            ListSource::Snapshot => ListUpdate::Snapshot(members),
+            ListSource::Patch => ListUpdate::Delta(members),
+            ListSource::Configuration => ListUpdate::CachedSnapshot(members),
         };
         AppliedList { update, restarted }
     }
@@ -212,13 +212,13 @@
         let lifecycle = match entry.status.as_str() {
             "ready" => Lifecycle::Ready,
             "draining" => Lifecycle::Draining,
-            "gone" => Lifecycle::Gone,
+            "gone" => Lifecycle::Removed,
             _ => return None,
         };
         let id = self.ids.get_or_assign(&entry.name);
         let zone = names.zones.get(&entry.zone).copied().map(ZoneId);
         let mut restarted = false;
-        if lifecycle == Lifecycle::Gone {
+        if lifecycle == Lifecycle::Removed {
             self.listed.remove(&id);
         } else {
             // A drain holds, whatever has become of the address.
@@ -230,7 +230,7 @@
             restarted = before.is_some_and(|before| before.since_ms != since_ms);
         }
         let started = self.starts.listed(moment, id, entry.since_ms);
-        if lifecycle == Lifecycle::Gone {
+        if lifecycle == Lifecycle::Removed {
             self.starts.left(id);
         }
         let weight = entry.weight;
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -290,7 +290,7 @@
             }
             state.counters.left += 1;
         }
-        self.handle(Event::ClientLeft(id));
+        self.handle(Event::ClientDisconnected(id));
     }
 
     /// An attempt is over.
@@ -329,7 +329,7 @@
         let moved = self.state.borrow().watch.address != self.discovery.get();
         if moved {
             self.state.borrow_mut().watch.abort();
-            self.handle(Event::List(ListUpdate::Moved));
+            self.handle(Event::List(ListUpdate::Relocated));
         }
     }
 
@@ -343,7 +343,7 @@
     pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
             crate::log(format_args!("discovery is at {address} now"));
-            self.handle(Event::List(ListUpdate::Moved));
+            self.handle(Event::List(ListUpdate::Relocated));
         }
     }
 
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -32,23 +32,23 @@
             Action::Send { request, upstream, timeout, begin_within, last } => {
                 self.send(state, &Send { request, upstream, timeout, begin_within, last });
             }
-            Action::Withdraw { request, attempt } => state.requests.withdraw(request, attempt),
+            Action::CancelAttempt { request, attempt } => state.requests.cancel(request, attempt),
             Action::Refuse { request, retry_after } => state.refuse(request, retry_after),
             Action::Fail { request } => state.fail(request),
             Action::Subscribe => self.subscribe(state),
             // Health checks are not made here: where a site allowed them, they would end unsent.
-            Action::Probe { upstream } => state.events.push_back(Event::Probed {
+            Action::HealthCheck { upstream } => state.events.push_back(Event::HealthChecked {
                 upstream,
                 outcome: Outcome::NotSent,
                 took: Duration::ZERO,
                 load: None,
             }),
-            Action::DropIdle { upstream } => self.pool.close_idle(upstream),
-            Action::WakeAfter(span) => {
+            Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
+            Action::ScheduleMaintenance(span) => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     sleep(span).await;
-                    driver.handle(Event::Wake);
+                    driver.handle(Event::MaintenanceDue);
                 });
             }
             Action::Log(text) => crate::log(format_args!("{text}")),
@@ -99,7 +99,7 @@
             until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(asked + span)),
             last,
         };
-        spawn_local(upstream::attempt(Rc::clone(self), job, attempt.withdrawn));
+        spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
 }
 
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -66,7 +66,7 @@
     /// Where it is out to, until it has ended.
     upstream: Option<EndpointId>,
     /// Withdraws it, once.
-    withdraw: Option<oneshot::Sender<()>>,
+    cancel: Option<oneshot::Sender<()>>,
 }
 
 /// An attempt that has been entered into the table.
@@ -74,8 +74,8 @@
 pub struct StartedAttempt {
     /// Which of its request's attempts it is.
     pub number: AttemptNumber,
-    /// Resolves when it is withdrawn.
-    pub withdrawn: oneshot::Receiver<()>,
+    /// Resolves when it is cancelled.
+    pub cancelled: oneshot::Receiver<()>,
 }
 
 /// What the end of an attempt has meant for its request.
@@ -108,11 +108,11 @@
 
     /// Enters an attempt that goes out.
     pub fn start_attempt(&mut self, upstream: EndpointId) -> StartedAttempt {
-        let (withdraw, withdrawn) = oneshot::channel();
+        let (cancel, cancelled) = oneshot::channel();
         let number = self.next_attempt();
-        self.attempts.push(Attempt { upstream: Some(upstream), withdraw: Some(withdraw) });
+        self.attempts.push(Attempt { upstream: Some(upstream), cancel: Some(cancel) });
         self.attempts_out += 1;
-        StartedAttempt { number, withdrawn }
+        StartedAttempt { number, cancelled }
     }
 
     /// Enters an attempt that ends before it goes out.
@@ -221,13 +221,13 @@
         abandoned
     }
 
-    /// Withdraws an attempt, if it has neither ended nor been withdrawn.
-    pub fn withdraw(&mut self, id: RequestId, attempt: AttemptNumber) {
+    /// Cancels an attempt, if it has neither ended nor been cancelled.
+    pub fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         let attempt =
             self.requests.get_mut(&id).and_then(|request| request.attempts.get_mut(attempt.0 as usize));
-        if let Some(withdraw) = attempt.and_then(|attempt| attempt.withdraw.take()) {
+        if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
             // It may have ended this moment, which it then says itself.
-            let _ = withdraw.send(());
+            let _ = cancel.send(());
         }
     }
 
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -43,7 +43,7 @@
     /// Counts the end of an attempt.
     pub fn attempt(&mut self, outcome: Outcome, took: Duration) {
         self.outcomes[outcome as usize] += 1;
-        if outcome == Outcome::Good {
+        if outcome == Outcome::Success {
             self.good_total += took;
             self.good_max = self.good_max.max(took);
         }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -141,7 +141,7 @@
 }
 
 /// Makes an attempt and tells the driver how it ended.
-pub async fn attempt(driver: Rc<EventLoop>, job: Job, withdrawn: oneshot::Receiver<()>) {
+pub async fn attempt(driver: Rc<EventLoop>, job: Job, cancelled: oneshot::Receiver<()>) {
     let progress = Progress::default();
     let ended = match driver.host(job.upstream, job.address) {
         Some(host) => {
@@ -158,7 +158,7 @@
                     // Closed before its last byte was written, it can't run any more.
                     Err(_) => Some((Outcome::ConnectFailed.into(), None)),
                 },
-                Ok(()) = withdrawn => Some((Outcome::Withdrawn.into(), None)),
+                Ok(()) = cancelled => Some((Outcome::Cancelled.into(), None)),
             }
             .map(|(ended, connection)| (ended, connection.map(|connection| (host, connection))))
         }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -27,13 +27,13 @@
         Err(_) => return None,
     };
     let outcome = match head.status {
-        StatusCode::OK => Outcome::Good,
+        StatusCode::OK => Outcome::Success,
         _ if not_run => Outcome::Refused,
         // What a caller got wrong is no fault of the upstream's.
-        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::Rejected,
+        StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::InvalidRequest,
         _ => Outcome::Error,
     };
-    Some(Ended { body: (outcome == Outcome::Good).then_some(body), load, ..outcome.into() })
+    Some(Ended { body: (outcome == Outcome::Success).then_some(body), load, ..outcome.into() })
 }
 
 /// Reads `name=value,name=value`.
--- a/crates/proxy/tests/beyond_the_bench.rs
+++ b/crates/proxy/tests/beyond_the_bench.rs
@@ -28,7 +28,7 @@
 
 /// A copy of a fleet's first tier with eight upstreams, in a mode of having lists.
 fn copy(discovery: DiscoveryMode) -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Idempotency::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = discovery;
     settings.rules.ask_within = Some(millis(10_000));
     Bench::new(settings, 11, (0..8).map(member).collect())
@@ -41,7 +41,7 @@
     for _ in 0..requests {
         let meets = |upstream: EndpointId| match failing.contains(&upstream.0) {
             true => (Outcome::ConnectFailed, millis(1)),
-            false => (Outcome::Good, millis(20)),
+            false => (Outcome::Success, millis(20)),
         };
         let tried = bench.run(meets);
         served += u32::from(tried.last().is_some_and(|upstream| !failing.contains(&upstream.0)));
@@ -80,9 +80,9 @@
     let mut asked = Vec::new();
     bench.tell(Event::List(ListUpdate::Broken));
     while bench.now < end {
-        let actions = bench.tell(Event::Wake);
+        let actions = bench.tell(Event::MaintenanceDue);
         let wake = actions.iter().find_map(|action| match action {
-            Action::WakeAfter(span) => Some(*span),
+            Action::ScheduleMaintenance(span) => Some(*span),
             _ => None,
         });
         if actions.contains(&Action::Subscribe) {
@@ -123,14 +123,14 @@
             lifecycle: if id < 4 { Lifecycle::Draining } else { Lifecycle::Ready },
             ..member(id)
         };
-        bench.tell(Event::List(ListUpdate::Whole((0..8).map(told).collect())));
+        bench.tell(Event::List(ListUpdate::Snapshot((0..8).map(told).collect())));
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
             let (id, actions) = bench.offer(None);
             let upstream = sent(&actions).expect("four are ready");
             *seen.entry(upstream.0).or_default() += 1;
             bench.pass(millis(20));
-            bench.end(id, 0, Outcome::Good, millis(20));
+            bench.end(id, 0, Outcome::Success, millis(20));
         }
         assert!(seen.keys().all(|&upstream| upstream >= 4), "{mode:?}: sent to what drains: {seen:?}");
     }
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -42,7 +42,7 @@
         let in_attempts = || self.in_attempts.clone();
         let applied =
             self.table.apply(self.now, &update.endpoints, ListSource::Patch, &self.names, in_attempts);
-        let ListUpdate::Patch(members) = applied.update else { panic!("no patch: {:?}", applied.update) };
+        let ListUpdate::Delta(members) = applied.update else { panic!("no patch: {:?}", applied.update) };
         (members[0].id, members[0].started)
     }
 
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -56,7 +56,7 @@
 
     fn start_attempt(&mut self) -> (AttemptNumber, oneshot::Receiver<()>) {
         let attempt = self.table.get_mut(self.request).expect("in flight").start_attempt(UPSTREAM);
-        (attempt.number, attempt.withdrawn)
+        (attempt.number, attempt.cancelled)
     }
 
     fn upstreams(&self) -> Vec<EndpointId> {
@@ -72,9 +72,9 @@
 fn a_withdrawn_attempt_is_out_until_it_has_ended() {
     run(async {
         let mut world = World::new().await;
-        let (number, mut withdrawn) = world.start_attempt();
-        world.table.withdraw(world.request, number);
-        assert_eq!(withdrawn.try_recv(), Ok(()));
+        let (number, mut cancelled) = world.start_attempt();
+        world.table.cancel(world.request, number);
+        assert_eq!(cancelled.try_recv(), Ok(()));
         assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![UPSTREAM], 1));
         let result = world.table.end_attempt(world.request, number, None);
         assert_eq!(result, Some(AttemptResult { served: false, finished: false }));
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -70,9 +70,9 @@
 
 fn idempotency(class: &Lane) -> Result<Idempotency, SetupError> {
     Ok(match class.effect {
-        EffectName::Idempotent => Idempotency::Safe,
-        EffectName::AtMostOnce => Idempotency::Unsafe,
-        EffectName::Deduplicated => Idempotency::Keyed {
+        EffectName::Idempotent => Idempotency::Idempotent,
+        EffectName::AtMostOnce => Idempotency::NotIdempotent,
+        EffectName::Deduplicated => Idempotency::IdempotencyKey {
             scope: deduplication_scope(class.dedup_scope.as_deref())?,
             window: duration("windowS", class.dedup_window_s.unwrap_or(0.0))?,
         },
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -15,13 +15,13 @@
 pub fn request_of(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
-        | Action::Withdraw { request, .. }
+        | Action::CancelAttempt { request, .. }
         | Action::Refuse { request, .. }
         | Action::Fail { request } => Some(request),
         Action::Subscribe
-        | Action::Probe { .. }
-        | Action::DropIdle { .. }
-        | Action::WakeAfter(_)
+        | Action::HealthCheck { .. }
+        | Action::CloseIdle { .. }
+        | Action::ScheduleMaintenance(_)
         | Action::Log(_) => None,
     }
 }
@@ -34,16 +34,16 @@
             write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
             write_seconds(*timeout, output)
         }
-        Action::Withdraw { attempt, .. } => writeln!(output, "WITHDRAW\t{ticket}\t{}", attempt.0),
+        Action::CancelAttempt { attempt, .. } => writeln!(output, "WITHDRAW\t{ticket}\t{}", attempt.0),
         Action::Refuse { retry_after, .. } => {
             write!(output, "DENY\t{ticket}\t")?;
             write_seconds(*retry_after, output)
         }
         Action::Fail { .. } => writeln!(output, "ABORT\t{ticket}"),
         Action::Subscribe => writeln!(output, "OBSERVE\t1"),
-        Action::Probe { upstream } => writeln!(output, "POLL\t{}", upstream.0),
-        Action::DropIdle { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
-        Action::WakeAfter(span) => writeln!(output, "AFTER\t{:.6}\tsweep", span.as_secs_f64()),
+        Action::HealthCheck { upstream } => writeln!(output, "POLL\t{}", upstream.0),
+        Action::CloseIdle { upstream } => writeln!(output, "DROP_CONNS\t{}", upstream.0),
+        Action::ScheduleMaintenance(span) => writeln!(output, "AFTER\t{:.6}\tsweep", span.as_secs_f64()),
         Action::Log(text) => writeln!(output, "DEBUG\t{text}"),
     }
 }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -80,9 +80,9 @@
         let entries = self.lists.get(&number).ok_or(Malformed::UnknownList(number))?;
         let members = entries.iter().map(|entry| entry.member(names)).collect();
         match scope {
-            "patch" => Ok(ListUpdate::Patch(members)),
-            "whole" => Ok(ListUpdate::Whole(members)),
-            "stale_copy" => Ok(ListUpdate::StaleCopy(members)),
+            "patch" => Ok(ListUpdate::Delta(members)),
+            "whole" => Ok(ListUpdate::Snapshot(members)),
+            "stale_copy" => Ok(ListUpdate::CachedSnapshot(members)),
             _ => Err(Malformed::value("scope", scope)),
         }
     }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -30,10 +30,10 @@
     Request,
     StreamStarted,
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
     Reminder,
     HealthChecked,
-    Message,
+    PeerMessage,
 }
 
 impl FromStr for EventKind {
@@ -45,10 +45,10 @@
             "ASK" => Self::Request,
             "FIRST" => Self::StreamStarted,
             "ATTEMPT_END" => Self::AttemptEnded,
-            "TIMED_OUT_CLIENT" => Self::ClientLeft,
+            "TIMED_OUT_CLIENT" => Self::ClientDisconnected,
             "REMINDER" => Self::Reminder,
             "HEALTH" => Self::HealthChecked,
-            "NOTE_FROM" => Self::Message,
+            "NOTE_FROM" => Self::PeerMessage,
             _ => return Err(Malformed::unknown_message(name)),
         })
     }
@@ -67,10 +67,10 @@
         EventKind::Request => request(names, requests, fields).map(Some),
         EventKind::StreamStarted => stream_started(requests, fields),
         EventKind::AttemptEnded => attempt_ended(names, requests, fields),
-        EventKind::ClientLeft => client_left(requests, fields),
+        EventKind::ClientDisconnected => client_disconnected(requests, fields),
         EventKind::Reminder => reminder(fields).map(Some),
         EventKind::HealthChecked => health_checked(names, fields).map(Some),
-        EventKind::Message => message(fields).map(Some),
+        EventKind::PeerMessage => peer_message(fields).map(Some),
     }
 }
 
@@ -130,17 +130,17 @@
     Ok(Some(Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load }))
 }
 
-fn client_left(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
+fn client_disconnected(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
     let id = requests.id(fields.text("ticket")?);
     if let Some(id) = id {
         requests.ended(id);
     }
-    Ok(id.map(Event::ClientLeft))
+    Ok(id.map(Event::ClientDisconnected))
 }
 
 fn reminder(fields: &mut Fields) -> Result<Event, Malformed> {
     fields.text("ref")?;
-    Ok(Event::Wake)
+    Ok(Event::MaintenanceDue)
 }
 
 fn health_checked(names: &Names, fields: &mut Fields) -> Result<Event, Malformed> {
@@ -148,13 +148,13 @@
     let took = fields.seconds("durationS")?;
     let upstream = EndpointId(fields.number("upstream")?);
     let load = load_report(names, fields)?;
-    Ok(Event::Probed { upstream, outcome, took, load })
+    Ok(Event::HealthChecked { upstream, outcome, took, load })
 }
 
-fn message(fields: &mut Fields) -> Result<Event, Malformed> {
+fn peer_message(fields: &mut Fields) -> Result<Event, Malformed> {
     let from = fields.number("by")?;
     let content = wire::bytes(fields.text("content")?)?;
-    Ok(Event::Message { from, content })
+    Ok(Event::PeerMessage { from, content })
 }
 
 /// Values in the order that the settings name.
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -79,7 +79,7 @@
 /// The request that may be over with an event.
 fn request_ended(event: &Event) -> Option<RequestId> {
     match *event {
-        Event::ClientLeft(id) | Event::AttemptEnded { request: id, .. } => Some(id),
+        Event::ClientDisconnected(id) | Event::AttemptEnded { request: id, .. } => Some(id),
         _ => None,
     }
 }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -9,13 +9,13 @@
 /// How an attempt or a health check ended.
 pub fn outcome(value: &str) -> Result<Outcome, Malformed> {
     Ok(match value {
-        "GOOD" => Outcome::Good,
+        "GOOD" => Outcome::Success,
         "BAD" => Outcome::Error,
         "FULL" => Outcome::Refused,
         "LATE" => Outcome::TimedOut,
         "NOCONN" => Outcome::ConnectFailed,
         "RST" => Outcome::Reset,
-        "CXL" => Outcome::Withdrawn,
+        "CXL" => Outcome::Cancelled,
         "NOP" => Outcome::NotSent,
         _ => return Err(Malformed::value("outcome", value)),
     })
@@ -26,7 +26,7 @@
     Ok(match value {
         "Ready" => Lifecycle::Ready,
         "Terminating" => Lifecycle::Draining,
-        "Gone" => Lifecycle::Gone,
+        "Gone" => Lifecycle::Removed,
         _ => return Err(Malformed::value("phase", value)),
     })
 }
