--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -311,9 +311,9 @@
 
 fn settings(plan: &Plan, size: Size) -> Settings {
     let class = Class {
-        aim: Duration::from_secs_f64(plan.traffic.aim_s.value),
+        latency_objective: Duration::from_secs_f64(plan.traffic.aim_s.value),
         deadline: Duration::from_secs_f64(plan.traffic.deadline_s.value),
-        late_worth: 0.3,
+        late_weight: 0.3,
         idempotency: Idempotency::Idempotent,
     };
     // Quotas that no tenant reaches: what is measured is the way of a request that is served.
@@ -321,12 +321,12 @@
     let tenants =
         (0..size.tenants).map(|_| Tenant { quota: Some(rate / size.tenants.max(1) as f64) }).collect();
     Settings {
-        copies: COPIES,
-        index: 17,
+        replicas: COPIES,
+        replica_index: 17,
         zones: plan.fleet.zones.value,
         tier: usize::from(size.tenants == 0),
         tenants,
-        over_share_worth: 0.3,
+        over_quota_weight: 0.3,
         ..Settings::single_zone(vec![class])
     }
 }
@@ -356,10 +356,10 @@
             id,
             class: ClassId(0),
             tenant,
-            key: None,
+            subject: None,
             time_left: Duration::from_secs(2),
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
         };
         self.balancer.handle(self.time(), Event::Request(request), &mut self.actions);
         if self.actions.iter().any(|action| matches!(action, Action::Send { .. })) {
@@ -374,8 +374,8 @@
             request,
             attempt: AttemptNumber(0),
             outcome: Outcome::Success,
-            took: Duration::from_secs_f64(CALL_S),
-            connecting: Duration::ZERO,
+            duration: Duration::from_secs_f64(CALL_S),
+            connect_wait: Duration::ZERO,
             finished: true,
             load: None,
         };
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -39,8 +39,8 @@
         id: u64,
         process: u32,
         timeout: Option<Duration>,
-        begin_within: Option<Duration>,
-        last: bool,
+        first_byte_deadline: Option<Duration>,
+        is_last_attempt: bool,
     ) {
         let now = self.now;
         let held = &self.cores[core as usize];
@@ -64,16 +64,16 @@
             .min(hop.deadline.saturating_sub(now));
         let connected = self.cores[core as usize].connected.contains(&process) && state != State::Ended;
         let reply = |outcome| Due::Reply { hop: id, attempt, outcome };
-        let (at, due, connecting) = if connected && !cut {
+        let (at, due, connect_wait) = if connected && !cut {
             (now + one, Due::Reach { hop: id, attempt }, 0)
         } else if connected {
             (now + wait, reply(Outcome::TimedOut), 0)
         } else if cut || state == State::Lost {
-            let wait = wait.min(ns(if last { CONNECT.1 } else { CONNECT.0 }));
+            let wait = wait.min(ns(if is_last_attempt { CONNECT.1 } else { CONNECT.0 }));
             (now + wait, reply(Outcome::ConnectTimedOut), wait)
         } else if state == State::Ended {
             (now + 2 * one, reply(Outcome::ConnectFailed), 2 * one)
-        } else if begin_within.is_some_and(|span| span.as_nanos() < u128::from(2 * one)) {
+        } else if first_byte_deadline.is_some_and(|span| span.as_nanos() < u128::from(2 * one)) {
             (now + 2 * one, reply(Outcome::NotSent), 2 * one)
         } else {
             self.cores[core as usize].connected.insert(process);
@@ -84,7 +84,7 @@
             self.cores[core as usize].connected.remove(&process);
         }
         if let Some(hop) = self.hops.get(id) {
-            hop.attempts.push(Attempt { process, sent: now, connecting, over: false });
+            hop.attempts.push(Attempt { process, sent: now, connect_wait, over: false });
         }
         self.due.push(at, due);
         if matches!(due, Due::Reach { .. }) {
@@ -101,7 +101,7 @@
             return;
         };
         attempt.over = true;
-        let Attempt { sent, connecting, process, .. } = *attempt;
+        let Attempt { sent, connect_wait, process, .. } = *attempt;
         let good = outcome == Outcome::Success;
         let depth = self.depth_of(core);
         let end = match outcome {
@@ -121,8 +121,8 @@
             request: RequestId(id),
             attempt: AttemptNumber(number.into()),
             outcome,
-            took: Duration::from_nanos(took),
-            connecting: Duration::from_nanos(connecting.min(took)),
+            duration: Duration::from_nanos(took),
+            connect_wait: Duration::from_nanos(connect_wait.min(took)),
             finished: good || self.hops.get(id).is_some_and(|hop| hop.answered),
             load: None,
         };
--- a/crates/capacity/src/hollow/world/calls.rs
+++ b/crates/capacity/src/hollow/world/calls.rs
@@ -20,7 +20,7 @@
         let time_left = deadline.saturating_sub(self.now);
         self.report.depths[depth].calls += 1;
         self.report.depths[depth].left_s += seconds(time_left);
-        let (tenant, repeat) = match parent {
+        let (tenant, is_client_retry) = match parent {
             Parent::Client(client) => {
                 let client = &self.clients[client as usize];
                 (Some(TenantId(client.tenant as usize)), client.tries > 1)
@@ -31,10 +31,10 @@
             id: RequestId(id),
             class: ClassId(class.into()),
             tenant,
-            key: (class == 1).then_some(id),
+            subject: (class == 1).then_some(id),
             time_left: Duration::from_nanos(time_left),
             expected_work: None,
-            repeat,
+            is_client_retry,
         };
         self.drive(core, Event::Request(request));
     }
@@ -50,9 +50,9 @@
         balancer.handle(Duration::from_nanos(self.now), event, &mut actions);
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, upstream, timeout, begin_within, last } => {
+                Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
                     self.mix(request.0 ^ u64::from(upstream.0) << 40);
-                    self.send(core, request.0, upstream.0, timeout, begin_within, last);
+                    self.send(core, request.0, upstream.0, timeout, first_byte_deadline, is_last_attempt);
                 }
                 Action::CancelAttempt { request, attempt } => {
                     self.due.push(
--- a/crates/capacity/src/hollow/world/minds.rs
+++ b/crates/capacity/src/hollow/world/minds.rs
@@ -29,14 +29,14 @@
         for core in &self.cores {
             let Some(balancer) = &core.balancer else { continue };
             minds.cores += 1;
-            let vitals = balancer.vitals();
+            let stats_snapshot = balancer.stats_snapshot();
             let figure = |name: &str| -> f64 {
-                let rest = vitals.split_once(name).map_or("", |(_, rest)| rest);
+                let rest = stats_snapshot.split_once(name).map_or("", |(_, rest)| rest);
                 rest.split([' ', ',']).find_map(|word| word.parse().ok()).unwrap_or(0.0)
             };
             minds.crowded += usize::from(figure("crowding ") > 0.2);
             // The last of the limits is that of all calls together; where it is none it reads 1000000.
-            let limits = vitals.split_once("limits ").map_or("", |(_, rest)| rest);
+            let limits = stats_snapshot.split_once("limits ").map_or("", |(_, rest)| rest);
             let limits = limits.split_once(", usual").map_or("", |(limits, _)| limits);
             let all = limits.split(' ').filter_map(|word| word.parse::<f64>().ok()).next_back();
             let fair = QUOTAS * self.topology.services[core.service].rate / self.topology.fronts.len() as f64;
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -21,9 +21,9 @@
         let traffic = &self.plan.traffic;
         let tier = self.topology.services[service].depth - 1;
         let class = |idempotency| Class {
-            aim: Duration::from_secs_f64(traffic.aim_s.value),
+            latency_objective: Duration::from_secs_f64(traffic.aim_s.value),
             deadline: Duration::from_secs_f64(traffic.deadline_s.value),
-            late_worth: 0.3,
+            late_weight: 0.3,
             idempotency,
         };
         let keyed =
@@ -34,37 +34,43 @@
             Tenant { quota: Some(part * QUOTAS * self.topology.services[service].rate) }
         };
         Settings {
-            index,
-            copies: self.callers[service],
+            replica_index: index,
+            replicas: self.callers[service],
             tier,
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
             kinds: 1,
             classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NotIdempotent)],
             tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
-            over_share_worth: 0.3,
+            over_quota_weight: 0.3,
             discovery: DiscoveryMode::Push,
-            passes_deadline: true,
+            propagates_deadline: true,
             permissions: Permissions {
-                attempts: traffic.attempts.value,
-                second_copies: false,
+                max_attempts: traffic.attempts.value,
+                hedging: false,
                 cancel: true,
-                probes: false,
+                health_checks: false,
                 messages: false,
                 keepalive: Duration::from_secs(30),
-                streams: 1,
+                streams_per_connection: 1,
                 retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
                 drain_grace: Duration::from_secs_f64(GRACE_S),
-                ask_within: None,
-                cold_share: COLD.0,
-                cold_time: Duration::from_secs_f64(COLD.1),
+                poll_interval_max: None,
+                slow_start_min_fraction: COLD.0,
+                slow_start_window: Duration::from_secs_f64(COLD.1),
                 overload_multiple: OVERLOAD.0,
                 overload_window: Duration::from_secs_f64(OVERLOAD.1),
             },
-            costs: Costs { cross_zone: 0.02, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+            costs: Costs {
+                cross_zone: 0.02,
+                wasted_work: 0.0,
+                late_failure: 0.0,
+                handshake: 0.0,
+                health_check: 0.0,
+            },
         }
     }
 }
--- a/crates/capacity/src/hollow/world/state.rs
+++ b/crates/capacity/src/hollow/world/state.rs
@@ -72,7 +72,7 @@
 pub(super) struct Attempt {
     pub(super) process: u32,
     pub(super) sent: u64,
-    pub(super) connecting: u64,
+    pub(super) connect_wait: u64,
     pub(super) over: bool,
 }
 
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -11,9 +11,9 @@
 
 fn main() -> Result<(), SettingsError> {
     let read = Class {
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        late_worth: 0.0,
+        late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
     };
     let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
@@ -43,10 +43,10 @@
             id,
             class: ClassId(0),
             tenant: None,
-            key: None,
+            subject: None,
             time_left: Duration::from_secs(2),
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
         };
         balancer.handle(now, Event::Request(request), &mut actions);
         let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
@@ -57,8 +57,8 @@
                 request: id,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Success,
-                took: Duration::from_millis(20),
-                connecting: Duration::ZERO,
+                duration: Duration::from_millis(20),
+                connect_wait: Duration::ZERO,
                 finished: true,
                 load: None,
             };
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -18,9 +18,9 @@
         /// The timeout of the attempt; `None` for as long as the client waits.
         timeout: Option<Duration>,
         /// Its first byte must be out within this; `None` for any time. Past it the attempt could repeat an effect.
-        begin_within: Option<Duration>,
+        first_byte_deadline: Option<Duration>,
         /// No retry can follow if it finds no connection: it waits for one as long as the settings allow.
-        last: bool,
+        is_last_attempt: bool,
     },
     /// Cancel an attempt; its end is still to be reported.
     CancelAttempt {
--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -64,10 +64,10 @@
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
             return Self::unlimited();
         };
-        let fair_share = quota / f64::from(settings.copies);
+        let fair_share = quota / f64::from(settings.replicas);
         let with_margin = fair_share + CHANCE_DEVIATIONS * (fair_share / WINDOW_S).sqrt();
         let rate = with_margin * busiest_replica(settings);
-        let ceiling = if settings.over_share_worth < EXCESS_COUNTS { rate } else { f64::MAX };
+        let ceiling = if settings.over_quota_weight < EXCESS_COUNTS { rate } else { f64::MAX };
         Self { rate, fair_share, share_with_margin: Some(with_margin), ceiling, recent_rate: 0.0 }
     }
 
@@ -88,7 +88,7 @@
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
         let mut all = Self::new(settings, quotas.sum());
-        if all.has_quota() && limits.len() > 1 && settings.over_share_worth < EXCESS_COUNTS {
+        if all.has_quota() && limits.len() > 1 && settings.over_quota_weight < EXCESS_COUNTS {
             all.share_with_margin = Some(all.fair_share);
             all.rate = all.fair_share * busiest_replica(settings);
             all.ceiling = all.rate * (1.0 + EXCESS * all.fair_share / (all.fair_share + EXCESS_HALF_RATE));
@@ -170,7 +170,7 @@
 /// the tier has too many calls, but one of fifty may just have more clients. The fewer calls a replica sees, the
 /// less of it is allowed, as it sees congestion late.
 fn busiest_replica(settings: &Settings) -> f64 {
-    let replicas = f64::from(settings.copies);
+    let replicas = f64::from(settings.replicas);
     let fair = settings.tenants.iter().filter_map(|tenant| tenant.quota).sum::<f64>() / replicas;
     1.0 + (replicas.ln().max(1.0) - 1.0) * fair / (fair + EXCESS_HALF_RATE)
 }
--- a/crates/policy/src/admission/baseline_latency.rs
+++ b/crates/policy/src/admission/baseline_latency.rs
@@ -24,9 +24,9 @@
 
 impl BaselineLatency {
     /// Learns from a request served in `took` seconds, with the weight `step`.
-    pub fn record(&mut self, took: f64, step: f64, congested: bool) {
+    pub fn record(&mut self, duration: f64, step: f64, congested: bool) {
         self.samples += 1.0;
-        let over = took.ln() - self.ln_seconds;
+        let over = duration.ln() - self.ln_seconds;
         // Longer and shorter times alike: congestion that taught mostly short times would outlast itself.
         let step = if congested { step / CONGESTED_DIVISOR } else { step }.min(MAX_WEIGHT);
         let most = if self.samples > 1.0 { MAX_STEP } else { f64::MAX };
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -51,7 +51,7 @@
     /// When the call arrived.
     pub arrived: f64,
     /// How long its attempts waited for connections.
-    pub connecting: f64,
+    pub connect_wait: f64,
 }
 
 /// The tier as the rest of the balancer sees it when a call ends.
@@ -174,7 +174,7 @@
             // Late connections tell nothing of a tier that answers others.
             Outcome::ConnectTimedOut if is_silent => Some(true),
             Outcome::Error => Some(tier_failure_rate > CONGESTED_FAILURE_RATE),
-            Outcome::Success => Some(now - end.arrived - end.connecting > end.latency_objective),
+            Outcome::Success => Some(now - end.arrived - end.connect_wait > end.latency_objective),
             Outcome::ConnectTimedOut | Outcome::InvalidRequest | Outcome::Reset | Outcome::NotSent => None,
         }
     }
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -26,15 +26,20 @@
 
 fn limits(quotas: &[f64]) -> Vec<AdaptiveLimit> {
     let span = std::time::Duration::from_secs(1);
-    let class = Class { aim: span, deadline: span, late_worth: 0.0, idempotency: Idempotency::Idempotent };
+    let class = Class {
+        latency_objective: span,
+        deadline: span,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+    };
     let mut settings = Settings::single_zone(vec![class]);
-    settings.over_share_worth = 0.2;
+    settings.over_quota_weight = 0.2;
     settings.tenants = quotas.iter().map(|&quota| Tenant { quota: Some(quota) }).collect();
     AdaptiveLimit::all(&settings)
 }
 
 fn call(outcome: Outcome, served: f64) -> CallEnd {
-    CallEnd { tenant: 0, outcome, served, latency_objective: 1.0, arrived: 10.0, connecting: 0.0 }
+    CallEnd { tenant: 0, outcome, served, latency_objective: 1.0, arrived: 10.0, connect_wait: 0.0 }
 }
 
 fn baseline(seconds: f64) -> BaselineLatency {
@@ -137,8 +142,8 @@
 #[test]
 fn an_answer_past_the_latency_objective_is_bad_but_not_for_the_wait_for_a_connection() {
     let mut congestion = Congestion::new();
-    let mut signal = |connecting: f64| {
-        let end = CallEnd { connecting, ..call(Outcome::Success, 0.1) };
+    let mut signal = |connect_wait: f64| {
+        let end = CallEnd { connect_wait, ..call(Outcome::Success, 0.1) };
         congestion.signal(11.5, &end, baseline(0.1), TIER).expect("it tells").is_bad
     };
     assert!(signal(0.0));
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -72,13 +72,21 @@
             Event::List(update) => self.update_list(now, update),
             Event::Request(request) => self.accept(now, request, actions),
             Event::StreamStarted { request, attempt } => self.begin_stream(request, attempt, actions),
-            Event::AttemptEnded { request, attempt: number, outcome, took, connecting, finished, .. } => {
-                let unconnected = if outcome == Outcome::ConnectTimedOut { took } else { connecting };
-                let served = took.saturating_sub(unconnected).as_secs_f64();
+            Event::AttemptEnded {
+                request,
+                attempt: number,
+                outcome,
+                duration,
+                connect_wait,
+                finished,
+                ..
+            } => {
+                let unconnected = if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
+                let served = duration.saturating_sub(unconnected).as_secs_f64();
                 let Some(pending) = self.requests.get(request) else { return };
-                let latency_objective = pending.rules().aim.as_secs_f64();
-                let took = took.as_secs_f64();
-                let end = AttemptEnd { number, outcome, took, served, latency_objective, finished };
+                let latency_objective = pending.rules().latency_objective.as_secs_f64();
+                let duration = duration.as_secs_f64();
+                let end = AttemptEnd { number, outcome, duration, served, latency_objective, finished };
                 self.end_attempt(now, request, end, actions);
             }
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
@@ -95,7 +103,7 @@
     /// The stats snapshot for the operator's log: congestion, failures and capacity of the tier, the limits and the
     /// baseline latencies.
     #[must_use]
-    pub fn vitals(&self) -> String {
+    pub fn stats_snapshot(&self) -> String {
         let limits: String = self.admission.limits().map(|rate| format!(" {:.1}", rate.min(1e6))).collect();
         let baselines: String =
             self.baselines.iter().map(|baseline| format!(" {:.0}", baseline.seconds() * 1e3)).collect();
@@ -114,7 +122,7 @@
         self.admission.reconfigure(&settings);
         self.baselines.resize(settings.classes.len(), BaselineLatency::default());
         let before = replace(&mut self.settings, Arc::new(settings));
-        if before.copies != self.settings.copies && self.subset.locality.is_known() {
+        if before.replicas != self.settings.replicas && self.subset.locality.is_known() {
             self.lay_out_subset();
         }
     }
@@ -212,7 +220,7 @@
         let slow_start_allows = self.subset.slow_start_allows(now, endpoint, &self.settings);
         let Some(pending) = self.requests.get_mut(id) else { return false };
         let permissions = &self.settings.permissions;
-        let max_attempts = permissions.attempts.min(pending.settings.permissions.attempts) as usize;
+        let max_attempts = permissions.max_attempts.min(pending.settings.permissions.max_attempts) as usize;
         let timeout = pending.useful_until() - now;
         let repeat_within =
             may_repeat(now, pending.rules().idempotency, pending.first_run(), &endpoint.member);
@@ -224,7 +232,7 @@
             || is_over
             || endpoint.member.lifecycle != Lifecycle::Ready
             || !has_attempts_left
-            || (is_hedge && !permissions.second_copies)
+            || (is_hedge && !permissions.hedging)
         {
             return false;
         }
@@ -234,13 +242,13 @@
         pending.attempts.push(Attempt::new(slot, member, now));
         pending.in_flight += 1;
         let reachable = self.endpoints.ready().len().min(max_attempts);
-        let last = pending.attempts.len() >= reachable || !self.retry_budgets.allow_reroute();
+        let is_last_attempt = pending.attempts.len() >= reachable || !self.retry_budgets.allow_reroute();
         actions.push(Action::Send {
             request: id,
             upstream: member.id,
             timeout: Duration::try_from_secs_f64(timeout).ok(),
-            begin_within: repeat_within.and_then(|left| Duration::try_from_secs_f64(left).ok()),
-            last,
+            first_byte_deadline: repeat_within.and_then(|left| Duration::try_from_secs_f64(left).ok()),
+            is_last_attempt,
         });
         true
     }
@@ -259,7 +267,7 @@
         let outcome = end.outcome;
         let Some(pending) = self.requests.get_mut(id) else { return };
         let Some(slot) = pending.end_attempt(&end) else { return };
-        let PendingRequest { class, tenant, arrived, connecting, .. } = *pending;
+        let PendingRequest { class, tenant, arrived, connect_wait, .. } = *pending;
         let was_tried_before = pending.was_tried_before(end.number);
         let is_closed = pending.closed || end.finished;
         let is_idle = pending.in_flight == 0;
@@ -278,7 +286,7 @@
         let is_refused_again = outcome == Outcome::Refused && was_tried_before;
         if is_refused_again || !(is_retried && outcome.never_ran()) {
             let AttemptEnd { served, latency_objective, .. } = end;
-            let call = CallEnd { tenant, outcome, served, latency_objective, arrived, connecting };
+            let call = CallEnd { tenant, outcome, served, latency_objective, arrived, connect_wait };
             self.record_call_end(now, class, &call);
         }
     }
--- a/crates/policy/src/endpoints/connections.rs
+++ b/crates/policy/src/endpoints/connections.rs
@@ -23,7 +23,7 @@
     /// Whether an open connection has a free stream beside `in_flight` attempts.
     #[must_use]
     pub fn has_free_stream(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
-        let streams = self.open.saturating_mul(permissions.streams);
+        let streams = self.open.saturating_mul(permissions.streams_per_connection);
         in_flight < streams && !self.are_idle_closed(now, in_flight, permissions)
     }
 
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -112,7 +112,7 @@
         self.connections.record_use(now);
         // A connection goes with what broke it and, where it carries one attempt at a time, with an answer that is no
         // longer waited for.
-        if outcome.breaks_connection() || (is_given_up && permissions.streams == 1) {
+        if outcome.breaks_connection() || (is_given_up && permissions.streams_per_connection == 1) {
             self.connections.record_closed();
         }
         let has_answered = !outcome.found_no_connection() && !is_given_up && outcome != Outcome::NotSent;
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -13,7 +13,7 @@
 /// Largest wait for a subscription, in parts of the time within which a replica must ask.
 const WAIT_PART: f64 = 0.4;
 /// Seconds within which a replica asks where the settings do not say.
-const DEFAULT_ASK_WITHIN_S: f64 = 10.0;
+const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
 /// Why there is no subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,5 +61,5 @@
 }
 
 fn longest_wait(settings: &Settings) -> f64 {
-    settings.rules.ask_within.map_or(DEFAULT_ASK_WITHIN_S, |span| span.as_secs_f64()) * WAIT_PART
+    settings.rules.poll_interval_max.map_or(DEFAULT_POLL_INTERVAL_S, |span| span.as_secs_f64()) * WAIT_PART
 }
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -33,8 +33,8 @@
 pub fn warm_fraction(started: Option<Time>, now: f64, rules: &Rules) -> f64 {
     let Some(started) = started else { return 1.0 };
     let age = (now - started.as_secs_f64()).max(0.0);
-    let share = rules.cold_share;
-    (share + (1.0 - share) * age / rules.cold_time.as_secs_f64().max(1e-6)).min(1.0)
+    let min_fraction = rules.slow_start_min_fraction;
+    (min_fraction + (1.0 - min_fraction) * age / rules.slow_start_window.as_secs_f64().max(1e-6)).min(1.0)
 }
 
 /// Part of its capacity by which a cold endpoint may be sent more than it can do, for each of the three uses of that.
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -18,16 +18,16 @@
 fn settings() -> Settings {
     let span = Duration::from_secs(1);
     Settings::single_zone(vec![Class {
-        aim: span,
+        latency_objective: span,
         deadline: span,
-        late_worth: 0.0,
+        late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
     }])
 }
 
 fn end(outcome: Outcome, served: f64) -> AttemptEnd {
     let number = AttemptNumber(0);
-    AttemptEnd { number, outcome, took: served, served, latency_objective: 1.0, finished: false }
+    AttemptEnd { number, outcome, duration: served, served, latency_objective: 1.0, finished: false }
 }
 
 fn member(id: u32, lifecycle: Lifecycle, started: Option<Duration>) -> Member {
@@ -245,7 +245,7 @@
 fn the_backoff_of_a_subscription_doubles_up_to_the_longest_wait_and_starts_anew_at_another_address() {
     let mut settings = settings();
     settings.discovery = DiscoveryMode::Subscribe;
-    settings.rules.ask_within = Some(Duration::from_secs(4));
+    settings.rules.poll_interval_max = Some(Duration::from_secs(4));
     let mut rng = Rand64::new(1);
     let mut subscription = ListSubscription::default();
     let mut pause = |why: Interruption| {
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -19,13 +19,13 @@
     /// Its tenant, if it has one.
     pub tenant: Option<TenantId>,
     /// The subject of the request, where requests carry one.
-    pub key: Option<u64>,
+    pub subject: Option<u64>,
     /// How long the client still waits.
     pub time_left: Duration,
     /// The work expected, as time on a standard core, where it is known.
     pub expected_work: Option<Duration>,
     /// The client has marked it as a retry of its own.
-    pub repeat: bool,
+    pub is_client_retry: bool,
 }
 
 /// What happens at a replica of the balancer.
@@ -53,9 +53,9 @@
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        took: Duration,
+        duration: Duration,
         /// For how long of that it waited for a connection, which is no part of the endpoint's latency.
-        connecting: Duration,
+        connect_wait: Duration,
         /// The request has ended with it, or before.
         finished: bool,
         /// The endpoint's load report, if one came.
@@ -82,13 +82,13 @@
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        took: Duration,
+        duration: Duration,
         /// The endpoint's load report, if one came.
         load: Option<LoadReport>,
     },
     /// Another replica has sent a message.
     PeerMessage {
-        /// The sender's [`index`](Settings::index).
+        /// The sender's [`replica_index`](Settings::replica_index).
         from: u32,
         /// What it sent.
         content: Vec<u8>,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,9 +25,9 @@
 //! use balancer_policy::{Action, Balancer, Event, interface::*};
 //!
 //! let settings = Settings::single_zone(vec![Class {
-//!     aim: Duration::from_millis(500),
+//!     latency_objective: Duration::from_millis(500),
 //!     deadline: Duration::from_secs(2),
-//!     late_worth: 0.0,
+//!     late_weight: 0.0,
 //!     idempotency: Idempotency::Idempotent,
 //! }]);
 //! let mut balancer = Balancer::new(settings, 7)?;
@@ -51,10 +51,10 @@
 //!     id: RequestId(1),
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     key: None,
+//!     subject: None,
 //!     time_left: Duration::from_secs(2),
 //!     expected_work: None,
-//!     repeat: false,
+//!     is_client_retry: false,
 //! };
 //! balancer.handle(second, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { upstream: EndpointId(42), .. }));
@@ -64,8 +64,8 @@
 //!     request: RequestId(1),
 //!     attempt: AttemptNumber(0),
 //!     outcome: Outcome::Success,
-//!     took: Duration::from_millis(80),
-//!     connecting: Duration::ZERO,
+//!     duration: Duration::from_millis(80),
+//!     connect_wait: Duration::ZERO,
 //!     finished: true,
 //!     load: None,
 //! };
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -54,9 +54,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Requests in flight at the endpoint.
-    pub active: Option<f64>,
+    pub in_flight: Option<f64>,
     /// Requests queued.
-    pub waiting: Option<f64>,
+    pub queued: Option<f64>,
     /// Fraction of the processor in use.
     pub utilization: Option<f64>,
     /// Recent latency, without the time in the queue.
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -44,7 +44,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took in all.
-    pub took: f64,
+    pub duration: f64,
     /// For how long of that it had a connection.
     pub served: f64,
     /// The latency objective of its class.
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -27,7 +27,7 @@
     /// Its attempts by number.
     pub attempts: Vec<Attempt>,
     /// Time that its attempts spent without a connection.
-    pub connecting: f64,
+    pub connect_wait: f64,
     /// Attempts in flight.
     pub in_flight: u32,
     /// It has ended; only attempts are left to end.
@@ -48,7 +48,7 @@
             arrived: now,
             deadline: now + request.time_left.as_secs_f64(),
             attempts: Vec::new(),
-            connecting: 0.0,
+            connect_wait: 0.0,
             in_flight: 0,
             closed: false,
             streaming: false,
@@ -64,10 +64,10 @@
     /// The time until which an answer is worth waiting for.
     #[must_use]
     pub fn useful_until(&self) -> f64 {
-        let objective = self.arrived + self.rules().aim.as_secs_f64();
+        let objective = self.arrived + self.rules().latency_objective.as_secs_f64();
         // Where no deadline is passed on, a slot of the tier above would be held for a client long gone.
-        let is_blind = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if self.rules().late_worth > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
+        let is_blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if self.rules().late_weight > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
     }
 
     /// The first attempt not proved never to have run: it binds those that follow.
@@ -95,7 +95,7 @@
         }
         attempt.ended = Some(end.outcome);
         self.in_flight -= 1;
-        self.connecting += end.took - end.served;
+        self.connect_wait += end.duration - end.served;
         Some(attempt.slot)
     }
 
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -25,22 +25,22 @@
     }
 }
 
-fn pending(late_worth: f64) -> PendingRequest {
-    let (aim, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
+fn pending(late_weight: f64) -> PendingRequest {
+    let (latency_objective, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
     let settings = Settings::single_zone(vec![Class {
-        aim,
+        latency_objective,
         deadline,
-        late_worth,
+        late_weight,
         idempotency: Idempotency::Idempotent,
     }]);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
         tenant: None,
-        key: None,
+        subject: None,
         time_left: deadline,
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     };
     PendingRequest::new(10.0, &request, 0, Arc::new(settings))
 }
@@ -55,7 +55,7 @@
 
 fn end(number: u32, outcome: Outcome) -> AttemptEnd {
     let number = AttemptNumber(number);
-    AttemptEnd { number, outcome, took: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
+    AttemptEnd { number, outcome, duration: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
 }
 
 fn keyed(scope: DeduplicationScope) -> Idempotency {
@@ -140,7 +140,7 @@
     assert_eq!(request.end_attempt(&end(1, Outcome::Success)), None);
     assert_eq!(request.end_attempt(&end(2, Outcome::Success)), None, "it was never sent");
     assert_eq!(request.in_flight, 1);
-    assert!((request.connecting - 0.1).abs() < 1e-9, "{}", request.connecting);
+    assert!((request.connect_wait - 0.1).abs() < 1e-9, "{}", request.connect_wait);
 }
 
 #[test]
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -47,8 +47,8 @@
     /// Takes the time of an attempt into the group's delay; a failed one counts as no less than its latency objective.
     fn record_delay(&mut self, end: &AttemptEnd) {
         let is_answered = matches!(end.outcome, Outcome::Success | Outcome::Error);
-        let delay =
-            if is_answered { end.took } else { end.took.max(end.latency_objective) } / end.latency_objective;
+        let delay = if is_answered { end.duration } else { end.duration.max(end.latency_objective) }
+            / end.latency_objective;
         self.delay += DELAY_WEIGHT * (delay - self.delay);
     }
 }
@@ -131,7 +131,7 @@
         // Below the first tier the clients stand where the tier above was spread to.
         let first_fraction = if settings.tier == 0 { self.even_fraction() } else { 1.0 };
         self.locality.begin(first_fraction);
-        let replicas = f64::from(settings.copies);
+        let replicas = f64::from(settings.replicas);
         self.local.members = arc(settings, replicas / settings.zones as f64, &ready.local);
         self.remote.members = arc(settings, replicas, &ready.remote);
     }
@@ -149,7 +149,7 @@
             return true;
         }
         let group = self.group(endpoint.is_local);
-        let sharers = group.sharers(settings.copies);
+        let sharers = group.sharers(settings.replicas);
         endpoint.send_budget.allows_send(now, warm_fraction, &group.peers, sharers, &settings.rules)
     }
 
@@ -168,7 +168,11 @@
             if is_warm {
                 group.peers.record_answer();
             } else {
-                endpoint.send_budget.earn(&group.peers, end.took <= end.latency_objective, &settings.rules);
+                endpoint.send_budget.earn(
+                    &group.peers,
+                    end.duration <= end.latency_objective,
+                    &settings.rules,
+                );
             }
         }
         group.record_delay(end);
@@ -197,15 +201,15 @@
 /// The starts of the replicas are evenly spaced; a stride spreads neighbours in number, which may share a zone, over
 /// the ring.
 fn arc(settings: &Settings, sharers: f64, ring: &[usize]) -> Vec<usize> {
-    let (index, replicas) = (u64::from(settings.index), u64::from(settings.copies));
+    let (replica_index, replicas) = (u64::from(settings.replica_index), u64::from(settings.replicas));
     let count = ring.len();
     let size = (count as f64 * REPLICAS_PER_ENDPOINT / sharers.max(1.0)).ceil() as usize;
     let size = size.clamp(MIN_MEMBERS.min(count), count);
-    let mut stride = (f64::from(settings.copies) * STRIDE).round().max(1.0) as u64;
+    let mut stride = (f64::from(settings.replicas) * STRIDE).round().max(1.0) as u64;
     while greatest_common_divisor(stride, replicas) != 1 {
         stride += 1;
     }
-    let place = index * stride % replicas;
+    let place = replica_index * stride % replicas;
     let start = (place * count as u64 / replicas) as usize;
     (0..size).map(|step| ring[(start + step) % count]).collect()
 }
--- a/crates/policy/src/routing/tests.rs
+++ b/crates/policy/src/routing/tests.rs
@@ -17,12 +17,17 @@
 /// The members of the subsets of all replicas, of `ready` endpoints in the own zone.
 fn subsets(replicas: u32, ready: usize) -> Vec<Vec<usize>> {
     let span = Duration::from_secs(1);
-    let class = Class { aim: span, deadline: span, late_worth: 0.0, idempotency: Idempotency::Idempotent };
+    let class = Class {
+        latency_objective: span,
+        deadline: span,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+    };
     let mut settings = Settings::single_zone(vec![class]);
-    settings.copies = replicas;
+    settings.replicas = replicas;
     let ready = ReadyByZone { local: (0..ready).collect(), remote: Vec::new() };
-    let members = |index: u32| {
-        settings.index = index;
+    let members = |replica_index: u32| {
+        settings.replica_index = replica_index;
         let mut subset = Subset::new();
         subset.lay_out(&settings, &ready);
         subset.local.members
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -41,11 +41,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// The latency objective: answers within this time earn the full weight.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// How long a client waits in all.
     pub deadline: Duration,
     /// The fraction of its weight that an answer past the latency objective still earns, 0 to 1.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// Whether it may run more than once.
     pub idempotency: Idempotency,
 }
@@ -73,19 +73,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Permissions {
     /// Attempts that a request may have in all, at least 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Hedged requests: a second attempt may be sent while the first is in flight.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Health checks may be sent.
-    pub probes: bool,
+    pub health_checks: bool,
     /// Replicas may send each other messages.
     pub messages: bool,
     /// Idle connections are closed after this.
     pub keepalive: Duration,
     /// Concurrent streams of one connection.
-    pub streams: u32,
+    pub streams_per_connection: u32,
     /// The longest Retry-After that clients honour; `None` if they are sent none.
     pub retry_after: Option<Duration>,
 }
@@ -98,11 +98,11 @@
     /// Grace within which sends to an endpoint that was reported draining or gone must end.
     pub drain_grace: Duration,
     /// A replica without a subscription must ask for the list at least this often; `None` if lists are pushed.
-    pub ask_within: Option<Duration>,
+    pub poll_interval_max: Option<Duration>,
     /// The least fraction of its capacity with which an endpoint starts, above 0 and up to 1.
-    pub cold_share: f64,
+    pub slow_start_min_fraction: f64,
     /// The longest time that an endpoint takes to warm up.
-    pub cold_time: Duration,
+    pub slow_start_window: Duration,
     /// An endpoint that is warming up is overloaded by more than this many times its present capacity...
     pub overload_multiple: f64,
     /// ...when it is sent that for this long.
@@ -115,22 +115,22 @@
     /// An attempt that crosses zones.
     pub cross_zone: f64,
     /// The work of one request wasted.
-    pub waste: f64,
+    pub wasted_work: f64,
     /// A request that ends unserved past its latency objective.
     pub late_failure: f64,
     /// A connection opened.
     pub handshake: f64,
     /// A health check.
-    pub probe: f64,
+    pub health_check: f64,
 }
 
 /// The settings of a replica, given at its start, and again with [`Event::Reconfigured`](crate::Event::Reconfigured) when it changes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// This replica's number, from 0.
-    pub index: u32,
+    pub replica_index: u32,
     /// How many replicas send to this tier.
-    pub copies: u32,
+    pub replicas: u32,
     /// The tier sent to, 0 for the one that clients reach.
     pub tier: usize,
     /// This replica's zone.
@@ -144,11 +144,11 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The fraction of its weight that a request keeps beyond its tenant's quota, 0 to 1.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// How the list of endpoints is received.
     pub discovery: DiscoveryMode,
     /// Calls from tier to tier carry the time left until the client's deadline.
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
     /// What a site permits the balancer to do.
     pub permissions: Permissions,
     /// Figures of the rules that must be kept.
@@ -192,37 +192,43 @@
     #[must_use]
     pub fn single_zone(classes: Vec<Class>) -> Self {
         Self {
-            index: 0,
-            copies: 1,
+            replica_index: 0,
+            replicas: 1,
             tier: 0,
             zone: ZoneId(0),
             zones: 1,
             kinds: 1,
             classes,
             tenants: Vec::new(),
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             discovery: DiscoveryMode::Push,
-            passes_deadline: true,
+            propagates_deadline: true,
             permissions: Permissions {
-                attempts: 3,
-                second_copies: false,
+                max_attempts: 3,
+                hedging: false,
                 cancel: true,
-                probes: false,
+                health_checks: false,
                 messages: false,
                 keepalive: Duration::from_secs(15),
-                streams: 100,
+                streams_per_connection: 100,
                 retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
                 drain_grace: Duration::from_secs(1),
-                ask_within: None,
-                cold_share: 0.1,
-                cold_time: Duration::from_secs(30),
+                poll_interval_max: None,
+                slow_start_min_fraction: 0.1,
+                slow_start_window: Duration::from_secs(30),
                 overload_multiple: 3.0,
                 overload_window: Duration::from_secs(2),
             },
-            costs: Costs { cross_zone: 0.0, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+            costs: Costs {
+                cross_zone: 0.0,
+                wasted_work: 0.0,
+                late_failure: 0.0,
+                handshake: 0.0,
+                health_check: 0.0,
+            },
         }
     }
 
@@ -237,29 +243,29 @@
         if self.zone.0 >= self.zones {
             return Err(SettingsError::UnknownZone);
         }
-        if self.copies == 0 {
+        if self.replicas == 0 {
             return Err(SettingsError::NoReplicas);
         }
-        if self.permissions.attempts == 0 {
+        if self.permissions.max_attempts == 0 {
             return Err(SettingsError::NoAttempts);
         }
-        if self.permissions.streams == 0 {
+        if self.permissions.streams_per_connection == 0 {
             return Err(SettingsError::OutOfRange("streams"));
         }
         for (number, class) in self.classes.iter().enumerate() {
-            if class.aim.is_zero() || class.aim > class.deadline {
+            if class.latency_objective.is_zero() || class.latency_objective > class.deadline {
                 return Err(SettingsError::ClassTimes(number));
             }
-            in_range(class.late_worth, 0.0, 1.0, "late worth")?;
+            in_range(class.late_weight, 0.0, 1.0, "late worth")?;
         }
         for quota in self.tenants.iter().filter_map(|tenant| tenant.quota) {
             in_range(quota, 0.0, 1e12, "quota")?;
         }
-        in_range(self.over_share_worth, 0.0, 1.0, "over-share worth")?;
-        in_range(self.rules.cold_share, f64::MIN_POSITIVE, 1.0, "cold share")?;
+        in_range(self.over_quota_weight, 0.0, 1.0, "over-share worth")?;
+        in_range(self.rules.slow_start_min_fraction, f64::MIN_POSITIVE, 1.0, "cold share")?;
         in_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
-        let Costs { cross_zone, waste, late_failure, handshake, probe } = self.costs;
-        for price in [cross_zone, waste, late_failure, handshake, probe] {
+        let Costs { cross_zone, wasted_work, late_failure, handshake, health_check } = self.costs;
+        for price in [cross_zone, wasted_work, late_failure, handshake, health_check] {
             in_range(price, 0.0, 1e6, "price")?;
         }
         Ok(())
@@ -270,7 +276,7 @@
     /// # Errors
     /// The first thing found wrong.
     pub fn may_follow(&self, before: &Self) -> Result<(), SettingsError> {
-        let place = |of: &Self| (of.index, of.tier, of.zone, of.zones, of.kinds);
+        let place = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.kinds);
         if place(self) != place(before) {
             return Err(SettingsError::DifferentPlace);
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -14,7 +14,7 @@
 }
 
 pub fn class(idempotency: Idempotency) -> Class {
-    Class { aim: millis(1000), deadline: millis(3000), late_worth: 0.0, idempotency }
+    Class { latency_objective: millis(1000), deadline: millis(3000), late_weight: 0.0, idempotency }
 }
 
 pub fn member(id: u32) -> Member {
@@ -77,16 +77,22 @@
             id,
             class: ClassId(0),
             tenant: tenant.map(TenantId),
-            key: None,
+            subject: None,
             time_left: self.time_left,
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
         };
         (id, self.tell(Event::Request(request)))
     }
 
-    pub fn end(&mut self, request: RequestId, number: u32, outcome: Outcome, took: Duration) -> Vec<Action> {
-        self.end_late(request, number, outcome, took, Duration::ZERO)
+    pub fn end(
+        &mut self,
+        request: RequestId,
+        number: u32,
+        outcome: Outcome,
+        duration: Duration,
+    ) -> Vec<Action> {
+        self.end_late(request, number, outcome, duration, Duration::ZERO)
     }
 
     /// Ends an attempt that had no connection for `connecting` of the time it took.
@@ -95,15 +101,15 @@
         request: RequestId,
         number: u32,
         outcome: Outcome,
-        took: Duration,
-        connecting: Duration,
+        duration: Duration,
+        connect_wait: Duration,
     ) -> Vec<Action> {
         self.tell(Event::AttemptEnded {
             request,
             attempt: AttemptNumber(number),
             outcome,
-            took,
-            connecting,
+            duration,
+            connect_wait,
             finished: outcome == Outcome::Success,
             load: None,
         })
@@ -115,9 +121,9 @@
         let (id, mut actions) = self.offer(None);
         let mut tried = Vec::new();
         while let Some(upstream) = sent(&actions) {
-            let (how, took) = outcome(upstream);
-            self.pass(took);
-            actions = self.end(id, tried.len() as u32, how, took);
+            let (how, duration) = outcome(upstream);
+            self.pass(duration);
+            actions = self.end(id, tried.len() as u32, how, duration);
             tried.push(upstream);
         }
         tried
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -14,7 +14,7 @@
 fn bench() -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(10.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
 }
 
@@ -31,9 +31,9 @@
         *offered += 1;
         if sent(&actions).is_some() {
             *went += 1;
-            let (outcome, took) =
+            let (outcome, duration) =
                 if left < needs { (Outcome::TimedOut, left.min(1000)) } else { (Outcome::Success, USUAL_MS) };
-            bench.end(id, 0, outcome, millis(took));
+            bench.end(id, 0, outcome, millis(duration));
         }
     }
     out.map(|(went, offered)| f64::from(went) / f64::from(offered.max(1)))
@@ -76,9 +76,9 @@
                 if leaves {
                     bench.tell(balancer_policy::Event::ClientDisconnected(id));
                 }
-                let (outcome, took) =
+                let (outcome, duration) =
                     if leaves { (Outcome::Cancelled, waited) } else { (Outcome::Success, USUAL_MS) };
-                bench.end(id, 0, outcome, millis(took));
+                bench.end(id, 0, outcome, millis(duration));
             }
         }
         f64::from(went) / 400.0
@@ -119,8 +119,9 @@
         if sent(&actions).is_some() {
             admitted[usize::from(!short)] += 1;
             let late = call % 4 == 1;
-            let (outcome, took) = if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_MS) };
-            bench.end(id, 0, outcome, millis(took));
+            let (outcome, duration) =
+                if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_MS) };
+            bench.end(id, 0, outcome, millis(duration));
         }
     }
     let [short, whole] = [f64::from(admitted[0]) / 100.0, f64::from(admitted[1]) / 300.0];
@@ -168,7 +169,7 @@
 fn the_last_attempt_is_told_so() {
     let last = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { last, .. } => Some(*last),
+            Action::Send { is_last_attempt, .. } => Some(*is_last_attempt),
             _ => None,
         })
     };
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -43,13 +43,13 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { request, upstream, timeout, begin_within, last } => {
+            Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
                 self.number(1);
                 self.number(request.0);
                 self.number(u64::from(upstream.0));
                 self.span(*timeout);
-                self.span(*begin_within);
-                self.number(u64::from(*last));
+                self.span(*first_byte_deadline);
+                self.number(u64::from(*is_last_attempt));
             }
             Action::CancelAttempt { request, attempt } => {
                 self.number(2);
@@ -206,7 +206,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         if woke {
-            self.hash.bytes(self.balancer.vitals().as_bytes());
+            self.hash.bytes(self.balancer.stats_snapshot().as_bytes());
         }
         for action in actions {
             self.actions += 1;
@@ -219,8 +219,8 @@
         match action {
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
             Action::CancelAttempt { request, attempt } => {
-                let took = Duration::from_millis(30);
-                self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, took, Duration::ZERO);
+                let duration = Duration::from_millis(30);
+                self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, duration, Duration::ZERO);
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 self.open.remove(&request);
@@ -244,7 +244,7 @@
         let slow = if self.congested { 9.0 } else { 1.0 } * if upstream.0 % 5 == 1 { 2.5 } else { 1.0 };
         let work = Duration::from_secs_f64((0.02 + 0.08 * self.rng.rand_float()) * slow);
         let late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
-        let connecting = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
+        let connect_wait = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
         let bad = if upstream.0 == 8 { 0.5 } else { 0.01 };
         let outcome = if late {
             Outcome::ConnectTimedOut
@@ -259,22 +259,22 @@
         } else {
             Outcome::Success
         };
-        let took = match outcome {
+        let duration = match outcome {
             Outcome::ConnectTimedOut => Duration::from_millis(120),
             Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent => Duration::from_millis(2),
-            _ => connecting + work,
+            _ => connect_wait + work,
         };
         if late && self.chance(0.5) {
-            self.schedule_event(took + Duration::from_millis(200), Event::Connected(upstream));
+            self.schedule_event(duration + Duration::from_millis(200), Event::Connected(upstream));
         }
-        if took > timeout {
-            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connecting.min(timeout));
+        if duration > timeout {
+            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connect_wait.min(timeout));
             return;
         }
         if outcome == Outcome::Success && self.chance(0.05) {
-            self.schedule_event(took / 2, Event::StreamStarted { request, attempt });
+            self.schedule_event(duration / 2, Event::StreamStarted { request, attempt });
         }
-        self.end(took, (request, attempt), outcome, took, connecting.min(took));
+        self.end(duration, (request, attempt), outcome, duration, connect_wait.min(duration));
     }
 
     fn end(
@@ -282,12 +282,12 @@
         after: Duration,
         (request, attempt): (RequestId, AttemptNumber),
         outcome: Outcome,
-        took: Duration,
-        connecting: Duration,
+        duration: Duration,
+        connect_wait: Duration,
     ) {
         let finished = outcome == Outcome::Success || !self.open.contains_key(&request);
         let load = None;
-        let end = Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load };
+        let end = Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load };
         self.schedule_event(after, end);
     }
 
@@ -301,7 +301,15 @@
             TenantId(if first { 0 } else { self.below(self.settings.tenants.len()) })
         });
         let time_left = Duration::from_secs_f64(0.05 + 2.0 * self.rng.rand_float());
-        let request = Request { id, class, tenant, key: None, time_left, expected_work: None, repeat: false };
+        let request = Request {
+            id,
+            class,
+            tenant,
+            subject: None,
+            time_left,
+            expected_work: None,
+            is_client_retry: false,
+        };
         if self.chance(0.02) {
             let stays = Duration::from_secs_f64(0.1 * self.rng.rand_float());
             self.schedule_event(stays, Event::ClientDisconnected(id));
@@ -353,7 +361,7 @@
 
     fn reconfigure(&mut self) {
         match self.below(4) {
-            0 => self.settings.copies += 1,
+            0 => self.settings.replicas += 1,
             1 if !self.settings.tenants.is_empty() && self.settings.tenants.len() < 5 => {
                 self.settings.tenants.push(Tenant { quota: Some(15.0) });
             }
@@ -380,9 +388,9 @@
         Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: Duration::from_millis(400) },
     ];
     let class = |(number, idempotency): (usize, Idempotency)| Class {
-        aim: Duration::from_millis(400 + 100 * number as u64),
+        latency_objective: Duration::from_millis(400 + 100 * number as u64),
         deadline: Duration::from_secs(2),
-        late_worth: if number % 2 == 0 { 0.5 } else { 0.0 },
+        late_weight: if number % 2 == 0 { 0.5 } else { 0.0 },
         idempotency,
     };
     effects.into_iter().enumerate().map(class).collect()
@@ -390,16 +398,16 @@
 
 fn first_tier() -> Settings {
     let mut settings = Settings::single_zone(classes());
-    settings.index = 1;
-    settings.copies = 4;
+    settings.replica_index = 1;
+    settings.replicas = 4;
     settings.zones = 3;
     settings.kinds = 2;
     settings.tenants =
         vec![Tenant { quota: Some(120.0) }, Tenant { quota: Some(60.0) }, Tenant { quota: None }];
-    settings.over_share_worth = 0.2;
+    settings.over_quota_weight = 0.2;
     settings.discovery = DiscoveryMode::Subscribe;
-    settings.rules.ask_within = Some(Duration::from_secs(4));
-    settings.permissions.second_copies = true;
+    settings.rules.poll_interval_max = Some(Duration::from_secs(4));
+    settings.permissions.hedging = true;
     settings.permissions.retry_after = Some(Duration::from_millis(250));
     settings.costs.cross_zone = 0.05;
     settings.costs.handshake = 0.01;
@@ -429,9 +437,9 @@
     settings.tier = 1;
     settings.tenants.clear();
     settings.discovery = DiscoveryMode::Agent;
-    settings.passes_deadline = false;
-    settings.permissions.streams = 1;
-    settings.permissions.second_copies = false;
+    settings.propagates_deadline = false;
+    settings.permissions.streams_per_connection = 1;
+    settings.permissions.hedging = false;
     settings.permissions.cancel = false;
     check(settings, 4, 40, (4569, 0x91e6ea3b696f58a0));
 }
@@ -439,8 +447,8 @@
 #[test]
 fn a_fleet_of_many_copies_keeps_its_record() {
     let mut settings = first_tier();
-    settings.copies = 40;
-    settings.over_share_worth = 1.0;
+    settings.replicas = 40;
+    settings.over_quota_weight = 1.0;
     settings.tenants = vec![Tenant { quota: Some(2000.0) }, Tenant { quota: Some(1500.0) }];
     check(settings, 5, 60, (3910, 0xb8033d2a3c305e4d));
 }
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -27,7 +27,7 @@
 
 enum Due {
     Call,
-    End { request: RequestId, number: u32, outcome: Outcome, took: Duration, connecting: Duration },
+    End { request: RequestId, number: u32, outcome: Outcome, duration: Duration, connect_wait: Duration },
     Connected(EndpointId),
 }
 
@@ -107,8 +107,8 @@
                         self.send(request, 0, &actions, &mut tally, &mut meets);
                     }
                 }
-                Due::End { request, number, outcome, took, connecting } => {
-                    let actions = self.bench.end_late(request, number, outcome, took, connecting);
+                Due::End { request, number, outcome, duration, connect_wait } => {
+                    let actions = self.bench.end_late(request, number, outcome, duration, connect_wait);
                     tally.served += u32::from(outcome == Outcome::Success);
                     self.send(request, number + 1, &actions, &mut tally, &mut meets);
                 }
@@ -138,39 +138,39 @@
         let (connects, outcome, serves) = meets(*upstream, &mut self.rng);
         let patience = self.patience.min(most);
         let end = match connects {
-            Some(connecting) if connecting < patience && connecting + serves < most => {
-                Due::End { request, number, outcome, took: connecting + serves, connecting }
+            Some(connect_wait) if connect_wait < patience && connect_wait + serves < most => {
+                Due::End { request, number, outcome, duration: connect_wait + serves, connect_wait }
             }
-            Some(connecting) if connecting < patience => {
-                Due::End { request, number, outcome: Outcome::TimedOut, took: most, connecting }
+            Some(connect_wait) if connect_wait < patience => {
+                Due::End { request, number, outcome: Outcome::TimedOut, duration: most, connect_wait }
             }
             _ => {
                 let outcome = Outcome::ConnectTimedOut;
-                Due::End { request, number, outcome, took: patience, connecting: patience }
+                Due::End { request, number, outcome, duration: patience, connect_wait: patience }
             }
         };
-        if let Some(later) = connects.filter(|&connecting| connecting >= patience && self.tells) {
+        if let Some(later) = connects.filter(|&connect_wait| connect_wait >= patience && self.tells) {
             self.plan(later, Due::Connected(*upstream));
         }
-        let Due::End { took, .. } = end else { return };
-        self.plan(took, end);
+        let Due::End { duration, .. } = end else { return };
+        self.plan(duration, end);
     }
 
     /// The figure after a word of the vitals.
     fn vital(&self, word: &str) -> f64 {
-        let vitals = self.bench.balancer.vitals();
+        let stats_snapshot = self.bench.balancer.stats_snapshot();
         let figure =
-            vitals.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
+            stats_snapshot.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
         figure.and_then(|figure| figure.parse().ok()).expect("a figure after the word")
     }
 }
 
 /// One copy whose only tenant has a fair part of `part` calls a second.
-fn settings(copies: u32, part: f64) -> Settings {
+fn settings(replicas: u32, part: f64) -> Settings {
     let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
-    settings.copies = copies;
-    settings.tenants = vec![Tenant { quota: Some(part * f64::from(copies)) }];
-    settings.over_share_worth = 0.2;
+    settings.replicas = replicas;
+    settings.tenants = vec![Tenant { quota: Some(part * f64::from(replicas)) }];
+    settings.over_quota_weight = 0.2;
     settings
 }
 
@@ -197,17 +197,17 @@
 /// limits were cut to their floors, and 80 to 95 calls in 100 denied.
 #[test]
 fn late_connections_neither_cut_limits_nor_keep_upstreams_aside() {
-    for (rate, copies, tells) in [2.0, 10.0, 60.0]
+    for (rate, replicas, tells) in [2.0, 10.0, 60.0]
         .into_iter()
         .flat_map(|rate| [(rate, 2, true), (rate, 2, false), (rate, 30, true), (rate, 30, false)])
     {
         for upstreams in 4..=8 {
-            let mut world = World::new(settings(copies, rate * 1.2), 5, upstreams, millis(12));
+            let mut world = World::new(settings(replicas, rate * 1.2), 5, upstreams, millis(12));
             world.tells = tells;
             let calm = world.run(rate, 30, idle);
             let seconds = if rate > 2.0 { 90 } else { 400 };
             let tally = world.run(rate, seconds, idle_third_late);
-            let case = format!("{rate}/s, {copies} copies, {upstreams} upstreams, told {tells}: {tally:?}");
+            let case = format!("{rate}/s, {replicas} copies, {upstreams} upstreams, told {tells}: {tally:?}");
             assert!(tally.limit >= calm.limit, "a limit was cut: {case}");
             assert!(tally.admitted() > 0.95, "{} admitted: {case}", tally.admitted());
             // Three attempts are allowed, and all meet a late connection 1 time in 27.
@@ -220,12 +220,13 @@
 /// Where an attempt waits for its late connection, nothing of that wait is the upstreams' latency.
 #[test]
 fn the_wait_for_a_connection_is_no_latency() {
-    for (rate, copies) in [(2.0, 2), (10.0, 2), (60.0, 2), (2.0, 30), (10.0, 30), (60.0, 30)] {
-        let mut world = World::new(settings(copies, rate * 1.2), 7, 6, millis(1000));
+    for (rate, replicas) in [(2.0, 2), (10.0, 2), (60.0, 2), (2.0, 30), (10.0, 30), (60.0, 30)] {
+        let mut world = World::new(settings(replicas, rate * 1.2), 7, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
         let usual = world.vital("usual ms ");
         let tally = world.run(rate, if rate > 2.0 { 120 } else { 400 }, idle_third_late);
-        let case = format!("{rate}/s, {copies} copies: {tally:?}, {}", world.bench.balancer.vitals());
+        let case =
+            format!("{rate}/s, {replicas} copies: {tally:?}, {}", world.bench.balancer.stats_snapshot());
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95, "{case}");
         assert!(rate < 10.0 || tally.crowding < 0.2, "{case}");
         assert!((world.vital("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
@@ -235,12 +236,12 @@
 }
 
 /// A copy for clients that wait 0.4 s and want their answers within half of that.
-fn short_deadlines(copies: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
-    let mut settings = settings(copies, rate * 1.2);
+fn short_deadlines(replicas: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
+    let mut settings = settings(replicas, rate * 1.2);
     settings.classes[0] = Class {
-        aim: millis(200),
+        latency_objective: millis(200),
         deadline: millis(400),
-        late_worth: 0.5,
+        late_weight: 0.5,
         idempotency: Idempotency::Idempotent,
     };
     let mut world = World::new(settings, 9, upstreams, patience);
@@ -250,14 +251,14 @@
 
 #[test]
 fn short_deadlines_leave_time_for_another_upstream() {
-    for (rate, copies, patience) in
+    for (rate, replicas, patience) in
         [(10.0, 2, 8), (10.0, 2, 60), (60.0, 2, 8), (60.0, 2, 60), (60.0, 30, 8), (60.0, 30, 60)]
     {
-        let mut world = short_deadlines(copies, rate, 6, millis(patience));
+        let mut world = short_deadlines(replicas, rate, 6, millis(patience));
         let calm = world.run(rate, 30, idle);
         let usual = world.vital("usual ms ");
         let tally = world.run(rate, 60, idle_third_late);
-        let case = format!("{rate}/s, {copies} copies, {patience} ms: {tally:?}");
+        let case = format!("{rate}/s, {replicas} copies, {patience} ms: {tally:?}");
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.served() > 0.92, "{case}");
         assert!(tally.crowding < 0.2 && tally.least_sent(6) > 0.5, "{case}");
         assert!((world.vital("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
@@ -267,8 +268,8 @@
 /// Where the upstreams are sent to with less time left than they take, the time-outs tell of the connections alone.
 #[test]
 fn time_outs_behind_late_connections_are_no_crowd() {
-    for (rate, copies) in [(10.0, 2), (60.0, 2), (60.0, 30)] {
-        let mut world = short_deadlines(copies, rate, 6, millis(1000));
+    for (rate, replicas) in [(10.0, 2), (60.0, 2), (60.0, 30)] {
+        let mut world = short_deadlines(replicas, rate, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
         let mut late = 0;
         let tally = world.run(rate, 60, |_, rng| {
@@ -278,7 +279,7 @@
             let after = if is_late { millis(350 + rng.rand_range(0..60)) } else { Duration::ZERO };
             (Some(after), Outcome::Success, usual(rng))
         });
-        let case = format!("{rate}/s, {copies} copies, {late} late: {tally:?}");
+        let case = format!("{rate}/s, {replicas} copies, {late} late: {tally:?}");
         assert!(tally.served() < 0.95 && late > tally.offered / 4, "nothing timed out: {case}");
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.crowding < 0.2, "{case}");
         assert!(tally.least_sent(6) > 0.5, "{case}");
@@ -309,9 +310,9 @@
         world.run(rate, 20, idle);
         let full = |_: EndpointId, rng: &mut Rand64| {
             let connects = if late { third_late(rng) } else { Some(Duration::ZERO) };
-            let (how, took) =
+            let (how, duration) =
                 if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Success, usual(rng)) };
-            (connects, how, if how == Outcome::Refused { millis(2) } else { took })
+            (connects, how, if how == Outcome::Refused { millis(2) } else { duration })
         };
         world.run(rate, 15, full);
         world.run(rate, 45, full).admitted()
@@ -374,7 +375,7 @@
 fn a_handful_of_connect_timeouts_at_few_calls_a_second_cuts_nothing() {
     for seed in 0..20 {
         let mut settings = settings(30, 0.5);
-        settings.permissions.attempts = 2;
+        settings.permissions.max_attempts = 2;
         let mut world = World::new(settings, seed, 6, millis(12));
         let calm = world.run(0.3, 120, idle);
         let tally = world.run(0.3, 300, idle_third_late);
@@ -386,7 +387,7 @@
 #[test]
 fn a_refusal_after_a_connect_timeout_is_one_refusal() {
     let mut settings = settings(2, 25.0 / 3.0);
-    settings.over_share_worth = 1.0;
+    settings.over_quota_weight = 1.0;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     for call in 0..820 {
         // The limit climbs at first.
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -16,10 +16,10 @@
 fn settings() -> Settings {
     let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(800) };
     Settings {
-        copies: 4,
+        replicas: 4,
         zones: 2,
         tenants: [30.0, 20.0, 10.0].map(|quota| Tenant { quota: Some(quota * 4.0) }).to_vec(),
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         discovery: DiscoveryMode::Subscribe,
         ..Settings::single_zone(vec![
             class(Idempotency::Idempotent),
@@ -89,7 +89,7 @@
 
     /// All actions, and how things stand.
     fn told(self) -> String {
-        self.text + &self.balancer.vitals()
+        self.text + &self.balancer.stats_snapshot()
     }
 
     /// Lets everything end that is still out.
@@ -144,9 +144,12 @@
             6 => Outcome::Error,
             _ => Outcome::Success,
         };
-        let took = Duration::from_secs_f64(0.02 + self.rng.rand_float() * 0.3);
-        let (connecting, finished) = (Duration::ZERO, outcome == Outcome::Success);
-        (took, Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load: None })
+        let duration = Duration::from_secs_f64(0.02 + self.rng.rand_float() * 0.3);
+        let (connect_wait, finished) = (Duration::ZERO, outcome == Outcome::Success);
+        (
+            duration,
+            Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load: None },
+        )
     }
 }
 
@@ -155,10 +158,10 @@
         id: RequestId(id),
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key: None,
+        subject: None,
         time_left: millis(2500),
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     }
 }
 
@@ -171,12 +174,12 @@
             request: RequestId(request),
             upstream: EndpointId(upstream),
             timeout,
-            begin_within,
-            last,
+            first_byte_deadline,
+            is_last_attempt,
         } => {
             format!(
                 "Send {{ request: RequestId({request}), upstream: UpstreamId({upstream}), timeout: {timeout:?}, \
-                 begin_within: {begin_within:?}, last: {last} }}"
+                 begin_within: {first_byte_deadline:?}, last: {is_last_attempt} }}"
             )
         }
         Action::CancelAttempt { request: RequestId(request), attempt: AttemptNumber(attempt) } => {
@@ -234,19 +237,19 @@
 
 fn single(idempotency: Idempotency) -> Settings {
     let settings = Settings::single_zone(vec![class(idempotency)]);
-    Settings { permissions: Permissions { attempts: 4, ..settings.permissions.clone() }, ..settings }
+    Settings { permissions: Permissions { max_attempts: 4, ..settings.permissions.clone() }, ..settings }
 }
 
 const WINDOW: Idempotency =
     Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(300) };
 
 /// Offers a request and gives the cells of all attempts, each of which ends as a reset after `took`.
-fn resets(bench: &mut Bench, id: RequestId, first: &[Action], took: Duration) -> usize {
+fn resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
     let (mut sends, mut out) = (0, sent(first));
     while out.is_some() {
         sends += 1;
-        bench.pass(took);
-        let actions = bench.end(id, sends as u32 - 1, Outcome::Reset, took);
+        bench.pass(duration);
+        let actions = bench.end(id, sends as u32 - 1, Outcome::Reset, duration);
         out = sent(&actions);
     }
     sends
@@ -287,7 +290,7 @@
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window_and_scope() {
     let wider = Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) };
-    for (other, took, sends) in [
+    for (other, duration, sends) in [
         // Past its own window, within the other: no repeat.
         (
             Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(60_000) },
@@ -300,7 +303,7 @@
         let mut bench = bench(single(WINDOW));
         let (id, actions) = bench.offer(None);
         bench.tell(Event::Reconfigured(single(other)));
-        assert_eq!(resets(&mut bench, id, &actions, took), sends, "{other:?}");
+        assert_eq!(resets(&mut bench, id, &actions, duration), sends, "{other:?}");
     }
     let mut bench = bench(single(WINDOW));
     bench.tell(Event::Reconfigured(single(wider)));
@@ -321,11 +324,11 @@
     })));
     bench.pass(millis(100));
     let actions = bench.end(id, 0, Outcome::Reset, millis(100));
-    let begin_within = actions.iter().find_map(|action| match action {
-        Action::Send { begin_within, .. } => *begin_within,
+    let first_byte_deadline = actions.iter().find_map(|action| match action {
+        Action::Send { first_byte_deadline, .. } => *first_byte_deadline,
         _ => None,
     });
-    let left = begin_within.expect("sent again within its window");
+    let left = first_byte_deadline.expect("sent again within its window");
     assert!(left <= millis(200) && left > millis(199), "{left:?}");
 }
 
@@ -339,8 +342,8 @@
         })
     };
     let mut longer = single(Idempotency::Idempotent);
-    longer.classes[0].aim = millis(2000);
-    longer.classes[0].late_worth = 0.5;
+    longer.classes[0].latency_objective = millis(2000);
+    longer.classes[0].late_weight = 0.5;
     let mut bench = bench(single(Idempotency::Idempotent));
     let (id, first) = bench.offer(None);
     assert_eq!(timeout(&first), Some(millis(1000)));
@@ -357,7 +360,10 @@
 fn a_request_in_flight_gets_no_more_attempts() {
     let with = |attempts| {
         let settings = single(Idempotency::Idempotent);
-        Settings { permissions: Permissions { attempts, ..settings.permissions.clone() }, ..settings }
+        Settings {
+            permissions: Permissions { max_attempts: attempts, ..settings.permissions.clone() },
+            ..settings
+        }
     };
     for (before, after, of_this, of_next) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
         let mut bench = bench(with(before));
@@ -392,8 +398,8 @@
 
 /// The limits of the tenants and, last, of all together.
 fn limits(bench: &Bench) -> Vec<f64> {
-    let vitals = bench.balancer.vitals();
-    let (_, after) = vitals.split_once("limits ").expect("limits");
+    let stats_snapshot = bench.balancer.stats_snapshot();
+    let (_, after) = stats_snapshot.split_once("limits ").expect("limits");
     let (rates, _) = after.split_once(',').expect("more");
     rates.split(' ').map(|rate| rate.parse().expect("a rate")).collect()
 }
@@ -401,7 +407,7 @@
 fn quotas(quotas: &[Option<f64>]) -> Settings {
     let settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     let tenants = quotas.iter().map(|&quota| Tenant { quota }).collect();
-    Settings { tenants, over_share_worth: 0.1, ..settings }
+    Settings { tenants, over_quota_weight: 0.1, ..settings }
 }
 
 /// Offers a tenant's requests at a rate for a while, each answered after 10 ms, and tells how many a second were let in.
@@ -539,7 +545,7 @@
 /// Guards the tier: with more copies each sends to a part of it, with fewer again to all.
 #[test]
 fn the_subset_follows_the_number_of_copies() {
-    let with = |copies| Settings { index: 1, copies, ..single(Idempotency::Idempotent) };
+    let with = |replicas| Settings { replica_index: 1, replicas, ..single(Idempotency::Idempotent) };
     let mut bench = Bench::new(with(1), 7, (0..64).map(member).collect());
     let seen = |bench: &mut Bench| {
         let mut seen: Vec<_> = (0..2000).flat_map(|_| bench.run(|_| (Outcome::Success, millis(1)))).collect();
@@ -557,7 +563,7 @@
 /// Guards the first list, from which a copy learns how far it spreads: a change before it leaves it the first.
 #[test]
 fn a_change_before_the_first_list_is_none_to_the_subset() {
-    let with = |copies| Settings { copies, zones: 2, ..single(Idempotency::Idempotent) };
+    let with = |replicas| Settings { replicas, zones: 2, ..single(Idempotency::Idempotent) };
     let members: Vec<Member> =
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
     let picked = |first| {
@@ -583,21 +589,21 @@
         but(|settings| settings.classes.truncate(2)),
         but(|settings| settings.tenants.truncate(2)),
         but(|settings| settings.classes.clear()),
-        but(|settings| settings.index = 1),
+        but(|settings| settings.replica_index = 1),
         but(|settings| settings.tier = 1),
         but(|settings| settings.zone = ZoneId(1)),
         but(|settings| settings.zones = 1),
         but(|settings| settings.kinds = 0),
-        but(|settings| settings.copies = 0),
-        but(|settings| settings.permissions.attempts = 0),
-        but(|settings| settings.permissions.streams = 0),
-        but(|settings| settings.classes[0].aim = millis(9000)),
-        but(|settings| settings.classes[1].late_worth = f64::NAN),
+        but(|settings| settings.replicas = 0),
+        but(|settings| settings.permissions.max_attempts = 0),
+        but(|settings| settings.permissions.streams_per_connection = 0),
+        but(|settings| settings.classes[0].latency_objective = millis(9000)),
+        but(|settings| settings.classes[1].late_weight = f64::NAN),
         but(|settings| settings.tenants[0].quota = Some(-1.0)),
         but(|settings| settings.tenants[0].quota = Some(f64::INFINITY)),
-        but(|settings| settings.over_share_worth = 2.0),
-        but(|settings| settings.rules.cold_share = 0.0),
-        but(|settings| settings.costs.waste = -0.1),
+        but(|settings| settings.over_quota_weight = 2.0),
+        but(|settings| settings.rules.slow_start_min_fraction = 0.0),
+        but(|settings| settings.costs.wasted_work = -0.1),
     ];
     for other in refused_ones {
         let mut bench = bench(settings());
@@ -619,12 +625,12 @@
         let mut world = World::play(seed, requests, |number| {
             number.is_multiple_of(20).then(|| {
                 let mut other = settings();
-                other.copies = draws.rand_range(1..9) as u32;
+                other.replicas = draws.rand_range(1..9) as u32;
                 for tenant in &mut other.tenants {
                     tenant.quota = (draws.rand_float() < 0.8).then(|| draws.rand_float() * 200.0);
                 }
-                other.classes[0].aim = millis(100 + draws.rand_range(0..900));
-                other.permissions.attempts = draws.rand_range(1..5) as u32;
+                other.classes[0].latency_objective = millis(100 + draws.rand_range(0..900));
+                other.permissions.max_attempts = draws.rand_range(1..5) as u32;
                 changed |= number >= middle;
                 if changed {
                     other.classes[2].idempotency = Idempotency::Idempotent;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -71,8 +71,8 @@
     ]
 }
 
-fn settings(second_copies: bool, subscribe: bool) -> Settings {
-    let class = |idempotency, late_worth| Class { late_worth, ..common::class(idempotency) };
+fn settings(hedging: bool, subscribe: bool) -> Settings {
+    let class = |idempotency, late_weight| Class { late_weight, ..common::class(idempotency) };
     let keyed = |scope| Idempotency::IdempotencyKey { scope, window: millis(800) };
     let mut settings = Settings::single_zone(vec![
         class(Idempotency::Idempotent, 0.0),
@@ -82,11 +82,11 @@
         class(keyed(DeduplicationScope::Cell), 0.5),
     ]);
     settings.zones = 2;
-    settings.permissions.second_copies = second_copies;
-    settings.permissions.attempts = 4;
+    settings.permissions.hedging = hedging;
+    settings.permissions.max_attempts = 4;
     if subscribe {
         settings.discovery = DiscoveryMode::Subscribe;
-        settings.rules.ask_within = Some(millis(10_000));
+        settings.rules.poll_interval_max = Some(millis(10_000));
     }
     settings
 }
@@ -151,17 +151,17 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout, begin_within, last } => {
+            Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
                 let held = self.held.get_mut(&request).expect("a request that it has");
                 assert!(held.finals == 0 && !held.over, "sent after its end");
                 assert!(self.now < held.deadline, "sent after the deadline");
                 let target = self.list.get(&upstream).expect("an upstream that a list has named");
                 assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to one that drains or is gone");
                 let out = held.attempts.iter().filter(|sent| sent.ended.is_none()).count();
-                assert!(out == 0 || self.settings.permissions.second_copies, "two attempts at once");
-                let allowed = self.settings.permissions.attempts as usize;
+                assert!(out == 0 || self.settings.permissions.hedging, "two attempts at once");
+                let allowed = self.settings.permissions.max_attempts as usize;
                 assert!(held.attempts.len() < allowed);
-                assert!(last || held.attempts.len() + 1 < allowed, "another is said to follow");
+                assert!(is_last_attempt || held.attempts.len() + 1 < allowed, "another is said to follow");
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
                 if let Some(first) = held.attempts.iter().find(ran) {
                     match self.settings.classes[held.class].idempotency {
@@ -169,7 +169,7 @@
                         Idempotency::NotIdempotent => panic!("an unsafe request sent twice"),
                         Idempotency::IdempotencyKey { scope, window } => {
                             assert!(self.now <= first.at + window, "past the window");
-                            let by = self.now + begin_within.expect("the window bounds its begin");
+                            let by = self.now + first_byte_deadline.expect("the window bounds its begin");
                             assert!(by <= first.at + window + Duration::from_micros(1), "may begin past it");
                             let (one, two) = (member(first.upstream.0), member(upstream.0));
                             match scope {
@@ -207,7 +207,7 @@
                 assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
             }
             Action::HealthCheck { upstream } => {
-                assert!(self.settings.permissions.probes, "a health check that is not allowed");
+                assert!(self.settings.permissions.health_checks, "a health check that is not allowed");
                 assert!(self.list.contains_key(&upstream), "checked one that no list has named");
             }
             Action::CloseIdle { upstream } => assert!(self.list.contains_key(&upstream)),
@@ -241,7 +241,7 @@
     }
 
     fn check_asked(&self) {
-        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.ask_within) {
+        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.poll_interval_max) {
             assert!(self.now <= since + within, "has not asked for the list in time");
         }
     }
@@ -256,12 +256,20 @@
     fn end(&mut self, request: RequestId, n: usize, outcome: Outcome) {
         let held = self.held.get_mut(&request).expect("held");
         held.attempts[n].ended = Some(outcome);
-        let took = self.now - held.attempts[n].at;
+        let duration = self.now - held.attempts[n].at;
         held.over |= outcome == Outcome::Success;
         let finished = held.over || held.finals > 0;
         let attempt = AttemptNumber(n as u32);
-        let connecting = millis(0);
-        self.tell(Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load: None });
+        let connect_wait = millis(0);
+        self.tell(Event::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            duration,
+            connect_wait,
+            finished,
+            load: None,
+        });
         let held = &self.held[&request];
         let out = held.attempts.iter().any(|sent| sent.ended.is_none());
         assert!(held.over || held.finals == 1 || out, "left without an attempt or an answer");
@@ -289,10 +297,10 @@
                     id,
                     class: ClassId(class),
                     tenant: None,
-                    key: None,
+                    subject: None,
                     time_left: millis(time_left),
                     expected_work: None,
-                    repeat: false,
+                    is_client_retry: false,
                 }));
                 let held = &self.held[&id];
                 assert!(held.finals == 1 || !held.attempts.is_empty(), "neither sent nor answered");
@@ -335,11 +343,11 @@
     #[test]
     fn the_rules_hold_over_any_legal_events(
         seed in any::<u64>(),
-        second_copies in any::<bool>(),
+        hedging in any::<bool>(),
         subscribe in any::<bool>(),
         steps in proptest::collection::vec(step(), 1..250),
     ) {
-        let mut world = World::new(settings(second_copies, subscribe), seed);
+        let mut world = World::new(settings(hedging, subscribe), seed);
         for step in steps {
             world.step(step);
         }
@@ -355,8 +363,8 @@
         refusing in any::<bool>(),
     ) {
         let mut settings = settings(false, false);
-        settings.rules.cold_share = 0.15;
-        settings.rules.cold_time = millis(20_000);
+        settings.rules.slow_start_min_fraction = 0.15;
+        settings.rules.slow_start_window = millis(20_000);
         settings.rules.overload_window = millis(2_000);
         let rules = settings.rules.clone();
         let mut world = World::new(settings, seed);
@@ -381,7 +389,7 @@
             let end = started + millis(second * 1_000);
             let warm = (cold..8).map(|id| within(id, end)).fold(0.0, f64::max);
             let age = (second as f64 - window.as_secs_f64()).max(0.0);
-            let warmth = rules.cold_share + (1.0 - rules.cold_share) * age / 20.0;
+            let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
             let budget = rules.overload_multiple * warmth * warm + 2.0;
             for id in 0..cold {
                 prop_assert!(within(id, end) <= budget, "{} sent, budget {budget}", within(id, end));
@@ -404,10 +412,10 @@
                 id: RequestId(id),
                 class: ClassId(id as usize % 5),
                 tenant: None,
-                key: None,
+                subject: None,
                 time_left: millis(900),
                 expected_work: None,
-                repeat: false,
+                is_client_retry: false,
             };
             balancer.handle(now, Event::Request(request), &mut actions);
             balancer.handle(now, Event::MaintenanceDue, &mut actions);
@@ -438,11 +446,14 @@
     assert_eq!(with(|_| {}), None);
     assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
-    assert_eq!(with(|settings| settings.copies = 0), Some(SettingsError::NoReplicas));
-    assert_eq!(with(|settings| settings.permissions.attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|settings| settings.classes[1].aim = millis(9_000)), Some(SettingsError::ClassTimes(1)));
+    assert_eq!(with(|settings| settings.replicas = 0), Some(SettingsError::NoReplicas));
+    assert_eq!(with(|settings| settings.permissions.max_attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(
+        with(|settings| settings.classes[1].latency_objective = millis(9_000)),
+        Some(SettingsError::ClassTimes(1))
+    );
     assert_eq!(
-        with(|settings| settings.rules.cold_share = f64::NAN),
+        with(|settings| settings.rules.slow_start_min_fraction = f64::NAN),
         Some(SettingsError::OutOfRange("cold share"))
     );
 }
@@ -457,10 +468,10 @@
         id: RequestId(7),
         class: ClassId(99),
         tenant: Some(TenantId(99)),
-        key: None,
+        subject: None,
         time_left: millis(0),
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     };
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions, [Action::Refuse { request: RequestId(7), retry_after: None }]);
@@ -477,8 +488,8 @@
             request: RequestId(id),
             attempt: AttemptNumber(5),
             outcome: Outcome::Success,
-            took: millis(0),
-            connecting: millis(0),
+            duration: millis(0),
+            connect_wait: millis(0),
             finished: true,
             load: None,
         };
@@ -489,7 +500,7 @@
     let odd = Event::HealthChecked {
         upstream: EndpointId(99),
         outcome: Outcome::Success,
-        took: millis(1),
+        duration: millis(1),
         load: None,
     };
     balancer.handle(START, odd, &mut actions);
@@ -508,10 +519,10 @@
         id: RequestId(1),
         class: ClassId(0),
         tenant: None,
-        key: None,
+        subject: None,
         time_left: millis(3000),
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     };
     let sent = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Send { .. }));
     assert!(sent(&bench.tell(Event::Request(request))));
@@ -519,8 +530,8 @@
         request: RequestId(1),
         attempt: AttemptNumber(0),
         outcome: Outcome::Reset,
-        took: millis(1),
-        connecting: millis(0),
+        duration: millis(1),
+        connect_wait: millis(0),
         finished: false,
         load: None,
     });
@@ -531,7 +542,7 @@
 fn asks_after(mode: DiscoveryMode, word: ListUpdate) -> f64 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = mode;
-    settings.rules.ask_within = Some(millis(10_000));
+    settings.rules.poll_interval_max = Some(millis(10_000));
     let mut balancer = Balancer::new(settings, 7).expect("the settings make sense");
     let mut now = START;
     let mut asked = |balancer: &mut Balancer, event: Event| {
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -15,9 +15,9 @@
 }
 
 /// The upstreams that a copy uses, over many calls.
-fn used(index: u32, copies: u32, upstreams: u32) -> Vec<u32> {
-    let settings = Settings { index, copies, ..settings() };
-    let mut bench = Bench::new(settings, u64::from(index), (0..upstreams).map(member).collect());
+fn used(replica_index: u32, replicas: u32, upstreams: u32) -> Vec<u32> {
+    let settings = Settings { replica_index, replicas, ..settings() };
+    let mut bench = Bench::new(settings, u64::from(replica_index), (0..upstreams).map(member).collect());
     let mut used = BTreeMap::new();
     for _ in 0..400 {
         let tried = bench.run(|_| (Outcome::Success, millis(10)));
@@ -31,10 +31,10 @@
 
     /// No upstream is left bare and none is used by far more copies than another.
     #[test]
-    fn subsets_cover_the_tier_evenly(copies in 1u32..40, upstreams in 1u32..60) {
+    fn subsets_cover_the_tier_evenly(replicas in 1u32..40, upstreams in 1u32..60) {
         let mut covered = vec![0u32; upstreams as usize];
-        for index in 0..copies {
-            for upstream in used(index, copies, upstreams) {
+        for replica_index in 0..replicas {
+            for upstream in used(replica_index, replicas, upstreams) {
                 covered[upstream as usize] += 1;
             }
         }
@@ -166,8 +166,8 @@
 #[test]
 fn a_cold_upstream_gets_its_part_of_what_warm_ones_get() {
     let mut settings = settings();
-    settings.rules.cold_share = 0.1;
-    settings.rules.cold_time = millis(20_000);
+    settings.rules.slow_start_min_fraction = 0.1;
+    settings.rules.slow_start_window = millis(20_000);
     let mut members: Vec<Member> = (0..5).map(member).collect();
     members[0].started = Some(START);
     let mut bench = Bench::new(settings, 3, members);
@@ -197,7 +197,7 @@
 fn denied_calls_earn_no_further_attempts() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota: Some(2.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
     let (mut first, mut further) = (0, 0);
     for _ in 0..2000 {
@@ -253,7 +253,7 @@
     let distinct = |price: f64| {
         let mut settings = settings();
         settings.costs.handshake = price;
-        settings.permissions.streams = 1;
+        settings.permissions.streams_per_connection = 1;
         let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
         let mut used = BTreeMap::new();
         for _ in 0..60 {
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -15,7 +15,7 @@
 /// A deployment and a day for it.
 #[derive(Debug, Clone)]
 struct Day {
-    copies: u32,
+    replicas: u32,
     upstreams: u32,
     /// Upstreams that start cold together.
     cold: u32,
@@ -30,7 +30,7 @@
     uneven: f64,
     /// Part of the warm upstreams that can't be reached from then on.
     lost: f64,
-    cold_share: f64,
+    slow_start_min_fraction: f64,
     cold_s: f64,
     multiple: f64,
     window_s: f64,
@@ -69,7 +69,9 @@
 
 /// The least number of requests with which a cold upstream may fall, over the window that ends at its age.
 fn budget(day: &Day, age: f64) -> f64 {
-    let warmth = |age: f64| (day.cold_share + (1.0 - day.cold_share) * age / day.cold_s).min(1.0);
+    let warmth = |age: f64| {
+        (day.slow_start_min_fraction + (1.0 - day.slow_start_min_fraction) * age / day.cold_s).min(1.0)
+    };
     let steps = 20;
     let mean: f64 = (0..steps)
         .map(|step| warmth((age - day.window_s * f64::from(step) / f64::from(steps)).max(0.0)))
@@ -102,12 +104,12 @@
     let mut rng = Rand64::new(u128::from(day.seed));
     let settings = |copy: u32| {
         let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
-        settings.index = copy;
-        settings.copies = day.copies;
+        settings.replica_index = copy;
+        settings.replicas = day.replicas;
         settings.tier = day.tier;
-        settings.permissions.attempts = day.attempts;
-        settings.rules.cold_share = day.cold_share;
-        settings.rules.cold_time = Duration::from_secs_f64(day.cold_s);
+        settings.permissions.max_attempts = day.attempts;
+        settings.rules.slow_start_min_fraction = day.slow_start_min_fraction;
+        settings.rules.slow_start_window = Duration::from_secs_f64(day.cold_s);
         settings.rules.overload_multiple = day.multiple;
         settings.rules.overload_window = Duration::from_secs_f64(day.window_s);
         settings
@@ -118,14 +120,14 @@
     let started = Duration::from_secs_f64(START_S);
     let after: Vec<Member> =
         (0..day.cold).map(|id| Member { started: Some(started), ..member(id) }).collect();
-    let mut copies: Vec<Balancer> = (0..day.copies)
+    let mut replicas: Vec<Balancer> = (0..day.replicas)
         .map(|copy| {
             let seed = rng.rand_u64();
             Balancer::new(settings(copy), seed).expect("the settings make sense")
         })
         .collect();
     let mut due = BinaryHeap::new();
-    for (copy, balancer) in copies.iter_mut().enumerate() {
+    for (copy, balancer) in replicas.iter_mut().enumerate() {
         let mut actions = Vec::new();
         balancer.handle(Duration::ZERO, Event::Started, &mut actions);
         balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(before.clone())), &mut actions);
@@ -135,8 +137,9 @@
     due.push(Reverse((0, Due::Arrival)));
     due.push(Reverse((micros(START_S + day.burst_after_s), Due::Burst)));
     // What each copy is dealt.
-    let parts: Vec<f64> =
-        (0..day.copies).map(|copy| if copy % 5 == 0 && day.copies > 4 { day.uneven } else { 1.0 }).collect();
+    let parts: Vec<f64> = (0..day.replicas)
+        .map(|copy| if copy % 5 == 0 && day.replicas > 4 { day.uneven } else { 1.0 })
+        .collect();
     let all: f64 = parts.iter().sum();
     let loaded = if warm > 0 { warm } else { day.upstreams };
     let base = day.offered * f64::from(loaded) * day.capacity;
@@ -179,10 +182,10 @@
                     id: RequestId(next),
                     class: ClassId(0),
                     tenant: None,
-                    key: None,
+                    subject: None,
                     time_left: millis(3000),
                     expected_work: None,
-                    repeat: false,
+                    is_client_retry: false,
                 };
                 (copy, Event::Request(request))
             }
@@ -194,8 +197,8 @@
                     request: RequestId(request),
                     attempt: AttemptNumber(attempt),
                     outcome,
-                    took: Duration::from_micros(took_us),
-                    connecting: Duration::ZERO,
+                    duration: Duration::from_micros(took_us),
+                    connect_wait: Duration::ZERO,
                     finished: outcome == Outcome::Success,
                     load: None,
                 };
@@ -203,7 +206,7 @@
             }
         };
         let mut actions = Vec::new();
-        copies[copy].handle(Duration::from_micros(at), event, &mut actions);
+        replicas[copy].handle(Duration::from_micros(at), event, &mut actions);
         for action in actions {
             match action {
                 Action::ScheduleMaintenance(span) => {
@@ -230,10 +233,10 @@
                         }
                         u8::from(full)
                     };
-                    let took = if outcome == 0 { TOOK_S } else { 0.002 };
+                    let duration = if outcome == 0 { TOOK_S } else { 0.002 };
                     let ended =
-                        Due::Ended { copy, request: request.0, attempt, outcome, took_us: micros(took) };
-                    due.push(Reverse((at + micros(took), ended)));
+                        Due::Ended { copy, request: request.0, attempt, outcome, took_us: micros(duration) };
+                    due.push(Reverse((at + micros(duration), ended)));
                 }
                 _ => {}
             }
@@ -255,11 +258,11 @@
     Played { over: worst, sent, offered }
 }
 
-fn drawn(rng: &mut Rand64, copies: u32) -> Day {
+fn drawn(rng: &mut Rand64, replicas: u32) -> Day {
     let mut between = |low: f64, high: f64| low + (high - low) * rng.rand_float();
     let upstreams = between(6.0, 24.0) as u32;
     Day {
-        copies,
+        replicas,
         upstreams,
         cold: (f64::from(upstreams) * between(0.05, 0.6)).max(1.0) as u32,
         capacity: 1.5 * between(0.0, 3.0).exp(),
@@ -268,7 +271,7 @@
         burst_after_s: between(-3.0, 8.0).max(0.0),
         uneven: between(1.0, 5.0),
         lost: between(-0.5, 0.9).max(0.0),
-        cold_share: between(0.1, 0.6),
+        slow_start_min_fraction: between(0.1, 0.6),
         cold_s: between(3.0, 12.0),
         multiple: between(1.5, 3.0),
         window_s: between(1.0, 2.0),
@@ -283,7 +286,7 @@
 
 /// Many days of one kind.
 struct Days {
-    copies: u32,
+    replicas: u32,
     count: u32,
     chance: fn(f64) -> f64,
     /// What of a drawn day is otherwise.
@@ -291,17 +294,17 @@
 }
 
 impl Days {
-    fn drawn(copies: u32) -> Self {
-        Self { copies, count: 1000, chance: strict_chance, change: |_, _| {} }
+    fn drawn(replicas: u32) -> Self {
+        Self { replicas, count: 1000, chance: strict_chance, change: |_, _| {} }
     }
 
     /// Plays them: in no window may the sum go over what the rule puts down to chance. Tells the part that the cold ones
     /// got of what they could do once warm, and the part of the requests that came meanwhile.
     fn play(&self) -> (f64, f64) {
-        let mut rng = Rand64::new(u128::from(self.copies));
+        let mut rng = Rand64::new(u128::from(self.replicas));
         let (mut used, mut sent, mut offered) = (0.0, 0, 0);
         for _ in 0..self.count {
-            let mut day = drawn(&mut rng, self.copies);
+            let mut day = drawn(&mut rng, self.replicas);
             (self.change)(&mut day, &mut rng);
             let played = play(&day, self.chance);
             assert!(played.over <= 0.0, "{} over the budget on {day:?}", played.over);
@@ -310,14 +313,14 @@
             offered += played.offered;
         }
         let parts = (used / f64::from(self.count), sent as f64 / offered as f64);
-        println!("{} {parts:?}", self.copies);
+        println!("{} {parts:?}", self.replicas);
         parts
     }
 }
 
 /// The cold ones get a fair part of what they can do all the same.
-fn many_days(copies: u32) {
-    let (used, _) = Days::drawn(copies).play();
+fn many_days(replicas: u32) {
+    let (used, _) = Days::drawn(replicas).play();
     assert!(used > 0.15, "the cold ones got {used} of what they could do once warm");
 }
 
@@ -359,8 +362,8 @@
 
 #[test]
 fn a_burst_after_a_lull_keeps_the_budget_of_a_cold_upstream() {
-    for copies in [1, 2, 20, 30] {
-        Days { count: 500, change: lull, ..Days::drawn(copies) }.play();
+    for replicas in [1, 2, 20, 30] {
+        Days { count: 500, change: lull, ..Days::drawn(replicas) }.play();
     }
     let both = |day: &mut Day, rng: &mut Rand64| {
         lull(day, rng);
@@ -381,9 +384,9 @@
 
 #[test]
 fn a_tier_that_is_cold_as_a_whole_gets_its_budget_and_no_more() {
-    for copies in [1, 2, 20, 30] {
-        let (_, served) = Days { count: 500, change: all_cold, chance, ..Days::drawn(copies) }.play();
-        assert!(served > 0.4, "{copies} copies sent {served} of the requests");
+    for replicas in [1, 2, 20, 30] {
+        let (_, served) = Days { count: 500, change: all_cold, chance, ..Days::drawn(replicas) }.play();
+        assert!(served > 0.4, "{replicas} copies sent {served} of the requests");
     }
     let both = |day: &mut Day, rng: &mut Rand64| {
         all_cold(day, rng);
@@ -397,7 +400,7 @@
 #[test]
 fn an_outage_of_discovery_keeps_the_budget_of_a_cold_upstream() {
     let change = |day: &mut Day, rng: &mut Rand64| day.late_s = 8.0 * rng.rand_float();
-    for copies in [2, 20, 30] {
-        Days { count: 500, change, ..Days::drawn(copies) }.play();
+    for replicas in [2, 20, 30] {
+        Days { count: 500, change, ..Days::drawn(replicas) }.play();
     }
 }
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -14,7 +14,7 @@
 fn ten_a_second() -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
 }
 
@@ -56,11 +56,11 @@
 /// three while the tier was at ease. Of two copies, one that sees as much means that there is too much.
 #[test]
 fn one_of_many_copies_may_be_dealt_several_parts() {
-    let part_of_copies = |copies: u32| {
+    let part_of_copies = |replicas: u32| {
         let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
-        settings.copies = copies;
-        settings.tenants = vec![Tenant { quota: Some(10.0 * f64::from(copies)) }; 2];
-        settings.over_share_worth = 0.2;
+        settings.replicas = replicas;
+        settings.tenants = vec![Tenant { quota: Some(10.0 * f64::from(replicas)) }; 2];
+        settings.over_quota_weight = 0.2;
         let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
         admitted(&mut bench, 30.0, 5.0, 60.0, Outcome::Success)
     };
@@ -155,7 +155,7 @@
 
 /// A copy whose tenant has been let to climb well over its part, offered 14 calls a second of which
 /// every fourth is first turned away `refusals` times; the calls denied in 20 s.
-fn denied_of_280(refusals: u32, outcome: Outcome, took: u64) -> u32 {
+fn denied_of_280(refusals: u32, outcome: Outcome, duration: u64) -> u32 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
@@ -171,7 +171,7 @@
             number += 1;
         }
         if sent(&actions).is_some() {
-            bench.end(id, number, Outcome::Success, millis(took));
+            bench.end(id, number, Outcome::Success, millis(duration));
         }
     }
     denied
@@ -202,9 +202,9 @@
 #[test]
 fn a_limit_of_less_than_a_call_a_window_holds() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
-    settings.copies = 400;
+    settings.replicas = 400;
     settings.tenants = vec![Tenant { quota: Some(20.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // The part is 0.05 a second, 0.11 with its chance.
     let part = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
@@ -216,7 +216,7 @@
 fn a_jam_that_one_tenant_meets_cuts_all_limits() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }, Tenant { quota: Some(100.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     admitted(&mut bench, 9.5, 0.0, 5.0, Outcome::Success);
     for _ in 0..2000 {
@@ -236,7 +236,7 @@
 fn in_a_crowd_all_tenants_together_are_held_to_their_fair_parts() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(2.0) }; 6];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let mut passed = [0, 0];
     for call in 0..3000 {
@@ -245,9 +245,9 @@
         if sent(&actions).is_some() {
             passed[usize::from(call >= 1000)] += 1;
             let slow = call >= 1000 && call.is_multiple_of(5);
-            let (outcome, took) =
+            let (outcome, duration) =
                 if slow { (Outcome::TimedOut, AIM) } else { (Outcome::Success, millis(20)) };
-            bench.end(id, 0, outcome, took);
+            bench.end(id, 0, outcome, duration);
         }
     }
     let (generous, crowded) = (f64::from(passed[0]) / 40.0, f64::from(passed[1]) / 80.0);
@@ -260,7 +260,7 @@
 fn the_limits_shrink_with_the_tier() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(20.0) }; 2];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
     let run = |bench: &mut Bench| {
         let mut passed = 0;
@@ -287,16 +287,16 @@
 fn a_crowd_does_not_become_the_custom_of_a_busy_copy() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(50.0) }; 2];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
-    let run = |bench: &mut Bench, calls: usize, took: u64| {
+    let run = |bench: &mut Bench, calls: usize, duration: u64| {
         let mut passed = 0;
         for call in 0..calls {
             bench.pass(millis(10));
             let (id, actions) = bench.offer(Some(call % 2));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(took));
+                bench.end(id, 0, Outcome::Success, millis(duration));
             }
         }
         passed
@@ -313,7 +313,7 @@
 fn a_crowd_ends_once_calls_take_their_usual_times() {
     let mut bench = ten_a_second();
     // Calls differ by far, mixed evenly.
-    let took = [13, 135, 23, 243, 42, 437, 75];
+    let duration = [13, 135, 23, 243, 42, 437, 75];
     let mut run = |seconds: u64, slower_tenths: u64| {
         let mut passed = 0;
         for _ in 0..seconds * 8 {
@@ -321,7 +321,7 @@
             let (id, actions) = bench.offer(Some(0));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(took[passed % 7] * slower_tenths / 10));
+                bench.end(id, 0, Outcome::Success, millis(duration[passed % 7] * slower_tenths / 10));
             }
         }
         passed
@@ -339,11 +339,11 @@
 #[test]
 fn retries_do_not_wear_down_a_part_of_a_call() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
-    settings.copies = 100;
+    settings.replicas = 100;
     settings.tenants = vec![Tenant { quota: Some(4.0) }; 4];
-    settings.over_share_worth = 0.0;
-    let (mut passed, copies) = (0, 40);
-    for seed in 0..copies {
+    settings.over_quota_weight = 0.0;
+    let (mut passed, replicas) = (0, 40);
+    for seed in 0..replicas {
         let mut bench = Bench::new(settings.clone(), seed, (0..4).map(member).collect());
         for call in 0..200 {
             bench.pass(millis(50));
@@ -355,7 +355,7 @@
         }
     }
     // Fair are 0.16 calls a second; with a die for each call they were 0.64.
-    let rate = f64::from(passed) / copies as f64 / 10.0;
+    let rate = f64::from(passed) / replicas as f64 / 10.0;
     assert!(rate < 0.4, "{rate} calls a second a copy");
 }
 
@@ -385,9 +385,9 @@
 #[test]
 fn few_calls_that_differ_by_far_are_no_crowd() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
-    settings.copies = 20;
+    settings.replicas = 20;
     settings.tenants = vec![Tenant { quota: Some(6.0 * 20.0) }; 2];
-    settings.over_share_worth = 0.2;
+    settings.over_quota_weight = 0.2;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
     let mut spread = spread(0, 1.0);
     let (mut offered, mut passed) = (0, 0);
@@ -428,9 +428,9 @@
     bench: &mut Bench,
     seconds: usize,
     rate: impl Fn(usize) -> u64,
-    mut took: impl FnMut(usize) -> u64,
+    mut duration: impl FnMut(usize) -> u64,
 ) -> Vec<u64> {
-    let (start, aim) = (bench.now, millis(1000));
+    let (start, latency_objective) = (bench.now, millis(1000));
     let mut out: Vec<(std::time::Duration, RequestId, std::time::Duration)> = Vec::new();
     (0..seconds)
         .map(|second| {
@@ -441,14 +441,14 @@
                 out.sort_by_key(|&(end, ..)| std::cmp::Reverse(end));
                 while let Some((end, id, span)) = out.pop_if(|&mut (end, ..)| end <= due) {
                     bench.pass(end.saturating_sub(bench.now));
-                    let outcome = if span < aim { Outcome::Success } else { Outcome::TimedOut };
+                    let outcome = if span < latency_objective { Outcome::Success } else { Outcome::TimedOut };
                     bench.end(id, 0, outcome, span);
                 }
                 bench.pass(due.saturating_sub(bench.now));
                 let (id, actions) = bench.offer(Some(call as usize % 2));
                 if sent(&actions).is_some() {
                     admitted += 1;
-                    let span = millis(took(second)).min(aim);
+                    let span = millis(duration(second)).min(latency_objective);
                     out.push((due + span, id, span));
                 }
             }
@@ -460,9 +460,9 @@
 /// One copy of fifty whose two tenants have a fair part of `part` calls a second each.
 fn one_of_fifty(seed: u64, part: f64) -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
-    settings.copies = 50;
+    settings.replicas = 50;
     settings.tenants = vec![Tenant { quota: Some(part * 50.0) }; 2];
-    settings.over_share_worth = 0.2;
+    settings.over_quota_weight = 0.2;
     Bench::new(settings, seed, (0..8).map(member).collect())
 }
 
@@ -491,8 +491,8 @@
             assert_eq!(calm.iter().sum::<u64>(), 1200);
             bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
             // Slower by half until that has been noticed, then as usual.
-            let took = |second| if second < 2 { 150 } else { 100 };
-            admitted_by_second(&mut bench, 6, |_| 60, took)[2..].iter().sum::<u64>()
+            let duration = |second| if second < 2 { 150 } else { 100 };
+            admitted_by_second(&mut bench, 6, |_| 60, duration)[2..].iter().sum::<u64>()
         })
         .sum();
     assert!(admitted > 1200, "{admitted} of 2400 admitted after a short crowd");
@@ -507,12 +507,12 @@
             let mut bench = one_of_fifty(seed, 15.0);
             let mut call = 0;
             // In the first second of the burst every third call is slow, but comes.
-            let took = |second| {
+            let duration = |second| {
                 call += 1;
                 if second == 20 && call % 3 == 0 { 950 } else { 100 }
             };
             let rate = |second| if second < 20 { 45 } else { 85 };
-            admitted_by_second(&mut bench, 24, rate, took)[21..].iter().sum::<u64>()
+            admitted_by_second(&mut bench, 24, rate, duration)[21..].iter().sum::<u64>()
         })
         .sum();
     assert!(admitted > 930, "{admitted} of 2550 admitted after a burst that was slow at first");
@@ -528,12 +528,12 @@
     // Eight callers that come again 4 ms after each answer; calls are slower once there are several.
     let served: Vec<usize> = (0..600)
         .map(|round| {
-            let took = std::time::Duration::from_micros(if round < 1 { 200 } else { 10_000 });
+            let duration = std::time::Duration::from_micros(if round < 1 { 200 } else { 10_000 });
             let calls: Vec<_> = (0..8).map(|_| bench.offer(Some(0))).collect();
-            bench.pass(took);
+            bench.pass(duration);
             let sent: Vec<_> = calls.iter().filter(|(_, actions)| sent(actions).is_some()).collect();
             for (id, _) in &sent {
-                bench.end(*id, 0, Outcome::Success, took);
+                bench.end(*id, 0, Outcome::Success, duration);
             }
             bench.pass(millis(4));
             sent.len()
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -132,9 +132,9 @@
     Ok(AcceptedRequest {
         class,
         tenant,
-        key: affinity_key(head.uri.query()),
+        subject: affinity_key(head.uri.query()),
         expected_work: cost.map(Duration::from_micros),
-        repeat: header_text(&head.headers, "x-retry") == Some("1"),
+        is_client_retry: header_text(&head.headers, "x-retry") == Some("1"),
         deadline: now + client_timeout.saturating_sub(MARGIN),
         client,
         call: Rc::new(Call {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -207,7 +207,7 @@
             endpoints.ready(),
             endpoints.listed(),
             endpoints.index(),
-            balancer.vitals(),
+            balancer.stats_snapshot(),
         ));
     }
 
@@ -273,10 +273,10 @@
             id,
             class: taken.class,
             tenant: taken.tenant,
-            key: taken.key,
+            subject: taken.subject,
             time_left: taken.deadline.saturating_duration_since(Instant::now()),
             expected_work: taken.expected_work,
-            repeat: taken.repeat,
+            is_client_retry: taken.is_client_retry,
         }));
         (id, receiver)
     }
@@ -295,12 +295,12 @@
 
     /// An attempt is over.
     pub fn attempt_ended(self: &Rc<Self>, job: &Job, ended: Ended) {
-        let took = job.asked.elapsed();
+        let duration = job.asked.elapsed();
         let result = {
             let mut state = self.state.borrow_mut();
             let result = state.requests.end_attempt(job.request, job.attempt, ended.body);
             let Some(result) = result else { return };
-            state.counters.attempt(ended.outcome, took);
+            state.counters.attempt(ended.outcome, duration);
             state.counters.served += u32::from(result.served);
             result
         };
@@ -308,8 +308,8 @@
             request: job.request,
             attempt: job.attempt,
             outcome: ended.outcome,
-            took,
-            connecting: ended.connecting.unwrap_or(took),
+            duration,
+            connect_wait: ended.connect_wait.unwrap_or(duration),
             finished: result.finished,
             load: ended.load,
         });
@@ -414,6 +414,6 @@
         settings.discovery = DiscoveryMode::Agent;
     }
     // Where lists are asked for, the settings may allow to ask more seldom than changes count as told.
-    let ask_within = &mut settings.rules.ask_within;
-    *ask_within = Some(ask_within.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
+    let poll_interval_max = &mut settings.rules.poll_interval_max;
+    *poll_interval_max = Some(poll_interval_max.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -29,8 +29,8 @@
 
     fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout, begin_within, last } => {
-                self.send(state, &Send { request, upstream, timeout, begin_within, last });
+            Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
+                self.send(state, &Send { request, upstream, timeout, first_byte_deadline, is_last_attempt });
             }
             Action::CancelAttempt { request, attempt } => state.requests.cancel(request, attempt),
             Action::Refuse { request, retry_after } => state.refuse(request, retry_after),
@@ -40,7 +40,7 @@
             Action::HealthCheck { upstream } => state.events.push_back(Event::HealthChecked {
                 upstream,
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
+                duration: Duration::ZERO,
                 load: None,
             }),
             Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
@@ -71,7 +71,7 @@
     }
 
     fn send(self: &Rc<Self>, state: &mut State, send: &Send) {
-        let &Send { request, upstream, timeout, begin_within, last } = send;
+        let &Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } = send;
         let Some(in_flight) = state.requests.get_mut(request) else { return };
         let endpoint = state.endpoints.ready_endpoint(upstream);
         let Some(endpoint) = endpoint.filter(|_| in_flight.is_unanswered()) else {
@@ -80,8 +80,8 @@
                 request,
                 attempt: in_flight.skip_attempt(),
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
-                connecting: Duration::ZERO,
+                duration: Duration::ZERO,
+                connect_wait: Duration::ZERO,
                 finished: !in_flight.is_unanswered(),
                 load: None,
             });
@@ -95,9 +95,9 @@
             address: endpoint.address,
             call: Rc::clone(in_flight.call()),
             asked,
-            begin_by: begin_within.map(|span| asked + span),
+            begin_by: first_byte_deadline.map(|span| asked + span),
             until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(asked + span)),
-            last,
+            is_last_attempt,
         };
         spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
@@ -108,8 +108,8 @@
     request: RequestId,
     upstream: EndpointId,
     timeout: Option<Duration>,
-    begin_within: Option<Duration>,
-    last: bool,
+    first_byte_deadline: Option<Duration>,
+    is_last_attempt: bool,
 }
 
 impl State {
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -35,11 +35,11 @@
     /// Its tenant.
     pub tenant: Option<TenantId>,
     /// Its subject.
-    pub key: Option<u64>,
+    pub subject: Option<u64>,
     /// The work expected.
     pub expected_work: Option<Duration>,
     /// The client has marked it as a retry.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// When the answer must be out.
     pub deadline: Instant,
     /// What goes on to upstreams.
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -44,7 +44,7 @@
     /// When it is given up.
     pub until: Instant,
     /// No other can follow: it waits for a connection for as long as the settings allow.
-    pub last: bool,
+    pub is_last_attempt: bool,
 }
 
 /// What must hold as the bytes of an attempt's request are written.
@@ -100,12 +100,12 @@
     /// The load report, if one came.
     pub load: Option<LoadReport>,
     /// How long it had no connection, if it ever had one.
-    pub connecting: Option<Duration>,
+    pub connect_wait: Option<Duration>,
 }
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, body: None, load: None, connecting: None }
+        Self { outcome, body: None, load: None, connect_wait: None }
     }
 }
 
@@ -117,7 +117,7 @@
     /// Bytes of the request.
     size: Cell<u64>,
     /// How long the attempt had no connection.
-    connecting: Cell<Option<Duration>>,
+    connect_wait: Cell<Option<Duration>>,
 }
 
 impl Progress {
@@ -152,7 +152,7 @@
                     Ok(done) => Some(done),
                     // The exchange is dropped, and its connection closed with it.
                     Err(_) if progress.whole() => Some((Outcome::TimedOut.into(), None)),
-                    Err(_) if progress.connecting.get().is_none() => {
+                    Err(_) if progress.connect_wait.get().is_none() => {
                         Some((Outcome::ConnectTimedOut.into(), None))
                     }
                     // Closed before its last byte was written, it can't run any more.
@@ -166,7 +166,7 @@
         None => Some((Outcome::ConnectFailed.into(), None)),
     };
     let Some((ended, connection)) = ended else { return };
-    driver.attempt_ended(&job, Ended { connecting: progress.connecting.get(), ..ended });
+    driver.attempt_ended(&job, Ended { connect_wait: progress.connect_wait.get(), ..ended });
     // The answer goes out first; then the connection is made ready for the next request.
     if let Some((host, mut connection)) = connection
         && let Ok(Ok(())) = timeout(SETTLE, connection.sender.ready()).await
@@ -182,7 +182,7 @@
     progress: &Progress,
 ) -> (Ended, Option<Connection>) {
     loop {
-        let acquired = driver.pool().acquire(host, job.call.once, job.last, job.until).await;
+        let acquired = driver.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
         let (mut connection, idle) = match acquired {
             Ok(acquired) => acquired,
             Err(error) => {
@@ -200,7 +200,7 @@
         if idle.is_none() {
             driver.count_opened();
         }
-        progress.connecting.set(Some(job.asked.elapsed()));
+        progress.connect_wait.set(Some(job.asked.elapsed()));
         let bounds = Bounds::of(driver, job);
         if let Some(outcome) = bounds.refusal() {
             return (outcome.into(), None);
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -214,7 +214,7 @@
         self: &Rc<Self>,
         host: &Rc<Host>,
         once: bool,
-        last: bool,
+        is_last_attempt: bool,
         until: Instant,
     ) -> Result<(Connection, Option<Duration>), AcquireError> {
         if let Some((connection, idle)) = self.take_idle(host, once) {
@@ -223,7 +223,7 @@
         let most = self.connect_timeout.get();
         let mut since = Instant::now();
         let local_until = until.min(since + most);
-        let patience = if last { most } else { self.patience(host) };
+        let patience = if is_last_attempt { most } else { self.patience(host) };
         let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
         loop {
             let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
--- a/crates/proxy/tests/beyond_the_bench.rs
+++ b/crates/proxy/tests/beyond_the_bench.rs
@@ -30,7 +30,7 @@
 fn copy(discovery: DiscoveryMode) -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = discovery;
-    settings.rules.ask_within = Some(millis(10_000));
+    settings.rules.poll_interval_max = Some(millis(10_000));
     Bench::new(settings, 11, (0..8).map(member).collect())
 }
 
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -99,9 +99,9 @@
     let taken = AcceptedRequest {
         class: class_id,
         tenant: offered.tenant("acme"),
-        key: None,
+        subject: None,
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
         deadline: Instant::now() + LONG,
         call: Rc::new(call),
         client: near.downgrade(),
@@ -270,9 +270,9 @@
         let taken = AcceptedRequest {
             class: offered.class("order").expect("it is offered").0,
             tenant: offered.tenant("acme"),
-            key: None,
+            subject: None,
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
             deadline: Instant::now() + LONG,
             call: Rc::new(call),
             client: near.downgrade(),
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -71,9 +71,9 @@
     let taken = AcceptedRequest {
         class: offered.class("read").expect("it is offered").0,
         tenant: offered.tenant("acme"),
-        key: None,
+        subject: None,
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
         deadline,
         call: Rc::new(call),
         client: near.downgrade(),
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -41,9 +41,9 @@
         let taken = AcceptedRequest {
             class: ClassId(0),
             tenant: None,
-            key: None,
+            subject: None,
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
             deadline: Instant::now() + Duration::from_secs(1),
             call: Rc::new(call),
             client: near.downgrade(),
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -25,17 +25,17 @@
 
 fn settings(setup: &Setup) -> Result<Settings, SetupError> {
     Ok(Settings {
-        index: setup.index,
-        copies: setup.replicas,
+        replica_index: setup.index,
+        replicas: setup.replicas,
         tier: setup.tier,
         zone: local_zone(setup)?,
         zones: setup.zones.len(),
         kinds: setup.machine_kinds.len(),
         classes: setup.classes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: setup.tenants.iter().map(tenant).collect(),
-        over_share_worth: setup.over_quota_weight,
+        over_quota_weight: setup.over_quota_weight,
         discovery: discovery_mode(&setup.discovery),
-        passes_deadline: setup.family.passes_deadline,
+        propagates_deadline: setup.family.propagates_deadline,
         permissions: permissions(&setup.capabilities)?,
         rules: rules(&setup.rules)?,
         costs: costs(&setup.prices),
@@ -61,9 +61,9 @@
 fn class(class: &Lane) -> Result<Class, SetupError> {
     let idempotency = idempotency(class)?;
     Ok(Class {
-        aim: duration("onTimeS", class.latency_objective_s)?,
+        latency_objective: duration("onTimeS", class.latency_objective_s)?,
         deadline: duration("hardLimitS", class.deadline_s)?,
-        late_worth: class.late_weight,
+        late_weight: class.late_weight,
         idempotency,
     })
 }
@@ -101,13 +101,13 @@
 
 fn permissions(capabilities: &Caps) -> Result<Permissions, SetupError> {
     Ok(Permissions {
-        attempts: capabilities.max_attempts,
-        second_copies: capabilities.hedging,
+        max_attempts: capabilities.max_attempts,
+        hedging: capabilities.hedging,
         cancel: capabilities.cancellation,
-        probes: capabilities.health_checks,
+        health_checks: capabilities.health_checks,
         messages: capabilities.gossip,
         keepalive: duration("caps.keepaliveS", capabilities.keepalive_s)?,
-        streams: capabilities.streams_per_connection,
+        streams_per_connection: capabilities.streams_per_connection,
         retry_after: max_retry_after(capabilities)?,
     })
 }
@@ -124,9 +124,12 @@
     Ok(Rules {
         answer_slack: duration("rules.answerSlackS", rules.answer_slack_s)?,
         drain_grace: duration("rules.drainGraceS", rules.drain_grace_s)?,
-        ask_within: rules.poll_within_s.map(|seconds| duration("rules.askWithinS", seconds)).transpose()?,
-        cold_share: rules.slow_start_fraction,
-        cold_time: duration("rules.coldS", rules.slow_start_s)?,
+        poll_interval_max: rules
+            .poll_within_s
+            .map(|seconds| duration("rules.askWithinS", seconds))
+            .transpose()?,
+        slow_start_min_fraction: rules.slow_start_fraction,
+        slow_start_window: duration("rules.coldS", rules.slow_start_s)?,
         overload_multiple: rules.overload_multiple,
         overload_window: duration("rules.overloadForS", rules.overload_window_s)?,
     })
@@ -135,10 +138,10 @@
 fn costs(prices: &PriceFigures) -> Costs {
     Costs {
         cross_zone: prices.cross_zone,
-        waste: prices.wasted_work,
+        wasted_work: prices.wasted_work,
         late_failure: prices.late_failure,
         handshake: prices.handshake,
-        probe: prices.health_check,
+        health_check: prices.health_check,
     }
 }
 
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -15,8 +15,8 @@
 /// or not finite leaves the report without a latency.
 pub fn set_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
-        "active" => report.active = Some(value),
-        "waiting" => report.waiting = Some(value),
+        "active" => report.in_flight = Some(value),
+        "waiting" => report.queued = Some(value),
         "cpu" => report.utilization = Some(value),
         "avg_ms" => report.latency = Duration::try_from_secs_f64(value / MILLISECONDS_PER_SECOND).ok(),
         "rps" => report.rate = Some(value),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -97,7 +97,7 @@
 #[serde(default)]
 pub struct FamilyInfo {
     #[serde(rename = "passesDeadline")]
-    pub passes_deadline: bool,
+    pub propagates_deadline: bool,
 }
 
 /// What the site allows.
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -20,8 +20,8 @@
 
 /// Set in `stateBits` if the hint of the expected work may be used.
 const EXPECTED_WORK_VALID: u32 = 1;
-/// Set in `stateBits` if the client has marked the request as a repeat.
-const REPEAT: u32 = 2;
+/// Set in `stateBits` if the client has marked the request as its own retry.
+const CLIENT_RETRY: u32 = 2;
 
 /// A message that is an event for an instance that runs.
 #[derive(Clone, Copy)]
@@ -85,7 +85,7 @@
         None | Some("0") => None,
         Some(name) => Some(*names.tenants.get(name).ok_or_else(|| Malformed::value("owner", name))?),
     };
-    let key = fields.optional_number("pathKey")?;
+    let subject = fields.optional_number("pathKey")?;
     let time_left = fields.seconds("ttlS")?;
     let expected_work = fields.optional_seconds("expectedS")?;
     let bits: u32 = fields.optional_number("stateBits")?.unwrap_or_default();
@@ -93,10 +93,10 @@
         id: requests.add(wire_id),
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key,
+        subject,
         time_left,
         expected_work: expected_work.filter(|_| bits & EXPECTED_WORK_VALID != 0),
-        repeat: bits & REPEAT != 0,
+        is_client_retry: bits & CLIENT_RETRY != 0,
     }))
 }
 
@@ -117,7 +117,7 @@
     let attempt = AttemptNumber(fields.number("n")?);
     fields.number::<u32>("upstream")?;
     let outcome = wire::outcome(fields.text("outcome")?)?;
-    let took = fields.seconds("durationS")?;
+    let duration = fields.seconds("durationS")?;
     let finished = fields.flag("terminal")?;
     let load = load_report(names, fields)?;
     let Some(request) = id else { return Ok(None) };
@@ -126,8 +126,8 @@
         requests.ended(request);
     }
     // The wire does not tell how long an attempt had no connection.
-    let connecting = Duration::ZERO;
-    Ok(Some(Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load }))
+    let connect_wait = Duration::ZERO;
+    Ok(Some(Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load }))
 }
 
 fn client_disconnected(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
@@ -145,10 +145,10 @@
 
 fn health_checked(names: &Names, fields: &mut Fields) -> Result<Event, Malformed> {
     let outcome = wire::outcome(fields.text("outcome")?)?;
-    let took = fields.seconds("durationS")?;
+    let duration = fields.seconds("durationS")?;
     let upstream = EndpointId(fields.number("upstream")?);
     let load = load_report(names, fields)?;
-    Ok(Event::HealthChecked { upstream, outcome, took, load })
+    Ok(Event::HealthChecked { upstream, outcome, duration, load })
 }
 
 fn peer_message(fields: &mut Fields) -> Result<Event, Malformed> {
