--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -12,7 +12,7 @@
 /// ...half of it, and of what the busiest replica may be dealt, at about this many calls a second: the fewer a
 /// replica sees, the later it sees congestion come.
 const EXCESS_HALF_RATE: f64 = 12.0;
-/// Over-share worth from which the excess is worth serving, so that no ceiling holds.
+/// Weight beyond the quota from which the excess is worth serving, so that no ceiling holds.
 const EXCESS_COUNTS: f64 = 0.5;
 /// Standard deviations of chance allowed above a fair share or in congestion, so that few calls are not taken for
 /// many.
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -214,7 +214,7 @@
         selection.select().is_some_and(|slot| self.send(now, id, slot, actions))
     }
 
-    /// The ONE gate that every attempt passes; it keeps the rules on effects, draining and cold endpoints.
+    /// The ONE gate that every attempt passes; it keeps the rules on idempotency, draining and slow start.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
         let endpoint = self.endpoints.get_mut(slot);
         let slow_start_allows = self.subset.slow_start_allows(now, endpoint, &self.settings);
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -12,11 +12,11 @@
 use crate::interface::{Rules, Time};
 use crate::maintenance::MAINTENANCE_PERIOD_S;
 
-/// Part of the headroom between a cold endpoint's capacity and its overload that each of three may use where no warm
-/// one is beside it: growth, sends saved up, and sends that no answer has earned. With all three, chance still has a
-/// quarter of it.
+/// Part of the headroom between the capacity of an endpoint that is warming up and its overload that each of three may
+/// use where no warm one is beside it: growth, sends saved up, and sends that no answer has earned. With all three,
+/// chance still has a quarter of it.
 const HEADROOM_PART: f64 = 0.25;
-/// Largest growth with each answer of a cold endpoint: doubled within four, as fast as a slow start needs.
+/// Largest growth with each answer of an endpoint that warms up: doubled within four, as fast as a slow start needs.
 const MAX_GROWTH: f64 = 0.25;
 /// Sends that an answer past its latency objective earns: a queue has formed, which must get shorter.
 const LATE_ANSWER_EARNS: f64 = 0.5;
@@ -37,19 +37,20 @@
     (min_fraction + (1.0 - min_fraction) * age / rules.slow_start_window.as_secs_f64().max(1e-6)).min(1.0)
 }
 
-/// Part of its capacity by which a cold endpoint may be sent more than it can do, for each of the three uses of that.
+/// Part of its capacity by which an endpoint that is warming up may be sent more than it can do, for each of the three
+/// uses of that.
 fn overload_headroom(rules: &Rules) -> f64 {
     ((rules.overload_multiple - 1.0) * HEADROOM_PART).max(0.0)
 }
 
-/// What the warm members of a group answer, for the cold ones to go by.
+/// What the warm members of a group answer, for those that are warming up to go by.
 #[derive(Debug, Default)]
 pub struct WarmPeers {
     /// Answers a second of a warm member: over all replicas no more than it can do, however many it is sent.
     rate: f64,
     /// Answers of warm members since the last maintenance pass.
     answers: u32,
-    /// No member is warm: cold ones go by their own answers, and the rate is that of before.
+    /// No member is warm: those warming up go by their own answers, and the rate is that of before.
     are_all_warming_up: bool,
 }
 
@@ -89,7 +90,7 @@
         Self { tokens: rng.rand_float(), refilled_at: now, answers: 0, answer_rate: 0.0 }
     }
 
-    /// Whether the budget of a cold endpoint holds another send; refills it up to `now`.
+    /// Whether the budget of an endpoint that is warming up holds another send; refills it up to `now`.
     ///
     /// A replica gives the endpoint, of what a warm peer gets from the same replica, the part that it surely can do;
     /// summed over the replicas that stays within its capacity, whoever else sends. Where no peer is warm, its own
@@ -126,7 +127,7 @@
         self.answers += 1;
     }
 
-    /// A cold endpoint has served a request, and earns sends by it where no peer is warm.
+    /// An endpoint that is warming up has served a request, and earns sends by it where no peer is warm.
     pub fn earn(&mut self, peers: &WarmPeers, is_in_time: bool, rules: &Rules) {
         if peers.are_all_warming_up {
             let growth = overload_headroom(rules).min(MAX_GROWTH);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -34,7 +34,7 @@
 //! let mut actions = Vec::new();
 //! let second = Duration::from_secs(1);
 //!
-//! // Discovery names one upstream, then a client's request arrives and is sent there.
+//! // Discovery names one endpoint, then a client's request arrives and is sent there.
 //! let member = Member {
 //!     id: EndpointId(42),
 //!     zone: Some(ZoneId(0)),
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Which endpoints the rules on effects let a retry go to.
+//! Which endpoints the rules on idempotency let a retry go to.
 //!
 //! An attempt that may have run binds those that follow: an unsafe request must never run twice, and one with an
 //! idempotency key only where the endpoints that remember the key discard the repeat.
--- a/crates/policy/src/requests/mod.rs
+++ b/crates/policy/src/requests/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! * [`request_table`] holds the requests that are not over;
 //! * [`attempt`] is one attempt of a request;
-//! * [`idempotency`] tells where the rules on effects let a request go again;
+//! * [`idempotency`] tells where the rules on idempotency let a request go again;
 //! * [`retry_budget`] bounds the retries to a fraction of the requests.
 
 pub mod attempt;
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -181,7 +181,7 @@
     /// The subset's part of a maintenance pass: measures what of the tier is available, and how much stays local.
     pub fn maintain(&mut self, now: f64, endpoints: &EndpointList, settings: &Settings, rng: &mut Rand64) {
         let capacity = |&slot: &usize| endpoints.get(slot).available_fraction(now, &settings.rules);
-        // Quotas are parts of a whole tier: while some is gone, cold or ejected, the rest would choke.
+        // Quotas are parts of a whole tier: while some is gone, warming up or ejected, the rest would choke.
         let members = self.local.members.iter().chain(&self.remote.members);
         let part = members.map(capacity).sum::<f64>() / self.size().max(1) as f64;
         let ready = endpoints.ready().len() as f64 / self.first_ready.max(1) as f64;
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -265,8 +265,8 @@
         in_range(self.rules.slow_start_min_fraction, f64::MIN_POSITIVE, 1.0, "cold share")?;
         in_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
         let Costs { cross_zone, wasted_work, late_failure, handshake, health_check } = self.costs;
-        for price in [cross_zone, wasted_work, late_failure, handshake, health_check] {
-            in_range(price, 0.0, 1e6, "price")?;
+        for cost in [cross_zone, wasted_work, late_failure, handshake, health_check] {
+            in_range(cost, 0.0, 1e6, "price")?;
         }
         Ok(())
     }
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -59,7 +59,7 @@
 
 impl Drop for DepartureGuard {
     fn drop(&mut self) {
-        self.driver.client_left(self.id);
+        self.driver.client_disconnected(self.id);
     }
 }
 
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -32,7 +32,7 @@
     /// From discovery, the complete list.
     Snapshot,
     /// From discovery, changed entries only.
-    Patch,
+    Delta,
     /// From the configuration, complete and maybe old.
     Configuration,
 }
@@ -192,7 +192,7 @@
             members.push(applied.member);
         }
         self.has_list |= !members.is_empty() || source != ListSource::Configuration;
-        if source != ListSource::Patch {
+        if source != ListSource::Delta {
             let seen: FxHashSet<EndpointId> = members.iter().map(|member| member.id).collect();
             self.listed.retain(|id, _| seen.contains(id));
             self.starts.retain(&seen);
@@ -202,7 +202,7 @@
         }
         let update = match source {
             ListSource::Snapshot => ListUpdate::Snapshot(members),
-            ListSource::Patch => ListUpdate::Delta(members),
+            ListSource::Delta => ListUpdate::Delta(members),
             ListSource::Configuration => ListUpdate::CachedSnapshot(members),
         };
         AppliedList { update, restarted }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -282,7 +282,7 @@
     }
 
     /// The client has left, or its time is up: nothing more is owed.
-    pub fn client_left(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
             if !state.requests.abandon(id) {
@@ -322,7 +322,7 @@
         if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
             return;
         }
-        self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Patch });
+        self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Delta });
         self.note_heartbeat();
         // To the decisions an update means that the watch stands. On one at the address of before it must not keep them
         // from asking at the new one.
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -222,7 +222,7 @@
         }
         if connection.gate.has_refused() {
             if !driver.is_awaited(job.request) {
-                driver.client_left(job.request);
+                driver.client_disconnected(job.request);
             }
             let outcome = Bounds::of(driver, job).refusal().unwrap_or(Outcome::NotSent);
             return (outcome.into(), None);
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -41,7 +41,7 @@
         self.now += Duration::from_millis(1);
         let in_attempts = || self.in_attempts.clone();
         let applied =
-            self.table.apply(self.now, &update.endpoints, ListSource::Patch, &self.names, in_attempts);
+            self.table.apply(self.now, &update.endpoints, ListSource::Delta, &self.names, in_attempts);
         let ListUpdate::Delta(members) = applied.update else { panic!("no patch: {:?}", applied.update) };
         (members[0].id, members[0].started)
     }
