--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use balancer_policy::interface::{
-    AttemptNumber, Class, ClassId, Effect, ListUpdate, Member, Outcome, Phase, Request, RequestId,
-    SettingsError, Tenant, TenantId, Time, UpstreamId, ZoneId,
+    AttemptNumber, Class, ClassId, EndpointId, Idempotency, Lifecycle, ListUpdate, Member, Outcome, Request,
+    RequestId, SettingsError, Tenant, TenantId, Time, ZoneId,
 };
 use balancer_policy::{Action, Balancer, Event, Settings};
 use clap::Args;
@@ -299,11 +299,11 @@
 
 fn member(number: usize, zones: usize) -> Member {
     Member {
-        id: UpstreamId(number as u32 + 1),
+        id: EndpointId(number as u32 + 1),
         zone: Some(ZoneId(number % zones)),
         kind: None,
         cell: 0,
-        phase: Phase::Ready,
+        lifecycle: Lifecycle::Ready,
         weight: 1.0,
         started: None,
     }
@@ -311,22 +311,22 @@
 
 fn settings(plan: &Plan, size: Size) -> Settings {
     let class = Class {
-        aim: Duration::from_secs_f64(plan.traffic.aim_s.value),
+        latency_objective: Duration::from_secs_f64(plan.traffic.aim_s.value),
         deadline: Duration::from_secs_f64(plan.traffic.deadline_s.value),
-        late_worth: 0.3,
-        effect: Effect::Safe,
+        late_weight: 0.3,
+        idempotency: Idempotency::Idempotent,
     };
     // Quotas that no tenant reaches: what is measured is the way of a request that is served.
     let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(COPIES);
     let tenants =
         (0..size.tenants).map(|_| Tenant { quota: Some(rate / size.tenants.max(1) as f64) }).collect();
     Settings {
-        copies: COPIES,
-        index: 17,
+        replicas: COPIES,
+        replica_index: 17,
         zones: plan.fleet.zones.value,
         tier: usize::from(size.tenants == 0),
         tenants,
-        over_share_worth: 0.3,
+        over_quota_weight: 0.3,
         ..Settings::single_zone(vec![class])
     }
 }
@@ -338,7 +338,7 @@
         let mut actions = Vec::new();
         let members = (0..size.upstreams).map(|number| member(number, plan.fleet.zones.value)).collect();
         balancer.handle(Duration::ZERO, Event::Started, &mut actions);
-        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Whole(members)), &mut actions);
+        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(members)), &mut actions);
         actions.clear();
         Ok(Self { balancer, now: 1.0, wake: 1.2, size, number: 0, out: VecDeque::new(), actions })
     }
@@ -356,10 +356,10 @@
             id,
             class: ClassId(0),
             tenant,
-            key: None,
+            subject: None,
             time_left: Duration::from_secs(2),
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
         };
         self.balancer.handle(self.time(), Event::Request(request), &mut self.actions);
         if self.actions.iter().any(|action| matches!(action, Action::Send { .. })) {
@@ -373,9 +373,9 @@
         let ended = Event::AttemptEnded {
             request,
             attempt: AttemptNumber(0),
-            outcome: Outcome::Good,
-            took: Duration::from_secs_f64(CALL_S),
-            connecting: Duration::ZERO,
+            outcome: Outcome::Success,
+            duration: Duration::from_secs_f64(CALL_S),
+            connect_wait: Duration::ZERO,
             finished: true,
             load: None,
         };
@@ -394,7 +394,7 @@
 
     fn wake_when_due(&mut self) {
         if self.now >= self.wake {
-            self.balancer.handle(self.time(), Event::Wake, &mut self.actions);
+            self.balancer.handle(self.time(), Event::MaintenanceDue, &mut self.actions);
             self.actions.clear();
             self.wake = self.now + 0.2;
         }
@@ -444,9 +444,9 @@
     let patches: Vec<Event> = (0..count as usize)
         .map(|change| {
             // Each of some upstreams leaves and comes back.
-            let phase = if change % 2 == 0 { Phase::Draining } else { Phase::Ready };
-            let changed = Member { phase, ..member(change / 2 % size.upstreams, zones) };
-            Event::List(ListUpdate::Patch(vec![changed]))
+            let lifecycle = if change % 2 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
+            let changed = Member { lifecycle, ..member(change / 2 % size.upstreams, zones) };
+            Event::List(ListUpdate::Delta(vec![changed]))
         })
         .collect();
     let now = played.time();
@@ -465,7 +465,7 @@
     for _ in 0..count {
         played.now += 0.2;
         let now = played.time();
-        played.balancer.handle(now, Event::Wake, &mut played.actions);
+        played.balancer.handle(now, Event::MaintenanceDue, &mut played.actions);
         played.actions.clear();
     }
     Ok(per_each(began, count))
--- a/crates/capacity/src/hollow/world/minds.rs
+++ b/crates/capacity/src/hollow/world/minds.rs
@@ -1,6 +1,6 @@
 //! Once a second: how many balancers have limits cut, upstreams set aside, or an upstream that is short of capacity.
 
-use balancer_policy::interface::Phase;
+use balancer_policy::interface::Lifecycle;
 
 use super::event::Due;
 use super::lists::LIST;
@@ -29,20 +29,20 @@
         for core in &self.cores {
             let Some(balancer) = &core.balancer else { continue };
             minds.cores += 1;
-            let vitals = balancer.vitals();
+            let stats_snapshot = balancer.stats_snapshot();
             let figure = |name: &str| -> f64 {
-                let rest = vitals.split_once(name).map_or("", |(_, rest)| rest);
+                let rest = stats_snapshot.split_once(name).map_or("", |(_, rest)| rest);
                 rest.split([' ', ',']).find_map(|word| word.parse().ok()).unwrap_or(0.0)
             };
             minds.crowded += usize::from(figure("crowding ") > 0.2);
             // The last of the limits is that of all calls together; where it is none it reads 1000000.
-            let limits = vitals.split_once("limits ").map_or("", |(_, rest)| rest);
+            let limits = stats_snapshot.split_once("limits ").map_or("", |(_, rest)| rest);
             let limits = limits.split_once(", usual").map_or("", |(limits, _)| limits);
             let all = limits.split(' ').filter_map(|word| word.parse::<f64>().ok()).next_back();
             let fair = QUOTAS * self.topology.services[core.service].rate / self.topology.fronts.len() as f64;
             let fair = if core.front { fair } else { 1e6 };
             minds.limited += usize::from(all.is_some_and(|all| all < fair * 0.99));
-            let is_ready = |&&process: &&u32| self.processes[process as usize].phase == Phase::Ready;
+            let is_ready = |&&process: &&u32| self.processes[process as usize].lifecycle == Lifecycle::Ready;
             let ready = self.listed[core.service].iter().filter(is_ready).count() as f64;
             let ready = ready / core.first.max(1) as f64;
             let had = ready.clamp(0.5, 1.0);
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{
-    Allowed, Class, DedupScope, DiscoveryMode, Effect, Prices, Rules, Settings, Tenant, ZoneId,
+    Class, Costs, DeduplicationScope, DiscoveryMode, Idempotency, Permissions, Rules, Settings, Tenant,
+    ZoneId,
 };
 
 use super::World;
@@ -19,50 +20,57 @@
     pub(super) fn settings(&self, service: usize, zone: usize, index: u32) -> Settings {
         let traffic = &self.plan.traffic;
         let tier = self.topology.services[service].depth - 1;
-        let class = |effect| Class {
-            aim: Duration::from_secs_f64(traffic.aim_s.value),
+        let class = |idempotency| Class {
+            latency_objective: Duration::from_secs_f64(traffic.aim_s.value),
             deadline: Duration::from_secs_f64(traffic.deadline_s.value),
-            late_worth: 0.3,
-            effect,
+            late_weight: 0.3,
+            idempotency,
         };
-        let keyed = Effect::Keyed { scope: DedupScope::All, window: Duration::from_secs(10) };
+        let keyed =
+            Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_secs(10) };
         let mut before = 0.0;
         let quota = |&until: &f64| {
             let part = until - mem::replace(&mut before, until);
             Tenant { quota: Some(part * QUOTAS * self.topology.services[service].rate) }
         };
         Settings {
-            index,
-            copies: self.callers[service],
+            replica_index: index,
+            replicas: self.callers[service],
             tier,
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
             kinds: 1,
-            classes: vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)],
+            classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NotIdempotent)],
             tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
-            over_share_worth: 0.3,
+            over_quota_weight: 0.3,
             discovery: DiscoveryMode::Push,
-            passes_deadline: true,
-            allowed: Allowed {
-                attempts: traffic.attempts.value,
-                second_copies: false,
+            propagates_deadline: true,
+            permissions: Permissions {
+                max_attempts: traffic.attempts.value,
+                hedging: false,
                 cancel: true,
-                probes: false,
+                health_checks: false,
                 messages: false,
                 keepalive: Duration::from_secs(30),
-                streams: 1,
+                streams_per_connection: 1,
                 retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
                 drain_grace: Duration::from_secs_f64(GRACE_S),
-                ask_within: None,
-                cold_share: COLD.0,
-                cold_time: Duration::from_secs_f64(COLD.1),
+                poll_interval_max: None,
+                slow_start_min_fraction: COLD.0,
+                slow_start_window: Duration::from_secs_f64(COLD.1),
                 overload_multiple: OVERLOAD.0,
                 overload_window: Duration::from_secs_f64(OVERLOAD.1),
             },
-            prices: Prices { cross_zone: 0.02, waste: 0.0, late_failure: 0.0, handshake: 0.0, probe: 0.0 },
+            costs: Costs {
+                cross_zone: 0.02,
+                wasted_work: 0.0,
+                late_failure: 0.0,
+                handshake: 0.0,
+                health_check: 0.0,
+            },
         }
     }
 }
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -11,31 +11,31 @@
 
 fn main() -> Result<(), SettingsError> {
     let read = Class {
-        aim: Duration::from_millis(500),
+        latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
-        late_worth: 0.0,
-        effect: Effect::Safe,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
     };
     let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
     let mut now = Duration::from_secs(1);
     let mut actions = Vec::new();
     balancer.handle(now, Event::Started, &mut actions);
     let members = (1..=3).map(|id| Member {
-        id: UpstreamId(id),
+        id: EndpointId(id),
         zone: Some(ZoneId(0)),
         kind: None,
         cell: 0,
-        phase: Phase::Ready,
+        lifecycle: Lifecycle::Ready,
         weight: 1.0,
         started: None,
     });
-    balancer.handle(now, Event::List(ListUpdate::Whole(members.collect())), &mut actions);
+    balancer.handle(now, Event::List(ListUpdate::Snapshot(members.collect())), &mut actions);
 
     let mut wake = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
     for number in 0..20 {
         now += Duration::from_millis(50);
         if now >= wake {
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::MaintenanceDue, &mut actions);
             wake = carry_out(now, &mut actions).expect("each wake-up asks for the next");
         }
         let id = RequestId(number);
@@ -43,10 +43,10 @@
             id,
             class: ClassId(0),
             tenant: None,
-            key: None,
+            subject: None,
             time_left: Duration::from_secs(2),
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
         };
         balancer.handle(now, Event::Request(request), &mut actions);
         let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
@@ -56,9 +56,9 @@
             let ended = Event::AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
-                outcome: Outcome::Good,
-                took: Duration::from_millis(20),
-                connecting: Duration::ZERO,
+                outcome: Outcome::Success,
+                duration: Duration::from_millis(20),
+                connect_wait: Duration::ZERO,
                 finished: true,
                 load: None,
             };
@@ -74,7 +74,7 @@
     let mut wake = None;
     for action in actions.drain(..) {
         match action {
-            Action::WakeAfter(span) => wake = Some(now + span),
+            Action::ScheduleMaintenance(span) => wake = Some(now + span),
             other => println!("{:.2} s: {other:?}", now.as_secs_f64()),
         }
     }
--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::ids::{AttemptNumber, RequestId, UpstreamId};
+use crate::ids::{AttemptNumber, EndpointId, RequestId};
 
 /// What a replica asks the embedding program to do.
 #[derive(Debug, Clone, PartialEq)]
@@ -14,16 +14,16 @@
         /// The request.
         request: RequestId,
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
         /// The timeout of the attempt; `None` for as long as the client waits.
         timeout: Option<Duration>,
         /// Its first byte must be out within this; `None` for any time. Past it the attempt could repeat an effect.
-        begin_within: Option<Duration>,
+        first_byte_deadline: Option<Duration>,
         /// No retry can follow if it finds no connection: it waits for one as long as the settings allow.
-        last: bool,
+        is_last_attempt: bool,
     },
     /// Cancel an attempt; its end is still to be reported.
-    Withdraw {
+    CancelAttempt {
         /// The request.
         request: RequestId,
         /// The attempt.
@@ -43,18 +43,18 @@
     },
     /// Open a subscription to the list of endpoints.
     Subscribe,
-    /// Send a health check; its result comes as [`Event::Probed`](crate::Event::Probed).
-    Probe {
+    /// Send a health check; its result comes as [`Event::HealthChecked`](crate::Event::HealthChecked).
+    HealthCheck {
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
     },
     /// Close the idle connections to an endpoint.
-    DropIdle {
+    CloseIdle {
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
     },
-    /// Deliver [`Event::Wake`](crate::Event::Wake) after this long.
-    WakeAfter(Duration),
+    /// Deliver [`Event::MaintenanceDue`](crate::Event::MaintenanceDue) after this long.
+    ScheduleMaintenance(Duration),
     /// A line for the operator's log.
     Log(String),
 }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -16,8 +16,8 @@
 use crate::endpoints::list_subscription::{Interruption, ListSubscription};
 use crate::endpoints::outlier::{Fault, OutlierDetector, may_eject_another};
 use crate::interface::{
-    Action, AttemptNumber, ClassId, DedupScope, Effect, Event, ListUpdate, Outcome, Phase, Request,
-    RequestId, Settings, SettingsError, TenantId, Time, UpstreamId,
+    Action, AttemptNumber, ClassId, DeduplicationScope, EndpointId, Event, Idempotency, Lifecycle,
+    ListUpdate, Outcome, Request, RequestId, Settings, SettingsError, TenantId, Time,
 };
 use crate::maintenance::MAINTENANCE_PERIOD_S;
 use crate::requests::attempt::{Attempt, AttemptEnd, MIN_TIMEOUT_S};
@@ -72,30 +72,38 @@
             Event::List(update) => self.update_list(now, update),
             Event::Request(request) => self.accept(now, request, actions),
             Event::StreamStarted { request, attempt } => self.begin_stream(request, attempt, actions),
-            Event::AttemptEnded { request, attempt: number, outcome, took, connecting, finished, .. } => {
-                let unconnected = if outcome == Outcome::ConnectTimedOut { took } else { connecting };
-                let served = took.saturating_sub(unconnected).as_secs_f64();
+            Event::AttemptEnded {
+                request,
+                attempt: number,
+                outcome,
+                duration,
+                connect_wait,
+                finished,
+                ..
+            } => {
+                let unconnected = if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
+                let served = duration.saturating_sub(unconnected).as_secs_f64();
                 let Some(pending) = self.requests.get(request) else { return };
-                let latency_objective = pending.rules().aim.as_secs_f64();
-                let took = took.as_secs_f64();
-                let end = AttemptEnd { number, outcome, took, served, latency_objective, finished };
+                let latency_objective = pending.rules().latency_objective.as_secs_f64();
+                let duration = duration.as_secs_f64();
+                let end = AttemptEnd { number, outcome, duration, served, latency_objective, finished };
                 self.end_attempt(now, request, end, actions);
             }
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
-            Event::ClientLeft(request) => self.close(request, actions),
-            Event::Wake => self.maintain(now, actions),
+            Event::ClientDisconnected(request) => self.close(request, actions),
+            Event::MaintenanceDue => self.maintain(now, actions),
             Event::Reconfigured(settings) => match settings.may_follow(&self.settings) {
                 Ok(()) => self.reconfigure(settings),
                 Err(why) => actions.push(Action::Log(format!("other settings were not taken over: {why}"))),
             },
-            Event::Probed { .. } | Event::Message { .. } => {}
+            Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
     /// The stats snapshot for the operator's log: congestion, failures and capacity of the tier, the limits and the
     /// baseline latencies.
     #[must_use]
-    pub fn vitals(&self) -> String {
+    pub fn stats_snapshot(&self) -> String {
         let limits: String = self.admission.limits().map(|rate| format!(" {:.1}", rate.min(1e6))).collect();
         let baselines: String =
             self.baselines.iter().map(|baseline| format!(" {:.0}", baseline.seconds() * 1e3)).collect();
@@ -114,7 +122,7 @@
         self.admission.reconfigure(&settings);
         self.baselines.resize(settings.classes.len(), BaselineLatency::default());
         let before = replace(&mut self.settings, Arc::new(settings));
-        if before.copies != self.settings.copies && self.subset.locality.is_known() {
+        if before.replicas != self.settings.replicas && self.subset.locality.is_known() {
             self.lay_out_subset();
         }
     }
@@ -125,15 +133,15 @@
     fn update_list(&mut self, now: f64, update: ListUpdate) {
         match update {
             ListUpdate::Broken => return self.back_off(now, Interruption::Broken),
-            ListUpdate::Moved => return self.back_off(now, Interruption::Moved),
-            ListUpdate::Whole(members) => {
+            ListUpdate::Relocated => return self.back_off(now, Interruption::Relocated),
+            ListUpdate::Snapshot(members) => {
                 self.subscription.record_update();
                 self.endpoints.replace(now, members, &mut self.rng);
             }
-            ListUpdate::StaleCopy(members) => self.endpoints.replace(now, members, &mut self.rng),
-            ListUpdate::Patch(members) => {
+            ListUpdate::CachedSnapshot(members) => self.endpoints.replace(now, members, &mut self.rng),
+            ListUpdate::Delta(members) => {
                 self.subscription.record_update();
-                self.endpoints.patch(now, members, &mut self.rng);
+                self.endpoints.apply_delta(now, members, &mut self.rng);
             }
         }
         self.lay_out_subset();
@@ -148,9 +156,9 @@
         self.subset.lay_out(&self.settings, &ready);
     }
 
-    fn record_late_connection(&mut self, now: f64, upstream: UpstreamId) {
+    fn record_late_connection(&mut self, now: f64, upstream: EndpointId) {
         if let Some(endpoint) = self.endpoints.by_id_mut(upstream) {
-            endpoint.record_late_connection(now, &self.settings.allowed);
+            endpoint.record_late_connection(now, &self.settings.permissions);
         }
     }
 
@@ -206,40 +214,41 @@
         selection.select().is_some_and(|slot| self.send(now, id, slot, actions))
     }
 
-    /// The ONE gate that every attempt passes; it keeps the rules on effects, draining and cold endpoints.
+    /// The ONE gate that every attempt passes; it keeps the rules on idempotency, draining and slow start.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
         let endpoint = self.endpoints.get_mut(slot);
         let slow_start_allows = self.subset.slow_start_allows(now, endpoint, &self.settings);
         let Some(pending) = self.requests.get_mut(id) else { return false };
-        let allowed = &self.settings.allowed;
-        let max_attempts = allowed.attempts.min(pending.settings.allowed.attempts) as usize;
+        let permissions = &self.settings.permissions;
+        let max_attempts = permissions.max_attempts.min(pending.settings.permissions.max_attempts) as usize;
         let timeout = pending.useful_until() - now;
-        let repeat_within = may_repeat(now, pending.rules().effect, pending.first_run(), &endpoint.member);
+        let repeat_within =
+            may_repeat(now, pending.rules().idempotency, pending.first_run(), &endpoint.member);
         let is_over = pending.closed || pending.streaming || timeout < MIN_TIMEOUT_S;
         let has_attempts_left = pending.attempts.len() < max_attempts;
         let is_hedge = pending.in_flight > 0;
         if !slow_start_allows
             || repeat_within.is_none()
             || is_over
-            || endpoint.member.phase != Phase::Ready
+            || endpoint.member.lifecycle != Lifecycle::Ready
             || !has_attempts_left
-            || (is_hedge && !allowed.second_copies)
+            || (is_hedge && !permissions.hedging)
         {
             return false;
         }
-        endpoint.begin_attempt(now, allowed);
+        endpoint.begin_attempt(now, permissions);
         self.subset.begin_attempt();
         let member = endpoint.member;
         pending.attempts.push(Attempt::new(slot, member, now));
         pending.in_flight += 1;
         let reachable = self.endpoints.ready().len().min(max_attempts);
-        let last = pending.attempts.len() >= reachable || !self.retry_budgets.allow_reroute();
+        let is_last_attempt = pending.attempts.len() >= reachable || !self.retry_budgets.allow_reroute();
         actions.push(Action::Send {
             request: id,
             upstream: member.id,
             timeout: Duration::try_from_secs_f64(timeout).ok(),
-            begin_within: repeat_within.and_then(|left| Duration::try_from_secs_f64(left).ok()),
-            last,
+            first_byte_deadline: repeat_within.and_then(|left| Duration::try_from_secs_f64(left).ok()),
+            is_last_attempt,
         });
         true
     }
@@ -248,8 +257,8 @@
     fn begin_stream(&mut self, id: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.streaming = true;
-        if self.settings.allowed.cancel {
-            pending.withdraw(Some(attempt), actions);
+        if self.settings.permissions.cancel {
+            pending.cancel_attempts(Some(attempt), actions);
         }
     }
 
@@ -258,7 +267,7 @@
         let outcome = end.outcome;
         let Some(pending) = self.requests.get_mut(id) else { return };
         let Some(slot) = pending.end_attempt(&end) else { return };
-        let PendingRequest { class, tenant, arrived, connecting, .. } = *pending;
+        let PendingRequest { class, tenant, arrived, connect_wait, .. } = *pending;
         let was_tried_before = pending.was_tried_before(end.number);
         let is_closed = pending.closed || end.finished;
         let is_idle = pending.in_flight == 0;
@@ -269,7 +278,7 @@
         }
         let is_retried = is_idle && self.retry(now, id, outcome, actions);
         if is_idle && !is_retried {
-            self.finish(id, outcome == Outcome::Rejected, actions);
+            self.finish(id, outcome == Outcome::InvalidRequest, actions);
         }
         // A call that was refused and went elsewhere has met no congestion yet: behind a broken link or one full
         // server the tenant's limit would decrease although its calls are served. Refusals by two servers in a row
@@ -277,13 +286,13 @@
         let is_refused_again = outcome == Outcome::Refused && was_tried_before;
         if is_refused_again || !(is_retried && outcome.never_ran()) {
             let AttemptEnd { served, latency_objective, .. } = end;
-            let call = CallEnd { tenant, outcome, served, latency_objective, arrived, connecting };
+            let call = CallEnd { tenant, outcome, served, latency_objective, arrived, connect_wait };
             self.record_call_end(now, class, &call);
         }
     }
 
     fn retry(&mut self, now: f64, id: RequestId, outcome: Outcome, actions: &mut Vec<Action>) -> bool {
-        if matches!(outcome, Outcome::NotSent | Outcome::Rejected) {
+        if matches!(outcome, Outcome::NotSent | Outcome::InvalidRequest) {
             return false;
         }
         let is_sent = self.can_meet_deadline(now, id)
@@ -299,11 +308,13 @@
     /// again.
     fn finish(&mut self, id: RequestId, is_wrong: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
-        let is_safe_anywhere =
-            matches!(pending.rules().effect, Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. });
+        let is_safe_anywhere = matches!(
+            pending.rules().idempotency,
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
+        );
         let may_come_again = is_safe_anywhere || pending.first_run().is_none();
         actions.push(if may_come_again && !is_wrong {
-            Action::Refuse { request: id, retry_after: self.settings.allowed.retry_after }
+            Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
         } else {
             Action::Fail { request: id }
         });
@@ -312,7 +323,7 @@
 
     /// Marks a request as ended and calls off what is still in flight for it.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        self.requests.close(id, self.settings.allowed.cancel, actions);
+        self.requests.close(id, self.settings.permissions.cancel, actions);
     }
 
     // --- Learning ---
@@ -321,12 +332,12 @@
     fn record_attempt(&mut self, now: f64, slot: usize, class: ClassId, end: &AttemptEnd) {
         let outcome = end.outcome;
         let endpoint = self.endpoints.get_mut(slot);
-        let has_answered = endpoint.end_attempt(now, end, &self.settings.allowed);
+        let has_answered = endpoint.end_attempt(now, end, &self.settings.permissions);
         if has_answered && !outcome.breaks_connection() {
             self.admission.record_answer(now);
         }
         // A rejection tells of the client, not of the endpoint.
-        if matches!(outcome, Outcome::NotSent | Outcome::Withdrawn | Outcome::Rejected) {
+        if matches!(outcome, Outcome::NotSent | Outcome::Cancelled | Outcome::InvalidRequest) {
             return;
         }
         self.subset.record_attempt(now, endpoint, end, &self.settings);
@@ -367,7 +378,7 @@
 
     /// Asks for the next maintenance pass and, where it is due, for the list.
     fn schedule_maintenance(&mut self, now: f64, actions: &mut Vec<Action>) {
-        actions.push(Action::WakeAfter(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
+        actions.push(Action::ScheduleMaintenance(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
         if self.subscription.begin_if_due(now, &self.settings) {
             actions.push(Action::Subscribe);
         }
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -13,7 +13,7 @@
 /// Largest wait for a subscription, in parts of the time within which a replica must ask.
 const WAIT_PART: f64 = 0.4;
 /// Seconds within which a replica asks where the settings do not say.
-const DEFAULT_ASK_WITHIN_S: f64 = 10.0;
+const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
 /// Why there is no subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     /// It broke, or asking for it failed.
     Broken,
     /// Discovery is elsewhere now, so earlier failures tell nothing of it.
-    Moved,
+    Relocated,
 }
 
 /// The subscription to the list. Times are in seconds.
@@ -54,12 +54,12 @@
         // Each agent has one replica alone, so there is nobody to come back together with.
         let has_own_agent = settings.discovery == DiscoveryMode::Agent;
         let most = if has_own_agent { 0.0 } else { longest_wait(settings).max(MIN_BACKOFF_S) };
-        let before = if why == Interruption::Moved { 0.0 } else { self.backoff_s };
+        let before = if why == Interruption::Relocated { 0.0 } else { self.backoff_s };
         self.backoff_s = (before * 2.0).max(MIN_BACKOFF_S).min(most);
         self.next_at = now + between(rng, self.backoff_s / 2.0..self.backoff_s);
     }
 }
 
 fn longest_wait(settings: &Settings) -> f64 {
-    settings.rules.ask_within.map_or(DEFAULT_ASK_WITHIN_S, |span| span.as_secs_f64()) * WAIT_PART
+    settings.rules.poll_interval_max.map_or(DEFAULT_POLL_INTERVAL_S, |span| span.as_secs_f64()) * WAIT_PART
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::ids::{AttemptNumber, ClassId, RequestId, TenantId, UpstreamId};
+use crate::ids::{AttemptNumber, ClassId, EndpointId, RequestId, TenantId};
 use crate::member::ListUpdate;
 use crate::outcome::{LoadReport, Outcome};
 use crate::settings::Settings;
@@ -19,13 +19,13 @@
     /// Its tenant, if it has one.
     pub tenant: Option<TenantId>,
     /// The subject of the request, where requests carry one.
-    pub key: Option<u64>,
+    pub subject: Option<u64>,
     /// How long the client still waits.
     pub time_left: Duration,
     /// The work expected, as time on a standard core, where it is known.
     pub expected_work: Option<Duration>,
     /// The client has marked it as a retry of its own.
-    pub repeat: bool,
+    pub is_client_retry: bool,
 }
 
 /// What happens at a replica of the balancer.
@@ -37,7 +37,7 @@
     List(ListUpdate),
     /// A request was received.
     Request(Request),
-    /// A streamed answer has begun: its attempt can no longer be retried or withdrawn.
+    /// A streamed answer has begun: its attempt can no longer be retried or cancelled.
     StreamStarted {
         /// The request.
         request: RequestId,
@@ -53,20 +53,20 @@
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        took: Duration,
+        duration: Duration,
         /// For how long of that it waited for a connection, which is no part of the endpoint's latency.
-        connecting: Duration,
+        connect_wait: Duration,
         /// The request has ended with it, or before.
         finished: bool,
         /// The endpoint's load report, if one came.
         load: Option<LoadReport>,
     },
     /// A connection has come up that no attempt waits for any more: the endpoint is reachable.
-    Connected(UpstreamId),
+    Connected(EndpointId),
     /// The client has closed its connection, or the final answer is overdue: no answer is owed any more.
-    ClientLeft(RequestId),
-    /// The maintenance pass asked for by [`Action::WakeAfter`](crate::Action::WakeAfter) is due.
-    Wake,
+    ClientDisconnected(RequestId),
+    /// The maintenance pass asked for by [`Action::ScheduleMaintenance`](crate::Action::ScheduleMaintenance) is due.
+    MaintenanceDue,
     /// The settings have changed.
     ///
     /// Positions keep their meaning: classes and tenants known before stand where they stood, new ones behind them, and
@@ -76,19 +76,19 @@
     /// [`Action::Log`](crate::Action::Log).
     Reconfigured(Settings),
     /// The result of a health check.
-    Probed {
+    HealthChecked {
         /// The endpoint.
-        upstream: UpstreamId,
+        upstream: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took.
-        took: Duration,
+        duration: Duration,
         /// The endpoint's load report, if one came.
         load: Option<LoadReport>,
     },
     /// Another replica has sent a message.
-    Message {
-        /// The sender's [`index`](Settings::index).
+    PeerMessage {
+        /// The sender's [`replica_index`](Settings::replica_index).
         from: u32,
         /// What it sent.
         content: Vec<u8>,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -25,47 +25,47 @@
 //! use balancer_policy::{Action, Balancer, Event, interface::*};
 //!
 //! let settings = Settings::single_zone(vec![Class {
-//!     aim: Duration::from_millis(500),
+//!     latency_objective: Duration::from_millis(500),
 //!     deadline: Duration::from_secs(2),
-//!     late_worth: 0.0,
-//!     effect: Effect::Safe,
+//!     late_weight: 0.0,
+//!     idempotency: Idempotency::Idempotent,
 //! }]);
 //! let mut balancer = Balancer::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let second = Duration::from_secs(1);
 //!
-//! // Discovery names one upstream, then a client's request arrives and is sent there.
+//! // Discovery names one endpoint, then a client's request arrives and is sent there.
 //! let member = Member {
-//!     id: UpstreamId(42),
+//!     id: EndpointId(42),
 //!     zone: Some(ZoneId(0)),
 //!     kind: None,
 //!     cell: 0,
-//!     phase: Phase::Ready,
+//!     lifecycle: Lifecycle::Ready,
 //!     weight: 1.0,
 //!     started: None,
 //! };
 //! balancer.handle(second, Event::Started, &mut actions);
-//! balancer.handle(second, Event::List(ListUpdate::Whole(vec![member])), &mut actions);
+//! balancer.handle(second, Event::List(ListUpdate::Snapshot(vec![member])), &mut actions);
 //! actions.clear();
 //! let request = Request {
 //!     id: RequestId(1),
 //!     class: ClassId(0),
 //!     tenant: None,
-//!     key: None,
+//!     subject: None,
 //!     time_left: Duration::from_secs(2),
 //!     expected_work: None,
-//!     repeat: false,
+//!     is_client_retry: false,
 //! };
 //! balancer.handle(second, Event::Request(request), &mut actions);
-//! assert!(matches!(actions[0], Action::Send { upstream: UpstreamId(42), .. }));
+//! assert!(matches!(actions[0], Action::Send { upstream: EndpointId(42), .. }));
 //!
 //! // The answer finishes it.
 //! let answer = Event::AttemptEnded {
 //!     request: RequestId(1),
 //!     attempt: AttemptNumber(0),
-//!     outcome: Outcome::Good,
-//!     took: Duration::from_millis(80),
-//!     connecting: Duration::ZERO,
+//!     outcome: Outcome::Success,
+//!     duration: Duration::from_millis(80),
+//!     connect_wait: Duration::ZERO,
 //!     finished: true,
 //!     load: None,
 //! };
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -27,7 +27,7 @@
     /// Its attempts by number.
     pub attempts: Vec<Attempt>,
     /// Time that its attempts spent without a connection.
-    pub connecting: f64,
+    pub connect_wait: f64,
     /// Attempts in flight.
     pub in_flight: u32,
     /// It has ended; only attempts are left to end.
@@ -48,7 +48,7 @@
             arrived: now,
             deadline: now + request.time_left.as_secs_f64(),
             attempts: Vec::new(),
-            connecting: 0.0,
+            connect_wait: 0.0,
             in_flight: 0,
             closed: false,
             streaming: false,
@@ -64,10 +64,10 @@
     /// The time until which an answer is worth waiting for.
     #[must_use]
     pub fn useful_until(&self) -> f64 {
-        let objective = self.arrived + self.rules().aim.as_secs_f64();
+        let objective = self.arrived + self.rules().latency_objective.as_secs_f64();
         // Where no deadline is passed on, a slot of the tier above would be held for a client long gone.
-        let is_blind = self.settings.tier > 0 && !self.settings.passes_deadline;
-        if self.rules().late_worth > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
+        let is_blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if self.rules().late_weight > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
     }
 
     /// The first attempt not proved never to have run: it binds those that follow.
@@ -76,12 +76,12 @@
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Withdraws the attempts in flight, but for the one to keep.
-    pub fn withdraw(&mut self, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
+    /// Cancels the attempts in flight, but for the one to keep.
+    pub fn cancel_attempts(&mut self, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
-            if Some(number) != keep && attempt.ended.is_none() && !attempt.withdrawn {
-                attempt.withdrawn = true;
-                actions.push(Action::Withdraw { request: self.id, attempt: number });
+            if Some(number) != keep && attempt.ended.is_none() && !attempt.cancelled {
+                attempt.cancelled = true;
+                actions.push(Action::CancelAttempt { request: self.id, attempt: number });
             }
         }
     }
@@ -95,7 +95,7 @@
         }
         attempt.ended = Some(end.outcome);
         self.in_flight -= 1;
-        self.connecting += end.took - end.served;
+        self.connect_wait += end.duration - end.served;
         Some(attempt.slot)
     }
 
@@ -136,12 +136,12 @@
         self.by_id.insert(request.id, request);
     }
 
-    /// Marks a request as ended and, where attempts may be cancelled, withdraws those still in flight.
+    /// Marks a request as ended and, where attempts may be cancelled, cancels those still in flight.
     pub fn close(&mut self, id: RequestId, may_cancel: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         request.closed = true;
         if may_cancel && !request.streaming {
-            request.withdraw(None, actions);
+            request.cancel_attempts(None, actions);
         }
         if request.in_flight == 0 {
             self.by_id.remove(&id);
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::interface::{
-    Action, AttemptNumber, Class, ClassId, DedupScope, Effect, Member, Outcome, Phase, Request, RequestId,
-    Settings, UpstreamId, ZoneId,
+    Action, AttemptNumber, Class, ClassId, DeduplicationScope, EndpointId, Idempotency, Lifecycle, Member,
+    Outcome, Request, RequestId, Settings, ZoneId,
 };
 use crate::requests::attempt::{Attempt, AttemptEnd};
 use crate::requests::idempotency::may_repeat;
@@ -14,20 +14,33 @@
 
 fn member(zone: Option<usize>, cell: u32) -> Member {
     let zone = zone.map(ZoneId);
-    Member { id: UpstreamId(0), zone, kind: None, cell, phase: Phase::Ready, weight: 1.0, started: None }
+    Member {
+        id: EndpointId(0),
+        zone,
+        kind: None,
+        cell,
+        lifecycle: Lifecycle::Ready,
+        weight: 1.0,
+        started: None,
+    }
 }
 
-fn pending(late_worth: f64) -> PendingRequest {
-    let (aim, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
-    let settings = Settings::single_zone(vec![Class { aim, deadline, late_worth, effect: Effect::Safe }]);
+fn pending(late_weight: f64) -> PendingRequest {
+    let (latency_objective, deadline) = (Duration::from_millis(500), Duration::from_secs(2));
+    let settings = Settings::single_zone(vec![Class {
+        latency_objective,
+        deadline,
+        late_weight,
+        idempotency: Idempotency::Idempotent,
+    }]);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
         tenant: None,
-        key: None,
+        subject: None,
         time_left: deadline,
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     };
     PendingRequest::new(10.0, &request, 0, Arc::new(settings))
 }
@@ -42,11 +55,11 @@
 
 fn end(number: u32, outcome: Outcome) -> AttemptEnd {
     let number = AttemptNumber(number);
-    AttemptEnd { number, outcome, took: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
+    AttemptEnd { number, outcome, duration: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
 }
 
-fn keyed(scope: DedupScope) -> Effect {
-    Effect::Keyed { scope, window: Duration::from_secs(1) }
+fn keyed(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::IdempotencyKey { scope, window: Duration::from_secs(1) }
 }
 
 #[test]
@@ -87,29 +100,29 @@
 fn an_unsafe_request_goes_nowhere_after_an_attempt_that_may_have_run() {
     let first = Attempt::new(0, member(Some(0), 0), 10.0);
     let other = member(Some(0), 0);
-    assert_eq!(may_repeat(10.1, Effect::Unsafe, Some(&first), &other), None);
-    assert_eq!(may_repeat(10.1, Effect::Unsafe, None, &other), Some(f64::MAX));
-    assert_eq!(may_repeat(10.1, Effect::Safe, Some(&first), &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Idempotency::NotIdempotent, Some(&first), &other), None);
+    assert_eq!(may_repeat(10.1, Idempotency::NotIdempotent, None, &other), Some(f64::MAX));
+    assert_eq!(may_repeat(10.1, Idempotency::Idempotent, Some(&first), &other), Some(f64::MAX));
 }
 
 #[test]
 fn a_keyed_request_repeats_only_within_its_scope() {
     let first = Attempt::new(0, member(Some(0), 7), 10.0);
-    let may = |scope: DedupScope, zone: Option<usize>, cell: u32| {
+    let may = |scope: DeduplicationScope, zone: Option<usize>, cell: u32| {
         may_repeat(10.5, keyed(scope), Some(&first), &member(zone, cell)).is_some()
     };
-    assert!(may(DedupScope::All, Some(1), 8));
-    assert!(may(DedupScope::Zone, Some(0), 8) && !may(DedupScope::Zone, Some(1), 7));
-    assert!(may(DedupScope::Cell, Some(1), 7) && !may(DedupScope::Cell, Some(0), 8));
+    assert!(may(DeduplicationScope::All, Some(1), 8));
+    assert!(may(DeduplicationScope::Zone, Some(0), 8) && !may(DeduplicationScope::Zone, Some(1), 7));
+    assert!(may(DeduplicationScope::Cell, Some(1), 7) && !may(DeduplicationScope::Cell, Some(0), 8));
     let of_no_zone = Attempt::new(0, member(None, 7), 10.0);
-    let left = may_repeat(10.5, keyed(DedupScope::Zone), Some(&of_no_zone), &member(None, 7));
+    let left = may_repeat(10.5, keyed(DeduplicationScope::Zone), Some(&of_no_zone), &member(None, 7));
     assert_eq!(left, None, "two endpoints of no known zone may share nothing");
 }
 
 #[test]
 fn a_keyed_request_repeats_only_within_its_window() {
     let first = Attempt::new(0, member(Some(0), 0), 10.0);
-    let at = |now: f64| may_repeat(now, keyed(DedupScope::All), Some(&first), &member(Some(0), 0));
+    let at = |now: f64| may_repeat(now, keyed(DeduplicationScope::All), Some(&first), &member(Some(0), 0));
     assert_eq!(at(10.75), Some(0.25));
     assert_eq!(at(11.01), None);
 }
@@ -124,10 +137,10 @@
 fn an_attempt_ends_once() {
     let mut request = with_two_attempts();
     assert_eq!(request.end_attempt(&end(1, Outcome::Error)), Some(5));
-    assert_eq!(request.end_attempt(&end(1, Outcome::Good)), None);
-    assert_eq!(request.end_attempt(&end(2, Outcome::Good)), None, "it was never sent");
+    assert_eq!(request.end_attempt(&end(1, Outcome::Success)), None);
+    assert_eq!(request.end_attempt(&end(2, Outcome::Success)), None, "it was never sent");
     assert_eq!(request.in_flight, 1);
-    assert!((request.connecting - 0.1).abs() < 1e-9, "{}", request.connecting);
+    assert!((request.connect_wait - 0.1).abs() < 1e-9, "{}", request.connect_wait);
 }
 
 #[test]
@@ -146,15 +159,15 @@
     table.insert(with_two_attempts());
     let (id, mut actions) = (RequestId(1), Vec::new());
     table.close(id, true, &mut actions);
-    let withdraw = |number| Action::Withdraw { request: id, attempt: AttemptNumber(number) };
-    assert_eq!(actions, [withdraw(0), withdraw(1)]);
+    let cancel = |number| Action::CancelAttempt { request: id, attempt: AttemptNumber(number) };
+    assert_eq!(actions, [cancel(0), cancel(1)]);
     for number in 0..2 {
         assert!(table.contains(id));
-        table.get_mut(id).expect("in flight").end_attempt(&end(number, Outcome::Withdrawn));
+        table.get_mut(id).expect("in flight").end_attempt(&end(number, Outcome::Cancelled));
         table.close(id, true, &mut actions);
     }
     assert!(!table.contains(id));
-    assert_eq!(actions.len(), 2, "each attempt is withdrawn once");
+    assert_eq!(actions.len(), 2, "each attempt is cancelled once");
 }
 
 #[test]
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -13,17 +13,17 @@
     Duration::from_millis(span)
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { aim: millis(1000), deadline: millis(3000), late_worth: 0.0, effect }
+pub fn class(idempotency: Idempotency) -> Class {
+    Class { latency_objective: millis(1000), deadline: millis(3000), late_weight: 0.0, idempotency }
 }
 
 pub fn member(id: u32) -> Member {
     Member {
-        id: UpstreamId(id),
+        id: EndpointId(id),
         zone: Some(ZoneId(0)),
         kind: None,
         cell: 0,
-        phase: Phase::Ready,
+        lifecycle: Lifecycle::Ready,
         weight: 1.0,
         started: None,
     }
@@ -44,7 +44,7 @@
         let mut balancer = Balancer::new(settings, seed).expect("the settings make sense");
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
-        balancer.handle(START, Event::List(ListUpdate::Whole(members)), &mut actions);
+        balancer.handle(START, Event::List(ListUpdate::Snapshot(members)), &mut actions);
         Self { balancer, now: START, time_left: millis(3000), next_id: 0, next_wake: START }
     }
 
@@ -59,9 +59,9 @@
         let end = self.now + span;
         while self.next_wake <= end {
             self.now = self.now.max(self.next_wake);
-            let actions = self.tell(Event::Wake);
+            let actions = self.tell(Event::MaintenanceDue);
             let wake = actions.iter().find_map(|action| match action {
-                Action::WakeAfter(span) => Some(*span),
+                Action::ScheduleMaintenance(span) => Some(*span),
                 _ => None,
             });
             self.next_wake = self.now + wake.expect("a sweep asks for the next");
@@ -77,16 +77,22 @@
             id,
             class: ClassId(0),
             tenant: tenant.map(TenantId),
-            key: None,
+            subject: None,
             time_left: self.time_left,
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
         };
         (id, self.tell(Event::Request(request)))
     }
 
-    pub fn end(&mut self, request: RequestId, number: u32, outcome: Outcome, took: Duration) -> Vec<Action> {
-        self.end_late(request, number, outcome, took, Duration::ZERO)
+    pub fn end(
+        &mut self,
+        request: RequestId,
+        number: u32,
+        outcome: Outcome,
+        duration: Duration,
+    ) -> Vec<Action> {
+        self.end_late(request, number, outcome, duration, Duration::ZERO)
     }
 
     /// Ends an attempt that had no connection for `connecting` of the time it took.
@@ -95,29 +101,29 @@
         request: RequestId,
         number: u32,
         outcome: Outcome,
-        took: Duration,
-        connecting: Duration,
+        duration: Duration,
+        connect_wait: Duration,
     ) -> Vec<Action> {
         self.tell(Event::AttemptEnded {
             request,
             attempt: AttemptNumber(number),
             outcome,
-            took,
-            connecting,
-            finished: outcome == Outcome::Good,
+            duration,
+            connect_wait,
+            finished: outcome == Outcome::Success,
             load: None,
         })
     }
 
     /// Offers a request and lets each attempt end with what `outcome` says of its upstream, after
     /// the time it says. Returns the upstreams tried.
-    pub fn run(&mut self, outcome: impl Fn(UpstreamId) -> (Outcome, Duration)) -> Vec<UpstreamId> {
+    pub fn run(&mut self, outcome: impl Fn(EndpointId) -> (Outcome, Duration)) -> Vec<EndpointId> {
         let (id, mut actions) = self.offer(None);
         let mut tried = Vec::new();
         while let Some(upstream) = sent(&actions) {
-            let (how, took) = outcome(upstream);
-            self.pass(took);
-            actions = self.end(id, tried.len() as u32, how, took);
+            let (how, duration) = outcome(upstream);
+            self.pass(duration);
+            actions = self.end(id, tried.len() as u32, how, duration);
             tried.push(upstream);
         }
         tried
@@ -125,7 +131,7 @@
 }
 
 /// The upstream that the first send among the actions names.
-pub fn sent(actions: &[Action]) -> Option<UpstreamId> {
+pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
         _ => None,
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -12,9 +12,9 @@
 
 /// A first-tier copy whose tenant may send 10 calls a second and the chance of that.
 fn bench() -> Bench {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(10.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     Bench::new(settings, 5, (0..4).map(member).collect())
 }
 
@@ -31,9 +31,9 @@
         *offered += 1;
         if sent(&actions).is_some() {
             *went += 1;
-            let (outcome, took) =
-                if left < needs { (Outcome::TimedOut, left.min(1000)) } else { (Outcome::Good, USUAL_MS) };
-            bench.end(id, 0, outcome, millis(took));
+            let (outcome, duration) =
+                if left < needs { (Outcome::TimedOut, left.min(1000)) } else { (Outcome::Success, USUAL_MS) };
+            bench.end(id, 0, outcome, millis(duration));
         }
     }
     out.map(|(went, offered)| f64::from(went) / f64::from(offered.max(1)))
@@ -74,11 +74,11 @@
                 went += 1;
                 let leaves = call % 2 == 0;
                 if leaves {
-                    bench.tell(balancer_policy::Event::ClientLeft(id));
+                    bench.tell(balancer_policy::Event::ClientDisconnected(id));
                 }
-                let (outcome, took) =
-                    if leaves { (Outcome::Withdrawn, waited) } else { (Outcome::Good, USUAL_MS) };
-                bench.end(id, 0, outcome, millis(took));
+                let (outcome, duration) =
+                    if leaves { (Outcome::Cancelled, waited) } else { (Outcome::Success, USUAL_MS) };
+                bench.end(id, 0, outcome, millis(duration));
             }
         }
         f64::from(went) / 400.0
@@ -119,8 +119,9 @@
         if sent(&actions).is_some() {
             admitted[usize::from(!short)] += 1;
             let late = call % 4 == 1;
-            let (outcome, took) = if late { (Outcome::TimedOut, 1000) } else { (Outcome::Good, USUAL_MS) };
-            bench.end(id, 0, outcome, millis(took));
+            let (outcome, duration) =
+                if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_MS) };
+            bench.end(id, 0, outcome, millis(duration));
         }
     }
     let [short, whole] = [f64::from(admitted[0]) / 100.0, f64::from(admitted[1]) / 300.0];
@@ -136,7 +137,7 @@
 fn a_usual_time_learned_too_long_does_not_shut_the_door() {
     let mut bench = bench();
     let (id, _) = bench.offer(Some(0));
-    bench.end(id, 0, Outcome::Good, millis(50 * USUAL_MS));
+    bench.end(id, 0, Outcome::Success, millis(50 * USUAL_MS));
     let first = run(&mut bench, 100, 0, |_| 100);
     let later = run(&mut bench, 100, 0, |_| 100);
     assert!(later[1] > 0.95, "{first:?} of 100 requests, then {later:?} of another 100");
@@ -168,7 +169,7 @@
 fn the_last_attempt_is_told_so() {
     let last = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
-            Action::Send { last, .. } => Some(*last),
+            Action::Send { is_last_attempt, .. } => Some(*is_last_attempt),
             _ => None,
         })
     };
@@ -180,7 +181,7 @@
         (2, [Some(false), Some(true), None]),
         (4, [Some(false), Some(false), Some(true)]),
     ] {
-        let settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+        let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
         let mut bench = Bench::new(settings, 5, (0..upstreams).map(member).collect());
         let (id, actions) = bench.offer(None);
         assert_eq!(last(&actions), said[0], "{upstreams} upstreams");
@@ -190,7 +191,7 @@
         }
     }
     // Each request earns half of a further attempt and pays two: what was saved up is used up.
-    let settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
+    let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let told = (0..40).any(|_| {
         let (id, actions) = bench.offer(None);
@@ -198,7 +199,7 @@
             none_in_time(&mut bench, id, number);
         }
         // They are within reach all the same.
-        (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(UpstreamId(id)))));
+        (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(EndpointId(id)))));
         last(&actions) == Some(true)
     });
     assert!(told, "a first attempt that none could follow was not told so");
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -43,15 +43,15 @@
 
     fn action(&mut self, action: &Action) {
         match action {
-            Action::Send { request, upstream, timeout, begin_within, last } => {
+            Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
                 self.number(1);
                 self.number(request.0);
                 self.number(u64::from(upstream.0));
                 self.span(*timeout);
-                self.span(*begin_within);
-                self.number(u64::from(*last));
+                self.span(*first_byte_deadline);
+                self.number(u64::from(*is_last_attempt));
             }
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 self.number(2);
                 self.number(request.0);
                 self.number(u64::from(attempt.0));
@@ -66,15 +66,15 @@
                 self.number(request.0);
             }
             Action::Subscribe => self.number(5),
-            Action::Probe { upstream } => {
+            Action::HealthCheck { upstream } => {
                 self.number(6);
                 self.number(u64::from(upstream.0));
             }
-            Action::DropIdle { upstream } => {
+            Action::CloseIdle { upstream } => {
                 self.number(7);
                 self.number(u64::from(upstream.0));
             }
-            Action::WakeAfter(span) => {
+            Action::ScheduleMaintenance(span) => {
                 self.number(8);
                 self.span(Some(*span));
             }
@@ -140,7 +140,7 @@
             stream.members.push(member);
         }
         stream.schedule_event(Duration::ZERO, Event::Started);
-        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Whole(stream.members.clone())));
+        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
         stream.schedule(Duration::ZERO, Next::Request);
         stream.schedule(Duration::from_millis(700), Next::Change);
         for (at, congested) in [(10, true), (14, false), (20, true), (22, false)] {
@@ -151,11 +151,11 @@
 
     fn member(&mut self, id: u32, started: Option<Duration>) -> Member {
         Member {
-            id: UpstreamId(id),
+            id: EndpointId(id),
             zone: (id % 7 != 6).then_some(ZoneId(id as usize % self.settings.zones)),
             kind: (id % 5 != 4).then_some(KindId(id as usize % self.settings.kinds)),
             cell: id % 4,
-            phase: Phase::Ready,
+            lifecycle: Lifecycle::Ready,
             weight: 1.0 + f64::from(id % 3),
             started,
         }
@@ -197,14 +197,16 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Event::AttemptEnded { request, finished: true, .. } | Event::ClientLeft(request) = event {
+        if let Event::AttemptEnded { request, finished: true, .. } | Event::ClientDisconnected(request) =
+            event
+        {
             self.open.remove(&request);
         }
-        let woke = event == Event::Wake;
+        let woke = event == Event::MaintenanceDue;
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         if woke {
-            self.hash.bytes(self.balancer.vitals().as_bytes());
+            self.hash.bytes(self.balancer.stats_snapshot().as_bytes());
         }
         for action in actions {
             self.actions += 1;
@@ -216,33 +218,33 @@
     fn carry_out(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
-            Action::Withdraw { request, attempt } => {
-                let took = Duration::from_millis(30);
-                self.end(Duration::ZERO, (request, attempt), Outcome::Withdrawn, took, Duration::ZERO);
+            Action::CancelAttempt { request, attempt } => {
+                let duration = Duration::from_millis(30);
+                self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, duration, Duration::ZERO);
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 self.open.remove(&request);
             }
-            Action::WakeAfter(span) => self.schedule_event(span, Event::Wake),
+            Action::ScheduleMaintenance(span) => self.schedule_event(span, Event::MaintenanceDue),
             Action::Subscribe if self.chance(0.4) => {
                 self.schedule_event(Duration::from_millis(5), Event::List(ListUpdate::Broken));
             }
             Action::Subscribe => {
-                let list = ListUpdate::Whole(self.members.clone());
+                let list = ListUpdate::Snapshot(self.members.clone());
                 self.schedule_event(Duration::from_millis(5), Event::List(list));
             }
-            Action::Probe { .. } | Action::DropIdle { .. } | Action::Log(_) => {}
+            Action::HealthCheck { .. } | Action::CloseIdle { .. } | Action::Log(_) => {}
         }
     }
 
     /// Draws what becomes of an attempt.
-    fn attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Option<Duration>) {
+    fn attempt(&mut self, request: RequestId, upstream: EndpointId, timeout: Option<Duration>) {
         let attempt = AttemptNumber(*self.open.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
         let timeout = timeout.unwrap_or(Duration::from_secs(3));
         let slow = if self.congested { 9.0 } else { 1.0 } * if upstream.0 % 5 == 1 { 2.5 } else { 1.0 };
         let work = Duration::from_secs_f64((0.02 + 0.08 * self.rng.rand_float()) * slow);
         let late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
-        let connecting = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
+        let connect_wait = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
         let bad = if upstream.0 == 8 { 0.5 } else { 0.01 };
         let outcome = if late {
             Outcome::ConnectTimedOut
@@ -251,28 +253,28 @@
                 [Outcome::Error, Outcome::Refused, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent];
             ways[self.below(ways.len())]
         } else if self.chance(0.01) {
-            Outcome::Rejected
+            Outcome::InvalidRequest
         } else if self.congested && self.chance(0.2) {
             Outcome::Refused
         } else {
-            Outcome::Good
+            Outcome::Success
         };
-        let took = match outcome {
+        let duration = match outcome {
             Outcome::ConnectTimedOut => Duration::from_millis(120),
             Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent => Duration::from_millis(2),
-            _ => connecting + work,
+            _ => connect_wait + work,
         };
         if late && self.chance(0.5) {
-            self.schedule_event(took + Duration::from_millis(200), Event::Connected(upstream));
+            self.schedule_event(duration + Duration::from_millis(200), Event::Connected(upstream));
         }
-        if took > timeout {
-            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connecting.min(timeout));
+        if duration > timeout {
+            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connect_wait.min(timeout));
             return;
         }
-        if outcome == Outcome::Good && self.chance(0.05) {
-            self.schedule_event(took / 2, Event::StreamStarted { request, attempt });
+        if outcome == Outcome::Success && self.chance(0.05) {
+            self.schedule_event(duration / 2, Event::StreamStarted { request, attempt });
         }
-        self.end(took, (request, attempt), outcome, took, connecting.min(took));
+        self.end(duration, (request, attempt), outcome, duration, connect_wait.min(duration));
     }
 
     fn end(
@@ -280,12 +282,12 @@
         after: Duration,
         (request, attempt): (RequestId, AttemptNumber),
         outcome: Outcome,
-        took: Duration,
-        connecting: Duration,
+        duration: Duration,
+        connect_wait: Duration,
     ) {
-        let finished = outcome == Outcome::Good || !self.open.contains_key(&request);
+        let finished = outcome == Outcome::Success || !self.open.contains_key(&request);
         let load = None;
-        let end = Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load };
+        let end = Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load };
         self.schedule_event(after, end);
     }
 
@@ -299,10 +301,18 @@
             TenantId(if first { 0 } else { self.below(self.settings.tenants.len()) })
         });
         let time_left = Duration::from_secs_f64(0.05 + 2.0 * self.rng.rand_float());
-        let request = Request { id, class, tenant, key: None, time_left, expected_work: None, repeat: false };
+        let request = Request {
+            id,
+            class,
+            tenant,
+            subject: None,
+            time_left,
+            expected_work: None,
+            is_client_retry: false,
+        };
         if self.chance(0.02) {
             let stays = Duration::from_secs_f64(0.1 * self.rng.rand_float());
-            self.schedule_event(stays, Event::ClientLeft(id));
+            self.schedule_event(stays, Event::ClientDisconnected(id));
         }
         let pause = Duration::from_secs_f64(2.0 * BETWEEN_REQUESTS_S * self.rng.rand_float());
         self.schedule(pause, Next::Request);
@@ -315,34 +325,34 @@
         let kind = self.below(8);
         let list = match kind {
             0 => {
-                self.members[place].phase = Phase::Draining;
-                ListUpdate::Patch(vec![self.members[place]])
+                self.members[place].lifecycle = Lifecycle::Draining;
+                ListUpdate::Delta(vec![self.members[place]])
             }
             1 => {
-                self.members[place].phase = Phase::Gone;
-                ListUpdate::Patch(vec![self.members[place]])
+                self.members[place].lifecycle = Lifecycle::Removed;
+                ListUpdate::Delta(vec![self.members[place]])
             }
             2..=4 => {
                 // The process is replaced.
-                self.members[place].phase = Phase::Ready;
+                self.members[place].lifecycle = Lifecycle::Ready;
                 self.members[place].started = Some(self.now);
-                ListUpdate::Patch(vec![self.members[place]])
+                ListUpdate::Delta(vec![self.members[place]])
             }
             5 => {
-                let listed = self.members.iter().filter(|member| member.phase == Phase::Ready);
+                let listed = self.members.iter().filter(|member| member.lifecycle == Lifecycle::Ready);
                 let list = listed.copied().collect();
-                if self.chance(0.5) { ListUpdate::StaleCopy(list) } else { ListUpdate::Whole(list) }
+                if self.chance(0.5) { ListUpdate::CachedSnapshot(list) } else { ListUpdate::Snapshot(list) }
             }
             6 => {
                 if self.chance(0.5) {
                     ListUpdate::Broken
                 } else {
-                    ListUpdate::Moved
+                    ListUpdate::Relocated
                 }
             }
             _ => {
                 self.reconfigure();
-                ListUpdate::Patch(Vec::new())
+                ListUpdate::Delta(Vec::new())
             }
         };
         self.handle(Event::List(list));
@@ -351,7 +361,7 @@
 
     fn reconfigure(&mut self) {
         match self.below(4) {
-            0 => self.settings.copies += 1,
+            0 => self.settings.replicas += 1,
             1 if !self.settings.tenants.is_empty() && self.settings.tenants.len() < 5 => {
                 self.settings.tenants.push(Tenant { quota: Some(15.0) });
             }
@@ -371,36 +381,36 @@
 
 fn classes() -> Vec<Class> {
     let effects = [
-        Effect::Safe,
-        Effect::Unsafe,
-        Effect::Keyed { scope: DedupScope::All, window: Duration::from_millis(400) },
-        Effect::Keyed { scope: DedupScope::Zone, window: Duration::from_millis(400) },
-        Effect::Keyed { scope: DedupScope::Cell, window: Duration::from_millis(400) },
+        Idempotency::Idempotent,
+        Idempotency::NotIdempotent,
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_millis(400) },
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: Duration::from_millis(400) },
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: Duration::from_millis(400) },
     ];
-    let class = |(number, effect): (usize, Effect)| Class {
-        aim: Duration::from_millis(400 + 100 * number as u64),
+    let class = |(number, idempotency): (usize, Idempotency)| Class {
+        latency_objective: Duration::from_millis(400 + 100 * number as u64),
         deadline: Duration::from_secs(2),
-        late_worth: if number % 2 == 0 { 0.5 } else { 0.0 },
-        effect,
+        late_weight: if number % 2 == 0 { 0.5 } else { 0.0 },
+        idempotency,
     };
     effects.into_iter().enumerate().map(class).collect()
 }
 
 fn first_tier() -> Settings {
     let mut settings = Settings::single_zone(classes());
-    settings.index = 1;
-    settings.copies = 4;
+    settings.replica_index = 1;
+    settings.replicas = 4;
     settings.zones = 3;
     settings.kinds = 2;
     settings.tenants =
         vec![Tenant { quota: Some(120.0) }, Tenant { quota: Some(60.0) }, Tenant { quota: None }];
-    settings.over_share_worth = 0.2;
+    settings.over_quota_weight = 0.2;
     settings.discovery = DiscoveryMode::Subscribe;
-    settings.rules.ask_within = Some(Duration::from_secs(4));
-    settings.allowed.second_copies = true;
-    settings.allowed.retry_after = Some(Duration::from_millis(250));
-    settings.prices.cross_zone = 0.05;
-    settings.prices.handshake = 0.01;
+    settings.rules.poll_interval_max = Some(Duration::from_secs(4));
+    settings.permissions.hedging = true;
+    settings.permissions.retry_after = Some(Duration::from_millis(250));
+    settings.costs.cross_zone = 0.05;
+    settings.costs.handshake = 0.01;
     settings
 }
 
@@ -427,18 +437,18 @@
     settings.tier = 1;
     settings.tenants.clear();
     settings.discovery = DiscoveryMode::Agent;
-    settings.passes_deadline = false;
-    settings.allowed.streams = 1;
-    settings.allowed.second_copies = false;
-    settings.allowed.cancel = false;
+    settings.propagates_deadline = false;
+    settings.permissions.streams_per_connection = 1;
+    settings.permissions.hedging = false;
+    settings.permissions.cancel = false;
     check(settings, 4, 40, (4569, 0x91e6ea3b696f58a0));
 }
 
 #[test]
 fn a_fleet_of_many_copies_keeps_its_record() {
     let mut settings = first_tier();
-    settings.copies = 40;
-    settings.over_share_worth = 1.0;
+    settings.replicas = 40;
+    settings.over_quota_weight = 1.0;
     settings.tenants = vec![Tenant { quota: Some(2000.0) }, Tenant { quota: Some(1500.0) }];
     check(settings, 5, 60, (3910, 0xb8033d2a3c305e4d));
 }
@@ -449,6 +459,6 @@
     for member in &mut stream.members {
         member.started = Some(START);
     }
-    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Whole(stream.members.clone())));
+    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
     assert_eq!(stream.play(), (3853, 0xf30defdbb8cd0fb8));
 }
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -27,8 +27,8 @@
 
 enum Due {
     Call,
-    End { request: RequestId, number: u32, outcome: Outcome, took: Duration, connecting: Duration },
-    Connected(UpstreamId),
+    End { request: RequestId, number: u32, outcome: Outcome, duration: Duration, connect_wait: Duration },
+    Connected(EndpointId),
 }
 
 /// What became of the calls.
@@ -89,7 +89,7 @@
         &mut self,
         rate: f64,
         seconds: u64,
-        mut meets: impl FnMut(UpstreamId, &mut Rand64) -> Meets,
+        mut meets: impl FnMut(EndpointId, &mut Rand64) -> Meets,
     ) -> Tally {
         let mut tally = Tally { limit: f64::MAX, ..Tally::default() };
         let end = self.bench.now + Duration::from_secs(seconds);
@@ -107,9 +107,9 @@
                         self.send(request, 0, &actions, &mut tally, &mut meets);
                     }
                 }
-                Due::End { request, number, outcome, took, connecting } => {
-                    let actions = self.bench.end_late(request, number, outcome, took, connecting);
-                    tally.served += u32::from(outcome == Outcome::Good);
+                Due::End { request, number, outcome, duration, connect_wait } => {
+                    let actions = self.bench.end_late(request, number, outcome, duration, connect_wait);
+                    tally.served += u32::from(outcome == Outcome::Success);
                     self.send(request, number + 1, &actions, &mut tally, &mut meets);
                 }
                 Due::Connected(upstream) => assert_eq!(self.bench.tell(Event::Connected(upstream)), []),
@@ -126,7 +126,7 @@
         number: u32,
         actions: &[Action],
         tally: &mut Tally,
-        meets: &mut impl FnMut(UpstreamId, &mut Rand64) -> Meets,
+        meets: &mut impl FnMut(EndpointId, &mut Rand64) -> Meets,
     ) {
         let Some(Action::Send { upstream, timeout, .. }) =
             actions.iter().find(|action| matches!(action, Action::Send { .. }))
@@ -138,39 +138,39 @@
         let (connects, outcome, serves) = meets(*upstream, &mut self.rng);
         let patience = self.patience.min(most);
         let end = match connects {
-            Some(connecting) if connecting < patience && connecting + serves < most => {
-                Due::End { request, number, outcome, took: connecting + serves, connecting }
+            Some(connect_wait) if connect_wait < patience && connect_wait + serves < most => {
+                Due::End { request, number, outcome, duration: connect_wait + serves, connect_wait }
             }
-            Some(connecting) if connecting < patience => {
-                Due::End { request, number, outcome: Outcome::TimedOut, took: most, connecting }
+            Some(connect_wait) if connect_wait < patience => {
+                Due::End { request, number, outcome: Outcome::TimedOut, duration: most, connect_wait }
             }
             _ => {
                 let outcome = Outcome::ConnectTimedOut;
-                Due::End { request, number, outcome, took: patience, connecting: patience }
+                Due::End { request, number, outcome, duration: patience, connect_wait: patience }
             }
         };
-        if let Some(later) = connects.filter(|&connecting| connecting >= patience && self.tells) {
+        if let Some(later) = connects.filter(|&connect_wait| connect_wait >= patience && self.tells) {
             self.plan(later, Due::Connected(*upstream));
         }
-        let Due::End { took, .. } = end else { return };
-        self.plan(took, end);
+        let Due::End { duration, .. } = end else { return };
+        self.plan(duration, end);
     }
 
     /// The figure after a word of the vitals.
     fn vital(&self, word: &str) -> f64 {
-        let vitals = self.bench.balancer.vitals();
+        let stats_snapshot = self.bench.balancer.stats_snapshot();
         let figure =
-            vitals.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
+            stats_snapshot.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
         figure.and_then(|figure| figure.parse().ok()).expect("a figure after the word")
     }
 }
 
 /// One copy whose only tenant has a fair part of `part` calls a second.
-fn settings(copies: u32, part: f64) -> Settings {
-    let mut settings = Settings::single_zone(vec![class(Effect::Unsafe)]);
-    settings.copies = copies;
-    settings.tenants = vec![Tenant { quota: Some(part * f64::from(copies)) }];
-    settings.over_share_worth = 0.2;
+fn settings(replicas: u32, part: f64) -> Settings {
+    let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
+    settings.replicas = replicas;
+    settings.tenants = vec![Tenant { quota: Some(part * f64::from(replicas)) }];
+    settings.over_quota_weight = 0.2;
     settings
 }
 
@@ -185,29 +185,29 @@
     Some(if late { Duration::from_secs_f64(0.1 + 1.4 * rng.rand_float()) } else { Duration::ZERO })
 }
 
-fn idle(_: UpstreamId, rng: &mut Rand64) -> Meets {
-    (Some(Duration::ZERO), Outcome::Good, usual(rng))
+fn idle(_: EndpointId, rng: &mut Rand64) -> Meets {
+    (Some(Duration::ZERO), Outcome::Success, usual(rng))
 }
 
-fn idle_third_late(_: UpstreamId, rng: &mut Rand64) -> Meets {
-    (third_late(rng), Outcome::Good, usual(rng))
+fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> Meets {
+    (third_late(rng), Outcome::Success, usual(rng))
 }
 
 /// Found on days on which a third of the connections came up late while the upstreams answered in 13 to 30 ms: the
 /// limits were cut to their floors, and 80 to 95 calls in 100 denied.
 #[test]
 fn late_connections_neither_cut_limits_nor_keep_upstreams_aside() {
-    for (rate, copies, tells) in [2.0, 10.0, 60.0]
+    for (rate, replicas, tells) in [2.0, 10.0, 60.0]
         .into_iter()
         .flat_map(|rate| [(rate, 2, true), (rate, 2, false), (rate, 30, true), (rate, 30, false)])
     {
         for upstreams in 4..=8 {
-            let mut world = World::new(settings(copies, rate * 1.2), 5, upstreams, millis(12));
+            let mut world = World::new(settings(replicas, rate * 1.2), 5, upstreams, millis(12));
             world.tells = tells;
             let calm = world.run(rate, 30, idle);
             let seconds = if rate > 2.0 { 90 } else { 400 };
             let tally = world.run(rate, seconds, idle_third_late);
-            let case = format!("{rate}/s, {copies} copies, {upstreams} upstreams, told {tells}: {tally:?}");
+            let case = format!("{rate}/s, {replicas} copies, {upstreams} upstreams, told {tells}: {tally:?}");
             assert!(tally.limit >= calm.limit, "a limit was cut: {case}");
             assert!(tally.admitted() > 0.95, "{} admitted: {case}", tally.admitted());
             // Three attempts are allowed, and all meet a late connection 1 time in 27.
@@ -220,12 +220,13 @@
 /// Where an attempt waits for its late connection, nothing of that wait is the upstreams' latency.
 #[test]
 fn the_wait_for_a_connection_is_no_latency() {
-    for (rate, copies) in [(2.0, 2), (10.0, 2), (60.0, 2), (2.0, 30), (10.0, 30), (60.0, 30)] {
-        let mut world = World::new(settings(copies, rate * 1.2), 7, 6, millis(1000));
+    for (rate, replicas) in [(2.0, 2), (10.0, 2), (60.0, 2), (2.0, 30), (10.0, 30), (60.0, 30)] {
+        let mut world = World::new(settings(replicas, rate * 1.2), 7, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
         let usual = world.vital("usual ms ");
         let tally = world.run(rate, if rate > 2.0 { 120 } else { 400 }, idle_third_late);
-        let case = format!("{rate}/s, {copies} copies: {tally:?}, {}", world.bench.balancer.vitals());
+        let case =
+            format!("{rate}/s, {replicas} copies: {tally:?}, {}", world.bench.balancer.stats_snapshot());
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95, "{case}");
         assert!(rate < 10.0 || tally.crowding < 0.2, "{case}");
         assert!((world.vital("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
@@ -235,10 +236,14 @@
 }
 
 /// A copy for clients that wait 0.4 s and want their answers within half of that.
-fn short_deadlines(copies: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
-    let mut settings = settings(copies, rate * 1.2);
-    settings.classes[0] =
-        Class { aim: millis(200), deadline: millis(400), late_worth: 0.5, effect: Effect::Safe };
+fn short_deadlines(replicas: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
+    let mut settings = settings(replicas, rate * 1.2);
+    settings.classes[0] = Class {
+        latency_objective: millis(200),
+        deadline: millis(400),
+        late_weight: 0.5,
+        idempotency: Idempotency::Idempotent,
+    };
     let mut world = World::new(settings, 9, upstreams, patience);
     world.bench.time_left = millis(400);
     world
@@ -246,14 +251,14 @@
 
 #[test]
 fn short_deadlines_leave_time_for_another_upstream() {
-    for (rate, copies, patience) in
+    for (rate, replicas, patience) in
         [(10.0, 2, 8), (10.0, 2, 60), (60.0, 2, 8), (60.0, 2, 60), (60.0, 30, 8), (60.0, 30, 60)]
     {
-        let mut world = short_deadlines(copies, rate, 6, millis(patience));
+        let mut world = short_deadlines(replicas, rate, 6, millis(patience));
         let calm = world.run(rate, 30, idle);
         let usual = world.vital("usual ms ");
         let tally = world.run(rate, 60, idle_third_late);
-        let case = format!("{rate}/s, {copies} copies, {patience} ms: {tally:?}");
+        let case = format!("{rate}/s, {replicas} copies, {patience} ms: {tally:?}");
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.served() > 0.92, "{case}");
         assert!(tally.crowding < 0.2 && tally.least_sent(6) > 0.5, "{case}");
         assert!((world.vital("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
@@ -263,8 +268,8 @@
 /// Where the upstreams are sent to with less time left than they take, the time-outs tell of the connections alone.
 #[test]
 fn time_outs_behind_late_connections_are_no_crowd() {
-    for (rate, copies) in [(10.0, 2), (60.0, 2), (60.0, 30)] {
-        let mut world = short_deadlines(copies, rate, 6, millis(1000));
+    for (rate, replicas) in [(10.0, 2), (60.0, 2), (60.0, 30)] {
+        let mut world = short_deadlines(replicas, rate, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
         let mut late = 0;
         let tally = world.run(rate, 60, |_, rng| {
@@ -272,9 +277,9 @@
             late += u32::from(is_late);
             // About a third of these time out with 10 ms to go for the upstream, which takes 15 to 30 ms.
             let after = if is_late { millis(350 + rng.rand_range(0..60)) } else { Duration::ZERO };
-            (Some(after), Outcome::Good, usual(rng))
+            (Some(after), Outcome::Success, usual(rng))
         });
-        let case = format!("{rate}/s, {copies} copies, {late} late: {tally:?}");
+        let case = format!("{rate}/s, {replicas} copies, {late} late: {tally:?}");
         assert!(tally.served() < 0.95 && late > tally.offered / 4, "nothing timed out: {case}");
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.crowding < 0.2, "{case}");
         assert!(tally.least_sent(6) > 0.5, "{case}");
@@ -289,8 +294,8 @@
         let mut world = short_deadlines(30, 3.0, 6, millis(1000));
         world.run(3.0, 60, idle);
         let tally = world.run(3.0, 600, |id, rng| {
-            let late = id == UpstreamId(0) && rng.rand_float() < 0.5;
-            (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Good, usual(rng))
+            let late = id == EndpointId(0) && rng.rand_float() < 0.5;
+            (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Success, usual(rng))
         });
         let part = tally.part_of(0..1) * 6.0;
         assert!(part > 0.6, "{part} of the mean sent to it after waits of {wait} ms: {tally:?}");
@@ -303,11 +308,11 @@
     let run = |late: bool| {
         let mut world = World::new(settings(2, rate / 1.2), 5, 6, millis(12));
         world.run(rate, 20, idle);
-        let full = |_: UpstreamId, rng: &mut Rand64| {
+        let full = |_: EndpointId, rng: &mut Rand64| {
             let connects = if late { third_late(rng) } else { Some(Duration::ZERO) };
-            let (how, took) =
-                if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Good, usual(rng)) };
-            (connects, how, if how == Outcome::Refused { millis(2) } else { took })
+            let (how, duration) =
+                if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Success, usual(rng)) };
+            (connects, how, if how == Outcome::Refused { millis(2) } else { duration })
         };
         world.run(rate, 15, full);
         world.run(rate, 45, full).admitted()
@@ -336,8 +341,8 @@
     for (rate, most) in [(2.0, 0.25), (10.0, 0.1), (60.0, 0.05)] {
         let mut world = World::new(settings(2, rate * 2.0), 5, 8, millis(12));
         world.run(rate, 20, idle);
-        let half = |id: UpstreamId, rng: &mut Rand64| {
-            (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Good, usual(rng))
+        let half = |id: EndpointId, rng: &mut Rand64| {
+            (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Success, usual(rng))
         };
         // The unreachable ones must be met first.
         let first = world.run(rate, 20, half);
@@ -370,7 +375,7 @@
 fn a_handful_of_connect_timeouts_at_few_calls_a_second_cuts_nothing() {
     for seed in 0..20 {
         let mut settings = settings(30, 0.5);
-        settings.allowed.attempts = 2;
+        settings.permissions.max_attempts = 2;
         let mut world = World::new(settings, seed, 6, millis(12));
         let calm = world.run(0.3, 120, idle);
         let tally = world.run(0.3, 300, idle_third_late);
@@ -382,7 +387,7 @@
 #[test]
 fn a_refusal_after_a_connect_timeout_is_one_refusal() {
     let mut settings = settings(2, 25.0 / 3.0);
-    settings.over_share_worth = 1.0;
+    settings.over_quota_weight = 1.0;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     for call in 0..820 {
         // The limit climbs at first.
@@ -398,21 +403,24 @@
             }
         }
         assert!(!climbed || sent(&actions).is_some(), "call {call} not sent elsewhere");
-        bench.end(id, number, Outcome::Good, millis(20));
+        bench.end(id, number, Outcome::Success, millis(20));
     }
 }
 
 /// The calls of 200 that go to the first of four upstreams, which answer all.
 fn calls_to_the_first(bench: &mut Bench) -> usize {
-    (0..200).filter(|_| bench.run(|_| (Outcome::Good, millis(2))) == [UpstreamId(0)]).count()
+    (0..200).filter(|_| bench.run(|_| (Outcome::Success, millis(2))) == [EndpointId(0)]).count()
 }
 
 /// Four upstreams, of which the first has ended each of its attempts with `outcome` until it was set aside.
 fn first_aside(outcome: Outcome) -> Bench {
-    let mut bench =
-        Bench::new(Settings::single_zone(vec![class(Effect::Safe)]), 3, (0..4).map(member).collect());
+    let mut bench = Bench::new(
+        Settings::single_zone(vec![class(Idempotency::Idempotent)]),
+        3,
+        (0..4).map(member).collect(),
+    );
     for _ in 0..40 {
-        bench.run(|id| (if id == UpstreamId(0) { outcome } else { Outcome::Good }, millis(2)));
+        bench.run(|id| (if id == EndpointId(0) { outcome } else { Outcome::Success }, millis(2)));
     }
     bench
 }
@@ -421,7 +429,7 @@
 fn a_connection_ends_an_aside_for_connect_timeouts() {
     assert_eq!(calls_to_the_first(&mut first_aside(Outcome::ConnectTimedOut)), 0, "not set aside");
     let mut bench = first_aside(Outcome::ConnectTimedOut);
-    assert_eq!(bench.tell(Event::Connected(UpstreamId(0))), []);
+    assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
     let calls = calls_to_the_first(&mut bench);
     assert!((30..70).contains(&calls), "{calls} of 200 after a connection came up");
 }
@@ -430,7 +438,7 @@
 fn a_connection_ends_no_aside_for_errors() {
     let mut bench = first_aside(Outcome::Error);
     for upstream in [0, 0, 99] {
-        assert_eq!(bench.tell(Event::Connected(UpstreamId(upstream))), []);
+        assert_eq!(bench.tell(Event::Connected(EndpointId(upstream))), []);
     }
     assert_eq!(calls_to_the_first(&mut bench), 0);
 }
@@ -438,27 +446,28 @@
 /// Two late connections in a row are chance, as are many with answers between them.
 #[test]
 fn an_answer_or_a_connection_breaks_a_row_of_connect_timeouts() {
-    for between in [None, Some(Outcome::Good), Some(Outcome::Refused), Some(Outcome::Rejected)] {
-        let mut bench = Bench::new(Settings::single_zone(vec![class(Effect::Safe)]), 3, vec![member(0)]);
+    for between in [None, Some(Outcome::Success), Some(Outcome::Refused), Some(Outcome::InvalidRequest)] {
+        let mut bench =
+            Bench::new(Settings::single_zone(vec![class(Idempotency::Idempotent)]), 3, vec![member(0)]);
         // The second upstream shows by its calls whether the first is aside.
-        bench.tell(Event::List(ListUpdate::Whole(vec![member(0), member(1)])));
+        bench.tell(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
         let mut met = 0;
         let mut calls = 0;
         for _ in 0..400 {
             let (id, actions) = bench.offer(None);
-            let first = sent(&actions) == Some(UpstreamId(0));
+            let first = sent(&actions) == Some(EndpointId(0));
             calls += u32::from(first);
             met += u32::from(first);
             let late = first && met % 3 != 0;
             if first && met % 3 == 0 && between.is_none() {
-                assert_eq!(bench.tell(Event::Connected(UpstreamId(0))), []);
+                assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
                 met += 1;
             }
             bench.pass(millis(2));
-            let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Good) };
-            bench.end(id, 0, if first { outcome } else { Outcome::Good }, millis(2));
+            let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Success) };
+            bench.end(id, 0, if first { outcome } else { Outcome::Success }, millis(2));
             if late {
-                bench.tell(Event::ClientLeft(id));
+                bench.tell(Event::ClientDisconnected(id));
             }
         }
         assert!(calls > 120, "{calls} of 400 with {between:?} between");
@@ -467,12 +476,12 @@
 
 /// Of benches whose handshakes have a price, the calls of 60 that go to the fourth of eight upstreams after `what`.
 fn calls_to_the_fourth(what: impl Fn(&mut Bench)) -> usize {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
-    settings.prices.handshake = 0.1;
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
+    settings.costs.handshake = 0.1;
     let calls = (0..60).filter(|&seed| {
         let mut bench = Bench::new(settings.clone(), seed, (0..8).map(member).collect());
         what(&mut bench);
-        sent(&bench.offer(None).1) == Some(UpstreamId(3))
+        sent(&bench.offer(None).1) == Some(EndpointId(3))
     });
     calls.count()
 }
@@ -480,14 +489,14 @@
 #[test]
 fn late_connections_are_counted_once_they_are_up() {
     let none = calls_to_the_fourth(|_| {});
-    let one = calls_to_the_fourth(|bench| assert_eq!(bench.tell(Event::Connected(UpstreamId(3))), []));
+    let one = calls_to_the_fourth(|bench| assert_eq!(bench.tell(Event::Connected(EndpointId(3))), []));
     assert!(none < 15 && one > 30, "{none} without, {one} with a connection");
     // The connection is not the one that the attempt waited for: that never came.
     let lost = calls_to_the_fourth(|bench| {
-        bench.tell(Event::Connected(UpstreamId(3)));
+        bench.tell(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
         bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
-        bench.tell(Event::ClientLeft(id));
+        bench.tell(Event::ClientDisconnected(id));
     });
     assert!(lost < 15, "{lost} with a connection that was lost");
 }
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -14,14 +14,18 @@
 
 /// Two zones, a class of each effect, three tenants with quotas.
 fn settings() -> Settings {
-    let keyed = Effect::Keyed { scope: DedupScope::Cell, window: millis(800) };
+    let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(800) };
     Settings {
-        copies: 4,
+        replicas: 4,
         zones: 2,
         tenants: [30.0, 20.0, 10.0].map(|quota| Tenant { quota: Some(quota * 4.0) }).to_vec(),
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         discovery: DiscoveryMode::Subscribe,
-        ..Settings::single_zone(vec![class(Effect::Safe), class(keyed), class(Effect::Unsafe)])
+        ..Settings::single_zone(vec![
+            class(Idempotency::Idempotent),
+            class(keyed),
+            class(Idempotency::NotIdempotent),
+        ])
     }
 }
 
@@ -59,7 +63,7 @@
         };
         let whole = (0..12).map(|id| world.member(id)).collect();
         world.tell(Event::Started);
-        world.tell(Event::List(ListUpdate::Whole(whole)));
+        world.tell(Event::List(ListUpdate::Snapshot(whole)));
         for number in 0..requests {
             let next = world.now + Duration::from_secs_f64(world.rng.rand_float() * 0.02);
             while let Some(entry) = world.due.first_entry().filter(|entry| entry.key().0 <= next) {
@@ -74,7 +78,7 @@
             if world.rng.rand_float() < 0.02 {
                 let id = world.rng.rand_range(0..16) as u32;
                 let changed = vec![world.member(id)];
-                world.tell(Event::List(ListUpdate::Patch(changed)));
+                world.tell(Event::List(ListUpdate::Delta(changed)));
             }
             let (class, tenant) = (world.rng.rand_range(0..3) as usize, world.rng.rand_range(0..3) as usize);
             world.classes.insert(RequestId(number), class);
@@ -85,41 +89,41 @@
 
     /// All actions, and how things stand.
     fn told(self) -> String {
-        self.text + &self.balancer.vitals()
+        self.text + &self.balancer.stats_snapshot()
     }
 
     /// Lets everything end that is still out.
     fn end(&mut self) {
         while let Some(((at, _), event)) = self.due.pop_first() {
             self.now = at;
-            if event != Event::Wake {
+            if event != Event::MaintenanceDue {
                 self.tell(event);
             }
         }
     }
 
     fn member(&mut self, id: u32) -> Member {
-        let phase = if self.rng.rand_float() < 0.1 { Phase::Draining } else { Phase::Ready };
+        let lifecycle = if self.rng.rand_float() < 0.1 { Lifecycle::Draining } else { Lifecycle::Ready };
         let started = (self.rng.rand_float() < 0.3).then_some(START - millis(1000));
-        Member { zone: Some(ZoneId(id as usize % 2)), cell: id % 3, phase, started, ..member(id) }
+        Member { zone: Some(ZoneId(id as usize % 2)), cell: id % 3, lifecycle, started, ..member(id) }
     }
 
     fn tell(&mut self, event: Event) {
         if let Event::AttemptEnded { request, outcome, .. } = event {
             *self.ran.entry(request).or_default() += u32::from(!outcome.never_ran());
-            *self.ended.entry(request).or_default() += u32::from(outcome == Outcome::Good);
+            *self.ended.entry(request).or_default() += u32::from(outcome == Outcome::Success);
         }
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.text.push_str(&format!("{:?} {action:?}\n", self.now));
+            self.text.push_str(&format!("{:?} {}\n", self.now, recorded_form(&action)));
             let (span, event) = match action {
                 Action::Send { request, .. } => self.ending(request),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
                     *self.ended.entry(request).or_default() += 1;
                     continue;
                 }
-                Action::WakeAfter(span) => (span, Event::Wake),
+                Action::ScheduleMaintenance(span) => (span, Event::MaintenanceDue),
                 _ => continue,
             };
             self.coming += 1;
@@ -138,11 +142,14 @@
             4 => Outcome::ConnectFailed,
             5 => Outcome::ConnectTimedOut,
             6 => Outcome::Error,
-            _ => Outcome::Good,
+            _ => Outcome::Success,
         };
-        let took = Duration::from_secs_f64(0.02 + self.rng.rand_float() * 0.3);
-        let (connecting, finished) = (Duration::ZERO, outcome == Outcome::Good);
-        (took, Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load: None })
+        let duration = Duration::from_secs_f64(0.02 + self.rng.rand_float() * 0.3);
+        let (connect_wait, finished) = (Duration::ZERO, outcome == Outcome::Success);
+        (
+            duration,
+            Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load: None },
+        )
     }
 }
 
@@ -151,10 +158,46 @@
         id: RequestId(id),
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key: None,
+        subject: None,
         time_left: millis(2500),
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
+    }
+}
+
+/// An action as text, with every field, in the form in which the digest of
+/// `without_other_settings_nothing_is_different` was recorded: the `Debug` form of that time, whose names stay here
+/// whatever the code's names are.
+fn recorded_form(action: &Action) -> String {
+    match action {
+        Action::Send {
+            request: RequestId(request),
+            upstream: EndpointId(upstream),
+            timeout,
+            first_byte_deadline,
+            is_last_attempt,
+        } => {
+            format!(
+                "Send {{ request: RequestId({request}), upstream: UpstreamId({upstream}), timeout: {timeout:?}, \
+                 begin_within: {first_byte_deadline:?}, last: {is_last_attempt} }}"
+            )
+        }
+        Action::CancelAttempt { request: RequestId(request), attempt: AttemptNumber(attempt) } => {
+            format!("Withdraw {{ request: RequestId({request}), attempt: AttemptNumber({attempt}) }}")
+        }
+        Action::Refuse { request: RequestId(request), retry_after } => {
+            format!("Refuse {{ request: RequestId({request}), retry_after: {retry_after:?} }}")
+        }
+        Action::Fail { request: RequestId(request) } => format!("Fail {{ request: RequestId({request}) }}"),
+        Action::Subscribe => "Subscribe".to_owned(),
+        Action::HealthCheck { upstream: EndpointId(upstream) } => {
+            format!("Probe {{ upstream: UpstreamId({upstream}) }}")
+        }
+        Action::CloseIdle { upstream: EndpointId(upstream) } => {
+            format!("DropIdle {{ upstream: UpstreamId({upstream}) }}")
+        }
+        Action::ScheduleMaintenance(span) => format!("WakeAfter({span:?})"),
+        Action::Log(line) => format!("Log({line:?})"),
     }
 }
 
@@ -163,6 +206,7 @@
     let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
+
 /// Guards runs without any change of settings: seeds and events as before this event was there give the same actions
 /// to the byte. The digest is that of the decisions before it.
 #[test]
@@ -191,20 +235,21 @@
     Bench::new(settings, 7, members)
 }
 
-fn single(effect: Effect) -> Settings {
-    let settings = Settings::single_zone(vec![class(effect)]);
-    Settings { allowed: Allowed { attempts: 4, ..settings.allowed.clone() }, ..settings }
+fn single(idempotency: Idempotency) -> Settings {
+    let settings = Settings::single_zone(vec![class(idempotency)]);
+    Settings { permissions: Permissions { max_attempts: 4, ..settings.permissions.clone() }, ..settings }
 }
 
-const WINDOW: Effect = Effect::Keyed { scope: DedupScope::Cell, window: millis(300) };
+const WINDOW: Idempotency =
+    Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(300) };
 
 /// Offers a request and gives the cells of all attempts, each of which ends as a reset after `took`.
-fn resets(bench: &mut Bench, id: RequestId, first: &[Action], took: Duration) -> usize {
+fn resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
     let (mut sends, mut out) = (0, sent(first));
     while out.is_some() {
         sends += 1;
-        bench.pass(took);
-        let actions = bench.end(id, sends as u32 - 1, Outcome::Reset, took);
+        bench.pass(duration);
+        let actions = bench.end(id, sends as u32 - 1, Outcome::Reset, duration);
         out = sent(&actions);
     }
     sends
@@ -214,8 +259,11 @@
 /// class is by the time that it breaks. One taken afterwards goes by what holds then.
 #[test]
 fn an_unsafe_request_in_flight_stays_unsafe() {
-    for other in [Effect::Safe, Effect::Keyed { scope: DedupScope::All, window: millis(60_000) }] {
-        let mut bench = bench(single(Effect::Unsafe));
+    for other in [
+        Idempotency::Idempotent,
+        Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) },
+    ] {
+        let mut bench = bench(single(Idempotency::NotIdempotent));
         let (id, actions) = bench.offer(None);
         assert!(bench.tell(Event::Reconfigured(single(other))).is_empty());
         let upstream = sent(&actions).expect("sent");
@@ -230,9 +278,9 @@
 /// Guards the other way: a request keeps what it was promised, and the next one does not get it.
 #[test]
 fn a_safe_request_in_flight_stays_safe() {
-    let mut bench = bench(single(Effect::Safe));
+    let mut bench = bench(single(Idempotency::Idempotent));
     let (id, actions) = bench.offer(None);
-    bench.tell(Event::Reconfigured(single(Effect::Unsafe)));
+    bench.tell(Event::Reconfigured(single(Idempotency::NotIdempotent)));
     assert!(resets(&mut bench, id, &actions, millis(10)) > 1);
     let (id, actions) = bench.offer(None);
     assert_eq!(resets(&mut bench, id, &actions, millis(10)), 1);
@@ -241,17 +289,21 @@
 /// Guards the upstreams' memory of keys: neither the window nor the group of a request in flight grows under it.
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window_and_scope() {
-    let wider = Effect::Keyed { scope: DedupScope::All, window: millis(60_000) };
-    for (other, took, sends) in [
+    let wider = Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) };
+    for (other, duration, sends) in [
         // Past its own window, within the other: no repeat.
-        (Effect::Keyed { scope: DedupScope::Cell, window: millis(60_000) }, millis(400), 1),
+        (
+            Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(60_000) },
+            millis(400),
+            1,
+        ),
         // Within its own: only its own cell takes it, which has two upstreams.
         (wider, millis(100), 2),
     ] {
         let mut bench = bench(single(WINDOW));
         let (id, actions) = bench.offer(None);
         bench.tell(Event::Reconfigured(single(other)));
-        assert_eq!(resets(&mut bench, id, &actions, took), sends, "{other:?}");
+        assert_eq!(resets(&mut bench, id, &actions, duration), sends, "{other:?}");
     }
     let mut bench = bench(single(WINDOW));
     bench.tell(Event::Reconfigured(single(wider)));
@@ -266,15 +318,17 @@
     let mut bench = Bench::new(single(WINDOW), 7, members);
     let (id, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
-    bench
-        .tell(Event::Reconfigured(single(Effect::Keyed { scope: DedupScope::Cell, window: millis(60_000) })));
+    bench.tell(Event::Reconfigured(single(Idempotency::IdempotencyKey {
+        scope: DeduplicationScope::Cell,
+        window: millis(60_000),
+    })));
     bench.pass(millis(100));
     let actions = bench.end(id, 0, Outcome::Reset, millis(100));
-    let begin_within = actions.iter().find_map(|action| match action {
-        Action::Send { begin_within, .. } => *begin_within,
+    let first_byte_deadline = actions.iter().find_map(|action| match action {
+        Action::Send { first_byte_deadline, .. } => *first_byte_deadline,
         _ => None,
     });
-    let left = begin_within.expect("sent again within its window");
+    let left = first_byte_deadline.expect("sent again within its window");
     assert!(left <= millis(200) && left > millis(199), "{left:?}");
 }
 
@@ -287,10 +341,10 @@
             _ => None,
         })
     };
-    let mut longer = single(Effect::Safe);
-    longer.classes[0].aim = millis(2000);
-    longer.classes[0].late_worth = 0.5;
-    let mut bench = bench(single(Effect::Safe));
+    let mut longer = single(Idempotency::Idempotent);
+    longer.classes[0].latency_objective = millis(2000);
+    longer.classes[0].late_weight = 0.5;
+    let mut bench = bench(single(Idempotency::Idempotent));
     let (id, first) = bench.offer(None);
     assert_eq!(timeout(&first), Some(millis(1000)));
     bench.tell(Event::Reconfigured(longer));
@@ -305,8 +359,11 @@
 #[test]
 fn a_request_in_flight_gets_no_more_attempts() {
     let with = |attempts| {
-        let settings = single(Effect::Safe);
-        Settings { allowed: Allowed { attempts, ..settings.allowed.clone() }, ..settings }
+        let settings = single(Idempotency::Idempotent);
+        Settings {
+            permissions: Permissions { max_attempts: attempts, ..settings.permissions.clone() },
+            ..settings
+        }
     };
     for (before, after, of_this, of_next) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
         let mut bench = bench(with(before));
@@ -324,7 +381,7 @@
     // What went stays as it was, the quota of its tenant is 0, and what is new stands behind it.
     let mut after = settings();
     after.tenants[1].quota = Some(0.0);
-    after.classes.push(class(Effect::Safe));
+    after.classes.push(class(Idempotency::Idempotent));
     let mut bench = bench(settings());
     let actions = bench.tell(Event::Request(request(900, 0, Some(1))));
     assert!(sent(&actions).is_some());
@@ -332,7 +389,7 @@
     bench.pass(millis(20));
     assert!(sent(&bench.end(RequestId(900), 0, Outcome::Refused, millis(20))).is_some());
     bench.pass(millis(20));
-    assert!(bench.end(RequestId(900), 1, Outcome::Good, millis(20)).is_empty());
+    assert!(bench.end(RequestId(900), 1, Outcome::Success, millis(20)).is_empty());
     let actions = bench.tell(Event::Request(request(901, 3, Some(0))));
     assert!(sent(&actions).is_some());
 }
@@ -341,16 +398,16 @@
 
 /// The limits of the tenants and, last, of all together.
 fn limits(bench: &Bench) -> Vec<f64> {
-    let vitals = bench.balancer.vitals();
-    let (_, after) = vitals.split_once("limits ").expect("limits");
+    let stats_snapshot = bench.balancer.stats_snapshot();
+    let (_, after) = stats_snapshot.split_once("limits ").expect("limits");
     let (rates, _) = after.split_once(',').expect("more");
     rates.split(' ').map(|rate| rate.parse().expect("a rate")).collect()
 }
 
 fn quotas(quotas: &[Option<f64>]) -> Settings {
-    let settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     let tenants = quotas.iter().map(|&quota| Tenant { quota }).collect();
-    Settings { tenants, over_share_worth: 0.1, ..settings }
+    Settings { tenants, over_quota_weight: 0.1, ..settings }
 }
 
 /// Offers a tenant's requests at a rate for a while, each answered after 10 ms, and tells how many a second were let in.
@@ -361,7 +418,7 @@
         bench.pass(Duration::from_secs_f64(1.0 / rate));
         let due = answers.iter().take_while(|(at, _)| *at <= bench.now).count();
         for (_, id) in answers.drain(..due) {
-            bench.end(id, 0, Outcome::Good, millis(10));
+            bench.end(id, 0, Outcome::Success, millis(10));
         }
         let (id, actions) = bench.offer(Some(tenant));
         if sent(&actions).is_some() {
@@ -371,7 +428,7 @@
     }
     bench.pass(millis(20));
     for (_, id) in answers {
-        bench.end(id, 0, Outcome::Good, millis(10));
+        bench.end(id, 0, Outcome::Success, millis(10));
     }
     f64::from(admitted) / seconds
 }
@@ -429,7 +486,7 @@
     let cut = limits(&bench);
     assert!(cut[0] < 60.0, "{cut:?}");
     let mut other = quotas(&[Some(100.0), Some(50.0), Some(30.0)]);
-    other.prices.cross_zone = 0.01;
+    other.costs.cross_zone = 0.01;
     bench.tell(Event::Reconfigured(other));
     let kept = limits(&bench);
     assert_eq!(kept[..2], cut[..2]);
@@ -463,7 +520,7 @@
     assert!(sent(&actions).is_some());
     bench.tell(Event::Reconfigured(quotas(&[Some(50.0), Some(20.0)])));
     bench.pass(millis(10));
-    bench.end(early, 0, Outcome::Good, millis(10));
+    bench.end(early, 0, Outcome::Success, millis(10));
     let mut fresh = self::bench(quotas(&[Some(50.0), Some(20.0)]));
     for tenant in [0, 1] {
         let (held, usual) =
@@ -488,10 +545,10 @@
 /// Guards the tier: with more copies each sends to a part of it, with fewer again to all.
 #[test]
 fn the_subset_follows_the_number_of_copies() {
-    let with = |copies| Settings { index: 1, copies, ..single(Effect::Safe) };
+    let with = |replicas| Settings { replica_index: 1, replicas, ..single(Idempotency::Idempotent) };
     let mut bench = Bench::new(with(1), 7, (0..64).map(member).collect());
     let seen = |bench: &mut Bench| {
-        let mut seen: Vec<_> = (0..2000).flat_map(|_| bench.run(|_| (Outcome::Good, millis(1)))).collect();
+        let mut seen: Vec<_> = (0..2000).flat_map(|_| bench.run(|_| (Outcome::Success, millis(1)))).collect();
         seen.sort_unstable();
         seen.dedup();
         seen.len()
@@ -506,16 +563,16 @@
 /// Guards the first list, from which a copy learns how far it spreads: a change before it leaves it the first.
 #[test]
 fn a_change_before_the_first_list_is_none_to_the_subset() {
-    let with = |copies| Settings { copies, zones: 2, ..single(Effect::Safe) };
+    let with = |replicas| Settings { replicas, zones: 2, ..single(Idempotency::Idempotent) };
     let members: Vec<Member> =
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
     let picked = |first| {
         let mut bench = Bench::new(with(first), 7, Vec::new());
         let mut balancer = Balancer::new(with(first), 7).expect("they make sense");
         balancer.handle(START, Event::Reconfigured(with(3)), &mut Vec::new());
-        balancer.handle(START, Event::List(ListUpdate::Whole(members.clone())), &mut Vec::new());
+        balancer.handle(START, Event::List(ListUpdate::Snapshot(members.clone())), &mut Vec::new());
         bench.balancer = balancer;
-        (0..200).flat_map(|_| bench.run(|_| (Outcome::Good, millis(1)))).collect::<Vec<_>>()
+        (0..200).flat_map(|_| bench.run(|_| (Outcome::Success, millis(1)))).collect::<Vec<_>>()
     };
     assert_eq!(picked(2), picked(3));
 }
@@ -532,21 +589,21 @@
         but(|settings| settings.classes.truncate(2)),
         but(|settings| settings.tenants.truncate(2)),
         but(|settings| settings.classes.clear()),
-        but(|settings| settings.index = 1),
+        but(|settings| settings.replica_index = 1),
         but(|settings| settings.tier = 1),
         but(|settings| settings.zone = ZoneId(1)),
         but(|settings| settings.zones = 1),
         but(|settings| settings.kinds = 0),
-        but(|settings| settings.copies = 0),
-        but(|settings| settings.allowed.attempts = 0),
-        but(|settings| settings.allowed.streams = 0),
-        but(|settings| settings.classes[0].aim = millis(9000)),
-        but(|settings| settings.classes[1].late_worth = f64::NAN),
+        but(|settings| settings.replicas = 0),
+        but(|settings| settings.permissions.max_attempts = 0),
+        but(|settings| settings.permissions.streams_per_connection = 0),
+        but(|settings| settings.classes[0].latency_objective = millis(9000)),
+        but(|settings| settings.classes[1].late_weight = f64::NAN),
         but(|settings| settings.tenants[0].quota = Some(-1.0)),
         but(|settings| settings.tenants[0].quota = Some(f64::INFINITY)),
-        but(|settings| settings.over_share_worth = 2.0),
-        but(|settings| settings.rules.cold_share = 0.0),
-        but(|settings| settings.prices.waste = -0.1),
+        but(|settings| settings.over_quota_weight = 2.0),
+        but(|settings| settings.rules.slow_start_min_fraction = 0.0),
+        but(|settings| settings.costs.wasted_work = -0.1),
     ];
     for other in refused_ones {
         let mut bench = bench(settings());
@@ -568,15 +625,15 @@
         let mut world = World::play(seed, requests, |number| {
             number.is_multiple_of(20).then(|| {
                 let mut other = settings();
-                other.copies = draws.rand_range(1..9) as u32;
+                other.replicas = draws.rand_range(1..9) as u32;
                 for tenant in &mut other.tenants {
                     tenant.quota = (draws.rand_float() < 0.8).then(|| draws.rand_float() * 200.0);
                 }
-                other.classes[0].aim = millis(100 + draws.rand_range(0..900));
-                other.allowed.attempts = draws.rand_range(1..5) as u32;
+                other.classes[0].latency_objective = millis(100 + draws.rand_range(0..900));
+                other.permissions.max_attempts = draws.rand_range(1..5) as u32;
                 changed |= number >= middle;
                 if changed {
-                    other.classes[2].effect = Effect::Safe;
+                    other.classes[2].idempotency = Idempotency::Idempotent;
                 }
                 Event::Reconfigured(other)
             })
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -29,7 +29,7 @@
     /// Changes one upstream: its phase, or a restart.
     Change {
         upstream: u32,
-        phase: Phase,
+        lifecycle: Lifecycle,
         restarted: bool,
     },
     Replace {
@@ -45,48 +45,48 @@
 
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
-        4 => Just(Outcome::Good),
+        4 => Just(Outcome::Success),
         2 => Just(Outcome::Error),
         2 => Just(Outcome::Refused),
         1 => Just(Outcome::ConnectFailed),
         1 => Just(Outcome::ConnectTimedOut),
         1 => Just(Outcome::Reset),
         1 => Just(Outcome::NotSent),
-        1 => Just(Outcome::Rejected),
+        1 => Just(Outcome::InvalidRequest),
     ]
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let phase = prop_oneof![3 => Just(Phase::Ready), 1 => Just(Phase::Draining), 1 => Just(Phase::Gone)];
+    let lifecycle = prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Removed)];
     prop_oneof![
         4 => (1u64..400).prop_map(Step::Pass),
         8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Ask { class, time_left }),
         8 => (any::<usize>(), outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
         1 => any::<usize>().prop_map(|which| Step::Leave { which }),
-        2 => (0u32..8, phase, any::<bool>())
-            .prop_map(|(upstream, phase, restarted)| Step::Change { upstream, phase, restarted }),
+        2 => (0u32..8, lifecycle, any::<bool>())
+            .prop_map(|(upstream, lifecycle, restarted)| Step::Change { upstream, lifecycle, restarted }),
         1 => (0u32..9, any::<bool>()).prop_map(|(keep, stale)| Step::Replace { keep, stale }),
         1 => Just(Step::Broken),
         1 => (0u32..10).prop_map(|upstream| Step::Connected { upstream }),
     ]
 }
 
-fn settings(second_copies: bool, subscribe: bool) -> Settings {
-    let class = |effect, late_worth| Class { late_worth, ..common::class(effect) };
-    let keyed = |scope| Effect::Keyed { scope, window: millis(800) };
+fn settings(hedging: bool, subscribe: bool) -> Settings {
+    let class = |idempotency, late_weight| Class { late_weight, ..common::class(idempotency) };
+    let keyed = |scope| Idempotency::IdempotencyKey { scope, window: millis(800) };
     let mut settings = Settings::single_zone(vec![
-        class(Effect::Safe, 0.0),
-        class(Effect::Unsafe, 0.5),
-        class(keyed(DedupScope::All), 0.5),
-        class(keyed(DedupScope::Zone), 0.0),
-        class(keyed(DedupScope::Cell), 0.5),
+        class(Idempotency::Idempotent, 0.0),
+        class(Idempotency::NotIdempotent, 0.5),
+        class(keyed(DeduplicationScope::All), 0.5),
+        class(keyed(DeduplicationScope::Zone), 0.0),
+        class(keyed(DeduplicationScope::Cell), 0.5),
     ]);
     settings.zones = 2;
-    settings.allowed.second_copies = second_copies;
-    settings.allowed.attempts = 4;
+    settings.permissions.hedging = hedging;
+    settings.permissions.max_attempts = 4;
     if subscribe {
         settings.discovery = DiscoveryMode::Subscribe;
-        settings.rules.ask_within = Some(millis(10_000));
+        settings.rules.poll_interval_max = Some(millis(10_000));
     }
     settings
 }
@@ -96,7 +96,7 @@
 }
 
 struct Sent {
-    upstream: UpstreamId,
+    upstream: EndpointId,
     at: Duration,
     until: Duration,
     ended: Option<Outcome>,
@@ -117,7 +117,7 @@
     settings: Settings,
     now: Duration,
     held: BTreeMap<RequestId, Held>,
-    list: BTreeMap<UpstreamId, Member>,
+    list: BTreeMap<EndpointId, Member>,
     wake: Option<Duration>,
     /// Since when the copy neither has a subscription nor has asked.
     unasked: Option<Duration>,
@@ -151,31 +151,31 @@
 
     fn check(&mut self, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout, begin_within, last } => {
+            Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
                 let held = self.held.get_mut(&request).expect("a request that it has");
                 assert!(held.finals == 0 && !held.over, "sent after its end");
                 assert!(self.now < held.deadline, "sent after the deadline");
                 let target = self.list.get(&upstream).expect("an upstream that a list has named");
-                assert_eq!(target.phase, Phase::Ready, "sent to one that drains or is gone");
+                assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to one that drains or is gone");
                 let out = held.attempts.iter().filter(|sent| sent.ended.is_none()).count();
-                assert!(out == 0 || self.settings.allowed.second_copies, "two attempts at once");
-                let allowed = self.settings.allowed.attempts as usize;
+                assert!(out == 0 || self.settings.permissions.hedging, "two attempts at once");
+                let allowed = self.settings.permissions.max_attempts as usize;
                 assert!(held.attempts.len() < allowed);
-                assert!(last || held.attempts.len() + 1 < allowed, "another is said to follow");
+                assert!(is_last_attempt || held.attempts.len() + 1 < allowed, "another is said to follow");
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
                 if let Some(first) = held.attempts.iter().find(ran) {
-                    match self.settings.classes[held.class].effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("an unsafe request sent twice"),
-                        Effect::Keyed { scope, window } => {
+                    match self.settings.classes[held.class].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NotIdempotent => panic!("an unsafe request sent twice"),
+                        Idempotency::IdempotencyKey { scope, window } => {
                             assert!(self.now <= first.at + window, "past the window");
-                            let by = self.now + begin_within.expect("the window bounds its begin");
+                            let by = self.now + first_byte_deadline.expect("the window bounds its begin");
                             assert!(by <= first.at + window + Duration::from_micros(1), "may begin past it");
                             let (one, two) = (member(first.upstream.0), member(upstream.0));
                             match scope {
-                                DedupScope::All => {}
-                                DedupScope::Zone => assert_eq!(one.zone, two.zone),
-                                DedupScope::Cell => assert_eq!(one.cell, two.cell),
+                                DeduplicationScope::All => {}
+                                DeduplicationScope::Zone => assert_eq!(one.zone, two.zone),
+                                DeduplicationScope::Cell => assert_eq!(one.cell, two.cell),
                             }
                         }
                     }
@@ -188,9 +188,10 @@
                 held.finals += 1;
                 assert!(held.finals == 1 && !held.over, "a second final answer");
                 let ran = held.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
-                let free = match self.settings.classes[held.class].effect {
-                    Effect::Safe | Effect::Keyed { scope: DedupScope::All, .. } => true,
-                    Effect::Keyed { .. } | Effect::Unsafe => false,
+                let free = match self.settings.classes[held.class].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
+                    Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => false,
                 };
                 assert!(free || !ran, "refused though it may have run");
             }
@@ -199,17 +200,17 @@
                 held.finals += 1;
                 assert!(held.finals == 1 && !held.over, "a second final answer");
             }
-            Action::WakeAfter(span) => self.wake = Some(self.now + span),
+            Action::ScheduleMaintenance(span) => self.wake = Some(self.now + span),
             Action::Subscribe => self.unasked = Some(self.now),
-            Action::Withdraw { request, attempt } => {
+            Action::CancelAttempt { request, attempt } => {
                 let held = self.held.get(&request).expect("a request that it has");
                 assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
             }
-            Action::Probe { upstream } => {
-                assert!(self.settings.allowed.probes, "a health check that is not allowed");
+            Action::HealthCheck { upstream } => {
+                assert!(self.settings.permissions.health_checks, "a health check that is not allowed");
                 assert!(self.list.contains_key(&upstream), "checked one that no list has named");
             }
-            Action::DropIdle { upstream } => assert!(self.list.contains_key(&upstream)),
+            Action::CloseIdle { upstream } => assert!(self.list.contains_key(&upstream)),
             Action::Log(_) => {}
         }
     }
@@ -227,7 +228,7 @@
                 Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
                 None => {
                     self.wake = None;
-                    self.tell(Event::Wake);
+                    self.tell(Event::MaintenanceDue);
                 }
             }
             self.check_asked();
@@ -240,7 +241,7 @@
     }
 
     fn check_asked(&self) {
-        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.ask_within) {
+        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.poll_interval_max) {
             assert!(self.now <= since + within, "has not asked for the list in time");
         }
     }
@@ -255,12 +256,20 @@
     fn end(&mut self, request: RequestId, n: usize, outcome: Outcome) {
         let held = self.held.get_mut(&request).expect("held");
         held.attempts[n].ended = Some(outcome);
-        let took = self.now - held.attempts[n].at;
-        held.over |= outcome == Outcome::Good;
+        let duration = self.now - held.attempts[n].at;
+        held.over |= outcome == Outcome::Success;
         let finished = held.over || held.finals > 0;
         let attempt = AttemptNumber(n as u32);
-        let connecting = millis(0);
-        self.tell(Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load: None });
+        let connect_wait = millis(0);
+        self.tell(Event::AttemptEnded {
+            request,
+            attempt,
+            outcome,
+            duration,
+            connect_wait,
+            finished,
+            load: None,
+        });
         let held = &self.held[&request];
         let out = held.attempts.iter().any(|sent| sent.ended.is_none());
         assert!(held.over || held.finals == 1 || out, "left without an attempt or an answer");
@@ -271,7 +280,7 @@
         if !stale {
             self.unasked = None;
         }
-        let update = if stale { ListUpdate::StaleCopy(members) } else { ListUpdate::Whole(members) };
+        let update = if stale { ListUpdate::CachedSnapshot(members) } else { ListUpdate::Snapshot(members) };
         self.tell(Event::List(update));
     }
 
@@ -288,10 +297,10 @@
                     id,
                     class: ClassId(class),
                     tenant: None,
-                    key: None,
+                    subject: None,
                     time_left: millis(time_left),
                     expected_work: None,
-                    repeat: false,
+                    is_client_retry: false,
                 }));
                 let held = &self.held[&id];
                 assert!(held.finals == 1 || !held.attempts.is_empty(), "neither sent nor answered");
@@ -306,18 +315,18 @@
                 let ids: Vec<_> = self.held.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
                     self.held.get_mut(id).expect("held").over = true;
-                    self.tell(Event::ClientLeft(*id));
+                    self.tell(Event::ClientDisconnected(*id));
                 }
             }
-            Step::Change { upstream, phase, restarted } => {
+            Step::Change { upstream, lifecycle, restarted } => {
                 let started = if restarted { Some(self.now) } else { None };
-                let member = Member { phase, started, ..member(upstream) };
+                let member = Member { lifecycle, started, ..member(upstream) };
                 self.list.insert(member.id, member);
                 self.unasked = None;
-                self.tell(Event::List(ListUpdate::Patch(vec![member])));
+                self.tell(Event::List(ListUpdate::Delta(vec![member])));
             }
             Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
-            Step::Connected { upstream } => self.tell(Event::Connected(UpstreamId(upstream))),
+            Step::Connected { upstream } => self.tell(Event::Connected(EndpointId(upstream))),
             Step::Broken => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
                     self.unasked.get_or_insert(self.now);
@@ -334,11 +343,11 @@
     #[test]
     fn the_rules_hold_over_any_legal_events(
         seed in any::<u64>(),
-        second_copies in any::<bool>(),
+        hedging in any::<bool>(),
         subscribe in any::<bool>(),
         steps in proptest::collection::vec(step(), 1..250),
     ) {
-        let mut world = World::new(settings(second_copies, subscribe), seed);
+        let mut world = World::new(settings(hedging, subscribe), seed);
         for step in steps {
             world.step(step);
         }
@@ -354,8 +363,8 @@
         refusing in any::<bool>(),
     ) {
         let mut settings = settings(false, false);
-        settings.rules.cold_share = 0.15;
-        settings.rules.cold_time = millis(20_000);
+        settings.rules.slow_start_min_fraction = 0.15;
+        settings.rules.slow_start_window = millis(20_000);
         settings.rules.overload_window = millis(2_000);
         let rules = settings.rules.clone();
         let mut world = World::new(settings, seed);
@@ -368,7 +377,7 @@
             for (id, n) in world.outs() {
                 sends.push((world.now, world.held[&id].attempts[n].upstream.0));
                 let cold_one = world.held[&id].attempts[n].upstream.0 < cold;
-                world.end(id, n, if refusing && cold_one { Outcome::Refused } else { Outcome::Good });
+                world.end(id, n, if refusing && cold_one { Outcome::Refused } else { Outcome::Success });
             }
             world.pass(millis(gap));
         }
@@ -380,7 +389,7 @@
             let end = started + millis(second * 1_000);
             let warm = (cold..8).map(|id| within(id, end)).fold(0.0, f64::max);
             let age = (second as f64 - window.as_secs_f64()).max(0.0);
-            let warmth = rules.cold_share + (1.0 - rules.cold_share) * age / 20.0;
+            let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
             let budget = rules.overload_multiple * warmth * warm + 2.0;
             for id in 0..cold {
                 prop_assert!(within(id, end) <= budget, "{} sent, budget {budget}", within(id, end));
@@ -396,20 +405,20 @@
         let mut balancer = Balancer::new(settings(false, true), 11).unwrap();
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
-        balancer.handle(START, Event::List(ListUpdate::Whole((0..8).map(member).collect())), &mut actions);
+        balancer.handle(START, Event::List(ListUpdate::Snapshot((0..8).map(member).collect())), &mut actions);
         for id in 0..300 {
             let now = START + millis(id * 7);
             let request = Request {
                 id: RequestId(id),
                 class: ClassId(id as usize % 5),
                 tenant: None,
-                key: None,
+                subject: None,
                 time_left: millis(900),
                 expected_work: None,
-                repeat: false,
+                is_client_retry: false,
             };
             balancer.handle(now, Event::Request(request), &mut actions);
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::MaintenanceDue, &mut actions);
         }
         actions
     };
@@ -423,7 +432,7 @@
     let id = RequestId(0);
     world.tell(Event::StreamStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
-    world.balancer.handle(world.now + millis(5000), Event::ClientLeft(id), &mut actions);
+    world.balancer.handle(world.now + millis(5000), Event::ClientDisconnected(id), &mut actions);
     assert_eq!(actions, []);
 }
 
@@ -437,11 +446,14 @@
     assert_eq!(with(|_| {}), None);
     assert_eq!(with(|settings| settings.classes.clear()), Some(SettingsError::NoClass));
     assert_eq!(with(|settings| settings.zone = ZoneId(2)), Some(SettingsError::UnknownZone));
-    assert_eq!(with(|settings| settings.copies = 0), Some(SettingsError::NoCopies));
-    assert_eq!(with(|settings| settings.allowed.attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|settings| settings.classes[1].aim = millis(9_000)), Some(SettingsError::ClassTimes(1)));
+    assert_eq!(with(|settings| settings.replicas = 0), Some(SettingsError::NoReplicas));
+    assert_eq!(with(|settings| settings.permissions.max_attempts = 0), Some(SettingsError::NoAttempts));
+    assert_eq!(
+        with(|settings| settings.classes[1].latency_objective = millis(9_000)),
+        Some(SettingsError::ClassTimes(1))
+    );
     assert_eq!(
-        with(|settings| settings.rules.cold_share = f64::NAN),
+        with(|settings| settings.rules.slow_start_min_fraction = f64::NAN),
         Some(SettingsError::OutOfRange("cold share"))
     );
 }
@@ -451,33 +463,33 @@
 fn unknown_classes_upstreams_and_requests_do_no_harm() {
     let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
     let mut actions = Vec::new();
-    balancer.handle(START, Event::List(ListUpdate::Whole(Vec::new())), &mut actions);
+    balancer.handle(START, Event::List(ListUpdate::Snapshot(Vec::new())), &mut actions);
     let request = Request {
         id: RequestId(7),
         class: ClassId(99),
         tenant: Some(TenantId(99)),
-        key: None,
+        subject: None,
         time_left: millis(0),
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     };
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions, [Action::Refuse { request: RequestId(7), retry_after: None }]);
     actions.clear();
-    balancer.handle(START, Event::List(ListUpdate::Whole(vec![member(1)])), &mut actions);
+    balancer.handle(START, Event::List(ListUpdate::Snapshot(vec![member(1)])), &mut actions);
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions.len(), 1, "an id in use is not taken twice");
     actions.clear();
     for id in [7, 8] {
-        balancer.handle(START, Event::ClientLeft(RequestId(id)), &mut actions);
+        balancer.handle(START, Event::ClientDisconnected(RequestId(id)), &mut actions);
         let ended = Event::AttemptEnded {
             request: RequestId(id),
             attempt: AttemptNumber(5),
-            outcome: Outcome::Good,
-            took: millis(0),
-            connecting: millis(0),
+            outcome: Outcome::Success,
+            duration: millis(0),
+            connect_wait: millis(0),
             finished: true,
             load: None,
         };
@@ -485,27 +497,32 @@
         let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
-    let odd = Event::Probed { upstream: UpstreamId(99), outcome: Outcome::Good, took: millis(1), load: None };
+    let odd = Event::HealthChecked {
+        upstream: EndpointId(99),
+        outcome: Outcome::Success,
+        duration: millis(1),
+        load: None,
+    };
     balancer.handle(START, odd, &mut actions);
-    balancer.handle(START, Event::Connected(UpstreamId(99)), &mut actions);
-    assert!(actions.iter().all(|action| matches!(action, Action::Withdraw { .. })));
+    balancer.handle(START, Event::Connected(EndpointId(99)), &mut actions);
+    assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
 
 /// Upstreams of zones that the settings do not name need not share one: what may have run at the first is not
 /// repeated at the second, as if 'unknown' were a zone of its own.
 #[test]
 fn upstreams_of_unknown_zones_share_no_zone() {
-    let keyed = Effect::Keyed { scope: DedupScope::Zone, window: millis(5000) };
+    let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: millis(5000) };
     let members = (0..2).map(|id| Member { zone: None, ..common::member(id) }).collect();
     let mut bench = common::Bench::new(Settings::single_zone(vec![common::class(keyed)]), 3, members);
     let request = Request {
         id: RequestId(1),
         class: ClassId(0),
         tenant: None,
-        key: None,
+        subject: None,
         time_left: millis(3000),
         expected_work: None,
-        repeat: false,
+        is_client_retry: false,
     };
     let sent = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Send { .. }));
     assert!(sent(&bench.tell(Event::Request(request))));
@@ -513,8 +530,8 @@
         request: RequestId(1),
         attempt: AttemptNumber(0),
         outcome: Outcome::Reset,
-        took: millis(1),
-        connecting: millis(0),
+        duration: millis(1),
+        connect_wait: millis(0),
         finished: false,
         load: None,
     });
@@ -523,9 +540,9 @@
 
 /// The seconds from a word of discovery's until the copy asks for a new watch, after five failures in a row.
 fn asks_after(mode: DiscoveryMode, word: ListUpdate) -> f64 {
-    let mut settings = Settings::single_zone(vec![class(Effect::Safe)]);
+    let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = mode;
-    settings.rules.ask_within = Some(millis(10_000));
+    settings.rules.poll_interval_max = Some(millis(10_000));
     let mut balancer = Balancer::new(settings, 7).expect("the settings make sense");
     let mut now = START;
     let mut asked = |balancer: &mut Balancer, event: Event| {
@@ -533,7 +550,7 @@
         balancer.handle(now, event, &mut actions);
         while !actions.contains(&Action::Subscribe) {
             now += millis(200);
-            balancer.handle(now, Event::Wake, &mut actions);
+            balancer.handle(now, Event::MaintenanceDue, &mut actions);
         }
         (now - said).as_secs_f64()
     };
@@ -550,6 +567,6 @@
 #[test]
 fn failures_hold_back_neither_a_moved_discovery_nor_an_agent() {
     assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Broken) > 1.0);
-    assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Moved) < 0.8);
+    assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Relocated) < 0.8);
     assert!(asks_after(DiscoveryMode::Agent, ListUpdate::Broken) < 0.25);
 }
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -11,16 +11,16 @@
 use proptest::test_runner::RngSeed;
 
 fn settings() -> Settings {
-    Settings::single_zone(vec![class(Effect::Safe)])
+    Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
 /// The upstreams that a copy uses, over many calls.
-fn used(index: u32, copies: u32, upstreams: u32) -> Vec<u32> {
-    let settings = Settings { index, copies, ..settings() };
-    let mut bench = Bench::new(settings, u64::from(index), (0..upstreams).map(member).collect());
+fn used(replica_index: u32, replicas: u32, upstreams: u32) -> Vec<u32> {
+    let settings = Settings { replica_index, replicas, ..settings() };
+    let mut bench = Bench::new(settings, u64::from(replica_index), (0..upstreams).map(member).collect());
     let mut used = BTreeMap::new();
     for _ in 0..400 {
-        let tried = bench.run(|_| (Outcome::Good, millis(10)));
+        let tried = bench.run(|_| (Outcome::Success, millis(10)));
         used.insert(tried[0].0, ());
     }
     used.into_keys().collect()
@@ -31,10 +31,10 @@
 
     /// No upstream is left bare and none is used by far more copies than another.
     #[test]
-    fn subsets_cover_the_tier_evenly(copies in 1u32..40, upstreams in 1u32..60) {
+    fn subsets_cover_the_tier_evenly(replicas in 1u32..40, upstreams in 1u32..60) {
         let mut covered = vec![0u32; upstreams as usize];
-        for index in 0..copies {
-            for upstream in used(index, copies, upstreams) {
+        for replica_index in 0..replicas {
+            for upstream in used(replica_index, replicas, upstreams) {
                 covered[upstream as usize] += 1;
             }
         }
@@ -77,10 +77,10 @@
     let mut first = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream {
-            UpstreamId(0) => (bad.0, millis(bad.1)),
-            _ => (Outcome::Good, millis(good_ms)),
+            EndpointId(0) => (bad.0, millis(bad.1)),
+            _ => (Outcome::Success, millis(good_ms)),
         });
-        first += u32::from(tried.first() == Some(&UpstreamId(0)));
+        first += u32::from(tried.first() == Some(&EndpointId(0)));
     }
     f64::from(first) / f64::from(calls)
 }
@@ -89,11 +89,11 @@
 #[test]
 fn a_failing_upstream_is_set_aside_and_comes_back() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 200, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 200, (Outcome::Success, 20), 20);
     let failing = share_of_first(&mut bench, 1000, (Outcome::Error, 2), 20);
     assert!(failing < 0.04, "{failing} of the calls still went to it");
-    share_of_first(&mut bench, 1500, (Outcome::Good, 20), 20);
-    let back = share_of_first(&mut bench, 500, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 1500, (Outcome::Success, 20), 20);
+    let back = share_of_first(&mut bench, 500, (Outcome::Success, 20), 20);
     assert!(back > 0.1, "{back} of the calls go to it after it has recovered");
 }
 
@@ -101,8 +101,8 @@
 #[test]
 fn a_slow_upstream_gets_a_smaller_part() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
-    let slow = share_of_first(&mut bench, 600, (Outcome::Good, 100), 20);
+    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
+    let slow = share_of_first(&mut bench, 600, (Outcome::Success, 100), 20);
     assert!(slow < 0.07, "{slow} of the calls went to it");
 }
 
@@ -110,14 +110,14 @@
 #[test]
 fn a_silent_upstream_gets_no_more_while_it_owes_answers() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let mut swallowed = 0;
     for _ in 0..200 {
         let (id, actions) = bench.offer(None);
         bench.pass(millis(20));
         match sent(&actions) {
-            Some(UpstreamId(0)) => swallowed += 1,
-            _ => drop(bench.end(id, 0, Outcome::Good, millis(20))),
+            Some(EndpointId(0)) => swallowed += 1,
+            _ => drop(bench.end(id, 0, Outcome::Success, millis(20))),
         }
     }
     assert!(swallowed <= 2, "it swallowed {swallowed} calls");
@@ -125,7 +125,7 @@
 
 fn two_zones(tier: usize, price: f64) -> Bench {
     let mut settings = Settings { zones: 2, tier, ..settings() };
-    settings.prices.cross_zone = price;
+    settings.costs.cross_zone = price;
     let members = (0..8).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) });
     Bench::new(settings, 9, members.collect())
 }
@@ -135,8 +135,8 @@
     let mut home = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream.0 % 2 {
-            0 => (Outcome::Good, millis(home_ms)),
-            _ => (Outcome::Good, millis(50)),
+            0 => (Outcome::Success, millis(home_ms)),
+            _ => (Outcome::Success, millis(50)),
         });
         home += u32::from(tried[0].0.is_multiple_of(2));
     }
@@ -166,8 +166,8 @@
 #[test]
 fn a_cold_upstream_gets_its_part_of_what_warm_ones_get() {
     let mut settings = settings();
-    settings.rules.cold_share = 0.1;
-    settings.rules.cold_time = millis(20_000);
+    settings.rules.slow_start_min_fraction = 0.1;
+    settings.rules.slow_start_window = millis(20_000);
     let mut members: Vec<Member> = (0..5).map(member).collect();
     members[0].started = Some(START);
     let mut bench = Bench::new(settings, 3, members);
@@ -176,7 +176,7 @@
         let second = bench.now;
         let (mut cold, mut all) = (0, 0);
         while bench.now < second + millis(1000) {
-            let tried = bench.run(|_| (Outcome::Good, millis(10)));
+            let tried = bench.run(|_| (Outcome::Success, millis(10)));
             cold += u32::from(tried[0].0 == 0);
             all += 1;
         }
@@ -197,7 +197,7 @@
 fn denied_calls_earn_no_further_attempts() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota: Some(2.0) }];
-    settings.over_share_worth = 0.0;
+    settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
     let (mut first, mut further) = (0, 0);
     for _ in 0..2000 {
@@ -222,7 +222,7 @@
 #[test]
 fn an_attempt_is_not_given_up_before_its_aim() {
     let mut bench = Bench::new(settings(), 3, (0..8).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Good, 20), 20);
+    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let (_, actions) = bench.offer(None);
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => *timeout,
@@ -239,7 +239,7 @@
     for call in 0..600 {
         let tried = bench.run(|upstream| match upstream.0 {
             0..5 => (Outcome::ConnectFailed, millis(20)),
-            _ => (Outcome::Good, millis(20)),
+            _ => (Outcome::Success, millis(20)),
         });
         lost += u32::from(call >= 100 && tried[0].0 < 5);
     }
@@ -252,12 +252,12 @@
 fn a_sparse_copy_keeps_to_open_connections_where_handshakes_are_priced() {
     let distinct = |price: f64| {
         let mut settings = settings();
-        settings.prices.handshake = price;
-        settings.allowed.streams = 1;
+        settings.costs.handshake = price;
+        settings.permissions.streams_per_connection = 1;
         let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
         let mut used = BTreeMap::new();
         for _ in 0..60 {
-            used.insert(bench.run(|_| (Outcome::Good, millis(10)))[0], ());
+            used.insert(bench.run(|_| (Outcome::Success, millis(10)))[0], ());
             bench.pass(millis(300));
         }
         used.len()
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{
-    DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time, UpstreamId,
+    DiscoveryMode, EndpointId, ListUpdate, Request, RequestId, SettingsError, Time,
 };
 use balancer_policy::{Balancer, Event, Settings};
 use balancer_settings::{Loaded, Names};
@@ -95,7 +95,7 @@
         let mut loaded = config.loaded;
         fit_to_sockets(&mut loaded.settings);
         let patience = Patience::of(loaded.settings.discovery);
-        let keepalive = loaded.settings.allowed.keepalive;
+        let keepalive = loaded.settings.permissions.keepalive;
         let offered = Offered::new(&loaded.names, &loaded.settings);
         // The subscription asks for what came after the list in hand, so that its version is noted first.
         let index = config.known.as_ref().map_or(0, |known| known.index);
@@ -207,7 +207,7 @@
             endpoints.ready(),
             endpoints.listed(),
             endpoints.index(),
-            balancer.vitals(),
+            balancer.stats_snapshot(),
         ));
     }
 
@@ -215,7 +215,7 @@
 
     /// The connections to an upstream, if discovery's latest update allows new work for it at this address.
     #[must_use]
-    pub fn host(&self, upstream: UpstreamId, address: SocketAddr) -> Option<Rc<Host>> {
+    pub fn host(&self, upstream: EndpointId, address: SocketAddr) -> Option<Rc<Host>> {
         let state = self.state.borrow();
         let endpoint = state.endpoints.ready_endpoint_at(upstream, address)?;
         Some(self.pool.host(upstream, address, endpoint.zone))
@@ -229,7 +229,7 @@
 
     /// Whether discovery's latest update allows new work for an upstream at this address.
     #[must_use]
-    pub fn may_send(&self, upstream: UpstreamId, address: SocketAddr) -> bool {
+    pub fn may_send(&self, upstream: EndpointId, address: SocketAddr) -> bool {
         self.state.borrow().endpoints.ready_endpoint_at(upstream, address).is_some()
     }
 
@@ -273,16 +273,16 @@
             id,
             class: taken.class,
             tenant: taken.tenant,
-            key: taken.key,
+            subject: taken.subject,
             time_left: taken.deadline.saturating_duration_since(Instant::now()),
             expected_work: taken.expected_work,
-            repeat: taken.repeat,
+            is_client_retry: taken.is_client_retry,
         }));
         (id, receiver)
     }
 
     /// The client has left, or its time is up: nothing more is owed.
-    pub fn client_left(self: &Rc<Self>, id: RequestId) {
+    pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
             if !state.requests.abandon(id) {
@@ -290,17 +290,17 @@
             }
             state.counters.left += 1;
         }
-        self.handle(Event::ClientLeft(id));
+        self.handle(Event::ClientDisconnected(id));
     }
 
     /// An attempt is over.
     pub fn attempt_ended(self: &Rc<Self>, job: &Job, ended: Ended) {
-        let took = job.asked.elapsed();
+        let duration = job.asked.elapsed();
         let result = {
             let mut state = self.state.borrow_mut();
             let result = state.requests.end_attempt(job.request, job.attempt, ended.body);
             let Some(result) = result else { return };
-            state.counters.attempt(ended.outcome, took);
+            state.counters.attempt(ended.outcome, duration);
             state.counters.served += u32::from(result.served);
             result
         };
@@ -308,8 +308,8 @@
             request: job.request,
             attempt: job.attempt,
             outcome: ended.outcome,
-            took,
-            connecting: ended.connecting.unwrap_or(took),
+            duration,
+            connect_wait: ended.connect_wait.unwrap_or(duration),
             finished: result.finished,
             load: ended.load,
         });
@@ -322,14 +322,14 @@
         if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
             return;
         }
-        self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Patch });
+        self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Delta });
         self.note_heartbeat();
         // To the decisions an update means that the watch stands. On one at the address of before it must not keep them
         // from asking at the new one.
         let moved = self.state.borrow().watch.address != self.discovery.get();
         if moved {
             self.state.borrow_mut().watch.abort();
-            self.handle(Event::List(ListUpdate::Moved));
+            self.handle(Event::List(ListUpdate::Relocated));
         }
     }
 
@@ -343,7 +343,7 @@
     pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
             crate::log(format_args!("discovery is at {address} now"));
-            self.handle(Event::List(ListUpdate::Moved));
+            self.handle(Event::List(ListUpdate::Relocated));
         }
     }
 
@@ -372,7 +372,7 @@
         fit_to_sockets(&mut settings);
         let offered = self.offered().followed_by(&names, &mut settings)?;
         settings.validate()?;
-        self.pool.reconfigure(connect_timeout, settings.allowed.keepalive);
+        self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
         self.longest.set(self.longest.get().max(offered.longest()));
         self.offered.replace(Rc::new(offered));
         self.handle(Event::Reconfigured(settings));
@@ -414,6 +414,6 @@
         settings.discovery = DiscoveryMode::Agent;
     }
     // Where lists are asked for, the settings may allow to ask more seldom than changes count as told.
-    let ask_within = &mut settings.rules.ask_within;
-    *ask_within = Some(ask_within.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
+    let poll_interval_max = &mut settings.rules.poll_interval_max;
+    *poll_interval_max = Some(poll_interval_max.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{Outcome, RequestId, UpstreamId};
+use balancer_policy::interface::{EndpointId, Outcome, RequestId};
 use balancer_policy::{Action, Event};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -29,26 +29,26 @@
 
     fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout, begin_within, last } => {
-                self.send(state, &Send { request, upstream, timeout, begin_within, last });
+            Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
+                self.send(state, &Send { request, upstream, timeout, first_byte_deadline, is_last_attempt });
             }
-            Action::Withdraw { request, attempt } => state.requests.withdraw(request, attempt),
+            Action::CancelAttempt { request, attempt } => state.requests.cancel(request, attempt),
             Action::Refuse { request, retry_after } => state.refuse(request, retry_after),
             Action::Fail { request } => state.fail(request),
             Action::Subscribe => self.subscribe(state),
             // Health checks are not made here: where a site allowed them, they would end unsent.
-            Action::Probe { upstream } => state.events.push_back(Event::Probed {
+            Action::HealthCheck { upstream } => state.events.push_back(Event::HealthChecked {
                 upstream,
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
+                duration: Duration::ZERO,
                 load: None,
             }),
-            Action::DropIdle { upstream } => self.pool.close_idle(upstream),
-            Action::WakeAfter(span) => {
+            Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
+            Action::ScheduleMaintenance(span) => {
                 let driver = Rc::clone(self);
                 spawn_local(async move {
                     sleep(span).await;
-                    driver.handle(Event::Wake);
+                    driver.handle(Event::MaintenanceDue);
                 });
             }
             Action::Log(text) => crate::log(format_args!("{text}")),
@@ -71,7 +71,7 @@
     }
 
     fn send(self: &Rc<Self>, state: &mut State, send: &Send) {
-        let &Send { request, upstream, timeout, begin_within, last } = send;
+        let &Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } = send;
         let Some(in_flight) = state.requests.get_mut(request) else { return };
         let endpoint = state.endpoints.ready_endpoint(upstream);
         let Some(endpoint) = endpoint.filter(|_| in_flight.is_unanswered()) else {
@@ -80,8 +80,8 @@
                 request,
                 attempt: in_flight.skip_attempt(),
                 outcome: Outcome::NotSent,
-                took: Duration::ZERO,
-                connecting: Duration::ZERO,
+                duration: Duration::ZERO,
+                connect_wait: Duration::ZERO,
                 finished: !in_flight.is_unanswered(),
                 load: None,
             });
@@ -95,21 +95,21 @@
             address: endpoint.address,
             call: Rc::clone(in_flight.call()),
             asked,
-            begin_by: begin_within.map(|span| asked + span),
+            begin_by: first_byte_deadline.map(|span| asked + span),
             until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(asked + span)),
-            last,
+            is_last_attempt,
         };
-        spawn_local(upstream::attempt(Rc::clone(self), job, attempt.withdrawn));
+        spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
 }
 
 /// [`Action::Send`].
 struct Send {
     request: RequestId,
-    upstream: UpstreamId,
+    upstream: EndpointId,
     timeout: Option<Duration>,
-    begin_within: Option<Duration>,
-    last: bool,
+    first_byte_deadline: Option<Duration>,
+    is_last_attempt: bool,
 }
 
 impl State {
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, TenantId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, RequestId, TenantId};
 use bytes::Bytes;
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::sync::oneshot;
@@ -35,11 +35,11 @@
     /// Its tenant.
     pub tenant: Option<TenantId>,
     /// Its subject.
-    pub key: Option<u64>,
+    pub subject: Option<u64>,
     /// The work expected.
     pub expected_work: Option<Duration>,
     /// The client has marked it as a retry.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// When the answer must be out.
     pub deadline: Instant,
     /// What goes on to upstreams.
@@ -64,9 +64,9 @@
 #[derive(Debug, Default)]
 struct Attempt {
     /// Where it is out to, until it has ended.
-    upstream: Option<UpstreamId>,
+    upstream: Option<EndpointId>,
     /// Withdraws it, once.
-    withdraw: Option<oneshot::Sender<()>>,
+    cancel: Option<oneshot::Sender<()>>,
 }
 
 /// An attempt that has been entered into the table.
@@ -74,8 +74,8 @@
 pub struct StartedAttempt {
     /// Which of its request's attempts it is.
     pub number: AttemptNumber,
-    /// Resolves when it is withdrawn.
-    pub withdrawn: oneshot::Receiver<()>,
+    /// Resolves when it is cancelled.
+    pub cancelled: oneshot::Receiver<()>,
 }
 
 /// What the end of an attempt has meant for its request.
@@ -107,12 +107,12 @@
     }
 
     /// Enters an attempt that goes out.
-    pub fn start_attempt(&mut self, upstream: UpstreamId) -> StartedAttempt {
-        let (withdraw, withdrawn) = oneshot::channel();
+    pub fn start_attempt(&mut self, upstream: EndpointId) -> StartedAttempt {
+        let (cancel, cancelled) = oneshot::channel();
         let number = self.next_attempt();
-        self.attempts.push(Attempt { upstream: Some(upstream), withdraw: Some(withdraw) });
+        self.attempts.push(Attempt { upstream: Some(upstream), cancel: Some(cancel) });
         self.attempts_out += 1;
-        StartedAttempt { number, withdrawn }
+        StartedAttempt { number, cancelled }
     }
 
     /// Enters an attempt that ends before it goes out.
@@ -159,7 +159,7 @@
 
     /// The upstreams that attempts are out to.
     #[must_use]
-    pub fn upstreams(&self) -> FxHashSet<UpstreamId> {
+    pub fn upstreams(&self) -> FxHashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts.filter_map(|attempt| attempt.upstream).collect()
     }
@@ -221,13 +221,13 @@
         abandoned
     }
 
-    /// Withdraws an attempt, if it has neither ended nor been withdrawn.
-    pub fn withdraw(&mut self, id: RequestId, attempt: AttemptNumber) {
+    /// Cancels an attempt, if it has neither ended nor been cancelled.
+    pub fn cancel(&mut self, id: RequestId, attempt: AttemptNumber) {
         let attempt =
             self.requests.get_mut(&id).and_then(|request| request.attempts.get_mut(attempt.0 as usize));
-        if let Some(withdraw) = attempt.and_then(|attempt| attempt.withdraw.take()) {
+        if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
             // It may have ended this moment, which it then says itself.
-            let _ = withdraw.send(());
+            let _ = cancel.send(());
         }
     }
 
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, LoadReport, Outcome, RequestId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, EndpointId, LoadReport, Outcome, RequestId};
 use bytes::Bytes;
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -32,7 +32,7 @@
     /// The attempt.
     pub attempt: AttemptNumber,
     /// Where to.
-    pub upstream: UpstreamId,
+    pub upstream: EndpointId,
     /// Its address.
     pub address: SocketAddr,
     /// What to send.
@@ -44,14 +44,14 @@
     /// When it is given up.
     pub until: Instant,
     /// No other can follow: it waits for a connection for as long as the settings allow.
-    pub last: bool,
+    pub is_last_attempt: bool,
 }
 
 /// What must hold as the bytes of an attempt's request are written.
 struct Bounds {
     driver: Rc<EventLoop>,
     request: RequestId,
-    upstream: UpstreamId,
+    upstream: EndpointId,
     address: SocketAddr,
     begin_by: Option<Instant>,
     until: Instant,
@@ -100,12 +100,12 @@
     /// The load report, if one came.
     pub load: Option<LoadReport>,
     /// How long it had no connection, if it ever had one.
-    pub connecting: Option<Duration>,
+    pub connect_wait: Option<Duration>,
 }
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, body: None, load: None, connecting: None }
+        Self { outcome, body: None, load: None, connect_wait: None }
     }
 }
 
@@ -117,7 +117,7 @@
     /// Bytes of the request.
     size: Cell<u64>,
     /// How long the attempt had no connection.
-    connecting: Cell<Option<Duration>>,
+    connect_wait: Cell<Option<Duration>>,
 }
 
 impl Progress {
@@ -141,7 +141,7 @@
 }
 
 /// Makes an attempt and tells the driver how it ended.
-pub async fn attempt(driver: Rc<EventLoop>, job: Job, withdrawn: oneshot::Receiver<()>) {
+pub async fn attempt(driver: Rc<EventLoop>, job: Job, cancelled: oneshot::Receiver<()>) {
     let progress = Progress::default();
     let ended = match driver.host(job.upstream, job.address) {
         Some(host) => {
@@ -152,13 +152,13 @@
                     Ok(done) => Some(done),
                     // The exchange is dropped, and its connection closed with it.
                     Err(_) if progress.whole() => Some((Outcome::TimedOut.into(), None)),
-                    Err(_) if progress.connecting.get().is_none() => {
+                    Err(_) if progress.connect_wait.get().is_none() => {
                         Some((Outcome::ConnectTimedOut.into(), None))
                     }
                     // Closed before its last byte was written, it can't run any more.
                     Err(_) => Some((Outcome::ConnectFailed.into(), None)),
                 },
-                Ok(()) = withdrawn => Some((Outcome::Withdrawn.into(), None)),
+                Ok(()) = cancelled => Some((Outcome::Cancelled.into(), None)),
             }
             .map(|(ended, connection)| (ended, connection.map(|connection| (host, connection))))
         }
@@ -166,7 +166,7 @@
         None => Some((Outcome::ConnectFailed.into(), None)),
     };
     let Some((ended, connection)) = ended else { return };
-    driver.attempt_ended(&job, Ended { connecting: progress.connecting.get(), ..ended });
+    driver.attempt_ended(&job, Ended { connect_wait: progress.connect_wait.get(), ..ended });
     // The answer goes out first; then the connection is made ready for the next request.
     if let Some((host, mut connection)) = connection
         && let Ok(Ok(())) = timeout(SETTLE, connection.sender.ready()).await
@@ -182,7 +182,7 @@
     progress: &Progress,
 ) -> (Ended, Option<Connection>) {
     loop {
-        let acquired = driver.pool().acquire(host, job.call.once, job.last, job.until).await;
+        let acquired = driver.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
         let (mut connection, idle) = match acquired {
             Ok(acquired) => acquired,
             Err(error) => {
@@ -200,7 +200,7 @@
         if idle.is_none() {
             driver.count_opened();
         }
-        progress.connecting.set(Some(job.asked.elapsed()));
+        progress.connect_wait.set(Some(job.asked.elapsed()));
         let bounds = Bounds::of(driver, job);
         if let Some(outcome) = bounds.refusal() {
             return (outcome.into(), None);
@@ -222,7 +222,7 @@
         }
         if connection.gate.has_refused() {
             if !driver.is_awaited(job.request) {
-                driver.client_left(job.request);
+                driver.client_disconnected(job.request);
             }
             let outcome = Bounds::of(driver, job).refusal().unwrap_or(Outcome::NotSent);
             return (outcome.into(), None);
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, ClassId, RequestId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, RequestId};
 use balancer_proxy::request_table::{AcceptedRequest, Answer, AttemptResult, RequestTable};
 use balancer_proxy::socket::Socket;
 use balancer_proxy::upstream::Call;
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-const UPSTREAM: UpstreamId = UpstreamId(7);
+const UPSTREAM: EndpointId = EndpointId(7);
 
 /// A table with one request of a client that is connected.
 struct World {
@@ -41,9 +41,9 @@
         let taken = AcceptedRequest {
             class: ClassId(0),
             tenant: None,
-            key: None,
+            subject: None,
             expected_work: None,
-            repeat: false,
+            is_client_retry: false,
             deadline: Instant::now() + Duration::from_secs(1),
             call: Rc::new(call),
             client: near.downgrade(),
@@ -56,10 +56,10 @@
 
     fn start_attempt(&mut self) -> (AttemptNumber, oneshot::Receiver<()>) {
         let attempt = self.table.get_mut(self.request).expect("in flight").start_attempt(UPSTREAM);
-        (attempt.number, attempt.withdrawn)
+        (attempt.number, attempt.cancelled)
     }
 
-    fn upstreams(&self) -> Vec<UpstreamId> {
+    fn upstreams(&self) -> Vec<EndpointId> {
         self.table.upstreams().into_iter().collect()
     }
 }
@@ -72,9 +72,9 @@
 fn a_withdrawn_attempt_is_out_until_it_has_ended() {
     run(async {
         let mut world = World::new().await;
-        let (number, mut withdrawn) = world.start_attempt();
-        world.table.withdraw(world.request, number);
-        assert_eq!(withdrawn.try_recv(), Ok(()));
+        let (number, mut cancelled) = world.start_attempt();
+        world.table.cancel(world.request, number);
+        assert_eq!(cancelled.try_recv(), Ok(()));
         assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![UPSTREAM], 1));
         let result = world.table.end_attempt(world.request, number, None);
         assert_eq!(result, Some(AttemptResult { served: false, finished: false }));
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use balancer_policy::Event;
-use balancer_policy::interface::{AttemptNumber, ClassId, LoadReport, Request, TenantId, UpstreamId};
+use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, LoadReport, Request, TenantId};
 use balancer_settings::Names;
 
 use crate::endpoint_lists::EndpointLists;
@@ -20,8 +20,8 @@
 
 /// Set in `stateBits` if the hint of the expected work may be used.
 const EXPECTED_WORK_VALID: u32 = 1;
-/// Set in `stateBits` if the client has marked the request as a repeat.
-const REPEAT: u32 = 2;
+/// Set in `stateBits` if the client has marked the request as its own retry.
+const CLIENT_RETRY: u32 = 2;
 
 /// A message that is an event for an instance that runs.
 #[derive(Clone, Copy)]
@@ -30,10 +30,10 @@
     Request,
     StreamStarted,
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
     Reminder,
     HealthChecked,
-    Message,
+    PeerMessage,
 }
 
 impl FromStr for EventKind {
@@ -45,10 +45,10 @@
             "ASK" => Self::Request,
             "FIRST" => Self::StreamStarted,
             "ATTEMPT_END" => Self::AttemptEnded,
-            "TIMED_OUT_CLIENT" => Self::ClientLeft,
+            "TIMED_OUT_CLIENT" => Self::ClientDisconnected,
             "REMINDER" => Self::Reminder,
             "HEALTH" => Self::HealthChecked,
-            "NOTE_FROM" => Self::Message,
+            "NOTE_FROM" => Self::PeerMessage,
             _ => return Err(Malformed::unknown_message(name)),
         })
     }
@@ -67,10 +67,10 @@
         EventKind::Request => request(names, requests, fields).map(Some),
         EventKind::StreamStarted => stream_started(requests, fields),
         EventKind::AttemptEnded => attempt_ended(names, requests, fields),
-        EventKind::ClientLeft => client_left(requests, fields),
+        EventKind::ClientDisconnected => client_disconnected(requests, fields),
         EventKind::Reminder => reminder(fields).map(Some),
         EventKind::HealthChecked => health_checked(names, fields).map(Some),
-        EventKind::Message => message(fields).map(Some),
+        EventKind::PeerMessage => peer_message(fields).map(Some),
     }
 }
 
@@ -85,7 +85,7 @@
         None | Some("0") => None,
         Some(name) => Some(*names.tenants.get(name).ok_or_else(|| Malformed::value("owner", name))?),
     };
-    let key = fields.optional_number("pathKey")?;
+    let subject = fields.optional_number("pathKey")?;
     let time_left = fields.seconds("ttlS")?;
     let expected_work = fields.optional_seconds("expectedS")?;
     let bits: u32 = fields.optional_number("stateBits")?.unwrap_or_default();
@@ -93,10 +93,10 @@
         id: requests.add(wire_id),
         class: ClassId(class),
         tenant: tenant.map(TenantId),
-        key,
+        subject,
         time_left,
         expected_work: expected_work.filter(|_| bits & EXPECTED_WORK_VALID != 0),
-        repeat: bits & REPEAT != 0,
+        is_client_retry: bits & CLIENT_RETRY != 0,
     }))
 }
 
@@ -117,7 +117,7 @@
     let attempt = AttemptNumber(fields.number("n")?);
     fields.number::<u32>("upstream")?;
     let outcome = wire::outcome(fields.text("outcome")?)?;
-    let took = fields.seconds("durationS")?;
+    let duration = fields.seconds("durationS")?;
     let finished = fields.flag("terminal")?;
     let load = load_report(names, fields)?;
     let Some(request) = id else { return Ok(None) };
@@ -126,35 +126,35 @@
         requests.ended(request);
     }
     // The wire does not tell how long an attempt had no connection.
-    let connecting = Duration::ZERO;
-    Ok(Some(Event::AttemptEnded { request, attempt, outcome, took, connecting, finished, load }))
+    let connect_wait = Duration::ZERO;
+    Ok(Some(Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load }))
 }
 
-fn client_left(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
+fn client_disconnected(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
     let id = requests.id(fields.text("ticket")?);
     if let Some(id) = id {
         requests.ended(id);
     }
-    Ok(id.map(Event::ClientLeft))
+    Ok(id.map(Event::ClientDisconnected))
 }
 
 fn reminder(fields: &mut Fields) -> Result<Event, Malformed> {
     fields.text("ref")?;
-    Ok(Event::Wake)
+    Ok(Event::MaintenanceDue)
 }
 
 fn health_checked(names: &Names, fields: &mut Fields) -> Result<Event, Malformed> {
     let outcome = wire::outcome(fields.text("outcome")?)?;
-    let took = fields.seconds("durationS")?;
-    let upstream = UpstreamId(fields.number("upstream")?);
+    let duration = fields.seconds("durationS")?;
+    let upstream = EndpointId(fields.number("upstream")?);
     let load = load_report(names, fields)?;
-    Ok(Event::Probed { upstream, outcome, took, load })
+    Ok(Event::HealthChecked { upstream, outcome, duration, load })
 }
 
-fn message(fields: &mut Fields) -> Result<Event, Malformed> {
+fn peer_message(fields: &mut Fields) -> Result<Event, Malformed> {
     let from = fields.number("by")?;
     let content = wire::bytes(fields.text("content")?)?;
-    Ok(Event::Message { from, content })
+    Ok(Event::PeerMessage { from, content })
 }
 
 /// Values in the order that the settings name.
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -2,31 +2,31 @@
 //!
 //! The protocol's words are older than the policy's terms; this is the one place that pairs them.
 
-use balancer_policy::interface::{Outcome, Phase};
+use balancer_policy::interface::{Lifecycle, Outcome};
 
 use crate::error::Malformed;
 
 /// How an attempt or a health check ended.
 pub fn outcome(value: &str) -> Result<Outcome, Malformed> {
     Ok(match value {
-        "GOOD" => Outcome::Good,
+        "GOOD" => Outcome::Success,
         "BAD" => Outcome::Error,
         "FULL" => Outcome::Refused,
         "LATE" => Outcome::TimedOut,
         "NOCONN" => Outcome::ConnectFailed,
         "RST" => Outcome::Reset,
-        "CXL" => Outcome::Withdrawn,
+        "CXL" => Outcome::Cancelled,
         "NOP" => Outcome::NotSent,
         _ => return Err(Malformed::value("outcome", value)),
     })
 }
 
 /// What discovery says of an upstream.
-pub fn phase(value: &str) -> Result<Phase, Malformed> {
+pub fn lifecycle(value: &str) -> Result<Lifecycle, Malformed> {
     Ok(match value {
-        "Ready" => Phase::Ready,
-        "Terminating" => Phase::Draining,
-        "Gone" => Phase::Gone,
+        "Ready" => Lifecycle::Ready,
+        "Terminating" => Lifecycle::Draining,
+        "Gone" => Lifecycle::Removed,
         _ => return Err(Malformed::value("phase", value)),
     })
 }
