--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -6,6 +6,7 @@
 //! within the synchronous call that began it.
 
 mod actions;
+mod attempt_context;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,9 +14,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use balancer_policy::interface::{
-    DiscoveryMode, EndpointId, ListUpdate, Request, RequestId, SettingsError, Time,
-};
+use balancer_policy::interface::{DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time};
 use balancer_policy::{Balancer, Event, Settings};
 use balancer_settings::{Loaded, Names};
 use tokio::sync::oneshot;
@@ -26,10 +25,9 @@
 use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
-use crate::pool::{AcquireError, Host, Pool};
+use crate::pool::Pool;
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
-use crate::upstream::{Ended, Job};
 
 pub use crate::request_table::{AcceptedRequest, Answer};
 
@@ -139,12 +137,6 @@
         Ok(driver)
     }
 
-    /// Whether a load report may have a value of this name.
-    #[must_use]
-    pub fn has_load_field(&self, name: &str) -> bool {
-        self.names.load_fields.iter().any(|field| field == name)
-    }
-
     /// What clients may ask for.
     #[must_use]
     pub fn offered(&self) -> Rc<Offered> {
@@ -211,56 +203,8 @@
         ));
     }
 
-    // --- Connections ---
-
-    /// The connections to an upstream, if discovery's latest update allows new work for it at this address.
-    #[must_use]
-    pub fn host(&self, upstream: EndpointId, address: SocketAddr) -> Option<Rc<Host>> {
-        let state = self.state.borrow();
-        let endpoint = state.endpoints.ready_endpoint_at(upstream, address)?;
-        Some(self.pool.host(upstream, address, endpoint.zone))
-    }
-
-    /// Learns whether a connection that was idle for so long has carried its request.
-    pub fn learn_idle(&self, idle: Duration, answered: bool) {
-        self.pool.learn_idle(idle, answered);
-        self.state.borrow_mut().counters.reused_reset += u32::from(!answered);
-    }
-
-    /// Whether discovery's latest update allows new work for an upstream at this address.
-    #[must_use]
-    pub fn may_send(&self, upstream: EndpointId, address: SocketAddr) -> bool {
-        self.state.borrow().endpoints.ready_endpoint_at(upstream, address).is_some()
-    }
-
-    /// Counts a connection to an upstream.
-    pub fn count_opened(&self) {
-        self.state.borrow_mut().counters.opened += 1;
-    }
-
-    /// Logs why a connection did not come up, once between two lines of counts: upstreams may be out of reach
-    /// for long.
-    pub fn log_unreachable(&self, address: SocketAddr, error: &AcquireError) {
-        if !std::mem::replace(&mut self.state.borrow_mut().counters.unreachable_logged, true) {
-            crate::log(format_args!("{address} was not reached: {error}"));
-        }
-    }
-
     // --- Requests ---
 
-    /// Whether a request still wants an answer: its client may have left, or another attempt have served it.
-    #[must_use]
-    pub fn is_wanted(&self, request: RequestId) -> bool {
-        self.state.borrow().requests.is_wanted(request)
-    }
-
-    /// The same, and its client is still there: asks the system, as the end of a connection may lie in its socket
-    /// while the process was held up or others had their turn.
-    #[must_use]
-    pub fn is_awaited(&self, request: RequestId) -> bool {
-        self.state.borrow().requests.is_awaited(request)
-    }
-
     /// Accepts a request; its final answer comes through the receiver.
     pub fn accept(self: &Rc<Self>, taken: AcceptedRequest) -> (RequestId, oneshot::Receiver<Answer>) {
         let (answer, receiver) = oneshot::channel();
@@ -293,28 +237,6 @@
         self.handle(Event::ClientDisconnected(id));
     }
 
-    /// An attempt is over.
-    pub fn attempt_ended(self: &Rc<Self>, job: &Job, ended: Ended) {
-        let duration = job.asked.elapsed();
-        let result = {
-            let mut state = self.state.borrow_mut();
-            let result = state.requests.end_attempt(job.request, job.attempt, ended.body);
-            let Some(result) = result else { return };
-            state.counters.attempt(ended.outcome, duration);
-            state.counters.served += u32::from(result.served);
-            result
-        };
-        self.handle(Event::AttemptEnded {
-            request: job.request,
-            attempt: job.attempt,
-            outcome: ended.outcome,
-            duration,
-            connect_wait: ended.connect_wait.unwrap_or(duration),
-            finished: result.finished,
-            load: ended.load,
-        });
-    }
-
     // --- Discovery ---
 
     /// Takes in an update of the watch.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -18,8 +18,8 @@
 //! | [`event_loop`] | feeds events to the policy, carries out its actions |
 //! | [`telemetry`] | counts and log |
 //!
-//! Dependencies point one way. Discovery and configuration reach the event loop through traits of their own,
-//! [`discovery::WatchObserver`] and [`configuration::Reconfigurable`]:
+//! Dependencies point one way. Discovery, configuration and attempts reach the event loop through traits of their own,
+//! [`discovery::WatchObserver`], [`configuration::Reconfigurable`] and [`upstream::AttemptContext`]:
 //!
 //! ```text
 //! server -> event_loop -> request_table
@@ -31,8 +31,7 @@
 //! all -> telemetry::log
 //! ```
 //!
-//! Still a circle: [`upstream`] calls the event loop by its type, and the event loop starts its attempts; the request
-//! table has its `Call`.
+//! Still a circle: `upstream` and `request_table` use `downstream::socket`.
 
 pub mod clock;
 pub mod config;
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -11,11 +11,10 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::event_loop::EventLoop;
-
 use super::acquire_error::AcquireError;
 use super::call::{Call, size_on_wire};
 use super::connection::Connection;
+use super::context::AttemptContext;
 use super::gate::Clearance;
 use super::host::Host;
 use super::response::read;
@@ -48,8 +47,8 @@
 }
 
 /// What must hold as the bytes of an attempt's request are written.
-struct Bounds {
-    driver: Rc<EventLoop>,
+struct Bounds<C> {
+    context: Rc<C>,
     request: RequestId,
     upstream: EndpointId,
     address: SocketAddr,
@@ -57,10 +56,10 @@
     until: Instant,
 }
 
-impl Bounds {
-    fn of(driver: &Rc<EventLoop>, job: &Job) -> Self {
+impl<C: AttemptContext> Bounds<C> {
+    fn of(context: &Rc<C>, job: &Job) -> Self {
         let &Job { request, upstream, address, begin_by, until, .. } = job;
-        Self { driver: Rc::clone(driver), request, upstream, address, begin_by, until }
+        Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
     }
 
     /// Whether the time is over in which upstreams drop a repeat.
@@ -71,22 +70,22 @@
     /// Why the attempt must not begin, if it must not.
     fn refusal(&self) -> Option<Outcome> {
         // While it connected, the upstream may have begun to drain, or gone: nothing new goes there.
-        if !self.driver.may_send(self.upstream, self.address) {
+        if !self.context.may_send(self.upstream, self.address) {
             return Some(Outcome::ConnectFailed);
         }
         // Its caller may have gone meanwhile, or another attempt have served it.
-        (!self.driver.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
+        (!self.context.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
     }
 }
 
-impl Clearance for Bounds {
+impl<C: AttemptContext> Clearance for Bounds<C> {
     fn begin(&self) -> Option<Duration> {
-        let may = self.refusal().is_none() && self.driver.is_awaited(self.request);
+        let may = self.refusal().is_none() && self.context.is_awaited(self.request);
         may.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
     fn go_on(&self) -> bool {
-        !self.is_late() && self.driver.is_awaited(self.request)
+        !self.is_late() && self.context.is_awaited(self.request)
     }
 }
 
@@ -140,12 +139,12 @@
     }
 }
 
-/// Makes an attempt and tells the driver how it ended.
-pub async fn attempt(driver: Rc<EventLoop>, job: Job, cancelled: oneshot::Receiver<()>) {
+/// Makes an attempt and notifies the context of how it ended.
+pub async fn attempt<C: AttemptContext>(context: Rc<C>, job: Job, cancelled: oneshot::Receiver<()>) {
     let progress = Progress::default();
-    let ended = match driver.host(job.upstream, job.address) {
+    let ended = match context.host(job.upstream, job.address) {
         Some(host) => {
-            let exchange = exchange(&driver, &job, &host, &progress);
+            let exchange = exchange(&context, &job, &host, &progress);
             tokio::select! {
                 biased;
                 done = timeout_at(job.until, exchange) => match done {
@@ -166,23 +165,23 @@
         None => Some((Outcome::ConnectFailed.into(), None)),
     };
     let Some((ended, connection)) = ended else { return };
-    driver.attempt_ended(&job, Ended { connect_wait: progress.connect_wait.get(), ..ended });
+    context.on_attempt_ended(&job, Ended { connect_wait: progress.connect_wait.get(), ..ended });
     // The answer goes out first; then the connection is made ready for the next request.
     if let Some((host, mut connection)) = connection
         && let Ok(Ok(())) = timeout(SETTLE, connection.sender.ready()).await
     {
-        driver.pool().keep(&host, connection);
+        context.pool().keep(&host, connection);
     }
 }
 
-async fn exchange(
-    driver: &Rc<EventLoop>,
+async fn exchange<C: AttemptContext>(
+    context: &Rc<C>,
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
 ) -> (Ended, Option<Connection>) {
     loop {
-        let acquired = driver.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
+        let acquired = context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
         let (mut connection, idle) = match acquired {
             Ok(acquired) => acquired,
             Err(error) => {
@@ -192,16 +191,16 @@
                     _ => Outcome::ConnectFailed,
                 };
                 if !matches!(error, AcquireError::NoSocket) {
-                    driver.log_unreachable(job.address, &error);
+                    context.on_unreachable(job.address, &error);
                 }
                 return (outcome.into(), None);
             }
         };
         if idle.is_none() {
-            driver.count_opened();
+            context.on_connected();
         }
         progress.connect_wait.set(Some(job.asked.elapsed()));
-        let bounds = Bounds::of(driver, job);
+        let bounds = Bounds::of(context, job);
         if let Some(outcome) = bounds.refusal() {
             return (outcome.into(), None);
         }
@@ -211,9 +210,9 @@
         progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
         if let Ok(response) = connection.sender.send_request(request).await {
             if let Some(idle) = idle {
-                driver.learn_idle(idle, true);
+                context.on_reused(idle, true);
             }
-            let ended = read(driver, response).await;
+            let ended = read(&**context, response).await;
             connection.gate.clear();
             return match ended {
                 Some(ended) => (ended, Some(connection)),
@@ -221,14 +220,14 @@
             };
         }
         if connection.gate.has_refused() {
-            if !driver.is_awaited(job.request) {
-                driver.client_disconnected(job.request);
+            if !context.is_awaited(job.request) {
+                context.on_client_disconnected(job.request);
             }
-            let outcome = Bounds::of(driver, job).refusal().unwrap_or(Outcome::NotSent);
+            let outcome = Bounds::of(context, job).refusal().unwrap_or(Outcome::NotSent);
             return (outcome.into(), None);
         }
         if let Some(idle) = idle {
-            driver.learn_idle(idle, false);
+            context.on_reused(idle, false);
         }
         // A kept connection that turns out closed, or to hold what nobody asked for, before a byte went out has sent
         // nothing.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -3,12 +3,15 @@
 //! An attempt takes a connection from the [`pool`], which holds those of each process as a [`host::Host`]; a new one comes up
 //! as a dial (`dial.rs`), within the time that `connect_time.rs` knows. The bytes of its request pass the [`gate`] as they are
 //! written. [`idle_trust`] says how long a connection may have stood idle for a request that must not run twice.
+//!
+//! Nothing here knows the event loop: an attempt asks and notifies it through the [`AttemptContext`].
 
 pub mod acquire_error;
 pub mod attempt;
 pub mod call;
 mod connect_time;
 pub mod connection;
+pub mod context;
 mod dial;
 pub mod gate;
 pub mod host;
@@ -16,5 +19,7 @@
 pub mod pool;
 mod response;
 
+pub use acquire_error::AcquireError;
 pub use attempt::{Ended, Job, Progress, attempt};
 pub use call::{BODY_MOST, Call, size_on_wire};
+pub use context::AttemptContext;
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -9,12 +9,12 @@
 
 use super::attempt::Ended;
 use super::call::BODY_MOST;
-use crate::event_loop::EventLoop;
+use super::context::AttemptContext;
 
 /// Reads an answer to its end; `None` if it breaks off.
-pub(super) async fn read(driver: &EventLoop, response: Response<Incoming>) -> Option<Ended> {
+pub(super) async fn read(context: &impl AttemptContext, response: Response<Incoming>) -> Option<Ended> {
     let (head, body) = response.into_parts();
-    let load = head.headers.get("x-load").and_then(|value| load_report(driver, value));
+    let load = head.headers.get("x-load").and_then(|value| load_report(context, value));
     // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
     let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
@@ -37,13 +37,13 @@
 }
 
 /// Reads `name=value,name=value`.
-fn load_report(driver: &EventLoop, value: &HeaderValue) -> Option<LoadReport> {
+fn load_report(context: &impl AttemptContext, value: &HeaderValue) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for part in value.to_str().ok()?.split(',') {
         let (name, value) = part.split_once('=')?;
         let name = name.trim();
         let value: f64 = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
-        if driver.has_load_field(name) {
+        if context.has_load_field(name) {
             balancer_settings::set_load_field(&mut report, name, value);
         }
     }
