--- /dev/null
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -0,0 +1,71 @@
+//! How an attempt gets its connection: one that stands idle, or whichever comes first of its own dial and another connection
+//! to the same upstream.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep_until};
+
+use super::acquire_error::AcquireError;
+use super::connection::Connection;
+use super::dial::Dial;
+use super::host::Host;
+use super::pool::Pool;
+
+impl Pool {
+    /// A connection for an attempt, and for how long it stood idle if it is not new. What this machine lacks for a
+    /// connect may come any moment, and would be lacking for another upstream too: it is waited for up to `until`, for
+    /// as long as the settings allow.
+    ///
+    /// # Errors
+    /// There is none within the usual time of a connect; if `last`, within the whole of the settings'.
+    pub async fn acquire(
+        self: &Rc<Self>,
+        host: &Rc<Host>,
+        once: bool,
+        is_last_attempt: bool,
+        until: Instant,
+    ) -> Result<(Connection, Option<Duration>), AcquireError> {
+        if let Some((connection, idle)) = self.take_idle(host, once) {
+            return Ok((connection, Some(idle)));
+        }
+        let most = self.connect_timeout();
+        let mut since = Instant::now();
+        let local_until = until.min(since + most);
+        let patience = if is_last_attempt { most } else { self.patience(host) };
+        let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
+        loop {
+            let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
+            // One that rests is free sooner than a connection elsewhere may be up.
+            let look_at = host.next_free().unwrap_or(give_up_at);
+            let retry_at = dial.retry.as_ref().map_or(look_at, |retry| retry.at);
+            tokio::select! {
+                biased;
+                up = dial.up() => match up {
+                    Ok(connection) => return Ok((connection, None)),
+                    Err(AcquireError::Local(error)) => dial.retry_after(error),
+                    Err(error) => return Err(error),
+                },
+                () = host.changed.notified() => {}
+                () = sleep_until(look_at.min(retry_at)) => {}
+            }
+            if host.gone.get() {
+                return Err(AcquireError::Gone);
+            }
+            if let Some((connection, idle)) = self.take_idle(host, once) {
+                return Ok((connection, Some(idle)));
+            }
+            let now = Instant::now();
+            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
+                if now >= local_until {
+                    return Err(AcquireError::Local(retry.error));
+                }
+                dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
+                since = now;
+            } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
+                self.learn_connect(host, since.elapsed(), false);
+                return Err(AcquireError::TimedOut);
+            }
+        }
+    }
+}
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,51 +1,28 @@
 //! One attempt: its request on a connection from the pool, and what became of it. An attempt never tries again by itself:
 //! whether another may follow is the policy's decision.
 
-use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, EndpointId, LoadReport, Outcome, RequestId};
-use bytes::Bytes;
+use balancer_policy::interface::{EndpointId, Outcome, RequestId};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::acquire_error::AcquireError;
-use super::call::{Call, size_on_wire};
+use super::call::size_on_wire;
 use super::connection::Connection;
 use super::context::AttemptContext;
 use super::gate::Clearance;
 use super::host::Host;
+use super::job::{Ended, Job};
+use super::progress::Progress;
 use super::response::read;
 
 /// How long a connection may take to be ready again after an answer. One whose upstream answered without
 /// reading the request to its end never is.
 const SETTLE: Duration = Duration::from_secs(1);
 
-/// An attempt to make.
-#[derive(Debug)]
-pub struct Job {
-    /// The request.
-    pub request: RequestId,
-    /// The attempt.
-    pub attempt: AttemptNumber,
-    /// Where to.
-    pub upstream: EndpointId,
-    /// Its address.
-    pub address: SocketAddr,
-    /// What to send.
-    pub call: Rc<Call>,
-    /// When it was asked for.
-    pub asked: Instant,
-    /// When it must have begun, where that is bound.
-    pub begin_by: Option<Instant>,
-    /// When it is given up.
-    pub until: Instant,
-    /// No other can follow: it waits for a connection for as long as the settings allow.
-    pub is_last_attempt: bool,
-}
-
 /// What must hold as the bytes of an attempt's request are written.
 struct Bounds<C> {
     context: Rc<C>,
@@ -89,56 +66,6 @@
     }
 }
 
-/// How an attempt ended.
-#[derive(Debug)]
-pub struct Ended {
-    /// The outcome.
-    pub outcome: Outcome,
-    /// The answer's body, if served.
-    pub body: Option<Bytes>,
-    /// The load report, if one came.
-    pub load: Option<LoadReport>,
-    /// How long it had no connection, if it ever had one.
-    pub connect_wait: Option<Duration>,
-}
-
-impl From<Outcome> for Ended {
-    fn from(outcome: Outcome) -> Self {
-        Self { outcome, body: None, load: None, connect_wait: None }
-    }
-}
-
-/// How much of the request was on its way when the attempt was given up.
-#[derive(Debug, Default)]
-pub struct Progress {
-    /// Bytes that the socket has taken, once there is one.
-    written: RefCell<Option<Rc<Cell<u64>>>>,
-    /// Bytes of the request.
-    size: Cell<u64>,
-    /// How long the attempt had no connection.
-    connect_wait: Cell<Option<Duration>>,
-}
-
-impl Progress {
-    /// A request of so many bytes goes out on a socket that has taken so many.
-    pub fn on(&self, written: &Rc<Cell<u64>>, size: u64) {
-        self.size.set(size);
-        self.written.replace(Some(Rc::clone(written)));
-    }
-
-    /// Its last byte is out, so that it may run.
-    #[must_use]
-    pub fn whole(&self) -> bool {
-        self.written.borrow().as_ref().is_some_and(|written| written.get() >= self.size.get())
-    }
-
-    /// Its first byte is out.
-    #[must_use]
-    pub fn begun(&self) -> bool {
-        self.written.borrow().as_ref().is_some_and(|written| written.get() > 0)
-    }
-}
-
 /// Makes an attempt and notifies the context of how it ended.
 pub async fn attempt<C: AttemptContext>(context: Rc<C>, job: Job, cancelled: oneshot::Receiver<()>) {
     let progress = Progress::default();
--- a/crates/proxy/src/upstream/context.rs
+++ b/crates/proxy/src/upstream/context.rs
@@ -8,8 +8,8 @@
 use balancer_policy::interface::{EndpointId, RequestId};
 
 use super::acquire_error::AcquireError;
-use super::attempt::{Ended, Job};
 use super::host::Host;
+use super::job::{Ended, Job};
 use super::pool::Pool;
 
 /// Answers the questions of an attempt and is notified of its progress.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -6,6 +6,7 @@
 //!
 //! Nothing here knows the event loop: an attempt asks and notifies it through the [`AttemptContext`].
 
+mod acquire;
 pub mod acquire_error;
 pub mod attempt;
 pub mod call;
@@ -16,10 +17,14 @@
 pub mod gate;
 pub mod host;
 pub mod idle_trust;
+pub mod job;
 pub mod pool;
+pub mod progress;
 mod response;
 
 pub use acquire_error::AcquireError;
-pub use attempt::{Ended, Job, Progress, attempt};
+pub use attempt::attempt;
 pub use call::{BODY_MOST, Call, size_on_wire};
 pub use context::AttemptContext;
+pub use job::{Ended, Job};
+pub use progress::Progress;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,6 +1,5 @@
 //! Connections to upstreams between attempts: those that stand idle, those that still come up, and how long one
-//! usually takes to come up. What an attempt waits for is whatever comes first: its own dial, or another
-//! connection to the same upstream.
+//! usually takes to come up. How an attempt gets one stands in `acquire.rs`.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
@@ -15,11 +14,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep_until, timeout_at};
+use tokio::time::{Instant, timeout_at};
 
 use super::connect_time::ConnectTime;
 use super::connection::{Connection, Permit, speak};
-use super::dial::Dial;
 use super::host::{Connecting, Idle, Late};
 use super::idle_trust::Trust;
 
@@ -115,7 +113,7 @@
     }
 
     /// A socket for a connection of our own, if the budget has one: those not in use are closed to make room.
-    fn permit(&self) -> Option<Permit> {
+    pub(super) fn permit(&self) -> Option<Permit> {
         let most = self.sockets_most - self.sockets_most / CALLERS_PART;
         if self.sockets.get() >= most {
             self.make_room();
@@ -204,63 +202,13 @@
 
     // --- Connections ---
 
-    /// A connection for an attempt, and for how long it stood idle if it is not new. What this machine lacks for a
-    /// connect may come any moment, and would be lacking for another upstream too: it is waited for up to `until`, for
-    /// as long as the settings allow.
-    ///
-    /// # Errors
-    /// There is none within the usual time of a connect; if `last`, within the whole of the settings'.
-    pub async fn acquire(
-        self: &Rc<Self>,
-        host: &Rc<Host>,
-        once: bool,
-        is_last_attempt: bool,
-        until: Instant,
-    ) -> Result<(Connection, Option<Duration>), AcquireError> {
-        if let Some((connection, idle)) = self.take_idle(host, once) {
-            return Ok((connection, Some(idle)));
-        }
-        let most = self.connect_timeout.get();
-        let mut since = Instant::now();
-        let local_until = until.min(since + most);
-        let patience = if is_last_attempt { most } else { self.patience(host) };
-        let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
-        loop {
-            let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
-            // One that rests is free sooner than a connection elsewhere may be up.
-            let look_at = host.next_free().unwrap_or(give_up_at);
-            let retry_at = dial.retry.as_ref().map_or(look_at, |retry| retry.at);
-            tokio::select! {
-                biased;
-                up = dial.up() => match up {
-                    Ok(connection) => return Ok((connection, None)),
-                    Err(AcquireError::Local(error)) => dial.retry_after(error),
-                    Err(error) => return Err(error),
-                },
-                () = host.changed.notified() => {}
-                () = sleep_until(look_at.min(retry_at)) => {}
-            }
-            if host.gone.get() {
-                return Err(AcquireError::Gone);
-            }
-            if let Some((connection, idle)) = self.take_idle(host, once) {
-                return Ok((connection, Some(idle)));
-            }
-            let now = Instant::now();
-            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
-                if now >= local_until {
-                    return Err(AcquireError::Local(retry.error));
-                }
-                dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
-                since = now;
-            } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
-                self.learn_connect(host, since.elapsed(), false);
-                return Err(AcquireError::TimedOut);
-            }
-        }
+    /// The longest time that the settings allow for a connect.
+    pub(super) fn connect_timeout(&self) -> Duration {
+        self.connect_timeout.get()
     }
 
-    fn patience(&self, host: &Host) -> Duration {
+    /// How long an attempt that is not its request's last waits for a connection to this host.
+    pub(super) fn patience(&self, host: &Host) -> Duration {
         let times = self.connect_times.borrow();
         let most = self.connect_timeout.get();
         times.get(&host.zone).map_or(most, |time| time.patience(most))
@@ -272,7 +220,7 @@
 
     /// A free connection, the most recently used first, and for how long it stood idle. For a request that must run
     /// `once` at most those idle for longer than is trusted are closed: the new one that it gets takes their place.
-    fn take_idle(&self, host: &Host, once: bool) -> Option<(Connection, Duration)> {
+    pub(super) fn take_idle(&self, host: &Host, once: bool) -> Option<(Connection, Duration)> {
         let most = if once { self.trust.borrow().trusted() } else { self.keep.get() };
         let now = Instant::now();
         let mut kept = host.idle.borrow_mut();
--- /dev/null
+++ b/crates/proxy/src/upstream/progress.rs
@@ -0,0 +1,36 @@
+//! How far an attempt has come: what decides whether a request that broke off may have run.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How much of the request was on its way when the attempt was given up.
+#[derive(Debug, Default)]
+pub struct Progress {
+    /// Bytes that the socket has taken, once there is one.
+    written: RefCell<Option<Rc<Cell<u64>>>>,
+    /// Bytes of the request.
+    size: Cell<u64>,
+    /// How long the attempt had no connection.
+    pub(super) connect_wait: Cell<Option<Duration>>,
+}
+
+impl Progress {
+    /// A request of so many bytes goes out on a socket that has taken so many.
+    pub fn on(&self, written: &Rc<Cell<u64>>, size: u64) {
+        self.size.set(size);
+        self.written.replace(Some(Rc::clone(written)));
+    }
+
+    /// Its last byte is out, so that it may run.
+    #[must_use]
+    pub fn whole(&self) -> bool {
+        self.written.borrow().as_ref().is_some_and(|written| written.get() >= self.size.get())
+    }
+
+    /// Its first byte is out.
+    #[must_use]
+    pub fn begun(&self) -> bool {
+        self.written.borrow().as_ref().is_some_and(|written| written.get() > 0)
+    }
+}
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -7,9 +7,9 @@
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 
-use super::attempt::Ended;
 use super::call::BODY_MOST;
 use super::context::AttemptContext;
+use super::job::Ended;
 
 /// Reads an answer to its end; `None` if it breaks off.
 pub(super) async fn read(context: &impl AttemptContext, response: Response<Incoming>) -> Option<Ended> {
