--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -23,7 +23,7 @@
 use super::health::{check_health, is_health_check};
 use super::response::{Limits, respond};
 use super::shutdown::Phase;
-use super::socket::Socket;
+use crate::socket::Socket;
 
 /// A connection that has carried a request is closed after this long without the next.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::socket::Socket;
+use crate::socket::Socket;
 
 /// How long a connection that has had no request waits for one once it should close: a client writes it right after
 /// its connection is up, but may be late itself. Together with `shutdown::LATE_ACCEPT_PERIOD` it ends before
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -7,14 +7,12 @@
 mod connection;
 mod connection_set;
 mod connection_state;
-mod framing;
 mod health;
 mod listener;
 mod request;
 mod response;
 mod server;
 pub mod shutdown;
-pub mod socket;
 
 pub use accept::AcceptFailure;
 pub use listener::Accept;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -13,9 +13,9 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-use super::socket::WeakSocket;
 use crate::configuration::Offered;
 use crate::event_loop::{AcceptedRequest, EventLoop};
+use crate::socket::WeakSocket;
 use crate::upstream::{BODY_MOST, Call};
 
 /// AcceptedRequest off a client's time: the answer must arrive before it is up.
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,7 +4,7 @@
 //! One thread, one runtime: [`event_loop::EventLoop`] owns the state behind a `RefCell` that is never borrowed across an
 //! await.
 //!
-//! # Control side
+//! # Modules
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -17,21 +17,25 @@
 //! | [`clock`] | start times; the one place that reads the wall clock |
 //! | [`event_loop`] | feeds events to the policy, carries out its actions |
 //! | [`telemetry`] | counts and log |
+//! | [`socket`] | a TCP socket that sees the peer's end, and how far HTTP code may read on it |
+//! | [`upstream`] | attempts and the connections that they use |
+//! | [`downstream`] | clients' connections and requests, and graceful shutdown |
 //!
 //! Dependencies point one way. Discovery, configuration and attempts reach the event loop through traits of their own,
 //! [`discovery::WatchObserver`], [`configuration::Reconfigurable`] and [`upstream::AttemptContext`]:
 //!
 //! ```text
-//! server -> event_loop -> request_table
-//!                      -> endpoint_table -> clock, discovery::update
-//!                      -> discovery ------> discovery::update, pool
-//!                      -> configuration --> config, offered, pool
-//!                      -> config ---------> clock, discovery::update
-//!                      -> pool -----------> connection -> socket
+//! downstream -----> event_loop, config, configuration, upstream, socket
+//! event_loop -----> config, configuration, discovery, endpoint_table, request_table, telemetry, upstream
+//! configuration --> config, offered, upstream
+//! config ---------> clock, discovery
+//! endpoint_table -> clock, discovery
+//! discovery ------> upstream
+//! request_table --> socket, upstream
+//! upstream -------> socket
+//! clock, offered, socket: none
 //! all -> telemetry::log
 //! ```
-//!
-//! Still a circle: `upstream` and `request_table` use `downstream::socket`.
 
 pub mod clock;
 pub mod config;
@@ -42,11 +46,11 @@
 pub mod event_loop;
 pub mod offered;
 pub mod request_table;
+pub mod socket;
 pub mod telemetry;
 pub mod upstream;
 
 pub use downstream as server;
-pub use downstream::socket;
 pub use telemetry::{counters, log};
 pub use upstream::{connection, pool};
 
--- a/crates/proxy/src/downstream/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,6 +1,8 @@
 //! A TCP socket that two can hold: the HTTP code that speaks on it, and whoever must see what that code does not look
 //! at, such as the peer's end behind bytes that nobody has asked for yet.
 
+mod framing;
+
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind, Read};
 use std::mem::MaybeUninit;
@@ -16,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-use super::framing::{HeadEnd, ReadLimit};
+use framing::{HeadEnd, ReadLimit};
 
 /// Bytes read ahead of the HTTP code at most, for each socket: the next requests. What a peer sends beyond that while
 /// it is owed an answer is thrown away, and its connection closed behind the answer.
