--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -13,7 +13,7 @@
 
 use super::connection_state::ClientConnection;
 use super::request::{BadRequest, read_request};
-use crate::event_loop::{AcceptedRequest, Answer, EventLoop};
+use crate::event_loop::{AcceptedRequest, Answer, EventLoop, PendingAnswer};
 
 /// Left to the decisions for a last word past a request's deadline, before the answer is given for them.
 const DECISION_GRACE: Duration = Duration::from_millis(10);
@@ -67,7 +67,7 @@
 /// has left.
 async fn await_answer(driver: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
     let overdue = received.deadline + DECISION_GRACE;
-    let (id, answer) = driver.accept(received);
+    let PendingAnswer { id, answer } = driver.accept(received);
     let guard = DepartureGuard { driver: Rc::clone(driver), id };
     let answer = tokio::select! {
         biased;
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -25,7 +25,7 @@
 use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
-use crate::pool::Pool;
+use crate::pool::{Pool, PoolStats};
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
 
@@ -68,6 +68,15 @@
     }
 }
 
+/// A request that has been accepted, and whose answer is to come.
+#[derive(Debug)]
+pub struct PendingAnswer {
+    /// Its number.
+    pub id: RequestId,
+    /// Brings the final answer.
+    pub answer: oneshot::Receiver<Answer>,
+}
+
 /// The state of a running balancer.
 pub struct EventLoop {
     state: RefCell<State>,
@@ -189,13 +198,14 @@
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
         let State { balancer, requests, endpoints, .. } = &*state;
-        let (idle, late, sockets, sockets_most, trusted) = self.pool.figures();
+        let PoolStats { idle_connections, late_dials, sockets, max_sockets, trusted_idle } =
+            self.pool.stats();
         crate::log(format_args!(
-            "{counters}; now: {} held, {} attempts out, {idle} connections idle (trusted for {} ms) \
-             and {late} late, {sockets} of {sockets_most} sockets, {} of {} upstreams ready, list {}; {}",
+            "{counters}; now: {} held, {} attempts out, {idle_connections} connections idle (trusted for {} ms) \
+             and {late_dials} late, {sockets} of {max_sockets} sockets, {} of {} upstreams ready, list {}; {}",
             requests.len(),
             requests.attempts_out(),
-            trusted.as_millis(),
+            trusted_idle.as_millis(),
             endpoints.ready(),
             endpoints.listed(),
             endpoints.index(),
@@ -205,8 +215,8 @@
 
     // --- Requests ---
 
-    /// Accepts a request; its final answer comes through the receiver.
-    pub fn accept(self: &Rc<Self>, taken: AcceptedRequest) -> (RequestId, oneshot::Receiver<Answer>) {
+    /// Accepts a request.
+    pub fn accept(self: &Rc<Self>, taken: AcceptedRequest) -> PendingAnswer {
         let (answer, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
@@ -222,7 +232,7 @@
             expected_work: taken.expected_work,
             is_client_retry: taken.is_client_retry,
         }));
-        (id, receiver)
+        PendingAnswer { id, answer: receiver }
     }
 
     /// The client has left, or its time is up: nothing more is owed.
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -12,22 +12,30 @@
 use super::host::Host;
 use super::pool::Pool;
 
+/// A connection for an attempt.
+#[derive(Debug)]
+pub struct Acquired {
+    /// The connection.
+    pub connection: Connection,
+    /// For how long it stood idle, if it is not new.
+    pub idle: Option<Duration>,
+}
+
 impl Pool {
-    /// A connection for an attempt, and for how long it stood idle if it is not new. What this machine lacks for a
-    /// connect may come any moment, and would be lacking for another upstream too: it is waited for up to `until`, for
-    /// as long as the settings allow.
+    /// A connection for an attempt. What this machine lacks for a connect may come any moment, and would be lacking for
+    /// another upstream too: it is waited for up to `until`, for as long as the settings allow.
     ///
     /// # Errors
-    /// There is none within the usual time of a connect; if `last`, within the whole of the settings'.
+    /// There is none within the usual time of a connect; if `is_last_attempt`, within the whole of the settings'.
     pub async fn acquire(
         self: &Rc<Self>,
         host: &Rc<Host>,
         once: bool,
         is_last_attempt: bool,
         until: Instant,
-    ) -> Result<(Connection, Option<Duration>), AcquireError> {
-        if let Some((connection, idle)) = self.take_idle(host, once) {
-            return Ok((connection, Some(idle)));
+    ) -> Result<Acquired, AcquireError> {
+        if let Some(acquired) = self.take_idle(host, once) {
+            return Ok(acquired);
         }
         let most = self.connect_timeout();
         let mut since = Instant::now();
@@ -42,7 +50,7 @@
             tokio::select! {
                 biased;
                 up = dial.up() => match up {
-                    Ok(connection) => return Ok((connection, None)),
+                    Ok(connection) => return Ok(Acquired { connection, idle: None }),
                     Err(AcquireError::Local(error)) => dial.retry_after(error),
                     Err(error) => return Err(error),
                 },
@@ -52,8 +60,8 @@
             if host.gone.get() {
                 return Err(AcquireError::Gone);
             }
-            if let Some((connection, idle)) = self.take_idle(host, once) {
-                return Ok((connection, Some(idle)));
+            if let Some(acquired) = self.take_idle(host, once) {
+                return Ok(acquired);
             }
             let now = Instant::now();
             if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
@@ -68,4 +76,20 @@
             }
         }
     }
+
+    /// A free connection, the most recently used first, and for how long it stood idle. For a request that must run
+    /// `once` at most those idle for longer than is trusted are closed: the new one that it gets takes their place.
+    fn take_idle(&self, host: &Host, once: bool) -> Option<Acquired> {
+        let most = if once { self.trusted_idle() } else { self.keep_for() };
+        let now = Instant::now();
+        let mut kept = host.idle.borrow_mut();
+        while let Some(place) = kept.iter().rposition(|idle| idle.free_at <= now) {
+            let last = kept.remove(place);
+            let idle = last.since.elapsed();
+            if last.connection.is_free() && idle < self.keep_for() {
+                return (idle <= most).then_some(Acquired { connection: last.connection, idle: Some(idle) });
+            }
+        }
+        None
+    }
 }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -9,6 +9,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
+use super::acquire::Acquired;
 use super::acquire_error::AcquireError;
 use super::call::size_on_wire;
 use super::connection::Connection;
@@ -109,7 +110,7 @@
 ) -> (Ended, Option<Connection>) {
     loop {
         let acquired = context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
-        let (mut connection, idle) = match acquired {
+        let Acquired { mut connection, idle } = match acquired {
             Ok(acquired) => acquired,
             Err(error) => {
                 let outcome = match error {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! Nothing here knows the event loop: an attempt asks and notifies it through the [`AttemptContext`].
 
-mod acquire;
+pub mod acquire;
 pub mod acquire_error;
 pub mod attempt;
 pub mod call;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::{Instant, timeout_at};
+use tokio::time::timeout_at;
 
 use super::connect_time::ConnectTime;
 use super::connection::{Connection, Permit, speak};
@@ -37,6 +37,22 @@
 /// How long a dial that no attempt waits for goes on, counted from its start: TCP asks again after 1 s and after 3 s
 /// (RFC 6298, with the doubling), and the answer to the second repeat needs a round trip more.
 const LATE_MOST: Duration = Duration::from_millis(3500);
+
+/// How a pool stands.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PoolStats {
+    /// Connections that stand idle.
+    pub idle_connections: usize,
+    /// Dials that no attempt waits for.
+    pub late_dials: usize,
+    /// Sockets in use, those of clients and of discovery among them.
+    pub sockets: usize,
+    /// Sockets that may be in use.
+    pub max_sockets: usize,
+    /// For how long a connection may have been idle to carry a request that must not run twice.
+    pub trusted_idle: Duration,
+}
+
 /// All connections to upstreams, and the budget of sockets.
 pub struct Pool {
     hosts: RefCell<FxHashMap<EndpointId, Rc<Host>>>,
@@ -190,14 +206,17 @@
         }
     }
 
-    /// Connections that stand idle, dials that nobody waits for, sockets in use and at most, and for how long a
-    /// connection may have been idle to carry a request that must not run twice.
+    /// How the pool stands now.
     #[must_use]
-    pub fn figures(&self) -> (usize, usize, usize, usize, Duration) {
+    pub fn stats(&self) -> PoolStats {
         let hosts = self.hosts.borrow();
-        let idle = hosts.values().map(|host| host.idle.borrow().len()).sum();
-        let late = hosts.values().filter(|host| host.late.borrow().is_some()).count();
-        (idle, late, self.sockets.get(), self.sockets_most, self.trust.borrow().trusted())
+        PoolStats {
+            idle_connections: hosts.values().map(|host| host.idle.borrow().len()).sum(),
+            late_dials: hosts.values().filter(|host| host.late.borrow().is_some()).count(),
+            sockets: self.sockets.get(),
+            max_sockets: self.sockets_most,
+            trusted_idle: self.trusted_idle(),
+        }
     }
 
     // --- Connections ---
@@ -218,20 +237,9 @@
         self.connect_times.borrow_mut().entry(host.zone).or_default().learn(took, up);
     }
 
-    /// A free connection, the most recently used first, and for how long it stood idle. For a request that must run
-    /// `once` at most those idle for longer than is trusted are closed: the new one that it gets takes their place.
-    pub(super) fn take_idle(&self, host: &Host, once: bool) -> Option<(Connection, Duration)> {
-        let most = if once { self.trust.borrow().trusted() } else { self.keep.get() };
-        let now = Instant::now();
-        let mut kept = host.idle.borrow_mut();
-        while let Some(place) = kept.iter().rposition(|idle| idle.free_at <= now) {
-            let last = kept.remove(place);
-            let idle = last.since.elapsed();
-            if last.connection.is_free() && idle < self.keep.get() {
-                return (idle <= most).then_some((last.connection, idle));
-            }
-        }
-        None
+    /// For how long a connection may have been idle to carry a request that must not run twice.
+    pub(super) fn trusted_idle(&self) -> Duration {
+        self.trust.borrow().trusted()
     }
 
     /// Learns whether a connection that was idle for so long has carried its request.
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -106,7 +106,7 @@
         call: Rc::new(call),
         client: near.downgrade(),
     };
-    driver.accept(taken).1
+    driver.accept(taken).answer
 }
 
 /// Lets a client leave, and waits until the system has heard of it.
@@ -277,7 +277,7 @@
             call: Rc::new(call),
             client: near.downgrade(),
         };
-        let (_, answer) = driver.accept(taken);
+        let answer = driver.accept(taken).answer;
         let accepted = tokio::task::spawn_blocking(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             stream.read_exact(&mut [0; 64]).expect("it has begun");
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -78,7 +78,7 @@
         call: Rc::new(call),
         client: near.downgrade(),
     };
-    driver.accept(taken).1
+    driver.accept(taken).answer
 }
 
 /// Waits until a connection that has just carried an answer may carry the next request.
