--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -38,7 +38,7 @@
     let ending = serve_requests(connections, connection).await;
     if ending == Ending::InOrder {
         // Short of sockets it reads out what has come, and does not wait for more.
-        let congested = connections.driver().pool().crowded();
+        let congested = connections.event_loop().pool().is_nearly_full();
         let linger = if congested { Duration::ZERO } else { LINGER_TIMEOUT };
         connection.socket.clone().close(linger).await;
     }
@@ -140,18 +140,19 @@
     request: Request<Incoming>,
     limits: Limits,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let driver = connections.driver();
+    let event_loop = connections.event_loop();
     // Its attempt wants a socket too, which clients that only stand by must not keep from it.
-    if driver.pool().crowded() {
+    if event_loop.pool().is_nearly_full() {
         connections.evict_idle_connection();
     }
     let mut response = if is_health_check(&request) {
-        check_health(driver)
+        check_health(event_loop)
     } else {
-        respond(driver, connection, request, limits).await
+        respond(event_loop, connection, request, limits).await
     };
     connection.end_request();
-    if connections.phase() != Phase::Serving || driver.pool().full() || connection.socket.overflowed() {
+    if connections.phase() != Phase::Serving || event_loop.pool().is_full() || connection.socket.overflowed()
+    {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -14,7 +14,7 @@
 
 /// The clients' connections, and what the whole of them goes by.
 pub(super) struct ConnectionSet {
-    driver: Rc<EventLoop>,
+    event_loop: Rc<EventLoop>,
     phases: watch::Receiver<Phase>,
     /// By number, which is the order of their coming.
     open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -30,9 +30,9 @@
 }
 
 impl ConnectionSet {
-    pub(super) fn new(driver: Rc<EventLoop>, phases: watch::Receiver<Phase>) -> Self {
+    pub(super) fn new(event_loop: Rc<EventLoop>, phases: watch::Receiver<Phase>) -> Self {
         Self {
-            driver,
+            event_loop,
             phases,
             open: RefCell::new(BTreeMap::new()),
             next_number: Cell::new(0),
@@ -40,8 +40,8 @@
         }
     }
 
-    pub(super) fn driver(&self) -> &Rc<EventLoop> {
-        &self.driver
+    pub(super) fn event_loop(&self) -> &Rc<EventLoop> {
+        &self.event_loop
     }
 
     /// Notified of each change of the phase.
@@ -78,7 +78,7 @@
         match longest {
             Some(connection) => connection.evict(),
             None => {
-                self.driver.pool().make_room();
+                self.event_loop.pool().close_unused();
             }
         }
     }
--- a/crates/proxy/src/downstream/health.rs
+++ b/crates/proxy/src/downstream/health.rs
@@ -14,7 +14,7 @@
     request.uri().path() == HEALTH_PATH
 }
 
-pub(super) fn check_health(driver: &EventLoop) -> Response<Full<Bytes>> {
-    let status = if driver.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+pub(super) fn check_health(event_loop: &EventLoop) -> Response<Full<Bytes>> {
+    let status = if event_loop.can_serve() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     plain_text(status, "")
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -78,7 +78,7 @@
     /// The next connection, once there is a descriptor for it that neither discovery nor an attempt may need. Cancel
     /// safe: no connection is lost if the future is dropped.
     async fn next(&self) -> io::Result<TcpStream> {
-        while self.connections.driver().pool().full() {
+        while self.connections.event_loop().pool().is_full() {
             // A few at a time: each may take its moment to close.
             for _ in 0..EVICTIONS_PER_CHECK {
                 self.connections.evict_idle_connection();
@@ -89,12 +89,12 @@
     }
 
     fn start_connection(&self, stream: TcpStream) {
-        if self.connections.driver().pool().crowded() {
+        if self.connections.event_loop().pool().is_nearly_full() {
             self.connections.evict_idle_connection();
         }
         let (number, connection) = self.connections.insert(stream);
         // Counted from here on, or a burst of connections would not see itself.
-        let permit = self.connections.driver().pool().reserved_permit();
+        let permit = self.connections.event_loop().pool().reserved_permit();
         let connections = Rc::clone(&self.connections);
         spawn_local(async move {
             handle_connection(&connections, &connection).await;
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -110,19 +110,19 @@
 /// Reads a request to its last byte, which must come by then. Not cancel safe: what was read of the body is lost, and
 /// the connection with it.
 pub(super) async fn read_request(
-    driver: &EventLoop,
+    event_loop: &EventLoop,
     request: Request<Incoming>,
     client: WeakSocket,
     complete_by: Instant,
 ) -> Result<AcceptedRequest, BadRequest> {
     let (head, body) = request.into_parts();
-    let offered = driver.offered();
+    let offered = event_loop.offered();
     let mut checked = RequestHead::read(&head, &offered)?;
     let key = head.headers.get("idempotency-key").cloned();
     let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::Id)?;
     let body = read_body(body, complete_by).await?;
     // While the rest of it came the settings may have changed, and it is taken under those in force now.
-    let latest = driver.offered();
+    let latest = event_loop.offered();
     if !Rc::ptr_eq(&offered, &latest) {
         checked = RequestHead::read(&head, &latest)?;
     }
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -28,47 +28,47 @@
 
 /// Reads a request and waits for its answer. Dropped in the wait, it calls the request off.
 pub(super) async fn respond(
-    driver: &Rc<EventLoop>,
+    event_loop: &Rc<EventLoop>,
     connection: &ClientConnection,
     request: Request<Incoming>,
     limits: Limits,
 ) -> Response<Full<Bytes>> {
     let client = connection.socket.downgrade();
-    match read_request(driver, request, client, limits.complete_by).await {
+    match read_request(event_loop, request, client, limits.complete_by).await {
         Err(error) => error_response(&error),
         // No socket is left for an attempt either; nothing has run.
-        Ok(_) if driver.pool().full() => answer_response(Answer::Refused { retry_after: None }),
+        Ok(_) if event_loop.pool().is_full() => answer_response(Answer::Refused { retry_after: None }),
         Ok(mut received) => {
             if let Some(answer_by) = limits.answer_by {
                 received.deadline = received.deadline.min(answer_by);
             }
             connection.socket.body_complete();
             connection.awaiting_answer.set(true);
-            let answer = await_answer(driver, received).await;
+            let answer = await_answer(event_loop, received).await;
             connection.awaiting_answer.set(false);
             answer_response(answer)
         }
     }
 }
 
-/// Tells the driver of a client that leaves before its answer: the connection drops this with the request.
+/// Tells the event loop of a client that leaves before its answer: the connection drops this with the request.
 struct DepartureGuard {
-    driver: Rc<EventLoop>,
+    event_loop: Rc<EventLoop>,
     id: RequestId,
 }
 
 impl Drop for DepartureGuard {
     fn drop(&mut self) {
-        self.driver.client_disconnected(self.id);
+        self.event_loop.client_disconnected(self.id);
     }
 }
 
-/// Hands a request to the driver and waits for its answer. Dropped in the wait, it tells the driver that the client
+/// Hands a request to the event loop and waits for its answer. Dropped in the wait, it tells the event loop that the client
 /// has left.
-async fn await_answer(driver: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
+async fn await_answer(event_loop: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
     let overdue = received.deadline + DECISION_GRACE;
-    let PendingAnswer { id, answer } = driver.accept(received);
-    let guard = DepartureGuard { driver: Rc::clone(driver), id };
+    let PendingAnswer { id, answer } = event_loop.accept(received);
+    let guard = DepartureGuard { event_loop: Rc::clone(event_loop), id };
     let answer = tokio::select! {
         biased;
         answer = answer => answer.unwrap_or(Answer::Failed),
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -37,14 +37,14 @@
     stop: impl Future<Output = ()>,
 ) -> io::Result<()> {
     let path = config.path.clone();
-    let driver = EventLoop::start(config).map_err(io::Error::other)?;
+    let event_loop = EventLoop::start(config).map_err(io::Error::other)?;
     // The platform goes by the settings of the start.
-    let schedule = DrainSchedule::new(driver.longest());
+    let schedule = DrainSchedule::new(event_loop.longest_deadline());
     if let Some(path) = path {
-        spawn_local(reload_on_hangup(Rc::clone(&driver), path, signal(SignalKind::hangup())?));
+        spawn_local(reload_on_hangup(Rc::clone(&event_loop), path, signal(SignalKind::hangup())?));
     }
     let (phase, phases) = watch::channel(Phase::Serving);
-    let mut accept_loop = AcceptLoop::new(listener, Rc::new(ConnectionSet::new(driver, phases)));
+    let mut accept_loop = AcceptLoop::new(listener, Rc::new(ConnectionSet::new(event_loop, phases)));
     accept_loop.run_until(stop).await;
     drain(&mut accept_loop, &schedule, &phase).await;
     Ok(())
@@ -69,7 +69,7 @@
     // until its own time is over.
     let mut quiet_since = Instant::now();
     while quiet_since.elapsed() < QUIET_PERIOD
-        && stopped.elapsed() < DrainSchedule::give_up_after(connections.driver().longest())
+        && stopped.elapsed() < DrainSchedule::give_up_after(connections.event_loop().longest_deadline())
     {
         accept_loop.run_until(sleep(QUIET_POLL_INTERVAL)).await;
         if !connections.is_empty() {
@@ -84,10 +84,10 @@
 }
 
 /// On each SIGHUP takes over where discovery listens. A file that makes no sense changes nothing.
-async fn reload_on_hangup(driver: Rc<EventLoop>, path: PathBuf, mut hangup: Signal) {
+async fn reload_on_hangup(event_loop: Rc<EventLoop>, path: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match Config::discovery_now(&path) {
-            Ok(address) => driver.move_discovery(address),
+            Ok(address) => event_loop.move_discovery(address),
             Err(error) => crate::log(format_args!("not reloaded: {error}")),
         }
     }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -84,10 +84,10 @@
     names: Names,
     offered: RefCell<Rc<Offered>>,
     /// The longest time that a client waits, under any settings since the start.
-    longest: Cell<Duration>,
+    longest_deadline: Cell<Duration>,
     /// The settings in force are those that are distributed, as far as is known.
     configured: Cell<bool>,
-    zero: Instant,
+    started_at: Instant,
     discovery: Cell<SocketAddr>,
     patience: Patience,
     pool: Rc<Pool>,
@@ -114,36 +114,36 @@
             watch: Watch { task: None, number: 0, address: config.discovery },
             counters: Counters::default(),
         };
-        let driver = Rc::new_cyclic(|driver: &Weak<Self>| Self {
+        let event_loop = Rc::new_cyclic(|this: &Weak<Self>| Self {
             state: RefCell::new(state),
             names: loaded.names,
-            longest: Cell::new(offered.longest()),
+            longest_deadline: Cell::new(offered.longest()),
             offered: RefCell::new(Rc::new(offered)),
             configured: Cell::new(config.distribution.is_none()),
-            zero: Instant::now(),
+            started_at: Instant::now(),
             discovery: Cell::new(config.discovery),
             patience,
             pool: {
-                let driver = Weak::clone(driver);
+                let this = Weak::clone(this);
                 Pool::new(loaded.connect_timeout, keepalive, config.sockets, move |upstream| {
-                    if let Some(driver) = driver.upgrade() {
-                        driver.handle(Event::Connected(upstream));
+                    if let Some(event_loop) = this.upgrade() {
+                        event_loop.handle(Event::Connected(upstream));
                     }
                 })
             },
         });
-        driver.handle(Event::Started);
+        event_loop.handle(Event::Started);
         if let Some(known) = config.known {
-            driver.apply_list(&known, ListSource::Configuration);
+            event_loop.apply_list(&known, ListSource::Configuration);
         }
         // Both go on for as long as the process.
-        spawn_local(Rc::clone(&driver).evict_idle_connections());
-        spawn_local(Rc::clone(&driver).log_stats_periodically());
+        spawn_local(Rc::clone(&event_loop).evict_idle_connections());
+        spawn_local(Rc::clone(&event_loop).log_stats_periodically());
         if let Some(distribution) = config.distribution {
-            let pool = Rc::clone(&driver.pool);
-            configuration::follow(Rc::clone(&driver), pool, &config.name, config.seed, distribution);
+            let pool = Rc::clone(&event_loop.pool);
+            configuration::follow(Rc::clone(&event_loop), pool, &config.name, config.seed, distribution);
         }
-        Ok(driver)
+        Ok(event_loop)
     }
 
     /// What clients may ask for.
@@ -154,8 +154,8 @@
 
     /// The longest time that a client waits, under any settings since the start.
     #[must_use]
-    pub fn longest(&self) -> Duration {
-        self.longest.get()
+    pub fn longest_deadline(&self) -> Duration {
+        self.longest_deadline.get()
     }
 
     /// The connections to upstreams.
@@ -170,25 +170,25 @@
     pub fn can_serve(&self) -> bool {
         let endpoints = &self.state.borrow().endpoints;
         let up_to_date = endpoints.has_update() && self.configured.get();
-        endpoints.has_list() && (up_to_date || self.zero.elapsed() >= FIRST_UPDATE_WITHIN)
+        endpoints.has_list() && (up_to_date || self.started_at.elapsed() >= FIRST_UPDATE_WITHIN)
     }
 
     fn now(&self) -> Time {
-        CLOCK_LEAD + self.zero.elapsed()
+        CLOCK_LEAD + self.started_at.elapsed()
     }
 
     // --- Periodic tasks ---
 
     async fn evict_idle_connections(self: Rc<Self>) {
         loop {
-            sleep((self.pool.keep_for() / 8).max(MIN_EVICTION_INTERVAL)).await;
-            self.pool.close_old();
+            sleep((self.pool.idle_limit() / 8).max(MIN_EVICTION_INTERVAL)).await;
+            self.pool.close_expired();
         }
     }
 
     async fn log_stats_periodically(self: Rc<Self>) {
         loop {
-            sleep(counters::EVERY).await;
+            sleep(counters::LOG_INTERVAL).await;
             self.log_stats();
         }
     }
@@ -216,21 +216,21 @@
     // --- Requests ---
 
     /// Accepts a request.
-    pub fn accept(self: &Rc<Self>, taken: AcceptedRequest) -> PendingAnswer {
+    pub fn accept(self: &Rc<Self>, accepted: AcceptedRequest) -> PendingAnswer {
         let (answer, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
             state.counters.accepted += 1;
-            state.requests.insert(&taken, answer)
+            state.requests.insert(&accepted, answer)
         };
         self.handle(Event::Request(Request {
             id,
-            class: taken.class,
-            tenant: taken.tenant,
-            subject: taken.subject,
-            time_left: taken.deadline.saturating_duration_since(Instant::now()),
-            expected_work: taken.expected_work,
-            is_client_retry: taken.is_client_retry,
+            class: accepted.class,
+            tenant: accepted.tenant,
+            subject: accepted.subject,
+            time_left: accepted.deadline.saturating_duration_since(Instant::now()),
+            expected_work: accepted.expected_work,
+            is_client_retry: accepted.is_client_retry,
         }));
         PendingAnswer { id, answer: receiver }
     }
@@ -305,7 +305,7 @@
         let offered = self.offered().followed_by(&names, &mut settings)?;
         settings.validate()?;
         self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
-        self.longest.set(self.longest.get().max(offered.longest()));
+        self.longest_deadline.set(self.longest_deadline.get().max(offered.longest()));
         self.offered.replace(Rc::new(offered));
         self.handle(Event::Reconfigured(settings));
         Ok(())
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -45,10 +45,10 @@
             }),
             Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
             Action::ScheduleMaintenance(span) => {
-                let driver = Rc::clone(self);
+                let event_loop = Rc::clone(self);
                 spawn_local(async move {
                     sleep(span).await;
-                    driver.handle(Event::MaintenanceDue);
+                    event_loop.handle(Event::MaintenanceDue);
                 });
             }
             Action::Log(text) => crate::log(format_args!("{text}")),
@@ -86,7 +86,7 @@
                 load: None,
             });
         };
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let attempt = in_flight.start_attempt(upstream);
         let job = Job {
             request,
@@ -94,9 +94,9 @@
             upstream,
             address: endpoint.address,
             call: Rc::clone(in_flight.call()),
-            asked,
-            begin_by: first_byte_deadline.map(|span| asked + span),
-            until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(asked + span)),
+            requested_at,
+            begin_by: first_byte_deadline.map(|span| requested_at + span),
+            until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(requested_at + span)),
             is_last_attempt,
         };
         spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
--- a/crates/proxy/src/event_loop/attempt_context.rs
+++ b/crates/proxy/src/event_loop/attempt_context.rs
@@ -10,7 +10,7 @@
 use super::EventLoop;
 use crate::upstream::host::Host;
 use crate::upstream::pool::Pool;
-use crate::upstream::{AcquireError, AttemptContext, Ended, Job};
+use crate::upstream::{AcquireError, AttemptContext, AttemptEnd, Job};
 
 impl AttemptContext for EventLoop {
     fn pool(&self) -> &Rc<Pool> {
@@ -51,7 +51,7 @@
     }
 
     fn on_reused(&self, idle: Duration, answered: bool) {
-        self.pool.learn_idle(idle, answered);
+        self.pool.record_reuse(idle, answered);
         self.state.borrow_mut().counters.reused_reset += u32::from(!answered);
     }
 
@@ -59,8 +59,8 @@
         self.client_disconnected(request);
     }
 
-    fn on_attempt_ended(self: &Rc<Self>, job: &Job, ended: Ended) {
-        let duration = job.asked.elapsed();
+    fn on_attempt_ended(self: &Rc<Self>, job: &Job, ended: AttemptEnd) {
+        let duration = job.requested_at.elapsed();
         let result = {
             let mut state = self.state.borrow_mut();
             let result = state.requests.end_attempt(job.request, job.attempt, ended.body);
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -165,13 +165,13 @@
     }
 
     /// Enters a request, whose final answer goes to `answer`.
-    pub fn insert(&mut self, taken: &AcceptedRequest, answer: oneshot::Sender<Answer>) -> RequestId {
+    pub fn insert(&mut self, accepted: &AcceptedRequest, answer: oneshot::Sender<Answer>) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let request = InFlight {
-            call: Rc::clone(&taken.call),
-            client: taken.client.clone(),
-            deadline: taken.deadline,
+            call: Rc::clone(&accepted.call),
+            client: accepted.client.clone(),
+            deadline: accepted.deadline,
             answer: Some(answer),
             attempts: Vec::new(),
             attempts_out: 0,
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -1,4 +1,4 @@
-//! What has the balancer done lately? Counts since the last line of the log, which gets one every [`EVERY`]. The words of
+//! What has the balancer done lately? Counts since the last line of the log, which gets one every [`LOG_INTERVAL`]. The words of
 //! the line stay as they are: pages and operators search for them.
 
 use std::fmt::{self, Display, Formatter};
@@ -7,7 +7,7 @@
 use balancer_policy::interface::Outcome;
 
 /// Time between two lines: a few bytes a second, however busy the balancer is.
-pub const EVERY: Duration = Duration::from_secs(5);
+pub const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What happened since the last line.
 #[derive(Debug, Default)]
@@ -41,11 +41,11 @@
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn attempt(&mut self, outcome: Outcome, took: Duration) {
+    pub fn attempt(&mut self, outcome: Outcome, duration: Duration) {
         self.outcomes[outcome as usize] += 1;
         if outcome == Outcome::Success {
-            self.good_total += took;
-            self.good_max = self.good_max.max(took);
+            self.good_total += duration;
+            self.good_max = self.good_max.max(duration);
         }
     }
 }
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -45,19 +45,19 @@
         loop {
             let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
             // One that rests is free sooner than a connection elsewhere may be up.
-            let look_at = host.next_free().unwrap_or(give_up_at);
-            let retry_at = dial.retry.as_ref().map_or(look_at, |retry| retry.at);
+            let check_at = host.next_free().unwrap_or(give_up_at);
+            let retry_at = dial.retry.as_ref().map_or(check_at, |retry| retry.at);
             tokio::select! {
                 biased;
-                up = dial.up() => match up {
+                connected = dial.connected() => match connected {
                     Ok(connection) => return Ok(Acquired { connection, idle: None }),
                     Err(AcquireError::Local(error)) => dial.retry_after(error),
                     Err(error) => return Err(error),
                 },
                 () = host.changed.notified() => {}
-                () = sleep_until(look_at.min(retry_at)) => {}
+                () = sleep_until(check_at.min(retry_at)) => {}
             }
-            if host.gone.get() {
+            if host.closed.get() {
                 return Err(AcquireError::Gone);
             }
             if let Some(acquired) = self.take_idle(host, once) {
@@ -71,7 +71,7 @@
                 dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
                 since = now;
             } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
-                self.learn_connect(host, since.elapsed(), false);
+                self.record_connect(host, since.elapsed(), false);
                 return Err(AcquireError::TimedOut);
             }
         }
@@ -80,13 +80,13 @@
     /// A free connection, the most recently used first, and for how long it stood idle. For a request that must run
     /// `once` at most those idle for longer than is trusted are closed: the new one that it gets takes their place.
     fn take_idle(&self, host: &Host, once: bool) -> Option<Acquired> {
-        let most = if once { self.trusted_idle() } else { self.keep_for() };
+        let most = if once { self.trusted_idle() } else { self.idle_limit() };
         let now = Instant::now();
-        let mut kept = host.idle.borrow_mut();
-        while let Some(place) = kept.iter().rposition(|idle| idle.free_at <= now) {
-            let last = kept.remove(place);
+        let mut idle_connections = host.idle.borrow_mut();
+        while let Some(place) = idle_connections.iter().rposition(|idle| idle.free_at <= now) {
+            let last = idle_connections.remove(place);
             let idle = last.since.elapsed();
-            if last.connection.is_free() && idle < self.keep_for() {
+            if last.connection.is_free() && idle < self.idle_limit() {
                 return (idle <= most).then_some(Acquired { connection: last.connection, idle: Some(idle) });
             }
         }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -16,13 +16,13 @@
 use super::context::AttemptContext;
 use super::gate::Clearance;
 use super::host::Host;
-use super::job::{Ended, Job};
+use super::job::{AttemptEnd, Job};
 use super::progress::Progress;
-use super::response::read;
+use super::response::read_response;
 
 /// How long a connection may take to be ready again after an answer. One whose upstream answered without
 /// reading the request to its end never is.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What must hold as the bytes of an attempt's request are written.
 struct Bounds<C> {
@@ -93,12 +93,12 @@
         None => Some((Outcome::ConnectFailed.into(), None)),
     };
     let Some((ended, connection)) = ended else { return };
-    context.on_attempt_ended(&job, Ended { connect_wait: progress.connect_wait.get(), ..ended });
+    context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..ended });
     // The answer goes out first; then the connection is made ready for the next request.
     if let Some((host, mut connection)) = connection
-        && let Ok(Ok(())) = timeout(SETTLE, connection.sender.ready()).await
+        && let Ok(Ok(())) = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await
     {
-        context.pool().keep(&host, connection);
+        context.pool().release(&host, connection);
     }
 }
 
@@ -107,7 +107,7 @@
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
-) -> (Ended, Option<Connection>) {
+) -> (AttemptEnd, Option<Connection>) {
     loop {
         let acquired = context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
         let Acquired { mut connection, idle } = match acquired {
@@ -127,7 +127,7 @@
         if idle.is_none() {
             context.on_connected();
         }
-        progress.connect_wait.set(Some(job.asked.elapsed()));
+        progress.connect_wait.set(Some(job.requested_at.elapsed()));
         let bounds = Bounds::of(context, job);
         if let Some(outcome) = bounds.refusal() {
             return (outcome.into(), None);
@@ -140,7 +140,7 @@
             if let Some(idle) = idle {
                 context.on_reused(idle, true);
             }
-            let ended = read(&**context, response).await;
+            let ended = read_response(&**context, response).await;
             connection.gate.clear();
             return match ended {
                 Some(ended) => (ended, Some(connection)),
--- a/crates/proxy/src/upstream/connect_time.rs
+++ b/crates/proxy/src/upstream/connect_time.rs
@@ -4,10 +4,10 @@
 
 /// Usual connect times that an attempt waits for its connection: as many deviations as TCP's own timer waits beyond
 /// its mean (RFC 6298).
-const PATIENCE_TIMES: f64 = 4.0;
+const PATIENCE_MULTIPLE: f64 = 4.0;
 /// Least part of the settings' connect timeout that an attempt waits for, as a busy machine adds to a connect: those of
 /// the three or four attempts before a request's last one take a quarter of it together.
-const PATIENCE_LEAST: f64 = 0.0625;
+const MIN_PATIENCE_FRACTION: f64 = 0.0625;
 /// Weight of one connect in the usual time: the gain of TCP's own timer.
 const CONNECT_WEIGHT: f64 = 0.125;
 
@@ -21,12 +21,12 @@
 
 impl ConnectTime {
     /// Takes in a connect that took so long, or was given up then.
-    pub(super) fn learn(&mut self, took: Duration, up: bool) {
+    pub(super) fn learn(&mut self, duration: Duration, up: bool) {
         // One given up tells how much longer it takes than what is known.
         if self.known == 0.0 && !up {
             return;
         }
-        let over = took.as_secs_f64().max(1e-6).ln() - self.ln_s;
+        let over = duration.as_secs_f64().max(1e-6).ln() - self.ln_s;
         self.known += 1.0;
         let over = if self.known > 1.0 { over.min(1.0) } else { over };
         self.ln_s += CONNECT_WEIGHT.max(1.0 / self.known) * over;
@@ -37,7 +37,7 @@
         if self.known == 0.0 {
             return most;
         }
-        let times = Duration::try_from_secs_f64(self.ln_s.exp() * PATIENCE_TIMES).unwrap_or(most);
-        times.clamp(most.mul_f64(PATIENCE_LEAST), most)
+        let times = Duration::try_from_secs_f64(self.ln_s.exp() * PATIENCE_MULTIPLE).unwrap_or(most);
+        times.clamp(most.mul_f64(MIN_PATIENCE_FRACTION), most)
     }
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -74,8 +74,8 @@
 ///
 /// # Errors
 /// It does not come up.
-pub async fn open(address: SocketAddr, permit: Permit) -> io::Result<Counted> {
-    Ok(Counted::new(TcpStream::connect(address).await?, permit))
+pub async fn open(address: SocketAddr, permit: Permit) -> io::Result<CountingSocket> {
+    Ok(CountingSocket::new(TcpStream::connect(address).await?, permit))
 }
 
 /// Makes a connection of a socket that has come up.
@@ -83,7 +83,7 @@
 /// # Errors
 /// It breaks as it comes up.
 pub async fn speak(stream: TcpStream, permit: Permit) -> Result<Connection, hyper::Error> {
-    let io = Counted::new(stream, permit);
+    let io = CountingSocket::new(stream, permit);
     let (socket, written, gate) = (io.socket.clone(), Rc::clone(&io.written), Rc::clone(&io.gate));
     let (sender, connection) = http1::handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
@@ -95,7 +95,7 @@
 
 /// A socket that counts the bytes it has taken: what was never written whole never ran.
 #[derive(Debug)]
-pub struct Counted {
+pub struct CountingSocket {
     socket: Socket,
     written: Rc<Cell<u64>>,
     gate: Rc<Gate>,
@@ -104,7 +104,7 @@
     _permit: Permit,
 }
 
-impl Counted {
+impl CountingSocket {
     fn new(stream: TcpStream, permit: Permit) -> Self {
         Self {
             socket: Socket::new(stream),
@@ -134,7 +134,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -144,7 +144,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingSocket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(context, &[IoSlice::new(bytes)])
     }
--- a/crates/proxy/src/upstream/context.rs
+++ b/crates/proxy/src/upstream/context.rs
@@ -9,7 +9,7 @@
 
 use super::acquire_error::AcquireError;
 use super::host::Host;
-use super::job::{Ended, Job};
+use super::job::{AttemptEnd, Job};
 use super::pool::Pool;
 
 /// Answers the questions of an attempt and is notified of its progress.
@@ -46,5 +46,5 @@
     fn on_client_disconnected(self: &Rc<Self>, request: RequestId);
 
     /// An attempt is over.
-    fn on_attempt_ended(self: &Rc<Self>, job: &Job, ended: Ended);
+    fn on_attempt_ended(self: &Rc<Self>, job: &Job, ended: AttemptEnd);
 }
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -15,10 +15,10 @@
 use super::pool::Pool;
 
 /// Wait before a connect that failed on this machine is tried again, at first: a lack of ports or memory may pass at once.
-const RETRY_PAUSE_LEAST: Duration = Duration::from_millis(2);
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(2);
 /// The same after some such failures, as it doubles: a lack that lasts must not keep the machine busy with looking for a
 /// port.
-const RETRY_PAUSE_MOST: Duration = Duration::from_millis(64);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(64);
 
 /// A connect that failed on this machine, and is to be tried again.
 pub(super) struct Retry {
@@ -50,7 +50,7 @@
         self.connecting = Some(Connecting { stream, permit, since: Instant::now() });
     }
 
-    pub(super) async fn up(&mut self) -> Result<Connection, AcquireError> {
+    pub(super) async fn connected(&mut self) -> Result<Connection, AcquireError> {
         let stream = poll_fn(|context| match &mut self.connecting {
             Some(connecting) => connecting.stream.as_mut().poll(context),
             None => Poll::Pending,
@@ -63,13 +63,13 @@
             if is_local(&error) { AcquireError::Local(error) } else { AcquireError::Failed(error) }
         };
         let stream = stream.map_err(failed)?;
-        self.pool.learn_connect(self.host, since.elapsed(), true);
+        self.pool.record_connect(self.host, since.elapsed(), true);
         Ok(speak(stream, permit).await?)
     }
 
     /// Connects again after a pause.
     pub(super) fn retry_after(&mut self, error: io::Error) {
-        self.pause = (self.pause * 2).clamp(RETRY_PAUSE_LEAST, RETRY_PAUSE_MOST);
+        self.pause = (self.pause * 2).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
         self.retry = Some(Retry { error, at: Instant::now() + self.pause });
     }
 }
@@ -78,7 +78,7 @@
     fn drop(&mut self) {
         self.host.waiting.set(self.host.waiting.get() - 1);
         if let Some(connecting) = self.connecting.take() {
-            self.pool.go_on(self.host, connecting);
+            self.pool.continue_dial(self.host, connecting);
         }
     }
 }
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -17,7 +17,7 @@
 use super::connection::{Connection, Permit};
 
 /// A connection between two attempts.
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     pub(super) since: Instant,
     /// When it may carry the next request.
@@ -32,13 +32,13 @@
 }
 
 /// A dial that goes on though the attempt that began it does not wait for it any more.
-pub(super) struct Late {
+pub(super) struct LateDial {
     pub(super) connecting: Connecting,
     /// Waits for it; `None` for the moment before it is started.
     pub(super) task: Option<AbortHandle>,
 }
 
-impl Drop for Late {
+impl Drop for LateDial {
     fn drop(&mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
@@ -52,12 +52,12 @@
     pub(super) address: SocketAddr,
     pub(super) zone: Option<ZoneId>,
     /// The most recently used last.
-    pub(super) idle: RefCell<Vec<Idle>>,
+    pub(super) idle: RefCell<Vec<IdleConnection>>,
     /// At most one, so that an upstream out of reach holds no more sockets than this.
-    pub(super) late: RefCell<Option<Late>>,
+    pub(super) late: RefCell<Option<LateDial>>,
     /// Attempts that wait for a connection.
     pub(super) waiting: Cell<usize>,
-    pub(super) gone: Cell<bool>,
+    pub(super) closed: Cell<bool>,
     /// Something came for those that wait to look at.
     pub(super) changed: Notify,
 }
@@ -68,14 +68,14 @@
         self.idle.borrow().iter().map(|idle| idle.free_at).min()
     }
 
-    pub(super) fn keep(&self, connection: Connection, rest: Duration) {
+    pub(super) fn add_idle(&self, connection: Connection, rest: Duration) {
         let since = Instant::now();
-        self.idle.borrow_mut().push(Idle { connection, since, free_at: since + rest });
+        self.idle.borrow_mut().push(IdleConnection { connection, since, free_at: since + rest });
         self.changed.notify_waiters();
     }
 
     pub(super) fn close(&self) {
-        self.gone.set(true);
+        self.closed.set(true);
         self.idle.take();
         self.late.take();
         self.changed.notify_waiters();
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -24,7 +24,7 @@
     /// What to send.
     pub call: Rc<Call>,
     /// When it was asked for.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// When it must have begun, where that is bound.
     pub begin_by: Option<Instant>,
     /// When it is given up.
@@ -35,7 +35,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptEnd {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer's body, if served.
@@ -46,7 +46,7 @@
     pub connect_wait: Option<Duration>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for AttemptEnd {
     fn from(outcome: Outcome) -> Self {
         Self { outcome, body: None, load: None, connect_wait: None }
     }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -26,5 +26,5 @@
 pub use attempt::attempt;
 pub use call::{BODY_MOST, Call, size_on_wire};
 pub use context::AttemptContext;
-pub use job::{Ended, Job};
+pub use job::{AttemptEnd, Job};
 pub use progress::Progress;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -18,7 +18,7 @@
 
 use super::connect_time::ConnectTime;
 use super::connection::{Connection, Permit, speak};
-use super::host::{Connecting, Idle, Late};
+use super::host::{Connecting, IdleConnection, LateDial};
 use super::idle_trust::Trust;
 
 pub use super::acquire_error::AcquireError;
@@ -26,17 +26,17 @@
 
 /// Part of the settings' idle limit after which a kept connection is closed: one that the upstream closes as a
 /// request is written ends that request as a reset.
-const KEEP_PART: f64 = 0.7;
+const IDLE_LIMIT_FRACTION: f64 = 0.7;
 /// How long a connection rests after an answer before it carries the next request: an upstream at fault may send a
 /// second answer some milliseconds behind the first, and the next request's caller would get it.
-const REST: Duration = Duration::from_millis(10);
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// Descriptors that are no connection: standard streams, listener, runtime.
 const OTHER_DESCRIPTORS: usize = 16;
-/// Descriptors that upstream connections leave to callers.
-const CALLERS_PART: usize = 4;
+/// One in so many descriptors is left to clients by connections to upstreams.
+const CLIENT_RESERVE_DIVISOR: usize = 4;
 /// How long a dial that no attempt waits for goes on, counted from its start: TCP asks again after 1 s and after 3 s
 /// (RFC 6298, with the doubling), and the answer to the second repeat needs a round trip more.
-const LATE_MOST: Duration = Duration::from_millis(3500);
+const MAX_LATE_DIAL: Duration = Duration::from_millis(3500);
 
 /// How a pool stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,12 +59,12 @@
     /// By zone: where upstreams stand decides how long a connect takes.
     connect_times: RefCell<FxHashMap<Option<ZoneId>, ConnectTime>>,
     connect_timeout: Cell<Duration>,
-    keep: Cell<Duration>,
+    idle_limit: Cell<Duration>,
     trust: RefCell<Trust>,
     sockets: Rc<Cell<usize>>,
-    sockets_most: usize,
+    max_sockets: usize,
     /// Hears of each connection that came up with no attempt waiting for it.
-    connected: Box<dyn Fn(EndpointId)>,
+    on_connected: Box<dyn Fn(EndpointId)>,
 }
 
 impl Debug for Pool {
@@ -79,32 +79,32 @@
         connect_timeout: Duration,
         keepalive: Duration,
         descriptors: usize,
-        connected: impl Fn(EndpointId) + 'static,
+        on_connected: impl Fn(EndpointId) + 'static,
     ) -> Rc<Self> {
-        let keep = keepalive.mul_f64(KEEP_PART);
+        let idle_limit = keepalive.mul_f64(IDLE_LIMIT_FRACTION);
         Rc::new(Self {
             hosts: RefCell::default(),
             connect_times: RefCell::default(),
             connect_timeout: Cell::new(connect_timeout),
-            keep: Cell::new(keep),
-            trust: RefCell::new(Trust::new(keep)),
+            idle_limit: Cell::new(idle_limit),
+            trust: RefCell::new(Trust::new(idle_limit)),
             sockets: Rc::default(),
-            sockets_most: descriptors.saturating_sub(OTHER_DESCRIPTORS),
-            connected: Box::new(connected),
+            max_sockets: descriptors.saturating_sub(OTHER_DESCRIPTORS),
+            on_connected: Box::new(on_connected),
         })
     }
 
     /// How long a connection may stand idle before it is closed.
     #[must_use]
-    pub fn keep_for(&self) -> Duration {
-        self.keep.get()
+    pub fn idle_limit(&self) -> Duration {
+        self.idle_limit.get()
     }
 
     /// Goes by other settings from now on. What connects now waits as long as it was to.
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
-        self.keep.set(keepalive.mul_f64(KEEP_PART));
-        self.trust.borrow_mut().keep_for(self.keep.get());
+        self.idle_limit.set(keepalive.mul_f64(IDLE_LIMIT_FRACTION));
+        self.trust.borrow_mut().keep_for(self.idle_limit.get());
     }
 
     // --- Sockets ---
@@ -118,28 +118,28 @@
 
     /// Whether so many sockets are open that those not in use must go.
     #[must_use]
-    pub fn crowded(&self) -> bool {
-        self.sockets.get() >= self.sockets_most - self.sockets_most / (2 * CALLERS_PART)
+    pub fn is_nearly_full(&self) -> bool {
+        self.sockets.get() >= self.max_sockets - self.max_sockets / (2 * CLIENT_RESERVE_DIVISOR)
     }
 
     /// Whether the budget is used up: what is left then is discovery's and the program's own.
     #[must_use]
-    pub fn full(&self) -> bool {
-        self.sockets.get() > self.sockets_most
+    pub fn is_full(&self) -> bool {
+        self.sockets.get() > self.max_sockets
     }
 
     /// A socket for a connection of our own, if the budget has one: those not in use are closed to make room.
     pub(super) fn permit(&self) -> Option<Permit> {
-        let most = self.sockets_most - self.sockets_most / CALLERS_PART;
+        let most = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
         if self.sockets.get() >= most {
-            self.make_room();
+            self.close_unused();
         }
-        (self.sockets.get() < self.sockets_most).then(|| self.reserved_permit())
+        (self.sockets.get() < self.max_sockets).then(|| self.reserved_permit())
     }
 
     /// Gives up a dial that nobody waits for or, if there is none, closes the idle connection that was used least
     /// recently; tells whether there was one.
-    pub fn make_room(&self) -> bool {
+    pub fn close_unused(&self) -> bool {
         let hosts = self.hosts.borrow();
         if hosts.values().any(|host| host.late.take().is_some()) {
             return true;
@@ -164,7 +164,7 @@
             idle: RefCell::default(),
             late: RefCell::default(),
             waiting: Cell::new(0),
-            gone: Cell::new(false),
+            closed: Cell::new(false),
             changed: Notify::new(),
         });
         if let Some(moved) = hosts.insert(id, Rc::clone(&host)) {
@@ -199,10 +199,12 @@
     }
 
     /// Closes what has stood idle for too long, or was closed by its upstream.
-    pub fn close_old(&self) {
+    pub fn close_expired(&self) {
         for host in self.hosts.borrow().values() {
-            let keep = |idle: &Idle| idle.connection.is_free() && idle.since.elapsed() < self.keep.get();
-            host.idle.borrow_mut().retain(keep);
+            let is_usable = |idle: &IdleConnection| {
+                idle.connection.is_free() && idle.since.elapsed() < self.idle_limit.get()
+            };
+            host.idle.borrow_mut().retain(is_usable);
         }
     }
 
@@ -214,7 +216,7 @@
             idle_connections: hosts.values().map(|host| host.idle.borrow().len()).sum(),
             late_dials: hosts.values().filter(|host| host.late.borrow().is_some()).count(),
             sockets: self.sockets.get(),
-            max_sockets: self.sockets_most,
+            max_sockets: self.max_sockets,
             trusted_idle: self.trusted_idle(),
         }
     }
@@ -233,8 +235,8 @@
         times.get(&host.zone).map_or(most, |time| time.patience(most))
     }
 
-    pub(super) fn learn_connect(&self, host: &Host, took: Duration, up: bool) {
-        self.connect_times.borrow_mut().entry(host.zone).or_default().learn(took, up);
+    pub(super) fn record_connect(&self, host: &Host, duration: Duration, up: bool) {
+        self.connect_times.borrow_mut().entry(host.zone).or_default().learn(duration, up);
     }
 
     /// For how long a connection may have been idle to carry a request that must not run twice.
@@ -243,7 +245,7 @@
     }
 
     /// Learns whether a connection that was idle for so long has carried its request.
-    pub fn learn_idle(&self, idle: Duration, answered: bool) {
+    pub fn record_reuse(&self, idle: Duration, answered: bool) {
         if answered {
             self.trust.borrow_mut().answered(idle);
         } else {
@@ -252,31 +254,31 @@
     }
 
     /// Keeps a connection that has carried an attempt for the next one.
-    pub fn keep(&self, host: &Host, connection: Connection) {
-        if !host.gone.get() && connection.is_free() {
-            host.keep(connection, REST);
+    pub fn release(&self, host: &Host, connection: Connection) {
+        if !host.closed.get() && connection.is_free() {
+            host.add_idle(connection, REUSE_DELAY);
         }
     }
 
     /// Lets a dial go on that no attempt waits for any more, where there is use for it.
-    pub(super) fn go_on(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
-        if host.gone.get() || host.late.borrow().is_some() || self.crowded() {
+    pub(super) fn continue_dial(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
+        if host.closed.get() || host.late.borrow().is_some() || self.is_nearly_full() {
             return;
         }
-        let by = connecting.since + LATE_MOST.max(self.connect_timeout.get());
-        host.late.replace(Some(Late { connecting, task: None }));
-        let (pool, own) = (Rc::clone(self), Rc::clone(host));
+        let give_up_at = connecting.since + MAX_LATE_DIAL.max(self.connect_timeout.get());
+        host.late.replace(Some(LateDial { connecting, task: None }));
+        let (pool, owner) = (Rc::clone(self), Rc::clone(host));
         let task = spawn_local(async move {
-            let up = poll_fn(|context| match &mut *own.late.borrow_mut() {
+            let connect = poll_fn(|context| match &mut *owner.late.borrow_mut() {
                 Some(late) => late.connecting.stream.as_mut().poll(context),
                 None => Poll::Pending,
             });
-            let up = timeout_at(by, up).await;
+            let connected = timeout_at(give_up_at, connect).await;
             // Not to be ended by its own end.
-            let Some(mut late) = own.late.take() else { return };
+            let Some(mut late) = owner.late.take() else { return };
             late.task = None;
-            if let Ok(Ok(stream)) = up {
-                pool.came_up(&own, stream).await;
+            if let Ok(Ok(stream)) = connected {
+                pool.on_late_connect(&owner, stream).await;
             }
         });
         if let Some(late) = &mut *host.late.borrow_mut() {
@@ -285,13 +287,13 @@
     }
 
     /// A late connection is kept where none stands by for each attempt that waits, or none at all.
-    async fn came_up(&self, host: &Host, stream: TcpStream) {
+    async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting.get().max(1)
             && let Ok(connection) = speak(stream, self.reserved_permit()).await
-            && !host.gone.get()
+            && !host.closed.get()
         {
-            host.keep(connection, Duration::ZERO);
+            host.add_idle(connection, Duration::ZERO);
         }
-        (self.connected)(host.id);
+        (self.on_connected)(host.id);
     }
 }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -9,12 +9,15 @@
 
 use super::call::BODY_MOST;
 use super::context::AttemptContext;
-use super::job::Ended;
+use super::job::AttemptEnd;
 
 /// Reads an answer to its end; `None` if it breaks off.
-pub(super) async fn read(context: &impl AttemptContext, response: Response<Incoming>) -> Option<Ended> {
+pub(super) async fn read_response(
+    context: &impl AttemptContext,
+    response: Response<Incoming>,
+) -> Option<AttemptEnd> {
     let (head, body) = response.into_parts();
-    let load = head.headers.get("x-load").and_then(|value| load_report(context, value));
+    let load = head.headers.get("x-load").and_then(|value| parse_load_report(context, value));
     // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
     let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
@@ -33,11 +36,11 @@
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::InvalidRequest,
         _ => Outcome::Error,
     };
-    Some(Ended { body: (outcome == Outcome::Success).then_some(body), load, ..outcome.into() })
+    Some(AttemptEnd { body: (outcome == Outcome::Success).then_some(body), load, ..outcome.into() })
 }
 
 /// Reads `name=value,name=value`.
-fn load_report(context: &impl AttemptContext, value: &HeaderValue) -> Option<LoadReport> {
+fn parse_load_report(context: &impl AttemptContext, value: &HeaderValue) -> Option<LoadReport> {
     let mut report = LoadReport::default();
     for part in value.to_str().ok()?.split(',') {
         let (name, value) = part.split_once('=')?;
