--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -96,6 +96,7 @@
         // Counted from here on, or a burst of connections would not see itself.
         let permit = self.connections.event_loop().pool().reserved_permit();
         let connections = Rc::clone(&self.connections);
+        // Detached: the set of connections knows it until it ends, and a drain waits for the set.
         spawn_local(async move {
             handle_connection(&connections, &connection).await;
             connections.remove(number);
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -8,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::watch;
-use tokio::task::spawn_local;
+use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep};
 
 use super::connection_set::ConnectionSet;
@@ -40,8 +40,14 @@
     let event_loop = EventLoop::start(config).map_err(io::Error::other)?;
     // The platform goes by the settings of the start.
     let schedule = DrainSchedule::new(event_loop.longest_deadline());
+    // Aborted as this returns.
+    let mut background_tasks = JoinSet::new();
     if let Some(path) = path {
-        spawn_local(reload_on_hangup(Rc::clone(&event_loop), path, signal(SignalKind::hangup())?));
+        background_tasks.spawn_local(reload_on_hangup(
+            Rc::clone(&event_loop),
+            path,
+            signal(SignalKind::hangup())?,
+        ));
     }
     let (phase, phases) = watch::channel(Phase::Serving);
     let mut accept_loop = AcceptLoop::new(listener, Rc::new(ConnectionSet::new(event_loop, phases)));
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -136,7 +136,7 @@
         if let Some(known) = config.known {
             event_loop.apply_list(&known, ListSource::Configuration);
         }
-        // Both go on for as long as the process.
+        // Detached: both run for as long as the process, hold the event loop alive, and end with the runtime's local set.
         spawn_local(Rc::clone(&event_loop).evict_idle_connections());
         spawn_local(Rc::clone(&event_loop).log_stats_periodically());
         if let Some(distribution) = config.distribution {
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -46,6 +46,7 @@
             Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
             Action::ScheduleMaintenance(span) => {
                 let event_loop = Rc::clone(self);
+                // Detached: it ends by itself after this span, and the policy expects each event that it has scheduled.
                 spawn_local(async move {
                     sleep(span).await;
                     event_loop.handle(Event::MaintenanceDue);
@@ -99,6 +100,7 @@
             until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(requested_at + span)),
             is_last_attempt,
         };
+        // Detached: the request table owns its cancellation, it ends by itself soon after `until`, and it reports its end.
         spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
 }
