--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -67,102 +67,151 @@
     }
 }
 
+/// What an exchange has come to.
+struct Exchanged {
+    end: AttemptEnd,
+    /// The connection, if it may carry another request.
+    connection: Option<Connection>,
+}
+
+impl From<Outcome> for Exchanged {
+    /// The connection, if there was one, is closed.
+    fn from(outcome: Outcome) -> Self {
+        Self { end: outcome.into(), connection: None }
+    }
+}
+
 /// Makes an attempt and notifies the context of how it ended.
 pub async fn attempt<C: AttemptContext>(context: Rc<C>, job: Job, cancelled: oneshot::Receiver<()>) {
-    let progress = Progress::default();
-    let ended = match context.host(job.upstream, job.address) {
-        Some(host) => {
-            let exchange = exchange(&context, &job, &host, &progress);
-            tokio::select! {
-                biased;
-                done = timeout_at(job.until, exchange) => match done {
-                    Ok(done) => Some(done),
-                    // The exchange is dropped, and its connection closed with it.
-                    Err(_) if progress.whole() => Some((Outcome::TimedOut.into(), None)),
-                    Err(_) if progress.connect_wait.get().is_none() => {
-                        Some((Outcome::ConnectTimedOut.into(), None))
-                    }
-                    // Closed before its last byte was written, it can't run any more.
-                    Err(_) => Some((Outcome::ConnectFailed.into(), None)),
-                },
-                Ok(()) = cancelled => Some((Outcome::Cancelled.into(), None)),
-            }
-            .map(|(ended, connection)| (ended, connection.map(|connection| (host, connection))))
-        }
+    let Some(host) = context.host(job.upstream, job.address) else {
         // It drained, or went, between the decision and now.
-        None => Some((Outcome::ConnectFailed.into(), None)),
+        context.on_attempt_ended(&job, Outcome::ConnectFailed.into());
+        return;
+    };
+    let progress = Progress::default();
+    let exchange = exchange(&context, &job, &host, &progress);
+    let Exchanged { end, connection } = tokio::select! {
+        biased;
+        // At its deadline the exchange is dropped, and its connection closed with it.
+        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| overdue(&progress).into()),
+        Ok(()) = cancelled => Outcome::Cancelled.into(),
     };
-    let Some((ended, connection)) = ended else { return };
-    context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..ended });
+    context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..end });
     // The answer goes out first; then the connection is made ready for the next request.
-    if let Some((host, mut connection)) = connection
+    if let Some(mut connection) = connection
         && let Ok(Ok(())) = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await
     {
         context.pool().release(&host, connection);
     }
 }
 
+/// The outcome of an attempt that was given up at its deadline.
+fn overdue(progress: &Progress) -> Outcome {
+    if progress.whole() {
+        Outcome::TimedOut
+    } else if progress.connect_wait.get().is_none() {
+        Outcome::ConnectTimedOut
+    } else {
+        // Closed before its last byte was written, it can't run any more.
+        Outcome::ConnectFailed
+    }
+}
+
+/// Sends the request on a connection and reads the answer; on another connection where an idle one turns out closed.
 async fn exchange<C: AttemptContext>(
     context: &Rc<C>,
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
-) -> (AttemptEnd, Option<Connection>) {
+) -> Exchanged {
     loop {
-        let acquired = context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
-        let Acquired { mut connection, idle } = match acquired {
+        let acquired = match acquire(context, job, host).await {
             Ok(acquired) => acquired,
-            Err(error) => {
-                let outcome = match error {
-                    AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
-                    AcquireError::TimedOut => Outcome::ConnectTimedOut,
-                    _ => Outcome::ConnectFailed,
-                };
-                if !matches!(error, AcquireError::NoSocket) {
-                    context.on_unreachable(job.address, &error);
-                }
-                return (outcome.into(), None);
-            }
+            Err(outcome) => return outcome.into(),
         };
-        if idle.is_none() {
-            context.on_connected();
-        }
         progress.connect_wait.set(Some(job.requested_at.elapsed()));
-        let bounds = Bounds::of(context, job);
-        if let Some(outcome) = bounds.refusal() {
-            return (outcome.into(), None);
+        if let Some(exchanged) = exchange_on(acquired, context, job, progress).await {
+            return exchanged;
         }
-        let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
-        connection.written.set(0);
-        connection.gate.set(Box::new(bounds));
-        progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
-        if let Ok(response) = connection.sender.send_request(request).await {
-            if let Some(idle) = idle {
-                context.on_reused(idle, true);
+    }
+}
+
+/// A connection, or the outcome of an attempt that gets none.
+async fn acquire<C: AttemptContext>(
+    context: &Rc<C>,
+    job: &Job,
+    host: &Rc<Host>,
+) -> Result<Acquired, Outcome> {
+    match context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await {
+        Ok(acquired) => {
+            if acquired.idle.is_none() {
+                context.on_connected();
             }
-            let ended = read_response(&**context, response).await;
-            connection.gate.clear();
-            return match ended {
-                Some(ended) => (ended, Some(connection)),
-                None => (Outcome::Reset.into(), None),
-            };
+            Ok(acquired)
         }
-        if connection.gate.has_refused() {
-            if !context.is_awaited(job.request) {
-                context.on_client_disconnected(job.request);
+        Err(error) => {
+            if !matches!(error, AcquireError::NoSocket) {
+                context.on_unreachable(job.address, &error);
             }
-            let outcome = Bounds::of(context, job).refusal().unwrap_or(Outcome::NotSent);
-            return (outcome.into(), None);
+            Err(match error {
+                AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
+                AcquireError::TimedOut => Outcome::ConnectTimedOut,
+                _ => Outcome::ConnectFailed,
+            })
         }
-        if let Some(idle) = idle {
-            context.on_reused(idle, false);
+    }
+}
+
+/// Sends the request on this connection and reads the answer; `None` if it was idle and turns out closed before a byte of
+/// the request went out.
+async fn exchange_on<C: AttemptContext>(
+    acquired: Acquired,
+    context: &Rc<C>,
+    job: &Job,
+    progress: &Progress,
+) -> Option<Exchanged> {
+    let Acquired { mut connection, idle } = acquired;
+    let bounds = Bounds::of(context, job);
+    if let Some(outcome) = bounds.refusal() {
+        return Some(outcome.into());
+    }
+    let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
+    connection.written.set(0);
+    connection.gate.set(Box::new(bounds));
+    progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
+    let Ok(response) = connection.sender.send_request(request).await else {
+        return broken_off(&connection, idle, context, job, progress).map(Exchanged::from);
+    };
+    if let Some(idle) = idle {
+        context.on_reused(idle, true);
+    }
+    let end = read_response(&**context, response).await;
+    connection.gate.clear();
+    let Some(end) = end else { return Some(Outcome::Reset.into()) };
+    Some(Exchanged { end, connection: Some(connection) })
+}
+
+/// The outcome of an attempt whose connection broke before its answer began; `None` if the connection was idle and no byte
+/// of the request went out.
+fn broken_off<C: AttemptContext>(
+    connection: &Connection,
+    idle: Option<Duration>,
+    context: &Rc<C>,
+    job: &Job,
+    progress: &Progress,
+) -> Option<Outcome> {
+    if connection.gate.has_refused() {
+        if !context.is_awaited(job.request) {
+            context.on_client_disconnected(job.request);
         }
-        // A kept connection that turns out closed, or to hold what nobody asked for, before a byte went out has sent
-        // nothing.
-        if idle.is_some() && !progress.begun() {
-            continue;
+        return Some(Bounds::of(context, job).refusal().unwrap_or(Outcome::NotSent));
+    }
+    if let Some(idle) = idle {
+        context.on_reused(idle, false);
+        // It was closed, or held what nobody had asked for: nothing was sent.
+        if !progress.begun() {
+            return None;
         }
-        let outcome = if progress.whole() { Outcome::Reset } else { Outcome::ConnectFailed };
-        return (outcome.into(), None);
     }
+    Some(if progress.whole() { Outcome::Reset } else { Outcome::ConnectFailed })
 }
