--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Tells the event loop of a client that leaves before its answer: the connection drops this with the request.
+/// Notifies the event loop of a client that leaves before its answer: the connection drops this with the request.
 struct DepartureGuard {
     event_loop: Rc<EventLoop>,
     id: RequestId,
@@ -63,8 +63,8 @@
     }
 }
 
-/// Hands a request to the event loop and waits for its answer. Dropped in the wait, it tells the event loop that the client
-/// has left.
+/// Hands a request to the event loop and waits for its answer. Dropped in the wait, it notifies the event loop
+/// that the client has left.
 async fn await_answer(event_loop: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
     let overdue = received.deadline + DECISION_GRACE;
     let PendingAnswer { id, answer } = event_loop.accept(received);
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -1,6 +1,6 @@
-//! Which endpoints does discovery list, by which number do the decisions know each, and may new work go to it at its
-//! address? Keeps what the updates of discovery have said, one older than the list in hand among them. The table decides
-//! nothing: the numbers go to the decisions, and connections are closed by the event loop.
+//! The endpoints that discovery lists: the number by which the policy knows each, and whether new work may go to it at its
+//! address. Applies the updates of discovery, also one that is older than the list in hand. The table decides nothing: the
+//! numbers go to the policy, and connections are closed by the event loop.
 
 use std::net::SocketAddr;
 
@@ -37,16 +37,16 @@
     Configuration,
 }
 
-/// What of a list goes to the decisions, and what to the connections.
+/// What of a list goes to the policy, and what to the connections.
 #[derive(Debug)]
 pub struct AppliedList {
-    /// For the decisions.
+    /// For the policy.
     pub update: ListUpdate,
-    /// Endpoints whose process is a new one; the old one took its connections along.
+    /// Endpoints whose process is a new one; the connections to the old one are dead.
     pub restarted: Vec<EndpointId>,
 }
 
-/// An entry of a list in the form of the decisions.
+/// An entry of a list in the form of the policy.
 struct AppliedEntry {
     member: Member,
     restarted: bool,
@@ -135,13 +135,13 @@
         self.ids.retain(|id| listed.contains_key(id) || in_attempts.contains(id) || remembered.contains(id));
     }
 
-    /// Discovery has said a line, if an empty one: a start that a later one names lies after it.
+    /// Discovery has sent a line, be it an empty one: a start that a later line names lies after it.
     pub fn note_heartbeat(&mut self, now: Time) {
         self.starts.note_line(now);
     }
 
     /// Whether an update of discovery is to be applied. One older than the list in hand, as from a discovery that lags
-    /// behind the one asked before, must not end a drain: changes from then are passed over; a snapshot is what there is
+    /// behind the one used before, must not end a drain: changes from then are passed over; a snapshot is what there is
     /// now, but for endpoints that drain, which only a new start brings back, and those entries are changed here.
     #[must_use]
     pub fn admit(&mut self, now: Time, update: &mut Update) -> bool {
@@ -167,7 +167,7 @@
         drains && !self.starts.is_new_start(now, id, entry.since_ms)
     }
 
-    /// Takes in the entries of a list. Malformed ones are logged and passed over. `in_attempts` gives the endpoints that
+    /// Applies the entries of a list. Malformed ones are logged and skipped. `in_attempts` gives the endpoints that
     /// attempts are out to, whose names must not be forgotten; it is called now and then.
     pub fn apply(
         &mut self,
@@ -221,7 +221,7 @@
         if lifecycle == Lifecycle::Removed {
             self.listed.remove(&id);
         } else {
-            // A drain holds, whatever has become of the address.
+            // A drain applies, whatever has become of the address.
             let known =
                 self.listed.get(&id).filter(|_| lifecycle == Lifecycle::Draining).map(|known| known.address);
             let address = entry.address.parse().ok().or(known)?;
@@ -252,7 +252,7 @@
 struct EndpointIds {
     by_name: FxHashMap<Box<str>, EndpointId>,
     assigned: FxHashSet<EndpointId>,
-    /// So many names are looked through for some to forget: twice those that the last look has left.
+    /// From so many names on those not needed are removed: twice the number that the last removal has left.
     prune_at: usize,
 }
 
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,6 +1,6 @@
-//! What happens with what the decisions ask for? The event loop turns what happens on the network into events of the
-//! policy, and carries out the actions that come back. It decides nothing, and has no table of its own: requests in flight
-//! are in the [`RequestTable`], endpoints in the [`EndpointTable`].
+//! The event loop turns what happens on the network into events of the policy, and carries out the actions that come back.
+//! It decides nothing, and has no table of its own: requests in flight are in the [`RequestTable`], endpoints in the
+//! [`EndpointTable`].
 //!
 //! All state is behind one `RefCell` that is never borrowed across an await, nor while other tasks run: each borrow ends
 //! within the synchronous call that began it.
@@ -32,13 +32,13 @@
 pub use crate::request_table::{AcceptedRequest, Answer};
 
 /// How far the policy's clock runs ahead of the program's start: upstreams that started before it have a time on that
-/// clock too. One that started earlier still has been warm for long.
+/// clock too. One that started earlier than that finished its slow start long ago.
 const CLOCK_LEAD: Duration = Duration::from_secs(3600);
-/// How long a new process waits for discovery's first update before it says that it can serve: the agent on its own
+/// How long a new process waits for discovery's first update before its health check passes: the agent on its own
 /// machine answers at once unless discovery is down, and then the list of the configuration is the best there is. It
-/// waits as long for the first word on its settings, where they are distributed: then those of its file have to do.
+/// waits as long for its first settings, where they are distributed: after that it serves with those of its file.
 const FIRST_UPDATE_WITHIN: Duration = Duration::from_millis(500);
-/// Time between two looks for connections that were idle for too long, at the least.
+/// Least time between two checks for connections that were idle for too long.
 const MIN_EVICTION_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What changes with events.
@@ -80,7 +80,7 @@
 /// The state of a running balancer.
 pub struct EventLoop {
     state: RefCell<State>,
-    /// Those of the start: zones, kinds and the fields of a load report stay for life.
+    /// Those of the start: zones, kinds and the fields of a load report never change.
     names: Names,
     offered: RefCell<Rc<Offered>>,
     /// The longest time that a client waits, under any settings since the start.
@@ -94,7 +94,7 @@
 }
 
 impl EventLoop {
-    /// Starts the decisions with the list from the configuration.
+    /// Starts the policy with the list from the configuration.
     ///
     /// # Errors
     /// The settings make no sense.
@@ -165,7 +165,7 @@
     }
 
     /// Whether a list of upstreams is in hand, and not just the configuration's, which may be old, while discovery
-    /// may still be about to speak: what it has counts as told from the first moment.
+    /// may still be about to send one: whatever it sends counts from the first moment.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         let endpoints = &self.state.borrow().endpoints;
@@ -235,7 +235,7 @@
         PendingAnswer { id, answer: receiver }
     }
 
-    /// The client has left, or its time is up: nothing more is owed.
+    /// The client has left, or its time is up: it needs no answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
@@ -249,15 +249,15 @@
 
     // --- Discovery ---
 
-    /// Takes in an update of the watch.
+    /// Applies an update of the watch.
     pub fn learn(self: &Rc<Self>, mut update: Update) {
         if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
             return;
         }
         self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Delta });
         self.note_heartbeat();
-        // To the decisions an update means that the watch stands. On one at the address of before it must not keep them
-        // from asking at the new one.
+        // To the policy an update means that the watch is established. If it came from the old address, the policy must
+        // still ask for a watch at the new one.
         let moved = self.state.borrow().watch.address != self.discovery.get();
         if moved {
             self.state.borrow_mut().watch.abort();
@@ -265,13 +265,13 @@
         }
     }
 
-    /// The watch has said a line, if an empty one.
+    /// The watch has sent a line, be it an empty one.
     pub fn note_heartbeat(&self) {
         self.state.borrow_mut().endpoints.note_heartbeat(self.now());
     }
 
-    /// Discovery listens elsewhere now: the decisions are notified, and ask for a watch there. Until then the old one
-    /// goes on.
+    /// Discovery listens elsewhere now: the policy is notified, and asks for a watch there. Until then the old one
+    /// continues.
     pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
             crate::log(format_args!("discovery is at {address} now"));
@@ -340,12 +340,12 @@
 
 /// Fits the settings to real sockets.
 fn fit_to_sockets(settings: &mut Settings) {
-    // 'Automatic' speaks of the simulator: here a change comes only over a watch, which the decisions keep. It means
-    // that lists are pushed to an agent on this machine.
+    // 'Automatic' is defined for the simulator. On sockets a change comes only over a watch, and the setting means that
+    // lists are pushed to an agent on this machine.
     if settings.discovery == DiscoveryMode::Push {
         settings.discovery = DiscoveryMode::Agent;
     }
-    // Where lists are asked for, the settings may allow to ask more seldom than changes count as told.
+    // Where lists are polled, the settings may allow a longer interval than the time after which a change counts.
     let poll_interval_max = &mut settings.rules.poll_interval_max;
     *poll_interval_max = Some(poll_interval_max.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask for, carried out.
+//! Carries out the actions of the policy.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::upstream::{self, Job};
 
 impl EventLoop {
-    /// Hands an event to the decisions and carries out what they ask for.
+    /// Hands an event to the policy and carries out its actions.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
--- a/crates/proxy/src/event_loop/attempt_context.rs
+++ b/crates/proxy/src/event_loop/attempt_context.rs
@@ -1,4 +1,4 @@
-//! What attempts ask of the event loop, and what it does with their news.
+//! What the event loop answers to attempts, and how it records their progress.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The real balancer: starts from its configuration, serves until SIGTERM, then lets go in peace.
+//! The balancer on real sockets: starts from its configuration, serves until SIGTERM, then drains and ends.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -30,7 +30,7 @@
             server::serve(config, stop).await
         })
     });
-    // A log that nobody reads must not hold up the end.
+    // A log that nobody reads must not delay the end.
     log::flush(Duration::from_millis(100));
     match served {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -1,5 +1,5 @@
-//! Which requests still await an answer, and which attempts are out for them? A request stays in the table from when it
-//! is accepted until it has its final answer and its last attempt has ended. The table decides nothing.
+//! The requests in flight with their attempts. A request stays in the table from when it is accepted until it has its final
+//! answer and its last attempt has ended. The table decides nothing.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 pub enum Answer {
     /// What an upstream answered.
     Served(Bytes),
-    /// Trying again is harmless.
+    /// No attempt has had an effect: a retry is harmless.
     Refused {
-        /// How long to stay away.
+        /// How long the client is to wait before it.
         retry_after: Option<Duration>,
     },
     /// Nothing is said of its effect.
     Failed,
 }
 
-/// A client's request, ready for the decisions.
+/// A client's request, ready for the policy.
 #[derive(Debug)]
 pub struct AcceptedRequest {
     /// Its class.
@@ -65,7 +65,7 @@
 struct Attempt {
     /// Where it is out to, until it has ended.
     upstream: Option<EndpointId>,
-    /// Withdraws it, once.
+    /// Cancels it, once.
     cancel: Option<oneshot::Sender<()>>,
 }
 
@@ -191,8 +191,8 @@
         self.requests.get(&id).is_some_and(InFlight::is_unanswered)
     }
 
-    /// The same, and its client is still there: asks the system, as the end of a connection may lie in its socket
-    /// while the process was held up or others had their turn.
+    /// The same, and its client is still there: asks the system, as the end of a connection may be unread in its
+    /// socket while the process was suspended or other tasks ran.
     #[must_use]
     pub fn is_awaited(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id).filter(|request| request.is_unanswered());
@@ -204,7 +204,7 @@
         let request = self.requests.get_mut(&id)?;
         let attempts = request.attempts.len();
         let answered = request.answer.take().map(|sender| {
-            // A client that has just left is noticed in a way of its own.
+            // An error means that the client has just left, which its connection reports by itself.
             let _ = sender.send(answer);
             attempts
         });
@@ -226,7 +226,7 @@
         let attempt =
             self.requests.get_mut(&id).and_then(|request| request.attempts.get_mut(attempt.0 as usize));
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // It may have ended this moment, which it then says itself.
+            // An error means that it has just ended, which it reports by itself.
             let _ = cancel.send(());
         }
     }
@@ -248,7 +248,7 @@
             && let Some(answer) = request.answer.take()
         {
             served = true;
-            // A client that has just left is noticed in a way of its own.
+            // An error means that the client has just left, which its connection reports by itself.
             let _ = answer.send(Answer::Served(body));
         }
         let finished = request.answer.is_none();
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -1,5 +1,5 @@
-//! What has the balancer done lately? Counts since the last line of the log, which gets one every [`LOG_INTERVAL`]. The words of
-//! the line stay as they are: pages and operators search for them.
+//! What the balancer has done since the last line of counts in the log, which gets one every [`LOG_INTERVAL`]. The words of
+//! the line must stay as they are: pages and operators search for them.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -22,7 +22,7 @@
     pub refused: u32,
     /// Failed.
     pub failed: u32,
-    /// Given up as the client left, or overdue.
+    /// Abandoned as the client left, or overdue.
     pub left: u32,
     /// Connections to upstreams that were opened.
     pub opened: u32,
@@ -31,9 +31,9 @@
     /// The reason for one of the connections that did not come up has been logged.
     pub unreachable_logged: bool,
     /// Attempts by their outcome: good, error, refused, rejected, timed out, no connection, none in time,
-    /// reset, withdrawn, not sent.
+    /// reset, cancelled, not sent.
     outcomes: [u32; 10],
-    /// Time that the good ones took in all.
+    /// Total duration of the good ones.
     good_total: Duration,
     /// The longest of them.
     good_max: Duration,
--- a/crates/proxy/src/telemetry/log.rs
+++ b/crates/proxy/src/telemetry/log.rs
@@ -1,5 +1,5 @@
-//! Lines for the operator, on standard error, by the one writer of the process: what the client of configuration says
-//! goes the same way, and a log that somebody holds and nobody reads stops nothing.
+//! Lines for the operator, on standard error, by the one writer of the process: the lines of the client of configuration
+//! use it too, and a log that is open but not read blocks nothing.
 
 use std::fmt::Arguments;
 
--- a/crates/proxy/src/telemetry/mod.rs
+++ b/crates/proxy/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What can the operator see? Counts of what the balancer did, in one line every few seconds, and the log.
+//! What the operator sees: counts of what the balancer did, in one line every few seconds, and the log.
 
 pub mod counters;
 pub mod log;
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -1,5 +1,5 @@
-//! How an attempt gets its connection: one that stands idle, or whichever comes first of its own dial and another connection
-//! to the same upstream.
+//! How an attempt gets its connection: an idle one, or else the first of its own dial and any other connection to the same
+//! upstream that becomes free.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,13 +17,13 @@
 pub struct Acquired {
     /// The connection.
     pub connection: Connection,
-    /// For how long it stood idle, if it is not new.
+    /// For how long it was idle, if it is not new.
     pub idle: Option<Duration>,
 }
 
 impl Pool {
-    /// A connection for an attempt. What this machine lacks for a connect may come any moment, and would be lacking for
-    /// another upstream too: it is waited for up to `until`, for as long as the settings allow.
+    /// A connection for an attempt. A connect that fails for want of a local resource is repeated, as it would
+    /// fail to another upstream too: until `until`, and for as long as the settings allow.
     ///
     /// # Errors
     /// There is none within the usual time of a connect; if `is_last_attempt`, within the whole of the settings'.
@@ -44,7 +44,7 @@
         let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
         loop {
             let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
-            // One that rests is free sooner than a connection elsewhere may be up.
+            // One in its reuse delay is free sooner than a new connection is likely to be up.
             let check_at = host.next_free().unwrap_or(give_up_at);
             let retry_at = dial.retry.as_ref().map_or(check_at, |retry| retry.at);
             tokio::select! {
@@ -77,8 +77,8 @@
         }
     }
 
-    /// A free connection, the most recently used first, and for how long it stood idle. For a request that must run
-    /// `once` at most those idle for longer than is trusted are closed: the new one that it gets takes their place.
+    /// A free connection, the most recently used first, and for how long it was idle. For a request that must run
+    /// at most `once`, those idle for longer than is trusted are closed: a new one replaces them.
     fn take_idle(&self, host: &Host, once: bool) -> Option<Acquired> {
         let most = if once { self.trusted_idle() } else { self.idle_limit() };
         let now = Instant::now();
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: its request on a connection from the pool, and what became of it. An attempt never tries again by itself:
-//! whether another may follow is the policy's decision.
+//! One attempt: sends its request on a connection from the pool, and reports how that ended. An attempt never retries by
+//! itself: whether another may follow is the policy's decision.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 /// reading the request to its end never is.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What must hold as the bytes of an attempt's request are written.
+/// The conditions that are checked as the bytes of an attempt's request are written.
 struct Bounds<C> {
     context: Rc<C>,
     request: RequestId,
@@ -40,7 +40,7 @@
         Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
     }
 
-    /// Whether the time is over in which upstreams drop a repeat.
+    /// Whether the window is over in which upstreams discard a repeat.
     fn is_late(&self) -> bool {
         self.begin_by.is_some_and(|by| Instant::now() > by)
     }
@@ -51,7 +51,7 @@
         if !self.context.may_send(self.upstream, self.address) {
             return Some(Outcome::ConnectFailed);
         }
-        // Its caller may have gone meanwhile, or another attempt have served it.
+        // Its client may have left meanwhile, or another attempt have served it.
         (!self.context.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
     }
 }
@@ -67,7 +67,7 @@
     }
 }
 
-/// What an exchange has come to.
+/// The result of an exchange.
 struct Exchanged {
     end: AttemptEnd,
     /// The connection, if it may carry another request.
@@ -208,7 +208,7 @@
     }
     if let Some(idle) = idle {
         context.on_reused(idle, false);
-        // It was closed, or held what nobody had asked for: nothing was sent.
+        // It was closed, or had unexpected bytes to read: nothing was sent.
         if !progress.begun() {
             return None;
         }
--- a/crates/proxy/src/upstream/call.rs
+++ b/crates/proxy/src/upstream/call.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Bytes of a request on the socket, as few as they can be: counted low, so that a doubt is settled as 'may
-/// have run'.
+/// Bytes of a request on the socket, as few as they can be: a lower bound, so that in doubt a request counts
+/// as one that may have run.
 #[must_use]
 pub fn size_on_wire(request: &Request<Full<Bytes>>, body: usize) -> u64 {
     let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
--- a/crates/proxy/src/upstream/connect_time.rs
+++ b/crates/proxy/src/upstream/connect_time.rs
@@ -20,9 +20,9 @@
 }
 
 impl ConnectTime {
-    /// Takes in a connect that took so long, or was given up then.
+    /// Records a connect that came up (`up`) or was given up after this time.
     pub(super) fn learn(&mut self, duration: Duration, up: bool) {
-        // One given up tells how much longer it takes than what is known.
+        // One that was given up only says that a connect takes longer than is known.
         if self.known == 0.0 && !up {
             return;
         }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -41,15 +41,15 @@
     }
 }
 
-/// An open connection. Dropping it closes the socket, whatever is still under way on it: an attempt that is
-/// no longer waited for must not come to its end unseen.
+/// An open connection. Dropping it closes the socket, whatever is still in progress on it: a request that
+/// nobody waits for any more must not run unnoticed.
 #[derive(Debug)]
 pub struct Connection {
     /// Sends a request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Bytes that the socket has taken.
+    /// Bytes that the socket has accepted.
     pub written: Rc<Cell<u64>>,
-    /// Asked before a request's bytes are written.
+    /// Checked before a request's bytes are written.
     pub gate: Rc<Gate>,
     socket: Socket,
     task: AbortHandle,
@@ -63,14 +63,14 @@
 
 impl Connection {
     /// Whether a request may go out on it: the last answer is through, and the peer has neither closed nor sent
-    /// anything since, which would pass for the next answer.
+    /// anything since, which would be read as the next answer.
     #[must_use]
     pub fn is_free(&self) -> bool {
         self.sender.is_ready() && self.socket.is_silent()
     }
 }
 
-/// Connects to where a watch is had.
+/// Connects to where a watch is served.
 ///
 /// # Errors
 /// It does not come up.
@@ -93,7 +93,7 @@
     Ok(Connection { sender, written, gate, socket, task: task.abort_handle() })
 }
 
-/// A socket that counts the bytes it has taken: what was never written whole never ran.
+/// A socket that counts the bytes it has accepted: a request that was never written whole never ran.
 #[derive(Debug)]
 pub struct CountingSocket {
     socket: Socket,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Writes what the socket has not taken yet of a request's head, and what follows.
+    /// Writes what the socket has not accepted yet of a request's head, and what follows.
     fn write_head(
         &mut self,
         context: &mut Context<'_>,
@@ -169,7 +169,7 @@
         } else {
             self.head = self.gate.begin(first)?;
         }
-        // The socket may take a head in parts: the rest of it goes with the first part's deadline.
+        // The socket may accept a head in parts: the rest of it goes with the first part's deadline.
         if let Some(head) = self.head.take_if(|head| written + first.len() == head.len()) {
             let done = self.write_head(context, &head[written..], rest);
             self.head = Some(head);
--- a/crates/proxy/src/upstream/context.rs
+++ b/crates/proxy/src/upstream/context.rs
@@ -26,8 +26,8 @@
     /// Whether a request still wants an answer: its client may have left, or another attempt have served it.
     fn is_wanted(&self, request: RequestId) -> bool;
 
-    /// The same, and its client is still there: asks the system, as the end of a connection may lie in its socket
-    /// while the process was held up or others had their turn.
+    /// The same, and its client is still there: asks the system, as the end of a connection may be unread in its
+    /// socket while the process was suspended or other tasks ran.
     fn is_awaited(&self, request: RequestId) -> bool;
 
     /// Whether a load report may have a value of this name.
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -16,8 +16,8 @@
 
 /// Wait before a connect that failed on this machine is tried again, at first: a lack of ports or memory may pass at once.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// The same after some such failures, as it doubles: a lack that lasts must not keep the machine busy with looking for a
-/// port.
+/// The same after some such failures, as it doubles: a lack that lasts must not keep the machine busy with the search for
+/// a port.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(64);
 
 /// A connect that failed on this machine, and is to be tried again.
@@ -26,7 +26,7 @@
     pub(super) at: Instant,
 }
 
-/// A connection that an attempt waits for. Dropped before it is up, it goes on coming up for the next one.
+/// A connection that an attempt waits for. Dropped before it is up, it continues for the next attempt.
 pub(super) struct Dial<'a> {
     pub(super) pool: &'a Rc<Pool>,
     pub(super) host: &'a Rc<Host>,
--- a/crates/proxy/src/upstream/gate.rs
+++ b/crates/proxy/src/upstream/gate.rs
@@ -1,14 +1,14 @@
-//! What is asked at the moment at which a request's bytes are written. Between the hand-over of a request to its connection
-//! and the write the process may be held up and others have their turn: the client may have left, the endpoint begun to
-//! drain, the window for repeats ended, and the deadline that is passed on has come nearer.
+//! What is checked at the moment at which a request's bytes are written. Between the hand-over of a request to its
+//! connection and the write the process may be suspended and other tasks may run: the client may have left, the endpoint
+//! begun to drain, the window for repeats ended, and the deadline that is passed on has come nearer.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
 use std::io;
 use std::time::Duration;
 
-/// Whether the bytes of a request may go out, asked as they are written: since the request was handed over, others had
-/// their turn, or the process was held up.
+/// Whether the bytes of a request may go out, checked as they are written: since the request was handed over, other
+/// tasks may have run, or the process have been suspended.
 pub trait Clearance {
     /// Before the first byte: how long the attempt waits from now on; `None` if it must not begin.
     fn begin(&self) -> Option<Duration>;
@@ -16,7 +16,7 @@
     fn go_on(&self) -> bool;
 }
 
-/// Holds the clearance of the request that goes out on a connection.
+/// Checks the clearance of the request that goes out on a connection.
 #[derive(Default)]
 pub struct Gate {
     clearance: RefCell<Option<Box<dyn Clearance>>>,
@@ -30,12 +30,12 @@
 }
 
 impl Gate {
-    /// Asks for this clearance from now on.
+    /// Checks this clearance from now on.
     pub fn set(&self, clearance: Box<dyn Clearance>) {
         self.clearance.replace(Some(clearance));
     }
 
-    /// Asks for none any more.
+    /// Checks none from now on.
     pub fn clear(&self) {
         self.clearance.take();
     }
@@ -46,7 +46,7 @@
         self.refused.get()
     }
 
-    /// Asks whether the first bytes of a request may go out, and gives them with the time that is left now.
+    /// Checks whether the first bytes of a request may go out, and returns them with the time that is left now.
     pub(super) fn begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
         match self.clearance.borrow().as_deref().map(Clearance::begin) {
             None => Ok(None),
@@ -76,7 +76,7 @@
     Some(bytes)
 }
 
-/// What a deadline stands behind in the head of a request.
+/// What precedes the deadline in the head of a request.
 const DEADLINE: &[u8] = b"\r\nx-deadline: ";
 
 /// Seconds with as many decimals as make them so long, rounded down; `None` if they are longer.
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -1,5 +1,5 @@
-//! The connections to one process of an upstream between attempts: those that stand idle, and the one that still comes up
-//! though no attempt waits for it.
+//! The connections to one process of an upstream between attempts: those that are idle, and the dial that continues though
+//! no attempt waits for it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -31,7 +31,7 @@
     pub(super) since: Instant,
 }
 
-/// A dial that goes on though the attempt that began it does not wait for it any more.
+/// A dial that continues though the attempt that began it does not wait for it any more.
 pub(super) struct LateDial {
     pub(super) connecting: Connecting,
     /// Waits for it; `None` for the moment before it is started.
@@ -53,12 +53,12 @@
     pub(super) zone: Option<ZoneId>,
     /// The most recently used last.
     pub(super) idle: RefCell<Vec<IdleConnection>>,
-    /// At most one, so that an upstream out of reach holds no more sockets than this.
+    /// At most one, so that an unreachable upstream uses no more sockets than this.
     pub(super) late: RefCell<Option<LateDial>>,
     /// Attempts that wait for a connection.
     pub(super) waiting: Cell<usize>,
     pub(super) closed: Cell<bool>,
-    /// Something came for those that wait to look at.
+    /// Notifies those that wait of a change.
     pub(super) changed: Notify,
 }
 
--- a/crates/proxy/src/upstream/idle_trust.rs
+++ b/crates/proxy/src/upstream/idle_trust.rs
@@ -1,8 +1,8 @@
-//! How long a kept connection may have stood idle and still carry a request that must not run twice.
+//! How long a connection may have been idle and still carry a request that must not run twice.
 //!
 //! An upstream may close an idle connection well before the settings say that it must. A request that crosses
 //! the close ends as a reset, after which one that must not run twice has failed. Requests that may be repeated
-//! go on using any kept connection and tell when the trouble is over.
+//! go on using any idle connection, and so show when the fault is over.
 
 use std::time::Duration;
 
@@ -22,13 +22,13 @@
 }
 
 impl Trust {
-    /// Trusts every connection that is kept, for `most` at the longest.
+    /// Trusts every idle connection, for `most` at the longest.
     #[must_use]
     pub fn new(most: Duration) -> Self {
         Self { most, trusted: most, answers: 0 }
     }
 
-    /// Connections are kept for another time from now on: what was distrusted stays so.
+    /// Idle connections are closed after another time from now on: what was distrusted stays so.
     pub fn keep_for(&mut self, most: Duration) {
         self.trusted = if self.trusted == self.most { most } else { self.trusted.min(most) };
         self.most = most;
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -23,9 +23,9 @@
     pub address: SocketAddr,
     /// What to send.
     pub call: Rc<Call>,
-    /// When it was asked for.
+    /// When the policy requested it.
     pub requested_at: Instant,
-    /// When it must have begun, where that is bound.
+    /// When it must have begun, if there is a limit.
     pub begin_by: Option<Instant>,
     /// When it is given up.
     pub until: Instant,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,10 +1,10 @@
 //! The side of the upstreams: attempts, and the connections that they use.
 //!
-//! An attempt takes a connection from the [`pool`], which holds those of each process as a [`host::Host`]; a new one comes up
+//! An attempt takes a connection from the [`pool`], which has those of each process as a [`host::Host`]; a new one comes up
 //! as a dial (`dial.rs`), within the time that `connect_time.rs` knows. The bytes of its request pass the [`gate`] as they are
-//! written. [`idle_trust`] says how long a connection may have stood idle for a request that must not run twice.
+//! written. [`idle_trust`] estimates how long a connection may have been idle for a request that must not run twice.
 //!
-//! Nothing here knows the event loop: an attempt asks and notifies it through the [`AttemptContext`].
+//! Nothing here knows the event loop: an attempt queries and notifies it through the [`AttemptContext`].
 
 pub mod acquire;
 pub mod acquire_error;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams between attempts: those that stand idle, those that still come up, and how long one
-//! usually takes to come up. How an attempt gets one stands in `acquire.rs`.
+//! Connections to upstreams between attempts: those that are idle, dials that continue, and how long a dial usually
+//! takes. How an attempt gets a connection is in `acquire.rs`.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
@@ -24,24 +24,24 @@
 pub use super::acquire_error::AcquireError;
 pub use super::host::Host;
 
-/// Part of the settings' idle limit after which a kept connection is closed: one that the upstream closes as a
+/// Part of the settings' idle limit after which an idle connection is closed: one that the upstream closes as a
 /// request is written ends that request as a reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.7;
 /// How long a connection rests after an answer before it carries the next request: an upstream at fault may send a
-/// second answer some milliseconds behind the first, and the next request's caller would get it.
+/// second answer some milliseconds behind the first, and the next request's client would get it.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// Descriptors that are no connection: standard streams, listener, runtime.
 const OTHER_DESCRIPTORS: usize = 16;
 /// One in so many descriptors is left to clients by connections to upstreams.
 const CLIENT_RESERVE_DIVISOR: usize = 4;
-/// How long a dial that no attempt waits for goes on, counted from its start: TCP asks again after 1 s and after 3 s
+/// How long a dial that no attempt waits for continues, counted from its start: TCP repeats its SYN after 1 s and after 3 s
 /// (RFC 6298, with the doubling), and the answer to the second repeat needs a round trip more.
 const MAX_LATE_DIAL: Duration = Duration::from_millis(3500);
 
-/// How a pool stands.
+/// The state of a pool, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Connections that stand idle.
+    /// Connections that are idle.
     pub idle_connections: usize,
     /// Dials that no attempt waits for.
     pub late_dials: usize,
@@ -56,14 +56,14 @@
 /// All connections to upstreams, and the budget of sockets.
 pub struct Pool {
     hosts: RefCell<FxHashMap<EndpointId, Rc<Host>>>,
-    /// By zone: where upstreams stand decides how long a connect takes.
+    /// By zone: how long a connect takes depends on where the upstream is.
     connect_times: RefCell<FxHashMap<Option<ZoneId>, ConnectTime>>,
     connect_timeout: Cell<Duration>,
     idle_limit: Cell<Duration>,
     trust: RefCell<Trust>,
     sockets: Rc<Cell<usize>>,
     max_sockets: usize,
-    /// Hears of each connection that came up with no attempt waiting for it.
+    /// Notified of each connection that came up with no attempt waiting for it.
     on_connected: Box<dyn Fn(EndpointId)>,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl Pool {
-    /// An empty one. `keepalive` is the settings' idle limit, `descriptors` what the process may hold.
+    /// An empty one. `keepalive` is the settings' idle limit, `descriptors` how many the process may have open.
     pub fn new(
         connect_timeout: Duration,
         keepalive: Duration,
@@ -94,13 +94,13 @@
         })
     }
 
-    /// How long a connection may stand idle before it is closed.
+    /// How long a connection may be idle before it is closed.
     #[must_use]
     pub fn idle_limit(&self) -> Duration {
         self.idle_limit.get()
     }
 
-    /// Goes by other settings from now on. What connects now waits as long as it was to.
+    /// Uses other settings from now on. A connect in progress keeps its time limit.
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.idle_limit.set(keepalive.mul_f64(IDLE_LIMIT_FRACTION));
@@ -109,14 +109,14 @@
 
     // --- Sockets ---
 
-    /// Counts a connection that is had in any case: a caller's, which the machine has already accepted, or
+    /// Counts a connection that is opened in any case: a client's, which the machine has already accepted, or
     /// discovery's, without which drains would be missed.
     #[must_use]
     pub fn reserved_permit(&self) -> Permit {
         Permit::of(&self.sockets)
     }
 
-    /// Whether so many sockets are open that those not in use must go.
+    /// Whether so many sockets are open that unused ones must be closed.
     #[must_use]
     pub fn is_nearly_full(&self) -> bool {
         self.sockets.get() >= self.max_sockets - self.max_sockets / (2 * CLIENT_RESERVE_DIVISOR)
@@ -128,7 +128,7 @@
         self.sockets.get() > self.max_sockets
     }
 
-    /// A socket for a connection of our own, if the budget has one: those not in use are closed to make room.
+    /// A socket for a connection of our own, if the budget has one: unused ones are closed for it.
     pub(super) fn permit(&self) -> Option<Permit> {
         let most = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
         if self.sockets.get() >= most {
@@ -138,7 +138,7 @@
     }
 
     /// Gives up a dial that nobody waits for or, if there is none, closes the idle connection that was used least
-    /// recently; tells whether there was one.
+    /// recently; returns whether there was one.
     pub fn close_unused(&self) -> bool {
         let hosts = self.hosts.borrow();
         if hosts.values().any(|host| host.late.take().is_some()) {
@@ -198,7 +198,7 @@
         });
     }
 
-    /// Closes what has stood idle for too long, or was closed by its upstream.
+    /// Closes what has been idle for too long, or was closed by its upstream.
     pub fn close_expired(&self) {
         for host in self.hosts.borrow().values() {
             let is_usable = |idle: &IdleConnection| {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// How the pool stands now.
+    /// The state of the pool now.
     #[must_use]
     pub fn stats(&self) -> PoolStats {
         let hosts = self.hosts.borrow();
@@ -244,7 +244,7 @@
         self.trust.borrow().trusted()
     }
 
-    /// Learns whether a connection that was idle for so long has carried its request.
+    /// Records whether a connection that was idle for so long has carried its request.
     pub fn record_reuse(&self, idle: Duration, answered: bool) {
         if answered {
             self.trust.borrow_mut().answered(idle);
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Lets a dial go on that no attempt waits for any more, where there is use for it.
+    /// Continues a dial that no attempt waits for any more, where its connection may be used.
     pub(super) fn continue_dial(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
         if host.closed.get() || host.late.borrow().is_some() || self.is_nearly_full() {
             return;
@@ -274,7 +274,7 @@
                 None => Poll::Pending,
             });
             let connected = timeout_at(give_up_at, connect).await;
-            // Not to be ended by its own end.
+            // The task must not abort itself as the dial is dropped.
             let Some(mut late) = owner.late.take() else { return };
             late.task = None;
             if let Ok(Ok(stream)) = connected {
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A late connection is kept where none stands by for each attempt that waits, or none at all.
+    /// Adds a late connection to the idle ones if they are fewer than the attempts that wait, or if there is none.
     async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting.get().max(1)
             && let Ok(connection) = speak(stream, self.reserved_permit()).await
--- a/crates/proxy/src/upstream/progress.rs
+++ b/crates/proxy/src/upstream/progress.rs
@@ -1,4 +1,4 @@
-//! How far an attempt has come: what decides whether a request that broke off may have run.
+//! How much of an attempt's request has been written, which decides whether a request that broke off may have run.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 /// How much of the request was on its way when the attempt was given up.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Bytes that the socket has taken, once there is one.
+    /// Bytes that the socket has accepted, once there is one.
     written: RefCell<Option<Rc<Cell<u64>>>>,
     /// Bytes of the request.
     size: Cell<u64>,
@@ -16,7 +16,7 @@
 }
 
 impl Progress {
-    /// A request of so many bytes goes out on a socket that has taken so many.
+    /// A request of `size` bytes goes out on a socket that counts in `written` what it has accepted.
     pub fn on(&self, written: &Rc<Cell<u64>>, size: u64) {
         self.size.set(size);
         self.written.replace(Some(Rc::clone(written)));
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -32,7 +32,7 @@
     let outcome = match head.status {
         StatusCode::OK => Outcome::Success,
         _ if not_run => Outcome::Refused,
-        // What a caller got wrong is no fault of the upstream's.
+        // What a client got wrong is no fault of the upstream's.
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Outcome::InvalidRequest,
         _ => Outcome::Error,
     };
