--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,11 +1,12 @@
-//! What happens with what the decisions ask for? The event loop turns what happens on the network into events of the
-//! policy, and carries out the actions that come back. It decides nothing, and has no table of its own: requests in flight
-//! are in the [`RequestTable`], endpoints in the [`EndpointTable`].
+//! The event loop turns what happens on the network into events of the policy, and carries out the actions that come back.
+//! It decides nothing, and has no table of its own: requests in flight are in the [`RequestTable`], endpoints in the
+//! [`EndpointTable`].
 //!
 //! All state is behind one `RefCell` that is never borrowed across an await, nor while other tasks run: each borrow ends
 //! within the synchronous call that began it.
 
 mod actions;
+mod attempt_context;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,9 +14,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use balancer_policy::interface::{
-    DiscoveryMode, EndpointId, ListUpdate, Request, RequestId, SettingsError, Time,
-};
+use balancer_policy::interface::{DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time};
 use balancer_policy::{Balancer, Event, Settings};
 use balancer_settings::{Loaded, Names};
 use tokio::sync::oneshot;
@@ -26,21 +25,20 @@
 use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
-use crate::pool::{AcquireError, Host, Pool};
+use crate::pool::{Pool, PoolStats};
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
-use crate::upstream::{Ended, Job};
 
 pub use crate::request_table::{AcceptedRequest, Answer};
 
 /// How far the policy's clock runs ahead of the program's start: upstreams that started before it have a time on that
-/// clock too. One that started earlier still has been warm for long.
+/// clock too. One that started earlier than that finished its slow start long ago.
 const CLOCK_LEAD: Duration = Duration::from_secs(3600);
-/// How long a new process waits for discovery's first update before it says that it can serve: the agent on its own
+/// How long a new process waits for discovery's first update before its health check passes: the agent on its own
 /// machine answers at once unless discovery is down, and then the list of the configuration is the best there is. It
-/// waits as long for the first word on its settings, where they are distributed: then those of its file have to do.
+/// waits as long for its first settings, where they are distributed: after that it serves with those of its file.
 const FIRST_UPDATE_WITHIN: Duration = Duration::from_millis(500);
-/// Time between two looks for connections that were idle for too long, at the least.
+/// Least time between two checks for connections that were idle for too long.
 const MIN_EVICTION_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What changes with events.
@@ -70,24 +68,33 @@
     }
 }
 
+/// A request that has been accepted, and whose answer is to come.
+#[derive(Debug)]
+pub struct PendingAnswer {
+    /// Its number.
+    pub id: RequestId,
+    /// Brings the final answer.
+    pub answer: oneshot::Receiver<Answer>,
+}
+
 /// The state of a running balancer.
 pub struct EventLoop {
     state: RefCell<State>,
-    /// Those of the start: zones, kinds and the fields of a load report stay for life.
+    /// Those of the start: zones, kinds and the fields of a load report never change.
     names: Names,
     offered: RefCell<Rc<Offered>>,
     /// The longest time that a client waits, under any settings since the start.
-    longest: Cell<Duration>,
+    longest_deadline: Cell<Duration>,
     /// The settings in force are those that are distributed, as far as is known.
     configured: Cell<bool>,
-    zero: Instant,
+    started_at: Instant,
     discovery: Cell<SocketAddr>,
     patience: Patience,
     pool: Rc<Pool>,
 }
 
 impl EventLoop {
-    /// Starts the decisions with the list from the configuration.
+    /// Starts the policy with the list from the configuration.
     ///
     /// # Errors
     /// The settings make no sense.
@@ -107,42 +114,36 @@
             watch: Watch { task: None, number: 0, address: config.discovery },
             counters: Counters::default(),
         };
-        let driver = Rc::new_cyclic(|driver: &Weak<Self>| Self {
+        let event_loop = Rc::new_cyclic(|this: &Weak<Self>| Self {
             state: RefCell::new(state),
             names: loaded.names,
-            longest: Cell::new(offered.longest()),
+            longest_deadline: Cell::new(offered.longest()),
             offered: RefCell::new(Rc::new(offered)),
             configured: Cell::new(config.distribution.is_none()),
-            zero: Instant::now(),
+            started_at: Instant::now(),
             discovery: Cell::new(config.discovery),
             patience,
             pool: {
-                let driver = Weak::clone(driver);
+                let this = Weak::clone(this);
                 Pool::new(loaded.connect_timeout, keepalive, config.sockets, move |upstream| {
-                    if let Some(driver) = driver.upgrade() {
-                        driver.handle(Event::Connected(upstream));
+                    if let Some(event_loop) = this.upgrade() {
+                        event_loop.handle(Event::Connected(upstream));
                     }
                 })
             },
         });
-        driver.handle(Event::Started);
+        event_loop.handle(Event::Started);
         if let Some(known) = config.known {
-            driver.apply_list(&known, ListSource::Configuration);
+            event_loop.apply_list(&known, ListSource::Configuration);
         }
-        // Both go on for as long as the process.
-        spawn_local(Rc::clone(&driver).evict_idle_connections());
-        spawn_local(Rc::clone(&driver).log_stats_periodically());
+        // Detached: both run for as long as the process, hold the event loop alive, and end with the runtime's local set.
+        spawn_local(Rc::clone(&event_loop).evict_idle_connections());
+        spawn_local(Rc::clone(&event_loop).log_stats_periodically());
         if let Some(distribution) = config.distribution {
-            let pool = Rc::clone(&driver.pool);
-            configuration::follow(Rc::clone(&driver), pool, &config.name, config.seed, distribution);
+            let pool = Rc::clone(&event_loop.pool);
+            configuration::follow(Rc::clone(&event_loop), pool, &config.name, config.seed, distribution);
         }
-        Ok(driver)
-    }
-
-    /// Whether a load report may have a value of this name.
-    #[must_use]
-    pub fn has_load_field(&self, name: &str) -> bool {
-        self.names.load_fields.iter().any(|field| field == name)
+        Ok(event_loop)
     }
 
     /// What clients may ask for.
@@ -153,8 +154,8 @@
 
     /// The longest time that a client waits, under any settings since the start.
     #[must_use]
-    pub fn longest(&self) -> Duration {
-        self.longest.get()
+    pub fn longest_deadline(&self) -> Duration {
+        self.longest_deadline.get()
     }
 
     /// The connections to upstreams.
@@ -164,30 +165,30 @@
     }
 
     /// Whether a list of upstreams is in hand, and not just the configuration's, which may be old, while discovery
-    /// may still be about to speak: what it has counts as told from the first moment.
+    /// may still be about to send one: whatever it sends counts from the first moment.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         let endpoints = &self.state.borrow().endpoints;
         let up_to_date = endpoints.has_update() && self.configured.get();
-        endpoints.has_list() && (up_to_date || self.zero.elapsed() >= FIRST_UPDATE_WITHIN)
+        endpoints.has_list() && (up_to_date || self.started_at.elapsed() >= FIRST_UPDATE_WITHIN)
     }
 
     fn now(&self) -> Time {
-        CLOCK_LEAD + self.zero.elapsed()
+        CLOCK_LEAD + self.started_at.elapsed()
     }
 
     // --- Periodic tasks ---
 
     async fn evict_idle_connections(self: Rc<Self>) {
         loop {
-            sleep((self.pool.keep_for() / 8).max(MIN_EVICTION_INTERVAL)).await;
-            self.pool.close_old();
+            sleep((self.pool.idle_limit() / 8).max(MIN_EVICTION_INTERVAL)).await;
+            self.pool.close_expired();
         }
     }
 
     async fn log_stats_periodically(self: Rc<Self>) {
         loop {
-            sleep(counters::EVERY).await;
+            sleep(counters::LOG_INTERVAL).await;
             self.log_stats();
         }
     }
@@ -197,13 +198,14 @@
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
         let State { balancer, requests, endpoints, .. } = &*state;
-        let (idle, late, sockets, sockets_most, trusted) = self.pool.figures();
+        let PoolStats { idle_connections, late_dials, sockets, max_sockets, trusted_idle } =
+            self.pool.stats();
         crate::log(format_args!(
-            "{counters}; now: {} held, {} attempts out, {idle} connections idle (trusted for {} ms) \
-             and {late} late, {sockets} of {sockets_most} sockets, {} of {} upstreams ready, list {}; {}",
+            "{counters}; now: {} held, {} attempts out, {idle_connections} connections idle (trusted for {} ms) \
+             and {late_dials} late, {sockets} of {max_sockets} sockets, {} of {} upstreams ready, list {}; {}",
             requests.len(),
             requests.attempts_out(),
-            trusted.as_millis(),
+            trusted_idle.as_millis(),
             endpoints.ready(),
             endpoints.listed(),
             endpoints.index(),
@@ -211,77 +213,29 @@
         ));
     }
 
-    // --- Connections ---
-
-    /// The connections to an upstream, if discovery's latest update allows new work for it at this address.
-    #[must_use]
-    pub fn host(&self, upstream: EndpointId, address: SocketAddr) -> Option<Rc<Host>> {
-        let state = self.state.borrow();
-        let endpoint = state.endpoints.ready_endpoint_at(upstream, address)?;
-        Some(self.pool.host(upstream, address, endpoint.zone))
-    }
-
-    /// Learns whether a connection that was idle for so long has carried its request.
-    pub fn learn_idle(&self, idle: Duration, answered: bool) {
-        self.pool.learn_idle(idle, answered);
-        self.state.borrow_mut().counters.reused_reset += u32::from(!answered);
-    }
-
-    /// Whether discovery's latest update allows new work for an upstream at this address.
-    #[must_use]
-    pub fn may_send(&self, upstream: EndpointId, address: SocketAddr) -> bool {
-        self.state.borrow().endpoints.ready_endpoint_at(upstream, address).is_some()
-    }
-
-    /// Counts a connection to an upstream.
-    pub fn count_opened(&self) {
-        self.state.borrow_mut().counters.opened += 1;
-    }
-
-    /// Logs why a connection did not come up, once between two lines of counts: upstreams may be out of reach
-    /// for long.
-    pub fn log_unreachable(&self, address: SocketAddr, error: &AcquireError) {
-        if !std::mem::replace(&mut self.state.borrow_mut().counters.unreachable_logged, true) {
-            crate::log(format_args!("{address} was not reached: {error}"));
-        }
-    }
-
     // --- Requests ---
 
-    /// Whether a request still wants an answer: its client may have left, or another attempt have served it.
-    #[must_use]
-    pub fn is_wanted(&self, request: RequestId) -> bool {
-        self.state.borrow().requests.is_wanted(request)
-    }
-
-    /// The same, and its client is still there: asks the system, as the end of a connection may lie in its socket
-    /// while the process was held up or others had their turn.
-    #[must_use]
-    pub fn is_awaited(&self, request: RequestId) -> bool {
-        self.state.borrow().requests.is_awaited(request)
-    }
-
-    /// Accepts a request; its final answer comes through the receiver.
-    pub fn accept(self: &Rc<Self>, taken: AcceptedRequest) -> (RequestId, oneshot::Receiver<Answer>) {
+    /// Accepts a request.
+    pub fn accept(self: &Rc<Self>, accepted: AcceptedRequest) -> PendingAnswer {
         let (answer, receiver) = oneshot::channel();
         let id = {
             let mut state = self.state.borrow_mut();
             state.counters.accepted += 1;
-            state.requests.insert(&taken, answer)
+            state.requests.insert(&accepted, answer)
         };
         self.handle(Event::Request(Request {
             id,
-            class: taken.class,
-            tenant: taken.tenant,
-            subject: taken.subject,
-            time_left: taken.deadline.saturating_duration_since(Instant::now()),
-            expected_work: taken.expected_work,
-            is_client_retry: taken.is_client_retry,
+            class: accepted.class,
+            tenant: accepted.tenant,
+            subject: accepted.subject,
+            time_left: accepted.deadline.saturating_duration_since(Instant::now()),
+            expected_work: accepted.expected_work,
+            is_client_retry: accepted.is_client_retry,
         }));
-        (id, receiver)
+        PendingAnswer { id, answer: receiver }
     }
 
-    /// The client has left, or its time is up: nothing more is owed.
+    /// The client has left, or its time is up: it needs no answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
@@ -293,39 +247,17 @@
         self.handle(Event::ClientDisconnected(id));
     }
 
-    /// An attempt is over.
-    pub fn attempt_ended(self: &Rc<Self>, job: &Job, ended: Ended) {
-        let duration = job.asked.elapsed();
-        let result = {
-            let mut state = self.state.borrow_mut();
-            let result = state.requests.end_attempt(job.request, job.attempt, ended.body);
-            let Some(result) = result else { return };
-            state.counters.attempt(ended.outcome, duration);
-            state.counters.served += u32::from(result.served);
-            result
-        };
-        self.handle(Event::AttemptEnded {
-            request: job.request,
-            attempt: job.attempt,
-            outcome: ended.outcome,
-            duration,
-            connect_wait: ended.connect_wait.unwrap_or(duration),
-            finished: result.finished,
-            load: ended.load,
-        });
-    }
-
     // --- Discovery ---
 
-    /// Takes in an update of the watch.
+    /// Applies an update of the watch.
     pub fn learn(self: &Rc<Self>, mut update: Update) {
         if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
             return;
         }
         self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Delta });
         self.note_heartbeat();
-        // To the decisions an update means that the watch stands. On one at the address of before it must not keep them
-        // from asking at the new one.
+        // To the policy an update means that the watch is established. If it came from the old address, the policy must
+        // still ask for a watch at the new one.
         let moved = self.state.borrow().watch.address != self.discovery.get();
         if moved {
             self.state.borrow_mut().watch.abort();
@@ -333,13 +265,13 @@
         }
     }
 
-    /// The watch has said a line, if an empty one.
+    /// The watch has sent a line, be it an empty one.
     pub fn note_heartbeat(&self) {
         self.state.borrow_mut().endpoints.note_heartbeat(self.now());
     }
 
-    /// Discovery listens elsewhere now: the decisions are notified, and ask for a watch there. Until then the old one
-    /// goes on.
+    /// Discovery listens elsewhere now: the policy is notified, and asks for a watch there. Until then the old one
+    /// continues.
     pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
             crate::log(format_args!("discovery is at {address} now"));
@@ -373,7 +305,7 @@
         let offered = self.offered().followed_by(&names, &mut settings)?;
         settings.validate()?;
         self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
-        self.longest.set(self.longest.get().max(offered.longest()));
+        self.longest_deadline.set(self.longest_deadline.get().max(offered.longest()));
         self.offered.replace(Rc::new(offered));
         self.handle(Event::Reconfigured(settings));
         Ok(())
@@ -408,12 +340,12 @@
 
 /// Fits the settings to real sockets.
 fn fit_to_sockets(settings: &mut Settings) {
-    // 'Automatic' speaks of the simulator: here a change comes only over a watch, which the decisions keep. It means
-    // that lists are pushed to an agent on this machine.
+    // 'Automatic' is defined for the simulator. On sockets a change comes only over a watch, and the setting means that
+    // lists are pushed to an agent on this machine.
     if settings.discovery == DiscoveryMode::Push {
         settings.discovery = DiscoveryMode::Agent;
     }
-    // Where lists are asked for, the settings may allow to ask more seldom than changes count as told.
+    // Where lists are polled, the settings may allow a longer interval than the time after which a change counts.
     let poll_interval_max = &mut settings.rules.poll_interval_max;
     *poll_interval_max = Some(poll_interval_max.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask for, carried out.
+//! Carries out the actions of the policy.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::upstream::{self, Job};
 
 impl EventLoop {
-    /// Hands an event to the decisions and carries out what they ask for.
+    /// Hands an event to the policy and carries out its actions.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
@@ -45,10 +45,11 @@
             }),
             Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
             Action::ScheduleMaintenance(span) => {
-                let driver = Rc::clone(self);
+                let event_loop = Rc::clone(self);
+                // Detached: it ends by itself after this span, and the policy expects each event that it has scheduled.
                 spawn_local(async move {
                     sleep(span).await;
-                    driver.handle(Event::MaintenanceDue);
+                    event_loop.handle(Event::MaintenanceDue);
                 });
             }
             Action::Log(text) => crate::log(format_args!("{text}")),
@@ -86,7 +87,7 @@
                 load: None,
             });
         };
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         let attempt = in_flight.start_attempt(upstream);
         let job = Job {
             request,
@@ -94,11 +95,12 @@
             upstream,
             address: endpoint.address,
             call: Rc::clone(in_flight.call()),
-            asked,
-            begin_by: first_byte_deadline.map(|span| asked + span),
-            until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(asked + span)),
+            requested_at,
+            begin_by: first_byte_deadline.map(|span| requested_at + span),
+            until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(requested_at + span)),
             is_last_attempt,
         };
+        // Detached: the request table owns its cancellation, it ends by itself soon after `until`, and it reports its end.
         spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
 }
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -1,5 +1,5 @@
-//! What has the balancer done lately? Counts since the last line of the log, which gets one every [`EVERY`]. The words of
-//! the line stay as they are: pages and operators search for them.
+//! What the balancer has done since the last line of counts in the log, which gets one every [`LOG_INTERVAL`]. The words of
+//! the line must stay as they are: pages and operators search for them.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use balancer_policy::interface::Outcome;
 
 /// Time between two lines: a few bytes a second, however busy the balancer is.
-pub const EVERY: Duration = Duration::from_secs(5);
+pub const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What happened since the last line.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
     pub refused: u32,
     /// Failed.
     pub failed: u32,
-    /// Given up as the client left, or overdue.
+    /// Abandoned as the client left, or overdue.
     pub left: u32,
     /// Connections to upstreams that were opened.
     pub opened: u32,
@@ -31,9 +31,9 @@
     /// The reason for one of the connections that did not come up has been logged.
     pub unreachable_logged: bool,
     /// Attempts by their outcome: good, error, refused, rejected, timed out, no connection, none in time,
-    /// reset, withdrawn, not sent.
+    /// reset, cancelled, not sent.
     outcomes: [u32; 10],
-    /// Time that the good ones took in all.
+    /// Total duration of the good ones.
     good_total: Duration,
     /// The longest of them.
     good_max: Duration,
@@ -41,11 +41,11 @@
 
 impl Counters {
     /// Counts the end of an attempt.
-    pub fn attempt(&mut self, outcome: Outcome, took: Duration) {
+    pub fn attempt(&mut self, outcome: Outcome, duration: Duration) {
         self.outcomes[outcome as usize] += 1;
         if outcome == Outcome::Success {
-            self.good_total += took;
-            self.good_max = self.good_max.max(took);
+            self.good_total += duration;
+            self.good_max = self.good_max.max(duration);
         }
     }
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -0,0 +1,95 @@
+//! How an attempt gets its connection: an idle one, or else the first of its own dial and any other connection to the same
+//! upstream that becomes free.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep_until};
+
+use super::acquire_error::AcquireError;
+use super::connection::Connection;
+use super::dial::Dial;
+use super::host::Host;
+use super::pool::Pool;
+
+/// A connection for an attempt.
+#[derive(Debug)]
+pub struct Acquired {
+    /// The connection.
+    pub connection: Connection,
+    /// For how long it was idle, if it is not new.
+    pub idle: Option<Duration>,
+}
+
+impl Pool {
+    /// A connection for an attempt. A connect that fails for want of a local resource is repeated, as it would
+    /// fail to another upstream too: until `until`, and for as long as the settings allow.
+    ///
+    /// # Errors
+    /// There is none within the usual time of a connect; if `is_last_attempt`, within the whole of the settings'.
+    pub async fn acquire(
+        self: &Rc<Self>,
+        host: &Rc<Host>,
+        once: bool,
+        is_last_attempt: bool,
+        until: Instant,
+    ) -> Result<Acquired, AcquireError> {
+        if let Some(acquired) = self.take_idle(host, once) {
+            return Ok(acquired);
+        }
+        let most = self.connect_timeout();
+        let mut since = Instant::now();
+        let local_until = until.min(since + most);
+        let patience = if is_last_attempt { most } else { self.patience(host) };
+        let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
+        loop {
+            let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
+            // One in its reuse delay is free sooner than a new connection is likely to be up.
+            let check_at = host.next_free().unwrap_or(give_up_at);
+            let retry_at = dial.retry.as_ref().map_or(check_at, |retry| retry.at);
+            tokio::select! {
+                biased;
+                connected = dial.connected() => match connected {
+                    Ok(connection) => return Ok(Acquired { connection, idle: None }),
+                    Err(AcquireError::Local(error)) => dial.retry_after(error),
+                    Err(error) => return Err(error),
+                },
+                () = host.changed.notified() => {}
+                () = sleep_until(check_at.min(retry_at)) => {}
+            }
+            if host.closed.get() {
+                return Err(AcquireError::Gone);
+            }
+            if let Some(acquired) = self.take_idle(host, once) {
+                return Ok(acquired);
+            }
+            let now = Instant::now();
+            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
+                if now >= local_until {
+                    return Err(AcquireError::Local(retry.error));
+                }
+                dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
+                since = now;
+            } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
+                self.record_connect(host, since.elapsed(), false);
+                return Err(AcquireError::TimedOut);
+            }
+        }
+    }
+
+    /// A free connection, the most recently used first, and for how long it was idle. For a request that must run
+    /// at most `once`, those idle for longer than is trusted are closed: a new one replaces them.
+    fn take_idle(&self, host: &Host, once: bool) -> Option<Acquired> {
+        let most = if once { self.trusted_idle() } else { self.idle_limit() };
+        let now = Instant::now();
+        let mut idle_connections = host.idle.borrow_mut();
+        while let Some(place) = idle_connections.iter().rposition(|idle| idle.free_at <= now) {
+            let last = idle_connections.remove(place);
+            let idle = last.since.elapsed();
+            if last.connection.is_free() && idle < self.idle_limit() {
+                return (idle <= most).then_some(Acquired { connection: last.connection, idle: Some(idle) });
+            }
+        }
+        None
+    }
+}
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,55 +1,32 @@
-//! One attempt: its request on a connection from the pool, and what became of it. An attempt never tries again by itself:
-//! whether another may follow is the policy's decision.
+//! One attempt: sends its request on a connection from the pool, and reports how that ended. An attempt never retries by
+//! itself: whether another may follow is the policy's decision.
 
-use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_policy::interface::{AttemptNumber, EndpointId, LoadReport, Outcome, RequestId};
-use bytes::Bytes;
+use balancer_policy::interface::{EndpointId, Outcome, RequestId};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::event_loop::EventLoop;
-
+use super::acquire::Acquired;
 use super::acquire_error::AcquireError;
-use super::call::{Call, size_on_wire};
+use super::call::size_on_wire;
 use super::connection::Connection;
+use super::context::AttemptContext;
 use super::gate::Clearance;
 use super::host::Host;
-use super::response::read;
+use super::job::{AttemptEnd, Job};
+use super::progress::Progress;
+use super::response::read_response;
 
 /// How long a connection may take to be ready again after an answer. One whose upstream answered without
 /// reading the request to its end never is.
-const SETTLE: Duration = Duration::from_secs(1);
-
-/// An attempt to make.
-#[derive(Debug)]
-pub struct Job {
-    /// The request.
-    pub request: RequestId,
-    /// The attempt.
-    pub attempt: AttemptNumber,
-    /// Where to.
-    pub upstream: EndpointId,
-    /// Its address.
-    pub address: SocketAddr,
-    /// What to send.
-    pub call: Rc<Call>,
-    /// When it was asked for.
-    pub asked: Instant,
-    /// When it must have begun, where that is bound.
-    pub begin_by: Option<Instant>,
-    /// When it is given up.
-    pub until: Instant,
-    /// No other can follow: it waits for a connection for as long as the settings allow.
-    pub is_last_attempt: bool,
-}
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What must hold as the bytes of an attempt's request are written.
-struct Bounds {
-    driver: Rc<EventLoop>,
+/// The conditions that are checked as the bytes of an attempt's request are written.
+struct Bounds<C> {
+    context: Rc<C>,
     request: RequestId,
     upstream: EndpointId,
     address: SocketAddr,
@@ -57,13 +34,13 @@
     until: Instant,
 }
 
-impl Bounds {
-    fn of(driver: &Rc<EventLoop>, job: &Job) -> Self {
+impl<C: AttemptContext> Bounds<C> {
+    fn of(context: &Rc<C>, job: &Job) -> Self {
         let &Job { request, upstream, address, begin_by, until, .. } = job;
-        Self { driver: Rc::clone(driver), request, upstream, address, begin_by, until }
+        Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
     }
 
-    /// Whether the time is over in which upstreams drop a repeat.
+    /// Whether the window is over in which upstreams discard a repeat.
     fn is_late(&self) -> bool {
         self.begin_by.is_some_and(|by| Instant::now() > by)
     }
@@ -71,171 +48,170 @@
     /// Why the attempt must not begin, if it must not.
     fn refusal(&self) -> Option<Outcome> {
         // While it connected, the upstream may have begun to drain, or gone: nothing new goes there.
-        if !self.driver.may_send(self.upstream, self.address) {
+        if !self.context.may_send(self.upstream, self.address) {
             return Some(Outcome::ConnectFailed);
         }
-        // Its caller may have gone meanwhile, or another attempt have served it.
-        (!self.driver.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
+        // Its client may have left meanwhile, or another attempt have served it.
+        (!self.context.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
     }
 }
 
-impl Clearance for Bounds {
+impl<C: AttemptContext> Clearance for Bounds<C> {
     fn begin(&self) -> Option<Duration> {
-        let may = self.refusal().is_none() && self.driver.is_awaited(self.request);
+        let may = self.refusal().is_none() && self.context.is_awaited(self.request);
         may.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
     fn go_on(&self) -> bool {
-        !self.is_late() && self.driver.is_awaited(self.request)
+        !self.is_late() && self.context.is_awaited(self.request)
     }
 }
 
-/// How an attempt ended.
-#[derive(Debug)]
-pub struct Ended {
-    /// The outcome.
-    pub outcome: Outcome,
-    /// The answer's body, if served.
-    pub body: Option<Bytes>,
-    /// The load report, if one came.
-    pub load: Option<LoadReport>,
-    /// How long it had no connection, if it ever had one.
-    pub connect_wait: Option<Duration>,
+/// The result of an exchange.
+struct Exchanged {
+    end: AttemptEnd,
+    /// The connection, if it may carry another request.
+    connection: Option<Connection>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for Exchanged {
+    /// The connection, if there was one, is closed.
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, body: None, load: None, connect_wait: None }
-    }
-}
-
-/// How much of the request was on its way when the attempt was given up.
-#[derive(Debug, Default)]
-pub struct Progress {
-    /// Bytes that the socket has taken, once there is one.
-    written: RefCell<Option<Rc<Cell<u64>>>>,
-    /// Bytes of the request.
-    size: Cell<u64>,
-    /// How long the attempt had no connection.
-    connect_wait: Cell<Option<Duration>>,
-}
-
-impl Progress {
-    /// A request of so many bytes goes out on a socket that has taken so many.
-    pub fn on(&self, written: &Rc<Cell<u64>>, size: u64) {
-        self.size.set(size);
-        self.written.replace(Some(Rc::clone(written)));
-    }
-
-    /// Its last byte is out, so that it may run.
-    #[must_use]
-    pub fn whole(&self) -> bool {
-        self.written.borrow().as_ref().is_some_and(|written| written.get() >= self.size.get())
-    }
-
-    /// Its first byte is out.
-    #[must_use]
-    pub fn begun(&self) -> bool {
-        self.written.borrow().as_ref().is_some_and(|written| written.get() > 0)
+        Self { end: outcome.into(), connection: None }
     }
 }
 
-/// Makes an attempt and tells the driver how it ended.
-pub async fn attempt(driver: Rc<EventLoop>, job: Job, cancelled: oneshot::Receiver<()>) {
-    let progress = Progress::default();
-    let ended = match driver.host(job.upstream, job.address) {
-        Some(host) => {
-            let exchange = exchange(&driver, &job, &host, &progress);
-            tokio::select! {
-                biased;
-                done = timeout_at(job.until, exchange) => match done {
-                    Ok(done) => Some(done),
-                    // The exchange is dropped, and its connection closed with it.
-                    Err(_) if progress.whole() => Some((Outcome::TimedOut.into(), None)),
-                    Err(_) if progress.connect_wait.get().is_none() => {
-                        Some((Outcome::ConnectTimedOut.into(), None))
-                    }
-                    // Closed before its last byte was written, it can't run any more.
-                    Err(_) => Some((Outcome::ConnectFailed.into(), None)),
-                },
-                Ok(()) = cancelled => Some((Outcome::Cancelled.into(), None)),
-            }
-            .map(|(ended, connection)| (ended, connection.map(|connection| (host, connection))))
-        }
+/// Makes an attempt and notifies the context of how it ended.
+pub async fn attempt<C: AttemptContext>(context: Rc<C>, job: Job, cancelled: oneshot::Receiver<()>) {
+    let Some(host) = context.host(job.upstream, job.address) else {
         // It drained, or went, between the decision and now.
-        None => Some((Outcome::ConnectFailed.into(), None)),
+        context.on_attempt_ended(&job, Outcome::ConnectFailed.into());
+        return;
+    };
+    let progress = Progress::default();
+    let exchange = exchange(&context, &job, &host, &progress);
+    let Exchanged { end, connection } = tokio::select! {
+        biased;
+        // At its deadline the exchange is dropped, and its connection closed with it.
+        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| overdue(&progress).into()),
+        Ok(()) = cancelled => Outcome::Cancelled.into(),
     };
-    let Some((ended, connection)) = ended else { return };
-    driver.attempt_ended(&job, Ended { connect_wait: progress.connect_wait.get(), ..ended });
+    context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..end });
     // The answer goes out first; then the connection is made ready for the next request.
-    if let Some((host, mut connection)) = connection
-        && let Ok(Ok(())) = timeout(SETTLE, connection.sender.ready()).await
+    if let Some(mut connection) = connection
+        && let Ok(Ok(())) = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await
     {
-        driver.pool().keep(&host, connection);
+        context.pool().release(&host, connection);
     }
 }
 
-async fn exchange(
-    driver: &Rc<EventLoop>,
+/// The outcome of an attempt that was given up at its deadline.
+fn overdue(progress: &Progress) -> Outcome {
+    if progress.whole() {
+        Outcome::TimedOut
+    } else if progress.connect_wait.get().is_none() {
+        Outcome::ConnectTimedOut
+    } else {
+        // Closed before its last byte was written, it can't run any more.
+        Outcome::ConnectFailed
+    }
+}
+
+/// Sends the request on a connection and reads the answer; on another connection where an idle one turns out closed.
+async fn exchange<C: AttemptContext>(
+    context: &Rc<C>,
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
-) -> (Ended, Option<Connection>) {
+) -> Exchanged {
     loop {
-        let acquired = driver.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await;
-        let (mut connection, idle) = match acquired {
+        let acquired = match acquire(context, job, host).await {
             Ok(acquired) => acquired,
-            Err(error) => {
-                let outcome = match error {
-                    AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
-                    AcquireError::TimedOut => Outcome::ConnectTimedOut,
-                    _ => Outcome::ConnectFailed,
-                };
-                if !matches!(error, AcquireError::NoSocket) {
-                    driver.log_unreachable(job.address, &error);
-                }
-                return (outcome.into(), None);
-            }
+            Err(outcome) => return outcome.into(),
         };
-        if idle.is_none() {
-            driver.count_opened();
+        progress.connect_wait.set(Some(job.requested_at.elapsed()));
+        if let Some(exchanged) = exchange_on(acquired, context, job, progress).await {
+            return exchanged;
         }
-        progress.connect_wait.set(Some(job.asked.elapsed()));
-        let bounds = Bounds::of(driver, job);
-        if let Some(outcome) = bounds.refusal() {
-            return (outcome.into(), None);
-        }
-        let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
-        connection.written.set(0);
-        connection.gate.set(Box::new(bounds));
-        progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
-        if let Ok(response) = connection.sender.send_request(request).await {
-            if let Some(idle) = idle {
-                driver.learn_idle(idle, true);
+    }
+}
+
+/// A connection, or the outcome of an attempt that gets none.
+async fn acquire<C: AttemptContext>(
+    context: &Rc<C>,
+    job: &Job,
+    host: &Rc<Host>,
+) -> Result<Acquired, Outcome> {
+    match context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await {
+        Ok(acquired) => {
+            if acquired.idle.is_none() {
+                context.on_connected();
             }
-            let ended = read(driver, response).await;
-            connection.gate.clear();
-            return match ended {
-                Some(ended) => (ended, Some(connection)),
-                None => (Outcome::Reset.into(), None),
-            };
+            Ok(acquired)
         }
-        if connection.gate.has_refused() {
-            if !driver.is_awaited(job.request) {
-                driver.client_disconnected(job.request);
+        Err(error) => {
+            if !matches!(error, AcquireError::NoSocket) {
+                context.on_unreachable(job.address, &error);
             }
-            let outcome = Bounds::of(driver, job).refusal().unwrap_or(Outcome::NotSent);
-            return (outcome.into(), None);
+            Err(match error {
+                AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
+                AcquireError::TimedOut => Outcome::ConnectTimedOut,
+                _ => Outcome::ConnectFailed,
+            })
         }
-        if let Some(idle) = idle {
-            driver.learn_idle(idle, false);
+    }
+}
+
+/// Sends the request on this connection and reads the answer; `None` if it was idle and turns out closed before a byte of
+/// the request went out.
+async fn exchange_on<C: AttemptContext>(
+    acquired: Acquired,
+    context: &Rc<C>,
+    job: &Job,
+    progress: &Progress,
+) -> Option<Exchanged> {
+    let Acquired { mut connection, idle } = acquired;
+    let bounds = Bounds::of(context, job);
+    if let Some(outcome) = bounds.refusal() {
+        return Some(outcome.into());
+    }
+    let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
+    connection.written.set(0);
+    connection.gate.set(Box::new(bounds));
+    progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
+    let Ok(response) = connection.sender.send_request(request).await else {
+        return broken_off(&connection, idle, context, job, progress).map(Exchanged::from);
+    };
+    if let Some(idle) = idle {
+        context.on_reused(idle, true);
+    }
+    let end = read_response(&**context, response).await;
+    connection.gate.clear();
+    let Some(end) = end else { return Some(Outcome::Reset.into()) };
+    Some(Exchanged { end, connection: Some(connection) })
+}
+
+/// The outcome of an attempt whose connection broke before its answer began; `None` if the connection was idle and no byte
+/// of the request went out.
+fn broken_off<C: AttemptContext>(
+    connection: &Connection,
+    idle: Option<Duration>,
+    context: &Rc<C>,
+    job: &Job,
+    progress: &Progress,
+) -> Option<Outcome> {
+    if connection.gate.has_refused() {
+        if !context.is_awaited(job.request) {
+            context.on_client_disconnected(job.request);
         }
-        // A kept connection that turns out closed, or to hold what nobody asked for, before a byte went out has sent
-        // nothing.
-        if idle.is_some() && !progress.begun() {
-            continue;
+        return Some(Bounds::of(context, job).refusal().unwrap_or(Outcome::NotSent));
+    }
+    if let Some(idle) = idle {
+        context.on_reused(idle, false);
+        // It was closed, or had unexpected bytes to read: nothing was sent.
+        if !progress.begun() {
+            return None;
         }
-        let outcome = if progress.whole() { Outcome::Reset } else { Outcome::ConnectFailed };
-        return (outcome.into(), None);
     }
+    Some(if progress.whole() { Outcome::Reset } else { Outcome::ConnectFailed })
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -41,15 +41,15 @@
     }
 }
 
-/// An open connection. Dropping it closes the socket, whatever is still under way on it: an attempt that is
-/// no longer waited for must not come to its end unseen.
+/// An open connection. Dropping it closes the socket, whatever is still in progress on it: a request that
+/// nobody waits for any more must not run unnoticed.
 #[derive(Debug)]
 pub struct Connection {
     /// Sends a request.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Bytes that the socket has taken.
+    /// Bytes that the socket has accepted.
     pub written: Rc<Cell<u64>>,
-    /// Asked before a request's bytes are written.
+    /// Checked before a request's bytes are written.
     pub gate: Rc<Gate>,
     socket: Socket,
     task: AbortHandle,
@@ -63,19 +63,19 @@
 
 impl Connection {
     /// Whether a request may go out on it: the last answer is through, and the peer has neither closed nor sent
-    /// anything since, which would pass for the next answer.
+    /// anything since, which would be read as the next answer.
     #[must_use]
     pub fn is_free(&self) -> bool {
         self.sender.is_ready() && self.socket.is_silent()
     }
 }
 
-/// Connects to where a watch is had.
+/// Connects to where a watch is served.
 ///
 /// # Errors
 /// It does not come up.
-pub async fn open(address: SocketAddr, permit: Permit) -> io::Result<Counted> {
-    Ok(Counted::new(TcpStream::connect(address).await?, permit))
+pub async fn open(address: SocketAddr, permit: Permit) -> io::Result<CountingSocket> {
+    Ok(CountingSocket::new(TcpStream::connect(address).await?, permit))
 }
 
 /// Makes a connection of a socket that has come up.
@@ -83,7 +83,7 @@
 /// # Errors
 /// It breaks as it comes up.
 pub async fn speak(stream: TcpStream, permit: Permit) -> Result<Connection, hyper::Error> {
-    let io = Counted::new(stream, permit);
+    let io = CountingSocket::new(stream, permit);
     let (socket, written, gate) = (io.socket.clone(), Rc::clone(&io.written), Rc::clone(&io.gate));
     let (sender, connection) = http1::handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
@@ -93,9 +93,9 @@
     Ok(Connection { sender, written, gate, socket, task: task.abort_handle() })
 }
 
-/// A socket that counts the bytes it has taken: what was never written whole never ran.
+/// A socket that counts the bytes it has accepted: a request that was never written whole never ran.
 #[derive(Debug)]
-pub struct Counted {
+pub struct CountingSocket {
     socket: Socket,
     written: Rc<Cell<u64>>,
     gate: Rc<Gate>,
@@ -104,7 +104,7 @@
     _permit: Permit,
 }
 
-impl Counted {
+impl CountingSocket {
     fn new(stream: TcpStream, permit: Permit) -> Self {
         Self {
             socket: Socket::new(stream),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Writes what the socket has not taken yet of a request's head, and what follows.
+    /// Writes what the socket has not accepted yet of a request's head, and what follows.
     fn write_head(
         &mut self,
         context: &mut Context<'_>,
@@ -134,7 +134,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -144,7 +144,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingSocket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         self.poll_write_vectored(context, &[IoSlice::new(bytes)])
     }
@@ -169,7 +169,7 @@
         } else {
             self.head = self.gate.begin(first)?;
         }
-        // The socket may take a head in parts: the rest of it goes with the first part's deadline.
+        // The socket may accept a head in parts: the rest of it goes with the first part's deadline.
         if let Some(head) = self.head.take_if(|head| written + first.len() == head.len()) {
             let done = self.write_head(context, &head[written..], rest);
             self.head = Some(head);
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -1,5 +1,5 @@
-//! The connections to one process of an upstream between attempts: those that stand idle, and the one that still comes up
-//! though no attempt waits for it.
+//! The connections to one process of an upstream between attempts: those that are idle, and the dial that continues though
+//! no attempt waits for it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,7 +17,7 @@
 use super::connection::{Connection, Permit};
 
 /// A connection between two attempts.
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     pub(super) since: Instant,
     /// When it may carry the next request.
@@ -31,14 +31,14 @@
     pub(super) since: Instant,
 }
 
-/// A dial that goes on though the attempt that began it does not wait for it any more.
-pub(super) struct Late {
+/// A dial that continues though the attempt that began it does not wait for it any more.
+pub(super) struct LateDial {
     pub(super) connecting: Connecting,
     /// Waits for it; `None` for the moment before it is started.
     pub(super) task: Option<AbortHandle>,
 }
 
-impl Drop for Late {
+impl Drop for LateDial {
     fn drop(&mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
@@ -52,13 +52,13 @@
     pub(super) address: SocketAddr,
     pub(super) zone: Option<ZoneId>,
     /// The most recently used last.
-    pub(super) idle: RefCell<Vec<Idle>>,
-    /// At most one, so that an upstream out of reach holds no more sockets than this.
-    pub(super) late: RefCell<Option<Late>>,
+    pub(super) idle: RefCell<Vec<IdleConnection>>,
+    /// At most one, so that an unreachable upstream uses no more sockets than this.
+    pub(super) late: RefCell<Option<LateDial>>,
     /// Attempts that wait for a connection.
     pub(super) waiting: Cell<usize>,
-    pub(super) gone: Cell<bool>,
-    /// Something came for those that wait to look at.
+    pub(super) closed: Cell<bool>,
+    /// Notifies those that wait of a change.
     pub(super) changed: Notify,
 }
 
@@ -68,14 +68,14 @@
         self.idle.borrow().iter().map(|idle| idle.free_at).min()
     }
 
-    pub(super) fn keep(&self, connection: Connection, rest: Duration) {
+    pub(super) fn add_idle(&self, connection: Connection, rest: Duration) {
         let since = Instant::now();
-        self.idle.borrow_mut().push(Idle { connection, since, free_at: since + rest });
+        self.idle.borrow_mut().push(IdleConnection { connection, since, free_at: since + rest });
         self.changed.notify_waiters();
     }
 
     pub(super) fn close(&self) {
-        self.gone.set(true);
+        self.closed.set(true);
         self.idle.take();
         self.late.take();
         self.changed.notify_waiters();
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,6 +1,5 @@
-//! Connections to upstreams between attempts: those that stand idle, those that still come up, and how long one
-//! usually takes to come up. What an attempt waits for is whatever comes first: its own dial, or another
-//! connection to the same upstream.
+//! Connections to upstreams between attempts: those that are idle, dials that continue, and how long a dial usually
+//! takes. How an attempt gets a connection is in `acquire.rs`.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
@@ -15,42 +14,57 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
-use tokio::time::{Instant, sleep_until, timeout_at};
+use tokio::time::timeout_at;
 
 use super::connect_time::ConnectTime;
 use super::connection::{Connection, Permit, speak};
-use super::dial::Dial;
-use super::host::{Connecting, Idle, Late};
+use super::host::{Connecting, IdleConnection, LateDial};
 use super::idle_trust::Trust;
 
 pub use super::acquire_error::AcquireError;
 pub use super::host::Host;
 
-/// Part of the settings' idle limit after which a kept connection is closed: one that the upstream closes as a
+/// Part of the settings' idle limit after which an idle connection is closed: one that the upstream closes as a
 /// request is written ends that request as a reset.
-const KEEP_PART: f64 = 0.7;
+const IDLE_LIMIT_FRACTION: f64 = 0.7;
 /// How long a connection rests after an answer before it carries the next request: an upstream at fault may send a
-/// second answer some milliseconds behind the first, and the next request's caller would get it.
-const REST: Duration = Duration::from_millis(10);
+/// second answer some milliseconds behind the first, and the next request's client would get it.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 /// Descriptors that are no connection: standard streams, listener, runtime.
 const OTHER_DESCRIPTORS: usize = 16;
-/// Descriptors that upstream connections leave to callers.
-const CALLERS_PART: usize = 4;
-/// How long a dial that no attempt waits for goes on, counted from its start: TCP asks again after 1 s and after 3 s
+/// One in so many descriptors is left to clients by connections to upstreams.
+const CLIENT_RESERVE_DIVISOR: usize = 4;
+/// How long a dial that no attempt waits for continues, counted from its start: TCP repeats its SYN after 1 s and after 3 s
 /// (RFC 6298, with the doubling), and the answer to the second repeat needs a round trip more.
-const LATE_MOST: Duration = Duration::from_millis(3500);
+const MAX_LATE_DIAL: Duration = Duration::from_millis(3500);
+
+/// The state of a pool, for the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct PoolStats {
+    /// Connections that are idle.
+    pub idle_connections: usize,
+    /// Dials that no attempt waits for.
+    pub late_dials: usize,
+    /// Sockets in use, those of clients and of discovery among them.
+    pub sockets: usize,
+    /// Sockets that may be in use.
+    pub max_sockets: usize,
+    /// For how long a connection may have been idle to carry a request that must not run twice.
+    pub trusted_idle: Duration,
+}
+
 /// All connections to upstreams, and the budget of sockets.
 pub struct Pool {
     hosts: RefCell<FxHashMap<EndpointId, Rc<Host>>>,
-    /// By zone: where upstreams stand decides how long a connect takes.
+    /// By zone: how long a connect takes depends on where the upstream is.
     connect_times: RefCell<FxHashMap<Option<ZoneId>, ConnectTime>>,
     connect_timeout: Cell<Duration>,
-    keep: Cell<Duration>,
+    idle_limit: Cell<Duration>,
     trust: RefCell<Trust>,
     sockets: Rc<Cell<usize>>,
-    sockets_most: usize,
-    /// Hears of each connection that came up with no attempt waiting for it.
-    connected: Box<dyn Fn(EndpointId)>,
+    max_sockets: usize,
+    /// Notified of each connection that came up with no attempt waiting for it.
+    on_connected: Box<dyn Fn(EndpointId)>,
 }
 
 impl Debug for Pool {
@@ -60,72 +74,72 @@
 }
 
 impl Pool {
-    /// An empty one. `keepalive` is the settings' idle limit, `descriptors` what the process may hold.
+    /// An empty one. `keepalive` is the settings' idle limit, `descriptors` how many the process may have open.
     pub fn new(
         connect_timeout: Duration,
         keepalive: Duration,
         descriptors: usize,
-        connected: impl Fn(EndpointId) + 'static,
+        on_connected: impl Fn(EndpointId) + 'static,
     ) -> Rc<Self> {
-        let keep = keepalive.mul_f64(KEEP_PART);
+        let idle_limit = keepalive.mul_f64(IDLE_LIMIT_FRACTION);
         Rc::new(Self {
             hosts: RefCell::default(),
             connect_times: RefCell::default(),
             connect_timeout: Cell::new(connect_timeout),
-            keep: Cell::new(keep),
-            trust: RefCell::new(Trust::new(keep)),
+            idle_limit: Cell::new(idle_limit),
+            trust: RefCell::new(Trust::new(idle_limit)),
             sockets: Rc::default(),
-            sockets_most: descriptors.saturating_sub(OTHER_DESCRIPTORS),
-            connected: Box::new(connected),
+            max_sockets: descriptors.saturating_sub(OTHER_DESCRIPTORS),
+            on_connected: Box::new(on_connected),
         })
     }
 
-    /// How long a connection may stand idle before it is closed.
+    /// How long a connection may be idle before it is closed.
     #[must_use]
-    pub fn keep_for(&self) -> Duration {
-        self.keep.get()
+    pub fn idle_limit(&self) -> Duration {
+        self.idle_limit.get()
     }
 
-    /// Goes by other settings from now on. What connects now waits as long as it was to.
+    /// Uses other settings from now on. A connect in progress keeps its time limit.
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
-        self.keep.set(keepalive.mul_f64(KEEP_PART));
-        self.trust.borrow_mut().keep_for(self.keep.get());
+        self.idle_limit.set(keepalive.mul_f64(IDLE_LIMIT_FRACTION));
+        self.trust.borrow_mut().keep_for(self.idle_limit.get());
     }
 
     // --- Sockets ---
 
-    /// Counts a connection that is had in any case: a caller's, which the machine has already accepted, or
+    /// Counts a connection that is opened in any case: a client's, which the machine has already accepted, or
     /// discovery's, without which drains would be missed.
     #[must_use]
     pub fn reserved_permit(&self) -> Permit {
         Permit::of(&self.sockets)
     }
 
-    /// Whether so many sockets are open that those not in use must go.
+    /// Whether so many sockets are open that unused ones must be closed.
     #[must_use]
-    pub fn crowded(&self) -> bool {
-        self.sockets.get() >= self.sockets_most - self.sockets_most / (2 * CALLERS_PART)
+    pub fn is_nearly_full(&self) -> bool {
+        self.sockets.get() >= self.max_sockets - self.max_sockets / (2 * CLIENT_RESERVE_DIVISOR)
     }
 
     /// Whether the budget is used up: what is left then is discovery's and the program's own.
     #[must_use]
-    pub fn full(&self) -> bool {
-        self.sockets.get() > self.sockets_most
+    pub fn is_full(&self) -> bool {
+        self.sockets.get() > self.max_sockets
     }
 
-    /// A socket for a connection of our own, if the budget has one: those not in use are closed to make room.
-    fn permit(&self) -> Option<Permit> {
-        let most = self.sockets_most - self.sockets_most / CALLERS_PART;
+    /// A socket for a connection of our own, if the budget has one: unused ones are closed for it.
+    pub(super) fn permit(&self) -> Option<Permit> {
+        let most = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
         if self.sockets.get() >= most {
-            self.make_room();
+            self.close_unused();
         }
-        (self.sockets.get() < self.sockets_most).then(|| self.reserved_permit())
+        (self.sockets.get() < self.max_sockets).then(|| self.reserved_permit())
     }
 
     /// Gives up a dial that nobody waits for or, if there is none, closes the idle connection that was used least
-    /// recently; tells whether there was one.
-    pub fn make_room(&self) -> bool {
+    /// recently; returns whether there was one.
+    pub fn close_unused(&self) -> bool {
         let hosts = self.hosts.borrow();
         if hosts.values().any(|host| host.late.take().is_some()) {
             return true;
@@ -150,7 +164,7 @@
             idle: RefCell::default(),
             late: RefCell::default(),
             waiting: Cell::new(0),
-            gone: Cell::new(false),
+            closed: Cell::new(false),
             changed: Notify::new(),
         });
         if let Some(moved) = hosts.insert(id, Rc::clone(&host)) {
@@ -184,110 +198,54 @@
         });
     }
 
-    /// Closes what has stood idle for too long, or was closed by its upstream.
-    pub fn close_old(&self) {
+    /// Closes what has been idle for too long, or was closed by its upstream.
+    pub fn close_expired(&self) {
         for host in self.hosts.borrow().values() {
-            let keep = |idle: &Idle| idle.connection.is_free() && idle.since.elapsed() < self.keep.get();
-            host.idle.borrow_mut().retain(keep);
+            let is_usable = |idle: &IdleConnection| {
+                idle.connection.is_free() && idle.since.elapsed() < self.idle_limit.get()
+            };
+            host.idle.borrow_mut().retain(is_usable);
         }
     }
 
-    /// Connections that stand idle, dials that nobody waits for, sockets in use and at most, and for how long a
-    /// connection may have been idle to carry a request that must not run twice.
+    /// The state of the pool now.
     #[must_use]
-    pub fn figures(&self) -> (usize, usize, usize, usize, Duration) {
+    pub fn stats(&self) -> PoolStats {
         let hosts = self.hosts.borrow();
-        let idle = hosts.values().map(|host| host.idle.borrow().len()).sum();
-        let late = hosts.values().filter(|host| host.late.borrow().is_some()).count();
-        (idle, late, self.sockets.get(), self.sockets_most, self.trust.borrow().trusted())
+        PoolStats {
+            idle_connections: hosts.values().map(|host| host.idle.borrow().len()).sum(),
+            late_dials: hosts.values().filter(|host| host.late.borrow().is_some()).count(),
+            sockets: self.sockets.get(),
+            max_sockets: self.max_sockets,
+            trusted_idle: self.trusted_idle(),
+        }
     }
 
     // --- Connections ---
 
-    /// A connection for an attempt, and for how long it stood idle if it is not new. What this machine lacks for a
-    /// connect may come any moment, and would be lacking for another upstream too: it is waited for up to `until`, for
-    /// as long as the settings allow.
-    ///
-    /// # Errors
-    /// There is none within the usual time of a connect; if `last`, within the whole of the settings'.
-    pub async fn acquire(
-        self: &Rc<Self>,
-        host: &Rc<Host>,
-        once: bool,
-        is_last_attempt: bool,
-        until: Instant,
-    ) -> Result<(Connection, Option<Duration>), AcquireError> {
-        if let Some((connection, idle)) = self.take_idle(host, once) {
-            return Ok((connection, Some(idle)));
-        }
-        let most = self.connect_timeout.get();
-        let mut since = Instant::now();
-        let local_until = until.min(since + most);
-        let patience = if is_last_attempt { most } else { self.patience(host) };
-        let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
-        loop {
-            let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
-            // One that rests is free sooner than a connection elsewhere may be up.
-            let look_at = host.next_free().unwrap_or(give_up_at);
-            let retry_at = dial.retry.as_ref().map_or(look_at, |retry| retry.at);
-            tokio::select! {
-                biased;
-                up = dial.up() => match up {
-                    Ok(connection) => return Ok((connection, None)),
-                    Err(AcquireError::Local(error)) => dial.retry_after(error),
-                    Err(error) => return Err(error),
-                },
-                () = host.changed.notified() => {}
-                () = sleep_until(look_at.min(retry_at)) => {}
-            }
-            if host.gone.get() {
-                return Err(AcquireError::Gone);
-            }
-            if let Some((connection, idle)) = self.take_idle(host, once) {
-                return Ok((connection, Some(idle)));
-            }
-            let now = Instant::now();
-            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
-                if now >= local_until {
-                    return Err(AcquireError::Local(retry.error));
-                }
-                dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
-                since = now;
-            } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
-                self.learn_connect(host, since.elapsed(), false);
-                return Err(AcquireError::TimedOut);
-            }
-        }
+    /// The longest time that the settings allow for a connect.
+    pub(super) fn connect_timeout(&self) -> Duration {
+        self.connect_timeout.get()
     }
 
-    fn patience(&self, host: &Host) -> Duration {
+    /// How long an attempt that is not its request's last waits for a connection to this host.
+    pub(super) fn patience(&self, host: &Host) -> Duration {
         let times = self.connect_times.borrow();
         let most = self.connect_timeout.get();
         times.get(&host.zone).map_or(most, |time| time.patience(most))
     }
 
-    pub(super) fn learn_connect(&self, host: &Host, took: Duration, up: bool) {
-        self.connect_times.borrow_mut().entry(host.zone).or_default().learn(took, up);
+    pub(super) fn record_connect(&self, host: &Host, duration: Duration, up: bool) {
+        self.connect_times.borrow_mut().entry(host.zone).or_default().learn(duration, up);
     }
 
-    /// A free connection, the most recently used first, and for how long it stood idle. For a request that must run
-    /// `once` at most those idle for longer than is trusted are closed: the new one that it gets takes their place.
-    fn take_idle(&self, host: &Host, once: bool) -> Option<(Connection, Duration)> {
-        let most = if once { self.trust.borrow().trusted() } else { self.keep.get() };
-        let now = Instant::now();
-        let mut kept = host.idle.borrow_mut();
-        while let Some(place) = kept.iter().rposition(|idle| idle.free_at <= now) {
-            let last = kept.remove(place);
-            let idle = last.since.elapsed();
-            if last.connection.is_free() && idle < self.keep.get() {
-                return (idle <= most).then_some((last.connection, idle));
-            }
-        }
-        None
+    /// For how long a connection may have been idle to carry a request that must not run twice.
+    pub(super) fn trusted_idle(&self) -> Duration {
+        self.trust.borrow().trusted()
     }
 
-    /// Learns whether a connection that was idle for so long has carried its request.
-    pub fn learn_idle(&self, idle: Duration, answered: bool) {
+    /// Records whether a connection that was idle for so long has carried its request.
+    pub fn record_reuse(&self, idle: Duration, answered: bool) {
         if answered {
             self.trust.borrow_mut().answered(idle);
         } else {
@@ -296,31 +254,31 @@
     }
 
     /// Keeps a connection that has carried an attempt for the next one.
-    pub fn keep(&self, host: &Host, connection: Connection) {
-        if !host.gone.get() && connection.is_free() {
-            host.keep(connection, REST);
+    pub fn release(&self, host: &Host, connection: Connection) {
+        if !host.closed.get() && connection.is_free() {
+            host.add_idle(connection, REUSE_DELAY);
         }
     }
 
-    /// Lets a dial go on that no attempt waits for any more, where there is use for it.
-    pub(super) fn go_on(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
-        if host.gone.get() || host.late.borrow().is_some() || self.crowded() {
+    /// Continues a dial that no attempt waits for any more, where its connection may be used.
+    pub(super) fn continue_dial(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
+        if host.closed.get() || host.late.borrow().is_some() || self.is_nearly_full() {
             return;
         }
-        let by = connecting.since + LATE_MOST.max(self.connect_timeout.get());
-        host.late.replace(Some(Late { connecting, task: None }));
-        let (pool, own) = (Rc::clone(self), Rc::clone(host));
+        let give_up_at = connecting.since + MAX_LATE_DIAL.max(self.connect_timeout.get());
+        host.late.replace(Some(LateDial { connecting, task: None }));
+        let (pool, owner) = (Rc::clone(self), Rc::clone(host));
         let task = spawn_local(async move {
-            let up = poll_fn(|context| match &mut *own.late.borrow_mut() {
+            let connect = poll_fn(|context| match &mut *owner.late.borrow_mut() {
                 Some(late) => late.connecting.stream.as_mut().poll(context),
                 None => Poll::Pending,
             });
-            let up = timeout_at(by, up).await;
-            // Not to be ended by its own end.
-            let Some(mut late) = own.late.take() else { return };
+            let connected = timeout_at(give_up_at, connect).await;
+            // The task must not abort itself as the dial is dropped.
+            let Some(mut late) = owner.late.take() else { return };
             late.task = None;
-            if let Ok(Ok(stream)) = up {
-                pool.came_up(&own, stream).await;
+            if let Ok(Ok(stream)) = connected {
+                pool.on_late_connect(&owner, stream).await;
             }
         });
         if let Some(late) = &mut *host.late.borrow_mut() {
@@ -328,14 +286,14 @@
         }
     }
 
-    /// A late connection is kept where none stands by for each attempt that waits, or none at all.
-    async fn came_up(&self, host: &Host, stream: TcpStream) {
+    /// Adds a late connection to the idle ones if they are fewer than the attempts that wait, or if there is none.
+    async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting.get().max(1)
             && let Ok(connection) = speak(stream, self.reserved_permit()).await
-            && !host.gone.get()
+            && !host.closed.get()
         {
-            host.keep(connection, Duration::ZERO);
+            host.add_idle(connection, Duration::ZERO);
         }
-        (self.connected)(host.id);
+        (self.on_connected)(host.id);
     }
 }
