--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -14,6 +14,7 @@
 pub mod congestion;
 pub mod suppression;
 #[cfg(test)]
+#[allow(clippy::float_cmp, reason = "figures that nothing has changed stay the same to the bit")]
 mod tests;
 
 use oorandom::Rand64;
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -73,13 +73,22 @@
         Self { bucket_s, factor_bucket: u64::MAX, ..Self::default() }
     }
 
+    /// The number of the bucket of a time, counted from the start of the clock.
+    #[allow(
+        clippy::cast_possible_truncation,
+        clippy::cast_sign_loss,
+        reason = "whole buckets are counted; the clock starts at 0 and its buckets fit into a u64"
+    )]
+    fn bucket_at(&self, now: f64) -> u64 {
+        (now / self.bucket_s) as u64
+    }
+
     /// Moves the window to `now`.
     fn advance(&mut self, now: f64) {
-        let bucket = (now / self.bucket_s) as u64;
+        let bucket = self.bucket_at(now);
         let steps = bucket.saturating_sub(self.current_bucket).min(BUCKETS as u64);
         for step in 1..=steps {
-            let place = ((self.current_bucket + step) % BUCKETS as u64) as usize;
-            let old = take(&mut self.buckets[place]);
+            let old = take(&mut self.buckets[position(self.current_bucket + step)]);
             self.window.total -= old.total;
             self.window.accepted -= old.accepted;
         }
@@ -139,8 +148,7 @@
 
     /// Counts a call that was decided on.
     pub fn count(&mut self, admitted: bool) {
-        let place = (self.current_bucket % BUCKETS as u64) as usize;
-        for counts in [&mut self.buckets[place], &mut self.window] {
+        for counts in [&mut self.buckets[position(self.current_bucket)], &mut self.window] {
             counts.total += 1;
             counts.accepted += u32::from(admitted);
         }
@@ -162,8 +170,13 @@
     /// Calls seen in the last second.
     fn last_second(&self) -> u32 {
         (0..BUCKETS_PER_SECOND)
-            .map(|back| self.current_bucket.saturating_sub(back) % BUCKETS as u64)
-            .map(|place| self.buckets[place as usize].total)
+            .map(|back| self.buckets[position(self.current_bucket.saturating_sub(back))].total)
             .sum()
     }
 }
+
+/// Where a bucket stands in the ring of the window's buckets.
+#[allow(clippy::cast_possible_truncation, reason = "the remainder lies below the number of buckets")]
+fn position(bucket: u64) -> usize {
+    (bucket % BUCKETS as u64) as usize
+}
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -27,6 +27,9 @@
 use crate::routing::selection::Selection;
 use crate::routing::subset::Subset;
 
+/// Largest limit that the stats snapshot shows, in calls a second: more is no limit.
+const LARGEST_LIMIT_SHOWN: f64 = 1e6;
+
 /// The decisions of one replica of a load balancer.
 #[derive(Debug)]
 pub struct Balancer {
@@ -104,15 +107,18 @@
     /// baseline latencies.
     #[must_use]
     pub fn stats_snapshot(&self) -> String {
-        let limits: String = self.admission.limits().map(|rate| format!(" {:.1}", rate.min(1e6))).collect();
-        let baselines: String =
-            self.baselines.iter().map(|baseline| format!(" {:.0}", baseline.seconds() * 1e3)).collect();
+        let limits: Vec<_> =
+            self.admission.limits().map(|rate| format!("{:.1}", rate.min(LARGEST_LIMIT_SHOWN))).collect();
+        let baselines: Vec<_> =
+            self.baselines.iter().map(|baseline| format!("{:.0}", baseline.seconds() * 1e3)).collect();
         let congestion = self.admission.congestion().level();
         let failure_rate = self.outliers.tier_failure_rate();
         let available = self.subset.available();
         format!(
             "crowding {congestion:.2}, failing {failure_rate:.2}, had {available:.2}, \
-             limits{limits}, usual ms{baselines}"
+             limits {}, usual ms {}",
+            limits.join(" "),
+            baselines.join(" ")
         )
     }
 
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -58,8 +58,8 @@
         let is_restarted = member.started != self.member.started;
         self.member = member;
         if is_restarted {
-            let Self { in_flight, is_local, kind, .. } = *self;
-            *self = Self { in_flight, is_local, kind, ..Self::new(member, now, rng) };
+            let Self { is_local, kind, in_flight, .. } = *self;
+            *self = Self { is_local, kind, in_flight, ..Self::new(member, now, rng) };
         }
     }
 
--- a/crates/policy/src/endpoints/mod.rs
+++ b/crates/policy/src/endpoints/mod.rs
@@ -13,4 +13,5 @@
 pub mod outlier;
 pub mod slow_start;
 #[cfg(test)]
+#[allow(clippy::float_cmp, reason = "figures that nothing has changed stay the same to the bit")]
 mod tests;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -73,6 +73,12 @@
 //! # Ok::<(), SettingsError>(())
 //! ```
 
+#![warn(clippy::pedantic)]
+#![allow(
+    clippy::cast_precision_loss,
+    reason = "counts of endpoints, replicas and buckets lie far below 2^52, from where an f64 rounds them"
+)]
+
 mod action;
 mod admission;
 mod balancer;
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -8,3 +8,9 @@
 pub fn between(rng: &mut Rand64, range: Range<f64>) -> f64 {
     range.start + (range.end - range.start) * rng.rand_float()
 }
+
+/// Draws an index below `length`, which must not be 0.
+#[allow(clippy::cast_possible_truncation, reason = "the draw lies below a length, which is a usize")]
+pub fn index(rng: &mut Rand64, length: usize) -> usize {
+    rng.rand_range(0..length as u64) as usize
+}
--- a/crates/policy/src/routing/mod.rs
+++ b/crates/policy/src/routing/mod.rs
@@ -8,4 +8,5 @@
 pub mod selection;
 pub mod subset;
 #[cfg(test)]
+#[allow(clippy::float_cmp, reason = "figures at the edge of their range are that edge to the bit")]
 mod tests;
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -10,6 +10,7 @@
 use crate::endpoints::endpoint_list::EndpointList;
 use crate::endpoints::outlier::OutlierDetector;
 use crate::interface::{DeduplicationScope, Idempotency, Lifecycle, Member, Settings};
+use crate::random::index;
 use crate::requests::request_table::PendingRequest;
 use crate::routing::subset::Subset;
 
@@ -102,7 +103,7 @@
             return None;
         }
         for _ in 0..DRAWS_PER_CANDIDATE {
-            let slot = from[self.rng.rand_range(0..from.len() as u64) as usize];
+            let slot = from[index(self.rng, from.len())];
             let endpoint = self.endpoints.get(slot);
             let is_avoided =
                 endpoint.health.is_ejected(self.now) || endpoint.is_stalled(self.now, self.baseline_s);
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -200,6 +200,11 @@
 ///
 /// The starts of the replicas are evenly spaced; a stride spreads neighbours in number, which may share a zone, over
 /// the ring.
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "sizes, strides and starts are whole, not negative and bounded by the endpoints or the replicas"
+)]
 fn arc(settings: &Settings, sharers: f64, ring: &[usize]) -> Vec<usize> {
     let (replica_index, replicas) = (u64::from(settings.replica_index), u64::from(settings.replicas));
     let count = ring.len();
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -71,6 +71,10 @@
 
 /// What a site permits the balancer to do.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "each is a permission of its own, granted apart from the others"
+)]
 pub struct Permissions {
     /// Attempts that a request may have in all, at least 1.
     pub max_attempts: u32,
