--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -1,26 +1,27 @@
-//! The rate limit that the suppressor of a tenant is held to, learned from what becomes of the calls.
+//! The rate limit that the suppressor of a tenant applies, learned from what becomes of the calls.
 //!
 //! Quotas are promised over all replicas, but a replica sees only its own part of the calls and cannot tell what the
-//! tier can serve. Each limit starts at the replica's fair share of the quota, with a margin for chance, falls
+//! tier can serve. Each limit starts at the replica's part of the quota, with a margin for chance, falls
 //! multiplicatively while calls meet congestion, and rises with each call that is served in time.
 
 use crate::admission::suppression::WINDOW_S;
 use crate::interface::Settings;
 
-/// What all tenants of a replica may send beyond their fair shares while no congestion is met, in fair shares...
+/// What all tenants of a replica may send beyond their quotas while no congestion is met, in parts of the
+/// replica's quota...
 const EXCESS: f64 = 0.4;
 /// ...half of it, and of what the busiest replica may be dealt, at about this many calls a second: the fewer a
 /// replica sees, the later it sees congestion come.
 const EXCESS_HALF_RATE: f64 = 12.0;
-/// Weight beyond the quota from which the excess is worth serving, so that no ceiling holds.
+/// Weight beyond the quota from which the excess is served too, so that no ceiling holds.
 const EXCESS_COUNTS: f64 = 0.5;
-/// Standard deviations of chance allowed above a fair share or in congestion, so that few calls are not taken for
-/// many.
+/// Standard deviations of chance allowed above a replica's quota or in congestion, so that few calls do not
+/// pass for many.
 pub const CHANCE_DEVIATIONS: f64 = 1.0;
 /// Calls a second gained by a call served in time: about 5% a second at the limit...
 const INCREASE: f64 = 0.05;
-/// ...and below the fair share, about 15% a second: back from a quarter in ten seconds.
-const INCREASE_BELOW_SHARE: f64 = 0.15;
+/// ...and below the replica's quota, about 15% a second: back from a quarter in ten seconds.
+const INCREASE_BELOW_QUOTA: f64 = 0.15;
 /// What a maintenance pass makes of a decreased limit while all calls are denied: about 30% a second.
 const REOPEN_FACTOR: f64 = 1.05;
 /// What a decrease leaves of the limit...
@@ -31,7 +32,7 @@
 pub const CONGESTED: f64 = 0.2;
 /// Congestion in overload, at which the floor has given way...
 const OVERLOADED: f64 = 0.7;
-/// ...to this part of the fair share: what a choked tier can still serve.
+/// ...to this part of the replica's quota: what a choked tier can still serve.
 const OVERLOADED_FLOOR: f64 = 0.25;
 /// Floor of a limit without a quota, as a part of the recent rate. High, since a call denied below the first tier is
 /// work lost above.
@@ -46,10 +47,10 @@
 pub struct AdaptiveLimit {
     /// The limit, in calls a second.
     pub rate: f64,
-    /// This replica's fair share of the quota, in calls a second; `f64::MAX` without one.
-    pub fair_share: f64,
-    /// The fair share with its margin for chance; `None` without a quota.
-    share_with_margin: Option<f64>,
+    /// This replica's part of the quota, in calls a second; `f64::MAX` without one.
+    pub replica_quota: f64,
+    /// The replica's quota with its margin for chance; `None` without a quota.
+    quota_with_margin: Option<f64>,
     /// What the limit may rise to.
     ceiling: f64,
     /// Calls admitted a second of late, of which the floor without a quota is a part.
@@ -59,39 +60,40 @@
 impl AdaptiveLimit {
     /// The limit that a fresh replica begins with.
     ///
-    /// Quotas count requests of the first tier; below it calls are more, and no part of a quota can be told.
+    /// Quotas count requests of the first tier; below it calls are more, and no part of a quota can be given.
     fn new(settings: &Settings, quota: Option<f64>) -> Self {
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
             return Self::unlimited();
         };
-        let fair_share = quota / f64::from(settings.replicas);
-        let with_margin = fair_share + CHANCE_DEVIATIONS * (fair_share / WINDOW_S).sqrt();
+        let replica_quota = quota / f64::from(settings.replicas);
+        let with_margin = replica_quota + CHANCE_DEVIATIONS * (replica_quota / WINDOW_S).sqrt();
         let rate = with_margin * busiest_replica(settings);
         let ceiling = if settings.over_quota_weight < EXCESS_COUNTS { rate } else { f64::MAX };
-        Self { rate, fair_share, share_with_margin: Some(with_margin), ceiling, recent_rate: 0.0 }
+        Self { rate, replica_quota, quota_with_margin: Some(with_margin), ceiling, recent_rate: 0.0 }
     }
 
     fn unlimited() -> Self {
         Self {
             rate: f64::MAX,
-            fair_share: f64::MAX,
-            share_with_margin: None,
+            replica_quota: f64::MAX,
+            quota_with_margin: None,
             ceiling: f64::MAX,
             recent_rate: 0.0,
         }
     }
 
-    /// The limits of a fresh replica: of each tenant and, last, of all together, which is the sum of their fair
-    /// shares until congestion is met.
+    /// The limits of a fresh replica: of each tenant and, last, of all together, which is the sum of their
+    /// quotas until congestion is met.
     #[must_use]
     pub fn all(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
         let mut all = Self::new(settings, quotas.sum());
         if all.has_quota() && limits.len() > 1 && settings.over_quota_weight < EXCESS_COUNTS {
-            all.share_with_margin = Some(all.fair_share);
-            all.rate = all.fair_share * busiest_replica(settings);
-            all.ceiling = all.rate * (1.0 + EXCESS * all.fair_share / (all.fair_share + EXCESS_HALF_RATE));
+            all.quota_with_margin = Some(all.replica_quota);
+            all.rate = all.replica_quota * busiest_replica(settings);
+            all.ceiling =
+                all.rate * (1.0 + EXCESS * all.replica_quota / (all.replica_quota + EXCESS_HALF_RATE));
         }
         limits.push(all);
         limits
@@ -103,9 +105,9 @@
     /// at once as far as a fresh replica begins, and rises from there.
     #[must_use]
     pub fn under(self, fresh: Self) -> Self {
-        let rate = match self.share_with_margin.zip(fresh.share_with_margin) {
+        let rate = match self.quota_with_margin.zip(fresh.quota_with_margin) {
             Some(_) => {
-                let scaled = self.rate * (fresh.fair_share / self.fair_share);
+                let scaled = self.rate * (fresh.replica_quota / self.replica_quota);
                 scaled.min(self.rate.max(fresh.rate))
             }
             None if self.has_quota() => fresh.rate,
@@ -117,14 +119,14 @@
     /// Whether the limit comes from a quota.
     #[must_use]
     pub fn has_quota(&self) -> bool {
-        self.share_with_margin.is_some()
+        self.quota_with_margin.is_some()
     }
 
     /// Raises the limit for a call served in time.
     pub fn increase(&mut self) {
-        // Below the fair share the calls denied are the ones that count: recover from an overload faster.
-        let is_below_share = self.share_with_margin.is_some_and(|share| self.rate < share);
-        let increase = if is_below_share { INCREASE_BELOW_SHARE } else { INCREASE };
+        // Below the replica's quota the calls denied are the ones that count: recover from an overload faster.
+        let is_below_quota = self.quota_with_margin.is_some_and(|quota| self.rate < quota);
+        let increase = if is_below_quota { INCREASE_BELOW_QUOTA } else { INCREASE };
         self.rate = (self.rate + increase).min(self.ceiling);
     }
 
@@ -132,15 +134,15 @@
     pub fn decrease(&mut self, congestion: f64, accepted: f64) {
         // A lone refusal or slow call happens on the quietest day; a decrease for each one denies calls without
         // need, which below the first tier fails the whole request above.
-        if congestion < self.share_with_margin.map_or(OVERLOADED, |_| CONGESTED) {
+        if congestion < self.quota_with_margin.map_or(OVERLOADED, |_| CONGESTED) {
             return;
         }
-        // A fair share is kept through common trouble. The more calls meet congestion, the less it is what the
-        // servers can do; once they have choked only much less lets them recover.
+        // A limit stays at the replica's quota in light congestion. The more calls meet congestion, the less it is
+        // what the servers can do; once they have choked only much less lets them recover.
         let overload = ((congestion - CONGESTED) / (OVERLOADED - CONGESTED)).min(1.0);
         let part = 1.0 - (1.0 - OVERLOADED_FLOOR) * overload;
-        let floor = match self.share_with_margin {
-            Some(share) => share * part,
+        let floor = match self.quota_with_margin {
+            Some(quota) => quota * part,
             None => (self.recent_rate * FLOOR_WITHOUT_QUOTA).max(MIN_FLOOR_WITHOUT_QUOTA),
         };
         let factor = DECREASE_FACTOR + (DECREASE_FACTOR_OVERLOADED - DECREASE_FACTOR) * overload;
@@ -152,10 +154,10 @@
         self.recent_rate += RECENT_RATE_WEIGHT * (accepted - self.recent_rate);
     }
 
-    /// Whether the limit lies below what a replica of a quiet tier is held to.
+    /// Whether the limit lies below what a replica of a quiet tier starts with.
     #[must_use]
     pub fn is_decreased(&self) -> bool {
-        self.share_with_margin.is_none_or(|share| self.rate < share)
+        self.quota_with_margin.is_none_or(|quota| self.rate < quota)
     }
 
     /// Raises a limit at which every call is denied, so that none is served from which it could learn.
@@ -164,9 +166,9 @@
     }
 }
 
-/// What the busiest replica may be dealt, in fair shares.
+/// What the busiest replica may be dealt, in parts of its quota.
 ///
-/// Clients dealt out by chance give the busiest of n replicas about ln n means. Of two that see twice their shares
+/// Clients dealt out by chance give the busiest of n replicas about ln n means. Of two that see twice their quotas
 /// the tier has too many calls, but one of fifty may just have more clients. The fewer calls a replica sees, the
 /// less of it is allowed, as it sees congestion late.
 fn busiest_replica(settings: &Settings) -> f64 {
--- a/crates/policy/src/admission/baseline_latency.rs
+++ b/crates/policy/src/admission/baseline_latency.rs
@@ -10,7 +10,7 @@
 const MAX_WEIGHT: f64 = 0.02;
 /// Divides the weight of a request that ends in congestion, which must not become the custom.
 const CONGESTED_DIVISOR: f64 = 10.0;
-/// Largest step of one request, as a natural logarithm, after the first, which is taken whole.
+/// Largest step of one request, as a natural logarithm, after the first, which sets the baseline.
 const MAX_STEP: f64 = 1.0;
 
 /// The middle latency of a class in good times.
@@ -23,7 +23,7 @@
 }
 
 impl BaselineLatency {
-    /// Learns from a request served in `took` seconds, with the weight `step`.
+    /// Learns from a request served in `duration` seconds, with the weight `step`.
     pub fn record(&mut self, duration: f64, step: f64, congested: bool) {
         self.samples += 1.0;
         let over = duration.ln() - self.ln_seconds;
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -30,11 +30,11 @@
 const MAX_SIGNAL: f64 = 2.0;
 /// Smallest signal of a call served in time.
 const MIN_SIGNAL: f64 = -1.0;
-/// Part of the latency objective from which a time-out is taken for one of the whole: the rest may go to connections.
+/// Part of the latency objective from which a time-out counts as one of the whole: the rest may go to connections.
 const WHOLE_OBJECTIVE: f64 = 0.9;
 /// Failure rate of the tier from which an error counts as congestion below and not as a bad endpoint.
 const CONGESTED_FAILURE_RATE: f64 = 0.1;
-/// Shortest time that a call is taken to have been served in, in seconds, so that its logarithm is finite.
+/// Shortest time that a call counts as served in, in seconds, so that its logarithm is finite.
 pub const SHORTEST_S: f64 = 1e-4;
 
 /// A call that has ended, as admission sees it. Times are in seconds.
@@ -59,7 +59,7 @@
 pub struct TierState {
     /// Whether clients reach it, and no other tier.
     pub is_first: bool,
-    /// Its recent share of failed attempts.
+    /// Its recent fraction of failed attempts.
     pub failure_rate: f64,
     /// The part of its capacity that is available.
     pub available: f64,
@@ -141,7 +141,8 @@
     ) -> Option<Signal> {
         let is_bad = self.is_bad(now, end, tier.failure_rate)?;
         let slower = end.served.max(SHORTEST_S).ln() - baseline.ln_seconds;
-        // One given up tells how long it took at least: nothing, where the endpoint had less than the usual time.
+        // The duration of one given up is a lower bound: it shows nothing where the endpoint had less than the
+        // usual time.
         let is_cut_short = match end.outcome {
             Outcome::Cancelled => true,
             Outcome::TimedOut => end.served < end.latency_objective * WHOLE_OBJECTIVE,
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -5,7 +5,7 @@
 //! calls:
 //!
 //! * [`suppression`] admits calls at about a limit's rate, by a probability that falls smoothly;
-//! * [`adaptive_limit`] is that limit: a fair share of the quota, less while there is congestion;
+//! * [`adaptive_limit`] is that limit: the replica's part of the quota, less while there is congestion;
 //! * [`congestion`] tells from the ends of calls whether there is any;
 //! * [`baseline_latency`] is what calls take when there is none.
 
@@ -41,7 +41,7 @@
 }
 
 impl Admission {
-    /// A fresh replica's: limits are fair shares, and nothing is known of congestion.
+    /// A fresh replica's: limits start at its parts of the quotas, and nothing is known of congestion.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let mut limits = AdaptiveLimit::all(settings);
@@ -49,9 +49,10 @@
         let tenants = limits.into_iter();
         let mut controls: Vec<_> =
             tenants.map(|limit| RateControl { suppressor: Suppressor::for_tenant(), limit }).collect();
-        controls.extend(
-            all.map(|limit| RateControl { suppressor: Suppressor::for_all_tenants(limit.fair_share), limit }),
-        );
+        controls.extend(all.map(|limit| RateControl {
+            suppressor: Suppressor::for_all_tenants(limit.replica_quota),
+            limit,
+        }));
         Self { controls, congestion: Congestion::new() }
     }
 
@@ -92,8 +93,8 @@
 
     /// Decides on a call of `tenant`, where the part `available` of the tier's capacity is there.
     ///
-    /// A tenant over its fair share must also fit into what all tenants of this replica may send: the chance allowed
-    /// to each of many small limits, over all replicas, would add up to more than the tier.
+    /// A tenant over the replica's quota must also fit into what all tenants of this replica may send: the chance
+    /// allowed to each of many small limits, over all replicas, would add up to more than the tier.
     pub fn admit(
         &mut self,
         now: f64,
@@ -105,13 +106,13 @@
         let all = self.all();
         let rate = self.controls[all].limit.rate * available;
         // Each tenant's part of what they may send together is its own.
-        let level = (rate / self.controls[all].limit.fair_share).min(1.0);
+        let level = (rate / self.controls[all].limit.replica_quota).min(1.0);
         let RateControl { suppressor, limit } = &mut self.controls[tenant];
-        let fits_fair_share = suppressor.fits_soft_limit(now, limit.fair_share * level, rng);
+        let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * level, rng);
         let mut admitted = can_meet_deadline && suppressor.admit(now, limit.rate, rng);
         if admitted && all != tenant {
             let together = &mut self.controls[all].suppressor;
-            admitted = fits_fair_share || together.fits_soft_limit(now, rate, rng);
+            admitted = fits_quota || together.fits_soft_limit(now, rate, rng);
             together.count(admitted);
         }
         self.controls[tenant].suppressor.count(admitted);
@@ -157,7 +158,8 @@
         self.congestion.record_decrease(now, rng);
         let all = self.all();
         for (place, RateControl { suppressor, limit }) in self.controls.iter_mut().enumerate() {
-            // What all may send was admitted by the part of the tier that is available, which is taken off again.
+            // What all may send was admitted by the part of the tier that is available, by which the rate is divided
+            // again.
             let available = if place == all && all > 0 { available } else { 1.0 };
             limit.decrease(self.congestion.level(), suppressor.accepted_rate(now) / available);
         }
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn a_limit_begins_at_the_fair_share_with_a_margin() {
+fn a_limit_begins_at_the_replicas_quota_with_a_margin() {
     let limit = limits(&[100.0])[0];
-    assert_eq!(limit.fair_share, 100.0);
+    assert_eq!(limit.replica_quota, 100.0);
     assert!((100.0..110.0).contains(&limit.rate), "{}", limit.rate);
 }
 
 #[test]
-fn a_limit_keeps_the_fair_share_in_light_congestion_and_gives_it_up_in_overload() {
+fn a_limit_stays_at_the_quota_in_light_congestion_and_falls_below_it_in_overload() {
     let fresh = limits(&[100.0])[0];
     let after_ten = |congestion: f64| {
         let mut limit = fresh;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_limit_below_the_fair_share_rises_faster() {
+fn a_limit_below_the_replicas_quota_rises_faster() {
     let mut limit = limits(&[100.0])[0];
     let gain = |limit: &mut AdaptiveLimit| {
         let before = limit.rate;
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -1,4 +1,4 @@
-//! When to ask discovery for the list of endpoints, where it does not push it.
+//! When to subscribe to discovery's list of endpoints, where it does not push it.
 //!
 //! A subscription that broke is opened anew after a backoff. Replicas whose subscriptions break together must not come
 //! back together, so the pause is drawn.
@@ -10,15 +10,15 @@
 
 /// Seconds before a failed subscription is tried again, at first.
 const MIN_BACKOFF_S: f64 = 0.5;
-/// Largest wait for a subscription, in parts of the time within which a replica must ask.
+/// Largest wait for a subscription, in parts of the poll interval allowed.
 const WAIT_PART: f64 = 0.4;
-/// Seconds within which a replica asks where the settings do not say.
+/// Poll interval in seconds where the settings name none.
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
 /// Why there is no subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interruption {
-    /// It broke, or asking for it failed.
+    /// It broke, or the request for it failed.
     Broken,
     /// Discovery is elsewhere now, so earlier failures tell nothing of it.
     Relocated,
@@ -27,14 +27,14 @@
 /// The subscription to the list. Times are in seconds.
 #[derive(Debug, Default)]
 pub struct ListSubscription {
-    /// When to ask next; never, while a subscription stands.
+    /// When to subscribe next; never, while a subscription stands.
     next_at: f64,
     /// How long the latest pause was, at most.
     backoff_s: f64,
 }
 
 impl ListSubscription {
-    /// Whether to ask for a subscription now; if so, it takes note that it is asked for.
+    /// Whether to subscribe now; if so, it takes note that the request is out.
     pub fn begin_if_due(&mut self, now: f64, settings: &Settings) -> bool {
         let is_due = settings.discovery != DiscoveryMode::Push && now >= self.next_at;
         if is_due {
@@ -49,7 +49,7 @@
         self.backoff_s = 0.0;
     }
 
-    /// It is interrupted: asks again after a pause, which grows while it fails.
+    /// It is interrupted: subscribes again after a pause, which grows while that fails.
     pub fn back_off(&mut self, now: f64, why: Interruption, settings: &Settings, rng: &mut Rand64) {
         // Each agent has one replica alone, so there is nobody to come back together with.
         let has_own_agent = settings.discovery == DiscoveryMode::Agent;
--- a/crates/policy/src/endpoints/mod.rs
+++ b/crates/policy/src/endpoints/mod.rs
@@ -1,7 +1,7 @@
 //! What is known of the endpoints that requests may go to.
 //!
-//! * [`endpoint_list`] holds the endpoints that discovery has named;
-//! * [`list_subscription`] tells when to ask discovery for them;
+//! * [`endpoint_list`] owns the endpoints that discovery has named;
+//! * [`list_subscription`] decides when to subscribe to that list;
 //! * [`endpoint`] is what is known of one of them, with its [`connections`];
 //! * [`outlier`] finds those that fail or are slow, and ejects them for a while;
 //! * [`slow_start`] bounds what one that has just started is sent.
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -1,9 +1,9 @@
 //! Outlier detection: finds endpoints that fail, are slow or out of reach, and ejects the failing ones for a while.
 //!
-//! One bad endpoint among many spoils its part of the requests for as long as it is sent to. It is told from a tier
-//! that fails as a whole by comparison: each endpoint is held against the tier, and no more than a part of a group is
-//! ejected at a time. Ejection ends after a while, longer each time that the return fails, and the endpoint recovers
-//! its part of the requests step by step. Slow endpoints are not ejected but chosen less often.
+//! One bad endpoint among many spoils its part of the requests for as long as it is sent to. It is distinguished from
+//! a tier that fails as a whole by comparison: each endpoint is compared with the tier, and no more than a part of a
+//! group is ejected at a time. Ejection ends after a while, longer each time that the return fails, and the endpoint
+//! recovers its part of the requests step by step. Slow endpoints are not ejected but chosen less often.
 
 use oorandom::Rand64;
 
@@ -69,7 +69,7 @@
     ejected_until: f64,
     /// How long the next ejection lasts, in seconds.
     ejection_s: f64,
-    /// Chance of being taken when drawn, after its return.
+    /// Chance of being selected when drawn, after its return.
     recovery_chance: f64,
 }
 
@@ -103,7 +103,7 @@
         self.is_ejected(now) && !may_be_late
     }
 
-    /// Chance of being taken when drawn, after its return from ejection; 1 for one that was not ejected.
+    /// Chance of being selected when drawn, after its return from ejection; 1 for one that was not ejected.
     #[must_use]
     pub fn recovery_chance(&self) -> f64 {
         self.recovery_chance
@@ -139,7 +139,7 @@
     }
 }
 
-/// Holds the endpoints against the tier.
+/// Compares the endpoints with the tier.
 #[derive(Debug)]
 pub struct OutlierDetector {
     tier_failure_rate: f64,
@@ -156,13 +156,13 @@
         Self { tier_failure_rate: 0.0, tier_slowness: 1.0, kind_slowness: vec![1.0; kinds + 1] }
     }
 
-    /// The recent share of attempts that failed.
+    /// The recent fraction of attempts that failed.
     #[must_use]
     pub fn tier_failure_rate(&self) -> f64 {
         self.tier_failure_rate
     }
 
-    /// Part of its usual chance with which an endpoint of the given kind is taken for its slowness.
+    /// Part of its usual chance with which an endpoint of the given kind is selected for its slowness.
     #[must_use]
     pub fn slowness_chance(&self, health: &Health, kind: usize) -> f64 {
         // Its own or, before the first latency, that of its kind.
@@ -181,7 +181,8 @@
         baseline_s: f64,
     ) -> Option<Fault> {
         let AttemptEnd { outcome, served, .. } = *end;
-        // No work is told by a late connection, nor by a time-out before which it left less than the usual time.
+        // A late connection says nothing of the endpoint's work, nor does a time-out before which it left less than the
+        // usual time.
         if outcome == Outcome::ConnectTimedOut {
             let is_unreachable = health.connect_timeouts.is_multiple_of(UNREACHABLE_AFTER);
             return is_unreachable.then_some(Fault::Unreachable);
@@ -228,7 +229,7 @@
         self.tier_slowness += TIER_WEIGHT * (slowness - self.tier_slowness);
     }
 
-    /// Whether an endpoint that has shown a fault stands out from the tier; an unreachable one is held against none.
+    /// Whether an endpoint that has shown a fault stands out from the tier; an unreachable one is compared with none.
     #[must_use]
     pub fn is_outlier(&self, health: &Health, fault: Fault) -> bool {
         let tier = match fault {
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -1,9 +1,9 @@
 //! Slow start: what an endpoint that has just started may be sent.
 //!
-//! A process that has just started can do a fraction of its later work, and one that is sent several times what it
-//! can do falls over. No replica knows what the others send, so each keeps a budget of sends for the endpoint that
-//! stays within its capacity when all replicas keep to theirs: a part of what warm endpoints are sent or, where none
-//! is warm, a little more than what it has answered.
+//! A process that has just started can do a fraction of its later work, and one that is sent several times what it can
+//! do falls over. No replica knows what the others send, so each has a budget of sends for the endpoint that stays
+//! within its capacity when all replicas stay within theirs: a part of what warm endpoints are sent or, where none is
+//! warm, a little more than what it has answered.
 
 use std::mem::take;
 
@@ -27,8 +27,8 @@
 /// Weight of one maintenance pass in the rates of answers: a second.
 const RATE_WEIGHT: f64 = 0.2;
 
-/// The part of its capacity that an endpoint started at `started` surely has: it rises at least evenly from the share
-/// that every one starts with. `None` is long ago.
+/// The part of its capacity that an endpoint started at `started` surely has: it rises at least evenly from the
+/// fraction that every one starts with. `None` is long ago.
 #[must_use]
 pub fn warm_fraction(started: Option<Time>, now: f64, rules: &Rules) -> f64 {
     let Some(started) = started else { return 1.0 };
@@ -94,7 +94,7 @@
     ///
     /// A replica gives the endpoint, of what a warm peer gets from the same replica, the part that it surely can do;
     /// summed over the replicas that stays within its capacity, whoever else sends. Where no peer is warm, its own
-    /// answers earn further sends, a few more than they are: what all replicas together get answered is what it can
+    /// answers earn more sends, a few more than they are: what all replicas together get answered is what it can
     /// do, so that their sum stays little above it. `sharers` is the number of replicas that send to it, on average.
     pub fn allows_send(
         &mut self,
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -34,7 +34,8 @@
     Member { id: EndpointId(id), zone: Some(ZoneId(0)), kind: None, cell: 0, lifecycle, weight: 1.0, started }
 }
 
-/// Whether a replica takes an endpoint for an outlier after `errors` of it in a row, and `tier_errors` of others before.
+/// Whether a replica takes an endpoint for an outlier after `errors` of it in a row, and `tier_errors` of others
+/// before.
 fn is_outlier_after(errors: u32, tier_errors: u32) -> bool {
     let mut detector = OutlierDetector::new(0);
     for _ in 0..tier_errors {
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_slow_endpoint_is_taken_less_often_but_never_given_up() {
+fn a_slow_endpoint_is_selected_less_often_but_never_given_up() {
     let mut detector = OutlierDetector::new(0);
     let mut slow = Health::new();
     let mut quick = Health::new();
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn the_warm_fraction_rises_evenly_from_the_least_share() {
+fn the_warm_fraction_rises_evenly_from_its_minimum() {
     let rules = settings().rules;
     let at = |now: f64| warm_fraction(Some(Duration::from_secs(100)), now, &rules);
     assert!((at(100.0) - 0.1).abs() < 1e-9);
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_cold_endpoint_is_sent_its_part_of_what_warm_peers_answer() {
+fn an_endpoint_warming_up_is_sent_its_part_of_what_warm_peers_answer() {
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     for _ in 0..100 {
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn where_all_are_cold_answers_in_time_earn_more_than_one_send_and_late_ones_less() {
+fn where_all_are_warming_up_answers_in_time_earn_more_than_one_send_and_late_ones_less() {
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     peers.maintain(0);
@@ -232,7 +233,7 @@
 }
 
 #[test]
-fn idle_connections_are_taken_for_closed_after_the_keepalive() {
+fn idle_connections_count_as_closed_after_the_keepalive() {
     let permissions = settings().permissions;
     let mut connections = Connections::new(0.0);
     connections.record_opened(1.0, 0, &permissions);
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -31,7 +31,7 @@
 /// What happens at a replica of the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The replica has started; it may ask for the list of endpoints.
+    /// The replica has started; it may subscribe to the list of endpoints.
     Started,
     /// Service discovery has sent an update, or failed to.
     List(ListUpdate),
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -61,11 +61,11 @@
         &self.settings.classes[self.class.0]
     }
 
-    /// The time until which an answer is worth waiting for.
+    /// The time until which an answer is still useful to the client.
     #[must_use]
     pub fn useful_until(&self) -> f64 {
         let objective = self.arrived + self.rules().latency_objective.as_secs_f64();
-        // Where no deadline is passed on, a slot of the tier above would be held for a client long gone.
+        // Where no deadline is passed on, a slot of the tier above would be reserved for a client long gone.
         let is_blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
         if self.rules().late_weight > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
     }
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_closed_request_withdraws_its_attempts_and_leaves_with_the_last() {
+fn a_closed_request_cancels_its_attempts_and_leaves_with_the_last() {
     let mut table = RequestTable::default();
     table.insert(with_two_attempts());
     let (id, mut actions) = (RequestId(1), Vec::new());
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_streamed_answer_is_not_withdrawn() {
+fn a_streamed_answer_is_not_cancelled() {
     let mut request = with_two_attempts();
     request.streaming = true;
     let mut table = RequestTable::default();
--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -1,14 +1,15 @@
 //! Locality: how much of the requests stays in the replica's own zone.
 //!
 //! A site prices each crossing of zones, yet one zone may have more requests than its endpoints can serve, and no
-//! replica is told. From an even spread on, more stays in the own zone for as long as it is no slower than the others.
+//! replica is notified. From an even spread on, more stays in the own zone for as long as it is no slower than the
+//! others.
 
 use oorandom::Rand64;
 
 use crate::random::between;
 
-/// Latency objectives by which requests of the own zone must take longer than elsewhere before any leave it, over the noise of some
-/// twenty requests...
+/// Latency objectives by which requests of the own zone must take longer than elsewhere before any leave it, over the
+/// noise of some twenty requests...
 const SLOWER_BY: f64 = 0.03;
 /// ...and for each point of price of a crossing.
 const SLOWER_BY_PER_PRICE: f64 = 0.5;
@@ -16,7 +17,7 @@
 const STEP_UP: f64 = 0.004;
 /// ...and takes off it where it is: endpoints choke faster than a price adds up.
 const STEP_DOWN: f64 = 0.03;
-/// Parts of a step that are taken: drawn, so that replicas do not move together.
+/// Parts of a step that a pass moves by: drawn, so that replicas do not move together.
 const STEP_JITTER: std::ops::Range<f64> = 0.5..1.5;
 
 /// The fraction of the requests that stays in the own zone.
@@ -43,8 +44,8 @@
         rng.rand_float() < self.local_fraction.unwrap_or(1.0)
     }
 
-    /// Learns from the delays in the own zone and elsewhere, in latency objectives. The fraction never falls below `even`, that of an
-    /// even spread.
+    /// Learns from the delays in the own zone and elsewhere, in latency objectives. The fraction never falls below
+    /// `even`, that of an even spread.
     pub fn adapt(&mut self, local_delay: f64, remote_delay: f64, even: f64, price: f64, rng: &mut Rand64) {
         let Some(fraction) = &mut self.local_fraction else { return };
         let is_slower = local_delay > remote_delay + SLOWER_BY + price * SLOWER_BY_PER_PRICE;
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -97,7 +97,7 @@
         self.endpoints.get(slot).cost(self.now, self.settings)
     }
 
-    /// Draws a member that is worth an attempt.
+    /// Draws a member that is eligible for an attempt and likely to answer it soon.
     fn draw_candidate(&mut self, from: &[usize]) -> Option<usize> {
         if from.is_empty() {
             return None;
@@ -117,7 +117,7 @@
         None
     }
 
-    /// The chance with which a drawn member is taken.
+    /// The chance with which a drawn member is selected.
     fn chance(&self, slot: usize) -> f64 {
         let endpoint = self.endpoints.get(slot);
         self.endpoints.relative_weight(slot)
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -34,7 +34,7 @@
     pub members: Vec<usize>,
     /// What the warm members answer.
     pub peers: WarmPeers,
-    /// Time that requests take, failed ones at what they took, in latency objectives.
+    /// Time that requests take, failed ones at their duration, in latency objectives.
     delay: f64,
 }
 
--- a/crates/policy/src/routing/tests.rs
+++ b/crates/policy/src/routing/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_slower_own_zone_sends_requests_away_down_to_an_even_spread() {
+fn a_slower_own_zone_sends_requests_to_other_zones_down_to_an_even_spread() {
     let mut rng = Rand64::new(1);
     let mut locality = Locality::default();
     locality.begin(1.0);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -94,14 +94,14 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Figures of the rules that the balancer must keep.
+/// Figures of the rules that bind the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     /// Time past the client's deadline in which a final answer still counts.
     pub answer_slack: Duration,
     /// Grace within which sends to an endpoint that was reported draining or gone must end.
     pub drain_grace: Duration,
-    /// A replica without a subscription must ask for the list at least this often; `None` if lists are pushed.
+    /// A replica without a subscription must poll for the list at least this often; `None` if lists are pushed.
     pub poll_interval_max: Option<Duration>,
     /// The least fraction of its capacity with which an endpoint starts, above 0 and up to 1.
     pub slow_start_min_fraction: f64,
@@ -128,7 +128,8 @@
     pub health_check: f64,
 }
 
-/// The settings of a replica, given at its start, and again with [`Event::Reconfigured`](crate::Event::Reconfigured) when it changes.
+/// The settings of a replica, given at its start, and again with
+/// [`Event::Reconfigured`](crate::Event::Reconfigured) when they change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// This replica's number, from 0.
@@ -155,7 +156,7 @@
     pub propagates_deadline: bool,
     /// What a site permits the balancer to do.
     pub permissions: Permissions,
-    /// Figures of the rules that must be kept.
+    /// Figures of the rules that bind the balancer.
     pub rules: Rules,
     /// Costs that bear on choices.
     pub costs: Costs,
