--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world for the tests: upstreams that answer as told, a clock that the test moves.
+//! A small world for the tests: upstreams that answer as the test says, a clock that the test moves.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::time::Duration;
@@ -54,7 +54,7 @@
         actions
     }
 
-    /// Moves the clock, with the sweeps that fall due.
+    /// Moves the clock, with the maintenance passes that fall due.
     pub fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while self.next_wake <= end {
@@ -64,12 +64,12 @@
                 Action::ScheduleMaintenance(span) => Some(*span),
                 _ => None,
             });
-            self.next_wake = self.now + wake.expect("a sweep asks for the next");
+            self.next_wake = self.now + wake.expect("a maintenance pass asks for the next");
         }
         self.now = end;
     }
 
-    /// Offers a request of the first class and tells what is done about it.
+    /// Offers a request of the first class and returns what is done about it.
     pub fn offer(&mut self, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -95,7 +95,7 @@
         self.end_late(request, number, outcome, duration, Duration::ZERO)
     }
 
-    /// Ends an attempt that had no connection for `connecting` of the time it took.
+    /// Ends an attempt that had no connection for `connect_wait` of its duration.
     pub fn end_late(
         &mut self,
         request: RequestId,
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -10,7 +10,7 @@
 /// Calls of the tests take this long.
 const USUAL_MS: u64 = 20;
 
-/// A first-tier copy whose tenant may send 10 calls a second and the chance of that.
+/// A first-tier replica whose tenant may send 10 calls a second and the chance of that.
 fn bench() -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(10.0) }];
@@ -40,9 +40,9 @@
 }
 
 /// Found on a day on which clients gave up early or came again with little time left: a third of the attempts timed
-/// out within some 20 ms, passed for a crowd, and the limits fell to their floor while no upstream had a queue.
+/// out within some 20 ms, passed for congestion, and the limits fell to their floor while no upstream had a queue.
 #[test]
-fn a_time_out_of_little_time_is_no_crowd() {
+fn a_time_out_of_little_time_is_no_congestion() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     // A quarter has just over the usual time, and one upstream in them is a little slower than that.
@@ -50,19 +50,20 @@
     assert!(short > 0.95 && whole > 0.95, "{short} of the short calls admitted, {whole} of the others");
 }
 
-/// Guards the other side: where upstreams had the whole aim, a quarter that times out is a crowd as ever.
+/// Guards the other side: where upstreams had the whole latency objective, a quarter that times out is congestion as
+/// ever.
 #[test]
-fn a_time_out_of_the_whole_aim_is_a_crowd() {
+fn a_time_out_of_the_whole_latency_objective_is_congestion() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let [slow, whole] = run(&mut bench, 400, 3000, |call| if call % 4 == 0 { 1100 } else { 3000 });
     assert!(slow < 0.9 && whole < 0.9, "{slow} of the slow calls admitted, {whole} of the others");
 }
 
-/// Found on a day on which clients left a full tier in a burst: what they had waited told nothing, as nobody answered it,
-/// and the limits stood for seconds. Leaving before the usual time tells nothing.
+/// Found on a day on which clients left a full tier in a burst: what they had waited counted for nothing, as nobody
+/// answered it, and the limits stood for seconds. Leaving before the usual time shows nothing.
 #[test]
-fn callers_that_leave_after_long_tell_of_a_crowd() {
+fn clients_that_leave_after_long_show_congestion() {
     let admitted = |waited: u64| {
         let mut bench = bench();
         run(&mut bench, 100, 0, |_| 3000);
@@ -86,11 +87,11 @@
     let (soon, long) = (admitted(USUAL_MS / 2), admitted(USUAL_MS * 4));
     assert!(
         soon > 0.98 && long < 0.9,
-        "{soon} admitted where callers leave soon, {long} where they waited for long"
+        "{soon} admitted where clients leave soon, {long} where they waited for long"
     );
 }
 
-/// Found on the same days: attempts with a few milliseconds left held the places of calls that could have ended.
+/// Found on the same days: attempts with a few milliseconds left used the places of calls that could have ended.
 #[test]
 fn a_request_goes_out_by_the_chance_of_its_time_left() {
     let mut bench = bench();
@@ -105,10 +106,11 @@
 
 /// Found on days with a truly full tier: calls take longer there, and one with the usual time left is as hopeless.
 #[test]
-fn in_a_crowd_calls_need_more_than_the_usual_time() {
+fn in_congestion_calls_need_more_than_the_usual_time() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
-    // Half time out at the whole aim; then those with a little more than the usual time compete with the others.
+    // Half time out at the whole latency objective; then those with a little more than the usual time compete with the
+    // others.
     run(&mut bench, 100, 3000, |call| if call % 2 == 0 { 1100 } else { 3000 });
     let mut admitted = [0, 0];
     for call in 0..400 {
@@ -134,7 +136,7 @@
 /// Guards against a usual time that stands because nothing is sent any more: the first call alone took fifty times
 /// what calls take.
 #[test]
-fn a_usual_time_learned_too_long_does_not_shut_the_door() {
+fn a_baseline_learned_too_long_does_not_deny_all_calls() {
     let mut bench = bench();
     let (id, _) = bench.offer(Some(0));
     bench.end(id, 0, Outcome::Success, millis(50 * USUAL_MS));
@@ -143,14 +145,14 @@
     assert!(later[1] > 0.95, "{first:?} of 100 requests, then {later:?} of another 100");
 }
 
-/// Guards further attempts: with no time for one, a request that found no connection ends at once.
+/// Guards retries: with no time for one, a request that found no connection ends at once.
 #[test]
-fn a_further_attempt_goes_by_the_time_left_too() {
+fn a_retry_goes_by_the_time_left_too() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let again = (0..200)
         .filter(|_| {
-            // The tier answers others, so that no crowd is met.
+            // The tier answers others, so that no congestion is met.
             run(&mut bench, 1, 0, |_| 3000);
             bench.pass(millis(100));
             bench.time_left = millis(40);
@@ -166,14 +168,14 @@
 /// Guards the longest wait for a connection where no other attempt can follow: with one upstream, at the last attempt
 /// allowed, and with nothing saved up for another.
 #[test]
-fn the_last_attempt_is_told_so() {
+fn the_last_attempt_is_marked_as_such() {
     let last = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::Send { is_last_attempt, .. } => Some(*is_last_attempt),
             _ => None,
         })
     };
-    let none_in_time = |bench: &mut Bench, id, number| {
+    let connect_times_out = |bench: &mut Bench, id, number| {
         last(&bench.end_late(id, number, Outcome::ConnectTimedOut, millis(6), millis(6)))
     };
     for (upstreams, said) in [
@@ -185,22 +187,22 @@
         let mut bench = Bench::new(settings, 5, (0..upstreams).map(member).collect());
         let (id, actions) = bench.offer(None);
         assert_eq!(last(&actions), said[0], "{upstreams} upstreams");
-        assert_eq!(none_in_time(&mut bench, id, 0), said[1], "{upstreams} upstreams");
+        assert_eq!(connect_times_out(&mut bench, id, 0), said[1], "{upstreams} upstreams");
         if said[1].is_some() {
-            assert_eq!(none_in_time(&mut bench, id, 1), said[2], "{upstreams} upstreams");
+            assert_eq!(connect_times_out(&mut bench, id, 1), said[2], "{upstreams} upstreams");
         }
     }
-    // Each request earns half of a further attempt and pays two: what was saved up is used up.
+    // Each request earns half of a retry and pays two: what was saved up is used up.
     let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    let told = (0..40).any(|_| {
+    let is_marked = (0..40).any(|_| {
         let (id, actions) = bench.offer(None);
         for number in 0..3 {
-            none_in_time(&mut bench, id, number);
+            connect_times_out(&mut bench, id, number);
         }
         // They are within reach all the same.
         (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(EndpointId(id)))));
         last(&actions) == Some(true)
     });
-    assert!(told, "a first attempt that none could follow was not told so");
+    assert!(is_marked, "a first attempt that none could follow was not marked as the last");
 }
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -445,7 +445,7 @@
 }
 
 #[test]
-fn a_fleet_of_many_copies_keeps_its_record() {
+fn a_fleet_of_many_replicas_keeps_its_record() {
     let mut settings = first_tier();
     settings.replicas = 40;
     settings.over_quota_weight = 1.0;
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come up late: what they tell of the limits and of the upstreams, and what they do not.
+//! Connections that come up late: what they show of the limits and of the upstreams, and what they do not.
 
 mod common;
 
@@ -18,8 +18,8 @@
 struct World {
     bench: Bench,
     patience: Duration,
-    /// Tells the connections that come up when nobody waits for them any more.
-    tells: bool,
+    /// Reports the connections that come up when nobody waits for them any more.
+    reports_late_connections: bool,
     rng: Rand64,
     due: BTreeMap<(Duration, u64), Due>,
     next: u64,
@@ -39,8 +39,8 @@
     served: u32,
     /// Attempts sent to each upstream.
     sent: BTreeMap<u32, u32>,
-    /// The greatest crowding and the least limit seen.
-    crowding: f64,
+    /// The greatest congestion and the least limit seen.
+    congestion: f64,
     limit: f64,
 }
 
@@ -72,7 +72,7 @@
         Self {
             bench: Bench::new(settings, seed, (0..upstreams).map(member).collect()),
             patience,
-            tells: true,
+            reports_late_connections: true,
             rng: Rand64::new(u128::from(seed)),
             due: BTreeMap::new(),
             next: 0,
@@ -114,8 +114,8 @@
                 }
                 Due::Connected(upstream) => assert_eq!(self.bench.tell(Event::Connected(upstream)), []),
             }
-            tally.crowding = tally.crowding.max(self.vital("crowding "));
-            tally.limit = tally.limit.min(self.vital("limits "));
+            tally.congestion = tally.congestion.max(self.figure("crowding "));
+            tally.limit = tally.limit.min(self.figure("limits "));
         }
         tally
     }
@@ -134,7 +134,7 @@
             return;
         };
         *tally.sent.entry(upstream.0).or_default() += 1;
-        let most = timeout.expect("classes have aims");
+        let most = timeout.expect("classes have latency objectives");
         let (connects, outcome, serves) = meets(*upstream, &mut self.rng);
         let patience = self.patience.min(most);
         let end = match connects {
@@ -149,15 +149,17 @@
                 Due::End { request, number, outcome, duration: patience, connect_wait: patience }
             }
         };
-        if let Some(later) = connects.filter(|&connect_wait| connect_wait >= patience && self.tells) {
+        if let Some(later) =
+            connects.filter(|&connect_wait| connect_wait >= patience && self.reports_late_connections)
+        {
             self.plan(later, Due::Connected(*upstream));
         }
         let Due::End { duration, .. } = end else { return };
         self.plan(duration, end);
     }
 
-    /// The figure after a word of the vitals.
-    fn vital(&self, word: &str) -> f64 {
+    /// The figure after a word of the stats snapshot.
+    fn figure(&self, word: &str) -> f64 {
         let stats_snapshot = self.bench.balancer.stats_snapshot();
         let figure =
             stats_snapshot.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
@@ -165,7 +167,7 @@
     }
 }
 
-/// One copy whose only tenant has a fair part of `part` calls a second.
+/// One replica whose only tenant has a quota of `part` calls a second.
 fn settings(replicas: u32, part: f64) -> Settings {
     let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     settings.replicas = replicas;
@@ -196,23 +198,25 @@
 /// Found on days on which a third of the connections came up late while the upstreams answered in 13 to 30 ms: the
 /// limits were cut to their floors, and 80 to 95 calls in 100 denied.
 #[test]
-fn late_connections_neither_cut_limits_nor_keep_upstreams_aside() {
-    for (rate, replicas, tells) in [2.0, 10.0, 60.0]
+fn late_connections_neither_cut_limits_nor_eject_endpoints() {
+    for (rate, replicas, is_reported) in [2.0, 10.0, 60.0]
         .into_iter()
         .flat_map(|rate| [(rate, 2, true), (rate, 2, false), (rate, 30, true), (rate, 30, false)])
     {
         for upstreams in 4..=8 {
             let mut world = World::new(settings(replicas, rate * 1.2), 5, upstreams, millis(12));
-            world.tells = tells;
+            world.reports_late_connections = is_reported;
             let calm = world.run(rate, 30, idle);
             let seconds = if rate > 2.0 { 90 } else { 400 };
             let tally = world.run(rate, seconds, idle_third_late);
-            let case = format!("{rate}/s, {replicas} copies, {upstreams} upstreams, told {tells}: {tally:?}");
+            let case = format!(
+                "{rate}/s, {replicas} replicas, {upstreams} upstreams, reported {is_reported}: {tally:?}"
+            );
             assert!(tally.limit >= calm.limit, "a limit was cut: {case}");
             assert!(tally.admitted() > 0.95, "{} admitted: {case}", tally.admitted());
             // Three attempts are allowed, and all meet a late connection 1 time in 27.
             assert!(tally.served() > 0.9, "{} served: {case}", tally.served());
-            assert!(tally.least_sent(upstreams) > 0.5, "kept aside: {case}");
+            assert!(tally.least_sent(upstreams) > 0.5, "ejected: {case}");
         }
     }
 }
@@ -223,19 +227,19 @@
     for (rate, replicas) in [(2.0, 2), (10.0, 2), (60.0, 2), (2.0, 30), (10.0, 30), (60.0, 30)] {
         let mut world = World::new(settings(replicas, rate * 1.2), 7, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
-        let usual = world.vital("usual ms ");
+        let usual = world.figure("usual ms ");
         let tally = world.run(rate, if rate > 2.0 { 120 } else { 400 }, idle_third_late);
         let case =
-            format!("{rate}/s, {replicas} copies: {tally:?}, {}", world.bench.balancer.stats_snapshot());
+            format!("{rate}/s, {replicas} replicas: {tally:?}, {}", world.bench.balancer.stats_snapshot());
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95, "{case}");
-        assert!(rate < 10.0 || tally.crowding < 0.2, "{case}");
-        assert!((world.vital("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
-        // Of the connections 12 in 100 come up after the aim.
+        assert!(rate < 10.0 || tally.congestion < 0.2, "{case}");
+        assert!((world.figure("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
+        // Of the connections 12 in 100 come up after the latency objective.
         assert!(tally.served() > 0.82, "{case}");
     }
 }
 
-/// A copy for clients that wait 0.4 s and want their answers within half of that.
+/// A replica for clients that wait 0.4 s and want their answers within half of that.
 fn short_deadlines(replicas: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
     let mut settings = settings(replicas, rate * 1.2);
     settings.classes[0] = Class {
@@ -256,18 +260,18 @@
     {
         let mut world = short_deadlines(replicas, rate, 6, millis(patience));
         let calm = world.run(rate, 30, idle);
-        let usual = world.vital("usual ms ");
+        let usual = world.figure("usual ms ");
         let tally = world.run(rate, 60, idle_third_late);
-        let case = format!("{rate}/s, {replicas} copies, {patience} ms: {tally:?}");
+        let case = format!("{rate}/s, {replicas} replicas, {patience} ms: {tally:?}");
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.served() > 0.92, "{case}");
-        assert!(tally.crowding < 0.2 && tally.least_sent(6) > 0.5, "{case}");
-        assert!((world.vital("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
+        assert!(tally.congestion < 0.2 && tally.least_sent(6) > 0.5, "{case}");
+        assert!((world.figure("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
     }
 }
 
 /// Where the upstreams are sent to with less time left than they take, the time-outs tell of the connections alone.
 #[test]
-fn time_outs_behind_late_connections_are_no_crowd() {
+fn time_outs_behind_late_connections_are_no_congestion() {
     for (rate, replicas) in [(10.0, 2), (60.0, 2), (60.0, 30)] {
         let mut world = short_deadlines(replicas, rate, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
@@ -279,9 +283,9 @@
             let after = if is_late { millis(350 + rng.rand_range(0..60)) } else { Duration::ZERO };
             (Some(after), Outcome::Success, usual(rng))
         });
-        let case = format!("{rate}/s, {replicas} copies, {late} late: {tally:?}");
+        let case = format!("{rate}/s, {replicas} replicas, {late} late: {tally:?}");
         assert!(tally.served() < 0.95 && late > tally.offered / 4, "nothing timed out: {case}");
-        assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.crowding < 0.2, "{case}");
+        assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.congestion < 0.2, "{case}");
         assert!(tally.least_sent(6) > 0.5, "{case}");
     }
 }
@@ -302,7 +306,7 @@
     }
 }
 
-/// The parts admitted by two copies whose upstreams are full in the way told: one has connections at once, of the
+/// The parts admitted by two replicas whose upstreams are full in the given way: one has connections at once, of the
 /// other's a third come up late.
 fn admitted_of_full(rate: f64, outcome: Outcome, part: f64) -> (f64, f64) {
     let run = |late: bool| {
@@ -352,7 +356,7 @@
     }
 }
 
-/// A tier that answers nobody is a crowd, whatever the connects fail with.
+/// A tier that answers nobody is congestion, whatever the connects fail with.
 #[test]
 fn a_tier_that_is_wholly_out_of_reach_cuts_the_limits() {
     for rate in [2.0, 10.0, 60.0] {
@@ -383,7 +387,7 @@
     }
 }
 
-/// One refusal is no crowd, and the connect timeout before it does not make it the second.
+/// One refusal is no congestion, and the connect timeout before it does not make it the second.
 #[test]
 fn a_refusal_after_a_connect_timeout_is_one_refusal() {
     let mut settings = settings(2, 25.0 / 3.0);
@@ -412,8 +416,8 @@
     (0..200).filter(|_| bench.run(|_| (Outcome::Success, millis(2))) == [EndpointId(0)]).count()
 }
 
-/// Four upstreams, of which the first has ended each of its attempts with `outcome` until it was set aside.
-fn first_aside(outcome: Outcome) -> Bench {
+/// Four upstreams, of which the first has ended each of its attempts with `outcome` until it was ejected.
+fn first_ejected(outcome: Outcome) -> Bench {
     let mut bench = Bench::new(
         Settings::single_zone(vec![class(Idempotency::Idempotent)]),
         3,
@@ -426,17 +430,17 @@
 }
 
 #[test]
-fn a_connection_ends_an_aside_for_connect_timeouts() {
-    assert_eq!(calls_to_the_first(&mut first_aside(Outcome::ConnectTimedOut)), 0, "not set aside");
-    let mut bench = first_aside(Outcome::ConnectTimedOut);
+fn a_connection_ends_an_ejection_for_connect_timeouts() {
+    assert_eq!(calls_to_the_first(&mut first_ejected(Outcome::ConnectTimedOut)), 0, "not ejected");
+    let mut bench = first_ejected(Outcome::ConnectTimedOut);
     assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
     let calls = calls_to_the_first(&mut bench);
     assert!((30..70).contains(&calls), "{calls} of 200 after a connection came up");
 }
 
 #[test]
-fn a_connection_ends_no_aside_for_errors() {
-    let mut bench = first_aside(Outcome::Error);
+fn a_connection_ends_no_ejection_for_errors() {
+    let mut bench = first_ejected(Outcome::Error);
     for upstream in [0, 0, 99] {
         assert_eq!(bench.tell(Event::Connected(EndpointId(upstream))), []);
     }
@@ -449,7 +453,7 @@
     for between in [None, Some(Outcome::Success), Some(Outcome::Refused), Some(Outcome::InvalidRequest)] {
         let mut bench =
             Bench::new(Settings::single_zone(vec![class(Idempotency::Idempotent)]), 3, vec![member(0)]);
-        // The second upstream shows by its calls whether the first is aside.
+        // The second upstream shows by its calls whether the first is ejected.
         bench.tell(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
         let mut met = 0;
         let mut calls = 0;
@@ -501,7 +505,7 @@
     assert!(lost < 15, "{lost} with a connection that was lost");
 }
 
-/// The second from which on most of a copy's fair part is let in again, over any six seconds, of callers that come
+/// The second from which on most of a replica's quota is admitted again, over any six seconds, of clients that come
 /// `times` as often and find their upstreams at ease, after these had answered nobody for a while.
 fn seconds_to_open(quota: bool, part: f64, times: f64) -> usize {
     let mut settings = settings(2, part);
@@ -517,8 +521,8 @@
     served.windows(6).rposition(shut).map_or(0, |at| at + 1)
 }
 
-/// Found on days with late connections: cut limits stayed at their floors under callers that came again at once, as
-/// calls denied whole teach nothing and the few let in between met the crowd of long before.
+/// Found on days with late connections: cut limits stayed at their floors under clients that came again at once, as
+/// calls denied whole teach nothing and the few admitted between met the congestion of long before.
 #[test]
 fn a_limit_at_its_floor_opens_within_seconds_once_what_is_let_in_succeeds() {
     for (quota, part, times) in [
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Other settings in a running copy: what is in flight keeps its rules, and what was learned stays.
+//! Other settings in a running replica: what is in flight keeps its rules, and what was learned stays.
 
 mod common;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A copy and what is due in its world: requests, answers, lists and sweeps.
+/// A replica and what is due in its world: requests, answers, lists and maintenance passes.
 struct World {
     balancer: Balancer,
     rng: Rand64,
@@ -88,7 +88,7 @@
     }
 
     /// All actions, and how things stand.
-    fn told(self) -> String {
+    fn record(self) -> String {
         self.text + &self.balancer.stats_snapshot()
     }
 
@@ -211,7 +211,7 @@
 /// to the byte. The digest is that of the decisions before it.
 #[test]
 fn without_other_settings_nothing_is_different() {
-    let played: String = (1..=5).map(|seed| World::play(seed, 4000, |_| None).told()).collect();
+    let played: String = (1..=5).map(|seed| World::play(seed, 4000, |_| None).record()).collect();
     assert_eq!(digest(&played), 0xbb1b_aa21_1b3f_d6ce);
 }
 
@@ -219,17 +219,17 @@
 #[test]
 fn the_same_settings_again_change_nothing() {
     for seed in 1..=5 {
-        let alone = World::play(seed, 4000, |_| None).told();
-        let told = World::play(seed, 4000, |number| {
+        let alone = World::play(seed, 4000, |_| None).record();
+        let repeated = World::play(seed, 4000, |number| {
             number.is_multiple_of(7).then(|| Event::Reconfigured(settings()))
         });
-        assert!(alone == told.told(), "seed {seed}");
+        assert!(alone == repeated.record(), "seed {seed}");
     }
 }
 
 // --- Requests in flight ---
 
-/// A copy with plenty of upstreams, two in each cell, and these settings.
+/// A replica with plenty of upstreams, two in each cell, and these settings.
 fn bench(settings: Settings) -> Bench {
     let members = (0..8).map(|id| Member { cell: id % 4, ..member(id) }).collect();
     Bench::new(settings, 7, members)
@@ -243,7 +243,7 @@
 const WINDOW: Idempotency =
     Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(300) };
 
-/// Offers a request and gives the cells of all attempts, each of which ends as a reset after `took`.
+/// Ends each attempt of a request as a reset and counts them; each of which ends as a reset after `duration`.
 fn resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
     let (mut sends, mut out) = (0, sent(first));
     while out.is_some() {
@@ -255,8 +255,8 @@
     sends
 }
 
-/// Guards the rule on effects: a request taken as one that must not run twice never becomes repeatable, whatever its
-/// class is by the time that it breaks. One taken afterwards goes by what holds then.
+/// Guards the rule on effects: a request received as one that must not run twice never becomes repeatable, whatever its
+/// class is by the time that it breaks. One received afterwards goes by what holds then.
 #[test]
 fn an_unsafe_request_in_flight_stays_unsafe() {
     for other in [
@@ -297,7 +297,7 @@
             millis(400),
             1,
         ),
-        // Within its own: only its own cell takes it, which has two upstreams.
+        // Within its own: only its own cell accepts it, which has two upstreams.
         (wider, millis(100), 2),
     ] {
         let mut bench = bench(single(WINDOW));
@@ -311,9 +311,9 @@
     assert!(resets(&mut bench, id, &actions, millis(400)) > 1);
 }
 
-/// Guards a keyed request's window within its cell: it holds to the end, and no repeat may begin after it.
+/// Guards a keyed request's window within its cell: it applies to the end, and no repeat may begin after it.
 #[test]
-fn a_repeat_begins_within_the_window_it_was_taken_under() {
+fn a_repeat_begins_within_the_window_it_was_received_under() {
     let members = (0..8).map(member).collect();
     let mut bench = Bench::new(single(WINDOW), 7, members);
     let (id, actions) = bench.offer(None);
@@ -332,9 +332,9 @@
     assert!(left <= millis(200) && left > millis(199), "{left:?}");
 }
 
-/// Guards callers: the aim and the worth of a late answer are those that the request was taken under.
+/// Guards clients: the latency objective and the weight of a late answer are those that the request was received under.
 #[test]
-fn a_request_in_flight_keeps_its_aim_and_deadline() {
+fn a_request_in_flight_keeps_its_latency_objective_and_deadline() {
     let timeout = |actions: &[Action]| {
         actions.iter().find_map(|action| match action {
             Action::Send { timeout, .. } => *timeout,
@@ -355,7 +355,7 @@
     assert_eq!(timeout(&next), Some(millis(3000)));
 }
 
-/// Guards upstreams against more of a request's attempts than it was taken with; fewer hold at once.
+/// Guards upstreams against more of a request's attempts than it was received with; a lower number applies at once.
 #[test]
 fn a_request_in_flight_gets_no_more_attempts() {
     let with = |attempts| {
@@ -377,7 +377,7 @@
 
 /// Guards requests in flight whose class or tenant went: they end as they would have.
 #[test]
-fn a_request_of_a_class_that_went_ends_as_ever() {
+fn a_request_of_a_removed_class_ends_as_before() {
     // What went stays as it was, the quota of its tenant is 0, and what is new stands behind it.
     let mut after = settings();
     after.tenants[1].quota = Some(0.0);
@@ -410,7 +410,8 @@
     Settings { tenants, over_quota_weight: 0.1, ..settings }
 }
 
-/// Offers a tenant's requests at a rate for a while, each answered after 10 ms, and tells how many a second were let in.
+/// Offers a tenant's requests at a rate for a while, each answered after 10 ms, and returns how many a second were
+/// admitted.
 fn accepted(bench: &mut Bench, tenant: usize, rate: f64, seconds: f64) -> f64 {
     let (mut admitted, count) = (0, (rate * seconds) as u32);
     let mut answers: Vec<(Duration, RequestId)> = Vec::new();
@@ -434,7 +435,7 @@
 }
 
 /// Lets the servers refuse all for a while.
-fn jam(bench: &mut Bench) {
+fn overload(bench: &mut Bench) {
     for _ in 0..400 {
         bench.pass(millis(10));
         let (id, mut actions) = bench.offer(Some(0));
@@ -446,7 +447,7 @@
     }
 }
 
-/// Guards the operator who halves a quota: it holds from the next calls on, also where the limit had been learned.
+/// Guards the operator who halves a quota: it applies from the next calls on, also where the limit had been learned.
 #[test]
 fn a_halved_quota_holds_at_once() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
@@ -463,34 +464,34 @@
     assert!((40.0..75.0).contains(&after), "{after} after {before}");
 }
 
-/// Guards the operator who raises a quota: it is had within seconds, from a small one too, which finishes in time alone
-/// would take minutes to raise.
+/// Guards the operator who raises a quota: it applies within seconds, from a small one too, which finishes in time
+/// alone would take minutes to raise.
 #[test]
-fn a_raised_quota_is_had_within_seconds() {
+fn a_raised_quota_applies_within_seconds() {
     for (before, after) in [(50.0, 100.0), (1.0, 100.0)] {
         let mut bench = bench(quotas(&[Some(before), Some(50.0)]));
         let denied = accepted(&mut bench, 0, 90.0, 8.0);
         assert!(denied < 80.0, "{denied}");
         bench.tell(Event::Reconfigured(quotas(&[Some(after), Some(50.0)])));
         accepted(&mut bench, 0, 90.0, 5.0);
-        let let_in = accepted(&mut bench, 0, 90.0, 5.0);
-        assert!(let_in > 80.0, "{let_in} of 90 a second where the quota went from {before} to {after}");
+        let admitted = accepted(&mut bench, 0, 90.0, 5.0);
+        assert!(admitted > 80.0, "{admitted} of 90 a second where the quota went from {before} to {after}");
     }
 }
 
-/// Guards a tier in trouble: a change elsewhere in the settings, or of a quota, does not open a limit that was cut.
+/// Guards a tier in overload: a change elsewhere in the settings, or of a quota, does not open a limit that was cut.
 #[test]
 fn a_cut_limit_stays_cut() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
-    jam(&mut bench);
+    overload(&mut bench);
     let cut = limits(&bench);
     assert!(cut[0] < 60.0, "{cut:?}");
     let mut other = quotas(&[Some(100.0), Some(50.0), Some(30.0)]);
     other.costs.cross_zone = 0.01;
     bench.tell(Event::Reconfigured(other));
-    let kept = limits(&bench);
-    assert_eq!(kept[..2], cut[..2]);
-    assert!(kept[2] >= 30.0, "a new one begins whole: {kept:?}");
+    let retained = limits(&bench);
+    assert_eq!(retained[..2], cut[..2]);
+    assert!(retained[2] >= 30.0, "a new one begins whole: {retained:?}");
     bench.tell(Event::Reconfigured(quotas(&[Some(200.0), Some(50.0), Some(30.0)])));
     let raised = limits(&bench);
     assert!((raised[0] / cut[0] - 2.0).abs() < 0.05, "the same part of its quota: {cut:?} {raised:?}");
@@ -499,20 +500,20 @@
     assert!((back[0] - cut[0]).abs() < 0.11, "{cut:?} {back:?}");
 }
 
-/// Guards limits without quotas on either side of a change: one told begins there, one taken away no longer holds.
+/// Guards limits without quotas on either side of a change: one added applies from then on, one removed no longer does.
 #[test]
 fn a_quota_may_come_and_go() {
     let mut bench = bench(quotas(&[None]));
     assert!(accepted(&mut bench, 0, 200.0, 4.0) > 190.0);
     bench.tell(Event::Reconfigured(quotas(&[Some(50.0)])));
-    let held = accepted(&mut bench, 0, 200.0, 6.0);
-    assert!((40.0..75.0).contains(&held), "{held}");
+    let limited = accepted(&mut bench, 0, 200.0, 6.0);
+    assert!((40.0..75.0).contains(&limited), "{limited}");
     bench.tell(Event::Reconfigured(quotas(&[None])));
     let free = accepted(&mut bench, 0, 200.0, 4.0);
     assert!(free > 190.0, "{free}");
 }
 
-/// Guards a copy that started with no tenant, whose only limit is that of all together, which stands last.
+/// Guards a replica that started with no tenant, whose only limit is that of all together, which stands last.
 #[test]
 fn tenants_may_come_where_there_were_none() {
     let mut bench = bench(quotas(&[]));
@@ -523,15 +524,15 @@
     bench.end(early, 0, Outcome::Success, millis(10));
     let mut fresh = self::bench(quotas(&[Some(50.0), Some(20.0)]));
     for tenant in [0, 1] {
-        let (held, usual) =
+        let (limited, usual) =
             (accepted(&mut bench, tenant, 200.0, 8.0), accepted(&mut fresh, tenant, 200.0, 8.0));
-        assert!((held / usual - 1.0).abs() < 0.1, "{held} where a new copy lets in {usual}");
+        assert!((limited / usual - 1.0).abs() < 0.1, "{limited} where a new replica lets in {usual}");
     }
 }
 
-/// Guards the share of a tenant that went, whose quota is 0: it no longer counts to what all may send together.
+/// Guards the quota of a tenant that was removed, whose quota is 0: it no longer counts to what all may send together.
 #[test]
-fn a_tenant_that_went_leaves_its_share() {
+fn a_removed_tenant_leaves_its_quota() {
     let mut bench = bench(quotas(&[Some(40.0), Some(60.0)]));
     let before = limits(&bench);
     bench.tell(Event::Reconfigured(quotas(&[Some(40.0), Some(0.0)])));
@@ -542,9 +543,9 @@
 
 // --- The subset, and settings that are refused ---
 
-/// Guards the tier: with more copies each sends to a part of it, with fewer again to all.
+/// Guards the tier: with more replicas each sends to a part of it, with fewer again to all.
 #[test]
-fn the_subset_follows_the_number_of_copies() {
+fn the_subset_follows_the_number_of_replicas() {
     let with = |replicas| Settings { replica_index: 1, replicas, ..single(Idempotency::Idempotent) };
     let mut bench = Bench::new(with(1), 7, (0..64).map(member).collect());
     let seen = |bench: &mut Bench| {
@@ -560,7 +561,7 @@
     assert_eq!(seen(&mut bench), 64);
 }
 
-/// Guards the first list, from which a copy learns how far it spreads: a change before it leaves it the first.
+/// Guards the first list, from which a replica learns how far it spreads: a change before it leaves it the first.
 #[test]
 fn a_change_before_the_first_list_is_none_to_the_subset() {
     let with = |replicas| Settings { replicas, zones: 2, ..single(Idempotency::Idempotent) };
@@ -577,7 +578,8 @@
     assert_eq!(picked(2), picked(3));
 }
 
-/// Guards positions and the place of a copy, and against settings that make no sense: they change nothing but the log.
+/// Guards positions and the place of a replica, and against settings that make no sense: they change nothing but the
+/// log.
 #[test]
 fn settings_that_are_no_successor_change_nothing() {
     let but = |change: fn(&mut Settings)| {
@@ -615,7 +617,7 @@
 }
 
 /// Guards against a change in the middle of everything: whatever the settings turn to and however often, each request
-/// ends once, and none runs twice that was taken as one that must not.
+/// ends once, and none runs twice that was received as one that must not.
 #[test]
 fn many_changes_lose_nothing_and_repeat_nothing() {
     for seed in 1..=5 {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Pass(u64),
-    Ask {
+    Request {
         class: usize,
         time_left: u64,
     },
@@ -23,7 +23,7 @@
         which: usize,
         outcome: Outcome,
     },
-    Leave {
+    Disconnect {
         which: usize,
     },
     /// Changes one upstream: its phase, or a restart.
@@ -60,9 +60,9 @@
     let lifecycle = prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Removed)];
     prop_oneof![
         4 => (1u64..400).prop_map(Step::Pass),
-        8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Ask { class, time_left }),
+        8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Request { class, time_left }),
         8 => (any::<usize>(), outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
-        1 => any::<usize>().prop_map(|which| Step::Leave { which }),
+        1 => any::<usize>().prop_map(|which| Step::Disconnect { which }),
         2 => (0u32..8, lifecycle, any::<bool>())
             .prop_map(|(upstream, lifecycle, restarted)| Step::Change { upstream, lifecycle, restarted }),
         1 => (0u32..9, any::<bool>()).prop_map(|(keep, stale)| Step::Replace { keep, stale }),
@@ -102,7 +102,7 @@
     ended: Option<Outcome>,
 }
 
-struct Held {
+struct TrackedRequest {
     class: usize,
     deadline: Duration,
     attempts: Vec<Sent>,
@@ -116,11 +116,11 @@
     balancer: Balancer,
     settings: Settings,
     now: Duration,
-    held: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, TrackedRequest>,
     list: BTreeMap<EndpointId, Member>,
     wake: Option<Duration>,
-    /// Since when the copy neither has a subscription nor has asked.
-    unasked: Option<Duration>,
+    /// Since when the replica neither has a subscription nor has requested one.
+    unsubscribed_since: Option<Duration>,
     next: u64,
 }
 
@@ -130,10 +130,10 @@
             balancer: Balancer::new(settings.clone(), seed).expect("the settings make sense"),
             settings,
             now: START,
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             list: BTreeMap::new(),
             wake: None,
-            unasked: Some(START),
+            unsubscribed_since: Some(START),
             next: 0,
         };
         world.tell(Event::Started);
@@ -152,19 +152,19 @@
     fn check(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
-                let held = self.held.get_mut(&request).expect("a request that it has");
-                assert!(held.finals == 0 && !held.over, "sent after its end");
-                assert!(self.now < held.deadline, "sent after the deadline");
+                let tracked = self.requests.get_mut(&request).expect("a request that it has");
+                assert!(tracked.finals == 0 && !tracked.over, "sent after its end");
+                assert!(self.now < tracked.deadline, "sent after the deadline");
                 let target = self.list.get(&upstream).expect("an upstream that a list has named");
                 assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to one that drains or is gone");
-                let out = held.attempts.iter().filter(|sent| sent.ended.is_none()).count();
+                let out = tracked.attempts.iter().filter(|sent| sent.ended.is_none()).count();
                 assert!(out == 0 || self.settings.permissions.hedging, "two attempts at once");
                 let allowed = self.settings.permissions.max_attempts as usize;
-                assert!(held.attempts.len() < allowed);
-                assert!(is_last_attempt || held.attempts.len() + 1 < allowed, "another is said to follow");
+                assert!(tracked.attempts.len() < allowed);
+                assert!(is_last_attempt || tracked.attempts.len() + 1 < allowed, "another is said to follow");
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
-                if let Some(first) = held.attempts.iter().find(ran) {
-                    match self.settings.classes[held.class].idempotency {
+                if let Some(first) = tracked.attempts.iter().find(ran) {
+                    match self.settings.classes[tracked.class].idempotency {
                         Idempotency::Idempotent => {}
                         Idempotency::NotIdempotent => panic!("an unsafe request sent twice"),
                         Idempotency::IdempotencyKey { scope, window } => {
@@ -180,15 +180,15 @@
                         }
                     }
                 }
-                let until = timeout.map_or(held.deadline, |span| held.deadline.min(self.now + span));
-                held.attempts.push(Sent { upstream, at: self.now, until, ended: None });
+                let until = timeout.map_or(tracked.deadline, |span| tracked.deadline.min(self.now + span));
+                tracked.attempts.push(Sent { upstream, at: self.now, until, ended: None });
             }
             Action::Refuse { request, .. } => {
-                let held = self.held.get_mut(&request).expect("a request that it has");
-                held.finals += 1;
-                assert!(held.finals == 1 && !held.over, "a second final answer");
-                let ran = held.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
-                let free = match self.settings.classes[held.class].idempotency {
+                let tracked = self.requests.get_mut(&request).expect("a request that it has");
+                tracked.finals += 1;
+                assert!(tracked.finals == 1 && !tracked.over, "a second final answer");
+                let ran = tracked.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
+                let free = match self.settings.classes[tracked.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => false,
@@ -196,15 +196,15 @@
                 assert!(free || !ran, "refused though it may have run");
             }
             Action::Fail { request } => {
-                let held = self.held.get_mut(&request).expect("a request that it has");
-                held.finals += 1;
-                assert!(held.finals == 1 && !held.over, "a second final answer");
+                let tracked = self.requests.get_mut(&request).expect("a request that it has");
+                tracked.finals += 1;
+                assert!(tracked.finals == 1 && !tracked.over, "a second final answer");
             }
             Action::ScheduleMaintenance(span) => self.wake = Some(self.now + span),
-            Action::Subscribe => self.unasked = Some(self.now),
+            Action::Subscribe => self.unsubscribed_since = Some(self.now),
             Action::CancelAttempt { request, attempt } => {
-                let held = self.held.get(&request).expect("a request that it has");
-                assert!((attempt.0 as usize) < held.attempts.len(), "withdrew what was never sent");
+                let tracked = self.requests.get(&request).expect("a request that it has");
+                assert!((attempt.0 as usize) < tracked.attempts.len(), "cancelled what was never sent");
             }
             Action::HealthCheck { upstream } => {
                 assert!(self.settings.permissions.health_checks, "a health check that is not allowed");
@@ -215,12 +215,12 @@
         }
     }
 
-    /// Moves the clock step by step, with time-outs and sweeps as they fall due.
+    /// Moves the clock step by step, with time-outs and maintenance passes as they fall due.
     fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
             let outs = self.outs();
-            let late = outs.iter().map(|&(id, n)| (self.held[&id].attempts[n].until, id, n)).min();
+            let late = outs.iter().map(|&(id, n)| (self.requests[&id].attempts[n].until, id, n)).min();
             let next = late.map(|(at, ..)| at).into_iter().chain(self.wake).min();
             let Some(next) = next.filter(|&next| next <= end) else { break };
             self.now = self.now.max(next);
@@ -231,34 +231,38 @@
                     self.tell(Event::MaintenanceDue);
                 }
             }
-            self.check_asked();
+            self.check_subscribes();
         }
         self.now = end;
         let slack = self.settings.rules.answer_slack;
-        for (id, held) in &self.held {
-            assert!(held.over || held.finals == 1 || self.now <= held.deadline + slack, "{id:?} lost");
+        for (id, tracked) in &self.requests {
+            assert!(
+                tracked.over || tracked.finals == 1 || self.now <= tracked.deadline + slack,
+                "{id:?} lost"
+            );
         }
     }
 
-    fn check_asked(&self) {
-        if let (Some(since), Some(within)) = (self.unasked, self.settings.rules.poll_interval_max) {
-            assert!(self.now <= since + within, "has not asked for the list in time");
+    fn check_subscribes(&self) {
+        if let (Some(since), Some(within)) = (self.unsubscribed_since, self.settings.rules.poll_interval_max)
+        {
+            assert!(self.now <= since + within, "has not subscribed to the list in time");
         }
     }
 
     fn outs(&self) -> Vec<(RequestId, usize)> {
-        let each = self.held.iter().flat_map(|(&id, held)| {
-            held.attempts.iter().enumerate().map(move |(n, sent)| (id, n, sent.ended))
+        let each = self.requests.iter().flat_map(|(&id, tracked)| {
+            tracked.attempts.iter().enumerate().map(move |(n, sent)| (id, n, sent.ended))
         });
         each.filter(|(.., ended)| ended.is_none()).map(|(id, n, _)| (id, n)).collect()
     }
 
     fn end(&mut self, request: RequestId, n: usize, outcome: Outcome) {
-        let held = self.held.get_mut(&request).expect("held");
-        held.attempts[n].ended = Some(outcome);
-        let duration = self.now - held.attempts[n].at;
-        held.over |= outcome == Outcome::Success;
-        let finished = held.over || held.finals > 0;
+        let tracked = self.requests.get_mut(&request).expect("tracked");
+        tracked.attempts[n].ended = Some(outcome);
+        let duration = self.now - tracked.attempts[n].at;
+        tracked.over |= outcome == Outcome::Success;
+        let finished = tracked.over || tracked.finals > 0;
         let attempt = AttemptNumber(n as u32);
         let connect_wait = millis(0);
         self.tell(Event::AttemptEnded {
@@ -270,15 +274,15 @@
             finished,
             load: None,
         });
-        let held = &self.held[&request];
-        let out = held.attempts.iter().any(|sent| sent.ended.is_none());
-        assert!(held.over || held.finals == 1 || out, "left without an attempt or an answer");
+        let tracked = &self.requests[&request];
+        let out = tracked.attempts.iter().any(|sent| sent.ended.is_none());
+        assert!(tracked.over || tracked.finals == 1 || out, "left without an attempt or an answer");
     }
 
     fn replace(&mut self, members: Vec<Member>, stale: bool) {
         self.list = members.iter().map(|member| (member.id, *member)).collect();
         if !stale {
-            self.unasked = None;
+            self.unsubscribed_since = None;
         }
         let update = if stale { ListUpdate::CachedSnapshot(members) } else { ListUpdate::Snapshot(members) };
         self.tell(Event::List(update));
@@ -287,12 +291,13 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Pass(span) => self.pass(millis(span)),
-            Step::Ask { class, time_left } => {
+            Step::Request { class, time_left } => {
                 let id = RequestId(self.next);
                 self.next += 1;
                 let deadline = self.now + millis(time_left);
-                let held = Held { class, deadline, attempts: Vec::new(), finals: 0, over: false };
-                self.held.insert(id, held);
+                let tracked =
+                    TrackedRequest { class, deadline, attempts: Vec::new(), finals: 0, over: false };
+                self.requests.insert(id, tracked);
                 self.tell(Event::Request(Request {
                     id,
                     class: ClassId(class),
@@ -302,8 +307,8 @@
                     expected_work: None,
                     is_client_retry: false,
                 }));
-                let held = &self.held[&id];
-                assert!(held.finals == 1 || !held.attempts.is_empty(), "neither sent nor answered");
+                let tracked = &self.requests[&id];
+                assert!(tracked.finals == 1 || !tracked.attempts.is_empty(), "neither sent nor answered");
             }
             Step::End { which, outcome } => {
                 let outs = self.outs();
@@ -311,10 +316,10 @@
                     self.end(id, n, outcome);
                 }
             }
-            Step::Leave { which } => {
-                let ids: Vec<_> = self.held.keys().copied().collect();
+            Step::Disconnect { which } => {
+                let ids: Vec<_> = self.requests.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
-                    self.held.get_mut(id).expect("held").over = true;
+                    self.requests.get_mut(id).expect("tracked").over = true;
                     self.tell(Event::ClientDisconnected(*id));
                 }
             }
@@ -322,14 +327,14 @@
                 let started = if restarted { Some(self.now) } else { None };
                 let member = Member { lifecycle, started, ..member(upstream) };
                 self.list.insert(member.id, member);
-                self.unasked = None;
+                self.unsubscribed_since = None;
                 self.tell(Event::List(ListUpdate::Delta(vec![member])));
             }
             Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
             Step::Connected { upstream } => self.tell(Event::Connected(EndpointId(upstream))),
             Step::Broken => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
-                    self.unasked.get_or_insert(self.now);
+                    self.unsubscribed_since.get_or_insert(self.now);
                     self.tell(Event::List(ListUpdate::Broken));
                 }
             }
@@ -354,12 +359,12 @@
         world.pass(millis(4000));
     }
 
-    /// Whatever the other upstreams do, a cold one gets no more than the budget of the rule.
+    /// Whatever the other upstreams do, one that is warming up gets no more than the budget of the rule.
     #[test]
-    fn a_cold_upstream_is_never_sent_its_budget(
+    fn an_endpoint_warming_up_is_never_sent_over_its_budget(
         seed in any::<u64>(),
         gap in 2u64..40,
-        cold in 1u32..7,
+        warming_up in 1u32..7,
         refusing in any::<bool>(),
     ) {
         let mut settings = settings(false, false);
@@ -369,15 +374,15 @@
         let rules = settings.rules.clone();
         let mut world = World::new(settings, seed);
         let started = world.now;
-        let list = (0..8).map(|id| Member { started: (id < cold).then_some(started), ..member(id) });
+        let list = (0..8).map(|id| Member { started: (id < warming_up).then_some(started), ..member(id) });
         world.replace(list.collect(), false);
         let mut sends: Vec<(Duration, u32)> = Vec::new();
         while world.now < started + millis(6_000) {
-            world.step(Step::Ask { class: 0, time_left: 500 });
+            world.step(Step::Request { class: 0, time_left: 500 });
             for (id, n) in world.outs() {
-                sends.push((world.now, world.held[&id].attempts[n].upstream.0));
-                let cold_one = world.held[&id].attempts[n].upstream.0 < cold;
-                world.end(id, n, if refusing && cold_one { Outcome::Refused } else { Outcome::Success });
+                sends.push((world.now, world.requests[&id].attempts[n].upstream.0));
+                let is_warming_up = world.requests[&id].attempts[n].upstream.0 < warming_up;
+                world.end(id, n, if refusing && is_warming_up { Outcome::Refused } else { Outcome::Success });
             }
             world.pass(millis(gap));
         }
@@ -387,11 +392,11 @@
         };
         for second in 2..6 {
             let end = started + millis(second * 1_000);
-            let warm = (cold..8).map(|id| within(id, end)).fold(0.0, f64::max);
+            let warm = (warming_up..8).map(|id| within(id, end)).fold(0.0, f64::max);
             let age = (second as f64 - window.as_secs_f64()).max(0.0);
             let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
             let budget = rules.overload_multiple * warmth * warm + 2.0;
-            for id in 0..cold {
+            for id in 0..warming_up {
                 prop_assert!(within(id, end) <= budget, "{} sent, budget {budget}", within(id, end));
             }
         }
@@ -426,9 +431,9 @@
 }
 
 #[test]
-fn a_stream_that_has_started_is_neither_withdrawn_nor_sent_again() {
+fn a_stream_that_has_started_is_neither_cancelled_nor_retried() {
     let mut world = World::new(settings(false, false), 3);
-    world.step(Step::Ask { class: 0, time_left: 300 });
+    world.step(Step::Request { class: 0, time_left: 300 });
     let id = RequestId(0);
     world.tell(Event::StreamStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
@@ -480,7 +485,7 @@
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
-    assert_eq!(actions.len(), 1, "an id in use is not taken twice");
+    assert_eq!(actions.len(), 1, "an id in use is not accepted twice");
     actions.clear();
     for id in [7, 8] {
         balancer.handle(START, Event::ClientDisconnected(RequestId(id)), &mut actions);
@@ -538,35 +543,35 @@
     assert!(!sent(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
 }
 
-/// The seconds from a word of discovery's until the copy asks for a new watch, after five failures in a row.
-fn asks_after(mode: DiscoveryMode, word: ListUpdate) -> f64 {
+/// The seconds from an update of discovery's until the replica subscribes anew, after five failures in a row.
+fn subscribes_after(mode: DiscoveryMode, update: ListUpdate) -> f64 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = mode;
     settings.rules.poll_interval_max = Some(millis(10_000));
     let mut balancer = Balancer::new(settings, 7).expect("the settings make sense");
     let mut now = START;
-    let mut asked = |balancer: &mut Balancer, event: Event| {
-        let (said, mut actions) = (now, Vec::new());
+    let mut wait_for_subscribe = |balancer: &mut Balancer, event: Event| {
+        let (reported_at, mut actions) = (now, Vec::new());
         balancer.handle(now, event, &mut actions);
         while !actions.contains(&Action::Subscribe) {
             now += millis(200);
             balancer.handle(now, Event::MaintenanceDue, &mut actions);
         }
-        (now - said).as_secs_f64()
+        (now - reported_at).as_secs_f64()
     };
-    asked(&mut balancer, Event::Started);
+    wait_for_subscribe(&mut balancer, Event::Started);
     for _ in 0..5 {
-        asked(&mut balancer, Event::List(ListUpdate::Broken));
+        wait_for_subscribe(&mut balancer, Event::List(ListUpdate::Broken));
     }
-    asked(&mut balancer, Event::List(word))
+    wait_for_subscribe(&mut balancer, Event::List(update))
 }
 
-/// Guards drains in an outage and a move of discovery's within one: failures of a service of many copies space their
-/// calls out, but tell nothing of another address, and an agent of the copy's own is asked again before the grace of
-/// a drain (0.3 s) is over.
+/// Guards drains in an outage and a move of discovery's within one: failures of a service of many replicas space their
+/// calls out, but say nothing of another address, and an agent of the replica's own is connected to again before the
+/// grace of a drain (0.3 s) is over.
 #[test]
-fn failures_hold_back_neither_a_moved_discovery_nor_an_agent() {
-    assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Broken) > 1.0);
-    assert!(asks_after(DiscoveryMode::Subscribe, ListUpdate::Relocated) < 0.8);
-    assert!(asks_after(DiscoveryMode::Agent, ListUpdate::Broken) < 0.25);
+fn failures_delay_neither_a_moved_discovery_nor_an_agent() {
+    assert!(subscribes_after(DiscoveryMode::Subscribe, ListUpdate::Broken) > 1.0);
+    assert!(subscribes_after(DiscoveryMode::Subscribe, ListUpdate::Relocated) < 0.8);
+    assert!(subscribes_after(DiscoveryMode::Agent, ListUpdate::Broken) < 0.25);
 }
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Subsets, the pick and upstream health; one test for each failure found.
+//! Subsets, the pick and endpoint health; one test for each failure found.
 
 mod common;
 
@@ -14,7 +14,7 @@
     Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
-/// The upstreams that a copy uses, over many calls.
+/// The upstreams that a replica uses, over many calls.
 fn used(replica_index: u32, replicas: u32, upstreams: u32) -> Vec<u32> {
     let settings = Settings { replica_index, replicas, ..settings() };
     let mut bench = Bench::new(settings, u64::from(replica_index), (0..upstreams).map(member).collect());
@@ -29,7 +29,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// No upstream is left bare and none is used by far more copies than another.
+    /// No upstream is left bare and none is used by far more replicas than another.
     #[test]
     fn subsets_cover_the_tier_evenly(replicas in 1u32..40, upstreams in 1u32..60) {
         let mut covered = vec![0u32; upstreams as usize];
@@ -55,25 +55,25 @@
     assert!(refused(&bench.offer(None).1));
 }
 
-/// Many copies that see few calls each piled on servers by chance until these choked.
+/// Many replicas that see few calls each piled on servers by chance until these choked.
 #[test]
 fn calls_spread_over_idle_members_before_any_gets_a_second() {
     let mut stacked = 0;
     for seed in 0..100 {
         let mut bench = Bench::new(settings(), seed, (0..10).map(member).collect());
-        let mut held = BTreeMap::new();
+        let mut in_flight = BTreeMap::new();
         for _ in 0..6 {
             let upstream = sent(&bench.offer(None).1).unwrap();
-            *held.entry(upstream).or_insert(0) += 1;
+            *in_flight.entry(upstream).or_insert(0) += 1;
         }
-        stacked += held.values().filter(|&&calls| calls > 1).count();
+        stacked += in_flight.values().filter(|&&calls| calls > 1).count();
     }
     // Two draws alone stack about half a call in each run.
     assert!(stacked < 15, "{stacked} members got a second call while others idled");
 }
 
 /// Counts the first attempts of `calls` requests that went to upstream 0.
-fn share_of_first(bench: &mut Bench, calls: u32, bad: (Outcome, u64), good_ms: u64) -> f64 {
+fn fraction_to_first(bench: &mut Bench, calls: u32, bad: (Outcome, u64), good_ms: u64) -> f64 {
     let mut first = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream {
@@ -87,30 +87,30 @@
 
 /// A server that fails fast looks idle; it must not draw the calls.
 #[test]
-fn a_failing_upstream_is_set_aside_and_comes_back() {
+fn a_failing_endpoint_is_ejected_and_returns() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 200, (Outcome::Success, 20), 20);
-    let failing = share_of_first(&mut bench, 1000, (Outcome::Error, 2), 20);
+    fraction_to_first(&mut bench, 200, (Outcome::Success, 20), 20);
+    let failing = fraction_to_first(&mut bench, 1000, (Outcome::Error, 2), 20);
     assert!(failing < 0.04, "{failing} of the calls still went to it");
-    share_of_first(&mut bench, 1500, (Outcome::Success, 20), 20);
-    let back = share_of_first(&mut bench, 500, (Outcome::Success, 20), 20);
+    fraction_to_first(&mut bench, 1500, (Outcome::Success, 20), 20);
+    let back = fraction_to_first(&mut bench, 500, (Outcome::Success, 20), 20);
     assert!(back > 0.1, "{back} of the calls go to it after it has recovered");
 }
 
-/// With calls one at a time none is in flight, so only the times taken tell a slow server.
+/// With calls one at a time none is in flight, so only the latencies show a slow server.
 #[test]
 fn a_slow_upstream_gets_a_smaller_part() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
-    let slow = share_of_first(&mut bench, 600, (Outcome::Success, 100), 20);
+    fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
+    let slow = fraction_to_first(&mut bench, 600, (Outcome::Success, 100), 20);
     assert!(slow < 0.07, "{slow} of the calls went to it");
 }
 
-/// A hung server takes calls and answers none.
+/// A hung server accepts calls and answers none.
 #[test]
 fn a_silent_upstream_gets_no_more_while_it_owes_answers() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
+    fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let mut swallowed = 0;
     for _ in 0..200 {
         let (id, actions) = bench.offer(None);
@@ -130,22 +130,22 @@
     Bench::new(settings, 9, members.collect())
 }
 
-/// The part of the calls that stays in the own zone (even ids) when it takes `home_ms` there.
-fn stay(bench: &mut Bench, calls: u32, home_ms: u64) -> f64 {
-    let mut home = 0;
+/// The part of the calls that stays in the own zone (even ids) when it takes `local_ms` there.
+fn stay(bench: &mut Bench, calls: u32, local_ms: u64) -> f64 {
+    let mut local = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream.0 % 2 {
-            0 => (Outcome::Success, millis(home_ms)),
+            0 => (Outcome::Success, millis(local_ms)),
             _ => (Outcome::Success, millis(50)),
         });
-        home += u32::from(tried[0].0.is_multiple_of(2));
+        local += u32::from(tried[0].0.is_multiple_of(2));
     }
-    f64::from(home) / f64::from(calls)
+    f64::from(local) / f64::from(calls)
 }
 
-/// All calls stayed at home at the start of a day, and the crowded zone choked within 2 s.
+/// All calls stayed in the local zone at the start of a day, and the congested zone choked within 2 s.
 #[test]
-fn the_first_tier_starts_evenly_spread_and_then_keeps_calls_at_home() {
+fn the_first_tier_starts_evenly_spread_and_then_keeps_calls_in_the_local_zone() {
     let mut bench = two_zones(0, 0.1);
     let start = stay(&mut bench, 40, 50);
     assert!((0.2..0.8).contains(&start), "{start} stayed at first");
@@ -155,16 +155,16 @@
 
 /// Below the first tier the noise of few calls sent half of them across zones.
 #[test]
-fn lower_tiers_start_at_home_and_leave_it_only_when_it_is_slower() {
+fn lower_tiers_start_in_the_local_zone_and_leave_it_only_when_it_is_slower() {
     let mut bench = two_zones(1, 0.1);
     assert_eq!(stay(&mut bench, 200, 60), 1.0);
     stay(&mut bench, 100, 700);
     assert!(stay(&mut bench, 100, 700) < 0.9);
 }
 
-/// Cold upstreams: what they get stays within what they surely can do.
+/// Endpoints that are warming up: what they get stays within what they surely can do.
 #[test]
-fn a_cold_upstream_gets_its_part_of_what_warm_ones_get() {
+fn an_endpoint_warming_up_gets_its_part_of_what_warm_ones_get() {
     let mut settings = settings();
     settings.rules.slow_start_min_fraction = 0.1;
     settings.rules.slow_start_window = millis(20_000);
@@ -174,32 +174,32 @@
     let mut per_second = Vec::new();
     for _ in 0..22 {
         let second = bench.now;
-        let (mut cold, mut all) = (0, 0);
+        let (mut warming_up, mut all) = (0, 0);
         while bench.now < second + millis(1000) {
             let tried = bench.run(|_| (Outcome::Success, millis(10)));
-            cold += u32::from(tried[0].0 == 0);
+            warming_up += u32::from(tried[0].0 == 0);
             all += 1;
         }
-        per_second.push((cold, all));
+        per_second.push((warming_up, all));
     }
-    for (age, &(cold, all)) in per_second.iter().take(20).enumerate() {
+    for (age, &(warming_up, all)) in per_second.iter().take(20).enumerate() {
         let warmth = 0.1 + 0.9 * (age as f64 + 1.0) / 20.0;
-        let warm_peer = f64::from(all - cold) / 4.0;
+        let warm_peer = f64::from(all - warming_up) / 4.0;
         let most = warmth * warm_peer * 1.5 + 2.0;
-        assert!(f64::from(cold) <= most, "second {age}: {cold} sent, {most} at most");
+        assert!(f64::from(warming_up) <= most, "second {age}: {warming_up} sent, {most} at most");
     }
-    let (cold, all) = per_second[21];
-    assert!(f64::from(cold) > 0.1 * f64::from(all), "warm, yet {cold} of {all}");
+    let (warming_up, all) = per_second[21];
+    assert!(f64::from(warming_up) > 0.1 * f64::from(all), "warm, yet {warming_up} of {all}");
 }
 
-/// A storm of denied calls paid for further attempts, which kept a choked tier choked.
+/// A storm of denied calls paid for retries, which kept a choked tier choked.
 #[test]
 fn denied_calls_earn_no_further_attempts() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota: Some(2.0) }];
     settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
-    let (mut first, mut further) = (0, 0);
+    let (mut first, mut retries) = (0, 0);
     for _ in 0..2000 {
         bench.pass(millis(5));
         let (id, mut actions) = bench.offer(Some(0));
@@ -208,21 +208,21 @@
             if number == 0 {
                 first += 1
             } else {
-                further += 1
+                retries += 1
             }
             actions = bench.end(id, number, Outcome::Error, millis(5));
             number += 1;
         }
     }
-    assert!(further <= 6 + first / 10, "{further} further attempts for {first} admitted");
+    assert!(retries <= 6 + first / 10, "{retries} retries for {first} admitted");
 }
 
 /// Giving a slow attempt up early and sending it once more added work just as servers reached their
 /// limit; at one deployment that alone cost 0.07.
 #[test]
-fn an_attempt_is_not_given_up_before_its_aim() {
+fn an_attempt_is_not_given_up_before_its_latency_objective() {
     let mut bench = Bench::new(settings(), 3, (0..8).map(member).collect());
-    share_of_first(&mut bench, 100, (Outcome::Success, 20), 20);
+    fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let (_, actions) = bench.offer(None);
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => *timeout,
@@ -231,9 +231,9 @@
     assert!(timeout.unwrap() > millis(990), "{timeout:?}");
 }
 
-/// Behind a broken link many upstreams are out of reach at once; that must not look like crowding.
+/// Behind a broken link many upstreams are out of reach at once; that must not look like congestion.
 #[test]
-fn upstreams_out_of_reach_are_set_aside_however_many_they_are() {
+fn unreachable_endpoints_are_ejected_however_many_they_are() {
     let mut bench = Bench::new(settings(), 3, (0..9).map(member).collect());
     let mut lost = 0;
     for call in 0..600 {
@@ -246,10 +246,10 @@
     assert!(lost < 75, "{lost} of 500 calls went to upstreams out of reach first");
 }
 
-/// Found on the quiet days of two deployments: copies that see a few calls a second spread them over all
+/// Found on the quiet days of two deployments: replicas that see a few calls a second spread them over all
 /// members and paid a handshake for most.
 #[test]
-fn a_sparse_copy_keeps_to_open_connections_where_handshakes_are_priced() {
+fn a_replica_with_few_requests_keeps_to_open_connections_where_handshakes_are_priced() {
     let distinct = |price: f64| {
         let mut settings = settings();
         settings.costs.handshake = price;
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Cold upstreams under the sum of what many copies send: the copies share nothing, so that each one's ramp has to
-//! make the sum hold. Everything runs in virtual time.
+//! Endpoints that are warming up under the sum of what many replicas send: the replicas share nothing, so that each
+//! one's ramp has to make the sum hold. Everything runs in virtual time.
 
 mod common;
 
@@ -12,13 +12,13 @@
 use common::*;
 use oorandom::Rand64;
 
-/// A deployment and a day for it.
+/// A deployment and a scenario for it.
 #[derive(Debug, Clone)]
-struct Day {
+struct Scenario {
     replicas: u32,
     upstreams: u32,
-    /// Upstreams that start cold together.
-    cold: u32,
+    /// Upstreams that start together.
+    warming_up: u32,
     /// Requests a second that a warm upstream serves.
     capacity: f64,
     /// Requests offered before the start, in parts of what the warm tier can serve.
@@ -26,19 +26,19 @@
     /// How many times that comes from some seconds after the start on.
     burst: f64,
     burst_after_s: f64,
-    /// How many times the mean one copy of five is dealt.
+    /// How many times the mean one replica of five is dealt.
     uneven: f64,
     /// Part of the warm upstreams that can't be reached from then on.
     lost: f64,
     slow_start_min_fraction: f64,
-    cold_s: f64,
+    slow_start_s: f64,
     multiple: f64,
     window_s: f64,
     tier: usize,
     attempts: u32,
-    /// Copies hear of it up to this long after; long where discovery was out of reach.
+    /// Replicas hear of it up to this long after; long where discovery was out of reach.
     late_s: f64,
-    /// Upstreams that start cold were there before, warm and under the same names.
+    /// Upstreams that start were there before, warm and under the same names.
     restarts: bool,
     /// No requests come from some seconds before the start until the burst.
     lull: bool,
@@ -48,43 +48,47 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
     Arrival,
-    Sweep(usize),
+    Maintenance(usize),
     Burst,
-    Told(usize),
-    Ended { copy: usize, request: u64, attempt: u32, outcome: u8, took_us: u64 },
+    Notified(usize),
+    Ended { replica: usize, request: u64, attempt: u32, outcome: u8, duration_us: u64 },
 }
 
 const OUTCOMES: [Outcome; 3] = [Outcome::Success, Outcome::Refused, Outcome::ConnectFailed];
-/// When the cold ones start, and when the day ends.
+/// When those warming up start, and when the scenario ends.
 const START_S: f64 = 12.0;
 const END_S: f64 = 24.0;
 /// How long before the start a lull begins.
 const LULL_BEFORE_S: f64 = 1.0;
 /// A request's time at an upstream.
-const TOOK_S: f64 = 0.05;
+const SERVICE_TIME_S: f64 = 0.05;
 
 fn micros(seconds: f64) -> u64 {
     (seconds * 1e6) as u64
 }
 
-/// The least number of requests with which a cold upstream may fall, over the window that ends at its age.
-fn budget(day: &Day, age: f64) -> f64 {
+/// The least number of requests with which an endpoint that is warming up may fall, over the window that ends at its
+/// age.
+fn budget(scenario: &Scenario, age: f64) -> f64 {
     let warmth = |age: f64| {
-        (day.slow_start_min_fraction + (1.0 - day.slow_start_min_fraction) * age / day.cold_s).min(1.0)
+        (scenario.slow_start_min_fraction
+            + (1.0 - scenario.slow_start_min_fraction) * age / scenario.slow_start_s)
+            .min(1.0)
     };
     let steps = 20;
     let mean: f64 = (0..steps)
-        .map(|step| warmth((age - day.window_s * f64::from(step) / f64::from(steps)).max(0.0)))
+        .map(|step| warmth((age - scenario.window_s * f64::from(step) / f64::from(steps)).max(0.0)))
         .sum::<f64>()
         / f64::from(steps);
-    day.multiple * mean * day.capacity * day.window_s
+    scenario.multiple * mean * scenario.capacity * scenario.window_s
 }
 
-/// What a day showed.
+/// What a scenario showed.
 struct Played {
-    /// By how much the busiest window of a cold upstream went over its budget and the chance above it; negative under it.
+    /// By how much the busiest window of an endpoint that is warming up went over its budget and the chance above it;
+    /// negative under it.
     over: f64,
-    /// Requests that the cold ones were sent while cold.
+    /// Requests that those warming up were sent while warming up.
     sent: usize,
     /// Requests that came in that time.
     offered: usize,
@@ -100,53 +104,53 @@
     if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { strict_chance(n) }
 }
 
-fn play(day: &Day, chance: fn(f64) -> f64) -> Played {
-    let mut rng = Rand64::new(u128::from(day.seed));
-    let settings = |copy: u32| {
+fn play(scenario: &Scenario, chance: fn(f64) -> f64) -> Played {
+    let mut rng = Rand64::new(u128::from(scenario.seed));
+    let settings = |replica: u32| {
         let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
-        settings.replica_index = copy;
-        settings.replicas = day.replicas;
-        settings.tier = day.tier;
-        settings.permissions.max_attempts = day.attempts;
-        settings.rules.slow_start_min_fraction = day.slow_start_min_fraction;
-        settings.rules.slow_start_window = Duration::from_secs_f64(day.cold_s);
-        settings.rules.overload_multiple = day.multiple;
-        settings.rules.overload_window = Duration::from_secs_f64(day.window_s);
+        settings.replica_index = replica;
+        settings.replicas = scenario.replicas;
+        settings.tier = scenario.tier;
+        settings.permissions.max_attempts = scenario.attempts;
+        settings.rules.slow_start_min_fraction = scenario.slow_start_min_fraction;
+        settings.rules.slow_start_window = Duration::from_secs_f64(scenario.slow_start_s);
+        settings.rules.overload_multiple = scenario.multiple;
+        settings.rules.overload_window = Duration::from_secs_f64(scenario.window_s);
         settings
     };
-    let warm = day.upstreams - day.cold;
-    let first_before = if day.restarts { 0 } else { day.cold };
-    let before: Vec<Member> = (first_before..day.upstreams).map(member).collect();
+    let warm = scenario.upstreams - scenario.warming_up;
+    let first_before = if scenario.restarts { 0 } else { scenario.warming_up };
+    let before: Vec<Member> = (first_before..scenario.upstreams).map(member).collect();
     let started = Duration::from_secs_f64(START_S);
     let after: Vec<Member> =
-        (0..day.cold).map(|id| Member { started: Some(started), ..member(id) }).collect();
-    let mut replicas: Vec<Balancer> = (0..day.replicas)
-        .map(|copy| {
+        (0..scenario.warming_up).map(|id| Member { started: Some(started), ..member(id) }).collect();
+    let mut replicas: Vec<Balancer> = (0..scenario.replicas)
+        .map(|replica| {
             let seed = rng.rand_u64();
-            Balancer::new(settings(copy), seed).expect("the settings make sense")
+            Balancer::new(settings(replica), seed).expect("the settings make sense")
         })
         .collect();
     let mut due = BinaryHeap::new();
-    for (copy, balancer) in replicas.iter_mut().enumerate() {
+    for (replica, balancer) in replicas.iter_mut().enumerate() {
         let mut actions = Vec::new();
         balancer.handle(Duration::ZERO, Event::Started, &mut actions);
         balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(before.clone())), &mut actions);
-        due.push(Reverse((micros(0.2 * rng.rand_float()), Due::Sweep(copy))));
-        due.push(Reverse((micros(START_S + day.late_s * rng.rand_float()), Due::Told(copy))));
+        due.push(Reverse((micros(0.2 * rng.rand_float()), Due::Maintenance(replica))));
+        due.push(Reverse((micros(START_S + scenario.late_s * rng.rand_float()), Due::Notified(replica))));
     }
     due.push(Reverse((0, Due::Arrival)));
-    due.push(Reverse((micros(START_S + day.burst_after_s), Due::Burst)));
-    // What each copy is dealt.
-    let parts: Vec<f64> = (0..day.replicas)
-        .map(|copy| if copy % 5 == 0 && day.replicas > 4 { day.uneven } else { 1.0 })
+    due.push(Reverse((micros(START_S + scenario.burst_after_s), Due::Burst)));
+    // What each replica is dealt.
+    let parts: Vec<f64> = (0..scenario.replicas)
+        .map(|replica| if replica % 5 == 0 && scenario.replicas > 4 { scenario.uneven } else { 1.0 })
         .collect();
     let all: f64 = parts.iter().sum();
-    let loaded = if warm > 0 { warm } else { day.upstreams };
-    let base = day.offered * f64::from(loaded) * day.capacity;
-    // The recent requests of each warm upstream, and all of each cold one.
-    let mut recent: Vec<VecDeque<f64>> = vec![VecDeque::new(); day.upstreams as usize];
-    let mut sent_cold: Vec<Vec<f64>> = vec![Vec::new(); day.cold as usize];
-    let lost = day.cold + (f64::from(warm) * day.lost) as u32;
+    let loaded = if warm > 0 { warm } else { scenario.upstreams };
+    let base = scenario.offered * f64::from(loaded) * scenario.capacity;
+    // The recent requests of each warm upstream, and all of each one that is warming up.
+    let mut recent: Vec<VecDeque<f64>> = vec![VecDeque::new(); scenario.upstreams as usize];
+    let mut sent_warming_up: Vec<Vec<f64>> = vec![Vec::new(); scenario.warming_up as usize];
+    let lost = scenario.warming_up + (f64::from(warm) * scenario.lost) as u32;
     let mut attempts: HashMap<RequestId, u32> = HashMap::new();
     let mut next = 0;
     let mut begun = false;
@@ -156,28 +160,28 @@
         if now > END_S {
             break;
         }
-        let (copy, event) = match what {
+        let (replica, event) = match what {
             Due::Burst => {
                 begun = true;
                 continue;
             }
             Due::Arrival => {
-                let rate = base * if begun { day.burst } else { 1.0 };
+                let rate = base * if begun { scenario.burst } else { 1.0 };
                 let gap = -(1.0 - rng.rand_float()).ln() / rate;
                 due.push(Reverse((at + micros(gap).max(1), Due::Arrival)));
                 let mut place = rng.rand_float() * all;
-                let copy = parts
+                let replica = parts
                     .iter()
                     .position(|part| {
                         place -= part;
                         place < 0.0
                     })
                     .unwrap_or(0);
-                if day.lull && !begun && now > START_S - LULL_BEFORE_S {
+                if scenario.lull && !begun && now > START_S - LULL_BEFORE_S {
                     continue;
                 }
                 next += 1;
-                offered += usize::from((START_S..START_S + day.cold_s).contains(&now));
+                offered += usize::from((START_S..START_S + scenario.slow_start_s).contains(&now));
                 let request = Request {
                     id: RequestId(next),
                     class: ClassId(0),
@@ -187,39 +191,40 @@
                     expected_work: None,
                     is_client_retry: false,
                 };
-                (copy, Event::Request(request))
+                (replica, Event::Request(request))
             }
-            Due::Sweep(copy) => (copy, Event::MaintenanceDue),
-            Due::Told(copy) => (copy, Event::List(ListUpdate::Delta(after.clone()))),
-            Due::Ended { copy, request, attempt, outcome, took_us } => {
+            Due::Maintenance(replica) => (replica, Event::MaintenanceDue),
+            Due::Notified(replica) => (replica, Event::List(ListUpdate::Delta(after.clone()))),
+            Due::Ended { replica, request, attempt, outcome, duration_us } => {
                 let outcome = OUTCOMES[usize::from(outcome)];
                 let event = Event::AttemptEnded {
                     request: RequestId(request),
                     attempt: AttemptNumber(attempt),
                     outcome,
-                    duration: Duration::from_micros(took_us),
+                    duration: Duration::from_micros(duration_us),
                     connect_wait: Duration::ZERO,
                     finished: outcome == Outcome::Success,
                     load: None,
                 };
-                (copy, event)
+                (replica, event)
             }
         };
         let mut actions = Vec::new();
-        replicas[copy].handle(Duration::from_micros(at), event, &mut actions);
+        replicas[replica].handle(Duration::from_micros(at), event, &mut actions);
         for action in actions {
             match action {
                 Action::ScheduleMaintenance(span) => {
-                    due.push(Reverse((at + span.as_micros() as u64, Due::Sweep(copy))));
+                    due.push(Reverse((at + span.as_micros() as u64, Due::Maintenance(replica))));
                 }
                 Action::Send { request, upstream, .. } => {
                     let place = upstream.0 as usize;
                     let attempt = *attempts.entry(request).and_modify(|attempt| *attempt += 1).or_insert(0);
-                    let outcome = if upstream.0 < day.cold && now >= START_S {
-                        sent_cold[place].push(now);
-                        let within = sent_cold[place].partition_point(|&at| at <= now - day.window_s);
-                        let got = (sent_cold[place].len() - within) as f64;
-                        u8::from(got > budget(day, (now - START_S).max(0.0)) / day.multiple + 2.0)
+                    let outcome = if upstream.0 < scenario.warming_up && now >= START_S {
+                        sent_warming_up[place].push(now);
+                        let within =
+                            sent_warming_up[place].partition_point(|&at| at <= now - scenario.window_s);
+                        let got = (sent_warming_up[place].len() - within) as f64;
+                        u8::from(got > budget(scenario, (now - START_S).max(0.0)) / scenario.multiple + 2.0)
                     } else if begun && upstream.0 < lost {
                         2
                     } else {
@@ -227,15 +232,20 @@
                         while recent[place].front().is_some_and(|&at| at < now - 1.0) {
                             recent[place].pop_front();
                         }
-                        let full = recent[place].len() as f64 >= day.capacity + 2.0;
+                        let full = recent[place].len() as f64 >= scenario.capacity + 2.0;
                         if !full {
                             recent[place].push_back(now);
                         }
                         u8::from(full)
                     };
-                    let duration = if outcome == 0 { TOOK_S } else { 0.002 };
-                    let ended =
-                        Due::Ended { copy, request: request.0, attempt, outcome, took_us: micros(duration) };
+                    let duration = if outcome == 0 { SERVICE_TIME_S } else { 0.002 };
+                    let ended = Due::Ended {
+                        replica,
+                        request: request.0,
+                        attempt,
+                        outcome,
+                        duration_us: micros(duration),
+                    };
                     due.push(Reverse((at + micros(duration), ended)));
                 }
                 _ => {}
@@ -243,28 +253,28 @@
         }
     }
     let mut worst = f64::MIN;
-    for sends in &sent_cold {
+    for sends in &sent_warming_up {
         for (place, &end) in sends.iter().enumerate() {
             let age = end - START_S;
-            if age > day.cold_s {
+            if age > scenario.slow_start_s {
                 break;
             }
-            let from = sends.partition_point(|&at| at <= end - day.window_s);
-            let n = budget(day, age);
+            let from = sends.partition_point(|&at| at <= end - scenario.window_s);
+            let n = budget(scenario, age);
             worst = worst.max((place + 1 - from) as f64 - (n + chance(n)));
         }
     }
-    let sent = sent_cold.iter().flatten().filter(|&&at| at - START_S <= day.cold_s).count();
+    let sent = sent_warming_up.iter().flatten().filter(|&&at| at - START_S <= scenario.slow_start_s).count();
     Played { over: worst, sent, offered }
 }
 
-fn drawn(rng: &mut Rand64, replicas: u32) -> Day {
+fn drawn(rng: &mut Rand64, replicas: u32) -> Scenario {
     let mut between = |low: f64, high: f64| low + (high - low) * rng.rand_float();
     let upstreams = between(6.0, 24.0) as u32;
-    Day {
+    Scenario {
         replicas,
         upstreams,
-        cold: (f64::from(upstreams) * between(0.05, 0.6)).max(1.0) as u32,
+        warming_up: (f64::from(upstreams) * between(0.05, 0.6)).max(1.0) as u32,
         capacity: 1.5 * between(0.0, 3.0).exp(),
         offered: between(0.2, 1.2),
         burst: between(1.0, 2.5),
@@ -272,7 +282,7 @@
         uneven: between(1.0, 5.0),
         lost: between(-0.5, 0.9).max(0.0),
         slow_start_min_fraction: between(0.1, 0.6),
-        cold_s: between(3.0, 12.0),
+        slow_start_s: between(3.0, 12.0),
         multiple: between(1.5, 3.0),
         window_s: between(1.0, 2.0),
         tier: between(0.0, 2.0) as usize,
@@ -284,31 +294,32 @@
     }
 }
 
-/// Many days of one kind.
-struct Days {
+/// Many scenarios of one kind.
+struct Scenarios {
     replicas: u32,
     count: u32,
     chance: fn(f64) -> f64,
-    /// What of a drawn day is otherwise.
-    change: fn(&mut Day, &mut Rand64),
+    /// What of a drawn scenario is otherwise.
+    change: fn(&mut Scenario, &mut Rand64),
 }
 
-impl Days {
+impl Scenarios {
     fn drawn(replicas: u32) -> Self {
         Self { replicas, count: 1000, chance: strict_chance, change: |_, _| {} }
     }
 
-    /// Plays them: in no window may the sum go over what the rule puts down to chance. Tells the part that the cold ones
-    /// got of what they could do once warm, and the part of the requests that came meanwhile.
+    /// Plays them: in no window may the sum go over what the rule puts down to chance. Returns the part that those
+    /// warming up got of what they could do once warm, and the part of the requests that came meanwhile.
     fn play(&self) -> (f64, f64) {
         let mut rng = Rand64::new(u128::from(self.replicas));
         let (mut used, mut sent, mut offered) = (0.0, 0, 0);
         for _ in 0..self.count {
-            let mut day = drawn(&mut rng, self.replicas);
-            (self.change)(&mut day, &mut rng);
-            let played = play(&day, self.chance);
-            assert!(played.over <= 0.0, "{} over the budget on {day:?}", played.over);
-            used += played.sent as f64 / (day.capacity * f64::from(day.cold) * day.cold_s);
+            let mut scenario = drawn(&mut rng, self.replicas);
+            (self.change)(&mut scenario, &mut rng);
+            let played = play(&scenario, self.chance);
+            assert!(played.over <= 0.0, "{} over the budget on {scenario:?}", played.over);
+            used += played.sent as f64
+                / (scenario.capacity * f64::from(scenario.warming_up) * scenario.slow_start_s);
             sent += played.sent;
             offered += played.offered;
         }
@@ -318,89 +329,90 @@
     }
 }
 
-/// The cold ones get a fair part of what they can do all the same.
-fn many_days(replicas: u32) {
-    let (used, _) = Days::drawn(replicas).play();
-    assert!(used > 0.15, "the cold ones got {used} of what they could do once warm");
+/// Those warming up get a good part of what they can do all the same.
+fn many_scenarios(replicas: u32) {
+    let (used, _) = Scenarios::drawn(replicas).play();
+    assert!(used > 0.15, "those warming up got {used} of what they could do once warm");
 }
 
 #[test]
-fn one_copy_keeps_the_budget_of_a_cold_upstream() {
-    many_days(1);
+fn one_replica_keeps_the_budget_of_an_endpoint_warming_up() {
+    many_scenarios(1);
 }
 
 #[test]
-fn two_copies_keep_the_budget_of_a_cold_upstream() {
-    many_days(2);
+fn two_replicas_keep_the_budget_of_an_endpoint_warming_up() {
+    many_scenarios(2);
 }
 
 #[test]
-fn twenty_copies_keep_the_budget_of_a_cold_upstream() {
-    many_days(20);
+fn twenty_replicas_keep_the_budget_of_an_endpoint_warming_up() {
+    many_scenarios(20);
 }
 
 #[test]
-fn thirty_copies_keep_the_budget_of_a_cold_upstream() {
-    many_days(30);
+fn thirty_replicas_keep_the_budget_of_an_endpoint_warming_up() {
+    many_scenarios(30);
 }
 
-/// Upstreams for as many requests at each copy as where there are a tenth of the copies.
-fn large(day: &mut Day, rng: &mut Rand64) {
-    day.capacity *= 1.0 + 29.0 * rng.rand_float();
+/// Upstreams for as many requests at each replica as where there are a tenth of the replicas.
+fn large(scenario: &mut Scenario, rng: &mut Rand64) {
+    scenario.capacity *= 1.0 + 29.0 * rng.rand_float();
 }
 
 #[test]
-fn nine_hundred_copies_keep_the_budget_of_a_cold_upstream() {
-    let (used, _) = Days { count: 40, change: large, ..Days::drawn(900) }.play();
-    assert!(used > 0.15, "the cold ones got {used} of what they could do once warm");
+fn nine_hundred_replicas_keep_the_budget_of_an_endpoint_warming_up() {
+    let (used, _) = Scenarios { count: 40, change: large, ..Scenarios::drawn(900) }.play();
+    assert!(used > 0.15, "those warming up got {used} of what they could do once warm");
 }
 
-fn lull(day: &mut Day, _: &mut Rand64) {
-    day.lull = true;
-    day.burst = 1.0 + 3.0 * (day.burst - 1.0);
+fn lull(scenario: &mut Scenario, _: &mut Rand64) {
+    scenario.lull = true;
+    scenario.burst = 1.0 + 3.0 * (scenario.burst - 1.0);
 }
 
 #[test]
-fn a_burst_after_a_lull_keeps_the_budget_of_a_cold_upstream() {
+fn a_burst_after_a_lull_keeps_the_budget_of_an_endpoint_warming_up() {
     for replicas in [1, 2, 20, 30] {
-        Days { count: 500, change: lull, ..Days::drawn(replicas) }.play();
+        Scenarios { count: 500, change: lull, ..Scenarios::drawn(replicas) }.play();
     }
-    let both = |day: &mut Day, rng: &mut Rand64| {
-        lull(day, rng);
-        large(day, rng);
+    let both = |scenario: &mut Scenario, rng: &mut Rand64| {
+        lull(scenario, rng);
+        large(scenario, rng);
     };
-    Days { count: 20, change: both, ..Days::drawn(900) }.play();
+    Scenarios { count: 20, change: both, ..Scenarios::drawn(900) }.play();
 }
 
-/// The whole tier starts, with copies that know nothing or, where it restarts, knew it warm.
-fn all_cold(day: &mut Day, rng: &mut Rand64) {
-    day.cold = day.upstreams;
-    day.restarts = rng.rand_float() < 0.5;
-    if day.restarts {
-        // What is sent by copies that have not heard of the start yet is not theirs to hold back.
-        day.late_s = 0.0;
+/// The whole tier starts, with replicas that know nothing or, where it restarts, knew it warm.
+fn all_warming_up(scenario: &mut Scenario, rng: &mut Rand64) {
+    scenario.warming_up = scenario.upstreams;
+    scenario.restarts = rng.rand_float() < 0.5;
+    if scenario.restarts {
+        // What is sent by replicas that have not heard of the start yet is not theirs to hold back.
+        scenario.late_s = 0.0;
     }
 }
 
 #[test]
-fn a_tier_that_is_cold_as_a_whole_gets_its_budget_and_no_more() {
+fn a_tier_that_warms_up_as_a_whole_gets_its_budget_and_no_more() {
     for replicas in [1, 2, 20, 30] {
-        let (_, served) = Days { count: 500, change: all_cold, chance, ..Days::drawn(replicas) }.play();
-        assert!(served > 0.4, "{replicas} copies sent {served} of the requests");
+        let (_, served) =
+            Scenarios { count: 500, change: all_warming_up, chance, ..Scenarios::drawn(replicas) }.play();
+        assert!(served > 0.4, "{replicas} replicas sent {served} of the requests");
     }
-    let both = |day: &mut Day, rng: &mut Rand64| {
-        all_cold(day, rng);
-        large(day, rng);
+    let both = |scenario: &mut Scenario, rng: &mut Rand64| {
+        all_warming_up(scenario, rng);
+        large(scenario, rng);
     };
-    let (_, served) = Days { count: 20, change: both, chance, ..Days::drawn(900) }.play();
+    let (_, served) = Scenarios { count: 20, change: both, chance, ..Scenarios::drawn(900) }.play();
     // Most of them see less than a request a second for each upstream.
-    assert!(served > 0.2, "900 copies sent {served} of the requests");
+    assert!(served > 0.2, "900 replicas sent {served} of the requests");
 }
 
 #[test]
-fn an_outage_of_discovery_keeps_the_budget_of_a_cold_upstream() {
-    let change = |day: &mut Day, rng: &mut Rand64| day.late_s = 8.0 * rng.rand_float();
+fn an_outage_of_discovery_keeps_the_budget_of_an_endpoint_warming_up() {
+    let change = |scenario: &mut Scenario, rng: &mut Rand64| scenario.late_s = 8.0 * rng.rand_float();
     for replicas in [2, 20, 30] {
-        Days { count: 500, change, ..Days::drawn(replicas) }.play();
+        Scenarios { count: 500, change, ..Scenarios::drawn(replicas) }.play();
     }
 }
