--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,6 +1,6 @@
 //! Endpoint lists, which instances share.
 //!
-//! Many instances of one process are told the same list at the same time, so the wire sends it once,
+//! Many instances of one process are sent the same list at the same time, so the wire sends it once,
 //! numbered, and each instance's message refers to the number. An entry names its zone and its kind of
 //! machine; their positions differ by instance and are looked up when the list is handed over.
 
@@ -12,7 +12,7 @@
 use crate::fields::Fields;
 use crate::wire;
 
-/// Size beside the others where none is told.
+/// Weight of an entry that names none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// All lists of the process by their numbers.
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -8,13 +8,13 @@
 
 use crate::error::Malformed;
 
-/// The values of a line, taken from left to right.
+/// The values of a line, read from left to right.
 pub struct Fields<'a> {
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Takes the message's name off a line.
+    /// Splits the name of the message off a line.
     pub fn of_line(line: &'a str) -> (&'a str, Self) {
         match line.split_once('\t') {
             Some((name, rest)) => (name, Self { rest: Some(rest) }),
@@ -38,7 +38,7 @@
         Ok(Some(self.text(field)?).filter(|&value| value != "-"))
     }
 
-    /// A number of the type that is asked for.
+    /// A number of the type that the call names.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
         let value = self.text(field)?;
         value.parse().map_err(|_| Malformed::value(field, value))
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -26,7 +26,7 @@
     /// The time of the batch; it never goes back.
     clock: Time,
     batch: Option<Batch>,
-    /// Asked for by the last event, and not written yet.
+    /// Returned for the last event, and not written yet.
     actions: Vec<Action>,
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -22,7 +22,7 @@
 }
 
 impl Instance {
-    /// Starts a balancer; what it asks for is added to `actions`.
+    /// Starts a balancer; its first actions are added to `actions`.
     pub fn start(
         loaded: Loaded,
         seed: u64,
@@ -35,7 +35,7 @@
         Ok(Self { balancer, names, requests: RequestTable::default() })
     }
 
-    /// Hands an event over; what the balancer asks for goes to `actions`, which are written before the next
+    /// Hands an event over; the actions that answer it go to `actions`, which are written before the next
     /// event.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let ended = request_ended(&event);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Keeps the requests in step with what the balancer has asked for.
+    /// Keeps the requests in step with the actions of the balancer.
     fn track(&mut self, action: &Action) {
         match *action {
             Action::Send { request, .. } => self.requests.attempt_sent(request),
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -7,7 +7,7 @@
 
 use simulator_adapter::Host;
 
-/// Room for many lines, so that a batch costs few system calls.
+/// Buffer space for many lines, so that a batch costs few system calls.
 const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/requests.rs
+++ b/crates/simulator-adapter/src/requests.rs
@@ -1,7 +1,7 @@
 //! The requests of an instance, by their ids on the wire and in the policy.
 //!
 //! The wire's ids are texts, the policy's small integers, and a message may name a request after its final
-//! answer: the end of an attempt that was withdrawn, say. So a request stays in the table until it has ended
+//! answer: the end of an attempt that was cancelled, say. So a request stays in the table until it has ended
 //! and its last attempt has, and no longer: an instance must not grow with the requests that it has served.
 
 use balancer_policy::interface::RequestId;
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -118,7 +118,7 @@
     assert!(done.output.contains("WITHDRAW\treq-1\t0"), "{}", done.output);
 }
 
-/// A drained upstream is passed over from the event that told of it on.
+/// A drained upstream is passed over from the event that reported it on.
 #[test]
 fn a_drain_within_a_batch_counts_from_its_place() {
     let mut input =
