--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! The values of a line.
+//! The name and the values of a line.
 //!
 //! A line is a message's name and its values, parted by tabs. Values have no names on the wire; the name
 //! given to each call here is for the error that a malformed one ends in.
@@ -8,20 +8,30 @@
 
 use crate::error::Malformed;
 
-/// The values of a line, read from left to right.
-pub struct Fields<'a> {
-    rest: Option<&'a str>,
+/// A line of the wire, split at the end of its name.
+pub struct Line<'a> {
+    /// The message's name.
+    pub name: &'a str,
+    /// What follows the name.
+    pub fields: Fields<'a>,
 }
 
-impl<'a> Fields<'a> {
+impl<'a> Line<'a> {
     /// Splits the name of the message off a line.
-    pub fn of_line(line: &'a str) -> (&'a str, Self) {
+    pub fn split(line: &'a str) -> Self {
         match line.split_once('\t') {
-            Some((name, rest)) => (name, Self { rest: Some(rest) }),
-            None => (line, Self { rest: None }),
+            Some((name, rest)) => Self { name, fields: Fields { rest: Some(rest) } },
+            None => Self { name: line, fields: Fields { rest: None } },
         }
     }
+}
 
+/// The values of a line, read from left to right.
+pub struct Fields<'a> {
+    rest: Option<&'a str>,
+}
+
+impl<'a> Fields<'a> {
     /// Any text but an empty one.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         let rest = self.rest.ok_or(Malformed::Missing { field })?;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -14,7 +14,7 @@
 use crate::endpoint_lists::EndpointLists;
 use crate::error::{HostError, LineError, Malformed};
 use crate::event::{self, EventKind};
-use crate::fields::Fields;
+use crate::fields::{Fields, Line};
 use crate::instance::Instance;
 
 /// All instances of the process and the lists they share.
@@ -64,7 +64,7 @@
 
     fn line(&mut self, text: &[u8], output: &mut impl Write) -> Result<(), LineError> {
         let text = from_utf8(text).map_err(|_| Malformed::NotText)?;
-        let (name, mut fields) = Fields::of_line(text);
+        let Line { name, mut fields } = Line::split(text);
         if name != "M" {
             self.lists.ensure_complete()?;
         }
