--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,6 +1,7 @@
 //! What a [`Balancer`](crate::Balancer) asks the embedding program to do.
 //!
-//! Actions are plain data; the embedding program carries them out in the order given.
+//! Decisions that did their own input and output could not be tested without sockets and timers. So each is handed out
+//! as plain data, and the embedding program carries the actions out in the order given. The module owns no state.
 
 use std::time::Duration;
 
--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -2,7 +2,8 @@
 //!
 //! Quotas are promised over all replicas, but a replica sees only its own part of the calls and cannot tell what the
 //! tier can serve. Each limit starts at the replica's part of the quota, with a margin for chance, falls
-//! multiplicatively while calls meet congestion, and rises with each call that is served in time.
+//! multiplicatively while calls meet congestion, and rises with each call that is served in time. The module owns the
+//! limit of one tenant, or of all together, with its bounds.
 
 use crate::admission::suppression::WINDOW_S;
 use crate::interface::Settings;
--- a/crates/policy/src/admission/baseline_latency.rs
+++ b/crates/policy/src/admission/baseline_latency.rs
@@ -2,7 +2,7 @@
 //!
 //! Congestion shows in requests that take longer than usual, so the usual must be known, and must not follow the
 //! congestion itself. The estimate is a running median of the natural logarithm, so that heavy requests count no
-//! more than light ones.
+//! more than light ones. The module owns the estimate of one class.
 
 /// Seconds over which the baseline follows the requests: much longer than congestion may last before it is met.
 pub const BASELINE_WINDOW_S: f64 = 20.0;
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -1,8 +1,9 @@
-//! What the ends of calls tell of congestion in the tier, and when the limits decrease for it.
+//! What the ends of calls show of congestion in the tier, and when the limits decrease for it.
 //!
 //! No server says that it is overloaded. It shows in calls that fail, come late or take longer than the baseline of
 //! their class; one such call means nothing, so the signal is an average over the last seconds with its variance, and
-//! congestion is met only where the average lies above what chance explains.
+//! congestion is met only where the average lies above what chance explains. The module owns that average, the times
+//! of decreases and that of the latest answer.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -8,6 +8,9 @@
 //! * [`adaptive_limit`] is that limit: the replica's part of the quota, less while there is congestion;
 //! * [`congestion`] tells from the ends of calls whether there is any;
 //! * [`baseline_latency`] is what calls take when there is none.
+//!
+//! The module owns the limit and the suppressor of each tenant and of all together, and the congestion; the baseline
+//! latencies are the balancer's.
 
 pub mod adaptive_limit;
 pub mod baseline_latency;
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -4,7 +4,7 @@
 //! which sees a part of the calls, deny far too much or too little. The suppressed strategy of the source paper
 //! counts calls and admitted calls in a sliding window. Under the soft limit every call is admitted; over it, each is
 //! admitted with a probability that falls as the demand seen rises (the suppression factor); from the hard limit on,
-//! none is.
+//! none is. The module owns the window of counts and the factor of one key.
 
 use std::mem::take;
 
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,7 +1,8 @@
 //! The balancer: takes in events, passes them to the components that they concern, and gives the actions.
 //!
-//! It owns the components and the random source, and decides what only several of them together can: ONE gate,
-//! [`Balancer::send`], lets attempts out, and ONE path, [`Balancer::finish`], ends requests unserved.
+//! Some decisions need several components at once, and the rules on them must not depend on which way a request has
+//! come: ONE gate, [`Balancer::send`], lets attempts out, and ONE path, [`Balancer::finish`], ends requests unserved.
+//! The module owns the components, the settings in force, the baseline latencies and the random source.
 
 use std::mem::replace;
 use std::sync::Arc;
--- a/crates/policy/src/endpoints/connections.rs
+++ b/crates/policy/src/endpoints/connections.rs
@@ -1,7 +1,8 @@
 //! An estimate of the connections that are open to an endpoint.
 //!
 //! The embedding program owns the connections. Their count matters to the decisions only where a handshake has a
-//! price, so it is followed here from what attempts tell, without asking.
+//! price, so it is estimated here from the ends of attempts, without a question to the program. The module owns the
+//! estimate for one endpoint.
 
 use crate::interface::Permissions;
 
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -1,7 +1,8 @@
 //! What is known of one endpoint.
 //!
-//! An endpoint is one process of the tier. Its state is what this replica has seen of it, and is forgotten when
-//! discovery names another start of the process.
+//! What one process of the tier did says nothing of the next process under the same name. So the state of an endpoint
+//! is forgotten when discovery names another start of the process. The module owns what this replica has seen of one
+//! endpoint: its attempts in flight, connections, health and budget.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -1,7 +1,8 @@
 //! The endpoints that discovery has named.
 //!
-//! Each endpoint has a slot, by which the rest of the policy refers to it. A slot is used again only when its endpoint
-//! is gone and the last attempt to it has ended.
+//! Attempts may end long after their endpoint has left the list. So each endpoint has a slot, by which the rest of the
+//! policy refers to it, and a slot is used again only when its endpoint is gone and the last attempt to it has ended.
+//! The module owns the endpoints by slot.
 
 use oorandom::Rand64;
 use rustc_hash::FxHashMap;
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -1,7 +1,7 @@
 //! When to subscribe to discovery's list of endpoints, where it does not push it.
 //!
 //! A subscription that broke is opened anew after a backoff. Replicas whose subscriptions break together must not come
-//! back together, so the pause is drawn.
+//! back together, so the pause is drawn. The module owns the time of the next subscription and the backoff.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -4,6 +4,7 @@
 //! a tier that fails as a whole by comparison: each endpoint is compared with the tier, and no more than a part of a
 //! group is ejected at a time. Ejection ends after a while, longer each time that the return fails, and the endpoint
 //! recovers its part of the requests step by step. Slow endpoints are not ejected but chosen less often.
+//! The module owns the health of one endpoint, and the failure rate and slowness of the tier.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -3,7 +3,8 @@
 //! A process that has just started can do a fraction of its later work, and one that is sent several times what it can
 //! do falls over. No replica knows what the others send, so each has a budget of sends for the endpoint that stays
 //! within its capacity when all replicas stay within theirs: a part of what warm endpoints are sent or, where none is
-//! warm, a little more than what it has answered.
+//! warm, a little more than what it has answered. The module owns the budget of one endpoint and the rate at which the
+//! warm members of a group answer.
 
 use std::mem::take;
 
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,6 +1,7 @@
 //! What the embedding program reports to a [`Balancer`](crate::Balancer).
 //!
-//! Events are plain data: time is handed over beside them, and nothing here decides anything.
+//! The same decisions run in service, in the simulator and in tests, so they see the world through one set of messages.
+//! Events are plain data: time is handed over beside them, and nothing here decides anything. The module owns no state.
 
 use std::time::Duration;
 
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,7 +1,8 @@
 //! Identifiers and time, as the embedding program and the policy exchange them.
 //!
-//! Identifiers are small integers that the embedding program assigns. A class, tenant, zone or kind of machine is
-//! identified by its position in the [`Settings`](crate::Settings).
+//! Names are long, and each program has its own; a mix-up of two plain integers would go unseen. Identifiers are small
+//! integers with a type each, which the embedding program assigns. A class, tenant, zone or kind of machine is
+//! identified by its position in the [`Settings`](crate::Settings). The module owns no state.
 
 use std::time::Duration;
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,6 +1,7 @@
 //! The vocabulary of the crate: settings, events, actions and the types that they are made of.
 //!
-//! An embedding program imports from here; where an item is defined inside the crate may change.
+//! An embedding program must not depend on how the crate is divided into modules: it imports from here, and where an
+//! item is defined inside the crate may change. The module owns no state.
 
 pub use crate::action::Action;
 pub use crate::event::{Event, Request};
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -1,4 +1,7 @@
 //! What service discovery says of the endpoints: the members of the list and its updates.
+//!
+//! Discovery services differ in their formats; the embedding program translates them into these types. The module owns
+//! no state: the list itself is that of `endpoints::endpoint_list`.
 
 use crate::ids::{EndpointId, KindId, Time, ZoneId};
 
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,4 +1,7 @@
-//! What an attempt tells when it is over: its outcome and the load report that came with the answer.
+//! What an attempt shows when it is over: its outcome and the load report that came with the answer.
+//!
+//! Whether a retry may repeat an effect, and whom a failure speaks against, depends on how the attempt ended, so the
+//! ways are distinguished here once for all components. The module owns no state.
 
 use std::time::Duration;
 
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -1,4 +1,7 @@
-//! Draws that several components need, from the random source that the balancer owns.
+//! Draws that several components need.
+//!
+//! Equal seeds must give equal decisions, so all draws come from the one random source that the balancer owns and hands
+//! in. The module owns no state.
 
 use std::ops::Range;
 
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -1,6 +1,7 @@
 //! One attempt of a request, and how it ended.
 //!
-//! An attempt is sent to one endpoint and ends exactly once, whatever becomes of its request.
+//! An attempt may outlive its request, and whether it may have run decides on each retry. It is sent to one endpoint
+//! and ends exactly once, whatever becomes of its request. The module owns the state of one attempt.
 
 use crate::interface::{AttemptNumber, Member, Outcome};
 
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -1,7 +1,7 @@
 //! Which endpoints the rules on idempotency let a retry go to.
 //!
 //! An attempt that may have run binds those that follow: an unsafe request must never run twice, and one with an
-//! idempotency key only where the endpoints that remember the key discard the repeat.
+//! idempotency key only where the endpoints that remember the key discard the repeat. The module owns no state.
 
 use crate::interface::{DeduplicationScope, Idempotency, Member};
 use crate::requests::attempt::Attempt;
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -1,7 +1,8 @@
 //! The requests that are not over: received, and with an answer or the end of an attempt still to come.
 //!
-//! A request leaves the table once it is closed and its last attempt has ended, so the table holds no more than what
-//! is in flight.
+//! Ends of attempts still come for a request that has its answer, and a table that only grew would run out of memory.
+//! So a request leaves the table once it is closed and its last attempt has ended. The module owns the requests by id,
+//! with their attempts.
 
 use std::sync::Arc;
 
--- a/crates/policy/src/requests/retry_budget.rs
+++ b/crates/policy/src/requests/retry_budget.rs
@@ -1,7 +1,8 @@
 //! How many retries the admitted requests pay for.
 //!
 //! Retries help while few attempts fail; when many do, they multiply the load that made them fail. Each admitted
-//! request earns a fraction of a retry, and a retry is sent only where a whole one is saved up.
+//! request earns a fraction of a retry, and a retry is sent only where a whole one is saved up. The module owns the
+//! retries saved up by one replica.
 
 use crate::interface::Outcome;
 
--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -2,7 +2,7 @@
 //!
 //! A site prices each crossing of zones, yet one zone may have more requests than its endpoints can serve, and no
 //! replica is notified. From an even spread on, more stays in the own zone for as long as it is no slower than the
-//! others.
+//! others. The module owns the fraction of requests that stays.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -3,7 +3,7 @@
 //! The least busy of all endpoints would be the same one for many replicas at once, and a random one may be busy. The
 //! less busy of two random ones is nearly as good as the first and spreads like the second. Draws weigh endpoints by
 //! size, warmth, speed and recovery, and pass over those that are ejected or stalled; those come last, when nothing
-//! else is left.
+//! else is left. The module owns no state: a selection borrows what it reads.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -1,8 +1,9 @@
 //! Subsetting: the part of the endpoints that one replica sends to.
 //!
 //! If every replica sent to every endpoint, connections would grow with their product, and a replica would see too few
-//! requests of each endpoint to judge it. Each replica takes an arc of the ring of endpoints, so that together they
-//! cover all of them evenly and a change of the list moves few.
+//! requests of each endpoint to judge it. Each replica sends to an arc of the ring of endpoints, so that together
+//! they cover all of them evenly and a change of the list moves few. The module owns the members of the subset by zone,
+//! their delays and what of the tier is available.
 
 use oorandom::Rand64;
 
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,8 +1,9 @@
 //! What the operator decides before the first request arrives: the classes of requests, the tenants' quotas, what the
 //! site allows, and the figures of its rules.
 //!
-//! [`Settings`] are validated once, by [`Settings::validate`], or by [`Settings::may_follow`] where they replace
-//! others in a running balancer.
+//! Settings that make no sense would show as odd decisions much later. So [`Settings`] are validated once, by
+//! [`Settings::validate`], or by [`Settings::may_follow`] where they replace others in a running balancer. The module
+//! owns no state: the balancer has the settings in force.
 
 use std::time::Duration;
 
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,7 +1,7 @@
 //! From the actions of the policy to the lines of the wire.
 //!
 //! What the wire has no place for is left out: the span in which an attempt must begin, and whether it is the
-//! last one.
+//! last one. The module owns no state.
 
 use std::io::{self, Write};
 use std::time::Duration;
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -2,7 +2,8 @@
 //!
 //! Many instances of one process are sent the same list at the same time, so the wire sends it once,
 //! numbered, and each instance's message refers to the number. An entry names its zone and its kind of
-//! machine; their positions differ by instance and are looked up when the list is handed over.
+//! machine; their positions differ by instance and are looked up when the list is handed over. The module
+//! owns the lists by number.
 
 use balancer_policy::interface::{EndpointId, KindId, ListUpdate, Member, ZoneId};
 use balancer_settings::Names;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,6 +1,7 @@
 //! Why the adapter stops.
 //!
 //! Whoever reads these has a simulator run that broke off: each names the line, and in it the value.
+//! The module owns no state.
 
 use std::io;
 
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -2,7 +2,7 @@
 //!
 //! The wire names requests by text and classes, tenants and load values as the settings do; the policy knows
 //! ids and positions. A late message may name a request that is over: its values are checked like all others,
-//! and there is no event.
+//! and there is no event. The module owns no state.
 
 use std::str::FromStr;
 use std::time::Duration;
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,7 +1,8 @@
 //! The name and the values of a line.
 //!
 //! A line is a message's name and its values, parted by tabs. Values have no names on the wire; the name
-//! given to each call here is for the error that a malformed one ends in.
+//! given to each call here is for the error that a malformed one ends in. The module owns the part of one line
+//! that is not read yet.
 
 use std::str::FromStr;
 use std::time::Duration;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,6 +3,7 @@
 //! A batch opens with `TURN` and its time, and ends with `YOUR_TURN`, which is answered by `READY`. Within it
 //! `TO` says for which instance the events are that follow, and actions stand behind an `INSTANCE` line in
 //! the same way. The output is flushed only at the end of a batch, which the simulator waits for.
+//! The module owns the instances, the clock and the batch that is being read.
 
 use std::io::{BufRead, Write};
 use std::str::from_utf8;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! An instance: a balancer, the names in its settings and its requests.
 //!
 //! The simulator starts, kills and restarts many in one process; each has its own names and ids, and shares
-//! nothing with the others but the endpoint lists.
+//! nothing with the others but the endpoint lists. The module owns the balancer, names and requests of one.
 
 use std::io::{self, Write};
 
--- a/crates/simulator-adapter/src/requests.rs
+++ b/crates/simulator-adapter/src/requests.rs
@@ -3,6 +3,7 @@
 //! The wire's ids are texts, the policy's small integers, and a message may name a request after its final
 //! answer: the end of an attempt that was cancelled, say. So a request stays in the table until it has ended
 //! and its last attempt has, and no longer: an instance must not grow with the requests that it has served.
+//! The module owns both ids of each request, and how many of its attempts are in flight.
 
 use balancer_policy::interface::RequestId;
 use rustc_hash::FxHashMap;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,7 @@
 //! Words and encodings of the wire: outcomes, phases, bytes.
 //!
 //! The protocol's words are older than the policy's terms; this is the one place that pairs them.
+//! The module owns no state.
 
 use balancer_policy::interface::{Lifecycle, Outcome};
 
