--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -98,6 +98,7 @@
     ///
     /// A tenant over the replica's quota must also fit into what all tenants of this replica may send: the chance
     /// allowed to each of many small limits, over all replicas, would add up to more than the tier.
+    #[must_use]
     pub fn admit(
         &mut self,
         now: f64,
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -121,6 +121,7 @@
     /// A limit of less than a call a window would otherwise let a whole one through each, several times the limits
     /// over many replicas. The threshold is sampled once a window and admission: sampled for each call, it would be
     /// worn down by denied ones that are retried.
+    #[must_use]
     pub fn fits_soft_limit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
         self.advance(now);
         self.first_bucket.get_or_insert(self.current_bucket);
@@ -132,6 +133,7 @@
     }
 
     /// Decides on a call, which is to be counted next.
+    #[must_use]
     pub fn admit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
         let fits = self.fits_soft_limit(now, limit, rng);
         if self.is_over_hard_limit(limit) {
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -35,6 +35,7 @@
 
 impl ListSubscription {
     /// Whether to subscribe now; if so, it takes note that the request is out.
+    #[must_use]
     pub fn begin_if_due(&mut self, now: f64, settings: &Settings) -> bool {
         let is_due = settings.discovery != DiscoveryMode::Push && now >= self.next_at;
         if is_due {
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -97,6 +97,7 @@
     /// summed over the replicas that stays within its capacity, whoever else sends. Where no peer is warm, its own
     /// answers earn more sends, a few more than they are: what all replicas together get answered is what it can
     /// do, so that their sum stays little above it. `sharers` is the number of replicas that send to it, on average.
+    #[must_use]
     pub fn allows_send(
         &mut self,
         now: f64,
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -43,6 +43,7 @@
 impl Selection<'_> {
     /// Selects an endpoint: two draws from the own zone's members or, where locality says so, from the others; then
     /// whatever is left.
+    #[must_use]
     pub fn select(mut self) -> Option<usize> {
         if let Some(members) = self.bound_members() {
             return self.less_busy_of_two(&members);
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -144,6 +144,7 @@
     }
 
     /// Whether slow start lets another attempt go to `endpoint`, beside the warm members of its group.
+    #[must_use]
     pub fn slow_start_allows(&self, now: f64, endpoint: &mut Endpoint, settings: &Settings) -> bool {
         let warm_fraction = endpoint.warm_fraction(now, &settings.rules);
         if warm_fraction >= 1.0 {
