--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -1,7 +1,8 @@
 //! What is known of one endpoint.
 //!
-//! An endpoint is one process of the tier. Its state is what this replica has seen of it, and is forgotten when
-//! discovery names another start of the process.
+//! What one process of the tier did says nothing of the next process under the same name. So the state of an endpoint
+//! is forgotten when discovery names another start of the process. The module owns what this replica has seen of one
+//! endpoint: its attempts in flight, connections, health and budget.
 
 use oorandom::Rand64;
 
@@ -58,8 +59,8 @@
         let is_restarted = member.started != self.member.started;
         self.member = member;
         if is_restarted {
-            let Self { in_flight, is_local, kind, .. } = *self;
-            *self = Self { in_flight, is_local, kind, ..Self::new(member, now, rng) };
+            let Self { is_local, kind, in_flight, .. } = *self;
+            *self = Self { is_local, kind, in_flight, ..Self::new(member, now, rng) };
         }
     }
 
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,6 +1,7 @@
 //! What the embedding program reports to a [`Balancer`](crate::Balancer).
 //!
-//! Events are plain data: time is handed over beside them, and nothing here decides anything.
+//! The same decisions run in service, in the simulator and in tests, so they see the world through one set of messages.
+//! Events are plain data: time is handed over beside them, and nothing here decides anything. The module owns no state.
 
 use std::time::Duration;
 
@@ -31,7 +32,7 @@
 /// What happens at a replica of the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The replica has started; it may ask for the list of endpoints.
+    /// The replica has started; it may subscribe to the list of endpoints.
     Started,
     /// Service discovery has sent an update, or failed to.
     List(ListUpdate),
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -1,7 +1,8 @@
 //! The requests that are not over: received, and with an answer or the end of an attempt still to come.
 //!
-//! A request leaves the table once it is closed and its last attempt has ended, so the table holds no more than what
-//! is in flight.
+//! Ends of attempts still come for a request that has its answer, and a table that only grew would run out of memory.
+//! So a request leaves the table once it is closed and its last attempt has ended. The module owns the requests by id,
+//! with their attempts.
 
 use std::sync::Arc;
 
@@ -61,11 +62,11 @@
         &self.settings.classes[self.class.0]
     }
 
-    /// The time until which an answer is worth waiting for.
+    /// The time until which an answer is still useful to the client.
     #[must_use]
     pub fn useful_until(&self) -> f64 {
         let objective = self.arrived + self.rules().latency_objective.as_secs_f64();
-        // Where no deadline is passed on, a slot of the tier above would be held for a client long gone.
+        // Where no deadline is passed on, a slot of the tier above would be reserved for a client long gone.
         let is_blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
         if self.rules().late_weight > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
     }
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -3,13 +3,14 @@
 //! The least busy of all endpoints would be the same one for many replicas at once, and a random one may be busy. The
 //! less busy of two random ones is nearly as good as the first and spreads like the second. Draws weigh endpoints by
 //! size, warmth, speed and recovery, and pass over those that are ejected or stalled; those come last, when nothing
-//! else is left.
+//! else is left. The module owns no state: a selection borrows what it reads.
 
 use oorandom::Rand64;
 
 use crate::endpoints::endpoint_list::EndpointList;
 use crate::endpoints::outlier::OutlierDetector;
 use crate::interface::{DeduplicationScope, Idempotency, Lifecycle, Member, Settings};
+use crate::random::index;
 use crate::requests::request_table::PendingRequest;
 use crate::routing::subset::Subset;
 
@@ -42,6 +43,7 @@
 impl Selection<'_> {
     /// Selects an endpoint: two draws from the own zone's members or, where locality says so, from the others; then
     /// whatever is left.
+    #[must_use]
     pub fn select(mut self) -> Option<usize> {
         if let Some(members) = self.bound_members() {
             return self.less_busy_of_two(&members);
@@ -96,13 +98,13 @@
         self.endpoints.get(slot).cost(self.now, self.settings)
     }
 
-    /// Draws a member that is worth an attempt.
+    /// Draws a member that is eligible for an attempt and likely to answer it soon.
     fn draw_candidate(&mut self, from: &[usize]) -> Option<usize> {
         if from.is_empty() {
             return None;
         }
         for _ in 0..DRAWS_PER_CANDIDATE {
-            let slot = from[self.rng.rand_range(0..from.len() as u64) as usize];
+            let slot = from[index(self.rng, from.len())];
             let endpoint = self.endpoints.get(slot);
             let is_avoided =
                 endpoint.health.is_ejected(self.now) || endpoint.is_stalled(self.now, self.baseline_s);
@@ -116,7 +118,7 @@
         None
     }
 
-    /// The chance with which a drawn member is taken.
+    /// The chance with which a drawn member is selected.
     fn chance(&self, slot: usize) -> f64 {
         let endpoint = self.endpoints.get(slot);
         self.endpoints.relative_weight(slot)
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -1,8 +1,9 @@
 //! Subsetting: the part of the endpoints that one replica sends to.
 //!
 //! If every replica sent to every endpoint, connections would grow with their product, and a replica would see too few
-//! requests of each endpoint to judge it. Each replica takes an arc of the ring of endpoints, so that together they
-//! cover all of them evenly and a change of the list moves few.
+//! requests of each endpoint to judge it. Each replica sends to an arc of the ring of endpoints, so that together
+//! they cover all of them evenly and a change of the list moves few. The module owns the members of the subset by zone,
+//! their delays and what of the tier is available.
 
 use oorandom::Rand64;
 
@@ -34,7 +35,7 @@
     pub members: Vec<usize>,
     /// What the warm members answer.
     pub peers: WarmPeers,
-    /// Time that requests take, failed ones at what they took, in latency objectives.
+    /// Time that requests take, failed ones at their duration, in latency objectives.
     delay: f64,
 }
 
@@ -143,6 +144,7 @@
     }
 
     /// Whether slow start lets another attempt go to `endpoint`, beside the warm members of its group.
+    #[must_use]
     pub fn slow_start_allows(&self, now: f64, endpoint: &mut Endpoint, settings: &Settings) -> bool {
         let warm_fraction = endpoint.warm_fraction(now, &settings.rules);
         if warm_fraction >= 1.0 {
@@ -200,6 +202,11 @@
 ///
 /// The starts of the replicas are evenly spaced; a stride spreads neighbours in number, which may share a zone, over
 /// the ring.
+#[allow(
+    clippy::cast_possible_truncation,
+    clippy::cast_sign_loss,
+    reason = "sizes, strides and starts are whole, not negative and bounded by the endpoints or the replicas"
+)]
 fn arc(settings: &Settings, sharers: f64, ring: &[usize]) -> Vec<usize> {
     let (replica_index, replicas) = (u64::from(settings.replica_index), u64::from(settings.replicas));
     let count = ring.len();
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,8 +1,9 @@
 //! What the operator decides before the first request arrives: the classes of requests, the tenants' quotas, what the
 //! site allows, and the figures of its rules.
 //!
-//! [`Settings`] are validated once, by [`Settings::validate`], or by [`Settings::may_follow`] where they replace
-//! others in a running balancer.
+//! Settings that make no sense would show as odd decisions much later. So [`Settings`] are validated once, by
+//! [`Settings::validate`], or by [`Settings::may_follow`] where they replace others in a running balancer. The module
+//! owns no state: the balancer has the settings in force.
 
 use std::time::Duration;
 
@@ -71,6 +72,10 @@
 
 /// What a site permits the balancer to do.
 #[derive(Debug, Clone, PartialEq)]
+#[allow(
+    clippy::struct_excessive_bools,
+    reason = "each is a permission of its own, granted apart from the others"
+)]
 pub struct Permissions {
     /// Attempts that a request may have in all, at least 1.
     pub max_attempts: u32,
@@ -90,14 +95,14 @@
     pub retry_after: Option<Duration>,
 }
 
-/// Figures of the rules that the balancer must keep.
+/// Figures of the rules that bind the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     /// Time past the client's deadline in which a final answer still counts.
     pub answer_slack: Duration,
     /// Grace within which sends to an endpoint that was reported draining or gone must end.
     pub drain_grace: Duration,
-    /// A replica without a subscription must ask for the list at least this often; `None` if lists are pushed.
+    /// A replica without a subscription must poll for the list at least this often; `None` if lists are pushed.
     pub poll_interval_max: Option<Duration>,
     /// The least fraction of its capacity with which an endpoint starts, above 0 and up to 1.
     pub slow_start_min_fraction: f64,
@@ -124,7 +129,8 @@
     pub health_check: f64,
 }
 
-/// The settings of a replica, given at its start, and again with [`Event::Reconfigured`](crate::Event::Reconfigured) when it changes.
+/// The settings of a replica, given at its start, and again with
+/// [`Event::Reconfigured`](crate::Event::Reconfigured) when they change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// This replica's number, from 0.
@@ -151,7 +157,7 @@
     pub propagates_deadline: bool,
     /// What a site permits the balancer to do.
     pub permissions: Permissions,
-    /// Figures of the rules that must be kept.
+    /// Figures of the rules that bind the balancer.
     pub rules: Rules,
     /// Costs that bear on choices.
     pub costs: Costs,
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,27 +1,38 @@
-//! The values of a line.
+//! The name and the values of a line.
 //!
 //! A line is a message's name and its values, parted by tabs. Values have no names on the wire; the name
-//! given to each call here is for the error that a malformed one ends in.
+//! given to each call here is for the error that a malformed one ends in. The module owns the part of one line
+//! that is not read yet.
 
 use std::str::FromStr;
 use std::time::Duration;
 
 use crate::error::Malformed;
 
-/// The values of a line, taken from left to right.
-pub struct Fields<'a> {
-    rest: Option<&'a str>,
+/// A line of the wire, split at the end of its name.
+pub struct Line<'a> {
+    /// The message's name.
+    pub name: &'a str,
+    /// What follows the name.
+    pub fields: Fields<'a>,
 }
 
-impl<'a> Fields<'a> {
-    /// Takes the message's name off a line.
-    pub fn of_line(line: &'a str) -> (&'a str, Self) {
+impl<'a> Line<'a> {
+    /// Splits the name of the message off a line.
+    pub fn split(line: &'a str) -> Self {
         match line.split_once('\t') {
-            Some((name, rest)) => (name, Self { rest: Some(rest) }),
-            None => (line, Self { rest: None }),
+            Some((name, rest)) => Self { name, fields: Fields { rest: Some(rest) } },
+            None => Self { name: line, fields: Fields { rest: None } },
         }
     }
+}
 
+/// The values of a line, read from left to right.
+pub struct Fields<'a> {
+    rest: Option<&'a str>,
+}
+
+impl<'a> Fields<'a> {
     /// Any text but an empty one.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, Malformed> {
         let rest = self.rest.ok_or(Malformed::Missing { field })?;
@@ -38,7 +49,7 @@
         Ok(Some(self.text(field)?).filter(|&value| value != "-"))
     }
 
-    /// A number of the type that is asked for.
+    /// A number of the type that the call names.
     pub fn number<T: FromStr>(&mut self, field: &'static str) -> Result<T, Malformed> {
         let value = self.text(field)?;
         value.parse().map_err(|_| Malformed::value(field, value))
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -3,6 +3,7 @@
 //! A batch opens with `TURN` and its time, and ends with `YOUR_TURN`, which is answered by `READY`. Within it
 //! `TO` says for which instance the events are that follow, and actions stand behind an `INSTANCE` line in
 //! the same way. The output is flushed only at the end of a batch, which the simulator waits for.
+//! The module owns the instances, the clock and the batch that is being read.
 
 use std::io::{BufRead, Write};
 use std::str::from_utf8;
@@ -14,7 +15,7 @@
 use crate::endpoint_lists::EndpointLists;
 use crate::error::{HostError, LineError, Malformed};
 use crate::event::{self, EventKind};
-use crate::fields::Fields;
+use crate::fields::{Fields, Line};
 use crate::instance::Instance;
 
 /// All instances of the process and the lists they share.
@@ -26,7 +27,7 @@
     /// The time of the batch; it never goes back.
     clock: Time,
     batch: Option<Batch>,
-    /// Asked for by the last event, and not written yet.
+    /// Returned for the last event, and not written yet.
     actions: Vec<Action>,
 }
 
@@ -64,7 +65,7 @@
 
     fn line(&mut self, text: &[u8], output: &mut impl Write) -> Result<(), LineError> {
         let text = from_utf8(text).map_err(|_| Malformed::NotText)?;
-        let (name, mut fields) = Fields::of_line(text);
+        let Line { name, mut fields } = Line::split(text);
         if name != "M" {
             self.lists.ensure_complete()?;
         }
