--- /dev/null
+++ b/crates/capacity/src/control/list_client.rs
@@ -0,0 +1,117 @@
+//! One client of the list at a time.
+
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::sync::mpsc::channel;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use super::PATIENCE;
+use crate::CapacityError;
+use crate::plan::Plan;
+use crate::sockets::hollow::{self, Hollow};
+use crate::sockets::list::ListServer;
+use crate::sockets::{machine, region_name, service_name, zone_names};
+
+/// One balancer's client of the list.
+pub(super) struct Client<'a> {
+    pub(super) plan: &'a Plan,
+    pub(super) server: &'a ListServer,
+    pub(super) seed: u64,
+}
+
+pub(super) struct Costs {
+    pub(super) whole_bytes: f64,
+    pub(super) whole_us: f64,
+    pub(super) change_us: f64,
+}
+
+impl Client<'_> {
+    /// Takes in its first list, then so many whole ones and changes.
+    pub(super) fn play(&self, count: u32) -> Result<Costs, CapacityError> {
+        let place = "a client of the list";
+        let zones = zone_names(self.plan);
+        let hollow = Hollow {
+            number: 0,
+            service: service_name(0),
+            region: region_name(0),
+            zone: 0,
+            parents: Vec::new(),
+            seed: self.seed,
+        };
+        let before = self.server.carried();
+        let (server, (said, costs)) = (self.server, channel());
+        // A thread of its own, so that its processor time is the client's alone.
+        thread::scope(|scope| {
+            scope.spawn(move || {
+                let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+                let runtime = match runtime {
+                    Ok(runtime) => runtime,
+                    Err(cause) => return said.send(Err(cause.to_string())),
+                };
+                let costs = tokio::task::LocalSet::new().block_on(&runtime, async {
+                    let driver = hollow::driver(server.address, &hollow, &zones)?;
+                    hollow::wait_until("its first list", || driver.can_serve())
+                        .await
+                        .map_err(|error| error.to_string())?;
+                    let after = server.carried();
+                    let whole_bytes = (after.read + after.written - before.read - before.written) as f64;
+                    let rest = spent(count, || ()).await;
+                    let whole_us = spent(count, || server.tell_whole()).await - rest;
+                    let change_us = spent(count, || server.change(1)).await - rest;
+                    Ok(Costs { whole_bytes, whole_us, change_us })
+                });
+                said.send(costs)
+            });
+        });
+        match costs.recv() {
+            Ok(costs) => costs.map_err(|cause| CapacityError::run(place, cause)),
+            Err(cause) => Err(CapacityError::run(place, cause)),
+        }
+    }
+}
+
+/// Processor time of this thread for each of so many turns, in microseconds.
+async fn spent(count: u32, mut turn: impl FnMut()) -> f64 {
+    let before = machine::thread_ns();
+    for _ in 0..count {
+        turn();
+        tokio::time::sleep(Duration::from_millis(30)).await;
+    }
+    (machine::thread_ns() - before) as f64 / 1e3 / f64::from(count)
+}
+
+/// Bytes of a watch of the list that asks from `since`, to the end of its first line, as both ends count them.
+pub(super) fn first_line(server: &ListServer, since: u64) -> Result<u64, CapacityError> {
+    let place = format!("a catch-up of the list from {since}");
+    let wrong = |cause| CapacityError::run(&place, cause);
+    let before = server.carried();
+    let mut stream = TcpStream::connect(server.address).map_err(wrong)?;
+    stream.set_read_timeout(Some(PATIENCE)).map_err(wrong)?;
+    let ask =
+        format!("GET /catalog/members?follow=1&since={since} HTTP/1.1\r\nhost: {}\r\n\r\n", server.address);
+    stream.write_all(ask.as_bytes()).map_err(wrong)?;
+    let mut answer = Vec::new();
+    let mut part = [0; 64 << 10];
+    // A chunk ends with an empty line; so does the head.
+    while !answer.ends_with(b"}\n\r\n") {
+        match stream.read(&mut part).map_err(wrong)? {
+            0 => return Err(CapacityError::run(&place, "the watch has ended")),
+            read => answer.extend_from_slice(&part[..read]),
+        }
+    }
+    let here = (ask.len() + answer.len()) as u64;
+    let until = Instant::now() + PATIENCE;
+    loop {
+        let after = server.carried();
+        let there = after.read + after.written - before.read - before.written;
+        if there == here {
+            return Ok(here);
+        }
+        // The server counts once it has written.
+        if Instant::now() > until {
+            return Err(CapacityError::run(&place, format!("{here} bytes here, {there} at the server")));
+        }
+        thread::sleep(Duration::from_millis(1));
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/cost.rs
@@ -0,0 +1,46 @@
+//! What a span of a play costs: the difference of two sums.
+
+use std::time::Instant;
+
+use super::machine;
+use super::plane::{Machine, Role};
+
+/// Sums at one moment.
+pub(super) struct Mark {
+    pub(super) at: Instant,
+    pub(super) balancers: machine::Usage,
+    pub(super) configuration_bytes: u64,
+    pub(super) list_bytes: u64,
+    pub(super) most_in_window: u64,
+    /// By place: processor time, memory, bytes.
+    pub(super) control: Vec<(u64, u64, u64)>,
+}
+
+/// What a span between two marks cost.
+pub(super) struct Cost {
+    pub(super) bytes_per_s: f64,
+    pub(super) core: f64,
+    /// The busiest control process.
+    pub(super) control_core: (f64, Role),
+    pub(super) control_bytes_per_s: (f64, Role),
+}
+
+impl Cost {
+    pub(super) fn between(from: &Mark, to: &Mark, balancers: usize, machines: &[Machine]) -> Self {
+        let seconds = (to.at - from.at).as_secs_f64();
+        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
+        let busiest = |cost: &dyn Fn(usize) -> f64| {
+            let costs = machines.iter().enumerate().map(|(place, machine)| (cost(place), machine.role));
+            costs.max_by(|one, other| one.0.total_cmp(&other.0)).unwrap_or((0.0, Role::Origin))
+        };
+        let (before, after) = (&from.control, &to.control);
+        Self {
+            bytes_per_s: (each(from.configuration_bytes, to.configuration_bytes)
+                + each(from.list_bytes, to.list_bytes))
+                / balancers as f64,
+            core: each(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
+            control_core: busiest(&|place| each(before[place].0, after[place].0) / 1e9),
+            control_bytes_per_s: busiest(&|place| each(before[place].2, after[place].2)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -0,0 +1,49 @@
+//! The balancers of the plan: their services, regions and zones.
+
+use super::plane;
+use crate::plan::Plan;
+
+/// The names of the zones.
+#[must_use]
+pub fn zone_names(plan: &Plan) -> Vec<String> {
+    (0..plan.fleet.zones.value).map(|zone| format!("zone-{zone}")).collect()
+}
+
+/// Where each of so many balancers is and what it serves, as the plan has it: those of a service lie over regions and
+/// zones by their shares. A part of the fleet is each n-th balancer of it.
+#[must_use]
+pub fn fleet(plan: &Plan, balancers: usize) -> Vec<(usize, usize)> {
+    let sizes = plan.service_sizes();
+    let services: Vec<usize> =
+        sizes.iter().enumerate().flat_map(|(service, &size)| std::iter::repeat_n(service, size)).collect();
+    let shares: Vec<f64> = (0..plan.fleet.zones.value)
+        .map(|zone| {
+            let region = plane::region_of(plan, zone);
+            plan.fleet.region_shares.value[region] / plan.fleet.zones_by_region.value[region] as f64
+        })
+        .collect();
+    (0..balancers)
+        .map(|number| {
+            let place = number * services.len() / balancers;
+            // Steps by the golden ratio fill the shares evenly, also within a service.
+            let mut at = (place as f64 * 0.618_033_988_749_894_9).fract();
+            let zone = shares.iter().position(|share| {
+                at -= share;
+                at < 0.0
+            });
+            (services[place], zone.unwrap_or(shares.len() - 1))
+        })
+        .collect()
+}
+
+/// The name of a service.
+#[must_use]
+pub fn service_name(service: usize) -> String {
+    format!("service-{service:03}")
+}
+
+/// The name of a region.
+#[must_use]
+pub fn region_name(region: usize) -> String {
+    format!("region-{region}")
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -0,0 +1,109 @@
+//! What a play gave, as a row of the results.
+
+use super::Scenario;
+use super::cost::Cost;
+use super::hollow::WINDOW_S;
+use super::plane::Role;
+use super::swarm::Times;
+use crate::plan::Plan;
+
+/// The heads of the columns.
+pub(super) const COLUMNS: [&str; 24] = [
+    "scenario",
+    "seed",
+    "balancers",
+    "changes",
+    "changes in force at balancers",
+    "median, ms",
+    "99 in 100, ms",
+    "last, ms",
+    "last from sending, ms",
+    "indices that went back",
+    "balancers without the last change",
+    "watches of the list that stood elsewhere at the end",
+    "balancer at rest, bytes/s",
+    "balancer during changes, bytes/s",
+    "balancer in the return, bytes/s",
+    "busiest balancer, configuration over 13 s in the return, bytes/s",
+    "balancer at rest, core",
+    "balancer during changes, core",
+    "balancer in the return, core",
+    "balancer, MB",
+    "control at rest, busiest, core",
+    "control in the return, busiest, core",
+    "control in the return, busiest, bytes/s",
+    "control, largest, MB",
+];
+
+pub(super) struct Outcome {
+    pub(super) scenario: Scenario,
+    pub(super) seed: u64,
+    pub(super) balancers: usize,
+    pub(super) changes: usize,
+    pub(super) times: Times,
+    pub(super) from_sending: Times,
+    pub(super) back: usize,
+    pub(super) missing: usize,
+    pub(super) elsewhere: usize,
+    pub(super) rest: Cost,
+    pub(super) play: Cost,
+    pub(super) back_again: Cost,
+    pub(super) most_in_window: u64,
+    pub(super) balancer_mb: f64,
+    pub(super) control_mb: (f64, Role),
+}
+
+impl Outcome {
+    pub(super) fn row(&self) -> Vec<String> {
+        let named =
+            |(figure, role): (f64, Role), digits: usize| format!("{figure:.digits$} ({})", role.name());
+        vec![
+            self.scenario.name(),
+            self.seed.to_string(),
+            self.balancers.to_string(),
+            self.changes.to_string(),
+            self.times.count().to_string(),
+            format!("{:.1}", self.times.at(0.5)),
+            format!("{:.1}", self.times.at(0.99)),
+            format!("{:.1}", self.times.at(1.0)),
+            format!("{:.1}", self.from_sending.at(1.0)),
+            self.back.to_string(),
+            self.missing.to_string(),
+            self.elsewhere.to_string(),
+            format!("{:.0}", self.rest.bytes_per_s),
+            format!("{:.0}", self.play.bytes_per_s),
+            format!("{:.0}", self.back_again.bytes_per_s),
+            format!("{:.0}", self.most_in_window as f64 / WINDOW_S as f64),
+            format!("{:.5}", self.rest.core),
+            format!("{:.5}", self.play.core),
+            format!("{:.5}", self.back_again.core),
+            format!("{:.2}", self.balancer_mb),
+            named(self.rest.control_core, 4),
+            named(self.back_again.control_core, 4),
+            named(self.back_again.control_bytes_per_s, 0),
+            named(self.control_mb, 1),
+        ]
+    }
+
+    pub(super) fn told(&self) -> String {
+        COLUMNS.iter().zip(self.row()).map(|(head, value)| format!("{head}: {value}\n")).collect()
+    }
+
+    /// What was promised and is not so; the times only of a play that has the machine to itself.
+    pub(super) fn faults(&self, plan: &Plan, timed: bool) -> Vec<String> {
+        let place = format!("{} {}", self.scenario.name(), self.seed);
+        let within = plan.configuration.in_force_s.value;
+        let mut faults = Vec::new();
+        let mut want = |holds: bool, what: String| {
+            if !holds {
+                faults.push(format!("{place}: {what}"));
+            }
+        };
+        want(self.back == 0, format!("{} indices went back", self.back));
+        want(self.missing == 0, format!("{} balancers miss the last change", self.missing));
+        want(self.elsewhere == 0, format!("{} watches of the list stand elsewhere", self.elsewhere));
+        let last_s = self.times.at(1.0) / 1000.0;
+        want(!timed || last_s < within, format!("the last change took {last_s:.1} s, over {within} s"));
+        faults
+    }
+}
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -2,25 +2,27 @@
 //! forwarder that counts and can be cut.
 
 use std::fs;
-use std::io::{ErrorKind, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
-use std::thread::{self, JoinHandle};
+use std::thread;
 use std::time::{Duration, Instant};
 
-use config_distribution::document::Scope;
-use serde::Deserialize;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::sync::{oneshot, watch};
-use tokio::task::{LocalSet, spawn_local};
+use tokio::sync::watch;
 
 use super::child::{self, Child};
 use super::machine::{self, Usage};
 use crate::CapacityError;
-use crate::plan::Plan;
+
+mod deal;
+mod forwarder;
+mod publication;
+
+pub use self::deal::{Machine, Role, deal, region_of};
+use self::forwarder::{Forwarder, Forwarders, forward_all};
+pub use self::publication::{Answer, Change, ask, body, publish};
 
 /// The program that the processes are.
 const PROGRAM: &str = "config-distribution";
@@ -29,96 +31,6 @@
 /// How long a process may take to listen, and a publication to be taken.
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// What a control process is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Role {
-    /// Accepts publications.
-    Origin,
-    /// Holds a copy.
-    Standby,
-    /// Relays for a region.
-    Region,
-    /// Relays for a zone.
-    Zone,
-}
-
-impl Role {
-    /// All of them.
-    pub const ALL: [Self; 4] = [Self::Origin, Self::Standby, Self::Region, Self::Zone];
-
-    /// As it is called.
-    #[must_use]
-    pub fn name(self) -> &'static str {
-        match self {
-            Self::Origin => "origin",
-            Self::Standby => "standby",
-            Self::Region => "region relay",
-            Self::Zone => "zone relay",
-        }
-    }
-
-    fn level(self) -> usize {
-        self as usize
-    }
-}
-
-/// A control process to be.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Machine {
-    /// What it is.
-    pub role: Role,
-    /// The number of its region.
-    pub region: usize,
-    /// That of its zone, of a zone's relay.
-    pub zone: Option<usize>,
-    /// Whom it follows, by their places.
-    pub parents: Vec<usize>,
-}
-
-/// The processes as the plan deals them: the origin in the first region, the standby in the next, relays of regions
-/// below both, relays of zones below their region's and the standby.
-#[must_use]
-pub fn deal(plan: &Plan) -> Vec<Machine> {
-    let regions = plan.fleet.regions.value;
-    let mut machines = Vec::new();
-    let machine = |role, region, zone, parents| Machine { role, region, zone, parents };
-    machines.extend((0..plan.deal.origins.value).map(|_| machine(Role::Origin, 0, None, Vec::new())));
-    let origins: Vec<usize> = (0..machines.len()).collect();
-    for _ in 0..plan.deal.standbys.value {
-        machines.push(machine(Role::Standby, 1 % regions, None, origins.clone()));
-    }
-    let heads: Vec<usize> = (0..machines.len()).collect();
-    let standbys = &heads[origins.len()..];
-    for number in 0..plan.deal.region_relays.value {
-        machines.push(machine(Role::Region, number % regions, None, heads.clone()));
-    }
-    let each = plan.deal.zone_relays.value / plan.fleet.zones.value.max(1);
-    for zone in 0..plan.fleet.zones.value {
-        let region = region_of(plan, zone);
-        let above = (0..machines.len())
-            .filter(|&place| machines[place].role == Role::Region && machines[place].region == region);
-        let parents: Vec<usize> = above.chain(standbys.iter().copied()).collect();
-        for _ in 0..each {
-            machines.push(machine(Role::Zone, region, Some(zone), parents.clone()));
-        }
-    }
-    machines
-}
-
-/// The region of a zone; zones are numbered region after region.
-#[must_use]
-pub fn region_of(plan: &Plan, zone: usize) -> usize {
-    let mut until = 0;
-    let zones = &plan.fleet.zones_by_region.value;
-    zones
-        .iter()
-        .position(|&zones| {
-            until += zones;
-            zone < until
-        })
-        .unwrap_or(0)
-}
-
 struct Running {
     machine: Machine,
     address: SocketAddr,
@@ -142,7 +54,7 @@
     cut: watch::Sender<Option<usize>>,
     program: PathBuf,
     directory: PathBuf,
-    forwarders: Option<(oneshot::Sender<()>, JoinHandle<()>)>,
+    forwarders: Option<Forwarders>,
 }
 
 /// Planes that this process has started, so that each has ports and a directory of its own.
@@ -326,186 +238,6 @@
     })
 }
 
-// --- Forwarders ---
-
-struct Forwarder {
-    listener: std::net::TcpListener,
-    to: SocketAddr,
-    /// The regions of its ends.
-    ends: [usize; 2],
-    bytes: Arc<AtomicU64>,
-}
-
-type Forwarders = (oneshot::Sender<()>, JoinHandle<()>);
-
-fn forward_all(
-    forwarders: Vec<Forwarder>,
-    cuts: watch::Receiver<Option<usize>>,
-) -> Result<Forwarders, CapacityError> {
-    let wrong = |cause| CapacityError::run("the forwarders between control processes", cause);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
-    let (stop, stopped) = oneshot::channel();
-    let thread = thread::spawn(move || {
-        LocalSet::new().block_on(&runtime, async {
-            for forwarder in forwarders {
-                spawn_local(forward(forwarder, cuts.clone()));
-            }
-            // Its other end may have gone.
-            let _ = stopped.await;
-        });
-    });
-    Ok((stop, thread))
-}
-
-async fn forward(forwarder: Forwarder, cuts: watch::Receiver<Option<usize>>) {
-    let Forwarder { listener, to, ends, bytes } = forwarder;
-    let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-    loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        let (mut cuts, bytes) = (cuts.clone(), Arc::clone(&bytes));
-        spawn_local(async move {
-            open(&mut cuts, ends).await;
-            let Ok(far) = tokio::net::TcpStream::connect(to).await else { return };
-            // Each chunk goes on as it comes.
-            let _ = (near.set_nodelay(true), far.set_nodelay(true));
-            let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-            let mut back_cuts = cuts.clone();
-            let there = pass(near_read, far_write, &mut cuts, ends, &bytes);
-            let back = pass(far_read, near_write, &mut back_cuts, ends, &bytes);
-            // Either end closes both.
-            tokio::select! { _ = there => {}, _ = back => {} }
-        });
-    }
-}
-
-/// Waits while there is a cut between the regions.
-async fn open(cuts: &mut watch::Receiver<Option<usize>>, ends: [usize; 2]) {
-    let open = |cut: &Option<usize>| ends[0] == ends[1] || cut.is_none_or(|region| !ends.contains(&region));
-    // The sender lives as long as the forwarders.
-    let _ = cuts.wait_for(open).await;
-}
-
-async fn pass(
-    mut from: impl tokio::io::AsyncRead + Unpin,
-    mut to: impl tokio::io::AsyncWrite + Unpin,
-    cuts: &mut watch::Receiver<Option<usize>>,
-    ends: [usize; 2],
-    bytes: &AtomicU64,
-) -> std::io::Result<()> {
-    let mut buffer = vec![0; 64 << 10];
-    loop {
-        open(cuts, ends).await;
-        let read = from.read(&mut buffer).await?;
-        open(cuts, ends).await;
-        if read == 0 {
-            return Ok(());
-        }
-        to.write_all(&buffer[..read]).await?;
-        bytes.fetch_add(read as u64, Ordering::Relaxed);
-    }
-}
-
-// --- Publications ---
-
-/// A change as it was published.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
-    /// Whose document.
-    pub scope: Scope,
-    /// The version that it got.
-    pub version: u64,
-    /// When it was first sent, on [`machine::now_ns`]'s clock.
-    pub sent_ns: u64,
-    /// When it was acknowledged.
-    pub acknowledged_ns: u64,
-}
-
-#[derive(Deserialize)]
-struct Acknowledged {
-    index: u64,
-}
-
-/// Publishes a document, again under the same id while the origin cannot be reached.
-///
-/// # Errors
-/// It is refused, or not taken for half a minute.
-pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
-    let sent_ns = machine::now_ns();
-    let until = Instant::now() + PATIENCE;
-    let head = format!("PUT /configuration/{scope} HTTP/1.1\r\nX-Request-Id: {id}\r\n");
-    loop {
-        let failed = match ask(origin, &head, body) {
-            Ok(Answer { status: 200, body: text, .. }) => {
-                let acknowledged_ns = machine::now_ns();
-                let Acknowledged { index } = serde_json::from_str(&text).map_err(|cause| {
-                    CapacityError::run(format!("publication of {scope}: {text:?}"), cause)
-                })?;
-                return Ok(Change { scope: scope.clone(), version: index, sent_ns, acknowledged_ns });
-            }
-            Ok(Answer { status: 503, body: text, .. }) => text,
-            Ok(Answer { status, body: text, .. }) => {
-                return Err(CapacityError::run(
-                    format!("publication of {scope}"),
-                    format!("answered {status}: {text}"),
-                ));
-            }
-            Err(cause) => cause.to_string(),
-        };
-        if Instant::now() > until {
-            return Err(CapacityError::run(format!("publication of {scope}"), failed));
-        }
-        thread::sleep(Duration::from_millis(50));
-    }
-}
-
-/// What was answered.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
-    /// The status.
-    pub status: u16,
-    /// The body.
-    pub body: String,
-    /// Bytes of question and answer.
-    pub bytes: usize,
-}
-
-/// One question of HTTP/1.1 on a connection of its own.
-///
-/// # Errors
-/// The connection breaks, or what comes is not understood.
-pub fn ask(address: SocketAddr, head: &str, body: &str) -> std::io::Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
-    stream.set_read_timeout(Some(Duration::from_secs(5)))?;
-    let length = body.len();
-    let text =
-        format!("{head}Host: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
-    stream.write_all(text.as_bytes())?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer)?;
-    let bytes = text.len() + answer.len();
-    let answer = String::from_utf8_lossy(&answer);
-    let wrong = || std::io::Error::new(ErrorKind::InvalidData, "no answer of HTTP/1.1");
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(wrong)?;
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(wrong)?;
-    Ok(Answer { status, body: body.to_owned(), bytes })
-}
-
-/// A document's body of about so many bytes, another one with each `turn`.
-#[must_use]
-pub fn body(bytes: usize, turn: u64) -> String {
-    let mut text =
-        format!("{{\"settings\":{{\"projects\":[{{\"name\":\"tenant-0\",\"quotaPerS\":{}.0}}", 1000 + turn);
-    let mut number = 1;
-    loop {
-        let more = format!(",{{\"name\":\"tenant-{number}\",\"quotaPerS\":250.0}}");
-        if text.len() + more.len() + "]}}".len() > bytes {
-            return text + "]}}";
-        }
-        text += &more;
-        number += 1;
-    }
-}
-
 /// Whether a path is a directory's that can be written to; the rig's own results go there.
 ///
 /// # Errors
--- /dev/null
+++ b/crates/capacity/src/sockets/plane/deal.rs
@@ -0,0 +1,93 @@
+//! The control processes of the plan: their roles, places and parents.
+
+use crate::plan::Plan;
+
+/// What a control process is.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Role {
+    /// Accepts publications.
+    Origin,
+    /// Holds a copy.
+    Standby,
+    /// Relays for a region.
+    Region,
+    /// Relays for a zone.
+    Zone,
+}
+
+impl Role {
+    /// All of them.
+    pub const ALL: [Self; 4] = [Self::Origin, Self::Standby, Self::Region, Self::Zone];
+
+    /// As it is called.
+    #[must_use]
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Origin => "origin",
+            Self::Standby => "standby",
+            Self::Region => "region relay",
+            Self::Zone => "zone relay",
+        }
+    }
+
+    pub(super) fn level(self) -> usize {
+        self as usize
+    }
+}
+
+/// A control process to be.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Machine {
+    /// What it is.
+    pub role: Role,
+    /// The number of its region.
+    pub region: usize,
+    /// That of its zone, of a zone's relay.
+    pub zone: Option<usize>,
+    /// Whom it follows, by their places.
+    pub parents: Vec<usize>,
+}
+
+/// The processes as the plan deals them: the origin in the first region, the standby in the next, relays of regions
+/// below both, relays of zones below their region's and the standby.
+#[must_use]
+pub fn deal(plan: &Plan) -> Vec<Machine> {
+    let regions = plan.fleet.regions.value;
+    let mut machines = Vec::new();
+    let machine = |role, region, zone, parents| Machine { role, region, zone, parents };
+    machines.extend((0..plan.deal.origins.value).map(|_| machine(Role::Origin, 0, None, Vec::new())));
+    let origins: Vec<usize> = (0..machines.len()).collect();
+    for _ in 0..plan.deal.standbys.value {
+        machines.push(machine(Role::Standby, 1 % regions, None, origins.clone()));
+    }
+    let heads: Vec<usize> = (0..machines.len()).collect();
+    let standbys = &heads[origins.len()..];
+    for number in 0..plan.deal.region_relays.value {
+        machines.push(machine(Role::Region, number % regions, None, heads.clone()));
+    }
+    let each = plan.deal.zone_relays.value / plan.fleet.zones.value.max(1);
+    for zone in 0..plan.fleet.zones.value {
+        let region = region_of(plan, zone);
+        let above = (0..machines.len())
+            .filter(|&place| machines[place].role == Role::Region && machines[place].region == region);
+        let parents: Vec<usize> = above.chain(standbys.iter().copied()).collect();
+        for _ in 0..each {
+            machines.push(machine(Role::Zone, region, Some(zone), parents.clone()));
+        }
+    }
+    machines
+}
+
+/// The region of a zone; zones are numbered region after region.
+#[must_use]
+pub fn region_of(plan: &Plan, zone: usize) -> usize {
+    let mut until = 0;
+    let zones = &plan.fleet.zones_by_region.value;
+    zones
+        .iter()
+        .position(|&zones| {
+            until += zones;
+            zone < until
+        })
+        .unwrap_or(0)
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -0,0 +1,112 @@
+//! Publications of documents to the origin.
+
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use config_distribution::document::Scope;
+use serde::Deserialize;
+
+use super::PATIENCE;
+use crate::CapacityError;
+use crate::sockets::machine;
+
+/// A change as it was published.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Change {
+    /// Whose document.
+    pub scope: Scope,
+    /// The version that it got.
+    pub version: u64,
+    /// When it was first sent, on [`machine::now_ns`]'s clock.
+    pub sent_ns: u64,
+    /// When it was acknowledged.
+    pub acknowledged_ns: u64,
+}
+
+#[derive(Deserialize)]
+struct Acknowledged {
+    index: u64,
+}
+
+/// Publishes a document, again under the same id while the origin cannot be reached.
+///
+/// # Errors
+/// It is refused, or not taken for half a minute.
+pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
+    let sent_ns = machine::now_ns();
+    let until = Instant::now() + PATIENCE;
+    let head = format!("PUT /configuration/{scope} HTTP/1.1\r\nX-Request-Id: {id}\r\n");
+    loop {
+        let failed = match ask(origin, &head, body) {
+            Ok(Answer { status: 200, body: text, .. }) => {
+                let acknowledged_ns = machine::now_ns();
+                let Acknowledged { index } = serde_json::from_str(&text).map_err(|cause| {
+                    CapacityError::run(format!("publication of {scope}: {text:?}"), cause)
+                })?;
+                return Ok(Change { scope: scope.clone(), version: index, sent_ns, acknowledged_ns });
+            }
+            Ok(Answer { status: 503, body: text, .. }) => text,
+            Ok(Answer { status, body: text, .. }) => {
+                return Err(CapacityError::run(
+                    format!("publication of {scope}"),
+                    format!("answered {status}: {text}"),
+                ));
+            }
+            Err(cause) => cause.to_string(),
+        };
+        if Instant::now() > until {
+            return Err(CapacityError::run(format!("publication of {scope}"), failed));
+        }
+        thread::sleep(Duration::from_millis(50));
+    }
+}
+
+/// What was answered.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Answer {
+    /// The status.
+    pub status: u16,
+    /// The body.
+    pub body: String,
+    /// Bytes of question and answer.
+    pub bytes: usize,
+}
+
+/// One question of HTTP/1.1 on a connection of its own.
+///
+/// # Errors
+/// The connection breaks, or what comes is not understood.
+pub fn ask(address: SocketAddr, head: &str, body: &str) -> std::io::Result<Answer> {
+    let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
+    stream.set_read_timeout(Some(Duration::from_secs(5)))?;
+    let length = body.len();
+    let text =
+        format!("{head}Host: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
+    stream.write_all(text.as_bytes())?;
+    let mut answer = Vec::new();
+    stream.read_to_end(&mut answer)?;
+    let bytes = text.len() + answer.len();
+    let answer = String::from_utf8_lossy(&answer);
+    let wrong = || std::io::Error::new(ErrorKind::InvalidData, "no answer of HTTP/1.1");
+    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(wrong)?;
+    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(wrong)?;
+    Ok(Answer { status, body: body.to_owned(), bytes })
+}
+
+/// A document's body of about so many bytes, another one with each `turn`.
+#[must_use]
+pub fn body(bytes: usize, turn: u64) -> String {
+    let mut text =
+        format!("{{\"settings\":{{\"projects\":[{{\"name\":\"tenant-0\",\"quotaPerS\":{}.0}}", 1000 + turn);
+    let mut number = 1;
+    loop {
+        let more = format!(",{{\"name\":\"tenant-{number}\",\"quotaPerS\":250.0}}");
+        if text.len() + more.len() + "]}}".len() > bytes {
+            return text + "]}}";
+        }
+        text += &more;
+        number += 1;
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -0,0 +1,73 @@
+//! The changes of a play: when each is due, and their publication.
+
+use std::net::SocketAddr;
+use std::sync::mpsc::{Receiver, channel};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use config_distribution::document::Scope;
+use oorandom::Rand64;
+
+use super::plane::{self, Change};
+use super::size::Size;
+use super::{region_name, service_name};
+use crate::CapacityError;
+use crate::plan::Plan;
+
+/// One change to come.
+pub(super) struct Planned {
+    at: Duration,
+    scope: Scope,
+    bytes: usize,
+}
+
+/// The changes of a play, in their order: bunches at drawn moments, scopes by their shares; services are drawn from
+/// those that are played.
+pub(super) fn schedule(plan: &Plan, seed: u64, size: &Size, services: &[usize]) -> Vec<Planned> {
+    let mut draws = Rand64::new(u128::from(seed) << 8);
+    let configuration = &plan.configuration;
+    let [fleet, region, _] = configuration.scope_shares.value[..] else { return Vec::new() };
+    let mut planned = Vec::new();
+    while planned.len() < size.changes {
+        let at = Duration::from_secs_f64(draws.rand_float() * size.seconds);
+        loop {
+            let kind = draws.rand_float();
+            let (scope, bytes) = if kind < fleet {
+                (Scope::Fleet, configuration.fleet_bytes.value)
+            } else if kind < fleet + region {
+                let region = draws.rand_range(0..plan.fleet.regions.value as u64) as usize;
+                (Scope::Region(region_name(region).into()), configuration.region_bytes.value)
+            } else {
+                let service = services[draws.rand_range(0..services.len() as u64) as usize];
+                (Scope::Service(service_name(service).into()), configuration.service_bytes.value)
+            };
+            planned.push(Planned { at, scope, bytes });
+            if planned.len() == size.changes || draws.rand_float() < 1.0 / configuration.bunch.value {
+                break;
+            }
+        }
+    }
+    planned.sort_by_key(|planned| planned.at);
+    planned
+}
+
+/// Publishes the changes when they are due, on a thread of its own.
+pub(super) fn publish_all(
+    origin: SocketAddr,
+    planned: Vec<Planned>,
+) -> Receiver<Result<Change, CapacityError>> {
+    let (said, changes) = channel();
+    thread::spawn(move || {
+        let start = Instant::now();
+        for (number, Planned { at, scope, bytes }) in planned.into_iter().enumerate() {
+            thread::sleep(at.saturating_sub(start.elapsed()));
+            let body = plane::body(bytes, 1 + number as u64);
+            let change = plane::publish(origin, &scope, &body, &format!("change-{number}"));
+            let failed = change.is_err();
+            if said.send(change).is_err() || failed {
+                return;
+            }
+        }
+    });
+    changes
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/size.rs
@@ -0,0 +1,66 @@
+//! How large a play is.
+
+use std::time::Duration;
+
+use super::Arguments;
+use crate::CapacityError;
+use crate::plan::Plan;
+
+/// Processes at most.
+const PROCESSES_MOST: usize = 200;
+
+/// How large a play is.
+pub(super) struct Size {
+    pub(super) balancers: usize,
+    pub(super) per_process: usize,
+    pub(super) changes: usize,
+    pub(super) list: usize,
+    pub(super) seconds: f64,
+    pub(super) rest: Duration,
+}
+
+impl Size {
+    pub(super) fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
+        let fault = |name, expected: String| Err(CapacityError::Argument { name, expected });
+        let balancers = match arguments.balancers {
+            None if arguments.small => 60,
+            None => plan.fleet.upstreams.value,
+            Some(balancers) => balancers,
+        };
+        if !(1..=plan.fleet.upstreams.value).contains(&balancers) {
+            return fault("balancers", format!("1 to {}, the plan's upstreams", plan.fleet.upstreams.value));
+        }
+        let per_process = if arguments.small { 20 } else { arguments.per_process };
+        if per_process == 0 {
+            return fault("per-process", "1 at least".to_owned());
+        }
+        let processes = balancers.div_ceil(per_process) + plan.budget.control_machines.value + 1;
+        if processes > PROCESSES_MOST {
+            return fault(
+                "per-process",
+                format!("so many that {PROCESSES_MOST} processes do, not {processes}"),
+            );
+        }
+        if arguments.changes == 0 {
+            return fault("changes", "1 at least".to_owned());
+        }
+        if !(1.0..=600.0).contains(&arguments.seconds) {
+            return fault("seconds", "1 to 600".to_owned());
+        }
+        if arguments.seeds == 0 || arguments.seeds > 100 {
+            return fault("seeds", "1 to 100".to_owned());
+        }
+        let list = arguments.list.unwrap_or(balancers);
+        if list == 0 || list > 10_000 {
+            return fault("list", "1 to 10000".to_owned());
+        }
+        Ok(Self {
+            balancers,
+            per_process,
+            changes: if arguments.small { arguments.changes.min(24) } else { arguments.changes },
+            list,
+            seconds: if arguments.small { arguments.seconds.min(2.0) } else { arguments.seconds },
+            rest: Duration::from_millis(if arguments.small { 200 } else { 5000 }),
+        })
+    }
+}
