--- /dev/null
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -0,0 +1,225 @@
+//! One play of the configuration: an origin, one relay below it, and balancers that watch the relay.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use config_distribution::document::{Scope, Update};
+
+use super::Measured;
+use crate::CapacityError;
+use crate::control::PATIENCE;
+use crate::control::rig::Rig;
+use crate::sockets::machine::Usage;
+use crate::sockets::plane::{self, Answer, Change, Machine, Plane, Role};
+use crate::sockets::swarm::{Swarm, Times};
+use crate::sockets::{region_name, service_name};
+
+/// The place of the origin among the control processes.
+const ORIGIN: usize = 0;
+/// The place of the relay among the control processes.
+const RELAY: usize = 1;
+/// Balancers of a process of a small run.
+const PER_PROCESS_SMALL: usize = 20;
+/// Services that have a document in a small run.
+const SERVICES_SMALL: usize = 30;
+/// Changes of a play.
+const CHANGES: u64 = 12;
+/// Changes of a play of a small run.
+const CHANGES_SMALL: u64 = 3;
+/// Changes that a relay has missed when it asks again.
+const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
+
+/// An origin and a relay that have all documents.
+pub(super) struct RelayPlay<'a> {
+    rig: &'a Rig<'a>,
+    watchers: usize,
+    plane: Plane,
+    /// The newest version of each scope.
+    newest: HashMap<Scope, u64>,
+}
+
+impl<'a> RelayPlay<'a> {
+    /// Starts both processes.
+    pub(super) fn start(rig: &'a Rig<'a>, watchers: usize) -> Result<Self, CapacityError> {
+        let machine = |role, parents| Machine { role, region: 0, zone: None, parents };
+        let machines = vec![machine(Role::Origin, Vec::new()), machine(Role::Region, vec![ORIGIN])];
+        Ok(Self { rig, watchers, plane: Plane::start(machines)?, newest: HashMap::new() })
+    }
+
+    /// Publishes all documents, then measures balancers at rest and through changes.
+    pub(super) fn play(mut self, all: &mut Measured) -> Result<(), CapacityError> {
+        self.publish_first()?;
+        if self.watchers == self.rig.sizes[self.rig.sizes.len() - 1] {
+            self.measure_catch_up(all)?;
+        }
+        let relay = self.plane.address(RELAY);
+        let mut swarm = self.rig.swarm(self.watchers, None, &|_, _| vec![relay])?;
+        self.wait_for_newest(&mut swarm, "not all have a configuration in time")?;
+        self.wait_for_reports(&mut swarm)?;
+        let at_rest = self.measure_rest(&mut swarm, all)?;
+        self.measure_changes(&mut swarm, &at_rest, all)
+    }
+
+    fn is_small(&self) -> bool {
+        self.rig.per_process <= PER_PROCESS_SMALL
+    }
+
+    fn publish(&mut self, scope: Scope, bytes: usize, turn: u64) -> Result<Change, CapacityError> {
+        let id = format!("{scope}-{turn}");
+        let change = plane::publish(self.plane.address(ORIGIN), &scope, &plane::body(bytes, turn), &id)?;
+        self.newest.insert(scope, change.version);
+        Ok(change)
+    }
+
+    /// Publishes the first document of each scope.
+    fn publish_first(&mut self) -> Result<(), CapacityError> {
+        let plan = self.rig.plan;
+        let configuration = &plan.configuration;
+        self.publish(Scope::Fleet, configuration.fleet_bytes.value, 0)?;
+        for region in 0..plan.fleet.regions.value {
+            let scope = Scope::Region(region_name(region).into());
+            self.publish(scope, configuration.region_bytes.value, 0)?;
+        }
+        let services = if self.is_small() { SERVICES_SMALL } else { plan.fleet.services.value };
+        for service in 0..services {
+            let scope = Scope::Service(service_name(service).into());
+            self.publish(scope, configuration.service_bytes.value, 0)?;
+        }
+        Ok(())
+    }
+
+    /// Bytes of catch-ups, while each change so far made another document.
+    fn measure_catch_up(&self, all: &mut Measured) -> Result<(), CapacityError> {
+        let index = self.newest.values().copied().max().unwrap_or(0);
+        for missed in MISSED_CHANGES.map(|missed| missed.min(self.newest.len())) {
+            let bytes = catch_up(self.plane.address(ORIGIN), index, index - missed as u64)?;
+            all.catch_up.add(missed, bytes as f64);
+        }
+        Ok(())
+    }
+
+    fn wait_for_newest(&self, swarm: &mut Swarm, otherwise: &str) -> Result<(), CapacityError> {
+        if swarm.hear_until(PATIENCE, |swarm| swarm.missing(&self.newest) == 0)? {
+            return Ok(());
+        }
+        Err(CapacityError::run(format!("configuration to {} balancers", self.watchers), otherwise))
+    }
+
+    /// Waits for the reports of a change, which follow within half a second.
+    fn wait_for_reports(&self, swarm: &mut Swarm) -> Result<(), CapacityError> {
+        swarm.hear(self.rig.window / 6)
+    }
+
+    /// What the processes use while nothing changes, by play.
+    fn measure_rest(&mut self, swarm: &mut Swarm, all: &mut Measured) -> Result<Vec<Rates>, CapacityError> {
+        let mut at_rest = Vec::new();
+        for _ in 0..self.rig.plays {
+            let from = Moment::of(swarm, &mut self.plane)?;
+            swarm.hear(self.rig.window)?;
+            let to = Moment::of(swarm, &mut self.plane)?;
+            let rest = from.until(&to);
+            all.rest_bytes.add(self.watchers, rest.bytes);
+            all.server_core.add(self.watchers, rest.server / 1e9);
+            all.server_kb.add(self.watchers, to.server.resident_kb as f64);
+            all.client_core.add(self.watchers, rest.clients / 1e9);
+            all.client_kb.add(self.watchers, to.clients.resident_kb as f64);
+            at_rest.push(rest);
+        }
+        Ok(at_rest)
+    }
+
+    fn measure_changes(
+        &mut self,
+        swarm: &mut Swarm,
+        at_rest: &[Rates],
+        all: &mut Measured,
+    ) -> Result<(), CapacityError> {
+        let changes = if self.is_small() { CHANGES_SMALL } else { CHANGES };
+        let from = Moment::of(swarm, &mut self.plane)?;
+        for turn in 1..=changes {
+            self.measure_change(swarm, turn, all)?;
+            self.wait_for_reports(swarm)?;
+        }
+        let to = Moment::of(swarm, &mut self.plane)?;
+        let rates = from.until(&to);
+        let seconds = (to.at - from.at).as_secs_f64() / changes as f64;
+        let mean = |cost: fn(&Rates) -> f64| at_rest.iter().map(cost).sum::<f64>() / at_rest.len() as f64;
+        let beyond_rest = |cost: fn(&Rates) -> f64| (cost(&rates) - mean(cost)) * seconds;
+        all.change_bytes.add(self.watchers, beyond_rest(|rates| rates.bytes));
+        all.change_server_us.add(self.watchers, beyond_rest(|rates| rates.server) / 1e3);
+        all.change_client_us.add(self.watchers, beyond_rest(|rates| rates.clients) / 1e3);
+        Ok(())
+    }
+
+    fn measure_change(
+        &mut self,
+        swarm: &mut Swarm,
+        turn: u64,
+        all: &mut Measured,
+    ) -> Result<(), CapacityError> {
+        let bytes = self.rig.plan.configuration.fleet_bytes.value;
+        let change = self.publish(Scope::Fleet, bytes, turn)?;
+        self.wait_for_newest(swarm, "a change has not come to all in time")?;
+        let (mut times, mut sent) = (Times::new()?, Times::new()?);
+        for (_, at_ns) in swarm.times(&change) {
+            let Some(at_ns) = at_ns else { continue };
+            times.add(at_ns.saturating_sub(change.acknowledged_ns));
+            sent.add(at_ns.saturating_sub(change.sent_ns));
+        }
+        all.p50.add(self.watchers, times.at(0.5));
+        all.p99.add(self.watchers, times.at(0.99));
+        all.last.add(self.watchers, times.at(1.0));
+        all.sent_last.add(self.watchers, sent.at(1.0));
+        Ok(())
+    }
+}
+
+/// Sums at one moment.
+struct Moment {
+    at: Instant,
+    bytes: u64,
+    server: Usage,
+    clients: Usage,
+}
+
+/// Each a second: bytes, nanoseconds of processor time.
+struct Rates {
+    bytes: f64,
+    server: f64,
+    clients: f64,
+}
+
+impl Moment {
+    fn of(swarm: &mut Swarm, plane: &mut Plane) -> Result<Self, CapacityError> {
+        let bytes = swarm.carried()?.bytes;
+        Ok(Self { at: Instant::now(), bytes, server: plane.usage(RELAY), clients: swarm.usage() })
+    }
+
+    fn until(&self, to: &Self) -> Rates {
+        let seconds = (to.at - self.at).as_secs_f64();
+        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
+        Rates {
+            bytes: each(self.bytes, to.bytes),
+            server: each(self.server.cpu_ns, to.server.cpu_ns),
+            clients: each(self.clients.cpu_ns, to.clients.cpu_ns),
+        }
+    }
+}
+
+/// Bytes of a relay's question to the origin from `since`, which stands at `index`.
+fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, CapacityError> {
+    let place = format!("a catch-up of the configuration from {since}");
+    let head = format!("GET /configuration?since={since}&scopes=* HTTP/1.1\r\n");
+    let until = Instant::now() + PATIENCE;
+    loop {
+        let Answer { status, body, bytes } =
+            plane::ask(origin, &head, "").map_err(|cause| CapacityError::run(&place, cause))?;
+        match serde_json::from_str::<Update>(body.trim()) {
+            Ok(update) if status == 200 && update.index == index => return Ok(bytes as u64),
+            _ if Instant::now() < until => thread::sleep(Duration::from_millis(10)),
+            _ => return Err(CapacityError::run(&place, format!("answered {status}"))),
+        }
+    }
+}
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -7,11 +7,10 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 use crate::slope::{Fit, Point, Slope, commit};
-use crate::sockets::hollow::{Hollow, Job};
+use crate::sockets::hollow::Job;
 use crate::sockets::list::ListServer;
-use crate::sockets::plane;
 use crate::sockets::swarm::Swarm;
-use crate::sockets::{fleet, region_name, service_name, zone_names};
+use crate::sockets::{fleet, hollow_balancers, zone_names};
 
 pub(super) struct Rig<'a> {
     pub(super) plan: &'a Plan,
@@ -48,9 +47,10 @@
 }
 
 impl Rig<'_> {
-    pub(super) fn write(&self, part: &str, plays: Plays, about: About) -> Result<(), CapacityError> {
+    pub(super) fn write(&self, part: &str, plays: &Plays, about: About) -> Result<(), CapacityError> {
         let most = plays.0.iter().map(|(_, plays)| plays.len()).max().unwrap_or(0);
-        let points: Vec<Point> = plays.0.into_iter().filter_map(|(x, plays)| Point::of(x, plays)).collect();
+        let points: Vec<Point> =
+            plays.0.iter().filter_map(|(x, plays)| Point::of(*x, plays.clone())).collect();
         let fit = Fit::through(&points);
         let slope = Slope {
             name: about.name.to_owned(),
@@ -90,21 +90,7 @@
         list: Option<SocketAddr>,
         parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
     ) -> Result<Swarm, CapacityError> {
-        let balancers: Vec<Hollow> = fleet(self.plan, watchers)
-            .into_iter()
-            .enumerate()
-            .map(|(number, (service, zone))| {
-                let region = plane::region_of(self.plan, zone);
-                Hollow {
-                    number,
-                    service: service_name(service),
-                    region: region_name(region),
-                    zone,
-                    parents: parents(region, zone),
-                    seed: self.seed << 16 | number as u64,
-                }
-            })
-            .collect();
+        let balancers = hollow_balancers(self.plan, &fleet(self.plan, watchers), self.seed, parents);
         // Reports come every 5 s from each balancer's start: spread over that, as a fleet's are.
         let apart_ms = if self.per_process > 20 { 48 } else { 0 };
         let job = Job { list, zones: zone_names(self.plan), apart_ms, balancers: Vec::new() };
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -1,5 +1,6 @@
 //! Real balancers through changes of the list and of configuration, under load.
 
+use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::mpsc;
 use std::thread;
@@ -65,6 +66,12 @@
 const LIST_EVERY_S: f64 = 0.3;
 /// Connections of callers to each balancer that stand beforehand.
 const CALLERS: usize = 8;
+/// Connections to the stand-in upstreams of direct calls that stand beforehand.
+const DIRECT_CONNECTIONS: usize = 64;
+/// Balancers of a small play.
+const BALANCERS_SMALL: usize = 3;
+/// Time between two changes of a small play, in seconds.
+const EVERY_SMALL_S: f64 = 0.03;
 
 /// Does it.
 ///
@@ -72,47 +79,90 @@
 /// With the place where it went wrong; also where a call was lost, wrongly answered or ran twice though it must not,
 /// after the table of it is written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
-    let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
-    let small = arguments.common.small;
-    let (balancers, changes) =
-        if small { (3, BLOCK.min(arguments.changes)) } else { (arguments.balancers, arguments.changes) };
-    if !(1..=world::BALANCERS_MOST).contains(&arguments.balancers) {
-        return wrong("balancers", format!("1 to {}", world::BALANCERS_MOST));
-    }
-    if !(1..=1000).contains(&arguments.changes) {
-        return wrong("changes", "1 to 1000".to_owned());
-    }
-    if !(0.01..=60.0).contains(&arguments.every.unwrap_or(LIST_EVERY_S)) {
-        return wrong("every", "0.01 to 60 s".to_owned());
-    }
-    if !(2..=2000).contains(&arguments.upstreams) {
-        return wrong("upstreams", "2 to 2000".to_owned());
-    }
-    let rate = arguments.rate.unwrap_or_else(|| plan.mean_rate(Reading::Hops)) * balancers as f64;
-    if !(1.0..=RATE_MOST).contains(&rate) {
-        return wrong("rate", format!("1 to {RATE_MOST} a second, over all balancers"));
-    }
-    let cores = thread::available_parallelism().map_or(1, usize::from);
-    if cores < 2 && !arguments.anywhere && !small {
-        return wrong("anywhere", "needed with one core".to_owned());
-    }
+    let size = Size::of(arguments, plan)?;
     let (_, results) = arguments.common.folders()?;
     let mut rng = Rand64::new(u128::from(arguments.common.seed));
     let kinds = match arguments.what {
         What::Both => vec![What::List, What::Configuration],
         one => vec![one],
     };
-    let (mut rows, mut bad) = (Vec::new(), Counts::default());
+    let (mut rows, mut counts) = (Vec::new(), Counts::default());
     for what in kinds {
-        let usual =
-            if what == What::List { LIST_EVERY_S } else { 60.0 / plan.configuration.peak_per_minute.value };
-        let every = Duration::from_secs_f64(if small { 0.03 } else { arguments.every.unwrap_or(usual) });
-        let setup = Setup { arguments, plan, cores, what, balancers, changes, every, rate };
+        let every = interval(arguments, plan, what);
+        let setup = Setup { arguments, plan, size, what, every };
         let played = setup.play(&mut rng)?;
-        bad = bad.and(played.counts);
+        counts = counts.and(played.counts);
         rows.push(played.row(&setup)?);
     }
-    let table = Results {
+    let table = table(arguments, &size, rows);
+    for row in &table.rows {
+        for (column, value) in table.columns.iter().zip(row) {
+            println!("{column}: {value}");
+        }
+    }
+    table.write(&results)?;
+    if counts.wrong + counts.lost + counts.twice > 0 {
+        return Err(CapacityError::run("real balancers", format!("{counts:?}")));
+    }
+    Ok(())
+}
+
+/// How large a play is.
+#[derive(Clone, Copy)]
+struct Size {
+    balancers: usize,
+    changes: usize,
+    /// Calls a second over all balancers.
+    rate: f64,
+    /// Of the machine; counted before a thread is held to some of them.
+    cores: usize,
+}
+
+impl Size {
+    /// Of these arguments.
+    ///
+    /// # Errors
+    /// One is outside its range.
+    fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
+        let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
+        let small = arguments.common.small;
+        if !(1..=world::BALANCERS_MOST).contains(&arguments.balancers) {
+            return wrong("balancers", format!("1 to {}", world::BALANCERS_MOST));
+        }
+        if !(1..=1000).contains(&arguments.changes) {
+            return wrong("changes", "1 to 1000".to_owned());
+        }
+        if !(0.01..=60.0).contains(&arguments.every.unwrap_or(LIST_EVERY_S)) {
+            return wrong("every", "0.01 to 60 s".to_owned());
+        }
+        if !(2..=2000).contains(&arguments.upstreams) {
+            return wrong("upstreams", "2 to 2000".to_owned());
+        }
+        let balancers = if small { BALANCERS_SMALL } else { arguments.balancers };
+        let rate = arguments.rate.unwrap_or_else(|| plan.mean_rate(Reading::Hops)) * balancers as f64;
+        if !(1.0..=RATE_MOST).contains(&rate) {
+            return wrong("rate", format!("1 to {RATE_MOST} a second, over all balancers"));
+        }
+        let cores = thread::available_parallelism().map_or(1, usize::from);
+        if cores < 2 && !arguments.anywhere && !small {
+            return wrong("anywhere", "needed with one core".to_owned());
+        }
+        let changes = if small { BLOCK.min(arguments.changes) } else { arguments.changes };
+        Ok(Self { balancers, changes, rate, cores })
+    }
+}
+
+/// The time between two changes.
+fn interval(arguments: &Arguments, plan: &Plan, what: What) -> Duration {
+    let usual_s =
+        if what == What::List { LIST_EVERY_S } else { 60.0 / plan.configuration.peak_per_minute.value };
+    let small = arguments.common.small;
+    Duration::from_secs_f64(if small { EVERY_SMALL_S } else { arguments.every.unwrap_or(usual_s) })
+}
+
+fn table(arguments: &Arguments, size: &Size, rows: Vec<Vec<String>>) -> Results {
+    let Size { balancers, changes, rate, .. } = size;
+    Results {
         name: "real".to_owned(),
         what: "Real balancers under load through changes of the list and of configuration.".to_owned(),
         command: format!(
@@ -132,17 +182,7 @@
              balancers less that of direct calls, in us; the blocks without changes have the spread that is told.",
             arguments.upstreams,
         ),
-    };
-    for row in &table.rows {
-        for (column, value) in table.columns.iter().zip(row) {
-            println!("{column}: {value}");
-        }
-    }
-    table.write(&results)?;
-    if bad.wrong + bad.lost + bad.twice > 0 {
-        return Err(CapacityError::run("real balancers", format!("{bad:?}")));
     }
-    Ok(())
 }
 
 const COLUMNS: [&str; 18] = [
@@ -169,13 +209,19 @@
 struct Setup<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
-    /// Of the machine; counted before a thread is held to some of them.
-    cores: usize,
+    size: Size,
     what: What,
-    balancers: usize,
-    changes: usize,
     every: Duration,
-    rate: f64,
+}
+
+/// The processes and stand-ins of a play; the balancers end first.
+struct Running {
+    balancers: Vec<Balancer>,
+    distribution: Option<Distribution>,
+    discovery: Discovery,
+    upstreams: Upstreams,
+    /// What the balancers' logs say is in force.
+    says: mpsc::Receiver<InForce>,
 }
 
 /// What a play gave.
@@ -195,6 +241,9 @@
     at: Instant,
 }
 
+/// The changes of configuration that were published, and how long each drain took to be in force.
+type Changes = (Vec<Published>, Vec<Duration>);
+
 /// A change that was published.
 struct Published {
     scope: &'static str,
@@ -209,22 +258,47 @@
     }
 
     fn length(&self) -> Duration {
-        self.every * (2 * BLOCK * self.changes.div_ceil(BLOCK)) as u32
+        self.every * (2 * BLOCK * self.size.changes.div_ceil(BLOCK)) as u32
     }
 
     fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
         let program = self.arguments.common.program(world::BALANCER)?;
-        let apart = !self.arguments.anywhere && !self.arguments.common.small;
-        if apart {
-            world::hold_to(&format!("1-{}", self.cores - 1))?;
+        if self.is_apart() {
+            world::hold_to(&format!("1-{}", self.size.cores - 1))?;
+        }
+        let calls = self.draw_calls(rng);
+        let running = self.start(&program, calls.len())?;
+        let first = running.upstreams.seen.take_ids(calls.len())?;
+        let (played, (published, mut in_force)) = self.call_through_changes(&running, &calls, first)?;
+        if running.distribution.is_some() {
+            let words = words(&running.says, &published, self.size.balancers);
+            for change in &published {
+                in_force.push(self.last(change, &words)?);
+            }
         }
-        let mut calls = world::paired(rng, 2, self.rate, self.length(), false);
+        let counts = Counts::of(&calls, &played, &running.upstreams.seen, first);
+        Ok(Outcome { calls, played, counts, in_force })
+    }
+
+    /// Whether the caller's thread has a core for itself.
+    fn is_apart(&self) -> bool {
+        !self.arguments.anywhere && !self.arguments.common.small
+    }
+
+    /// Pairs of a direct call and one through a drawn balancer.
+    fn draw_calls(&self, rng: &mut Rand64) -> Vec<Call> {
+        let mut calls = world::paired(rng, 2, self.size.rate, self.length(), false);
         for call in calls.iter_mut().filter(|call| call.way > 0) {
-            call.way = 1 + rng.rand_range(0..self.balancers as u64) as usize;
+            call.way = 1 + rng.rand_range(0..self.size.balancers as u64) as usize;
         }
+        calls
+    }
+
+    /// Starts everything that the calls need.
+    fn start(&self, program: &Path, calls: usize) -> Result<Running, CapacityError> {
         // Direct calls go to some that no list has, so that a call to one that drains is a balancer's.
         let listed = self.arguments.upstreams;
-        let upstreams = Upstreams::start(listed + DIRECT, 2, calls.len())?;
+        let upstreams = Upstreams::start(listed + DIRECT, 2, calls)?;
         let entries = &upstreams.entries()[..listed];
         let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
         let discovery = Discovery::start(entries.to_vec(), beat)?;
@@ -234,10 +308,10 @@
             }
             _ => None,
         };
-        let settings = world::settings(self.plan, self.balancers);
+        let settings = world::settings(self.plan, self.size.balancers);
         let (said, says) = mpsc::channel();
         let mut balancers = Vec::new();
-        for number in 0..self.balancers {
+        for number in 0..self.size.balancers {
             let name = format!("b{number}");
             let mut configuration = world::configuration(&name, discovery.address, entries, &settings);
             configuration["settings"]["me"] = number.into();
@@ -245,47 +319,49 @@
             if let Some(distribution) = &distribution {
                 configuration["distribution"] = distribution.named();
             }
-            let said = said.clone();
-            let line = move |line: &str| {
-                for (scope, version) in in_force(line) {
-                    let at = Instant::now();
-                    let _ = said.send(InForce { balancer: number, scope, version, at });
-                }
-            };
-            balancers.push(Balancer::start(&program, &configuration, None, line)?);
+            let line = reporter(number, said.clone());
+            balancers.push(Balancer::start(program, &configuration, None, line)?);
         }
+        Ok(Running { balancers, distribution, discovery, upstreams, says })
+    }
+
+    /// The way of direct calls, then that of each balancer.
+    fn ways(&self, running: &Running) -> Vec<Way> {
         let way = |targets, warm| Way {
             targets,
             warm,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
-        let mut ways = vec![way(upstreams.addresses[listed..].to_vec(), 64)];
-        ways.extend(balancers.iter().map(|balancer| way(vec![balancer.address], CALLERS)));
-        let first = upstreams.seen.take_ids(calls.len())?;
+        let direct = running.upstreams.addresses[self.arguments.upstreams..].to_vec();
+        let mut ways = vec![way(direct, DIRECT_CONNECTIONS)];
+        ways.extend(running.balancers.iter().map(|balancer| way(vec![balancer.address], CALLERS)));
+        ways
+    }
+
+    /// Makes the calls on a thread of their own, and the changes meanwhile.
+    fn call_through_changes(
+        &self,
+        running: &Running,
+        calls: &[Call],
+        first: usize,
+    ) -> Result<(Vec<Played>, Changes), CapacityError> {
+        let ways = self.ways(running);
         let zero = Instant::now() + world::CONNECT_FIRST * 2;
         let over = AtomicBool::new(false);
-        let (played, published) = thread::scope(|scope| {
+        thread::scope(|scope| {
             let caller = scope.spawn(|| {
-                let placed = if apart { world::hold_to("0") } else { Ok(()) };
+                let placed = if self.is_apart() { world::hold_to("0") } else { Ok(()) };
                 let progress = AtomicUsize::new(0);
-                let played = placed.and_then(|()| world::play(&calls, &ways, first, zero, &progress));
+                let played = placed.and_then(|()| world::play(calls, &ways, first, zero, &progress));
                 over.store(true, Ordering::Release);
                 played
             });
-            let published = self.make_changes(zero, &over, &upstreams, &discovery, distribution.as_ref());
-            (caller.join(), published)
-        });
-        let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
-        let (published, mut in_force) = published?;
-        if distribution.is_some() {
-            let words = words(&says, &published, self.balancers);
-            for change in &published {
-                in_force.push(self.last(change, &words)?);
-            }
-        }
-        let counts = Counts::of(&calls, &played, &upstreams.seen, first);
-        Ok(Outcome { calls, played, counts, in_force })
+            let changes = self.make_changes(zero, &over, running);
+            let ended = |_| CapacityError::run("calling", "the caller's thread ended");
+            let played = caller.join().map_err(ended)??;
+            Ok((played, changes?))
+        })
     }
 
     /// Makes the changes at their times; tells those of configuration, and how long each drain took to be in force.
@@ -293,13 +369,12 @@
         &self,
         zero: Instant,
         over: &AtomicBool,
-        upstreams: &Upstreams,
-        discovery: &Discovery,
-        distribution: Option<&Distribution>,
-    ) -> Result<(Vec<Published>, Vec<Duration>), CapacityError> {
+        running: &Running,
+    ) -> Result<Changes, CapacityError> {
+        let Running { upstreams, discovery, distribution, .. } = running;
         let (mut published, mut drained) = (Vec::new(), Vec::new());
         let mut drains: Option<(usize, Instant)> = None;
-        for number in 0..self.changes {
+        for number in 0..self.size.changes {
             // The first block of each two is without.
             let slot = number / BLOCK * 2 * BLOCK + BLOCK + number % BLOCK;
             let at = zero + self.every * slot as u32;
@@ -328,7 +403,7 @@
     /// When a change was in force at the last balancer: that version, or a later one of its scope.
     fn last(&self, change: &Published, words: &[InForce]) -> Result<Duration, CapacityError> {
         let mut last = Duration::ZERO;
-        for balancer in 0..self.balancers {
+        for balancer in 0..self.size.balancers {
             let word = words.iter().find(|word| {
                 word.balancer == balancer && word.scope == change.scope && word.version >= change.version
             });
@@ -343,6 +418,17 @@
     }
 }
 
+/// Sends on what a balancer's log says is in force.
+fn reporter(balancer: usize, said: mpsc::Sender<InForce>) -> impl Fn(&str) {
+    move |line| {
+        for (scope, version) in in_force(line) {
+            let at = Instant::now();
+            // Once the play has ended, nobody wants to know.
+            let _ = said.send(InForce { balancer, scope, version, at });
+        }
+    }
+}
+
 /// The scopes and versions that a line of a balancer's log says are in force.
 fn in_force(line: &str) -> Vec<(String, u64)> {
     let Some((_, list)) = line.split_once("in force over the file's own settings: ") else {
@@ -392,7 +478,7 @@
         let (without, with) =
             (|block: usize| block.is_multiple_of(2), |block: usize| !block.is_multiple_of(2));
         let mut quiet = Vec::new();
-        for block in (0..2 * setup.changes.div_ceil(BLOCK)).step_by(2) {
+        for block in (0..2 * setup.size.changes.div_ceil(BLOCK)).step_by(2) {
             quiet.push(format!("{:.0}", added(0.99, &|other| other == block)?));
         }
         let mut in_force: Vec<f64> = self.in_force.iter().map(|span| span.as_secs_f64() * 1000.0).collect();
@@ -401,8 +487,8 @@
         let counts = self.counts;
         Ok(vec![
             if setup.what == What::List { "the list" } else { "configuration" }.to_owned(),
-            setup.balancers.to_string(),
-            setup.changes.to_string(),
+            setup.size.balancers.to_string(),
+            setup.size.changes.to_string(),
             format!("{:.2}", setup.every.as_secs_f64()),
             counts.calls.to_string(),
             counts.right.to_string(),
--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -21,7 +21,7 @@
 mod size;
 pub mod swarm;
 
-pub use self::fleet::{fleet, region_name, service_name, zone_names};
+pub use self::fleet::{fleet, hollow_balancers, region_name, service_name, zone_names};
 use self::outcome::COLUMNS;
 use self::play::{play, return_window};
 use self::size::Size;
@@ -116,12 +116,28 @@
         }
     }
     let before = if arguments.add { Results::read(&folder, "sockets").ok() } else { None };
+    let earlier = before.map(|before| before.rows).unwrap_or_default();
+    results(merged(earlier, rows), &size, plan).write(&folder)?;
+    if missed.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", missed.join("; "))) }
+}
+
+/// The new rows and those of other scenarios and seeds, in their order.
+fn merged(earlier: Vec<Vec<String>>, new: Vec<Vec<String>>) -> Vec<Vec<String>> {
     let key = |row: &Vec<String>| row[..2].to_vec();
-    let mut kept: Vec<_> = before.map(|before| before.rows).unwrap_or_default();
-    kept.retain(|row| rows.iter().all(|new| key(new) != key(row)));
-    kept.extend(rows);
-    kept.sort_by_key(|row| (scenario_place(&row[0]), row[1].parse().unwrap_or(0)));
+    let mut rows = earlier;
+    rows.retain(|row| new.iter().all(|new| key(new) != key(row)));
+    rows.extend(new);
+    rows.sort_by_key(|row| (scenario_place(&row[0]), row[1].parse().unwrap_or(0)));
+    rows
+}
+
+fn scenario_place(name: &str) -> usize {
+    Scenario::value_variants().iter().position(|scenario| scenario.name() == name).unwrap_or(usize::MAX)
+}
+
+fn results(rows: Vec<Vec<String>>, size: &Size, plan: &Plan) -> Results {
     let Size { balancers, changes, list, .. } = size;
+    let changes_per_minute = *changes as f64 / size.seconds * 60.0;
     Results {
         name: "sockets".to_owned(),
         what: format!(
@@ -131,7 +147,7 @@
         command: "target/release/capacity sockets --seeds 3".to_owned(),
         commit: commit(),
         columns: COLUMNS.map(str::to_owned).to_vec(),
-        rows: kept,
+        rows,
         note: format!(
             "Hollow: the balancer's own client of the list with its decisions ({list} entries) and the real client of \
              the configuration, no callers. The list server is a stand-in; a list entry changes every 2 s. Changes come in \
@@ -142,15 +158,9 @@
             size.seconds,
             format_args!(
                 "{:.0} times the plan's peak",
-                changes as f64 / size.seconds * 60.0 / plan.configuration.peak_per_minute.value
+                changes_per_minute / plan.configuration.peak_per_minute.value
             ),
             return_window(size.seconds).as_secs_f64(),
         ),
     }
-    .write(&folder)?;
-    if missed.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", missed.join("; "))) }
-}
-
-fn scenario_place(name: &str) -> usize {
-    Scenario::value_variants().iter().position(|scenario| scenario.name() == name).unwrap_or(usize::MAX)
 }
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -1,5 +1,8 @@
 //! The balancers of the plan: their services, regions and zones.
 
+use std::net::SocketAddr;
+
+use super::hollow::Hollow;
 use super::plane;
 use crate::plan::Plan;
 
@@ -36,6 +39,28 @@
         .collect()
 }
 
+/// The balancers at these places, each with the parents that a balancer of its region and zone has.
+#[must_use]
+pub fn hollow_balancers(
+    plan: &Plan,
+    placements: &[(usize, usize)],
+    seed: u64,
+    parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
+) -> Vec<Hollow> {
+    let balancer = |(number, &(service, zone)): (usize, &(usize, usize))| {
+        let region = plane::region_of(plan, zone);
+        Hollow {
+            number,
+            service: service_name(service),
+            region: region_name(region),
+            zone,
+            parents: parents(region, zone),
+            seed: seed << 16 | number as u64,
+        }
+    };
+    placements.iter().enumerate().map(balancer).collect()
+}
+
 /// The name of a service.
 #[must_use]
 pub fn service_name(service: usize) -> String {
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -1,39 +1,199 @@
 //! One play, from the start of its processes to its outcome.
 
 use std::collections::HashMap;
-use std::sync::mpsc::TryRecvError;
+use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use config_distribution::document::Scope;
-use oorandom::Rand64;
 
 use super::cost::{Cost, Mark};
-use super::hollow::{Hollow, Job, WINDOW_S};
+use super::fleet::hollow_balancers;
+use super::hollow::Job;
 use super::list::ListServer;
 use super::outcome::Outcome;
-use super::plane::{self, Change, Machine, Plane, Role};
-use super::schedule::{Planned, publish_all, schedule};
+use super::plane::{self, Machine, Plane, Role};
+use super::schedule::schedule;
 use super::size::Size;
 use super::swarm::{Swarm, Times};
 use super::{Scenario, fleet, machine, region_name, service_name, zone_names};
 use crate::CapacityError;
 use crate::plan::Plan;
 
+mod fault;
+
+use self::fault::{ChangesAndFault, Cut, Played, Target};
+
 /// Part of the machine's memory at most.
 const MEMORY_PART: f64 = 0.5;
 /// How long the last change may take before the play is given up.
 const PATIENCE: Duration = Duration::from_secs(40);
+/// Part of a play's changes, at its end, in which the return from a fault is looked at.
+const RETURN_PART: f64 = 0.35;
+/// Between the starts of two balancers of a process, in ms; a small play, whose processes have fewer balancers, has none.
+const START_INTERVAL_MS: u64 = 20;
+/// Balancers of a process of a small play.
+const PER_PROCESS_SMALL: usize = 20;
+
+/// Plays one scenario with one seed.
+///
+/// # Errors
+/// A process does not start or ends early, or the play needs more memory than it may.
+pub(super) fn play(
+    scenario: Scenario,
+    seed: u64,
+    size: &Size,
+    plan: &Plan,
+) -> Result<Outcome, CapacityError> {
+    let target = Target::draw(plan, seed);
+    let mut play = Play::start(scenario, seed, size, plan)?;
+    play.wait_until_ready()?;
+    let (rest_from, rest_to) = play.rest()?;
+    let played = ChangesAndFault::start(&mut play, &target).run()?;
+    let missing = play.wait_for_last_changes(&played)?;
+    let end = play.mark()?;
+    let elsewhere = play.reconnect_list_watches()?;
+    let times = play.change_times(&played, &target)?;
+    let machines: Vec<Machine> = play.plane.machines().cloned().collect();
+    let cost = |from, to| Cost::between(from, to, size.balancers, &machines);
+    Ok(Outcome {
+        scenario,
+        seed,
+        balancers: size.balancers,
+        changes: played.changes.len(),
+        times: times.from_acknowledgement,
+        from_sending: times.from_sending,
+        back: play.swarm.back,
+        missing,
+        elsewhere,
+        rest: cost(&rest_from, &rest_to),
+        play: cost(&rest_to, &end),
+        back_again: cost(&played.return_from, &played.return_to),
+        most_in_window: played.return_to.most_in_window,
+        balancer_mb: end.balancers.resident_kb as f64 / 1024.0 / size.balancers as f64,
+        control_mb: largest_control_mb(&end, &machines),
+    })
+}
+
+/// For how long the return is looked at.
+pub(super) fn return_window(seconds: f64) -> Duration {
+    Duration::from_secs_f64((seconds * RETURN_PART).min(super::hollow::WINDOW_S as f64))
+}
+
+/// The memory of the largest control process, in MB, and what that process is.
+fn largest_control_mb(end: &Mark, machines: &[Machine]) -> (f64, Role) {
+    let largest = end.control.iter().zip(machines).map(|(one, machine)| (one.1, machine.role)).max();
+    let (largest_kb, role) = largest.unwrap_or((0, Role::Origin));
+    (largest_kb as f64 / 1024.0, role)
+}
 
+/// The running processes of a play.
 struct Play<'a> {
+    scenario: Scenario,
+    seed: u64,
     size: &'a Size,
+    plan: &'a Plan,
+    /// By balancer: its service and its zone.
+    placements: Vec<(usize, usize)>,
     plane: Plane,
     swarm: Swarm,
     list: ListServer,
+    /// The newest version of each scope.
+    newest: HashMap<Scope, u64>,
     memory_most_kb: u64,
     place: String,
 }
 
-impl Play<'_> {
+/// Times of all changes until they were in force, over all balancers.
+struct ChangeTimes {
+    from_acknowledgement: Times,
+    from_sending: Times,
+}
+
+impl<'a> Play<'a> {
+    /// Starts all processes; all documents are published before the balancers start.
+    fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
+        let placements = fleet(plan, size.balancers);
+        let plane = Plane::start(plane::deal(plan))?;
+        let newest = publish_first(plane.address(0), plan, &services(&placements))?;
+        let list = start_list(size, plan)?;
+        let balancers =
+            hollow_balancers(plan, &placements, seed, &|region, zone| plane.parents_of(region, zone));
+        let job = Job {
+            list: Some(list.address),
+            zones: zone_names(plan),
+            apart_ms: if size.per_process > PER_PROCESS_SMALL { START_INTERVAL_MS } else { 0 },
+            balancers: Vec::new(),
+        };
+        let swarm = Swarm::start(&balancers, size.per_process, &job)?;
+        let memory_most_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MEMORY_PART) as u64;
+        let place = format!("sockets {} {seed}", scenario.name());
+        Ok(Self { scenario, seed, size, plan, placements, plane, swarm, list, newest, memory_most_kb, place })
+    }
+
+    /// Waits until all balancers have their list and their documents.
+    fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
+        let newest = &self.newest;
+        let is_ready = |swarm: &Swarm| swarm.all_listed() && swarm.missing(newest) == 0;
+        if self.swarm.hear_until(PATIENCE, is_ready)? {
+            return Ok(());
+        }
+        let missing = self.swarm.missing(newest);
+        let cause = format!("{missing} balancers have no configuration at the start");
+        Err(CapacityError::run(self.place.clone(), cause))
+    }
+
+    /// The sums before and after a span in which nothing changes.
+    fn rest(&mut self) -> Result<(Mark, Mark), CapacityError> {
+        // Lists and documents of the start are behind them.
+        self.swarm.hear(self.size.rest / 2)?;
+        let from = self.mark()?;
+        self.swarm.hear(self.size.rest)?;
+        Ok((from, self.mark()?))
+    }
+
+    /// Waits until all balancers have the last change of each scope; gives how many do not.
+    fn wait_for_last_changes(&mut self, played: &Played) -> Result<usize, CapacityError> {
+        for change in &played.changes {
+            self.newest.insert(change.scope.clone(), change.version);
+        }
+        let newest = &self.newest;
+        self.swarm.hear_until(PATIENCE, |swarm| swarm.missing(newest) == 0)?;
+        Ok(self.swarm.missing(newest))
+    }
+
+    /// Ends all watches of the list, which each ask anew from where they stand; gives how many stood elsewhere than the
+    /// list.
+    fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
+        let (list, balancers) = (&self.list, self.size.balancers);
+        let (asked, index) = (list.asked().len(), list.index());
+        list.close_all();
+        let again = || list.asked().len().saturating_sub(asked);
+        self.swarm.hear_until(PATIENCE, |_| again() >= balancers)?;
+        let stood = list.asked();
+        Ok(balancers.abs_diff(stood[asked..].iter().filter(|&&since| since == index).count()))
+    }
+
+    fn change_times(&self, played: &Played, target: &Target) -> Result<ChangeTimes, CapacityError> {
+        let mut times = ChangeTimes { from_acknowledgement: Times::new()?, from_sending: Times::new()? };
+        for change in &played.changes {
+            for (balancer, at_ns) in self.swarm.times(change) {
+                let Some(at_ns) = at_ns else { continue };
+                let zone = self.placements[balancer].1;
+                let is_cut_off = plane::region_of(self.plan, zone) == target.far_region;
+                // What was published within the cut could reach these balancers from its end on.
+                let cut = played.cut.filter(|cut| is_cut_off && cut.contains(change.acknowledged_ns));
+                let floor = cut.map_or(0, |Cut { end_ns, .. }| end_ns);
+                times.from_acknowledgement.add(at_ns.saturating_sub(change.acknowledged_ns.max(floor)));
+                times.from_sending.add(at_ns.saturating_sub(change.sent_ns.max(floor)));
+            }
+        }
+        Ok(times)
+    }
+
+    /// The sums of now.
+    ///
+    /// # Errors
+    /// The processes use more memory than they may.
     fn mark(&mut self) -> Result<Mark, CapacityError> {
         let carried = self.swarm.carried()?;
         let places = self.plane.machines().count();
@@ -53,278 +213,67 @@
             most_in_window: carried.most_in_window,
             control,
         };
+        self.check_memory(&mark)?;
+        Ok(mark)
+    }
+
+    fn check_memory(&self, mark: &Mark) -> Result<(), CapacityError> {
         let own = machine::usage(std::process::id()).unwrap_or_default().resident_kb;
         let used: u64 = own + mark.balancers.resident_kb + mark.control.iter().map(|one| one.1).sum::<u64>();
-        if used > self.memory_most_kb {
-            return Err(CapacityError::Memory {
-                place: self.place.clone(),
-                used_mb: used / 1024,
-                bound_mb: self.memory_most_kb / 1024,
-            });
+        if used <= self.memory_most_kb {
+            return Ok(());
         }
-        Ok(mark)
+        Err(CapacityError::Memory {
+            place: self.place.clone(),
+            used_mb: used / 1024,
+            bound_mb: self.memory_most_kb / 1024,
+        })
     }
 
-    /// Kills the control processes of these places.
-    fn kill(&mut self, which: impl Fn(&Machine) -> bool) {
-        let places: Vec<usize> = self
-            .plane
-            .machines()
-            .enumerate()
-            .filter_map(|(place, machine)| which(machine).then_some(place))
-            .collect();
+    /// Kills the control processes that match.
+    fn kill(&mut self, matches: impl Fn(&Machine) -> bool) {
+        let machines = self.plane.machines().enumerate();
+        let places: Vec<usize> =
+            machines.filter_map(|(place, machine)| matches(machine).then_some(place)).collect();
         for place in places {
             self.plane.kill(place);
         }
     }
 }
 
-/// What is drawn for a play's fault.
-struct Target {
-    zone: usize,
-    region: usize,
-    /// Not the origin's.
-    far_region: usize,
+/// The services that are played.
+fn services(placements: &[(usize, usize)]) -> Vec<usize> {
+    let mut services: Vec<usize> = placements.iter().map(|&(service, _)| service).collect();
+    services.dedup();
+    services
 }
 
-pub(super) fn play(
-    scenario: Scenario,
-    seed: u64,
-    size: &Size,
+/// Publishes the first document of each scope; gives their versions.
+fn publish_first(
+    origin: SocketAddr,
     plan: &Plan,
-) -> Result<Outcome, CapacityError> {
-    let place = format!("sockets {} {seed}", scenario.name());
-    let machines = plane::deal(plan);
-    let regions = plan.fleet.regions.value;
-    let mut draws = Rand64::new(u128::from(seed) << 8 | 1);
-    let target = Target {
-        zone: draws.rand_range(0..plan.fleet.zones.value as u64) as usize,
-        region: draws.rand_range(0..regions as u64) as usize,
-        far_region: (1 + draws.rand_range(0..regions.max(2) as u64 - 1) as usize) % regions,
-    };
-    let dealt = fleet(plan, size.balancers);
-    let mut services: Vec<usize> = dealt.iter().map(|&(service, _)| service).collect();
-    services.dedup();
-    let plane = Plane::start(machines.clone())?;
-    let origin = plane.address(0);
-
-    // All documents stand before the balancers come.
-    let mut newest = HashMap::new();
+    services: &[usize],
+) -> Result<HashMap<Scope, u64>, CapacityError> {
     let configuration = &plan.configuration;
-    let mut first = vec![(Scope::Fleet, configuration.fleet_bytes.value)];
-    first.extend(
-        (0..regions)
-            .map(|region| (Scope::Region(region_name(region).into()), configuration.region_bytes.value)),
-    );
-    first.extend(
-        services.iter().map(|&service| {
-            (Scope::Service(service_name(service).into()), configuration.service_bytes.value)
-        }),
-    );
-    for (number, (scope, bytes)) in first.into_iter().enumerate() {
+    let region = |region| (Scope::Region(region_name(region).into()), configuration.region_bytes.value);
+    let service =
+        |&service: &usize| (Scope::Service(service_name(service).into()), configuration.service_bytes.value);
+    let mut documents = vec![(Scope::Fleet, configuration.fleet_bytes.value)];
+    documents.extend((0..plan.fleet.regions.value).map(region));
+    documents.extend(services.iter().map(service));
+    let mut newest = HashMap::new();
+    for (number, (scope, bytes)) in documents.into_iter().enumerate() {
         let change = plane::publish(origin, &scope, &plane::body(bytes, 0), &format!("first-{number}"))?;
         newest.insert(scope, change.version);
     }
+    Ok(newest)
+}
 
-    let list = ListServer::start(
+fn start_list(size: &Size, plan: &Plan) -> Result<ListServer, CapacityError> {
+    ListServer::start(
         size.list,
         plan.list.entry_bytes.value,
         plan.fleet.zones.value,
         Duration::from_secs_f64(plan.list.beat_s.value),
-    )?;
-    let balancers: Vec<Hollow> = dealt
-        .iter()
-        .enumerate()
-        .map(|(number, &(service, zone))| {
-            let region = plane::region_of(plan, zone);
-            Hollow {
-                number,
-                service: service_name(service),
-                region: region_name(region),
-                zone,
-                parents: plane.parents_of(region, zone),
-                seed: seed << 16 | number as u64,
-            }
-        })
-        .collect();
-    let job = Job {
-        list: Some(list.address),
-        zones: zone_names(plan),
-        apart_ms: if size.per_process > 20 { 20 } else { 0 },
-        balancers: Vec::new(),
-    };
-    let swarm = Swarm::start(&balancers, size.per_process, &job)?;
-    let memory_most_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MEMORY_PART) as u64;
-    let mut play = Play { size, plane, swarm, list, memory_most_kb, place: place.clone() };
-    let up = play.swarm.hear_until(PATIENCE, |swarm| swarm.all_listed() && swarm.missing(&newest) == 0)?;
-    if !up {
-        let missing = play.swarm.missing(&newest);
-        return Err(CapacityError::run(
-            place,
-            format!("{missing} balancers have no configuration at the start"),
-        ));
-    }
-
-    // Lists and documents of the start are behind them.
-    play.swarm.hear(play.size.rest / 2)?;
-    let rest_from = play.mark()?;
-    play.swarm.hear(play.size.rest)?;
-    let rest_to = play.mark()?;
-    let Played { changes, cut_ns, return_from, return_to } =
-        play_changes(&mut play, scenario, &target, schedule(plan, seed, size, &services))?;
-    for change in &changes {
-        newest.insert(change.scope.clone(), change.version);
-    }
-    play.swarm.hear_until(PATIENCE, |swarm| swarm.missing(&newest) == 0)?;
-    let missing = play.swarm.missing(&newest);
-    let end = play.mark()?;
-
-    // Each watch of the list asks anew from where it stands.
-    let (asked, index) = (play.list.asked().len(), play.list.index());
-    play.list.close_all();
-    let again = |list: &ListServer| list.asked().len().saturating_sub(asked);
-    let list = &play.list;
-    play.swarm.hear_until(PATIENCE, |_| again(list) >= size.balancers)?;
-    let stood = play.list.asked();
-    let elsewhere = size.balancers.abs_diff(stood[asked..].iter().filter(|&&since| since == index).count());
-
-    let (mut times, mut from_sending) = (Times::new()?, Times::new()?);
-    for change in &changes {
-        for (balancer, at_ns) in play.swarm.times(change) {
-            let Some(at_ns) = at_ns else { continue };
-            let zone = dealt[balancer].1;
-            let behind = plane::region_of(plan, zone) == target.far_region;
-            // What was published within the cut could be told from its end on.
-            let held = cut_ns.filter(|cut| behind && cut.contains(&change.acknowledged_ns));
-            let floor = held.map_or(0, |cut| cut.end);
-            times.add(at_ns.saturating_sub(change.acknowledged_ns.max(floor)));
-            from_sending.add(at_ns.saturating_sub(change.sent_ns.max(floor)));
-        }
-    }
-    let largest = end.control.iter().zip(&machines).map(|(one, machine)| (one.1, machine.role)).max();
-    let (largest_kb, role) = largest.unwrap_or((0, Role::Origin));
-    let cost = |from, to| Cost::between(from, to, size.balancers, &machines);
-    Ok(Outcome {
-        scenario,
-        seed,
-        balancers: size.balancers,
-        changes: changes.len(),
-        times,
-        from_sending,
-        back: play.swarm.back,
-        missing,
-        elsewhere,
-        rest: cost(&rest_from, &rest_to),
-        play: cost(&rest_to, &end),
-        back_again: cost(&return_from, &return_to),
-        most_in_window: return_to.most_in_window,
-        balancer_mb: end.balancers.resident_kb as f64 / 1024.0 / size.balancers as f64,
-        control_mb: (largest_kb as f64 / 1024.0, role),
-    })
-}
-
-/// From its begin to its end, on [`machine::now_ns`]'s clock.
-#[derive(Clone, Copy)]
-struct Cut {
-    begin: u64,
-    end: u64,
-}
-
-impl Cut {
-    fn contains(&self, at_ns: &u64) -> bool {
-        (self.begin..self.end).contains(at_ns)
-    }
-}
-
-struct Played {
-    changes: Vec<Change>,
-    cut_ns: Option<Cut>,
-    return_from: Mark,
-    return_to: Mark,
-}
-
-/// For how long the return is looked at.
-pub(super) fn return_window(seconds: f64) -> Duration {
-    Duration::from_secs_f64((seconds * 0.35).min(WINDOW_S as f64))
-}
-
-fn play_changes(
-    play: &mut Play,
-    scenario: Scenario,
-    target: &Target,
-    planned: Vec<Planned>,
-) -> Result<Played, CapacityError> {
-    let count = planned.len();
-    let published = publish_all(play.plane.address(0), planned);
-    let start = Instant::now();
-    let after = |part: f64| Duration::from_secs_f64(play.size.seconds * part);
-    // The fault comes after a quarter; a cut holds from there for two fifths.
-    let (fault, return_at) = (after(0.25), if scenario == Scenario::Cut { after(0.65) } else { after(0.25) });
-    let window = return_window(play.size.seconds);
-    let list_every = Duration::from_secs(2);
-    let (mut list_at, mut done) = (Duration::ZERO, false);
-    let (mut begin, mut cut_ns) = (0, None);
-    let (mut return_from, mut return_to) = (None, None);
-    let mut changes = Vec::new();
-    while changes.len() < count || return_to.is_none() {
-        loop {
-            match published.try_recv() {
-                Ok(change) => changes.push(change?),
-                Err(TryRecvError::Empty) => break,
-                Err(TryRecvError::Disconnected) if changes.len() < count => {
-                    return Err(CapacityError::run(&play.place, "the publisher has ended early"));
-                }
-                Err(TryRecvError::Disconnected) => break,
-            }
-        }
-        let now = start.elapsed();
-        if now >= list_at {
-            play.list.change(1);
-            list_at += list_every;
-        }
-        if now >= fault && !done {
-            done = true;
-            begin = machine::now_ns();
-            if scenario != Scenario::Cut {
-                return_from = Some(play.mark()?);
-            }
-            match scenario {
-                Scenario::None => {}
-                Scenario::Relay => {
-                    let first = play.plane.machines().position(|machine| machine.zone == Some(target.zone));
-                    if let Some(place) = first {
-                        play.plane.kill(place);
-                    }
-                }
-                Scenario::RegionRelay => {
-                    play.kill(|machine| machine.role == Role::Region && machine.region == target.region)
-                }
-                Scenario::Zone => play.kill(|machine| machine.zone == Some(target.zone)),
-                Scenario::Cut => play.plane.cut(Some(target.far_region)),
-                Scenario::Reconnect => {
-                    play.kill(|_| true);
-                    play.list.close_all();
-                    for place in 0..play.plane.machines().count() {
-                        play.plane.launch(place)?;
-                    }
-                }
-            }
-        }
-        if scenario == Scenario::Cut && now >= return_at && cut_ns.is_none() {
-            return_from = Some(play.mark()?);
-            cut_ns = Some(Cut { begin, end: machine::now_ns() });
-            play.plane.cut(None);
-        }
-        if return_to.is_none() && now >= return_at + window {
-            return_to = Some(play.mark()?);
-        }
-        play.swarm.hear(Duration::from_millis(10))?;
-    }
-    let missing = || CapacityError::run(&play.place, "the play ended before its fault");
-    Ok(Played {
-        changes,
-        cut_ns,
-        return_from: return_from.ok_or_else(missing)?,
-        return_to: return_to.ok_or_else(missing)?,
-    })
+    )
 }
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -17,6 +17,12 @@
 /// How long after the last call its answer is waited for.
 const ANSWER_MOST: Duration = Duration::from_secs(6);
 
+/// How long before a call the thread spins: longer than a sleep of [`PAUSE`] takes.
+const SPIN_BEFORE: Duration = Duration::from_millis(2);
+
+/// How long the thread sleeps at once where no call is near.
+const PAUSE: Duration = Duration::from_micros(500);
+
 /// A way that calls can go: targets that take its connections in turn, and how many are opened beforehand.
 #[derive(Debug, Clone)]
 pub struct Way {
@@ -50,61 +56,120 @@
     zero: Instant,
     progress: &AtomicUsize,
 ) -> Result<Vec<Played>, CapacityError> {
-    let mut idle: Vec<Vec<TcpStream>> = Vec::new();
-    let mut turns = vec![0; ways.len()];
-    for (way, turn) in ways.iter().zip(&mut turns) {
-        let mut warm = Vec::new();
-        for _ in 0..way.warm {
-            warm.push(connect(way, turn).map_err(|cause| CapacityError::run("connecting a caller", cause))?);
+    let lost = Played { sent: Duration::ZERO, done: Duration::ZERO, end: End::Lost };
+    let mut open_loop = OpenLoop {
+        calls,
+        ways,
+        first_id,
+        zero,
+        progress,
+        opened: vec![0; ways.len()],
+        idle: Vec::new(),
+        busy: Vec::new(),
+        next: 0,
+        played: vec![lost; calls.len()],
+    };
+    open_loop.connect_first().map_err(|cause| CapacityError::run("connecting a caller", cause))?;
+    Ok(open_loop.run())
+}
+
+/// Calls on their way.
+struct OpenLoop<'a> {
+    calls: &'a [Call],
+    ways: &'a [Way],
+    first_id: usize,
+    zero: Instant,
+    progress: &'a AtomicUsize,
+    /// By way: connections opened so far, by which targets take them in turn.
+    opened: Vec<usize>,
+    /// By way: connections without a call.
+    idle: Vec<Vec<TcpStream>>,
+    /// Connections with a call.
+    busy: Vec<Line>,
+    /// The first call that is not sent yet.
+    next: usize,
+    /// By call; lost until its answer is whole.
+    played: Vec<Played>,
+}
+
+impl OpenLoop<'_> {
+    /// Opens the connections that are to stand beforehand.
+    fn connect_first(&mut self) -> std::io::Result<()> {
+        for (way, opened) in self.ways.iter().zip(&mut self.opened) {
+            let streams: std::io::Result<_> = (0..way.warm).map(|_| connect(way, opened)).collect();
+            self.idle.push(streams?);
         }
-        idle.push(warm);
+        Ok(())
     }
-    let lost = Played { sent: Duration::ZERO, done: Duration::ZERO, end: End::Lost };
-    let mut played = vec![lost; calls.len()];
-    let mut busy: Vec<Line> = Vec::new();
-    let mut next = 0;
-    let by = calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_MOST;
-    loop {
-        let now = Instant::now().saturating_duration_since(zero);
-        while let Some(call) = calls.get(next).filter(|call| call.at <= now) {
-            let way = &ways[call.way];
-            let text = request(first_id + next, call, way);
-            let sent = Instant::now().saturating_duration_since(zero);
-            let line = loop {
-                let kept = idle[call.way].pop();
-                let is_kept = kept.is_some();
-                let stream = match kept.map_or_else(|| connect(way, &mut turns[call.way]), Ok) {
-                    Ok(stream) if is_kept && !stands(&stream) => continue,
-                    Ok(stream) => stream,
-                    Err(_) => break None,
-                };
-                break (&stream).write_all(text.as_bytes()).is_ok().then_some(stream);
-            };
-            played[next] = Played { sent, done: sent, end: End::Lost };
-            if let Some(stream) = line {
-                busy.push(Line { stream, bytes: Vec::with_capacity(512), call: next, way: call.way });
+
+    fn run(mut self) -> Vec<Played> {
+        let by = self.calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_MOST;
+        loop {
+            let now = self.elapsed();
+            self.send_due(now);
+            self.receive();
+            if self.next == self.calls.len() && self.busy.is_empty() || now > by {
+                return self.played;
             }
-            next += 1;
-            progress.store(next, Ordering::Release);
+            self.pause(now);
         }
+    }
+
+    /// From the start of the play.
+    fn elapsed(&self) -> Duration {
+        Instant::now().saturating_duration_since(self.zero)
+    }
+
+    fn send_due(&mut self, now: Duration) {
+        while let Some(call) = self.calls.get(self.next).filter(|call| call.at <= now) {
+            let text = request(self.first_id + self.next, call, &self.ways[call.way]);
+            let sent = self.elapsed();
+            let stream = self.send(call.way, &text);
+            self.played[self.next] = Played { sent, done: sent, end: End::Lost };
+            if let Some(stream) = stream {
+                let bytes = Vec::with_capacity(512);
+                self.busy.push(Line { stream, bytes, call: self.next, way: call.way });
+            }
+            self.next += 1;
+            self.progress.store(self.next, Ordering::Release);
+        }
+    }
+
+    /// Sends a request on an idle connection that still stands, or on a new one; `None` where neither takes it.
+    fn send(&mut self, way: usize, text: &str) -> Option<TcpStream> {
+        let idle = &mut self.idle[way];
+        let stream = loop {
+            match idle.pop() {
+                Some(stream) if stands(&stream) => break stream,
+                Some(_) => {}
+                None => break connect(&self.ways[way], &mut self.opened[way]).ok()?,
+            }
+        };
+        (&stream).write_all(text.as_bytes()).is_ok().then_some(stream)
+    }
+
+    /// Reads what has come of all answers.
+    fn receive(&mut self) {
         let mut place = 0;
-        while let Some(line) = busy.get_mut(place) {
-            let Some(over) = look(line, first_id) else {
+        while let Some(line) = self.busy.get_mut(place) {
+            let Some((end, stands)) = look(line, self.first_id) else {
                 place += 1;
                 continue;
             };
-            let done = Instant::now().saturating_duration_since(zero);
-            let line = busy.swap_remove(place);
-            played[line.call] = Played { done, end: over.0, ..played[line.call] };
-            if over.1 {
-                idle[line.way].push(line.stream);
+            let done = self.elapsed();
+            let line = self.busy.swap_remove(place);
+            self.played[line.call] = Played { done, end, ..self.played[line.call] };
+            if stands {
+                self.idle[line.way].push(line.stream);
             }
         }
-        if next == calls.len() && busy.is_empty() || now > by {
-            return Ok(played);
-        }
-        if busy.is_empty() && calls.get(next).is_some_and(|call| call.at > now + Duration::from_millis(2)) {
-            thread::sleep(Duration::from_micros(500));
+    }
+
+    /// Leaves the core for a moment where nothing is on its way and the next call is not near.
+    fn pause(&self, now: Duration) {
+        let is_near = |call: &Call| call.at <= now + SPIN_BEFORE;
+        if self.busy.is_empty() && self.calls.get(self.next).is_some_and(|call| !is_near(call)) {
+            thread::sleep(PAUSE);
         }
     }
 }
