--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -18,7 +18,7 @@
 
 /// How long anything may take that works.
 const PATIENCE: Duration = Duration::from_secs(40);
-/// Of the plan's upstreams, the sizes that are played.
+/// The sizes that are played, in parts of the plan's upstreams: with its 1900 these are 100, 300, 1000 and all.
 const PARTS: [f64; 4] = [1.0 / 19.0, 3.0 / 19.0, 10.0 / 19.0, 1.0];
 
 /// What is measured.
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -163,8 +163,8 @@
         let change = self.publish(Scope::Fleet, bytes, turn)?;
         self.wait_for_newest(swarm, "a change has not come to all in time")?;
         let (mut times, mut sent) = (Times::new()?, Times::new()?);
-        for (_, at_ns) in swarm.times(&change) {
-            let Some(at_ns) = at_ns else { continue };
+        for arrival in swarm.times(&change) {
+            let Some(at_ns) = arrival.at_ns else { continue };
             times.add(at_ns.saturating_sub(change.acknowledged_ns));
             sent.add(at_ns.saturating_sub(change.sent_ns));
         }
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -25,7 +25,7 @@
 
 /// Plays of one kind of figure, by size.
 #[derive(Default)]
-pub(super) struct Plays(pub(super) Vec<(f64, Vec<f64>)>);
+pub(super) struct Plays(Vec<(f64, Vec<f64>)>);
 
 impl Plays {
     pub(super) fn add(&mut self, x: usize, y: f64) {
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -32,8 +32,10 @@
 const SIZE: usize = 8;
 /// Calls a second at the front.
 const RATE: f64 = 400.0;
-/// Virtual seconds of a play, and of a quick one.
-const SECONDS: (f64, f64) = (20.0, 6.0);
+/// Virtual seconds of a play.
+const SECONDS: f64 = 20.0;
+/// Virtual seconds of a quick play.
+const SECONDS_SMALL: f64 = 6.0;
 /// MB that a play may use.
 const MEMORY_MB: u64 = 4096;
 
@@ -179,7 +181,7 @@
 impl<'a> Session<'a> {
     fn new(arguments: &'a Arguments, plan: &'a Plan) -> Self {
         let small = arguments.small;
-        let seconds = if small { SECONDS.1 } else { SECONDS.0 };
+        let seconds = if small { SECONDS_SMALL } else { SECONDS };
         let longest = plan.graph.depth.value;
         let depths = if small {
             [1, 2, 6, longest].into_iter().filter(|&depth| depth <= longest).collect()
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -241,8 +241,13 @@
     at: Instant,
 }
 
-/// The changes of configuration that were published, and how long each drain took to be in force.
-type Changes = (Vec<Published>, Vec<Duration>);
+/// The changes of a play.
+struct Changes {
+    /// Those of configuration.
+    published: Vec<Published>,
+    /// How long each drain took to be in force.
+    drained: Vec<Duration>,
+}
 
 /// A change that was published.
 struct Published {
@@ -269,7 +274,8 @@
         let calls = self.draw_calls(rng);
         let running = self.start(&program, calls.len())?;
         let first = running.upstreams.seen.take_ids(calls.len())?;
-        let (played, (published, mut in_force)) = self.call_through_changes(&running, &calls, first)?;
+        let (played, changes) = self.call_through_changes(&running, &calls, first)?;
+        let Changes { published, drained: mut in_force } = changes;
         if running.distribution.is_some() {
             let words = words(&running.says, &published, self.size.balancers);
             for change in &published {
@@ -397,7 +403,7 @@
                 drains = Some((upstream, at));
             }
         }
-        Ok((published, drained))
+        Ok(Changes { published, drained })
     }
 
     /// When a change was in force at the last balancer: that version, or a later one of its scope.
--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -21,7 +21,7 @@
 mod size;
 pub mod swarm;
 
-pub use self::fleet::{fleet, hollow_balancers, region_name, service_name, zone_names};
+pub use self::fleet::{Placement, fleet, hollow_balancers, region_name, service_name, zone_names};
 use self::outcome::COLUMNS;
 use self::play::{play, return_window};
 use self::size::Size;
--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -10,8 +10,14 @@
 
 use crate::CapacityError;
 
-/// The number of a process and a line of its output, `None` at its end.
-pub type Said = (usize, Option<String>);
+/// What comes from a process on its standard output.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Output {
+    /// The number of the process, as its starter gave it.
+    pub process: usize,
+    /// A line without its end; `None` once there are no more.
+    pub line: Option<String>,
+}
 
 static ASKED: AtomicBool = AtomicBool::new(false);
 
@@ -60,7 +66,7 @@
     pub fn start(
         name: &str,
         command: &mut Command,
-        lines: Option<(usize, Sender<Said>)>,
+        lines: Option<(usize, Sender<Output>)>,
     ) -> Result<Self, CapacityError> {
         let output = if lines.is_some() { Stdio::piped() } else { Stdio::null() };
         command.stdin(Stdio::piped()).stdout(output).stderr(Stdio::null());
@@ -70,12 +76,12 @@
         if let (Some((number, lines)), Some(output)) = (lines, process.stdout.take()) {
             thread::spawn(move || {
                 for line in BufReader::new(output).lines().map_while(Result::ok) {
-                    if lines.send((number, Some(line))).is_err() {
+                    if lines.send(Output { process: number, line: Some(line) }).is_err() {
                         return;
                     }
                 }
                 // The reader may have gone first.
-                let _ = lines.send((number, None));
+                let _ = lines.send(Output { process: number, line: None });
             });
         }
         let input = process.stdin.take();
--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -12,8 +12,21 @@
     pub(super) configuration_bytes: u64,
     pub(super) list_bytes: u64,
     pub(super) most_in_window: u64,
-    /// By place: processor time, memory, bytes.
-    pub(super) control: Vec<(u64, u64, u64)>,
+    /// By place.
+    pub(super) control: Vec<ControlUsage>,
+}
+
+/// What a control process has used until a moment.
+pub(super) struct ControlUsage {
+    pub(super) process: machine::Usage,
+    /// On its connections with other control processes and with balancers, both ways.
+    pub(super) bytes: u64,
+}
+
+/// The largest figure of a kind among the control processes, and the role of that process.
+pub(super) struct Busiest {
+    pub(super) figure: f64,
+    pub(super) role: Role,
 }
 
 /// What a span between two marks cost.
@@ -21,8 +34,8 @@
     pub(super) bytes_per_s: f64,
     pub(super) core: f64,
     /// The busiest control process.
-    pub(super) control_core: (f64, Role),
-    pub(super) control_bytes_per_s: (f64, Role),
+    pub(super) control_core: Busiest,
+    pub(super) control_bytes_per_s: Busiest,
 }
 
 impl Cost {
@@ -31,7 +44,9 @@
         let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let busiest = |cost: &dyn Fn(usize) -> f64| {
             let costs = machines.iter().enumerate().map(|(place, machine)| (cost(place), machine.role));
-            costs.max_by(|one, other| one.0.total_cmp(&other.0)).unwrap_or((0.0, Role::Origin))
+            let most = costs.max_by(|one, other| one.0.total_cmp(&other.0));
+            let (figure, role) = most.unwrap_or((0.0, Role::Origin));
+            Busiest { figure, role }
         };
         let (before, after) = (&from.control, &to.control);
         Self {
@@ -39,8 +54,10 @@
                 + each(from.list_bytes, to.list_bytes))
                 / balancers as f64,
             core: each(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
-            control_core: busiest(&|place| each(before[place].0, after[place].0) / 1e9),
-            control_bytes_per_s: busiest(&|place| each(before[place].2, after[place].2)),
+            control_core: busiest(&|place| {
+                each(before[place].process.cpu_ns, after[place].process.cpu_ns) / 1e9
+            }),
+            control_bytes_per_s: busiest(&|place| each(before[place].bytes, after[place].bytes)),
         }
     }
 }
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -6,6 +6,18 @@
 use super::plane;
 use crate::plan::Plan;
 
+/// The fractional part of the golden ratio: steps by it fill the shares of the zones evenly, also within a service.
+const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
+
+/// Where a balancer is and what it serves.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Placement {
+    /// The number of its service.
+    pub service: usize,
+    /// The number of its zone.
+    pub zone: usize,
+}
+
 /// The names of the zones.
 #[must_use]
 pub fn zone_names(plan: &Plan) -> Vec<String> {
@@ -15,7 +27,7 @@
 /// Where each of so many balancers is and what it serves, as the plan has it: those of a service lie over regions and
 /// zones by their shares. A part of the fleet is each n-th balancer of it.
 #[must_use]
-pub fn fleet(plan: &Plan, balancers: usize) -> Vec<(usize, usize)> {
+pub fn fleet(plan: &Plan, balancers: usize) -> Vec<Placement> {
     let sizes = plan.service_sizes();
     let services: Vec<usize> =
         sizes.iter().enumerate().flat_map(|(service, &size)| std::iter::repeat_n(service, size)).collect();
@@ -28,13 +40,12 @@
     (0..balancers)
         .map(|number| {
             let place = number * services.len() / balancers;
-            // Steps by the golden ratio fill the shares evenly, also within a service.
-            let mut at = (place as f64 * 0.618_033_988_749_894_9).fract();
+            let mut at = (place as f64 * GOLDEN_RATIO).fract();
             let zone = shares.iter().position(|share| {
                 at -= share;
                 at < 0.0
             });
-            (services[place], zone.unwrap_or(shares.len() - 1))
+            Placement { service: services[place], zone: zone.unwrap_or(shares.len() - 1) }
         })
         .collect()
 }
@@ -43,11 +54,11 @@
 #[must_use]
 pub fn hollow_balancers(
     plan: &Plan,
-    placements: &[(usize, usize)],
+    placements: &[Placement],
     seed: u64,
     parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
 ) -> Vec<Hollow> {
-    let balancer = |(number, &(service, zone)): (usize, &(usize, usize))| {
+    let balancer = |(number, &Placement { service, zone }): (usize, &Placement)| {
         let region = plane::region_of(plan, zone);
         Hollow {
             number,
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -1,9 +1,8 @@
 //! What a play gave, as a row of the results.
 
 use super::Scenario;
-use super::cost::Cost;
+use super::cost::{Busiest, Cost};
 use super::hollow::WINDOW_S;
-use super::plane::Role;
 use super::swarm::Times;
 use crate::plan::Plan;
 
@@ -50,13 +49,14 @@
     pub(super) back_again: Cost,
     pub(super) most_in_window: u64,
     pub(super) balancer_mb: f64,
-    pub(super) control_mb: (f64, Role),
+    pub(super) control_mb: Busiest,
 }
 
 impl Outcome {
     pub(super) fn row(&self) -> Vec<String> {
-        let named =
-            |(figure, role): (f64, Role), digits: usize| format!("{figure:.digits$} ({})", role.name());
+        let named = |Busiest { figure, role }: &Busiest, digits: usize| {
+            format!("{figure:.digits$} ({})", role.name())
+        };
         vec![
             self.scenario.name(),
             self.seed.to_string(),
@@ -78,10 +78,10 @@
             format!("{:.5}", self.play.core),
             format!("{:.5}", self.back_again.core),
             format!("{:.2}", self.balancer_mb),
-            named(self.rest.control_core, 4),
-            named(self.back_again.control_core, 4),
-            named(self.back_again.control_bytes_per_s, 0),
-            named(self.control_mb, 1),
+            named(&self.rest.control_core, 4),
+            named(&self.back_again.control_core, 4),
+            named(&self.back_again.control_bytes_per_s, 0),
+            named(&self.control_mb, 1),
         ]
     }
 
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -6,15 +6,15 @@
 
 use config_distribution::document::Scope;
 
-use super::cost::{Cost, Mark};
-use super::fleet::hollow_balancers;
+use super::cost::{Busiest, ControlUsage, Cost, Mark};
+use super::fleet::{Placement, hollow_balancers};
 use super::hollow::Job;
 use super::list::ListServer;
 use super::outcome::Outcome;
 use super::plane::{self, Machine, Plane, Role};
 use super::schedule::schedule;
 use super::size::Size;
-use super::swarm::{Swarm, Times};
+use super::swarm::{Arrival, Swarm, Times};
 use super::{Scenario, fleet, machine, region_name, service_name, zone_names};
 use crate::CapacityError;
 use crate::plan::Plan;
@@ -80,10 +80,11 @@
 }
 
 /// The memory of the largest control process, in MB, and what that process is.
-fn largest_control_mb(end: &Mark, machines: &[Machine]) -> (f64, Role) {
-    let largest = end.control.iter().zip(machines).map(|(one, machine)| (one.1, machine.role)).max();
+fn largest_control_mb(end: &Mark, machines: &[Machine]) -> Busiest {
+    let sizes = end.control.iter().map(|one| one.process.resident_kb);
+    let largest = sizes.zip(machines.iter().map(|machine| machine.role)).max();
     let (largest_kb, role) = largest.unwrap_or((0, Role::Origin));
-    (largest_kb as f64 / 1024.0, role)
+    Busiest { figure: largest_kb as f64 / 1024.0, role }
 }
 
 /// The running processes of a play.
@@ -92,8 +93,8 @@
     seed: u64,
     size: &'a Size,
     plan: &'a Plan,
-    /// By balancer: its service and its zone.
-    placements: Vec<(usize, usize)>,
+    /// By balancer.
+    placements: Vec<Placement>,
     plane: Plane,
     swarm: Swarm,
     list: ListServer,
@@ -176,9 +177,9 @@
     fn change_times(&self, played: &Played, target: &Target) -> Result<ChangeTimes, CapacityError> {
         let mut times = ChangeTimes { from_acknowledgement: Times::new()?, from_sending: Times::new()? };
         for change in &played.changes {
-            for (balancer, at_ns) in self.swarm.times(change) {
+            for Arrival { balancer, at_ns } in self.swarm.times(change) {
                 let Some(at_ns) = at_ns else { continue };
-                let zone = self.placements[balancer].1;
+                let zone = self.placements[balancer].zone;
                 let is_cut_off = plane::region_of(self.plan, zone) == target.far_region;
                 // What was published within the cut could reach these balancers from its end on.
                 let cut = played.cut.filter(|cut| is_cut_off && cut.contains(change.acknowledged_ns));
@@ -201,7 +202,7 @@
             .map(|place| {
                 let used = self.plane.usage(place);
                 let below = carried.by_parent.get(&self.plane.address(place)).copied().unwrap_or(0);
-                (used.cpu_ns, used.resident_kb, self.plane.bytes(place) + below)
+                ControlUsage { process: used, bytes: self.plane.bytes(place) + below }
             })
             .collect();
         let list = self.list.carried();
@@ -219,7 +220,8 @@
 
     fn check_memory(&self, mark: &Mark) -> Result<(), CapacityError> {
         let own = machine::usage(std::process::id()).unwrap_or_default().resident_kb;
-        let used: u64 = own + mark.balancers.resident_kb + mark.control.iter().map(|one| one.1).sum::<u64>();
+        let control: u64 = mark.control.iter().map(|one| one.process.resident_kb).sum();
+        let used = own + mark.balancers.resident_kb + control;
         if used <= self.memory_most_kb {
             return Ok(());
         }
@@ -242,8 +244,8 @@
 }
 
 /// The services that are played.
-fn services(placements: &[(usize, usize)]) -> Vec<usize> {
-    let mut services: Vec<usize> = placements.iter().map(|&(service, _)| service).collect();
+fn services(placements: &[Placement]) -> Vec<usize> {
+    let mut services: Vec<usize> = placements.iter().map(|placement| placement.service).collect();
     services.dedup();
     services
 }
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -9,7 +9,7 @@
 use config_distribution::document::Scope;
 use hdrhistogram::Histogram;
 
-use super::child::{self, Child, Said};
+use super::child::{self, Child, Output};
 use super::hollow::{Figures, Hollow, Job, Word};
 use super::machine::{self, Usage};
 use super::plane::Change;
@@ -24,17 +24,34 @@
 /// Processes of hollow balancers; they end when this is dropped.
 pub struct Swarm {
     children: Vec<Child>,
-    words: Receiver<Said>,
+    words: Receiver<Output>,
     /// By balancer.
     listed: Vec<bool>,
-    /// By balancer and scope: versions in force and when, in their order.
-    in_force: Vec<HashMap<Scope, Vec<(u64, u64)>>>,
+    /// By balancer and scope: the versions that came in force, in their order.
+    in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
     wanted: Vec<[Scope; 3]>,
     figures: Vec<Option<Figures>>,
     /// Indices that went back.
     pub back: usize,
 }
 
+/// A version of a document that came in force at a balancer.
+#[derive(Debug, Clone, Copy)]
+struct VersionInForce {
+    version: u64,
+    /// On [`machine::now_ns`]'s clock.
+    at_ns: u64,
+}
+
+/// When a balancer had a change, or a newer one of its scope, in force.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Arrival {
+    /// The number of the balancer.
+    pub balancer: usize,
+    /// In nanoseconds on [`machine::now_ns`]'s clock; `None` where it never had.
+    pub at_ns: Option<u64>,
+}
+
 /// What the balancers' connections for configuration have carried.
 #[derive(Debug, Clone, Default)]
 pub struct Carried {
@@ -102,7 +119,7 @@
             child::go_on()?;
             let left = until.saturating_duration_since(Instant::now());
             match self.words.recv_timeout(left.min(LOOK_EVERY)) {
-                Ok((process, line)) => self.take(process, line)?,
+                Ok(Output { process, line }) => self.take(process, line)?,
                 Err(RecvTimeoutError::Timeout) if left <= LOOK_EVERY => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
@@ -139,7 +156,7 @@
         match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
             Word::Listed(balancer) => self.listed[balancer] = true,
             Word::InForce { balancer, scope, version, at_ns } => {
-                self.in_force[balancer].entry(scope).or_default().push((version, at_ns));
+                self.in_force[balancer].entry(scope).or_default().push(VersionInForce { version, at_ns });
             }
             Word::Back { .. } => self.back += 1,
             Word::Figures(figures) => self.figures[process] = Some(figures),
@@ -159,24 +176,24 @@
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
         let has = |balancer: usize, scope: &Scope| {
             let Some(&version) = newest.get(scope) else { return true };
-            self.last(balancer, scope).is_some_and(|(last, _)| last >= version)
+            self.last(balancer, scope).is_some_and(|last| last.version >= version)
         };
         (0..self.wanted.len())
             .filter(|&balancer| !self.wanted[balancer].iter().all(|scope| has(balancer, scope)))
             .count()
     }
 
-    fn last(&self, balancer: usize, scope: &Scope) -> Option<(u64, u64)> {
+    fn last(&self, balancer: usize, scope: &Scope) -> Option<VersionInForce> {
         self.in_force[balancer].get(scope)?.last().copied()
     }
 
-    /// When each balancer that wants a change's scope had it, or a newer one, in force; `None` where it never had.
-    pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = (usize, Option<u64>)> + 'a {
+    /// When each balancer that wants a change's scope had it, or a newer one, in force.
+    pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
                 let had = self.in_force[balancer].get(&change.scope);
-                let at = had.and_then(|had| had.iter().find(|(version, _)| *version >= change.version));
-                (balancer, at.map(|(_, at_ns)| *at_ns))
+                let at = had.and_then(|had| had.iter().find(|had| had.version >= change.version));
+                Arrival { balancer, at_ns: at.map(|version| version.at_ns) }
             },
         )
     }
--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -95,8 +95,14 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn listen() -> Result<(TcpListener, SocketAddr), CapacityError> {
+/// A listener and the address that it got.
+struct Bound {
+    listener: TcpListener,
+    address: SocketAddr,
+}
+
+fn listen() -> Result<Bound, CapacityError> {
     TcpListener::bind(ANYWHERE)
-        .and_then(|listener| listener.local_addr().map(|address| (listener, address)))
+        .and_then(|listener| listener.local_addr().map(|address| Bound { listener, address }))
         .map_err(|cause| CapacityError::run("listening on a free port", cause))
 }
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -10,7 +10,7 @@
 
 use serde_json::Value;
 
-use super::child::{Process, START_MOST, own_path};
+use super::child::{Listening, Process, START_MOST, own_path};
 use crate::CapacityError;
 
 /// The balancer's program.
@@ -56,7 +56,7 @@
             command.env("PATH", path);
         }
         let began = Instant::now();
-        let (mut process, address, listened) = Process::listening(command, Some(file), line)?;
+        let Listening { mut process, address, at } = Process::listening(command, Some(file), line)?;
         while !health(address) {
             if process.has_ended() || began.elapsed() > START_MOST {
                 let cause = format!("it does not serve: {}", process.last_words());
@@ -65,7 +65,7 @@
             thread::sleep(Duration::from_micros(200));
         }
         let serves_after = began.elapsed();
-        Ok(Self { process, address, listens_after: listened - began, serves_after })
+        Ok(Self { process, address, listens_after: at - began, serves_after })
     }
 }
 
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -32,6 +32,16 @@
     readers: Vec<JoinHandle<()>>,
 }
 
+/// A process that has come to listen.
+pub(super) struct Listening {
+    /// The process.
+    pub(super) process: Process,
+    /// Where it listens.
+    pub(super) address: SocketAddr,
+    /// When its line of that came.
+    pub(super) at: Instant,
+}
+
 impl Process {
     /// Starts a program whose lines, of both its outputs, are kept and handed to `line` as they come.
     ///
@@ -64,15 +74,15 @@
         Ok(Self { child, file, log, readers })
     }
 
-    /// Starts a program, and waits until a line of it ends with the address where it listens; tells when that came.
+    /// Starts a program, and waits until a line of it ends with the address where it listens; gives both, and when that came.
     ///
     /// # Errors
     /// It does not start, or does not come to listen.
-    pub fn listening(
+    pub(super) fn listening(
         command: Command,
         file: Option<PathBuf>,
         line: impl Fn(&str) + Send + Sync + 'static,
-    ) -> Result<(Self, SocketAddr, Instant), CapacityError> {
+    ) -> Result<Listening, CapacityError> {
         let (listens, listening) = mpsc::channel();
         let place = format!("starting {}", command.get_program().display());
         let process = Self::start(
@@ -89,7 +99,7 @@
             }),
         )?;
         match listening.recv_timeout(START_MOST) {
-            Ok((address, at)) => Ok((process, address, at)),
+            Ok((address, at)) => Ok(Listening { process, address, at }),
             Err(_) => Err(CapacityError::run(place, format!("it does not listen: {}", process.last_words()))),
         }
     }
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use super::call::{Call, Class, End, Played};
-use super::message::{MESSAGE_MOST, header, message};
+use super::message::{MESSAGE_MOST, Message, header, message};
 use crate::CapacityError;
 
 /// How long after its connections are asked for a play may start.
@@ -215,7 +215,7 @@
     if line.bytes.len() > MESSAGE_MOST {
         return Some((End::Wrong, false));
     }
-    let (head, body_at, end) = message(&line.bytes)?;
+    let Message { head, body_start, end } = message(&line.bytes)?;
     let stands = end == line.bytes.len()
         && !header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let own = |body: &[u8]| {
@@ -225,7 +225,7 @@
         (id == first_id + line.call).then_some(End::Right { new_connection: count == 1 })
     };
     let over = match head.split(' ').nth(1) {
-        Some("200") => own(&line.bytes[body_at..end]).unwrap_or(End::Wrong),
+        Some("200") => own(&line.bytes[body_start..end]).unwrap_or(End::Wrong),
         Some("503") => End::Refused,
         _ => End::Wrong,
     };
--- a/crates/capacity/src/world/discovery.rs
+++ b/crates/capacity/src/world/discovery.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 use super::message::{MESSAGE_MOST, head_end};
-use super::{listen, lock};
+use super::{Bound, listen, lock};
 use crate::CapacityError;
 
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// # Errors
     /// No port is free, or the thread does not start.
     pub fn start(entries: Vec<Value>, beat: Duration) -> Result<Self, CapacityError> {
-        let (listener, address) = listen()?;
+        let Bound { listener, address } = listen()?;
         let list = Arc::new(Mutex::new(List { index: 1, entries, watches: Vec::new() }));
         let stopped = Arc::new(AtomicBool::new(false));
         let (shared, stop) = (Arc::clone(&list), Arc::clone(&stopped));
--- a/crates/capacity/src/world/distribution.rs
+++ b/crates/capacity/src/world/distribution.rs
@@ -9,7 +9,7 @@
 
 use serde_json::{Value, json};
 
-use super::child::{Process, own_path};
+use super::child::{Listening, Process, own_path};
 use crate::CapacityError;
 
 /// The distribution's program.
@@ -41,11 +41,11 @@
         };
         let mut origin = command(&["origin"]);
         origin.arg("--dir").arg(&folder);
-        let (process, address, _) = Process::listening(origin, None, |_| ())?;
+        let Listening { process, address, .. } = Process::listening(origin, None, |_| ())?;
         let mut started = Self { origin: address, relays: Vec::new(), processes: vec![process], folder };
         for _ in 0..relays {
             let relay = command(&["relay", "--level", "1", "--parent", &address.to_string()]);
-            let (process, address, _) = Process::listening(relay, None, |_| ())?;
+            let Listening { process, address, .. } = Process::listening(relay, None, |_| ())?;
             started.processes.push(process);
             started.relays.push(address);
         }
--- a/crates/capacity/src/world/message.rs
+++ b/crates/capacity/src/world/message.rs
@@ -15,10 +15,21 @@
     })
 }
 
-/// A whole message at the start of some bytes: its head and where its body ends.
-pub(super) fn message(bytes: &[u8]) -> Option<(&str, usize, usize)> {
+/// Where the parts of a message are in the bytes that begin with it.
+pub(super) struct Message<'a> {
+    /// The lines before the body, with the empty one.
+    pub(super) head: &'a str,
+    /// Where the body begins, in bytes.
+    pub(super) body_start: usize,
+    /// Where the body ends, in bytes.
+    pub(super) end: usize,
+}
+
+/// The message at the start of some bytes, once it is whole.
+pub(super) fn message(bytes: &[u8]) -> Option<Message<'_>> {
     let head_end = head_end(bytes)?;
     let head = std::str::from_utf8(&bytes[..head_end]).ok()?;
     let length: usize = header(head, "content-length").map_or(Some(0), |value| value.parse().ok())?;
-    (bytes.len() >= head_end + length).then_some((head, head_end, head_end + length))
+    let end = head_end + length;
+    (bytes.len() >= end).then_some(Message { head, body_start: head_end, end })
 }
--- a/crates/capacity/src/world/relay.rs
+++ b/crates/capacity/src/world/relay.rs
@@ -6,8 +6,8 @@
 
 use tokio::sync::watch;
 
-use super::listen;
 use super::runtime::on_runtime;
+use super::{Bound, listen};
 use crate::CapacityError;
 
 /// Passes bytes on between callers and upstreams, on the same kind of runtime as the balancer, and does nothing else:
@@ -26,7 +26,7 @@
     /// # Errors
     /// No port is free, or the thread does not start.
     pub fn start(upstreams: Vec<SocketAddr>) -> Result<Self, CapacityError> {
-        let (listener, address) = listen()?;
+        let Bound { listener, address } = listen()?;
         let (stop, stopped) = watch::channel(false);
         let thread = thread::Builder::new().name("relay".to_owned()).spawn(move || {
             on_runtime(stopped, || {
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-use super::message::{MESSAGE_MOST, header, message};
+use super::message::{MESSAGE_MOST, Message, header, message};
 use super::runtime::on_runtime;
-use super::{listen, lock};
+use super::{Bound, listen, lock};
 use crate::CapacityError;
 
 /// What the stand-in upstreams saw.
@@ -105,7 +105,7 @@
         for _ in 0..count {
             listeners.push(listen()?);
         }
-        let addresses = listeners.iter().map(|(_, address)| *address).collect();
+        let addresses = listeners.iter().map(|bound: &Bound| bound.address).collect();
         let seen = Arc::new(Seen {
             runs: (0..calls).map(|_| AtomicU8::new(0)).collect(),
             next_id: AtomicUsize::new(0),
@@ -116,7 +116,7 @@
         });
         let (stop, stopped) = watch::channel(false);
         let mut parts: Vec<Vec<(usize, TcpListener)>> = (0..threads).map(|_| Vec::new()).collect();
-        for (number, (listener, _)) in listeners.into_iter().enumerate() {
+        for (number, Bound { listener, .. }) in listeners.into_iter().enumerate() {
             parts[number % threads].push((number, listener));
         }
         let mut started = Self { addresses, seen, stop, threads: Vec::new() };
@@ -177,7 +177,7 @@
     let _ = stream.set_nodelay(true);
     let (mut bytes, mut count) = (Vec::with_capacity(1024), 0);
     loop {
-        while let Some((head, _, end)) = message(&bytes) {
+        while let Some(Message { head, end, .. }) = message(&bytes) {
             let id = header(head, "x-request-id").and_then(|id| id.parse().ok()).unwrap_or(usize::MAX);
             bytes.drain(..end);
             seen.note(id, number);
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -183,10 +183,10 @@
     let plan = plan();
     let dealt = fleet(&plan, plan.fleet.upstreams.value);
     for (service, &size) in plan.service_sizes().iter().enumerate() {
-        assert_eq!(dealt.iter().filter(|one| one.0 == service).count(), size, "service {service}");
+        assert_eq!(dealt.iter().filter(|one| one.service == service).count(), size, "service {service}");
     }
     for region in 0..plan.fleet.regions.value {
-        let here = dealt.iter().filter(|one| plane::region_of(&plan, one.1) == region).count();
+        let here = dealt.iter().filter(|one| plane::region_of(&plan, one.zone) == region).count();
         let share = here as f64 / dealt.len() as f64;
         assert!((share - plan.fleet.region_shares.value[region]).abs() < 0.01, "region {region}: {share}");
     }
