--- /dev/null
+++ b/crates/capacity/src/real/outcome.rs
@@ -0,0 +1,83 @@
+//! What a play of real balancers gave, as a row of the results.
+
+use std::time::Duration;
+
+use super::play::Setup;
+use super::{BLOCK, What};
+use crate::CapacityError;
+use crate::world::{Call, Counts, Played, Times};
+
+/// The heads of the columns.
+pub(super) const COLUMNS: [&str; 18] = [
+    "changes of",
+    "balancers",
+    "changes",
+    "s between two",
+    "calls",
+    "answered rightly",
+    "refused, not run",
+    "answered wrongly",
+    "lost",
+    "ran twice and must not",
+    "ran twice and may",
+    "in force at the last one, middle, ms",
+    "in force at the last one, most, ms",
+    "added p50 without changes, us",
+    "added p50 with changes, us",
+    "added p99 without changes, us",
+    "added p99 with changes, us",
+    "added p99 by block without changes, us",
+];
+
+/// What a play gave.
+pub(super) struct Outcome {
+    pub(super) calls: Vec<Call>,
+    pub(super) played: Vec<Played>,
+    pub(super) counts: Counts,
+    /// By change, from its publication until it was in force at the last balancer.
+    pub(super) in_force: Vec<Duration>,
+}
+
+impl Outcome {
+    pub(super) fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, CapacityError> {
+        let times = |through: bool, wanted: &dyn Fn(usize) -> bool| {
+            let own = self.calls.iter().zip(&self.played).filter(|(call, played)| {
+                played.is_right() && (call.way > 0) == through && wanted(setup.block(call.at))
+            });
+            Times::of(own.map(|(call, played)| played.latency(call)))
+        };
+        let added = |quantile: f64, wanted: &dyn Fn(usize) -> bool| -> Result<f64, CapacityError> {
+            Ok(times(true, wanted)?.us(quantile) - times(false, wanted)?.us(quantile))
+        };
+        let (without, with) =
+            (|block: usize| block.is_multiple_of(2), |block: usize| !block.is_multiple_of(2));
+        let mut quiet = Vec::new();
+        for block in (0..2 * setup.size.changes.div_ceil(BLOCK)).step_by(2) {
+            quiet.push(format!("{:.0}", added(0.99, &|other| other == block)?));
+        }
+        let mut in_force: Vec<f64> = self.in_force.iter().map(|span| span.as_secs_f64() * 1000.0).collect();
+        in_force.sort_by(f64::total_cmp);
+        let ms = |value: Option<&f64>| value.map_or("-".to_owned(), |ms| format!("{ms:.1}"));
+        let counts = self.counts;
+        Ok(vec![
+            if setup.what == What::List { "the list" } else { "configuration" }.to_owned(),
+            setup.size.balancers.to_string(),
+            setup.size.changes.to_string(),
+            format!("{:.2}", setup.every.as_secs_f64()),
+            counts.calls.to_string(),
+            counts.right.to_string(),
+            counts.refused.to_string(),
+            counts.wrong.to_string(),
+            counts.lost.to_string(),
+            counts.twice.to_string(),
+            counts.repeated.to_string(),
+            ms(in_force.get(in_force.len() / 2)),
+            ms(in_force.last()),
+            format!("{:.0}", added(0.5, &without)?),
+            format!("{:.0}", added(0.5, &with)?),
+            format!("{:.0}", added(0.99, &without)?),
+            format!("{:.0}", added(0.99, &with)?),
+            quiet.join(" "),
+        ])
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/real/play.rs
@@ -0,0 +1,224 @@
+//! One play of real balancers: its processes, its calls and its changes.
+
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::mpsc;
+use std::thread;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+use oorandom::Rand64;
+
+use super::in_force::{InForce, reporter, words};
+use super::outcome::Outcome;
+use super::{Arguments, BLOCK, Size, What};
+use crate::CapacityError;
+use crate::plan::Plan;
+use crate::world::{self, Balancer, Call, Counts, Discovery, Distribution, Played, Upstreams, Way};
+
+/// Stand-in upstreams of direct calls.
+const DIRECT: usize = 8;
+/// Connections to the stand-in upstreams of direct calls that stand beforehand.
+const DIRECT_CONNECTIONS: usize = 64;
+/// Connections of callers to each balancer that stand beforehand.
+const CALLERS: usize = 8;
+
+pub(super) struct Setup<'a> {
+    pub(super) arguments: &'a Arguments,
+    pub(super) plan: &'a Plan,
+    pub(super) size: Size,
+    pub(super) what: What,
+    pub(super) every: Duration,
+}
+
+/// The processes and stand-ins of a play; the balancers end first.
+struct Running {
+    balancers: Vec<Balancer>,
+    distribution: Option<Distribution>,
+    discovery: Discovery,
+    upstreams: Upstreams,
+    /// What the balancers' logs say is in force.
+    says: mpsc::Receiver<InForce>,
+}
+
+/// The changes of a play.
+struct Changes {
+    /// Those of configuration.
+    published: Vec<Published>,
+    /// How long each drain took to be in force.
+    drained: Vec<Duration>,
+}
+
+/// A change that was published.
+pub(super) struct Published {
+    pub(super) scope: &'static str,
+    pub(super) version: u64,
+    pub(super) at: Instant,
+}
+
+impl Setup<'_> {
+    /// The block that a time lies in; changes are made in every other one, beginning with the second.
+    pub(super) fn block(&self, at: Duration) -> usize {
+        (at.as_secs_f64() / self.every.as_secs_f64() / BLOCK as f64) as usize
+    }
+
+    fn length(&self) -> Duration {
+        self.every * (2 * BLOCK * self.size.changes.div_ceil(BLOCK)) as u32
+    }
+
+    pub(super) fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
+        let program = self.arguments.common.program(world::BALANCER)?;
+        if self.is_apart() {
+            world::hold_to(&format!("1-{}", self.size.cores - 1))?;
+        }
+        let calls = self.draw_calls(rng);
+        let running = self.start(&program, calls.len())?;
+        let first = running.upstreams.seen.take_ids(calls.len())?;
+        let (played, changes) = self.call_through_changes(&running, &calls, first)?;
+        let Changes { published, drained: mut in_force } = changes;
+        if running.distribution.is_some() {
+            let words = words(&running.says, &published, self.size.balancers);
+            for change in &published {
+                in_force.push(self.last(change, &words)?);
+            }
+        }
+        let counts = Counts::of(&calls, &played, &running.upstreams.seen, first);
+        Ok(Outcome { calls, played, counts, in_force })
+    }
+
+    /// Whether the caller's thread has a core for itself.
+    fn is_apart(&self) -> bool {
+        !self.arguments.anywhere && !self.arguments.common.small
+    }
+
+    /// Pairs of a direct call and one through a drawn balancer.
+    fn draw_calls(&self, rng: &mut Rand64) -> Vec<Call> {
+        let mut calls = world::paired(rng, 2, self.size.rate, self.length(), false);
+        for call in calls.iter_mut().filter(|call| call.way > 0) {
+            call.way = 1 + rng.rand_range(0..self.size.balancers as u64) as usize;
+        }
+        calls
+    }
+
+    /// Starts everything that the calls need.
+    fn start(&self, program: &Path, calls: usize) -> Result<Running, CapacityError> {
+        // Direct calls go to some that no list has, so that a call to one that drains is a balancer's.
+        let listed = self.arguments.upstreams;
+        let upstreams = Upstreams::start(listed + DIRECT, 2, calls)?;
+        let entries = &upstreams.entries()[..listed];
+        let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
+        let discovery = Discovery::start(entries.to_vec(), beat)?;
+        let distribution = match self.what {
+            What::Configuration => {
+                Some(Distribution::start(&self.arguments.common.program(world::DISTRIBUTION)?, 2)?)
+            }
+            _ => None,
+        };
+        let settings = world::settings(self.plan, self.size.balancers);
+        let (said, says) = mpsc::channel();
+        let mut balancers = Vec::new();
+        for number in 0..self.size.balancers {
+            let name = format!("b{number}");
+            let mut configuration = world::configuration(&name, discovery.address, entries, &settings);
+            configuration["settings"]["me"] = number.into();
+            configuration["seed"] = format!("{:x}", 0x8c1f + number).into();
+            if let Some(distribution) = &distribution {
+                configuration["distribution"] = distribution.named();
+            }
+            let line = reporter(number, said.clone());
+            balancers.push(Balancer::start(program, &configuration, None, line)?);
+        }
+        Ok(Running { balancers, distribution, discovery, upstreams, says })
+    }
+
+    /// The way of direct calls, then that of each balancer.
+    fn ways(&self, running: &Running) -> Vec<Way> {
+        let way = |targets, warm| Way {
+            targets,
+            warm,
+            deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
+            tenants: self.plan.traffic.tenants.value,
+        };
+        let direct = running.upstreams.addresses[self.arguments.upstreams..].to_vec();
+        let mut ways = vec![way(direct, DIRECT_CONNECTIONS)];
+        ways.extend(running.balancers.iter().map(|balancer| way(vec![balancer.address], CALLERS)));
+        ways
+    }
+
+    /// Makes the calls on a thread of their own, and the changes meanwhile.
+    fn call_through_changes(
+        &self,
+        running: &Running,
+        calls: &[Call],
+        first: usize,
+    ) -> Result<(Vec<Played>, Changes), CapacityError> {
+        let ways = self.ways(running);
+        let zero = Instant::now() + world::CONNECT_FIRST * 2;
+        let over = AtomicBool::new(false);
+        thread::scope(|scope| {
+            let caller = scope.spawn(|| {
+                let placed = if self.is_apart() { world::hold_to("0") } else { Ok(()) };
+                let progress = AtomicUsize::new(0);
+                let played = placed.and_then(|()| world::play(calls, &ways, first, zero, &progress));
+                over.store(true, Ordering::Release);
+                played
+            });
+            let changes = self.make_changes(zero, &over, running);
+            let ended = |_| CapacityError::run("calling", "the caller's thread ended");
+            let played = caller.join().map_err(ended)??;
+            Ok((played, changes?))
+        })
+    }
+
+    /// Makes the changes at their times; tells those of configuration, and how long each drain took to be in force.
+    fn make_changes(
+        &self,
+        zero: Instant,
+        over: &AtomicBool,
+        running: &Running,
+    ) -> Result<Changes, CapacityError> {
+        let Running { upstreams, discovery, distribution, .. } = running;
+        let (mut published, mut drained) = (Vec::new(), Vec::new());
+        let mut drains: Option<(usize, Instant)> = None;
+        for number in 0..self.size.changes {
+            // The first block of each two is without.
+            let slot = number / BLOCK * 2 * BLOCK + BLOCK + number % BLOCK;
+            let at = zero + self.every * slot as u32;
+            while Instant::now() < at && !over.load(Ordering::Acquire) {
+                thread::sleep(Duration::from_millis(1));
+            }
+            let at = Instant::now();
+            if let Some(distribution) = distribution {
+                let (scope, document) = world::configuration_change(self.plan, number);
+                let version = distribution.publish(scope, &format!("change-{number}"), &document)?;
+                published.push(Published { scope, version, at });
+            } else if let Some((upstream, since)) = drains.take() {
+                let last = upstreams.seen.latest(upstream).unwrap_or(since);
+                drained.push(last.saturating_duration_since(since));
+                let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+                discovery.change(upstream, upstreams.entry(upstream, "ready", now.as_millis() as u64));
+            } else {
+                let upstream = number / 2 % self.arguments.upstreams;
+                discovery.change(upstream, upstreams.entry(upstream, "draining", 0));
+                drains = Some((upstream, at));
+            }
+        }
+        Ok(Changes { published, drained })
+    }
+
+    /// When a change was in force at the last balancer: that version, or a later one of its scope.
+    fn last(&self, change: &Published, words: &[InForce]) -> Result<Duration, CapacityError> {
+        let mut last = Duration::ZERO;
+        for balancer in 0..self.size.balancers {
+            let word = words.iter().find(|word| {
+                word.balancer == balancer && word.scope == change.scope && word.version >= change.version
+            });
+            let Some(word) = word else {
+                let cause =
+                    format!("{} {} never came to be in force at b{balancer}", change.scope, change.version);
+                return Err(CapacityError::run("changes of configuration", cause));
+            };
+            last = last.max(word.at.saturating_duration_since(change.at));
+        }
+        Ok(last)
+    }
+}
