--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -17,7 +17,7 @@
 mod rig;
 
 /// How long anything may take that works.
-const PATIENCE: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 /// The sizes that are played, in parts of the plan's upstreams: with its 1900 these are 100, 300, 1000 and all.
 const PARTS: [f64; 4] = [1.0 / 19.0, 3.0 / 19.0, 10.0 / 19.0, 1.0];
 
@@ -58,7 +58,7 @@
     if !(1..=100).contains(&arguments.plays) {
         return Err(CapacityError::Argument { name: "plays", expected: "1 to 100".to_owned() });
     }
-    child::heed_signals()?;
+    child::handle_signals()?;
     let rig = Rig {
         plan,
         folder: plane::folder(&arguments.out, "slopes")?,
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -9,10 +9,10 @@
 
 use super::Measured;
 use crate::CapacityError;
-use crate::control::PATIENCE;
+use crate::control::TIMEOUT;
 use crate::control::rig::Rig;
 use crate::sockets::machine::Usage;
-use crate::sockets::plane::{self, Answer, Change, Machine, Plane, Role};
+use crate::sockets::plane::{self, Change, Machine, Plane, Response, Role};
 use crate::sockets::swarm::{Swarm, Times};
 use crate::sockets::{region_name, service_name};
 
@@ -101,7 +101,7 @@
     }
 
     fn wait_for_newest(&self, swarm: &mut Swarm, otherwise: &str) -> Result<(), CapacityError> {
-        if swarm.hear_until(PATIENCE, |swarm| swarm.missing(&self.newest) == 0)? {
+        if swarm.receive_until(TIMEOUT, |swarm| swarm.missing(&self.newest) == 0)? {
             return Ok(());
         }
         Err(CapacityError::run(format!("configuration to {} balancers", self.watchers), otherwise))
@@ -109,7 +109,7 @@
 
     /// Waits for the reports of a change, which follow within half a second.
     fn wait_for_reports(&self, swarm: &mut Swarm) -> Result<(), CapacityError> {
-        swarm.hear(self.rig.window / 6)
+        swarm.receive_for(self.rig.window / 6)
     }
 
     /// What the processes use while nothing changes, by play.
@@ -117,7 +117,7 @@
         let mut at_rest = Vec::new();
         for _ in 0..self.rig.plays {
             let from = Moment::of(swarm, &mut self.plane)?;
-            swarm.hear(self.rig.window)?;
+            swarm.receive_for(self.rig.window)?;
             let to = Moment::of(swarm, &mut self.plane)?;
             let rest = from.until(&to);
             all.rest_bytes.add(self.watchers, rest.bytes);
@@ -168,10 +168,10 @@
             times.add(at_ns.saturating_sub(change.acknowledged_ns));
             sent.add(at_ns.saturating_sub(change.sent_ns));
         }
-        all.p50.add(self.watchers, times.at(0.5));
-        all.p99.add(self.watchers, times.at(0.99));
-        all.last.add(self.watchers, times.at(1.0));
-        all.sent_last.add(self.watchers, sent.at(1.0));
+        all.p50.add(self.watchers, times.quantile_ms(0.5));
+        all.p99.add(self.watchers, times.quantile_ms(0.99));
+        all.last.add(self.watchers, times.quantile_ms(1.0));
+        all.sent_last.add(self.watchers, sent.quantile_ms(1.0));
         Ok(())
     }
 }
@@ -212,10 +212,10 @@
 fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the configuration from {since}");
     let head = format!("GET /configuration?since={since}&scopes=* HTTP/1.1\r\n");
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     loop {
-        let Answer { status, body, bytes } =
-            plane::ask(origin, &head, "").map_err(|cause| CapacityError::run(&place, cause))?;
+        let Response { status, body, bytes } =
+            plane::request(origin, &head, "").map_err(|cause| CapacityError::run(&place, cause))?;
         match serde_json::from_str::<Update>(body.trim()) {
             Ok(update) if status == 200 && update.index == index => return Ok(bytes as u64),
             _ if Instant::now() < until => thread::sleep(Duration::from_millis(10)),
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::PATIENCE;
+use super::TIMEOUT;
 use super::list_client::{Client, first_line};
 use super::rig::{About, Plays, Rig};
 use crate::CapacityError;
@@ -170,10 +170,10 @@
         let own_kb_before = own_kb();
         let server = self.server(self.sizes[0])?;
         let mut swarm = self.swarm(watchers, Some(server.address), &|_, _| Vec::new())?;
-        if !swarm.hear_until(PATIENCE, Swarm::all_listed)? {
+        if !swarm.receive_until(TIMEOUT, Swarm::all_listed)? {
             return Err(CapacityError::run("watches of the list", "not all have a list in time"));
         }
-        swarm.hear(self.window / 6)?;
+        swarm.receive_for(self.window / 6)?;
         for _ in 0..self.plays {
             self.play_list_rest(watchers, &server, &mut swarm, all)?;
             all.server_kb.add(watchers, own_kb().saturating_sub(own_kb_before) as f64);
@@ -190,7 +190,7 @@
     ) -> Result<(), CapacityError> {
         let (before, used) = (server.carried(), swarm.usage());
         let start = Instant::now();
-        swarm.hear(self.window)?;
+        swarm.receive_for(self.window)?;
         let (after, seconds) = (server.carried(), start.elapsed().as_secs_f64());
         let now = swarm.usage();
         let carried = after.read + after.written - before.read - before.written;
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::PATIENCE;
+use super::TIMEOUT;
 use crate::CapacityError;
 use crate::plan::Plan;
 use crate::sockets::hollow::{self, Hollow};
@@ -57,7 +57,7 @@
                     let after = server.carried();
                     let whole_bytes = (after.read + after.written - before.read - before.written) as f64;
                     let rest = spent(count, || ()).await;
-                    let whole_us = spent(count, || server.tell_whole()).await - rest;
+                    let whole_us = spent(count, || server.send_snapshot()).await - rest;
                     let change_us = spent(count, || server.change(1)).await - rest;
                     Ok(Costs { whole_bytes, whole_us, change_us })
                 });
@@ -87,7 +87,7 @@
     let wrong = |cause| CapacityError::run(&place, cause);
     let before = server.carried();
     let mut stream = TcpStream::connect(server.address).map_err(wrong)?;
-    stream.set_read_timeout(Some(PATIENCE)).map_err(wrong)?;
+    stream.set_read_timeout(Some(TIMEOUT)).map_err(wrong)?;
     let ask =
         format!("GET /catalog/members?follow=1&since={since} HTTP/1.1\r\nhost: {}\r\n\r\n", server.address);
     stream.write_all(ask.as_bytes()).map_err(wrong)?;
@@ -101,7 +101,7 @@
         }
     }
     let here = (ask.len() + answer.len()) as u64;
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     loop {
         let after = server.carried();
         let there = after.read + after.written - before.read - before.written;
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -60,7 +60,7 @@
 /// Changes of one block.
 const BLOCK: usize = 10;
 /// Calls a second at most: one caller's thread carries no more.
-const RATE_MOST: f64 = 5000.0;
+const MAX_RATE: f64 = 5000.0;
 /// Time between two changes of the list, in seconds.
 const LIST_EVERY_S: f64 = 0.3;
 /// Balancers of a small play.
@@ -135,8 +135,8 @@
         }
         let balancers = if small { BALANCERS_SMALL } else { arguments.balancers };
         let rate = arguments.rate.unwrap_or_else(|| plan.mean_rate(Reading::Hops)) * balancers as f64;
-        if !(1.0..=RATE_MOST).contains(&rate) {
-            return wrong("rate", format!("1 to {RATE_MOST} a second, over all balancers"));
+        if !(1.0..=MAX_RATE).contains(&rate) {
+            return wrong("rate", format!("1 to {MAX_RATE} a second, over all balancers"));
         }
         let cores = thread::available_parallelism().map_or(1, usize::from);
         if cores < 2 && !arguments.anywhere && !small {
--- a/crates/capacity/src/real/in_force.rs
+++ b/crates/capacity/src/real/in_force.rs
@@ -5,6 +5,9 @@
 
 use super::play::Published;
 
+/// How long after the last change its reports are waited for.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
+
 /// A balancer's word that a version of a scope is in force.
 pub(super) struct InForce {
     pub(super) balancer: usize,
@@ -14,12 +17,12 @@
 }
 
 /// Sends on what a balancer's log says is in force.
-pub(super) fn reporter(balancer: usize, said: mpsc::Sender<InForce>) -> impl Fn(&str) {
+pub(super) fn reporter(balancer: usize, sender: mpsc::Sender<InForce>) -> impl Fn(&str) {
     move |line| {
         for (scope, version) in in_force(line) {
             let at = Instant::now();
             // Once the play has ended, nobody wants to know.
-            let _ = said.send(InForce { balancer, scope, version, at });
+            let _ = sender.send(InForce { balancer, scope, version, at });
         }
     }
 }
@@ -37,8 +40,8 @@
 }
 
 /// What the balancers said, until each has said so of the last change of each scope or for long enough.
-pub(super) fn words(
-    says: &mpsc::Receiver<InForce>,
+pub(super) fn collect_reports(
+    reports: &mpsc::Receiver<InForce>,
     published: &[Published],
     balancers: usize,
 ) -> Vec<InForce> {
@@ -47,18 +50,20 @@
     let mut scopes: Vec<&str> = published.iter().map(|change| change.scope).collect();
     scopes.sort_unstable();
     scopes.dedup();
-    let (mut words, mut done) = (Vec::new(), 0);
-    let by = Instant::now() + Duration::from_secs(20);
+    let (mut received, mut done) = (Vec::new(), 0);
+    let deadline = Instant::now() + REPORT_TIMEOUT;
     while done < scopes.len() * balancers
-        && let Ok(word) = says.recv_timeout(by.saturating_duration_since(Instant::now()))
+        && let Ok(report) = reports.recv_timeout(deadline.saturating_duration_since(Instant::now()))
     {
-        let is_new = !words.iter().any(|w: &InForce| {
-            w.balancer == word.balancer && w.scope == word.scope && w.version == word.version
+        let is_new = !received.iter().any(|earlier: &InForce| {
+            earlier.balancer == report.balancer
+                && earlier.scope == report.scope
+                && earlier.version == report.version
         });
-        done += usize::from(is_new && newest(&word.scope) == Some(word.version));
+        done += usize::from(is_new && newest(&report.scope) == Some(report.version));
         if is_new {
-            words.push(word);
+            received.push(report);
         }
     }
-    words
+    received
 }
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -8,7 +8,7 @@
 
 use oorandom::Rand64;
 
-use super::in_force::{InForce, reporter, words};
+use super::in_force::{InForce, collect_reports, reporter};
 use super::outcome::Outcome;
 use super::{Arguments, BLOCK, Size, What};
 use crate::CapacityError;
@@ -37,7 +37,7 @@
     discovery: Discovery,
     upstreams: Upstreams,
     /// What the balancers' logs say is in force.
-    says: mpsc::Receiver<InForce>,
+    reports: mpsc::Receiver<InForce>,
 }
 
 /// The changes of a play.
@@ -76,9 +76,9 @@
         let (played, changes) = self.call_through_changes(&running, &calls, first)?;
         let Changes { published, drained: mut in_force } = changes;
         if running.distribution.is_some() {
-            let words = words(&running.says, &published, self.size.balancers);
+            let reports = collect_reports(&running.reports, &published, self.size.balancers);
             for change in &published {
-                in_force.push(self.last(change, &words)?);
+                in_force.push(self.time_to_last(change, &reports)?);
             }
         }
         let counts = Counts::of(&calls, &played, &running.upstreams.seen, first);
@@ -114,7 +114,7 @@
             _ => None,
         };
         let settings = world::settings(self.plan, self.size.balancers);
-        let (said, says) = mpsc::channel();
+        let (sender, reports) = mpsc::channel();
         let mut balancers = Vec::new();
         for number in 0..self.size.balancers {
             let name = format!("b{number}");
@@ -124,10 +124,10 @@
             if let Some(distribution) = &distribution {
                 configuration["distribution"] = distribution.named();
             }
-            let line = reporter(number, said.clone());
+            let line = reporter(number, sender.clone());
             balancers.push(Balancer::start(program, &configuration, None, line)?);
         }
-        Ok(Running { balancers, distribution, discovery, upstreams, says })
+        Ok(Running { balancers, distribution, discovery, upstreams, reports })
     }
 
     /// The way of direct calls, then that of each balancer.
@@ -206,18 +206,20 @@
     }
 
     /// When a change was in force at the last balancer: that version, or a later one of its scope.
-    fn last(&self, change: &Published, words: &[InForce]) -> Result<Duration, CapacityError> {
+    fn time_to_last(&self, change: &Published, reports: &[InForce]) -> Result<Duration, CapacityError> {
         let mut last = Duration::ZERO;
         for balancer in 0..self.size.balancers {
-            let word = words.iter().find(|word| {
-                word.balancer == balancer && word.scope == change.scope && word.version >= change.version
+            let report = reports.iter().find(|report| {
+                report.balancer == balancer
+                    && report.scope == change.scope
+                    && report.version >= change.version
             });
-            let Some(word) = word else {
+            let Some(report) = report else {
                 let cause =
                     format!("{} {} never came to be in force at b{balancer}", change.scope, change.version);
                 return Err(CapacityError::run("changes of configuration", cause));
             };
-            last = last.max(word.at.saturating_duration_since(change.at));
+            last = last.max(report.at.saturating_duration_since(change.at));
         }
         Ok(last)
     }
--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -99,7 +99,7 @@
         return hollow::run();
     }
     let size = Size::of(arguments, plan)?;
-    child::heed_signals()?;
+    child::handle_signals()?;
     let folder = plane::folder(&arguments.out, "results")?;
     let scenarios = match &arguments.scenario[..] {
         [] => Scenario::value_variants(),
@@ -110,7 +110,7 @@
     for &scenario in scenarios {
         for seed in arguments.seed..arguments.seed + arguments.seeds {
             let outcome = play(scenario, seed, &size, plan)?;
-            println!("{}", outcome.told());
+            println!("{}", outcome.text());
             missed.extend(outcome.faults(plan, !arguments.small));
             rows.push(outcome.row());
         }
--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -19,13 +19,13 @@
     pub line: Option<String>,
 }
 
-static ASKED: AtomicBool = AtomicBool::new(false);
+static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
 /// Has SIGTERM and SIGINT end the run in order from now on, so that the guards of its processes still work.
 ///
 /// # Errors
 /// There is no runtime for it.
-pub fn heed_signals() -> Result<(), CapacityError> {
+pub fn handle_signals() -> Result<(), CapacityError> {
     let wrong = |cause| CapacityError::run("signals", cause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
     let (mut terminate, mut interrupt) = {
@@ -37,7 +37,7 @@
         runtime.block_on(async {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         });
-        ASKED.store(true, Ordering::Release);
+        INTERRUPTED.store(true, Ordering::Release);
     });
     Ok(())
 }
@@ -46,8 +46,12 @@
 ///
 /// # Errors
 /// It has.
-pub fn go_on() -> Result<(), CapacityError> {
-    if ASKED.load(Ordering::Acquire) { Err(CapacityError::run("signals", "asked to end")) } else { Ok(()) }
+pub fn check_interrupted() -> Result<(), CapacityError> {
+    if INTERRUPTED.load(Ordering::Acquire) {
+        Err(CapacityError::run("signals", "asked to end"))
+    } else {
+        Ok(())
+    }
 }
 
 /// A process that ends when this is dropped.
@@ -98,9 +102,9 @@
     ///
     /// # Errors
     /// It has gone.
-    pub fn tell(&mut self, line: &str) -> Result<(), CapacityError> {
-        let told = self.input.as_mut().map(|input| writeln!(input, "{line}").and_then(|()| input.flush()));
-        match told {
+    pub fn send_line(&mut self, line: &str) -> Result<(), CapacityError> {
+        let written = self.input.as_mut().map(|input| writeln!(input, "{line}").and_then(|()| input.flush()));
+        match written {
             Some(Ok(())) => Ok(()),
             Some(Err(cause)) => Err(CapacityError::run(&self.name, cause)),
             None => Err(CapacityError::run(&self.name, "has been ended")),
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -76,7 +76,7 @@
 
 /// What a process says, a JSON object a line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Event {
     /// A balancer has taken in its whole list.
     Listed(usize),
     /// A balancer has a document in force.
@@ -174,8 +174,8 @@
     }
 }
 
-fn say(word: &Word) {
-    let Ok(line) = serde_json::to_string(word) else { return };
+fn send_event(event: &Event) {
+    let Ok(line) = serde_json::to_string(event) else { return };
     // Nobody listens any more: there is nothing left to do.
     if writeln!(io::stdout().lock(), "{line}").is_err() {
         process::exit(0);
@@ -194,10 +194,10 @@
         .map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
     let job: Job =
         serde_json::from_str(&first).map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
-    let (told, commands) = mpsc::channel(16);
+    let (sender, commands) = mpsc::channel(16);
     thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
-            if told.blocking_send(line).is_err() {
+            if sender.blocking_send(line).is_err() {
                 break;
             }
         }
@@ -220,7 +220,7 @@
         if let Some(list) = job.list {
             match driver(list, hollow, &job.zones) {
                 Ok(driver) => drop(spawn_local(listed(driver, hollow.number))),
-                Err(cause) => say(&Word::Failed(cause)),
+                Err(cause) => send_event(&Event::Failed(cause)),
             }
         }
         if !hollow.parents.is_empty() {
@@ -236,7 +236,7 @@
         tokio::select! {
             command = commands.recv() => match command.as_deref() {
                 Some("figures") => {
-                    say(&Word::Figures(figures(&all, most)));
+                    send_event(&Event::Figures(figures(&all, most)));
                     most = 0;
                 }
                 _ => return,
@@ -292,7 +292,7 @@
     while !driver.can_serve() {
         sleep(Duration::from_millis(10)).await;
     }
-    say(&Word::Listed(number));
+    send_event(&Event::Listed(number));
     // The driver holds itself; this keeps the intent plain.
     std::future::pending::<()>().await;
 }
@@ -317,13 +317,13 @@
     let take = |state: &State, changed: &[Scope]| {
         let at_ns = machine::now_ns();
         if state.index() < index {
-            say(&Word::Back { balancer: hollow.number, from: index, to: state.index() });
+            send_event(&Event::Back { balancer: hollow.number, from: index, to: state.index() });
         }
         index = state.index();
         for scope in changed {
             if let Some(document) = state.get(scope) {
                 let (scope, version) = (scope.clone(), document.version);
-                say(&Word::InForce { balancer: hollow.number, scope, version, at_ns });
+                send_event(&Event::InForce { balancer: hollow.number, scope, version, at_ns });
             }
         }
         let versions = hollow.wanted().into_iter();
--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -19,7 +19,7 @@
 use crate::CapacityError;
 
 /// Bytes of a request's head at most.
-const HEAD_MOST: usize = 8192;
+const MAX_HEAD_BYTES: usize = 8192;
 
 struct Entry {
     text: String,
@@ -47,10 +47,10 @@
                 if since == *index {
                     return chunk("\n");
                 }
-                let told = entries.iter().filter(|entry| whole || entry.changed > since);
-                let told: Vec<&str> = told.map(|entry| entry.text.as_str()).collect();
-                let told = told.join(",");
-                chunk(&format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{told}]}}\n"))
+                let changed = entries.iter().filter(|entry| whole || entry.changed > since);
+                let changed: Vec<&str> = changed.map(|entry| entry.text.as_str()).collect();
+                let changed = changed.join(",");
+                chunk(&format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{changed}]}}\n"))
             })
             .clone()
     }
@@ -119,7 +119,7 @@
     turn: AtomicU64,
 }
 
-fn held<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -177,7 +177,7 @@
 
     /// Changes `count` entries, one after another in turn, at one index each; tells it to nobody before the last.
     pub fn change(&self, count: usize) {
-        let mut lines = held(&self.shared.lines);
+        let mut lines = lock(&self.shared.lines);
         for _ in 0..count {
             let turn = self.turn.fetch_add(1, Ordering::Relaxed);
             let number = turn as usize % lines.entries.len().max(1);
@@ -193,8 +193,8 @@
     }
 
     /// Tells all watches the whole list at the next index.
-    pub fn tell_whole(&self) {
-        let mut lines = held(&self.shared.lines);
+    pub fn send_snapshot(&self) {
+        let mut lines = lock(&self.shared.lines);
         lines.index += 1;
         lines.whole_before = lines.index;
         lines.ready.clear();
@@ -221,7 +221,7 @@
     /// Where each watch so far stood when it asked, in the order of their coming.
     #[must_use]
     pub fn asked(&self) -> Vec<u64> {
-        held(&self.shared.asked).clone()
+        lock(&self.shared.asked).clone()
     }
 }
 
@@ -273,7 +273,7 @@
     mut closes: watch::Receiver<u64>,
 ) -> std::io::Result<()> {
     let mut head = Vec::new();
-    while !head.ends_with(b"\r\n\r\n") && head.len() < HEAD_MOST {
+    while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_BYTES {
         if stream.read_buf(&mut head).await? == 0 {
             return Ok(());
         }
@@ -284,7 +284,7 @@
     let Some(since) = since.filter(|_| head.starts_with("GET /catalog/members?")) else {
         return stream.write_all(b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n").await;
     };
-    held(&shared.asked).push(since);
+    lock(&shared.asked).push(since);
     let answer = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n";
     stream.write_all(answer).await?;
     shared.counts.written.fetch_add(answer.len() as u64, Ordering::AcqRel);
@@ -293,7 +293,7 @@
     loop {
         indices.mark_unchanged();
         let line = {
-            let mut lines = held(&shared.lines);
+            let mut lines = lock(&shared.lines);
             let line = lines.after(at);
             at = lines.index;
             line
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -41,12 +41,12 @@
     pub(super) changes: usize,
     pub(super) times: Times,
     pub(super) from_sending: Times,
-    pub(super) back: usize,
+    pub(super) index_regressions: usize,
     pub(super) missing: usize,
     pub(super) elsewhere: usize,
     pub(super) rest: Cost,
     pub(super) play: Cost,
-    pub(super) back_again: Cost,
+    pub(super) return_cost: Cost,
     pub(super) most_in_window: u64,
     pub(super) balancer_mb: f64,
     pub(super) control_mb: Busiest,
@@ -63,29 +63,29 @@
             self.balancers.to_string(),
             self.changes.to_string(),
             self.times.count().to_string(),
-            format!("{:.1}", self.times.at(0.5)),
-            format!("{:.1}", self.times.at(0.99)),
-            format!("{:.1}", self.times.at(1.0)),
-            format!("{:.1}", self.from_sending.at(1.0)),
-            self.back.to_string(),
+            format!("{:.1}", self.times.quantile_ms(0.5)),
+            format!("{:.1}", self.times.quantile_ms(0.99)),
+            format!("{:.1}", self.times.quantile_ms(1.0)),
+            format!("{:.1}", self.from_sending.quantile_ms(1.0)),
+            self.index_regressions.to_string(),
             self.missing.to_string(),
             self.elsewhere.to_string(),
             format!("{:.0}", self.rest.bytes_per_s),
             format!("{:.0}", self.play.bytes_per_s),
-            format!("{:.0}", self.back_again.bytes_per_s),
+            format!("{:.0}", self.return_cost.bytes_per_s),
             format!("{:.0}", self.most_in_window as f64 / WINDOW_S as f64),
             format!("{:.5}", self.rest.core),
             format!("{:.5}", self.play.core),
-            format!("{:.5}", self.back_again.core),
+            format!("{:.5}", self.return_cost.core),
             format!("{:.2}", self.balancer_mb),
             named(&self.rest.control_core, 4),
-            named(&self.back_again.control_core, 4),
-            named(&self.back_again.control_bytes_per_s, 0),
+            named(&self.return_cost.control_core, 4),
+            named(&self.return_cost.control_bytes_per_s, 0),
             named(&self.control_mb, 1),
         ]
     }
 
-    pub(super) fn told(&self) -> String {
+    pub(super) fn text(&self) -> String {
         COLUMNS.iter().zip(self.row()).map(|(head, value)| format!("{head}: {value}\n")).collect()
     }
 
@@ -99,10 +99,10 @@
                 faults.push(format!("{place}: {what}"));
             }
         };
-        want(self.back == 0, format!("{} indices went back", self.back));
+        want(self.index_regressions == 0, format!("{} indices went back", self.index_regressions));
         want(self.missing == 0, format!("{} balancers miss the last change", self.missing));
         want(self.elsewhere == 0, format!("{} watches of the list stand elsewhere", self.elsewhere));
-        let last_s = self.times.at(1.0) / 1000.0;
+        let last_s = self.times.quantile_ms(1.0) / 1000.0;
         want(!timed || last_s < within, format!("the last change took {last_s:.1} s, over {within} s"));
         faults
     }
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -22,14 +22,14 @@
 
 pub use self::deal::{Machine, Role, deal, region_of};
 use self::forwarder::{Forwarder, Forwarders, forward_all};
-pub use self::publication::{Answer, Change, ask, body, publish};
+pub use self::publication::{Change, Response, body, publish, request};
 
 /// The program that the processes are.
 const PROGRAM: &str = "config-distribution";
 /// Below the ports that the kernel gives to callers, so that none is taken meanwhile.
 const FIRST_PORT: u16 = 7100;
 /// How long a process may take to listen, and a publication to be taken.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Running {
     machine: Machine,
@@ -143,10 +143,10 @@
     /// # Errors
     /// One does not in time.
     pub fn wait_listening(&self) -> Result<(), CapacityError> {
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TIMEOUT;
         for running in self.running.iter().filter(|running| running.child.is_some()) {
             while let Err(cause) = TcpStream::connect(running.address) {
-                child::go_on()?;
+                child::check_interrupted()?;
                 if Instant::now() > until {
                     let place = format!("{} at {}", running.machine.role.name(), running.address);
                     return Err(CapacityError::run(place, cause));
--- a/crates/capacity/src/sockets/plane/publication.rs
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -8,7 +8,7 @@
 use config_distribution::document::Scope;
 use serde::Deserialize;
 
-use super::PATIENCE;
+use super::TIMEOUT;
 use crate::CapacityError;
 use crate::sockets::machine;
 
@@ -36,19 +36,19 @@
 /// It is refused, or not taken for half a minute.
 pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
     let sent_ns = machine::now_ns();
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     let head = format!("PUT /configuration/{scope} HTTP/1.1\r\nX-Request-Id: {id}\r\n");
     loop {
-        let failed = match ask(origin, &head, body) {
-            Ok(Answer { status: 200, body: text, .. }) => {
+        let failed = match request(origin, &head, body) {
+            Ok(Response { status: 200, body: text, .. }) => {
                 let acknowledged_ns = machine::now_ns();
                 let Acknowledged { index } = serde_json::from_str(&text).map_err(|cause| {
                     CapacityError::run(format!("publication of {scope}: {text:?}"), cause)
                 })?;
                 return Ok(Change { scope: scope.clone(), version: index, sent_ns, acknowledged_ns });
             }
-            Ok(Answer { status: 503, body: text, .. }) => text,
-            Ok(Answer { status, body: text, .. }) => {
+            Ok(Response { status: 503, body: text, .. }) => text,
+            Ok(Response { status, body: text, .. }) => {
                 return Err(CapacityError::run(
                     format!("publication of {scope}"),
                     format!("answered {status}: {text}"),
@@ -65,7 +65,7 @@
 
 /// What was answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: u16,
     /// The body.
@@ -78,21 +78,21 @@
 ///
 /// # Errors
 /// The connection breaks, or what comes is not understood.
-pub fn ask(address: SocketAddr, head: &str, body: &str) -> std::io::Result<Answer> {
+pub fn request(address: SocketAddr, head: &str, body: &str) -> std::io::Result<Response> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     let length = body.len();
     let text =
         format!("{head}Host: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
     stream.write_all(text.as_bytes())?;
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer)?;
-    let bytes = text.len() + answer.len();
-    let answer = String::from_utf8_lossy(&answer);
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response)?;
+    let bytes = text.len() + response.len();
+    let response = String::from_utf8_lossy(&response);
     let wrong = || std::io::Error::new(ErrorKind::InvalidData, "no answer of HTTP/1.1");
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or_else(wrong)?;
+    let (head, body) = response.split_once("\r\n\r\n").ok_or_else(wrong)?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(wrong)?;
-    Ok(Answer { status, body: body.to_owned(), bytes })
+    Ok(Response { status, body: body.to_owned(), bytes })
 }
 
 /// A document's body of about so many bytes, another one with each `turn`.
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -26,7 +26,7 @@
 /// Part of the machine's memory at most.
 const MEMORY_PART: f64 = 0.5;
 /// How long the last change may take before the play is given up.
-const PATIENCE: Duration = Duration::from_secs(40);
+const TIMEOUT: Duration = Duration::from_secs(40);
 /// Part of a play's changes, at its end, in which the return from a fault is looked at.
 const RETURN_PART: f64 = 0.35;
 /// Between the starts of two balancers of a process, in ms; a small play, whose processes have fewer balancers, has none.
@@ -62,12 +62,12 @@
         changes: played.changes.len(),
         times: times.from_acknowledgement,
         from_sending: times.from_sending,
-        back: play.swarm.back,
+        index_regressions: play.swarm.index_regressions,
         missing,
         elsewhere,
         rest: cost(&rest_from, &rest_to),
         play: cost(&rest_to, &end),
-        back_again: cost(&played.return_from, &played.return_to),
+        return_cost: cost(&played.return_from, &played.return_to),
         most_in_window: played.return_to.most_in_window,
         balancer_mb: end.balancers.resident_kb as f64 / 1024.0 / size.balancers as f64,
         control_mb: largest_control_mb(&end, &machines),
@@ -100,7 +100,7 @@
     list: ListServer,
     /// The newest version of each scope.
     newest: HashMap<Scope, u64>,
-    memory_most_kb: u64,
+    memory_bound_kb: u64,
     place: String,
 }
 
@@ -126,16 +126,28 @@
             balancers: Vec::new(),
         };
         let swarm = Swarm::start(&balancers, size.per_process, &job)?;
-        let memory_most_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MEMORY_PART) as u64;
+        let memory_bound_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MEMORY_PART) as u64;
         let place = format!("sockets {} {seed}", scenario.name());
-        Ok(Self { scenario, seed, size, plan, placements, plane, swarm, list, newest, memory_most_kb, place })
+        Ok(Self {
+            scenario,
+            seed,
+            size,
+            plan,
+            placements,
+            plane,
+            swarm,
+            list,
+            newest,
+            memory_bound_kb,
+            place,
+        })
     }
 
     /// Waits until all balancers have their list and their documents.
     fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
         let newest = &self.newest;
         let is_ready = |swarm: &Swarm| swarm.all_listed() && swarm.missing(newest) == 0;
-        if self.swarm.hear_until(PATIENCE, is_ready)? {
+        if self.swarm.receive_until(TIMEOUT, is_ready)? {
             return Ok(());
         }
         let missing = self.swarm.missing(newest);
@@ -146,9 +158,9 @@
     /// The sums before and after a span in which nothing changes.
     fn rest(&mut self) -> Result<(Mark, Mark), CapacityError> {
         // Lists and documents of the start are behind them.
-        self.swarm.hear(self.size.rest / 2)?;
+        self.swarm.receive_for(self.size.rest / 2)?;
         let from = self.mark()?;
-        self.swarm.hear(self.size.rest)?;
+        self.swarm.receive_for(self.size.rest)?;
         Ok((from, self.mark()?))
     }
 
@@ -158,7 +170,7 @@
             self.newest.insert(change.scope.clone(), change.version);
         }
         let newest = &self.newest;
-        self.swarm.hear_until(PATIENCE, |swarm| swarm.missing(newest) == 0)?;
+        self.swarm.receive_until(TIMEOUT, |swarm| swarm.missing(newest) == 0)?;
         Ok(self.swarm.missing(newest))
     }
 
@@ -169,7 +181,7 @@
         let (asked, index) = (list.asked().len(), list.index());
         list.close_all();
         let again = || list.asked().len().saturating_sub(asked);
-        self.swarm.hear_until(PATIENCE, |_| again() >= balancers)?;
+        self.swarm.receive_until(TIMEOUT, |_| again() >= balancers)?;
         let stood = list.asked();
         Ok(balancers.abs_diff(stood[asked..].iter().filter(|&&since| since == index).count()))
     }
@@ -222,13 +234,13 @@
         let own = machine::usage(std::process::id()).unwrap_or_default().resident_kb;
         let control: u64 = mark.control.iter().map(|one| one.process.resident_kb).sum();
         let used = own + mark.balancers.resident_kb + control;
-        if used <= self.memory_most_kb {
+        if used <= self.memory_bound_kb {
             return Ok(());
         }
         Err(CapacityError::Memory {
             place: self.place.clone(),
             used_mb: used / 1024,
-            bound_mb: self.memory_most_kb / 1024,
+            bound_mb: self.memory_bound_kb / 1024,
         })
     }
 
--- a/crates/capacity/src/sockets/play/fault.rs
+++ b/crates/capacity/src/sockets/play/fault.rs
@@ -107,7 +107,7 @@
         while self.changes.len() < self.change_count || self.return_to.is_none() {
             self.receive_published()?;
             self.do_what_is_due(self.start.elapsed())?;
-            self.play.swarm.hear(STEP)?;
+            self.play.swarm.receive_for(STEP)?;
         }
         let missing = || CapacityError::run(&self.play.place, "the play ended before its fault");
         Ok(Played {
--- a/crates/capacity/src/sockets/size.rs
+++ b/crates/capacity/src/sockets/size.rs
@@ -7,7 +7,7 @@
 use crate::plan::Plan;
 
 /// Processes at most.
-const PROCESSES_MOST: usize = 200;
+const MAX_PROCESSES: usize = 200;
 
 /// How large a play is.
 pub(super) struct Size {
@@ -35,10 +35,10 @@
             return fault("per-process", "1 at least".to_owned());
         }
         let processes = balancers.div_ceil(per_process) + plan.budget.control_machines.value + 1;
-        if processes > PROCESSES_MOST {
+        if processes > MAX_PROCESSES {
             return fault(
                 "per-process",
-                format!("so many that {PROCESSES_MOST} processes do, not {processes}"),
+                format!("so many that {MAX_PROCESSES} processes do, not {processes}"),
             );
         }
         if arguments.changes == 0 {
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -10,21 +10,21 @@
 use hdrhistogram::Histogram;
 
 use super::child::{self, Child, Output};
-use super::hollow::{Figures, Hollow, Job, Word};
+use super::hollow::{Event, Figures, Hollow, Job};
 use super::machine::{self, Usage};
 use super::plane::Change;
 use crate::CapacityError;
 
 /// The longest time of a histogram, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_TIME_US: u64 = 600_000_000;
 
 /// Whether the run has been asked to end is looked at this often.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Processes of hollow balancers; they end when this is dropped.
 pub struct Swarm {
     children: Vec<Child>,
-    words: Receiver<Output>,
+    output: Receiver<Output>,
     /// By balancer.
     listed: Vec<bool>,
     /// By balancer and scope: the versions that came in force, in their order.
@@ -32,7 +32,7 @@
     wanted: Vec<[Scope; 3]>,
     figures: Vec<Option<Figures>>,
     /// Indices that went back.
-    pub back: usize,
+    pub index_regressions: usize,
 }
 
 /// A version of a document that came in force at a balancer.
@@ -73,7 +73,7 @@
     pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
         let own =
             std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
-        let (said, words): (Sender<_>, _) = channel();
+        let (sender, output): (Sender<_>, _) = channel();
         let most = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
         let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; most];
         for balancer in balancers {
@@ -86,21 +86,21 @@
             // The plan is the rig's; a child needs none, but the command line reads it first.
             command.args(std::env::args_os().skip_while(|arg| arg != "--plan").take(2));
             command.args(["sockets", "--hollow-balancers"]);
-            let mut child = Child::start(&name, &mut command, Some((number, said.clone())))?;
+            let mut child = Child::start(&name, &mut command, Some((number, sender.clone())))?;
             let job = Job { balancers: part.to_vec(), ..job.clone() };
             let job = serde_json::to_string(&job).map_err(|cause| CapacityError::run(&name, cause))?;
-            child.tell(&job)?;
+            child.send_line(&job)?;
             children.push(child);
         }
         let figures = vec![None; children.len()];
         Ok(Self {
             children,
-            words,
+            output,
             listed: vec![false; most],
             in_force: vec![HashMap::new(); most],
             wanted,
             figures,
-            back: 0,
+            index_regressions: 0,
         })
     }
 
@@ -113,14 +113,14 @@
     ///
     /// # Errors
     /// One has ended or cannot go on.
-    pub fn hear(&mut self, span: Duration) -> Result<(), CapacityError> {
+    pub fn receive_for(&mut self, span: Duration) -> Result<(), CapacityError> {
         let until = Instant::now() + span;
         loop {
-            child::go_on()?;
+            child::check_interrupted()?;
             let left = until.saturating_duration_since(Instant::now());
-            match self.words.recv_timeout(left.min(LOOK_EVERY)) {
-                Ok(Output { process, line }) => self.take(process, line)?,
-                Err(RecvTimeoutError::Timeout) if left <= LOOK_EVERY => return Ok(()),
+            match self.output.recv_timeout(left.min(SIGNAL_CHECK_INTERVAL)) {
+                Ok(Output { process, line }) => self.apply(process, line)?,
+                Err(RecvTimeoutError::Timeout) if left <= SIGNAL_CHECK_INTERVAL => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(CapacityError::run("hollow balancers", "all have ended"));
@@ -133,7 +133,7 @@
     ///
     /// # Errors
     /// One has ended or cannot go on.
-    pub fn hear_until(
+    pub fn receive_until(
         &mut self,
         most: Duration,
         mut done: impl FnMut(&Self) -> bool,
@@ -146,21 +146,21 @@
             if Instant::now() > until {
                 return Ok(false);
             }
-            self.hear(Duration::from_millis(5))?;
+            self.receive_for(Duration::from_millis(5))?;
         }
     }
 
-    fn take(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
+    fn apply(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
         let place = || format!("hollow balancers, process {process}");
         let Some(line) = line else { return Err(CapacityError::run(place(), "has ended")) };
         match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
-            Word::Listed(balancer) => self.listed[balancer] = true,
-            Word::InForce { balancer, scope, version, at_ns } => {
+            Event::Listed(balancer) => self.listed[balancer] = true,
+            Event::InForce { balancer, scope, version, at_ns } => {
                 self.in_force[balancer].entry(scope).or_default().push(VersionInForce { version, at_ns });
             }
-            Word::Back { .. } => self.back += 1,
-            Word::Figures(figures) => self.figures[process] = Some(figures),
-            Word::Failed(cause) => return Err(CapacityError::run(place(), cause)),
+            Event::Back { .. } => self.index_regressions += 1,
+            Event::Figures(figures) => self.figures[process] = Some(figures),
+            Event::Failed(cause) => return Err(CapacityError::run(place(), cause)),
         }
         Ok(())
     }
@@ -205,10 +205,10 @@
     pub fn carried(&mut self) -> Result<Carried, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
-            child.tell("figures")?;
+            child.send_line("figures")?;
         }
         let all = |swarm: &Self| swarm.figures.iter().all(Option::is_some);
-        if !self.hear_until(Duration::from_secs(20), all)? {
+        if !self.receive_until(Duration::from_secs(20), all)? {
             return Err(CapacityError::run("hollow balancers", "no figures within 20 s"));
         }
         let mut sum = Carried::default();
@@ -244,7 +244,7 @@
     /// # Errors
     /// Never, as its bounds are sound.
     pub fn new() -> Result<Self, CapacityError> {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, 3);
+        let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, 3);
         histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
@@ -255,11 +255,11 @@
 
     /// At a part of them, in ms; 1 for the last.
     #[must_use]
-    pub fn at(&self, part: f64) -> f64 {
-        if part >= 1.0 {
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
+        if quantile >= 1.0 {
             self.0.max() as f64 / 1000.0
         } else {
-            self.0.value_at_quantile(part) as f64 / 1000.0
+            self.0.value_at_quantile(quantile) as f64 / 1000.0
         }
     }
 
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -10,7 +10,7 @@
 
 use serde_json::Value;
 
-use super::child::{Listening, Process, START_MOST, own_path};
+use super::child::{Listening, Process, START_TIMEOUT, own_path};
 use crate::CapacityError;
 
 /// The balancer's program.
@@ -58,7 +58,7 @@
         let began = Instant::now();
         let Listening { mut process, address, at } = Process::listening(command, Some(file), line)?;
         while !health(address) {
-            if process.has_ended() || began.elapsed() > START_MOST {
+            if process.has_ended() || began.elapsed() > START_TIMEOUT {
                 let cause = format!("it does not serve: {}", process.last_words());
                 return Err(CapacityError::run("starting a balancer", cause));
             }
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -15,7 +15,7 @@
 use crate::CapacityError;
 
 /// Longest wait for a process to come up.
-pub(super) const START_MOST: Duration = Duration::from_secs(20);
+pub(super) const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Lines of a process's log that are kept.
 const LOG_LINES: usize = 200;
@@ -98,7 +98,7 @@
                 line(text);
             }),
         )?;
-        match listening.recv_timeout(START_MOST) {
+        match listening.recv_timeout(START_TIMEOUT) {
             Ok((address, at)) => Ok(Listening { process, address, at }),
             Err(_) => Err(CapacityError::run(place, format!("it does not listen: {}", process.last_words()))),
         }
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -8,14 +8,14 @@
 use std::time::{Duration, Instant};
 
 use super::call::{Call, Class, End, Played};
-use super::message::{MESSAGE_MOST, Message, header, message};
+use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use crate::CapacityError;
 
 /// How long after its connections are asked for a play may start.
 pub const CONNECT_FIRST: Duration = Duration::from_millis(200);
 
 /// How long after the last call its answer is waited for.
-const ANSWER_MOST: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// How long before a call the thread spins: longer than a sleep of [`PAUSE`] takes.
 const SPIN_BEFORE: Duration = Duration::from_millis(2);
@@ -36,7 +36,7 @@
     pub tenants: usize,
 }
 
-struct Line {
+struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
     call: usize,
@@ -85,7 +85,7 @@
     /// By way: connections without a call.
     idle: Vec<Vec<TcpStream>>,
     /// Connections with a call.
-    busy: Vec<Line>,
+    busy: Vec<Connection>,
     /// The first call that is not sent yet.
     next: usize,
     /// By call; lost until its answer is whole.
@@ -103,12 +103,12 @@
     }
 
     fn run(mut self) -> Vec<Played> {
-        let by = self.calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_MOST;
+        let deadline = self.calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_TIMEOUT;
         loop {
             let now = self.elapsed();
             self.send_due(now);
             self.receive();
-            if self.next == self.calls.len() && self.busy.is_empty() || now > by {
+            if self.next == self.calls.len() && self.busy.is_empty() || now > deadline {
                 return self.played;
             }
             self.pause(now);
@@ -128,7 +128,7 @@
             self.played[self.next] = Played { sent, done: sent, end: End::Lost };
             if let Some(stream) = stream {
                 let bytes = Vec::with_capacity(512);
-                self.busy.push(Line { stream, bytes, call: self.next, way: call.way });
+                self.busy.push(Connection { stream, bytes, call: self.next, way: call.way });
             }
             self.next += 1;
             self.progress.store(self.next, Ordering::Release);
@@ -140,7 +140,7 @@
         let idle = &mut self.idle[way];
         let stream = loop {
             match idle.pop() {
-                Some(stream) if stands(&stream) => break stream,
+                Some(stream) if is_open(&stream) => break stream,
                 Some(_) => {}
                 None => break connect(&self.ways[way], &mut self.opened[way]).ok()?,
             }
@@ -151,16 +151,16 @@
     /// Reads what has come of all answers.
     fn receive(&mut self) {
         let mut place = 0;
-        while let Some(line) = self.busy.get_mut(place) {
-            let Some((end, stands)) = look(line, self.first_id) else {
+        while let Some(connection) = self.busy.get_mut(place) {
+            let Some((end, reusable)) = read_response(connection, self.first_id) else {
                 place += 1;
                 continue;
             };
             let done = self.elapsed();
-            let line = self.busy.swap_remove(place);
-            self.played[line.call] = Played { done, end, ..self.played[line.call] };
-            if stands {
-                self.idle[line.way].push(line.stream);
+            let connection = self.busy.swap_remove(place);
+            self.played[connection.call] = Played { done, end, ..self.played[connection.call] };
+            if reusable {
+                self.idle[connection.way].push(connection.stream);
             }
         }
     }
@@ -184,7 +184,7 @@
 }
 
 /// Whether a kept connection has not been closed meanwhile.
-fn stands(stream: &TcpStream) -> bool {
+fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
@@ -204,30 +204,30 @@
 }
 
 /// How a call ended, if it has, and whether its connection stands.
-fn look(line: &mut Line, first_id: usize) -> Option<(End, bool)> {
+fn read_response(connection: &mut Connection, first_id: usize) -> Option<(End, bool)> {
     let mut part = [0; 2048];
-    match line.stream.read(&mut part) {
+    match connection.stream.read(&mut part) {
         Ok(0) => return Some((End::Lost, false)),
-        Ok(count) => line.bytes.extend_from_slice(&part[..count]),
+        Ok(count) => connection.bytes.extend_from_slice(&part[..count]),
         Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
         Err(_) => return Some((End::Lost, false)),
     }
-    if line.bytes.len() > MESSAGE_MOST {
+    if connection.bytes.len() > MAX_MESSAGE_BYTES {
         return Some((End::Wrong, false));
     }
-    let Message { head, body_start, end } = message(&line.bytes)?;
-    let stands = end == line.bytes.len()
+    let Message { head, body_start, end } = message(&connection.bytes)?;
+    let reusable = end == connection.bytes.len()
         && !header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let own = |body: &[u8]| {
         let mut words = std::str::from_utf8(body).ok()?.split(' ');
         let id: usize = words.next()?.parse().ok()?;
         let count: u64 = words.next()?.parse().ok()?;
-        (id == first_id + line.call).then_some(End::Right { new_connection: count == 1 })
+        (id == first_id + connection.call).then_some(End::Right { new_connection: count == 1 })
     };
     let over = match head.split(' ').nth(1) {
-        Some("200") => own(&line.bytes[body_start..end]).unwrap_or(End::Wrong),
+        Some("200") => own(&connection.bytes[body_start..end]).unwrap_or(End::Wrong),
         Some("503") => End::Refused,
         _ => End::Wrong,
     };
-    Some((over, stands))
+    Some((over, reusable))
 }
--- a/crates/capacity/src/world/configuration.rs
+++ b/crates/capacity/src/world/configuration.rs
@@ -8,18 +8,18 @@
 
 /// Settings of a balancer that so many copies share the list with, by the plan.
 #[must_use]
-pub fn settings(plan: &Plan, copies: usize) -> Value {
-    let (aim, limit) = (plan.traffic.aim_s.value, plan.traffic.deadline_s.value);
+pub fn settings(plan: &Plan, replicas: usize) -> Value {
+    let (latency_objective, deadline) = (plan.traffic.aim_s.value, plan.traffic.deadline_s.value);
     let tenants: Vec<Value> =
         (0..plan.traffic.tenants.value).map(|number| json!({"name": format!("t{number}")})).collect();
     json!({
-        "balancers": copies.max(1), "me": 0, "tier": 1, "zone": "north-1", "zones": ["north-1"],
+        "balancers": replicas.max(1), "me": 0, "tier": 1, "zone": "north-1", "zones": ["north-1"],
         "kinds": ["std"],
         "lanes": [
-            {"name": "read", "onTimeS": aim, "hardLimitS": limit, "effect": "idempotent"},
-            {"name": "pay", "onTimeS": aim, "hardLimitS": limit, "effect": "deduplicated",
+            {"name": "read", "onTimeS": latency_objective, "hardLimitS": deadline, "effect": "idempotent"},
+            {"name": "pay", "onTimeS": latency_objective, "hardLimitS": deadline, "effect": "deduplicated",
              "dedupScope": "cell", "windowS": 10.0},
-            {"name": "order", "onTimeS": aim, "hardLimitS": limit, "effect": "at_most_once"}],
+            {"name": "order", "onTimeS": latency_objective, "hardLimitS": deadline, "effect": "at_most_once"}],
         "projects": tenants, "overShareWorth": 0.1, "discovery": "subscribe",
         "caps": {"tryLimit": plan.traffic.attempts.value, "secondCopies": false, "cancel": true,
                  "retryAfter": true, "maxRetryAfterS": 1.5, "keepaliveS": 30.0, "multiplex": 1,
@@ -45,14 +45,14 @@
         1 => ("fleet", json!({"caps": {"tryLimit": 2 + number / 5 % 2}})),
         2 => ("region/north", json!({"prices": {"waste": step / 100.0}})),
         3 => {
-            let mut lanes = settings(plan, 1)["lanes"].take();
-            lanes[0]["onTimeS"] = json!(plan.traffic.aim_s.value * (1.0 - step / 100.0));
-            ("service/api", json!({"lanes": lanes}))
+            let mut classes = settings(plan, 1)["lanes"].take();
+            classes[0]["onTimeS"] = json!(plan.traffic.aim_s.value * (1.0 - step / 100.0));
+            ("service/api", json!({"lanes": classes}))
         }
         _ => {
-            let mut projects = settings(plan, 1)["projects"].take();
-            projects[number % plan.traffic.tenants.value]["quotaPerS"] = json!(20_000.0 + step);
-            ("service/api", json!({"projects": projects}))
+            let mut tenants = settings(plan, 1)["projects"].take();
+            tenants[number % plan.traffic.tenants.value]["quotaPerS"] = json!(20_000.0 + step);
+            ("service/api", json!({"projects": tenants}))
         }
     };
     (scope, json!({"settings": settings}))
--- a/crates/capacity/src/world/discovery.rs
+++ b/crates/capacity/src/world/discovery.rs
@@ -10,7 +10,7 @@
 
 use serde_json::{Value, json};
 
-use super::message::{MESSAGE_MOST, head_end};
+use super::message::{MAX_MESSAGE_BYTES, head_end};
 use super::{Bound, listen, lock};
 use crate::CapacityError;
 
@@ -47,7 +47,7 @@
                     return;
                 }
                 let list = Arc::clone(&shared);
-                thread::spawn(move || tell(stream, &list, beat));
+                thread::spawn(move || serve_watch(stream, &list, beat));
             }
         });
         let thread = thread.map_err(|cause| CapacityError::run("starting a discovery", cause))?;
@@ -85,12 +85,12 @@
     }
 }
 
-fn tell(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
+fn serve_watch(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
     let mut head = Vec::new();
     let mut part = [0; 512];
     while head_end(&head).is_none() {
         match stream.read(&mut part) {
-            Ok(count @ 1..) if head.len() < MESSAGE_MOST => head.extend_from_slice(&part[..count]),
+            Ok(count @ 1..) if head.len() < MAX_MESSAGE_BYTES => head.extend_from_slice(&part[..count]),
             _ => return,
         }
     }
@@ -115,12 +115,12 @@
         return;
     }
     loop {
-        let told = match changes.recv_timeout(beat) {
+        let sent = match changes.recv_timeout(beat) {
             Ok(line) => chunk(&line),
             Err(RecvTimeoutError::Timeout) => chunk(b"\n"),
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        if told.is_err() {
+        if sent.is_err() {
             return;
         }
     }
--- a/crates/capacity/src/world/message.rs
+++ b/crates/capacity/src/world/message.rs
@@ -1,7 +1,7 @@
 //! Just enough HTTP/1.1 to find where a message ends: the stand-ins and the clients need no more.
 
 /// Bytes of a message at most.
-pub(super) const MESSAGE_MOST: usize = 64 * 1024;
+pub(super) const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 /// The length of a message's head with the empty line, once it is whole.
 pub(super) fn head_end(bytes: &[u8]) -> Option<usize> {
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-use super::message::{MESSAGE_MOST, Message, header, message};
+use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use super::runtime::on_runtime;
 use super::{Bound, listen, lock};
 use crate::CapacityError;
@@ -188,7 +188,7 @@
                 return;
             }
         }
-        if bytes.len() > MESSAGE_MOST || !matches!(stream.read_buf(&mut bytes).await, Ok(1..)) {
+        if bytes.len() > MAX_MESSAGE_BYTES || !matches!(stream.read_buf(&mut bytes).await, Ok(1..)) {
             return;
         }
     }
