--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -40,14 +40,14 @@
             seed: self.seed,
         };
         let before = self.server.carried();
-        let (server, (said, costs)) = (self.server, channel());
+        let (server, (sender, costs)) = (self.server, channel());
         // A thread of its own, so that its processor time is the client's alone.
         thread::scope(|scope| {
             scope.spawn(move || {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
                 let runtime = match runtime {
                     Ok(runtime) => runtime,
-                    Err(cause) => return said.send(Err(cause.to_string())),
+                    Err(cause) => return sender.send(Err(cause.to_string())),
                 };
                 let costs = tokio::task::LocalSet::new().block_on(&runtime, async {
                     let driver = hollow::driver(server.address, &hollow, &zones)?;
@@ -61,7 +61,7 @@
                     let change_us = spent(count, || server.change(1)).await - rest;
                     Ok(Costs { whole_bytes, whole_us, change_us })
                 });
-                said.send(costs)
+                sender.send(costs)
             });
         });
         match costs.recv() {
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -178,12 +178,12 @@
     /// list.
     fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
         let (list, balancers) = (&self.list, self.size.balancers);
-        let (asked, index) = (list.asked().len(), list.index());
+        let (asked_before, index) = (list.asked().len(), list.index());
         list.close_all();
-        let again = || list.asked().len().saturating_sub(asked);
+        let again = || list.asked().len().saturating_sub(asked_before);
         self.swarm.receive_until(TIMEOUT, |_| again() >= balancers)?;
-        let stood = list.asked();
-        Ok(balancers.abs_diff(stood[asked..].iter().filter(|&&since| since == index).count()))
+        let asked = list.asked();
+        Ok(balancers.abs_diff(asked[asked_before..].iter().filter(|&&since| since == index).count()))
     }
 
     fn change_times(&self, played: &Played, target: &Target) -> Result<ChangeTimes, CapacityError> {
--- a/crates/capacity/src/sockets/schedule.rs
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -56,7 +56,7 @@
     origin: SocketAddr,
     planned: Vec<Planned>,
 ) -> Receiver<Result<Change, CapacityError>> {
-    let (said, changes) = channel();
+    let (sender, changes) = channel();
     thread::spawn(move || {
         let start = Instant::now();
         for (number, Planned { at, scope, bytes }) in planned.into_iter().enumerate() {
@@ -64,7 +64,7 @@
             let body = plane::body(bytes, 1 + number as u64);
             let change = plane::publish(origin, &scope, &body, &format!("change-{number}"));
             let failed = change.is_err();
-            if said.send(change).is_err() || failed {
+            if sender.send(change).is_err() || failed {
                 return;
             }
         }
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -73,7 +73,7 @@
 fn health(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address) else { return false };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
-    let asked = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     let mut status = [0; 12];
-    asked.is_ok() && stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
+    sent.is_ok() && stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
 }
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -219,9 +219,9 @@
     let reusable = end == connection.bytes.len()
         && !header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let own = |body: &[u8]| {
-        let mut words = std::str::from_utf8(body).ok()?.split(' ');
-        let id: usize = words.next()?.parse().ok()?;
-        let count: u64 = words.next()?.parse().ok()?;
+        let mut fields = std::str::from_utf8(body).ok()?.split(' ');
+        let id: usize = fields.next()?.parse().ok()?;
+        let count: u64 = fields.next()?.parse().ok()?;
         (id == first_id + connection.call).then_some(End::Right { new_connection: count == 1 })
     };
     let over = match head.split(' ').nth(1) {
--- a/crates/capacity/src/world/distribution.rs
+++ b/crates/capacity/src/world/distribution.rs
@@ -72,12 +72,12 @@
             body.len()
         );
         let mut answer = String::new();
-        let asked = TcpStream::connect(self.origin).and_then(|mut stream| {
+        let exchanged = TcpStream::connect(self.origin).and_then(|mut stream| {
             stream.set_read_timeout(Some(Duration::from_secs(5)))?;
             stream.write_all(text.as_bytes())?;
             stream.read_to_string(&mut answer)
         });
-        asked.map_err(|cause| failed(cause.to_string()))?;
+        exchanged.map_err(|cause| failed(cause.to_string()))?;
         let index = answer
             .split_once("\r\n\r\n")
             .filter(|_| answer.split(' ').nth(1) == Some("200"))
