--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -1,4 +1,4 @@
-//! Slopes of control: bytes, processor time and memory of watches at both ends.
+//! The `control` command: what watches of the list and of the configuration cost at both ends, by their number.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 mod list_client;
 mod rig;
 
-/// How long anything may take that works.
+/// How long a step may take before the run fails.
 const TIMEOUT: Duration = Duration::from_secs(40);
 /// The sizes that are played, in parts of the plan's upstreams: with its 1900 these are 100, 300, 1000 and all.
 const PARTS: [f64; 4] = [1.0 / 19.0, 3.0 / 19.0, 10.0 / 19.0, 1.0];
@@ -50,10 +50,10 @@
     out: PathBuf,
 }
 
-/// Does it.
+/// Runs the command: measures, and writes a file for each slope.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// An argument is out of range, or a play fails.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !(1..=100).contains(&arguments.plays) {
         return Err(CapacityError::Argument { name: "plays", expected: "1 to 100".to_owned() });
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -28,7 +28,7 @@
 const CHANGES: u64 = 12;
 /// Changes of a play of a small run.
 const CHANGES_SMALL: u64 = 3;
-/// Changes that a relay has missed when it asks again.
+/// Changes that a relay has missed when it reconnects.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
 /// An origin and a relay that have all documents.
@@ -176,7 +176,7 @@
     }
 }
 
-/// Sums at one moment.
+/// Totals at one moment.
 struct Moment {
     at: Instant,
     bytes: u64,
@@ -184,7 +184,7 @@
     clients: Usage,
 }
 
-/// Each a second: bytes, nanoseconds of processor time.
+/// Rates a second: bytes, and nanoseconds of processor time.
 struct Rates {
     bytes: f64,
     server: f64,
@@ -208,7 +208,7 @@
     }
 }
 
-/// Bytes of a relay's question to the origin from `since`, which stands at `index`.
+/// Bytes of a relay's request for the changes since `since`, sent to an origin at `index`.
 fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the configuration from {since}");
     let head = format!("GET /configuration?since={since}&scopes=* HTTP/1.1\r\n");
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -16,7 +16,7 @@
 const TURNS: u32 = 20;
 /// Turns of one client in a small run.
 const TURNS_SMALL: u32 = 2;
-/// Changes that a watch has missed when it asks again.
+/// Changes that a watch has missed when it reconnects.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
 /// What a reader of the bytes of one watch must know.
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -1,4 +1,4 @@
-//! One client of the list at a time.
+//! The cost of one client of the endpoint list.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,7 +13,7 @@
 use crate::sockets::list::ListServer;
 use crate::sockets::{machine, region_name, service_name, zone_names};
 
-/// One balancer's client of the list.
+/// A balancer's client of the endpoint list.
 pub(super) struct Client<'a> {
     pub(super) plan: &'a Plan,
     pub(super) server: &'a ListServer,
@@ -27,7 +27,7 @@
 }
 
 impl Client<'_> {
-    /// Takes in its first list, then so many whole ones and changes.
+    /// Receives its first list, then `count` snapshots and `count` changes.
     pub(super) fn play(&self, count: u32) -> Result<Costs, CapacityError> {
         let place = "a client of the list";
         let zones = zone_names(self.plan);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Processor time of this thread for each of so many turns, in microseconds.
+/// Mean processor time of this thread over `count` turns, in microseconds.
 async fn spent(count: u32, mut turn: impl FnMut()) -> f64 {
     let before = machine::thread_ns();
     for _ in 0..count {
@@ -81,7 +81,7 @@
     (machine::thread_ns() - before) as f64 / 1e3 / f64::from(count)
 }
 
-/// Bytes of a watch of the list that asks from `since`, to the end of its first line, as both ends count them.
+/// Bytes of a watch of the list from the index `since`, until the end of its first line, as both ends count them.
 pub(super) fn first_line(server: &ListServer, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the list from {since}");
     let wrong = |cause| CapacityError::run(&place, cause);
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -1,4 +1,4 @@
-//! What the parts measure with: list servers, balancers, and the slopes that they write.
+//! What all measurements share: list servers, hollow balancers, and the writing of slopes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,12 +18,12 @@
     pub(super) plays: usize,
     pub(super) seed: u64,
     pub(super) sizes: [usize; 4],
-    /// Of one play of what is measured over time.
+    /// Duration of one measurement over time.
     pub(super) window: Duration,
     pub(super) per_process: usize,
 }
 
-/// Plays of one kind of figure, by size.
+/// The measured values of one kind, by size.
 #[derive(Default)]
 pub(super) struct Plays(Vec<(f64, Vec<f64>)>);
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a slope tells beside its figures.
+/// The texts of a slope.
 pub(super) struct About {
     pub(super) name: &'static str,
     pub(super) what: &'static str,
@@ -83,7 +83,7 @@
         )
     }
 
-    /// So many of the fleet's balancers, in processes.
+    /// Starts `watchers` balancers of the fleet; `parents` gives those of a region and a zone.
     pub(super) fn swarm(
         &self,
         watchers: usize,
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -1,7 +1,7 @@
-//! Attempts and refusals over the depth of a call, played on the hollow fleet.
+//! The `depth` command: attempts and refusals by the depth of a call, simulated on the hollow fleet.
 //!
-//! A chain of services, one after another, with one of them in trouble: how many attempts reach its deepest tier for
-//! one call at the front, how many refusals come back up, and what the deadline told leaves down there.
+//! A chain of services with a fault in one of them: how many attempts reach the deepest tier for one call at the
+//! front, how many refusals come back, and how much of the deadline is left there.
 
 use std::path::{Path, PathBuf};
 
@@ -32,17 +32,17 @@
 const SIZE: usize = 8;
 /// Calls a second at the front.
 const RATE: f64 = 400.0;
-/// Virtual seconds of a play.
+/// Simulated seconds of a play.
 const SECONDS: f64 = 20.0;
-/// Virtual seconds of a quick play.
+/// Simulated seconds of a quick play.
 const SECONDS_SMALL: f64 = 6.0;
-/// MB that a play may use.
+/// Memory that a play may use, in MB.
 const MEMORY_MB: u64 = 4096;
 
 /// What is wrong with the service in trouble.
 const KINDS: [Trouble; 3] = [Trouble::Failing, Trouble::Silent, Trouble::Halved];
 
-/// The heads of the table.
+/// The headings of the table.
 const COLUMNS: [&str; 10] = [
     "trouble",
     "of the service at depth",
@@ -59,46 +59,46 @@
 /// A chain with a service in trouble.
 #[derive(Debug, Clone, Copy)]
 pub struct Chain {
-    /// Services one after another.
+    /// The number of services.
     pub depth: usize,
     /// The service in trouble, from 1 at the front, and what is wrong with it.
     pub trouble: Option<(usize, Trouble)>,
-    /// Repeats by a client at most.
+    /// The most retries by a client.
     pub repeats: u32,
-    /// All calls may be repeated freely; else the usual parts of them.
+    /// Whether all calls are idempotent; otherwise the plan's usual parts of them are.
     pub safe: bool,
     /// Seed of all draws.
     pub seed: u64,
-    /// Virtual seconds.
+    /// Duration, in simulated seconds.
     pub seconds: f64,
 }
 
-/// Figures of one play.
+/// The figures of one play.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Figures {
-    /// Attempts that left for the service asked about, for one call at the front.
+    /// Attempts sent to the service at the depth in question, for one call at the front.
     pub attempts: f64,
     /// Calls refused or failed by all balancers together, for one call at the front.
     pub refusals: f64,
     /// Of those the ones before the front's own.
     pub refusals_at_front: f64,
-    /// Time left to a call that comes to the last service of the chain that calls reach, in ms.
+    /// Time left of the deadline when a call reaches the deepest service that calls reach, in ms.
     pub left_ms: f64,
-    /// Part of the calls at the front that were served in time.
+    /// Fraction of the calls at the front that were served in time, 0 to 1.
     pub served: f64,
     /// Attempts at all depths for one call at the front.
     pub all_attempts: f64,
 }
 
 impl Chain {
-    /// Plays it.
+    /// Simulates the chain.
     ///
     /// # Errors
-    /// The plan's figures make no settings, or the memory bound is passed.
+    /// The plan's figures give no valid settings, or the memory limit is exceeded.
     pub fn play(&self, plan: &Plan) -> Result<Report, CapacityError> {
         let mut plan = plan.clone();
         plan.graph.depth.value = self.depth;
-        // One tenant: here a call is asked about, not the shares of many.
+        // One tenant: the figures are of a call, not of the quotas of many tenants.
         plan.traffic.tenants.value = 1;
         let topology = Topology::chain(&plan, self.depth, SIZE, RATE);
         let play = Play {
@@ -115,7 +115,7 @@
         World::new(&plan, &topology, &play)?.run()
     }
 
-    /// What a report says of the service at a depth.
+    /// The figures of a report for the service at the depth `at`, counted from 1 at the front.
     #[must_use]
     pub fn figures(&self, report: &Report, at: usize) -> Figures {
         let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
@@ -134,10 +134,10 @@
     }
 }
 
-/// Does it.
+/// Runs the command: plays the chains and writes the slopes and the table.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// A play fails, or a file cannot be written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let session = Session::new(arguments, plan);
     session.write_slopes()?;
@@ -160,7 +160,7 @@
     command: String,
 }
 
-/// The points of the slopes, and beside them what is only told in a note.
+/// The points of the slopes, and the text of a note to them.
 #[derive(Default)]
 struct Points {
     attempts: Vec<Point>,
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -21,58 +21,58 @@
 pub mod sockets;
 pub mod world;
 
-/// What ends a run.
+/// Why a run failed.
 #[derive(Debug, Error)]
 pub enum CapacityError {
-    /// A text that cannot be read as what it should be.
+    /// A text that cannot be parsed.
     #[error("{0}")]
     Text(String),
-    /// A file that cannot be read, written or understood.
+    /// A file that cannot be read, written or parsed.
     #[error("{path}: {cause}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         cause: String,
     },
-    /// The plan contradicts itself.
+    /// The plan contradicts itself; one text for each contradiction.
     #[error("the plan contradicts itself:\n  {}", .0.join("\n  "))]
     Plan(Vec<String>),
     /// An argument outside its range.
     #[error("--{name}: {expected}")]
     Argument {
-        /// Its name.
+        /// The name of the argument, without its dashes.
         name: &'static str,
-        /// What was expected.
+        /// The values that are accepted.
         expected: String,
     },
-    /// The run passed its bound of memory.
+    /// The run exceeded its memory limit.
     #[error("{place}: the run uses {used_mb} MB, over its bound of {bound_mb} MB")]
     Memory {
-        /// What was being played.
+        /// The play that was running.
         place: String,
-        /// What it used.
+        /// Resident memory of the run, in MB.
         used_mb: u64,
-        /// What it may use.
+        /// The memory limit, in MB.
         bound_mb: u64,
     },
-    /// Something that the run needs went wrong.
+    /// A step of the run failed.
     #[error("{place}: {cause}")]
     Run {
-        /// What was being done.
+        /// The step.
         place: String,
-        /// What went wrong.
+        /// The cause.
         cause: String,
     },
 }
 
 impl CapacityError {
-    /// Of a file.
+    /// A failure to read, write or parse `path`.
     pub fn file(path: &Path, cause: impl Display) -> Self {
         Self::File { path: path.display().to_string(), cause: cause.to_string() }
     }
 
-    /// Of a step of a run.
+    /// A failure of the step that `place` names.
     pub fn run(place: impl Into<String>, cause: impl Display) -> Self {
         Self::Run { place: place.into(), cause: cause.to_string() }
     }
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -1,4 +1,4 @@
-//! Real balancers through changes of the list and of configuration, under load.
+//! The `real` command: real balancers under load, through changes of the endpoint list and of the configuration.
 
 use std::thread;
 use std::time::Duration;
@@ -42,8 +42,8 @@
     /// Changes of each kind, in blocks of ten with as long a time without any before each.
     #[arg(long, default_value_t = 50)]
     changes: usize,
-    /// Time between two changes, in seconds; without it 0.3 for the list, and for configuration that of the plan's busiest
-    /// minute.
+    /// Time between two changes, in seconds; without it 0.3 for the list, and for configuration that of the plan's
+    /// busiest minute.
     #[arg(long)]
     every: Option<f64>,
     /// Calls a second through each balancer; without it the mean, where the plan's calls are those over all hops.
@@ -52,14 +52,15 @@
     /// Upstreams in the list.
     #[arg(long, default_value_t = 60)]
     upstreams: usize,
-    /// Let the system choose cores for all threads. Without it the caller's thread, which spins, has core 0 for itself.
+    /// Let the system choose cores for all threads. Without it the caller's thread, which spins, has core 0 for
+    /// itself.
     #[arg(long)]
     anywhere: bool,
 }
 
 /// Changes of one block.
 const BLOCK: usize = 10;
-/// Calls a second at most: one caller's thread carries no more.
+/// The highest rate, in calls a second: the client's single thread sustains no more.
 const MAX_RATE: f64 = 5000.0;
 /// Time between two changes of the list, in seconds.
 const LIST_EVERY_S: f64 = 0.3;
@@ -68,11 +69,11 @@
 /// Time between two changes of a small play, in seconds.
 const EVERY_SMALL_S: f64 = 0.03;
 
-/// Does it.
+/// Runs the command: plays the changes and writes the table of results.
 ///
 /// # Errors
-/// With the place where it went wrong; also where a call was lost, wrongly answered or ran twice though it must not,
-/// after the table of it is written.
+/// An argument is out of range or a play fails; also, after the table is written, where a call was lost, had a wrong
+/// response, or ran twice though it must not.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let size = Size::of(arguments, plan)?;
     let (_, results) = arguments.common.folders()?;
@@ -102,22 +103,22 @@
     Ok(())
 }
 
-/// How large a play is.
+/// The size of a play.
 #[derive(Clone, Copy)]
 struct Size {
     balancers: usize,
     changes: usize,
     /// Calls a second over all balancers.
     rate: f64,
-    /// Of the machine; counted before a thread is held to some of them.
+    /// Cores of the machine, counted before a thread is pinned to some of them.
     cores: usize,
 }
 
 impl Size {
-    /// Of these arguments.
+    /// The size that the arguments ask for.
     ///
     /// # Errors
-    /// One is outside its range.
+    /// An argument is out of range.
     fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
         let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
         let small = arguments.common.small;
--- a/crates/capacity/src/real/in_force.rs
+++ b/crates/capacity/src/real/in_force.rs
@@ -1,14 +1,14 @@
-//! What the logs of real balancers say is in force.
+//! Reports, in the logs of real balancers, that a version is in force.
 
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
 use super::play::Published;
 
-/// How long after the last change its reports are waited for.
+/// How long the reports are waited for after the last change.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A balancer's word that a version of a scope is in force.
+/// A balancer's report that a version of a scope is in force.
 pub(super) struct InForce {
     pub(super) balancer: usize,
     pub(super) scope: String,
@@ -16,7 +16,7 @@
     pub(super) at: Instant,
 }
 
-/// Sends on what a balancer's log says is in force.
+/// Parses the lines of a balancer's log, and sends the reports in them.
 pub(super) fn reporter(balancer: usize, sender: mpsc::Sender<InForce>) -> impl Fn(&str) {
     move |line| {
         for (scope, version) in in_force(line) {
@@ -27,7 +27,7 @@
     }
 }
 
-/// The scopes and versions that a line of a balancer's log says are in force.
+/// The scopes and versions in force, by a line of a balancer's log.
 fn in_force(line: &str) -> Vec<(String, u64)> {
     let Some((_, list)) = line.split_once("in force over the file's own settings: ") else {
         return Vec::new();
@@ -39,7 +39,7 @@
     list.split(',').filter_map(read).collect()
 }
 
-/// What the balancers said, until each has said so of the last change of each scope or for long enough.
+/// Collects the reports of all balancers, until each has reported the last change of each scope or the time is over.
 pub(super) fn collect_reports(
     reports: &mpsc::Receiver<InForce>,
     published: &[Published],
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -1,4 +1,4 @@
-//! What a play of real balancers gave, as a row of the results.
+//! The outcome of a play of real balancers, as a row of the results.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::CapacityError;
 use crate::world::{Call, Counts, Played, Times};
 
-/// The heads of the columns.
+/// The headings of the columns.
 pub(super) const COLUMNS: [&str; 18] = [
     "changes of",
     "balancers",
@@ -29,7 +29,7 @@
     "added p99 by block without changes, us",
 ];
 
-/// What a play gave.
+/// The outcome of a play.
 pub(super) struct Outcome {
     pub(super) calls: Vec<Call>,
     pub(super) played: Vec<Played>,
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -17,9 +17,9 @@
 
 /// Stand-in upstreams of direct calls.
 const DIRECT: usize = 8;
-/// Connections to the stand-in upstreams of direct calls that stand beforehand.
+/// Connections of direct calls that are opened before the first call.
 const DIRECT_CONNECTIONS: usize = 64;
-/// Connections of callers to each balancer that stand beforehand.
+/// Connections to each balancer that are opened before the first call.
 const CALLERS: usize = 8;
 
 pub(super) struct Setup<'a> {
@@ -36,7 +36,7 @@
     distribution: Option<Distribution>,
     discovery: Discovery,
     upstreams: Upstreams,
-    /// What the balancers' logs say is in force.
+    /// Reports, from the balancers' logs, of what is in force.
     reports: mpsc::Receiver<InForce>,
 }
 
@@ -85,7 +85,7 @@
         Ok(Outcome { calls, played, counts, in_force })
     }
 
-    /// Whether the caller's thread has a core for itself.
+    /// Whether the client's thread has a core for itself.
     fn is_apart(&self) -> bool {
         !self.arguments.anywhere && !self.arguments.common.small
     }
@@ -169,7 +169,7 @@
         })
     }
 
-    /// Makes the changes at their times; tells those of configuration, and how long each drain took to be in force.
+    /// Makes the changes at their times.
     fn make_changes(
         &self,
         zero: Instant,
--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Hollow balancers on real sockets, behind real control processes.
+//! The `sockets` command: simulated ("hollow") balancers on real sockets, connected to real control processes.
 
 use std::path::PathBuf;
 
@@ -90,10 +90,10 @@
     hollow_balancers: bool,
 }
 
-/// Does it.
+/// Runs the command: plays the scenarios and writes the table of results.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// An argument is out of range, a play fails, or a play does not meet what the plan promises.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if arguments.hollow_balancers {
         return hollow::run();
@@ -121,7 +121,7 @@
     if missed.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", missed.join("; "))) }
 }
 
-/// The new rows and those of other scenarios and seeds, in their order.
+/// The new rows together with the earlier rows of other scenarios and seeds, sorted by scenario and seed.
 fn merged(earlier: Vec<Vec<String>>, new: Vec<Vec<String>>) -> Vec<Vec<String>> {
     let key = |row: &Vec<String>| row[..2].to_vec();
     let mut rows = earlier;
--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -1,4 +1,5 @@
-//! Processes that the rig starts: each has its commands on standard input, ends with it, and is ended with its guard.
+//! Child processes: each reads its commands from standard input, exits when that closes, and is killed when its guard
+//! is dropped.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{self, ChildStdin, Command, Stdio};
@@ -10,21 +11,22 @@
 
 use crate::CapacityError;
 
-/// What comes from a process on its standard output.
+/// A line, or the end, of a child process's standard output.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Output {
-    /// The number of the process, as its starter gave it.
+    /// The number of the process, as passed to [`Child::start`].
     pub process: usize,
-    /// A line without its end; `None` once there are no more.
+    /// The line without its line feed; `None` at the end of the output.
     pub line: Option<String>,
 }
 
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Has SIGTERM and SIGINT end the run in order from now on, so that the guards of its processes still work.
+/// Installs handlers of SIGTERM and SIGINT that end the run in order, so that the guards of the child processes still
+/// run.
 ///
 /// # Errors
-/// There is no runtime for it.
+/// The handlers cannot be installed.
 pub fn handle_signals() -> Result<(), CapacityError> {
     let wrong = |cause| CapacityError::run("signals", cause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
@@ -42,10 +44,10 @@
     Ok(())
 }
 
-/// Whether the run has been asked to end.
+/// Checks that no signal has asked the run to end.
 ///
 /// # Errors
-/// It has.
+/// A signal has.
 pub fn check_interrupted() -> Result<(), CapacityError> {
     if INTERRUPTED.load(Ordering::Acquire) {
         Err(CapacityError::run("signals", "asked to end"))
@@ -54,7 +56,7 @@
     }
 }
 
-/// A process that ends when this is dropped.
+/// A child process that is killed when this is dropped.
 #[derive(Debug)]
 pub struct Child {
     name: String,
@@ -63,7 +65,8 @@
 }
 
 impl Child {
-    /// Starts it. Its lines go to `lines` with the number; without `lines` nothing is read.
+    /// Starts the process. The lines of its standard output are sent to `lines` with the number given; without
+    /// `lines` its output is discarded.
     ///
     /// # Errors
     /// The program cannot be started.
@@ -92,16 +95,16 @@
         Ok(Self { name: name.to_owned(), process, input })
     }
 
-    /// Its number at the kernel.
+    /// The process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    /// Tells it a line.
+    /// Writes a line to its standard input.
     ///
     /// # Errors
-    /// It has gone.
+    /// The process has exited.
     pub fn send_line(&mut self, line: &str) -> Result<(), CapacityError> {
         let written = self.input.as_mut().map(|input| writeln!(input, "{line}").and_then(|()| input.flush()));
         match written {
--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -1,25 +1,25 @@
-//! What a span of a play costs: the difference of two sums.
+//! The cost of a span of a play, as the difference of the totals at its two ends.
 
 use std::time::Instant;
 
 use super::machine;
 use super::plane::{Machine, Role};
 
-/// Sums at one moment.
+/// Totals of all processes at one moment.
 pub(super) struct Mark {
     pub(super) at: Instant,
     pub(super) balancers: machine::Usage,
     pub(super) configuration_bytes: u64,
     pub(super) list_bytes: u64,
     pub(super) most_in_window: u64,
-    /// By place.
+    /// The control processes, by place.
     pub(super) control: Vec<ControlUsage>,
 }
 
-/// What a control process has used until a moment.
+/// Resources that a control process has used until a moment.
 pub(super) struct ControlUsage {
     pub(super) process: machine::Usage,
-    /// On its connections with other control processes and with balancers, both ways.
+    /// Bytes of its connections with other control processes and with balancers, both ways.
     pub(super) bytes: u64,
 }
 
@@ -29,7 +29,7 @@
     pub(super) role: Role,
 }
 
-/// What a span between two marks cost.
+/// The cost of the span between two marks, each a second.
 pub(super) struct Cost {
     pub(super) bytes_per_s: f64,
     pub(super) core: f64,
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -1,4 +1,4 @@
-//! The balancers of the plan: their services, regions and zones.
+//! The balancers of the plan, with their services, regions and zones.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 /// The fractional part of the golden ratio: steps by it fill the shares of the zones evenly, also within a service.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// Where a balancer is and what it serves.
+/// The service and the zone of a balancer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Placement {
     /// The number of its service.
@@ -24,8 +24,8 @@
     (0..plan.fleet.zones.value).map(|zone| format!("zone-{zone}")).collect()
 }
 
-/// Where each of so many balancers is and what it serves, as the plan has it: those of a service lie over regions and
-/// zones by their shares. A part of the fleet is each n-th balancer of it.
+/// The placements of `balancers` balancers, by the plan: those of a service are spread over regions and zones by their
+/// shares. Where these are only a part of the fleet, they are each n-th balancer of it.
 #[must_use]
 pub fn fleet(plan: &Plan, balancers: usize) -> Vec<Placement> {
     let sizes = plan.service_sizes();
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// The balancers at these places, each with the parents that a balancer of its region and zone has.
+/// The hollow balancers at these placements; `parents` gives those of a region and a zone.
 #[must_use]
 pub fn hollow_balancers(
     plan: &Plan,
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow balancers, many to a process: the balancer's own client of the list with its decisions, and the real client
-//! of the configuration; no listener, no callers.
+//! Hollow balancers, many to a process: the balancer's own endpoint list client with its decisions, and the real
+//! configuration client, without a listener and without clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,41 +29,42 @@
 use super::machine;
 use crate::CapacityError;
 
-/// Seconds over which the busiest balancer's bytes are told: the time in which a change has to be in force.
+/// Seconds of the window in which the busiest balancer's bytes are counted: the time in which a change must be in
+/// force.
 pub const WINDOW_S: usize = 13;
 
-/// What a process of hollow balancers is told first.
+/// What a process of hollow balancers plays: the first line of its standard input, as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Job {
-    /// Where the list is, if they follow it.
+    /// The address of the list server; `None` where the balancers do not watch a list.
     pub list: Option<SocketAddr>,
-    /// The zones of the fleet.
+    /// The names of the fleet's zones.
     pub zones: Vec<String>,
-    /// Between two of their starts, in ms.
+    /// Time between the starts of two balancers, in ms.
     pub apart_ms: u64,
     /// The balancers.
     pub balancers: Vec<Hollow>,
 }
 
-/// One balancer.
+/// One hollow balancer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hollow {
     /// Its number in the fleet.
     pub number: usize,
-    /// Its service.
+    /// The name of its service.
     pub service: String,
-    /// Its region.
+    /// The name of its region.
     pub region: String,
     /// The number of its zone.
     pub zone: usize,
-    /// Whom it asks for configuration; none follow none.
+    /// The relays that it gets its configuration from; without any it has no configuration client.
     pub parents: Vec<SocketAddr>,
-    /// Of its draws.
+    /// The seed of its random numbers.
     pub seed: u64,
 }
 
 impl Hollow {
-    /// The scopes of its configuration.
+    /// The scopes that it subscribes to.
     #[must_use]
     pub fn wanted(&self) -> [Scope; 3] {
         [
@@ -74,10 +75,10 @@
     }
 }
 
-/// What a process says, a JSON object a line.
+/// What a process of hollow balancers reports, as a JSON object on a line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// A balancer has taken in its whole list.
+    /// The balancer of this number has received its endpoint list.
     Listed(usize),
     /// A balancer has a document in force.
     InForce {
@@ -90,33 +91,33 @@
         /// When, on [`machine::now_ns`]'s clock.
         at_ns: u64,
     },
-    /// A balancer's index went back.
+    /// A balancer's index decreased.
     Back {
         /// Its number.
         balancer: usize,
-        /// From here.
+        /// The index before.
         from: u64,
-        /// To here.
+        /// The index after.
         to: u64,
     },
-    /// Answers `figures`.
+    /// The answer to the command `figures`.
     Figures(Figures),
-    /// It cannot go on.
+    /// The process cannot continue, for this reason.
     Failed(String),
 }
 
-/// What the configuration's connections of a process have carried since its start.
+/// Traffic of a process's configuration connections since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Bytes that came.
+    /// Bytes received.
     pub read: u64,
-    /// Bytes that went.
+    /// Bytes sent.
     pub written: u64,
-    /// Connections that came up.
+    /// Connections opened.
     pub opened: u64,
-    /// Bytes both ways, by the parent's address.
+    /// Bytes of both ways, by the parent's address.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// The most bytes that one balancer had within [`WINDOW_S`] seconds since the figures before.
+    /// The most bytes of one balancer within [`WINDOW_S`] seconds since the previous figures.
     pub most_in_window: u64,
 }
 
@@ -182,10 +183,10 @@
     }
 }
 
-/// Plays the balancers of the job on standard input until that ends, and with it the process.
+/// Plays the balancers of the [`Job`] on standard input, and exits the process when standard input closes.
 ///
 /// # Errors
-/// The job makes no sense, or there is no runtime for it.
+/// The job cannot be parsed, or the runtime cannot be started.
 pub fn run() -> Result<(), CapacityError> {
     let mut first = String::new();
     io::stdin()
@@ -268,10 +269,10 @@
     sum
 }
 
-/// The decisions with the balancer's own client of the list, as a balancer starts them.
+/// Starts a balancer's event loop, with its endpoint list client and its decisions, as the balancer itself does.
 ///
 /// # Errors
-/// The settings make no sense.
+/// The settings are invalid, or the event loop cannot be started.
 pub fn driver(list: SocketAddr, hollow: &Hollow, zones: &[String]) -> Result<Rc<EventLoop>, String> {
     let settings = json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": zones.get(hollow.zone), "zones": zones, "kinds": ["std"],
@@ -333,10 +334,10 @@
     match client::run(client, connect, take).await {}
 }
 
-/// Waits until `done`, or for a minute.
+/// Waits until `done`, for a minute at most.
 ///
 /// # Errors
-/// It has not come within the minute.
+/// It is not done within the minute.
 pub async fn wait_until(place: &str, mut done: impl FnMut() -> bool) -> Result<(), CapacityError> {
     let until = Instant::now() + Duration::from_secs(60);
     while !done() {
--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -1,4 +1,5 @@
-//! A stand-in for the list service, in the form of the platform's: what a watch costs the real one is not told by it.
+//! A stand-in for the platform's list service, with the same wire form. Its own cost says nothing of that of the real
+//! one.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -18,7 +19,7 @@
 use super::machine;
 use crate::CapacityError;
 
-/// Bytes of a request's head at most.
+/// The longest request head that is accepted, in bytes.
 const MAX_HEAD_BYTES: usize = 8192;
 
 struct Entry {
@@ -30,14 +31,14 @@
 struct Lines {
     index: u64,
     entries: Vec<Entry>,
-    /// A reader that stands before this is told the whole.
+    /// A watch at an index before this gets a snapshot.
     whole_before: u64,
-    /// Of the index that stands, by where the reader stands: each line is written once for all.
+    /// Lines for the current index, by the index that the watch is at: each line is formatted once for all watches.
     ready: HashMap<u64, Bytes>,
 }
 
 impl Lines {
-    /// What a reader at `since` is told, as a chunk.
+    /// The line for a watch at the index `since`, as an HTTP chunk.
     fn after(&mut self, since: u64) -> Bytes {
         let whole = since == 0 || since > self.index || since < self.whole_before;
         let Self { index, entries, ready, .. } = self;
@@ -60,7 +61,7 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into()
 }
 
-/// What an upstream's entry says, filled up to `bytes`; the comma after it counts as its own.
+/// The JSON of an upstream's entry, padded to `bytes` together with the comma after it.
 fn entry(number: usize, turn: u64, zones: usize, bytes: usize) -> String {
     let mut text = format!(
         "{{\"name\":\"u{number:04}\",\"address\":\"127.0.0.1:{}\",\"zone\":\"zone-{}\",\"type\":\"std\",\
@@ -74,7 +75,7 @@
     text
 }
 
-/// Counts of what has gone over its connections.
+/// Counters of the server's connections.
 #[derive(Debug, Default)]
 struct Counts {
     read: AtomicU64,
@@ -83,34 +84,34 @@
     cpu_ns: AtomicU64,
 }
 
-/// What it has carried so far.
+/// Traffic and processor time of the server so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Carried {
-    /// Bytes that came.
+    /// Bytes received.
     pub read: u64,
-    /// Bytes that went.
+    /// Bytes sent.
     pub written: u64,
-    /// Watches that stand.
+    /// Open watches.
     pub connections: usize,
-    /// Processor time of its thread, in nanoseconds.
+    /// Processor time of the server's thread, in nanoseconds.
     pub cpu_ns: u64,
 }
 
 struct Shared {
     lines: Mutex<Lines>,
     counts: Counts,
-    /// By its place: where each watch so far stood at its asking.
+    /// The index that each watch so far asked to continue from, in order of arrival.
     asked: Mutex<Vec<u64>>,
     beat: Duration,
 }
 
-/// The server, on a thread of its own until it is dropped.
+/// The list server, which runs on a thread of its own until this is dropped.
 pub struct ListServer {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     index: watch::Sender<u64>,
-    /// Counted up to end all connections.
+    /// Incremented to close all connections.
     closed: watch::Sender<u64>,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -124,10 +125,11 @@
 }
 
 impl ListServer {
-    /// Starts it with a list of `upstreams` entries of `entry_bytes` each, in `zones` zones, at index 1.
+    /// Starts a server whose list has `upstreams` entries of `entry_bytes` bytes each, in `zones` zones, at index 1.
+    /// It sends an empty line to each watch that has had nothing for the duration `beat`.
     ///
     /// # Errors
-    /// There is no port for it.
+    /// No port is free, or the runtime cannot be started.
     pub fn start(
         upstreams: usize,
         entry_bytes: usize,
@@ -169,13 +171,13 @@
         })
     }
 
-    /// The index of the list.
+    /// The current index of the list.
     #[must_use]
     pub fn index(&self) -> u64 {
         *self.index.borrow()
     }
 
-    /// Changes `count` entries, one after another in turn, at one index each; tells it to nobody before the last.
+    /// Changes the next `count` entries in turn, at one index each; watches are notified once, after the last.
     pub fn change(&self, count: usize) {
         let mut lines = lock(&self.shared.lines);
         for _ in 0..count {
@@ -192,7 +194,7 @@
         self.index.send_replace(lines.index);
     }
 
-    /// Tells all watches the whole list at the next index.
+    /// Sends a snapshot of the list to all watches, at the next index.
     pub fn send_snapshot(&self) {
         let mut lines = lock(&self.shared.lines);
         lines.index += 1;
@@ -201,12 +203,12 @@
         self.index.send_replace(lines.index);
     }
 
-    /// Ends all connections at once.
+    /// Closes all connections at once.
     pub fn close_all(&self) {
         self.closed.send_modify(|count| *count += 1);
     }
 
-    /// What it has carried so far.
+    /// Traffic and processor time of the server so far.
     #[must_use]
     pub fn carried(&self) -> Carried {
         let Counts { read, written, connections, cpu_ns } = &self.shared.counts;
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Where each watch so far stood when it asked, in the order of their coming.
+    /// The index that each watch so far asked to continue from, in order of arrival.
     #[must_use]
     pub fn asked(&self) -> Vec<u64> {
         lock(&self.shared.asked).clone()
@@ -253,7 +255,7 @@
     });
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        // Several watchers may be told in one turn, each by one write.
+        // Several watches may be notified in one turn, each by one write.
         let _ = stream.set_nodelay(true);
         let (shared, indices, mut closes) = (Arc::clone(&shared), indices.clone(), closes.clone());
         spawn_local(async move {
--- a/crates/capacity/src/sockets/machine.rs
+++ b/crates/capacity/src/sockets/machine.rs
@@ -1,13 +1,13 @@
-//! Clocks and what the kernel tells of a process.
+//! Clocks, and the kernel's figures of processes.
 
 use std::fs;
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// A tick of the kernel's processor time, in nanoseconds.
+/// A clock tick of `/proc/PID/stat`, in nanoseconds.
 const TICK_NS: u64 = 10_000_000;
 
-/// Nanoseconds on a clock that all processes of the machine share and nobody sets.
+/// The monotonic clock, which all processes of the machine share, in nanoseconds.
 #[must_use]
 pub fn now_ns() -> u64 {
     nanoseconds(clock_gettime(ClockId::Monotonic))
@@ -23,16 +23,16 @@
     time.tv_sec.unsigned_abs() * 1_000_000_000 + time.tv_nsec.unsigned_abs()
 }
 
-/// What a process has used.
+/// Resources that a process has used.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Processor time, in nanoseconds.
     pub cpu_ns: u64,
-    /// Memory that is resident, in KiB.
+    /// Resident memory, in KiB.
     pub resident_kb: u64,
 }
 
-/// Of a process; `None` once it has gone.
+/// The usage of a process; `None` once it has exited.
 #[must_use]
 pub fn usage(pid: u32) -> Option<Usage> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
@@ -49,7 +49,7 @@
     Some(Usage { cpu_ns: fine.max(ticks * TICK_NS), resident_kb: kilobytes(&status, "VmRSS:")? })
 }
 
-/// Memory of the machine, in KiB.
+/// Total memory of the machine, in KiB; `None` where the kernel does not say.
 #[must_use]
 pub fn memory_kb() -> Option<u64> {
     kilobytes(&fs::read_to_string("/proc/meminfo").ok()?, "MemTotal:")
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -1,4 +1,4 @@
-//! What a play gave, as a row of the results.
+//! The outcome of a play, as a row of the results.
 
 use super::Scenario;
 use super::cost::{Busiest, Cost};
@@ -6,7 +6,7 @@
 use super::swarm::Times;
 use crate::plan::Plan;
 
-/// The heads of the columns.
+/// The headings of the columns.
 pub(super) const COLUMNS: [&str; 24] = [
     "scenario",
     "seed",
@@ -89,7 +89,8 @@
         COLUMNS.iter().zip(self.row()).map(|(head, value)| format!("{head}: {value}\n")).collect()
     }
 
-    /// What was promised and is not so; the times only of a play that has the machine to itself.
+    /// The promises of the plan that the play did not meet; times are checked only where `timed`, as a play that
+    /// shares the machine has no sound times.
     pub(super) fn faults(&self, plan: &Plan, timed: bool) -> Vec<String> {
         let place = format!("{} {}", self.scenario.name(), self.seed);
         let within = plan.configuration.in_force_s.value;
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -1,5 +1,5 @@
 //! The control processes: an origin, a standby, relays of regions and of zones, each edge between them through a
-//! forwarder that counts and can be cut.
+//! forwarder that counts bytes and can be cut.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -24,18 +24,18 @@
 use self::forwarder::{Forwarder, Forwarders, forward_all};
 pub use self::publication::{Change, Response, body, publish, request};
 
-/// The program that the processes are.
+/// The program of the control processes.
 const PROGRAM: &str = "config-distribution";
-/// Below the ports that the kernel gives to callers, so that none is taken meanwhile.
+/// The first port of the processes: below the kernel's ephemeral ports, so that no client's connection takes one.
 const FIRST_PORT: u16 = 7100;
-/// How long a process may take to listen, and a publication to be taken.
+/// How long a process may take until it listens, and a publication until it is accepted.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Running {
     machine: Machine,
     address: SocketAddr,
     child: Option<Child>,
-    /// Used by its processes before this one.
+    /// Processor time of its earlier processes, in nanoseconds.
     before: u64,
     last_kb: u64,
 }
@@ -47,7 +47,7 @@
     bytes: Arc<AtomicU64>,
 }
 
-/// The running processes; they end when this is dropped.
+/// The running control processes; they are killed when this is dropped.
 pub struct Plane {
     running: Vec<Running>,
     edges: Vec<Edge>,
@@ -57,14 +57,14 @@
     forwarders: Option<Forwarders>,
 }
 
-/// Planes that this process has started, so that each has ports and a directory of its own.
+/// How many control planes this process has started, so that each has ports and a directory of its own.
 static PLANES: AtomicUsize = AtomicUsize::new(0);
 
 impl Plane {
-    /// Starts them all and waits until each listens.
+    /// Starts all processes and waits until each listens.
     ///
     /// # Errors
-    /// The program is missing, or a process does not come up.
+    /// The program is missing, or a process does not start to listen in time.
     pub fn start(machines: Vec<Machine>) -> Result<Self, CapacityError> {
         let program = program()?;
         let turn = PLANES.fetch_add(1, Ordering::Relaxed);
@@ -111,10 +111,10 @@
         Ok(plane)
     }
 
-    /// Starts one that does not run.
+    /// Starts the process at `place`, which must not be running.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started.
     pub fn launch(&mut self, place: usize) -> Result<(), CapacityError> {
         let running = &self.running[place];
         let role = running.machine.role;
@@ -138,10 +138,10 @@
         Ok(())
     }
 
-    /// Waits until all that run take connections.
+    /// Waits until all running processes accept connections.
     ///
     /// # Errors
-    /// One does not in time.
+    /// A process does not in time.
     pub fn wait_listening(&self) -> Result<(), CapacityError> {
         let until = Instant::now() + TIMEOUT;
         for running in self.running.iter().filter(|running| running.child.is_some()) {
@@ -157,7 +157,7 @@
         Ok(())
     }
 
-    /// Ends one at once, as when its machine is lost.
+    /// Kills the process at `place`, as when its machine is lost.
     pub fn kill(&mut self, place: usize) {
         let used = self.usage(place);
         let running = &mut self.running[place];
@@ -166,23 +166,23 @@
         }
     }
 
-    /// The machines, by place.
+    /// The control processes of the plan, by place.
     pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.running.iter().map(|running| &running.machine)
     }
 
-    /// Their numbers at the kernel.
+    /// The process ids of the running processes.
     pub fn pids(&self) -> impl Iterator<Item = u32> {
         self.running.iter().filter_map(|running| Some(running.child.as_ref()?.pid()))
     }
 
-    /// Where one listens.
+    /// The address that the process at `place` listens on.
     #[must_use]
     pub fn address(&self, place: usize) -> SocketAddr {
         self.running[place].address
     }
 
-    /// Whom a balancer of a zone follows: the relays of its zone and of its region.
+    /// The parents of a balancer: the relays of its zone and of its region.
     #[must_use]
     pub fn parents_of(&self, region: usize, zone: usize) -> Vec<SocketAddr> {
         let is_parent = |machine: &Machine| {
@@ -192,7 +192,7 @@
         parents.map(|running| running.address).collect()
     }
 
-    /// What one has used, over all its processes.
+    /// Resources that the process at `place` has used, over its restarts.
     pub fn usage(&mut self, place: usize) -> Usage {
         let running = &mut self.running[place];
         let now = running.child.as_ref().and_then(|child| machine::usage(child.pid()));
@@ -201,14 +201,15 @@
         Usage { cpu_ns: running.before + cpu_ns, resident_kb: running.last_kb }
     }
 
-    /// Bytes between one and the other control processes so far, both ways.
+    /// Bytes between the process at `place` and the other control processes so far, both ways.
     #[must_use]
     pub fn bytes(&self, place: usize) -> u64 {
         let edges = self.edges.iter().filter(|edge| edge.child == place || edge.parent == place);
         edges.map(|edge| edge.bytes.load(Ordering::Relaxed)).sum()
     }
 
-    /// Cuts a region off from the others, or none: nothing is said any more on connections over its border, which stay open.
+    /// Cuts a region off from the others, or ends the cut: the connections over the region's border stay open, but no
+    /// bytes pass.
     pub fn cut(&self, region: Option<usize>) {
         self.cut.send_replace(region);
     }
@@ -227,7 +228,7 @@
     }
 }
 
-/// The program, beside this one.
+/// Finds the program beside this one.
 fn program() -> Result<PathBuf, CapacityError> {
     let own = std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
     // Tests lie one folder further down.
@@ -238,10 +239,10 @@
     })
 }
 
-/// Whether a path is a directory's that can be written to; the rig's own results go there.
+/// Creates the folder `part` below `out`, where results go.
 ///
 /// # Errors
-/// It is not.
+/// The folder cannot be created.
 pub fn folder(out: &Path, part: &str) -> Result<PathBuf, CapacityError> {
     let folder = out.join(part);
     fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
--- a/crates/capacity/src/sockets/plane/deal.rs
+++ b/crates/capacity/src/sockets/plane/deal.rs
@@ -2,12 +2,12 @@
 
 use crate::plan::Plan;
 
-/// What a control process is.
+/// The role of a control process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Accepts publications.
     Origin,
-    /// Holds a copy.
+    /// Follows the origin, to replace it.
     Standby,
     /// Relays for a region.
     Region,
@@ -16,10 +16,10 @@
 }
 
 impl Role {
-    /// All of them.
+    /// All roles.
     pub const ALL: [Self; 4] = [Self::Origin, Self::Standby, Self::Region, Self::Zone];
 
-    /// As it is called.
+    /// The name of the role in results and messages.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -35,21 +35,21 @@
     }
 }
 
-/// A control process to be.
+/// A control process of the plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Machine {
-    /// What it is.
+    /// Its role.
     pub role: Role,
     /// The number of its region.
     pub region: usize,
-    /// That of its zone, of a zone's relay.
+    /// The number of its zone; only a zone relay has one.
     pub zone: Option<usize>,
-    /// Whom it follows, by their places.
+    /// The places of the processes that it follows.
     pub parents: Vec<usize>,
 }
 
-/// The processes as the plan deals them: the origin in the first region, the standby in the next, relays of regions
-/// below both, relays of zones below their region's and the standby.
+/// The control processes of the plan: the origin in the first region, the standby in the next, relays of regions that
+/// follow both, and relays of zones that follow those of their region and the standby.
 #[must_use]
 pub fn deal(plan: &Plan) -> Vec<Machine> {
     let regions = plan.fleet.regions.value;
--- a/crates/capacity/src/sockets/plane/publication.rs
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -12,16 +12,16 @@
 use crate::CapacityError;
 use crate::sockets::machine;
 
-/// A change as it was published.
+/// A published change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Whose document.
+    /// The scope of the document.
     pub scope: Scope,
-    /// The version that it got.
+    /// The version that the origin gave it.
     pub version: u64,
-    /// When it was first sent, on [`machine::now_ns`]'s clock.
+    /// When it was first sent, in nanoseconds on [`machine::now_ns`]'s clock.
     pub sent_ns: u64,
-    /// When it was acknowledged.
+    /// When it was acknowledged, in nanoseconds on the same clock.
     pub acknowledged_ns: u64,
 }
 
@@ -30,10 +30,10 @@
     index: u64,
 }
 
-/// Publishes a document, again under the same id while the origin cannot be reached.
+/// Publishes a document, and repeats it under the same id while the origin is unavailable.
 ///
 /// # Errors
-/// It is refused, or not taken for half a minute.
+/// The origin rejects it, or is unavailable for half a minute.
 pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
     let sent_ns = machine::now_ns();
     let until = Instant::now() + TIMEOUT;
@@ -63,21 +63,21 @@
     }
 }
 
-/// What was answered.
+/// A response of HTTP/1.1.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The body.
     pub body: String,
-    /// Bytes of question and answer.
+    /// Bytes of request and response together.
     pub bytes: usize,
 }
 
-/// One question of HTTP/1.1 on a connection of its own.
+/// Sends a request of HTTP/1.1 on a connection of its own.
 ///
 /// # Errors
-/// The connection breaks, or what comes is not understood.
+/// The connection fails, or the response cannot be parsed.
 pub fn request(address: SocketAddr, head: &str, body: &str) -> std::io::Result<Response> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
@@ -95,7 +95,7 @@
     Ok(Response { status, body: body.to_owned(), bytes })
 }
 
-/// A document's body of about so many bytes, another one with each `turn`.
+/// A document's body of at most `bytes` bytes, which differs with each `turn`.
 #[must_use]
 pub fn body(bytes: usize, turn: u64) -> String {
     let mut text =
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -29,7 +29,8 @@
 const TIMEOUT: Duration = Duration::from_secs(40);
 /// Part of a play's changes, at its end, in which the return from a fault is looked at.
 const RETURN_PART: f64 = 0.35;
-/// Between the starts of two balancers of a process, in ms; a small play, whose processes have fewer balancers, has none.
+/// Between the starts of two balancers of a process, in ms; a small play, whose processes have fewer balancers, has
+/// none.
 const START_INTERVAL_MS: u64 = 20;
 /// Balancers of a process of a small play.
 const PER_PROCESS_SMALL: usize = 20;
@@ -174,8 +175,8 @@
         Ok(self.swarm.missing(newest))
     }
 
-    /// Ends all watches of the list, which each ask anew from where they stand; gives how many stood elsewhere than the
-    /// list.
+    /// Closes all watches of the list, which then reconnect; returns how many continue from another index than the
+    /// current one.
     fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
         let (list, balancers) = (&self.list, self.size.balancers);
         let (asked_before, index) = (list.asked().len(), list.index());
--- a/crates/capacity/src/sockets/schedule.rs
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -1,4 +1,4 @@
-//! The changes of a play: when each is due, and their publication.
+//! The configuration changes of a play: when each is due, and their publication.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, channel};
@@ -14,14 +14,14 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// One change to come.
+/// A change to be published.
 pub(super) struct Planned {
     at: Duration,
     scope: Scope,
     bytes: usize,
 }
 
-/// The changes of a play, in their order: bunches at drawn moments, scopes by their shares; services are drawn from
+/// The changes of a play in order: bursts at random moments, with scopes by the plan's shares; services are drawn from
 /// those that are played.
 pub(super) fn schedule(plan: &Plan, seed: u64, size: &Size, services: &[usize]) -> Vec<Planned> {
     let mut draws = Rand64::new(u128::from(seed) << 8);
--- a/crates/capacity/src/sockets/size.rs
+++ b/crates/capacity/src/sockets/size.rs
@@ -1,4 +1,4 @@
-//! How large a play is.
+//! The size of a play.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// Processes at most.
+/// The most processes that a play may start.
 const MAX_PROCESSES: usize = 200;
 
-/// How large a play is.
+/// The size of a play.
 pub(super) struct Size {
     pub(super) balancers: usize,
     pub(super) per_process: usize,
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -1,4 +1,4 @@
-//! The processes of hollow balancers, and what they say.
+//! The processes of hollow balancers, and the events that they report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
 use super::plane::Change;
 use crate::CapacityError;
 
-/// The longest time of a histogram, in microseconds.
+/// The longest time that the histogram can record, in microseconds.
 const MAX_TIME_US: u64 = 600_000_000;
 
-/// Whether the run has been asked to end is looked at this often.
+/// How often it is checked whether a signal has asked the run to end.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes of hollow balancers; they end when this is dropped.
+/// Processes of hollow balancers; they are killed when this is dropped.
 pub struct Swarm {
     children: Vec<Child>,
     output: Receiver<Output>,
@@ -31,7 +31,7 @@
     in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
     wanted: Vec<[Scope; 3]>,
     figures: Vec<Option<Figures>>,
-    /// Indices that went back.
+    /// How many times a balancer's index decreased, which must never happen.
     pub index_regressions: usize,
 }
 
@@ -52,21 +52,22 @@
     pub at_ns: Option<u64>,
 }
 
-/// What the balancers' connections for configuration have carried.
+/// Traffic of the balancers' configuration connections.
 #[derive(Debug, Clone, Default)]
 pub struct Carried {
-    /// Bytes both ways of all.
+    /// Bytes of all connections, both ways.
     pub bytes: u64,
-    /// Connections.
+    /// Connections opened.
     pub opened: u64,
-    /// Bytes both ways by parent.
+    /// Bytes of both ways, by the parent's address.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// Of the busiest balancer, in the busiest window since the last call.
+    /// Bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since the previous
+    /// call.
     pub most_in_window: u64,
 }
 
 impl Swarm {
-    /// Starts `balancers`, `per_process` to a process.
+    /// Starts processes that play `balancers`, with `per_process` of them each.
     ///
     /// # Errors
     /// A process cannot be started.
@@ -104,15 +105,15 @@
         })
     }
 
-    /// Their numbers at the kernel.
+    /// The process ids.
     pub fn pids(&self) -> impl Iterator<Item = u32> {
         self.children.iter().map(Child::pid)
     }
 
-    /// Hears what they say, for so long.
+    /// Receives events for the duration `span`.
     ///
     /// # Errors
-    /// One has ended or cannot go on.
+    /// A process has exited or has failed, or a signal has asked the run to end.
     pub fn receive_for(&mut self, span: Duration) -> Result<(), CapacityError> {
         let until = Instant::now() + span;
         loop {
@@ -129,10 +130,11 @@
         }
     }
 
-    /// Hears until `done`, looked at every few milliseconds, or `most` is over; whether it came.
+    /// Receives events until `done`, which is checked every few milliseconds, or until `most` has passed; returns
+    /// whether it was done in time.
     ///
     /// # Errors
-    /// One has ended or cannot go on.
+    /// A process has exited or has failed, or a signal has asked the run to end.
     pub fn receive_until(
         &mut self,
         most: Duration,
@@ -165,13 +167,13 @@
         Ok(())
     }
 
-    /// Whether all have taken in their list.
+    /// Whether all balancers have received their endpoint list.
     #[must_use]
     pub fn all_listed(&self) -> bool {
         self.listed.iter().all(|listed| *listed)
     }
 
-    /// Balancers that do not have the newest version of each scope that they want.
+    /// How many balancers lack the newest version of a scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
         let has = |balancer: usize, scope: &Scope| {
@@ -187,7 +189,7 @@
         self.in_force[balancer].get(scope)?.last().copied()
     }
 
-    /// When each balancer that wants a change's scope had it, or a newer one, in force.
+    /// When each balancer that subscribes to the change's scope had it, or a newer one, in force.
     pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
@@ -198,10 +200,10 @@
         )
     }
 
-    /// What their connections for configuration have carried.
+    /// Traffic of their configuration connections so far.
     ///
     /// # Errors
-    /// One does not answer.
+    /// A process does not answer.
     pub fn carried(&mut self) -> Result<Carried, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
@@ -223,7 +225,7 @@
         Ok(sum)
     }
 
-    /// What all of them have used.
+    /// Resources that all processes have used together.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let each = self.pids().filter_map(machine::usage);
@@ -234,26 +236,26 @@
     }
 }
 
-/// Times until changes were in force.
+/// A histogram of the times until changes were in force.
 #[derive(Debug, Clone)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// None yet.
+    /// An empty histogram.
     ///
     /// # Errors
-    /// Never, as its bounds are sound.
+    /// Never, as the bounds of the histogram are valid.
     pub fn new() -> Result<Self, CapacityError> {
         let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, 3);
         histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
-    /// Adds one, in nanoseconds.
+    /// Records a time in nanoseconds.
     pub fn add(&mut self, ns: u64) {
         self.0.saturating_record((ns / 1000).max(1));
     }
 
-    /// At a part of them, in ms; 1 for the last.
+    /// The time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if quantile >= 1.0 {
@@ -263,7 +265,7 @@
         }
     }
 
-    /// How many.
+    /// How many times are recorded.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -1,5 +1,5 @@
-//! A small world on loopback sockets to play real balancers in: stand-in upstreams and discovery, the balancer as a
-//! process, and callers that send at drawn times whatever became of the calls before.
+//! The environment of real balancers under test, on loopback sockets: stand-in upstreams and discovery, the balancer
+//! as a process, and a client that sends calls at random times, independent of the responses to earlier calls.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -35,9 +35,9 @@
 mod upstreams;
 mod usage;
 
-/// Where everything listens: a free port of this machine alone.
+/// The address to listen on: any free port of the loopback interface.
 const ANYWHERE: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
-/// Balancers that are started at most.
+/// The most balancers that a play may start.
 pub const BALANCERS_MOST: usize = 150;
 
 /// What the parts that play real processes are told alike.
@@ -58,10 +58,10 @@
 }
 
 impl Common {
-    /// The balancer's program, or another one beside it.
+    /// The path of the balancer's program, or of the program `name` beside it.
     ///
     /// # Errors
-    /// There is no such file.
+    /// There is no such program.
     pub fn program(&self, name: &'static str) -> Result<PathBuf, CapacityError> {
         let beside = |folder: &Path| folder.join(name);
         let path = match (&self.program, std::env::current_exe()) {
@@ -78,10 +78,10 @@
         }
     }
 
-    /// Where slopes and results go; the folders are made.
+    /// Creates the folders of slopes and of results, and gives them in this order.
     ///
     /// # Errors
-    /// They cannot be made.
+    /// A folder cannot be created.
     pub fn folders(&self) -> Result<(PathBuf, PathBuf), CapacityError> {
         let (slopes, results) = (self.out.join("slopes"), self.out.join("results"));
         for folder in [&slopes, &results] {
@@ -95,7 +95,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A listener and the address that it got.
+/// A listener and its address.
 struct Bound {
     listener: TcpListener,
     address: SocketAddr,
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -13,28 +13,28 @@
 use super::child::{Listening, Process, START_TIMEOUT, own_path};
 use crate::CapacityError;
 
-/// The balancer's program.
+/// The name of the balancer's program.
 pub const BALANCER: &str = "balancer-proxy";
 
-/// A balancer that serves.
+/// A running balancer that is ready to serve.
 #[derive(Debug)]
 pub struct Balancer {
     /// The process.
     pub process: Process,
-    /// Where callers connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// From its start to its listening.
+    /// Time from the start of its process until it listened.
     pub listens_after: Duration,
-    /// From its start to its first 200 for its health.
+    /// Time from the start of its process until its health check first returned 200.
     pub serves_after: Duration,
 }
 
 impl Balancer {
-    /// Starts one with this configuration, on this core alone where one is named, and waits until it serves. `line`
-    /// hears its log.
+    /// Starts a balancer with this configuration, pinned to `core` where one is given, and waits until it serves.
+    /// `line` is called with each line of its log.
     ///
     /// # Errors
-    /// It does not start, or does not come to serve.
+    /// The process does not start, or does not serve in time.
     pub fn start(
         program: &Path,
         configuration: &Value,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Whether a balancer says that it can serve.
+/// Whether the balancer's health check returns 200.
 fn health(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address) else { return false };
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
--- a/crates/capacity/src/world/call.rs
+++ b/crates/capacity/src/world/call.rs
@@ -1,4 +1,4 @@
-//! Calls to make, at times drawn beforehand, and how they ended.
+//! Calls at times that are drawn beforehand, and their outcomes.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// With its own answer; tells whether the upstream's connection was new.
+    /// With its own response.
     Right {
         /// No request had come on that connection before.
         new_connection: bool,
@@ -75,7 +75,7 @@
 }
 
 impl Played {
-    /// From when it was to be sent to its answer: a caller that is late, for whatever reason, hides nothing.
+    /// From its scheduled time to its response, so that a client that sends late hides nothing.
     #[must_use]
     pub fn latency(&self, call: &Call) -> Duration {
         self.done.saturating_sub(call.at)
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -14,13 +14,13 @@
 use super::lock;
 use crate::CapacityError;
 
-/// Longest wait for a process to come up.
+/// How long a process may take to start.
 pub(super) const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Lines of a process's log that are kept.
+/// How many of the latest log lines of a process are retained.
 const LOG_LINES: usize = 200;
 
-/// Hears the lines of a process.
+/// Called with each line of a process's output.
 type Heard = dyn Fn(&str) + Send + Sync;
 
 /// A child process that is ended, by its id, when this is dropped.
@@ -43,7 +43,7 @@
 }
 
 impl Process {
-    /// Starts a program whose lines, of both its outputs, are kept and handed to `line` as they come.
+    /// Starts a program whose lines, of both its outputs, are retained and passed to `line` as they arrive.
     ///
     /// # Errors
     /// It does not start.
@@ -74,7 +74,8 @@
         Ok(Self { child, file, log, readers })
     }
 
-    /// Starts a program, and waits until a line of it ends with the address where it listens; gives both, and when that came.
+    /// Starts a program, and waits until a line of it ends with the address where it listens; gives both, and when
+    /// that came.
     ///
     /// # Errors
     /// It does not start, or does not come to listen.
@@ -109,7 +110,7 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Its number.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -11,7 +11,7 @@
 use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use crate::CapacityError;
 
-/// How long after its connections are asked for a play may start.
+/// How long the connections of a play may take to open before it starts.
 pub const CONNECT_FIRST: Duration = Duration::from_millis(200);
 
 /// How long after the last call its answer is waited for.
@@ -28,9 +28,9 @@
 pub struct Way {
     /// Where to.
     pub targets: Vec<SocketAddr>,
-    /// Connections that stand before the first call.
+    /// Connections that are opened before the first call.
     pub warm: usize,
-    /// What callers say that they wait.
+    /// The deadline that each call passes on.
     pub deadline: Duration,
     /// Tenants that calls are drawn from.
     pub tenants: usize,
@@ -43,12 +43,12 @@
     way: usize,
 }
 
-/// Makes calls at their times, whatever became of those before: each takes a connection that stands idle, or a new
-/// one. The play starts at `zero`. The thread spins, so that its own waking up is
-/// no part of what it measures. `progress` counts the calls sent.
+/// Sends calls at their times, independent of the responses to earlier calls: each on an idle connection, or on a new
+/// one. The play starts at `zero`. The thread spins, so that its own wake-up is not part of what it measures.
+/// `progress` counts the calls sent.
 ///
 /// # Errors
-/// A connection that is to stand beforehand does not come up.
+/// A connection that must be open before the first call cannot be opened.
 pub fn play(
     calls: &[Call],
     ways: &[Way],
@@ -73,7 +73,7 @@
     Ok(open_loop.run())
 }
 
-/// Calls on their way.
+/// The open loop: calls in flight, and those still to be sent.
 struct OpenLoop<'a> {
     calls: &'a [Call],
     ways: &'a [Way],
@@ -93,7 +93,7 @@
 }
 
 impl OpenLoop<'_> {
-    /// Opens the connections that are to stand beforehand.
+    /// Opens the connections that must be open before the first call.
     fn connect_first(&mut self) -> std::io::Result<()> {
         for (way, opened) in self.ways.iter().zip(&mut self.opened) {
             let streams: std::io::Result<_> = (0..way.warm).map(|_| connect(way, opened)).collect();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Sends a request on an idle connection that still stands, or on a new one; `None` where neither takes it.
+    /// Sends a request on an idle connection that is still open, or on a new one; `None` where that fails.
     fn send(&mut self, way: usize, text: &str) -> Option<TcpStream> {
         let idle = &mut self.idle[way];
         let stream = loop {
@@ -148,7 +148,7 @@
         (&stream).write_all(text.as_bytes()).is_ok().then_some(stream)
     }
 
-    /// Reads what has come of all answers.
+    /// Reads the responses that have arrived.
     fn receive(&mut self) {
         let mut place = 0;
         while let Some(connection) = self.busy.get_mut(place) {
@@ -183,7 +183,7 @@
     Ok(stream)
 }
 
-/// Whether a kept connection has not been closed meanwhile.
+/// Whether an idle connection is still open and has nothing to read.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
@@ -203,7 +203,7 @@
     )
 }
 
-/// How a call ended, if it has, and whether its connection stands.
+/// The outcome of a call whose response is complete, and whether its connection can be reused.
 fn read_response(connection: &mut Connection, first_id: usize) -> Option<(End, bool)> {
     let mut part = [0; 2048];
     match connection.stream.read(&mut part) {
--- a/crates/capacity/src/world/configuration.rs
+++ b/crates/capacity/src/world/configuration.rs
@@ -1,4 +1,4 @@
-//! What a balancer under test is configured with, by the figures of the plan, and changes of it for the distribution.
+//! The configuration of a balancer under test, by the plan, and changes of it to publish.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::plan::Plan;
 
-/// Settings of a balancer that so many copies share the list with, by the plan.
+/// The settings, by the plan, of a balancer that is one of `replicas` replicas.
 #[must_use]
 pub fn settings(plan: &Plan, replicas: usize) -> Value {
     let (latency_objective, deadline) = (plan.traffic.aim_s.value, plan.traffic.deadline_s.value);
@@ -28,7 +28,7 @@
                   "drainGraceS": 1.0, "fallMultiple": 3.0, "overloadForS": 2.0}})
 }
 
-/// The configuration of a balancer with this list in hand.
+/// The configuration of a balancer that starts with the endpoint list `known`.
 #[must_use]
 pub fn configuration(name: &str, discovery: SocketAddr, known: &[Value], settings: &Value) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
@@ -36,7 +36,7 @@
            "known": {"index": 1, "snapshot": true, "endpoints": known}, "settings": settings})
 }
 
-/// The change of that number: of each scope in turn, and of each kind of setting.
+/// The scope and the document of change `number`: of each scope and each kind of setting in turn.
 #[must_use]
 pub fn configuration_change(plan: &Plan, number: usize) -> (&'static str, Value) {
     let step = (number / 5 % 10) as f64;
--- a/crates/capacity/src/world/discovery.rs
+++ b/crates/capacity/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in service discovery: balancers under test watch a list of upstreams that the test changes as it likes.
+//! A stand-in for service discovery: balancers under test watch a list of upstreams that the test changes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -21,10 +21,10 @@
     watches: Vec<Sender<Arc<[u8]>>>,
 }
 
-/// A stand-in discovery: tells each watch the whole list, then each change, and an empty line every beat.
+/// A stand-in discovery: sends each watch a snapshot of the list, then each change, and an empty line as a heartbeat.
 #[derive(Debug)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
     stopped: Arc<AtomicBool>,
@@ -32,7 +32,7 @@
 }
 
 impl Discovery {
-    /// Starts one with this list at index 1.
+    /// Starts a discovery with this list at index 1, and a heartbeat after each `beat` without a change.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
@@ -54,7 +54,7 @@
         Ok(Self { address, list, stopped, thread: Some(thread) })
     }
 
-    /// Watches that stand.
+    /// The number of open watches.
     #[must_use]
     pub fn watches(&self) -> usize {
         lock(&self.list).watches.len()
--- a/crates/capacity/src/world/distribution.rs
+++ b/crates/capacity/src/world/distribution.rs
@@ -12,26 +12,26 @@
 use super::child::{Listening, Process, own_path};
 use crate::CapacityError;
 
-/// The distribution's program.
+/// The name of the distribution's program.
 pub const DISTRIBUTION: &str = "config-distribution";
 
 /// An origin and relays below it, as processes.
 #[derive(Debug)]
 pub struct Distribution {
-    /// Where the origin listens.
+    /// The address of the origin.
     pub origin: SocketAddr,
-    /// Where the relays do.
+    /// The addresses of the relays.
     pub relays: Vec<SocketAddr>,
-    /// Ended before the folder goes.
+    /// Killed before the folder is removed.
     processes: Vec<Process>,
     folder: PathBuf,
 }
 
 impl Distribution {
-    /// Starts them.
+    /// Starts an origin and `relays` relays that follow it.
     ///
     /// # Errors
-    /// One does not come to listen.
+    /// A process does not listen in time.
     pub fn start(program: &Path, relays: usize) -> Result<Self, CapacityError> {
         let folder = own_path("origin");
         let command = |arguments: &[&str]| {
@@ -52,17 +52,17 @@
         Ok(started)
     }
 
-    /// What a balancer's configuration names it by.
+    /// The section of a balancer's configuration that connects it to the relays.
     #[must_use]
     pub fn named(&self) -> Value {
         let parents: Vec<String> = self.relays.iter().map(SocketAddr::to_string).collect();
         json!({"parents": parents, "region": "north", "service": "api"})
     }
 
-    /// Publishes a document, and gives the index of the change once it is acknowledged.
+    /// Publishes a document, and returns the index of the change once it is acknowledged.
     ///
     /// # Errors
-    /// It is refused, or no answer comes.
+    /// The origin rejects it or does not answer.
     pub fn publish(&self, scope: &str, request: &str, document: &Value) -> Result<u64, CapacityError> {
         let failed = |cause: String| CapacityError::run(format!("publishing {scope} {document}"), cause);
         let body = document.to_string();
--- a/crates/capacity/src/world/message.rs
+++ b/crates/capacity/src/world/message.rs
@@ -1,6 +1,6 @@
 //! Just enough HTTP/1.1 to find where a message ends: the stand-ins and the clients need no more.
 
-/// Bytes of a message at most.
+/// The longest message that is accepted, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
 /// The length of a message's head with the empty line, once it is whole.
--- a/crates/capacity/src/world/relay.rs
+++ b/crates/capacity/src/world/relay.rs
@@ -10,18 +10,18 @@
 use super::{Bound, listen};
 use crate::CapacityError;
 
-/// Passes bytes on between callers and upstreams, on the same kind of runtime as the balancer, and does nothing else:
+/// Copies bytes between clients and upstreams, on the same kind of runtime as the balancer, and does nothing else:
 /// what any process between the two costs on this machine.
 #[derive(Debug)]
 pub struct ByteRelay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ByteRelay {
-    /// Starts one that deals its connections to these in turn.
+    /// Starts a relay that assigns its connections to `upstreams` in turn.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
--- a/crates/capacity/src/world/runtime.rs
+++ b/crates/capacity/src/world/runtime.rs
@@ -1,8 +1,8 @@
-//! A runtime of one thread for the stand-ins that serve many connections.
+//! A single-threaded runtime for the stand-ins that serve many connections.
 
 use tokio::sync::watch;
 
-/// Runs tasks on a runtime of this thread until told to stop.
+/// Runs tasks on a runtime of this thread until `stopped` is true.
 pub(super) fn on_runtime(mut stopped: watch::Receiver<bool>, tasks: impl FnOnce() -> std::io::Result<()>) {
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_io().build() else { return };
     tokio::task::LocalSet::new().block_on(&runtime, async {
--- a/crates/capacity/src/world/times.rs
+++ b/crates/capacity/src/world/times.rs
@@ -8,12 +8,12 @@
 
 const MINUTE_NS: u64 = 60_000_000_000;
 
-/// Times in a histogram, told in microseconds.
+/// A histogram of times.
 #[derive(Debug, Clone)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// Of these; times over a minute count as one.
+    /// The histogram of `times`; times over a minute count as a minute.
     ///
     /// # Errors
     /// The histogram cannot be made.
@@ -26,19 +26,19 @@
         Ok(Self(histogram))
     }
 
-    /// The time that this part of them is not over, in microseconds.
+    /// The time at a quantile from 0 to 1, in microseconds.
     #[must_use]
     pub fn us(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// How many there are.
+    /// The number of times.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// How many are over a time.
+    /// The number of times over `time`.
     #[must_use]
     pub fn over(&self, time: Duration) -> u64 {
         self.0.len() - self.0.count_between(0, time.as_nanos() as u64)
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -1,5 +1,5 @@
-//! Stand-in upstreams: the balancer under test needs servers that answer at once and that record what reached them, so
-//! that a call that ran twice, or not at all, is seen.
+//! Stand-in upstreams: servers that respond at once and record the requests that reached them, so that a call that ran
+//! twice, or not at all, is noticed.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
@@ -16,13 +16,13 @@
 use super::{Bound, listen, lock};
 use crate::CapacityError;
 
-/// What the stand-in upstreams saw.
+/// Records of the requests that reached the stand-in upstreams.
 #[derive(Debug)]
 pub struct Seen {
     /// How many times each request ran, by its id.
     runs: Vec<AtomicU8>,
     next_id: AtomicUsize,
-    /// Connections that came up.
+    /// Connections accepted.
     opened: AtomicU64,
     zero: Instant,
     /// By upstream: nanoseconds from `zero` to its latest request, 0 for none.
@@ -31,10 +31,10 @@
 }
 
 impl Seen {
-    /// Ids for so many calls: the first of them.
+    /// Reserves ids for `count` calls, and returns the first of them.
     ///
     /// # Errors
-    /// More than was reckoned with.
+    /// More calls than [`Upstreams::start`] was given.
     pub fn take_ids(&self, count: usize) -> Result<usize, CapacityError> {
         let first = self.next_id.fetch_add(count, Ordering::Relaxed);
         if first + count > self.runs.len() {
@@ -52,20 +52,20 @@
         self.runs.get(id).map_or(0, |runs| runs.load(Ordering::Acquire))
     }
 
-    /// Connections that came up until now.
+    /// Connections accepted so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// When the latest request came to an upstream.
+    /// When the latest request reached an upstream; `None` before the first.
     #[must_use]
     pub fn latest(&self, upstream: usize) -> Option<Instant> {
         let latest = self.latest.get(upstream)?.load(Ordering::Acquire);
         (latest > 0).then(|| self.zero + Duration::from_nanos(latest))
     }
 
-    /// The request of that id holds up its upstream's thread for so long.
+    /// Makes the request `id` block its upstream's thread for the duration `span`.
     pub fn stall(&self, id: usize, span: Duration) {
         *lock(&self.stall) = Some((id, span));
     }
@@ -87,16 +87,16 @@
 /// and its own number.
 #[derive(Debug)]
 pub struct Upstreams {
-    /// Where they listen.
+    /// The addresses that they listen on, by upstream.
     pub addresses: Vec<SocketAddr>,
-    /// What they saw.
+    /// Records of their requests.
     pub seen: Arc<Seen>,
     stop: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Upstreams {
-    /// Starts so many on so many threads, for at most so many calls in all.
+    /// Starts `count` upstreams on `threads` threads, for at most `calls` calls in all.
     ///
     /// # Errors
     /// No port is free, or a thread does not start.
@@ -129,13 +129,13 @@
         Ok(started)
     }
 
-    /// Their entries of the list, all ready.
+    /// The list entries of all upstreams, with the status ready.
     #[must_use]
     pub fn entries(&self) -> Vec<Value> {
         (0..self.addresses.len()).map(|number| self.entry(number, "ready", 0)).collect()
     }
 
-    /// The entry of one, as it stands now.
+    /// The list entry of an upstream with this status, since `since_ms` (milliseconds since the epoch).
     #[must_use]
     pub fn entry(&self, number: usize, status: &str, since_ms: u64) -> Value {
         entry(number, self.addresses[number], status, since_ms)
--- a/crates/capacity/src/world/usage.rs
+++ b/crates/capacity/src/world/usage.rs
@@ -1,5 +1,5 @@
-//! What a process uses of the machine, as the system counts it: processor time, waits for a core and memory; and the
-//! placement of threads on cores, without which such figures do not compare.
+//! Resources that a process uses, as the kernel counts them: processor time, waits for a core and memory; and the
+//! pinning of threads to cores, without which such figures are not comparable.
 
 use std::fs;
 use std::path::PathBuf;
@@ -10,19 +10,19 @@
 /// Processor time and waits of all threads of a process until now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Nanoseconds on a core.
+    /// Processor time, in nanoseconds.
     pub cpu_ns: u64,
-    /// Nanoseconds in which it was ready to run and waited for a core.
+    /// Time in which it was runnable and waited for a core, in nanoseconds.
     pub waited_ns: u64,
-    /// Times that it was given a core.
+    /// How many times it was scheduled on a core.
     pub slices: u64,
 }
 
 impl Usage {
-    /// Of a process.
+    /// The usage of the process with this id.
     ///
     /// # Errors
-    /// It is not there, or the system does not tell.
+    /// There is no such process, or the kernel's figures cannot be read.
     pub fn of(process: u32) -> Result<Self, CapacityError> {
         let folder = PathBuf::from(format!("/proc/{process}/task"));
         let mut usage = Self { cpu_ns: 0, waited_ns: 0, slices: 0 };
@@ -40,7 +40,7 @@
         Ok(usage)
     }
 
-    /// What came after an earlier look.
+    /// The usage since the earlier usage `before`.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
@@ -54,7 +54,7 @@
 /// Resident memory of a process, in KiB.
 ///
 /// # Errors
-/// It is not there, or the system does not tell.
+/// There is no such process, or the kernel's figures cannot be read.
 pub fn memory_kb(process: u32) -> Result<u64, CapacityError> {
     let path = PathBuf::from(format!("/proc/{process}/status"));
     let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
@@ -64,10 +64,10 @@
         .ok_or_else(|| CapacityError::file(&path, "no VmRSS"))
 }
 
-/// Holds this thread, and all that it starts from now on, to these cores, as `taskset` writes them.
+/// Pins this thread, and all threads that it starts from now on, to these cores, in the syntax of `taskset`.
 ///
 /// # Errors
-/// `taskset` is missing, or does not take them.
+/// `taskset` is missing or fails.
 pub fn hold_to(cores: &str) -> Result<(), CapacityError> {
     let place = format!("holding a thread to cores {cores}");
     let own = fs::read_link("/proc/thread-self").map_err(|cause| CapacityError::run(&place, cause))?;
@@ -81,8 +81,8 @@
     }
 }
 
-/// Time of a core that the machine under this one has taken for others since its start, in ms over all cores; 0 where
-/// the system does not tell.
+/// Steal time since boot, in ms over all cores: the time that the hypervisor gave this machine's cores to others; 0
+/// where the kernel does not say.
 #[must_use]
 pub fn stolen_ms() -> u64 {
     // Told in hundredths of a second, as the eighth figure of the first line.
