--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -71,6 +71,7 @@
         1_700_000_000_000 + turn,
     );
     let fill = bytes.saturating_sub(text.len() + ",\"note\":\"\"},".len());
+    // Writing to a string cannot fail.
     let _ = write!(text, ",\"note\":\"{:x<fill$}\"}}", "");
     text
 }
@@ -234,6 +235,7 @@
             let _ = stop.send(());
         }
         if let Some(thread) = self.thread.take() {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
--- a/crates/capacity/src/sockets/plane/forwarder.rs
+++ b/crates/capacity/src/sockets/plane/forwarder.rs
@@ -49,7 +49,7 @@
         spawn_local(async move {
             open(&mut cuts, ends).await;
             let Ok(far) = tokio::net::TcpStream::connect(to).await else { return };
-            // Each chunk goes on as it comes.
+            // Each chunk is sent as it arrives; without this the connection still works, only slower.
             let _ = (near.set_nodelay(true), far.set_nodelay(true));
             let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
             let mut back_cuts = cuts.clone();
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -72,6 +72,7 @@
 /// Whether the balancer's health check returns 200.
 fn health(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address) else { return false };
+    // Only a duration of zero is rejected.
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
     let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     let mut status = [0; 12];
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -94,6 +94,7 @@
                     && text.contains("listen")
                     && let Ok(address) = address.trim().parse::<SocketAddr>()
                 {
+                    // The receiver is gone once the first address has arrived.
                     let _ = listens.send((address, Instant::now()));
                 }
                 line(text);
@@ -118,8 +119,10 @@
 
     /// Ends it, and gives the latest lines of its log up to its end.
     pub(super) fn last_words(mut self) -> String {
+        // The process may have exited already.
         let _ = self.child.kill();
         for reader in self.readers.drain(..) {
+            // A reader that panicked leaves the lines that it had read.
             let _ = reader.join();
         }
         let log = lock(&self.log);
@@ -129,9 +132,11 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         if let Some(file) = &self.file {
+            // A file that stays lies among the temporary files.
             let _ = fs::remove_file(file);
         }
     }
--- a/crates/capacity/src/world/discovery.rs
+++ b/crates/capacity/src/world/discovery.rs
@@ -80,6 +80,7 @@
         // Wakes the thread that waits for a connection.
         let _ = TcpStream::connect(self.address);
         if let Some(thread) = self.thread.take() {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
@@ -103,6 +104,7 @@
             changes,
         )
     };
+    // Without it the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     if stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").is_err() {
         return;
--- a/crates/capacity/src/world/distribution.rs
+++ b/crates/capacity/src/world/distribution.rs
@@ -90,6 +90,7 @@
 impl Drop for Distribution {
     fn drop(&mut self) {
         self.processes.clear();
+        // A folder that stays lies among the temporary files.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/capacity/src/world/relay.rs
+++ b/crates/capacity/src/world/relay.rs
@@ -38,7 +38,9 @@
                         let upstream = *upstream;
                         tokio::task::spawn_local(async move {
                             let Ok(mut far) = tokio::net::TcpStream::connect(upstream).await else { return };
+                            // Without it the connection still works, only slower.
                             let _ = (near.set_nodelay(true), far.set_nodelay(true));
+                            // However the copy ends, both connections are closed with it.
                             let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
                         });
                     }
@@ -53,8 +55,10 @@
 
 impl Drop for ByteRelay {
     fn drop(&mut self) {
+        // The thread may have ended already.
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
--- a/crates/capacity/src/world/runtime.rs
+++ b/crates/capacity/src/world/runtime.rs
@@ -7,6 +7,7 @@
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_io().build() else { return };
     tokio::task::LocalSet::new().block_on(&runtime, async {
         if tasks().is_ok() {
+            // A dropped sender also means stop.
             let _ = stopped.wait_for(|stopped| *stopped).await;
         }
     });
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -144,8 +144,10 @@
 
 impl Drop for Upstreams {
     fn drop(&mut self) {
+        // The threads may have ended already.
         let _ = self.stop.send(true);
         for thread in self.threads.drain(..) {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
@@ -174,6 +176,7 @@
 }
 
 async fn serve(mut stream: tokio::net::TcpStream, number: usize, seen: Arc<Seen>) {
+    // Without it the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     let (mut bytes, mut count) = (Vec::with_capacity(1024), 0);
     loop {
