--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -20,7 +20,7 @@
 /// Connections of direct calls that are opened before the first call.
 const DIRECT_CONNECTIONS: usize = 64;
 /// Connections to each balancer that are opened before the first call.
-const CALLERS: usize = 8;
+const CONNECTIONS_PER_BALANCER: usize = 8;
 
 pub(super) struct Setup<'a> {
     pub(super) arguments: &'a Arguments,
@@ -140,7 +140,9 @@
         };
         let direct = running.upstreams.addresses[self.arguments.upstreams..].to_vec();
         let mut ways = vec![way(direct, DIRECT_CONNECTIONS)];
-        ways.extend(running.balancers.iter().map(|balancer| way(vec![balancer.address], CALLERS)));
+        ways.extend(
+            running.balancers.iter().map(|balancer| way(vec![balancer.address], CONNECTIONS_PER_BALANCER)),
+        );
         ways
     }
 
@@ -155,7 +157,7 @@
         let zero = Instant::now() + world::CONNECT_FIRST * 2;
         let over = AtomicBool::new(false);
         thread::scope(|scope| {
-            let caller = scope.spawn(|| {
+            let client = scope.spawn(|| {
                 let placed = if self.is_apart() { world::hold_to("0") } else { Ok(()) };
                 let progress = AtomicUsize::new(0);
                 let played = placed.and_then(|()| world::play(calls, &ways, first, zero, &progress));
@@ -164,7 +166,7 @@
             });
             let changes = self.make_changes(zero, &over, running);
             let ended = |_| CapacityError::run("calling", "the caller's thread ended");
-            let played = caller.join().map_err(ended)??;
+            let played = client.join().map_err(ended)??;
             Ok((played, changes?))
         })
     }
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -31,7 +31,7 @@
     let sizes = plan.service_sizes();
     let services: Vec<usize> =
         sizes.iter().enumerate().flat_map(|(service, &size)| std::iter::repeat_n(service, size)).collect();
-    let shares: Vec<f64> = (0..plan.fleet.zones.value)
+    let fractions: Vec<f64> = (0..plan.fleet.zones.value)
         .map(|zone| {
             let region = plane::region_of(plan, zone);
             plan.fleet.region_shares.value[region] / plan.fleet.zones_by_region.value[region] as f64
@@ -41,11 +41,11 @@
         .map(|number| {
             let place = number * services.len() / balancers;
             let mut at = (place as f64 * GOLDEN_RATIO).fract();
-            let zone = shares.iter().position(|share| {
-                at -= share;
+            let zone = fractions.iter().position(|fraction| {
+                at -= fraction;
                 at < 0.0
             });
-            Placement { service: services[place], zone: zone.unwrap_or(shares.len() - 1) }
+            Placement { service: services[place], zone: zone.unwrap_or(fractions.len() - 1) }
         })
         .collect()
 }
