--- /dev/null
+++ b/crates/capacity/src/control/configuration.rs
@@ -0,0 +1,164 @@
+//! Slopes of watches of the configuration.
+
+use super::rig::{About, Plays, Rig};
+use crate::CapacityError;
+
+mod relay;
+
+use self::relay::RelayPlay;
+
+/// The part of the command that measures the configuration.
+const PART: &str = "configuration";
+
+/// What the sizes of the slopes over watchers count.
+const BALANCERS: &str = "balancers at the relay";
+/// What a reader of the figures at rest must know.
+const AT_REST_NOTE: &str = "One relay below an origin, balancers a hundred to a process, all on one machine. At rest: a sign of life every 2 s \
+     and a report of what is in force every 5 s, on a connection of its own; payload both ways with the heads \
+     of HTTP, without those of TCP/IP.";
+/// What a reader of the figures of a change must know.
+const CHANGE_NOTE: &str = "Changes of the fleet's document, told to every balancer, one after another; a play is a change. From the \
+     acknowledgement where nothing else is said. One relay below an origin, all on one machine: a fleet's \
+     zone relays share this work.";
+
+const REST_BYTES: About = About {
+    name: "control.configuration_rest_bytes_per_s_by_watchers",
+    what: "bytes a second of all watches of the configuration together, with their reports, while nothing changes",
+    x: BALANCERS,
+    y: "bytes/s",
+    note: AT_REST_NOTE,
+};
+const SERVER_CORE: About = About {
+    name: "control.configuration_server_core_by_watchers",
+    what: "share of a core of a relay while nothing changes",
+    x: BALANCERS,
+    y: "core",
+    note: AT_REST_NOTE,
+};
+const SERVER_MEMORY: About = About {
+    name: "control.configuration_server_kb_by_watchers",
+    what: "memory of a relay",
+    x: BALANCERS,
+    y: "KiB",
+    note: AT_REST_NOTE,
+};
+const CLIENT_CORE: About = About {
+    name: "control.configuration_client_core_by_watchers",
+    what: "share of a core of all clients of the configuration together while nothing changes",
+    x: BALANCERS,
+    y: "core",
+    note: AT_REST_NOTE,
+};
+const CLIENT_MEMORY: About = About {
+    name: "control.configuration_client_kb_by_watchers",
+    what: "memory of all clients of the configuration together, with their processes",
+    x: BALANCERS,
+    y: "KiB",
+    note: AT_REST_NOTE,
+};
+const CHANGE_MEDIAN: About = About {
+    name: "control.change_p50_ms_by_watchers",
+    what: "time from a change's acknowledgement until it is in force at half of the balancers",
+    x: BALANCERS,
+    y: "ms",
+    note: CHANGE_NOTE,
+};
+const CHANGE_P99: About = About {
+    name: "control.change_p99_ms_by_watchers",
+    what: "time from a change's acknowledgement until it is in force at 99 in 100 balancers",
+    x: BALANCERS,
+    y: "ms",
+    note: CHANGE_NOTE,
+};
+const CHANGE_LAST: About = About {
+    name: "control.change_last_ms_by_watchers",
+    what: "time from a change's acknowledgement until it is in force at the last balancer",
+    x: BALANCERS,
+    y: "ms",
+    note: CHANGE_NOTE,
+};
+const CHANGE_SENT_LAST: About = About {
+    name: "control.change_sent_last_ms_by_watchers",
+    what: "time from a change's sending until it is in force at the last balancer",
+    x: BALANCERS,
+    y: "ms",
+    note: CHANGE_NOTE,
+};
+const CHANGE_BYTES: About = About {
+    name: "control.configuration_change_bytes_by_watchers",
+    what: "bytes of one change to all balancers, with their reports, less those at rest",
+    x: BALANCERS,
+    y: "bytes",
+    note: CHANGE_NOTE,
+};
+const CHANGE_SERVER_TIME: About = About {
+    name: "control.configuration_change_server_us_by_watchers",
+    what: "processor time of a relay for one change to all balancers, with their reports, less that at rest",
+    x: BALANCERS,
+    y: "us",
+    note: CHANGE_NOTE,
+};
+const CHANGE_CLIENT_TIME: About = About {
+    name: "control.configuration_change_client_us_by_watchers",
+    what: "processor time of all clients for one change, with their reports, less that at rest",
+    x: BALANCERS,
+    y: "us",
+    note: CHANGE_NOTE,
+};
+const CATCH_UP_BYTES: About = About {
+    name: "control.configuration_catch_up_bytes_by_changes",
+    what: "bytes of a relay that asks the origin from where it stood, to the changes that it missed",
+    x: "changes missed, each of another document",
+    y: "bytes",
+    note: "Merged to the newest. A parent that came up after the index asked from tells the whole instead. A balancer has three \
+     documents at most, however many changes it missed.",
+};
+
+impl Rig<'_> {
+    /// Watches of the configuration at one relay below an origin.
+    pub(super) fn configuration(&self) -> Result<(), CapacityError> {
+        let mut all = Measured::default();
+        for &watchers in &self.sizes {
+            RelayPlay::start(self, watchers)?.play(&mut all)?;
+        }
+        self.write_rest(&all)?;
+        self.write_changes(&all)?;
+        self.write(PART, &all.catch_up, CATCH_UP_BYTES)
+    }
+
+    fn write_rest(&self, all: &Measured) -> Result<(), CapacityError> {
+        self.write(PART, &all.rest_bytes, REST_BYTES)?;
+        self.write(PART, &all.server_core, SERVER_CORE)?;
+        self.write(PART, &all.server_kb, SERVER_MEMORY)?;
+        self.write(PART, &all.client_core, CLIENT_CORE)?;
+        self.write(PART, &all.client_kb, CLIENT_MEMORY)
+    }
+
+    fn write_changes(&self, all: &Measured) -> Result<(), CapacityError> {
+        self.write(PART, &all.p50, CHANGE_MEDIAN)?;
+        self.write(PART, &all.p99, CHANGE_P99)?;
+        self.write(PART, &all.last, CHANGE_LAST)?;
+        self.write(PART, &all.sent_last, CHANGE_SENT_LAST)?;
+        self.write(PART, &all.change_bytes, CHANGE_BYTES)?;
+        self.write(PART, &all.change_server_us, CHANGE_SERVER_TIME)?;
+        self.write(PART, &all.change_client_us, CHANGE_CLIENT_TIME)
+    }
+}
+
+/// The plays of all figures, by size.
+#[derive(Default)]
+struct Measured {
+    rest_bytes: Plays,
+    server_core: Plays,
+    server_kb: Plays,
+    client_core: Plays,
+    client_kb: Plays,
+    p50: Plays,
+    p99: Plays,
+    last: Plays,
+    sent_last: Plays,
+    change_bytes: Plays,
+    change_server_us: Plays,
+    change_client_us: Plays,
+    catch_up: Plays,
+}
--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -1,4 +1,5 @@
-//! Processes that the rig starts: each has its commands on standard input, ends with it, and is ended with its guard.
+//! Child processes: each reads its commands from standard input, exits when that closes, and is killed when its guard
+//! is dropped.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{self, ChildStdin, Command, Stdio};
@@ -10,16 +11,23 @@
 
 use crate::CapacityError;
 
-/// The number of a process and a line of its output, `None` at its end.
-pub type Said = (usize, Option<String>);
+/// A line, or the end, of a child process's standard output.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Output {
+    /// The number of the process, as passed to [`Child::start`].
+    pub process: usize,
+    /// The line without its line feed; `None` at the end of the output.
+    pub line: Option<String>,
+}
 
-static ASKED: AtomicBool = AtomicBool::new(false);
+static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Has SIGTERM and SIGINT end the run in order from now on, so that the guards of its processes still work.
+/// Installs handlers of SIGTERM and SIGINT that end the run in order, so that the guards of the child processes still
+/// run.
 ///
 /// # Errors
-/// There is no runtime for it.
-pub fn heed_signals() -> Result<(), CapacityError> {
+/// The handlers cannot be installed.
+pub fn handle_signals() -> Result<(), CapacityError> {
     let wrong = |cause| CapacityError::run("signals", cause);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
     let (mut terminate, mut interrupt) = {
@@ -31,20 +39,24 @@
         runtime.block_on(async {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
         });
-        ASKED.store(true, Ordering::Release);
+        INTERRUPTED.store(true, Ordering::Release);
     });
     Ok(())
 }
 
-/// Whether the run has been asked to end.
+/// Checks that no signal has asked the run to end.
 ///
 /// # Errors
-/// It has.
-pub fn go_on() -> Result<(), CapacityError> {
-    if ASKED.load(Ordering::Acquire) { Err(CapacityError::run("signals", "asked to end")) } else { Ok(()) }
+/// A signal has.
+pub fn check_interrupted() -> Result<(), CapacityError> {
+    if INTERRUPTED.load(Ordering::Acquire) {
+        Err(CapacityError::run("signals", "asked to end"))
+    } else {
+        Ok(())
+    }
 }
 
-/// A process that ends when this is dropped.
+/// A child process that is killed when this is dropped.
 #[derive(Debug)]
 pub struct Child {
     name: String,
@@ -53,14 +65,15 @@
 }
 
 impl Child {
-    /// Starts it. Its lines go to `lines` with the number; without `lines` nothing is read.
+    /// Starts the process. The lines of its standard output are sent to `lines` with the number given; without
+    /// `lines` its output is discarded.
     ///
     /// # Errors
     /// The program cannot be started.
     pub fn start(
         name: &str,
         command: &mut Command,
-        lines: Option<(usize, Sender<Said>)>,
+        lines: Option<(usize, Sender<Output>)>,
     ) -> Result<Self, CapacityError> {
         let output = if lines.is_some() { Stdio::piped() } else { Stdio::null() };
         command.stdin(Stdio::piped()).stdout(output).stderr(Stdio::null());
@@ -70,31 +83,31 @@
         if let (Some((number, lines)), Some(output)) = (lines, process.stdout.take()) {
             thread::spawn(move || {
                 for line in BufReader::new(output).lines().map_while(Result::ok) {
-                    if lines.send((number, Some(line))).is_err() {
+                    if lines.send(Output { process: number, line: Some(line) }).is_err() {
                         return;
                     }
                 }
                 // The reader may have gone first.
-                let _ = lines.send((number, None));
+                let _ = lines.send(Output { process: number, line: None });
             });
         }
         let input = process.stdin.take();
         Ok(Self { name: name.to_owned(), process, input })
     }
 
-    /// Its number at the kernel.
+    /// The process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    /// Tells it a line.
+    /// Writes a line to its standard input.
     ///
     /// # Errors
-    /// It has gone.
-    pub fn tell(&mut self, line: &str) -> Result<(), CapacityError> {
-        let told = self.input.as_mut().map(|input| writeln!(input, "{line}").and_then(|()| input.flush()));
-        match told {
+    /// The process has exited.
+    pub fn send_line(&mut self, line: &str) -> Result<(), CapacityError> {
+        let written = self.input.as_mut().map(|input| writeln!(input, "{line}").and_then(|()| input.flush()));
+        match written {
             Some(Ok(())) => Ok(()),
             Some(Err(cause)) => Err(CapacityError::run(&self.name, cause)),
             None => Err(CapacityError::run(&self.name, "has been ended")),
--- /dev/null
+++ b/crates/capacity/src/sockets/cost.rs
@@ -0,0 +1,63 @@
+//! The cost of a span of a play, as the difference of the totals at its two ends.
+
+use std::time::Instant;
+
+use super::machine;
+use super::plane::{Machine, Role};
+
+/// Totals of all processes at one moment.
+pub(super) struct Mark {
+    pub(super) at: Instant,
+    pub(super) balancers: machine::Usage,
+    pub(super) configuration_bytes: u64,
+    pub(super) list_bytes: u64,
+    pub(super) most_in_window: u64,
+    /// The control processes, by place.
+    pub(super) control: Vec<ControlUsage>,
+}
+
+/// Resources that a control process has used until a moment.
+pub(super) struct ControlUsage {
+    pub(super) process: machine::Usage,
+    /// Bytes of its connections with other control processes and with balancers, both ways.
+    pub(super) bytes: u64,
+}
+
+/// The largest figure of a kind among the control processes, and the role of that process.
+pub(super) struct Busiest {
+    pub(super) figure: f64,
+    pub(super) role: Role,
+}
+
+/// The cost of the span between two marks, each a second.
+pub(super) struct Cost {
+    pub(super) bytes_per_s: f64,
+    pub(super) core: f64,
+    /// The busiest control process.
+    pub(super) control_core: Busiest,
+    pub(super) control_bytes_per_s: Busiest,
+}
+
+impl Cost {
+    pub(super) fn between(from: &Mark, to: &Mark, balancers: usize, machines: &[Machine]) -> Self {
+        let seconds = (to.at - from.at).as_secs_f64();
+        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
+        let busiest = |cost: &dyn Fn(usize) -> f64| {
+            let costs = machines.iter().enumerate().map(|(place, machine)| (cost(place), machine.role));
+            let most = costs.max_by(|one, other| one.0.total_cmp(&other.0));
+            let (figure, role) = most.unwrap_or((0.0, Role::Origin));
+            Busiest { figure, role }
+        };
+        let (before, after) = (&from.control, &to.control);
+        Self {
+            bytes_per_s: (each(from.configuration_bytes, to.configuration_bytes)
+                + each(from.list_bytes, to.list_bytes))
+                / balancers as f64,
+            core: each(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
+            control_core: busiest(&|place| {
+                each(before[place].process.cpu_ns, after[place].process.cpu_ns) / 1e9
+            }),
+            control_bytes_per_s: busiest(&|place| each(before[place].bytes, after[place].bytes)),
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -0,0 +1,112 @@
+//! Publications of documents to the origin.
+
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use config_distribution::document::Scope;
+use serde::Deserialize;
+
+use super::TIMEOUT;
+use crate::CapacityError;
+use crate::sockets::machine;
+
+/// A published change.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Change {
+    /// The scope of the document.
+    pub scope: Scope,
+    /// The version that the origin gave it.
+    pub version: u64,
+    /// When it was first sent, in nanoseconds on [`machine::now_ns`]'s clock.
+    pub sent_ns: u64,
+    /// When it was acknowledged, in nanoseconds on the same clock.
+    pub acknowledged_ns: u64,
+}
+
+#[derive(Deserialize)]
+struct Acknowledged {
+    index: u64,
+}
+
+/// Publishes a document, and repeats it under the same id while the origin is unavailable.
+///
+/// # Errors
+/// The origin rejects it, or is unavailable for half a minute.
+pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
+    let sent_ns = machine::now_ns();
+    let until = Instant::now() + TIMEOUT;
+    let head = format!("PUT /configuration/{scope} HTTP/1.1\r\nX-Request-Id: {id}\r\n");
+    loop {
+        let failed = match request(origin, &head, body) {
+            Ok(Response { status: 200, body: text, .. }) => {
+                let acknowledged_ns = machine::now_ns();
+                let Acknowledged { index } = serde_json::from_str(&text).map_err(|cause| {
+                    CapacityError::run(format!("publication of {scope}: {text:?}"), cause)
+                })?;
+                return Ok(Change { scope: scope.clone(), version: index, sent_ns, acknowledged_ns });
+            }
+            Ok(Response { status: 503, body: text, .. }) => text,
+            Ok(Response { status, body: text, .. }) => {
+                return Err(CapacityError::run(
+                    format!("publication of {scope}"),
+                    format!("answered {status}: {text}"),
+                ));
+            }
+            Err(cause) => cause.to_string(),
+        };
+        if Instant::now() > until {
+            return Err(CapacityError::run(format!("publication of {scope}"), failed));
+        }
+        thread::sleep(Duration::from_millis(50));
+    }
+}
+
+/// A response of HTTP/1.1.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Response {
+    /// The status code.
+    pub status: u16,
+    /// The body.
+    pub body: String,
+    /// Bytes of request and response together.
+    pub bytes: usize,
+}
+
+/// Sends a request of HTTP/1.1 on a connection of its own.
+///
+/// # Errors
+/// The connection fails, or the response cannot be parsed.
+pub fn request(address: SocketAddr, head: &str, body: &str) -> std::io::Result<Response> {
+    let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
+    stream.set_read_timeout(Some(Duration::from_secs(5)))?;
+    let length = body.len();
+    let text =
+        format!("{head}Host: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
+    stream.write_all(text.as_bytes())?;
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response)?;
+    let bytes = text.len() + response.len();
+    let response = String::from_utf8_lossy(&response);
+    let wrong = || std::io::Error::new(ErrorKind::InvalidData, "no answer of HTTP/1.1");
+    let (head, body) = response.split_once("\r\n\r\n").ok_or_else(wrong)?;
+    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(wrong)?;
+    Ok(Response { status, body: body.to_owned(), bytes })
+}
+
+/// A document's body of at most `bytes` bytes, which differs with each `turn`.
+#[must_use]
+pub fn body(bytes: usize, turn: u64) -> String {
+    let mut text =
+        format!("{{\"settings\":{{\"projects\":[{{\"name\":\"tenant-0\",\"quotaPerS\":{}.0}}", 1000 + turn);
+    let mut number = 1;
+    loop {
+        let more = format!(",{{\"name\":\"tenant-{number}\",\"quotaPerS\":250.0}}");
+        if text.len() + more.len() + "]}}".len() > bytes {
+            return text + "]}}";
+        }
+        text += &more;
+        number += 1;
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/sockets/play.rs
@@ -0,0 +1,294 @@
+//! One play, from the start of its processes to its outcome.
+
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use config_distribution::document::Scope;
+
+use super::cost::{Busiest, ControlUsage, Cost, Mark};
+use super::fleet::{Placement, hollow_balancers};
+use super::hollow::Job;
+use super::list::ListServer;
+use super::outcome::Outcome;
+use super::plane::{self, Machine, Plane, Role};
+use super::schedule::schedule;
+use super::size::Size;
+use super::swarm::{Arrival, Swarm, Times};
+use super::{Scenario, fleet, machine, region_name, service_name, zone_names};
+use crate::CapacityError;
+use crate::plan::Plan;
+
+mod fault;
+
+use self::fault::{ChangesAndFault, Cut, Played, Target};
+
+/// Part of the machine's memory at most.
+const MEMORY_PART: f64 = 0.5;
+/// How long the last change may take before the play is given up.
+const TIMEOUT: Duration = Duration::from_secs(40);
+/// Part of a play's changes, at its end, in which the return from a fault is looked at.
+const RETURN_PART: f64 = 0.35;
+/// Between the starts of two balancers of a process, in ms; a small play, whose processes have fewer balancers, has
+/// none.
+const START_INTERVAL_MS: u64 = 20;
+/// Balancers of a process of a small play.
+const PER_PROCESS_SMALL: usize = 20;
+
+/// Plays one scenario with one seed.
+///
+/// # Errors
+/// A process does not start or ends early, or the play needs more memory than it may.
+pub(super) fn play(
+    scenario: Scenario,
+    seed: u64,
+    size: &Size,
+    plan: &Plan,
+) -> Result<Outcome, CapacityError> {
+    let target = Target::draw(plan, seed);
+    let mut play = Play::start(scenario, seed, size, plan)?;
+    play.wait_until_ready()?;
+    let (rest_from, rest_to) = play.rest()?;
+    let played = ChangesAndFault::start(&mut play, &target).run()?;
+    let missing = play.wait_for_last_changes(&played)?;
+    let end = play.mark()?;
+    let elsewhere = play.reconnect_list_watches()?;
+    let times = play.change_times(&played, &target)?;
+    let machines: Vec<Machine> = play.plane.machines().cloned().collect();
+    let cost = |from, to| Cost::between(from, to, size.balancers, &machines);
+    Ok(Outcome {
+        scenario,
+        seed,
+        balancers: size.balancers,
+        changes: played.changes.len(),
+        times: times.from_acknowledgement,
+        from_sending: times.from_sending,
+        index_regressions: play.swarm.index_regressions,
+        missing,
+        elsewhere,
+        rest: cost(&rest_from, &rest_to),
+        play: cost(&rest_to, &end),
+        return_cost: cost(&played.return_from, &played.return_to),
+        most_in_window: played.return_to.most_in_window,
+        balancer_mb: end.balancers.resident_kb as f64 / 1024.0 / size.balancers as f64,
+        control_mb: largest_control_mb(&end, &machines),
+    })
+}
+
+/// For how long the return is looked at.
+pub(super) fn return_window(seconds: f64) -> Duration {
+    Duration::from_secs_f64((seconds * RETURN_PART).min(super::hollow::WINDOW_S as f64))
+}
+
+/// The memory of the largest control process, in MB, and what that process is.
+fn largest_control_mb(end: &Mark, machines: &[Machine]) -> Busiest {
+    let sizes = end.control.iter().map(|one| one.process.resident_kb);
+    let largest = sizes.zip(machines.iter().map(|machine| machine.role)).max();
+    let (largest_kb, role) = largest.unwrap_or((0, Role::Origin));
+    Busiest { figure: largest_kb as f64 / 1024.0, role }
+}
+
+/// The running processes of a play.
+struct Play<'a> {
+    scenario: Scenario,
+    seed: u64,
+    size: &'a Size,
+    plan: &'a Plan,
+    /// By balancer.
+    placements: Vec<Placement>,
+    plane: Plane,
+    swarm: Swarm,
+    list: ListServer,
+    /// The newest version of each scope.
+    newest: HashMap<Scope, u64>,
+    memory_bound_kb: u64,
+    place: String,
+}
+
+/// Times of all changes until they were in force, over all balancers.
+struct ChangeTimes {
+    from_acknowledgement: Times,
+    from_sending: Times,
+}
+
+impl<'a> Play<'a> {
+    /// Starts all processes; all documents are published before the balancers start.
+    fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
+        let placements = fleet(plan, size.balancers);
+        let plane = Plane::start(plane::deal(plan))?;
+        let newest = publish_first(plane.address(0), plan, &services(&placements))?;
+        let list = start_list(size, plan)?;
+        let balancers =
+            hollow_balancers(plan, &placements, seed, &|region, zone| plane.parents_of(region, zone));
+        let job = Job {
+            list: Some(list.address),
+            zones: zone_names(plan),
+            apart_ms: if size.per_process > PER_PROCESS_SMALL { START_INTERVAL_MS } else { 0 },
+            balancers: Vec::new(),
+        };
+        let swarm = Swarm::start(&balancers, size.per_process, &job)?;
+        let memory_bound_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MEMORY_PART) as u64;
+        let place = format!("sockets {} {seed}", scenario.name());
+        Ok(Self {
+            scenario,
+            seed,
+            size,
+            plan,
+            placements,
+            plane,
+            swarm,
+            list,
+            newest,
+            memory_bound_kb,
+            place,
+        })
+    }
+
+    /// Waits until all balancers have their list and their documents.
+    fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
+        let newest = &self.newest;
+        let is_ready = |swarm: &Swarm| swarm.all_listed() && swarm.missing(newest) == 0;
+        if self.swarm.receive_until(TIMEOUT, is_ready)? {
+            return Ok(());
+        }
+        let missing = self.swarm.missing(newest);
+        let cause = format!("{missing} balancers have no configuration at the start");
+        Err(CapacityError::run(self.place.clone(), cause))
+    }
+
+    /// The sums before and after a span in which nothing changes.
+    fn rest(&mut self) -> Result<(Mark, Mark), CapacityError> {
+        // Lists and documents of the start are behind them.
+        self.swarm.receive_for(self.size.rest / 2)?;
+        let from = self.mark()?;
+        self.swarm.receive_for(self.size.rest)?;
+        Ok((from, self.mark()?))
+    }
+
+    /// Waits until all balancers have the last change of each scope; gives how many do not.
+    fn wait_for_last_changes(&mut self, played: &Played) -> Result<usize, CapacityError> {
+        for change in &played.changes {
+            self.newest.insert(change.scope.clone(), change.version);
+        }
+        let newest = &self.newest;
+        self.swarm.receive_until(TIMEOUT, |swarm| swarm.missing(newest) == 0)?;
+        Ok(self.swarm.missing(newest))
+    }
+
+    /// Closes all watches of the list, which then reconnect; returns how many continue from another index than the
+    /// current one.
+    fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
+        let (list, balancers) = (&self.list, self.size.balancers);
+        let (asked_before, index) = (list.asked().len(), list.index());
+        list.close_all();
+        let again = || list.asked().len().saturating_sub(asked_before);
+        self.swarm.receive_until(TIMEOUT, |_| again() >= balancers)?;
+        let asked = list.asked();
+        Ok(balancers.abs_diff(asked[asked_before..].iter().filter(|&&since| since == index).count()))
+    }
+
+    fn change_times(&self, played: &Played, target: &Target) -> Result<ChangeTimes, CapacityError> {
+        let mut times = ChangeTimes { from_acknowledgement: Times::new()?, from_sending: Times::new()? };
+        for change in &played.changes {
+            for Arrival { balancer, at_ns } in self.swarm.times(change) {
+                let Some(at_ns) = at_ns else { continue };
+                let zone = self.placements[balancer].zone;
+                let is_cut_off = plane::region_of(self.plan, zone) == target.far_region;
+                // What was published within the cut could reach these balancers from its end on.
+                let cut = played.cut.filter(|cut| is_cut_off && cut.contains(change.acknowledged_ns));
+                let floor = cut.map_or(0, |Cut { end_ns, .. }| end_ns);
+                times.from_acknowledgement.add(at_ns.saturating_sub(change.acknowledged_ns.max(floor)));
+                times.from_sending.add(at_ns.saturating_sub(change.sent_ns.max(floor)));
+            }
+        }
+        Ok(times)
+    }
+
+    /// The sums of now.
+    ///
+    /// # Errors
+    /// The processes use more memory than they may.
+    fn mark(&mut self) -> Result<Mark, CapacityError> {
+        let carried = self.swarm.carried()?;
+        let places = self.plane.machines().count();
+        let control = (0..places)
+            .map(|place| {
+                let used = self.plane.usage(place);
+                let below = carried.by_parent.get(&self.plane.address(place)).copied().unwrap_or(0);
+                ControlUsage { process: used, bytes: self.plane.bytes(place) + below }
+            })
+            .collect();
+        let list = self.list.carried();
+        let mark = Mark {
+            at: Instant::now(),
+            balancers: self.swarm.usage(),
+            configuration_bytes: carried.bytes,
+            list_bytes: list.read + list.written,
+            most_in_window: carried.most_in_window,
+            control,
+        };
+        self.check_memory(&mark)?;
+        Ok(mark)
+    }
+
+    fn check_memory(&self, mark: &Mark) -> Result<(), CapacityError> {
+        let own = machine::usage(std::process::id()).unwrap_or_default().resident_kb;
+        let control: u64 = mark.control.iter().map(|one| one.process.resident_kb).sum();
+        let used = own + mark.balancers.resident_kb + control;
+        if used <= self.memory_bound_kb {
+            return Ok(());
+        }
+        Err(CapacityError::Memory {
+            place: self.place.clone(),
+            used_mb: used / 1024,
+            bound_mb: self.memory_bound_kb / 1024,
+        })
+    }
+
+    /// Kills the control processes that match.
+    fn kill(&mut self, matches: impl Fn(&Machine) -> bool) {
+        let machines = self.plane.machines().enumerate();
+        let places: Vec<usize> =
+            machines.filter_map(|(place, machine)| matches(machine).then_some(place)).collect();
+        for place in places {
+            self.plane.kill(place);
+        }
+    }
+}
+
+/// The services that are played.
+fn services(placements: &[Placement]) -> Vec<usize> {
+    let mut services: Vec<usize> = placements.iter().map(|placement| placement.service).collect();
+    services.dedup();
+    services
+}
+
+/// Publishes the first document of each scope; gives their versions.
+fn publish_first(
+    origin: SocketAddr,
+    plan: &Plan,
+    services: &[usize],
+) -> Result<HashMap<Scope, u64>, CapacityError> {
+    let configuration = &plan.configuration;
+    let region = |region| (Scope::Region(region_name(region).into()), configuration.region_bytes.value);
+    let service =
+        |&service: &usize| (Scope::Service(service_name(service).into()), configuration.service_bytes.value);
+    let mut documents = vec![(Scope::Fleet, configuration.fleet_bytes.value)];
+    documents.extend((0..plan.fleet.regions.value).map(region));
+    documents.extend(services.iter().map(service));
+    let mut newest = HashMap::new();
+    for (number, (scope, bytes)) in documents.into_iter().enumerate() {
+        let change = plane::publish(origin, &scope, &plane::body(bytes, 0), &format!("first-{number}"))?;
+        newest.insert(scope, change.version);
+    }
+    Ok(newest)
+}
+
+fn start_list(size: &Size, plan: &Plan) -> Result<ListServer, CapacityError> {
+    ListServer::start(
+        size.list,
+        plan.list.entry_bytes.value,
+        plan.fleet.zones.value,
+        Duration::from_secs_f64(plan.list.beat_s.value),
+    )
+}
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -1,4 +1,4 @@
-//! The processes of hollow balancers, and what they say.
+//! The processes of hollow balancers, and the events that they report.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -9,54 +9,72 @@
 use config_distribution::document::Scope;
 use hdrhistogram::Histogram;
 
-use super::child::{self, Child, Said};
-use super::hollow::{Figures, Hollow, Job, Word};
+use super::child::{self, Child, Output};
+use super::hollow::{Event, Figures, Hollow, Job};
 use super::machine::{self, Usage};
 use super::plane::Change;
 use crate::CapacityError;
 
-/// The longest time of a histogram, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+/// The longest time that the histogram can record, in microseconds.
+const MAX_TIME_US: u64 = 600_000_000;
 
-/// Whether the run has been asked to end is looked at this often.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// How often it is checked whether a signal has asked the run to end.
+const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes of hollow balancers; they end when this is dropped.
+/// Processes of hollow balancers; they are killed when this is dropped.
 pub struct Swarm {
     children: Vec<Child>,
-    words: Receiver<Said>,
+    output: Receiver<Output>,
     /// By balancer.
     listed: Vec<bool>,
-    /// By balancer and scope: versions in force and when, in their order.
-    in_force: Vec<HashMap<Scope, Vec<(u64, u64)>>>,
+    /// By balancer and scope: the versions that came in force, in their order.
+    in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
     wanted: Vec<[Scope; 3]>,
     figures: Vec<Option<Figures>>,
-    /// Indices that went back.
-    pub back: usize,
+    /// How many times a balancer's index decreased, which must never happen.
+    pub index_regressions: usize,
 }
 
-/// What the balancers' connections for configuration have carried.
+/// A version of a document that came in force at a balancer.
+#[derive(Debug, Clone, Copy)]
+struct VersionInForce {
+    version: u64,
+    /// On [`machine::now_ns`]'s clock.
+    at_ns: u64,
+}
+
+/// When a balancer had a change, or a newer one of its scope, in force.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Arrival {
+    /// The number of the balancer.
+    pub balancer: usize,
+    /// In nanoseconds on [`machine::now_ns`]'s clock; `None` where it never had.
+    pub at_ns: Option<u64>,
+}
+
+/// Traffic of the balancers' configuration connections.
 #[derive(Debug, Clone, Default)]
 pub struct Carried {
-    /// Bytes both ways of all.
+    /// Bytes of all connections, both ways.
     pub bytes: u64,
-    /// Connections.
+    /// Connections opened.
     pub opened: u64,
-    /// Bytes both ways by parent.
+    /// Bytes of both ways, by the parent's address.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// Of the busiest balancer, in the busiest window since the last call.
+    /// Bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since the previous
+    /// call.
     pub most_in_window: u64,
 }
 
 impl Swarm {
-    /// Starts `balancers`, `per_process` to a process.
+    /// Starts processes that play `balancers`, with `per_process` of them each.
     ///
     /// # Errors
     /// A process cannot be started.
     pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
         let own =
             std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
-        let (said, words): (Sender<_>, _) = channel();
+        let (sender, output): (Sender<_>, _) = channel();
         let most = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
         let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; most];
         for balancer in balancers {
@@ -69,41 +87,41 @@
             // The plan is the rig's; a child needs none, but the command line reads it first.
             command.args(std::env::args_os().skip_while(|arg| arg != "--plan").take(2));
             command.args(["sockets", "--hollow-balancers"]);
-            let mut child = Child::start(&name, &mut command, Some((number, said.clone())))?;
+            let mut child = Child::start(&name, &mut command, Some((number, sender.clone())))?;
             let job = Job { balancers: part.to_vec(), ..job.clone() };
             let job = serde_json::to_string(&job).map_err(|cause| CapacityError::run(&name, cause))?;
-            child.tell(&job)?;
+            child.send_line(&job)?;
             children.push(child);
         }
         let figures = vec![None; children.len()];
         Ok(Self {
             children,
-            words,
+            output,
             listed: vec![false; most],
             in_force: vec![HashMap::new(); most],
             wanted,
             figures,
-            back: 0,
+            index_regressions: 0,
         })
     }
 
-    /// Their numbers at the kernel.
+    /// The process ids.
     pub fn pids(&self) -> impl Iterator<Item = u32> {
         self.children.iter().map(Child::pid)
     }
 
-    /// Hears what they say, for so long.
+    /// Receives events for the duration `span`.
     ///
     /// # Errors
-    /// One has ended or cannot go on.
-    pub fn hear(&mut self, span: Duration) -> Result<(), CapacityError> {
+    /// A process has exited or has failed, or a signal has asked the run to end.
+    pub fn receive_for(&mut self, span: Duration) -> Result<(), CapacityError> {
         let until = Instant::now() + span;
         loop {
-            child::go_on()?;
+            child::check_interrupted()?;
             let left = until.saturating_duration_since(Instant::now());
-            match self.words.recv_timeout(left.min(LOOK_EVERY)) {
-                Ok((process, line)) => self.take(process, line)?,
-                Err(RecvTimeoutError::Timeout) if left <= LOOK_EVERY => return Ok(()),
+            match self.output.recv_timeout(left.min(SIGNAL_CHECK_INTERVAL)) {
+                Ok(Output { process, line }) => self.apply(process, line)?,
+                Err(RecvTimeoutError::Timeout) if left <= SIGNAL_CHECK_INTERVAL => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(CapacityError::run("hollow balancers", "all have ended"));
@@ -112,11 +130,12 @@
         }
     }
 
-    /// Hears until `done`, looked at every few milliseconds, or `most` is over; whether it came.
+    /// Receives events until `done`, which is checked every few milliseconds, or until `most` has passed; returns
+    /// whether it was done in time.
     ///
     /// # Errors
-    /// One has ended or cannot go on.
-    pub fn hear_until(
+    /// A process has exited or has failed, or a signal has asked the run to end.
+    pub fn receive_until(
         &mut self,
         most: Duration,
         mut done: impl FnMut(&Self) -> bool,
@@ -129,69 +148,69 @@
             if Instant::now() > until {
                 return Ok(false);
             }
-            self.hear(Duration::from_millis(5))?;
+            self.receive_for(Duration::from_millis(5))?;
         }
     }
 
-    fn take(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
+    fn apply(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
         let place = || format!("hollow balancers, process {process}");
         let Some(line) = line else { return Err(CapacityError::run(place(), "has ended")) };
         match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
-            Word::Listed(balancer) => self.listed[balancer] = true,
-            Word::InForce { balancer, scope, version, at_ns } => {
-                self.in_force[balancer].entry(scope).or_default().push((version, at_ns));
+            Event::Listed(balancer) => self.listed[balancer] = true,
+            Event::InForce { balancer, scope, version, at_ns } => {
+                self.in_force[balancer].entry(scope).or_default().push(VersionInForce { version, at_ns });
             }
-            Word::Back { .. } => self.back += 1,
-            Word::Figures(figures) => self.figures[process] = Some(figures),
-            Word::Failed(cause) => return Err(CapacityError::run(place(), cause)),
+            Event::Back { .. } => self.index_regressions += 1,
+            Event::Figures(figures) => self.figures[process] = Some(figures),
+            Event::Failed(cause) => return Err(CapacityError::run(place(), cause)),
         }
         Ok(())
     }
 
-    /// Whether all have taken in their list.
+    /// Whether all balancers have received their endpoint list.
     #[must_use]
     pub fn all_listed(&self) -> bool {
         self.listed.iter().all(|listed| *listed)
     }
 
-    /// Balancers that do not have the newest version of each scope that they want.
+    /// How many balancers lack the newest version of a scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
         let has = |balancer: usize, scope: &Scope| {
             let Some(&version) = newest.get(scope) else { return true };
-            self.last(balancer, scope).is_some_and(|(last, _)| last >= version)
+            self.last(balancer, scope).is_some_and(|last| last.version >= version)
         };
         (0..self.wanted.len())
             .filter(|&balancer| !self.wanted[balancer].iter().all(|scope| has(balancer, scope)))
             .count()
     }
 
-    fn last(&self, balancer: usize, scope: &Scope) -> Option<(u64, u64)> {
+    fn last(&self, balancer: usize, scope: &Scope) -> Option<VersionInForce> {
         self.in_force[balancer].get(scope)?.last().copied()
     }
 
-    /// When each balancer that wants a change's scope had it, or a newer one, in force; `None` where it never had.
-    pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = (usize, Option<u64>)> + 'a {
+    /// When each balancer that subscribes to the change's scope had it, or a newer one, in force.
+    pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
                 let had = self.in_force[balancer].get(&change.scope);
-                let at = had.and_then(|had| had.iter().find(|(version, _)| *version >= change.version));
-                (balancer, at.map(|(_, at_ns)| *at_ns))
+                let at = had.and_then(|had| had.iter().find(|had| had.version >= change.version));
+                Arrival { balancer, at_ns: at.map(|version| version.at_ns) }
             },
         )
     }
 
-    /// What their connections for configuration have carried.
+    /// Traffic of their configuration connections so far.
     ///
     /// # Errors
-    /// One does not answer.
+    /// A process does not answer.
     pub fn carried(&mut self) -> Result<Carried, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
-            child.tell("figures")?;
+            child.send_line("figures")?;
         }
         let all = |swarm: &Self| swarm.figures.iter().all(Option::is_some);
-        if !self.hear_until(Duration::from_secs(20), all)? {
+        if !self.receive_until(Duration::from_secs(20), all)? {
             return Err(CapacityError::run("hollow balancers", "no figures within 20 s"));
         }
         let mut sum = Carried::default();
@@ -206,7 +225,7 @@
         Ok(sum)
     }
 
-    /// What all of them have used.
+    /// Resources that all processes have used together.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let each = self.pids().filter_map(machine::usage);
@@ -217,36 +236,36 @@
     }
 }
 
-/// Times until changes were in force.
+/// A histogram of the times until changes were in force.
 #[derive(Debug, Clone)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// None yet.
+    /// An empty histogram.
     ///
     /// # Errors
-    /// Never, as its bounds are sound.
+    /// Never, as the bounds of the histogram are valid.
     pub fn new() -> Result<Self, CapacityError> {
-        let histogram = Histogram::new_with_bounds(1, LONGEST_US, 3);
+        let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, 3);
         histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
-    /// Adds one, in nanoseconds.
+    /// Records a time in nanoseconds.
     pub fn add(&mut self, ns: u64) {
         self.0.saturating_record((ns / 1000).max(1));
     }
 
-    /// At a part of them, in ms; 1 for the last.
+    /// The time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
     #[must_use]
-    pub fn at(&self, part: f64) -> f64 {
-        if part >= 1.0 {
+    pub fn quantile_ms(&self, quantile: f64) -> f64 {
+        if quantile >= 1.0 {
             self.0.max() as f64 / 1000.0
         } else {
-            self.0.value_at_quantile(part) as f64 / 1000.0
+            self.0.value_at_quantile(quantile) as f64 / 1000.0
         }
     }
 
-    /// How many.
+    /// How many times are recorded.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -10,31 +10,31 @@
 
 use serde_json::Value;
 
-use super::child::{Process, START_MOST, own_path};
+use super::child::{Listening, Process, START_TIMEOUT, own_path};
 use crate::CapacityError;
 
-/// The balancer's program.
+/// The name of the balancer's program.
 pub const BALANCER: &str = "balancer-proxy";
 
-/// A balancer that serves.
+/// A running balancer that is ready to serve.
 #[derive(Debug)]
 pub struct Balancer {
     /// The process.
     pub process: Process,
-    /// Where callers connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// From its start to its listening.
+    /// Time from the start of its process until it listened.
     pub listens_after: Duration,
-    /// From its start to its first 200 for its health.
+    /// Time from the start of its process until its health check first returned 200.
     pub serves_after: Duration,
 }
 
 impl Balancer {
-    /// Starts one with this configuration, on this core alone where one is named, and waits until it serves. `line`
-    /// hears its log.
+    /// Starts a balancer with this configuration, pinned to `core` where one is given, and waits until it serves.
+    /// `line` is called with each line of its log.
     ///
     /// # Errors
-    /// It does not start, or does not come to serve.
+    /// The process does not start, or does not serve in time.
     pub fn start(
         program: &Path,
         configuration: &Value,
@@ -56,24 +56,25 @@
             command.env("PATH", path);
         }
         let began = Instant::now();
-        let (mut process, address, listened) = Process::listening(command, Some(file), line)?;
+        let Listening { mut process, address, at } = Process::listening(command, Some(file), line)?;
         while !health(address) {
-            if process.has_ended() || began.elapsed() > START_MOST {
+            if process.has_ended() || began.elapsed() > START_TIMEOUT {
                 let cause = format!("it does not serve: {}", process.last_words());
                 return Err(CapacityError::run("starting a balancer", cause));
             }
             thread::sleep(Duration::from_micros(200));
         }
         let serves_after = began.elapsed();
-        Ok(Self { process, address, listens_after: listened - began, serves_after })
+        Ok(Self { process, address, listens_after: at - began, serves_after })
     }
 }
 
-/// Whether a balancer says that it can serve.
+/// Whether the balancer's health check returns 200.
 fn health(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address) else { return false };
+    // Only a duration of zero is rejected.
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
-    let asked = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     let mut status = [0; 12];
-    asked.is_ok() && stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
+    sent.is_ok() && stream.read_exact(&mut status).is_ok() && status.ends_with(b"200")
 }
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -14,13 +14,13 @@
 use super::lock;
 use crate::CapacityError;
 
-/// Longest wait for a process to come up.
-pub(super) const START_MOST: Duration = Duration::from_secs(20);
+/// How long a process may take to start.
+pub(super) const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Lines of a process's log that are kept.
+/// How many of the latest log lines of a process are retained.
 const LOG_LINES: usize = 200;
 
-/// Hears the lines of a process.
+/// Called with each line of a process's output.
 type Heard = dyn Fn(&str) + Send + Sync;
 
 /// A child process that is ended, by its id, when this is dropped.
@@ -32,8 +32,18 @@
     readers: Vec<JoinHandle<()>>,
 }
 
+/// A process that has come to listen.
+pub(super) struct Listening {
+    /// The process.
+    pub(super) process: Process,
+    /// Where it listens.
+    pub(super) address: SocketAddr,
+    /// When its line of that came.
+    pub(super) at: Instant,
+}
+
 impl Process {
-    /// Starts a program whose lines, of both its outputs, are kept and handed to `line` as they come.
+    /// Starts a program whose lines, of both its outputs, are retained and passed to `line` as they arrive.
     ///
     /// # Errors
     /// It does not start.
@@ -64,15 +74,16 @@
         Ok(Self { child, file, log, readers })
     }
 
-    /// Starts a program, and waits until a line of it ends with the address where it listens; tells when that came.
+    /// Starts a program, and waits until a line of it ends with the address where it listens; gives both, and when
+    /// that came.
     ///
     /// # Errors
     /// It does not start, or does not come to listen.
-    pub fn listening(
+    pub(super) fn listening(
         command: Command,
         file: Option<PathBuf>,
         line: impl Fn(&str) + Send + Sync + 'static,
-    ) -> Result<(Self, SocketAddr, Instant), CapacityError> {
+    ) -> Result<Listening, CapacityError> {
         let (listens, listening) = mpsc::channel();
         let place = format!("starting {}", command.get_program().display());
         let process = Self::start(
@@ -83,13 +94,14 @@
                     && text.contains("listen")
                     && let Ok(address) = address.trim().parse::<SocketAddr>()
                 {
+                    // The receiver is gone once the first address has arrived.
                     let _ = listens.send((address, Instant::now()));
                 }
                 line(text);
             }),
         )?;
-        match listening.recv_timeout(START_MOST) {
-            Ok((address, at)) => Ok((process, address, at)),
+        match listening.recv_timeout(START_TIMEOUT) {
+            Ok((address, at)) => Ok(Listening { process, address, at }),
             Err(_) => Err(CapacityError::run(place, format!("it does not listen: {}", process.last_words()))),
         }
     }
@@ -99,7 +111,7 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Its number.
+    /// The process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
@@ -107,8 +119,10 @@
 
     /// Ends it, and gives the latest lines of its log up to its end.
     pub(super) fn last_words(mut self) -> String {
+        // The process may have exited already.
         let _ = self.child.kill();
         for reader in self.readers.drain(..) {
+            // A reader that panicked leaves the lines that it had read.
             let _ = reader.join();
         }
         let log = lock(&self.log);
@@ -118,9 +132,11 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         if let Some(file) = &self.file {
+            // A file that stays lies among the temporary files.
             let _ = fs::remove_file(file);
         }
     }
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -8,41 +8,47 @@
 use std::time::{Duration, Instant};
 
 use super::call::{Call, Class, End, Played};
-use super::message::{MESSAGE_MOST, header, message};
+use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use crate::CapacityError;
 
-/// How long after its connections are asked for a play may start.
+/// How long the connections of a play may take to open before it starts.
 pub const CONNECT_FIRST: Duration = Duration::from_millis(200);
 
 /// How long after the last call its answer is waited for.
-const ANSWER_MOST: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+
+/// How long before a call the thread spins: longer than a sleep of [`PAUSE`] takes.
+const SPIN_BEFORE: Duration = Duration::from_millis(2);
+
+/// How long the thread sleeps at once where no call is near.
+const PAUSE: Duration = Duration::from_micros(500);
 
 /// A way that calls can go: targets that take its connections in turn, and how many are opened beforehand.
 #[derive(Debug, Clone)]
 pub struct Way {
     /// Where to.
     pub targets: Vec<SocketAddr>,
-    /// Connections that stand before the first call.
+    /// Connections that are opened before the first call.
     pub warm: usize,
-    /// What callers say that they wait.
+    /// The deadline that each call passes on.
     pub deadline: Duration,
     /// Tenants that calls are drawn from.
     pub tenants: usize,
 }
 
-struct Line {
+struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
     call: usize,
     way: usize,
 }
 
-/// Makes calls at their times, whatever became of those before: each takes a connection that stands idle, or a new
-/// one. The play starts at `zero`. The thread spins, so that its own waking up is
-/// no part of what it measures. `progress` counts the calls sent.
+/// Sends calls at their times, independent of the responses to earlier calls: each on an idle connection, or on a new
+/// one. The play starts at `zero`. The thread spins, so that its own wake-up is not part of what it measures.
+/// `progress` counts the calls sent.
 ///
 /// # Errors
-/// A connection that is to stand beforehand does not come up.
+/// A connection that must be open before the first call cannot be opened.
 pub fn play(
     calls: &[Call],
     ways: &[Way],
@@ -50,61 +56,120 @@
     zero: Instant,
     progress: &AtomicUsize,
 ) -> Result<Vec<Played>, CapacityError> {
-    let mut idle: Vec<Vec<TcpStream>> = Vec::new();
-    let mut turns = vec![0; ways.len()];
-    for (way, turn) in ways.iter().zip(&mut turns) {
-        let mut warm = Vec::new();
-        for _ in 0..way.warm {
-            warm.push(connect(way, turn).map_err(|cause| CapacityError::run("connecting a caller", cause))?);
+    let lost = Played { sent: Duration::ZERO, done: Duration::ZERO, end: End::Lost };
+    let mut open_loop = OpenLoop {
+        calls,
+        ways,
+        first_id,
+        zero,
+        progress,
+        opened: vec![0; ways.len()],
+        idle: Vec::new(),
+        busy: Vec::new(),
+        next: 0,
+        played: vec![lost; calls.len()],
+    };
+    open_loop.connect_first().map_err(|cause| CapacityError::run("connecting a caller", cause))?;
+    Ok(open_loop.run())
+}
+
+/// The open loop: calls in flight, and those still to be sent.
+struct OpenLoop<'a> {
+    calls: &'a [Call],
+    ways: &'a [Way],
+    first_id: usize,
+    zero: Instant,
+    progress: &'a AtomicUsize,
+    /// By way: connections opened so far, by which targets take them in turn.
+    opened: Vec<usize>,
+    /// By way: connections without a call.
+    idle: Vec<Vec<TcpStream>>,
+    /// Connections with a call.
+    busy: Vec<Connection>,
+    /// The first call that is not sent yet.
+    next: usize,
+    /// By call; lost until its answer is whole.
+    played: Vec<Played>,
+}
+
+impl OpenLoop<'_> {
+    /// Opens the connections that must be open before the first call.
+    fn connect_first(&mut self) -> std::io::Result<()> {
+        for (way, opened) in self.ways.iter().zip(&mut self.opened) {
+            let streams: std::io::Result<_> = (0..way.warm).map(|_| connect(way, opened)).collect();
+            self.idle.push(streams?);
         }
-        idle.push(warm);
+        Ok(())
     }
-    let lost = Played { sent: Duration::ZERO, done: Duration::ZERO, end: End::Lost };
-    let mut played = vec![lost; calls.len()];
-    let mut busy: Vec<Line> = Vec::new();
-    let mut next = 0;
-    let by = calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_MOST;
-    loop {
-        let now = Instant::now().saturating_duration_since(zero);
-        while let Some(call) = calls.get(next).filter(|call| call.at <= now) {
-            let way = &ways[call.way];
-            let text = request(first_id + next, call, way);
-            let sent = Instant::now().saturating_duration_since(zero);
-            let line = loop {
-                let kept = idle[call.way].pop();
-                let is_kept = kept.is_some();
-                let stream = match kept.map_or_else(|| connect(way, &mut turns[call.way]), Ok) {
-                    Ok(stream) if is_kept && !stands(&stream) => continue,
-                    Ok(stream) => stream,
-                    Err(_) => break None,
-                };
-                break (&stream).write_all(text.as_bytes()).is_ok().then_some(stream);
-            };
-            played[next] = Played { sent, done: sent, end: End::Lost };
-            if let Some(stream) = line {
-                busy.push(Line { stream, bytes: Vec::with_capacity(512), call: next, way: call.way });
+
+    fn run(mut self) -> Vec<Played> {
+        let deadline = self.calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_TIMEOUT;
+        loop {
+            let now = self.elapsed();
+            self.send_due(now);
+            self.receive();
+            if self.next == self.calls.len() && self.busy.is_empty() || now > deadline {
+                return self.played;
             }
-            next += 1;
-            progress.store(next, Ordering::Release);
+            self.pause(now);
         }
+    }
+
+    /// From the start of the play.
+    fn elapsed(&self) -> Duration {
+        Instant::now().saturating_duration_since(self.zero)
+    }
+
+    fn send_due(&mut self, now: Duration) {
+        while let Some(call) = self.calls.get(self.next).filter(|call| call.at <= now) {
+            let text = request(self.first_id + self.next, call, &self.ways[call.way]);
+            let sent = self.elapsed();
+            let stream = self.send(call.way, &text);
+            self.played[self.next] = Played { sent, done: sent, end: End::Lost };
+            if let Some(stream) = stream {
+                let bytes = Vec::with_capacity(512);
+                self.busy.push(Connection { stream, bytes, call: self.next, way: call.way });
+            }
+            self.next += 1;
+            self.progress.store(self.next, Ordering::Release);
+        }
+    }
+
+    /// Sends a request on an idle connection that is still open, or on a new one; `None` where that fails.
+    fn send(&mut self, way: usize, text: &str) -> Option<TcpStream> {
+        let idle = &mut self.idle[way];
+        let stream = loop {
+            match idle.pop() {
+                Some(stream) if is_open(&stream) => break stream,
+                Some(_) => {}
+                None => break connect(&self.ways[way], &mut self.opened[way]).ok()?,
+            }
+        };
+        (&stream).write_all(text.as_bytes()).is_ok().then_some(stream)
+    }
+
+    /// Reads the responses that have arrived.
+    fn receive(&mut self) {
         let mut place = 0;
-        while let Some(line) = busy.get_mut(place) {
-            let Some(over) = look(line, first_id) else {
+        while let Some(connection) = self.busy.get_mut(place) {
+            let Some((end, reusable)) = read_response(connection, self.first_id) else {
                 place += 1;
                 continue;
             };
-            let done = Instant::now().saturating_duration_since(zero);
-            let line = busy.swap_remove(place);
-            played[line.call] = Played { done, end: over.0, ..played[line.call] };
-            if over.1 {
-                idle[line.way].push(line.stream);
+            let done = self.elapsed();
+            let connection = self.busy.swap_remove(place);
+            self.played[connection.call] = Played { done, end, ..self.played[connection.call] };
+            if reusable {
+                self.idle[connection.way].push(connection.stream);
             }
         }
-        if next == calls.len() && busy.is_empty() || now > by {
-            return Ok(played);
-        }
-        if busy.is_empty() && calls.get(next).is_some_and(|call| call.at > now + Duration::from_millis(2)) {
-            thread::sleep(Duration::from_micros(500));
+    }
+
+    /// Leaves the core for a moment where nothing is on its way and the next call is not near.
+    fn pause(&self, now: Duration) {
+        let is_near = |call: &Call| call.at <= now + SPIN_BEFORE;
+        if self.busy.is_empty() && self.calls.get(self.next).is_some_and(|call| !is_near(call)) {
+            thread::sleep(PAUSE);
         }
     }
 }
@@ -118,8 +183,8 @@
     Ok(stream)
 }
 
-/// Whether a kept connection has not been closed meanwhile.
-fn stands(stream: &TcpStream) -> bool {
+/// Whether an idle connection is still open and has nothing to read.
+fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
@@ -138,31 +203,31 @@
     )
 }
 
-/// How a call ended, if it has, and whether its connection stands.
-fn look(line: &mut Line, first_id: usize) -> Option<(End, bool)> {
+/// The outcome of a call whose response is complete, and whether its connection can be reused.
+fn read_response(connection: &mut Connection, first_id: usize) -> Option<(End, bool)> {
     let mut part = [0; 2048];
-    match line.stream.read(&mut part) {
+    match connection.stream.read(&mut part) {
         Ok(0) => return Some((End::Lost, false)),
-        Ok(count) => line.bytes.extend_from_slice(&part[..count]),
+        Ok(count) => connection.bytes.extend_from_slice(&part[..count]),
         Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
         Err(_) => return Some((End::Lost, false)),
     }
-    if line.bytes.len() > MESSAGE_MOST {
+    if connection.bytes.len() > MAX_MESSAGE_BYTES {
         return Some((End::Wrong, false));
     }
-    let (head, body_at, end) = message(&line.bytes)?;
-    let stands = end == line.bytes.len()
+    let Message { head, body_start, end } = message(&connection.bytes)?;
+    let reusable = end == connection.bytes.len()
         && !header(head, "connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     let own = |body: &[u8]| {
-        let mut words = std::str::from_utf8(body).ok()?.split(' ');
-        let id: usize = words.next()?.parse().ok()?;
-        let count: u64 = words.next()?.parse().ok()?;
-        (id == first_id + line.call).then_some(End::Right { new_connection: count == 1 })
+        let mut fields = std::str::from_utf8(body).ok()?.split(' ');
+        let id: usize = fields.next()?.parse().ok()?;
+        let count: u64 = fields.next()?.parse().ok()?;
+        (id == first_id + connection.call).then_some(End::Right { new_connection: count == 1 })
     };
     let over = match head.split(' ').nth(1) {
-        Some("200") => own(&line.bytes[body_at..end]).unwrap_or(End::Wrong),
+        Some("200") => own(&connection.bytes[body_start..end]).unwrap_or(End::Wrong),
         Some("503") => End::Refused,
         _ => End::Wrong,
     };
-    Some((over, stands))
+    Some((over, reusable))
 }
--- a/crates/capacity/src/world/discovery.rs
+++ b/crates/capacity/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in service discovery: balancers under test watch a list of upstreams that the test changes as it likes.
+//! A stand-in for service discovery: balancers under test watch a list of upstreams that the test changes.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,8 +10,8 @@
 
 use serde_json::{Value, json};
 
-use super::message::{MESSAGE_MOST, head_end};
-use super::{listen, lock};
+use super::message::{MAX_MESSAGE_BYTES, head_end};
+use super::{Bound, listen, lock};
 use crate::CapacityError;
 
 #[derive(Debug)]
@@ -21,10 +21,10 @@
     watches: Vec<Sender<Arc<[u8]>>>,
 }
 
-/// A stand-in discovery: tells each watch the whole list, then each change, and an empty line every beat.
+/// A stand-in discovery: sends each watch a snapshot of the list, then each change, and an empty line as a heartbeat.
 #[derive(Debug)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
     stopped: Arc<AtomicBool>,
@@ -32,12 +32,12 @@
 }
 
 impl Discovery {
-    /// Starts one with this list at index 1.
+    /// Starts a discovery with this list at index 1, and a heartbeat after each `beat` without a change.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
     pub fn start(entries: Vec<Value>, beat: Duration) -> Result<Self, CapacityError> {
-        let (listener, address) = listen()?;
+        let Bound { listener, address } = listen()?;
         let list = Arc::new(Mutex::new(List { index: 1, entries, watches: Vec::new() }));
         let stopped = Arc::new(AtomicBool::new(false));
         let (shared, stop) = (Arc::clone(&list), Arc::clone(&stopped));
@@ -47,14 +47,14 @@
                     return;
                 }
                 let list = Arc::clone(&shared);
-                thread::spawn(move || tell(stream, &list, beat));
+                thread::spawn(move || serve_watch(stream, &list, beat));
             }
         });
         let thread = thread.map_err(|cause| CapacityError::run("starting a discovery", cause))?;
         Ok(Self { address, list, stopped, thread: Some(thread) })
     }
 
-    /// Watches that stand.
+    /// The number of open watches.
     #[must_use]
     pub fn watches(&self) -> usize {
         lock(&self.list).watches.len()
@@ -80,17 +80,18 @@
         // Wakes the thread that waits for a connection.
         let _ = TcpStream::connect(self.address);
         if let Some(thread) = self.thread.take() {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
 }
 
-fn tell(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
+fn serve_watch(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
     let mut head = Vec::new();
     let mut part = [0; 512];
     while head_end(&head).is_none() {
         match stream.read(&mut part) {
-            Ok(count @ 1..) if head.len() < MESSAGE_MOST => head.extend_from_slice(&part[..count]),
+            Ok(count @ 1..) if head.len() < MAX_MESSAGE_BYTES => head.extend_from_slice(&part[..count]),
             _ => return,
         }
     }
@@ -103,6 +104,7 @@
             changes,
         )
     };
+    // Without it the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     if stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").is_err() {
         return;
@@ -115,12 +117,12 @@
         return;
     }
     loop {
-        let told = match changes.recv_timeout(beat) {
+        let sent = match changes.recv_timeout(beat) {
             Ok(line) => chunk(&line),
             Err(RecvTimeoutError::Timeout) => chunk(b"\n"),
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        if told.is_err() {
+        if sent.is_err() {
             return;
         }
     }
--- a/crates/capacity/src/world/distribution.rs
+++ b/crates/capacity/src/world/distribution.rs
@@ -9,29 +9,29 @@
 
 use serde_json::{Value, json};
 
-use super::child::{Process, own_path};
+use super::child::{Listening, Process, own_path};
 use crate::CapacityError;
 
-/// The distribution's program.
+/// The name of the distribution's program.
 pub const DISTRIBUTION: &str = "config-distribution";
 
 /// An origin and relays below it, as processes.
 #[derive(Debug)]
 pub struct Distribution {
-    /// Where the origin listens.
+    /// The address of the origin.
     pub origin: SocketAddr,
-    /// Where the relays do.
+    /// The addresses of the relays.
     pub relays: Vec<SocketAddr>,
-    /// Ended before the folder goes.
+    /// Killed before the folder is removed.
     processes: Vec<Process>,
     folder: PathBuf,
 }
 
 impl Distribution {
-    /// Starts them.
+    /// Starts an origin and `relays` relays that follow it.
     ///
     /// # Errors
-    /// One does not come to listen.
+    /// A process does not listen in time.
     pub fn start(program: &Path, relays: usize) -> Result<Self, CapacityError> {
         let folder = own_path("origin");
         let command = |arguments: &[&str]| {
@@ -41,28 +41,28 @@
         };
         let mut origin = command(&["origin"]);
         origin.arg("--dir").arg(&folder);
-        let (process, address, _) = Process::listening(origin, None, |_| ())?;
+        let Listening { process, address, .. } = Process::listening(origin, None, |_| ())?;
         let mut started = Self { origin: address, relays: Vec::new(), processes: vec![process], folder };
         for _ in 0..relays {
             let relay = command(&["relay", "--level", "1", "--parent", &address.to_string()]);
-            let (process, address, _) = Process::listening(relay, None, |_| ())?;
+            let Listening { process, address, .. } = Process::listening(relay, None, |_| ())?;
             started.processes.push(process);
             started.relays.push(address);
         }
         Ok(started)
     }
 
-    /// What a balancer's configuration names it by.
+    /// The section of a balancer's configuration that connects it to the relays.
     #[must_use]
     pub fn named(&self) -> Value {
         let parents: Vec<String> = self.relays.iter().map(SocketAddr::to_string).collect();
         json!({"parents": parents, "region": "north", "service": "api"})
     }
 
-    /// Publishes a document, and gives the index of the change once it is acknowledged.
+    /// Publishes a document, and returns the index of the change once it is acknowledged.
     ///
     /// # Errors
-    /// It is refused, or no answer comes.
+    /// The origin rejects it or does not answer.
     pub fn publish(&self, scope: &str, request: &str, document: &Value) -> Result<u64, CapacityError> {
         let failed = |cause: String| CapacityError::run(format!("publishing {scope} {document}"), cause);
         let body = document.to_string();
@@ -72,12 +72,12 @@
             body.len()
         );
         let mut answer = String::new();
-        let asked = TcpStream::connect(self.origin).and_then(|mut stream| {
+        let exchanged = TcpStream::connect(self.origin).and_then(|mut stream| {
             stream.set_read_timeout(Some(Duration::from_secs(5)))?;
             stream.write_all(text.as_bytes())?;
             stream.read_to_string(&mut answer)
         });
-        asked.map_err(|cause| failed(cause.to_string()))?;
+        exchanged.map_err(|cause| failed(cause.to_string()))?;
         let index = answer
             .split_once("\r\n\r\n")
             .filter(|_| answer.split(' ').nth(1) == Some("200"))
@@ -90,6 +90,7 @@
 impl Drop for Distribution {
     fn drop(&mut self) {
         self.processes.clear();
+        // A folder that stays lies among the temporary files.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/capacity/src/world/relay.rs
+++ b/crates/capacity/src/world/relay.rs
@@ -6,27 +6,27 @@
 
 use tokio::sync::watch;
 
-use super::listen;
 use super::runtime::on_runtime;
+use super::{Bound, listen};
 use crate::CapacityError;
 
-/// Passes bytes on between callers and upstreams, on the same kind of runtime as the balancer, and does nothing else:
+/// Copies bytes between clients and upstreams, on the same kind of runtime as the balancer, and does nothing else:
 /// what any process between the two costs on this machine.
 #[derive(Debug)]
 pub struct ByteRelay {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ByteRelay {
-    /// Starts one that deals its connections to these in turn.
+    /// Starts a relay that assigns its connections to `upstreams` in turn.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
     pub fn start(upstreams: Vec<SocketAddr>) -> Result<Self, CapacityError> {
-        let (listener, address) = listen()?;
+        let Bound { listener, address } = listen()?;
         let (stop, stopped) = watch::channel(false);
         let thread = thread::Builder::new().name("relay".to_owned()).spawn(move || {
             on_runtime(stopped, || {
@@ -38,7 +38,9 @@
                         let upstream = *upstream;
                         tokio::task::spawn_local(async move {
                             let Ok(mut far) = tokio::net::TcpStream::connect(upstream).await else { return };
+                            // Without it the connection still works, only slower.
                             let _ = (near.set_nodelay(true), far.set_nodelay(true));
+                            // However the copy ends, both connections are closed with it.
                             let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
                         });
                     }
@@ -53,8 +55,10 @@
 
 impl Drop for ByteRelay {
     fn drop(&mut self) {
+        // The thread may have ended already.
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -1,5 +1,5 @@
-//! Stand-in upstreams: the balancer under test needs servers that answer at once and that record what reached them, so
-//! that a call that ran twice, or not at all, is seen.
+//! Stand-in upstreams: servers that respond at once and record the requests that reached them, so that a call that ran
+//! twice, or not at all, is noticed.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
@@ -11,18 +11,18 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::watch;
 
-use super::message::{MESSAGE_MOST, header, message};
+use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use super::runtime::on_runtime;
-use super::{listen, lock};
+use super::{Bound, listen, lock};
 use crate::CapacityError;
 
-/// What the stand-in upstreams saw.
+/// Records of the requests that reached the stand-in upstreams.
 #[derive(Debug)]
 pub struct Seen {
     /// How many times each request ran, by its id.
     runs: Vec<AtomicU8>,
     next_id: AtomicUsize,
-    /// Connections that came up.
+    /// Connections accepted.
     opened: AtomicU64,
     zero: Instant,
     /// By upstream: nanoseconds from `zero` to its latest request, 0 for none.
@@ -31,10 +31,10 @@
 }
 
 impl Seen {
-    /// Ids for so many calls: the first of them.
+    /// Reserves ids for `count` calls, and returns the first of them.
     ///
     /// # Errors
-    /// More than was reckoned with.
+    /// More calls than [`Upstreams::start`] was given.
     pub fn take_ids(&self, count: usize) -> Result<usize, CapacityError> {
         let first = self.next_id.fetch_add(count, Ordering::Relaxed);
         if first + count > self.runs.len() {
@@ -52,20 +52,20 @@
         self.runs.get(id).map_or(0, |runs| runs.load(Ordering::Acquire))
     }
 
-    /// Connections that came up until now.
+    /// Connections accepted so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// When the latest request came to an upstream.
+    /// When the latest request reached an upstream; `None` before the first.
     #[must_use]
     pub fn latest(&self, upstream: usize) -> Option<Instant> {
         let latest = self.latest.get(upstream)?.load(Ordering::Acquire);
         (latest > 0).then(|| self.zero + Duration::from_nanos(latest))
     }
 
-    /// The request of that id holds up its upstream's thread for so long.
+    /// Makes the request `id` block its upstream's thread for the duration `span`.
     pub fn stall(&self, id: usize, span: Duration) {
         *lock(&self.stall) = Some((id, span));
     }
@@ -87,16 +87,16 @@
 /// and its own number.
 #[derive(Debug)]
 pub struct Upstreams {
-    /// Where they listen.
+    /// The addresses that they listen on, by upstream.
     pub addresses: Vec<SocketAddr>,
-    /// What they saw.
+    /// Records of their requests.
     pub seen: Arc<Seen>,
     stop: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Upstreams {
-    /// Starts so many on so many threads, for at most so many calls in all.
+    /// Starts `count` upstreams on `threads` threads, for at most `calls` calls in all.
     ///
     /// # Errors
     /// No port is free, or a thread does not start.
@@ -105,7 +105,7 @@
         for _ in 0..count {
             listeners.push(listen()?);
         }
-        let addresses = listeners.iter().map(|(_, address)| *address).collect();
+        let addresses = listeners.iter().map(|bound: &Bound| bound.address).collect();
         let seen = Arc::new(Seen {
             runs: (0..calls).map(|_| AtomicU8::new(0)).collect(),
             next_id: AtomicUsize::new(0),
@@ -116,7 +116,7 @@
         });
         let (stop, stopped) = watch::channel(false);
         let mut parts: Vec<Vec<(usize, TcpListener)>> = (0..threads).map(|_| Vec::new()).collect();
-        for (number, (listener, _)) in listeners.into_iter().enumerate() {
+        for (number, Bound { listener, .. }) in listeners.into_iter().enumerate() {
             parts[number % threads].push((number, listener));
         }
         let mut started = Self { addresses, seen, stop, threads: Vec::new() };
@@ -129,13 +129,13 @@
         Ok(started)
     }
 
-    /// Their entries of the list, all ready.
+    /// The list entries of all upstreams, with the status ready.
     #[must_use]
     pub fn entries(&self) -> Vec<Value> {
         (0..self.addresses.len()).map(|number| self.entry(number, "ready", 0)).collect()
     }
 
-    /// The entry of one, as it stands now.
+    /// The list entry of an upstream with this status, since `since_ms` (milliseconds since the epoch).
     #[must_use]
     pub fn entry(&self, number: usize, status: &str, since_ms: u64) -> Value {
         entry(number, self.addresses[number], status, since_ms)
@@ -144,8 +144,10 @@
 
 impl Drop for Upstreams {
     fn drop(&mut self) {
+        // The threads may have ended already.
         let _ = self.stop.send(true);
         for thread in self.threads.drain(..) {
+            // A thread that panicked has nothing left to clean up.
             let _ = thread.join();
         }
     }
@@ -174,10 +176,11 @@
 }
 
 async fn serve(mut stream: tokio::net::TcpStream, number: usize, seen: Arc<Seen>) {
+    // Without it the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     let (mut bytes, mut count) = (Vec::with_capacity(1024), 0);
     loop {
-        while let Some((head, _, end)) = message(&bytes) {
+        while let Some(Message { head, end, .. }) = message(&bytes) {
             let id = header(head, "x-request-id").and_then(|id| id.parse().ok()).unwrap_or(usize::MAX);
             bytes.drain(..end);
             seen.note(id, number);
@@ -188,7 +191,7 @@
                 return;
             }
         }
-        if bytes.len() > MESSAGE_MOST || !matches!(stream.read_buf(&mut bytes).await, Ok(1..)) {
+        if bytes.len() > MAX_MESSAGE_BYTES || !matches!(stream.read_buf(&mut bytes).await, Ok(1..)) {
             return;
         }
     }
