--- a/crates/config-distribution/src/command/serve.rs
+++ b/crates/config-distribution/src/command/serve.rs
@@ -10,6 +10,7 @@
 use super::failure::Failure;
 use super::seed;
 use crate::document::Scope;
+use crate::fault::Fault;
 use crate::host::log::log;
 use crate::host::origin::OriginHost;
 use crate::host::relay::{RelayHost, RelayOptions};
@@ -63,11 +64,14 @@
 }
 
 /// The faults of a document whose form is sound.
-fn check_settings(_: &Scope, body: &str) -> Vec<String> {
-    match serde_json::from_str::<serde_json::Value>(body) {
-        Ok(body) => balancer_settings::check_part(&body["settings"])
-            .map_or_else(|faults| faults.messages(), |()| Vec::new()),
-        Err(error) => vec![error.to_string()],
+fn check_settings(_: &Scope, body: &str) -> Vec<Fault> {
+    let body: serde_json::Value = match serde_json::from_str(body) {
+        Ok(body) => body,
+        Err(error) => return vec![Fault::Json(error.into())],
+    };
+    match balancer_settings::check_part(&body["settings"]) {
+        Ok(()) => Vec::new(),
+        Err(faults) => Fault::of_settings(&faults),
     }
 }
 
--- a/crates/config-distribution/src/core/mod.rs
+++ b/crates/config-distribution/src/core/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod document;
 pub mod effective;
+pub mod fault;
 pub mod origin;
 pub mod parents;
 pub mod report;
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -10,7 +10,8 @@
 use thiserror::Error;
 
 use crate::document::{Digest, Document, Scope};
-use crate::effective::{self, PartFault};
+use crate::effective;
+use crate::fault::{self, Fault};
 use crate::state::State;
 
 /// Bytes of a request id at most.
@@ -74,8 +75,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PublishError {
     /// All that is wrong with it.
-    #[error("{}", .0.join("; "))]
-    Faults(Vec<String>),
+    #[error("{}", fault::join(.0))]
+    Faults(Vec<Fault>),
     /// Another version stands than the one named.
     #[error("version {have} stands")]
     Conflict {
@@ -238,14 +239,11 @@
     pub fn publish(
         &mut self,
         publication: Publication,
-        check: impl FnOnce(&Scope, &str) -> Vec<String>,
+        check: impl FnOnce(&Scope, &str) -> Vec<Fault>,
     ) -> Result<Accepted, PublishError> {
         let Publication { scope, body, request, if_version } = publication;
         if !(1..=REQUEST_MOST).contains(&request.len()) {
-            return Err(PublishError::Faults(vec![format!(
-                "request id: expected 1 to {REQUEST_MOST} bytes, got {}",
-                request.len()
-            )]));
+            return Err(PublishError::Faults(vec![Fault::RequestId { bytes: request.len() }]));
         }
         if let Some(bytes) =
             body.as_ref().map(|body| body.len()).filter(|bytes| *bytes > self.bounds.body_most)
@@ -264,7 +262,7 @@
         if !withdraws {
             let faults = match effective::part(&scope, &body) {
                 Ok(_) => check(&scope, &body),
-                Err(faults) => faults.iter().map(PartFault::to_string).collect(),
+                Err(faults) => faults.into_iter().map(Fault::Form).collect(),
             };
             if !faults.is_empty() {
                 return Err(PublishError::Faults(faults));
@@ -276,7 +274,7 @@
             return Err(PublishError::Conflict { have });
         }
         if withdraws && current.is_none() {
-            return Err(PublishError::Faults(vec![format!("{scope}: there is no document to withdraw")]));
+            return Err(PublishError::Faults(vec![Fault::NothingToWithdraw { scope }]));
         }
         self.check_capacity(current, &body, withdraws)?;
         let index = self.state.index() + 1;
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -15,6 +15,7 @@
 use super::log::log;
 use super::server::{Change, Limits, ResponseBody, Server, Source, error_response, json_response};
 use crate::document::Scope;
+use crate::fault::Fault;
 use crate::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record, RestoreError};
 use crate::state::State;
 use crate::store::{Found, Outcome, Store, StoreError};
@@ -24,8 +25,8 @@
 /// Records that are deleted with one write at most, so that none takes long.
 const MAX_DELETED: usize = 64;
 
-/// Tells the faults of a document whose form is sound.
-pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<String>>;
+/// Returns the faults of a document whose form is sound.
+pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<Fault>>;
 
 /// Why an origin cannot begin.
 #[derive(Debug, Error)]
@@ -147,6 +148,7 @@
     fn response(&self) -> Response<ResponseBody> {
         match self {
             Self::Rejected(PublishError::Faults(faults)) => {
+                let faults: Vec<String> = faults.iter().map(Fault::to_string).collect();
                 json_response(self.status(), &json!({ "faults": faults }))
             }
             Self::Rejected(error @ PublishError::Conflict { have }) => {
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -16,6 +16,7 @@
 //! | [`core::parents`] | which parent to follow, and when to try the next | |
 //! | [`core::report`] | what is in force below, who lags, who is silent | |
 //! | [`core::effective`] | the settings that a process's own and its documents make | |
+//! | [`core::fault`] | what can be wrong with a publication or a document | |
 //! | [`host`] | sockets and timers; carries out what the core decides | a decision of its own |
 //! | [`host::server`] | watches, reports and publications over HTTP, for origin and relay | the disk |
 //! | [`host::origin`] | a publication's way: core, disk, readers | |
@@ -26,7 +27,8 @@
 //! | [`store`] | records on disk, synced, all or nothing | what records mean |
 //! | [`command`] | the command line: arguments, exit codes, signals | |
 //!
-//! Dependencies point one way: `command` uses `host`, `host` uses `store` and `core`, and `core` knows none of them. Of
+//! Dependencies point one way: `command` uses `host`, `host` uses `store` and `core`, and `core` knows none of them, and of
+//! `balancer-settings` the faults of settings alone. Of
 //! `host`, `store` uses the log alone.
 
 pub mod command;
@@ -34,4 +36,4 @@
 pub mod host;
 pub mod store;
 
-pub use self::core::{document, effective, origin, parents, report, state};
+pub use self::core::{document, effective, fault, origin, parents, report, state};
--- a/crates/config-distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -71,7 +71,10 @@
         "service/api: ",
     ];
     assert_eq!(faults.len(), starts.len(), "{faults:?}");
-    assert!(starts.iter().all(|start| faults.iter().any(|fault| fault.starts_with(start))), "{faults:?}");
+    assert!(
+        starts.iter().all(|start| faults.iter().any(|fault| fault.to_string().starts_with(start))),
+        "{faults:?}"
+    );
 }
 
 #[test]
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use balancer_settings::Found;
 use config_distribution::document::{Document, Scope};
+use config_distribution::fault::Fault;
 use config_distribution::origin::{
     Accepted, Bounds, INDEX_MOST, Origin, Publication, PublishError, Record, RestoreError,
 };
@@ -14,10 +16,18 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn sound(_: &Scope, _: &str) -> Vec<String> {
+fn sound(_: &Scope, _: &str) -> Vec<Fault> {
     Vec::new()
 }
 
+/// The one fault that a check finds in every document, and its text.
+const FAULT_TEXT: &str = "settings.caps: expected an object, found 7";
+
+fn faulty(_: &Scope, _: &str) -> Vec<Fault> {
+    let (path, expected) = ("settings.caps".to_owned(), "an object".to_owned());
+    vec![Fault::Settings(balancer_settings::Fault { path, expected, found: Found::Value("7".to_owned()) })]
+}
+
 fn publication(text: &str, number: u64, request: &str) -> Publication {
     Publication { scope: scope(text), body: Some(body(number)), request: request.into(), if_version: None }
 }
@@ -92,8 +102,7 @@
     records.push(write(&mut origin, publication("service/api", 4, "d")));
     // Also after a restart, also where the condition no longer holds, and without being checked again.
     for mut origin in [restored(&records), origin] {
-        let check = |_: &Scope, _: &str| vec!["changed its mind".into()];
-        assert_eq!(origin.publish(condition.clone(), check), Ok(Accepted::Known(2)));
+        assert_eq!(origin.publish(condition.clone(), faulty), Ok(Accepted::Known(2)));
         assert_eq!(origin.publish(withdrawal("fleet", "c"), sound), Ok(Accepted::Known(3)));
         assert_eq!(origin.state().index(), 4);
         assert_eq!(origin.publish(publication("service/api", 5, "d"), sound), Err(PublishError::Reused));
@@ -122,9 +131,10 @@
 #[test]
 fn every_fault_is_told_and_nothing_remains_of_it() {
     let mut origin = restored(&[]);
-    let faulty = |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
-    let mut faults = |text: &str| match origin.publish(faulty(text), |_, _| vec!["of the check".into()]) {
-        Err(PublishError::Faults(faults)) => faults,
+    let with_body =
+        |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
+    let mut faults = |text: &str| match origin.publish(with_body(text), faulty) {
+        Err(PublishError::Faults(faults)) => faults.iter().map(Fault::to_string).collect::<Vec<_>>(),
         other => panic!("{other:?}"),
     };
     assert_eq!(faults("[]"), ["service/api: expected an object"]);
@@ -134,7 +144,7 @@
     let several = faults("{\"more\":1,\"settings\":{\"zone\":\"a\",\"caps\":{},\"me\":1}}");
     assert_eq!(several.len(), 3, "{several:?}");
     assert!(several.iter().any(|fault| fault.starts_with("service/api: settings.zone: ")));
-    assert_eq!(faults("{\"settings\":{}}"), ["of the check"]);
+    assert_eq!(faults("{\"settings\":{}}"), [FAULT_TEXT]);
     for request in ["", &"x".repeat(129)] {
         let refused = origin.publish(publication("fleet", 1, request), sound);
         assert!(matches!(refused, Err(PublishError::Faults(_))));
--- a/crates/proxy/src/configuration.rs
+++ b/crates/proxy/src/configuration.rs
@@ -9,6 +9,7 @@
 use balancer_settings::{Faults, Loaded, SetupError};
 use config_distribution::document::{Document, Scope};
 use config_distribution::effective::effective;
+use config_distribution::fault::{self, FormFault};
 use config_distribution::host::client::{self, Client};
 use config_distribution::report::{InForce, Refused};
 use config_distribution::state::State;
@@ -53,11 +54,11 @@
 #[derive(Debug, Error)]
 enum ApplyError {
     /// Their form has faults.
-    #[error("{}", .0.join("; "))]
-    Documents(Vec<String>),
+    #[error("{}", fault::join(.0))]
+    Documents(Vec<FormFault>),
     /// The settings that they make have faults.
-    #[error("{}", .0.messages().join("; "))]
-    Settings(Faults),
+    #[error(transparent)]
+    Settings(#[from] Faults),
     /// The settings that they make cannot be read.
     #[error(transparent)]
     Read(#[from] SetupError),
@@ -159,7 +160,7 @@
     fn apply(&mut self, documents: Documents) -> Result<(), ApplyError> {
         let settings = effective(&self.own_settings, documents.each_ref().map(Option::as_ref))
             .map_err(ApplyError::Documents)?;
-        balancer_settings::check(&settings).map_err(ApplyError::Settings)?;
+        balancer_settings::check(&settings)?;
         self.target.reconfigure(balancer_settings::read(&settings.to_string())?)?;
         let stands: Vec<String> = documents
             .iter()
