--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -36,7 +36,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use self::line_cache::LineCache;
-use super::accept::{AcceptFailures, Listen};
+use super::accept::{ConsecutiveFailures, Listen};
 use super::log::log;
 use crate::document::Scope;
 use crate::report::{Reports, Sums};
@@ -138,7 +138,7 @@
         listener: &impl Listen,
         connections: &mut JoinSet<()>,
     ) {
-        let mut failures = AcceptFailures::default();
+        let mut failures = ConsecutiveFailures::default();
         let mut stop = pin!(stop);
         loop {
             let accepted = tokio::select! {
@@ -147,7 +147,7 @@
                 accepted = listener.accept() => accepted,
             };
             if accepted.is_ok() {
-                failures = AcceptFailures::default();
+                failures = ConsecutiveFailures::default();
             }
             match accepted {
                 Ok(_) if connections.len() >= self.limits.max_connections() => {
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -23,7 +23,7 @@
 //! | [`host::relay`] | follows its parents, serves and stores what it has | publications |
 //! | [`host::client`] | a child's side: follows parents, reports up | the disk |
 //! | [`host::watch`], [`host::call`] | one watch, or one request, on a connection | what is asked |
-//! | [`host::accept`], [`host::log`] | accepting after failures; lines for the operator | |
+//! | [`host::accept`], [`host::log`] | kinds of failed accepts, accepting after them; lines for the operator | |
 //! | [`store`] | records on disk, synced, all or nothing | what records mean |
 //! | [`command`] | the command line: arguments, exit codes, signals | |
 //!
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,8 +1,11 @@
-//! Failed accepts: what each asks of the accept loop, so that neither a shortage nor a broken listener makes it spin.
+//! Failed accepts: whether a connection gives way and whether the accept loop pauses, so that neither a shortage nor a
+//! broken listener makes it spin. What kind of failure an error is says [`AcceptFailure`], which the hosts of the
+//! configuration use as well.
 
 use std::io;
 use std::time::Duration;
 
+pub use config_distribution::host::accept::AcceptFailure;
 use tokio::time::Instant;
 
 /// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
@@ -14,47 +17,6 @@
 /// How often a failed accept is logged at most, or the log would cost more than the trouble.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a failed accept asks of the accept loop.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AcceptFailure {
-    /// It concerns the one connection, or the one call: the next accept may follow at once.
-    Transient,
-    /// The process or the system has no descriptor left; the connection stays in the queue.
-    OutOfDescriptors,
-    /// The system is short of memory: the next accept waits a moment, and closing a connection would not help.
-    OutOfMemory,
-    /// None that is known here. It may come again at once, so that the next accept waits as well.
-    Unknown,
-}
-
-impl AcceptFailure {
-    /// Sorts an error of accept(2). Linux also passes on network errors that were pending on the new socket.
-    #[must_use]
-    pub fn of(error: &io::Error) -> Self {
-        match error.raw_os_error() {
-            Some(libc::EMFILE | libc::ENFILE) => Self::OutOfDescriptors,
-            Some(libc::ENOBUFS | libc::ENOMEM | libc::ENOSR) => Self::OutOfMemory,
-            Some(
-                libc::EAGAIN
-                | libc::ECONNABORTED
-                | libc::ECONNRESET
-                | libc::EHOSTDOWN
-                | libc::EHOSTUNREACH
-                | libc::EINTR
-                | libc::ENETDOWN
-                | libc::ENETUNREACH
-                | libc::ENONET
-                | libc::ENOPROTOOPT
-                | libc::EOPNOTSUPP
-                | libc::EPERM
-                | libc::EPROTO
-                | libc::ETIMEDOUT,
-            ) => Self::Transient,
-            _ => Self::Unknown,
-        }
-    }
-}
-
 /// The accepts that failed since the last one that succeeded.
 #[derive(Debug, Default)]
 pub(super) struct FailedAccepts {
