--- a/crates/capacity/src/arithmetic/mechanism.rs
+++ b/crates/capacity/src/arithmetic/mechanism.rs
@@ -32,7 +32,7 @@
 
 pub(super) const CONFIGURATION_CLIENT: Mechanism = ours(
     "`balancer-proxy` `configuration`, `balancer-policy` `Event::Reconfigured`",
-    "crates/proxy/src/configuration.rs",
+    "crates/proxy/src/reconfiguration.rs",
     "pub fn follow(",
 );
 
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -334,7 +334,7 @@
     has("crates/config-distribution/src/host/relay.rs", "pub struct RelayHost");
     has("crates/config-distribution/src/command.rs", "Publish {");
     assert_eq!(rows()[0], today[0], "no balancer takes it in yet");
-    has("crates/proxy/src/configuration.rs", "pub fn follow(");
+    has("crates/proxy/src/reconfiguration.rs", "pub fn follow(");
     let then = rows();
     assert!(then.iter().all(|row| !row.contains("none today") && !row.contains("restarts")), "{then:#?}");
     assert!(then[0].contains("repeats stay bounded"), "{then:#?}");
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -14,8 +14,8 @@
 use tokio::time::{Instant, timeout_at};
 
 use super::socket::WeakSocket;
-use crate::configuration::Offered;
 use crate::event_loop::{AcceptedRequest, EventLoop};
+use crate::reconfiguration::Offered;
 use crate::upstream::{BODY_MOST, Call};
 
 /// AcceptedRequest off a client's time: the answer must arrive before it is up.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -23,10 +23,10 @@
 use tokio::time::{Instant, sleep};
 
 use crate::config::Config;
-use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
 use crate::pool::{AcquireError, Host, Pool};
+use crate::reconfiguration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
 use crate::upstream::{Ended, Job};
@@ -134,7 +134,7 @@
         spawn_local(Rc::clone(&driver).log_stats_periodically());
         if let Some(distribution) = config.distribution {
             let pool = Rc::clone(&driver.pool);
-            configuration::follow(Rc::clone(&driver), pool, &config.name, config.seed, distribution);
+            reconfiguration::follow(Rc::clone(&driver), pool, &config.name, config.seed, distribution);
         }
         Ok(driver)
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,7 +10,7 @@
 //! | --- | --- |
 //! | [`config`] | the configuration file and the environment, as plain data |
 //! | [`discovery`] | the form of endpoint lists, and the watch on discovery |
-//! | [`configuration`] | following the distribution of settings |
+//! | [`reconfiguration`] | following the distribution of settings |
 //! | [`offered`] | the classes and tenants that requests may name |
 //! | [`request_table`] | requests in flight with their attempts |
 //! | [`endpoint_table`] | endpoints: numbers, addresses, readiness, drains |
@@ -19,13 +19,13 @@
 //! | [`telemetry`] | counts and log |
 //!
 //! Dependencies point one way. Discovery and configuration reach the event loop through traits of their own,
-//! [`discovery::WatchObserver`] and [`configuration::Reconfigurable`]:
+//! [`discovery::WatchObserver`] and [`reconfiguration::Reconfigurable`]:
 //!
 //! ```text
 //! server -> event_loop -> request_table
 //!                      -> endpoint_table -> clock, discovery::update
 //!                      -> discovery ------> discovery::update, pool
-//!                      -> configuration --> config, offered, pool
+//!                      -> reconfiguration -> config, offered, pool
 //!                      -> config ---------> clock, discovery::update
 //!                      -> pool -----------> connection -> socket
 //! all -> telemetry::log
@@ -36,12 +36,12 @@
 
 pub mod clock;
 pub mod config;
-pub mod configuration;
 pub mod discovery;
 pub mod downstream;
 pub mod endpoint_table;
 pub mod event_loop;
 pub mod offered;
+pub mod reconfiguration;
 pub mod request_table;
 pub mod telemetry;
 pub mod upstream;
