--- a/crates/capacity/src/arithmetic/mechanism.rs
+++ b/crates/capacity/src/arithmetic/mechanism.rs
@@ -28,7 +28,7 @@
     ours("`balancer-policy` `Balancer`", "crates/policy/src/balancer.rs", "pub struct Balancer");
 
 pub(super) const LIST_CLIENT: Mechanism =
-    ours("`balancer-proxy` `discovery::watch`", "crates/proxy/src/discovery.rs", "pub async fn watch(");
+    ours("`balancer-proxy` `discovery::watch`", "crates/proxy/src/discovery/watch.rs", "pub async fn watch(");
 
 pub(super) const CONFIGURATION_CLIENT: Mechanism = ours(
     "`balancer-proxy` `configuration`, `balancer-policy` `Event::Reconfigured`",
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -323,7 +323,7 @@
         fs::write(path, text).unwrap();
     };
     has("crates/policy/src/balancer.rs", "pub struct Balancer;");
-    has("crates/proxy/src/discovery.rs", "pub async fn watch(");
+    has("crates/proxy/src/discovery/watch.rs", "pub async fn watch(");
     let today = rows();
     assert!(today[0].contains("a change of configuration") && today[0].contains("none today"), "{today:#?}");
     assert!(today[0].contains("138,904 restarts"), "{today:#?}");
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -24,7 +24,7 @@
 //! ```text
 //! server -> event_loop -> request_table
 //!                      -> endpoint_table -> clock, discovery::update
-//!                      -> discovery ------> discovery::update, pool
+//!                      -> discovery ------> discovery::client -> pool
 //!                      -> reconfiguration -> config, offered, pool
 //!                      -> config ---------> clock, discovery::update
 //!                      -> pool -----------> connection -> socket
