--- /dev/null
+++ b/crates/config-distribution/tests/core_common/network/publish.rs
@@ -0,0 +1,55 @@
+//! The origin: publications in turn, and its disk.
+
+use config_distribution::origin::{Accepted, Publication, PublishError};
+
+use super::{Event, Network, ORIGIN};
+use crate::core_common::{body, ms};
+
+impl Network {
+    pub(super) fn publish_next(&mut self) {
+        while let Some((scope, withdraw)) = self.waiting.first().cloned() {
+            let request = format!("request {}", self.published).into();
+            let body = (!withdraw).then(|| body(self.published));
+            let publication = Publication { scope, body, request, if_version: None };
+            match self.origin.publish(publication, |_, _| Vec::new()) {
+                Ok(Accepted::Write(record)) => {
+                    let sync = ms(2) + self.draw(ms(30));
+                    self.push(ORIGIN, self.now + sync, Event::Disk(record.index));
+                    return;
+                }
+                // What was never there cannot be withdrawn.
+                Err(PublishError::Faults(_)) => {}
+                Err(PublishError::Busy) => return,
+                other => panic!("{other:?}"),
+            }
+            self.waiting.remove(0);
+        }
+    }
+
+    pub(super) fn disk(&mut self, index: u64) {
+        if std::mem::take(&mut self.disk_full) {
+            let before = self.origin.state().clone();
+            self.origin.not_written(index);
+            assert_eq!(*self.origin.state(), before);
+            // The publisher asks again.
+            return self.publish_next();
+        }
+        let record = self.origin.pending()[0].clone();
+        let before = self.origin.state().index();
+        self.records.push(record.clone());
+        self.origin.written(index);
+        self.waiting.remove(0);
+        self.published += 1;
+        assert_eq!(self.origin.state().index(), before + 1);
+        let mut model = self.models[&before].clone();
+        if record.document.is_withdrawn() {
+            model.remove(&record.document.scope);
+        } else {
+            model.insert(record.document.scope.clone(), (index, record.document.body));
+        }
+        self.models.insert(index, model);
+        self.nodes[ORIGIN].state = self.origin.state().clone();
+        self.taken(ORIGIN, true);
+        self.publish_next();
+    }
+}
--- /dev/null
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -0,0 +1,210 @@
+//! What readers and their parents do: calls, lines on watches, heartbeats and reports.
+
+use std::time::Duration;
+
+use config_distribution::document::{Scope, Update};
+use config_distribution::parents::{FIRST_LINE, SILENCE, Step, Verdict, may_serve};
+use config_distribution::report::InForce;
+use config_distribution::state::Wanted;
+
+use super::{Event, Line, Network, Node, Reader, Up};
+use crate::core_common::{Model, body, live};
+
+/// A reader that takes no line for longer is closed.
+const STALLED: Duration = Duration::from_secs(10);
+
+impl Network {
+    pub(super) fn follow_next(&mut self, node: usize) {
+        match self.nodes[node].parents.next(self.now) {
+            Step::Wait(wait) => {
+                let life = self.nodes[node].life;
+                self.push(node, self.now + wait, Event::Step(life));
+            }
+            Step::Follow(number) => {
+                let parent = self.nodes[node].above[number];
+                self.count += 1;
+                let watch = self.count;
+                self.calls.push((self.now, node, parent));
+                let deadline = self.now + FIRST_LINE + self.nodes[node].slow;
+                self.nodes[node].watch = Some((watch, parent));
+                self.nodes[node].deadline = deadline;
+                self.push(node, deadline, Event::Deadline(watch));
+                let since = self.nodes[node].state.index();
+                self.send(node, parent, watch, Event::Call { from: node, watch, since });
+            }
+        }
+    }
+
+    pub(super) fn watch_ended(&mut self, node: usize, tell: bool) {
+        let Some((watch, parent)) = self.nodes[node].watch.take() else { return };
+        if tell {
+            self.send(node, parent, watch, Event::Left(watch));
+        }
+        let now = self.now;
+        self.nodes[node].parents.ended(now);
+        self.follow_next(node);
+    }
+
+    pub(super) fn called(&mut self, node: usize, from: usize, watch: u64, since: u64) {
+        let level = self.nodes[node].level.expect("a balancer is no parent");
+        if !may_serve(level, self.nodes[from].level) {
+            return self.send(node, from, watch, Event::Closed(watch));
+        }
+        let reader = Reader { child: from, index: since, busy_since: None, last: None };
+        self.nodes[node].readers.insert(watch, reader);
+        self.feed(node, watch, true);
+    }
+
+    /// Tells a reader what is new, if it is ready; `always` also where nothing is.
+    pub(super) fn feed(&mut self, node: usize, watch: u64, always: bool) {
+        let now = self.now;
+        let Node { state, parents, readers, above, muted, .. } = &mut self.nodes[node];
+        let stale_s = if above.is_empty() { 0 } else { parents.stale_s(now) };
+        let (state, muted) = (state.clone(), *muted);
+        let Some(reader) = readers.get_mut(&watch) else { return };
+        if reader.busy_since.is_some() || muted {
+            return;
+        }
+        let child = reader.child;
+        let wanted = self.nodes[child].wanted.clone();
+        let Some(reader) = self.nodes[node].readers.get_mut(&watch) else { return };
+        let update = if always {
+            state.tell(reader.index, &wanted, stale_s)
+        } else if state.index() > reader.index {
+            state.since(reader.index, &wanted).map(|update| Update { stale_s, ..update })
+        } else {
+            None
+        };
+        let line = match update {
+            None if !always => return,
+            None => Line::Empty,
+            Some(update) => {
+                reader.index = update.index;
+                Line::Update(update)
+            }
+        };
+        reader.busy_since = Some(now);
+        let line = self.spoil(child, node, watch, line);
+        if let Some(line) = line {
+            if matches!(line, Line::Update(_)) {
+                *self.told.entry(child).or_default() += 1;
+            }
+            self.send(node, child, watch, Event::Line { watch, line });
+        } else if let Some(reader) = self.nodes[node].readers.get_mut(&watch) {
+            reader.busy_since = None;
+        }
+    }
+
+    /// What a line becomes on the way where a fault was asked for.
+    fn spoil(&mut self, child: usize, node: usize, watch: u64, line: Line) -> Option<Line> {
+        let before = self.nodes[node].readers.get_mut(&watch).and_then(|reader| {
+            let before = reader.last.clone();
+            if let Line::Update(update) = &line {
+                reader.last = Some(update.clone());
+            }
+            before
+        });
+        let number = child;
+        let child = &mut self.nodes[child];
+        let Line::Update(mut update) = line else { return Some(line) };
+        if child.damage && !update.documents.is_empty() {
+            child.damage = false;
+            update.documents[0].body = body(999_999_999);
+        } else if child.repeat
+            && let Some(before) = before
+        {
+            child.repeat = false;
+            // It comes before the one that is due.
+            let line = Line::Update(before);
+            self.send(node, number, watch, Event::Line { watch, line });
+        } else if child.swallow && !update.documents.is_empty() {
+            child.swallow = false;
+            return None;
+        }
+        Some(Line::Update(update))
+    }
+
+    pub(super) fn beat(&mut self, node: usize) {
+        let watches: Vec<u64> = self.nodes[node].readers.keys().copied().collect();
+        for watch in watches {
+            let reader = &self.nodes[node].readers[&watch];
+            let child = reader.child;
+            if reader.busy_since.is_some_and(|since| self.now - since > STALLED) {
+                self.nodes[node].readers.remove(&watch);
+                self.send(node, child, watch, Event::Closed(watch));
+            } else {
+                self.feed(node, watch, true);
+            }
+        }
+    }
+
+    pub(super) fn line(&mut self, node: usize, watch: u64, line: Line) {
+        let Some((own, parent)) = self.nodes[node].watch else { return };
+        if own != watch {
+            return;
+        }
+        let now = self.now;
+        let mut stale_s = 0;
+        if let Line::Update(update) = line {
+            stale_s = update.stale_s;
+            let Node { state, wanted, .. } = &mut self.nodes[node];
+            match state.take(update, wanted) {
+                Ok(changed) => self.taken(node, !changed.is_empty()),
+                Err(refusal) => {
+                    self.refusals.push((node, refusal));
+                    return self.watch_ended(node, true);
+                }
+            }
+        }
+        self.nodes[node].deadline = now + SILENCE + self.nodes[node].slow;
+        self.send(node, parent, watch, Event::Taken(watch));
+        if self.nodes[node].parents.line(now, stale_s) == Verdict::Leave {
+            self.watch_ended(node, true);
+        }
+    }
+
+    /// After each update: whole, published, and never back.
+    pub(super) fn taken(&mut self, node: usize, changed: bool) {
+        let Node { state, wanted, name, seen, .. } = &mut self.nodes[node];
+        assert!(state.index() >= *seen, "{name} went back from {seen} to {}", state.index());
+        *seen = state.index();
+        let model = self
+            .models
+            .get(&state.index())
+            .unwrap_or_else(|| panic!("{name} at {} before it was written", state.index()));
+        let model: Model = model
+            .iter()
+            .filter(|(scope, _)| wanted.has(scope))
+            .map(|(scope, held)| (scope.clone(), held.clone()))
+            .collect();
+        assert_eq!(live(state, wanted), model, "{name} at {} holds something else", state.index());
+        self.changed |= changed;
+        if self.nodes[node].level.is_some() {
+            self.feed_all(node);
+        }
+    }
+
+    fn feed_all(&mut self, node: usize) {
+        let watches: Vec<u64> = self.nodes[node].readers.keys().copied().collect();
+        for watch in watches {
+            self.feed(node, watch, false);
+        }
+    }
+
+    pub(super) fn report(&mut self, node: usize) {
+        let Some((watch, parent)) = self.nodes[node].watch else { return };
+        let child = &self.nodes[node];
+        let up = match &child.wanted {
+            Wanted::All => Up::Relay(child.name.clone(), child.reports.sums(self.now, &child.state)),
+            Wanted::These(scopes) => {
+                let version = |scope: &Scope| child.state.get(scope).map_or(0, |document| document.version);
+                Up::Child(InForce {
+                    who: child.name.as_str().into(),
+                    versions: scopes.iter().map(|scope| (scope.clone(), version(scope))).collect(),
+                    refused: None,
+                })
+            }
+        };
+        self.send(node, parent, watch, Event::Report(up));
+    }
+}
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -8,9 +8,8 @@
 use config_distribution::parents::{FIRST_LINE, SILENCE, STALE_GRACE, WAIT_MOST};
 use config_distribution::report::{REPORT_EVERY, SILENT_AFTER};
 use config_distribution::state::{Refusal, Wanted};
-use core_common::{
-    Act, Model, Network, ORIGIN, REGIONS, ZONES, balancer, live, ms, region_relay, scope, zone_relay,
-};
+use core_common::network::{Act, Network, ORIGIN, REGIONS, ZONES, balancer, region_relay, zone_relay};
+use core_common::{Model, live, ms, scope};
 
 const WITHIN: Duration = Duration::from_secs(13);
 const BALANCERS: usize = 280;
