--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -14,7 +14,7 @@
 use config_distribution::state::{Refusal, State, Wanted};
 use core_common::{body, live, scope};
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest::test_runner::{RngSeed, TestCaseError};
 
 fn sound(_: &Scope, _: &str) -> Vec<Fault> {
     Vec::new()
@@ -318,6 +318,132 @@
 
 const REQUESTS_MOST: usize = 5;
 
+/// An origin with its disk, and what a publisher has been answered.
+struct Played {
+    origin: Origin,
+    disk: BTreeMap<u64, Record>,
+    pending: Option<(Publication, Record)>,
+    acknowledged: Vec<(Publication, u64)>,
+    /// What readers have seen.
+    states: Vec<State>,
+    asked: usize,
+}
+
+impl Played {
+    fn new() -> Self {
+        Self {
+            origin: Self::restored([]),
+            disk: BTreeMap::new(),
+            pending: None,
+            acknowledged: Vec::new(),
+            states: vec![State::default()],
+            asked: 0,
+        }
+    }
+
+    fn restored(records: impl IntoIterator<Item = Record>) -> Origin {
+        let bounds = Bounds { requests_most: REQUESTS_MOST, ..Bounds::default() };
+        Origin::restore(bounds, records, 0).expect("its own records")
+    }
+
+    fn play(&mut self, play: Play) -> Result<(), TestCaseError> {
+        match play {
+            Play::Publish { text, number, condition } => self.publish(text, number, condition),
+            Play::Written => {
+                self.written();
+                Ok(())
+            }
+            Play::NotWritten => self.not_written(),
+            Play::Again(back) => self.repeat(back),
+            Play::Restart { has } => self.restart(has),
+            Play::Clean => {
+                self.disk.retain(|index, _| self.origin.needs(*index));
+                Ok(())
+            }
+        }
+    }
+
+    fn publish(&mut self, text: &str, number: Option<u64>, condition: bool) -> Result<(), TestCaseError> {
+        let before = self.origin.state().clone();
+        self.asked += 1;
+        let have = before.get(&scope(text)).map_or(0, |document| document.version);
+        let publication = Publication {
+            scope: scope(text),
+            body: number.map(body),
+            request: format!("request {}", self.asked).into(),
+            if_version: condition.then_some(have),
+        };
+        match self.origin.publish(publication.clone(), sound) {
+            Ok(Accepted::Write(record)) => {
+                prop_assert!(self.pending.is_none());
+                prop_assert_eq!(record.index, before.index() + 1);
+                self.pending = Some((publication, record));
+            }
+            Err(PublishError::Busy) => prop_assert!(self.pending.is_some()),
+            Err(PublishError::Faults(_)) => prop_assert!(number.is_none() && have == 0),
+            other => prop_assert!(false, "{other:?}"),
+        }
+        prop_assert_eq!(self.origin.state(), &before);
+        Ok(())
+    }
+
+    fn written(&mut self) {
+        let Some((publication, record)) = self.pending.take() else { return };
+        self.origin.written(record.index);
+        self.acknowledged.push((publication, record.index));
+        self.disk.insert(record.index, record);
+        self.states.push(self.origin.state().clone());
+    }
+
+    fn not_written(&mut self) -> Result<(), TestCaseError> {
+        let Some((_, record)) = self.pending.take() else { return Ok(()) };
+        let before = self.origin.state().clone();
+        self.origin.not_written(record.index);
+        prop_assert_eq!(self.origin.state(), &before);
+        Ok(())
+    }
+
+    /// One of the last publications again.
+    fn repeat(&mut self, back: usize) -> Result<(), TestCaseError> {
+        let Some((publication, index)) = self.acknowledged.iter().rev().nth(back) else { return Ok(()) };
+        let known = self.origin.publish(publication.clone(), sound);
+        prop_assert_eq!(known, Ok(Accepted::Known(*index)));
+        Ok(())
+    }
+
+    fn restart(&mut self, has: bool) -> Result<(), TestCaseError> {
+        let before = self.origin.state().index();
+        if let Some((publication, record)) = self.pending.take()
+            && has
+        {
+            // It was not acknowledged, and stands all the same.
+            self.acknowledged.push((publication, record.index));
+            self.disk.insert(record.index, record);
+        }
+        self.origin = Self::restored(self.disk.values().rev().cloned());
+        if self.origin.state().index() > before {
+            self.states.push(self.origin.state().clone());
+        }
+        prop_assert!(self.origin.state().index() >= before);
+        Ok(())
+    }
+
+    /// The index is that of the last change acknowledged, and readers that stood anywhere come to what stands.
+    fn check(&self) -> Result<(), TestCaseError> {
+        let state = self.origin.state();
+        prop_assert_eq!(state.index(), self.acknowledged.last().map_or(0, |(_, index)| *index));
+        prop_assert!(self.disk.len() <= self.acknowledged.len());
+        for before in &self.states {
+            let mut reader = before.clone();
+            if let Some(update) = state.since(before.index(), &Wanted::All) {
+                reader.take(update, &Wanted::All).expect("taken");
+            }
+            prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
+        }
+        Ok(())
+    }
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::default() })]
 
@@ -325,79 +451,10 @@
     /// and readers that stood anywhere come to what stands.
     #[test]
     fn what_is_acknowledged_stays(plays in proptest::collection::vec(play(), 1..120)) {
-        let bounds = Bounds { requests_most: REQUESTS_MOST, ..Bounds::default() };
-        let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
-        let mut disk: BTreeMap<u64, Record> = BTreeMap::new();
-        let mut pending: Option<(Publication, Record)> = None;
-        let mut acknowledged: Vec<(Publication, u64)> = Vec::new();
-        let mut states = vec![State::default()];
-        let mut asked = 0;
+        let mut played = Played::new();
         for play in plays {
-            let before = origin.state().clone();
-            match play {
-                Play::Publish { text, number, condition } => {
-                    asked += 1;
-                    let have = before.get(&scope(text)).map_or(0, |document| document.version);
-                    let publication = Publication {
-                        scope: scope(text),
-                        body: number.map(body),
-                        request: format!("request {asked}").into(),
-                        if_version: condition.then_some(have),
-                    };
-                    match origin.publish(publication.clone(), sound) {
-                        Ok(Accepted::Write(record)) => {
-                            prop_assert!(pending.is_none());
-                            prop_assert_eq!(record.index, before.index() + 1);
-                            pending = Some((publication, record));
-                        }
-                        Err(PublishError::Busy) => prop_assert!(pending.is_some()),
-                        Err(PublishError::Faults(_)) => prop_assert!(number.is_none() && have == 0),
-                        other => prop_assert!(false, "{other:?}"),
-                    }
-                    prop_assert_eq!(origin.state(), &before);
-                }
-                Play::Written => {
-                    let Some((publication, record)) = pending.take() else { continue };
-                    origin.written(record.index);
-                    acknowledged.push((publication, record.index));
-                    disk.insert(record.index, record);
-                    states.push(origin.state().clone());
-                }
-                Play::NotWritten => {
-                    let Some((_, record)) = pending.take() else { continue };
-                    origin.not_written(record.index);
-                    prop_assert_eq!(origin.state(), &before);
-                }
-                Play::Again(back) => {
-                    let Some((publication, index)) = acknowledged.iter().rev().nth(back) else { continue };
-                    let known = origin.publish(publication.clone(), sound);
-                    prop_assert_eq!(known, Ok(Accepted::Known(*index)));
-                }
-                Play::Restart { has } => {
-                    if let Some((publication, record)) = pending.take() && has {
-                        // It was not acknowledged, and stands all the same.
-                        acknowledged.push((publication, record.index));
-                        disk.insert(record.index, record);
-                    }
-                    let records: Vec<Record> = disk.values().rev().cloned().collect();
-                    origin = Origin::restore(bounds, records, 0).expect("its own records");
-                    if origin.state().index() > before.index() {
-                        states.push(origin.state().clone());
-                    }
-                    prop_assert!(origin.state().index() >= before.index());
-                }
-                Play::Clean => disk.retain(|index, _| origin.needs(*index)),
-            }
-            let state = origin.state();
-            prop_assert_eq!(state.index(), acknowledged.last().map_or(0, |(_, index)| *index));
-            prop_assert!(disk.len() <= acknowledged.len());
-            for before in &states {
-                let mut reader = before.clone();
-                if let Some(update) = state.since(before.index(), &Wanted::All) {
-                    reader.take(update, &Wanted::All).expect("taken");
-                }
-                prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
-            }
+            played.play(play)?;
+            played.check()?;
         }
     }
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -80,10 +80,9 @@
     assert_eq!(check_part(&part()), Vec::<String>::new());
 }
 
-/// Guards operators: each fault is told with its path, and no sound place beside it.
-#[test]
-fn each_fault_is_told_with_its_path() {
-    let faults = [
+/// Where in the settings, what stands there, and how the text of the one fault that it makes begins.
+fn single_faults() -> Vec<(&'static str, Value, &'static str)> {
+    vec![
         (
             "/lanes/2/onTimeS",
             json!(-1),
@@ -139,15 +138,25 @@
         ("/rules/fallMultiple", json!(2e6), "settings.rules.fallMultiple: expected"),
         ("/rules/askWithinS", json!(true), "settings.rules.askWithinS: expected"),
         ("/prices/waste", json!(-0.1), "settings.prices.waste: expected a number from 0 to 1000000"),
-    ];
-    for (place, value, fault) in &faults {
+    ]
+}
+
+/// Guards operators: each fault is told with its path, and no sound place beside it.
+#[test]
+fn each_fault_is_told_with_its_path() {
+    for (place, value, fault) in &single_faults() {
         for (settings, check) in [(whole(), check as fn(&Value) -> Vec<String>), (part(), check_part)] {
             let told = check(&with(settings, place, Some(value.clone())));
             assert_eq!(told.len(), 1, "{place}: {told:?}");
             assert!(told[0].starts_with(fault), "{told:?} is not {fault}");
         }
     }
-    // All at once, each once.
+}
+
+/// Guards a publisher that has several faults: all are told at once, each once.
+#[test]
+fn several_faults_are_told_at_once() {
+    let faults = single_faults();
     let all = [0, 3, 9, 17, 22, 27].map(|number: usize| &faults[number]);
     let broken =
         all.iter().fold(whole(), |settings, (place, value, _)| with(settings, place, Some(value.clone())));
