--- a/crates/config-distribution/src/core/document.rs
+++ b/crates/config-distribution/src/core/document.rs
@@ -181,6 +181,7 @@
     pub documents: Vec<Document>,
 }
 
+#[allow(clippy::trivially_copy_pass_by_ref, reason = "serde passes a field by reference")]
 fn is_zero(value: &u64) -> bool {
     *value == 0
 }
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -82,6 +82,7 @@
         let mut draws = Rand64::new(u128::from(seed));
         let mut order: Vec<usize> = (0..count).collect();
         for place in (1..count).rev() {
+            #[allow(clippy::cast_possible_truncation, reason = "it is at most `place`, a usize")]
             let other = draws.rand_range(0..place as u64 + 1) as usize;
             order.swap(place, other);
         }
@@ -102,7 +103,7 @@
         self.fresh.get_or_insert(now);
         let Some(&parent) = self.order.get(self.at) else { return Step::Wait(WAIT_MOST) };
         if now < self.not_before {
-            return Step::Wait(self.not_before - now);
+            return Step::Wait(self.not_before.saturating_sub(now));
         }
         let stale_most = STALE + self.draw(STALE);
         self.watch = Some(Watch { began: now, stood: false, stale_most, grace_until: None });
--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -200,10 +200,10 @@
     }
 
     /// A relay's sums. They are bounded likewise, and one past [`RELAYS_MOST`] is left out.
-    pub fn take_sums(&mut self, now: Duration, who: &str, sums: Sums) {
+    pub fn take_sums(&mut self, now: Duration, who: &str, sums: &Sums) {
         // As added to nothing they are within the bounds.
         let mut bounded = Sums::default();
-        bounded.add(&sums);
+        bounded.add(sums);
         for who in bounded
             .laggards
             .iter_mut()
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -198,7 +198,9 @@
             }
             Outcome::NotWritten(error) => {
                 let mut origin = self.origin.borrow_mut();
-                indexes.iter().for_each(|&index| origin.not_written(index));
+                for &index in &indexes {
+                    origin.not_written(index);
+                }
                 log(format_args!("{indexes:?} not written: {error}"));
                 Err(WriteError::NotWritten(error))
             }
--- a/crates/config-distribution/src/host/server/limits.rs
+++ b/crates/config-distribution/src/host/server/limits.rs
@@ -1,4 +1,4 @@
-//! How many watches and connections a server takes, so that a crowd of children cannot fill its memory.
+//! How many watches and connections a server takes, so that children in great number cannot fill its memory.
 
 use std::cell::Cell;
 
@@ -20,7 +20,7 @@
 
 impl Limits {
     /// Open connections at most, of watches and all others.
-    pub(super) fn max_connections(&self) -> usize {
+    pub(super) fn max_connections(self) -> usize {
         self.readers_most + MAX_SHORT_CONNECTIONS
     }
 }
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -145,14 +145,14 @@
         let (now, mut reports) = (self.start.elapsed(), self.reports.borrow_mut());
         match serde_json::from_slice(&text) {
             Ok(report) => reports.take(now, report),
-            Err(error) => match serde_json::from_slice::<RelayReport>(&text) {
-                Ok(RelayReport { who, sums }) => reports.take_sums(now, &who, sums),
-                Err(_) => {
+            Err(error) => {
+                let Ok(RelayReport { who, sums }) = serde_json::from_slice(&text) else {
                     let error = RequestError::Report(error);
                     log(format_args!("refused a report: {error}"));
                     return Err(error);
-                }
-            },
+                };
+                reports.take_sums(now, &who, &sums);
+            }
         }
         Ok(json_response(StatusCode::OK, &json!({})))
     }
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -31,6 +31,8 @@
 //! `balancer-settings` the faults of settings alone. Of
 //! `host`, `store` uses the log alone.
 
+#![warn(clippy::pedantic)]
+
 pub mod command;
 pub mod core;
 pub mod host;
--- a/crates/config-distribution/src/main.rs
+++ b/crates/config-distribution/src/main.rs
@@ -1,5 +1,7 @@
 //! The binary of the distribution.
 
+#![warn(clippy::pedantic)]
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -372,7 +372,7 @@
             }
             Event::Report(up) => match up {
                 Up::Child(in_force) => self.nodes[node].reports.take(now, in_force),
-                Up::Relay(who, sums) => self.nodes[node].reports.take_sums(now, &who, sums),
+                Up::Relay(who, sums) => self.nodes[node].reports.take_sums(now, &who, &sums),
             },
             Event::Disk(index) => self.disk(index),
             Event::Act(_) => unreachable!("done before"),
--- a/crates/config-distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -85,7 +85,7 @@
 fn a_silent_child_is_named_and_then_forgotten() {
     let mut reports = Reports::new();
     reports.take(START, report("a", 3, 5));
-    reports.take_sums(START, "relay", Sums { children: 7, ..Sums::default() });
+    reports.take_sums(START, "relay", &Sums { children: 7, ..Sums::default() });
     assert_eq!(reports.sums(START + SILENT_AFTER, &state()).children, 8);
     let sums = reports.sums(START + SILENT_AFTER + Duration::from_millis(1), &state());
     assert_eq!((sums.children, sums.silent), (0, 2));
@@ -112,8 +112,8 @@
     while at < START + Duration::from_secs(60) {
         // The one it went to has it anew again and again; the other tells its sums just before it would drop the child.
         right.take(at, report("a", 3, 5));
-        top.take_sums(at, "left", left.sums(at, &state()));
-        top.take_sums(at, "right", right.sums(at, &state()));
+        top.take_sums(at, "left", &left.sums(at, &state()));
+        top.take_sums(at, "right", &right.sums(at, &state()));
         for within in 0..50 {
             let now = at + REPORT_EVERY * within / 50;
             if counted(&top, now) == 2 {
@@ -142,7 +142,7 @@
             all.take(START, report);
         }
         let text = serde_json::to_string(&reports.sums(START, &state())).expect("JSON");
-        top.take_sums(START, &format!("relay {relay}"), serde_json::from_str(&text).expect("sums"));
+        top.take_sums(START, &format!("relay {relay}"), &serde_json::from_str(&text).expect("sums"));
     }
     let (all, top) = (all.sums(START, &state()), top.sums(START, &state()));
     assert_eq!((top.children, &top.holders), (280, &all.holders));
@@ -173,7 +173,7 @@
 
     let endless = Sums { children: u64::MAX, silent_names: vec!["x".repeat(9999).into(); 99], ..sums };
     for number in 0..2 * RELAYS_MOST {
-        reports.take_sums(later, &format!("relay {number}"), endless.clone());
+        reports.take_sums(later, &format!("relay {number}"), &endless);
     }
     let sums = reports.sums(later, &state());
     assert_eq!(sums.children, u64::MAX);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -25,6 +25,8 @@
 //!
 //! The crate depends on the policy for its types alone. It knows no host, and does no input or output.
 
+#![warn(clippy::pedantic)]
+
 mod check;
 mod convert;
 mod fault;
