--- a/crates/config-distribution/src/command.rs
+++ b/crates/config-distribution/src/command.rs
@@ -18,7 +18,7 @@
 use crate::document::Scope;
 use crate::host::log::flush;
 use crate::host::server::Limits;
-use crate::origin::REQUEST_MOST;
+use crate::origin::MAX_REQUEST_ID_BYTES;
 use clap::{Args, Parser, Subcommand};
 use thiserror::Error;
 use tokio::task::LocalSet;
@@ -70,7 +70,7 @@
         #[arg(long, value_name = "N", default_value_t = 0)]
         index_at_least: u64,
         /// Readers at most; further ones are refused with 503
-        #[arg(long, value_name = "N", default_value_t = Limits::default().readers_most)]
+        #[arg(long, value_name = "N", default_value_t = Limits::default().max_readers)]
         readers_most: usize,
     },
     /// Follows its parents and tells their documents on
@@ -91,7 +91,7 @@
         #[arg(long, value_name = "NAME")]
         name: Option<String>,
         /// Readers at most; further ones are refused with 503
-        #[arg(long, value_name = "N", default_value_t = Limits::default().readers_most)]
+        #[arg(long, value_name = "N", default_value_t = Limits::default().max_readers)]
         readers_most: usize,
     },
     /// Publishes a document, and prints the index of the change
@@ -151,15 +151,15 @@
 
 /// Why a text is no request id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("expected 1 to {REQUEST_MOST} visible ASCII characters")]
+#[error("expected 1 to {MAX_REQUEST_ID_BYTES} visible ASCII characters")]
 struct RequestIdError;
 
 impl FromStr for RequestId {
     type Err = RequestIdError;
 
     fn from_str(text: &str) -> Result<Self, RequestIdError> {
-        let is_sound =
-            (1..=REQUEST_MOST).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_graphic());
+        let is_sound = (1..=MAX_REQUEST_ID_BYTES).contains(&text.len())
+            && text.bytes().all(|byte| byte.is_ascii_graphic());
         if is_sound { Ok(Self(text.to_owned())) } else { Err(RequestIdError) }
     }
 }
@@ -196,11 +196,11 @@
 async fn dispatch(command: Command) -> Result<(), Failure> {
     match command {
         Command::Origin { listen, dir, index_at_least, readers_most } => {
-            serve::origin(listen, &dir, index_at_least, Limits { readers_most }).await
+            serve::origin(listen, &dir, index_at_least, Limits { max_readers: readers_most }).await
         }
         Command::Relay { listen, level, parent, dir, name, readers_most } => {
             let relay = serve::Relay { level, parents: parent, directory: dir, name };
-            serve::relay(listen, relay, Limits { readers_most }).await
+            serve::relay(listen, relay, Limits { max_readers: readers_most }).await
         }
         Command::Publish { target, scope, file, options } => {
             let document = publisher::read_document(&file)?;
--- a/crates/config-distribution/src/core/document.rs
+++ b/crates/config-distribution/src/core/document.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// Bytes of a scope's name at most.
-pub const NAME_MOST: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 /// Whom a document is for. The narrower goes before the wider where both say something.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -36,13 +36,13 @@
     fn from_str(text: &str) -> Result<Self, ScopeError> {
         let sound = |name: &str| {
             let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-            (1..=NAME_MOST).contains(&name.len()) && name.bytes().all(fits)
+            (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(fits)
         };
         match text.split_once('/') {
             None if text == "fleet" => Ok(Self::Fleet),
             Some(("region", name)) if sound(name) => Ok(Self::Region(name.into())),
             Some(("service", name)) if sound(name) => Ok(Self::Service(name.into())),
-            _ => Err(ScopeError(text.chars().take(2 * NAME_MOST).collect())),
+            _ => Err(ScopeError(text.chars().take(2 * MAX_NAME_BYTES).collect())),
         }
     }
 }
@@ -173,7 +173,7 @@
     /// The index that a change builds on; a reader that stands before it has missed something.
     #[serde(default)]
     pub after: u64,
-    /// For how many seconds the sender itself has heard nothing from above; 0 while it hears.
+    /// For how many seconds the sender itself has received nothing from above; 0 while it receives.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub stale_s: u64,
     /// The documents, each at its newest version.
--- a/crates/config-distribution/src/core/fault.rs
+++ b/crates/config-distribution/src/core/fault.rs
@@ -7,13 +7,13 @@
 
 use crate::document::Scope;
 use crate::effective::ALLOWED;
-use crate::origin::REQUEST_MOST;
+use crate::origin::MAX_REQUEST_ID_BYTES;
 
 /// One fault of a publication.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Fault {
     /// The request id is empty or too long.
-    #[error("request id: expected 1 to {REQUEST_MOST} bytes, got {bytes}")]
+    #[error("request id: expected 1 to {MAX_REQUEST_ID_BYTES} bytes, got {bytes}")]
     RequestId {
         /// The bytes that it has.
         bytes: usize,
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -15,26 +15,31 @@
 use crate::state::State;
 
 /// Bytes of a request id at most.
-pub const REQUEST_MOST: usize = 128;
-/// The highest index: what every reader of JSON tells apart.
-pub const INDEX_MOST: u64 = 1 << 53;
+pub const MAX_REQUEST_ID_BYTES: usize = 128;
+/// The highest index: the largest integer that every reader of JSON has exactly.
+pub const MAX_INDEX: u64 = 1 << 53;
 
 /// What the origin accepts at most.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Bytes of a document's body.
-    pub body_most: usize,
+    pub max_body_bytes: usize,
     /// Documents that stand.
-    pub scopes_most: usize,
+    pub max_documents: usize,
     /// Request ids that are remembered, the newest.
-    pub requests_most: usize,
+    pub max_request_ids: usize,
     /// Bytes of all bodies that stand together, so that a snapshot has a bound.
-    pub total_most: usize,
+    pub max_total_bytes: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { body_most: 256 << 10, scopes_most: 4096, requests_most: 4096, total_most: 16 << 20 }
+        Self {
+            max_body_bytes: 256 << 10,
+            max_documents: 4096,
+            max_request_ids: 4096,
+            max_total_bytes: 16 << 20,
+        }
     }
 }
 
@@ -123,7 +128,7 @@
         index: u64,
     },
     /// An index past the highest.
-    #[error("index {index}: at most {INDEX_MOST}")]
+    #[error("index {index}: at most {MAX_INDEX}")]
     TooHigh {
         /// The index.
         index: u64,
@@ -140,7 +145,7 @@
 #[derive(Debug)]
 struct KnownRequest {
     index: u64,
-    /// Over what was asked, by which a repeat is told from another use of the id.
+    /// Over what was asked, by which a repeat differs from another use of the id.
     content: Digest,
 }
 
@@ -180,7 +185,7 @@
         };
         for record in records {
             let Record { index, document, .. } = &record;
-            if *index > INDEX_MOST {
+            if *index > MAX_INDEX {
                 return Err(RestoreError::TooHigh { index: *index });
             }
             if *index == 0 || document.version != *index || !document.is_whole() {
@@ -201,7 +206,7 @@
         let missing = last - run as u64;
         let floor = if missing == 0 { 0 } else { missing + 1 };
         origin.state = State::restored(last, floor, documents);
-        if index_at_least > INDEX_MOST {
+        if index_at_least > MAX_INDEX {
             return Err(RestoreError::TooHigh { index: index_at_least });
         }
         if last < index_at_least {
@@ -232,7 +237,7 @@
         }
     }
 
-    /// Checks a publication and gives it the next index. `check` tells the faults of a body whose form is sound.
+    /// Checks a publication and gives it the next index. `check` returns the faults of a body whose form is sound.
     ///
     /// # Errors
     /// Why it is refused; nothing remains of it.
@@ -242,13 +247,13 @@
         check: impl FnOnce(&Scope, &str) -> Vec<Fault>,
     ) -> Result<Accepted, PublishError> {
         let Publication { scope, body, request, if_version } = publication;
-        if !(1..=REQUEST_MOST).contains(&request.len()) {
+        if !(1..=MAX_REQUEST_ID_BYTES).contains(&request.len()) {
             return Err(PublishError::Faults(vec![Fault::RequestId { bytes: request.len() }]));
         }
         if let Some(bytes) =
-            body.as_ref().map(|body| body.len()).filter(|bytes| *bytes > self.bounds.body_most)
+            body.as_ref().map(|body| body.len()).filter(|bytes| *bytes > self.bounds.max_body_bytes)
         {
-            return Err(PublishError::TooLarge { bytes, most: self.bounds.body_most });
+            return Err(PublishError::TooLarge { bytes, most: self.bounds.max_body_bytes });
         }
         let withdraws = body.is_none();
         let body: Arc<str> = body.map_or_else(|| "null".into(), |body| on_one_line(&body));
@@ -293,12 +298,12 @@
         let standing = self.state.documents().filter(|document| !document.is_withdrawn());
         let (count, bytes) =
             standing.fold((0, 0), |(count, bytes), document| (count + 1, bytes + document.body.len()));
-        if current.is_none() && count >= self.bounds.scopes_most {
-            return Err(PublishError::TooMany { most: self.bounds.scopes_most });
+        if current.is_none() && count >= self.bounds.max_documents {
+            return Err(PublishError::TooMany { most: self.bounds.max_documents });
         }
         let bytes = bytes + body.len() - current.map_or(0, |current| current.body.len());
-        if !withdraws && bytes > self.bounds.total_most {
-            return Err(PublishError::Full { bytes, most: self.bounds.total_most });
+        if !withdraws && bytes > self.bounds.max_total_bytes {
+            return Err(PublishError::Full { bytes, most: self.bounds.max_total_bytes });
         }
         Ok(())
     }
@@ -361,7 +366,7 @@
         if self.by_request.get(request).is_none_or(|known| known.index < *index) {
             self.by_request.insert(request.clone(), KnownRequest { index: *index, content });
         }
-        while self.requests.len() > self.bounds.requests_most
+        while self.requests.len() > self.bounds.max_request_ids
             && let Some((index, oldest)) = self.requests.pop_first()
         {
             if self.by_request.get(&oldest).is_some_and(|known| known.index == index) {
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -17,7 +17,7 @@
 /// call that came to nothing.
 pub const WAIT_FIRST: Duration = Duration::from_millis(250);
 /// The wait is drawn up to this at most.
-pub const WAIT_MOST: Duration = Duration::from_secs(1);
+pub const MAX_WAIT: Duration = Duration::from_secs(1);
 /// A watch that has sent lines for so long has stood, so that its end begins no backoff.
 pub const STOOD: Duration = Duration::from_secs(2);
 /// From here to twice this is drawn how stale a parent has to be before it is left.
@@ -37,7 +37,7 @@
 pub enum Step {
     /// Follow this one of the parents; [`Parents::ended`] must follow at its end.
     Follow(usize),
-    /// Ask again after so long.
+    /// Look for one again after so long.
     Wait(Duration),
 }
 
@@ -63,7 +63,7 @@
     wait: Duration,
     /// The watch that is up, or the call for it.
     watch: Option<Watch>,
-    /// When the newest word from above left the origin's side, as far as is known; from the first step on.
+    /// When the newest line from above left the origin's side, as far as is known; from the first step on.
     fresh: Option<Duration>,
 }
 
@@ -71,7 +71,7 @@
 struct Watch {
     began: Duration,
     stood: bool,
-    stale_most: Duration,
+    max_stale: Duration,
     grace_until: Option<Duration>,
 }
 
@@ -101,12 +101,12 @@
     /// Which to follow now, where no watch is up. Without parents it waits for ever.
     pub fn next(&mut self, now: Duration) -> Step {
         self.fresh.get_or_insert(now);
-        let Some(&parent) = self.order.get(self.at) else { return Step::Wait(WAIT_MOST) };
+        let Some(&parent) = self.order.get(self.at) else { return Step::Wait(MAX_WAIT) };
         if now < self.not_before {
             return Step::Wait(self.not_before.saturating_sub(now));
         }
-        let stale_most = STALE + self.draw(STALE);
-        self.watch = Some(Watch { began: now, stood: false, stale_most, grace_until: None });
+        let max_stale = STALE + self.draw(STALE);
+        self.watch = Some(Watch { began: now, stood: false, max_stale, grace_until: None });
         Step::Follow(parent)
     }
 
@@ -125,7 +125,7 @@
             return Verdict::Stay;
         }
         // An only parent is as good as any.
-        if stale <= watch.stale_most || self.order.len() == 1 {
+        if stale <= watch.max_stale || self.order.len() == 1 {
             return Verdict::Stay;
         }
         if others_worse && now < *watch.grace_until.get_or_insert(now + grace) {
@@ -148,7 +148,7 @@
             self.worse[self.at] = true;
         }
         self.not_before = now + self.draw(self.wait);
-        self.wait = (2 * self.wait).min(WAIT_MOST);
+        self.wait = (2 * self.wait).min(MAX_WAIT);
         self.at = (self.at + 1) % self.order.len();
     }
 
--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -19,19 +19,19 @@
 /// A child that has not reported for so long is forgotten.
 pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(120);
 /// Balancers that report to one parent at most.
-pub const CHILDREN_MOST: usize = 4096;
+pub const MAX_CHILDREN: usize = 4096;
 /// Relays that report to one parent at most; their sums are larger.
-pub const RELAYS_MOST: usize = 64;
+pub const MAX_RELAYS: usize = 64;
 /// Scopes of one child's report at most.
-pub const CHILD_SCOPES_MOST: usize = 8;
+pub const MAX_CHILD_SCOPES: usize = 8;
 /// Scopes of sums at most.
-pub const SCOPES_MOST: usize = 4096;
-/// Versions of a scope that are told apart, the newest; the older are counted together.
-pub const VERSIONS_MOST: usize = 4;
+pub const MAX_SCOPES: usize = 4096;
+/// Versions of a scope that are counted each, the newest; the older are counted together.
+pub const MAX_VERSIONS: usize = 4;
 /// Children that are named in each list.
-pub const NAMED_MOST: usize = 8;
+pub const MAX_NAMED: usize = 8;
 /// Bytes of a name, and of a reason, at most.
-pub const TEXT_MOST: usize = 256;
+pub const MAX_TEXT_BYTES: usize = 256;
 
 /// What a child has in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -79,7 +79,7 @@
 /// How many hold each version of a scope.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holders {
-    /// By version, the newest [`VERSIONS_MOST`]; version 0 is none.
+    /// By version, the newest [`MAX_VERSIONS`]; version 0 is none.
     pub versions: BTreeMap<u64, u64>,
     /// Those that hold an older one.
     #[serde(default)]
@@ -94,7 +94,7 @@
     /// By scope.
     #[serde(default)]
     pub holders: BTreeMap<Scope, Holders>,
-    /// Reports of scopes past [`SCOPES_MOST`].
+    /// Reports of scopes past [`MAX_SCOPES`].
     #[serde(default)]
     pub scopes_left_out: u64,
     /// The first few that lag behind the state of their parent.
@@ -131,7 +131,7 @@
         add(&mut self.refusing, other.refusing);
         add(&mut self.silent, other.silent);
         for (scope, more) in &other.holders {
-            if self.holders.len() >= SCOPES_MOST && !self.holders.contains_key(scope) {
+            if self.holders.len() >= MAX_SCOPES && !self.holders.contains_key(scope) {
                 add(&mut self.scopes_left_out, 1);
                 continue;
             }
@@ -140,7 +140,7 @@
             for (&version, &count) in &more.versions {
                 add(holders.versions.entry(version).or_default(), count);
             }
-            while holders.versions.len() > VERSIONS_MOST
+            while holders.versions.len() > MAX_VERSIONS
                 && let Some((_, count)) = holders.versions.pop_first()
             {
                 add(&mut holders.older, count);
@@ -153,7 +153,7 @@
 }
 
 fn add_names<T: Clone>(names: &mut Vec<T>, more: &[T]) {
-    let capacity = NAMED_MOST.saturating_sub(names.len());
+    let capacity = MAX_NAMED.saturating_sub(names.len());
     names.extend(more.iter().take(capacity).cloned());
 }
 
@@ -187,20 +187,20 @@
     }
 
     /// A balancer's report. Over the bounds, names and reasons are cut and scopes left out, and one past
-    /// [`CHILDREN_MOST`] is left out.
-    pub fn take(&mut self, now: Duration, mut report: InForce) {
+    /// [`MAX_CHILDREN`] is left out.
+    pub fn record(&mut self, now: Duration, mut report: InForce) {
         report.who = cut(&report.who);
-        while report.versions.len() > CHILD_SCOPES_MOST {
+        while report.versions.len() > MAX_CHILD_SCOPES {
             report.versions.pop_last();
         }
         if let Some(refused) = &mut report.refused {
             refused.why = cut(&refused.why);
         }
-        insert(&mut self.children, CHILDREN_MOST, now, report.who.clone(), report);
+        insert(&mut self.children, MAX_CHILDREN, now, report.who.clone(), report);
     }
 
-    /// A relay's sums. They are bounded likewise, and one past [`RELAYS_MOST`] is left out.
-    pub fn take_sums(&mut self, now: Duration, who: &str, sums: &Sums) {
+    /// A relay's sums. They are bounded likewise, and one past [`MAX_RELAYS`] is left out.
+    pub fn record_sums(&mut self, now: Duration, who: &str, sums: &Sums) {
         // As added to nothing they are within the bounds.
         let mut bounded = Sums::default();
         bounded.add(sums);
@@ -216,7 +216,7 @@
         for refused in &mut bounded.refused {
             refused.refused.why = cut(&refused.refused.why);
         }
-        insert(&mut self.relays, RELAYS_MOST, now, cut(who), bounded);
+        insert(&mut self.relays, MAX_RELAYS, now, cut(who), bounded);
     }
 
     /// Sums over all children, as they go up.
@@ -277,7 +277,10 @@
 }
 
 fn cut(text: &str) -> Box<str> {
-    let end =
-        text.char_indices().map(|(at, char)| at + char.len_utf8()).take_while(|end| *end <= TEXT_MOST).last();
+    let end = text
+        .char_indices()
+        .map(|(at, char)| at + char.len_utf8())
+        .take_while(|end| *end <= MAX_TEXT_BYTES)
+        .last();
     text[..end.unwrap_or(0)].into()
 }
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -11,7 +11,7 @@
 
 /// Withdrawn documents that are remembered as such at most; a reader that stands before one that was forgotten is sent a
 /// snapshot.
-pub const WITHDRAWN_MOST: usize = 256;
+pub const MAX_WITHDRAWN: usize = 256;
 
 /// Why an update was refused; nothing of it was accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// It goes back, has a gap before it, is damaged, of another service, or of another history than this state.
-    pub fn take(&mut self, update: Update, wanted: &Wanted) -> Result<Vec<Scope>, Refusal> {
+    pub fn apply(&mut self, update: Update, wanted: &Wanted) -> Result<Vec<Scope>, Refusal> {
         let have = self.index;
         let Update { index, snapshot, after, documents, .. } = update;
         if index < have {
@@ -210,9 +210,9 @@
             && !(document.is_withdrawn() && current.is_none_or(Document::is_withdrawn))
     }
 
-    /// What a reader that stands at `since` has to be told, merged to the newest: the whole where it has nothing or
+    /// What a reader that stands at `since` has to be sent, merged to the newest: the whole where it has nothing or
     /// stands before what is known here, else the changes; `None` where there are none. A reader that stands past this
-    /// state is told its index, so that it refuses it and looks for another parent.
+    /// state is sent its index, so that it refuses it and looks for another parent.
     #[must_use]
     pub fn since(&self, since: u64, wanted: &Wanted) -> Option<Update> {
         let update = |snapshot, after, documents| {
@@ -236,10 +236,10 @@
         }
     }
 
-    /// As [`State::since`], from a parent that has heard nothing from above for `stale_s` seconds: where there is nothing to
-    /// tell but that, a change without documents. `None`, for an empty line as a sign of life, only where it is 0.
+    /// As [`State::since`], from a parent that has received nothing from above for `stale_s` seconds: where there is
+    /// nothing to send but that, a change without documents. `None`, for an empty line as a heartbeat, only where it is 0.
     #[must_use]
-    pub fn tell(&self, since: u64, wanted: &Wanted, stale_s: u64) -> Option<Update> {
+    pub fn next_update(&self, since: u64, wanted: &Wanted, stale_s: u64) -> Option<Update> {
         let update = self.since(since, wanted).or_else(|| {
             let (index, documents) = (self.index, Vec::new());
             (stale_s > 0).then_some(Update { index, snapshot: false, after: since, stale_s, documents })
@@ -266,11 +266,11 @@
         let withdrawn = |document: &&Document| document.is_withdrawn();
         let mut versions: Vec<u64> =
             self.documents.values().filter(withdrawn).map(|document| document.version).collect();
-        if versions.len() <= WITHDRAWN_MOST {
+        if versions.len() <= MAX_WITHDRAWN {
             return;
         }
         versions.sort_unstable();
-        let last = versions[versions.len() - WITHDRAWN_MOST - 1];
+        let last = versions[versions.len() - MAX_WITHDRAWN - 1];
         self.documents.retain(|_, document| !document.is_withdrawn() || document.version > last);
         self.floor = self.floor.max(last);
     }
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 /// Bytes of an answer at most.
-const ANSWER_MOST: usize = 64 << 20;
+const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// Why there is no answer. What was asked for may have come to pass all the same.
 #[derive(Debug, Error)]
@@ -31,7 +31,7 @@
     #[error("no answer in time")]
     Late,
     /// The answer is too long.
-    #[error("the answer is over {ANSWER_MOST} bytes")]
+    #[error("the answer is over {MAX_ANSWER_BYTES} bytes")]
     TooLong,
 }
 
@@ -69,7 +69,7 @@
         let request = request.body(Full::new(call.body)).unwrap_or_default();
         let response = sender.send_request(request).await?;
         let status = response.status();
-        match Limited::new(response.into_body(), ANSWER_MOST).collect().await {
+        match Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await {
             Ok(body) => Ok((status, body.to_bytes())),
             Err(error) if error.is::<LengthLimitError>() => Err(CallError::TooLong),
             Err(error) => {
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -22,14 +22,14 @@
 use super::call::{Call, call};
 use super::log::log;
 use super::server::LEVEL;
-use super::watch::{Ask, WatchError, follow_checked};
+use super::watch::{WatchError, WatchRequest, follow_checked};
 use crate::document::{Scope, Update};
 use crate::parents::{FIRST_LINE, Parents, SILENCE, Step, Verdict, may_serve};
 use crate::report::{InForce, REPORT_EVERY};
 use crate::state::{Refusal, State, Wanted};
 
 /// Bytes of a line to a balancer at most: three documents at the origin's bound, and what is around them.
-pub const LINE_MOST: usize = 3 * (256 << 10) + (16 << 10);
+pub const MAX_LINE_BYTES: usize = 3 * (256 << 10) + (16 << 10);
 /// Reports after a change wait up to this, so that a parent does not get all at one moment.
 const REPORT_JITTER: Duration = Duration::from_millis(500);
 /// A report has so long to be answered.
@@ -69,7 +69,7 @@
     pub scopes: &'a str,
     /// A relay's level.
     pub level: Option<u8>,
-    pub line_most: usize,
+    pub max_line_bytes: usize,
     pub start: Instant,
     pub parents: &'a RefCell<Parents>,
     /// The parent whose watch is up.
@@ -129,21 +129,21 @@
             Ok(Ok(stream)) => stream,
         };
         let (since, scopes, name) = (since(), self.scopes, query_text(self.name));
-        let ask = Ask {
+        let request = WatchRequest {
             host: address.to_string(),
             path: format!("/configuration?follow=1&since={since}&scopes={scopes}&name={name}"),
             first_by,
             silence: SILENCE,
-            line_most: self.line_most,
+            max_line_bytes: self.max_line_bytes,
         };
-        let Err(error) = self.watch(stream, ask, address, accept).await;
+        let Err(error) = self.watch(stream, request, address, accept).await;
         error.to_string()
     }
 
     async fn watch<I>(
         &self,
         stream: I,
-        ask: Ask,
+        request: WatchRequest,
         address: SocketAddr,
         accept: &mut impl FnMut(Option<Update>) -> Result<(), Refusal>,
     ) -> Result<Infallible, WatchError<LeaveError>>
@@ -169,7 +169,7 @@
             let verdict = self.parents.borrow_mut().line(self.start.elapsed(), stale_s);
             if verdict == Verdict::Leave { Err(LeaveError::Stale) } else { Ok(()) }
         };
-        follow_checked(stream, ask, head, line).await
+        follow_checked(stream, request, head, line).await
     }
 }
 
@@ -223,7 +223,7 @@
         addresses: &parents,
         scopes: &scopes,
         level: None,
-        line_most: LINE_MOST,
+        max_line_bytes: MAX_LINE_BYTES,
         start: Instant::now(),
         parents: &RefCell::new(Parents::new(parents.len(), seed)),
         current: &current,
@@ -233,7 +233,7 @@
         || state.borrow().index(),
         |update| {
             let Some(update) = update else { return Ok(()) };
-            let scopes = state.borrow_mut().take(update, &wanted)?;
+            let scopes = state.borrow_mut().apply(update, &wanted)?;
             if !scopes.is_empty() || in_force.borrow().is_none() {
                 *in_force.borrow_mut() = Some(apply(&state.borrow(), &scopes));
                 changed.notify_one();
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -67,7 +67,7 @@
         log(format_args!("origin at index {}", origin.state().index()));
         let source = OriginSource {
             origin: RefCell::new(origin),
-            max_body_bytes: bounds.body_most,
+            max_body_bytes: bounds.max_body_bytes,
             store: Arc::new(Mutex::new(store)),
             turn: tokio::sync::Mutex::new(()),
             queue: Semaphore::new(MAX_QUEUED),
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -28,7 +28,7 @@
 use crate::store::{Found, Outcome, Store, StoreError};
 
 /// Bytes of a line to a relay at most: all documents at the origin's bound together, and what is around each.
-pub const LINE_MOST: usize = 20 << 20;
+pub const MAX_LINE_BYTES: usize = 20 << 20;
 /// Sums go up this often at most.
 const SUMS_EVERY: Duration = Duration::from_secs(1);
 /// A disk that failed is tried again after so long.
@@ -116,7 +116,7 @@
         }
         let live = found.records.into_iter().map(|record| record.document);
         let documents = live.filter(|document| !document.is_withdrawn()).collect();
-        state.take(Update { index, snapshot: true, after: 0, stale_s: 0, documents }, &Wanted::All)?;
+        state.apply(Update { index, snapshot: true, after: 0, stale_s: 0, documents }, &Wanted::All)?;
         self.has_state.set(true);
         Ok(true)
     }
@@ -213,7 +213,7 @@
         addresses: &options.parents,
         scopes: "*",
         level: Some(options.level),
-        line_most: LINE_MOST,
+        max_line_bytes: MAX_LINE_BYTES,
         start: source.start,
         parents: &source.parents,
         current,
@@ -222,7 +222,7 @@
         let Some(update) = update else { return Ok(()) };
         let mut state = source.state.borrow_mut();
         let before = state.index();
-        let scopes = state.take(update, &Wanted::All)?;
+        let scopes = state.apply(update, &Wanted::All)?;
         let index = state.index();
         drop(state);
         if !source.has_state.replace(true) || index != before || !scopes.is_empty() {
--- a/crates/config-distribution/src/host/server/limits.rs
+++ b/crates/config-distribution/src/host/server/limits.rs
@@ -9,19 +9,19 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Readers, that is, open watches, at most.
-    pub readers_most: usize,
+    pub max_readers: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { readers_most: 4096 }
+        Self { max_readers: 4096 }
     }
 }
 
 impl Limits {
     /// Open connections at most, of watches and all others.
     pub(super) fn max_connections(self) -> usize {
-        self.readers_most + MAX_SHORT_CONNECTIONS
+        self.max_readers + MAX_SHORT_CONNECTIONS
     }
 }
 
--- a/crates/config-distribution/src/host/server/query.rs
+++ b/crates/config-distribution/src/host/server/query.rs
@@ -4,8 +4,8 @@
 
 use thiserror::Error;
 
-use crate::document::{NAME_MOST, Scope, ScopeError};
-use crate::report::CHILD_SCOPES_MOST;
+use crate::document::{MAX_NAME_BYTES, Scope, ScopeError};
+use crate::report::MAX_CHILD_SCOPES;
 use crate::state::Wanted;
 
 /// Why a query cannot be used.
@@ -15,7 +15,7 @@
     Since(String),
     #[error("scopes: {0}")]
     Scope(#[from] ScopeError),
-    #[error("scopes: at most {CHILD_SCOPES_MOST}")]
+    #[error("scopes: at most {MAX_CHILD_SCOPES}")]
     TooManyScopes,
 }
 
@@ -48,7 +48,7 @@
                     query.wanted = parse_wanted(&scopes)?;
                     query.scopes = scopes.into();
                 }
-                "name" => query.name = value.chars().take(NAME_MOST).collect(),
+                "name" => query.name = value.chars().take(MAX_NAME_BYTES).collect(),
                 _ => {}
             }
         }
@@ -66,8 +66,8 @@
         return Ok(Wanted::All);
     }
     let scopes: Vec<Scope> =
-        text.split(',').take(CHILD_SCOPES_MOST + 1).map(str::parse).collect::<Result<_, _>>()?;
-    if scopes.len() > CHILD_SCOPES_MOST {
+        text.split(',').take(MAX_CHILD_SCOPES + 1).map(str::parse).collect::<Result<_, _>>()?;
+    if scopes.len() > MAX_CHILD_SCOPES {
         return Err(QueryError::TooManyScopes);
     }
     Ok(Wanted::These(scopes))
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -128,7 +128,7 @@
             let line = self.next_line(query.since, &query, true);
             return Ok(Response::new(ResponseBody::Complete(line.map(|line| line.bytes))));
         }
-        if self.open_watches.get() >= self.limits.readers_most {
+        if self.open_watches.get() >= self.limits.max_readers {
             log(format_args!("refused a reader: {} are here", self.open_watches.get()));
             return Err(RequestError::TooManyWatches);
         }
@@ -144,14 +144,14 @@
         let text = read_body(request, MAX_REPORT_BYTES).await?;
         let (now, mut reports) = (self.start.elapsed(), self.reports.borrow_mut());
         match serde_json::from_slice(&text) {
-            Ok(report) => reports.take(now, report),
+            Ok(report) => reports.record(now, report),
             Err(error) => {
                 let Ok(RelayReport { who, sums }) = serde_json::from_slice(&text) else {
                     let error = RequestError::Report(error);
                     log(format_args!("refused a report: {error}"));
                     return Err(error);
                 };
-                reports.take_sums(now, &who, &sums);
+                reports.record_sums(now, &who, &sums);
             }
         }
         Ok(json_response(StatusCode::OK, &json!({})))
--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -135,7 +135,7 @@
     heartbeat_due: bool,
 ) -> Option<Content> {
     let update = if heartbeat_due {
-        state.tell(since, &query.wanted, stale_s)
+        state.next_update(since, &query.wanted, stale_s)
     } else {
         state.since(since, &query.wanted)
     };
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -39,9 +39,9 @@
     Line(E),
 }
 
-/// What a watch asks for and how long it waits.
+/// What a watch requests and how long it waits.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct WatchRequest {
     /// `Host`.
     pub host: String,
     /// Path and query.
@@ -51,7 +51,7 @@
     /// How long the next may take from each.
     pub silence: Duration,
     /// Bytes of a line at most.
-    pub line_most: usize,
+    pub max_line_bytes: usize,
 }
 
 /// Follows a watch on a connection that is up, until it ends; hands each whole line to `line`, an empty one as such.
@@ -61,14 +61,14 @@
 /// Always: why it ended.
 pub async fn follow<I, E>(
     stream: I,
-    ask: Ask,
+    request: WatchRequest,
     line: impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Result<Infallible, WatchError<E>>
 where
     I: AsyncRead + AsyncWrite + Unpin,
     E: std::error::Error,
 {
-    follow_checked(stream, ask, |_| Ok(()), line).await
+    follow_checked(stream, request, |_| Ok(()), line).await
 }
 
 /// As [`follow`], for a reader that looks at the answer's head first.
@@ -77,7 +77,7 @@
 /// Always: why it ended.
 pub async fn follow_checked<I, E>(
     stream: I,
-    ask: Ask,
+    request: WatchRequest,
     head: impl FnOnce(&HeaderMap) -> Result<(), E>,
     mut line: impl FnMut(&[u8]) -> Result<(), E>,
 ) -> Result<Infallible, WatchError<E>>
@@ -85,13 +85,13 @@
     I: AsyncRead + AsyncWrite + Unpin,
     E: std::error::Error,
 {
-    let mut by = ask.first_by;
+    let WatchRequest { host, path, first_by, silence, max_line_bytes } = request;
+    let mut by = first_by;
     let handshake = http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream));
     let (mut sender, connection) = timeout_at(by, handshake).await.map_err(|_| WatchError::Silent)??;
     let mut connection = pin!(connection);
     let followed = async {
-        let request =
-            Request::get(ask.path).header(header::HOST, ask.host).body(Empty::new()).unwrap_or_default();
+        let request = Request::get(path).header(header::HOST, host).body(Empty::new()).unwrap_or_default();
         let response =
             timeout_at(by, sender.send_request(request)).await.map_err(|_| WatchError::Silent)??;
         if response.status() != StatusCode::OK {
@@ -99,14 +99,14 @@
         }
         head(response.headers()).map_err(WatchError::Line)?;
         let mut body = response.into_body();
-        let mut lines = LineBuffer { text: Vec::new(), max: ask.line_most };
+        let mut lines = LineBuffer { text: Vec::new(), max: max_line_bytes };
         loop {
             let frame = timeout_at(by, body.frame()).await.map_err(|_| WatchError::Silent)?;
             let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
             lines.push(&data, |text| {
                 line(text).map_err(WatchError::Line)?;
                 // Only a whole line ends the silence.
-                by = Instant::now() + ask.silence;
+                by = Instant::now() + silence;
                 Ok(())
             })?;
         }
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -22,11 +22,11 @@
 const FILE: &str = "configuration.redb";
 /// The file while it is made. It gets its name once it is whole, so that a file of that name was whole once.
 const NEW_FILE: &str = "configuration.redb.new";
-/// A damaged file that was set aside, the last one only.
+/// A damaged file that was renamed out of the way, the last one only.
 const DAMAGED_FILE: &str = "configuration.redb.damaged";
 /// Faults that pass and have no stable `io::ErrorKind`: `EIO`, `ENFILE` and `EMFILE`.
 const PASSING_CODES: [i32; 3] = [5, 23, 24];
-/// Bytes of the file that are held in memory; records are read once, at the start.
+/// Bytes of the file that are cached in memory; records are read once, at the start.
 const CACHE: usize = 4 << 20;
 
 /// Why the store cannot be used.
@@ -116,7 +116,7 @@
 pub struct Found {
     /// In the order of their indexes.
     pub records: Vec<Record>,
-    /// The index that the process stood at, if it kept one.
+    /// The index that the process stood at, if it stored one.
     pub index: u64,
 }
 
@@ -143,7 +143,7 @@
         Ok(opened)
     }
 
-    /// As [`Store::at`], for what can be had again from elsewhere: a damaged file is set aside under another name, and a
+    /// As [`Store::at`], for what can be had again from elsewhere: a damaged file is renamed, and a
     /// store without records takes its place.
     ///
     /// # Errors
--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -371,8 +371,8 @@
                 }
             }
             Event::Report(up) => match up {
-                Up::Child(in_force) => self.nodes[node].reports.take(now, in_force),
-                Up::Relay(who, sums) => self.nodes[node].reports.take_sums(now, &who, &sums),
+                Up::Child(in_force) => self.nodes[node].reports.record(now, in_force),
+                Up::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
             },
             Event::Disk(index) => self.disk(index),
             Event::Act(_) => unreachable!("done before"),
--- a/crates/config-distribution/tests/core_common/network/faults.rs
+++ b/crates/config-distribution/tests/core_common/network/faults.rs
@@ -117,7 +117,7 @@
         let before = std::mem::take(&mut own.state);
         if disk {
             let whole = before.since(0, &Wanted::All).expect("the whole");
-            own.state.take(whole, &own.wanted).expect("its own");
+            own.state.apply(whole, &own.wanted).expect("its own");
         } else {
             own.seen = 0;
         }
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -69,7 +69,7 @@
         let wanted = self.nodes[child].wanted.clone();
         let Some(reader) = self.nodes[node].readers.get_mut(&watch) else { return };
         let update = if always {
-            state.tell(reader.index, &wanted, stale_s)
+            state.next_update(reader.index, &wanted, stale_s)
         } else if state.index() > reader.index {
             state.since(reader.index, &wanted).map(|update| Update { stale_s, ..update })
         } else {
@@ -148,7 +148,7 @@
         if let Line::Update(update) = line {
             stale_s = update.stale_s;
             let Node { state, wanted, .. } = &mut self.nodes[node];
-            match state.take(update, wanted) {
+            match state.apply(update, wanted) {
                 Ok(changed) => self.taken(node, !changed.is_empty()),
                 Err(refusal) => {
                     self.refusals.push((node, refusal));
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -9,7 +9,7 @@
 use config_distribution::document::{Document, Scope};
 use config_distribution::fault::Fault;
 use config_distribution::origin::{
-    Accepted, Bounds, INDEX_MOST, Origin, Publication, PublishError, Record, RestoreError,
+    Accepted, Bounds, MAX_INDEX, Origin, Publication, PublishError, Record, RestoreError,
 };
 use config_distribution::state::{Refusal, State, Wanted};
 use core_common::{body, live, scope};
@@ -156,7 +156,7 @@
 
 #[test]
 fn everything_has_its_bound() {
-    let bounds = Bounds { body_most: 100, scopes_most: 3, requests_most: 2, total_most: 150 };
+    let bounds = Bounds { max_body_bytes: 100, max_documents: 3, max_request_ids: 2, max_total_bytes: 150 };
     let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
     let sized = |text: &str, bytes: usize, request: &str| Publication {
         body: Some(format!("{{\"settings\":{{{}}}}}", " ".repeat(bytes - 15)).into()),
@@ -191,7 +191,7 @@
     let line = serde_json::to_string(&origin.state().since(0, &Wanted::All)).expect("JSON");
     assert!(!line.contains('\n'));
     let mut reader = State::default();
-    reader.take(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
+    reader.apply(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
     assert_eq!(reader.get(&Scope::Fleet), Some(&record.document));
     let kept: Record =
         serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a record");
@@ -217,13 +217,13 @@
     assert_eq!(refused(vec![record(u64::MAX)]), RestoreError::TooHigh { index: u64::MAX });
     let lifted = Origin::restore(Bounds::default(), [], u64::MAX).map(|_| ()).unwrap_err();
     assert_eq!(lifted, RestoreError::TooHigh { index: u64::MAX });
-    assert!(Origin::restore(Bounds::default(), [], INDEX_MOST).is_ok());
+    assert!(Origin::restore(Bounds::default(), [], MAX_INDEX).is_ok());
 }
 
 /// A reader that has followed an origin to the end.
 fn reader(of: &Origin) -> State {
     let mut state = State::default();
-    state.take(of.state().since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
+    state.apply(of.state().since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
     state
 }
 
@@ -243,7 +243,7 @@
     let older = restored(&records);
     let mut refuses = child.clone();
     let told = older.state().since(child.index(), &Wanted::All).expect("told");
-    assert_eq!(refuses.take(told, &Wanted::All), Err(Refusal::Older { index: 2, have: 5 }));
+    assert_eq!(refuses.apply(told, &Wanted::All), Err(Refusal::Older { index: 2, have: 5 }));
     assert_eq!(refuses, child, "it keeps what it has");
 
     let mut lifted = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
@@ -264,7 +264,7 @@
     let behind = reader(&older);
     for mut child in [child, behind, State::default()] {
         let told = lifted.state().since(child.index(), &Wanted::All).expect("told");
-        child.take(told, &Wanted::All).expect("taken");
+        child.apply(told, &Wanted::All).expect("taken");
         assert_eq!(live(&child, &Wanted::All), live(lifted.state(), &Wanted::All));
         assert_eq!(child.get(&Scope::Fleet).map(|document| Arc::clone(&document.body)), Some(body(1)));
         assert_eq!(child.get(&scope("service/new")), None);
@@ -342,7 +342,7 @@
     }
 
     fn restored(records: impl IntoIterator<Item = Record>) -> Origin {
-        let bounds = Bounds { requests_most: REQUESTS_MOST, ..Bounds::default() };
+        let bounds = Bounds { max_request_ids: REQUESTS_MOST, ..Bounds::default() };
         Origin::restore(bounds, records, 0).expect("its own records")
     }
 
@@ -436,7 +436,7 @@
         for before in &self.states {
             let mut reader = before.clone();
             if let Some(update) = state.since(before.index(), &Wanted::All) {
-                reader.take(update, &Wanted::All).expect("taken");
+                reader.apply(update, &Wanted::All).expect("taken");
             }
             prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
         }
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use config_distribution::parents::{
-    HEARTBEAT_EVERY, Parents, SILENCE, STALE, STALE_GRACE, Step, Verdict, WAIT_FIRST, WAIT_MOST, may_serve,
+    HEARTBEAT_EVERY, MAX_WAIT, Parents, SILENCE, STALE, STALE_GRACE, Step, Verdict, WAIT_FIRST, may_serve,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -94,7 +94,7 @@
         }
     }
     let bounds = [1, 2, 4, 4, 4, 4, 4, 4].map(|times| WAIT_FIRST * times);
-    assert_eq!(*bounds.last().expect("some"), WAIT_MOST);
+    assert_eq!(*bounds.last().expect("some"), MAX_WAIT);
     for (most, bound) in most.iter().zip(bounds) {
         assert!(*most <= bound && *most > bound * 9 / 10, "{most:?} of {bound:?}");
     }
@@ -148,7 +148,7 @@
                 seen.insert(parent);
                 if seen.len() == count {
                     // A parent that came to be fresh is found within a hold and a round of calls.
-                    let most = 2 * STALE_GRACE + HEARTBEAT_EVERY + count as u32 * WAIT_MOST;
+                    let most = 2 * STALE_GRACE + HEARTBEAT_EVERY + count as u32 * MAX_WAIT;
                     assert!(now - since <= most, "{:?}", now - since);
                     seen = BTreeSet::from([parent]);
                     since = now;
@@ -240,7 +240,7 @@
                             seen.push(parent as u64);
                         }
                         Step::Wait(wait) => {
-                            assert!(wait <= WAIT_MOST && wait > Duration::ZERO);
+                            assert!(wait <= MAX_WAIT && wait > Duration::ZERO);
                             seen.push(wait.as_nanos() as u64);
                         }
                     },
--- a/crates/config-distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -7,8 +7,8 @@
 
 use config_distribution::document::{Document, Scope};
 use config_distribution::report::{
-    CHILDREN_MOST, FORGOTTEN_AFTER, InForce, NAMED_MOST, RELAYS_MOST, REPORT_EVERY, Refused, Reports,
-    SILENT_AFTER, Sums, TEXT_MOST, VERSIONS_MOST,
+    FORGOTTEN_AFTER, InForce, MAX_CHILDREN, MAX_NAMED, MAX_RELAYS, MAX_TEXT_BYTES, MAX_VERSIONS,
+    REPORT_EVERY, Refused, Reports, SILENT_AFTER, Sums,
 };
 use config_distribution::state::{State, Wanted};
 use core_common::{change, document, scope, snapshot};
@@ -18,7 +18,7 @@
 fn state() -> State {
     let mut state = State::default();
     let update = snapshot(5, vec![document("fleet", 3), document("service/api", 5)]);
-    state.take(update, &Wanted::All).expect("taken");
+    state.apply(update, &Wanted::All).expect("taken");
     state
 }
 
@@ -34,11 +34,11 @@
 #[test]
 fn sums_tell_who_holds_what_and_who_lags() {
     let mut reports = Reports::new();
-    reports.take(START, report("a", 3, 5));
-    reports.take(START, report("b", 3, 0));
-    reports.take(START, report("c", 1, 5));
+    reports.record(START, report("a", 3, 5));
+    reports.record(START, report("b", 3, 0));
+    reports.record(START, report("c", 1, 5));
     // Ahead of its parent it does not lag.
-    reports.take(START, report("d", 6, 5));
+    reports.record(START, report("d", 6, 5));
     let sums = reports.sums(START, &state());
     assert_eq!(sums.children, 4);
     assert_eq!(holders(&sums, "fleet"), [(1, 1), (3, 2), (6, 1)]);
@@ -51,7 +51,7 @@
         [1, 1]
     );
     // The newest report of a child counts.
-    reports.take(START, report("b", 3, 5));
+    reports.record(START, report("b", 3, 5));
     assert_eq!(holders(&reports.sums(START, &state()), "service/api"), [(5, 4)]);
 }
 
@@ -59,10 +59,10 @@
 fn who_holds_a_withdrawn_document_lags() {
     let mut state = state();
     let withdrawn = Document::new(scope("service/api"), 6, "null".into());
-    state.take(change(5, 6, vec![withdrawn]), &Wanted::All).expect("taken");
+    state.apply(change(5, 6, vec![withdrawn]), &Wanted::All).expect("taken");
     let mut reports = Reports::new();
-    reports.take(START, report("a", 3, 5));
-    reports.take(START, report("b", 3, 0));
+    reports.record(START, report("a", 3, 5));
+    reports.record(START, report("b", 3, 0));
     let sums = reports.sums(START, &state);
     assert_eq!(sums.lagging(&state, &scope("service/api")), 1);
     assert_eq!(sums.laggards.len(), 1);
@@ -72,20 +72,20 @@
 #[test]
 fn a_refused_document_is_told_with_its_reason() {
     let mut reports = Reports::new();
-    let why = "ü".repeat(TEXT_MOST);
+    let why = "ü".repeat(MAX_TEXT_BYTES);
     let refused = Refused { scope: Scope::Fleet, version: 3, why: why.as_str().into() };
-    reports.take(START, InForce { refused: Some(refused), ..report("a", 1, 5) });
+    reports.record(START, InForce { refused: Some(refused), ..report("a", 1, 5) });
     let sums = reports.sums(START, &state());
     assert_eq!((sums.refusing, sums.refused.len()), (1, 1));
-    assert_eq!(&*sums.refused[0].refused.why, "ü".repeat(TEXT_MOST / 2));
+    assert_eq!(&*sums.refused[0].refused.why, "ü".repeat(MAX_TEXT_BYTES / 2));
     assert_eq!((&*sums.refused[0].who, sums.refused[0].refused.version), ("a", 3));
 }
 
 #[test]
 fn a_silent_child_is_named_and_then_forgotten() {
     let mut reports = Reports::new();
-    reports.take(START, report("a", 3, 5));
-    reports.take_sums(START, "relay", &Sums { children: 7, ..Sums::default() });
+    reports.record(START, report("a", 3, 5));
+    reports.record_sums(START, "relay", &Sums { children: 7, ..Sums::default() });
     assert_eq!(reports.sums(START + SILENT_AFTER, &state()).children, 8);
     let sums = reports.sums(START + SILENT_AFTER + Duration::from_millis(1), &state());
     assert_eq!((sums.children, sums.silent), (0, 2));
@@ -94,7 +94,7 @@
     let later = START + FORGOTTEN_AFTER + Duration::from_millis(1);
     assert_eq!(reports.sums(later, &state()), Sums::default());
     // A child that comes back counts again.
-    reports.take(later, report("a", 3, 5));
+    reports.record(later, report("a", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
 }
 
@@ -103,17 +103,17 @@
     // Two relays below an origin; the child moves from one to the other just after a report, and each reports every
     // REPORT_EVERY, at the worst moment.
     let (mut left, mut right, mut top) = (Reports::new(), Reports::new(), Reports::new());
-    left.take(START, report("a", 3, 5));
-    right.take(START, report("a", 3, 5));
+    left.record(START, report("a", 3, 5));
+    right.record(START, report("a", 3, 5));
     let ms = Duration::from_millis;
     let counted = |top: &Reports, at: Duration| top.sums(at, &state()).children;
     let mut twice_until = START;
     let mut at = START;
     while at < START + Duration::from_secs(60) {
         // The one it went to has it anew again and again; the other tells its sums just before it would drop the child.
-        right.take(at, report("a", 3, 5));
-        top.take_sums(at, "left", &left.sums(at, &state()));
-        top.take_sums(at, "right", &right.sums(at, &state()));
+        right.record(at, report("a", 3, 5));
+        top.record_sums(at, "left", &left.sums(at, &state()));
+        top.record_sums(at, "right", &right.sums(at, &state()));
         for within in 0..50 {
             let now = at + REPORT_EVERY * within / 50;
             if counted(&top, now) == 2 {
@@ -125,8 +125,8 @@
     assert_eq!(counted(&top, at), 1);
     assert!(twice_until - START <= SILENT_AFTER + REPORT_EVERY, "{:?}", twice_until - START);
     // Where it moved back it is counted once by that one.
-    left.take(at, report("a", 3, 5));
-    left.take(at + ms(1), report("a", 3, 5));
+    left.record(at, report("a", 3, 5));
+    left.record(at + ms(1), report("a", 3, 5));
     assert_eq!(left.sums(at + ms(1), &state()).children, 1);
 }
 
@@ -138,47 +138,48 @@
         for number in 0..40 {
             let report =
                 report(&format!("{relay}-{number}"), 3 - number % 2, [5, 0][usize::from(number == 7)]);
-            reports.take(START, report.clone());
-            all.take(START, report);
+            reports.record(START, report.clone());
+            all.record(START, report);
         }
         let text = serde_json::to_string(&reports.sums(START, &state())).expect("JSON");
-        top.take_sums(START, &format!("relay {relay}"), &serde_json::from_str(&text).expect("sums"));
+        top.record_sums(START, &format!("relay {relay}"), &serde_json::from_str(&text).expect("sums"));
     }
     let (all, top) = (all.sums(START, &state()), top.sums(START, &state()));
     assert_eq!((top.children, &top.holders), (280, &all.holders));
     assert_eq!(top.lagging(&state(), &Scope::Fleet), 140);
-    assert_eq!(top.laggards.len(), NAMED_MOST);
+    assert_eq!(top.laggards.len(), MAX_NAMED);
 }
 
 #[test]
 fn what_is_kept_is_bounded_whatever_is_told() {
     let mut reports = Reports::new();
-    for number in 0..CHILDREN_MOST as u64 + 10 {
+    for number in 0..MAX_CHILDREN as u64 + 10 {
         let mut report = report(&format!("{number}{}", "x".repeat(1000)), number, 5);
         report.versions.extend((0..100).map(|scope| (Scope::Service(format!("s{scope}").into()), 1)));
-        reports.take(START, report);
+        reports.record(START, report);
     }
     let sums = reports.sums(START, &state());
-    assert_eq!(sums.children, CHILDREN_MOST as u64);
+    assert_eq!(sums.children, MAX_CHILDREN as u64);
     assert!(sums.holders.len() <= 8);
     let fleet = &sums.holders[&Scope::Fleet];
-    assert_eq!(fleet.versions.len(), VERSIONS_MOST);
-    assert_eq!(fleet.older + fleet.versions.values().sum::<u64>(), CHILDREN_MOST as u64);
-    assert_eq!(sums.laggards.len(), NAMED_MOST);
-    assert!(sums.laggards.iter().all(|laggard| laggard.who.len() == TEXT_MOST));
+    assert_eq!(fleet.versions.len(), MAX_VERSIONS);
+    assert_eq!(fleet.older + fleet.versions.values().sum::<u64>(), MAX_CHILDREN as u64);
+    assert_eq!(sums.laggards.len(), MAX_NAMED);
+    assert!(sums.laggards.iter().all(|laggard| laggard.who.len() == MAX_TEXT_BYTES));
     // There is room again once some are silent.
     let later = START + SILENT_AFTER + Duration::from_secs(1);
-    reports.take(later, report("late", 3, 5));
+    reports.record(later, report("late", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
 
     let endless = Sums { children: u64::MAX, silent_names: vec!["x".repeat(9999).into(); 99], ..sums };
-    for number in 0..2 * RELAYS_MOST {
-        reports.take_sums(later, &format!("relay {number}"), &endless);
+    for number in 0..2 * MAX_RELAYS {
+        reports.record_sums(later, &format!("relay {number}"), &endless);
     }
     let sums = reports.sums(later, &state());
     assert_eq!(sums.children, u64::MAX);
-    assert_eq!(sums.holders[&Scope::Fleet].versions.len(), VERSIONS_MOST);
+    assert_eq!(sums.holders[&Scope::Fleet].versions.len(), MAX_VERSIONS);
     assert!(
-        sums.silent_names.len() == NAMED_MOST && sums.silent_names.iter().all(|who| who.len() == TEXT_MOST)
+        sums.silent_names.len() == MAX_NAMED
+            && sums.silent_names.iter().all(|who| who.len() == MAX_TEXT_BYTES)
     );
 }
--- a/crates/config-distribution/tests/core_state.rs
+++ b/crates/config-distribution/tests/core_state.rs
@@ -4,7 +4,7 @@
 
 use config_distribution::document::{Document, Scope, Update};
 use config_distribution::origin::{Accepted, Bounds, Origin, Publication};
-use config_distribution::state::{Refusal, State, WITHDRAWN_MOST, Wanted};
+use config_distribution::state::{MAX_WITHDRAWN, Refusal, State, Wanted};
 use core_common::{Model, body, change, document, live, scope, snapshot};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -32,13 +32,13 @@
 fn at_two() -> State {
     let mut state = State::default();
     let update = snapshot(2, vec![document("fleet", 1), document("service/api", 2)]);
-    assert_eq!(state.take(update, &balancers()), Ok(vec![Scope::Fleet, scope("service/api")]));
+    assert_eq!(state.apply(update, &balancers()), Ok(vec![Scope::Fleet, scope("service/api")]));
     state
 }
 
 fn refused(update: Update) -> Refusal {
     let mut state = at_two();
-    let refusal = state.take(update, &balancers()).expect_err("refused");
+    let refusal = state.apply(update, &balancers()).expect_err("refused");
     assert_eq!(state, at_two(), "nothing of it was taken in");
     refusal
 }
@@ -54,7 +54,7 @@
     assert_eq!(refused(change(3, 4, vec![document("fleet", 4)])), Refusal::Gap { after: 3, have: 2 });
     let mut state = at_two();
     let update = snapshot(9, vec![document("fleet", 4), document("service/api", 2)]);
-    assert_eq!(state.take(update, &balancers()), Ok(vec![Scope::Fleet]));
+    assert_eq!(state.apply(update, &balancers()), Ok(vec![Scope::Fleet]));
     assert_eq!(state.index(), 9);
 }
 
@@ -62,9 +62,9 @@
 fn an_update_that_comes_twice_changes_nothing() {
     let mut state = at_two();
     let update = change(2, 3, vec![document("region/north", 3)]);
-    assert_eq!(state.take(update.clone(), &balancers()), Ok(vec![scope("region/north")]));
+    assert_eq!(state.apply(update.clone(), &balancers()), Ok(vec![scope("region/north")]));
     let before = state.clone();
-    assert_eq!(state.take(update, &balancers()), Ok(vec![]));
+    assert_eq!(state.apply(update, &balancers()), Ok(vec![]));
     assert_eq!(state, before);
 }
 
@@ -117,7 +117,7 @@
     let mut state = at_two();
     let withdrawn = Document::new(scope("service/api"), 3, "null".into());
     assert_eq!(
-        state.take(change(2, 3, vec![withdrawn.clone()]), &balancers()),
+        state.apply(change(2, 3, vec![withdrawn.clone()]), &balancers()),
         Ok(vec![scope("service/api")])
     );
     assert_eq!(state.get(&scope("service/api")), None);
@@ -131,8 +131,8 @@
     let told = parent.since(7, &balancers()).expect("told");
     assert_eq!(told, change(2, 2, vec![]));
     let mut reader = State::default();
-    reader.take(snapshot(7, vec![document("fleet", 7)]), &balancers()).expect("taken");
-    assert_eq!(reader.take(told, &balancers()), Err(Refusal::Older { index: 2, have: 7 }));
+    reader.apply(snapshot(7, vec![document("fleet", 7)]), &balancers()).expect("taken");
+    assert_eq!(reader.apply(told, &balancers()), Err(Refusal::Older { index: 2, have: 7 }));
 }
 
 #[test]
@@ -145,9 +145,9 @@
     assert_eq!(states[5].since(4, &balancers()), None);
     assert_eq!(states[5].since(4, &Wanted::All).expect("told").documents.len(), 1);
     // Where the parent is stale that is told, and the reader stands at its index with it.
-    let update = states[5].tell(4, &balancers(), 9).expect("told");
+    let update = states[5].next_update(4, &balancers(), 9).expect("told");
     assert_eq!((update.index, update.after, update.stale_s, update.documents.len()), (5, 4, 9, 0));
-    assert_eq!(states[5].tell(4, &balancers(), 0), None);
+    assert_eq!(states[5].next_update(4, &balancers(), 0), None);
 }
 
 #[test]
@@ -155,30 +155,30 @@
     let changes = [("fleet", false), ("service/api", false), ("service/api", true), ("fleet", false)];
     let states = history(&changes.map(|(text, withdraw)| (text.into(), withdraw)));
     let mut reader = State::default();
-    reader.take(states[2].since(0, &balancers()).expect("told"), &balancers()).expect("taken");
+    reader.apply(states[2].since(0, &balancers()).expect("told"), &balancers()).expect("taken");
     assert!(reader.get(&scope("service/api")).is_some());
     let mut relay = State::default();
-    relay.take(states[4].since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
+    relay.apply(states[4].since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
     let update = relay.since(reader.index(), &balancers()).expect("told");
-    reader.take(update, &balancers()).expect("taken");
+    reader.apply(update, &balancers()).expect("taken");
     assert_eq!(reader.get(&scope("service/api")), None);
     assert_eq!(live(&reader, &balancers()), live(&states[4], &balancers()));
 }
 
 #[test]
 fn withdrawn_documents_are_bounded_and_nothing_is_missed() {
-    let scopes = WITHDRAWN_MOST + 100;
+    let scopes = MAX_WITHDRAWN + 100;
     let mut changes: Vec<(String, bool)> = vec![("fleet".into(), false)];
     changes.extend((0..scopes).map(|number| (format!("service/{number}"), false)));
     changes.extend((0..scopes).map(|number| (format!("service/{number}"), true)));
     let states = history(&changes);
     let last = states.last().expect("some");
-    assert_eq!(last.documents().count(), WITHDRAWN_MOST + 1);
+    assert_eq!(last.documents().count(), MAX_WITHDRAWN + 1);
     for since in [1, scopes + 1, scopes + 50, scopes + 101, scopes + 102, 2 * scopes] {
         let mut reader = states[since].clone();
         let update = last.since(since as u64, &Wanted::All).expect("told");
         assert_eq!(update.snapshot, since <= scopes + 100, "{since}");
-        reader.take(update, &Wanted::All).expect("taken");
+        reader.apply(update, &Wanted::All).expect("taken");
         assert_eq!(live(&reader, &Wanted::All), live(last, &Wanted::All));
     }
 }
@@ -256,13 +256,13 @@
                 Play::FromDisk(reader) => {
                     let whole = readers[reader].since(0, &wanted[reader]).expect("the whole");
                     let mut state = State::default();
-                    state.take(whole, &wanted[reader]).expect("its own");
+                    state.apply(whole, &wanted[reader]).expect("its own");
                     readers[reader] = state;
                     continue;
                 }
             };
             let before = readers[reader].clone();
-            let taken = readers[reader].take(update, &wanted[reader]);
+            let taken = readers[reader].apply(update, &wanted[reader]);
             prop_assert!(!(damaged && taken.is_ok()));
             let state = &readers[reader];
             if let Ok(changed) = &taken {
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -193,7 +193,7 @@
 fn records_that_nothing_needs_are_deleted() {
     play(async {
         let disk = Shared::default();
-        let bounds = Bounds { requests_most: 3, ..Bounds::default() };
+        let bounds = Bounds { max_request_ids: 3, ..Bounds::default() };
         let (origin, running) = origin_over(&disk, bounds).await;
         publish(origin, "fleet", &document(1), "1").await;
         for number in 2..=20 {
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 use balancer_policy::interface::DiscoveryMode;
-use config_distribution::host::watch::{self, Ask, WatchError};
+use config_distribution::host::watch::{self, WatchError, WatchRequest};
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
 use crate::connection;
 use crate::pool::Pool;
 
-/// A watch says a line every 2 s, if an empty one; silent for well over that, it is dead.
+/// A watch sends a line every 2 s, if an empty one; silent for well over that, it is dead.
 const SILENCE: Duration = Duration::from_millis(3200);
 /// Bytes of one line at most, so that a broken discovery cannot fill the memory.
-const LINE_MOST: usize = 8 << 20;
+const MAX_LINE_BYTES: usize = 8 << 20;
 
 /// How long a new watch may take from its asking to its first whole line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
 
 impl Patience {
     /// By how lists are had. Discovery works through calls in turn. An agent answers at once; one that does not
-    /// is cut off from discovery, and whether it will speak on a watch that it left waiting is not known, so that
+    /// is cut off from discovery, and whether it will send a line on a watch that it left waiting is not known, so that
     /// new ones are tried meanwhile.
     #[must_use]
     pub fn of(mode: DiscoveryMode) -> Self {
@@ -62,12 +62,12 @@
     let Ok(Ok(stream)) = timeout_at(first_by, connection::open(address, permit)).await else {
         return Err(BrokenError::Connect);
     };
-    let ask = Ask {
+    let request = WatchRequest {
         host: address.to_string(),
         path: format!("/catalog/members?follow=1&since={since}"),
         first_by,
         silence: SILENCE,
-        line_most: LINE_MOST,
+        max_line_bytes: MAX_LINE_BYTES,
     };
-    Ok(watch::follow(stream, ask, line).await?)
+    Ok(watch::follow(stream, request, line).await?)
 }
