--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -9,8 +9,9 @@
 use balancer_policy::interface::{EndpointId, Time};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Starts of processes that are not listed any more that are kept, the latest ones: enough for a tier of this size to
-/// leave the list and to return, in a fraction of a megabyte. One that returns later goes through slow start once more.
+/// Starts of processes that are not listed any more that are remembered, the latest ones: enough for a tier of this size
+/// to leave the list and to return, in a fraction of a megabyte. One that returns later goes through slow start once
+/// more.
 pub const PAST_STARTS_MOST: usize = 4096;
 
 /// Reads the time of day, which may step.
@@ -29,7 +30,7 @@
     }
 }
 
-/// The moment at which a list is taken in, as all its entries are placed by it.
+/// The moment at which a list is applied, as all its entries are placed by it.
 #[derive(Debug, Clone, Copy)]
 pub struct Moment {
     now: Time,
@@ -94,7 +95,7 @@
         Moment { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
     }
 
-    /// Discovery has said a line, if an empty one, and what it holds has been taken in.
+    /// Discovery has said a line, if an empty one, and what it holds has been applied.
     pub fn note_line(&mut self, now: Time) {
         if self.first_list_at.is_some() {
             self.last_line_at = Some(now);
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -125,7 +125,7 @@
     pub distribution: Option<Distribution>,
     /// The file it was read from, which a reload reads again.
     pub path: Option<PathBuf>,
-    /// Tells the time of day: the machine's clock, except in a test.
+    /// Returns the time of day: the machine's clock, except in a test.
     pub wall_clock: Box<dyn WallClock>,
 }
 
--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
-/// A word from discovery: the whole list or what changed.
+/// An update from discovery: the whole list or what changed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Update {
     /// The list's version.
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -43,7 +43,7 @@
     pub patience: Patience,
     /// The version of the list in hand.
     pub since: u64,
-    /// Tells this watch from those before it.
+    /// Distinguishes this watch from those before it.
     pub number: u64,
 }
 
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -14,7 +14,7 @@
 /// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
 /// were given up in the queue, few enough that a listener that only fails does not spin.
 const FAILURES_BEFORE_PAUSE: u32 = 16;
-/// How often a failed accept is logged at most, or the log would cost more than the trouble.
+/// How often a failed accept is logged at most, so that the log costs little while accepts fail.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The accepts that failed since the last one that succeeded.
--- a/crates/proxy/src/offered.rs
+++ b/crates/proxy/src/offered.rs
@@ -28,7 +28,7 @@
     pub tenants: usize,
 }
 
-/// What callers may ask for under the settings in force, with the positions that the decisions know it by. Positions
+/// What clients may ask for under the settings in force, with the positions that the decisions know it by. Positions
 /// never change their meaning: what is new comes behind what was known, and what went keeps its place, unnamed.
 #[derive(Debug)]
 pub struct Offered {
@@ -106,7 +106,7 @@
 }
 
 fn by_position(names: &FxHashMap<String, usize>, count: usize) -> Vec<String> {
-    // A place whose name another has taken has none.
+    // A place whose name another one has too has none.
     let mut list = vec![String::new(); count];
     for (name, &position) in names {
         list[position].clone_from(name);
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -35,7 +35,7 @@
     /// They are no successor of those before; nothing has changed.
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError>;
 
-    /// The distribution of settings has spoken, and what it said has been taken in.
+    /// The distribution of settings has sent its state, and what can be applied of it has been.
     fn configured(&self);
 }
 
@@ -110,7 +110,7 @@
 }
 
 impl<T: Reconfigurable> Follower<T> {
-    /// Takes in the newest documents, and reports what is in force.
+    /// Applies the newest documents, and reports what is in force.
     fn on_state(&mut self, state: &State) -> InForce {
         let newest: Documents = self.wanted.each_ref().map(|scope| state.get(scope).cloned());
         if newest != self.in_force && !self.apply_all(newest.clone()) {
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks settings before they are taken over: every fault at once, each with its path and what was expected
+//! Checks settings before they are applied: every fault at once, each with its path and what was expected
 //! there.
 //!
 //! Reading stops at the first fault, and settings that are changed while a balancer runs must not be found
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A quota of 0 would be taken for none at all, which lifts the limit.
+    /// A quota of 0 would count as none at all, which lifts the limit.
     fn tenant_quota(&mut self, path: &str, tenant: &Map<String, Value>) {
         let quota = tenant.get(key::QUOTA);
         if quota.and_then(Value::as_f64) == Some(0.0) {
--- a/crates/settings/src/check/fields.rs
+++ b/crates/settings/src/check/fields.rs
@@ -23,7 +23,7 @@
 /// The effect whose repeats a group of upstreams discards, so that the group must be named.
 pub const DEDUPLICATED: &str = "deduplicated";
 
-/// Classes: each costs memory for life, and time in every sweep.
+/// Classes: each costs memory until the process ends, and time in every sweep.
 const MAX_CLASSES: usize = 1000;
 /// Tenants, for the same reason; there is a tenant for each customer.
 const MAX_TENANTS: usize = 10_000;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -3,7 +3,7 @@
 //! The same JSON object reaches a balancer in three ways: in the configuration file of a real balancer, in a
 //! document of the configuration distribution, which holds the part that balancers share, and in the first
 //! message of the simulator. All of them must understand it alike, and whoever publishes a document wants to
-//! hear of every fault before it is in force anywhere. So there is one place that knows the keys, with two
+//! see every fault before it is in force anywhere. So there is one place that knows the keys, with two
 //! entries:
 //!
 //! - [`read`] converts an object for use and stops at the first value that makes no sense;
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,6 +1,6 @@
 //! The values of a load report by the names that the settings give them.
 //!
-//! An upstream may report its load with each answer, as bare numbers whose order the settings tell
+//! An upstream may report its load with each answer, as bare numbers whose order the settings give
 //! (`loadInfo.fields`) or with a name before each; every host sets them in the policy's report here.
 
 use std::time::Duration;
