--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -14,9 +14,9 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// The classes of the file with another one behind them, and this aim.
-fn lanes(aim: f64, more: &[Value]) -> Value {
-    let mut lanes = settings(aim)["lanes"].clone();
+/// The classes of the file with another one behind them, and this latency objective.
+fn lanes(objective: f64, more: &[Value]) -> Value {
+    let mut lanes = settings(objective)["lanes"].clone();
     lanes.as_array_mut().expect("a list").extend_from_slice(more);
     lanes
 }
@@ -56,22 +56,22 @@
     (balancer, discovery, parent, watch)
 }
 
-/// Guards callers and upstreams through changes under load, 60 in quick succession: each request is answered with its
+/// Guards clients and upstreams through changes under load, 60 in quick succession: each request is answered with its
 /// own answer, and none is lost or runs twice.
 #[test]
 fn sixty_changes_under_load_cost_no_request() {
     let (first, second) = (echo(), echo());
     let (balancer, _discovery, parent, watch) = under_parent(&[&first, &second]);
     let (done, address) = (Arc::new(AtomicBool::new(false)), balancer.address);
-    let callers: Vec<_> = (0..4)
-        .map(|caller| {
+    let clients: Vec<_> = (0..4)
+        .map(|client| {
             let done = Arc::clone(&done);
             thread::spawn(move || {
                 let mut connection = Caller::connect(address);
                 let mut asked = Vec::new();
                 while !done.load(Ordering::Relaxed) {
                     let (class, body) =
-                        (["order", "pay"][asked.len() % 2], format!("{caller}-{}", asked.len()));
+                        (["order", "pay"][asked.len() % 2], format!("{client}-{}", asked.len()));
                     let answer = connection.ask(class, &body);
                     assert_eq!((answer.status(), answer.body), (200, body.clone().into_bytes()), "{class}");
                     asked.push(body);
@@ -83,12 +83,12 @@
     for version in 1..=60 {
         // Classes and tenants come and go, and figures of all kinds change.
         let scope = ["fleet", "region/north", "service/api"][version as usize % 3];
-        let aim = 20.0 + version as f64 / 10.0;
+        let objective = 20.0 + version as f64 / 10.0;
         let names: Vec<Value> =
             (0..version % 5).map(|number| extra(&format!("extra-{version}-{number}"))).collect();
         let tenant = json!({"name": format!("t-{version}"), "quotaPerS": 5 * version});
         let change = json!({
-            "lanes": lanes(aim, &names), "projects": [tenant, {"name": "acme"}], "balancers": 1 + version % 3,
+            "lanes": lanes(objective, &names), "projects": [tenant, {"name": "acme"}], "balancers": 1 + version % 3,
             "caps": {"tryLimit": 1 + version % 4, "keepaliveS": 5 + version % 7, "dialTimeoutS": 4.0},
             "prices": {"crossZone": 0.01 * version as f64}, "rules": {"coldS": version}});
         watch.publishes(document(scope, version, &change));
@@ -98,7 +98,7 @@
     assert_eq!(balancer.caller().ask("last", "the last").body, b"the last");
     done.store(true, Ordering::Relaxed);
     let asked: Vec<String> =
-        callers.into_iter().flat_map(|caller| caller.join().expect("each answer is its own")).collect();
+        clients.into_iter().flat_map(|client| client.join().expect("each answer is its own")).collect();
     assert!(asked.len() > 20, "{}", asked.len());
     let mut ran: BTreeMap<Vec<u8>, u32> = BTreeMap::new();
     for (_, request) in first.requests().into_iter().chain(second.requests()) {
@@ -111,15 +111,15 @@
 
 /// An upstream that says back what it was asked, but breaks the connection under a request `one` after `long`, once it
 /// is let.
-fn breaking(long: Duration, let_go: &Arc<AtomicBool>) -> Upstream {
-    let let_go = Arc::clone(let_go);
+fn breaking(long: Duration, released: &Arc<AtomicBool>) -> Upstream {
+    let released = Arc::clone(released);
     Upstream::start(move |_, message| {
         if message.body != b"one" {
             return ok(&String::from_utf8_lossy(&message.body));
         }
         let started = Instant::now();
-        wait_for("it is let go", || {
-            (let_go.load(Ordering::Relaxed) && started.elapsed() >= long).then_some(())
+        wait_for("it is released", || {
+            (released.load(Ordering::Relaxed) && started.elapsed() >= long).then_some(())
         });
         Reply::Last(Vec::new())
     })
@@ -129,23 +129,23 @@
 /// by the time that it breaks. The next one may.
 #[test]
 fn an_unsafe_request_in_flight_stays_unsafe() {
-    let let_go = Arc::new(AtomicBool::new(false));
-    let upstreams = [breaking(Duration::ZERO, &let_go), breaking(Duration::ZERO, &let_go)];
+    let released = Arc::new(AtomicBool::new(false));
+    let upstreams = [breaking(Duration::ZERO, &released), breaking(Duration::ZERO, &released)];
     let (balancer, _discovery, parent, watch) = under_parent(&[&upstreams[0], &upstreams[1]]);
     let runs = || upstreams.iter().map(|upstream| upstream.count_of("one")).sum::<usize>();
-    let mut caller = balancer.caller();
-    caller.send("order", "one");
+    let mut client = balancer.caller();
+    client.send("order", "one");
     wait_for("it runs", || (runs() == 1).then_some(()));
     let mut lanes = lanes(30.0, &[]);
     lanes[2] = json!({"name": "order", "onTimeS": 30.0, "hardLimitS": 60.0, "effect": "deduplicated",
                       "dedupScope": "all", "windowS": 60.0});
     watch.publishes(document("fleet", 1, &json!({"lanes": lanes})));
     parent.wait_version("fleet", 1);
-    let_go.store(true, Ordering::Relaxed);
-    assert_eq!(caller.answer().expect("an answer").status(), 502);
+    released.store(true, Ordering::Relaxed);
+    assert_eq!(client.answer().expect("an answer").status(), 502);
     assert_eq!(runs(), 1);
     // Under the rules of now it is tried at the other one, and refused once that broke too.
-    assert_eq!(caller.ask("order", "one").status(), 503);
+    assert_eq!(client.ask("order", "one").status(), 503);
     assert_eq!(runs(), 3);
 }
 
@@ -153,8 +153,8 @@
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window() {
     let window = Duration::from_millis(300);
-    let let_go = Arc::new(AtomicBool::new(false));
-    let upstreams = [breaking(window, &let_go), breaking(window, &let_go)];
+    let released = Arc::new(AtomicBool::new(false));
+    let upstreams = [breaking(window, &released), breaking(window, &released)];
     let (balancer, _discovery, parent, watch) = under_parent(&[&upstreams[0], &upstreams[1]]);
     let runs = || upstreams.iter().map(|upstream| upstream.count_of("one")).sum::<usize>();
     let windowed = |seconds: f64| {
@@ -164,28 +164,28 @@
     };
     watch.publishes(document("fleet", 1, &windowed(window.as_secs_f64())));
     parent.wait_version("fleet", 1);
-    let mut caller = balancer.caller();
-    caller.send("pay", "one");
+    let mut client = balancer.caller();
+    client.send("pay", "one");
     wait_for("it runs", || (runs() == 1).then_some(()));
     watch.publishes(document("fleet", 2, &windowed(60.0)));
     parent.wait_version("fleet", 2);
-    let_go.store(true, Ordering::Relaxed);
-    assert_eq!(caller.answer().expect("an answer").status(), 502);
+    released.store(true, Ordering::Relaxed);
+    assert_eq!(client.answer().expect("an answer").status(), 502);
     assert_eq!(runs(), 1);
-    assert_eq!(caller.ask("pay", "one").status(), 502);
+    assert_eq!(client.ask("pay", "one").status(), 502);
     assert_eq!(runs(), 3, "tried at the other one within the window of now");
 }
 
-/// Guards what serves: a document with faults changes nothing and is told with its faults, the last good one stays, and
+/// Guards what serves: a document with faults changes nothing and is reported with its faults, the last good one stays, and
 /// documents of other scopes go on coming into force.
 #[test]
 fn a_bad_document_leaves_the_last_good_one() {
     let upstream = echo();
     let (balancer, _discovery, parent, watch) = under_parent(&[&upstream]);
-    let mut caller = balancer.caller();
+    let mut client = balancer.caller();
     watch.publishes(document("fleet", 1, &json!({"lanes": lanes(30.0, &[extra("good")])})));
     parent.wait_version("fleet", 1);
-    assert_eq!(caller.ask("good", "one").body, b"one");
+    assert_eq!(client.ask("good", "one").body, b"one");
     let mut lanes = lanes(30.0, &[extra("worse")]);
     lanes[0]["onTimeS"] = json!(-1);
     lanes[3]["effect"] = json!("none");
@@ -196,7 +196,7 @@
     assert_eq!(report["refused"]["scope"], "fleet");
     assert_eq!(report["refused"]["version"], 2);
     assert_eq!(report["versions"], json!({"fleet": 1, "region/north": 0, "service/api": 0}));
-    assert_eq!(caller.ask("good", "two").body, b"two");
+    assert_eq!(client.ask("good", "two").body, b"two");
     // One that is no JSON of settings, and one that is sound: each by itself.
     watch.publishes(document("region/north", 3, &json!({"zone": "south"})));
     let report = parent.wait_report("the third", |report| report["refused"]["version"] == 3);
@@ -204,15 +204,15 @@
     watch.publishes(document("service/api", 4, &json!({"projects": [{"name": "acme"}, {"name": "new"}]})));
     let report = parent.wait_version("service/api", 4);
     assert_eq!(report["versions"], json!({"fleet": 1, "region/north": 0, "service/api": 4}));
-    assert_eq!(report["refused"]["version"], 3, "still told");
+    assert_eq!(report["refused"]["version"], 3, "still reported");
     watch.publishes(document("fleet", 5, &json!({"lanes": self::lanes(30.0, &[extra("better")])})));
     watch.publishes(document("region/north", 6, &json!({"overShareWorth": 0.2})));
     let report = parent.wait_version("region/north", 6);
     assert_eq!(report["versions"], json!({"fleet": 5, "region/north": 6, "service/api": 4}));
     assert_eq!(report.get("refused"), None);
-    assert_eq!(caller.ask("better", "three").body, b"three");
+    assert_eq!(client.ask("better", "three").body, b"three");
     // The class that went is unknown; the connection ends with that answer.
-    assert_eq!(caller.ask("good", "four").status(), 400);
+    assert_eq!(client.ask("good", "four").status(), 400);
 }
 
 /// Guards against an order of arrival that decides: of two documents that cross, the narrower goes before the wider,
@@ -250,7 +250,7 @@
     assert_eq!(balancer.caller().ask("order", "one").body, b"one");
 }
 
-/// Guards a new process against settings that may be old: it is not sent to before the first word, if that comes soon.
+/// Guards a new process against settings that may be old: it is not sent to before the first state, if that comes soon.
 /// And against a parent that answers and never speaks, which holds up neither that nor a change: the next is asked.
 #[test]
 fn a_parent_that_never_speaks_is_left() {
@@ -265,7 +265,7 @@
     let in_time = || started.elapsed() < Duration::from_millis(500);
     assert!(balancer.health() == 503 || !in_time());
     wait_for("it can serve", || (balancer.health() == 200).then_some(()));
-    assert!(!in_time(), "before the first word");
+    assert!(!in_time(), "before the first state");
     // Whichever was asked first says nothing; the other one is asked, and then speaks.
     let first = wait_for("a first watch", || {
         silent.try_watch().map(|_| &other).or(other.try_watch().map(|_| &silent))
@@ -276,7 +276,7 @@
     assert_eq!(balancer.caller().ask("late", "one").body, b"one");
 }
 
-/// Guards the front: the first word that comes in time counts from the first request on.
+/// Guards the front: the first state that comes in time counts from the first request on.
 #[test]
 fn the_first_word_is_waited_for() {
     let upstream = echo();
@@ -329,7 +329,7 @@
             wait_line(&mut log, "discovery is at");
         }
     }
-    // A word on the watch of before does not keep the move from happening.
+    // A line on the watch of before does not keep the move from happening.
     old.try_bytes(b"\n");
     let (line, _new) = elsewhere.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
@@ -342,10 +342,10 @@
 /// Guards the end of a balancer: SIGTERM amid changes drains as ever, and what is in flight gets its answer.
 #[test]
 fn a_drain_amid_changes_loses_nothing() {
-    let let_go = Arc::new(AtomicBool::new(false));
-    let gate = Arc::clone(&let_go);
+    let released = Arc::new(AtomicBool::new(false));
+    let gate = Arc::clone(&released);
     let upstream = Upstream::start(move |_, message| {
-        wait_for("it is let go", || gate.load(Ordering::Relaxed).then_some(()));
+        wait_for("it is released", || gate.load(Ordering::Relaxed).then_some(()));
         ok(&String::from_utf8_lossy(&message.body))
     });
     let parent = Parent::start();
@@ -353,8 +353,8 @@
     let (_, watch) = parent.watch();
     watch.holds(1, vec![document("fleet", 1, &json!({"overShareWorth": 0.3}))]);
     parent.wait_version("fleet", 1);
-    let mut caller = Caller::connect(address);
-    caller.send("order", "one");
+    let mut client = Caller::connect(address);
+    client.send("order", "one");
     upstream.wait_requests(1);
     for version in 2..40 {
         // Its class goes, and comes back.
@@ -367,9 +367,9 @@
             wait_line(&mut log, "into the drain");
         }
     }
-    let_go.store(true, Ordering::Relaxed);
-    assert_eq!(caller.answer().expect("an answer").body, b"one");
-    drop(caller);
+    released.store(true, Ordering::Relaxed);
+    assert_eq!(client.answer().expect("an answer").body, b"one");
+    drop(client);
     assert!(child.wait().expect("ends").success());
     assert_eq!(upstream.count_of("one"), 1);
 }
