--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -15,6 +15,7 @@
 use super::log::log;
 use super::server::{Change, Limits, ResponseBody, Server, Source, error_response, json_response};
 use crate::document::Scope;
+use crate::fault::Fault;
 use crate::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record, RestoreError};
 use crate::state::State;
 use crate::store::{Found, Outcome, Store, StoreError};
@@ -24,8 +25,8 @@
 /// Records that are deleted with one write at most, so that none takes long.
 const MAX_DELETED: usize = 64;
 
-/// Tells the faults of a document whose form is sound.
-pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<String>>;
+/// Returns the faults of a document whose form is sound.
+pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<Fault>>;
 
 /// Why an origin cannot begin.
 #[derive(Debug, Error)]
@@ -66,7 +67,7 @@
         log(format_args!("origin at index {}", origin.state().index()));
         let source = OriginSource {
             origin: RefCell::new(origin),
-            max_body_bytes: bounds.body_most,
+            max_body_bytes: bounds.max_body_bytes,
             store: Arc::new(Mutex::new(store)),
             turn: tokio::sync::Mutex::new(()),
             queue: Semaphore::new(MAX_QUEUED),
@@ -147,6 +148,7 @@
     fn response(&self) -> Response<ResponseBody> {
         match self {
             Self::Rejected(PublishError::Faults(faults)) => {
+                let faults: Vec<String> = faults.iter().map(Fault::to_string).collect();
                 json_response(self.status(), &json!({ "faults": faults }))
             }
             Self::Rejected(error @ PublishError::Conflict { have }) => {
@@ -196,7 +198,9 @@
             }
             Outcome::NotWritten(error) => {
                 let mut origin = self.origin.borrow_mut();
-                indexes.iter().for_each(|&index| origin.not_written(index));
+                for &index in &indexes {
+                    origin.not_written(index);
+                }
                 log(format_args!("{indexes:?} not written: {error}"));
                 Err(WriteError::NotWritten(error))
             }
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -5,19 +5,29 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+use balancer_settings::Found;
 use config_distribution::document::{Document, Scope};
+use config_distribution::fault::Fault;
 use config_distribution::origin::{
-    Accepted, Bounds, INDEX_MOST, Origin, Publication, PublishError, Record, RestoreError,
+    Accepted, Bounds, MAX_INDEX, Origin, Publication, PublishError, Record, RestoreError,
 };
 use config_distribution::state::{Refusal, State, Wanted};
 use core_common::{body, live, scope};
 use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
+use proptest::test_runner::{RngSeed, TestCaseError};
 
-fn sound(_: &Scope, _: &str) -> Vec<String> {
+fn sound(_: &Scope, _: &str) -> Vec<Fault> {
     Vec::new()
 }
 
+/// The one fault that a check finds in every document, and its text.
+const FAULT_TEXT: &str = "settings.caps: expected an object, found 7";
+
+fn faulty(_: &Scope, _: &str) -> Vec<Fault> {
+    let (path, expected) = ("settings.caps".to_owned(), "an object".to_owned());
+    vec![Fault::Settings(balancer_settings::Fault { path, expected, found: Found::Value("7".to_owned()) })]
+}
+
 fn publication(text: &str, number: u64, request: &str) -> Publication {
     Publication { scope: scope(text), body: Some(body(number)), request: request.into(), if_version: None }
 }
@@ -92,8 +102,7 @@
     records.push(write(&mut origin, publication("service/api", 4, "d")));
     // Also after a restart, also where the condition no longer holds, and without being checked again.
     for mut origin in [restored(&records), origin] {
-        let check = |_: &Scope, _: &str| vec!["changed its mind".into()];
-        assert_eq!(origin.publish(condition.clone(), check), Ok(Accepted::Known(2)));
+        assert_eq!(origin.publish(condition.clone(), faulty), Ok(Accepted::Known(2)));
         assert_eq!(origin.publish(withdrawal("fleet", "c"), sound), Ok(Accepted::Known(3)));
         assert_eq!(origin.state().index(), 4);
         assert_eq!(origin.publish(publication("service/api", 5, "d"), sound), Err(PublishError::Reused));
@@ -122,9 +131,10 @@
 #[test]
 fn every_fault_is_told_and_nothing_remains_of_it() {
     let mut origin = restored(&[]);
-    let faulty = |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
-    let mut faults = |text: &str| match origin.publish(faulty(text), |_, _| vec!["of the check".into()]) {
-        Err(PublishError::Faults(faults)) => faults,
+    let with_body =
+        |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
+    let mut faults = |text: &str| match origin.publish(with_body(text), faulty) {
+        Err(PublishError::Faults(faults)) => faults.iter().map(Fault::to_string).collect::<Vec<_>>(),
         other => panic!("{other:?}"),
     };
     assert_eq!(faults("[]"), ["service/api: expected an object"]);
@@ -134,7 +144,7 @@
     let several = faults("{\"more\":1,\"settings\":{\"zone\":\"a\",\"caps\":{},\"me\":1}}");
     assert_eq!(several.len(), 3, "{several:?}");
     assert!(several.iter().any(|fault| fault.starts_with("service/api: settings.zone: ")));
-    assert_eq!(faults("{\"settings\":{}}"), ["of the check"]);
+    assert_eq!(faults("{\"settings\":{}}"), [FAULT_TEXT]);
     for request in ["", &"x".repeat(129)] {
         let refused = origin.publish(publication("fleet", 1, request), sound);
         assert!(matches!(refused, Err(PublishError::Faults(_))));
@@ -146,7 +156,7 @@
 
 #[test]
 fn everything_has_its_bound() {
-    let bounds = Bounds { body_most: 100, scopes_most: 3, requests_most: 2, total_most: 150 };
+    let bounds = Bounds { max_body_bytes: 100, max_documents: 3, max_request_ids: 2, max_total_bytes: 150 };
     let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
     let sized = |text: &str, bytes: usize, request: &str| Publication {
         body: Some(format!("{{\"settings\":{{{}}}}}", " ".repeat(bytes - 15)).into()),
@@ -181,7 +191,7 @@
     let line = serde_json::to_string(&origin.state().since(0, &Wanted::All)).expect("JSON");
     assert!(!line.contains('\n'));
     let mut reader = State::default();
-    reader.take(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
+    reader.apply(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
     assert_eq!(reader.get(&Scope::Fleet), Some(&record.document));
     let kept: Record =
         serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a record");
@@ -207,13 +217,13 @@
     assert_eq!(refused(vec![record(u64::MAX)]), RestoreError::TooHigh { index: u64::MAX });
     let lifted = Origin::restore(Bounds::default(), [], u64::MAX).map(|_| ()).unwrap_err();
     assert_eq!(lifted, RestoreError::TooHigh { index: u64::MAX });
-    assert!(Origin::restore(Bounds::default(), [], INDEX_MOST).is_ok());
+    assert!(Origin::restore(Bounds::default(), [], MAX_INDEX).is_ok());
 }
 
 /// A reader that has followed an origin to the end.
 fn reader(of: &Origin) -> State {
     let mut state = State::default();
-    state.take(of.state().since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
+    state.apply(of.state().since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
     state
 }
 
@@ -233,7 +243,7 @@
     let older = restored(&records);
     let mut refuses = child.clone();
     let told = older.state().since(child.index(), &Wanted::All).expect("told");
-    assert_eq!(refuses.take(told, &Wanted::All), Err(Refusal::Older { index: 2, have: 5 }));
+    assert_eq!(refuses.apply(told, &Wanted::All), Err(Refusal::Older { index: 2, have: 5 }));
     assert_eq!(refuses, child, "it keeps what it has");
 
     let mut lifted = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
@@ -254,7 +264,7 @@
     let behind = reader(&older);
     for mut child in [child, behind, State::default()] {
         let told = lifted.state().since(child.index(), &Wanted::All).expect("told");
-        child.take(told, &Wanted::All).expect("taken");
+        child.apply(told, &Wanted::All).expect("taken");
         assert_eq!(live(&child, &Wanted::All), live(lifted.state(), &Wanted::All));
         assert_eq!(child.get(&Scope::Fleet).map(|document| Arc::clone(&document.body)), Some(body(1)));
         assert_eq!(child.get(&scope("service/new")), None);
@@ -308,6 +318,132 @@
 
 const REQUESTS_MOST: usize = 5;
 
+/// An origin with its disk, and what a publisher has been answered.
+struct Played {
+    origin: Origin,
+    disk: BTreeMap<u64, Record>,
+    pending: Option<(Publication, Record)>,
+    acknowledged: Vec<(Publication, u64)>,
+    /// What readers have seen.
+    states: Vec<State>,
+    asked: usize,
+}
+
+impl Played {
+    fn new() -> Self {
+        Self {
+            origin: Self::restored([]),
+            disk: BTreeMap::new(),
+            pending: None,
+            acknowledged: Vec::new(),
+            states: vec![State::default()],
+            asked: 0,
+        }
+    }
+
+    fn restored(records: impl IntoIterator<Item = Record>) -> Origin {
+        let bounds = Bounds { max_request_ids: REQUESTS_MOST, ..Bounds::default() };
+        Origin::restore(bounds, records, 0).expect("its own records")
+    }
+
+    fn play(&mut self, play: Play) -> Result<(), TestCaseError> {
+        match play {
+            Play::Publish { text, number, condition } => self.publish(text, number, condition),
+            Play::Written => {
+                self.written();
+                Ok(())
+            }
+            Play::NotWritten => self.not_written(),
+            Play::Again(back) => self.repeat(back),
+            Play::Restart { has } => self.restart(has),
+            Play::Clean => {
+                self.disk.retain(|index, _| self.origin.needs(*index));
+                Ok(())
+            }
+        }
+    }
+
+    fn publish(&mut self, text: &str, number: Option<u64>, condition: bool) -> Result<(), TestCaseError> {
+        let before = self.origin.state().clone();
+        self.asked += 1;
+        let have = before.get(&scope(text)).map_or(0, |document| document.version);
+        let publication = Publication {
+            scope: scope(text),
+            body: number.map(body),
+            request: format!("request {}", self.asked).into(),
+            if_version: condition.then_some(have),
+        };
+        match self.origin.publish(publication.clone(), sound) {
+            Ok(Accepted::Write(record)) => {
+                prop_assert!(self.pending.is_none());
+                prop_assert_eq!(record.index, before.index() + 1);
+                self.pending = Some((publication, record));
+            }
+            Err(PublishError::Busy) => prop_assert!(self.pending.is_some()),
+            Err(PublishError::Faults(_)) => prop_assert!(number.is_none() && have == 0),
+            other => prop_assert!(false, "{other:?}"),
+        }
+        prop_assert_eq!(self.origin.state(), &before);
+        Ok(())
+    }
+
+    fn written(&mut self) {
+        let Some((publication, record)) = self.pending.take() else { return };
+        self.origin.written(record.index);
+        self.acknowledged.push((publication, record.index));
+        self.disk.insert(record.index, record);
+        self.states.push(self.origin.state().clone());
+    }
+
+    fn not_written(&mut self) -> Result<(), TestCaseError> {
+        let Some((_, record)) = self.pending.take() else { return Ok(()) };
+        let before = self.origin.state().clone();
+        self.origin.not_written(record.index);
+        prop_assert_eq!(self.origin.state(), &before);
+        Ok(())
+    }
+
+    /// One of the last publications again.
+    fn repeat(&mut self, back: usize) -> Result<(), TestCaseError> {
+        let Some((publication, index)) = self.acknowledged.iter().rev().nth(back) else { return Ok(()) };
+        let known = self.origin.publish(publication.clone(), sound);
+        prop_assert_eq!(known, Ok(Accepted::Known(*index)));
+        Ok(())
+    }
+
+    fn restart(&mut self, has: bool) -> Result<(), TestCaseError> {
+        let before = self.origin.state().index();
+        if let Some((publication, record)) = self.pending.take()
+            && has
+        {
+            // It was not acknowledged, and stands all the same.
+            self.acknowledged.push((publication, record.index));
+            self.disk.insert(record.index, record);
+        }
+        self.origin = Self::restored(self.disk.values().rev().cloned());
+        if self.origin.state().index() > before {
+            self.states.push(self.origin.state().clone());
+        }
+        prop_assert!(self.origin.state().index() >= before);
+        Ok(())
+    }
+
+    /// The index is that of the last change acknowledged, and readers that stood anywhere come to what stands.
+    fn check(&self) -> Result<(), TestCaseError> {
+        let state = self.origin.state();
+        prop_assert_eq!(state.index(), self.acknowledged.last().map_or(0, |(_, index)| *index));
+        prop_assert!(self.disk.len() <= self.acknowledged.len());
+        for before in &self.states {
+            let mut reader = before.clone();
+            if let Some(update) = state.since(before.index(), &Wanted::All) {
+                reader.apply(update, &Wanted::All).expect("taken");
+            }
+            prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
+        }
+        Ok(())
+    }
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::default() })]
 
@@ -315,79 +451,10 @@
     /// and readers that stood anywhere come to what stands.
     #[test]
     fn what_is_acknowledged_stays(plays in proptest::collection::vec(play(), 1..120)) {
-        let bounds = Bounds { requests_most: REQUESTS_MOST, ..Bounds::default() };
-        let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
-        let mut disk: BTreeMap<u64, Record> = BTreeMap::new();
-        let mut pending: Option<(Publication, Record)> = None;
-        let mut acknowledged: Vec<(Publication, u64)> = Vec::new();
-        let mut states = vec![State::default()];
-        let mut asked = 0;
+        let mut played = Played::new();
         for play in plays {
-            let before = origin.state().clone();
-            match play {
-                Play::Publish { text, number, condition } => {
-                    asked += 1;
-                    let have = before.get(&scope(text)).map_or(0, |document| document.version);
-                    let publication = Publication {
-                        scope: scope(text),
-                        body: number.map(body),
-                        request: format!("request {asked}").into(),
-                        if_version: condition.then_some(have),
-                    };
-                    match origin.publish(publication.clone(), sound) {
-                        Ok(Accepted::Write(record)) => {
-                            prop_assert!(pending.is_none());
-                            prop_assert_eq!(record.index, before.index() + 1);
-                            pending = Some((publication, record));
-                        }
-                        Err(PublishError::Busy) => prop_assert!(pending.is_some()),
-                        Err(PublishError::Faults(_)) => prop_assert!(number.is_none() && have == 0),
-                        other => prop_assert!(false, "{other:?}"),
-                    }
-                    prop_assert_eq!(origin.state(), &before);
-                }
-                Play::Written => {
-                    let Some((publication, record)) = pending.take() else { continue };
-                    origin.written(record.index);
-                    acknowledged.push((publication, record.index));
-                    disk.insert(record.index, record);
-                    states.push(origin.state().clone());
-                }
-                Play::NotWritten => {
-                    let Some((_, record)) = pending.take() else { continue };
-                    origin.not_written(record.index);
-                    prop_assert_eq!(origin.state(), &before);
-                }
-                Play::Again(back) => {
-                    let Some((publication, index)) = acknowledged.iter().rev().nth(back) else { continue };
-                    let known = origin.publish(publication.clone(), sound);
-                    prop_assert_eq!(known, Ok(Accepted::Known(*index)));
-                }
-                Play::Restart { has } => {
-                    if let Some((publication, record)) = pending.take() && has {
-                        // It was not acknowledged, and stands all the same.
-                        acknowledged.push((publication, record.index));
-                        disk.insert(record.index, record);
-                    }
-                    let records: Vec<Record> = disk.values().rev().cloned().collect();
-                    origin = Origin::restore(bounds, records, 0).expect("its own records");
-                    if origin.state().index() > before.index() {
-                        states.push(origin.state().clone());
-                    }
-                    prop_assert!(origin.state().index() >= before.index());
-                }
-                Play::Clean => disk.retain(|index, _| origin.needs(*index)),
-            }
-            let state = origin.state();
-            prop_assert_eq!(state.index(), acknowledged.last().map_or(0, |(_, index)| *index));
-            prop_assert!(disk.len() <= acknowledged.len());
-            for before in &states {
-                let mut reader = before.clone();
-                if let Some(update) = state.since(before.index(), &Wanted::All) {
-                    reader.take(update, &Wanted::All).expect("taken");
-                }
-                prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
-            }
+            played.play(play)?;
+            played.check()?;
         }
     }
 }
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -13,8 +13,8 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-use crate::configuration::Offered;
 use crate::event_loop::{AcceptedRequest, EventLoop};
+use crate::reconfiguration::Offered;
 use crate::socket::WeakSocket;
 use crate::upstream::{BODY_MOST, Call};
 
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -22,10 +22,10 @@
 use tokio::time::{Instant, sleep};
 
 use crate::config::Config;
-use crate::configuration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
 use crate::pool::{Pool, PoolStats};
+use crate::reconfiguration::{self, Offered, Reconfigurable, ReconfigureError};
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
 
@@ -141,7 +141,7 @@
         spawn_local(Rc::clone(&event_loop).log_stats_periodically());
         if let Some(distribution) = config.distribution {
             let pool = Rc::clone(&event_loop.pool);
-            configuration::follow(Rc::clone(&event_loop), pool, &config.name, config.seed, distribution);
+            reconfiguration::follow(Rc::clone(&event_loop), pool, &config.name, config.seed, distribution);
         }
         Ok(event_loop)
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -10,7 +10,7 @@
 //! | --- | --- |
 //! | [`config`] | the configuration file and the environment, as plain data |
 //! | [`discovery`] | the form of endpoint lists, and the watch on discovery |
-//! | [`configuration`] | following the distribution of settings |
+//! | [`reconfiguration`] | following the distribution of settings |
 //! | [`offered`] | the classes and tenants that requests may name |
 //! | [`request_table`] | requests in flight with their attempts |
 //! | [`endpoint_table`] | endpoints: numbers, addresses, readiness, drains |
@@ -22,12 +22,12 @@
 //! | [`downstream`] | clients' connections and requests, and graceful shutdown |
 //!
 //! Dependencies point one way. Discovery, configuration and attempts reach the event loop through traits of their own,
-//! [`discovery::WatchObserver`], [`configuration::Reconfigurable`] and [`upstream::AttemptContext`]:
+//! [`discovery::WatchObserver`], [`reconfiguration::Reconfigurable`] and [`upstream::AttemptContext`]:
 //!
 //! ```text
-//! downstream -----> event_loop, config, configuration, upstream, socket
-//! event_loop -----> config, configuration, discovery, endpoint_table, request_table, telemetry, upstream
-//! configuration --> config, offered, upstream
+//! downstream -----> event_loop, config, reconfiguration, upstream, socket
+//! event_loop -----> config, reconfiguration, discovery, endpoint_table, request_table, telemetry, upstream
+//! reconfiguration -> config, offered, upstream
 //! config ---------> clock, discovery
 //! endpoint_table -> clock, discovery
 //! discovery ------> upstream
@@ -39,12 +39,12 @@
 
 pub mod clock;
 pub mod config;
-pub mod configuration;
 pub mod discovery;
 pub mod downstream;
 pub mod endpoint_table;
 pub mod event_loop;
 pub mod offered;
+pub mod reconfiguration;
 pub mod request_table;
 pub mod socket;
 pub mod telemetry;
