--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -10,7 +10,7 @@
 /// How long the first whole line of a call may take, from the call on.
 pub const FIRST_LINE: Duration = Duration::from_secs(2);
 /// How long each next one may take; a parent's heartbeat comes every [`HEARTBEAT_EVERY`].
-pub const SILENCE: Duration = Duration::from_millis(3200);
+pub const PARENT_SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
 /// How often a parent that has nothing to send sends a heartbeat, an empty line.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_secs(2);
 /// The wait before the next parent is drawn up to this after a watch that stood, and up to twice as much after each
@@ -157,7 +157,7 @@
     #[must_use]
     pub fn stale_s(&self, now: Duration) -> u64 {
         let stale = self.fresh.map_or(Duration::ZERO, |fresh| now.saturating_sub(fresh));
-        if stale > SILENCE { stale.as_secs() } else { 0 }
+        if stale > PARENT_SILENCE_TIMEOUT { stale.as_secs() } else { 0 }
     }
 
     fn draw(&mut self, most: Duration) -> Duration {
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -24,7 +24,7 @@
 use super::server::LEVEL;
 use super::watch::{WatchError, WatchRequest, follow_checked};
 use crate::document::{Scope, Update};
-use crate::parents::{FIRST_LINE, Parents, SILENCE, Step, Verdict, may_serve};
+use crate::parents::{FIRST_LINE, PARENT_SILENCE_TIMEOUT, Parents, Step, Verdict, may_serve};
 use crate::report::{InForce, REPORT_EVERY};
 use crate::state::{Refusal, State, Wanted};
 
@@ -133,7 +133,7 @@
             host: address.to_string(),
             path: format!("/configuration?follow=1&since={since}&scopes={scopes}&name={name}"),
             first_by,
-            silence: SILENCE,
+            silence: PARENT_SILENCE_TIMEOUT,
             max_line_bytes: self.max_line_bytes,
         };
         let Err(error) = self.watch(stream, request, address, accept).await;
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use config_distribution::document::{Scope, Update};
-use config_distribution::parents::{FIRST_LINE, SILENCE, Step, Verdict, may_serve};
+use config_distribution::parents::{FIRST_LINE, PARENT_SILENCE_TIMEOUT, Step, Verdict, may_serve};
 use config_distribution::report::InForce;
 use config_distribution::state::Wanted;
 
@@ -156,7 +156,7 @@
                 }
             }
         }
-        self.nodes[node].deadline = now + SILENCE + self.nodes[node].slow;
+        self.nodes[node].deadline = now + PARENT_SILENCE_TIMEOUT + self.nodes[node].slow;
         self.send(node, parent, watch, Event::Taken(watch));
         if self.nodes[node].parents.line(now, stale_s) == Verdict::Leave {
             self.watch_ended(node, true);
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use config_distribution::parents::{FIRST_LINE, MAX_WAIT, SILENCE, STALE_GRACE};
+use config_distribution::parents::{FIRST_LINE, MAX_WAIT, PARENT_SILENCE_TIMEOUT, STALE_GRACE};
 use config_distribution::report::{REPORT_EVERY, SILENT_AFTER};
 use config_distribution::state::{Refusal, Wanted};
 use core_common::network::{Act, Network, ORIGIN, REGIONS, ZONES, balancer, region_relay, zone_relay};
@@ -478,7 +478,10 @@
     // The relay of a zone hears from its other parent after a silence and a wait, and is silent itself just then; the
     // balancer has a silence, and a wait before each of its two others, of which the first says nothing.
     let delays = 6 * ms(80);
-    assert!((SILENCE + MAX_WAIT) + (SILENCE + 2 * MAX_WAIT + FIRST_LINE) + delays < WITHIN);
+    assert!(
+        (PARENT_SILENCE_TIMEOUT + MAX_WAIT) + (PARENT_SILENCE_TIMEOUT + 2 * MAX_WAIT + FIRST_LINE) + delays
+            < WITHIN
+    );
     for churn in [false, true] {
         let mut worst = (Duration::ZERO, 0);
         let mut all = Vec::new();
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use config_distribution::parents::{
-    HEARTBEAT_EVERY, MAX_WAIT, Parents, SILENCE, STALE, STALE_GRACE, Step, Verdict, WAIT_FIRST, may_serve,
+    HEARTBEAT_EVERY, MAX_WAIT, PARENT_SILENCE_TIMEOUT, Parents, STALE, STALE_GRACE, Step, Verdict,
+    WAIT_FIRST, may_serve,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -187,7 +188,7 @@
     let (mut parents, mut now) = (Parents::new(1, 1), START);
     assert_eq!(parents.stale_s(now), 0);
     follow(&mut parents, &mut now);
-    assert_eq!(parents.stale_s(now + SILENCE), 0);
+    assert_eq!(parents.stale_s(now + PARENT_SILENCE_TIMEOUT), 0);
     assert_eq!(parents.stale_s(now + ms(7999)), 7, "nothing was ever heard");
     parents.line(now, 0);
     now += HEARTBEAT_EVERY;
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -14,7 +14,7 @@
 use crate::pool::Pool;
 
 /// A watch sends a line every 2 s, if an empty one; silent for well over that, it is dead.
-const SILENCE: Duration = Duration::from_millis(3200);
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
 /// Bytes of one line at most, so that a broken discovery cannot fill the memory.
 const MAX_LINE_BYTES: usize = 8 << 20;
 
@@ -66,7 +66,7 @@
         host: address.to_string(),
         path: format!("/catalog/members?follow=1&since={since}"),
         first_by,
-        silence: SILENCE,
+        silence: SILENCE_TIMEOUT,
         max_line_bytes: MAX_LINE_BYTES,
     };
     Ok(watch::follow(stream, request, line).await?)
