--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -4,16 +4,13 @@
 
 use std::cell::{Cell, RefCell};
 use std::io;
-use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc;
-use std::thread::{self, JoinHandle};
+use std::thread;
 use std::time::{Duration, Instant};
 
-use balancer_proxy::config::Config;
-use balancer_proxy::server::{self, Accept, AcceptFailure};
+use balancer_proxy::server::{Accept, AcceptFailure};
 use common::*;
 use tokio::net::TcpStream;
-use tokio::sync::oneshot;
 
 /// A listener on which the accept of every third connection fails; the connection stays for the next one.
 struct Failing {
@@ -39,9 +36,9 @@
     }
 }
 
-/// A balancer behind such a listener; it drains once the sender is dropped.
-fn start_failing(errno: i32, configuration: &str) -> (SocketAddr, oneshot::Sender<()>, JoinHandle<()>) {
-    start_on(configuration, move |listener| Failing {
+/// A balancer behind such a listener.
+fn start_failing(errno: i32, configuration: &str) -> Balancer {
+    Balancer::start_on(parsed(configuration), move |listener| Failing {
         listener,
         errno,
         accepted: Cell::default(),
@@ -49,30 +46,6 @@
     })
 }
 
-/// The same behind any listener that is made of a real one.
-fn start_on<A: Accept>(
-    configuration: &str,
-    listens: impl FnOnce(tokio::net::TcpListener) -> A + Send + 'static,
-) -> (SocketAddr, oneshot::Sender<()>, JoinHandle<()>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    listener.set_nonblocking(true).expect("set");
-    let address = listener.local_addr().expect("bound");
-    let config = Config::parse(configuration, |_| None).expect("a sound configuration");
-    let (stop, stopped) = oneshot::channel();
-    let thread = thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-        let served = tokio::task::LocalSet::new().block_on(&runtime, async {
-            let listener = tokio::net::TcpListener::from_std(listener)?;
-            let stop = async {
-                let _ = stopped.await;
-            };
-            server::serve_on(listens(listener), config, stop).await
-        });
-        served.expect("serves");
-    });
-    (address, stop, thread)
-}
-
 /// Errors that say nothing about connections which are already up, one of each kind.
 const ERRORS: [i32; 7] = [
     libc::ECONNABORTED,
@@ -130,10 +103,10 @@
         for errno in ERRORS {
             let text = configuration(discovery.address, &known, 30.0, 1024);
             scope.spawn(move || {
-                let (address, stop, thread) = start_failing(errno, &text);
+                let balancer = start_failing(errno, &text);
                 let mut kept: Vec<Caller> = Vec::new();
                 for number in 0..60 {
-                    let mut caller = Caller::connect(address);
+                    let mut caller = balancer.caller();
                     let answer = caller.try_ask("order", "one").map(|answer| answer.status());
                     assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
                     kept.push(caller);
@@ -141,8 +114,7 @@
                 let again = kept.iter_mut().map(|caller| caller.try_ask("order", "again"));
                 let closed = again.filter(Option::is_none).count();
                 assert_eq!(closed, 0, "errno {errno}: connections closed");
-                drop((kept, stop));
-                thread.join().expect("no panic");
+                drop(kept);
             });
         }
     });
@@ -159,17 +131,17 @@
         for errno in ERRORS {
             let text = configuration(discovery.address, &known, 30.0, 1024);
             scope.spawn(move || {
-                let (address, stop, thread) = start_failing(errno, &text);
-                let mut kept: Vec<Caller> = (0..12).map(|_| Caller::connect(address)).collect();
+                let mut balancer = start_failing(errno, &text);
+                let mut kept: Vec<Caller> = (0..12).map(|_| balancer.caller()).collect();
                 let mut told = vec![false; kept.len()];
                 for caller in &mut kept {
                     assert_eq!(caller.ask("order", "one").status(), 200);
                 }
-                drop(stop);
+                balancer.stop();
                 let began = Instant::now();
                 // The front goes on dealing for so long.
                 while began.elapsed() < Duration::from_millis(400) {
-                    let mut new = Caller::connect(address);
+                    let mut new = balancer.caller();
                     assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
                     for (caller, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
                         let answer = caller.try_ask("order", "still");
@@ -178,7 +150,6 @@
                     }
                 }
                 drop(kept);
-                thread.join().expect("no panic");
             });
         }
     });
@@ -205,10 +176,10 @@
 }
 
 /// Connects, and holds up the balancer as it accepts the connection until it is told to go on.
-fn connect_held(address: SocketAddr, hold: &mpsc::Sender<Turn>) -> (Caller, mpsc::Sender<()>) {
+fn connect_held(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Caller, mpsc::Sender<()>) {
     let ((held, is_held), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
     hold.send((held, goes_on)).expect("the balancer serves");
-    let caller = Caller::connect(address);
+    let caller = balancer.caller();
     is_held.recv().expect("the balancer is held up");
     (caller, go_on)
 }
@@ -221,12 +192,11 @@
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let text = configuration(discovery.address, &known, 30.0, 48);
-    let mut threads = Vec::new();
+    let mut draining = Vec::new();
     for count in 20.. {
         let (hold, turns) = mpsc::channel();
-        let (address, stop, thread) = start_on(&text, move |listener| Holding { listener, turns });
-        threads.push(thread);
-        let mut callers: Vec<Caller> = (0..count).map(|_| Caller::connect(address)).collect();
+        let mut balancer = Balancer::start_on(parsed(&text), move |listener| Holding { listener, turns });
+        let mut callers: Vec<Caller> = (0..count).map(|_| balancer.caller()).collect();
         // On a busy machine one of too many may be closed before it has asked.
         let served = callers.iter_mut().all(|caller| caller.try_ask("order", "one").is_some());
         // It has rested for longest, and is the first to give way.
@@ -239,15 +209,14 @@
             break;
         }
         // One that brings nothing, so that the newest may be the first to meet a budget that is short.
-        let (_silent, go_on) = connect_held(address, &hold);
+        let (_silent, go_on) = connect_held(&balancer, &hold);
         go_on.send(()).expect("the balancer is held up");
-        let (_newest, go_on) = connect_held(address, &hold);
+        let (_newest, go_on) = connect_held(&balancer, &hold);
         oldest.raw(&order_with(b""));
         go_on.send(()).expect("the balancer is held up");
         assert!(oldest.answer().is_some(), "closed over a request, beside {count} connections");
-        drop(stop);
-    }
-    for thread in threads {
-        thread.join().expect("no panic");
+        // Its drain goes on beside the next number.
+        balancer.stop();
+        draining.push(balancer);
     }
 }
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/clock.rs
@@ -2,19 +2,15 @@
 
 mod common;
 
-use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
-use std::thread::{self, JoinHandle};
+use std::thread;
 use std::time::{Duration, Instant};
 
 use balancer_policy::interface::{EndpointId, Time};
 use balancer_proxy::clock::{PAST_STARTS_MOST, StartTimes, SystemClock, WallClock};
-use balancer_proxy::config::Config;
-use balancer_proxy::server;
 use common::*;
 use serde_json::{Value, json};
-use tokio::sync::oneshot;
 
 /// Unix time in milliseconds at which the tests begin.
 const BEGIN_MS: u64 = 1_700_000_000_000;
@@ -412,44 +408,11 @@
     }
 }
 
-/// A balancer whose wall clock the test sets; it drains when dropped.
-struct Shifted {
-    address: SocketAddr,
-    stop: Option<oneshot::Sender<()>>,
-    thread: Option<JoinHandle<()>>,
-}
-
-impl Shifted {
-    fn start(configuration: &str, ahead_ms: &Arc<AtomicI64>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        listener.set_nonblocking(true).expect("set");
-        let address = listener.local_addr().expect("bound");
-        let mut config = Config::parse(configuration, |_| None).expect("a sound configuration");
-        config.wall_clock = Box::new(Ahead(Arc::clone(ahead_ms)));
-        let (stop, stopped) = oneshot::channel();
-        let thread = thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-            let served = tokio::task::LocalSet::new().block_on(&runtime, async {
-                let listener = tokio::net::TcpListener::from_std(listener)?;
-                let stop = async {
-                    let _ = stopped.await;
-                };
-                server::serve_on(listener, config, stop).await
-            });
-            served.expect("serves");
-        });
-        Self { address, stop: Some(stop), thread: Some(thread) }
-    }
-}
-
-impl Drop for Shifted {
-    fn drop(&mut self) {
-        self.stop.take();
-        if let Some(thread) = self.thread.take() {
-            let ended = thread.join();
-            assert!(ended.is_ok() || thread::panicking(), "the balancer panicked");
-        }
-    }
+/// A balancer whose wall clock the test sets.
+fn start_with_clock(configuration: &str, ahead_ms: &Arc<AtomicI64>) -> Balancer {
+    let mut config = parsed(configuration);
+    config.wall_clock = Box::new(Ahead(Arc::clone(ahead_ms)));
+    Balancer::start_on(config, |listener| listener)
 }
 
 /// Upstreams of one sort, which are all listed with the same stamp.
@@ -479,7 +442,7 @@
 struct Joined {
     old: Group,
     new: Group,
-    balancer: Shifted,
+    balancer: Balancer,
     /// Goes on for as long as this is kept.
     _watch: Watch,
 }
@@ -497,10 +460,10 @@
         text["settings"]["rules"]["coldS"] = json!(cold_s);
         text["settings"]["rules"]["coldShare"] = json!(COLD_SHARE);
         let ahead_ms = Arc::new(AtomicI64::new(from_ms));
-        let balancer = Shifted::start(&text.to_string(), &ahead_ms);
+        let balancer = start_with_clock(&text.to_string(), &ahead_ms);
         let (_, watch) = discovery.watch();
         watch.says(8, true, &old.entries);
-        let mut caller = Caller::connect(balancer.address);
+        let mut caller = balancer.caller();
         let told = Instant::now();
         for _ in 0..20 {
             caller.ask("read", "");
@@ -522,7 +485,7 @@
     /// What the old and the new get of so many requests.
     fn parts(&self, requests: usize) -> (usize, usize) {
         let before = (self.old.requests(), self.new.requests());
-        let mut caller = Caller::connect(self.balancer.address);
+        let mut caller = self.balancer.caller();
         for _ in 0..requests {
             assert_eq!(caller.ask("read", "").status(), 200);
         }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use balancer_proxy::config::Config;
-use balancer_proxy::server;
+use balancer_proxy::server::{self, Accept};
 use config_distribution::document::{Document, Update};
 use serde_json::{Value, json};
 use socket2::{Domain, Socket, Type};
@@ -591,6 +591,11 @@
     configuration.replace(usual, &format!("\"dialTimeoutS\":{seconds:?}"))
 }
 
+/// The configuration that this text gives.
+pub fn parsed(configuration: &str) -> Config {
+    Config::parse(configuration, |_| None).expect("a sound configuration")
+}
+
 /// A balancer on a thread of its own; it drains when dropped.
 pub struct Balancer {
     pub address: SocketAddr,
@@ -599,20 +604,29 @@
 }
 
 impl Balancer {
+    /// Starts one with this configuration on a free port.
     pub fn start(configuration: &str) -> Self {
+        Self::start_on(parsed(configuration), |listener| listener)
+    }
+
+    /// The same on a listener that is made of a real one.
+    pub fn start_on<A: Accept>(
+        config: Config,
+        make_listener: impl FnOnce(tokio::net::TcpListener) -> A + Send + 'static,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         listener.set_nonblocking(true).expect("set");
         let address = listener.local_addr().expect("bound");
-        let config = Config::parse(configuration, |_| None).expect("a sound configuration");
         let (stop, stopped) = oneshot::channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
             let served = tokio::task::LocalSet::new().block_on(&runtime, async {
                 let listener = tokio::net::TcpListener::from_std(listener)?;
                 let stop = async {
+                    // The sender's end is the signal, sent or dropped.
                     let _ = stopped.await;
                 };
-                server::serve_on(listener, config, stop).await
+                server::serve_on(make_listener(listener), config, stop).await
             });
             served.expect("serves");
         });
@@ -636,6 +650,7 @@
         caller.answer().expect("an answer").status()
     }
 
+    /// Begins the drain, and does not wait for its end.
     pub fn stop(&mut self) {
         self.stop.take();
     }
