--- /dev/null
+++ b/crates/proxy/tests/common/client.rs
@@ -0,0 +1,61 @@
+//! Clients that write requests byte by byte and read what comes.
+
+use std::io::Write;
+use std::net::{SocketAddr, TcpStream};
+
+use super::{LONG, Message, read_message};
+
+/// The text of a request as callers write it.
+fn request(class: &str, body: &str) -> String {
+    let (method, key) = if class == "read" { ("GET", "") } else { ("POST", "Idempotency-Key: k-1\r\n") };
+    format!(
+        "{method} /{class}?k=7f HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: r-1\r\nX-Tenant: acme\r\n\
+         X-Deadline: 50\r\n{key}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+/// A caller's request with these bytes behind it.
+pub fn order_with(extra: &[u8]) -> Vec<u8> {
+    let head = "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\
+                Content-Length: 3\r\n\r\none";
+    [head.as_bytes(), extra].concat()
+}
+
+/// A caller's connection.
+pub struct Caller(pub TcpStream);
+
+impl Caller {
+    pub fn connect(address: SocketAddr) -> Self {
+        Self::new(TcpStream::connect(address).expect("accepted"))
+    }
+
+    pub fn new(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(LONG)).expect("set");
+        Self(stream)
+    }
+
+    /// Asks on a connection that may be closed by now.
+    pub fn try_ask(&mut self, class: &str, body: &str) -> Option<Message> {
+        self.0.write_all(request(class, body).as_bytes()).ok()?;
+        self.answer()
+    }
+
+    pub fn send(&mut self, class: &str, body: &str) {
+        self.raw(request(class, body).as_bytes());
+    }
+
+    pub fn raw(&mut self, bytes: &[u8]) {
+        self.0.write_all(bytes).expect("written");
+    }
+
+    /// The answer, if one comes before the connection ends.
+    pub fn answer(&mut self) -> Option<Message> {
+        read_message(&mut self.0)
+    }
+
+    pub fn ask(&mut self, class: &str, body: &str) -> Message {
+        self.send(class, body);
+        self.answer().expect("an answer")
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/common/message.rs
@@ -0,0 +1,63 @@
+//! HTTP messages as they come on a connection, and what else comes up to its end.
+
+use std::io::{ErrorKind, Read};
+use std::net::TcpStream;
+
+use super::LONG;
+
+/// A message as it came: first line, headers in small letters, body.
+#[derive(Debug, Clone)]
+pub struct Message {
+    pub line: String,
+    pub headers: Vec<(String, String)>,
+    pub body: Vec<u8>,
+    /// Bytes in all.
+    pub size: usize,
+}
+
+impl Message {
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
+    }
+
+    pub fn status(&self) -> u16 {
+        self.line.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status line")
+    }
+}
+
+/// Reads a message; `None` if the connection ends before one is whole.
+pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
+    let mut bytes = Vec::new();
+    let mut byte = [0];
+    while !bytes.ends_with(b"\r\n\r\n") {
+        match stream.read(&mut byte) {
+            Ok(1) => bytes.push(byte[0]),
+            Ok(_) => return None,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("nothing came for too long"),
+            Err(_) => return None,
+        }
+    }
+    let head = String::from_utf8(bytes).expect("text");
+    let mut lines = head.split("\r\n");
+    let line = lines.next().expect("a first line").to_owned();
+    let headers: Vec<(String, String)> = lines
+        .filter_map(|line| line.split_once(": "))
+        .map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()))
+        .collect();
+    let length = headers.iter().find(|(name, _)| name == "content-length");
+    let length = length.map_or(0, |(_, value)| value.parse().expect("a length"));
+    let mut body = vec![0; length];
+    stream.read_exact(&mut body).ok()?;
+    Some(Message { line, headers, body, size: head.len() + length })
+}
+
+/// What comes on a connection up to its end.
+pub fn all_of(mut stream: TcpStream) -> Vec<u8> {
+    stream.set_read_timeout(Some(LONG)).expect("set");
+    let mut bytes = Vec::new();
+    match stream.read_to_end(&mut bytes) {
+        Ok(_) => bytes,
+        Err(error) if error.kind() == ErrorKind::ConnectionReset => bytes,
+        Err(error) => panic!("never closed: {error}"),
+    }
+}
--- /dev/null
+++ b/crates/proxy/tests/common/settings.rs
@@ -0,0 +1,48 @@
+//! The configurations and settings that the tests run on.
+
+use std::net::SocketAddr;
+
+use balancer_proxy::config::Config;
+use serde_json::{Value, json};
+
+/// The entry of an upstream in a list.
+pub fn endpoint(name: &str, address: SocketAddr, group: u32, status: &str) -> Value {
+    json!({"name": name, "address": address.to_string(), "zone": "north", "type": "std", "group": group,
+           "status": status, "weight": 1.0, "since_ms": 0})
+}
+
+/// The settings of the tests: three classes, answers wanted within `aim` seconds.
+pub fn settings(aim: f64) -> Value {
+    json!({
+        "balancers": 1, "me": 0, "tier": 0, "zone": "north", "zones": ["north"], "kinds": ["std"],
+        "lanes": [
+            {"name": "read", "onTimeS": aim, "hardLimitS": 60.0, "effect": "idempotent"},
+            {"name": "pay", "onTimeS": aim, "hardLimitS": 60.0, "effect": "deduplicated",
+             "dedupScope": "cell", "windowS": 10.0},
+            {"name": "order", "onTimeS": aim, "hardLimitS": 60.0, "effect": "at_most_once"}],
+        "projects": [{"name": "acme"}], "overShareWorth": 0.1, "discovery": "subscribe",
+        "caps": {"tryLimit": 3, "secondCopies": false, "cancel": true, "retryAfter": true,
+                 "maxRetryAfterS": 1.5, "keepaliveS": 15.0, "multiplex": 1, "dialTimeoutS": 5.0},
+        "rules": {"answerSlackS": 0.02, "askWithinS": 10.0, "coldShare": 0.2, "coldS": 10.0,
+                  "drainGraceS": 1.0, "fallMultiple": 3.0, "overloadForS": 2.0}})
+}
+
+/// The text of a configuration whose list in hand is `known`.
+pub fn configuration(discovery: SocketAddr, known: &[Value], aim: f64, sockets: usize) -> String {
+    json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
+           "limits": {"sockets": sockets},
+           "known": {"index": 7, "snapshot": true, "endpoints": known}, "settings": settings(aim)})
+    .to_string()
+}
+
+/// The same where an attempt waits so long for a connection at the most.
+pub fn with_dial_timeout(configuration: &str, seconds: f64) -> String {
+    let usual = "\"dialTimeoutS\":5.0";
+    assert!(configuration.contains(usual));
+    configuration.replace(usual, &format!("\"dialTimeoutS\":{seconds:?}"))
+}
+
+/// The configuration that this text gives.
+pub fn parsed(configuration: &str) -> Config {
+    Config::parse(configuration, |_| None).expect("a sound configuration")
+}
