--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -57,6 +57,20 @@
     libc::ENOMEM,
 ];
 
+/// Runs a test for each of these errors side by side, each with a balancer whose accepts fail so.
+fn beside_each_error(test: impl Fn(i32, Balancer) + Sync) {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let text = configuration(discovery.address, &known, 30.0, 1024);
+    thread::scope(|scope| {
+        for errno in ERRORS {
+            let (test, text) = (&test, &text);
+            scope.spawn(move || test(errno, start_failing(errno, text)));
+        }
+    });
+}
+
 /// Guards the sorting of the errors that accept(2) of Linux documents.
 #[test]
 fn each_error_of_accept_has_its_kind() {
@@ -96,27 +110,18 @@
 /// whose accept failed is served too.
 #[test]
 fn a_failed_accept_closes_no_other_connection() {
-    let upstream = Upstream::start(|_, _| ok("served"));
-    let discovery = Discovery::start();
-    let known = [endpoint("s-1", upstream.address, 0, "ready")];
-    thread::scope(|scope| {
-        for errno in ERRORS {
-            let text = configuration(discovery.address, &known, 30.0, 1024);
-            scope.spawn(move || {
-                let balancer = start_failing(errno, &text);
-                let mut kept: Vec<Caller> = Vec::new();
-                for number in 0..60 {
-                    let mut caller = balancer.caller();
-                    let answer = caller.try_ask("order", "one").map(|answer| answer.status());
-                    assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
-                    kept.push(caller);
-                }
-                let again = kept.iter_mut().map(|caller| caller.try_ask("order", "again"));
-                let closed = again.filter(Option::is_none).count();
-                assert_eq!(closed, 0, "errno {errno}: connections closed");
-                drop(kept);
-            });
+    beside_each_error(|errno, balancer| {
+        let mut kept: Vec<Caller> = Vec::new();
+        for number in 0..60 {
+            let mut caller = balancer.caller();
+            let answer = caller.try_ask("order", "one").map(|answer| answer.status());
+            assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
+            kept.push(caller);
         }
+        let again = kept.iter_mut().map(|caller| caller.try_ask("order", "again"));
+        let closed = again.filter(Option::is_none).count();
+        assert_eq!(closed, 0, "errno {errno}: connections closed");
+        drop(kept);
     });
 }
 
@@ -124,34 +129,25 @@
 /// failed is served up to the end.
 #[test]
 fn a_failed_accept_in_a_drain_closes_no_other_connection() {
-    let upstream = Upstream::start(|_, _| ok("served"));
-    let discovery = Discovery::start();
-    let known = [endpoint("s-1", upstream.address, 0, "ready")];
-    thread::scope(|scope| {
-        for errno in ERRORS {
-            let text = configuration(discovery.address, &known, 30.0, 1024);
-            scope.spawn(move || {
-                let mut balancer = start_failing(errno, &text);
-                let mut kept: Vec<Caller> = (0..12).map(|_| balancer.caller()).collect();
-                let mut told = vec![false; kept.len()];
-                for caller in &mut kept {
-                    assert_eq!(caller.ask("order", "one").status(), 200);
-                }
-                balancer.stop();
-                let began = Instant::now();
-                // The front goes on dealing for so long.
-                while began.elapsed() < Duration::from_millis(400) {
-                    let mut new = balancer.caller();
-                    assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
-                    for (caller, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
-                        let answer = caller.try_ask("order", "still");
-                        let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
-                        *told = answer.header("connection") == Some("close");
-                    }
-                }
-                drop(kept);
-            });
+    beside_each_error(|errno, mut balancer| {
+        let mut kept: Vec<Caller> = (0..12).map(|_| balancer.caller()).collect();
+        let mut told = vec![false; kept.len()];
+        for caller in &mut kept {
+            assert_eq!(caller.ask("order", "one").status(), 200);
+        }
+        balancer.stop();
+        let began = Instant::now();
+        // The front goes on dealing for so long.
+        while began.elapsed() < Duration::from_millis(400) {
+            let mut new = balancer.caller();
+            assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
+            for (caller, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
+                let answer = caller.try_ask("order", "still");
+                let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
+                *told = answer.header("connection") == Some("close");
+            }
         }
+        drop(kept);
     });
 }
 
--- a/crates/proxy/tests/beyond_the_bench.rs
+++ b/crates/proxy/tests/beyond_the_bench.rs
@@ -296,10 +296,7 @@
 fn retries_that_fail_at_once_stay_few() {
     const REQUESTS: usize = 200;
     let upstreams: Vec<_> = (0..4).map(|_| Upstream::start(|_, _| Reply::Last(Vec::new()))).collect();
-    let known: Vec<_> = (0..)
-        .zip(&upstreams)
-        .map(|(number, upstream)| endpoint(&format!("s-{number}"), upstream.address, number, "ready"))
-        .collect();
+    let known = each_in_a_group(&upstreams);
     let (balancer, _discovery) = Balancer::with(&known, 1.0);
     let mut caller = balancer.caller();
     for number in 0..REQUESTS {
@@ -329,10 +326,7 @@
         Upstream::start(|_, _| Reply::Last(Vec::new())),
         Upstream::start(|_, _| ok("served")),
     ];
-    let known: Vec<_> = (0..)
-        .zip(&upstreams)
-        .map(|(number, upstream)| endpoint(&format!("s-{number}"), upstream.address, number, "ready"))
-        .collect();
+    let known = each_in_a_group(&upstreams);
     let (balancer, _discovery) = Balancer::with(&known, 1.0);
     let ask = |class: &'static str| {
         let mut caller = balancer.caller();
@@ -385,19 +379,15 @@
 #[test]
 fn a_drain_with_every_upstream_hanging_ends_in_time() {
     let upstreams: Vec<_> = (0..3).map(|_| Upstream::start(|_, _| Reply::Silence)).collect();
-    let known: Vec<_> = (0..)
-        .zip(&upstreams)
-        .map(|(number, upstream)| endpoint(&format!("s-{number}"), upstream.address, number, "ready"))
-        .collect();
+    let known = each_in_a_group(&upstreams);
     let discovery = Discovery::start();
     let text = with_short_deadlines(&configuration(discovery.address, &known, 3.0, 1024));
     let mut child = program(&text);
     let (address, mut log) = address(&mut child);
     let mut kept: Vec<Caller> = (0..6).map(|_| Caller::connect(address)).collect();
     for caller in &mut kept {
-        caller.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
         // Ready or not yet: it is a request, after which the connection is kept.
-        assert!(matches!(caller.answer().expect("an answer").status(), 200 | 503));
+        assert!(matches!(caller.health(), Some(200 | 503)));
     }
     let classes = ["read", "pay", "order"];
     let mut callers: Vec<Caller> = Vec::new();
--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -59,9 +59,7 @@
 
     /// What the front is told.
     pub fn health(&self) -> u16 {
-        let mut caller = self.caller();
-        caller.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-        caller.answer().expect("an answer").status()
+        self.caller().health().expect("an answer")
     }
 
     /// Begins the drain, and does not wait for its end.
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -35,6 +35,12 @@
         Self(stream)
     }
 
+    /// Asks for the balancer's health, as the front does; `None` if the connection ends before the answer.
+    pub fn health(&mut self) -> Option<u16> {
+        self.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
+        self.answer().map(|answer| answer.status())
+    }
+
     /// Asks on a connection that may be closed by now.
     pub fn try_ask(&mut self, class: &str, body: &str) -> Option<Message> {
         self.0.write_all(request(class, body).as_bytes()).ok()?;
--- a/crates/proxy/tests/common/configuration_parent.rs
+++ b/crates/proxy/tests/common/configuration_parent.rs
@@ -2,20 +2,20 @@
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
-use std::sync::mpsc::{self, Receiver, Sender};
+use std::sync::mpsc::{self, Receiver};
 use std::thread;
 use std::time::{Duration, Instant};
 
 use config_distribution::document::Document;
 use serde_json::{Value, json};
 
-use super::watch::feed_watch;
+use super::watch::serve_watch;
 use super::{LONG, Watch, read_message};
 
 /// A parent whose watches say what the test hands over, and that takes reports.
 pub struct Parent {
     pub address: SocketAddr,
-    watches: Receiver<(String, Sender<Option<Vec<u8>>>)>,
+    watches: Receiver<(String, Watch)>,
     reports: Receiver<Value>,
 }
 
@@ -28,10 +28,10 @@
     pub fn beating(beat: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let ((report_watch, watches), (report, reports)) = (mpsc::channel(), mpsc::channel());
+        let ((opened, watches), (report, reports)) = (mpsc::channel(), mpsc::channel());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (report_watch, report) = (report_watch.clone(), report.clone());
+                let (opened, report) = (opened.clone(), report.clone());
                 thread::spawn(move || {
                     let Some(message) = read_message(&mut stream) else { return };
                     if message.line.starts_with("POST") {
@@ -40,10 +40,7 @@
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
                         return;
                     }
-                    let (feed, food) = mpsc::channel();
-                    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    let _ = report_watch.send((message.line, feed));
-                    feed_watch(stream, &food, beat);
+                    serve_watch(stream, message.line, &opened, beat);
                 });
             }
         });
@@ -52,13 +49,12 @@
 
     /// The next watch that the balancer opens.
     pub fn watch(&self) -> (String, Watch) {
-        let (line, feed) = self.watches.recv_timeout(LONG).expect("the balancer opens a watch");
-        (line, Watch(feed))
+        self.watches.recv_timeout(LONG).expect("the balancer opens a watch")
     }
 
     /// The same, if it has opened one.
     pub fn try_watch(&self) -> Option<(String, Watch)> {
-        self.watches.try_recv().ok().map(|(line, feed)| (line, Watch(feed)))
+        self.watches.try_recv().ok()
     }
 
     /// Waits for a report that `fits`.
--- a/crates/proxy/tests/common/discovery.rs
+++ b/crates/proxy/tests/common/discovery.rs
@@ -1,19 +1,18 @@
 //! A stand-in for discovery.
 
-use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
-use std::sync::mpsc::{self, Receiver, Sender};
+use std::sync::mpsc::{self, Receiver};
 use std::thread;
 use std::time::Duration;
 
-use super::watch::feed_watch;
+use super::watch::serve_watch;
 use super::{LONG, Watch, read_message};
 
 /// A discovery whose watches say what the test hands over.
 pub struct Discovery {
     pub address: SocketAddr,
     /// The request lines of the watches, in order, each with what feeds it.
-    watches: Receiver<(String, Sender<Option<Vec<u8>>>)>,
+    watches: Receiver<(String, Watch)>,
 }
 
 impl Discovery {
@@ -29,17 +28,13 @@
     /// The same on a listener of the test's.
     pub fn on(listener: TcpListener, beat: Duration) -> Self {
         let address = listener.local_addr().expect("bound");
-        let (report, watches) = mpsc::channel();
+        let (opened, watches) = mpsc::channel();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let report = report.clone();
+                let opened = opened.clone();
                 thread::spawn(move || {
                     let Some(message) = read_message(&mut stream) else { return };
-                    let (feed, food) = mpsc::channel();
-                    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                    if report.send((message.line, feed)).is_ok() {
-                        feed_watch(stream, &food, beat);
-                    }
+                    serve_watch(stream, message.line, &opened, beat);
                 });
             }
         });
@@ -48,7 +43,6 @@
 
     /// The next watch that the balancer opens.
     pub fn watch(&self) -> (String, Watch) {
-        let (line, feed) = self.watches.recv_timeout(LONG).expect("the balancer opens a watch");
-        (line, Watch(feed))
+        self.watches.recv_timeout(LONG).expect("the balancer opens a watch")
     }
 }
--- /dev/null
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -0,0 +1,89 @@
+//! The event loop without a listener: a test hands it requests itself.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use balancer_policy::interface::{ClassId, TenantId};
+use balancer_proxy::event_loop::{AcceptedRequest, Answer, EventLoop};
+use balancer_proxy::socket::Socket;
+use balancer_proxy::upstream::Call;
+use bytes::Bytes;
+use hyper::header::HeaderValue;
+use hyper::{Method, Uri};
+use tokio::sync::oneshot;
+use tokio::task::LocalSet;
+use tokio::time::Instant;
+
+use super::parsed;
+
+/// Runs a test on a runtime of its own, with an event loop of this configuration.
+pub fn drive(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
+    let config = parsed(configuration);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+    LocalSet::new().block_on(&runtime, async {
+        let driver = EventLoop::start(config).expect("sound settings");
+        test(&driver).await;
+    });
+}
+
+/// What is sent to an upstream for a request of this class.
+pub fn call(class: &str, body: Bytes) -> Call {
+    Call {
+        method: if class == "read" { Method::GET } else { Method::POST },
+        uri: format!("/{class}").parse::<Uri>().expect("a path"),
+        host: HeaderValue::from_static("origin.svc"),
+        id: HeaderValue::from_static("r-1"),
+        key: (class == "pay").then(|| HeaderValue::from_static("k-1")),
+        body,
+        once: class == "order",
+    }
+}
+
+/// A request with that call, of the client at the other end of `near`.
+pub fn accepted_request(
+    class: ClassId,
+    tenant: Option<TenantId>,
+    call: Call,
+    near: &Socket,
+    deadline: Instant,
+) -> AcceptedRequest {
+    AcceptedRequest {
+        class,
+        tenant,
+        subject: None,
+        expected_work: None,
+        is_client_retry: false,
+        deadline,
+        call: Rc::new(call),
+        client: near.downgrade(),
+    }
+}
+
+/// Hands the event loop a request of this class with this body, and gives what receives its answer.
+pub fn accept(
+    driver: &Rc<EventLoop>,
+    class: &str,
+    body: Bytes,
+    near: &Socket,
+    deadline: Instant,
+) -> oneshot::Receiver<Answer> {
+    let offered = driver.offered();
+    let (class_id, _) = offered.class(class).expect("it is offered");
+    let tenant = offered.tenant("acme");
+    driver.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).1
+}
+
+/// Waits until a connection that has just carried an answer may carry the next request.
+pub async fn wait_for_rest() {
+    tokio::time::sleep(Duration::from_millis(30)).await;
+}
+
+/// A client's connection, and the balancer's side of it.
+pub fn connected_pair() -> (std::net::TcpStream, Socket) {
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let client = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
+    let (near, _) = listener.accept().expect("a connection");
+    near.set_nonblocking(true).expect("set");
+    let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
+    (client, Socket::new(near))
+}
--- a/crates/proxy/tests/common/settings.rs
+++ b/crates/proxy/tests/common/settings.rs
@@ -5,12 +5,22 @@
 use balancer_proxy::config::Config;
 use serde_json::{Value, json};
 
+use super::Upstream;
+
 /// The entry of an upstream in a list.
 pub fn endpoint(name: &str, address: SocketAddr, group: u32, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "north", "type": "std", "group": group,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
+/// The entries `s-0`, `s-1` and so on of these upstreams, all ready and each in a group of its own.
+pub fn each_in_a_group(upstreams: &[Upstream]) -> Vec<Value> {
+    (0..)
+        .zip(upstreams)
+        .map(|(number, upstream)| endpoint(&format!("s-{number}"), upstream.address, number, "ready"))
+        .collect()
+}
+
 /// The settings of the tests: three classes, answers wanted within `aim` seconds.
 pub fn settings(aim: f64) -> Value {
     json!({
--- a/crates/proxy/tests/common/watch.rs
+++ b/crates/proxy/tests/common/watch.rs
@@ -2,13 +2,14 @@
 
 use std::io::Write;
 use std::net::TcpStream;
-use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
+use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
 
 use config_distribution::document::{Document, Update};
 use serde_json::{Value, json};
 
-pub struct Watch(pub Sender<Option<Vec<u8>>>);
+/// What feeds a watch; it ends when this is dropped.
+pub struct Watch(Sender<Option<Vec<u8>>>);
 
 impl Watch {
     pub fn bytes(&self, bytes: &[u8]) {
@@ -48,7 +49,18 @@
     }
 }
 
-pub fn feed_watch(mut stream: TcpStream, food: &Receiver<Option<Vec<u8>>>, beat: Duration) {
+/// Serves a watch that the balancer opens with this request line, and hands the test what feeds it. It says every `beat`
+/// that nothing has changed.
+pub fn serve_watch(mut stream: TcpStream, line: String, opened: &Sender<(String, Watch)>, beat: Duration) {
+    let (feed, food) = mpsc::channel();
+    // A watch that is closed by now ends at its first line.
+    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    if opened.send((line, Watch(feed))).is_ok() {
+        feed_watch(stream, &food, beat);
+    }
+}
+
+fn feed_watch(mut stream: TcpStream, food: &Receiver<Option<Vec<u8>>>, beat: Duration) {
     loop {
         let bytes = match food.recv_timeout(beat) {
             Ok(Some(bytes)) => bytes,
--- a/crates/proxy/tests/crossings.rs
+++ b/crates/proxy/tests/crossings.rs
@@ -356,12 +356,7 @@
                 })
             })
             .collect();
-        let health = || {
-            let mut caller = Caller::connect(address);
-            caller.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-            caller.answer().map(|answer| answer.status())
-        };
-        wait_for("the front is told", || (health() == Some(200)).then_some(()));
+        wait_for("the front is told", || (Caller::connect(address).health() == Some(200)).then_some(()));
         wait_for("a caller is served", || {
             let answer = Caller::connect(address).try_ask("read", "")?;
             (answer.body == b"old").then_some(())
@@ -599,9 +594,7 @@
                             let (address, log) = address(child);
                             logs.push(log);
                             wait_for("it says that it is ready", || {
-                                let mut caller = Caller::connect(address);
-                                caller.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
-                                (caller.answer()?.status() == 200).then_some(())
+                                (Caller::connect(address).health()? == 200).then_some(())
                             });
                             let in_time = began.elapsed() < Duration::from_secs(10);
                             assert_eq!(Caller::connect(address).ask("read", "").body, b"served");
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -10,18 +10,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use balancer_proxy::config::Config;
-use balancer_proxy::event_loop::{AcceptedRequest, Answer, EventLoop};
+use balancer_proxy::event_loop::{Answer, EventLoop};
 use balancer_proxy::socket::Socket;
-use balancer_proxy::upstream::Call;
 use bytes::Bytes;
 use common::*;
-use hyper::header::HeaderValue;
-use hyper::{Method, Uri};
 use serde_json::Value;
 use socket2::SockRef;
 use tokio::sync::oneshot;
-use tokio::task::{LocalSet, spawn_local, yield_now};
+use tokio::task::{spawn_local, yield_now};
 use tokio::time::Instant;
 
 /// How a client leaves.
@@ -43,12 +39,8 @@
 impl Client {
     /// A client, and the balancer's side of its connection.
     fn connect() -> (Self, Socket) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
-        let (near, _) = listener.accept().expect("a connection");
-        near.set_nonblocking(true).expect("set");
-        let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
-        (Self(Arc::new(Mutex::new(Some(client)))), Socket::new(near))
+        let (client, near) = connected_pair();
+        (Self(Arc::new(Mutex::new(Some(client)))), near)
     }
 
     fn leave(&self, how: Departure) {
@@ -66,47 +58,16 @@
     }
 }
 
-/// Runs on a runtime of its own, with a driver that has these upstreams.
-fn drive(known: &[Value], test: impl AsyncFnOnce(&Rc<EventLoop>)) {
+/// Runs a test on a runtime of its own, with an event loop that has these upstreams.
+fn drive_with(known: &[Value], test: impl AsyncFnOnce(&Rc<EventLoop>)) {
     let discovery = Discovery::start();
     let text = configuration(discovery.address, known, 50.0, 1024);
-    drive_with(&with_dial_timeout(&text, LONG.as_secs_f64()), test);
+    drive(&with_dial_timeout(&text, LONG.as_secs_f64()), test);
 }
 
-fn drive_with(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
-    let config = Config::parse(configuration, |_| None).expect("a sound configuration");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-    LocalSet::new().block_on(&runtime, async {
-        let driver = EventLoop::start(config).expect("sound settings");
-        test(&driver).await;
-    });
-}
-
-/// Takes a request of this class for the client at the other end of `near`.
+/// Hands over a request of this class for the client at the other end of `near`.
 fn take(driver: &Rc<EventLoop>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
-    let offered = driver.offered();
-    let (class_id, _) = offered.class(class).expect("it is offered");
-    let method = if class == "read" { Method::GET } else { Method::POST };
-    let call = Call {
-        method,
-        uri: format!("/{class}").parse::<Uri>().expect("a path"),
-        host: HeaderValue::from_static("origin.svc"),
-        id: HeaderValue::from_static("r-1"),
-        key: (class == "pay").then(|| HeaderValue::from_static("k-1")),
-        body: Bytes::new(),
-        once: class == "order",
-    };
-    let taken = AcceptedRequest {
-        class: class_id,
-        tenant: offered.tenant("acme"),
-        subject: None,
-        expected_work: None,
-        is_client_retry: false,
-        deadline: Instant::now() + LONG,
-        call: Rc::new(call),
-        client: near.downgrade(),
-    };
-    driver.accept(taken).1
+    accept(driver, class, Bytes::new(), near, Instant::now() + LONG)
 }
 
 /// Lets a client leave, and waits until the system has heard of it.
@@ -141,7 +102,7 @@
 #[test]
 fn a_client_that_stays_is_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
-    drive(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+    drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
         let (client, near) = Client::connect();
         client.0.lock().expect("no panic").as_mut().expect("up").write_all(b"GET /").expect("up");
         let answer = take(driver, "order", &near).await;
@@ -154,7 +115,7 @@
 fn a_first_attempt_does_not_begin_for_a_client_that_left() {
     for how in DEPARTURES {
         let upstream = Upstream::start(|_, _| ok("served"));
-        drive(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+        drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
             let (client, near) = Client::connect();
             depart(&client, &near, how);
             assert!(take(driver, "order", &near).await.is_err(), "{how:?}, on a new connection");
@@ -172,7 +133,7 @@
 fn a_departure_between_hand_over_and_write_is_seen() {
     for how in DEPARTURES {
         let upstream = Upstream::start(|_, _| ok("served"));
-        drive(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+        drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
             let (client, near) = Client::connect();
             assert!(take(driver, "read", &near).await.is_ok());
             wait_for_rest().await;
@@ -185,11 +146,6 @@
     }
 }
 
-/// Waits until a connection that has just carried an answer may carry the next request.
-async fn wait_for_rest() {
-    tokio::time::sleep(Duration::from_millis(30)).await;
-}
-
 /// Guards attempts whose connection comes up after their client has left.
 #[test]
 fn an_attempt_that_waits_for_a_connection_does_not_begin_for_a_client_that_left() {
@@ -197,7 +153,7 @@
         for how in DEPARTURES {
             scope.spawn(move || {
                 let late = Late::start();
-                drive(&[endpoint("s-1", late.address, 0, "ready")], async |driver| {
+                drive_with(&[endpoint("s-1", late.address, 0, "ready")], async |driver| {
                     let (client, near) = Client::connect();
                     let answer = take(driver, "order", &near);
                     while connecting(late.address).is_empty() {
@@ -235,7 +191,7 @@
             let (first, second) = (failing(), failing());
             let known =
                 [endpoint("s-1", first.address, 4, "ready"), endpoint("s-2", second.address, 4, "ready")];
-            drive(&known, async |driver| {
+            drive_with(&known, async |driver| {
                 let (client, near) = Client::connect();
                 leaving.lock().expect("no panic").replace(client);
                 assert!(take(driver, class, &near).await.is_err(), "{how:?}, {class}");
@@ -253,31 +209,11 @@
     let known = [endpoint("s-1", address, 0, "ready")];
     // So little room that a body does not go out at once.
     SockRef::from(&listener).set_recv_buffer_size(1024).expect("set");
-    drive(&known, async |driver| {
+    drive_with(&known, async |driver| {
         let (client, near) = Client::connect();
-        let offered = driver.offered();
         let body = Bytes::from(vec![b'x'; 8 << 20]);
         let size = body.len();
-        let call = Call {
-            method: Method::POST,
-            uri: Uri::from_static("/order"),
-            host: HeaderValue::from_static("origin.svc"),
-            id: HeaderValue::from_static("r-1"),
-            key: None,
-            body,
-            once: true,
-        };
-        let taken = AcceptedRequest {
-            class: offered.class("order").expect("it is offered").0,
-            tenant: offered.tenant("acme"),
-            subject: None,
-            expected_work: None,
-            is_client_retry: false,
-            deadline: Instant::now() + LONG,
-            call: Rc::new(call),
-            client: near.downgrade(),
-        };
-        let (_, answer) = driver.accept(taken);
+        let answer = accept(driver, "order", body, &near, Instant::now() + LONG);
         let accepted = tokio::task::spawn_blocking(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             stream.read_exact(&mut [0; 64]).expect("it has begun");
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 use std::io::Write;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::SocketAddr;
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,18 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use balancer_proxy::config::Config;
 use balancer_proxy::discovery::Update;
-use balancer_proxy::event_loop::{AcceptedRequest, Answer, EventLoop};
-use balancer_proxy::socket::Socket;
-use balancer_proxy::upstream::Call;
+use balancer_proxy::event_loop::Answer;
 use bytes::Bytes;
 use common::*;
-use hyper::header::HeaderValue;
-use hyper::{Method, Uri};
 use serde_json::{Value, json};
-use tokio::sync::oneshot;
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 
 /// For how long a balancer may be held up.
 const HOLD_UP: Duration = Duration::from_millis(150);
@@ -36,56 +30,6 @@
 
 // --- Between the hand-over of a request and its writing ---
 
-/// Runs on a runtime of its own, with a driver of this configuration.
-fn drive(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
-    let config = Config::parse(configuration, |_| None).expect("a sound configuration");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-    LocalSet::new().block_on(&runtime, async {
-        let driver = EventLoop::start(config).expect("sound settings");
-        test(&driver).await;
-    });
-}
-
-/// A client that stays, and the balancer's side of its connection.
-fn client() -> (TcpStream, Socket) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
-    let (near, _) = listener.accept().expect("a connection");
-    near.set_nonblocking(true).expect("set");
-    let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
-    (client, Socket::new(near))
-}
-
-/// Takes a request of a class that may be repeated.
-fn take(driver: &Rc<EventLoop>, near: &Socket, deadline: tokio::time::Instant) -> oneshot::Receiver<Answer> {
-    let offered = driver.offered();
-    let call = Call {
-        method: Method::GET,
-        uri: Uri::from_static("/read"),
-        host: HeaderValue::from_static("origin.svc"),
-        id: HeaderValue::from_static("r-1"),
-        key: None,
-        body: Bytes::new(),
-        once: false,
-    };
-    let taken = AcceptedRequest {
-        class: offered.class("read").expect("it is offered").0,
-        tenant: offered.tenant("acme"),
-        subject: None,
-        expected_work: None,
-        is_client_retry: false,
-        deadline,
-        call: Rc::new(call),
-        client: near.downgrade(),
-    };
-    driver.accept(taken).1
-}
-
-/// Waits until a connection that has just carried an answer may carry the next request.
-async fn wait_for_rest() {
-    tokio::time::sleep(Duration::from_millis(30)).await;
-}
-
 /// Guards the deadline that is passed on: it is worked out when the bytes are written, however long the process was
 /// held up since the request was handed over.
 #[test]
@@ -94,11 +38,11 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let discovery = Discovery::start();
     drive(&configuration(discovery.address, &known, 50.0, 1024), async |driver| {
-        let (_client, near) = client();
+        let (_client, near) = connected_pair();
         let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-        assert!(take(driver, &near, deadline).await.is_ok());
+        assert!(accept(driver, "read", Bytes::new(), &near, deadline).await.is_ok());
         wait_for_rest().await;
-        let answer = take(driver, &near, deadline);
+        let answer = accept(driver, "read", Bytes::new(), &near, deadline);
         // Runs after the attempt, and before the connection that the attempt wakes.
         let held_up = spawn_local(async move {
             thread::sleep(HOLD_UP);
@@ -122,11 +66,11 @@
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
         let discovery = Discovery::start();
         drive(&configuration(discovery.address, &known, 50.0, 1024), async |driver| {
-            let (_client, near) = client();
+            let (_client, near) = connected_pair();
             let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-            assert!(take(driver, &near, deadline).await.is_ok());
+            assert!(accept(driver, "read", Bytes::new(), &near, deadline).await.is_ok());
             wait_for_rest().await;
-            let answer = take(driver, &near, deadline);
+            let answer = accept(driver, "read", Bytes::new(), &near, deadline);
             let word = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
             let word: Update = serde_json::from_value(word).expect("a word of discovery");
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -1,16 +1,15 @@
 //! The table of requests: how long a request and its attempts stay in it.
 
-use std::rc::Rc;
+mod common;
+
+use std::net::TcpStream;
 use std::time::Duration;
 
 use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, RequestId};
-use balancer_proxy::request_table::{AcceptedRequest, Answer, AttemptResult, RequestTable};
+use balancer_proxy::request_table::{Answer, AttemptResult, RequestTable};
 use balancer_proxy::socket::Socket;
-use balancer_proxy::upstream::Call;
 use bytes::Bytes;
-use hyper::header::HeaderValue;
-use hyper::{Method, Uri};
-use tokio::net::{TcpListener, TcpStream};
+use common::{accepted_request, call, connected_pair};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -25,29 +24,10 @@
 }
 
 impl World {
-    async fn new() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        let far = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("listens");
-        let near = Socket::new(listener.accept().await.expect("connected").0);
-        let call = Call {
-            method: Method::GET,
-            uri: Uri::from_static("/read"),
-            host: HeaderValue::from_static("origin.svc"),
-            id: HeaderValue::from_static("r-1"),
-            key: None,
-            body: Bytes::new(),
-            once: false,
-        };
-        let taken = AcceptedRequest {
-            class: ClassId(0),
-            tenant: None,
-            subject: None,
-            expected_work: None,
-            is_client_retry: false,
-            deadline: Instant::now() + Duration::from_secs(1),
-            call: Rc::new(call),
-            client: near.downgrade(),
-        };
+    fn new() -> Self {
+        let (far, near) = connected_pair();
+        let deadline = Instant::now() + Duration::from_secs(1);
+        let taken = accepted_request(ClassId(0), None, call("read", Bytes::new()), &near, deadline);
         let (sender, answer) = oneshot::channel();
         let mut table = RequestTable::default();
         let request = table.insert(&taken, sender);
@@ -71,7 +51,7 @@
 #[test]
 fn a_withdrawn_attempt_is_out_until_it_has_ended() {
     run(async {
-        let mut world = World::new().await;
+        let mut world = World::new();
         let (number, mut cancelled) = world.start_attempt();
         world.table.cancel(world.request, number);
         assert_eq!(cancelled.try_recv(), Ok(()));
@@ -86,7 +66,7 @@
 #[test]
 fn an_answered_request_stays_while_an_attempt_is_out() {
     run(async {
-        let mut world = World::new().await;
+        let mut world = World::new();
         let (first, _withdrawn) = world.start_attempt();
         let (second, _withdrawn) = world.start_attempt();
         let result = world.table.end_attempt(world.request, first, Some(Bytes::from_static(b"ok")));
@@ -104,7 +84,7 @@
 #[test]
 fn an_abandoned_request_without_an_attempt_goes_at_once() {
     run(async {
-        let mut world = World::new().await;
+        let mut world = World::new();
         world.table.get_mut(world.request).expect("in flight").skip_attempt();
         assert!(world.table.abandon(world.request));
         assert!(world.table.is_empty());
--- a/crates/proxy/tests/system_calls.rs
+++ b/crates/proxy/tests/system_calls.rs
@@ -56,11 +56,7 @@
             (0..UPSTREAMS).map(|_| Upstream::start(|_, request| ok(&echo(request)))).collect();
         let ports: Vec<String> =
             upstreams.iter().map(|upstream| upstream.address.port().to_string()).collect();
-        let known: Vec<_> = upstreams
-            .iter()
-            .enumerate()
-            .map(|(place, upstream)| endpoint(&format!("s-{place}"), upstream.address, place as u32, "ready"))
-            .collect();
+        let known = each_in_a_group(&upstreams);
         let discovery = Discovery::start();
         let text = configuration(discovery.address, &known, 50.0, 1024);
         let file = write_configuration(&with_dial_timeout(&text, dial_timeout));
