--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -1,9 +1,10 @@
 //! Clients that write requests byte by byte and read what comes.
 
 use std::io::Write;
-use std::net::{SocketAddr, TcpStream};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::time::Duration;
 
-use super::{LONG, Message, read_message};
+use super::{LONG, Message, all_of, read_message};
 
 /// The text of a request as callers write it.
 fn request(class: &str, body: &str) -> String {
@@ -65,3 +66,27 @@
         self.answer().expect("an answer")
     }
 }
+
+/// An answer must have arrived this long after its request's time at the latest.
+pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
+
+/// A request whose caller has so many seconds left.
+pub fn timed(class: &str, body: &str, seconds: f64) -> Vec<u8> {
+    let (method, key) = if class == "read" {
+        ("GET", String::new())
+    } else {
+        ("POST", format!("Idempotency-Key: {body}\r\n"))
+    };
+    format!(
+        "{method} /{class}?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: {body}\r\nX-Tenant: acme\r\n\
+         X-Deadline: {seconds}\r\n{key}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
+}
+
+/// Whether the connection ends with nothing more on it: each request has had its one answer.
+pub fn ends_empty(caller: Caller) -> bool {
+    caller.0.shutdown(Shutdown::Write).expect("open");
+    all_of(caller.0).is_empty()
+}
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -6,7 +6,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-use super::{LONG, Message, Reply, Upstream, wait_for};
+use super::{LONG, Message, Reply, SOON, Upstream, all_of, wait_for};
 
 /// A socket with a port of its own, to which nobody can connect yet. Its address is of this process alone: what still
 /// looks for a peer of another's that has gone must not find this one.
@@ -122,3 +122,17 @@
         (self.listener.into(), own)
     }
 }
+
+/// For so long an attempt may wait for a connection where the test says when it comes up: the decisions do not end the
+/// wait, also where they want to hear of it after a sixteenth.
+pub const PATIENT_S: f64 = 80.0;
+
+/// The connections that came up, once no more do.
+pub fn all_that_came(came: &mpsc::Receiver<TcpStream>) -> Vec<TcpStream> {
+    std::iter::from_fn(|| came.recv_timeout(SOON).ok()).collect()
+}
+
+/// Whether nothing was sent on any of these connections up to its end.
+pub fn nothing_came(streams: Vec<TcpStream>) -> bool {
+    streams.into_iter().all(|stream| all_of(stream).is_empty())
+}
--- /dev/null
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -0,0 +1,164 @@
+//! Floods of connections, descriptors that run out, a log and answers that nobody reads: the program goes on serving, and
+//! ends in time. `docs/CROSSINGS.md` lists what is promised for each.
+
+mod common;
+
+use std::io::Read;
+use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use common::*;
+use socket2::{Domain, SockRef, Socket, Type};
+
+/// Connects again and again, and never waits: each connection is reset at once, and one that finds the queue full is
+/// given up.
+fn flood(address: SocketAddr, on: &AtomicBool) {
+    while on.load(Ordering::Relaxed) {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+        socket.set_nonblocking(true).expect("set");
+        socket.set_linger(Some(Duration::ZERO)).expect("set");
+        let _ = socket.connect(&address.into());
+    }
+}
+
+/// Guards the end against a flood of new connections: an accept loop that always finds another one waiting must look at
+/// its clock all the same.
+#[test]
+fn a_flood_of_connections_does_not_hold_up_the_drain() {
+    let discovery = Discovery::start();
+    let text = configuration(discovery.address, &[], 0.2, 1024).replace("60.0", "0.5");
+    let mut child = program(&text);
+    let (address, mut log) = address(&mut child);
+    let on = Arc::new(AtomicBool::new(true));
+    let floods: Vec<_> = (0..6)
+        .map(|_| {
+            let on = Arc::clone(&on);
+            thread::spawn(move || flood(address, &on))
+        })
+        .collect();
+    signal(&child, "-TERM");
+    let told = Instant::now();
+    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "into the drain");
+    // Answers close their connections from 0.5 s on; the rest is for a machine with much else to do.
+    assert!(told.elapsed() < SOON, "{:?}", told.elapsed());
+    drop(log);
+    // It ends the longest deadline and half a second after the signal.
+    let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| told.elapsed()));
+    on.store(false, Ordering::Relaxed);
+    assert!(ended < SOON, "{ended:?}");
+    for flood in floods {
+        flood.join().expect("no panic");
+    }
+}
+
+/// Guards the list against callers that only stand by and take every descriptor there is while discovery is down: when
+/// it is back, its watch comes up and what it has is told within 6 s; the front, and a caller with a request, get
+/// through meanwhile.
+#[test]
+fn idle_callers_do_not_keep_the_list_away() {
+    let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
+    let known = [endpoint("s-1", old.address, 0, "ready")];
+    for mode in ["subscribe", "automatic"] {
+        // Its port is its own, yet refuses connections.
+        let (down, place) = bound();
+        let text = configuration(place, &known, 30.0, 64).replace("subscribe", mode);
+        let mut child = program_within(64, &text);
+        let (address, mut log) = address(&mut child);
+        let log = thread::spawn(move || {
+            let mut text = String::new();
+            log.read_to_string(&mut text).map(|_| text)
+        });
+        let over = Arc::new(AtomicBool::new(false));
+        let idle: Vec<_> = (0..4)
+            .map(|_| {
+                let over = Arc::clone(&over);
+                thread::spawn(move || {
+                    let mut held = std::collections::VecDeque::new();
+                    while !over.load(Ordering::Relaxed) {
+                        held.extend(TcpStream::connect_timeout(&address, SOON));
+                        if held.len() > 100 {
+                            held.pop_front();
+                        }
+                    }
+                })
+            })
+            .collect();
+        wait_for("the front is told", || (Caller::connect(address).health() == Some(200)).then_some(()));
+        wait_for("a caller is served", || {
+            let answer = Caller::connect(address).try_ask("read", "")?;
+            (answer.body == b"old").then_some(())
+        });
+        down.listen(16).expect("listens");
+        let discovery = Discovery::on(down.into(), Duration::from_millis(500));
+        let back = Instant::now();
+        let (_, watch) = discovery.watch();
+        let drained = endpoint("s-1", old.address, 0, "draining");
+        watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+        wait_for("the list is taken in", || {
+            let answer = Caller::connect(address).try_ask("read", "")?;
+            (answer.body == b"new").then_some(())
+        });
+        assert!(back.elapsed() < Duration::from_secs(6), "{mode}: {:?}", back.elapsed());
+        over.store(true, Ordering::Relaxed);
+        child.kill().expect("it runs");
+        child.wait().expect("ends");
+        for thread in idle {
+            thread.join().expect("no panic");
+        }
+        let log = log.join().expect("no panic").expect("read");
+        assert!(!log.contains("could not be accepted"), "the last descriptor was taken: {log}");
+    }
+}
+
+/// Guards the program against a log that somebody holds and nobody reads: it goes on serving.
+#[test]
+fn a_log_that_nobody_reads_stops_nothing() {
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let discovery = Discovery::start();
+    let known = [endpoint("s-1", upstream.address, 0, "ready")];
+    let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
+    let (address, log) = address(&mut child);
+    let (_, watch) = discovery.watch();
+    // Each entry is told of in a line; a pipe holds 64 KiB.
+    let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
+    watch.says(8, false, &odd);
+    watch.says(9, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
+    let moved = Upstream::start(|_, _| ok("moved"));
+    watch.says(10, false, &[endpoint("s-2", moved.address, 0, "ready")]);
+    wait_for("the lists are taken in", || {
+        let mut caller = Caller::connect(address);
+        caller.0.set_read_timeout(Some(SOON)).expect("set");
+        caller.send("read", "");
+        (caller.answer().expect("an answer").body == b"moved").then_some(())
+    });
+    signal(&child, "-TERM");
+    assert!(child.wait().expect("ends").success());
+    drop(log);
+}
+
+/// Guards the end against a caller that never takes its answers: they fill the system's buffers, and its connection is
+/// let go.
+#[test]
+fn a_caller_that_never_reads_does_not_hold_up_the_drain() {
+    let upstream = Upstream::start(|_, _| ok(&"x".repeat(60_000)));
+    let (mut balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
+    let mut caller = balancer.caller();
+    SockRef::from(&caller.0).set_recv_buffer_size(4096).expect("set");
+    caller.raw(&order_with(b"").repeat(100));
+    let mut served = 0;
+    wait_for("nothing more is written", || {
+        let (before, now) = (served, upstream.requests().len());
+        served = now;
+        thread::sleep(Duration::from_millis(200));
+        (now > 10 && now == before).then_some(())
+    });
+    let told = Instant::now();
+    balancer.stop();
+    drop(balancer);
+    // The drain's 2.8 s, and what an answer may stand unread.
+    assert!(told.elapsed() < Duration::from_secs(8), "{:?}", told.elapsed());
+}
--- /dev/null
+++ b/crates/proxy/tests/startup.rs
@@ -0,0 +1,71 @@
+//! Processes that start while discovery is down. `docs/CROSSINGS.md` lists what is promised.
+
+mod common;
+
+use std::io::Write;
+use std::net::TcpListener;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use common::*;
+
+/// Guards restarts of a fleet: hundreds of processes that start at once while discovery is down, takes calls and says
+/// nothing, or drips, serve within 10 s on the list they have.
+#[test]
+fn a_fleet_is_ready_without_discovery() {
+    const EACH: usize = 40;
+    let upstream = Upstream::start(|_, _| ok("served"));
+    let mut known: Vec<_> = (0..300)
+        .map(|number| endpoint(&format!("gone-{number}"), dead_address(), number, "draining"))
+        .collect();
+    known.push(endpoint("s-1", upstream.address, 0, "ready"));
+    let mute = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let drips = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let places = [dead_address(), mute.local_addr().expect("bound"), drips.local_addr().expect("bound")];
+    thread::spawn(move || {
+        for mut stream in drips.incoming().flatten() {
+            thread::spawn(move || {
+                let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+                let mut written = stream.write_all(head);
+                while written.is_ok() {
+                    thread::sleep(Duration::from_millis(200));
+                    written = stream.write_all(b"1\r\n \r\n");
+                }
+            });
+        }
+    });
+    let ready: usize = thread::scope(|scope| {
+        let fleets: Vec<_> = places
+            .iter()
+            .map(|&place| {
+                let known = &known;
+                scope.spawn(move || {
+                    let file = write_configuration(&configuration(place, known, 30.0, 1024));
+                    let began = Instant::now();
+                    let mut fleet: Vec<_> = (0..EACH).map(|_| program_on(1024, &file)).collect();
+                    let mut logs = Vec::new();
+                    let ready = fleet
+                        .iter_mut()
+                        .filter_map(|child| {
+                            let (address, log) = address(child);
+                            logs.push(log);
+                            wait_for("it says that it is ready", || {
+                                (Caller::connect(address).health()? == 200).then_some(())
+                            });
+                            let in_time = began.elapsed() < Duration::from_secs(10);
+                            assert_eq!(Caller::connect(address).ask("read", "").body, b"served");
+                            in_time.then_some(())
+                        })
+                        .count();
+                    for child in &mut fleet {
+                        child.kill().expect("it runs");
+                        child.wait().expect("ends");
+                    }
+                    ready
+                })
+            })
+            .collect();
+        fleets.into_iter().map(|fleet| fleet.join().expect("no panic")).sum()
+    });
+    assert!(ready * 10 >= places.len() * EACH * 9, "{ready} of {} in time", places.len() * EACH);
+}
--- /dev/null
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -0,0 +1,169 @@
+//! System calls that fail on the balancer's own machine, are interrupted, or do less than they were asked for: every
+//! request gets its one answer all the same, and no upstream is charged with it.
+
+mod common;
+
+use std::fs;
+use std::process::Command;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use common::faults::*;
+use common::*;
+
+/// Guards requests against waits for events that are interrupted.
+#[test]
+fn interrupted_waits_lose_nothing() {
+    let site = Site::start(|_| vec![("FAULT_WAIT", "errno=EINTR,every=2".into())]);
+    let tally = site.ask_all();
+    assert!(site.faults("WAIT", Some("EINTR")) > REQUESTS);
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+/// Guards requests and answers against reads and writes that do a part of what they were asked for.
+#[test]
+fn short_reads_and_writes_lose_nothing() {
+    let site = Site::start(|_| {
+        vec![("FAULT_READ", "short=7,every=2".into()), ("FAULT_WRITE", "short=11,every=2".into())]
+    });
+    let tally = site.ask_all();
+    assert!(site.faults("READ", None) > REQUESTS && site.faults("WRITE", None) > REQUESTS);
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+/// Checks that no upstream was charged with anything, and that none passes for gone.
+fn check_uncharged(vitals: &Vitals) {
+    assert_eq!((vitals.unreached, vitals.late, vitals.had), (0, 0, Some(1.0)), "{vitals:?}");
+}
+
+/// Guards upstreams and requests against connects for which the own machine has no port or no memory: each request is
+/// served, and no upstream is charged.
+#[test]
+fn connects_that_fail_on_the_own_machine_are_not_charged() {
+    let errors = "EADDRNOTAVAIL+EADDRINUSE+ENOBUFS+ENOMEM+EMFILE+ENFILE+EAGAIN+EINTR";
+    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
+    let tally = site.ask_all();
+    for error in errors.split('+') {
+        assert!(site.faults("CONNECT", Some(error)) > 0, "{error}");
+    }
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+    check_uncharged(&site.vitals(ALL as u64));
+}
+
+/// Guards the same against a lack of sockets.
+#[test]
+fn sockets_that_are_not_had_are_not_charged() {
+    let errors = "EMFILE+ENFILE+ENOBUFS+ENOMEM";
+    // The first is the listener's.
+    let site = Site::start(|_| vec![("FAULT_SOCKET", format!("errno={errors},every=3,skip=1"))]);
+    let tally = site.ask_all();
+    for error in errors.split('+') {
+        assert!(site.faults("SOCKET", Some(error)) > 0, "{error}");
+    }
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+    check_uncharged(&site.vitals(ALL as u64));
+}
+
+/// Guards callers against waiting for a port that does not come: within the time for a connect they are refused, which
+/// tells them that trying again is harmless, and no upstream is charged.
+#[test]
+fn a_lasting_lack_of_ports_refuses() {
+    let site =
+        Site::start_with(0.5, |ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
+    for class in CLASSES {
+        let answer = Caller::connect(site.address).ask(class, class);
+        assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}");
+    }
+    let vitals = site.vitals(CLASSES.len() as u64);
+    check_uncharged(&vitals);
+    assert_eq!(vitals.unsent, CLASSES.len() as u64);
+    let faults = site.faults("CONNECT", None);
+    assert!((2 * CLASSES.len()..40 * CLASSES.len()).contains(&faults), "{faults} connects");
+}
+
+/// Guards the same where the caller's time is over before that for a connect.
+#[test]
+fn a_lack_of_ports_past_the_deadline_is_not_charged() {
+    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
+    for number in 0..5 {
+        let mut caller = Caller::connect(site.address);
+        let request = String::from_utf8(order_with(b"")).expect("text");
+        caller.raw(request.replace("X-Tenant", "X-Deadline: 0.4\r\nX-Tenant").as_bytes());
+        let status = caller.answer().expect("an answer").status();
+        assert!(matches!(status, 503 | 504), "{number}: {status}");
+    }
+    check_uncharged(&site.vitals(5));
+    assert_eq!(site.runs("one"), 0);
+}
+
+/// Guards requests against options that can't be set.
+#[test]
+fn options_that_are_not_set_lose_nothing() {
+    // The first is the listener's.
+    let site = Site::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
+    let tally = site.ask_all();
+    assert!(site.faults("SETSOCKOPT", None) > CALLERS);
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+/// Guards callers against accepts that fail for a moment.
+#[test]
+fn accepts_that_fail_lose_nobody() {
+    let errors = "ECONNABORTED+EMFILE+ENFILE+ENOBUFS+ENOMEM+EPROTO+EINTR";
+    let site = Site::start(|_| vec![("FAULT_ACCEPT", format!("errno={errors},every=3"))]);
+    let tally = site.ask_all_on(true);
+    for error in errors.split('+') {
+        assert!(site.faults("ACCEPT", Some(error)) > 0, "{error}");
+    }
+    assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
+    site.check_runs();
+}
+
+/// Guards drains against reads of the watch that are short, waits that are interrupted, and connects to discovery that
+/// fail for a moment: the word comes through, and nothing new goes to what drains.
+#[test]
+fn a_drain_is_heard_in_spite_of_faults() {
+    let site = Site::start(|_| {
+        vec![
+            ("FAULT_READ", "short=5,every=2".into()),
+            ("FAULT_WAIT", "errno=EINTR,every=2".into()),
+            ("FAULT_CONNECT", "errno=EADDRNOTAVAIL+ENOBUFS,count=3".into()),
+        ]
+    });
+    let (_, watch) = site.discovery.watch();
+    let [drains, ..] = &site.upstreams[..] else { panic!("there are some") };
+    watch.says(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
+    // A line of counts tells the index of the list in hand.
+    wait_for("the list is taken in", || {
+        let log = site.log.lock().expect("no panic");
+        log.iter().any(|line| line.contains("list 8;")).then_some(())
+    });
+    assert_eq!(site.ask_all().counts(), [ALL, 0, 0, 0]);
+    assert_eq!(drains.requests().len(), 0);
+    assert!(site.faults("READ", None) > REQUESTS);
+    site.check_runs();
+}
+
+/// Guards tests that move the wall clock: a program reads it as the file says, also after that has changed.
+#[test]
+fn the_wall_clock_is_off_as_the_file_says() {
+    let file = std::env::temp_dir().join(format!("balancer-proxy-clock-{}", std::process::id()));
+    let shown = |offset_ms: i64| {
+        fs::write(&file, offset_ms.to_string()).expect("written");
+        let program = Command::new("/bin/date")
+            .args(["+%s"])
+            .env("LD_PRELOAD", library())
+            .env("FAULT_CLOCK", &file)
+            .output()
+            .expect("runs");
+        String::from_utf8_lossy(&program.stdout).trim().parse::<u64>().expect("seconds")
+    };
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
+    for (offset_ms, expected) in [(-3_600_500, now - 3601), (7_200_000, now + 7200)] {
+        assert!(shown(offset_ms).abs_diff(expected) <= LONG.as_secs(), "off by {offset_ms} ms");
+    }
+}
