--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -111,14 +111,14 @@
 #[test]
 fn a_failed_accept_closes_no_other_connection() {
     beside_each_error(|errno, balancer| {
-        let mut kept: Vec<Caller> = Vec::new();
+        let mut kept: Vec<Client> = Vec::new();
         for number in 0..60 {
-            let mut caller = balancer.caller();
-            let answer = caller.try_ask("order", "one").map(|answer| answer.status());
+            let mut client = balancer.client();
+            let answer = client.try_ask("order", "one").map(|answer| answer.status());
             assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
-            kept.push(caller);
+            kept.push(client);
         }
-        let again = kept.iter_mut().map(|caller| caller.try_ask("order", "again"));
+        let again = kept.iter_mut().map(|client| client.try_ask("order", "again"));
         let closed = again.filter(Option::is_none).count();
         assert_eq!(closed, 0, "errno {errno}: connections closed");
         drop(kept);
@@ -130,19 +130,19 @@
 #[test]
 fn a_failed_accept_in_a_drain_closes_no_other_connection() {
     beside_each_error(|errno, mut balancer| {
-        let mut kept: Vec<Caller> = (0..12).map(|_| balancer.caller()).collect();
+        let mut kept: Vec<Client> = (0..12).map(|_| balancer.client()).collect();
         let mut told = vec![false; kept.len()];
-        for caller in &mut kept {
-            assert_eq!(caller.ask("order", "one").status(), 200);
+        for client in &mut kept {
+            assert_eq!(client.ask("order", "one").status(), 200);
         }
         balancer.stop();
         let began = Instant::now();
         // The front goes on dealing for so long.
         while began.elapsed() < Duration::from_millis(400) {
-            let mut new = balancer.caller();
+            let mut new = balancer.client();
             assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
-            for (caller, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
-                let answer = caller.try_ask("order", "still");
+            for (client, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
+                let answer = client.try_ask("order", "still");
                 let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
                 *told = answer.header("connection") == Some("close");
             }
@@ -155,12 +155,12 @@
 type Turn = (mpsc::Sender<()>, mpsc::Receiver<()>);
 
 /// A listener that holds up the whole program as it accepts a connection, once for each turn.
-struct Holding {
+struct BlockingListener {
     listener: tokio::net::TcpListener,
     turns: mpsc::Receiver<Turn>,
 }
 
-impl Accept for Holding {
+impl Accept for BlockingListener {
     async fn accept(&self) -> io::Result<TcpStream> {
         let stream = self.listener.accept().await?.0;
         if let Ok((held, go_on)) = self.turns.try_recv() {
@@ -172,12 +172,12 @@
 }
 
 /// Connects, and holds up the balancer as it accepts the connection until it is told to go on.
-fn connect_held(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Caller, mpsc::Sender<()>) {
+fn connect_while_blocked(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Client, mpsc::Sender<()>) {
     let ((held, is_held), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
     hold.send((held, goes_on)).expect("the balancer serves");
-    let caller = balancer.caller();
+    let client = balancer.client();
     is_held.recv().expect("the balancer is held up");
-    (caller, go_on)
+    (client, go_on)
 }
 
 /// Guards requests that came while the program was held up: the connection that is to give way then is not closed over
@@ -191,12 +191,13 @@
     let mut draining = Vec::new();
     for count in 20.. {
         let (hold, turns) = mpsc::channel();
-        let mut balancer = Balancer::start_on(parsed(&text), move |listener| Holding { listener, turns });
-        let mut callers: Vec<Caller> = (0..count).map(|_| balancer.caller()).collect();
+        let mut balancer =
+            Balancer::start_on(parsed(&text), move |listener| BlockingListener { listener, turns });
+        let mut clients: Vec<Client> = (0..count).map(|_| balancer.client()).collect();
         // On a busy machine one of too many may be closed before it has asked.
-        let served = callers.iter_mut().all(|caller| caller.try_ask("order", "one").is_some());
+        let served = clients.iter_mut().all(|client| client.try_ask("order", "one").is_some());
         // It has rested for longest, and is the first to give way.
-        let oldest = &mut callers[0];
+        let oldest = &mut clients[0];
         oldest.0.set_nonblocking(true).expect("set");
         let closed = matches!(oldest.0.peek(&mut [0]), Ok(0));
         oldest.0.set_nonblocking(false).expect("set");
@@ -205,9 +206,9 @@
             break;
         }
         // One that brings nothing, so that the newest may be the first to meet a budget that is short.
-        let (_silent, go_on) = connect_held(&balancer, &hold);
+        let (_silent, go_on) = connect_while_blocked(&balancer, &hold);
         go_on.send(()).expect("the balancer is held up");
-        let (_newest, go_on) = connect_held(&balancer, &hold);
+        let (_newest, go_on) = connect_while_blocked(&balancer, &hold);
         oldest.raw(&order_with(b""));
         go_on.send(()).expect("the balancer is held up");
         assert!(oldest.answer().is_some(), "closed over a request, beside {count} connections");
--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -20,23 +20,23 @@
 #[test]
 fn a_repeat_does_not_begin_after_its_window() {
     let failing = Upstream::start(|_, _| Reply::Last(Vec::new()));
-    let late = Late::start();
+    let late = LateUpstream::start();
     let known = [endpoint("s-1", failing.address, 4, "ready"), endpoint("s-2", late.address, 4, "ready")];
     let discovery = Discovery::start();
     let text =
         configuration(discovery.address, &known, 50.0, 1024).replace("\"windowS\":10.0", "\"windowS\":0.3");
     // Which upstream is first is drawn: it must be the failing one, so that the other gets the repeat.
     let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
-    let mut callers: Vec<Caller> = (0..4).map(|_| balancer.caller()).collect();
-    for caller in &mut callers {
-        caller.send("pay", "instalments");
+    let mut clients: Vec<Client> = (0..4).map(|_| balancer.client()).collect();
+    for client in &mut clients {
+        client.send("pay", "instalments");
     }
     failing.wait_requests(1);
     let first = Instant::now();
     thread::sleep(Duration::from_millis(400));
     let came = late.open();
     // Those that went to the late one at first may go there.
-    let direct = callers.len() - failing.requests().len();
+    let direct = clients.len() - failing.requests().len();
     let mut got = 0;
     while let Ok(stream) = came.recv_timeout(SOON) {
         stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
@@ -50,28 +50,28 @@
 #[test]
 fn a_drain_learned_during_a_connect_holds() {
     for status in ["draining", "gone"] {
-        let late = Late::start();
+        let late = LateUpstream::start();
         let other = Upstream::start(|_, _| ok("other"));
         let known = [endpoint("s-1", late.address, 0, "ready")];
         let discovery = Discovery::start();
         let text = configuration(discovery.address, &known, 50.0, 1024);
         let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
-        let mut caller = balancer.caller();
-        caller.send("order", "one");
+        let mut client = balancer.client();
+        client.send("order", "one");
         late.wait_connecting(1);
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", late.address, 0, status);
         watch.says(8, false, &[drained, endpoint("s-2", other.address, 1, "ready")]);
         wait_for("the drain is taken in", || {
-            (balancer.caller().ask("read", "").body == b"other").then_some(())
+            (balancer.client().ask("read", "").body == b"other").then_some(())
         });
         // Its connections end while the balancer goes on.
         assert!(nothing_came(all_that_came(&late.open())), "{status}");
-        assert_eq!(caller.answer().expect("an answer").body, b"other", "{status}");
+        assert_eq!(client.answer().expect("an answer").body, b"other", "{status}");
     }
 }
 
-/// Guards callers against another's answer: what an upstream sends beyond its answer is nobody's, also when it comes
+/// Guards clients against another's answer: what an upstream sends beyond its answer is nobody's, also when it comes
 /// some milliseconds later, and the connection it came on carries nothing more.
 #[test]
 fn a_second_answer_is_nobodys() {
@@ -113,11 +113,11 @@
             }
         });
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", address, 0, "ready")], 30.0);
-        let mut caller = balancer.caller();
+        let mut client = balancer.client();
         for _ in 0..20 {
             // A machine without time for it may look like a crowd, and a refusal is an answer of its own.
             let answer = wait_for("an answer beside refusals", || {
-                Some(caller.ask("order", "one")).filter(|answer| answer.status() != 503)
+                Some(client.ask("order", "one")).filter(|answer| answer.status() != 503)
             });
             if answer.body == b"wrong" {
                 // Held up between its look at the clock and its write, the upstream was too late for the promise.
@@ -130,7 +130,7 @@
     }
 }
 
-/// Guards callers against half an answer: one without a length that is reset has not ended.
+/// Guards clients against half an answer: one without a length that is reset has not ended.
 #[test]
 fn a_reset_is_no_end_of_an_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -145,5 +145,5 @@
         }
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", address, 0, "ready")], 30.0);
-    assert_eq!(balancer.caller().ask("order", "one").status(), 502);
+    assert_eq!(balancer.client().ask("order", "one").status(), 502);
 }
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -13,9 +13,9 @@
 fn an_answer_passes_through_and_the_connection_is_kept() {
     let upstream = Upstream::start(|number, _| ok(&format!("quote {number}")));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     for number in 0..3 {
-        let answer = caller.ask("pay", "instalments");
+        let answer = client.ask("pay", "instalments");
         assert_eq!((answer.status(), answer.body), (200, format!("quote {number}").into_bytes()));
         let (answered, rested) = (Instant::now(), Duration::from_millis(40));
         wait_for("the connection has rested", || (answered.elapsed() > rested).then_some(()));
@@ -33,7 +33,7 @@
     }
 }
 
-/// Guards against an upstream's own 503 reaching the caller: it may have run, and a refusal would say that it
+/// Guards against an upstream's own 503 reaching the client: it may have run, and a refusal would say that it
 /// did not.
 #[test]
 fn a_503_without_the_mark_is_a_failure() {
@@ -42,7 +42,7 @@
     {
         let upstream = Upstream::start(move |_, _| status(line));
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-        let answer = balancer.caller().ask("order", "one");
+        let answer = balancer.client().ask("order", "one");
         assert_eq!(answer.status(), 502, "{line}");
         assert_eq!(upstream.requests().len(), 1, "an unsafe request that may have run went out again");
     }
@@ -56,7 +56,7 @@
     let (first, second) = (full(), full());
     let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
-    let answer = balancer.caller().ask("order", "one");
+    let answer = balancer.client().ask("order", "one");
     assert_eq!(answer.status(), 503);
     assert_eq!(answer.header("retry-after"), Some("1.500"));
     assert_eq!((first.requests().len(), second.requests().len()), (1, 1));
@@ -69,10 +69,10 @@
     let known = [endpoint("s-1", dead_address(), 0, "ready"), endpoint("s-2", upstream.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
     for _ in 0..4 {
-        assert_eq!(balancer.caller().ask("order", "one").status(), 200);
+        assert_eq!(balancer.client().ask("order", "one").status(), 200);
     }
     let (alone, _discovery) = Balancer::with(&[endpoint("s-1", dead_address(), 0, "ready")], 30.0);
-    assert_eq!(alone.caller().ask("order", "one").status(), 503);
+    assert_eq!(alone.client().ask("order", "one").status(), 503);
 }
 
 /// Guards against a resend that nobody decided on, and against a refusal for what may have run: once the last
@@ -90,9 +90,9 @@
             _ => Reply::Last(part.as_bytes().to_vec()),
         });
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-        let mut caller = balancer.caller();
-        assert_eq!(caller.ask("order", "one").status(), 200);
-        assert_eq!(caller.ask("order", "two").status(), 502, "{part:?}");
+        let mut client = balancer.client();
+        assert_eq!(client.ask("order", "one").status(), 200);
+        assert_eq!(client.ask("order", "two").status(), 502, "{part:?}");
         assert_eq!(upstream.requests().len(), 2, "{part:?}: it was sent again");
     }
 }
@@ -108,7 +108,7 @@
         endpoint("s-3", other.address, 5, "ready"),
     ];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
-    assert_eq!(balancer.caller().ask("pay", "one").status(), 502);
+    assert_eq!(balancer.client().ask("pay", "one").status(), 502);
     let seen = [first.requests().len() + same.requests().len(), other.requests().len()];
     assert!(seen == [2, 0] || seen == [0, 1], "{seen:?}");
 }
@@ -118,35 +118,35 @@
 fn a_time_out_closes_its_connection() {
     let upstream = Upstream::start(|number, _| if number == 0 { Reply::Silence } else { ok("late") });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 0.3);
-    let mut caller = balancer.caller();
-    assert_eq!(caller.ask("order", "one").status(), 502);
+    let mut client = balancer.client();
+    assert_eq!(client.ask("order", "one").status(), 502);
     upstream.wait_closed(1);
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards against a caller's short patience being taken for the class's long one.
+/// Guards against a client's short patience being taken for the class's long one.
 #[test]
-fn the_answer_does_not_outlast_the_callers_deadline() {
+fn the_answer_does_not_outlast_the_clients_deadline() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 59.0);
-    let mut caller = balancer.caller();
-    caller.raw(
+    let mut client = balancer.client();
+    client.raw(
         b"GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n\r\n",
     );
-    let status = caller.answer().expect("an answer long before the class's deadline").status();
+    let status = client.answer().expect("an answer long before the class's deadline").status();
     assert!(status == 502 || status == 503, "{status}");
     upstream.wait_closed(1);
 }
 
-/// Guards against work for nobody: a caller that leaves takes its attempt along.
+/// Guards against work for nobody: a client that leaves takes its attempt along.
 #[test]
-fn a_caller_that_leaves_stops_its_attempt() {
+fn a_client_that_leaves_stops_its_attempt() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
-    let mut caller = balancer.caller();
-    caller.send("order", "one");
+    let mut client = balancer.client();
+    client.send("order", "one");
     upstream.wait_requests(1);
-    caller.0.shutdown(Shutdown::Both).expect("closed");
+    client.0.shutdown(Shutdown::Both).expect("closed");
     upstream.wait_closed(1);
     assert_eq!(upstream.requests().len(), 1);
 }
@@ -158,22 +158,22 @@
         Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok".to_vec())
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     for served in 1..=4 {
-        assert_eq!(caller.ask("order", "one").status(), 200);
+        assert_eq!(client.ask("order", "one").status(), 200);
         assert_eq!((upstream.requests().len(), upstream.connections()), (served, served));
     }
 }
 
-/// Guards memory and the caller against an answer past the limit of the protocol.
+/// Guards memory and the client against an answer past the limit of the protocol.
 #[test]
 fn an_oversized_answer_is_a_failure() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(65 * 1024)));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    assert_eq!(balancer.caller().ask("order", "one").status(), 502);
+    assert_eq!(balancer.client().ask("order", "one").status(), 502);
 }
 
-/// Guards upstreams and limits against a caller's bad request: it is answered as failed at once, sent nowhere
+/// Guards upstreams and limits against a client's bad request: it is answered as failed at once, sent nowhere
 /// else, and no sign of a bad upstream or a crowd.
 #[test]
 fn a_request_that_an_upstream_rejects_is_not_sent_again() {
@@ -181,9 +181,9 @@
         (Upstream::start(|_, _| status("400 Bad Request")), Upstream::start(|_, _| status("404 Not Found")));
     let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     for asked in 1..=8 {
-        assert_eq!(caller.ask("read", "").status(), 502);
+        assert_eq!(client.ask("read", "").status(), 502);
         assert_eq!(first.requests().len() + second.requests().len(), asked);
     }
 }
@@ -195,9 +195,9 @@
     let upstream =
         Upstream::start(|number, _| if number == 1 { Reply::Last(Vec::new()) } else { ok("served") });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     let mut ask = |class: &str, status: u16| {
-        assert_eq!(caller.ask(class, "").status(), status);
+        assert_eq!(client.ask(class, "").status(), status);
         let answered = Instant::now();
         let idle = Duration::from_millis(100);
         wait_for("the connection stands idle", || (answered.elapsed() > idle).then_some(()));
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -11,10 +11,10 @@
 
 use common::*;
 
-/// Guards upstreams against work for nobody: a caller has gone with the end of its sending, also when it had sent more
+/// Guards upstreams against work for nobody: a client has gone with the end of its sending, also when it had sent more
 /// behind its request, which keeps a server that reads only what it needs from seeing the end.
 #[test]
-fn a_caller_that_sent_more_is_seen_to_leave() {
+fn a_client_that_sent_more_is_seen_to_leave() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
     let second = order_with(b"");
@@ -23,12 +23,12 @@
     for extra in [b"".as_slice(), b"\r\n", b"G", &second, &much] {
         for how in [Shutdown::Write, Shutdown::Both] {
             asked += 1;
-            let mut caller = balancer.caller();
-            caller.raw(&order_with(b""));
+            let mut client = balancer.client();
+            client.raw(&order_with(b""));
             upstream.wait_requests(asked);
-            caller.raw(extra);
+            client.raw(extra);
             let left = Instant::now();
-            caller.0.shutdown(how).expect("up");
+            client.0.shutdown(how).expect("up");
             upstream.wait_closed(asked);
             assert!(left.elapsed() < SOON, "{} bytes, {how:?}: {:?}", extra.len(), left.elapsed());
             assert_eq!(upstream.requests().len(), asked);
@@ -36,26 +36,26 @@
     }
 }
 
-/// Guards the same while the first attempt waits for its connection: it does not begin once the caller has gone, be it
+/// Guards the same while the first attempt waits for its connection: it does not begin once the client has gone, be it
 /// one or a burst of them, whether or not attempts may be called off there.
 #[test]
-fn nothing_begins_for_callers_that_left_during_a_connect() {
-    let case = |callers: usize, cancel: bool| {
-        let late = Late::start();
+fn nothing_begins_for_clients_that_left_during_a_connect() {
+    let case = |clients: usize, cancel: bool| {
+        let late = LateUpstream::start();
         let discovery = Discovery::start();
         let known = [endpoint("s-1", late.address, 0, "ready")];
         let text = configuration(discovery.address, &known, 50.0, 1024)
             .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
         let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
-        let callers: Vec<Caller> = (0..callers)
+        let clients: Vec<Client> = (0..clients)
             .map(|_| {
-                let mut caller = balancer.caller();
-                caller.raw(&order_with(b"more"));
-                caller
+                let mut client = balancer.client();
+                client.raw(&order_with(b"more"));
+                client
             })
             .collect();
-        late.wait_connecting(callers.len());
-        drop(callers);
+        late.wait_connecting(clients.len());
+        drop(clients);
         // From then on nothing may begin.
         thread::sleep(Duration::from_millis(100));
         // One connection stays for the next attempt; it is closed with the balancer at the latest.
@@ -75,22 +75,22 @@
     });
 }
 
-/// Guards callers that do not leave: what they had sent behind their request is the next one, in order.
+/// Guards clients that do not leave: what they had sent behind their request is the next one, in order.
 #[test]
 fn requests_sent_together_are_answered_in_order() {
     let upstream = Upstream::start(|number, _| ok(&format!("answer {number}")));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
-    caller.raw(&[order_with(b""), order_with(b""), order_with(b"")].concat());
+    let mut client = balancer.client();
+    client.raw(&[order_with(b""), order_with(b""), order_with(b"")].concat());
     for number in 0..3 {
-        assert_eq!(caller.answer().expect("an answer").body, format!("answer {number}").into_bytes());
+        assert_eq!(client.answer().expect("an answer").body, format!("answer {number}").into_bytes());
     }
 }
 
-/// Guards the answer to a caller that sends far more than a request behind it: it comes, and its connection ends
+/// Guards the answer to a client that sends far more than a request behind it: it comes, and its connection ends
 /// in peace.
 #[test]
-fn an_answer_reaches_a_caller_that_goes_on_sending() {
+fn an_answer_reaches_a_client_that_goes_on_sending() {
     let (release, held) = mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |_, _| {
@@ -98,13 +98,13 @@
         ok("served")
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
-    caller.raw(&order_with(&[b'x'; 200_000]));
+    let mut client = balancer.client();
+    client.raw(&order_with(&[b'x'; 200_000]));
     upstream.wait_requests(1);
     release.send(()).expect("the upstream waits");
-    let answer = caller.answer().expect("an answer");
+    let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert_eq!(caller.0.read(&mut [0]).expect("closed in peace"), 0);
+    assert_eq!(client.0.read(&mut [0]).expect("closed in peace"), 0);
 }
 
 /// Guards an error against the reset that closing over unread bytes would send after it.
@@ -116,10 +116,10 @@
         "SPDY /order HTTP/9\r\n\r\n",
     ];
     for head in heads {
-        let mut caller = balancer.caller();
-        caller.raw(&[head.as_bytes(), &[b'x'; 60_000]].concat());
-        assert!(caller.answer().expect("an answer").status() >= 400, "{head}");
+        let mut client = balancer.client();
+        client.raw(&[head.as_bytes(), &[b'x'; 60_000]].concat());
+        assert!(client.answer().expect("an answer").status() >= 400, "{head}");
         let mut rest = Vec::new();
-        assert_eq!(caller.0.read_to_end(&mut rest).expect("closed in peace"), 0, "{head}");
+        assert_eq!(client.0.read_to_end(&mut rest).expect("closed in peace"), 0, "{head}");
     }
 }
--- a/crates/proxy/tests/callers.rs
+++ b/crates/proxy/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Callers: what they may send, how many there may be, and how the program ends.
+//! Clients: what they may send, how many there may be, and how the program ends.
 
 mod common;
 
@@ -7,9 +7,9 @@
 
 use common::*;
 
-/// Guards the decisions against what they can't take, and the caller against silence.
+/// Guards the decisions against what they can't take, and the client against silence.
 #[test]
-fn a_bad_request_is_told_so_and_harms_nobody() {
+fn a_bad_request_is_rejected_and_harms_nobody() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let good = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 9\r\n\r\n";
@@ -32,9 +32,9 @@
         ("", "", 200),
     ];
     for (from, to, status) in cases {
-        let mut caller = balancer.caller();
-        caller.raw(good.replacen(from, to, 1).as_bytes());
-        let answer = caller.answer().map(|answer| answer.status());
+        let mut client = balancer.client();
+        client.raw(good.replacen(from, to, 1).as_bytes());
+        let answer = client.answer().map(|answer| answer.status());
         assert_eq!(answer, Some(status), "{from:?} as {to:?}");
     }
     for (_, request) in upstream.requests() {
@@ -42,35 +42,35 @@
     }
 }
 
-/// Guards the descriptor limit: idle callers give way to new ones, and nobody is left waiting.
+/// Guards the descriptor limit: idle clients give way to new ones, and nobody is left waiting.
 #[test]
-fn idle_callers_give_way_when_sockets_run_out() {
+fn idle_clients_give_way_when_sockets_run_out() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 48));
-    let mut callers: Vec<Caller> = (0..100)
+    let mut clients: Vec<Client> = (0..100)
         .map(|_| {
-            let mut caller = balancer.caller();
-            assert_eq!(caller.ask("order", "one").status(), 200);
-            caller
+            let mut client = balancer.client();
+            assert_eq!(client.ask("order", "one").status(), 200);
+            client
         })
         .collect();
     // The first have been closed in favour of the last.
-    assert!(callers.remove(0).answer().is_none());
+    assert!(clients.remove(0).answer().is_none());
     assert_eq!(upstream.requests().len(), 100);
 }
 
 /// Guards the same against connections that never carry a request.
 #[test]
-fn silent_callers_give_way_too() {
+fn silent_clients_give_way_too() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 48));
-    let mut silent: Vec<Caller> = (0..60).map(|_| balancer.caller()).collect();
+    let mut silent: Vec<Client> = (0..60).map(|_| balancer.client()).collect();
     wait_for("an answer beside them", || {
-        (balancer.caller().ask("order", "one").status() == 200).then_some(())
+        (balancer.client().ask("order", "one").status() == 200).then_some(())
     });
     assert!(silent.remove(0).answer().is_none());
 }
@@ -80,37 +80,37 @@
 fn a_request_may_come_in_pieces() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     let text = "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\
                 Content-Length: 11\r\n\r\ninstalments";
     for piece in text.as_bytes().chunks(13) {
         assert!(upstream.requests().is_empty());
-        caller.raw(piece);
+        client.raw(piece);
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
-    assert_eq!(caller.answer().expect("an answer").status(), 200);
+    assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(upstream.requests()[0].1.body, b"instalments");
 }
 
-/// Guards callers against waiting for a socket that does not come: with all busy, the rest are refused at
+/// Guards clients against waiting for a socket that does not come: with all busy, the rest are refused at
 /// once, and truly.
 #[test]
-fn busy_callers_beyond_the_budget_are_refused() {
+fn busy_clients_beyond_the_budget_are_refused() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 50.0, 48));
     let mut waiting = Vec::new();
     let refused = wait_for("a refusal", || {
-        let mut caller = balancer.caller();
-        caller.send("order", "one");
-        caller.0.set_read_timeout(Some(std::time::Duration::from_millis(200))).expect("set");
-        let answered = caller.0.peek(&mut [0]).is_ok();
-        caller.0.set_read_timeout(Some(LONG)).expect("set");
+        let mut client = balancer.client();
+        client.send("order", "one");
+        client.0.set_read_timeout(Some(std::time::Duration::from_millis(200))).expect("set");
+        let answered = client.0.peek(&mut [0]).is_ok();
+        client.0.set_read_timeout(Some(LONG)).expect("set");
         if answered {
-            return caller.answer();
+            return client.answer();
         }
-        waiting.push(caller);
+        waiting.push(client);
         None
     });
     assert_eq!(refused.status(), 503);
@@ -118,7 +118,7 @@
 }
 
 /// Guards the accept loop against EMFILE: with fewer descriptors than the budget says, and nobody who reads
-/// the log of it, callers are still served, then as before.
+/// the log of it, clients are still served, then as before.
 #[test]
 fn running_out_of_descriptors_does_not_end_the_program() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -127,17 +127,17 @@
     let mut child = program_within(32, &configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     drop(log);
-    let crowd: Vec<Caller> = (0..80).map(|_| Caller::connect(address)).collect();
+    let crowd: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
     wait_for("an answer beside the crowd", || {
-        let mut caller = Caller::connect(address);
-        caller.send("order", "one");
-        caller.answer().filter(|answer| answer.status() == 200)
+        let mut client = Client::connect(address);
+        client.send("order", "one");
+        client.answer().filter(|answer| answer.status() == 200)
     });
     drop(crowd);
     wait_for("an answer after it", || {
-        let mut caller = Caller::connect(address);
-        caller.send("order", "one");
-        caller.answer().filter(|answer| answer.status() == 200)
+        let mut client = Client::connect(address);
+        client.send("order", "one");
+        client.answer().filter(|answer| answer.status() == 200)
     });
     assert!(child.try_wait().expect("known").is_none());
     child.kill().expect("it runs");
@@ -150,7 +150,7 @@
 /// Guards planned restarts: after SIGTERM what was taken is finished, new connections are still served, each
 /// answer closes its connection, and the program ends by itself.
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_finishes_what_was_accepted() {
     let (release, held) = std::sync::mpsc::channel::<()>();
     let held = std::sync::Mutex::new(held);
     let upstream = Upstream::start(move |number, _| {
@@ -163,10 +163,10 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, mut log) = address(&mut child);
-    let mut taken = Caller::connect(address);
+    let mut taken = Client::connect(address);
     taken.send("order", "one");
     upstream.wait_requests(1);
-    let mut idle = Caller::connect(address);
+    let mut idle = Client::connect(address);
     assert_eq!(idle.ask("order", "two").header("connection"), None);
     signal(&child, "-TERM");
     wait_line(&mut log, "into the drain");
@@ -176,7 +176,7 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, None));
     }
     wait_for("answers close their connections", || {
-        let mut late = Caller::connect(address);
+        let mut late = Client::connect(address);
         let connected = Instant::now();
         late.send("order", "three");
         let answer = match late.answer() {
@@ -212,12 +212,12 @@
         let Ok(stream) = std::net::TcpStream::connect(address) else { return None };
         let connected = Instant::now();
         std::thread::sleep(Duration::from_millis(40));
-        Some(Caller::new(stream).try_ask("order", "anew").is_some() || connected.elapsed() >= LATE)
+        Some(Client::new(stream).try_ask("order", "anew").is_some() || connected.elapsed() >= LATE)
     };
     let clients: Vec<_> = (0..8)
         .map(|_| {
             std::thread::spawn(move || {
-                let mut kept = Caller::connect(address);
+                let mut kept = Client::connect(address);
                 for sent in 1.. {
                     match kept.try_ask("order", "on") {
                         Some(answer) if answer.header("connection") != Some("close") => {
@@ -265,7 +265,7 @@
         (sound.replace("idempotent", "harmless"), "settings are malformed"),
         (
             sound.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen("\"balancers\":1,", "", 1),
-            "copies is 0",
+            "replicas is 0",
         ),
     ] {
         let child = program(&text);
@@ -282,7 +282,7 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     discovery.watch().1.bytes(b"\n");
-    let mut served = balancer.caller();
+    let mut served = balancer.client();
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     assert_eq!(served.ask("order", "one").status(), 200);
     let head =
@@ -296,7 +296,7 @@
         (&begun, Some(408)),
         (health, Some(200)),
     ];
-    let mut peers: Vec<Caller> = parts.iter().map(|_| balancer.caller()).collect();
+    let mut peers: Vec<Client> = parts.iter().map(|_| balancer.client()).collect();
     for (peer, (part, _)) in peers.iter_mut().zip(parts) {
         peer.raw(part.as_bytes());
     }
@@ -321,8 +321,8 @@
     let (_, watch) = before.watch();
     let moved = Upstream::start(|_, _| ok("moved"));
     watch.says(9, false, &[endpoint("s-1", moved.address, 0, "ready")]);
-    let mut caller = Caller::connect(address);
-    wait_for("the change is taken in", || (caller.ask("order", "one").body == b"moved").then_some(()));
+    let mut client = Client::connect(address);
+    wait_for("the change is taken in", || (client.ask("order", "one").body == b"moved").then_some(()));
     write_configuration("{");
     signal(&child, "-HUP");
     let mut line = String::new();
@@ -335,7 +335,7 @@
     let (line, watch) = after.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
     watch.says(10, true, &[endpoint("s-2", new.address, 0, "ready")]);
-    wait_for("the new list is taken in", || (caller.ask("order", "two").body == b"new").then_some(()));
+    wait_for("the new list is taken in", || (client.ask("order", "two").body == b"new").then_some(()));
     child.kill().expect("it runs");
     child.wait().expect("ends");
 }
--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use tokio::sync::oneshot;
 
-use super::{Caller, Discovery, configuration, parsed};
+use super::{Client, Discovery, configuration, parsed};
 
 /// A balancer on a thread of its own; it drains when dropped.
 pub struct Balancer {
@@ -53,13 +53,19 @@
         (Self::start(&configuration(discovery.address, known, aim, 1024)), discovery)
     }
 
-    pub fn caller(&self) -> Caller {
-        Caller::connect(self.address)
+    /// A new connection to it.
+    pub fn client(&self) -> Client {
+        Client::connect(self.address)
+    }
+
+    /// [`Balancer::client`] by the name that `configuration.rs` still uses.
+    pub fn caller(&self) -> Client {
+        self.client()
     }
 
     /// What the front is told.
     pub fn health(&self) -> u16 {
-        self.caller().health().expect("an answer")
+        self.client().health().expect("an answer")
     }
 
     /// Begins the drain, and does not wait for its end.
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -6,7 +6,7 @@
 
 use super::{LONG, Message, all_of, read_message};
 
-/// The text of a request as callers write it.
+/// The text of a request as clients write it.
 fn request(class: &str, body: &str) -> String {
     let (method, key) = if class == "read" { ("GET", "") } else { ("POST", "Idempotency-Key: k-1\r\n") };
     format!(
@@ -16,17 +16,17 @@
     )
 }
 
-/// A caller's request with these bytes behind it.
+/// A client's request with these bytes behind it.
 pub fn order_with(extra: &[u8]) -> Vec<u8> {
     let head = "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\
                 Content-Length: 3\r\n\r\none";
     [head.as_bytes(), extra].concat()
 }
 
-/// A caller's connection.
-pub struct Caller(pub TcpStream);
+/// A client's connection.
+pub struct Client(pub TcpStream);
 
-impl Caller {
+impl Client {
     pub fn connect(address: SocketAddr) -> Self {
         Self::new(TcpStream::connect(address).expect("accepted"))
     }
@@ -70,7 +70,7 @@
 /// An answer must have arrived this long after its request's time at the latest.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// A request whose caller has so many seconds left.
+/// A request whose client has so many seconds left.
 pub fn timed(class: &str, body: &str, seconds: f64) -> Vec<u8> {
     let (method, key) = if class == "read" {
         ("GET", String::new())
@@ -86,7 +86,10 @@
 }
 
 /// Whether the connection ends with nothing more on it: each request has had its one answer.
-pub fn ends_empty(caller: Caller) -> bool {
-    caller.0.shutdown(Shutdown::Write).expect("open");
-    all_of(caller.0).is_empty()
+pub fn ends_empty(client: Client) -> bool {
+    client.0.shutdown(Shutdown::Write).expect("open");
+    all_of(client.0).is_empty()
 }
+
+/// [`Client`] by the name that `configuration.rs` still uses.
+pub type Caller = Client;
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -12,15 +12,15 @@
 
 use super::*;
 
-/// Callers at a time.
-pub const CALLERS: usize = 8;
+/// Clients at a time.
+pub const CLIENTS: usize = 8;
 /// Requests of each.
 pub const REQUESTS: usize = 150;
 /// Upstreams.
 pub const UPSTREAMS: usize = 4;
 /// An attempt waits so long for a connection at the most.
 pub const USUAL_DIAL_S: f64 = 5.0;
-/// The classes of a caller's requests, in turn.
+/// The classes of a client's requests, in turn.
 pub const CLASSES: [&str; 3] = ["read", "pay", "order"];
 
 /// Where the library is: cargo builds it beside the tests, as their package names it.
@@ -87,7 +87,7 @@
         self.upstreams.iter().map(|upstream| upstream.count_of(body)).sum()
     }
 
-    /// Has all callers ask, and checks what holds under any fault: an answer on each connection that was not closed
+    /// Has all clients ask, and checks what holds under any fault: an answer on each connection that was not closed
     /// before it, with the upstream's own text if served, nothing behind the last, and nothing unsafe run twice.
     pub fn ask_all(&self) -> Tally {
         self.ask_all_on(false)
@@ -97,9 +97,9 @@
     pub fn ask_all_on(&self, fresh: bool) -> Tally {
         let tally = Tally::default();
         thread::scope(|scope| {
-            for caller in 0..CALLERS {
+            for client in 0..CLIENTS {
                 let (address, tally) = (self.address, &tally);
-                scope.spawn(move || ask_in_turn(address, caller, fresh, tally));
+                scope.spawn(move || ask_in_turn(address, client, fresh, tally));
             }
         });
         tally
@@ -107,9 +107,9 @@
 
     /// Checks that no request that must not be sent again was.
     pub fn check_runs(&self) {
-        for caller in 0..CALLERS {
+        for client in 0..CLIENTS {
             for request in (0..REQUESTS).filter(|request| CLASSES[request % CLASSES.len()] == "order") {
-                let body = format!("{caller}-{request}");
+                let body = format!("{client}-{request}");
                 let runs = self.runs(&body);
                 assert!(runs <= 1, "{body} ran {runs} times");
             }
@@ -117,12 +117,12 @@
     }
 
     /// The counts of the program's next line that tells of `taken` requests or more since the start.
-    pub fn vitals(&self, taken: u64) -> Vitals {
+    pub fn log_counts(&self, taken: u64) -> LogCounts {
         wait_for("a line of counts", || {
             let log = self.log.lock().expect("no panic");
             let lines = log.iter().filter(|line| line.contains("requests: "));
-            let vitals = lines.fold(Vitals::default(), |vitals, line| vitals.with(line));
-            (vitals.taken >= taken).then_some(vitals)
+            let log_counts = lines.fold(LogCounts::default(), |log_counts, line| log_counts.with(line));
+            (log_counts.taken >= taken).then_some(log_counts)
         })
     }
 }
@@ -139,20 +139,20 @@
 
 /// Asks one after the other, on one connection as long as it stands.
 fn ask_in_turn(address: SocketAddr, number: usize, fresh: bool, tally: &Tally) {
-    let mut caller = None;
+    let mut client = None;
     for request in 0..REQUESTS {
         let (class, body) = (CLASSES[request % CLASSES.len()], format!("{number}-{request}"));
-        let mut connection = caller.take().unwrap_or_else(|| Caller::connect(address));
+        let mut connection = client.take().unwrap_or_else(|| Client::connect(address));
         match connection.try_ask(class, &body) {
             Some(answer) => {
                 tally.take(&answer, &body);
                 let stays = !fresh && answer.header("connection") != Some("close");
-                caller = stays.then_some(connection);
+                client = stays.then_some(connection);
             }
             None => tally.add(&tally.closed),
         }
     }
-    if let Some(Caller(stream)) = caller {
+    if let Some(Client(stream)) = client {
         assert_eq!(rest_of(stream), b"", "behind the last answer");
     }
 }
@@ -177,7 +177,7 @@
     rest
 }
 
-/// How requests ended for their callers.
+/// How requests ended for their clients.
 #[derive(Debug, Default)]
 pub struct Tally {
     served: AtomicUsize,
@@ -212,7 +212,7 @@
 
 /// What lines of counts tell together.
 #[derive(Debug, Default)]
-pub struct Vitals {
+pub struct LogCounts {
     pub taken: u64,
     pub unreached: u64,
     pub late: u64,
@@ -223,7 +223,7 @@
     pub crowding: f64,
 }
 
-impl Vitals {
+impl LogCounts {
     fn with(mut self, line: &str) -> Self {
         self.taken += before(line, " taken");
         self.unreached += before(line, " unreached");
@@ -249,4 +249,4 @@
 }
 
 /// All requests there are.
-pub const ALL: usize = CALLERS * REQUESTS;
+pub const ALL: usize = CLIENTS * REQUESTS;
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -49,15 +49,15 @@
     ports
 }
 
-/// An upstream to which connections do not come up until [`Late::open`]: the system takes no more than its queue
+/// An upstream to which connections do not come up until [`LateUpstream::open`]: the system takes no more than its queue
 /// holds, and tries again a second later.
-pub struct Late {
+pub struct LateUpstream {
     listener: Socket,
     pub address: SocketAddr,
     queue: Vec<TcpStream>,
 }
 
-impl Late {
+impl LateUpstream {
     pub fn start() -> Self {
         let mut late = Self::with_room_for_one();
         late.close_up();
--- a/crates/proxy/tests/common/load.rs
+++ b/crates/proxy/tests/common/load.rs
@@ -8,31 +8,31 @@
 use std::thread;
 use std::time::Duration;
 
-use super::{Caller, Message, Upstream, timed};
+use super::{Client, Message, Upstream, timed};
 
-/// What callers of a load were told: how many orders each sent, and how many were answered with 200.
+/// What clients of a load were told: how many orders each sent, and how many were answered with 200.
 pub struct Load {
-    callers: Vec<thread::JoinHandle<(usize, usize)>>,
+    clients: Vec<thread::JoinHandle<(usize, usize)>>,
     over: Arc<AtomicBool>,
 }
 
 impl Load {
-    /// Starts callers that send orders, each with a body of its own, on a kept connection until that closes, and then
+    /// Starts clients that send orders, each with a body of its own, on a kept connection until that closes, and then
     /// one more on a new connection, as the front opens none later in a drain; or until the load is over.
-    pub fn start(address: SocketAddr, callers: usize) -> Self {
+    pub fn start(address: SocketAddr, clients: usize) -> Self {
         let over = Arc::new(AtomicBool::new(false));
-        let callers = (0..callers)
-            .map(|caller| {
+        let clients = (0..clients)
+            .map(|client| {
                 let over = Arc::clone(&over);
-                thread::spawn(move || Self::send(address, caller, &over))
+                thread::spawn(move || Self::send(address, client, &over))
             })
             .collect();
-        Self { callers, over }
+        Self { clients, over }
     }
 
     fn send(address: SocketAddr, number: usize, over: &AtomicBool) -> (usize, usize) {
         let (mut sent, mut served) = (0, 0);
-        let mut kept = Caller::connect(address);
+        let mut kept = Client::connect(address);
         while !over.load(Ordering::Relaxed) {
             let Some(answer) = Self::ask(&mut kept, &format!("{number}-{sent}")) else {
                 // It crossed the end of its connection, and counts as not sent.
@@ -49,19 +49,19 @@
     }
 
     fn ask_anew(address: SocketAddr, number: usize, sent: usize, served: usize) -> (usize, usize) {
-        let answer = Self::ask(&mut Caller::connect(address), &format!("{number}-anew"));
+        let answer = Self::ask(&mut Client::connect(address), &format!("{number}-anew"));
         (sent + 1, served + usize::from(answer.is_some_and(|answer| answer.status() == 200)))
     }
 
-    fn ask(caller: &mut Caller, body: &str) -> Option<Message> {
-        caller.0.write_all(&timed("order", body, 2.0)).ok()?;
-        caller.answer()
+    fn ask(client: &mut Client, body: &str) -> Option<Message> {
+        client.0.write_all(&timed("order", body, 2.0)).ok()?;
+        client.answer()
     }
 
     /// Ends it: orders answered at all, and those served.
     pub fn end(self) -> (usize, usize) {
         self.over.store(true, Ordering::Relaxed);
-        let each = self.callers.into_iter().map(|caller| caller.join().expect("no panic"));
+        let each = self.clients.into_iter().map(|client| client.join().expect("no panic"));
         each.fold((0, 0), |(sent, served), one| (sent + one.0, served + one.1))
     }
 }
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -27,14 +27,18 @@
 
 /// One that knows a late upstream and one that answers `other`, and has a connection to the late one under way that no
 /// attempt waits for any more; each of the `bodies` asked for it was answered by the other one.
-fn start_with_one_late(late: &Late, other: &Upstream, class: &str) -> (Balancer, Discovery, Vec<String>) {
+fn start_with_one_late(
+    late: &LateUpstream,
+    other: &Upstream,
+    class: &str,
+) -> (Balancer, Discovery, Vec<String>) {
     let known = [endpoint("s-1", late.address, 0, "ready"), endpoint("s-2", other.address, 1, "ready")];
     let (balancer, discovery) = start(&known, SHORT_S);
     let mut bodies = Vec::new();
     // Which upstream is first is drawn.
     wait_for("an attempt goes to the late one", || {
         bodies.push(format!("early {}", bodies.len()));
-        let answer = balancer.caller().ask(class, &bodies[bodies.len() - 1]);
+        let answer = balancer.client().ask(class, &bodies[bodies.len() - 1]);
         assert_eq!((answer.status(), answer.body), (200, b"other".to_vec()), "{bodies:?}");
         (!connecting(late.address).is_empty()).then_some(())
     });
@@ -53,12 +57,12 @@
     stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved").expect("open");
 }
 
-/// What the caller is owed: one answer, and nothing after it.
-fn only_answer(mut caller: Caller) -> Message {
-    let answer = caller.answer().expect("an answer");
-    caller.0.shutdown(Shutdown::Write).expect("up");
+/// What the client is owed: one answer, and nothing after it.
+fn only_answer(mut client: Client) -> Message {
+    let answer = client.answer().expect("an answer");
+    client.0.shutdown(Shutdown::Write).expect("up");
     let mut rest = Vec::new();
-    caller.0.read_to_end(&mut rest).expect("closed in peace");
+    client.0.read_to_end(&mut rest).expect("closed in peace");
     assert_eq!(rest, b"", "after {}", answer.line);
     answer
 }
@@ -69,13 +73,13 @@
 /// connection, once up, carries the next one for its upstream, which opens no other.
 #[test]
 fn a_late_connection_carries_the_next_request() {
-    let (late, other) = (Late::start(), Upstream::start(|_, _| ok("other")));
+    let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
     let (balancer, discovery, _) = start_with_one_late(&late, &other, "read");
     let upstream = late.serve(|_, _| ok("late"));
     wait_up(&balancer, &upstream);
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-2", other.address, 1, "gone")]);
-    wait_for("the late one serves", || (balancer.caller().ask("read", "").body == b"late").then_some(()));
+    wait_for("the late one serves", || (balancer.client().ask("read", "").body == b"late").then_some(()));
     let connections: Vec<usize> = upstream.requests().iter().map(|(connection, _)| *connection).collect();
     drop(balancer);
     assert_eq!((connections, upstream.all_links().len()), (vec![1], 1));
@@ -93,30 +97,30 @@
             // On a busy machine it may pass for a crowd, and a refusal is an answer of its own.
             scope.spawn(|| {
                 wait_for("an answer beside refusals", || {
-                    (balancer.caller().ask("read", "").body == b"other").then_some(())
+                    (balancer.client().ask("read", "").body == b"other").then_some(())
                 });
             });
         }
     });
-    let late = Late::start();
+    let late = LateUpstream::start();
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-1", late.address, 0, "ready")]);
     let mut asked = 0;
     // One at a time, some of which may be denied, up to the one that waits for a connection.
-    let mut caller = wait_for("an attempt goes to the late one", || {
+    let mut client = wait_for("an attempt goes to the late one", || {
         asked += 1;
-        let mut caller = balancer.caller();
-        caller.send("order", &asked.to_string());
-        caller.0.set_read_timeout(Some(Duration::from_millis(1))).expect("set");
+        let mut client = balancer.client();
+        client.send("order", &asked.to_string());
+        client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("set");
         let waits = wait_for("an answer or a connect", || {
             let waits = !connecting(late.address).is_empty();
-            (waits || caller.0.peek(&mut [0]).is_ok()).then_some(waits)
+            (waits || client.0.peek(&mut [0]).is_ok()).then_some(waits)
         });
-        caller.0.set_read_timeout(Some(LONG)).expect("set");
-        waits.then_some(caller)
+        client.0.set_read_timeout(Some(LONG)).expect("set");
+        waits.then_some(client)
     });
     let upstream = late.serve(|_, _| ok("late"));
-    let answer = caller.answer().expect("an answer");
+    let answer = client.answer().expect("an answer");
     assert_eq!((answer.status(), answer.body.as_slice()), (200, b"other".as_slice()), "order {asked}");
     wait_up(&balancer, &upstream);
     let body = asked.to_string();
@@ -125,10 +129,10 @@
 
 /// A balancer of whose two attempts at one upstream the second waited for a connection of its own, which can't come up
 /// yet, and went out on the first's as soon as that was free; that one stands idle now.
-fn late_binding() -> (Balancer, Discovery, Late, TcpStream) {
-    let mut late = Late::with_room_for_one();
+fn late_binding() -> (Balancer, Discovery, LateUpstream, TcpStream) {
+    let mut late = LateUpstream::with_room_for_one();
     let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], LONG_S);
-    let (mut first, mut second) = (balancer.caller(), balancer.caller());
+    let (mut first, mut second) = (balancer.client(), balancer.client());
     first.send("read", "");
     let mut stream = late.accept();
     stream.set_read_timeout(Some(LONG)).expect("set");
@@ -159,10 +163,10 @@
 /// once the connection has come up.
 #[test]
 fn a_reroute_after_a_late_connect_runs_once() {
-    let (late, other) = (Late::start(), Upstream::start(|_, _| ok("other")));
+    let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
     let (balancer, _discovery, mut bodies) = start_with_one_late(&late, &other, "order");
     let ask = |body: &str, status| {
-        assert_eq!(balancer.caller().ask("order", body).status(), status, "{body}");
+        assert_eq!(balancer.client().ask("order", body).status(), status, "{body}");
     };
     let burst: Vec<String> = (0..8).map(|number| format!("burst {number}")).collect();
     thread::scope(|scope| {
@@ -189,20 +193,20 @@
 // --- What is left under way ---
 
 /// Guards an upstream that is out of reach, and our own descriptors, against a connect for every request that came: one
-/// stays under way, whatever the number of attempts that gave up, and each caller has one answer.
+/// stays under way, whatever the number of attempts that gave up, and each client has one answer.
 #[test]
 fn one_connect_stays_under_way() {
-    let late = Late::start();
+    let late = LateUpstream::start();
     let (balancer, _discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
-    let callers: Vec<Caller> = (0..20)
+    let clients: Vec<Client> = (0..20)
         .map(|_| {
-            let mut caller = balancer.caller();
-            caller.send("read", "");
-            caller
+            let mut client = balancer.client();
+            client.send("read", "");
+            client
         })
         .collect();
-    for caller in callers {
-        let status = only_answer(caller).status();
+    for client in clients {
+        let status = only_answer(client).status();
         assert!(status == 502 || status == 503, "{status}");
     }
     late.wait_connecting_falls(1);
@@ -220,14 +224,14 @@
 #[test]
 fn a_connect_is_let_go_of() {
     let case = |asking: bool| {
-        let late = Late::start();
+        let late = LateUpstream::start();
         let (balancer, _discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
-        assert_ne!(balancer.caller().ask("read", "").status(), 200);
+        assert_ne!(balancer.client().ask("read", "").status(), 200);
         let first = connecting(late.address);
         assert_eq!(first.len(), 1, "asking: {asking}, {first:?}");
         wait_for("the connect is given up", || {
             if asking {
-                balancer.caller().ask("read", "");
+                balancer.client().ask("read", "");
             }
             (!connecting(late.address).contains(&first[0])).then_some(())
         });
@@ -252,11 +256,11 @@
         wait_for("the balancer closes it", || upstream.links()[number].closed.then_some(()));
         assert!(!upstream.links()[number].spoken, "{link:?}");
     }
-    let mut caller = balancer.caller();
-    caller.send("read", "");
+    let mut client = balancer.client();
+    client.send("read", "");
     read_message(&mut stream).expect("the request");
     answer(&mut stream);
-    assert_eq!(caller.answer().expect("an answer").body, b"served");
+    assert_eq!(client.answer().expect("an answer").body, b"served");
 }
 
 /// Guards drains, moves and restarts: a connect from before is let go of, or its connection closed, and nothing is ever
@@ -264,10 +268,10 @@
 #[test]
 fn a_connect_from_before_the_word_carries_nothing() {
     let case = |change: &str| {
-        let (late, other) = (Late::start(), Upstream::start(|_, _| ok("other")));
+        let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
         let moved = Upstream::start(|_, _| ok("moved"));
         let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
-        assert_ne!(balancer.caller().ask("read", "").status(), 200, "{change}");
+        assert_ne!(balancer.client().ask("read", "").status(), 200, "{change}");
         let before = connecting(late.address);
         assert_eq!(before.len(), 1, "{change}: {before:?}");
         let mut told = match change {
@@ -281,7 +285,7 @@
         let (_, watch) = discovery.watch();
         watch.says(8, false, &[told, endpoint("s-2", other.address, 1, "ready")]);
         wait_for("the word is taken in", || {
-            (balancer.caller().ask("read", "").body == b"other").then_some(())
+            (balancer.client().ask("read", "").body == b"other").then_some(())
         });
         let upstream = late.serve(|_, _| ok("late"));
         wait_for("the connect is over", || {
@@ -290,7 +294,7 @@
         // A balancer that has met only connect timeouts so far may deny some.
         for _ in 0..20 {
             wait_for("a request is served", || {
-                (balancer.caller().ask("read", "").status() == 200).then_some(())
+                (balancer.client().ask("read", "").status() == 200).then_some(())
             });
         }
         if let Some(number) = upstream.all_links().iter().position(|link| link.peer.port() == before[0]) {
@@ -312,13 +316,13 @@
 
 // --- Other crossings ---
 
-/// Guards callers against connects that nobody waits for: where descriptors run short these go first.
+/// Guards clients against connects that nobody waits for: where descriptors run short these go first.
 #[test]
 fn left_connects_give_way_to_requests() {
     const HELD: usize = 20;
-    let lates: Vec<Late> = (0..8).map(|_| Late::start()).collect();
+    let lates: Vec<LateUpstream> = (0..8).map(|_| LateUpstream::start()).collect();
     let entries = |weight: f64| -> Vec<Value> {
-        let entry = |(number, late): (usize, &Late)| {
+        let entry = |(number, late): (usize, &LateUpstream)| {
             let mut entry = endpoint(&format!("late-{number}"), late.address, 0, "ready");
             entry["weight"] = json!(weight);
             entry
@@ -328,17 +332,17 @@
     let discovery = Discovery::start();
     let text = configuration(discovery.address, &entries(1.0), 50.0, 64);
     let balancer = Balancer::start(&with_dial_timeout(&text, LONG_S));
-    let mut callers = Vec::new();
+    let mut clients = Vec::new();
     wait_for("all are asked for a connection", || {
-        if callers.len() == 16 {
-            callers.clear();
+        if clients.len() == 16 {
+            clients.clear();
         }
-        let mut caller = balancer.caller();
-        caller.send("order", "leaves");
-        callers.push(caller);
+        let mut client = balancer.client();
+        client.send("order", "leaves");
+        clients.push(client);
         lates.iter().all(|late| !connecting(late.address).is_empty()).then_some(())
     });
-    drop(callers);
+    drop(clients);
     for late in &lates {
         late.wait_connecting_falls(1);
     }
@@ -357,28 +361,28 @@
     let (_, watch) = discovery.watch();
     watch.says(8, false, &list);
     wait_for("the list is taken in", || {
-        let mut caller = balancer.caller();
-        caller.raw(
+        let mut client = balancer.client();
+        client.raw(
             b"GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n\r\n",
         );
-        (caller.answer()?.body == b"served").then_some(())
+        (client.answer()?.body == b"served").then_some(())
     });
     for late in &lates {
-        // An attempt of those above ends some moments after its caller's answer.
+        // An attempt of those above ends some moments after its client's answer.
         late.wait_connecting_falls(1);
         assert_eq!(connecting(late.address).len(), 1, "nothing is crossed");
     }
-    let mut callers = Vec::new();
+    let mut clients = Vec::new();
     for count in 1..=HELD {
-        let mut caller = balancer.caller();
-        caller.send("order", "held");
-        callers.push(caller);
+        let mut client = balancer.client();
+        client.send("order", "held");
+        clients.push(client);
         wait_for("a request is served", || (working.count_of("held") == count).then_some(()));
     }
-    assert_eq!(balancer.caller().ask("order", "fresh").body, b"served");
+    assert_eq!(balancer.client().ask("order", "fresh").body, b"served");
     drop(release);
-    for mut caller in callers {
-        assert_eq!(caller.answer().expect("an answer").body, b"served");
+    for mut client in clients {
+        assert_eq!(client.answer().expect("an answer").body, b"served");
     }
 }
 
@@ -386,15 +390,15 @@
 #[test]
 fn a_connect_does_not_hold_up_the_drain() {
     let case = |dial_timeout: f64| {
-        let (late, discovery) = (Late::start(), Discovery::start());
+        let (late, discovery) = (LateUpstream::start(), Discovery::start());
         let known = [endpoint("s-1", late.address, 0, "ready")];
         let text = configuration(discovery.address, &known, 0.2, 1024).replace("60.0", "0.5");
         let mut child = program(&with_dial_timeout(&text, dial_timeout));
         let (address, mut log) = address(&mut child);
-        let mut caller = Caller::connect(address);
-        caller.send("order", "one");
+        let mut client = Client::connect(address);
+        client.send("order", "one");
         late.wait_connecting(1);
-        let refused = (dial_timeout == SHORT_S).then(|| caller.answer().expect("an answer").status());
+        let refused = (dial_timeout == SHORT_S).then(|| client.answer().expect("an answer").status());
         let left = connecting(late.address);
         signal(&child, "-TERM");
         let told = Instant::now();
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -152,7 +152,7 @@
     std::thread::scope(|scope| {
         for how in DEPARTURES {
             scope.spawn(move || {
-                let late = Late::start();
+                let late = LateUpstream::start();
                 drive_with(&[endpoint("s-1", late.address, 0, "ready")], async |driver| {
                     let (client, near) = Client::connect();
                     let answer = take(driver, "order", &near);
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -15,8 +15,8 @@
     for status in ["draining", "gone"] {
         let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
         let (balancer, discovery) = Balancer::with(&[endpoint("s-1", old.address, 0, "ready")], 30.0);
-        let mut caller = balancer.caller();
-        assert_eq!(caller.ask("order", "one").body, b"old");
+        let mut client = balancer.client();
+        assert_eq!(client.ask("order", "one").body, b"old");
         let (line, watch) = discovery.watch();
         assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
         // An address that can't be read does not keep the drain from being heard.
@@ -25,7 +25,7 @@
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         old.wait_closed(1);
         for _ in 0..5 {
-            assert_eq!(caller.ask("order", "two").body, b"new");
+            assert_eq!(client.ask("order", "two").body, b"new");
         }
         assert_eq!(old.requests().len(), 1);
     }
@@ -49,10 +49,10 @@
     let two = format!(r#"{{"index":9,"snapshot":false,"endpoints":[{gone}]}}"#);
     let three = format!(r#"{{"index":10,"snapshot":false,"endpoints":[{ready}]}}"#);
     watch.bytes(b"\n");
-    let mut caller = balancer.caller();
-    wait_for("the first list is taken in", || (caller.ask("read", "").body == b"first").then_some(()));
+    let mut client = balancer.client();
+    wait_for("the first list is taken in", || (client.ask("read", "").body == b"first").then_some(()));
     watch.bytes(format!("{two}\n\n{three}\n").as_bytes());
-    wait_for("both changes are taken in", || (caller.ask("read", "").body == b"second").then_some(()));
+    wait_for("both changes are taken in", || (client.ask("read", "").body == b"second").then_some(()));
 }
 
 /// Guards against a list that grows old unseen: a watch that ends, or turns to nonsense, is asked for again
@@ -66,11 +66,11 @@
     watch.end();
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=11 HTTP/1.1");
-    assert_eq!(balancer.caller().ask("read", "").status(), 200);
+    assert_eq!(balancer.client().ask("read", "").status(), 200);
     watch.bytes(b"\xff{]\n");
     let (line, _watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=11 HTTP/1.1");
-    assert_eq!(balancer.caller().ask("read", "").status(), 200);
+    assert_eq!(balancer.client().ask("read", "").status(), 200);
 }
 
 /// Guards against a watch that stays open and says nothing, as when discovery's machine is cut off: what it
@@ -90,12 +90,12 @@
 fn an_upstream_may_move() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", old.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
-    assert_eq!(caller.ask("order", "one").body, b"old");
+    let mut client = balancer.client();
+    assert_eq!(client.ask("order", "one").body, b"old");
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-1", new.address, 0, "ready")]);
     old.wait_closed(1);
-    assert_eq!(caller.ask("order", "two").body, b"new");
+    assert_eq!(client.ask("order", "two").body, b"new");
 }
 
 /// Guards the front against a balancer that has no list yet.
@@ -132,14 +132,14 @@
     watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     if in_time() {
-        assert_eq!(balancer.caller().ask("order", "one").body, b"new");
+        assert_eq!(balancer.client().ask("order", "one").body, b"new");
         assert!(old.requests().is_empty());
     }
     // With discovery down, the list in hand has to do.
     let down = configuration(Discovery::beating(LONG).address, &known, 30.0, 1024);
     let balancer = Balancer::start(&down);
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
-    assert_eq!(balancer.caller().ask("order", "one").body, b"old");
+    assert_eq!(balancer.client().ask("order", "one").body, b"old");
 }
 
 /// Guards drains against an outage: a watch falls silent, the next is opened while discovery is still down and never
@@ -157,7 +157,7 @@
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining")]);
-    let asked = |body| balancer.caller().ask("order", body).body;
+    let asked = |body| balancer.client().ask("order", body).body;
     wait_for("the drain is taken in", || (0..8).all(|_| asked("one") == b"new").then_some(()));
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
 }
@@ -165,7 +165,7 @@
 /// Guards against a list that never changes: settings under which lists are said to come by themselves leave the
 /// watch to the balancer all the same.
 #[test]
-fn a_watch_is_kept_whatever_the_settings_call_it() {
+fn a_watch_stays_open_whatever_the_settings_call_it() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", old.address, 0, "ready")];
@@ -177,7 +177,7 @@
         false,
         &[endpoint("s-1", old.address, 0, "draining"), endpoint("s-2", new.address, 1, "ready")],
     );
-    wait_for("the drain is taken in", || (balancer.caller().ask("order", "").body == b"new").then_some(()));
+    wait_for("the drain is taken in", || (balancer.client().ask("order", "").body == b"new").then_some(()));
 }
 
 /// A change counts as told this long after discovery had it and could be reached, whatever went before.
@@ -226,9 +226,9 @@
                     let (_, watch) = discovery.watch();
                     let drained = endpoint("s-1", old.address, 0, "draining");
                     watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
-                    let mut caller = balancer.caller();
+                    let mut client = balancer.client();
                     wait_for("the list is taken in", || {
-                        (caller.ask("read", "").body == b"new").then_some(())
+                        (client.ask("read", "").body == b"new").then_some(())
                     });
                     assert!(back.elapsed() < TOLD, "{mode}, {part:?}: {:?}", back.elapsed());
                 });
@@ -256,8 +256,8 @@
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
-        let mut caller = balancer.caller();
-        wait_for("the drain is taken in", || (caller.ask("read", "").body == b"new").then_some(()));
+        let mut client = balancer.client();
+        wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
         assert!(began.elapsed() < TOLD, "{mode}: {:?}", began.elapsed());
         dripping.join().expect("no panic");
     });
@@ -273,24 +273,24 @@
     let ready = endpoint("s-1", old.address, 0, "ready");
     let other = endpoint("s-2", new.address, 1, "ready");
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining"), other.clone()]);
-    let mut caller = balancer.caller();
-    wait_for("the drain is taken in", || (caller.ask("read", "").body == b"new").then_some(()));
+    let mut client = balancer.client();
+    wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
     let told = old.requests().len();
     watch.says(8, false, std::slice::from_ref(&ready));
     watch.says(7, true, &[ready, other.clone()]);
     // What comes last is taken in last.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(8, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is taken in", || (caller.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last word is taken in", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
-        caller.ask("read", "");
+        client.ask("read", "");
     }
     assert_eq!(old.requests().len(), told, "the older list ended its drain");
     // A new start is news.
     let mut restarted = endpoint("s-1", old.address, 0, "ready");
     restarted["since_ms"] = 1_000.into();
     watch.says(9, false, &[restarted]);
-    wait_for("the new start is taken in", || (caller.ask("read", "").body == b"old").then_some(()));
+    wait_for("the new start is taken in", || (client.ask("read", "").body == b"old").then_some(()));
 }
 
 /// The entry of a process that started at this time.
@@ -314,16 +314,16 @@
     wait_for("time passes", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
     watch.says(9, false, &[since("s-1", restarted.address, "ready", now)]);
-    let mut caller = balancer.caller();
-    wait_for("it is listed", || (caller.ask("read", "").body == b"restarted").then_some(()));
+    let mut client = balancer.client();
+    wait_for("it is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
     watch.says(10, false, &[since("s-1", restarted.address, "draining", now)]);
     wait_for("the drain is taken in", || {
-        (0..16).all(|_| caller.ask("read", "").body == b"other").then_some(())
+        (0..16).all(|_| client.ask("read", "").body == b"other").then_some(())
     });
     let restart = since("s-1", restarted.address, "ready", now - step_ms as u64);
     // Only the new start serves from here on.
     watch.says(3, true, &[restart]);
-    wait_for("the new start is taken in", || (caller.ask("read", "").body == b"restarted").then_some(()));
+    wait_for("the new start is taken in", || (client.ask("read", "").body == b"restarted").then_some(()));
 }
 
 /// Guards a drain against an older list that names the process before, from a time when this one had no list yet.
@@ -340,16 +340,16 @@
     let (_, watch) = discovery.watch();
     let beside = endpoint("s-2", other.address, 0, "ready");
     watch.says(9, false, &[since("s-1", drained.address, "draining", 5_000), beside.clone()]);
-    let mut caller = balancer.caller();
-    wait_for("the drain is taken in", || (caller.ask("read", "").body == b"other").then_some(()));
+    let mut client = balancer.client();
+    wait_for("the drain is taken in", || (client.ask("read", "").body == b"other").then_some(()));
     let told = drained.requests().len();
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(3, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
     // What comes last is taken in last.
     watch.says(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is taken in", || (caller.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last word is taken in", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
-        caller.ask("read", "");
+        client.ask("read", "");
     }
     assert_eq!(drained.requests().len(), told, "the older list ended its drain");
 }
@@ -365,17 +365,17 @@
     let beside = endpoint("s-2", other.address, 0, "ready");
     watch.says(8, false, &[since("s-1", drained.address, "ready", 2_000)]);
     watch.says(9, false, &[since("s-1", drained.address, "draining", 2_000), beside.clone()]);
-    let mut caller = balancer.caller();
-    wait_for("the drain is taken in", || (caller.ask("read", "").body == b"other").then_some(()));
+    let mut client = balancer.client();
+    wait_for("the drain is taken in", || (client.ask("read", "").body == b"other").then_some(()));
     let told = drained.requests().len();
     // What comes last is taken in last; the list before it may say that start again, and the one after.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(7, true, &[since("s-1", drained.address, "ready", 5_000), beside.clone()]);
     watch.says(6, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
     watch.says(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is taken in", || (caller.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last word is taken in", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
-        caller.ask("read", "");
+        client.ask("read", "");
     }
     assert_eq!(drained.requests().len(), told, "the older list ended its drain");
 }
@@ -392,8 +392,8 @@
     let (_, after) = discovery.watch();
     let drained = endpoint("s-1", old.address, 0, "draining");
     after.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
-    let mut caller = balancer.caller();
-    wait_for("the drain is taken in", || (caller.ask("read", "").body == b"new").then_some(()));
+    let mut client = balancer.client();
+    wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
     let told = old.requests().len();
     before.try_bytes(
         format!(
@@ -403,7 +403,7 @@
         .as_bytes(),
     );
     for _ in 0..50 {
-        assert_eq!(caller.ask("read", "").body, b"new");
+        assert_eq!(client.ask("read", "").body, b"new");
     }
     assert_eq!(old.requests().len(), told);
 }
@@ -433,8 +433,8 @@
         let (_, watch) = last.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
-        let mut caller = Caller::connect(address);
-        wait_for("the list is taken in", || (caller.ask("read", "").body == b"new").then_some(()));
+        let mut client = Client::connect(address);
+        wait_for("the list is taken in", || (client.ask("read", "").body == b"new").then_some(()));
         assert!(told.elapsed() < Duration::from_secs(4), "{mode}: {:?}", told.elapsed());
         child.kill().expect("it runs");
         child.wait().expect("ends");
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -16,10 +16,10 @@
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn try_order(caller: &mut Caller, body: &str) -> Option<Message> {
+fn try_order(client: &mut Client, body: &str) -> Option<Message> {
     use std::io::Write;
-    caller.0.write_all(&order(body)).ok()?;
-    caller.answer()
+    client.0.write_all(&order(body)).ok()?;
+    client.answer()
 }
 
 /// What became of the requests of a client.
@@ -42,9 +42,9 @@
 }
 
 impl Orders {
-    fn connect(&self, address: SocketAddr) -> Option<Caller> {
+    fn connect(&self, address: SocketAddr) -> Option<Client> {
         let here = !self.dealt_elsewhere.load(Ordering::Relaxed);
-        here.then(|| TcpStream::connect(address).ok().map(Caller::new)).flatten()
+        here.then(|| TcpStream::connect(address).ok().map(Client::new)).flatten()
     }
 }
 
@@ -52,7 +52,7 @@
 /// where there is none, or when it is told to.
 fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
     let mut sent = Sent::default();
-    let mut kept: Option<Caller> = None;
+    let mut kept: Option<Client> = None;
     for number in 0.. {
         if orders.over.load(Ordering::Relaxed) {
             break;
@@ -61,13 +61,13 @@
         loop {
             let body = format!("{name}-{number}-{resent}");
             let is_new = kept.is_none();
-            let Some(mut caller) = kept.take().or_else(|| orders.connect(address)) else {
+            let Some(mut client) = kept.take().or_else(|| orders.connect(address)) else {
                 return sent;
             };
-            match try_order(&mut caller, &body) {
+            match try_order(&mut client, &body) {
                 Some(answer) => {
                     sent.answered.push((body, answer.status()));
-                    kept = (answer.header("connection") != Some("close")).then_some(caller);
+                    kept = (answer.header("connection") != Some("close")).then_some(client);
                     break;
                 }
                 None if is_new => {
@@ -150,7 +150,7 @@
         let mut crowd = Vec::new();
         // Fewer than the system queues: beyond that it would ask again seconds later.
         for _ in 0..100 {
-            crowd.push(balancer.caller());
+            crowd.push(balancer.client());
             thread::sleep(Duration::from_millis(2));
         }
         orders.over.store(true, Ordering::Relaxed);
--- a/crates/proxy/tests/failing_upstreams.rs
+++ b/crates/proxy/tests/failing_upstreams.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 
-/// Guards upstreams and callers against retries that fail at once: each request has its one answer at once, has no more
+/// Guards upstreams and clients against retries that fail at once: each request has its one answer at once, has no more
 /// attempts than are allowed, and all together have few more attempts than there are requests.
 #[test]
 fn retries_that_fail_at_once_stay_few() {
@@ -16,15 +16,15 @@
     let upstreams: Vec<_> = (0..4).map(|_| Upstream::start(|_, _| Reply::Last(Vec::new()))).collect();
     let known = each_in_a_group(&upstreams);
     let (balancer, _discovery) = Balancer::with(&known, 1.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     for number in 0..REQUESTS {
         let began = Instant::now();
-        caller.raw(&timed("read", &format!("r-{number}"), 2.0));
-        let status = caller.answer().expect("an answer").status();
+        client.raw(&timed("read", &format!("r-{number}"), 2.0));
+        let status = client.answer().expect("an answer").status();
         assert!(matches!(status, 502 | 503), "{number}: {status}");
         assert!(began.elapsed() < Duration::from_secs(1), "{number}: {:?}", began.elapsed());
     }
-    assert!(ends_empty(caller), "more than one answer");
+    assert!(ends_empty(client), "more than one answer");
     let attempts: Vec<usize> = (0..REQUESTS)
         .map(|number| upstreams.iter().map(|upstream| upstream.count_of(&format!("r-{number}"))).sum())
         .collect();
@@ -47,17 +47,17 @@
     let known = each_in_a_group(&upstreams);
     let (balancer, _discovery) = Balancer::with(&known, 1.0);
     let ask = |class: &'static str| {
-        let mut caller = balancer.caller();
+        let mut client = balancer.client();
         for milliseconds in 1..=EACH {
             let time = Duration::from_millis(milliseconds as u64);
             let began = Instant::now();
-            caller.raw(&timed(class, &format!("{class}-{milliseconds}"), time.as_secs_f64()));
-            let status = caller.answer().expect("an answer").status();
+            client.raw(&timed(class, &format!("{class}-{milliseconds}"), time.as_secs_f64()));
+            let status = client.answer().expect("an answer").status();
             assert!(matches!(status, 200 | 502 | 503), "{class} with {time:?}: {status}");
             let took = began.elapsed();
             assert!(took < time + ANSWER_SLACK, "{class} with {time:?}: {took:?}");
         }
-        assert!(ends_empty(caller), "{class}: more than one answer");
+        assert!(ends_empty(client), "{class}: more than one answer");
     };
     thread::scope(|scope| {
         for class in ["read", "pay", "order"] {
@@ -76,7 +76,7 @@
         assert!(left <= milliseconds / 1000.0, "{body}: {left} s passed on");
     }
     wait_for("requests with time are served", || {
-        (balancer.caller().ask("read", "").status() == 200).then_some(())
+        (balancer.client().ask("read", "").status() == 200).then_some(())
     });
 }
 
@@ -94,10 +94,10 @@
         Reply::Last(b"end".to_vec())
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 5.0);
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     let mut forwarded = 0;
     for asked in 0..ANSWERS {
-        let answer = caller.ask("order", "one");
+        let answer = client.ask("order", "one");
         if answer.status() != 200 {
             continue;
         }
--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -12,11 +12,11 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// Callers that each send one request after the other.
-const CALLERS: usize = 4;
-/// Requests of each caller.
+/// Clients that each send one request after the other.
+const CLIENTS: usize = 4;
+/// Requests of each client.
 const REQUESTS: usize = 250;
-/// Between an answer and the caller's next request.
+/// Between an answer and the client's next request.
 const PAUSE: Duration = Duration::from_millis(6);
 /// Between two changes that discovery tells: some tens while the traffic lasts.
 const CHANGE_EVERY: Duration = Duration::from_millis(25);
@@ -37,11 +37,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Fleet {
     upstreams: u32,
-    copies: u32,
+    replicas: u32,
 }
 
-const USUAL: Fleet = Fleet { upstreams: 200, copies: 56 };
-const LARGE: Fleet = Fleet { upstreams: 3200, copies: 900 };
+const USUAL: Fleet = Fleet { upstreams: 200, replicas: 56 };
+const LARGE: Fleet = Fleet { upstreams: 3200, replicas: 900 };
 
 /// What a balancer needed, and what it served.
 #[derive(Debug, Clone, Copy)]
@@ -82,7 +82,7 @@
 }
 
 /// A discovery that tells changes as long as the traffic lasts.
-struct Telling {
+struct ChangingDiscovery {
     fleet: Fleet,
     port: u16,
     /// Bytes of lists written.
@@ -93,26 +93,26 @@
     over: AtomicBool,
 }
 
-impl Telling {
+impl ChangingDiscovery {
     fn start(fleet: Fleet, port: u16) -> (SocketAddr, Arc<Self>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("bound");
-        let telling = Arc::new(Self {
+        let discovery_stand_in = Arc::new(Self {
             fleet,
             port,
             bytes: AtomicUsize::new(0),
             watches: AtomicUsize::new(0),
             over: AtomicBool::new(false),
         });
-        let shared = Arc::clone(&telling);
+        let shared = Arc::clone(&discovery_stand_in);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 shared.watches.fetch_add(1, Ordering::Relaxed);
-                let telling = Arc::clone(&shared);
-                thread::spawn(move || telling.serve_watch(stream));
+                let discovery_stand_in = Arc::clone(&shared);
+                thread::spawn(move || discovery_stand_in.serve_watch(stream));
             }
         });
-        (address, telling)
+        (address, discovery_stand_in)
     }
 
     /// Tells the whole list where the version asked from is none of its own, then changes; then the watch breaks.
@@ -158,10 +158,10 @@
     let known: Vec<Value> = (0..fleet.upstreams).map(|number| entry(number, port)).collect();
     let text = configuration(discovery, &known, 5.0, DESCRIPTORS);
     let mut configuration: Value = serde_json::from_str(&text).expect("JSON");
-    configuration["settings"]["balancers"] = json!(fleet.copies);
+    configuration["settings"]["balancers"] = json!(fleet.replicas);
     // A broken watch is opened anew without a wait.
     configuration["settings"]["discovery"] = json!("automatic");
-    configuration["settings"]["me"] = json!(fleet.copies / 2);
+    configuration["settings"]["me"] = json!(fleet.replicas / 2);
     configuration.to_string()
 }
 
@@ -194,12 +194,12 @@
     }
 }
 
-/// Sends one caller's requests, one after the other, and tells how many were served.
+/// Sends one client's requests, one after the other, and tells how many were served.
 fn send_requests(address: SocketAddr) -> usize {
-    let mut caller = Caller::connect(address);
+    let mut client = Client::connect(address);
     let mut served = 0;
     for _ in 0..REQUESTS {
-        served += usize::from(caller.ask("read", "").status() == 200);
+        served += usize::from(client.ask("read", "").status() == 200);
         thread::sleep(PAUSE);
     }
     served
@@ -208,29 +208,29 @@
 /// Plays the traffic against one balancer of a fleet.
 fn play(fleet: Fleet) -> Usage {
     let (port, connections) = start_upstreams();
-    let (discovery, telling) = Telling::start(fleet, port);
+    let (discovery, discovery_stand_in) = ChangingDiscovery::start(fleet, port);
     let mut child = program_within(DESCRIPTORS, &configuration_in(fleet, discovery, port));
     let (address, _log) = address(&mut child);
     let process = Process(child.id());
-    let callers: Vec<_> = (0..CALLERS).map(|_| thread::spawn(move || send_requests(address))).collect();
+    let clients: Vec<_> = (0..CLIENTS).map(|_| thread::spawn(move || send_requests(address))).collect();
     let mut descriptors = 0;
-    while !callers.iter().all(thread::JoinHandle::is_finished) {
+    while !clients.iter().all(thread::JoinHandle::is_finished) {
         descriptors = descriptors.max(process.descriptors());
         thread::sleep(Duration::from_millis(20));
     }
-    let served: usize = callers.into_iter().map(|caller| caller.join().expect("no panic")).sum();
-    telling.over.store(true, Ordering::Relaxed);
+    let served: usize = clients.into_iter().map(|client| client.join().expect("no panic")).sum();
+    discovery_stand_in.over.store(true, Ordering::Relaxed);
     let usage = Usage {
         cpu_seconds: process.cpu_seconds(),
         peak_memory_mb: process.peak_memory_mb(),
         descriptors: descriptors as f64,
         connections: connections.load(Ordering::Relaxed) as f64,
-        list_kb: telling.bytes.load(Ordering::Relaxed) as f64 / 1024.0,
-        share_served: served as f64 / (CALLERS * REQUESTS) as f64,
+        list_kb: discovery_stand_in.bytes.load(Ordering::Relaxed) as f64 / 1024.0,
+        share_served: served as f64 / (CLIENTS * REQUESTS) as f64,
     };
     child.kill().expect("it runs");
     child.wait().expect("ends");
-    let watches = telling.watches.load(Ordering::Relaxed);
+    let watches = discovery_stand_in.watches.load(Ordering::Relaxed);
     println!("{fleet:?}: {usage:?}, {watches} watches");
     assert!(watches >= LEAST_WATCHES, "the watch broke and was taken up again: {watches}");
     usage
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 
-/// A request, and what its caller and its upstream do around SIGTERM.
+/// A request, and what its client and its upstream do around SIGTERM.
 struct Ending {
     child: std::process::Child,
     log: std::io::BufReader<std::process::ChildStderr>,
@@ -32,9 +32,9 @@
         wait_line(&mut self.log, "into the drain");
     }
 
-    /// The caller gets this answer, and the program its end.
-    fn ends_with(mut self, mut caller: Caller, body: &str) {
-        let answer = caller.answer().expect("what was taken is answered");
+    /// The client gets this answer, and the program its end.
+    fn ends_with(mut self, mut client: Client, body: &str) {
+        let answer = client.answer().expect("what was taken is answered");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, body.as_bytes()));
         assert!(self.child.wait().expect("ends").success());
     }
@@ -64,25 +64,25 @@
         scope.spawn(|| {
             let upstream = Upstream::start(|_, _| ok("served"));
             let mut ending = Ending::start(&ready(upstream.address));
-            let mut caller = Caller::connect(ending.address);
+            let mut client = Client::connect(ending.address);
             let (head, tail) = (order_with(b"")[..40].to_vec(), order_with(b"")[40..].to_vec());
-            caller.raw(&head);
+            client.raw(&head);
             ending.terminate();
-            caller.raw(&tail);
-            ending.ends_with(caller, "served");
+            client.raw(&tail);
+            ending.ends_with(client, "served");
         });
         // Its attempt connects.
         scope.spawn(|| {
-            let late = Late::start();
+            let late = LateUpstream::start();
             let mut ending = Ending::start(&ready(late.address));
-            let mut caller = Caller::connect(ending.address);
-            caller.raw(&order_with(b""));
+            let mut client = Client::connect(ending.address);
+            client.raw(&order_with(b""));
             late.wait_connecting(1);
             ending.terminate();
             let mut stream = late.open().recv_timeout(LONG).expect("the connection comes up");
             read_message(&mut stream).expect("the request");
             stream.write_all(WHOLE.as_bytes()).expect("open");
-            ending.ends_with(caller, "served");
+            ending.ends_with(client, "served");
         });
         // It is out, and nothing has come back, or half an answer; signals come twice.
         for half in [0, 20, WHOLE.len() - 2] {
@@ -90,14 +90,14 @@
                 let (upstream, go) =
                     in_two_parts(&WHOLE[..half], Reply::Bytes(WHOLE.as_bytes()[half..].to_vec()));
                 let mut ending = Ending::start(&ready(upstream.address));
-                let mut caller = Caller::connect(ending.address);
-                caller.raw(&order_with(b""));
+                let mut client = Client::connect(ending.address);
+                client.raw(&order_with(b""));
                 upstream.wait_requests(1);
                 ending.terminate();
                 signal(&ending.child, "-TERM");
                 signal(&ending.child, "-HUP");
                 go.send(()).expect("the upstream waits");
-                ending.ends_with(caller, "served");
+                ending.ends_with(client, "served");
             });
         }
         // It is about to be repeated.
@@ -112,19 +112,19 @@
                 Reply::Last(Vec::new())
             });
             let mut ending = Ending::start(&ready(first.address));
-            let mut caller = Caller::connect(ending.address);
-            caller.send("read", "");
+            let mut client = Client::connect(ending.address);
+            client.send("read", "");
             first.wait_requests(1);
             let second = Upstream::start(|_, _| ok("second"));
             let watch = ending.discovery.watch().1;
             watch.says(8, false, &[endpoint("s-2", second.address, 0, "ready")]);
             wait_for("the second is known", || {
-                let answer = Caller::connect(ending.address).try_ask("read", "")?;
+                let answer = Client::connect(ending.address).try_ask("read", "")?;
                 (answer.body == b"second").then_some(())
             });
             ending.terminate();
             go.send(()).expect("the upstream waits");
-            ending.ends_with(caller, "second");
+            ending.ends_with(client, "second");
         });
     });
 }
@@ -151,17 +151,17 @@
     let text = with_short_deadlines(&configuration(discovery.address, &known, 3.0, 1024));
     let mut child = program(&text);
     let (address, mut log) = address(&mut child);
-    let mut kept: Vec<Caller> = (0..6).map(|_| Caller::connect(address)).collect();
-    for caller in &mut kept {
+    let mut kept: Vec<Client> = (0..6).map(|_| Client::connect(address)).collect();
+    for client in &mut kept {
         // Ready or not yet: it is a request, after which the connection is kept.
-        assert!(matches!(caller.health(), Some(200 | 503)));
+        assert!(matches!(client.health(), Some(200 | 503)));
     }
     let classes = ["read", "pay", "order"];
-    let mut callers: Vec<Caller> = Vec::new();
+    let mut clients: Vec<Client> = Vec::new();
     for number in 0..12 {
-        let mut caller = Caller::connect(address);
-        caller.raw(&timed(classes[number % 3], &format!("before-{number}"), 3.0));
-        callers.push(caller);
+        let mut client = Client::connect(address);
+        client.raw(&timed(classes[number % 3], &format!("before-{number}"), 3.0));
+        clients.push(client);
     }
     wait_for("requests hang", || {
         (upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>() >= 6).then_some(())
@@ -169,23 +169,23 @@
     let stopped = Instant::now();
     signal(&child, "-TERM");
     wait_line(&mut log, "into the drain");
-    // Callers go on coming for as long as the front goes on sending.
+    // Clients go on coming for as long as the front goes on sending.
     while stopped.elapsed() < Duration::from_millis(400) {
-        let mut caller = Caller::connect(address);
-        caller.raw(&timed(classes[callers.len() % 3], &format!("after-{}", callers.len()), 3.0));
-        callers.push(caller);
+        let mut client = Client::connect(address);
+        client.raw(&timed(classes[clients.len() % 3], &format!("after-{}", clients.len()), 3.0));
+        clients.push(client);
         thread::sleep(Duration::from_millis(20));
     }
     // Clients go on using the connections they have; these have time past the earliest kill.
     thread::sleep(Duration::from_millis(1500).saturating_sub(stopped.elapsed()));
-    for mut caller in kept {
-        caller.raw(&timed(classes[callers.len() % 3], &format!("late-{}", callers.len()), 3.0));
-        callers.push(caller);
+    for mut client in kept {
+        client.raw(&timed(classes[clients.len() % 3], &format!("late-{}", clients.len()), 3.0));
+        clients.push(client);
     }
-    for (number, mut caller) in callers.into_iter().enumerate() {
-        let answer = caller.answer().unwrap_or_else(|| panic!("request {number} has no answer"));
+    for (number, mut client) in clients.into_iter().enumerate() {
+        let answer = client.answer().unwrap_or_else(|| panic!("request {number} has no answer"));
         assert!(matches!(answer.status(), 502 | 503), "{number}: {}", answer.line);
-        assert!(ends_empty(caller), "{number}: more than one answer");
+        assert!(ends_empty(client), "{number}: more than one answer");
     }
     let answered = stopped.elapsed();
     assert!(child.wait().expect("ends").success());
@@ -193,7 +193,7 @@
     assert!(stopped.elapsed() < EARLIEST_KILL, "ended {:?} after SIGTERM", stopped.elapsed());
 }
 
-/// Guards a shutdown during which an upstream is replaced: what callers go on sending is served, by the new one once the
+/// Guards a shutdown during which an upstream is replaced: what clients go on sending is served, by the new one once the
 /// old one drains, nothing goes to that past its grace, and nothing runs twice.
 #[test]
 fn an_upstream_replaced_while_the_balancer_drains_costs_no_request() {
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -20,9 +20,9 @@
 
 /// Checks that nothing more comes, and that the connection is closed in its time: that of the head began somewhere
 /// between these two, as far as the test can tell.
-fn assert_closed_in_time(case: &str, caller: &mut Caller, earliest: Instant, latest: Instant) {
-    caller.0.set_read_timeout(Some(Duration::from_secs(8))).expect("set");
-    let end = caller.0.read(&mut [0]).expect("closed within 8 s");
+fn assert_closed_in_time(case: &str, client: &mut Client, earliest: Instant, latest: Instant) {
+    client.0.set_read_timeout(Some(Duration::from_secs(8))).expect("set");
+    let end = client.0.read(&mut [0]).expect("closed within 8 s");
     let (longest, shortest) = (earliest.elapsed(), latest.elapsed());
     assert_eq!(end, 0, "{case}: something came");
     assert!(longest >= FAIR && shortest < OWED, "{case}: closed after {shortest:?} to {longest:?}");
@@ -43,23 +43,23 @@
     thread::scope(|scope| {
         for (case, before) in &befores {
             for part in [&HALF[..1], HALF, b"\r\n\r\nP"] {
-                let mut caller = balancer.caller();
+                let mut client = balancer.client();
                 scope.spawn(move || {
-                    caller.raw(before);
+                    client.raw(before);
                     for _ in 0..if *case == "after three" { 3 } else { 1 } {
-                        assert_eq!(caller.answer().expect("an answer").status(), 200, "{case}");
+                        assert_eq!(client.answer().expect("an answer").status(), 200, "{case}");
                     }
                     // Rest is no part of the head's time.
                     thread::sleep(Duration::from_millis(600));
                     let begun = Instant::now();
-                    caller.raw(part);
-                    assert_closed_in_time(case, &mut caller, begun, begun);
+                    client.raw(part);
+                    assert_closed_in_time(case, &mut client, begun, begun);
                 });
             }
         }
     });
     // None of them harmed the balancer, and nothing of them went on.
-    assert_eq!(balancer.caller().ask("order", "one").status(), 200);
+    assert_eq!(balancer.client().ask("order", "one").status(), 200);
     assert_eq!(upstream.requests().len(), 16);
 }
 
@@ -70,14 +70,14 @@
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     thread::scope(|scope| {
         for count in [1, 3] {
-            let mut caller = balancer.caller();
+            let mut client = balancer.client();
             scope.spawn(move || {
                 let sent = Instant::now();
-                caller.raw(&[order_with(b"").repeat(count), HALF.to_vec()].concat());
+                client.raw(&[order_with(b"").repeat(count), HALF.to_vec()].concat());
                 for _ in 0..count {
-                    assert_eq!(caller.answer().expect("an answer").status(), 200);
+                    assert_eq!(client.answer().expect("an answer").status(), 200);
                 }
-                assert_closed_in_time(&format!("behind {count}"), &mut caller, sent, Instant::now());
+                assert_closed_in_time(&format!("behind {count}"), &mut client, sent, Instant::now());
             });
         }
     });
@@ -98,24 +98,24 @@
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let next = order_with(b"");
     let (head, tail) = next.split_at(40);
-    let mut callers = [balancer.caller(), balancer.caller()];
-    for caller in &mut callers {
-        caller.raw(&order_with(b""));
+    let mut clients = [balancer.client(), balancer.client()];
+    for client in &mut clients {
+        client.raw(&order_with(b""));
     }
     upstream.wait_requests(2);
-    for caller in &mut callers {
-        caller.raw(head);
+    for client in &mut clients {
+        client.raw(head);
     }
     thread::sleep(OWED);
     let released = Instant::now();
-    for _ in &callers {
+    for _ in &clients {
         release.send(()).expect("the upstream waits");
     }
-    for caller in &mut callers {
-        assert_eq!(caller.answer().expect("an answer").status(), 200);
+    for client in &mut clients {
+        assert_eq!(client.answer().expect("an answer").status(), 200);
     }
     let answered = Instant::now();
-    let [mut finishes, mut stops] = callers;
+    let [mut finishes, mut stops] = clients;
     thread::sleep(Duration::from_millis(500));
     finishes.raw(tail);
     assert_eq!(finishes.answer().expect("an answer").status(), 200);
@@ -127,14 +127,14 @@
 fn slow_heads_within_their_time_are_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
-    assert_eq!(caller.ask("order", "one").status(), 200);
+    let mut client = balancer.client();
+    assert_eq!(client.ask("order", "one").status(), 200);
     for _ in 0..3 {
         for piece in order_with(b"").chunks(10) {
-            caller.raw(piece);
+            client.raw(piece);
             thread::sleep(Duration::from_millis(120));
         }
-        assert_eq!(caller.answer().expect("an answer").status(), 200);
+        assert_eq!(client.answer().expect("an answer").status(), 200);
     }
 }
 
@@ -144,14 +144,14 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let lines: [&[u8]; 3] = [b"", b"\r\n", b"\r\n\n\r\n"];
-    let mut callers: Vec<Caller> = lines.iter().map(|_| balancer.caller()).collect();
-    for (caller, lines) in callers.iter_mut().zip(lines) {
-        assert_eq!(caller.ask("order", "one").status(), 200);
-        caller.raw(lines);
+    let mut clients: Vec<Client> = lines.iter().map(|_| balancer.client()).collect();
+    for (client, lines) in clients.iter_mut().zip(lines) {
+        assert_eq!(client.ask("order", "one").status(), 200);
+        client.raw(lines);
     }
     thread::sleep(OWED + Duration::from_secs(1));
-    for (caller, lines) in callers.iter_mut().zip(lines) {
-        assert_eq!(caller.ask("order", "two").status(), 200, "{lines:?}");
+    for (client, lines) in clients.iter_mut().zip(lines) {
+        assert_eq!(client.ask("order", "two").status(), 200, "{lines:?}");
     }
 }
 
@@ -162,16 +162,16 @@
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 48));
-    let mut begun = balancer.caller();
+    let mut begun = balancer.client();
     assert_eq!(begun.ask("order", "one").status(), 200);
     let next = order_with(b"");
     let (head, tail) = next.split_at(40);
     begun.raw(head);
-    let _resting: Vec<Caller> = (0..60)
+    let _resting: Vec<Client> = (0..60)
         .map(|_| {
-            let mut caller = balancer.caller();
-            assert_eq!(caller.ask("order", "one").status(), 200);
-            caller
+            let mut client = balancer.client();
+            assert_eq!(client.ask("order", "one").status(), 200);
+            client
         })
         .collect();
     begun.raw(tail);
@@ -187,8 +187,8 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, mut log) = address(&mut child);
-    let mut begun = Caller::connect(address);
-    let mut resting = Caller::connect(address);
+    let mut begun = Client::connect(address);
+    let mut resting = Client::connect(address);
     assert_eq!((begun.ask("order", "one").status(), resting.ask("order", "one").status()), (200, 200));
     signal(&child, "-TERM");
     wait_line(&mut log, "into the drain");
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -60,7 +60,7 @@
 
 /// Guards drains: one that is told between the hand-over and the writing holds.
 #[test]
-fn a_drain_told_before_the_write_holds() {
+fn a_drain_notified_before_the_write_holds() {
     for status in ["draining", "gone"] {
         let upstream = Upstream::start(|_, _| ok("served"));
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -213,8 +213,8 @@
 }
 
 impl Front {
-    fn connect(&self) -> Option<Caller> {
-        (!self.settled.load(Ordering::Relaxed)).then(|| Caller::connect(self.address))
+    fn connect(&self) -> Option<Client> {
+        (!self.settled.load(Ordering::Relaxed)).then(|| Client::connect(self.address))
     }
 }
 
@@ -222,7 +222,7 @@
 fn ask_on(front: &Front, number: u64, seed: u64) -> Vec<Asked> {
     let (mut draw, mut all, mut kept) = (Draw(seed + number), Vec::new(), None);
     for request in 0.. {
-        let Some(mut caller) = kept.take().or_else(|| front.connect()) else { break };
+        let Some(mut client) = kept.take().or_else(|| front.connect()) else { break };
         let mut asked = Asked {
             id: format!("{number}-{request}"),
             class: ["read", "pay", "order"][draw.below(3) as usize],
@@ -233,9 +233,9 @@
             sent_again: false,
         };
         let leaves = draw.below(LEAVES) == 0;
-        let answer = ask_once(&mut caller, &mut asked, leaves.then(|| draw.millis(0, 90)), front);
+        let answer = ask_once(&mut client, &mut asked, leaves.then(|| draw.millis(0, 90)), front);
         if answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close")) {
-            kept = Some(caller);
+            kept = Some(client);
         }
         all.push(asked);
     }
@@ -245,26 +245,26 @@
 /// Asks, and leaves after so long or waits for the answer. A connection that ends under the request is answered with a
 /// new one, once.
 fn ask_once(
-    caller: &mut Caller,
+    client: &mut Client,
     asked: &mut Asked,
     leaves: Option<Duration>,
     front: &Front,
 ) -> Option<Message> {
     let text = text_of(asked);
-    let written = caller.0.write_all(text.as_bytes()).is_ok();
+    let written = client.0.write_all(text.as_bytes()).is_ok();
     if let Some(after) = leaves {
         thread::sleep(after);
         asked.left = Some(Instant::now());
-        let _ = caller.0.shutdown(std::net::Shutdown::Both);
+        let _ = client.0.shutdown(std::net::Shutdown::Both);
         return None;
     }
-    let mut answer = written.then(|| caller.answer()).flatten();
+    let mut answer = written.then(|| client.answer()).flatten();
     if answer.is_none()
         && let Some(again) = front.connect()
     {
         asked.sent_again = true;
-        *caller = again;
-        answer = caller.0.write_all(text.as_bytes()).ok().and_then(|()| caller.answer());
+        *client = again;
+        answer = client.0.write_all(text.as_bytes()).ok().and_then(|()| client.answer());
     }
     asked.answered = answer.as_ref().map(|answer| (Instant::now(), answer.status()));
     answer
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -73,12 +73,12 @@
 
 /// Sends requests with pauses in which one of two upstreams forgets its connections: the statuses, in order.
 fn ask_with_pauses(balancer: &Balancer, class: &str, requests: u32) -> Vec<u16> {
-    let mut caller = balancer.caller();
+    let mut client = balancer.client();
     let mut statuses = Vec::new();
     for number in 0..requests {
         let began = Instant::now();
-        caller.raw(&timed(class, &format!("{class}-{number}"), 2.0));
-        statuses.push(caller.answer().expect("an answer").status());
+        client.raw(&timed(class, &format!("{class}-{number}"), 2.0));
+        statuses.push(client.answer().expect("an answer").status());
         assert!(
             began.elapsed() < Duration::from_secs(2) + ANSWER_SLACK,
             "{class} {number}: {:?}",
@@ -86,7 +86,7 @@
         );
         thread::sleep(FORGOTTEN_AFTER + Duration::from_millis(20));
     }
-    assert!(ends_empty(caller), "{class}: more than one answer");
+    assert!(ends_empty(client), "{class}: more than one answer");
     statuses
 }
 
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -12,8 +12,8 @@
 use balancer_policy::{Action, Settings};
 use virtual_time::{Bench, class, member, millis, sent};
 
-/// A copy of a fleet's first tier with eight upstreams, in a mode of having lists.
-fn copy(discovery: DiscoveryMode) -> Bench {
+/// A replica of a fleet's first tier with eight upstreams, in a mode of having lists.
+fn replica(discovery: DiscoveryMode) -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = discovery;
     settings.rules.poll_interval_max = Some(millis(10_000));
@@ -38,10 +38,10 @@
 }
 
 /// Guards what was learned against a long rest: after six quiet hours trouble is met as it is after busy minutes.
-/// Requests are served from the first one on, and upstreams that fail are set aside.
+/// Requests are served from the first one on, and upstreams that fail are ejected.
 #[test]
 fn trouble_after_hours_of_quiet_is_met_as_any() {
-    let mut bench = copy(DiscoveryMode::Push);
+    let mut bench = replica(DiscoveryMode::Push);
     assert_eq!(send(&mut bench, 200, &[]), (200, 0));
     let (busy_served, busy_failed) = send(&mut bench, 200, &[2, 5]);
     bench.pass(Duration::from_secs(60));
@@ -60,7 +60,7 @@
     assert_eq!(send(&mut bench, 200, &[]).0, 200);
 }
 
-/// Plays an outage of discovery's, in which each watch breaks as soon as it is asked for: when the copy asks.
+/// Plays an outage of discovery's, in which each watch breaks as soon as it is asked for: when the replica asks.
 fn outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
     let end = bench.now + length;
     let mut asked = Vec::new();
@@ -80,17 +80,17 @@
     asked
 }
 
-/// Guards the list and discovery against an outage of hours: the copy goes on with the list in hand, asks as often as it
+/// Guards the list and discovery against an outage of hours: the replica goes on with the list in hand, asks as often as it
 /// owes and not without a pause, and holds a drain that it hears of with the first word after it.
 #[test]
 fn an_outage_of_discovery_for_hours_is_outlived() {
-    // A service of many copies is asked by each every some seconds, an agent of the copy's own sooner.
+    // A service of many replicas is asked by each every some seconds, an agent of the replica's own sooner.
     let spaced = [
         (DiscoveryMode::Subscribe, millis(1500), millis(5000)),
         (DiscoveryMode::Agent, millis(100), millis(500)),
     ];
     for (mode, least, widest) in spaced {
-        let mut bench = copy(mode);
+        let mut bench = replica(mode);
         assert_eq!(send(&mut bench, 100, &[]).0, 100);
         let length = Duration::from_secs(3 * 3600);
         let asked = outage(&mut bench, length);
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -74,7 +74,7 @@
     let site = Site::start(|ports| {
         vec![("FAULT_WRITE", format!("errno=ETIMEDOUT,short={bytes},count=1,ports={ports}"))]
     });
-    let status = Caller::connect(site.address).ask("order", "one").status();
+    let status = Client::connect(site.address).ask("order", "one").status();
     assert_eq!(site.faults("WRITE", Some("ETIMEDOUT")), 1, "after {bytes} bytes");
     // The last byte of a request that was answered as one that may have run may still be on its way.
     if status == 502 {
@@ -87,7 +87,7 @@
 #[test]
 fn the_last_byte_decides_whether_an_order_is_sent_again() {
     let site = Site::start(|_| Vec::new());
-    assert_eq!(Caller::connect(site.address).ask("order", "one").status(), 200);
+    assert_eq!(Client::connect(site.address).ask("order", "one").status(), 200);
     let size = site.upstreams.iter().find_map(|upstream| upstream.requests().first().cloned());
     let size = size.expect("it ran").1.size;
     for bytes in [1, size / 2, size - 1] {
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -55,11 +55,11 @@
     }
 }
 
-/// Guards the list against callers that only stand by and take every descriptor there is while discovery is down: when
-/// it is back, its watch comes up and what it has is told within 6 s; the front, and a caller with a request, get
+/// Guards the list against clients that only stand by and take every descriptor there is while discovery is down: when
+/// it is back, its watch comes up and what it has is told within 6 s; the front, and a client with a request, get
 /// through meanwhile.
 #[test]
-fn idle_callers_do_not_keep_the_list_away() {
+fn idle_clients_do_not_keep_the_list_away() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let known = [endpoint("s-1", old.address, 0, "ready")];
     for mode in ["subscribe", "automatic"] {
@@ -87,9 +87,9 @@
                 })
             })
             .collect();
-        wait_for("the front is told", || (Caller::connect(address).health() == Some(200)).then_some(()));
-        wait_for("a caller is served", || {
-            let answer = Caller::connect(address).try_ask("read", "")?;
+        wait_for("the front is told", || (Client::connect(address).health() == Some(200)).then_some(()));
+        wait_for("a client is served", || {
+            let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"old").then_some(())
         });
         down.listen(16).expect("listens");
@@ -99,7 +99,7 @@
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         wait_for("the list is taken in", || {
-            let answer = Caller::connect(address).try_ask("read", "")?;
+            let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"new").then_some(())
         });
         assert!(back.elapsed() < Duration::from_secs(6), "{mode}: {:?}", back.elapsed());
@@ -130,25 +130,25 @@
     let moved = Upstream::start(|_, _| ok("moved"));
     watch.says(10, false, &[endpoint("s-2", moved.address, 0, "ready")]);
     wait_for("the lists are taken in", || {
-        let mut caller = Caller::connect(address);
-        caller.0.set_read_timeout(Some(SOON)).expect("set");
-        caller.send("read", "");
-        (caller.answer().expect("an answer").body == b"moved").then_some(())
+        let mut client = Client::connect(address);
+        client.0.set_read_timeout(Some(SOON)).expect("set");
+        client.send("read", "");
+        (client.answer().expect("an answer").body == b"moved").then_some(())
     });
     signal(&child, "-TERM");
     assert!(child.wait().expect("ends").success());
     drop(log);
 }
 
-/// Guards the end against a caller that never takes its answers: they fill the system's buffers, and its connection is
+/// Guards the end against a client that never takes its answers: they fill the system's buffers, and its connection is
 /// let go.
 #[test]
-fn a_caller_that_never_reads_does_not_hold_up_the_drain() {
+fn a_client_that_never_reads_does_not_hold_up_the_drain() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(60_000)));
     let (mut balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let mut caller = balancer.caller();
-    SockRef::from(&caller.0).set_recv_buffer_size(4096).expect("set");
-    caller.raw(&order_with(b"").repeat(100));
+    let mut client = balancer.client();
+    SockRef::from(&client.0).set_recv_buffer_size(4096).expect("set");
+    client.raw(&order_with(b"").repeat(100));
     let mut served = 0;
     wait_for("nothing more is written", || {
         let (before, now) = (served, upstream.requests().len());
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -50,10 +50,10 @@
                             let (address, log) = address(child);
                             logs.push(log);
                             wait_for("it says that it is ready", || {
-                                (Caller::connect(address).health()? == 200).then_some(())
+                                (Client::connect(address).health()? == 200).then_some(())
                             });
                             let in_time = began.elapsed() < Duration::from_secs(10);
-                            assert_eq!(Caller::connect(address).ask("read", "").body, b"served");
+                            assert_eq!(Client::connect(address).ask("read", "").body, b"served");
                             in_time.then_some(())
                         })
                         .count();
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -33,8 +33,8 @@
 }
 
 /// Checks that no upstream was charged with anything, and that none passes for gone.
-fn check_uncharged(vitals: &Vitals) {
-    assert_eq!((vitals.unreached, vitals.late, vitals.had), (0, 0, Some(1.0)), "{vitals:?}");
+fn check_uncharged(log_counts: &LogCounts) {
+    assert_eq!((log_counts.unreached, log_counts.late, log_counts.had), (0, 0, Some(1.0)), "{log_counts:?}");
 }
 
 /// Guards upstreams and requests against connects for which the own machine has no port or no memory: each request is
@@ -49,7 +49,7 @@
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
-    check_uncharged(&site.vitals(ALL as u64));
+    check_uncharged(&site.log_counts(ALL as u64));
 }
 
 /// Guards the same against a lack of sockets.
@@ -64,38 +64,38 @@
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
-    check_uncharged(&site.vitals(ALL as u64));
+    check_uncharged(&site.log_counts(ALL as u64));
 }
 
-/// Guards callers against waiting for a port that does not come: within the time for a connect they are refused, which
+/// Guards clients against waiting for a port that does not come: within the time for a connect they are refused, which
 /// tells them that trying again is harmless, and no upstream is charged.
 #[test]
 fn a_lasting_lack_of_ports_refuses() {
     let site =
         Site::start_with(0.5, |ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for class in CLASSES {
-        let answer = Caller::connect(site.address).ask(class, class);
+        let answer = Client::connect(site.address).ask(class, class);
         assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}");
     }
-    let vitals = site.vitals(CLASSES.len() as u64);
-    check_uncharged(&vitals);
-    assert_eq!(vitals.unsent, CLASSES.len() as u64);
+    let log_counts = site.log_counts(CLASSES.len() as u64);
+    check_uncharged(&log_counts);
+    assert_eq!(log_counts.unsent, CLASSES.len() as u64);
     let faults = site.faults("CONNECT", None);
     assert!((2 * CLASSES.len()..40 * CLASSES.len()).contains(&faults), "{faults} connects");
 }
 
-/// Guards the same where the caller's time is over before that for a connect.
+/// Guards the same where the client's time is over before that for a connect.
 #[test]
 fn a_lack_of_ports_past_the_deadline_is_not_charged() {
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for number in 0..5 {
-        let mut caller = Caller::connect(site.address);
+        let mut client = Client::connect(site.address);
         let request = String::from_utf8(order_with(b"")).expect("text");
-        caller.raw(request.replace("X-Tenant", "X-Deadline: 0.4\r\nX-Tenant").as_bytes());
-        let status = caller.answer().expect("an answer").status();
+        client.raw(request.replace("X-Tenant", "X-Deadline: 0.4\r\nX-Tenant").as_bytes());
+        let status = client.answer().expect("an answer").status();
         assert!(matches!(status, 503 | 504), "{number}: {status}");
     }
-    check_uncharged(&site.vitals(5));
+    check_uncharged(&site.log_counts(5));
     assert_eq!(site.runs("one"), 0);
 }
 
@@ -105,12 +105,12 @@
     // The first is the listener's.
     let site = Site::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
     let tally = site.ask_all();
-    assert!(site.faults("SETSOCKOPT", None) > CALLERS);
+    assert!(site.faults("SETSOCKOPT", None) > CLIENTS);
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
 }
 
-/// Guards callers against accepts that fail for a moment.
+/// Guards clients against accepts that fail for a moment.
 #[test]
 fn accepts_that_fail_lose_nobody() {
     let errors = "ECONNABORTED+EMFILE+ENFILE+ENOBUFS+ENOMEM+EPROTO+EINTR";
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -78,10 +78,10 @@
         let balancer = start_with_clock(&text.to_string(), &ahead_ms);
         let (_, watch) = discovery.watch();
         watch.says(8, true, &old.entries);
-        let mut caller = balancer.caller();
+        let mut client = balancer.client();
         let told = Instant::now();
         for _ in 0..20 {
-            caller.ask("read", "");
+            client.ask("read", "");
         }
         wait_for("the list has grown old", || (told.elapsed() >= after).then_some(()));
         ahead_ms.store(to_ms, Ordering::Relaxed);
@@ -91,18 +91,18 @@
         let last = Upstream::start(|_, _| ok("last"));
         entries.push(endpoint("last", last.address, 0, "ready"));
         watch.says(9, false, &entries);
-        wait_for("the change is taken in", || (caller.ask("read", "").body == b"last").then_some(()));
+        wait_for("the change is taken in", || (client.ask("read", "").body == b"last").then_some(()));
         watch.says(10, false, &[endpoint("last", last.address, 0, "gone")]);
-        wait_for("it has left", || (0..16).all(|_| caller.ask("read", "").body != b"last").then_some(()));
+        wait_for("it has left", || (0..16).all(|_| client.ask("read", "").body != b"last").then_some(()));
         Self { old, new, balancer, _watch: watch }
     }
 
     /// What the old and the new get of so many requests.
     fn parts(&self, requests: usize) -> (usize, usize) {
         let before = (self.old.requests(), self.new.requests());
-        let mut caller = self.balancer.caller();
+        let mut client = self.balancer.client();
         for _ in 0..requests {
-            assert_eq!(caller.ask("read", "").status(), 200);
+            assert_eq!(client.ask("read", "").status(), 200);
         }
         (self.old.requests() - before.0, self.new.requests() - before.1)
     }
