--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -131,7 +131,7 @@
 fn a_failed_accept_in_a_drain_closes_no_other_connection() {
     beside_each_error(|errno, mut balancer| {
         let mut kept: Vec<Client> = (0..12).map(|_| balancer.client()).collect();
-        let mut told = vec![false; kept.len()];
+        let mut closing = vec![false; kept.len()];
         for client in &mut kept {
             assert_eq!(client.ask("order", "one").status(), 200);
         }
@@ -141,10 +141,10 @@
         while began.elapsed() < Duration::from_millis(400) {
             let mut new = balancer.client();
             assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
-            for (client, told) in kept.iter_mut().zip(&mut told).filter(|(_, told)| !**told) {
+            for (client, closing) in kept.iter_mut().zip(&mut closing).filter(|(_, closing)| !**closing) {
                 let answer = client.try_ask("order", "still");
                 let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
-                *told = answer.header("connection") == Some("close");
+                *closing = answer.header("connection") == Some("close");
             }
         }
         drop(kept);
@@ -171,7 +171,7 @@
     }
 }
 
-/// Connects, and holds up the balancer as it accepts the connection until it is told to go on.
+/// Connects, and holds up the balancer as it accepts the connection until the returned sender says to go on.
 fn connect_while_blocked(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Client, mpsc::Sender<()>) {
     let ((held, is_held), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
     hold.send((held, goes_on)).expect("the balancer serves");
--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -115,7 +115,7 @@
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", address, 0, "ready")], 30.0);
         let mut client = balancer.client();
         for _ in 0..20 {
-            // A machine without time for it may look like a crowd, and a refusal is an answer of its own.
+            // A machine without time for it may look like congestion, and a refusal is an answer of its own.
             let answer = wait_for("an answer beside refusals", || {
                 Some(client.ask("order", "one")).filter(|answer| answer.status() != 503)
             });
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -174,7 +174,7 @@
 }
 
 /// Guards upstreams and limits against a client's bad request: it is answered as failed at once, sent nowhere
-/// else, and no sign of a bad upstream or a crowd.
+/// else, and no sign of a bad upstream or of congestion.
 #[test]
 fn a_request_that_an_upstream_rejects_is_not_sent_again() {
     let (first, second) =
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -75,7 +75,7 @@
     assert!(silent.remove(0).answer().is_none());
 }
 
-/// Guards the read of a request that comes in pieces: it is taken with its last byte.
+/// Guards the read of a request that comes in pieces: it is accepted with its last byte.
 #[test]
 fn a_request_may_come_in_pieces() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -127,13 +127,13 @@
     let mut child = program_within(32, &configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     drop(log);
-    let crowd: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
-    wait_for("an answer beside the crowd", || {
+    let many: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
+    wait_for("an answer beside the many", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
-    drop(crowd);
+    drop(many);
     wait_for("an answer after it", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
@@ -147,7 +147,7 @@
 /// A connection that is to be closed waits this long for its first request, and longer.
 const LATE: Duration = Duration::from_millis(250);
 
-/// Guards planned restarts: after SIGTERM what was taken is finished, new connections are still served, each
+/// Guards planned restarts: after SIGTERM what was accepted is finished, new connections are still served, each
 /// answer closes its connection, and the program ends by itself.
 #[test]
 fn sigterm_finishes_what_was_accepted() {
@@ -163,8 +163,8 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, mut log) = address(&mut child);
-    let mut taken = Client::connect(address);
-    taken.send("order", "one");
+    let mut accepted = Client::connect(address);
+    accepted.send("order", "one");
     upstream.wait_requests(1);
     let mut idle = Client::connect(address);
     assert_eq!(idle.ask("order", "two").header("connection"), None);
@@ -193,11 +193,11 @@
     assert!(idle.answer().is_none());
     assert!(child.try_wait().expect("known").is_none());
     release.send(()).expect("the upstream waits");
-    assert_eq!(taken.answer().expect("an answer").status(), 200);
+    assert_eq!(accepted.answer().expect("an answer").status(), 200);
     assert!(child.wait().expect("ends").success());
 }
 
-/// Guards planned restarts against clients that go on: each sends on its connection until it is told that this
+/// Guards planned restarts against clients that go on: each sends on its connection until an answer says that this
 /// closes; a request that crosses the close goes out once more on a new connection, and whoever connects late gets
 /// an answer too, up to the end of the program.
 #[test]
--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -63,7 +63,7 @@
         self.client()
     }
 
-    /// What the front is told.
+    /// The status that the front gets.
     pub fn health(&self) -> u16 {
         self.client().health().expect("an answer")
     }
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -42,7 +42,7 @@
 }
 
 impl Site {
-    /// Starts the program with these variables of the library, which are told the ports of the upstreams.
+    /// Starts the program with these variables of the library, which get the ports of the upstreams.
     pub fn start(variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
         Self::start_with(USUAL_DIAL_S, variables)
     }
@@ -116,13 +116,13 @@
         }
     }
 
-    /// The counts of the program's next line that tells of `taken` requests or more since the start.
-    pub fn log_counts(&self, taken: u64) -> LogCounts {
+    /// The counts of the program's next line that counts `accepted` requests or more since the start.
+    pub fn log_counts(&self, accepted: u64) -> LogCounts {
         wait_for("a line of counts", || {
             let log = self.log.lock().expect("no panic");
             let lines = log.iter().filter(|line| line.contains("requests: "));
             let log_counts = lines.fold(LogCounts::default(), |log_counts, line| log_counts.with(line));
-            (log_counts.taken >= taken).then_some(log_counts)
+            (log_counts.accepted >= accepted).then_some(log_counts)
         })
     }
 }
@@ -213,25 +213,25 @@
 /// What lines of counts tell together.
 #[derive(Debug, Default)]
 pub struct LogCounts {
-    pub taken: u64,
+    pub accepted: u64,
     pub unreached: u64,
     pub late: u64,
     pub unsent: u64,
     /// The least part of the tier that the program took itself to have.
     pub had: Option<f64>,
-    /// The most that it took for a crowd.
-    pub crowding: f64,
+    /// The most that it took for congestion.
+    pub congestion: f64,
 }
 
 impl LogCounts {
     fn with(mut self, line: &str) -> Self {
-        self.taken += before(line, " taken");
+        self.accepted += before(line, " taken");
         self.unreached += before(line, " unreached");
         self.late += before(line, " not connected in time");
         self.unsent += before(line, " unsent");
         let had: f64 = behind(line, "had ");
         self.had = Some(self.had.map_or(had, |least| least.min(had)));
-        self.crowding = self.crowding.max(behind(line, "crowding "));
+        self.congestion = self.congestion.max(behind(line, "crowding "));
         self
     }
 }
--- a/crates/proxy/tests/common/load.rs
+++ b/crates/proxy/tests/common/load.rs
@@ -10,7 +10,7 @@
 
 use super::{Client, Message, Upstream, timed};
 
-/// What clients of a load were told: how many orders each sent, and how many were answered with 200.
+/// The clients of a load: how many orders each sent, and how many were answered with 200.
 pub struct Load {
     clients: Vec<thread::JoinHandle<(usize, usize)>>,
     over: Arc<AtomicBool>,
--- a/crates/proxy/tests/common/upstream.rs
+++ b/crates/proxy/tests/common/upstream.rs
@@ -50,7 +50,7 @@
 }
 
 impl Upstream {
-    /// Starts one that answers by `script`, which is told the number of the request.
+    /// Starts one that answers by `script`, which gets the number of the request.
     pub fn start(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Self {
         Self::scripted(move |number, message, _| script(number, message))
     }
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -94,7 +94,7 @@
     let (balancer, discovery) = start(&[endpoint("s-2", other.address, 1, "ready")], 4.0);
     thread::scope(|scope| {
         for _ in 0..8 {
-            // On a busy machine it may pass for a crowd, and a refusal is an answer of its own.
+            // On a busy machine it may pass for congestion, and a refusal is an answer of its own.
             scope.spawn(|| {
                 wait_for("an answer beside refusals", || {
                     (balancer.client().ask("read", "").body == b"other").then_some(())
@@ -274,16 +274,16 @@
         assert_ne!(balancer.client().ask("read", "").status(), 200, "{change}");
         let before = connecting(late.address);
         assert_eq!(before.len(), 1, "{change}: {before:?}");
-        let mut told = match change {
+        let mut changed = match change {
             "moved" => endpoint("s-1", moved.address, 0, "ready"),
             "restarted" => endpoint("s-1", late.address, 0, "ready"),
             status => endpoint("s-1", late.address, 0, status),
         };
         if change == "restarted" {
-            told["since_ms"] = json!(1);
+            changed["since_ms"] = json!(1);
         }
         let (_, watch) = discovery.watch();
-        watch.says(8, false, &[told, endpoint("s-2", other.address, 1, "ready")]);
+        watch.says(8, false, &[changed, endpoint("s-2", other.address, 1, "ready")]);
         wait_for("the word is taken in", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
@@ -401,13 +401,13 @@
         let refused = (dial_timeout == SHORT_S).then(|| client.answer().expect("an answer").status());
         let left = connecting(late.address);
         signal(&child, "-TERM");
-        let told = Instant::now();
+        let stopped = Instant::now();
         wait_line(&mut log, "into the drain");
         drop(log);
         wait_for("the end", || child.try_wait().expect("known"));
         assert!(refused != Some(200) && left.len() == 1, "nothing is crossed: {refused:?}, {left:?}");
         // The end comes the longest deadline and half a second after the signal.
-        assert!(told.elapsed() < SOON, "{:?}", told.elapsed());
+        assert!(stopped.elapsed() < SOON, "{:?}", stopped.elapsed());
         assert!(connecting(late.address).is_empty());
     };
     thread::scope(|scope| {
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -1,5 +1,5 @@
 //! Clients that leave while nobody looks: the end of their connection lies in its socket, but the process was held up,
-//! or the task that reads it has not had its turn. No attempt begins for them. Requests are taken here with no such
+//! or the task that reads it has not had its turn. No attempt begins for them. Requests are accepted here with no such
 //! task at all, so that the system alone can tell.
 
 mod common;
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 
-/// Guards drains: once told, nothing new goes there, not even over a connection that was kept.
+/// Guards drains: once notified, nothing new goes there, not even over a connection that was kept.
 #[test]
 fn a_draining_upstream_gets_nothing_new() {
     for status in ["draining", "gone"] {
@@ -74,7 +74,7 @@
 }
 
 /// Guards against a watch that stays open and says nothing, as when discovery's machine is cut off: what it
-/// would have told counts as told all the same.
+/// would have notified of counts as notified all the same.
 #[test]
 fn a_silent_watch_is_dead() {
     let discovery = Discovery::beating(LONG);
@@ -115,7 +115,7 @@
     Balancer::start(&text.replace("subscribe", "automatic"))
 }
 
-/// Guards a new process against the list of its configuration, which may be old: what discovery has counts as told
+/// Guards a new process against the list of its configuration, which may be old: what discovery has counts as notified
 /// from the first moment, so the front hears of the balancer once that has come, or does not come.
 #[test]
 fn a_new_process_waits_for_what_discovery_already_has() {
@@ -143,7 +143,7 @@
 }
 
 /// Guards drains against an outage: a watch falls silent, the next is opened while discovery is still down and never
-/// gets a word, and what the first one missed counts as told 6 s after it fell silent.
+/// gets a word, and what the first one missed counts as notified 6 s after it fell silent.
 #[test]
 fn a_drain_missed_in_an_outage_is_heard_within_six_seconds() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -180,7 +180,7 @@
     wait_for("the drain is taken in", || (balancer.client().ask("order", "").body == b"new").then_some(()));
 }
 
-/// A change counts as told this long after discovery had it and could be reached, whatever went before.
+/// A change counts as notified this long after discovery had it and could be reached, whatever went before.
 const TOLD: Duration = Duration::from_secs(6);
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
@@ -201,7 +201,7 @@
 }
 
 /// Guards the time to the list against a discovery that takes calls and leaves them waiting, wherever in its answer: a
-/// few failed calls in a row must not space the next one out past the time at which a change counts as told.
+/// few failed calls in a row must not space the next one out past the time at which a change counts as notified.
 #[test]
 fn calls_that_hang_do_not_keep_the_list_away() {
     in_each_mode(|mode| {
@@ -275,7 +275,7 @@
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining"), other.clone()]);
     let mut client = balancer.client();
     wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
-    let told = old.requests().len();
+    let requests_before = old.requests().len();
     watch.says(8, false, std::slice::from_ref(&ready));
     watch.says(7, true, &[ready, other.clone()]);
     // What comes last is taken in last.
@@ -285,7 +285,7 @@
     for _ in 0..20 {
         client.ask("read", "");
     }
-    assert_eq!(old.requests().len(), told, "the older list ended its drain");
+    assert_eq!(old.requests().len(), requests_before, "the older list ended its drain");
     // A new start is news.
     let mut restarted = endpoint("s-1", old.address, 0, "ready");
     restarted["since_ms"] = 1_000.into();
@@ -342,7 +342,7 @@
     watch.says(9, false, &[since("s-1", drained.address, "draining", 5_000), beside.clone()]);
     let mut client = balancer.client();
     wait_for("the drain is taken in", || (client.ask("read", "").body == b"other").then_some(()));
-    let told = drained.requests().len();
+    let requests_before = drained.requests().len();
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(3, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
     // What comes last is taken in last.
@@ -351,7 +351,7 @@
     for _ in 0..20 {
         client.ask("read", "");
     }
-    assert_eq!(drained.requests().len(), told, "the older list ended its drain");
+    assert_eq!(drained.requests().len(), requests_before, "the older list ended its drain");
 }
 
 /// Guards a drain against an older list that names the process before, whose stamp is the later one as the clock
@@ -367,7 +367,7 @@
     watch.says(9, false, &[since("s-1", drained.address, "draining", 2_000), beside.clone()]);
     let mut client = balancer.client();
     wait_for("the drain is taken in", || (client.ask("read", "").body == b"other").then_some(()));
-    let told = drained.requests().len();
+    let requests_before = drained.requests().len();
     // What comes last is taken in last; the list before it may say that start again, and the one after.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(7, true, &[since("s-1", drained.address, "ready", 5_000), beside.clone()]);
@@ -377,7 +377,7 @@
     for _ in 0..20 {
         client.ask("read", "");
     }
-    assert_eq!(drained.requests().len(), told, "the older list ended its drain");
+    assert_eq!(drained.requests().len(), requests_before, "the older list ended its drain");
 }
 
 /// Guards the list in hand against a watch that was given up: what still comes on it is not heard.
@@ -394,7 +394,7 @@
     after.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
     let mut client = balancer.client();
     wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
-    let told = old.requests().len();
+    let requests_before = old.requests().len();
     before.try_bytes(
         format!(
             "{}\n",
@@ -405,11 +405,11 @@
     for _ in 0..50 {
         assert_eq!(client.ask("read", "").body, b"new");
     }
-    assert_eq!(old.requests().len(), told);
+    assert_eq!(old.requests().len(), requests_before);
 }
 
 /// Guards reloads in a row, the first of them onto a discovery that takes calls and never answers: the last one's list
-/// is told in time.
+/// is notified in time.
 #[test]
 fn the_last_of_two_reloads_counts() {
     in_each_mode(|mode| {
@@ -428,14 +428,14 @@
         signal(&child, "-HUP");
         let _hangs_too = second.accept().expect("asked");
         write_configuration(&text(last.address));
-        let told = Instant::now();
+        let announced = Instant::now();
         signal(&child, "-HUP");
         let (_, watch) = last.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = Client::connect(address);
         wait_for("the list is taken in", || (client.ask("read", "").body == b"new").then_some(()));
-        assert!(told.elapsed() < Duration::from_secs(4), "{mode}: {:?}", told.elapsed());
+        assert!(announced.elapsed() < Duration::from_secs(4), "{mode}: {:?}", announced.elapsed());
         child.kill().expect("it runs");
         child.wait().expect("ends");
     });
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -49,7 +49,7 @@
 }
 
 /// A client that sends one request after the other on a connection, and takes a new one where that is closed; it ends
-/// where there is none, or when it is told to.
+/// where there is none, or when the test says so.
 fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
     let mut sent = Sent::default();
     let mut kept: Option<Client> = None;
@@ -114,10 +114,10 @@
             (0..8).map(|name| scope.spawn(move || send_on(address, name, orders))).collect();
         upstream.wait_requests(50);
         signal(&child, "-TERM");
-        let told = Instant::now();
+        let signalled = Instant::now();
         thread::sleep(Duration::from_millis(400));
         orders.dealt_elsewhere.store(true, Ordering::Relaxed);
-        let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| told.elapsed()));
+        let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
         let sent: Vec<Sent> = clients.into_iter().map(|client| client.join().expect("no panic")).collect();
         (sent, ended)
     });
@@ -147,10 +147,10 @@
             })
             .collect();
         upstream.wait_requests(20);
-        let mut crowd = Vec::new();
+        let mut many = Vec::new();
         // Fewer than the system queues: beyond that it would ask again seconds later.
         for _ in 0..100 {
-            crowd.push(balancer.client());
+            many.push(balancer.client());
             thread::sleep(Duration::from_millis(2));
         }
         orders.over.store(true, Ordering::Relaxed);
@@ -171,7 +171,7 @@
     let text = configuration(discovery.address, &known, 30.0, 1024);
     let mut child = program(&text);
     let (address, _unread) = address(&mut child);
-    // Each entry is told of in a line; a pipe holds 64 KiB.
+    // Each entry has a line of the log; a pipe holds 64 KiB.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
     discovery.watch().1.says(8, false, &odd);
     let orders = Orders::default();
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -34,13 +34,13 @@
 
     /// The client gets this answer, and the program its end.
     fn ends_with(mut self, mut client: Client, body: &str) {
-        let answer = client.answer().expect("what was taken is answered");
+        let answer = client.answer().expect("what was accepted is answered");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, body.as_bytes()));
         assert!(self.child.wait().expect("ends").success());
     }
 }
 
-/// An upstream that answers in two parts, the second once it is told to.
+/// An upstream that answers in two parts, the second once the test says so.
 fn in_two_parts(first: &'static str, then: Reply) -> (Upstream, mpsc::Sender<()>) {
     let (go, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -54,8 +54,8 @@
 
 const WHOLE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
 
-/// Guards planned restarts at each step of a request: what was taken before SIGTERM, or is half there, gets its answer,
-/// whatever comes between; a second SIGTERM and a SIGHUP change nothing of it.
+/// Guards planned restarts at each step of a request: what was accepted before SIGTERM, or is half there, gets its
+/// answer, whatever comes between; a second SIGTERM and a SIGHUP change nothing of it.
 #[test]
 fn sigterm_meets_a_request_at_each_step() {
     let ready = |address| [endpoint("s-1", address, 0, "ready")];
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -58,7 +58,7 @@
     });
 }
 
-/// Guards drains: one that is told between the hand-over and the writing holds.
+/// Guards drains: one of which the balancer is notified between the hand-over and the writing holds.
 #[test]
 fn a_drain_notified_before_the_write_holds() {
     for status in ["draining", "gone"] {
@@ -74,8 +74,8 @@
             let word = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
             let word: Update = serde_json::from_value(word).expect("a word of discovery");
-            let told = Rc::clone(driver);
-            spawn_local(async move { told.learn(word) });
+            let notified = Rc::clone(driver);
+            spawn_local(async move { notified.learn(word) });
             assert!(!matches!(answer.await, Ok(Answer::Served(_))), "{status}");
         });
         assert_eq!(upstream.requests().len(), 1, "{status}");
@@ -84,7 +84,7 @@
 
 // --- The process stopped at random moments ---
 
-/// For how long clients go on before the program is told to end.
+/// For how long clients go on before the program has to end.
 const SERVING: Duration = Duration::from_secs(5);
 /// The deadlines of clients.
 const DEADLINES: [f64; 3] = [1.0, 0.2, 0.1];
@@ -190,7 +190,7 @@
     }
 }
 
-/// Stops a process for up to [`HOLD_UP`] at random moments until told to end; the longest stop, seen from outside.
+/// Stops a process for up to [`HOLD_UP`] at random moments until `end` is set; the longest stop, seen from outside.
 fn hold_up(process: u32, seed: u64, end: &AtomicBool) -> Duration {
     let (mut draw, mut signals, mut longest) = (Draw(seed), Signals::to(process), Duration::ZERO);
     while !end.load(Ordering::Relaxed) {
@@ -208,7 +208,7 @@
 /// Where clients open their connections.
 struct Front {
     address: SocketAddr,
-    /// The program is told to end, and gets no new ones.
+    /// The program has to end, and gets no new ones.
     settled: AtomicBool,
 }
 
@@ -284,7 +284,7 @@
 }
 
 /// Guards every rule at once, at the process: it is stopped for up to 0.15 s at random moments while upstreams reject,
-/// close and hang and a fifth of the clients leave, and told to end while all of that goes on.
+/// close and hang and a fifth of the clients leave, and it has to end while all of that goes on.
 #[test]
 fn nothing_is_lost_or_late_by_hold_ups() {
     let attempts: Arc<Mutex<Vec<Attempt>>> = Arc::default();
@@ -307,11 +307,11 @@
         let stops = scope.spawn(|| hold_up(process, STOP_SEED, &ended));
         thread::sleep(SERVING);
         signal(&child, "-TERM");
-        let told = Instant::now();
+        let signalled = Instant::now();
         thread::sleep(NEW_CONNECTIONS - Duration::from_millis(100));
         front.settled.store(true, Ordering::Relaxed);
         child.wait().expect("ends");
-        let drain = told.elapsed();
+        let drain = signalled.elapsed();
         ended.store(true, Ordering::Relaxed);
         let asked: Vec<Asked> =
             clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -105,11 +105,11 @@
         );
         assert_eq!(send(&mut bench, 100, &[]).0, 100, "{mode:?}: the list in hand serves");
         // The first word tells that half of the tier has been replaced meanwhile.
-        let told = |id| Member {
+        let replaced = |id| Member {
             lifecycle: if id < 4 { Lifecycle::Draining } else { Lifecycle::Ready },
             ..member(id)
         };
-        bench.tell(Event::List(ListUpdate::Snapshot((0..8).map(told).collect())));
+        bench.tell(Event::List(ListUpdate::Snapshot((0..8).map(replaced).collect())));
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
             let (id, actions) = bench.offer(None);
--- a/crates/proxy/tests/reloads.rs
+++ b/crates/proxy/tests/reloads.rs
@@ -28,12 +28,12 @@
             earlier = place.watch().1;
         }
     }
-    let told = Instant::now();
+    let announced = Instant::now();
     let (_, last) = places[RELOADS - 1].watch();
     let gone = endpoint("s-1", old.address, 0, "gone");
     last.says(20, true, &[gone, endpoint("s-2", new.address, 1, "ready")]);
     new.wait_requests(1);
-    assert!(told.elapsed() < Duration::from_secs(4), "{:?}", told.elapsed());
+    assert!(announced.elapsed() < Duration::from_secs(4), "{:?}", announced.elapsed());
     let before = old.requests().len();
     // A word of before, with a later index.
     earlier.try_bytes(
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -27,10 +27,10 @@
     fn new() -> Self {
         let (far, near) = connected_pair();
         let deadline = Instant::now() + Duration::from_secs(1);
-        let taken = accepted_request(ClassId(0), None, call("read", Bytes::new()), &near, deadline);
+        let accepted = accepted_request(ClassId(0), None, call("read", Bytes::new()), &near, deadline);
         let (sender, answer) = oneshot::channel();
         let mut table = RequestTable::default();
-        let request = table.insert(&taken, sender);
+        let request = table.insert(&accepted, sender);
         Self { table, request, answer, _client: (near, far) }
     }
 
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -40,14 +40,14 @@
         })
         .collect();
     signal(&child, "-TERM");
-    let told = Instant::now();
+    let signalled = Instant::now();
     wait_line(&mut log, "into the drain");
     wait_line(&mut log, "into the drain");
     // Answers close their connections from 0.5 s on; the rest is for a machine with much else to do.
-    assert!(told.elapsed() < SOON, "{:?}", told.elapsed());
+    assert!(signalled.elapsed() < SOON, "{:?}", signalled.elapsed());
     drop(log);
     // It ends the longest deadline and half a second after the signal.
-    let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| told.elapsed()));
+    let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
     on.store(false, Ordering::Relaxed);
     assert!(ended < SOON, "{ended:?}");
     for flood in floods {
@@ -56,8 +56,8 @@
 }
 
 /// Guards the list against clients that only stand by and take every descriptor there is while discovery is down: when
-/// it is back, its watch comes up and what it has is told within 6 s; the front, and a client with a request, get
-/// through meanwhile.
+/// it is back, its watch comes up and the balancer is notified of what it has within 6 s; the front, and a client with a
+/// request, get through meanwhile.
 #[test]
 fn idle_clients_do_not_keep_the_list_away() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -87,7 +87,9 @@
                 })
             })
             .collect();
-        wait_for("the front is told", || (Client::connect(address).health() == Some(200)).then_some(()));
+        wait_for("the front gets the health", || {
+            (Client::connect(address).health() == Some(200)).then_some(())
+        });
         wait_for("a client is served", || {
             let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"old").then_some(())
@@ -123,7 +125,7 @@
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     let (_, watch) = discovery.watch();
-    // Each entry is told of in a line; a pipe holds 64 KiB.
+    // Each entry has a line of the log; a pipe holds 64 KiB.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
     watch.says(8, false, &odd);
     watch.says(9, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
@@ -156,9 +158,9 @@
         thread::sleep(Duration::from_millis(200));
         (now > 10 && now == before).then_some(())
     });
-    let told = Instant::now();
+    let stopped = Instant::now();
     balancer.stop();
     drop(balancer);
     // The drain's 2.8 s, and what an answer may stand unread.
-    assert!(told.elapsed() < Duration::from_secs(8), "{:?}", told.elapsed());
+    assert!(stopped.elapsed() < Duration::from_secs(8), "{:?}", stopped.elapsed());
 }
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -232,14 +232,17 @@
         let first = world.hear_one(1, first_ms);
         world.pass(seconds(60));
         world.starts.note_line(world.now);
-        let told = world.now;
+        let last_line = world.now;
         world.pass(seconds(1));
         world.stamps_ahead_ms = stamps_ahead_ms;
         let second_ms = world.stamp();
         world.pass(seconds(1));
         let second = world.hear_one(1, second_ms);
         assert!(second > first, "{stamps_ahead_ms}");
-        assert!((told..=world.now).contains(&second.expect("just now")), "{stamps_ahead_ms}: {second:?}");
+        assert!(
+            (last_line..=world.now).contains(&second.expect("just now")),
+            "{stamps_ahead_ms}: {second:?}"
+        );
     }
 }
 
@@ -292,7 +295,7 @@
     }
 }
 
-/// Guards a first list, which bounds nothing: what is told is taken in as far as it can be true.
+/// Guards a first list, which bounds nothing: what it says is used as far as it can be true.
 #[test]
 fn a_first_list_names_starts_of_any_age() {
     let mut world = World::new(0);
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -79,11 +79,11 @@
         let (_, watch) = discovery.watch();
         watch.says(8, true, &old.entries);
         let mut client = balancer.client();
-        let told = Instant::now();
+        let listed = Instant::now();
         for _ in 0..20 {
             client.ask("read", "");
         }
-        wait_for("the list has grown old", || (told.elapsed() >= after).then_some(()));
+        wait_for("the list has grown old", || (listed.elapsed() >= after).then_some(()));
         ahead_ms.store(to_ms, Ordering::Relaxed);
         let new = Group::start("new", SystemClock.unix_ms());
         let mut entries = new.entries.clone();
