--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -265,7 +265,7 @@
         (sound.replace("idempotent", "harmless"), "settings are malformed"),
         (
             sound.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen("\"balancers\":1,", "", 1),
-            "replicas is 0",
+            "copies is 0",
         ),
     ] {
         let child = program(&text);
