--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -1,5 +1,5 @@
-//! Attempts that meet another event: the end of their window, a drain, a second answer, a reset. Each case brings the two
-//! together on purpose. `docs/CROSSINGS.md` lists what is promised for each.
+//! Attempts that meet another event: the end of their window, a drain, a second answer, a reset. Each case brings the
+//! two together on purpose. `docs/CROSSINGS.md` lists what is promised for each.
 
 mod common;
 
--- a/crates/proxy/tests/common/watch.rs
+++ b/crates/proxy/tests/common/watch.rs
@@ -49,8 +49,8 @@
     }
 }
 
-/// Serves a watch that the balancer opens with this request line, and hands the test what feeds it. It says every `beat`
-/// that nothing has changed.
+/// Serves a watch that the balancer opens with this request line, and hands the test what feeds it. It says every
+/// `beat` that nothing has changed.
 pub fn serve_watch(mut stream: TcpStream, line: String, opened: &Sender<(String, Watch)>, beat: Duration) {
     let (feed, food) = mpsc::channel();
     // A watch that is closed by now ends at its first line.
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams that do not come up or break, by system calls that fail so: each request has its answer, and
-//! what must not run twice is not sent again after its last byte.
+//! Connections to upstreams that do not come up or break, by system calls that fail so: each request has its answer,
+//! and what must not run twice is not sent again after its last byte.
 
 mod common;
 
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Floods of connections, descriptors that run out, a log and answers that nobody reads: the program goes on serving, and
-//! ends in time. `docs/CROSSINGS.md` lists what is promised for each.
+//! Floods of connections, descriptors that run out, a log and answers that nobody reads: the program goes on serving,
+//! and ends in time. `docs/CROSSINGS.md` lists what is promised for each.
 
 mod common;
 
@@ -56,8 +56,8 @@
 }
 
 /// Guards the list against clients that only stand by and take every descriptor there is while discovery is down: when
-/// it is back, its watch comes up and the balancer is notified of what it has within 6 s; the front, and a client with a
-/// request, get through meanwhile.
+/// it is back, its watch comes up and the balancer is notified of what it has within 6 s; the front, and a client with
+/// a request, get through meanwhile.
 #[test]
 fn idle_clients_do_not_keep_the_list_away() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
