--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -16,10 +16,10 @@
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn try_order(caller: &mut Caller, body: &str) -> Option<Message> {
+fn try_order(client: &mut Client, body: &str) -> Option<Message> {
     use std::io::Write;
-    caller.0.write_all(&order(body)).ok()?;
-    caller.answer()
+    client.0.write_all(&order(body)).ok()?;
+    client.answer()
 }
 
 /// What became of the requests of a client.
@@ -42,17 +42,17 @@
 }
 
 impl Orders {
-    fn connect(&self, address: SocketAddr) -> Option<Caller> {
+    fn connect(&self, address: SocketAddr) -> Option<Client> {
         let here = !self.dealt_elsewhere.load(Ordering::Relaxed);
-        here.then(|| TcpStream::connect(address).ok().map(Caller::new)).flatten()
+        here.then(|| TcpStream::connect(address).ok().map(Client::new)).flatten()
     }
 }
 
 /// A client that sends one request after the other on a connection, and takes a new one where that is closed; it ends
-/// where there is none, or when it is told to.
+/// where there is none, or when the test says so.
 fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
     let mut sent = Sent::default();
-    let mut kept: Option<Caller> = None;
+    let mut kept: Option<Client> = None;
     for number in 0.. {
         if orders.over.load(Ordering::Relaxed) {
             break;
@@ -61,13 +61,13 @@
         loop {
             let body = format!("{name}-{number}-{resent}");
             let is_new = kept.is_none();
-            let Some(mut caller) = kept.take().or_else(|| orders.connect(address)) else {
+            let Some(mut client) = kept.take().or_else(|| orders.connect(address)) else {
                 return sent;
             };
-            match try_order(&mut caller, &body) {
+            match try_order(&mut client, &body) {
                 Some(answer) => {
                     sent.answered.push((body, answer.status()));
-                    kept = (answer.header("connection") != Some("close")).then_some(caller);
+                    kept = (answer.header("connection") != Some("close")).then_some(client);
                     break;
                 }
                 None if is_new => {
@@ -114,10 +114,10 @@
             (0..8).map(|name| scope.spawn(move || send_on(address, name, orders))).collect();
         upstream.wait_requests(50);
         signal(&child, "-TERM");
-        let told = Instant::now();
+        let signalled = Instant::now();
         thread::sleep(Duration::from_millis(400));
         orders.dealt_elsewhere.store(true, Ordering::Relaxed);
-        let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| told.elapsed()));
+        let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
         let sent: Vec<Sent> = clients.into_iter().map(|client| client.join().expect("no panic")).collect();
         (sent, ended)
     });
@@ -147,10 +147,10 @@
             })
             .collect();
         upstream.wait_requests(20);
-        let mut crowd = Vec::new();
+        let mut many = Vec::new();
         // Fewer than the system queues: beyond that it would ask again seconds later.
         for _ in 0..100 {
-            crowd.push(balancer.caller());
+            many.push(balancer.client());
             thread::sleep(Duration::from_millis(2));
         }
         orders.over.store(true, Ordering::Relaxed);
@@ -171,7 +171,7 @@
     let text = configuration(discovery.address, &known, 30.0, 1024);
     let mut child = program(&text);
     let (address, _unread) = address(&mut child);
-    // Each entry is told of in a line; a pipe holds 64 KiB.
+    // Each entry has a line of the log; a pipe holds 64 KiB.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
     discovery.watch().1.says(8, false, &odd);
     let orders = Orders::default();
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -4,7 +4,7 @@
 
 use std::collections::HashMap;
 use std::io::Write;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::SocketAddr;
 use std::process::{Child, ChildStdin, Command, Stdio};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,18 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use balancer_proxy::config::Config;
 use balancer_proxy::discovery::Update;
-use balancer_proxy::event_loop::{AcceptedRequest, Answer, EventLoop};
-use balancer_proxy::socket::Socket;
-use balancer_proxy::upstream::Call;
+use balancer_proxy::event_loop::Answer;
 use bytes::Bytes;
 use common::*;
-use hyper::header::HeaderValue;
-use hyper::{Method, Uri};
 use serde_json::{Value, json};
-use tokio::sync::oneshot;
-use tokio::task::{LocalSet, spawn_local};
+use tokio::task::spawn_local;
 
 /// For how long a balancer may be held up.
 const HOLD_UP: Duration = Duration::from_millis(150);
@@ -36,56 +30,6 @@
 
 // --- Between the hand-over of a request and its writing ---
 
-/// Runs on a runtime of its own, with a driver of this configuration.
-fn drive(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
-    let config = Config::parse(configuration, |_| None).expect("a sound configuration");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-    LocalSet::new().block_on(&runtime, async {
-        let driver = EventLoop::start(config).expect("sound settings");
-        test(&driver).await;
-    });
-}
-
-/// A client that stays, and the balancer's side of its connection.
-fn client() -> (TcpStream, Socket) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
-    let (near, _) = listener.accept().expect("a connection");
-    near.set_nonblocking(true).expect("set");
-    let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
-    (client, Socket::new(near))
-}
-
-/// Takes a request of a class that may be repeated.
-fn take(driver: &Rc<EventLoop>, near: &Socket, deadline: tokio::time::Instant) -> oneshot::Receiver<Answer> {
-    let offered = driver.offered();
-    let call = Call {
-        method: Method::GET,
-        uri: Uri::from_static("/read"),
-        host: HeaderValue::from_static("origin.svc"),
-        id: HeaderValue::from_static("r-1"),
-        key: None,
-        body: Bytes::new(),
-        once: false,
-    };
-    let taken = AcceptedRequest {
-        class: offered.class("read").expect("it is offered").0,
-        tenant: offered.tenant("acme"),
-        subject: None,
-        expected_work: None,
-        is_client_retry: false,
-        deadline,
-        call: Rc::new(call),
-        client: near.downgrade(),
-    };
-    driver.accept(taken).answer
-}
-
-/// Waits until a connection that has just carried an answer may carry the next request.
-async fn wait_for_rest() {
-    tokio::time::sleep(Duration::from_millis(30)).await;
-}
-
 /// Guards the deadline that is passed on: it is worked out when the bytes are written, however long the process was
 /// held up since the request was handed over.
 #[test]
@@ -94,11 +38,11 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let discovery = Discovery::start();
     drive(&configuration(discovery.address, &known, 50.0, 1024), async |driver| {
-        let (_client, near) = client();
+        let (_client, near) = connected_pair();
         let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-        assert!(take(driver, &near, deadline).await.is_ok());
+        assert!(accept(driver, "read", Bytes::new(), &near, deadline).await.is_ok());
         wait_for_rest().await;
-        let answer = take(driver, &near, deadline);
+        let answer = accept(driver, "read", Bytes::new(), &near, deadline);
         // Runs after the attempt, and before the connection that the attempt wakes.
         let held_up = spawn_local(async move {
             thread::sleep(HOLD_UP);
@@ -114,24 +58,24 @@
     });
 }
 
-/// Guards drains: one that is told between the hand-over and the writing holds.
+/// Guards drains: one of which the balancer is notified between the hand-over and the writing holds.
 #[test]
-fn a_drain_told_before_the_write_holds() {
+fn a_drain_notified_before_the_write_holds() {
     for status in ["draining", "gone"] {
         let upstream = Upstream::start(|_, _| ok("served"));
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
         let discovery = Discovery::start();
         drive(&configuration(discovery.address, &known, 50.0, 1024), async |driver| {
-            let (_client, near) = client();
+            let (_client, near) = connected_pair();
             let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-            assert!(take(driver, &near, deadline).await.is_ok());
+            assert!(accept(driver, "read", Bytes::new(), &near, deadline).await.is_ok());
             wait_for_rest().await;
-            let answer = take(driver, &near, deadline);
+            let answer = accept(driver, "read", Bytes::new(), &near, deadline);
             let word = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
             let word: Update = serde_json::from_value(word).expect("a word of discovery");
-            let told = Rc::clone(driver);
-            spawn_local(async move { told.learn(word) });
+            let notified = Rc::clone(driver);
+            spawn_local(async move { notified.learn(word) });
             assert!(!matches!(answer.await, Ok(Answer::Served(_))), "{status}");
         });
         assert_eq!(upstream.requests().len(), 1, "{status}");
@@ -140,7 +84,7 @@
 
 // --- The process stopped at random moments ---
 
-/// For how long clients go on before the program is told to end.
+/// For how long clients go on before the program has to end.
 const SERVING: Duration = Duration::from_secs(5);
 /// The deadlines of clients.
 const DEADLINES: [f64; 3] = [1.0, 0.2, 0.1];
@@ -246,7 +190,7 @@
     }
 }
 
-/// Stops a process for up to [`HOLD_UP`] at random moments until told to end; the longest stop, seen from outside.
+/// Stops a process for up to [`HOLD_UP`] at random moments until `end` is set; the longest stop, seen from outside.
 fn hold_up(process: u32, seed: u64, end: &AtomicBool) -> Duration {
     let (mut draw, mut signals, mut longest) = (Draw(seed), Signals::to(process), Duration::ZERO);
     while !end.load(Ordering::Relaxed) {
@@ -264,13 +208,13 @@
 /// Where clients open their connections.
 struct Front {
     address: SocketAddr,
-    /// The program is told to end, and gets no new ones.
+    /// The program has to end, and gets no new ones.
     settled: AtomicBool,
 }
 
 impl Front {
-    fn connect(&self) -> Option<Caller> {
-        (!self.settled.load(Ordering::Relaxed)).then(|| Caller::connect(self.address))
+    fn connect(&self) -> Option<Client> {
+        (!self.settled.load(Ordering::Relaxed)).then(|| Client::connect(self.address))
     }
 }
 
@@ -278,7 +222,7 @@
 fn ask_on(front: &Front, number: u64, seed: u64) -> Vec<Asked> {
     let (mut draw, mut all, mut kept) = (Draw(seed + number), Vec::new(), None);
     for request in 0.. {
-        let Some(mut caller) = kept.take().or_else(|| front.connect()) else { break };
+        let Some(mut client) = kept.take().or_else(|| front.connect()) else { break };
         let mut asked = Asked {
             id: format!("{number}-{request}"),
             class: ["read", "pay", "order"][draw.below(3) as usize],
@@ -289,9 +233,9 @@
             sent_again: false,
         };
         let leaves = draw.below(LEAVES) == 0;
-        let answer = ask_once(&mut caller, &mut asked, leaves.then(|| draw.millis(0, 90)), front);
+        let answer = ask_once(&mut client, &mut asked, leaves.then(|| draw.millis(0, 90)), front);
         if answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close")) {
-            kept = Some(caller);
+            kept = Some(client);
         }
         all.push(asked);
     }
@@ -301,26 +245,26 @@
 /// Asks, and leaves after so long or waits for the answer. A connection that ends under the request is answered with a
 /// new one, once.
 fn ask_once(
-    caller: &mut Caller,
+    client: &mut Client,
     asked: &mut Asked,
     leaves: Option<Duration>,
     front: &Front,
 ) -> Option<Message> {
     let text = text_of(asked);
-    let written = caller.0.write_all(text.as_bytes()).is_ok();
+    let written = client.0.write_all(text.as_bytes()).is_ok();
     if let Some(after) = leaves {
         thread::sleep(after);
         asked.left = Some(Instant::now());
-        let _ = caller.0.shutdown(std::net::Shutdown::Both);
+        let _ = client.0.shutdown(std::net::Shutdown::Both);
         return None;
     }
-    let mut answer = written.then(|| caller.answer()).flatten();
+    let mut answer = written.then(|| client.answer()).flatten();
     if answer.is_none()
         && let Some(again) = front.connect()
     {
         asked.sent_again = true;
-        *caller = again;
-        answer = caller.0.write_all(text.as_bytes()).ok().and_then(|()| caller.answer());
+        *client = again;
+        answer = client.0.write_all(text.as_bytes()).ok().and_then(|()| client.answer());
     }
     asked.answered = answer.as_ref().map(|answer| (Instant::now(), answer.status()));
     answer
@@ -340,7 +284,7 @@
 }
 
 /// Guards every rule at once, at the process: it is stopped for up to 0.15 s at random moments while upstreams reject,
-/// close and hang and a fifth of the clients leave, and told to end while all of that goes on.
+/// close and hang and a fifth of the clients leave, and it has to end while all of that goes on.
 #[test]
 fn nothing_is_lost_or_late_by_hold_ups() {
     let attempts: Arc<Mutex<Vec<Attempt>>> = Arc::default();
@@ -363,11 +307,11 @@
         let stops = scope.spawn(|| hold_up(process, STOP_SEED, &ended));
         thread::sleep(SERVING);
         signal(&child, "-TERM");
-        let told = Instant::now();
+        let signalled = Instant::now();
         thread::sleep(NEW_CONNECTIONS - Duration::from_millis(100));
         front.settled.store(true, Ordering::Relaxed);
         child.wait().expect("ends");
-        let drain = told.elapsed();
+        let drain = signalled.elapsed();
         ended.store(true, Ordering::Relaxed);
         let asked: Vec<Asked> =
             clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
--- a/crates/proxy/tests/clock.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -1,20 +1,11 @@
-//! When upstreams started, whatever the wall clocks do: in virtual time, and through the server on real sockets.
+//! When upstreams started, whatever the wall clocks do: the table of start times in virtual time.
 
-mod common;
-
-use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
-use std::sync::atomic::{AtomicI64, AtomicU64, Ordering};
-use std::thread::{self, JoinHandle};
-use std::time::{Duration, Instant};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::time::Duration;
 
 use balancer_policy::interface::{EndpointId, Time};
-use balancer_proxy::clock::{PAST_STARTS_MOST, StartTimes, SystemClock, WallClock};
-use balancer_proxy::config::Config;
-use balancer_proxy::server;
-use common::*;
-use serde_json::{Value, json};
-use tokio::sync::oneshot;
+use balancer_proxy::clock::{PAST_STARTS_MOST, StartTimes, WallClock};
 
 /// Unix time in milliseconds at which the tests begin.
 const BEGIN_MS: u64 = 1_700_000_000_000;
@@ -241,14 +232,17 @@
         let first = world.hear_one(1, first_ms);
         world.pass(seconds(60));
         world.starts.note_line(world.now);
-        let told = world.now;
+        let last_line = world.now;
         world.pass(seconds(1));
         world.stamps_ahead_ms = stamps_ahead_ms;
         let second_ms = world.stamp();
         world.pass(seconds(1));
         let second = world.hear_one(1, second_ms);
         assert!(second > first, "{stamps_ahead_ms}");
-        assert!((told..=world.now).contains(&second.expect("just now")), "{stamps_ahead_ms}: {second:?}");
+        assert!(
+            (last_line..=world.now).contains(&second.expect("just now")),
+            "{stamps_ahead_ms}: {second:?}"
+        );
     }
 }
 
@@ -301,7 +295,7 @@
     }
 }
 
-/// Guards a first list, which bounds nothing: what is told is taken in as far as it can be true.
+/// Guards a first list, which bounds nothing: what it says is used as far as it can be true.
 #[test]
 fn a_first_list_names_starts_of_any_age() {
     let mut world = World::new(0);
@@ -399,178 +393,3 @@
         assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are kept");
     }
 }
-
-// --- On real sockets ---
-
-/// The machine's clock, ahead by as many milliseconds as the test says.
-#[derive(Debug)]
-struct Ahead(Arc<AtomicI64>);
-
-impl WallClock for Ahead {
-    fn unix_ms(&self) -> u64 {
-        SystemClock.unix_ms().saturating_add_signed(self.0.load(Ordering::Relaxed))
-    }
-}
-
-/// A balancer whose wall clock the test sets; it drains when dropped.
-struct Shifted {
-    address: SocketAddr,
-    stop: Option<oneshot::Sender<()>>,
-    thread: Option<JoinHandle<()>>,
-}
-
-impl Shifted {
-    fn start(configuration: &str, ahead_ms: &Arc<AtomicI64>) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        listener.set_nonblocking(true).expect("set");
-        let address = listener.local_addr().expect("bound");
-        let mut config = Config::parse(configuration, |_| None).expect("a sound configuration");
-        config.wall_clock = Box::new(Ahead(Arc::clone(ahead_ms)));
-        let (stop, stopped) = oneshot::channel();
-        let thread = thread::spawn(move || {
-            let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
-            let served = tokio::task::LocalSet::new().block_on(&runtime, async {
-                let listener = tokio::net::TcpListener::from_std(listener)?;
-                let stop = async {
-                    let _ = stopped.await;
-                };
-                server::serve_on(listener, config, stop).await
-            });
-            served.expect("serves");
-        });
-        Self { address, stop: Some(stop), thread: Some(thread) }
-    }
-}
-
-impl Drop for Shifted {
-    fn drop(&mut self) {
-        self.stop.take();
-        if let Some(thread) = self.thread.take() {
-            let ended = thread.join();
-            assert!(ended.is_ok() || thread::panicking(), "the balancer panicked");
-        }
-    }
-}
-
-/// Upstreams of one sort, which are all listed with the same stamp.
-struct Group {
-    upstreams: Vec<Upstream>,
-    entries: Vec<Value>,
-}
-
-impl Group {
-    fn start(name: &str, since_ms: u64) -> Self {
-        let upstreams: Vec<Upstream> = (0..2).map(|_| Upstream::start(|_, _| ok(""))).collect();
-        let listed = |(number, upstream): (usize, &Upstream)| {
-            let mut entry = endpoint(&format!("{name}-{number}"), upstream.address, 0, "ready");
-            entry["since_ms"] = since_ms.into();
-            entry
-        };
-        let entries = upstreams.iter().enumerate().map(listed).collect();
-        Self { upstreams, entries }
-    }
-
-    fn requests(&self) -> usize {
-        self.upstreams.iter().map(|upstream| upstream.requests().len()).sum()
-    }
-}
-
-/// Two upstreams that started long ago, and two that a change says have started now.
-struct Joined {
-    old: Group,
-    new: Group,
-    balancer: Shifted,
-    /// Goes on for as long as this is kept.
-    _watch: Watch,
-}
-
-/// Cold upstreams take this part of a warm one's.
-const COLD_SHARE: f64 = 0.05;
-
-impl Joined {
-    /// With a wall clock that is ahead by `from_ms` at the balancer's start, and by `to_ms` from the first list on; the
-    /// change comes so long after that.
-    fn start(from_ms: i64, to_ms: i64, cold_s: f64, after: Duration) -> Self {
-        let (old, discovery) = (Group::start("old", 0), Discovery::start());
-        let mut text: Value =
-            serde_json::from_str(&configuration(discovery.address, &old.entries, 30.0, 1024)).expect("JSON");
-        text["settings"]["rules"]["coldS"] = json!(cold_s);
-        text["settings"]["rules"]["coldShare"] = json!(COLD_SHARE);
-        let ahead_ms = Arc::new(AtomicI64::new(from_ms));
-        let balancer = Shifted::start(&text.to_string(), &ahead_ms);
-        let (_, watch) = discovery.watch();
-        watch.says(8, true, &old.entries);
-        let mut caller = Caller::connect(balancer.address);
-        let told = Instant::now();
-        for _ in 0..20 {
-            caller.ask("read", "");
-        }
-        wait_for("the list has grown old", || (told.elapsed() >= after).then_some(()));
-        ahead_ms.store(to_ms, Ordering::Relaxed);
-        let new = Group::start("new", SystemClock.unix_ms());
-        let mut entries = new.entries.clone();
-        // Tells that the change has been taken in.
-        let last = Upstream::start(|_, _| ok("last"));
-        entries.push(endpoint("last", last.address, 0, "ready"));
-        watch.says(9, false, &entries);
-        wait_for("the change is taken in", || (caller.ask("read", "").body == b"last").then_some(()));
-        watch.says(10, false, &[endpoint("last", last.address, 0, "gone")]);
-        wait_for("it has left", || (0..16).all(|_| caller.ask("read", "").body != b"last").then_some(()));
-        Self { old, new, balancer, _watch: watch }
-    }
-
-    /// What the old and the new get of so many requests.
-    fn parts(&self, requests: usize) -> (usize, usize) {
-        let before = (self.old.requests(), self.new.requests());
-        let mut caller = Caller::connect(self.balancer.address);
-        for _ in 0..requests {
-            assert_eq!(caller.ask("read", "").status(), 200);
-        }
-        (self.old.requests() - before.0, self.new.requests() - before.1)
-    }
-}
-
-/// Plays a case with wall clocks that are wrong from the start and that step after the first list, side by side.
-fn under_each_clock(case: impl Fn(i64, i64) + Send + Sync) {
-    let clocks = [(0, 0), (HOUR_MS, HOUR_MS), (-HOUR_MS, -HOUR_MS), (0, HOUR_MS), (0, -HOUR_MS)];
-    thread::scope(|scope| {
-        for (from_ms, to_ms) in clocks {
-            let case = &case;
-            scope.spawn(move || case(from_ms, to_ms));
-        }
-    });
-}
-
-/// Guards upstreams that have just started, whose cold time here is longer than the test.
-#[test]
-fn slow_start_is_not_skipped_under_a_wrong_clock() {
-    under_each_clock(|from_ms, to_ms| {
-        let joined = Joined::start(from_ms, to_ms, 600.0, Duration::ZERO);
-        let (old, new) = joined.parts(300);
-        assert!(new * 3 < old, "{from_ms} to {to_ms}: {new} beside {old}");
-    });
-}
-
-/// Guards the part of upstreams that have been up for their cold time.
-#[test]
-fn slow_start_ends_under_a_wrong_clock() {
-    under_each_clock(|from_ms, to_ms| {
-        let joined = Joined::start(from_ms, to_ms, 0.5, Duration::ZERO);
-        wait_for(&format!("{from_ms} to {to_ms}: the new ones are warm"), || {
-            let (old, new) = joined.parts(100);
-            (new * 2 > old).then_some(())
-        });
-    });
-}
-
-/// Guards slow start after a long time without a change: the watch's empty lines, two a second here, say that nothing
-/// had started by then.
-#[test]
-fn signs_of_life_bound_a_start_under_a_clock_that_is_ahead() {
-    let cold = Duration::from_secs(10);
-    let joined = Joined::start(HOUR_MS, HOUR_MS, cold.as_secs_f64(), cold);
-    let changed = Instant::now();
-    let (old, new) = joined.parts(300);
-    // On a machine too busy to ask in time they may be warm by then, which proves nothing.
-    assert!(new * 2 < old || changed.elapsed() > cold / 4, "{new} beside {old}");
-}
