--- /dev/null
+++ b/crates/capacity/src/latency/made_of.rs
@@ -0,0 +1,133 @@
+//! What the added latency is made of: a table of plays that leave one thing out or change one thing.
+
+use std::thread;
+use std::time::Duration;
+
+use super::Bench;
+use super::placement::Placement;
+use super::play::{Play, QUANTILES, Setup};
+use crate::CapacityError;
+use crate::slope::{Results, commit};
+use crate::world::{self, Balancer, Discovery, Times, Upstreams, Usage};
+
+impl Bench<'_> {
+    /// What runs by itself: the watch, the decisions' timers, the sweeps of connections, the log.
+    fn timers(&self) -> Result<Vec<String>, CapacityError> {
+        let upstreams = Upstreams::start(self.arguments.upstreams, 1, 0)?;
+        let discovery =
+            Discovery::start(upstreams.entries(), Duration::from_secs_f64(self.plan.list.beat_s.value))?;
+        let settings = world::settings(self.plan, self.arguments.upstreams);
+        let configuration = world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
+        let balancer = Balancer::start(self.program, &configuration, None, |_| ())?;
+        let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
+        thread::sleep(span / 6);
+        let before = Usage::of(balancer.process.id())?;
+        thread::sleep(span);
+        let used = Usage::of(balancer.process.id())?.since(before);
+        let tells = format!(
+            "woken {:.1} times a second, {:.0} us of a core each time: {:.3} in 100 of all time",
+            used.slices as f64 / span.as_secs_f64(),
+            used.cpu_ns as f64 / 1000.0 / used.slices.max(1) as f64,
+            used.cpu_ns as f64 * 100.0 / span.as_nanos() as f64,
+        );
+        Ok(["0", "timers at rest", "-", "-", "-", "0", &tells].map(str::to_owned).to_vec())
+    }
+
+    /// What the added latency is made of.
+    pub(super) fn made_of(&mut self, rates: &[f64]) -> Result<Results, CapacityError> {
+        let mut rows = vec![self.timers()?];
+        for &rate in rates {
+            let plain = Setup { relay: true, ..self.setup(rate) };
+            let play = self.play(&plain)?;
+            let mut row = |part: &str, times: &Times, tells: String| {
+                rows.push(row_of(rate, part, [0.5, 0.99, 0.999].map(|q| times.us(q)), times.count(), &tells));
+            };
+            row("direct", &play.direct, "the upstream, the caller and the machine".to_owned());
+            row(
+                "through a relay of bytes",
+                &play.relay,
+                "the same runtime, no HTTP, no decisions, no choice of connection".to_owned(),
+            );
+            row("through the balancer", &play.through, format!("{:?}", play.around.counts));
+            row(
+                "of these on kept connections",
+                &play.kept,
+                format!("to upstreams, of {}", play.through.count()),
+            );
+            row(
+                "of these on new connections",
+                &play.new,
+                format!("{} opened in {:.0} s", play.around.opened, play.around.span.as_secs_f64()),
+            );
+            row(
+                "through less direct, pair by pair",
+                &play.difference,
+                format!("{} pairs the other way round count as 0", play.inverted),
+            );
+            row(
+                "sent after its time",
+                &play.late,
+                "the caller's own lateness, in all of the above".to_owned(),
+            );
+            let added = |play: &Play| QUANTILES.map(|q| play.through.us(q) - play.direct.us(q));
+            rows.push(row_of(
+                rate,
+                "relay less direct",
+                QUANTILES.map(|q| play.relay.us(q) - play.direct.us(q)),
+                play.relay.count(),
+                "what any process between costs here",
+            ));
+            rows.push(row_of(rate, "added", added(&play), play.through.count(), &usage(&play)));
+            for (part, setup) in [
+                ("added, calls evenly spaced", Setup { even: true, ..plain }),
+                ("added, 6 upstreams", Setup { upstreams: 6, ..plain }),
+                (
+                    "added, 1900 upstreams",
+                    Setup { upstreams: if self.arguments.common.small { 90 } else { 1900 }, ..plain },
+                ),
+                ("added, balancer alone on a core", Setup { placement: Placement::Alone, ..plain }),
+                ("added, caller anywhere", Setup { placement: Placement::Anywhere, ..plain }),
+            ] {
+                if self.arguments.common.small && setup.placement != plain.placement {
+                    continue;
+                }
+                let play = self.play(&Setup { relay: false, ..setup })?;
+                rows.push(row_of(rate, part, added(&play), play.through.count(), &usage(&play)));
+            }
+        }
+        Ok(Results {
+            name: "latency_made_of".to_owned(),
+            what: "What the latency that a balancer adds is made of, by rate.".to_owned(),
+            command: self.command(),
+            commit: commit(),
+            columns: ["calls a second", "part", "50 in 100, us", "99 in 100, us", "99.9 in 100, us", "calls", "beside it"]
+                .map(str::to_owned)
+                .to_vec(),
+            rows,
+            note: "One play each. Times count from when a call was to be sent. `added` is the quantile through the balancer \
+                   less that of direct calls in the same play. A relay of bytes is a thread of the rig that copies between \
+                   two sockets on the balancer's kind of runtime."
+                .to_owned(),
+        })
+    }
+}
+
+fn row_of(rate: f64, part: &str, us: [f64; 3], calls: u64, tells: &str) -> Vec<String> {
+    let [p50, p99, p999] = us.map(|us| format!("{us:.0}"));
+    vec![format!("{rate:.0}"), part.to_owned(), p50, p99, p999, calls.to_string(), tells.to_owned()]
+}
+
+/// What the balancer used in a play.
+fn usage(play: &Play) -> String {
+    let calls = play.through.count().max(1) as f64;
+    format!(
+        "{:.0} us of a core a call, {:.3} of a core; woken {:.1} times a call, waited {:.1} us for a core each time; \
+         {} connections opened to upstreams; {} ms of a core taken by the machine below",
+        play.around.used.cpu_ns as f64 / 1000.0 / calls,
+        play.around.used.cpu_ns as f64 / play.around.span.as_nanos() as f64,
+        play.around.used.slices as f64 / calls,
+        play.around.used.waited_ns as f64 / 1000.0 / play.around.used.slices.max(1) as f64,
+        play.around.opened,
+        play.around.stolen_ms,
+    )
+}
