--- /dev/null
+++ b/crates/capacity/src/decisions/line.rs
@@ -0,0 +1,47 @@
+//! The straight line through the points of a slope, where one holds.
+
+use crate::slope::{Fit, Point};
+
+/// Residual over which a straight line is no answer.
+const STRAIGHT: f64 = 0.25;
+
+/// The straight line through the points where one holds; where none does the note says what does.
+pub fn straight(points: &[Point], note: &mut String) -> Option<Fit> {
+    let fit = Fit::through(points)?;
+    if fit.residual <= STRAIGHT {
+        return Some(fit);
+    }
+    let logs: Vec<(f64, f64)> = points
+        .iter()
+        .filter(|point| point.x > 0.0 && point.y > 0.0)
+        .map(|point| (point.x.ln(), point.y.ln()))
+        .collect();
+    note.push_str(&format!(
+        " Not a straight line (one would be off by up to {:.0}%), so read between the sizes.",
+        fit.residual * 100.0
+    ));
+    let (Some(first), Some(last)) = (logs.first(), logs.last()) else { return None };
+    if logs.len() < 2 || last.0 <= first.0 {
+        return None;
+    }
+    let count = logs.len() as f64;
+    let (mean_x, mean_y) = (
+        logs.iter().map(|log| log.0).sum::<f64>() / count,
+        logs.iter().map(|log| log.1).sum::<f64>() / count,
+    );
+    let over: f64 = logs.iter().map(|log| (log.0 - mean_x) * (log.1 - mean_y)).sum();
+    let under: f64 = logs.iter().map(|log| (log.0 - mean_x).powi(2)).sum();
+    let power = over / under;
+    let off = logs
+        .iter()
+        .map(|log| ((mean_y + power * (log.0 - mean_x) - log.1).exp() - 1.0).abs())
+        .fold(0.0, f64::max);
+    note.push_str(&format!(
+        " A power fits it: {:.3e} x size^{power:.2}, off by up to {:.0}%.",
+        (mean_y - power * mean_x).exp(),
+        off * 100.0
+    ));
+    let (a, b) = (points[points.len() - 2], points[points.len() - 1]);
+    note.push_str(&format!(" Between the last two sizes one more costs {:.2}.", (b.y - a.y) / (b.x - a.x)));
+    None
+}
--- /dev/null
+++ b/crates/capacity/src/decisions/loaded_core.rs
@@ -0,0 +1,143 @@
+//! One decision core at work, with calls that come in evenly.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use balancer_policy::interface::{
+    AttemptNumber, Class, ClassId, EndpointId, Idempotency, Lifecycle, ListUpdate, Member, Outcome, Request,
+    RequestId, SettingsError, Tenant, TenantId, Time, ZoneId,
+};
+use balancer_policy::{Action, Balancer, Event, Settings};
+
+use super::Size;
+use crate::CapacityError;
+use crate::plan::Plan;
+
+/// Virtual seconds that a call takes.
+pub(super) const CALL_S: f64 = 0.05;
+/// Balancers that send to the same tier.
+pub(super) const COPIES: u32 = 100;
+
+/// A core at work: calls come in evenly, each ends after [`CALL_S`].
+pub(super) struct Played {
+    pub(super) balancer: Balancer,
+    pub(super) now: f64,
+    pub(super) wake: f64,
+    pub(super) size: Size,
+    pub(super) number: u64,
+    pub(super) out: VecDeque<RequestId>,
+    pub(super) actions: Vec<Action>,
+}
+
+pub(super) fn member(number: usize, zones: usize) -> Member {
+    Member {
+        id: EndpointId(number as u32 + 1),
+        zone: Some(ZoneId(number % zones)),
+        kind: None,
+        cell: 0,
+        lifecycle: Lifecycle::Ready,
+        weight: 1.0,
+        started: None,
+    }
+}
+
+fn settings(plan: &Plan, size: Size) -> Settings {
+    let class = Class {
+        latency_objective: Duration::from_secs_f64(plan.traffic.aim_s.value),
+        deadline: Duration::from_secs_f64(plan.traffic.deadline_s.value),
+        late_weight: 0.3,
+        idempotency: Idempotency::Idempotent,
+    };
+    // Quotas that no tenant reaches: what is measured is the way of a request that is served.
+    let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(COPIES);
+    let tenants =
+        (0..size.tenants).map(|_| Tenant { quota: Some(rate / size.tenants.max(1) as f64) }).collect();
+    Settings {
+        replicas: COPIES,
+        replica_index: 17,
+        zones: plan.fleet.zones.value,
+        tier: usize::from(size.tenants == 0),
+        tenants,
+        over_quota_weight: 0.3,
+        ..Settings::single_zone(vec![class])
+    }
+}
+
+impl Played {
+    pub(super) fn new(plan: &Plan, size: Size, seed: u64) -> Result<Self, CapacityError> {
+        let wrong = |cause: SettingsError| CapacityError::run("decisions", cause);
+        let mut balancer = Balancer::new(settings(plan, size), seed).map_err(wrong)?;
+        let mut actions = Vec::new();
+        let members = (0..size.upstreams).map(|number| member(number, plan.fleet.zones.value)).collect();
+        balancer.handle(Duration::ZERO, Event::Started, &mut actions);
+        balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(members)), &mut actions);
+        actions.clear();
+        Ok(Self { balancer, now: 1.0, wake: 1.2, size, number: 0, out: VecDeque::new(), actions })
+    }
+
+    pub(super) fn time(&self) -> Time {
+        Duration::from_secs_f64(self.now)
+    }
+
+    pub(super) fn take(&mut self) {
+        self.number += 1;
+        let id = RequestId(self.number);
+        let tenant =
+            (self.size.tenants > 0).then(|| TenantId((self.number % self.size.tenants as u64) as usize));
+        let request = Request {
+            id,
+            class: ClassId(0),
+            tenant,
+            subject: None,
+            time_left: Duration::from_secs(2),
+            expected_work: None,
+            is_client_retry: false,
+        };
+        self.balancer.handle(self.time(), Event::Request(request), &mut self.actions);
+        if self.actions.iter().any(|action| matches!(action, Action::Send { .. })) {
+            self.out.push_back(id);
+        }
+        self.actions.clear();
+    }
+
+    pub(super) fn end_oldest(&mut self) {
+        let Some(request) = self.out.pop_front() else { return };
+        let ended = Event::AttemptEnded {
+            request,
+            attempt: AttemptNumber(0),
+            outcome: Outcome::Success,
+            duration: Duration::from_secs_f64(CALL_S),
+            connect_wait: Duration::ZERO,
+            finished: true,
+            load: None,
+        };
+        self.balancer.handle(self.time(), ended, &mut self.actions);
+        self.actions.clear();
+    }
+
+    /// One call in and, once as many as wanted are out, one ended; the clock moves on.
+    pub(super) fn step(&mut self) {
+        self.now += CALL_S / self.size.in_flight.max(1) as f64;
+        self.take();
+        while self.out.len() > self.size.in_flight.max(1) {
+            self.end_oldest();
+        }
+    }
+
+    pub(super) fn wake_when_due(&mut self) {
+        if self.now >= self.wake {
+            self.balancer.handle(self.time(), Event::MaintenanceDue, &mut self.actions);
+            self.actions.clear();
+            self.wake = self.now + 0.2;
+        }
+    }
+
+    /// Until windows and latencies have filled.
+    pub(super) fn settle(&mut self, small: bool) {
+        let steps = self.size.in_flight.max(1) * if small { 4 } else { 20 } + 2000;
+        for _ in 0..steps {
+            self.step();
+            self.wake_when_due();
+        }
+    }
+}
--- /dev/null
+++ b/crates/capacity/src/decisions/memory.rs
@@ -0,0 +1,69 @@
+//! Memory of the decisions: growth of a process over many cores built.
+
+use std::path::Path;
+use std::process::Command;
+
+use super::Size;
+use super::loaded_core::{CALL_S, Played};
+use crate::CapacityError;
+use crate::plan::Plan;
+
+/// Resident bytes of this process.
+///
+/// # Errors
+/// The system does not tell.
+pub fn resident_bytes() -> Result<u64, CapacityError> {
+    let path = Path::new("/proc/self/status");
+    let text = std::fs::read_to_string(path).map_err(|cause| CapacityError::file(path, cause))?;
+    let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
+    let kib = line.and_then(|rest| rest.split_whitespace().next()).and_then(|word| word.parse::<u64>().ok());
+    kib.map(|kib| kib * 1024).ok_or_else(|| CapacityError::file(path, "no line VmRSS in kB"))
+}
+
+/// Bytes of each of so many cores built here.
+pub(super) fn held(plan: &Plan, size: Size, copies: usize, seed: u64) -> Result<u64, CapacityError> {
+    let mut cores = Vec::with_capacity(copies);
+    let mut build = |number: u64| -> Result<(), CapacityError> {
+        let mut played = Played::new(plan, size, seed + number)?;
+        for _ in 0..size.in_flight {
+            played.now += CALL_S / size.in_flight as f64;
+            played.take();
+        }
+        if played.out.len() != size.in_flight {
+            return Err(CapacityError::run(format!("decisions, {size:?}"), "some calls were not sent"));
+        }
+        cores.push(played.balancer);
+        Ok(())
+    };
+    // The first one brings in what is there once, such as the code.
+    build(0)?;
+    let before = resident_bytes()?;
+    for number in 1..=copies as u64 {
+        build(number)?;
+    }
+    let after = resident_bytes()?;
+    drop(cores);
+    Ok(after.saturating_sub(before) / copies.max(1) as u64)
+}
+
+/// The same in a fresh process, with as many cores as take about `most` bytes.
+pub(super) fn held_in_child(size: Size, most: usize, seed: u64) -> Result<f64, CapacityError> {
+    let place = format!("decisions, bytes of {size:?}");
+    let about = 2500 + size.upstreams * 250 + size.tenants * 400 + size.in_flight * 300;
+    let copies = (most / about).max(4);
+    let Size { upstreams, tenants, in_flight } = size;
+    let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
+    // The plan may be named on the command line, which the child must be told too.
+    let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
+    let done = Command::new(program)
+        .args(named)
+        .args(["decisions", "--seed", &seed.to_string(), "--hold"])
+        .arg(format!("{upstreams},{tenants},{in_flight},{copies}"))
+        .output()
+        .map_err(|cause| CapacityError::run(&place, cause))?;
+    if !done.status.success() {
+        return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
+    }
+    let text = String::from_utf8_lossy(&done.stdout);
+    text.trim().parse().map_err(|_| CapacityError::run(place, format!("no number: {text}")))
+}
