--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -3,7 +3,7 @@
 //! Time is the wall time of tight loops over the real core on a machine of its own. Bytes are the growth of a fresh
 //! process of this program over many cores built, as the system counts its pages.
 
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 use clap::Args;
 
@@ -50,12 +50,35 @@
 
 /// The sizes of a slope, each with what it counts.
 type Sizes<'a> = &'a [(usize, Size)];
-/// Processor time of one play.
-type Cost = fn(&Plan, Size, u64, bool) -> Result<f64, CapacityError>;
-/// A slope of time: its name, what it is, what it grows with, its sizes, its cost and its note.
-type Timed<'a> = (&'a str, &'a str, &'a str, Sizes<'a>, Cost, &'a str);
-/// A slope of bytes: the same, and what calls are held.
-type Held<'a> = (&'a str, &'a str, &'a str, Sizes<'a>, &'a str);
+
+/// What a slope shows, apart from its points.
+struct SlopeText<'a> {
+    name: &'a str,
+    what: &'a str,
+    x_unit: &'a str,
+    y_unit: &'a str,
+}
+
+/// A slope of processor time.
+struct TimeSlope<'a> {
+    name: &'a str,
+    what: &'a str,
+    x_unit: &'a str,
+    sizes: Sizes<'a>,
+    /// Nanoseconds that one play measures: of the plan, at a size, with a seed, in the quick version or not.
+    cost: fn(&Plan, Size, u64, bool) -> Result<f64, CapacityError>,
+    /// What is not varied, for the note.
+    setting: &'a str,
+}
+
+/// A slope of memory.
+struct MemorySlope<'a> {
+    name: &'a str,
+    x_unit: &'a str,
+    sizes: Sizes<'a>,
+    /// Whether each core is measured with its calls in flight; without any otherwise.
+    in_flight: bool,
+}
 
 /// What a slope leaves alone: the upstreams of a large service, no tenants, the calls of a busy balancer.
 const USUAL: Size = Size { upstreams: 190, tenants: 0, in_flight: 32 };
@@ -64,133 +87,205 @@
 /// ...and in a quick version.
 const HELD_BYTES_SMALL: usize = 12 << 20;
 
-/// Does it.
+/// Measures every slope of the decisions and writes each to its file; with `--hold`, prints the bytes of one core.
 ///
 /// # Errors
 /// With the place where it went wrong.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !arguments.hold.is_empty() {
-        let &[upstreams, tenants, in_flight, copies] = &arguments.hold[..] else {
-            return Err(CapacityError::Argument {
-                name: "hold",
-                expected: "UPSTREAMS,TENANTS,IN_FLIGHT,COPIES".to_owned(),
-            });
-        };
-        let size = Size { upstreams, tenants, in_flight };
-        println!("{}", held(plan, size, copies, arguments.seed)?);
-        return Ok(());
+        return print_bytes_of_core(arguments, plan);
     }
     let folder = arguments.out.join("slopes");
     std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
-    let small = arguments.small;
-    let upstreams: &[usize] =
-        if small { &[6, 20, 60, 190] } else { &[6, 12, 20, 40, 60, 120, 190, 380, 600, 1200, 1900] };
-    let tenants: &[usize] = if small { &[1, 4, 12, 40] } else { &[1, 4, 12, 40, 120, 400] };
-    let in_flight: &[usize] = if small { &[1, 10, 30, 100] } else { &[1, 10, 100, 1000, 3000, 10_000] };
-    let by_upstreams: Vec<(usize, Size)> =
-        upstreams.iter().map(|&upstreams| (upstreams, Size { upstreams, ..USUAL })).collect();
-    let by_tenants: Vec<(usize, Size)> =
-        tenants.iter().map(|&tenants| (tenants, Size { tenants, ..USUAL })).collect();
-    let by_in_flight: Vec<(usize, Size)> =
-        in_flight.iter().map(|&in_flight| (in_flight, Size { in_flight, ..USUAL })).collect();
-    let usual = format!(
-        "Where not varied: {} upstreams, no tenants, {} calls in flight; {COPIES} balancers send to the tier.",
-        USUAL.upstreams, USUAL.in_flight
-    );
-    let tenants_usual = usual.replace("no tenants, ", "");
-    let timing = "Wall time of tight loops with the machine alone.";
-    let timed: [Timed; 6] = [
-        (
-            "decisions.request_ns_by_upstreams",
-            "processor time of the decisions for one request: taken, sent, and its attempt ended",
-            "upstreams in the list",
-            &by_upstreams,
-            request_ns,
-            &usual,
-        ),
-        (
-            "decisions.list_change_ns_by_upstreams",
-            "processor time of the decisions for one changed entry of the list, with the subset laid out anew",
-            "upstreams in the list",
-            &by_upstreams,
-            list_change_ns,
-            &usual,
-        ),
-        (
-            "decisions.timer_ns_by_upstreams",
-            "processor time of the decisions for one timer (five a second)",
-            "upstreams in the list",
-            &by_upstreams,
-            timer_ns,
-            &usual,
-        ),
-        (
-            "decisions.request_ns_by_tenants",
-            "processor time of the decisions for one request: taken, sent, and its attempt ended",
-            "tenants",
-            &by_tenants,
-            request_ns,
-            &tenants_usual,
-        ),
-        (
-            "decisions.timer_ns_by_tenants",
-            "processor time of the decisions for one timer (five a second)",
-            "tenants",
-            &by_tenants,
-            timer_ns,
-            &tenants_usual,
-        ),
-        (
-            "decisions.request_ns_by_in_flight",
-            "processor time of the decisions for one request: taken, sent, and its attempt ended",
-            "calls in flight",
-            &by_in_flight,
-            request_ns,
-            &usual,
-        ),
-    ];
-    for (name, what, x_unit, sizes, cost, setting) in timed {
+    let session = Session::new(arguments, plan, folder);
+    session.write_time_slopes()?;
+    session.write_memory_slopes()
+}
+
+/// Builds the cores that `--hold` names in this process and prints the bytes of each.
+fn print_bytes_of_core(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
+    let &[upstreams, tenants, in_flight, copies] = &arguments.hold[..] else {
+        return Err(CapacityError::Argument {
+            name: "hold",
+            expected: "UPSTREAMS,TENANTS,IN_FLIGHT,COPIES".to_owned(),
+        });
+    };
+    let size = Size { upstreams, tenants, in_flight };
+    println!("{}", held(plan, size, copies, arguments.seed)?);
+    Ok(())
+}
+
+/// One run of the command: what is measured, and where its slopes go.
+struct Session<'a> {
+    arguments: &'a Arguments,
+    plan: &'a Plan,
+    folder: PathBuf,
+    by_upstreams: Vec<(usize, Size)>,
+    by_tenants: Vec<(usize, Size)>,
+    by_in_flight: Vec<(usize, Size)>,
+}
+
+impl<'a> Session<'a> {
+    fn new(arguments: &'a Arguments, plan: &'a Plan, folder: PathBuf) -> Self {
+        let small = arguments.small;
+        let upstreams: &[usize] =
+            if small { &[6, 20, 60, 190] } else { &[6, 12, 20, 40, 60, 120, 190, 380, 600, 1200, 1900] };
+        let tenants: &[usize] = if small { &[1, 4, 12, 40] } else { &[1, 4, 12, 40, 120, 400] };
+        let in_flight: &[usize] = if small { &[1, 10, 30, 100] } else { &[1, 10, 100, 1000, 3000, 10_000] };
+        Self {
+            arguments,
+            plan,
+            folder,
+            by_upstreams: varied(upstreams, |upstreams| Size { upstreams, ..USUAL }),
+            by_tenants: varied(tenants, |tenants| Size { tenants, ..USUAL }),
+            by_in_flight: varied(in_flight, |in_flight| Size { in_flight, ..USUAL }),
+        }
+    }
+
+    fn write_time_slopes(&self) -> Result<(), CapacityError> {
+        let usual = format!(
+            "Where not varied: {} upstreams, no tenants, {} calls in flight; {COPIES} balancers send to the tier.",
+            USUAL.upstreams, USUAL.in_flight
+        );
+        let tenants_usual = usual.replace("no tenants, ", "");
+        for slope in self.time_slopes(&usual, &tenants_usual) {
+            self.write_time_slope(&slope)?;
+        }
+        Ok(())
+    }
+
+    /// The slopes of processor time; `usual` and `tenants_usual` say what is not varied in each.
+    fn time_slopes<'b>(&'b self, usual: &'b str, tenants_usual: &'b str) -> [TimeSlope<'b>; 6] {
+        let request = "processor time of the decisions for one request: taken, sent, and its attempt ended";
+        let timer = "processor time of the decisions for one timer (five a second)";
+        let list_change = "processor time of the decisions for one changed entry of the list, with the subset laid out anew";
+        let by_upstreams = |name, what, cost| TimeSlope {
+            name,
+            what,
+            x_unit: "upstreams in the list",
+            sizes: &self.by_upstreams,
+            cost,
+            setting: usual,
+        };
+        let by_tenants = |name, what, cost| TimeSlope {
+            name,
+            what,
+            x_unit: "tenants",
+            sizes: &self.by_tenants,
+            cost,
+            setting: tenants_usual,
+        };
+        [
+            by_upstreams("decisions.request_ns_by_upstreams", request, request_ns),
+            by_upstreams("decisions.list_change_ns_by_upstreams", list_change, list_change_ns),
+            by_upstreams("decisions.timer_ns_by_upstreams", timer, timer_ns),
+            by_tenants("decisions.request_ns_by_tenants", request, request_ns),
+            by_tenants("decisions.timer_ns_by_tenants", timer, timer_ns),
+            TimeSlope {
+                name: "decisions.request_ns_by_in_flight",
+                what: request,
+                x_unit: "calls in flight",
+                sizes: &self.by_in_flight,
+                cost: request_ns,
+                setting: usual,
+            },
+        ]
+    }
+
+    fn write_time_slope(&self, slope: &TimeSlope) -> Result<(), CapacityError> {
+        let &TimeSlope { name, what, x_unit, sizes, cost, setting } = slope;
+        let Arguments { small, seed, .. } = *self.arguments;
         let plays = if small { 2 } else { 5 };
-        let points = measure(sizes, plays, |size, play| cost(plan, size, arguments.seed + play, small))?;
-        let note = format!("{timing} {setting}");
-        keep(&folder, arguments, (name, what), (x_unit, "ns"), plays as usize, points, note)?;
+        let points = measure(sizes, plays, |size, play| cost(self.plan, size, seed + play, small))?;
+        let note = format!("Wall time of tight loops with the machine alone. {setting}");
+        let text = SlopeText { name, what, x_unit, y_unit: "ns" };
+        self.write_slope(&text, plays as usize, points, note)
     }
-    let most = if small { HELD_BYTES_SMALL } else { HELD_BYTES };
-    let held: [Held; 3] = [
-        (
-            "decisions.bytes_by_upstreams",
-            "memory of one core",
-            "upstreams in the list",
-            &by_upstreams,
-            "no calls held",
-        ),
-        ("decisions.bytes_by_tenants", "memory of one core", "tenants", &by_tenants, "no calls held"),
-        (
-            "decisions.bytes_by_in_flight",
-            "memory of one core",
-            "calls in flight",
-            &by_in_flight,
-            "each call with one attempt out",
-        ),
-    ];
-    for (name, what, x_unit, sizes, calls) in held {
+
+    fn write_memory_slopes(&self) -> Result<(), CapacityError> {
+        let slopes = [
+            MemorySlope {
+                name: "decisions.bytes_by_upstreams",
+                x_unit: "upstreams in the list",
+                sizes: &self.by_upstreams,
+                in_flight: false,
+            },
+            MemorySlope {
+                name: "decisions.bytes_by_tenants",
+                x_unit: "tenants",
+                sizes: &self.by_tenants,
+                in_flight: false,
+            },
+            MemorySlope {
+                name: "decisions.bytes_by_in_flight",
+                x_unit: "calls in flight",
+                sizes: &self.by_in_flight,
+                in_flight: true,
+            },
+        ];
+        slopes.iter().try_for_each(|slope| self.write_memory_slope(slope))
+    }
+
+    fn write_memory_slope(&self, slope: &MemorySlope) -> Result<(), CapacityError> {
+        let &MemorySlope { name, x_unit, sizes, in_flight } = slope;
+        let Arguments { small, seed, .. } = *self.arguments;
         let plays = if small { 1 } else { 3 };
+        let most = if small { HELD_BYTES_SMALL } else { HELD_BYTES };
         let points = measure(sizes, plays, |mut size, play| {
-            if calls == "no calls held" {
+            if !in_flight {
                 size.in_flight = 0;
             }
-            held_in_child(size, most, arguments.seed + play)
+            held_in_child(size, most, seed + play)
         })?;
+        let calls = if in_flight { "each call with one attempt out" } else { "no calls held" };
         let note = format!(
             "Growth of the resident pages of a fresh process over as many cores as take about {} MB, divided by their number; a core with {} upstreams where not varied, {calls}. Whole pages and the allocator's own are in it.",
             most >> 20,
             USUAL.upstreams
         );
-        keep(&folder, arguments, (name, what), (x_unit, "bytes"), plays as usize, points, note)?;
+        let text = SlopeText { name, what: "memory of one core", x_unit, y_unit: "bytes" };
+        self.write_slope(&text, plays as usize, points, note)
     }
-    Ok(())
+
+    /// Prints a slope's points and writes it to its file, with a straight line where one holds.
+    fn write_slope(
+        &self,
+        text: &SlopeText,
+        plays: usize,
+        points: Vec<Point>,
+        mut note: String,
+    ) -> Result<(), CapacityError> {
+        let &SlopeText { name, what, x_unit, y_unit } = text;
+        let fit = straight(&points, &mut note);
+        for point in &points {
+            println!(
+                "{name} {:>6} {x_unit}: {:.0} {y_unit} ({:.0} to {:.0})",
+                point.x, point.y, point.low, point.high
+            );
+        }
+        let small = if self.arguments.small { " --small" } else { "" };
+        let slope = Slope {
+            name: name.to_owned(),
+            what: what.to_owned(),
+            x_unit: x_unit.to_owned(),
+            y_unit: y_unit.to_owned(),
+            command: format!("target/release/capacity decisions{small} --seed {}", self.arguments.seed),
+            commit: slope::commit(),
+            plays,
+            points,
+            fit,
+            note,
+        };
+        slope.write(&self.folder)
+    }
+}
+
+/// The sizes of a slope that varies one count.
+fn varied(counts: &[usize], size_of: impl Fn(usize) -> Size) -> Vec<(usize, Size)> {
+    counts.iter().map(|&count| (count, size_of(count))).collect()
 }
 
+/// Measures each size in so many plays: a point for each, with the middle and the spread.
 fn measure(
     sizes: &[(usize, Size)],
     plays: u64,
@@ -205,38 +300,3 @@
     }
     Ok(sizes.iter().zip(costs).filter_map(|(&(x, _), costs)| Point::of(x as f64, costs)).collect())
 }
-
-fn keep(
-    folder: &Path,
-    arguments: &Arguments,
-    (name, what): (&str, &str),
-    (x_unit, y_unit): (&str, &str),
-    plays: usize,
-    points: Vec<Point>,
-    mut note: String,
-) -> Result<(), CapacityError> {
-    let fit = straight(&points, &mut note);
-    for point in &points {
-        println!(
-            "{name} {:>6} {x_unit}: {:.0} {y_unit} ({:.0} to {:.0})",
-            point.x, point.y, point.low, point.high
-        );
-    }
-    let slope = Slope {
-        name: name.to_owned(),
-        what: what.to_owned(),
-        x_unit: x_unit.to_owned(),
-        y_unit: y_unit.to_owned(),
-        command: format!(
-            "target/release/capacity decisions{} --seed {}",
-            if arguments.small { " --small" } else { "" },
-            arguments.seed
-        ),
-        commit: slope::commit(),
-        plays,
-        points,
-        fit,
-        note,
-    };
-    slope.write(folder)
-}
