--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -41,13 +41,19 @@
         Some(plan.budget.machine_cores.value),
     );
     role.row(Cost::Memory, "a document at a time", "MB", changes.service_bytes.value as f64 / 1e6, &[], None);
+    time_in_force(plan, on, &mut role);
+    restarts(plan, on, tree, &mut role);
+}
+
+/// The time until a change is in force everywhere, played as such where a scenario over sockets is this occasion.
+fn time_in_force(plan: &Plan, on: &Occasion, role: &mut Role) {
     role.row(
         Cost::Time,
         "from a change's acknowledgement to the last balancer, as played; else from its sending, one relay for all",
         "s",
         0.0,
         &[("control.change_sent_last_ms_by_watchers", Read::At(plan.fleet.upstreams.value as f64), 1e-3)],
-        Some(changes.in_force_s.value),
+        Some(plan.configuration.in_force_s.value),
     )
     .played = Some(Played {
         results: "sockets",
@@ -61,6 +67,10 @@
         column: "last, ms",
         times: 1e-3,
     });
+}
+
+/// The restarts that changes would cost, were there no balancer that takes them in.
+fn restarts(plan: &Plan, on: &Occasion, tree: &Path, role: &mut Role) {
     // A balancer that takes in a configuration while it serves is what spares the restarts.
     let carried = CONFIGURATION_CLIENT.carried(tree).is_some();
     role.mechanism = CONFIGURATION_CLIENT;
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -11,6 +11,7 @@
 use crate::arithmetic::Measured;
 use crate::plan::Plan;
 use crate::plots;
+use crate::slope::Slope;
 
 mod format;
 mod markers;
@@ -48,7 +49,7 @@
     pub tree: PathBuf,
 }
 
-/// Does it.
+/// Writes the page's blocks and the plots, or with `--check` compares them with what stands there.
 ///
 /// # Errors
 /// A file cannot be read, written or understood; a block has no marker; with `--check`, what differs.
@@ -59,42 +60,66 @@
     let before = fs::read_to_string(&page).map_err(|cause| CapacityError::file(&page, cause))?;
     let after = filled(&before, &blocks).map_err(|cause| CapacityError::file(&page, cause))?;
     let folder = arguments.out.join("capacity");
-    let drawn: Vec<(PathBuf, String)> = measured
-        .slopes
-        .values()
-        .map(|slope| Ok((folder.join(format!("{}.svg", slope.name)), plots::svg(slope)?)))
-        .collect::<Result<_, CapacityError>>()?;
-    let stale = stale_plots(&folder, &drawn)?;
+    let plots = Plots::draw(&measured, &folder)?;
     if arguments.check {
-        let differs = |what: String| {
-            Err(CapacityError::run(
-                what,
-                "differs from what the plan and the measurements give; run `capacity page`",
-            ))
-        };
         if let Some(name) = first_difference(&before, &blocks) {
-            return differs(format!("{}, block {name}", page.display()));
+            return Err(differs(format!("{}, block {name}", page.display())));
         }
-        for (path, svg) in &drawn {
+        return plots.check();
+    }
+    plots.write(&folder)?;
+    fs::write(&page, after).map_err(|cause| CapacityError::file(&page, cause))?;
+    print!("{}", ranking(plan, &measured, &arguments.tree));
+    Ok(())
+}
+
+fn differs(what: String) -> CapacityError {
+    CapacityError::run(what, "differs from what the plan and the measurements give; run `capacity page`")
+}
+
+/// The plots of the page.
+struct Plots {
+    /// Each with its path and its SVG.
+    drawn: Vec<(PathBuf, String)>,
+    /// Files that no slope stands behind any more.
+    stale: Vec<PathBuf>,
+}
+
+impl Plots {
+    /// Draws a plot for each slope, and looks for files in the folder that none of them is.
+    fn draw(measured: &Measured, folder: &Path) -> Result<Self, CapacityError> {
+        let path = |slope: &Slope| folder.join(format!("{}.svg", slope.name));
+        let draw = |slope: &Slope| Ok((path(slope), plots::svg(slope)?));
+        let drawn: Vec<(PathBuf, String)> =
+            measured.slopes.values().map(draw).collect::<Result<_, CapacityError>>()?;
+        let stale = stale_plots(folder, &drawn)?;
+        Ok(Self { drawn, stale })
+    }
+
+    /// Compares the files with the plots.
+    fn check(&self) -> Result<(), CapacityError> {
+        for (path, svg) in &self.drawn {
             if fs::read_to_string(path).ok().as_ref() != Some(svg) {
-                return differs(path.display().to_string());
+                return Err(differs(path.display().to_string()));
             }
         }
-        return match stale.first() {
-            Some(path) => differs(path.display().to_string()),
+        match self.stale.first() {
+            Some(path) => Err(differs(path.display().to_string())),
             None => Ok(()),
-        };
-    }
-    fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
-    for (path, svg) in &drawn {
-        fs::write(path, svg).map_err(|cause| CapacityError::file(path, cause))?;
+        }
     }
-    for path in &stale {
-        fs::remove_file(path).map_err(|cause| CapacityError::file(path, cause))?;
+
+    /// Writes the plots and removes stale files.
+    fn write(&self, folder: &Path) -> Result<(), CapacityError> {
+        fs::create_dir_all(folder).map_err(|cause| CapacityError::file(folder, cause))?;
+        for (path, svg) in &self.drawn {
+            fs::write(path, svg).map_err(|cause| CapacityError::file(path, cause))?;
+        }
+        for path in &self.stale {
+            fs::remove_file(path).map_err(|cause| CapacityError::file(path, cause))?;
+        }
+        Ok(())
     }
-    fs::write(&page, after).map_err(|cause| CapacityError::file(&page, cause))?;
-    print!("{}", ranking(plan, &measured, &arguments.tree));
-    Ok(())
 }
 
 /// Plots that no slope stands behind.
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -14,121 +14,143 @@
     table(&["figure", "value", "unit", "source", "why"], rows)
 }
 
+/// A figure that follows from the plan: its name, its value and how it is made.
+type Row = [String; 3];
+
+fn row(what: &str, figure: String, how: &str) -> Row {
+    [what.to_owned(), figure, how.to_owned()]
+}
+
 /// What follows from the plan, as name, figure and how it is made.
 #[must_use]
 pub fn derived(plan: &Plan) -> Vec<[String; 3]> {
-    let mut rows = Vec::new();
-    let mut row =
-        |what: &str, figure: String, how: &str| rows.push([what.to_owned(), figure, how.to_owned()]);
-    for (reading, name) in [(Reading::Front, "rate at the front"), (Reading::Hops, "rate over all hops")] {
-        let of = |what: &str| format!("{name}: {what}");
+    let mut rows = Vec::from(rates(plan, Reading::Front, "rate at the front"));
+    rows.extend(rates(plan, Reading::Hops, "rate over all hops"));
+    rows.extend(sizes(plan));
+    rows.extend(bytes(plan));
+    rows.extend(changes(plan));
+    rows.extend(balancers_and_attempts(plan));
+    rows
+}
+
+/// The rates of calls in one reading of the plan.
+fn rates(plan: &Plan, reading: Reading, name: &str) -> [Row; 5] {
+    let (over_all_hops, at_the_front) = match reading {
+        Reading::Front => ("traffic.calls_per_s x graph.depth", "traffic.calls_per_s"),
+        Reading::Hops => ("traffic.calls_per_s", "traffic.calls_per_s / graph.hops_per_call"),
+    };
+    let rate = |what: &str, figure: f64, how: &str| row(&format!("{name}: {what}"), show(figure), how);
+    [
+        rate("calls a second over all hops", plan.hops_per_s(reading), over_all_hops),
+        rate("calls a second at the front", plan.front_per_s(reading), at_the_front),
+        rate(
+            "calls a second of a balancer, mean",
+            plan.mean_rate(reading),
+            "over all hops / fleet.upstreams",
+        ),
+        rate("calls a second of the busiest", plan.busiest_rate(reading), "mean x traffic.busiest_over_mean"),
+        rate(
+            "calls a second of a front, mean",
+            plan.front_per_s(reading) / plan.fronts(),
+            "at the front / upstreams of the first depth",
+        ),
+    ]
+}
+
+/// How many upstreams services, regions and zones have, and how long a call is in flight.
+fn sizes(plan: &Plan) -> [Row; 6] {
+    let sizes = plan.service_sizes();
+    let counted = |most: usize| sizes.iter().filter(|&&size| size <= most).count();
+    let of_rank = |rank: usize| sizes.get(rank).copied().unwrap_or(0);
+    let least = sizes.last().copied().unwrap_or(0);
+    [
         row(
-            &of("calls a second over all hops"),
-            show(plan.hops_per_s(reading)),
-            match reading {
-                Reading::Front => "traffic.calls_per_s x graph.depth",
-                Reading::Hops => "traffic.calls_per_s",
-            },
-        );
+            "upstreams of a service: largest, tenth, middle, least",
+            format!("{}, {}, {}, {least}", of_rank(0), of_rank(9), of_rank(sizes.len() / 2)),
+            "fleet.size_skew, one at least each, fleet.upstreams in sum",
+        ),
         row(
-            &of("calls a second at the front"),
-            show(plan.front_per_s(reading)),
-            match reading {
-                Reading::Front => "traffic.calls_per_s",
-                Reading::Hops => "traffic.calls_per_s / graph.hops_per_call",
-            },
-        );
+            "services of one upstream, of three at most",
+            format!("{}, {}", counted(1), counted(3)),
+            "the same",
+        ),
+        row("upstreams at the front", show(plan.fronts()), "fleet.upstreams x graph.services_by_depth[0]"),
         row(
-            &of("calls a second of a balancer, mean"),
-            show(plan.mean_rate(reading)),
-            "over all hops / fleet.upstreams",
-        );
+            "upstreams of the largest region",
+            show(plan.largest_region()),
+            "fleet.upstreams x fleet.region_shares",
+        ),
+        row("upstreams of the largest zone", show(plan.largest_zone()), "largest region share / its zones"),
         row(
-            &of("calls a second of the busiest"),
-            show(plan.busiest_rate(reading)),
-            "mean x traffic.busiest_over_mean",
-        );
+            "a call that meets no trouble is held, ms",
+            show(plan.held_s() * 1e3),
+            "graph.depth x (traffic.work_ms + 2 x network.region_ms)",
+        ),
+    ]
+}
+
+/// Bytes of lists and documents.
+fn bytes(plan: &Plan) -> [Row; 4] {
+    let whole_list = plan.whole_list_bytes() as f64;
+    [
+        row("bytes of a whole list", show(whole_list), "fleet.upstreams x list.entry_bytes"),
         row(
-            &of("calls a second of a front, mean"),
-            show(plan.front_per_s(reading) / plan.fronts()),
-            "at the front / upstreams of the first depth",
-        );
-    }
-    let sizes = plan.service_sizes();
-    let counted = |most: usize| sizes.iter().filter(|&&size| size <= most).count();
-    row(
-        "upstreams of a service: largest, tenth, middle, least",
-        format!(
-            "{}, {}, {}, {}",
-            sizes.first().copied().unwrap_or(0),
-            sizes.get(9).copied().unwrap_or(0),
-            sizes.get(sizes.len() / 2).copied().unwrap_or(0),
-            sizes.last().copied().unwrap_or(0)
+            "seconds that a whole list takes of a balancer's bytes",
+            show(whole_list / plan.budget.bytes_per_s.value),
+            "whole list / budget.bytes_per_s",
         ),
-        "fleet.size_skew, one at least each, fleet.upstreams in sum",
-    );
-    row("services of one upstream, of three at most", format!("{}, {}", counted(1), counted(3)), "the same");
-    row("upstreams at the front", show(plan.fronts()), "fleet.upstreams x graph.services_by_depth[0]");
-    row(
-        "upstreams of the largest region",
-        show(plan.largest_region()),
-        "fleet.upstreams x fleet.region_shares",
-    );
-    row("upstreams of the largest zone", show(plan.largest_zone()), "largest region share / its zones");
-    row(
-        "a call that meets no trouble is held, ms",
-        show(plan.held_s() * 1e3),
-        "graph.depth x (traffic.work_ms + 2 x network.region_ms)",
-    );
-    row("bytes of a whole list", show(plan.whole_list_bytes() as f64), "fleet.upstreams x list.entry_bytes");
-    let control = plan.budget.bytes_per_s.value;
-    row(
-        "seconds that a whole list takes of a balancer's bytes",
-        show(plan.whole_list_bytes() as f64 / control),
-        "whole list / budget.bytes_per_s",
-    );
-    row(
-        "bytes of the documents of one balancer",
-        show(plan.own_documents_bytes()),
-        "fleet's + region's + service's",
-    );
-    row("bytes of all documents", show(plan.documents_bytes()), "fleet's + regions' + services'");
-    row(
-        "changes a minute, mean",
-        show(plan.configuration.changes_per_day.value / 1440.0),
-        "configuration.changes_per_day / 1440",
-    );
-    row(
-        "moments a day at which changes come",
-        show(plan.configuration.changes_per_day.value / plan.configuration.bunch.value),
-        "configuration.changes_per_day / configuration.bunch",
-    );
-    row(
-        "balancers that a change concerns, mean",
-        show(plan.told_by_change()),
-        "configuration.scope_shares, regions and services alike",
-    );
-    row(
-        "restarts a day, were a change a restart",
-        show(plan.told_by_change() * plan.configuration.changes_per_day.value),
-        "the row above x configuration.changes_per_day",
-    );
-    row(
-        "balancers that a process needs, mean",
-        show(plan.graph.destinations_mean.value),
-        "graph.destinations_mean: a balancer serves the list of one tier, so a process that calls several services needs one for each today",
-    );
-    row(
-        "balancers in all, were it so",
-        show(plan.graph.destinations_mean.value * plan.fleet.upstreams.value as f64),
-        "the row above x fleet.upstreams; the rows below count one for each upstream, as was given",
-    );
-    row(
-        "attempts at the deepest tier for one call, bound",
-        show(f64::from(plan.traffic.attempts.value).powf(plan.graph.depth.value as f64)),
-        "traffic.attempts to the power of graph.depth",
-    );
-    rows
+        row(
+            "bytes of the documents of one balancer",
+            show(plan.own_documents_bytes()),
+            "fleet's + region's + service's",
+        ),
+        row("bytes of all documents", show(plan.documents_bytes()), "fleet's + regions' + services'"),
+    ]
+}
+
+/// Changes of configuration, and the balancers that they concern.
+fn changes(plan: &Plan) -> [Row; 4] {
+    let changes_per_day = plan.configuration.changes_per_day.value;
+    [
+        row("changes a minute, mean", show(changes_per_day / 1440.0), "configuration.changes_per_day / 1440"),
+        row(
+            "moments a day at which changes come",
+            show(changes_per_day / plan.configuration.bunch.value),
+            "configuration.changes_per_day / configuration.bunch",
+        ),
+        row(
+            "balancers that a change concerns, mean",
+            show(plan.told_by_change()),
+            "configuration.scope_shares, regions and services alike",
+        ),
+        row(
+            "restarts a day, were a change a restart",
+            show(plan.told_by_change() * changes_per_day),
+            "the row above x configuration.changes_per_day",
+        ),
+    ]
+}
+
+/// Balancers were there one for each service that a process calls, and the bound of the attempts for one call.
+fn balancers_and_attempts(plan: &Plan) -> [Row; 3] {
+    let destinations = plan.graph.destinations_mean.value;
+    [
+        row(
+            "balancers that a process needs, mean",
+            show(destinations),
+            "graph.destinations_mean: a balancer serves the list of one tier, so a process that calls several services needs one for each today",
+        ),
+        row(
+            "balancers in all, were it so",
+            show(destinations * plan.fleet.upstreams.value as f64),
+            "the row above x fleet.upstreams; the rows below count one for each upstream, as was given",
+        ),
+        row(
+            "attempts at the deepest tier for one call, bound",
+            show(f64::from(plan.traffic.attempts.value).powf(plan.graph.depth.value as f64)),
+            "traffic.attempts to the power of graph.depth",
+        ),
+    ]
 }
 
 pub(super) fn derived_block(plan: &Plan) -> String {
--- a/crates/capacity/src/plots.rs
+++ b/crates/capacity/src/plots.rs
@@ -3,7 +3,7 @@
 use plotters::prelude::*;
 
 use crate::CapacityError;
-use crate::slope::Slope;
+use crate::slope::{Fit, Slope};
 
 /// Steps in which a fit is drawn.
 const STEPS: u32 = 64;
@@ -24,18 +24,7 @@
     };
     let (x_low, x_high) = range(&mut points.iter().map(|point| point.x));
     let (y_low, y_high) = range(&mut points.iter().flat_map(|point| [point.low, point.high]));
-    let fit: Vec<(f64, f64)> = slope.fit.map_or_else(Vec::new, |fit| {
-        let at = |step: u32| {
-            let part = f64::from(step) / f64::from(STEPS);
-            let x = if x_low > 0.0 {
-                x_low * (x_high / x_low).powf(part)
-            } else {
-                x_low + (x_high - x_low) * part
-            };
-            (x, fit.at(x))
-        };
-        (0..=STEPS).map(at).collect()
-    });
+    let fit = slope.fit.map_or_else(Vec::new, |fit| fit_points(fit, x_low, x_high));
     let mut text = String::new();
     {
         let area = SVGBackend::with_string(&mut text, (640, 400)).into_drawing_area();
@@ -77,3 +66,14 @@
     }
     Ok(text)
 }
+
+/// Points along a fit from one size to another, evenly spaced on the axis that is drawn.
+fn fit_points(fit: Fit, x_low: f64, x_high: f64) -> Vec<(f64, f64)> {
+    let at = |step: u32| {
+        let part = f64::from(step) / f64::from(STEPS);
+        let x =
+            if x_low > 0.0 { x_low * (x_high / x_low).powf(part) } else { x_low + (x_high - x_low) * part };
+        (x, fit.at(x))
+    };
+    (0..=STEPS).map(at).collect()
+}
