--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -8,6 +8,7 @@
 
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
+use crate::slope::Slope;
 use crate::world::{self, Common};
 
 mod made_of;
@@ -57,38 +58,16 @@
 /// Calls a second at most: one caller's thread carries no more.
 const RATE_MOST: f64 = 10_000.0;
 
-/// Does it.
+/// Plays the rates and writes the slopes, or the table of what the added latency is made of.
 ///
 /// # Errors
 /// With the place where it went wrong.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
-    let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
-    let mut rates = arguments.rates.clone();
-    if rates.is_empty() {
-        // What it is made of takes many plays, so that only the higher reading is looked at.
-        let readings = [Reading::Front, Reading::Hops];
-        let looked_at = if arguments.beside == Beside::MadeOf { &readings[..1] } else { &readings };
-        for &reading in looked_at {
-            rates.extend([plan.mean_rate(reading), plan.busiest_rate(reading)]);
-        }
-    }
-    rates.sort_by(f64::total_cmp);
-    if rates.len() < 2 || !rates.iter().all(|rate| (1.0..=RATE_MOST).contains(rate)) {
-        return wrong("rates", format!("two at least, each 1 to {RATE_MOST} a second"));
-    }
-    if !(1..=100).contains(&arguments.plays) {
-        return wrong("plays", "1 to 100".to_owned());
-    }
-    if !(1..=2000).contains(&arguments.upstreams) {
-        return wrong("upstreams", "1 to 2000".to_owned());
-    }
+    let rates = checked_rates(arguments, plan)?;
+    check_counts(arguments)?;
     let cores =
         thread::available_parallelism().map_err(|cause| CapacityError::run("counting cores", cause))?.get();
-    let placement =
-        if arguments.anywhere || arguments.common.small { Placement::Anywhere } else { Placement::Apart };
-    if placement == Placement::Apart && cores < CORES_LEAST {
-        return wrong("anywhere", format!("needed with under {CORES_LEAST} cores"));
-    }
+    let placement = checked_placement(arguments, cores)?;
     let program = arguments.common.program(world::BALANCER)?;
     let (slopes, results) = arguments.common.folders()?;
     let mut bench = Bench {
@@ -108,16 +87,63 @@
         return table.write(&results);
     }
     for slope in bench.slopes(&rates)? {
-        println!("{}", slope.name);
-        for point in &slope.points {
-            println!("  {:>7.1}: {:>8.1} us ({:.1} to {:.1})", point.x, point.y, point.low, point.high);
-        }
-        println!("  {}", slope.note);
+        print_slope(&slope);
         slope.write(&slopes)?;
     }
     Ok(())
 }
 
+fn wrong<T>(name: &'static str, expected: impl Into<String>) -> Result<T, CapacityError> {
+    Err(CapacityError::Argument { name, expected: expected.into() })
+}
+
+/// Calls a second that are played, from the arguments or the plan, the lowest first.
+fn checked_rates(arguments: &Arguments, plan: &Plan) -> Result<Vec<f64>, CapacityError> {
+    let mut rates = arguments.rates.clone();
+    if rates.is_empty() {
+        // What it is made of takes many plays, so that only the higher reading is looked at.
+        let readings = [Reading::Front, Reading::Hops];
+        let looked_at = if arguments.beside == Beside::MadeOf { &readings[..1] } else { &readings };
+        for &reading in looked_at {
+            rates.extend([plan.mean_rate(reading), plan.busiest_rate(reading)]);
+        }
+    }
+    rates.sort_by(f64::total_cmp);
+    if rates.len() < 2 || !rates.iter().all(|rate| (1.0..=RATE_MOST).contains(rate)) {
+        return wrong("rates", format!("two at least, each 1 to {RATE_MOST} a second"));
+    }
+    Ok(rates)
+}
+
+fn check_counts(arguments: &Arguments) -> Result<(), CapacityError> {
+    if !(1..=100).contains(&arguments.plays) {
+        return wrong("plays", "1 to 100");
+    }
+    if !(1..=2000).contains(&arguments.upstreams) {
+        return wrong("upstreams", "1 to 2000");
+    }
+    Ok(())
+}
+
+fn checked_placement(arguments: &Arguments, cores: usize) -> Result<Placement, CapacityError> {
+    if arguments.anywhere || arguments.common.small {
+        return Ok(Placement::Anywhere);
+    }
+    if cores < CORES_LEAST {
+        return wrong("anywhere", format!("needed with under {CORES_LEAST} cores"));
+    }
+    Ok(Placement::Apart)
+}
+
+fn print_slope(slope: &Slope) {
+    println!("{}", slope.name);
+    for point in &slope.points {
+        println!("  {:>7.1}: {:>8.1} us ({:.1} to {:.1})", point.x, point.y, point.low, point.high);
+    }
+    println!("  {}", slope.note);
+}
+
+/// What the plays of one run of the command have in common.
 struct Bench<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
--- a/crates/capacity/src/latency/made_of.rs
+++ b/crates/capacity/src/latency/made_of.rs
@@ -5,7 +5,7 @@
 
 use super::Bench;
 use super::placement::Placement;
-use super::play::{Play, QUANTILES, Setup};
+use super::play::{Around, Play, QUANTILES, Setup};
 use crate::CapacityError;
 use crate::slope::{Results, commit};
 use crate::world::{self, Balancer, Discovery, Times, Upstreams, Usage};
@@ -39,77 +39,96 @@
         for &rate in rates {
             let plain = Setup { relay: true, ..self.setup(rate) };
             let play = self.play(&plain)?;
-            let mut row = |part: &str, times: &Times, tells: String| {
-                rows.push(row_of(rate, part, [0.5, 0.99, 0.999].map(|q| times.us(q)), times.count(), &tells));
-            };
-            row("direct", &play.direct, "the upstream, the caller and the machine".to_owned());
-            row(
-                "through a relay of bytes",
-                &play.relay,
-                "the same runtime, no HTTP, no decisions, no choice of connection".to_owned(),
-            );
-            row("through the balancer", &play.through, format!("{:?}", play.around.counts));
-            row(
-                "of these on kept connections",
-                &play.kept,
-                format!("to upstreams, of {}", play.through.count()),
-            );
-            row(
-                "of these on new connections",
-                &play.new,
-                format!("{} opened in {:.0} s", play.around.opened, play.around.span.as_secs_f64()),
-            );
-            row(
-                "through less direct, pair by pair",
-                &play.difference,
-                format!("{} pairs the other way round count as 0", play.inverted),
-            );
-            row(
-                "sent after its time",
-                &play.late,
-                "the caller's own lateness, in all of the above".to_owned(),
-            );
-            let added = |play: &Play| QUANTILES.map(|q| play.through.us(q) - play.direct.us(q));
-            rows.push(row_of(
-                rate,
-                "relay less direct",
-                QUANTILES.map(|q| play.relay.us(q) - play.direct.us(q)),
-                play.relay.count(),
-                "what any process between costs here",
-            ));
-            rows.push(row_of(rate, "added", added(&play), play.through.count(), &usage(&play)));
-            for (part, setup) in [
-                ("added, calls evenly spaced", Setup { even: true, ..plain }),
-                ("added, 6 upstreams", Setup { upstreams: 6, ..plain }),
-                (
-                    "added, 1900 upstreams",
-                    Setup { upstreams: if self.arguments.common.small { 90 } else { 1900 }, ..plain },
-                ),
-                ("added, balancer alone on a core", Setup { placement: Placement::Alone, ..plain }),
-                ("added, caller anywhere", Setup { placement: Placement::Anywhere, ..plain }),
-            ] {
-                if self.arguments.common.small && setup.placement != plain.placement {
-                    continue;
-                }
-                let play = self.play(&Setup { relay: false, ..setup })?;
-                rows.push(row_of(rate, part, added(&play), play.through.count(), &usage(&play)));
-            }
+            rows.extend(ways_of(rate, &play));
+            rows.extend(added_by_process(rate, &play));
+            rows.extend(self.variations(&plain)?);
         }
         Ok(Results {
             name: "latency_made_of".to_owned(),
             what: "What the latency that a balancer adds is made of, by rate.".to_owned(),
             command: self.command(),
             commit: commit(),
-            columns: ["calls a second", "part", "50 in 100, us", "99 in 100, us", "99.9 in 100, us", "calls", "beside it"]
-                .map(str::to_owned)
-                .to_vec(),
+            columns: COLUMNS.map(str::to_owned).to_vec(),
             rows,
-            note: "One play each. Times count from when a call was to be sent. `added` is the quantile through the balancer \
-                   less that of direct calls in the same play. A relay of bytes is a thread of the rig that copies between \
-                   two sockets on the balancer's kind of runtime."
-                .to_owned(),
+            note: NOTE.to_owned(),
         })
     }
+
+    /// A play for each thing that is changed, without the relay of bytes.
+    fn variations(&mut self, plain: &Setup) -> Result<Vec<Vec<String>>, CapacityError> {
+        let small = self.arguments.common.small;
+        let mut rows = Vec::new();
+        for (part, setup) in [
+            ("added, calls evenly spaced", Setup { even: true, ..*plain }),
+            ("added, 6 upstreams", Setup { upstreams: 6, ..*plain }),
+            ("added, 1900 upstreams", Setup { upstreams: if small { 90 } else { 1900 }, ..*plain }),
+            ("added, balancer alone on a core", Setup { placement: Placement::Alone, ..*plain }),
+            ("added, caller anywhere", Setup { placement: Placement::Anywhere, ..*plain }),
+        ] {
+            if small && setup.placement != plain.placement {
+                continue;
+            }
+            let play = self.play(&Setup { relay: false, ..setup })?;
+            rows.push(row_of(plain.rate, part, added(&play), play.through.count(), &usage(&play)));
+        }
+        Ok(rows)
+    }
+}
+
+/// The heads of the table.
+const COLUMNS: [&str; 7] =
+    ["calls a second", "part", "50 in 100, us", "99 in 100, us", "99.9 in 100, us", "calls", "beside it"];
+
+const NOTE: &str = "One play each. Times count from when a call was to be sent. `added` is the quantile through the balancer \
+    less that of direct calls in the same play. A relay of bytes is a thread of the rig that copies between \
+    two sockets on the balancer's kind of runtime.";
+
+/// A row for each way of the calls of a play.
+fn ways_of(rate: f64, play: &Play) -> Vec<Vec<String>> {
+    let row = |part: &str, times: &Times, beside: &str| {
+        row_of(rate, part, QUANTILES.map(|q| times.us(q)), times.count(), beside)
+    };
+    let Around { counts, opened, span, .. } = play.around;
+    vec![
+        row("direct", &play.direct, "the upstream, the caller and the machine"),
+        row(
+            "through a relay of bytes",
+            &play.relay,
+            "the same runtime, no HTTP, no decisions, no choice of connection",
+        ),
+        row("through the balancer", &play.through, &format!("{counts:?}")),
+        row(
+            "of these on kept connections",
+            &play.kept,
+            &format!("to upstreams, of {}", play.through.count()),
+        ),
+        row(
+            "of these on new connections",
+            &play.new,
+            &format!("{opened} opened in {:.0} s", span.as_secs_f64()),
+        ),
+        row(
+            "through less direct, pair by pair",
+            &play.difference,
+            &format!("{} pairs the other way round count as 0", play.inverted),
+        ),
+        row("sent after its time", &play.late, "the caller's own lateness, in all of the above"),
+    ]
+}
+
+/// What the relay of bytes and the balancer add to a direct call.
+fn added_by_process(rate: f64, play: &Play) -> [Vec<String>; 2] {
+    let relay_less_direct = QUANTILES.map(|q| play.relay.us(q) - play.direct.us(q));
+    let costs = "what any process between costs here";
+    [
+        row_of(rate, "relay less direct", relay_less_direct, play.relay.count(), costs),
+        row_of(rate, "added", added(play), play.through.count(), &usage(play)),
+    ]
+}
+
+/// Microseconds that the balancer adds at each of [`QUANTILES`].
+fn added(play: &Play) -> [f64; 3] {
+    QUANTILES.map(|q| play.through.us(q) - play.direct.us(q))
 }
 
 fn row_of(rate: f64, part: &str, us: [f64; 3], calls: u64, tells: &str) -> Vec<String> {
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -76,6 +76,53 @@
     pub(super) stolen_ms: u64,
 }
 
+/// What a play runs beside its client. Fields are dropped in their order: the balancer ends before what it uses.
+struct Servers {
+    relay: Option<ByteRelay>,
+    balancer: Balancer,
+    /// Where the configuration changes.
+    distribution: Option<Distribution>,
+    discovery: Discovery,
+    upstreams: Upstreams,
+}
+
+impl Servers {
+    /// What has been used so far.
+    fn mark(&self) -> Mark {
+        Mark {
+            stolen_ms: world::stolen_ms(),
+            used: Usage::of(self.balancer.process.id()),
+            opened: self.upstreams.seen.opened(),
+        }
+    }
+}
+
+/// What had been used when the first call that counts was sent.
+struct Mark {
+    /// Ms of a core that the machine under this one had taken, over all cores.
+    stolen_ms: u64,
+    /// By the balancer.
+    used: Result<Usage, CapacityError>,
+    /// Connections to upstreams.
+    opened: u64,
+}
+
+/// What happened beside the calls so far.
+struct Meanwhile {
+    mark: Option<Mark>,
+    /// Changes made.
+    changes: usize,
+    /// The first failure of a change of the configuration.
+    published: Result<(), CapacityError>,
+}
+
+/// What the calls of a play gave, with what happened beside them.
+struct Run {
+    played: Vec<Played>,
+    mark: Mark,
+    changes: usize,
+}
+
 impl Bench<'_> {
     pub(super) fn setup(&self, rate: f64) -> Setup {
         Setup {
@@ -92,13 +139,37 @@
         }
     }
 
+    /// Plays calls directly and through a balancer at once, with fresh servers.
     pub(super) fn play(&mut self, setup: &Setup) -> Result<Play, CapacityError> {
         let warm = if self.arguments.common.small { WARM / 5 } else { WARM };
         let length = span(setup.rate, self.arguments.common.small) + warm;
         let calls =
             world::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
         let core = setup.placement.place(self.cores, self.placement != Placement::Anywhere)?;
-        let upstreams = Upstreams::start(setup.upstreams, 2, calls.len())?;
+        let servers = self.start_servers(setup, calls.len(), core)?;
+        let first_id = servers.upstreams.seen.take_ids(calls.len())?;
+        let first_counted = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
+
+        let Run { played, mark, changes } = self.run(setup, &servers, &calls, first_id, first_counted)?;
+        let around = Around {
+            counts: Counts::of(&calls, &played, &servers.upstreams.seen, first_id),
+            used: Usage::of(servers.balancer.process.id())?.since(mark.used?),
+            span: length - warm,
+            opened: servers.upstreams.seen.opened() - mark.opened,
+            changes,
+            stolen_ms: world::stolen_ms().saturating_sub(mark.stolen_ms),
+        };
+        sort_out(&calls[first_counted..], &played[first_counted..], around)
+    }
+
+    /// Starts what a play needs beside its client; what it starts inherits this thread's cores.
+    fn start_servers(
+        &self,
+        setup: &Setup,
+        calls: usize,
+        core: Option<usize>,
+    ) -> Result<Servers, CapacityError> {
+        let upstreams = Upstreams::start(setup.upstreams, 2, calls)?;
         let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
         let discovery = Discovery::start(upstreams.entries(), beat)?;
         let settings = world::settings(self.plan, setup.upstreams);
@@ -115,63 +186,80 @@
         };
         let balancer = Balancer::start(self.program, &configuration, core, |_| ())?;
         let relay = if setup.relay { Some(ByteRelay::start(upstreams.addresses.clone())?) } else { None };
+        Ok(Servers { relay, balancer, distribution, discovery, upstreams })
+    }
+
+    /// The ways that calls go, in the order of [`DIRECT`], [`THROUGH`] and [`RELAY`].
+    fn ways(&self, servers: &Servers) -> Vec<Way> {
         let way = |targets| Way {
             targets,
             warm: CALLERS,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
-        let mut ways = vec![way(upstreams.addresses.clone()), way(vec![balancer.address])];
-        ways.extend(relay.iter().map(|relay| way(vec![relay.address])));
-        let first = upstreams.seen.take_ids(calls.len())?;
-        let begins = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
+        let mut ways = vec![way(servers.upstreams.addresses.clone()), way(vec![servers.balancer.address])];
+        ways.extend(servers.relay.iter().map(|relay| way(vec![relay.address])));
+        ways
+    }
 
+    /// Sends the calls from a thread of their own, and meanwhile makes the changes and notes the start of what counts.
+    fn run(
+        &self,
+        setup: &Setup,
+        servers: &Servers,
+        calls: &[Call],
+        first_id: usize,
+        first_counted: usize,
+    ) -> Result<Run, CapacityError> {
+        let ways = self.ways(servers);
         let progress = AtomicUsize::new(0);
         let over = AtomicBool::new(false);
         let core_0 = setup.placement != Placement::Anywhere;
-        let (played, marks, changes) = thread::scope(|scope| {
+        let (played, beside) = thread::scope(|scope| {
             let caller = scope.spawn(|| {
                 let placed = if core_0 { world::hold_to("0") } else { Ok(()) };
                 let zero = Instant::now() + world::CONNECT_FIRST;
-                let played = placed.and_then(|()| world::play(&calls, &ways, first, zero, &progress));
+                let played = placed.and_then(|()| world::play(calls, &ways, first_id, zero, &progress));
                 over.store(true, Ordering::Release);
                 played
             });
-            let (mut marks, mut changes, began) = (None, 0, Instant::now());
-            let mut published = Ok(0);
+            let mut beside = Meanwhile { mark: None, changes: 0, published: Ok(()) };
+            let began = Instant::now();
             while !over.load(Ordering::Acquire) {
                 thread::sleep(Duration::from_millis(5));
-                if marks.is_none() && progress.load(Ordering::Acquire) >= begins {
-                    marks =
-                        Some((world::stolen_ms(), Usage::of(balancer.process.id()), upstreams.seen.opened()));
+                if beside.mark.is_none() && progress.load(Ordering::Acquire) >= first_counted {
+                    beside.mark = Some(servers.mark());
                 }
-                let Some(kind) = setup.changes else { continue };
-                if began.elapsed() > CHANGE_EVERY * (changes as u32 + 1) {
-                    match (kind, &distribution) {
-                        (Changes::Configuration, Some(distribution)) => {
-                            let (scope, document) = world::configuration_change(self.plan, changes);
-                            published = published.and_then(|_| {
-                                distribution.publish(scope, &format!("change-{changes}"), &document)
-                            });
-                        }
-                        _ => change(&upstreams, &discovery, changes),
-                    }
-                    changes += 1;
+                if let Some(kind) = setup.changes
+                    && began.elapsed() > CHANGE_EVERY * (beside.changes as u32 + 1)
+                {
+                    self.make_change(kind, servers, &mut beside);
                 }
             }
-            (caller.join(), marks, published.map(|_| changes))
+            (caller.join(), beside)
         });
         let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
-        let changes = changes?;
-        let Some((stolen, before, opened)) = marks else {
+        beside.published?;
+        let Some(mark) = beside.mark else {
             return Err(CapacityError::run("calling", "the play was over before its start"));
         };
-        let used = Usage::of(balancer.process.id())?.since(before?);
-        let counts = Counts::of(&calls, &played, &upstreams.seen, first);
-        let opened = upstreams.seen.opened() - opened;
-        let stolen_ms = world::stolen_ms().saturating_sub(stolen);
-        let around = Around { counts, used, span: length - warm, opened, changes, stolen_ms };
-        sort_out(&calls[begins..], &played[begins..], around)
+        Ok(Run { played, mark, changes: beside.changes })
+    }
+
+    /// Makes the next change; once one of the configuration has failed, none is published any more.
+    fn make_change(&self, kind: Changes, servers: &Servers, beside: &mut Meanwhile) {
+        let number = beside.changes;
+        match (kind, &servers.distribution) {
+            (Changes::Configuration, Some(distribution)) => {
+                if beside.published.is_ok() {
+                    let (scope, document) = world::configuration_change(self.plan, number);
+                    let published = distribution.publish(scope, &format!("change-{number}"), &document);
+                    beside.published = published.map(drop);
+                }
+            }
+            _ => change(&servers.upstreams, &servers.discovery, number),
+        }
+        beside.changes += 1;
     }
 }
 
--- a/crates/capacity/src/latency/slopes.rs
+++ b/crates/capacity/src/latency/slopes.rs
@@ -1,7 +1,7 @@
 //! Slopes of the latency that a balancer adds to a call, against the rate of calls.
 
 use super::placement::Placement;
-use super::play::QUANTILES;
+use super::play::{Play, QUANTILES};
 use super::{Bench, Beside};
 use crate::CapacityError;
 use crate::slope::{Fit, Point, Slope, commit};
@@ -11,43 +11,28 @@
     /// Added latency against the rate.
     pub(super) fn slopes(&mut self, rates: &[f64]) -> Result<Vec<Slope>, CapacityError> {
         let plays = if self.arguments.common.small { 1 } else { self.arguments.plays };
-        let mut figures: [Vec<Point>; 4] = [const { Vec::new() }; 4];
-        let mut told = Vec::new();
+        let mut points = Points::default();
+        let mut rate_notes = Vec::new();
         for &rate in rates {
-            let mut of_rate: [Vec<f64>; 4] = [const { Vec::new() }; 4];
-            let (mut counts, mut changes, mut busy, mut late) = (Counts::default(), 0, 0.0, 0.0_f64);
-            let mut stolen = 0.0;
-            for _ in 0..plays {
-                let play = self.play(&self.setup(rate))?;
-                for (place, quantile) in QUANTILES.into_iter().enumerate() {
-                    of_rate[place].push(play.through.us(quantile) - play.direct.us(quantile));
-                }
-                of_rate[3].push(play.direct.us(0.99));
-                counts = counts.and(play.around.counts);
-                changes += play.around.changes;
-                busy += play.around.used.cpu_ns as f64 / play.around.span.as_nanos() as f64 / plays as f64;
-                stolen += play.around.stolen_ms as f64 / play.around.span.as_millis() as f64 / plays as f64;
-                late = late.max(play.late.us(0.99));
-            }
-            for (points, plays) in figures.iter_mut().zip(of_rate) {
-                points.extend(Point::of(rate, plays));
-            }
-            told.push(format!(
-                "{rate:.0} a second: {} calls, {} not answered rightly, {} ran twice, {changes} changes, {:.3} of a core, \
-                 99 in 100 sent within {late:.0} us of their time, {stolen:.2} cores taken by the machine below",
-                counts.calls,
-                counts.calls - counts.right,
-                counts.twice + counts.repeated,
-                busy,
-            ));
+            let of_rate = self.play_rate(rate, plays)?;
+            rate_notes.push(of_rate.note(rate));
+            points.add(rate, of_rate);
         }
-        let [p50, p99, p999, direct] = figures;
-        let (suffix, meanwhile) = match self.arguments.beside {
-            Beside::List => ("_list", ", while an entry of the list drains or returns every 0.1 s"),
-            Beside::Configuration => ("_configuration", ", while its configuration changes every 0.1 s"),
-            Beside::Nothing | Beside::MadeOf => ("", ""),
-        };
-        let note = format!(
+        Ok(self.to_slopes(points, plays, &self.note(&rate_notes)))
+    }
+
+    /// Plays one rate so many times.
+    fn play_rate(&mut self, rate: f64, plays: usize) -> Result<RatePlays, CapacityError> {
+        let mut of_rate = RatePlays::default();
+        for _ in 0..plays {
+            of_rate.add(&self.play(&self.setup(rate))?, plays as f64);
+        }
+        Ok(of_rate)
+    }
+
+    /// What a reader of the slopes must know, with what happened at each rate.
+    fn note(&self, rate_notes: &[String]) -> String {
+        format!(
             "The quantile of calls through the balancer less the same quantile of calls that went directly in the same \
              play, each call's time counted from when it was to be sent. One caller's thread, which spins; the same \
              {} stand-in upstreams, which answer at once; each pair of calls 1 to 3 ms apart in drawn order; {}. {}",
@@ -56,8 +41,17 @@
                 Placement::Anywhere => "the system chooses the cores",
                 _ => "the caller's thread on core 0, all else on the others (by taskset)",
             },
-            told.join(". ")
-        );
+            rate_notes.join(". ")
+        )
+    }
+
+    /// The slopes of the points; that of direct calls only where nothing goes on beside them.
+    fn to_slopes(&self, points: Points, plays: usize, note: &str) -> Vec<Slope> {
+        let (suffix, meanwhile) = match self.arguments.beside {
+            Beside::List => ("_list", ", while an entry of the list drains or returns every 0.1 s"),
+            Beside::Configuration => ("_configuration", ", while its configuration changes every 0.1 s"),
+            Beside::Nothing | Beside::MadeOf => ("", ""),
+        };
         let slope = |name: String, what: String, points: Vec<Point>| Slope {
             name,
             what,
@@ -68,8 +62,9 @@
             plays,
             fit: Fit::through(&points),
             points,
-            note: note.clone(),
+            note: note.to_owned(),
         };
+        let [p50, p99, p999] = points.added;
         let mut written = Vec::new();
         for (name, in_words, points) in [("p50", "50", p50), ("p99", "99", p99), ("p999", "99.9", p999)] {
             let what = format!("Latency that a balancer adds to a call, at {in_words} in 100{meanwhile}.");
@@ -77,8 +72,72 @@
         }
         if suffix.is_empty() {
             let what = "Latency of a direct call at 99 in 100: what the machine's own spread is.".to_owned();
-            written.push(slope("latency.direct_p99_us_by_rate".to_owned(), what, direct));
+            written.push(slope("latency.direct_p99_us_by_rate".to_owned(), what, points.direct_p99));
+        }
+        written
+    }
+}
+
+/// The points of the slopes, in microseconds by calls a second.
+#[derive(Default)]
+struct Points {
+    /// Added latency at each of [`QUANTILES`].
+    added: [Vec<Point>; 3],
+    /// Latency of direct calls at 99 in 100.
+    direct_p99: Vec<Point>,
+}
+
+impl Points {
+    fn add(&mut self, rate: f64, plays: RatePlays) {
+        for (points, plays) in self.added.iter_mut().zip(plays.added) {
+            points.extend(Point::of(rate, plays));
         }
-        Ok(written)
+        self.direct_p99.extend(Point::of(rate, plays.direct_p99));
+    }
+}
+
+/// What the plays of one rate gave.
+#[derive(Default)]
+struct RatePlays {
+    /// Microseconds that the balancer added at each of [`QUANTILES`], by play.
+    added: [Vec<f64>; 3],
+    /// Microseconds of direct calls at 99 in 100, by play.
+    direct_p99: Vec<f64>,
+    /// Over all plays.
+    counts: Counts,
+    /// Changes over all plays.
+    changes: usize,
+    /// Part of a core that the balancer used, as the mean of the plays.
+    busy_cores: f64,
+    /// Cores that the machine under this one took, as the mean of the plays.
+    stolen_cores: f64,
+    /// Microseconds after their time within which 99 in 100 calls were sent, in the worst play.
+    sent_late_us: f64,
+}
+
+impl RatePlays {
+    /// Adds one of so many plays.
+    fn add(&mut self, play: &Play, plays: f64) {
+        let around = &play.around;
+        for (added, quantile) in self.added.iter_mut().zip(QUANTILES) {
+            added.push(play.through.us(quantile) - play.direct.us(quantile));
+        }
+        self.direct_p99.push(play.direct.us(0.99));
+        self.counts = self.counts.and(around.counts);
+        self.changes += around.changes;
+        self.busy_cores += around.used.cpu_ns as f64 / around.span.as_nanos() as f64 / plays;
+        self.stolen_cores += around.stolen_ms as f64 / around.span.as_millis() as f64 / plays;
+        self.sent_late_us = self.sent_late_us.max(play.late.us(0.99));
+    }
+
+    fn note(&self, rate: f64) -> String {
+        let Self { counts, changes, busy_cores, stolen_cores, sent_late_us, .. } = self;
+        format!(
+            "{rate:.0} a second: {} calls, {} not answered rightly, {} ran twice, {changes} changes, {busy_cores:.3} of a core, \
+             99 in 100 sent within {sent_late_us:.0} us of their time, {stolen_cores:.2} cores taken by the machine below",
+            counts.calls,
+            counts.calls - counts.right,
+            counts.twice + counts.repeated,
+        )
     }
 }
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -239,63 +239,28 @@
         worlds.iter().map(|(_, _, balancer)| Usage::of(balancer.process.id())).collect()
     }
 
+    /// Processes that serve calls: one with each size in turn, a fresh one for each play.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
-        let (warm, span) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
-        let span = Duration::from_secs_f64(span);
+        let (warm_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
         let (mut request, mut memory, mut opened) = (Plays::new(), Plays::new(), Vec::new());
         let mut rng = Rand64::new(u128::from(self.arguments.common.seed));
         for &size in &self.sizes {
-            let calls_most = (self.rate * 10.0) as usize + 1000;
-            let mut of_size = [const { Vec::new() }; 2];
-            let mut new = 0;
+            let (mut request_us, mut memory_kb, mut new_connections) = (Vec::new(), Vec::new(), 0);
             for _ in 0..self.plays {
-                let (upstreams, discovery) = self.world(size, calls_most)?;
-                let balancer = self.balancer(&upstreams, &discovery)?;
-                let way = Way {
-                    targets: vec![balancer.address],
-                    warm: 32,
-                    deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
-                    tenants: self.plan.traffic.tenants.value,
-                };
-                let ways = [way];
-                let mut make = |span| -> Result<usize, CapacityError> {
-                    let calls = world::paired(&mut rng, 1, self.rate, span, false);
-                    let first = upstreams.seen.take_ids(calls.len())?;
-                    let played = world::play(
-                        &calls,
-                        &ways,
-                        first,
-                        Instant::now() + world::CONNECT_FIRST,
-                        &AtomicUsize::new(0),
-                    )?;
-                    let counts = Counts::of(&calls, &played, &upstreams.seen, first);
-                    if counts.right < counts.calls {
-                        return Err(CapacityError::run(
-                            format!("calls with {size} upstreams"),
-                            format!("{counts:?}"),
-                        ));
-                    }
-                    Ok(calls.len())
-                };
-                make(Duration::from_secs_f64(warm))?;
-                let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.seen.opened());
-                let calls = make(span)?;
-                let used = Usage::of(balancer.process.id())?.since(before);
-                new += upstreams.seen.opened() - opened;
-                of_size[0].push(used.cpu_ns as f64 / 1000.0 / calls as f64);
-                of_size[1].push(world::memory_kb(balancer.process.id())? as f64);
+                let served = self.serve(size, &mut rng, warm_s, span_s)?;
+                request_us.push(served.request_us);
+                memory_kb.push(served.memory_kb);
+                new_connections += served.new_connections;
             }
-            let [us, kb] = of_size;
-            request.push((size, us));
-            memory.push((size, kb));
-            opened.push(format!("{size}: {:.1}", new as f64 / self.plays as f64));
+            request.push((size, request_us));
+            memory.push((size, memory_kb));
+            opened.push(format!("{size}: {:.1}", new_connections as f64 / self.plays as f64));
         }
         let note = format!(
-            "Of all its threads, timers and log with it, at {:.0} calls a second (drawn times) for {} s after {warm} s \
+            "Of all its threads, timers and log with it, at {:.0} calls a second (drawn times) for {span_s} s after {warm_s} s \
              of the same; its upstreams answer at once, callers keep their connections. New connections to upstreams \
              in that time, by length of the list: {}.",
             self.rate,
-            span.as_secs_f64(),
             opened.join(", ")
         );
         Ok(vec![
@@ -317,4 +282,63 @@
             ),
         ])
     }
+
+    /// One play: a fresh balancer serves calls, which count once the warm-up is over.
+    fn serve(
+        &self,
+        size: usize,
+        rng: &mut Rand64,
+        warm_s: f64,
+        span_s: f64,
+    ) -> Result<Served, CapacityError> {
+        let calls_most = (self.rate * 10.0) as usize + 1000;
+        let (upstreams, discovery) = self.world(size, calls_most)?;
+        let balancer = self.balancer(&upstreams, &discovery)?;
+        self.call(size, &upstreams, &balancer, rng, Duration::from_secs_f64(warm_s))?;
+        let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.seen.opened());
+        let calls = self.call(size, &upstreams, &balancer, rng, Duration::from_secs_f64(span_s))?;
+        let used = Usage::of(balancer.process.id())?.since(before);
+        Ok(Served {
+            request_us: used.cpu_ns as f64 / 1000.0 / calls as f64,
+            new_connections: upstreams.seen.opened() - opened,
+            memory_kb: world::memory_kb(balancer.process.id())? as f64,
+        })
+    }
+
+    /// Sends calls through a balancer for a time, each of which must have its own answer: how many there were.
+    fn call(
+        &self,
+        size: usize,
+        upstreams: &Upstreams,
+        balancer: &Balancer,
+        rng: &mut Rand64,
+        span: Duration,
+    ) -> Result<usize, CapacityError> {
+        let ways = [Way {
+            targets: vec![balancer.address],
+            warm: 32,
+            deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
+            tenants: self.plan.traffic.tenants.value,
+        }];
+        let calls = world::paired(rng, 1, self.rate, span, false);
+        let first = upstreams.seen.take_ids(calls.len())?;
+        let zero = Instant::now() + world::CONNECT_FIRST;
+        let played = world::play(&calls, &ways, first, zero, &AtomicUsize::new(0))?;
+        let counts = Counts::of(&calls, &played, &upstreams.seen, first);
+        if counts.right < counts.calls {
+            let place = format!("calls with {size} upstreams");
+            return Err(CapacityError::run(place, format!("{counts:?}")));
+        }
+        Ok(calls.len())
+    }
+}
+
+/// What a balancer used in one play of calls.
+struct Served {
+    /// Processor time for one call, in microseconds.
+    request_us: f64,
+    /// Resident memory at the end, in KiB.
+    memory_kb: f64,
+    /// Connections that it opened to upstreams.
+    new_connections: u64,
 }
