--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -15,13 +15,15 @@
 use crate::slope::{self, Results};
 
 pub mod scenario;
+mod table;
 pub mod topology;
 pub mod wheel;
 pub mod world;
 
-use scenario::{CALM_S, Scenario};
+use scenario::Scenario;
+use table::{COLUMNS, KEY, NOTE, row};
 use topology::Topology;
-use world::{Depth, Minds, Play, Report, Second, Step, World};
+use world::{Play, Report, Second, Step, World};
 
 /// Upstreams of a quick version.
 const SMALL: usize = 120;
@@ -299,63 +301,6 @@
     command.spawn().map_err(|cause| CapacityError::run(place, cause))
 }
 
-// --- The table ---
-
-/// Columns that tell one run from another.
-const KEY: usize = 4;
-
-/// The heads of the table.
-const COLUMNS: [&str; 33] = [
-    "scenario",
-    "calls a second read as",
-    "upstreams",
-    "seed",
-    "virtual s",
-    "balancer cores",
-    "busiest upstream / mean",
-    "calls at the front",
-    "attempts",
-    "served in time %",
-    "served late %",
-    "refused %",
-    "failed %",
-    "served in time before / in / after the trouble %",
-    "worst second: served in time %",
-    "with an upstream at each step in the trouble %",
-    "seconds with under half served in time",
-    "s after the trouble until 99 % of what was served before",
-    "median ms",
-    "99 in 100 ms",
-    "attempts a call by depth",
-    "refused in 10000 calls by depth",
-    "failed in 10000 calls by depth",
-    "attempts ended good / error / turned away / timed out / not connected / broken",
-    "crossed zones / regions %",
-    "cold starts",
-    "cold pushed over",
-    "limits cut (most of the balancers, at s; first to last s)",
-    "upstreams set aside (balancers that did)",
-    "met a crowd (balancers)",
-    "list events",
-    "faults",
-    "wall s / MB / events / digest",
-];
-
-const NOTE: &str = "Virtual time: the decisions are the real ones, the servers, links, lists and clients are modelled. \
-    A chain goes on with the same chance at each depth, so that the mean is that of the plan (hops) or the whole depth \
-    (front). Services have cores for their calls at 60% use after the loss of their largest zone. Cold: 0.3 of the \
-    capacity, all of it after 8 s; over 2.8 times what it can do for 1.6 s, as N + 2 root of N + 2 over all balancers, it \
-    falls over. Times are shortened: an ordinary day's 7 failures and 420 replacements come in about 35 s, a failed \
-    machine is back after 6 s, a zone after 35% of the run, a region's cut takes 30% of it and not 300 s. Lists come 0.2 \
-    to 0.5 s late, a silent machine leaves them after 1.5 s. Configuration does not change in these runs. The first 3 s \
-    are not counted but for `cold`. With an upstream at each step: the most that any routing could serve. Limits cut, set aside and crowd are read off the operator's vitals each second; set \
-    aside only where no upstream of the list is cold, as both lower the same figure. Where runs were played side by side \
-    the wall time is longer than alone.";
-
-fn percent(part: u64, all: u64) -> String {
-    if all == 0 { "-".to_owned() } else { format!("{:.2}", 100.0 * part as f64 / all as f64) }
-}
-
 /// The sum over the seconds from one time until another.
 #[must_use]
 pub fn sum(seconds: &[Second], from: f64, until: f64) -> Second {
@@ -371,102 +316,3 @@
     }
     all
 }
-
-fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
-    let Played { report, trouble, upstreams, busiest_over_mean, reachable } = played;
-    let from = if run.scenario == Scenario::Cold { 0.0 } else { CALM_S };
-    let all = sum(&report.seconds, from, f64::MAX);
-    let phases = [(from, trouble.0), *trouble, (trouble.1, f64::MAX)].map(|(from, until)| {
-        let Second { calls, served, .. } = sum(&report.seconds, from, until);
-        percent(served, calls)
-    });
-    let share = |second: &Second| second.served as f64 / second.calls as f64;
-    let worst = (0..)
-        .zip(&report.seconds)
-        .filter(|&(at, second): &(u32, _)| f64::from(at) >= from && second.calls > 0)
-        .min_by(|a, b| share(a.1).total_cmp(&share(b.1)));
-    let worst = worst
-        .map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)));
-    let under_half =
-        report.seconds.iter().filter(|second| second.calls > 0 && 2 * second.served < second.calls).count();
-    // From the first second on after which none falls under it again.
-    let calm = share(&sum(&report.seconds, from, trouble.0));
-    let wanted = 0.99 * if calm.is_nan() { 1.0 } else { calm };
-    let back = || {
-        let low = |(_, second): &(u32, &Second)| second.calls > 0 && share(second) < wanted;
-        let last =
-            (0..).zip(&report.seconds).filter(low).map(|(at, _)| f64::from(at) + 1.0).last().unwrap_or(0.0);
-        let over = last >= report.seconds.len() as f64;
-        if over { "not in the run".to_owned() } else { format!("{:.0}", (last - trouble.1).max(0.0)) }
-    };
-    let back = if trouble.1 < run.seconds { back() } else { "-".to_owned() };
-    let by_depth = |figure: &dyn Fn(&Depth) -> String| {
-        report.depths.iter().filter(|depth| depth.calls > 0).map(figure).collect::<Vec<_>>().join(" ")
-    };
-    let each = |part: u64, calls: u64, times: f64| part as f64 * times / calls.max(1) as f64;
-    let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
-    let mut ends = [0; 6];
-    for depth in &report.depths {
-        for (sum, count) in ends.iter_mut().zip(depth.ends) {
-            *sum += count;
-        }
-    }
-    let minds = |figure: &dyn Fn(&Minds) -> usize| {
-        let seen = || report.minds.iter().filter(|minds| minds.at_s as f64 >= from && figure(minds) > 0);
-        let Some(most) = seen().max_by_key(|minds| (figure(minds), u64::MAX - minds.at_s)) else {
-            return "none".to_owned();
-        };
-        let at = |minds: Option<&Minds>| minds.map_or(0, |minds| minds.at_s);
-        format!(
-            "{} of {} at {} s; {} to {} s",
-            figure(most),
-            most.cores,
-            most.at_s,
-            at(seen().next()),
-            at(seen().next_back())
-        )
-    };
-    let world::Faults { unanswered, doubled, run_twice, after_grace } = report.faults;
-    let faults = if unanswered + doubled + run_twice + after_grace == 0 {
-        "none".to_owned()
-    } else {
-        format!(
-            "{unanswered} unanswered, {doubled} answered twice, {run_twice} run twice, {after_grace} after the grace"
-        )
-    };
-    vec![
-        run.scenario.name().to_owned(),
-        if run.reading == Reading::Front { "front" } else { "hops" }.to_owned(),
-        upstreams.to_string(),
-        run.seed.to_string(),
-        format!("{}", run.seconds),
-        report.cores.to_string(),
-        format!("{busiest_over_mean:.1}"),
-        report.seconds.iter().map(|second| second.calls).sum::<u64>().to_string(),
-        attempts.to_string(),
-        percent(all.served, all.calls),
-        percent(all.late, all.calls),
-        percent(all.refused, all.calls),
-        percent(all.failed, all.calls),
-        phases.join(" / "),
-        worst,
-        reachable.map_or("-".to_owned(), |part| format!("{:.2}", part * 100.0)),
-        under_half.to_string(),
-        back,
-        format!("{:.0}", report.time(0.5) * 1e3),
-        format!("{:.0}", report.time(0.99) * 1e3),
-        by_depth(&|depth| format!("{:.3}", each(depth.attempts, depth.calls, 1.0))),
-        by_depth(&|depth| format!("{:.1}", each(depth.refused, depth.calls, 1e4))),
-        by_depth(&|depth| format!("{:.1}", each(depth.failed, depth.calls, 1e4))),
-        ends.map(|count| count.to_string()).join(" / "),
-        format!("{} / {}", percent(report.crossed.0, attempts), percent(report.crossed.1, attempts)),
-        report.cold_starts.to_string(),
-        report.pushed_over.to_string(),
-        minds(&|minds| minds.limited),
-        minds(&|minds| minds.aside),
-        minds(&|minds| minds.crowded),
-        report.lists.to_string(),
-        faults,
-        format!("{wall_s:.1} / {} / {} / {:016x}", report.memory_mb, report.events, report.digest),
-    ]
-}
