--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -101,6 +101,13 @@
     pub memory_mb: u64,
 }
 
+impl Run {
+    /// Its name for errors.
+    fn place(&self) -> String {
+        format!("hollow fleet, {} with seed {}", self.scenario.name(), self.seed)
+    }
+}
+
 /// What a run gave, with what it was played on.
 #[derive(Debug, Clone)]
 pub struct Played {
@@ -151,20 +158,7 @@
     }
     let topology = Topology::draw(plan, reading, seed);
     let (script, trouble) = scenario.script(plan, &topology, seconds, seed);
-    let reachable = script.iter().find_map(|&(_, step)| match step {
-        Step::LoseZone(lost) => Some(topology.reachable(|zone| zone != lost)),
-        Step::Cut(region) => {
-            // Clients on each side have what is on their side.
-            let inside = |zone: usize| topology.region_of[zone] == region;
-            let mut before = 0.0;
-            let here: f64 = (0..).zip(&topology.clients).fold(0.0, |sum, (zone, until)| {
-                let part = until - std::mem::replace(&mut before, *until);
-                if inside(zone) { sum + part } else { sum }
-            });
-            Some(here * topology.reachable(inside) + (1.0 - here) * topology.reachable(|zone| !inside(zone)))
-        }
-        _ => None,
-    });
+    let reachable = script.iter().find_map(|&(_, step)| reachable_during(step, &topology));
     let play = Play {
         name: scenario.name().to_owned(),
         seconds,
@@ -181,7 +175,26 @@
     Ok(Played { report, trouble, upstreams, busiest_over_mean: topology.busiest_over_mean(), reachable })
 }
 
-/// Does it.
+/// The part of the calls that find an upstream at each step after a part of the fleet is lost whole, where the step
+/// loses one.
+fn reachable_during(step: Step, topology: &Topology) -> Option<f64> {
+    match step {
+        Step::LoseZone(lost) => Some(topology.reachable(|zone| zone != lost)),
+        Step::Cut(region) => {
+            // Clients on each side have what is on their side.
+            let inside = |zone: usize| topology.region_of[zone] == region;
+            let mut before = 0.0;
+            let here: f64 = (0..).zip(&topology.clients).fold(0.0, |sum, (zone, until)| {
+                let part = until - std::mem::replace(&mut before, *until);
+                if inside(zone) { sum + part } else { sum }
+            });
+            Some(here * topology.reachable(inside) + (1.0 - here) * topology.reachable(|zone| !inside(zone)))
+        }
+        _ => None,
+    }
+}
+
+/// Plays the scenarios and seeds that are asked for, each in a process of its own, and adds their rows to the table.
 ///
 /// # Errors
 /// With the place where it went wrong.
@@ -192,8 +205,18 @@
     if arguments.seeds == 0 {
         return Err(CapacityError::Argument { name: "seeds", expected: "1 at least".to_owned() });
     }
+    let runs = runs(arguments);
+    if arguments.row {
+        return print_row(plan, &runs);
+    }
+    let rows = play_in_processes(arguments, &runs, upstreams)?;
+    write_rows(arguments, rows)
+}
+
+/// The runs that the arguments ask for, by scenario and then by seed.
+fn runs(arguments: &Arguments) -> Vec<Run> {
     let seeds = || arguments.seed..arguments.seed.saturating_add(arguments.seeds);
-    let runs: Vec<Run> = arguments
+    arguments
         .scenario
         .map_or(Scenario::ALL.to_vec(), |scenario| vec![scenario])
         .into_iter()
@@ -204,55 +227,80 @@
             let seconds = arguments.seconds.unwrap_or(usual * part);
             Run { scenario, reading: arguments.reading.into(), seed, seconds, memory_mb: arguments.memory_mb }
         })
-        .collect();
-    if arguments.row {
-        let [run] = &runs[..] else {
-            return Err(CapacityError::Argument {
-                name: "row",
-                expected: "one scenario and seed".to_owned(),
-            });
-        };
-        let began = Instant::now();
-        let played = play(plan, run)?;
-        let row = row(run, &played, began.elapsed().as_secs_f64());
-        let text = serde_json::to_string(&row).map_err(|cause| CapacityError::run("hollow", cause))?;
-        println!("{text}");
-        return Ok(());
-    }
+        .collect()
+}
+
+/// Plays a single run in this process and prints its row for the process that started this one.
+fn print_row(plan: &Plan, runs: &[Run]) -> Result<(), CapacityError> {
+    let [run] = runs else {
+        return Err(CapacityError::Argument { name: "row", expected: "one scenario and seed".to_owned() });
+    };
+    let began = Instant::now();
+    let played = play(plan, run)?;
+    let row = row(run, &played, began.elapsed().as_secs_f64());
+    let text = serde_json::to_string(&row).map_err(|cause| CapacityError::run("hollow", cause))?;
+    println!("{text}");
+    Ok(())
+}
+
+/// Plays each run in a process of its own, so that its memory is its own, and prints the rows as they come.
+fn play_in_processes(
+    arguments: &Arguments,
+    runs: &[Run],
+    upstreams: Option<usize>,
+) -> Result<Vec<Vec<String>>, CapacityError> {
     let mut rows = Vec::new();
     let mut waiting = runs.iter();
     let mut out: Vec<(&Run, Child)> = Vec::new();
-    // Each in a process of its own, so that its memory is its own.
     loop {
         while out.len() < arguments.jobs.max(1) {
             let Some(run) = waiting.next() else { break };
             out.push((run, start(arguments, run, upstreams)?));
         }
         if out.is_empty() {
-            break;
+            return Ok(rows);
         }
         let (run, child) = out.remove(0);
-        let place = format!("hollow fleet, {} with seed {}", run.scenario.name(), run.seed);
-        let done = child.wait_with_output().map_err(|cause| CapacityError::run(&place, cause))?;
-        if !done.status.success() {
-            for (_, mut child) in out {
-                // The others would play on for nobody.
-                let _ = child.kill();
-                let _ = child.wait();
+        match finish(run, child) {
+            Ok(row) => rows.push(row),
+            Err(error) => {
+                end_all(out);
+                return Err(error);
             }
-            return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
-        }
-        let row: Vec<String> =
-            serde_json::from_slice(&done.stdout).map_err(|cause| CapacityError::run(&place, cause))?;
-        for (column, cell) in COLUMNS.iter().zip(&row) {
-            println!("{column}: {cell}");
         }
-        println!();
-        rows.push(row);
     }
+}
+
+/// Waits for a run's process and prints the row that it gave.
+fn finish(run: &Run, child: Child) -> Result<Vec<String>, CapacityError> {
+    let place = run.place();
+    let done = child.wait_with_output().map_err(|cause| CapacityError::run(&place, cause))?;
+    if !done.status.success() {
+        return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
+    }
+    let row: Vec<String> =
+        serde_json::from_slice(&done.stdout).map_err(|cause| CapacityError::run(&place, cause))?;
+    for (column, cell) in COLUMNS.iter().zip(&row) {
+        println!("{column}: {cell}");
+    }
+    println!();
+    Ok(row)
+}
+
+/// Ends the processes of runs that would play on for nobody.
+fn end_all(out: Vec<(&Run, Child)>) {
+    for (_, mut child) in out {
+        // The command has failed already; a process that can't be ended has ended by itself.
+        let _ = child.kill();
+        let _ = child.wait();
+    }
+}
+
+/// Adds rows to the table: those of other scenarios, seeds and readings stay, as a full table takes longer than one
+/// sitting at the machine.
+fn write_rows(arguments: &Arguments, rows: Vec<Vec<String>>) -> Result<(), CapacityError> {
     let folder = arguments.out.join("results");
     std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
-    // Runs of other scenarios, seeds and readings stay, as a full table takes longer than one sitting at the machine.
     let mut all = Results::read(&folder, "hollow").map_or_else(|_| Vec::new(), |before| before.rows);
     let key = |row: &Vec<String>| row.iter().take(KEY).cloned().collect::<Vec<String>>();
     all.retain(|old| old.len() == COLUMNS.len() && !rows.iter().any(|new| key(new) == key(old)));
@@ -281,7 +329,7 @@
 
 /// Starts a run in a process of its own.
 fn start(arguments: &Arguments, run: &Run, upstreams: Option<usize>) -> Result<Child, CapacityError> {
-    let place = format!("hollow fleet, {} with seed {}", run.scenario.name(), run.seed);
+    let place = run.place();
     let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
     // The plan may be named on the command line, which the child must be told too.
     let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -75,82 +75,127 @@
         seconds: f64,
         seed: u64,
     ) -> (Vec<(f64, Step)>, (f64, f64)) {
-        let mut rng = Rand64::new(u128::from(seed) << 8 | 3);
-        let mut script = Vec::new();
-        let zones: Vec<usize> =
-            topology.services.iter().flat_map(|service| service.zones.iter().copied()).collect();
-        let services: Vec<usize> = topology
-            .services
-            .iter()
-            .enumerate()
-            .flat_map(|(number, service)| vec![number; service.zones.len()])
-            .collect();
-        let mut upto = |count: usize| rng.rand_range(0..count.max(1) as u64) as usize;
+        let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
         let trouble = match self {
             Self::Calm => (seconds, seconds),
-            Self::Ordinary => {
-                let (from, until) = (CALM_S, seconds * 0.85);
-                let replaced = plan.failures.replaced_per_day.value.round() as usize;
-                let failed = (plan.failures.machines_per_day.value.round() as usize).max(1);
-                let mut latest = vec![f64::MIN; topology.services.len()];
-                for number in 0..replaced {
-                    let at = from + (until - from) * number as f64 / replaced as f64;
-                    // Who replaces takes one of a service after another.
-                    let free = (0..50).map(|_| upto(zones.len())).find(|&slot| {
-                        let service = services[slot];
-                        at - latest[service] >= APART_S
-                    });
-                    if let Some(slot) = free {
-                        latest[services[slot]] = at;
-                        script.push((at, Step::Replace(slot)));
-                    }
-                }
-                for _ in 0..failed {
-                    let at = from + (until - from) * upto(1000) as f64 / 1000.0;
-                    script.push((at, Step::Fail(upto(zones.len()))));
-                }
-                (from, until)
-            }
-            Self::Replacement => {
-                let each = (seconds - CALM_S - DRAIN_S) / STEPS as f64;
-                let mut before = vec![0; topology.services.len()];
-                for (slot, &service) in services.iter().enumerate() {
-                    let step = (before[service] + service) % STEPS;
-                    before[service] += 1;
-                    // Within a step they go one after another over a second.
-                    let at = CALM_S + each * step as f64 + upto(1000) as f64 / 1000.0;
-                    script.push((at, Step::Replace(slot)));
-                }
-                (CALM_S, seconds)
-            }
-            Self::Rack => {
-                let at = seconds * 0.2;
-                let zone = upto(topology.region_of.len());
-                let mut here: Vec<usize> = (0..zones.len()).filter(|&slot| zones[slot] == zone).collect();
-                for _ in 0..plan.fleet.machines_per_rack.value.min(here.len()) {
-                    let slot = here.swap_remove(upto(here.len()));
-                    script.push((at, Step::Fail(slot)));
-                }
-                (at, seconds * 0.7)
-            }
-            Self::Zone => {
-                let zone = upto(topology.region_of.len());
-                let (from, until) = (seconds * 0.2, seconds * 0.55);
-                script.push((from, Step::LoseZone(zone)));
-                script.push((until, Step::ReturnZone(zone)));
-                (from, until)
-            }
-            Self::Region => {
-                let regions = topology.region_of.iter().max().map_or(1, |last| last + 1);
-                let region = upto(regions);
-                let (from, until) = (seconds * 0.15, seconds * 0.45);
-                script.push((from, Step::Cut(region)));
-                script.push((until, Step::Heal(region)));
-                (from, until)
-            }
+            Self::Ordinary => writer.ordinary(),
+            Self::Replacement => writer.replacement(),
+            Self::Rack => writer.rack(),
+            Self::Zone => writer.zone(),
+            Self::Region => writer.region(),
             Self::Cold => (0.0, 10.0),
         };
+        let mut script = writer.script;
         script.sort_by(|a, b| a.0.total_cmp(&b.0));
         (script, trouble)
     }
 }
+
+/// Draws the script of a scenario. Each scenario adds its steps and gives from when to when its trouble lasts.
+struct ScriptWriter<'a> {
+    plan: &'a Plan,
+    topology: &'a Topology,
+    /// Virtual seconds of the run.
+    seconds: f64,
+    rng: Rand64,
+    /// The zone of each slot.
+    zones: Vec<usize>,
+    /// The service of each slot.
+    services: Vec<usize>,
+    script: Vec<(f64, Step)>,
+}
+
+impl<'a> ScriptWriter<'a> {
+    fn new(plan: &'a Plan, topology: &'a Topology, seconds: f64, seed: u64) -> Self {
+        let services = topology.services.iter();
+        Self {
+            plan,
+            topology,
+            seconds,
+            rng: Rand64::new(u128::from(seed) << 8 | 3),
+            zones: services.clone().flat_map(|service| service.zones.iter().copied()).collect(),
+            services: services
+                .enumerate()
+                .flat_map(|(number, service)| vec![number; service.zones.len()])
+                .collect(),
+            script: Vec::new(),
+        }
+    }
+
+    /// A draw from 0 to under `count`.
+    fn draw(&mut self, count: usize) -> usize {
+        self.rng.rand_range(0..count.max(1) as u64) as usize
+    }
+
+    fn ordinary(&mut self) -> (f64, f64) {
+        let (from, until) = (CALM_S, self.seconds * 0.85);
+        self.planned_replacements(from, until);
+        let failed = (self.plan.failures.machines_per_day.value.round() as usize).max(1);
+        for _ in 0..failed {
+            let at = from + (until - from) * self.draw(1000) as f64 / 1000.0;
+            let slot = self.draw(self.zones.len());
+            self.script.push((at, Step::Fail(slot)));
+        }
+        (from, until)
+    }
+
+    /// A day's planned replacements, evenly over the time.
+    fn planned_replacements(&mut self, from: f64, until: f64) {
+        let replaced = self.plan.failures.replaced_per_day.value.round() as usize;
+        let mut latest = vec![f64::MIN; self.topology.services.len()];
+        for number in 0..replaced {
+            let at = from + (until - from) * number as f64 / replaced as f64;
+            // Who replaces takes one of a service after another.
+            let free = (0..50).find_map(|_| {
+                let slot = self.draw(self.zones.len());
+                (at - latest[self.services[slot]] >= APART_S).then_some(slot)
+            });
+            if let Some(slot) = free {
+                latest[self.services[slot]] = at;
+                self.script.push((at, Step::Replace(slot)));
+            }
+        }
+    }
+
+    fn replacement(&mut self) -> (f64, f64) {
+        let each = (self.seconds - CALM_S - DRAIN_S) / STEPS as f64;
+        let mut before = vec![0; self.topology.services.len()];
+        for slot in 0..self.services.len() {
+            let service = self.services[slot];
+            let step = (before[service] + service) % STEPS;
+            before[service] += 1;
+            // Within a step they go one after another over a second.
+            let at = CALM_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
+            self.script.push((at, Step::Replace(slot)));
+        }
+        (CALM_S, self.seconds)
+    }
+
+    fn rack(&mut self) -> (f64, f64) {
+        let at = self.seconds * 0.2;
+        let zone = self.draw(self.topology.region_of.len());
+        let mut here: Vec<usize> = (0..self.zones.len()).filter(|&slot| self.zones[slot] == zone).collect();
+        for _ in 0..self.plan.fleet.machines_per_rack.value.min(here.len()) {
+            let slot = here.swap_remove(self.draw(here.len()));
+            self.script.push((at, Step::Fail(slot)));
+        }
+        (at, self.seconds * 0.7)
+    }
+
+    fn zone(&mut self) -> (f64, f64) {
+        let zone = self.draw(self.topology.region_of.len());
+        let (from, until) = (self.seconds * 0.2, self.seconds * 0.55);
+        self.script.push((from, Step::LoseZone(zone)));
+        self.script.push((until, Step::ReturnZone(zone)));
+        (from, until)
+    }
+
+    fn region(&mut self) -> (f64, f64) {
+        let regions = self.topology.region_of.iter().max().map_or(1, |last| last + 1);
+        let region = self.draw(regions);
+        let (from, until) = (self.seconds * 0.15, self.seconds * 0.45);
+        self.script.push((from, Step::Cut(region)));
+        self.script.push((until, Step::Heal(region)));
+        (from, until)
+    }
+}
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -1,7 +1,7 @@
 //! The table of the runs: a row for each, its columns, and the note that stands below.
 
 use super::scenario::{CALM_S, Scenario};
-use super::world::{self, Depth, Minds, Second};
+use super::world::{Depth, Faults, Minds, Report, Second};
 use super::{Played, Run, sum};
 use crate::plan::Reading;
 
@@ -60,68 +60,107 @@
     if all == 0 { "-".to_owned() } else { format!("{:.2}", 100.0 * part as f64 / all as f64) }
 }
 
-pub(super) fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
-    let Played { report, trouble, upstreams, busiest_over_mean, reachable } = played;
-    let from = if run.scenario == Scenario::Cold { 0.0 } else { CALM_S };
-    let all = sum(&report.seconds, from, f64::MAX);
-    let phases = [(from, trouble.0), *trouble, (trouble.1, f64::MAX)].map(|(from, until)| {
-        let Second { calls, served, .. } = sum(&report.seconds, from, until);
-        percent(served, calls)
-    });
-    let share = |second: &Second| second.served as f64 / second.calls as f64;
+/// The part of the calls that was served in time; not a number where there were none.
+fn served_share(second: &Second) -> f64 {
+    second.served as f64 / second.calls as f64
+}
+
+/// A count for one call, or for so many calls.
+fn per_call(part: u64, calls: u64, times: f64) -> f64 {
+    part as f64 * times / calls.max(1) as f64
+}
+
+/// Served in time before, in and after the trouble.
+fn phases(report: &Report, from: f64, trouble: (f64, f64)) -> String {
+    let phases = [(from, trouble.0), trouble, (trouble.1, f64::MAX)];
+    phases
+        .map(|(from, until)| {
+            let Second { calls, served, .. } = sum(&report.seconds, from, until);
+            percent(served, calls)
+        })
+        .join(" / ")
+}
+
+/// The second in which the least part of the calls was served in time.
+fn worst_second(report: &Report, from: f64) -> String {
     let worst = (0..)
         .zip(&report.seconds)
         .filter(|&(at, second): &(u32, _)| f64::from(at) >= from && second.calls > 0)
-        .min_by(|a, b| share(a.1).total_cmp(&share(b.1)));
-    let worst = worst
-        .map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)));
-    let under_half =
-        report.seconds.iter().filter(|second| second.calls > 0 && 2 * second.served < second.calls).count();
-    // From the first second on after which none falls under it again.
-    let calm = share(&sum(&report.seconds, from, trouble.0));
+        .min_by(|a, b| served_share(a.1).total_cmp(&served_share(b.1)));
+    worst.map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)))
+}
+
+/// Seconds with under half of the calls served in time.
+fn seconds_under_half(report: &Report) -> usize {
+    report.seconds.iter().filter(|second| second.calls > 0 && 2 * second.served < second.calls).count()
+}
+
+/// Seconds after the trouble from which on no second falls under 99 % of what was served before the trouble.
+fn recovery(run: &Run, report: &Report, from: f64, trouble: (f64, f64)) -> String {
+    if trouble.1 >= run.seconds {
+        return "-".to_owned();
+    }
+    let calm = served_share(&sum(&report.seconds, from, trouble.0));
     let wanted = 0.99 * if calm.is_nan() { 1.0 } else { calm };
-    let back = || {
-        let low = |(_, second): &(u32, &Second)| second.calls > 0 && share(second) < wanted;
-        let last =
-            (0..).zip(&report.seconds).filter(low).map(|(at, _)| f64::from(at) + 1.0).last().unwrap_or(0.0);
-        let over = last >= report.seconds.len() as f64;
-        if over { "not in the run".to_owned() } else { format!("{:.0}", (last - trouble.1).max(0.0)) }
-    };
-    let back = if trouble.1 < run.seconds { back() } else { "-".to_owned() };
-    let by_depth = |figure: &dyn Fn(&Depth) -> String| {
-        report.depths.iter().filter(|depth| depth.calls > 0).map(figure).collect::<Vec<_>>().join(" ")
-    };
-    let each = |part: u64, calls: u64, times: f64| part as f64 * times / calls.max(1) as f64;
-    let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
+    let low = |(_, second): &(u32, &Second)| second.calls > 0 && served_share(second) < wanted;
+    let last =
+        (0..).zip(&report.seconds).filter(low).map(|(at, _)| f64::from(at) + 1.0).last().unwrap_or(0.0);
+    if last >= report.seconds.len() as f64 {
+        return "not in the run".to_owned();
+    }
+    format!("{:.0}", (last - trouble.1).max(0.0))
+}
+
+/// A figure of each depth that calls reached.
+fn by_depth(report: &Report, figure: impl Fn(&Depth) -> String) -> String {
+    report.depths.iter().filter(|depth| depth.calls > 0).map(figure).collect::<Vec<_>>().join(" ")
+}
+
+/// Attempts over all depths, by how they ended.
+fn ends(report: &Report) -> String {
     let mut ends = [0; 6];
     for depth in &report.depths {
         for (sum, count) in ends.iter_mut().zip(depth.ends) {
             *sum += count;
         }
     }
-    let minds = |figure: &dyn Fn(&Minds) -> usize| {
-        let seen = || report.minds.iter().filter(|minds| minds.at_s as f64 >= from && figure(minds) > 0);
-        let Some(most) = seen().max_by_key(|minds| (figure(minds), u64::MAX - minds.at_s)) else {
-            return "none".to_owned();
-        };
-        let at = |minds: Option<&Minds>| minds.map_or(0, |minds| minds.at_s);
-        format!(
-            "{} of {} at {} s; {} to {} s",
-            figure(most),
-            most.cores,
-            most.at_s,
-            at(seen().next()),
-            at(seen().next_back())
-        )
-    };
-    let world::Faults { unanswered, doubled, run_twice, after_grace } = report.faults;
-    let faults = if unanswered + doubled + run_twice + after_grace == 0 {
-        "none".to_owned()
-    } else {
-        format!(
-            "{unanswered} unanswered, {doubled} answered twice, {run_twice} run twice, {after_grace} after the grace"
-        )
+    ends.map(|count| count.to_string()).join(" / ")
+}
+
+/// When a signal was seen, and on how many balancers at most.
+fn signal(report: &Report, from: f64, figure: impl Fn(&Minds) -> usize) -> String {
+    let seen = || report.minds.iter().filter(|minds| minds.at_s as f64 >= from && figure(minds) > 0);
+    let Some(most) = seen().max_by_key(|minds| (figure(minds), u64::MAX - minds.at_s)) else {
+        return "none".to_owned();
     };
+    let at = |minds: Option<&Minds>| minds.map_or(0, |minds| minds.at_s);
+    format!(
+        "{} of {} at {} s; {} to {} s",
+        figure(most),
+        most.cores,
+        most.at_s,
+        at(seen().next()),
+        at(seen().next_back())
+    )
+}
+
+fn faults_text(faults: Faults) -> String {
+    let Faults { unanswered, doubled, run_twice, after_grace } = faults;
+    if faults == Faults::default() {
+        return "none".to_owned();
+    }
+    format!(
+        "{unanswered} unanswered, {doubled} answered twice, {run_twice} run twice, {after_grace} after the grace"
+    )
+}
+
+/// The row of a run, in the order of [`COLUMNS`]; `wall_s` are the seconds that it took.
+pub(super) fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
+    let &Played { ref report, trouble, upstreams, busiest_over_mean, reachable } = played;
+    let from = if run.scenario == Scenario::Cold { 0.0 } else { CALM_S };
+    let all = sum(&report.seconds, from, f64::MAX);
+    let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
+    let calls_at_front: u64 = report.seconds.iter().map(|second| second.calls).sum();
     vec![
         run.scenario.name().to_owned(),
         if run.reading == Reading::Front { "front" } else { "hops" }.to_owned(),
@@ -130,31 +169,31 @@
         format!("{}", run.seconds),
         report.cores.to_string(),
         format!("{busiest_over_mean:.1}"),
-        report.seconds.iter().map(|second| second.calls).sum::<u64>().to_string(),
+        calls_at_front.to_string(),
         attempts.to_string(),
         percent(all.served, all.calls),
         percent(all.late, all.calls),
         percent(all.refused, all.calls),
         percent(all.failed, all.calls),
-        phases.join(" / "),
-        worst,
+        phases(report, from, trouble),
+        worst_second(report, from),
         reachable.map_or("-".to_owned(), |part| format!("{:.2}", part * 100.0)),
-        under_half.to_string(),
-        back,
+        seconds_under_half(report).to_string(),
+        recovery(run, report, from, trouble),
         format!("{:.0}", report.time(0.5) * 1e3),
         format!("{:.0}", report.time(0.99) * 1e3),
-        by_depth(&|depth| format!("{:.3}", each(depth.attempts, depth.calls, 1.0))),
-        by_depth(&|depth| format!("{:.1}", each(depth.refused, depth.calls, 1e4))),
-        by_depth(&|depth| format!("{:.1}", each(depth.failed, depth.calls, 1e4))),
-        ends.map(|count| count.to_string()).join(" / "),
+        by_depth(report, |depth| format!("{:.3}", per_call(depth.attempts, depth.calls, 1.0))),
+        by_depth(report, |depth| format!("{:.1}", per_call(depth.refused, depth.calls, 1e4))),
+        by_depth(report, |depth| format!("{:.1}", per_call(depth.failed, depth.calls, 1e4))),
+        ends(report),
         format!("{} / {}", percent(report.crossed.0, attempts), percent(report.crossed.1, attempts)),
         report.cold_starts.to_string(),
         report.pushed_over.to_string(),
-        minds(&|minds| minds.limited),
-        minds(&|minds| minds.aside),
-        minds(&|minds| minds.crowded),
+        signal(report, from, |minds| minds.limited),
+        signal(report, from, |minds| minds.aside),
+        signal(report, from, |minds| minds.crowded),
         report.lists.to_string(),
-        faults,
+        faults_text(report.faults),
         format!("{wall_s:.1} / {} / {} / {:016x}", report.memory_mb, report.events, report.digest),
     ]
 }
