--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -10,7 +10,7 @@
 use crate::CapacityError;
 use crate::decisions::straight;
 use crate::hollow::topology::Topology;
-use crate::hollow::world::{Play, Report, Trouble, World};
+use crate::hollow::world::{Effects, Play, Report, Trouble, TroubledService, World};
 use crate::plan::Plan;
 use crate::slope::{self, Point, Results, Slope};
 
@@ -106,9 +106,9 @@
             memory_mb: MEMORY_MB,
             script: Vec::new(),
             cold: false,
-            trouble: self.trouble.map(|(depth, trouble)| (depth - 1, trouble)),
+            trouble: self.trouble.map(|(depth, trouble)| TroubledService { service: depth - 1, trouble }),
             repeats: self.repeats,
-            effects: self.safe.then_some((1.0, 0.0)),
+            effects: self.safe.then_some(Effects { free: 1.0, keyed: 0.0 }),
         };
         World::new(&plan, &topology, &play)?.run()
     }
--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -20,7 +20,7 @@
 pub mod wheel;
 pub mod world;
 
-use scenario::Scenario;
+use scenario::{Scenario, Script, Span};
 use table::{COLUMNS, KEY, NOTE, row};
 use topology::Topology;
 use world::{Play, Report, Second, Step, World};
@@ -113,8 +113,8 @@
 pub struct Played {
     /// What it gave.
     pub report: Report,
-    /// From when to when the trouble lasted, in seconds.
-    pub trouble: (f64, f64),
+    /// From when to when the trouble lasted.
+    pub trouble: Span,
     /// Upstreams.
     pub upstreams: usize,
     /// Calls a second of the busiest upstream over those of the mean one, as drawn.
@@ -157,14 +157,14 @@
         return Err(CapacityError::Plan(vec![format!("fleet.services: {expected}")]));
     }
     let topology = Topology::draw(plan, reading, seed);
-    let (script, trouble) = scenario.script(plan, &topology, seconds, seed);
-    let reachable = script.iter().find_map(|&(_, step)| reachable_during(step, &topology));
+    let Script { steps, trouble } = scenario.script(plan, &topology, seconds, seed);
+    let reachable = steps.iter().find_map(|timed| reachable_during(timed.step, &topology));
     let play = Play {
         name: scenario.name().to_owned(),
         seconds,
         seed,
         memory_mb,
-        script,
+        script: steps,
         cold: scenario == Scenario::Cold,
         trouble: None,
         repeats: plan.traffic.client_repeats.value,
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -4,7 +4,7 @@
 use oorandom::Rand64;
 
 use super::topology::Topology;
-use super::world::{DRAIN_S, Step};
+use super::world::{DRAIN_S, Step, TimedStep};
 use crate::plan::Plan;
 
 /// Seconds before anything happens, in which the balancers learn.
@@ -33,6 +33,24 @@
     Cold,
 }
 
+/// Virtual seconds from the start, from when to when something lasts.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Span {
+    /// The first second.
+    pub from_s: f64,
+    /// The second at which it is over.
+    pub until_s: f64,
+}
+
+/// What a scenario does to the fleet.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Script {
+    /// The steps, in the order of time.
+    pub steps: Vec<TimedStep>,
+    /// From when to when the trouble lasts.
+    pub trouble: Span,
+}
+
 impl Scenario {
     /// All of them.
     pub const ALL: [Self; 7] =
@@ -66,28 +84,22 @@
         }
     }
 
-    /// What happens, at seconds from the start, and from when to when the trouble lasts.
+    /// What happens, in the order of time, and from when to when the trouble lasts.
     #[must_use]
-    pub fn script(
-        self,
-        plan: &Plan,
-        topology: &Topology,
-        seconds: f64,
-        seed: u64,
-    ) -> (Vec<(f64, Step)>, (f64, f64)) {
+    pub fn script(self, plan: &Plan, topology: &Topology, seconds: f64, seed: u64) -> Script {
         let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
         let trouble = match self {
-            Self::Calm => (seconds, seconds),
+            Self::Calm => Span { from_s: seconds, until_s: seconds },
             Self::Ordinary => writer.ordinary(),
             Self::Replacement => writer.replacement(),
             Self::Rack => writer.rack(),
             Self::Zone => writer.zone(),
             Self::Region => writer.region(),
-            Self::Cold => (0.0, 10.0),
+            Self::Cold => Span { from_s: 0.0, until_s: 10.0 },
         };
         let mut script = writer.script;
-        script.sort_by(|a, b| a.0.total_cmp(&b.0));
-        (script, trouble)
+        script.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+        Script { steps: script, trouble }
     }
 }
 
@@ -102,7 +114,7 @@
     zones: Vec<usize>,
     /// The service of each slot.
     services: Vec<usize>,
-    script: Vec<(f64, Step)>,
+    script: Vec<TimedStep>,
 }
 
 impl<'a> ScriptWriter<'a> {
@@ -122,21 +134,25 @@
         }
     }
 
+    fn add(&mut self, at_s: f64, step: Step) {
+        self.script.push(TimedStep { at_s, step });
+    }
+
     /// A draw from 0 to under `count`.
     fn draw(&mut self, count: usize) -> usize {
         self.rng.rand_range(0..count.max(1) as u64) as usize
     }
 
-    fn ordinary(&mut self) -> (f64, f64) {
+    fn ordinary(&mut self) -> Span {
         let (from, until) = (CALM_S, self.seconds * 0.85);
         self.planned_replacements(from, until);
         let failed = (self.plan.failures.machines_per_day.value.round() as usize).max(1);
         for _ in 0..failed {
             let at = from + (until - from) * self.draw(1000) as f64 / 1000.0;
             let slot = self.draw(self.zones.len());
-            self.script.push((at, Step::Fail(slot)));
+            self.add(at, Step::Fail(slot));
         }
-        (from, until)
+        Span { from_s: from, until_s: until }
     }
 
     /// A day's planned replacements, evenly over the time.
@@ -152,12 +168,12 @@
             });
             if let Some(slot) = free {
                 latest[self.services[slot]] = at;
-                self.script.push((at, Step::Replace(slot)));
+                self.add(at, Step::Replace(slot));
             }
         }
     }
 
-    fn replacement(&mut self) -> (f64, f64) {
+    fn replacement(&mut self) -> Span {
         let each = (self.seconds - CALM_S - DRAIN_S) / STEPS as f64;
         let mut before = vec![0; self.topology.services.len()];
         for slot in 0..self.services.len() {
@@ -166,36 +182,36 @@
             before[service] += 1;
             // Within a step they go one after another over a second.
             let at = CALM_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
-            self.script.push((at, Step::Replace(slot)));
+            self.add(at, Step::Replace(slot));
         }
-        (CALM_S, self.seconds)
+        Span { from_s: CALM_S, until_s: self.seconds }
     }
 
-    fn rack(&mut self) -> (f64, f64) {
+    fn rack(&mut self) -> Span {
         let at = self.seconds * 0.2;
         let zone = self.draw(self.topology.region_of.len());
         let mut here: Vec<usize> = (0..self.zones.len()).filter(|&slot| self.zones[slot] == zone).collect();
         for _ in 0..self.plan.fleet.machines_per_rack.value.min(here.len()) {
             let slot = here.swap_remove(self.draw(here.len()));
-            self.script.push((at, Step::Fail(slot)));
+            self.add(at, Step::Fail(slot));
         }
-        (at, self.seconds * 0.7)
+        Span { from_s: at, until_s: self.seconds * 0.7 }
     }
 
-    fn zone(&mut self) -> (f64, f64) {
+    fn zone(&mut self) -> Span {
         let zone = self.draw(self.topology.region_of.len());
         let (from, until) = (self.seconds * 0.2, self.seconds * 0.55);
-        self.script.push((from, Step::LoseZone(zone)));
-        self.script.push((until, Step::ReturnZone(zone)));
-        (from, until)
+        self.add(from, Step::LoseZone(zone));
+        self.add(until, Step::ReturnZone(zone));
+        Span { from_s: from, until_s: until }
     }
 
-    fn region(&mut self) -> (f64, f64) {
+    fn region(&mut self) -> Span {
         let regions = self.topology.region_of.iter().max().map_or(1, |last| last + 1);
         let region = self.draw(regions);
         let (from, until) = (self.seconds * 0.15, self.seconds * 0.45);
-        self.script.push((from, Step::Cut(region)));
-        self.script.push((until, Step::Heal(region)));
-        (from, until)
+        self.add(from, Step::Cut(region));
+        self.add(until, Step::Heal(region));
+        Span { from_s: from, until_s: until }
     }
 }
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -1,6 +1,6 @@
 //! The table of the runs: a row for each, its columns, and the note that stands below.
 
-use super::scenario::{CALM_S, Scenario};
+use super::scenario::{CALM_S, Scenario, Span};
 use super::world::{Depth, Faults, Minds, Report, Second};
 use super::{Played, Run, sum};
 use crate::plan::Reading;
@@ -71,8 +71,8 @@
 }
 
 /// Served in time before, in and after the trouble.
-fn phases(report: &Report, from: f64, trouble: (f64, f64)) -> String {
-    let phases = [(from, trouble.0), trouble, (trouble.1, f64::MAX)];
+fn phases(report: &Report, from: f64, trouble: Span) -> String {
+    let phases = [(from, trouble.from_s), (trouble.from_s, trouble.until_s), (trouble.until_s, f64::MAX)];
     phases
         .map(|(from, until)| {
             let Second { calls, served, .. } = sum(&report.seconds, from, until);
@@ -96,11 +96,11 @@
 }
 
 /// Seconds after the trouble from which on no second falls under 99 % of what was served before the trouble.
-fn recovery(run: &Run, report: &Report, from: f64, trouble: (f64, f64)) -> String {
-    if trouble.1 >= run.seconds {
+fn recovery(run: &Run, report: &Report, from: f64, trouble: Span) -> String {
+    if trouble.until_s >= run.seconds {
         return "-".to_owned();
     }
-    let calm = served_share(&sum(&report.seconds, from, trouble.0));
+    let calm = served_share(&sum(&report.seconds, from, trouble.from_s));
     let wanted = 0.99 * if calm.is_nan() { 1.0 } else { calm };
     let low = |(_, second): &(u32, &Second)| second.calls > 0 && served_share(second) < wanted;
     let last =
@@ -108,7 +108,7 @@
     if last >= report.seconds.len() as f64 {
         return "not in the run".to_owned();
     }
-    format!("{:.0}", (last - trouble.1).max(0.0))
+    format!("{:.0}", (last - trouble.until_s).max(0.0))
 }
 
 /// A figure of each depth that calls reached.
@@ -186,7 +186,11 @@
         by_depth(report, |depth| format!("{:.1}", per_call(depth.refused, depth.calls, 1e4))),
         by_depth(report, |depth| format!("{:.1}", per_call(depth.failed, depth.calls, 1e4))),
         ends(report),
-        format!("{} / {}", percent(report.crossed.0, attempts), percent(report.crossed.1, attempts)),
+        format!(
+            "{} / {}",
+            percent(report.crossed_zones, attempts),
+            percent(report.crossed_regions, attempts)
+        ),
         report.cold_starts.to_string(),
         report.pushed_over.to_string(),
         signal(report, from, |minds| minds.limited),
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -11,6 +11,15 @@
 /// Rounds in which the parts of the calls are fitted to the sizes of the services.
 const FITS: usize = 20;
 
+/// A service that calls go to, with its share among its siblings as a running sum.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Destination {
+    /// Its number in the topology.
+    pub service: usize,
+    /// The part of the calls, 0 to 1, that go to it or to one before it.
+    pub until: f64,
+}
+
 /// A service.
 #[derive(Debug, Clone)]
 pub struct Service {
@@ -20,8 +29,8 @@
     pub zones: Vec<usize>,
     /// Cores of each of its upstreams.
     pub cores: usize,
-    /// Services that it calls, each with the part of its calls that go to it or one before.
-    pub calls: Vec<(usize, f64)>,
+    /// Services that it calls.
+    pub calls: Vec<Destination>,
     /// Calls a second that it is sized for.
     pub rate: f64,
 }
@@ -31,8 +40,8 @@
 pub struct Topology {
     /// The services, those of depth 1 first.
     pub services: Vec<Service>,
-    /// Services that clients come to, each with the part of the clients that come to it or one before.
-    pub entries: Vec<(usize, f64)>,
+    /// Services that clients come to.
+    pub entries: Vec<Destination>,
     /// The region of each zone.
     pub region_of: Vec<usize>,
     /// The part of the clients in each zone or one before.
@@ -70,6 +79,11 @@
         .collect()
 }
 
+/// Services with their parts of the calls.
+fn destinations(services: &[usize], parts: &[f64]) -> Vec<Destination> {
+    services.iter().zip(running(parts)).map(|(&service, until)| Destination { service, until }).collect()
+}
+
 /// The part of the calls that goes on for at least 1, 2 ... services: each goes on with the same chance, so that the
 /// mean is the wanted one.
 fn reaching(depth: usize, mean: f64) -> Vec<f64> {
@@ -151,7 +165,7 @@
             }
         }
         let parts: Vec<f64> = levels[0].iter().map(|&service| services[service].zones.len() as f64).collect();
-        let entries: Vec<(usize, f64)> = levels[0].iter().copied().zip(running(&parts)).collect();
+        let entries = destinations(&levels[0], &parts);
         for (&entry, part) in levels[0].iter().zip(parts) {
             services[entry].rate = part;
         }
@@ -175,7 +189,11 @@
                 depth: at + 1,
                 zones: vec![0; size],
                 cores: 1,
-                calls: if at + 1 < depth { vec![(at + 1, 1.0)] } else { Vec::new() },
+                calls: if at + 1 < depth {
+                    vec![Destination { service: at + 1, until: 1.0 }]
+                } else {
+                    Vec::new()
+                },
                 rate: 0.0,
             })
             .collect();
@@ -183,7 +201,7 @@
         lengths[depth - 1] = 1.0;
         let mut topology = Self {
             services,
-            entries: vec![(0, 1.0)],
+            entries: vec![Destination { service: 0, until: 1.0 }],
             region_of: vec![0],
             clients: vec![1.0],
             fronts: vec![0; FRONTS],
@@ -200,7 +218,7 @@
             service.rate = 0.0;
         }
         let mut before = 0.0;
-        for &(service, until) in &self.entries {
+        for &Destination { service, until } in &self.entries {
             self.services[service].rate += self.front_per_s * (until - before);
             before = until;
         }
@@ -208,7 +226,7 @@
             let Service { depth, rate, ref calls, .. } = self.services[service];
             let on = reaching.get(depth).map_or(0.0, |below| below / reaching[depth - 1]);
             let mut before = 0.0;
-            for (called, until) in calls.clone() {
+            for Destination { service: called, until } in calls.clone() {
                 self.services[called].rate += rate * on * (until - before);
                 before = until;
             }
@@ -225,9 +243,9 @@
     #[must_use]
     pub fn reachable(&self, up: impl Fn(usize) -> bool) -> f64 {
         let longer = |than: usize| 1.0 - than.checked_sub(1).map_or(0.0, |at| self.lengths[at]);
-        let parted = |calls: &[(usize, f64)], found: &[f64]| {
+        let parted = |calls: &[Destination], found: &[f64]| {
             let mut before = 0.0;
-            calls.iter().fold(0.0, |sum, &(called, until)| {
+            calls.iter().fold(0.0, |sum, &Destination { service: called, until }| {
                 let part = until - before;
                 before = until;
                 sum + part * found[called]
@@ -336,6 +354,6 @@
         services[below].rate = rate;
     }
     for ((&above, called), parts) in upper.iter().zip(called).zip(parts) {
-        services[above].calls = called.into_iter().zip(running(&parts)).collect();
+        services[above].calls = destinations(&called, &parts);
     }
 }
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -30,8 +30,10 @@
 mod state;
 mod upstreams;
 
-/// Between looks at the memory, and between looks at what changed its mind.
-const LOOK_S: (f64, f64) = (0.25, 1.0);
+/// Virtual seconds between looks at the memory in use: short, so that a run ends soon after it passes its bound.
+const MEMORY_LOOK_S: f64 = 0.25;
+/// Virtual seconds between looks at the signals of the balancers: the seconds of the report.
+const SIGNAL_LOOK_S: f64 = 1.0;
 
 fn ns(seconds: f64) -> u64 {
     (seconds * 1e9) as u64
@@ -52,6 +54,33 @@
     Halved,
 }
 
+/// Parts of the calls, 0 to 1, by how they may be repeated; the rest never may.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Effects {
+    /// Those that may be repeated freely.
+    pub free: f64,
+    /// Those that may be repeated with an idempotency key.
+    pub keyed: f64,
+}
+
+/// A service that does not do its work.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct TroubledService {
+    /// Its number in the topology.
+    pub service: usize,
+    /// What it does in place of its work.
+    pub trouble: Trouble,
+}
+
+/// A step of a scenario with its time.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct TimedStep {
+    /// Virtual seconds from the start.
+    pub at_s: f64,
+    /// What happens.
+    pub step: Step,
+}
+
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct Play {
@@ -63,16 +92,16 @@
     pub seed: u64,
     /// MB that the process may use.
     pub memory_mb: u64,
-    /// What happens, at seconds from the start, in their order.
-    pub script: Vec<(f64, Step)>,
+    /// What happens, in the order of time.
+    pub script: Vec<TimedStep>,
     /// All processes have just started.
     pub cold: bool,
     /// A service that does not do its work.
-    pub trouble: Option<(usize, Trouble)>,
+    pub trouble: Option<TroubledService>,
     /// Repeats by a client at most.
     pub repeats: u32,
-    /// Part of the calls that may be repeated freely, and with a key; `None` for the usual parts.
-    pub effects: Option<(f64, f64)>,
+    /// Parts of the calls by how they may be repeated; `None` for the usual parts.
+    pub effects: Option<Effects>,
 }
 
 /// The fleet at work.
@@ -173,17 +202,17 @@
     /// The slots of all services, and the number of each of their balancers among those that call the same service.
     fn add_slots(&mut self) {
         let topology = self.topology;
-        for &(entry, _) in &topology.entries {
-            self.callers[entry] = topology.fronts.len() as u32;
+        for entry in &topology.entries {
+            self.callers[entry.service] = topology.fronts.len() as u32;
         }
         for (number, service) in topology.services.iter().enumerate() {
             for &zone in &service.zones {
                 let index = service
                     .calls
                     .iter()
-                    .map(|&(called, _)| {
-                        self.callers[called] += 1;
-                        self.callers[called] - 1
+                    .map(|called| {
+                        self.callers[called.service] += 1;
+                        self.callers[called.service] - 1
                     })
                     .collect();
                 self.slots.push(Slot { service: number, zone, process: None, index });
@@ -193,8 +222,8 @@
 
     /// A process in each slot and all fronts. Balancers come after all processes, so that their first lists are whole.
     fn add_first_processes(&mut self) -> Result<(), CapacityError> {
-        let halved =
-            self.play.trouble.filter(|&(_, trouble)| trouble == Trouble::Halved).map(|(service, _)| service);
+        let halved = self.play.trouble.filter(|troubled| troubled.trouble == Trouble::Halved);
+        let halved = halved.map(|troubled| troubled.service);
         let mut seen = vec![0; self.topology.services.len()];
         for slot in 0..self.slots.len() {
             let process = self.add_process(slot, self.play.cold.then_some(0));
@@ -216,10 +245,10 @@
 
     fn schedule_first_events(&mut self) {
         self.due.push(0, Due::Client);
-        self.due.push(ns(LOOK_S.0), Due::Look);
-        self.due.push(ns(LOOK_S.1), Due::LookAtMinds);
-        for (number, &(at, _)) in self.play.script.iter().enumerate() {
-            self.due.push(ns(at), Due::Script(number as u32));
+        self.due.push(ns(MEMORY_LOOK_S), Due::Look);
+        self.due.push(ns(SIGNAL_LOOK_S), Due::LookAtMinds);
+        for (number, timed) in self.play.script.iter().enumerate() {
+            self.due.push(ns(timed.at_s), Due::Script(number as u32));
         }
     }
 
@@ -244,8 +273,8 @@
             self.happen(due, last)?;
         }
         let owed = |hop: &Hop, cores: &[Core]| !hop.answered && cores[hop.core as usize].balancer.is_some();
-        for (_, held, hop) in &self.hops.entries {
-            if *held && owed(hop, &self.cores) {
+        for entry in &self.hops.entries {
+            if entry.occupied && owed(&entry.value, &self.cores) {
                 self.report.faults.unanswered += 1;
             }
         }
@@ -279,7 +308,7 @@
 
     /// Notes the memory in use, and ends the run where it passes its bound.
     fn look_at_memory(&mut self) -> Result<(), CapacityError> {
-        self.due.push(self.now + ns(LOOK_S.0), Due::Look);
+        self.due.push(self.now + ns(MEMORY_LOOK_S), Due::Look);
         let used_mb = resident_bytes()? >> 20;
         self.report.memory_mb = self.report.memory_mb.max(used_mb);
         if used_mb > self.play.memory_mb {
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -10,8 +10,10 @@
 use super::state::{Attempt, End, State};
 use super::{World, ns};
 
-/// Until a balancer closes an attempt's wait for a connection: not its last one, and its last one.
-const CONNECT: (f64, f64) = (1.0 / 16.0, 1.0);
+/// Seconds that a balancer waits for a connection, where another attempt may follow.
+const CONNECT_WAIT_S: f64 = 1.0 / 16.0;
+/// Seconds that it waits at its last attempt.
+const LAST_CONNECT_WAIT_S: f64 = 1.0;
 
 impl World<'_> {
     pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
@@ -52,8 +54,8 @@
         let depth = self.depth_of(core);
         self.report.depths[depth].attempts += 1;
         let regions = &self.topology.region_of;
-        self.report.crossed.0 += u64::from(from != to && regions[from] == regions[to]);
-        self.report.crossed.1 += u64::from(regions[from] != regions[to]);
+        self.report.crossed_zones += u64::from(from != to && regions[from] == regions[to]);
+        self.report.crossed_regions += u64::from(regions[from] != regions[to]);
         let state = self.processes[process as usize].state;
         let cut = self.is_cut(from, to);
         let one = self.delay(from, to);
@@ -69,7 +71,7 @@
         } else if connected {
             (now + wait, reply(Outcome::TimedOut), 0)
         } else if cut || state == State::Lost {
-            let wait = wait.min(ns(if is_last_attempt { CONNECT.1 } else { CONNECT.0 }));
+            let wait = wait.min(ns(if is_last_attempt { LAST_CONNECT_WAIT_S } else { CONNECT_WAIT_S }));
             (now + wait, reply(Outcome::ConnectTimedOut), wait)
         } else if state == State::Ended {
             (now + 2 * one, reply(Outcome::ConnectFailed), 2 * one)
--- a/crates/capacity/src/hollow/world/clients.rs
+++ b/crates/capacity/src/hollow/world/clients.rs
@@ -3,11 +3,11 @@
 use super::event::Due;
 use super::report::Second;
 use super::state::{Client, End, Parent};
-use super::{World, ns};
+use super::{Effects, World, ns};
 use crate::hollow::topology::place;
 
-/// Parts of the calls that may be repeated freely, and with a key; the others never.
-const EFFECTS: (f64, f64) = (0.7, 0.15);
+/// The usual parts of the calls by how they may be repeated.
+const EFFECTS: Effects = Effects { free: 0.7, keyed: 0.15 };
 /// A client waits this long, and up to as much again, before it comes again.
 const AGAIN_S: f64 = 0.1;
 
@@ -32,10 +32,10 @@
         let here: Vec<usize> =
             (0..topology.fronts.len()).filter(|&front| topology.fronts[front] == zone).collect();
         let front = here[self.rng.rand_range(0..here.len() as u64) as usize];
-        let entry = place(topology.entries.iter().map(|&(_, until)| until), self.rng.rand_float());
+        let entry = place(topology.entries.iter().map(|entry| entry.until), self.rng.rand_float());
         let left = 1 + place(topology.lengths.iter().copied(), self.rng.rand_float());
         let draw = self.rng.rand_float();
-        let (free, keyed) = self.play.effects.unwrap_or(EFFECTS);
+        let Effects { free, keyed } = self.play.effects.unwrap_or(EFFECTS);
         let class = u8::from(draw >= free) + u8::from(draw >= free + keyed);
         let client = Client {
             came: self.now,
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -11,8 +11,10 @@
 use super::state::Process;
 use super::{World, ns};
 
-/// A list comes this late, and up to this much later by balancer.
-pub(super) const LIST: (f64, f64) = (0.2, 0.3);
+/// Seconds that a list takes to each balancer at least.
+pub(super) const LIST_DELAY_MIN_S: f64 = 0.2;
+/// Seconds that it takes longer at most, drawn for each balancer, as watches are not served all at once.
+pub(super) const LIST_DELAY_SPREAD_S: f64 = 0.3;
 
 impl World<'_> {
     pub(super) fn member(&self, process: u32) -> Member {
@@ -70,7 +72,7 @@
                 self.cores[core as usize].missed = true;
                 continue;
             }
-            let at = self.now + ns(LIST.0 + LIST.1 * self.rng.rand_float());
+            let at = self.now + ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S * self.rng.rand_float());
             let at = at.max(self.cores[core as usize].listed_at);
             self.cores[core as usize].listed_at = at;
             self.due.push(at, Due::List { core, change });
--- a/crates/capacity/src/hollow/world/minds.rs
+++ b/crates/capacity/src/hollow/world/minds.rs
@@ -3,23 +3,23 @@
 use balancer_policy::interface::Lifecycle;
 
 use super::event::Due;
-use super::lists::LIST;
+use super::lists::{LIST_DELAY_MIN_S, LIST_DELAY_SPREAD_S};
 use super::report::Minds;
 use super::settings::QUOTAS;
-use super::upstreams::COLD;
-use super::{LOOK_S, World, ns};
+use super::upstreams::COLD_S;
+use super::{SIGNAL_LOOK_S, World, ns};
 
 impl World<'_> {
     pub(super) fn look_at_minds(&mut self) {
-        self.due.push(self.now + ns(LOOK_S.1), Due::LookAtMinds);
+        self.due.push(self.now + ns(SIGNAL_LOOK_S), Due::LookAtMinds);
         let mut minds = Minds { at_s: (self.now + 500_000_000) / 1_000_000_000, ..Minds::default() };
         // While a list changes or one of it is cold, the figure that falls with those set aside falls with these.
-        let late = ns(LIST.0 + LIST.1);
+        let late = ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S);
         let unclear: Vec<bool> = (0..self.listed.len())
             .map(|service| {
                 let cold = |&process: &u32| {
                     let started = self.processes[process as usize].started;
-                    started.is_some_and(|started| self.now < started + ns(COLD.1) + late)
+                    started.is_some_and(|started| self.now < started + ns(COLD_S) + late)
                 };
                 self.cut.is_some()
                     || self.changed[service].is_some_and(|at| self.now < at + 2 * late)
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -41,9 +41,9 @@
         let topology = self.topology;
         let slot = self.processes[process].slot;
         let Slot { service, zone, .. } = self.slots[slot];
-        for (number, &(called, _)) in topology.services[service].calls.iter().enumerate() {
+        for (number, called) in topology.services[service].calls.iter().enumerate() {
             let index = self.slots[slot].index[number];
-            let core = self.add_core(false, called, zone, index)?;
+            let core = self.add_core(false, called.service, zone, index)?;
             self.processes[process].cores.push(core);
         }
         Ok(())
@@ -53,8 +53,8 @@
         let topology = self.topology;
         self.fronts[front].clear();
         self.front_up[front] = true;
-        for &(entry, _) in &topology.entries {
-            let core = self.add_core(true, entry, topology.fronts[front], front as u32)?;
+        for entry in &topology.entries {
+            let core = self.add_core(true, entry.service, topology.fronts[front], front as u32)?;
             self.fronts[front].push(core);
         }
         Ok(())
@@ -121,8 +121,8 @@
         // In the order of their numbers.
         let held: Vec<u64> = (0..)
             .zip(&self.works.entries)
-            .filter(|(_, (_, held, work))| *held && work.process as usize == number)
-            .map(|(place, (generation, ..))| u64::from(*generation) << 32 | place)
+            .filter(|(_, entry)| entry.occupied && entry.value.process as usize == number)
+            .map(|(place, entry)| u64::from(entry.generation) << 32 | place)
             .collect();
         for id in held {
             let Some(work) = self.works.get(id) else { continue };
--- a/crates/capacity/src/hollow/world/report.rs
+++ b/crates/capacity/src/hollow/world/report.rs
@@ -82,8 +82,10 @@
     pub minds: Vec<Minds>,
     /// Of what must never be.
     pub faults: Faults,
-    /// Attempts that crossed zones within a region, and between regions.
-    pub crossed: (u64, u64),
+    /// Attempts that crossed zones within a region.
+    pub crossed_zones: u64,
+    /// Attempts that crossed regions.
+    pub crossed_regions: u64,
     /// Times from a client's call to its good answer, in us, by power of two and eighths.
     pub times: Vec<u64>,
     /// Decision cores at the start.
--- a/crates/capacity/src/hollow/world/script.rs
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -5,7 +5,7 @@
 use balancer_policy::interface::Lifecycle;
 
 use super::event::Due;
-use super::lists::LIST;
+use super::lists::{LIST_DELAY_MIN_S, LIST_DELAY_SPREAD_S};
 use super::state::State;
 use super::{World, ns};
 use crate::CapacityError;
@@ -34,7 +34,7 @@
 
 impl World<'_> {
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
-        match self.play.script[number].1 {
+        match self.play.script[number].step {
             Step::Replace(slot) => self.replace(slot),
             Step::Fail(slot) => {
                 self.lose(slot);
@@ -100,7 +100,7 @@
             if self.topology.region_of[self.cores[core].zone] == region
                 && mem::take(&mut self.cores[core].missed)
             {
-                let at = self.now + ns(LIST.0 + LIST.1 * self.rng.rand_float());
+                let at = self.now + ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S * self.rng.rand_float());
                 self.cores[core].listed_at = at;
                 self.due.push(at, Due::Whole(core as u32));
             }
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -9,7 +9,7 @@
 };
 
 use super::World;
-use super::upstreams::{COLD, OVERLOAD};
+use super::upstreams::{COLD_PART, COLD_S, OVERLOAD_MULTIPLE, OVERLOAD_S};
 
 /// Time in which sends to a draining or gone upstream must end.
 pub(super) const GRACE_S: f64 = 1.0;
@@ -59,10 +59,10 @@
                 answer_slack: Duration::from_millis(20),
                 drain_grace: Duration::from_secs_f64(GRACE_S),
                 poll_interval_max: None,
-                slow_start_min_fraction: COLD.0,
-                slow_start_window: Duration::from_secs_f64(COLD.1),
-                overload_multiple: OVERLOAD.0,
-                overload_window: Duration::from_secs_f64(OVERLOAD.1),
+                slow_start_min_fraction: COLD_PART,
+                slow_start_window: Duration::from_secs_f64(COLD_S),
+                overload_multiple: OVERLOAD_MULTIPLE,
+                overload_window: Duration::from_secs_f64(OVERLOAD_S),
             },
             costs: Costs {
                 cross_zone: 0.02,
--- a/crates/capacity/src/hollow/world/upstreams.rs
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -5,13 +5,17 @@
 
 use super::event::Due;
 use super::state::{Parent, Process, Slot, State, Work};
-use super::{Trouble, World, ns, seconds};
+use super::{Trouble, TroubledService, World, ns, seconds};
 use crate::hollow::topology::place;
 
-/// Part of its capacity with which a process starts, and the time until it has all of it.
-pub(super) const COLD: (f64, f64) = (0.3, 8.0);
-/// A cold process falls over when it is sent this many times what it can do, for this long.
-pub(super) const OVERLOAD: (f64, f64) = (2.8, 1.6);
+/// Part of its capacity with which a process starts, 0 to 1.
+pub(super) const COLD_PART: f64 = 0.3;
+/// Seconds from its start until a process has all of its capacity.
+pub(super) const COLD_S: f64 = 8.0;
+/// A cold process falls over when it is sent more than this many times what it can do...
+pub(super) const OVERLOAD_MULTIPLE: f64 = 2.8;
+/// ...in a window of this many seconds.
+pub(super) const OVERLOAD_S: f64 = 1.6;
 /// A process that fell over is started again after this.
 const FALLEN_S: f64 = 2.0;
 /// Requests waiting for each core before more are turned away unseen.
@@ -20,7 +24,7 @@
 const PLACES: usize = 400;
 
 pub(super) fn warmth(age_s: f64) -> f64 {
-    (COLD.0 + (1.0 - COLD.0) * age_s / COLD.1).min(1.0)
+    (COLD_PART + (1.0 - COLD_PART) * age_s / COLD_S).min(1.0)
 }
 
 impl World<'_> {
@@ -45,11 +49,13 @@
         let depth = self.topology.services[service].depth - 1;
         self.report.depths[depth].reached += 1;
         match self.play.trouble {
-            Some((troubled, Trouble::Failing)) if troubled == service => {
+            Some(TroubledService { service: troubled, trouble: Trouble::Failing }) if troubled == service => {
                 self.begins(id);
                 return self.reply(zone, id, number, Outcome::Error);
             }
-            Some((troubled, Trouble::Silent)) if troubled == service => return self.begins(id),
+            Some(TroubledService { service: troubled, trouble: Trouble::Silent }) if troubled == service => {
+                return self.begins(id);
+            }
             _ => {}
         }
         if self.falls_over(process) {
@@ -78,22 +84,22 @@
     /// Whether a cold process has been sent more in the window than it can bear, by the sum over all balancers.
     pub(super) fn falls_over(&mut self, number: usize) -> bool {
         let now = self.now;
-        let cold = ns(COLD.1);
+        let cold = ns(COLD_S);
         let Process { started: Some(started), slot, .. } = self.processes[number] else { return false };
         if now - started >= cold {
             return false;
         }
         let window = &mut self.processes[number].window;
         window.push_back(now);
-        while window.front().is_some_and(|&at| at + ns(OVERLOAD.1) < now) {
+        while window.front().is_some_and(|&at| at + ns(OVERLOAD_S) < now) {
             window.pop_front();
         }
         let sent = window.len() as f64;
         let age = seconds(now - started);
         let cores = self.topology.services[self.slots[slot].service].cores as f64;
-        let middle = (age - OVERLOAD.1 / 2.0).max(age / 2.0);
+        let middle = (age - OVERLOAD_S / 2.0).max(age / 2.0);
         let rate = cores / (self.plan.traffic.work_ms.value / 1e3) * warmth(middle);
-        let budget = OVERLOAD.0 * rate * OVERLOAD.1.min(age.max(0.1));
+        let budget = OVERLOAD_MULTIPLE * rate * OVERLOAD_S.min(age.max(0.1));
         sent > budget + 2.0 * budget.sqrt() + 2.0
     }
 
@@ -149,7 +155,7 @@
         if left <= 1 || calls.is_empty() {
             self.work_over(id, Outcome::Success);
         } else {
-            let call = place(calls.iter().map(|&(_, until)| until), self.rng.rand_float());
+            let call = place(calls.iter().map(|call| call.until), self.rng.rand_float());
             let core = self.processes[process].cores[call];
             self.open(core, Parent::Work(id), class, left - 1, deadline);
         }
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -5,8 +5,8 @@
 use std::process::Command;
 
 use capacity::CapacityError;
-use capacity::hollow::scenario::Scenario;
-use capacity::hollow::topology::Topology;
+use capacity::hollow::scenario::{Scenario, Span};
+use capacity::hollow::topology::{Destination, Topology};
 use capacity::hollow::wheel::Wheel;
 use capacity::hollow::world::{Faults, Report};
 use capacity::hollow::{Played, Run, play, scaled, sum};
@@ -71,7 +71,7 @@
     let played = small(Scenario::Region, 1, 24.0);
     let swallowed: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
     assert!(swallowed > 0, "no attempt met the cut");
-    let (from, until) = played.trouble;
+    let Span { from_s: from, until_s: until } = played.trouble;
     let within = served_in_time(&played.report, from, until);
     let reachable = played.reachable.expect("a cut leaves a part of the calls without an upstream");
     assert!(0.5 < reachable && reachable < 1.0, "{reachable}");
@@ -83,7 +83,7 @@
     let played = small(Scenario::Zone, 2, 24.0);
     assert!(played.report.cold_starts > 0);
     assert!(played.report.lists > 0);
-    let after = served_in_time(&played.report, played.trouble.1 + 6.0, 24.0);
+    let after = served_in_time(&played.report, played.trouble.until_s + 6.0, 24.0);
     assert!(after > 0.9, "{after}");
 }
 
@@ -95,13 +95,13 @@
         assert_eq!(topology.services.len(), plan.fleet.services.value);
         let upstreams: usize = topology.services.iter().map(|service| service.zones.len()).sum();
         assert_eq!(upstreams, plan.fleet.upstreams.value);
-        let mut called: HashSet<usize> = topology.entries.iter().map(|&(entry, _)| entry).collect();
+        let mut called: HashSet<usize> = topology.entries.iter().map(|entry| entry.service).collect();
         for service in &topology.services {
-            for &(below, _) in &service.calls {
+            for &Destination { service: below, .. } in &service.calls {
                 assert_eq!(topology.services[below].depth, service.depth + 1);
                 called.insert(below);
             }
-            let last = service.calls.last().map_or(1.0, |&(_, until)| until);
+            let last = service.calls.last().map_or(1.0, |call| call.until);
             assert!((last - 1.0).abs() < 1e-9);
             assert_eq!(service.calls.is_empty(), service.depth == plan.graph.depth.value);
         }
