--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -11,7 +11,7 @@
 use clap::{Args, ValueEnum};
 
 use crate::CapacityError;
-use crate::plan::{Plan, Reading};
+use crate::plan::{Plan, PlanFault, Reading};
 use crate::slope::{self, Results};
 
 pub mod scenario;
@@ -153,8 +153,10 @@
         return Err(CapacityError::Argument { name: "seconds", expected: "5 to 3600".to_owned() });
     }
     if plan.fleet.services.value < plan.graph.depth.value {
-        let expected = "as many services as graph.depth at least, one for each depth".to_owned();
-        return Err(CapacityError::Plan(vec![format!("fleet.services: {expected}")]));
+        return Err(CapacityError::Plan(vec![PlanFault {
+            place: "fleet.services",
+            expected: "as many services as graph.depth at least, one for each depth",
+        }]));
     }
     let topology = Topology::draw(plan, reading, seed);
     let Script { steps, trouble } = scenario.script(plan, &topology, seconds, seed);
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -6,6 +6,8 @@
 
 use thiserror::Error;
 
+use crate::plan::PlanFault;
+
 pub mod arithmetic;
 pub mod control;
 pub mod decisions;
@@ -21,6 +23,11 @@
 pub mod sockets;
 pub mod world;
 
+/// Faults of a plan, each on a line of its own and indented after the first.
+fn lines(faults: &[PlanFault]) -> String {
+    faults.iter().map(PlanFault::to_string).collect::<Vec<_>>().join("\n  ")
+}
+
 /// What ends a run.
 #[derive(Debug, Error)]
 pub enum CapacityError {
@@ -36,8 +43,8 @@
         cause: String,
     },
     /// The plan contradicts itself.
-    #[error("the plan contradicts itself:\n  {}", .0.join("\n  "))]
-    Plan(Vec<String>),
+    #[error("the plan contradicts itself:\n  {}", lines(.0))]
+    Plan(Vec<PlanFault>),
     /// An argument outside its range.
     #[error("--{name}: {expected}")]
     Argument {
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -10,6 +10,8 @@
 
 mod checks;
 
+pub use checks::PlanFault;
+
 /// Where a figure is from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -1,18 +1,30 @@
 //! What the figures of a plan must satisfy together. A plan that contradicts itself would give figures that look sound, so
 //! that all its faults are named at once, each with its place, before anything is played.
 
+use thiserror::Error;
+
 use super::{Deal, Plan, UPSTREAMS_MOST};
 
 /// Difference from 1 up to which shares count as a whole: decimal fractions do not sum up exactly.
 const WHOLE_WITHIN: f64 = 1e-6;
 
-/// The faults found so far, each as its place in the plan and what is expected there.
-struct Faults(Vec<String>);
+/// A figure of a plan that contradicts another one, or is out of its range.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("{place}: {expected}")]
+pub struct PlanFault {
+    /// The figure's place in the plan's file, as `section.name`.
+    pub place: &'static str,
+    /// What is expected there.
+    pub expected: &'static str,
+}
+
+/// The faults found so far.
+struct Faults(Vec<PlanFault>);
 
 impl Faults {
-    fn want(&mut self, holds: bool, place: &str, expected: &str) {
+    fn want(&mut self, holds: bool, place: &'static str, expected: &'static str) {
         if !holds {
-            self.0.push(format!("{place}: {expected}"));
+            self.0.push(PlanFault { place, expected });
         }
     }
 }
@@ -24,7 +36,7 @@
 
 impl Plan {
     /// All faults of the plan, in the order of its sections; figures that must be positive come last.
-    pub(super) fn faults(&self) -> Vec<String> {
+    pub(super) fn faults(&self) -> Vec<PlanFault> {
         let mut faults = Faults(Vec::new());
         self.check_fleet(&mut faults);
         self.check_graph(&mut faults);
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -22,7 +22,7 @@
 
 fn faults(text: &str) -> Vec<String> {
     match Plan::parse(text) {
-        Err(CapacityError::Plan(faults)) => faults,
+        Err(CapacityError::Plan(faults)) => faults.iter().map(ToString::to_string).collect(),
         other => panic!("{other:?}"),
     }
 }
