--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -4,7 +4,7 @@
 
 use self::control::{balancer_control, control_machines, registrant};
 use self::data_path::{all_tiers, data_path};
-pub use self::measured::Measured;
+pub use self::measured::{CostAt, Measured};
 pub use self::mechanism::Mechanism;
 pub use self::need::{Basis, Cost, Figure, Need, Played, Read, Requirement, Term};
 pub use self::occasion::Occasion;
--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -2,9 +2,9 @@
 
 use super::MB_PER_KIB;
 use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, ORIGIN, RELAY};
-use super::need::{Cost, Need, Read, Requirement};
+use super::need::{Cost, Need, Read, Requirement, Term};
 use super::occasion::Occasion;
-use super::role::{Part, Role};
+use super::role::Role;
 use crate::plan::Plan;
 
 /// Bytes of an empty line of a watch as one chunk of HTTP/1.1.
@@ -12,9 +12,9 @@
 
 /// What lists and configuration cost on the wire on an occasion, for so many balancers.
 struct Told {
-    list: [Part; 3],
+    list: [Term; 3],
     list_reckoned: f64,
-    configuration: [Part; 2],
+    configuration: [Term; 2],
     /// What is by the plan in either case: documents caught up with, and those longer than the measured one.
     configuration_plain: f64,
     configuration_reckoned: f64,
@@ -36,14 +36,18 @@
         let changes = on.changes * on.own;
         Self {
             list: [
-                ("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
-                ("control.list_change_bytes_by_changes", Read::OneMore, balancers * on.lines),
-                ("control.list_whole_bytes_by_upstreams", Read::At(upstreams), balancers * wholes),
+                Term::of("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                Term::of("control.list_change_bytes_by_changes", Read::OneMore, balancers * on.lines),
+                Term::of("control.list_whole_bytes_by_upstreams", Read::At(upstreams), balancers * wholes),
             ],
             list_reckoned: balancers * (beat + lines + wholes * whole),
             configuration: [
-                ("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
-                ("control.configuration_change_bytes_by_watchers", Read::OneMore, balancers * changes),
+                Term::of("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                Term::of(
+                    "control.configuration_change_bytes_by_watchers",
+                    Read::OneMore,
+                    balancers * changes,
+                ),
             ],
             configuration_plain: balancers * (longer + caught_up),
             configuration_reckoned: balancers * (beat + on.changes * on.own_bytes + caught_up),
@@ -87,10 +91,10 @@
     whole: f64,
     /// Bytes of the documents that it uses.
     own_documents: f64,
-    list_core: [Part; 3],
-    configuration_core: [Part; 2],
-    list_memory: [Part; 1],
-    configuration_memory: [Part; 1],
+    list_core: [Term; 3],
+    configuration_core: [Term; 2],
+    list_memory: [Term; 1],
+    configuration_memory: [Term; 1],
     budget: Budget,
 }
 
@@ -106,18 +110,19 @@
         let upstreams = plan.fleet.upstreams.value as f64;
         let within = plan.configuration.in_force_s.value;
         let told = Told::of(plan, on, 1.0);
-        let list_core: [Part; 3] = [
-            ("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
-            ("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
-            ("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
+        let list_core: [Term; 3] = [
+            Term::of("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
+            Term::of("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
+            Term::of("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
         ];
-        let configuration_core: [Part; 2] = [
-            ("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
-            ("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
+        let configuration_core: [Term; 2] = [
+            Term::of("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
+            Term::of("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
         ];
-        let list_memory: [Part; 1] = [("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
-        let configuration_memory: [Part; 1] =
-            [("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
+        let list_memory: [Term; 1] =
+            [Term::of("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
+        let configuration_memory: [Term; 1] =
+            [Term::of("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
         Self {
             told,
             whole: plan.whole_list_bytes() as f64,
@@ -271,8 +276,8 @@
             "cores",
             0.0,
             &[
-                ("control.configuration_server_core_by_watchers", Read::At(below + balancers), 1.0),
-                (
+                Term::of("control.configuration_server_core_by_watchers", Read::At(below + balancers), 1.0),
+                Term::of(
                     "control.configuration_change_server_us_by_watchers",
                     Read::OneMore,
                     (to_relays.taken + to_balancers.taken) / 1e6,
@@ -285,7 +290,11 @@
             "a relay with so many children and all documents",
             "MB",
             0.0,
-            &[("control.configuration_server_kb_by_watchers", Read::At(below + balancers), MB_PER_KIB)],
+            &[Term::of(
+                "control.configuration_server_kb_by_watchers",
+                Read::At(below + balancers),
+                MB_PER_KIB,
+            )],
             memory,
         );
     }
@@ -319,8 +328,8 @@
         "cores",
         0.0,
         &[
-            ("control.list_server_core_by_watchers", Read::At(readers), 1.0),
-            ("control.list_change_server_us_by_watchers", Read::OneMore, readers * on.lines / 1e6),
+            Term::of("control.list_server_core_by_watchers", Read::At(readers), 1.0),
+            Term::of("control.list_change_server_us_by_watchers", Read::OneMore, readers * on.lines / 1e6),
         ],
         core,
     );
@@ -329,7 +338,7 @@
         "its readers' watches, at a stand-in",
         "MB",
         0.0,
-        &[("control.list_server_kb_by_watchers", Read::At(readers), MB_PER_KIB)],
+        &[Term::of("control.list_server_kb_by_watchers", Read::At(readers), MB_PER_KIB)],
         memory,
     );
 }
@@ -347,8 +356,8 @@
         &[],
         Some(plan.budget.bytes_per_s.value),
     );
-    let unknown: [Part; 1] =
-        [("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
+    let unknown: [Term; 1] =
+        [Term::of("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
     role.row(Cost::Processor, "renewals", "cores", 0.0, &unknown, Some(plan.budget.core_share.value));
     role.row(Cost::Memory, "its own entry", "MB", entry / 1e6, &[], Some(plan.budget.memory_mb.value));
 }
--- a/crates/capacity/src/arithmetic/data_path.rs
+++ b/crates/capacity/src/arithmetic/data_path.rs
@@ -2,7 +2,7 @@
 
 use super::MB_PER_KIB;
 use super::mechanism::DECISIONS;
-use super::need::{Cost, Need, Read, Requirement};
+use super::need::{Cost, Need, Read, Requirement, Term};
 use super::occasion::Occasion;
 use super::role::Role;
 use crate::plan::{Plan, Reading};
@@ -34,7 +34,7 @@
         "calls/s x time of one at all upstreams, which was played at the mean rate at the front; budget: its one thread",
         "cores",
         0.0,
-        &[("process.request_us_by_upstreams", Read::At(upstreams), rate / 1e6)],
+        &[Term::of("process.request_us_by_upstreams", Read::At(upstreams), rate / 1e6)],
         Some(1.0),
     )
     .past = (rate / plan.mean_rate(Reading::Front)).max(1.0);
@@ -44,9 +44,9 @@
         "MB",
         0.0,
         &[
-            ("process.memory_loaded_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB),
-            ("decisions.bytes_by_tenants", Read::Beyond(tenants), 1e-6),
-            ("decisions.bytes_by_in_flight", Read::Beyond(held), 1e-6),
+            Term::of("process.memory_loaded_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB),
+            Term::of("decisions.bytes_by_tenants", Read::Beyond(tenants), 1e-6),
+            Term::of("decisions.bytes_by_in_flight", Read::Beyond(held), 1e-6),
         ],
         Some(memory),
     );
@@ -61,7 +61,7 @@
         "added to a call, 99 in 100, at this rate",
         "ms",
         0.0,
-        &[(slope, Read::At(rate), 1e-3)],
+        &[Term::of(slope, Read::At(rate), 1e-3)],
         Some(plan.traffic.added_ms.value),
     );
 }
@@ -77,7 +77,7 @@
     let headroom = Some(plan.traffic.headroom.value);
     let formula = "attempts at the deepest tier for one call at the front, while that tier fails all; reckoned: attempts to the power of depth";
     if on.trouble {
-        let slope = ("depth.attempts_by_depth", Read::At(depth), 1.0);
+        let slope = Term::of("depth.attempts_by_depth", Read::At(depth), 1.0);
         role.row(Cost::Repeats, formula, "attempts", 0.0, &[slope], headroom).instead =
             Some(f64::from(plan.traffic.attempts.value).powf(depth));
         role.row(
@@ -85,7 +85,7 @@
             "calls refused or failed at all tiers for one call at the front, while the deepest fails all",
             "calls",
             0.0,
-            &[("depth.refusals_by_depth", Read::At(depth), 1.0)],
+            &[Term::of("depth.refusals_by_depth", Read::At(depth), 1.0)],
             None,
         );
     } else {
@@ -104,7 +104,7 @@
         "what the deadline told leaves to a call before the deepest tier, where nothing is in trouble",
         "ms",
         0.0,
-        &[("depth.deadline_ms_by_depth", Read::At(depth), 1.0)],
+        &[Term::of("depth.deadline_ms_by_depth", Read::At(depth), 1.0)],
         None,
     );
 }
--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -17,6 +17,23 @@
     pub results: BTreeMap<String, Results>,
 }
 
+/// The cost that a slope gives at a size.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct CostAt {
+    /// The cost, in the slope's unit.
+    pub cost: f64,
+    /// How many times past the largest size played the size lies; 1 within.
+    pub times_past: f64,
+}
+
+/// The worst of the plays of a figure.
+pub(super) struct Worst {
+    /// The figure, in the unit of the need.
+    pub(super) value: f64,
+    /// How many plays there are.
+    pub(super) plays: usize,
+}
+
 impl Measured {
     /// Reads the folders `slopes` and `results` of a folder; nothing where they are missing.
     ///
@@ -30,46 +47,49 @@
         })
     }
 
-    /// The cost at a size, and how many times past the largest size played that lies (1 within): measured where the
-    /// size lies between two that were played, by the fit otherwise. `None` where it is not measured or has no fit there.
+    /// The cost at a size: measured where the size lies between two that were played, by the fit otherwise. `None` where
+    /// it is not measured or has no fit there.
     #[must_use]
-    pub fn at(&self, name: &str, x: f64) -> Option<(f64, f64)> {
+    pub fn at(&self, name: &str, x: f64) -> Option<CostAt> {
         let slope = self.slopes.get(name)?;
         let mut points = slope.points.clone();
         points.sort_by(|a, b| a.x.total_cmp(&b.x));
         if let Some(point) = points.iter().find(|point| point.x == x) {
-            return Some((point.y, 1.0));
+            return Some(CostAt { cost: point.y, times_past: 1.0 });
         }
         let between = points.windows(2).find(|pair| pair[0].x < x && x < pair[1].x);
         if let Some([a, b]) = between {
-            return Some((a.y + (b.y - a.y) * (x - a.x) / (b.x - a.x), 1.0));
+            let cost = a.y + (b.y - a.y) * (x - a.x) / (b.x - a.x);
+            return Some(CostAt { cost, times_past: 1.0 });
         }
         let largest = slope.largest();
-        slope
-            .fit
-            .map(|fit| (fit.at(x).max(0.0), if x > largest && largest > 0.0 { x / largest } else { 1.0 }))
+        let times_past = if x > largest && largest > 0.0 { x / largest } else { 1.0 };
+        slope.fit.map(|fit| CostAt { cost: fit.at(x).max(0.0), times_past })
     }
 
-    /// The worst of a figure's plays, and how many there are; `None` where there are none.
-    pub(super) fn worst(&self, played: Played) -> Option<(f64, usize)> {
+    /// The worst of a figure's plays; `None` where there are none.
+    pub(super) fn worst(&self, played: Played) -> Option<Worst> {
         let table = self.results.get(played.results)?;
         let at = table.columns.iter().position(|column| column == played.column)?;
         let rows = table.rows.iter().filter(|row| row.first().is_some_and(|first| first == played.row));
         let figures: Vec<f64> = rows.filter_map(|row| row.get(at)?.parse().ok()).collect();
         let worst = figures.iter().copied().reduce(f64::max)?;
-        Some((worst * played.times, figures.len()))
+        Some(Worst { value: worst * played.times, plays: figures.len() })
     }
 
-    pub(super) fn read_as(&self, name: &str, read: Read) -> Option<(f64, f64)> {
+    /// The cost that a slope gives, read in this way.
+    pub(super) fn read_as(&self, name: &str, read: Read) -> Option<CostAt> {
         match read {
             Read::At(x) => self.at(name, x),
             Read::Beyond(x) => {
                 let smallest =
                     self.slopes.get(name)?.points.iter().map(|point| point.x).fold(f64::MAX, f64::min);
-                let (least, _) = self.at(name, smallest)?;
-                self.at(name, x.max(smallest)).map(|(cost, past)| (cost - least, past))
+                let least = self.at(name, smallest)?.cost;
+                self.at(name, x.max(smallest)).map(|at| CostAt { cost: at.cost - least, ..at })
+            }
+            Read::OneMore => {
+                Some(CostAt { cost: self.slopes.get(name)?.fit?.each.max(0.0), times_past: 1.0 })
             }
-            Read::OneMore => Some((self.slopes.get(name)?.fit?.each.max(0.0), 1.0)),
         }
     }
 
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -1,6 +1,6 @@
 //! What a role needs of something, how the figure is made from the plan and the measured slopes, and on which basis.
 
-use super::measured::Measured;
+use super::measured::{CostAt, Measured, Worst};
 use super::mechanism::Mechanism;
 
 /// What a row counts.
@@ -97,6 +97,13 @@
     pub times: f64,
 }
 
+impl Term {
+    /// A term of a slope, read in this way and counted so often.
+    pub(super) const fn of(slope: &'static str, read: Read, times: f64) -> Self {
+        Self { slope, read, times }
+    }
+}
+
 /// A figure of a table of results: the worst of its plays.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Played {
@@ -198,7 +205,7 @@
     /// The figure that the measurements give.
     #[must_use]
     pub fn figure(&self, measured: &Measured) -> Figure {
-        if let Some((value, plays)) = self.played.and_then(|played| measured.worst(played)) {
+        if let Some(Worst { value, plays }) = self.played.and_then(|played| measured.worst(played)) {
             let ratio = self.budget.map(|budget| value / budget);
             return Figure { value: Some(value), ratio, basis: Basis::Played(plays) };
         }
@@ -207,7 +214,7 @@
         let mut missing: Vec<String> = Vec::new();
         for &Term { slope, read, times } in &self.terms {
             match measured.read_as(slope, read) {
-                Some((cost, times_past)) => {
+                Some(CostAt { cost, times_past }) => {
                     value += cost * times;
                     past = past.max(times_past);
                 }
--- a/crates/capacity/src/arithmetic/occasion.rs
+++ b/crates/capacity/src/arithmetic/occasion.rs
@@ -1,7 +1,7 @@
 //! The ordinary day and the peaks. A control plane that is sized for the mean fails when a zone comes back or a peak of
 //! changes comes, so that each need is reckoned on every one of these.
 
-use crate::plan::Plan;
+use crate::plan::{OwnChange, Plan};
 
 /// The plan gives figures of an ordinary day by the day; rates here are by the second.
 const DAY_S: f64 = 86400.0;
@@ -68,7 +68,7 @@
     }
 
     fn ordinary_day(plan: &Plan) -> Self {
-        let (own, own_bytes) = plan.own_change();
+        let OwnChange { part: own, bytes: own_bytes } = plan.own_change();
         let zone = plan.largest_zone();
         let failures = &plan.failures;
         let list = &plan.list;
--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use super::mechanism::{CONFIGURATION_CLIENT, PUBLISHER};
-use super::need::{Cost, Need, Played, Read, Requirement};
+use super::need::{Cost, Need, Played, Read, Requirement, Term};
 use super::occasion::Occasion;
 use super::role::Role;
 use crate::plan::Plan;
@@ -37,7 +37,7 @@
         "changes/s x time of the origin to check, keep and answer",
         "cores",
         0.0,
-        &[("control.publish_us_by_bytes", Read::At(plan.change_bytes()), on.changes / 1e6)],
+        &[Term::of("control.publish_us_by_bytes", Read::At(plan.change_bytes()), on.changes / 1e6)],
         Some(plan.budget.machine_cores.value),
     );
     role.row(Cost::Memory, "a document at a time", "MB", changes.service_bytes.value as f64 / 1e6, &[], None);
@@ -52,7 +52,7 @@
         "from a change's acknowledgement to the last balancer, as played; else from its sending, one relay for all",
         "s",
         0.0,
-        &[("control.change_sent_last_ms_by_watchers", Read::At(plan.fleet.upstreams.value as f64), 1e-3)],
+        &[Term::of("control.change_sent_last_ms_by_watchers", Read::At(plan.fleet.upstreams.value as f64), 1e-3)],
         Some(plan.configuration.in_force_s.value),
     )
     .played = Some(Played {
--- a/crates/capacity/src/arithmetic/role.rs
+++ b/crates/capacity/src/arithmetic/role.rs
@@ -1,10 +1,7 @@
 //! Makes the rows of one role: what its needs have in common is said once.
 
 use super::mechanism::Mechanism;
-use super::need::{Cost, Need, Read, Requirement, Term};
-
-/// A slope, how it is read, and how often it counts.
-pub(super) type Part = (&'static str, Read, f64);
+use super::need::{Cost, Need, Requirement, Term};
 
 /// Makes the rows of one role.
 pub(super) struct Role<'a> {
@@ -21,12 +18,11 @@
         formula: &'static str,
         unit: &'static str,
         plain: f64,
-        terms: &[Part],
+        terms: &[Term],
         budget: Option<f64>,
     ) -> &mut Need {
-        let terms = terms.iter().map(|&(slope, read, times)| Term { slope, read, times });
         // What counts for nothing on this occasion need not be measured for it.
-        let terms = terms.filter(|term| term.times != 0.0).collect();
+        let terms = terms.iter().copied().filter(|term| term.times != 0.0).collect();
         self.rows.push(Need {
             role: self.name,
             cost,
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -22,7 +22,7 @@
 
 pub use format::show;
 pub use markers::filled;
-pub use plan_blocks::{derived, print_plan};
+pub use plan_blocks::{Derived, derived, print_plan};
 pub use ranking::ranking;
 
 use markers::first_difference;
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -14,16 +14,24 @@
     table(&["figure", "value", "unit", "source", "why"], rows)
 }
 
-/// A figure that follows from the plan: its name, its value and how it is made.
-type Row = [String; 3];
+/// A figure that follows from the plan.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Derived {
+    /// What it is, with its unit.
+    pub name: String,
+    /// Its value as the page shows it.
+    pub value: String,
+    /// How it is made from figures of the plan.
+    pub formula: String,
+}
 
-fn row(what: &str, figure: String, how: &str) -> Row {
-    [what.to_owned(), figure, how.to_owned()]
+fn row(name: &str, value: String, formula: &str) -> Derived {
+    Derived { name: name.to_owned(), value, formula: formula.to_owned() }
 }
 
-/// What follows from the plan, as name, figure and how it is made.
+/// All that follows from the plan.
 #[must_use]
-pub fn derived(plan: &Plan) -> Vec<[String; 3]> {
+pub fn derived(plan: &Plan) -> Vec<Derived> {
     let mut rows = Vec::from(rates(plan, Reading::Front, "rate at the front"));
     rows.extend(rates(plan, Reading::Hops, "rate over all hops"));
     rows.extend(sizes(plan));
@@ -34,7 +42,7 @@
 }
 
 /// The rates of calls in one reading of the plan.
-fn rates(plan: &Plan, reading: Reading, name: &str) -> [Row; 5] {
+fn rates(plan: &Plan, reading: Reading, name: &str) -> [Derived; 5] {
     let (over_all_hops, at_the_front) = match reading {
         Reading::Front => ("traffic.calls_per_s x graph.depth", "traffic.calls_per_s"),
         Reading::Hops => ("traffic.calls_per_s", "traffic.calls_per_s / graph.hops_per_call"),
@@ -58,7 +66,7 @@
 }
 
 /// How many upstreams services, regions and zones have, and how long a call is in flight.
-fn sizes(plan: &Plan) -> [Row; 6] {
+fn sizes(plan: &Plan) -> [Derived; 6] {
     let sizes = plan.service_sizes();
     let counted = |most: usize| sizes.iter().filter(|&&size| size <= most).count();
     let of_rank = |rank: usize| sizes.get(rank).copied().unwrap_or(0);
@@ -90,7 +98,7 @@
 }
 
 /// Bytes of lists and documents.
-fn bytes(plan: &Plan) -> [Row; 4] {
+fn bytes(plan: &Plan) -> [Derived; 4] {
     let whole_list = plan.whole_list_bytes() as f64;
     [
         row("bytes of a whole list", show(whole_list), "fleet.upstreams x list.entry_bytes"),
@@ -109,7 +117,7 @@
 }
 
 /// Changes of configuration, and the balancers that they concern.
-fn changes(plan: &Plan) -> [Row; 4] {
+fn changes(plan: &Plan) -> [Derived; 4] {
     let changes_per_day = plan.configuration.changes_per_day.value;
     [
         row("changes a minute, mean", show(changes_per_day / 1440.0), "configuration.changes_per_day / 1440"),
@@ -132,7 +140,7 @@
 }
 
 /// Balancers were there one for each service that a process calls, and the bound of the attempts for one call.
-fn balancers_and_attempts(plan: &Plan) -> [Row; 3] {
+fn balancers_and_attempts(plan: &Plan) -> [Derived; 3] {
     let destinations = plan.graph.destinations_mean.value;
     [
         row(
@@ -154,7 +162,10 @@
 }
 
 pub(super) fn derived_block(plan: &Plan) -> String {
-    table(&["what follows", "figure", "from"], derived(plan).into_iter().map(Vec::from))
+    table(
+        &["what follows", "figure", "from"],
+        derived(plan).into_iter().map(|Derived { name, value, formula }| vec![name, value, formula]),
+    )
 }
 
 pub(super) fn deal_block(plan: &Plan) -> String {
@@ -222,8 +233,8 @@
         println!("{:<36} {:<60} {from}; {}", told.place, told.value, told.unit);
     }
     println!();
-    for [what, figure, how] in derived(plan) {
-        println!("{what:<52} {figure:<24} {how}");
+    for Derived { name, value, formula } in derived(plan) {
+        println!("{name:<52} {value:<24} {formula}");
     }
     println!();
     println!("{}", deal_block(plan));
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -288,6 +288,15 @@
     Hops,
 }
 
+/// What of a change of configuration concerns one balancer, on average.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct OwnChange {
+    /// Part of the changes that concern it, 0 to 1.
+    pub part: f64,
+    /// Bytes of documents that it is sent for one change.
+    pub bytes: f64,
+}
+
 impl Plan {
     /// Reads and checks the plan.
     ///
@@ -413,22 +422,22 @@
         scope_shares.value.iter().zip(bytes).map(|(share, bytes)| share * bytes as f64).sum()
     }
 
-    /// Part of the changes, and their bytes for one change, that concern one balancer: regions and services change alike.
+    /// What of a change concerns one balancer, on average: regions and services change alike.
     #[must_use]
-    pub fn own_change(&self) -> (f64, f64) {
+    pub fn own_change(&self) -> OwnChange {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
             &self.configuration;
         let one_of = [1.0, self.fleet.regions.value as f64, self.fleet.services.value as f64];
         let bytes = [fleet_bytes.value, region_bytes.value, service_bytes.value];
         let parts = scope_shares.value.iter().zip(one_of).map(|(share, all)| share / all);
         let lengths = parts.clone().zip(bytes).map(|(part, bytes)| part * bytes as f64);
-        (parts.sum(), lengths.sum())
+        OwnChange { part: parts.sum(), bytes: lengths.sum() }
     }
 
     /// Balancers that a change has to be told to, on average.
     #[must_use]
     pub fn told_by_change(&self) -> f64 {
-        self.own_change().0 * self.fleet.upstreams.value as f64
+        self.own_change().part * self.fleet.upstreams.value as f64
     }
 
     /// How long a call is held that meets no trouble, in seconds: all tiers work, and each has its way there and back.
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use capacity::arithmetic::{Basis, Cost, Measured, Need, Occasion, Played, Read, Term, needs};
+use capacity::arithmetic::{Basis, Cost, CostAt, Measured, Need, Occasion, Played, Read, Term, needs};
 use capacity::page::{self, Arguments, blocks, filled, ranking, show};
 use capacity::plan::Plan;
 use capacity::plots;
@@ -184,8 +184,8 @@
 #[test]
 fn between_two_sizes_the_points_count_and_not_the_fit() {
     let bent = slopes([slope("x", &[10.0, 20.0, 200.0], |x| if x > 15.0 { 100.0 } else { 1.0 })]);
-    assert_eq!(bent.at("x", 15.0), Some((50.5, 1.0)));
-    assert_eq!(bent.at("x", 200.0), Some((100.0, 1.0)));
+    assert_eq!(bent.at("x", 15.0), Some(CostAt { cost: 50.5, times_past: 1.0 }));
+    assert_eq!(bent.at("x", 200.0), Some(CostAt { cost: 100.0, times_past: 1.0 }));
     assert_eq!(bent.at("y", 200.0), None);
 }
 
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -205,8 +205,8 @@
         let changed: Vec<&str> = before
             .iter()
             .zip(&after)
-            .filter(|(before, after)| before[1] != after[1])
-            .map(|(before, _)| before[0].as_str())
+            .filter(|(before, after)| before.value != after.value)
+            .map(|(before, _)| before.name.as_str())
             .collect();
         assert_eq!(changed.len(), rows, "{figure}: {changed:?}");
     }
