--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -1,7 +1,7 @@
 //! Needs of control: what lists and configuration cost a balancer, the machines that spread them, and a registrant.
 
 use super::MB_PER_KIB;
-use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, ORIGIN, RELAY};
+use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, Mechanism, ORIGIN, RELAY};
 use super::need::{Cost, Need, Read, Requirement, Term};
 use super::occasion::Occasion;
 use super::role::Role;
@@ -238,7 +238,6 @@
 }
 
 pub(super) fn control_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
-    let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let documents = plan.documents_bytes();
     // A relay asks for all scopes and catches up with all documents at worst, a balancer for its own.
     let for_relays = Occasion {
@@ -250,17 +249,49 @@
     let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
     let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
     let below_region = on.region_children.min(relays * zones);
-    // With how many relays each has a watch, its own above among them, and how many balancers.
-    for (name, mechanism, above, below, balancers) in [
-        ("control: origin", ORIGIN, 0.0, on.origin_children, 0.0),
-        ("control: standby of the origin", RELAY, 1.0, 0.0, 0.0),
-        ("control: relay of a region", RELAY, 1.0, below_region, on.region_children - below_region),
-        ("control: relay of a zone", RELAY, 1.0, 0.0, on.zone_children),
+    let machine = |name, mechanism, relays: f64, balancers: f64, children: f64| ConfigurationMachine {
+        name,
+        mechanism,
+        to_relays: Told::of(plan, &for_relays, relays),
+        to_balancers: Told::of(plan, on, balancers),
+        children,
+    };
+    let in_region = on.region_children;
+    for machine in [
+        machine("control: origin", ORIGIN, on.origin_children, 0.0, on.origin_children),
+        machine("control: standby of the origin", RELAY, 1.0, 0.0, 0.0),
+        machine(
+            "control: relay of a region",
+            RELAY,
+            1.0 + below_region,
+            in_region - below_region,
+            below_region + (in_region - below_region),
+        ),
+        machine("control: relay of a zone", RELAY, 1.0, on.zone_children, on.zone_children),
     ] {
-        let (to_relays, to_balancers) =
-            (Told::of(plan, &for_relays, above + below), Told::of(plan, on, balancers));
-        let mut role = Role { name, mechanism, requirement: Requirement::Configuration, rows: &mut *rows };
-        role.row(Cost::State, "all documents", "bytes", documents, &[], None);
+        machine.rows(plan, rows);
+    }
+    list_machines(plan, on, rows);
+}
+
+/// A machine that spreads the configuration.
+struct ConfigurationMachine {
+    name: &'static str,
+    mechanism: Mechanism,
+    /// What goes between it and relays, the one above among them.
+    to_relays: Told,
+    /// What goes between it and balancers.
+    to_balancers: Told,
+    /// Relays and balancers that watch it.
+    children: f64,
+}
+
+impl ConfigurationMachine {
+    fn rows(&self, plan: &Plan, rows: &mut Vec<Need>) {
+        let Budget { bytes, core, memory } = Budget::of_machine(plan);
+        let &Self { name, mechanism, ref to_relays, ref to_balancers, children } = self;
+        let mut role = Role { name, mechanism, requirement: Requirement::Configuration, rows };
+        role.row(Cost::State, "all documents", "bytes", plan.documents_bytes(), &[], None);
         role.row(
             Cost::Messages,
             "its watches, above and below, x what each is told and reports",
@@ -276,7 +307,7 @@
             "cores",
             0.0,
             &[
-                Term::of("control.configuration_server_core_by_watchers", Read::At(below + balancers), 1.0),
+                Term::of("control.configuration_server_core_by_watchers", Read::At(children), 1.0),
                 Term::of(
                     "control.configuration_change_server_us_by_watchers",
                     Read::OneMore,
@@ -290,15 +321,10 @@
             "a relay with so many children and all documents",
             "MB",
             0.0,
-            &[Term::of(
-                "control.configuration_server_kb_by_watchers",
-                Read::At(below + balancers),
-                MB_PER_KIB,
-            )],
+            &[Term::of("control.configuration_server_kb_by_watchers", Read::At(children), MB_PER_KIB)],
             memory,
         );
     }
-    list_machines(plan, on, rows);
 }
 
 /// The service that hands out lists, on the machines of the zone relays.
