--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -6,7 +6,7 @@
 /// What a row counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cost {
-    /// What has to be held.
+    /// Bytes or entries that have to be stored.
     State,
     /// What goes over its connections.
     Messages,
@@ -146,7 +146,7 @@
     pub requirement: Requirement,
 }
 
-/// How a figure was had.
+/// What a figure rests on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Basis {
     /// From the plan by arithmetic, in place of these slopes if any is missing.
@@ -168,7 +168,7 @@
     pub value: Option<f64>,
     /// In parts of the budget.
     pub ratio: Option<f64>,
-    /// How it was had.
+    /// What it rests on.
     pub basis: Basis,
 }
 
--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -1,4 +1,4 @@
-//! The hollow fleet: the real decision cores of all balancers in one process, in virtual time.
+//! The hollow fleet: a discrete-event simulation with the real decision cores of all balancers in one process.
 //!
 //! Each upstream of the plan has one `balancer_policy::Balancer` for each service that it calls, and each front one for each
 //! service that clients come to. All else is modelled: servers, queues, cold starts, links, lists, clients. The same
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -1,4 +1,4 @@
-//! What stands where and who calls whom, drawn from the plan and a seed.
+//! The topology of a simulated fleet: zones of upstreams and calls between services, drawn from the plan and a seed.
 
 use oorandom::Rand64;
 
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,5 @@
-//! The plan of the fleet to come, what it costs, and fleets that are played to find out. A tool of the repository:
-//! nothing of it is in the balancer.
+//! Capacity planning: the plan of the fleet, measured costs of the programs, simulated fleets, and the page that compares
+//! needs with budgets. It is a tool of the repository; the balancer contains nothing of it.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -28,7 +28,7 @@
     faults.iter().map(PlanFault::to_string).collect::<Vec<_>>().join("\n  ")
 }
 
-/// What ends a run.
+/// Errors that end a run of the tool.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A text that cannot be read as what it should be.
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the rig.
+//! The command line of the capacity tool.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -55,7 +55,7 @@
 /// Calls a second at most.
 const RATE_MOST: f64 = 10_000.0;
 
-/// Does it.
+/// Measures the parts that are asked for and writes their slopes.
 ///
 /// # Errors
 /// With the place where it went wrong.
@@ -105,6 +105,7 @@
     Ok(())
 }
 
+/// What the plays of one run of the command have in common.
 struct Bench<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -1,4 +1,4 @@
-//! A slope: what something costs against what it grows with, as measured, with its fit and what the fit leaves.
+//! A slope: a measured cost against what it grows with, with a linear fit and its residual.
 
 use std::fs;
 use std::path::Path;
@@ -12,18 +12,18 @@
 /// One measured size.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size.
+    /// The size, in the slope's `x_unit`.
     pub x: f64,
-    /// The cost: the middle of the plays.
+    /// The cost, in the slope's `y_unit`: the median of the plays.
     pub y: f64,
-    /// The least and the most that a play gave.
+    /// The least that a play gave, in the unit of the cost.
     pub low: f64,
-    /// See `low`.
+    /// The most that a play gave.
     pub high: f64,
 }
 
 impl Point {
-    /// The middle and the spread of some plays of one size; `None` of none.
+    /// The median and the spread of some plays of one size; `None` without a play.
     #[must_use]
     pub fn of(x: f64, mut plays: Vec<f64>) -> Option<Self> {
         plays.sort_by(f64::total_cmp);
@@ -73,7 +73,7 @@
     }
 }
 
-/// A measured slope, as it is kept in `crates/capacity/slopes/NAME.json`.
+/// A measured slope, as it is stored in `crates/capacity/slopes/NAME.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
     /// Its name, also of its file: `part.what_by_what`.
@@ -106,10 +106,10 @@
         self.points.iter().map(|point| point.x).fold(0.0, f64::max)
     }
 
-    /// Reads one from its file.
+    /// Reads it from its file.
     ///
     /// # Errors
-    /// The file is missing or makes no sense.
+    /// The file is missing or cannot be parsed.
     pub fn read(folder: &Path, name: &str) -> Result<Self, CapacityError> {
         read(folder, name)
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// Measured figures that are no slope, such as those of a scenario: a table, kept in `crates/capacity/results/NAME.json`.
+/// Measured figures that are no slope, such as those of a scenario: a table, stored in `crates/capacity/results/NAME.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Results {
     /// Its name, also of its file.
@@ -144,10 +144,10 @@
 }
 
 impl Results {
-    /// Reads one from its file.
+    /// Reads it from its file.
     ///
     /// # Errors
-    /// The file is missing or makes no sense.
+    /// The file is missing or cannot be parsed.
     pub fn read(folder: &Path, name: &str) -> Result<Self, CapacityError> {
         read(folder, name)
     }
