--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -10,19 +10,19 @@
 /// Bytes of an empty line of a watch as one chunk of HTTP/1.1.
 const BEAT_BYTES: f64 = 6.0;
 
-/// What lists and configuration cost on the wire on an occasion, for so many balancers.
-struct Told {
+/// What lists and configuration cost on the wire on an occasion, for so many balancers, in bytes a second.
+struct Traffic {
     list: [Term; 3],
     list_reckoned: f64,
     configuration: [Term; 2],
     /// What is by the plan in either case: documents caught up with, and those longer than the measured one.
     configuration_plain: f64,
     configuration_reckoned: f64,
-    /// Changes a second that they take in, with those that they catch up with.
-    taken: f64,
+    /// Changes a second that they receive, with those that they catch up with.
+    changes_received: f64,
 }
 
-impl Told {
+impl Traffic {
     fn of(plan: &Plan, on: &Occasion, balancers: f64) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let within = plan.configuration.in_force_s.value;
@@ -51,7 +51,7 @@
             ],
             configuration_plain: balancers * (longer + caught_up),
             configuration_reckoned: balancers * (beat + on.changes * on.own_bytes + caught_up),
-            taken: balancers * (changes + if on.caught_up > 0.0 { 1.0 / within } else { 0.0 }),
+            changes_received: balancers * (changes + if on.caught_up > 0.0 { 1.0 / within } else { 0.0 }),
         }
     }
 }
@@ -86,7 +86,7 @@
 /// What the control of one balancer costs on an occasion: the parts of which the rows of its clients, and of both
 /// together, are made.
 struct BalancerControl {
-    told: Told,
+    traffic: Traffic,
     /// Bytes of the whole list.
     whole: f64,
     /// Bytes of the documents that it uses.
@@ -109,7 +109,7 @@
     fn of(plan: &Plan, on: &Occasion) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let within = plan.configuration.in_force_s.value;
-        let told = Told::of(plan, on, 1.0);
+        let traffic = Traffic::of(plan, on, 1.0);
         let list_core: [Term; 3] = [
             Term::of("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
             Term::of("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
@@ -117,14 +117,18 @@
         ];
         let configuration_core: [Term; 2] = [
             Term::of("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
-            Term::of("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
+            Term::of(
+                "control.configuration_change_client_us_by_watchers",
+                Read::OneMore,
+                traffic.changes_received / 1e6,
+            ),
         ];
         let list_memory: [Term; 1] =
             [Term::of("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
         let configuration_memory: [Term; 1] =
             [Term::of("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
         Self {
-            told,
+            traffic,
             whole: plan.whole_list_bytes() as f64,
             own_documents: plan.own_documents_bytes(),
             list_core,
@@ -148,10 +152,10 @@
             "beats + lines/s x bytes of one + whole lists x their bytes / time that a change has",
             "bytes/s",
             0.0,
-            &self.told.list,
+            &self.traffic.list,
             self.budget.bytes,
         )
-        .instead = Some(self.told.list_reckoned);
+        .instead = Some(self.traffic.list_reckoned);
         role.row(
             Cost::Processor,
             "a process at rest + whole lists and lines/s taken in and decided on, at all upstreams",
@@ -182,11 +186,11 @@
             Cost::Messages,
             "beats and reports + changes/s for it x bytes of one + documents caught up with / time that a change has",
             "bytes/s",
-            self.told.configuration_plain,
-            &self.told.configuration,
+            self.traffic.configuration_plain,
+            &self.traffic.configuration,
             self.budget.bytes,
         )
-        .instead = Some(self.told.configuration_reckoned);
+        .instead = Some(self.traffic.configuration_reckoned);
         role.row(
             Cost::Processor,
             "a client at rest + changes/s for it x time to take one in and report it",
@@ -218,11 +222,11 @@
             Cost::Messages,
             "list + configuration",
             "bytes/s",
-            self.told.configuration_plain,
-            &[&self.told.list[..], &self.told.configuration].concat(),
+            self.traffic.configuration_plain,
+            &[&self.traffic.list[..], &self.traffic.configuration].concat(),
             self.budget.bytes,
         )
-        .instead = Some(self.told.list_reckoned + self.told.configuration_reckoned);
+        .instead = Some(self.traffic.list_reckoned + self.traffic.configuration_reckoned);
         let both = [&self.list_core[..], &self.configuration_core].concat();
         role.row(Cost::Processor, "list + configuration", "cores", 0.0, &both, self.budget.core);
         let both = [&self.list_memory[..], &self.configuration_memory].concat();
@@ -252,8 +256,8 @@
     let machine = |name, mechanism, relays: f64, balancers: f64, children: f64| ConfigurationMachine {
         name,
         mechanism,
-        to_relays: Told::of(plan, &for_relays, relays),
-        to_balancers: Told::of(plan, on, balancers),
+        to_relays: Traffic::of(plan, &for_relays, relays),
+        to_balancers: Traffic::of(plan, on, balancers),
         children,
     };
     let in_region = on.region_children;
@@ -279,9 +283,9 @@
     name: &'static str,
     mechanism: Mechanism,
     /// What goes between it and relays, the one above among them.
-    to_relays: Told,
+    to_relays: Traffic,
     /// What goes between it and balancers.
-    to_balancers: Told,
+    to_balancers: Traffic,
     /// Relays and balancers that watch it.
     children: f64,
 }
@@ -311,7 +315,7 @@
                 Term::of(
                     "control.configuration_change_server_us_by_watchers",
                     Read::OneMore,
-                    (to_relays.taken + to_balancers.taken) / 1e6,
+                    (to_relays.changes_received + to_balancers.changes_received) / 1e6,
                 ),
             ],
             core,
@@ -337,17 +341,17 @@
         rows,
     };
     let readers = on.zone_children.max(on.region_children);
-    let told = Told::of(plan, on, readers);
+    let traffic = Traffic::of(plan, on, readers);
     role.row(Cost::State, "the whole list", "bytes", plan.whole_list_bytes() as f64, &[], None);
     role.row(
         Cost::Messages,
         "readers of the busiest x what each is told",
         "bytes/s",
         0.0,
-        &told.list,
+        &traffic.list,
         bytes,
     )
-    .instead = Some(told.list_reckoned);
+    .instead = Some(traffic.list_reckoned);
     role.row(
         Cost::Processor,
         "its readers' watches at rest, at a stand-in, + lines/s told",
--- a/crates/capacity/src/arithmetic/data_path.rs
+++ b/crates/capacity/src/arithmetic/data_path.rs
@@ -17,14 +17,14 @@
     upstreams: f64,
 ) {
     let rate = rate * on.rate;
-    let held = rate * on.held_s;
+    let in_flight = rate * on.call_in_flight_s;
     let memory = plan.budget.memory_mb.value;
     let mut role = Role { name, mechanism: DECISIONS, requirement: Requirement::Calls, rows };
     role.row(
         Cost::State,
         "upstreams listed + tenants + calls a second x time that one is held",
         "entries",
-        upstreams + tenants + held,
+        upstreams + tenants + in_flight,
         &[],
         None,
     );
@@ -46,7 +46,7 @@
         &[
             Term::of("process.memory_loaded_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB),
             Term::of("decisions.bytes_by_tenants", Read::Beyond(tenants), 1e-6),
-            Term::of("decisions.bytes_by_in_flight", Read::Beyond(held), 1e-6),
+            Term::of("decisions.bytes_by_in_flight", Read::Beyond(in_flight), 1e-6),
         ],
         Some(memory),
     );
--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -116,11 +116,11 @@
         .filter(|path| path.extension().is_some_and(|end| end == "json"))
         .map(|path| {
             let name = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
-            let held = read(folder, &name)?;
-            if name_of(&held) != name {
-                return Err(CapacityError::file(&path, format!("it holds {}", name_of(&held))));
+            let content = read(folder, &name)?;
+            if name_of(&content) != name {
+                return Err(CapacityError::file(&path, format!("it holds {}", name_of(&content))));
             }
-            Ok((name, held))
+            Ok((name, content))
         })
         .collect()
 }
--- a/crates/capacity/src/arithmetic/occasion.rs
+++ b/crates/capacity/src/arithmetic/occasion.rs
@@ -13,9 +13,9 @@
     pub name: &'static str,
     /// What it is, with the plan's figures.
     pub what: String,
-    /// Lines of the list that a balancer is told, a second.
+    /// Lines of the list that a balancer receives, a second.
     pub lines: f64,
-    /// Whole lists that a balancer is told in the time that a change has.
+    /// Whole lists that a balancer receives in the time that a change has.
     pub wholes: f64,
     /// Changes of configuration a second.
     pub changes: f64,
@@ -29,8 +29,8 @@
     pub caught_up: f64,
     /// Calls of a balancer, in those of the ordinary day.
     pub rate: f64,
-    /// For how long a call is held, in seconds.
-    pub held_s: f64,
+    /// How long a call is in flight at a balancer, in seconds.
+    pub call_in_flight_s: f64,
     /// Balancers behind one relay of a zone.
     pub zone_children: f64,
     /// Children of one relay of a region.
@@ -93,7 +93,7 @@
             own_bytes,
             caught_up: 0.0,
             rate: 1.0,
-            held_s: plan.held_s(),
+            call_in_flight_s: plan.call_in_flight_s(),
             zone_children: zone / relays,
             region_children: zones * relays,
             origin_children: regions + plan.deal.standbys.value as f64,
@@ -122,7 +122,7 @@
             what: format!("{} upstreams gone at once", plan.fleet.machines_per_rack.value),
             lines: plan.fleet.machines_per_rack.value as f64 / within,
             rate: upstreams / (upstreams - plan.fleet.machines_per_rack.value as f64).max(1.0),
-            held_s: deadline,
+            call_in_flight_s: deadline,
             trouble: true,
             ..day.clone()
         }
@@ -141,7 +141,7 @@
             lines: zone / within,
             wholes: 1.0 - zone / upstreams,
             rate: upstreams / (upstreams - zone).max(1.0),
-            held_s: deadline,
+            call_in_flight_s: deadline,
             trouble: true,
             ..back.clone()
         }
@@ -156,7 +156,7 @@
             what: format!(
                 "{region:.0} upstreams cut off for {cut} s; back, each asks for a whole list and for the documents that changed, at most all it uses"
             ),
-            held_s: deadline,
+            call_in_flight_s: deadline,
             trouble: true,
             ..back.clone()
         }
@@ -221,7 +221,7 @@
             ),
             lines: upstreams / within / 2.0,
             wholes: 0.5,
-            held_s: deadline,
+            call_in_flight_s: deadline,
             trouble: true,
             ..back.clone()
         }
--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Slopes of the decisions: processor time and bytes against upstreams, tenants and calls held.
+//! Slopes of the decisions: processor time and bytes against upstreams, tenants and calls in flight.
 //!
 //! Time is the wall time of tight loops over the real core on a machine of its own. Bytes are the growth of a fresh
 //! process of this program over many cores built, as the system counts its pages.
@@ -19,8 +19,8 @@
 pub use line::straight;
 pub use memory::resident_bytes;
 
-use loaded_core::COPIES;
-use memory::{held, held_in_child};
+use loaded_core::REPLICAS;
+use memory::{bytes_in_child, bytes_of_core};
 use timing::{list_change_ns, request_ns, timer_ns};
 
 /// Slopes of the decisions: processor time and bytes against upstreams, tenants and calls held.
@@ -83,9 +83,9 @@
 /// What a slope leaves alone: the upstreams of a large service, no tenants, the calls of a busy balancer.
 const USUAL: Size = Size { upstreams: 190, tenants: 0, in_flight: 32 };
 /// Bytes that the cores of one play should take in all, so that pages and the allocator's own count little...
-const HELD_BYTES: usize = 96 << 20;
+const MEMORY_BYTES: usize = 96 << 20;
 /// ...and in a quick version.
-const HELD_BYTES_SMALL: usize = 12 << 20;
+const MEMORY_BYTES_SMALL: usize = 12 << 20;
 
 /// Measures every slope of the decisions and writes each to its file; with `--hold`, prints the bytes of one core.
 ///
@@ -104,14 +104,14 @@
 
 /// Builds the cores that `--hold` names in this process and prints the bytes of each.
 fn print_bytes_of_core(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
-    let &[upstreams, tenants, in_flight, copies] = &arguments.hold[..] else {
+    let &[upstreams, tenants, in_flight, count] = &arguments.hold[..] else {
         return Err(CapacityError::Argument {
             name: "hold",
             expected: "UPSTREAMS,TENANTS,IN_FLIGHT,COPIES".to_owned(),
         });
     };
     let size = Size { upstreams, tenants, in_flight };
-    println!("{}", held(plan, size, copies, arguments.seed)?);
+    println!("{}", bytes_of_core(plan, size, count, arguments.seed)?);
     Ok(())
 }
 
@@ -144,7 +144,7 @@
 
     fn write_time_slopes(&self) -> Result<(), CapacityError> {
         let usual = format!(
-            "Where not varied: {} upstreams, no tenants, {} calls in flight; {COPIES} balancers send to the tier.",
+            "Where not varied: {} upstreams, no tenants, {} calls in flight; {REPLICAS} balancers send to the tier.",
             USUAL.upstreams, USUAL.in_flight
         );
         let tenants_usual = usual.replace("no tenants, ", "");
@@ -230,12 +230,12 @@
         let &MemorySlope { name, x_unit, sizes, in_flight } = slope;
         let Arguments { small, seed, .. } = *self.arguments;
         let plays = if small { 1 } else { 3 };
-        let most = if small { HELD_BYTES_SMALL } else { HELD_BYTES };
+        let most = if small { MEMORY_BYTES_SMALL } else { MEMORY_BYTES };
         let points = measure(sizes, plays, |mut size, play| {
             if !in_flight {
                 size.in_flight = 0;
             }
-            held_in_child(size, most, seed + play)
+            bytes_in_child(size, most, seed + play)
         })?;
         let calls = if in_flight { "each call with one attempt out" } else { "no calls held" };
         let note = format!(
--- a/crates/capacity/src/decisions/loaded_core.rs
+++ b/crates/capacity/src/decisions/loaded_core.rs
@@ -16,7 +16,7 @@
 /// Virtual seconds that a call takes.
 pub(super) const CALL_S: f64 = 0.05;
 /// Balancers that send to the same tier.
-pub(super) const COPIES: u32 = 100;
+pub(super) const REPLICAS: u32 = 100;
 
 /// A core at work: calls come in evenly, each ends after [`CALL_S`].
 pub(super) struct Played {
@@ -49,11 +49,11 @@
         idempotency: Idempotency::Idempotent,
     };
     // Quotas that no tenant reaches: what is measured is the way of a request that is served.
-    let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(COPIES);
+    let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(REPLICAS);
     let tenants =
         (0..size.tenants).map(|_| Tenant { quota: Some(rate / size.tenants.max(1) as f64) }).collect();
     Settings {
-        replicas: COPIES,
+        replicas: REPLICAS,
         replica_index: 17,
         zones: plan.fleet.zones.value,
         tier: usize::from(size.tenants == 0),
--- a/crates/capacity/src/decisions/memory.rs
+++ b/crates/capacity/src/decisions/memory.rs
@@ -21,8 +21,8 @@
 }
 
 /// Bytes of each of so many cores built here.
-pub(super) fn held(plan: &Plan, size: Size, copies: usize, seed: u64) -> Result<u64, CapacityError> {
-    let mut cores = Vec::with_capacity(copies);
+pub(super) fn bytes_of_core(plan: &Plan, size: Size, count: usize, seed: u64) -> Result<u64, CapacityError> {
+    let mut cores = Vec::with_capacity(count);
     let mut build = |number: u64| -> Result<(), CapacityError> {
         let mut played = Played::new(plan, size, seed + number)?;
         for _ in 0..size.in_flight {
@@ -38,19 +38,19 @@
     // The first one brings in what is there once, such as the code.
     build(0)?;
     let before = resident_bytes()?;
-    for number in 1..=copies as u64 {
+    for number in 1..=count as u64 {
         build(number)?;
     }
     let after = resident_bytes()?;
     drop(cores);
-    Ok(after.saturating_sub(before) / copies.max(1) as u64)
+    Ok(after.saturating_sub(before) / count.max(1) as u64)
 }
 
 /// The same in a fresh process, with as many cores as take about `most` bytes.
-pub(super) fn held_in_child(size: Size, most: usize, seed: u64) -> Result<f64, CapacityError> {
+pub(super) fn bytes_in_child(size: Size, most: usize, seed: u64) -> Result<f64, CapacityError> {
     let place = format!("decisions, bytes of {size:?}");
     let about = 2500 + size.upstreams * 250 + size.tenants * 400 + size.in_flight * 300;
-    let copies = (most / about).max(4);
+    let count = (most / about).max(4);
     let Size { upstreams, tenants, in_flight } = size;
     let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
     // The plan may be named on the command line, which the child must be told too.
@@ -58,7 +58,7 @@
     let done = Command::new(program)
         .args(named)
         .args(["decisions", "--seed", &seed.to_string(), "--hold"])
-        .arg(format!("{upstreams},{tenants},{in_flight},{copies}"))
+        .arg(format!("{upstreams},{tenants},{in_flight},{count}"))
         .output()
         .map_err(|cause| CapacityError::run(&place, cause))?;
     if !done.status.success() {
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -1,7 +1,7 @@
 //! The table of the runs: a row for each, its columns, and the note that stands below.
 
 use super::scenario::{CALM_S, Scenario, Span};
-use super::world::{Depth, Faults, Minds, Report, Second};
+use super::world::{Depth, Faults, Report, Second, Signals};
 use super::{Played, Run, sum};
 use crate::plan::Reading;
 
@@ -128,12 +128,12 @@
 }
 
 /// When a signal was seen, and on how many balancers at most.
-fn signal(report: &Report, from: f64, figure: impl Fn(&Minds) -> usize) -> String {
-    let seen = || report.minds.iter().filter(|minds| minds.at_s as f64 >= from && figure(minds) > 0);
-    let Some(most) = seen().max_by_key(|minds| (figure(minds), u64::MAX - minds.at_s)) else {
+fn signal(report: &Report, from: f64, figure: impl Fn(&Signals) -> usize) -> String {
+    let seen = || report.signals.iter().filter(|signals| signals.at_s as f64 >= from && figure(signals) > 0);
+    let Some(most) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
         return "none".to_owned();
     };
-    let at = |minds: Option<&Minds>| minds.map_or(0, |minds| minds.at_s);
+    let at = |signals: Option<&Signals>| signals.map_or(0, |signals| signals.at_s);
     format!(
         "{} of {} at {} s; {} to {} s",
         figure(most),
@@ -193,9 +193,9 @@
         ),
         report.cold_starts.to_string(),
         report.pushed_over.to_string(),
-        signal(report, from, |minds| minds.limited),
-        signal(report, from, |minds| minds.aside),
-        signal(report, from, |minds| minds.crowded),
+        signal(report, from, |signals| signals.limited),
+        signal(report, from, |signals| signals.ejected),
+        signal(report, from, |signals| signals.congested),
         report.lists.to_string(),
         faults_text(report.faults),
         format!("{wall_s:.1} / {} / {} / {:016x}", report.memory_mb, report.events, report.digest),
--- a/crates/capacity/src/hollow/wheel.rs
+++ b/crates/capacity/src/hollow/wheel.rs
@@ -45,7 +45,7 @@
     far: BinaryHeap<Reverse<Entry<T>>>,
     at: u64,
     number: u64,
-    held: usize,
+    waiting: usize,
 }
 
 impl<T> Default for Wheel<T> {
@@ -56,7 +56,7 @@
             far: BinaryHeap::new(),
             at: 0,
             number: 0,
-            held: 0,
+            waiting: 0,
         }
     }
 }
@@ -65,7 +65,7 @@
     /// Puts an event in, to come at a time in ns; one that should have come already comes next.
     pub fn push(&mut self, at: u64, due: T) {
         self.number += 1;
-        self.held += 1;
+        self.waiting += 1;
         let entry = Entry { at, number: self.number, due };
         let slot = at >> SLOT_BITS;
         if slot <= self.at {
@@ -79,7 +79,7 @@
 
     /// Takes the next event out; `None` when there is none.
     pub fn pop(&mut self) -> Option<(u64, T)> {
-        if self.held == 0 {
+        if self.waiting == 0 {
             return None;
         }
         while self.now.is_empty() {
@@ -93,7 +93,7 @@
             let slot = mem::take(&mut self.slots[(self.at % SLOTS) as usize]);
             self.now.extend(slot.into_iter().map(Reverse));
         }
-        self.held -= 1;
+        self.waiting -= 1;
         self.now.pop().map(|Reverse(entry)| (entry.at, entry.due))
     }
 }
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -6,7 +6,7 @@
 use oorandom::Rand64;
 
 use self::event::Due;
-pub use self::report::{Depth, Faults, Minds, Report, Second};
+pub use self::report::{Depth, Faults, Report, Second, Signals};
 pub use self::script::{DRAIN_S, Step};
 use self::slab::Slab;
 use self::state::{Client, Core, Hop, Process, Slot, State, Work};
@@ -21,11 +21,11 @@
 mod clients;
 mod event;
 mod lists;
-mod minds;
 mod processes;
 mod report;
 mod script;
 mod settings;
+mod signals;
 mod slab;
 mod state;
 mod upstreams;
@@ -246,7 +246,7 @@
     fn schedule_first_events(&mut self) {
         self.due.push(0, Due::Client);
         self.due.push(ns(MEMORY_LOOK_S), Due::Look);
-        self.due.push(ns(SIGNAL_LOOK_S), Due::LookAtMinds);
+        self.due.push(ns(SIGNAL_LOOK_S), Due::LookAtSignals);
         for (number, timed) in self.play.script.iter().enumerate() {
             self.due.push(ns(timed.at_s), Due::Script(number as u32));
         }
@@ -301,7 +301,7 @@
             Due::Start(slot) => self.start(slot as usize)?,
             Due::Unlist(process) => self.unlist(process as usize),
             Due::Look => self.look_at_memory()?,
-            Due::LookAtMinds => self.look_at_minds(),
+            Due::LookAtSignals => self.look_at_signals(),
         }
         Ok(())
     }
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -45,10 +45,10 @@
         is_last_attempt: bool,
     ) {
         let now = self.now;
-        let held = &self.cores[core as usize];
-        let from = held.zone;
+        let core_state = &self.cores[core as usize];
+        let from = core_state.zone;
         let to = self.slots[self.processes[process as usize].slot].zone;
-        if held.told.get(&process).is_some_and(|&told| now > told + ns(GRACE_S)) {
+        if core_state.notified.get(&process).is_some_and(|&notified| now > notified + ns(GRACE_S)) {
             self.report.faults.after_grace += 1;
         }
         let depth = self.depth_of(core);
--- a/crates/capacity/src/hollow/world/event.rs
+++ b/crates/capacity/src/hollow/world/event.rs
@@ -1,4 +1,4 @@
-//! What can come due in a run of the fleet. The wheel orders these by time, and the digest of a run is taken over
+//! The events of a run of the fleet. The wheel orders these by time, and the digest of a run is taken over
 //! them, so that two runs can be compared to the byte.
 
 use balancer_policy::interface::Outcome;
@@ -19,7 +19,7 @@
     Start(u32),
     Unlist(u32),
     Look,
-    LookAtMinds,
+    LookAtSignals,
 }
 
 impl Due {
@@ -41,7 +41,7 @@
             Self::Start(slot) => [tag(12, 0), slot.into()],
             Self::Unlist(process) => [tag(13, 0), process.into()],
             Self::Look => [tag(14, 0), 0],
-            Self::LookAtMinds => [tag(15, 0), 0],
+            Self::LookAtSignals => [tag(15, 0), 0],
         }
     }
 }
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -46,13 +46,13 @@
 
     /// A core takes in a list.
     pub(super) fn tell(&mut self, core: u32, update: ListUpdate) {
-        let held = &mut self.cores[core as usize];
-        if held.balancer.is_none() {
+        let core_state = &mut self.cores[core as usize];
+        if core_state.balancer.is_none() {
             return;
         }
         if let ListUpdate::Snapshot(members) | ListUpdate::Delta(members) = &update {
             for member in members.iter().filter(|member| member.lifecycle != Lifecycle::Ready) {
-                held.told.entry(member.id.0).or_insert(self.now);
+                core_state.notified.entry(member.id.0).or_insert(self.now);
             }
         }
         self.report.lists += 1;
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -26,7 +26,7 @@
             started,
             busy: 0,
             queue: VecDeque::new(),
-            held: 0,
+            in_flight: 0,
             cores: Vec::new(),
             window: VecDeque::new(),
         });
@@ -79,7 +79,7 @@
             zone,
             service,
             connected: FxHashSet::default(),
-            told: FxHashMap::default(),
+            notified: FxHashMap::default(),
             listed_at: self.now,
             missed: false,
             first: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
@@ -112,19 +112,19 @@
         for core in mem::take(&mut process.cores) {
             let core = &mut self.cores[core as usize];
             core.balancer = None;
-            (core.connected, core.told) = Default::default();
+            (core.connected, core.notified) = Default::default();
         }
         if self.slots[slot].process == Some(number) {
             self.slots[slot].process = None;
         }
         let zone = self.slots[slot].zone;
         // In the order of their numbers.
-        let held: Vec<u64> = (0..)
+        let in_flight: Vec<u64> = (0..)
             .zip(&self.works.entries)
             .filter(|(_, entry)| entry.occupied && entry.value.process as usize == number)
             .map(|(place, entry)| u64::from(entry.generation) << 32 | place)
             .collect();
-        for id in held {
+        for id in in_flight {
             let Some(work) = self.works.get(id) else { continue };
             let (hop, attempt) = (work.hop, work.attempt);
             self.works.remove(id);
--- a/crates/capacity/src/hollow/world/report.rs
+++ b/crates/capacity/src/hollow/world/report.rs
@@ -6,7 +6,7 @@
 pub struct Second {
     /// Calls.
     pub calls: u64,
-    /// Served within the aim.
+    /// Served within the latency objective.
     pub served: u64,
     /// Served within the deadline.
     pub late: u64,
@@ -37,19 +37,19 @@
     pub ends: [u64; 6],
 }
 
-/// What balancers changed their minds about, at a second.
+/// How many balancers signalled what, at one second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Minds {
+pub struct Signals {
     /// The second.
     pub at_s: u64,
     /// Balancers.
     pub cores: usize,
     /// Those with a limit cut.
     pub limited: usize,
-    /// Those that have set an upstream of theirs aside.
-    pub aside: usize,
-    /// Those that meet a crowd.
-    pub crowded: usize,
+    /// Those that have ejected an upstream of theirs.
+    pub ejected: usize,
+    /// Those with a congested upstream.
+    pub congested: usize,
 }
 
 /// What must never be.
@@ -79,7 +79,7 @@
     /// List events that balancers took in.
     pub lists: u64,
     /// By the second.
-    pub minds: Vec<Minds>,
+    pub signals: Vec<Signals>,
     /// Of what must never be.
     pub faults: Faults,
     /// Attempts that crossed zones within a region.
--- a/crates/capacity/src/hollow/world/minds.rs
+++ b/crates/capacity/src/hollow/world/signals.rs
@@ -1,18 +1,18 @@
-//! Once a second: how many balancers have limits cut, upstreams set aside, or an upstream that is short of capacity.
+//! Once a second: how many balancers have limits cut, ejected upstreams, or congested ones.
 
 use balancer_policy::interface::Lifecycle;
 
 use super::event::Due;
 use super::lists::{LIST_DELAY_MIN_S, LIST_DELAY_SPREAD_S};
-use super::report::Minds;
+use super::report::Signals;
 use super::settings::QUOTAS;
 use super::upstreams::COLD_S;
 use super::{SIGNAL_LOOK_S, World, ns};
 
 impl World<'_> {
-    pub(super) fn look_at_minds(&mut self) {
-        self.due.push(self.now + ns(SIGNAL_LOOK_S), Due::LookAtMinds);
-        let mut minds = Minds { at_s: (self.now + 500_000_000) / 1_000_000_000, ..Minds::default() };
+    pub(super) fn look_at_signals(&mut self) {
+        self.due.push(self.now + ns(SIGNAL_LOOK_S), Due::LookAtSignals);
+        let mut signals = Signals { at_s: (self.now + 500_000_000) / 1_000_000_000, ..Signals::default() };
         // While a list changes or one of it is cold, the figure that falls with those set aside falls with these.
         let late = ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S);
         let unclear: Vec<bool> = (0..self.listed.len())
@@ -28,26 +28,26 @@
             .collect();
         for core in &self.cores {
             let Some(balancer) = &core.balancer else { continue };
-            minds.cores += 1;
+            signals.cores += 1;
             let stats_snapshot = balancer.stats_snapshot();
             let figure = |name: &str| -> f64 {
                 let rest = stats_snapshot.split_once(name).map_or("", |(_, rest)| rest);
                 rest.split([' ', ',']).find_map(|word| word.parse().ok()).unwrap_or(0.0)
             };
-            minds.crowded += usize::from(figure("crowding ") > 0.2);
+            signals.congested += usize::from(figure("crowding ") > 0.2);
             // The last of the limits is that of all calls together; where it is none it reads 1000000.
             let limits = stats_snapshot.split_once("limits ").map_or("", |(_, rest)| rest);
             let limits = limits.split_once(", usual").map_or("", |(limits, _)| limits);
             let all = limits.split(' ').filter_map(|word| word.parse::<f64>().ok()).next_back();
             let fair = QUOTAS * self.topology.services[core.service].rate / self.topology.fronts.len() as f64;
             let fair = if core.front { fair } else { 1e6 };
-            minds.limited += usize::from(all.is_some_and(|all| all < fair * 0.99));
+            signals.limited += usize::from(all.is_some_and(|all| all < fair * 0.99));
             let is_ready = |&&process: &&u32| self.processes[process as usize].lifecycle == Lifecycle::Ready;
             let ready = self.listed[core.service].iter().filter(is_ready).count() as f64;
             let ready = ready / core.first.max(1) as f64;
             let had = ready.clamp(0.5, 1.0);
-            minds.aside += usize::from(!unclear[core.service] && figure("had ") < had - 0.01);
+            signals.ejected += usize::from(!unclear[core.service] && figure("had ") < had - 0.01);
         }
-        self.report.minds.push(minds);
+        self.report.signals.push(signals);
     }
 }
--- a/crates/capacity/src/hollow/world/state.rs
+++ b/crates/capacity/src/hollow/world/state.rs
@@ -18,8 +18,8 @@
     pub(super) service: usize,
     /// Upstreams to which it has a connection.
     pub(super) connected: FxHashSet<u32>,
-    /// When it was told that an upstream drains or has gone.
-    pub(super) told: FxHashMap<u32, u64>,
+    /// When it was notified that an upstream drains or is removed, in ns, by process.
+    pub(super) notified: FxHashMap<u32, u64>,
     /// When its latest list event comes.
     pub(super) listed_at: u64,
     /// Lists passed it by while it was cut off.
@@ -45,7 +45,7 @@
     pub(super) started: Option<u64>,
     pub(super) busy: usize,
     pub(super) queue: VecDeque<u64>,
-    pub(super) held: usize,
+    pub(super) in_flight: usize,
     /// All works that it holds are of it while it is up; a set would cost more than a look at each.
     pub(super) cores: Vec<u32>,
     /// Arrivals in the window of overload, while it is cold.
--- a/crates/capacity/src/hollow/world/upstreams.rs
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -65,12 +65,12 @@
             return self.reply(zone, id, number, Outcome::Reset);
         }
         let cores = self.topology.services[service].cores;
-        let held = &mut self.processes[process];
-        let full = held.busy >= cores && held.queue.len() >= cores * QUEUE;
-        if full || held.held >= cores * PLACES {
+        let receiver = &mut self.processes[process];
+        let full = receiver.busy >= cores && receiver.queue.len() >= cores * QUEUE;
+        if full || receiver.in_flight >= cores * PLACES {
             return self.reply(zone, id, number, Outcome::Refused);
         }
-        held.held += 1;
+        receiver.in_flight += 1;
         let work =
             Work { process: process as u32, hop: id, attempt: number, class, left, begun: false, deadline };
         let work = self.works.insert(work);
@@ -125,7 +125,7 @@
             .is_some_and(|attempt| !attempt.over);
         if !waits || now >= deadline {
             self.works.remove(id);
-            self.processes[process].held -= 1;
+            self.processes[process].in_flight -= 1;
             return self.next(process);
         }
         self.begins(hop);
@@ -169,7 +169,7 @@
         let Some(work) = self.works.get(id) else { return };
         let Work { process, hop, attempt, .. } = *work;
         self.works.remove(id);
-        self.processes[process as usize].held -= 1;
+        self.processes[process as usize].in_flight -= 1;
         let zone = self.slots[self.processes[process as usize].slot].zone;
         self.reply(zone, hop, attempt, outcome);
     }
--- a/crates/capacity/src/latency/made_of.rs
+++ b/crates/capacity/src/latency/made_of.rs
@@ -99,7 +99,7 @@
         row("through the balancer", &play.through, &format!("{counts:?}")),
         row(
             "of these on kept connections",
-            &play.kept,
+            &play.reused,
             &format!("to upstreams, of {}", play.through.count()),
         ),
         row(
--- a/crates/capacity/src/latency/placement.rs
+++ b/crates/capacity/src/latency/placement.rs
@@ -8,18 +8,18 @@
 pub(super) enum Placement {
     /// Where the system puts them.
     Anywhere,
-    /// The caller on core 0, all else on the others.
+    /// The client on core 0, all else on the others.
     Apart,
     /// The same with the balancer alone on the last.
     Alone,
 }
 
 impl Placement {
-    /// Places this thread and what it starts but the caller; tells where the balancer is held to. `held` says whether
-    /// another play was placed before.
-    pub(super) fn place(self, cores: usize, held: bool) -> Result<Option<usize>, CapacityError> {
+    /// Binds this thread, and all that it starts apart from the client, to cores: the core of the balancer, where it has one
+    /// for itself. `placed_before` says whether an earlier play may have bound this thread.
+    pub(super) fn place(self, cores: usize, placed_before: bool) -> Result<Option<usize>, CapacityError> {
         match self {
-            Self::Anywhere if !held => Ok(None),
+            Self::Anywhere if !placed_before => Ok(None),
             Self::Anywhere => world::hold_to(&format!("0-{}", cores - 1)).map(|()| None),
             Self::Apart => world::hold_to(&format!("1-{}", cores - 1)).map(|()| None),
             Self::Alone => world::hold_to(&format!("1-{}", cores - 2)).map(|()| Some(cores - 1)),
@@ -27,5 +27,5 @@
     }
 }
 
-/// With fewer cores the caller can't have one for itself.
+/// Cores that the placement needs: with fewer the client can't have one for itself.
 pub(super) const CORES_LEAST: usize = 4;
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -14,12 +14,12 @@
 
 /// Time between two changes.
 const CHANGE_EVERY: Duration = Duration::from_millis(100);
-/// What is left out at the start of each play.
+/// The warm-up at the start of each play, whose calls do not count.
 const WARM: Duration = Duration::from_millis(700);
-/// Connections of callers that stand beforehand.
-const CALLERS: usize = 256;
+/// Connections of the client to each way that are open before the first call.
+const CLIENT_CONNECTIONS: usize = 256;
 
-/// Seconds of a play: longer where calls are few.
+/// How long a play counts: longer where calls are few.
 fn span(rate: f64, small: bool) -> Duration {
     let calls = if small { 50.0 } else { 3000.0 };
     Duration::from_secs_f64((calls / rate).clamp(if small { 0.2 } else { 3.0 }, 7.0))
@@ -58,12 +58,12 @@
     pub(super) inverted: usize,
     /// How late calls were sent.
     pub(super) late: Times,
-    pub(super) kept: Times,
+    pub(super) reused: Times,
     pub(super) new: Times,
     pub(super) around: Around,
 }
 
-/// What else there is to tell of a play.
+/// What happened beside the calls of a play.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Around {
     pub(super) counts: Counts,
@@ -193,7 +193,7 @@
     fn ways(&self, servers: &Servers) -> Vec<Way> {
         let way = |targets| Way {
             targets,
-            warm: CALLERS,
+            warm: CLIENT_CONNECTIONS,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
@@ -216,7 +216,7 @@
         let over = AtomicBool::new(false);
         let core_0 = setup.placement != Placement::Anywhere;
         let (played, beside) = thread::scope(|scope| {
-            let caller = scope.spawn(|| {
+            let client = scope.spawn(|| {
                 let placed = if core_0 { world::hold_to("0") } else { Ok(()) };
                 let zero = Instant::now() + world::CONNECT_FIRST;
                 let played = placed.and_then(|()| world::play(calls, &ways, first_id, zero, &progress));
@@ -236,7 +236,7 @@
                     self.make_change(kind, servers, &mut beside);
                 }
             }
-            (caller.join(), beside)
+            (client.join(), beside)
         });
         let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
         beside.published?;
@@ -296,7 +296,7 @@
         inverted: both.iter().filter(|(direct, through)| through < direct).count(),
         difference: Times::of(both.iter().map(|(direct, through)| through.saturating_sub(*direct)))?,
         late: Times::of(calls.iter().zip(played).map(|(call, played)| played.sent.saturating_sub(call.at)))?,
-        kept: on(false)?,
+        reused: on(false)?,
         new: on(true)?,
         around,
     })
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -7,9 +7,9 @@
 use crate::plan::{Plan, Reading, Source};
 
 pub(super) fn plan_block(plan: &Plan) -> String {
-    let rows = plan.told().into_iter().map(|told| {
-        let from = if told.from == Source::Given { "given" } else { "assumed" };
-        vec![format!("`{}`", told.place), told.value, told.unit, from.to_owned(), told.why]
+    let rows = plan.printed().into_iter().map(|printed| {
+        let from = if printed.from == Source::Given { "given" } else { "assumed" };
+        vec![format!("`{}`", printed.place), printed.value, printed.unit, from.to_owned(), printed.why]
     });
     table(&["figure", "value", "unit", "source", "why"], rows)
 }
@@ -91,7 +91,7 @@
         row("upstreams of the largest zone", show(plan.largest_zone()), "largest region share / its zones"),
         row(
             "a call that meets no trouble is held, ms",
-            show(plan.held_s() * 1e3),
+            show(plan.call_in_flight_s() * 1e3),
             "graph.depth x (traffic.work_ms + 2 x network.region_ms)",
         ),
     ]
@@ -128,12 +128,12 @@
         ),
         row(
             "balancers that a change concerns, mean",
-            show(plan.told_by_change()),
+            show(plan.balancers_per_change()),
             "configuration.scope_shares, regions and services alike",
         ),
         row(
             "restarts a day, were a change a restart",
-            show(plan.told_by_change() * changes_per_day),
+            show(plan.balancers_per_change() * changes_per_day),
             "the row above x configuration.changes_per_day",
         ),
     ]
@@ -228,9 +228,9 @@
 
 /// Prints what `scale plan` tells.
 pub fn print_plan(plan: &Plan) {
-    for told in plan.told() {
-        let from = if told.from == Source::Given { "given" } else { "assumed" };
-        println!("{:<36} {:<60} {from}; {}", told.place, told.value, told.unit);
+    for printed in plan.printed() {
+        let from = if printed.from == Source::Given { "given" } else { "assumed" };
+        println!("{:<36} {:<60} {from}; {}", printed.place, printed.value, printed.unit);
     }
     println!();
     for Derived { name, value, formula } in derived(plan) {
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -37,9 +37,9 @@
     pub why: String,
 }
 
-/// A figure of the plan as it is told.
+/// A figure of the plan as text, for the page and the command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Told {
+pub struct PrintedFigure {
     /// Its place in the file.
     pub place: String,
     /// Its value.
@@ -53,9 +53,9 @@
 }
 
 impl<T: Debug> Figure<T> {
-    fn told(&self, section: &str, name: &str) -> Told {
+    fn printed(&self, section: &str, name: &str) -> PrintedFigure {
         let value = format!("{:?}", self.value);
-        Told {
+        PrintedFigure {
             place: format!("{section}.{name}"),
             value: value.strip_suffix(".0").unwrap_or(&value).to_owned(),
             from: self.from,
@@ -75,8 +75,8 @@
         }
 
         impl $name {
-            fn told(&self, section: &str, told: &mut Vec<Told>) {
-                $(told.push(self.$field.told(section, stringify!($field)));)+
+            fn printed(&self, section: &str, printed: &mut Vec<PrintedFigure>) {
+                $(printed.push(self.$field.printed(section, stringify!($field)));)+
             }
         }
     };
@@ -131,7 +131,7 @@
         work_ms: f64,
         /// How long a client waits, in seconds.
         deadline_s: f64,
-        /// Until when an answer has its full worth, in seconds.
+        /// The latency objective, in seconds: an answer after it counts as late.
         aim_s: f64,
         /// Tenants at the front.
         tenants: usize,
@@ -207,7 +207,7 @@
         memory_mb: f64,
         /// Bytes a second, a balancer.
         bytes_per_s: f64,
-        /// Machines set aside for control.
+        /// Machines reserved for control.
         control_machines: usize,
         /// Cores of each.
         machine_cores: f64,
@@ -223,7 +223,7 @@
     Deal {
         /// Those that accept publications.
         origins: usize,
-        /// Those that hold a copy to take over.
+        /// Replicas of the origin that can take over.
         standbys: usize,
         /// One a region.
         region_relays: usize,
@@ -276,7 +276,7 @@
     pub failures: Failures,
 }
 
-/// Upstreams of a plan at most, so that a slip of the pen takes no machine's memory.
+/// Upstreams of a plan at most, so that a mistyped figure does not use up the memory.
 const UPSTREAMS_MOST: usize = 1_000_000;
 
 /// How "calls a second" is read.
@@ -320,20 +320,20 @@
         if faults.is_empty() { Ok(plan) } else { Err(CapacityError::Plan(faults)) }
     }
 
-    /// All its figures, in the order of the file.
+    /// All its figures as text, in the order of the file.
     #[must_use]
-    pub fn told(&self) -> Vec<Told> {
-        let mut told = Vec::new();
-        self.fleet.told("fleet", &mut told);
-        self.graph.told("graph", &mut told);
-        self.traffic.told("traffic", &mut told);
-        self.network.told("network", &mut told);
-        self.list.told("list", &mut told);
-        self.configuration.told("configuration", &mut told);
-        self.budget.told("budget", &mut told);
-        self.deal.told("deal", &mut told);
-        self.failures.told("failures", &mut told);
-        told
+    pub fn printed(&self) -> Vec<PrintedFigure> {
+        let mut printed = Vec::new();
+        self.fleet.printed("fleet", &mut printed);
+        self.graph.printed("graph", &mut printed);
+        self.traffic.printed("traffic", &mut printed);
+        self.network.printed("network", &mut printed);
+        self.list.printed("list", &mut printed);
+        self.configuration.printed("configuration", &mut printed);
+        self.budget.printed("budget", &mut printed);
+        self.deal.printed("deal", &mut printed);
+        self.failures.printed("failures", &mut printed);
+        printed
     }
 
     /// Calls a second over all hops.
@@ -434,15 +434,16 @@
         OwnChange { part: parts.sum(), bytes: lengths.sum() }
     }
 
-    /// Balancers that a change has to be told to, on average.
+    /// Balancers that a change of configuration concerns, on average.
     #[must_use]
-    pub fn told_by_change(&self) -> f64 {
+    pub fn balancers_per_change(&self) -> f64 {
         self.own_change().part * self.fleet.upstreams.value as f64
     }
 
-    /// How long a call is held that meets no trouble, in seconds: all tiers work, and each has its way there and back.
+    /// How long a call is in flight where no service is in trouble, in seconds: all tiers work, and each has its way there
+    /// and back.
     #[must_use]
-    pub fn held_s(&self) -> f64 {
+    pub fn call_in_flight_s(&self) -> f64 {
         self.graph.depth.value as f64 * (self.traffic.work_ms.value + 2.0 * self.network.region_ms.value)
             / 1000.0
     }
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -38,10 +38,10 @@
 #[test]
 fn what_was_asked_for_is_marked_as_given() {
     let given: Vec<(String, String)> = plan()
-        .told()
+        .printed()
         .into_iter()
-        .filter(|told| told.from == Source::Given)
-        .map(|told| (told.place, told.value))
+        .filter(|printed| printed.from == Source::Given)
+        .map(|printed| (printed.place, printed.value))
         .collect();
     for (place, value) in [
         ("fleet.upstreams", "1900"),
@@ -68,7 +68,7 @@
 
 #[test]
 fn an_assumption_is_marked_as_one_and_each_figure_says_its_unit() {
-    let told = plan().told();
+    let printed = plan().printed();
     for place in [
         "fleet.size_skew",
         "fleet.region_shares",
@@ -79,10 +79,10 @@
         "configuration.bunch",
         "configuration.service_bytes",
     ] {
-        let told = told.iter().find(|told| told.place == place).unwrap();
-        assert_eq!(told.from, Source::Assumed, "{place}");
+        let printed = printed.iter().find(|printed| printed.place == place).unwrap();
+        assert_eq!(printed.from, Source::Assumed, "{place}");
     }
-    assert!(told.iter().all(|told| !told.unit.is_empty()));
+    assert!(printed.iter().all(|printed| !printed.unit.is_empty()));
 }
 
 #[test]
@@ -215,8 +215,8 @@
 #[test]
 fn what_a_change_costs_follows_from_scopes_and_sizes() {
     let plan = plan();
-    let told = 0.03 * 1900.0 + 0.07 * 1900.0 / 3.0 + 0.90 * 1900.0 / 310.0;
-    assert!((plan.told_by_change() - told).abs() < 1e-9);
+    let expected = 0.03 * 1900.0 + 0.07 * 1900.0 / 3.0 + 0.90 * 1900.0 / 310.0;
+    assert!((plan.balancers_per_change() - expected).abs() < 1e-9);
     assert_eq!(plan.documents_bytes(), f64::from(4096 + 3 * 2048 + 310 * 6144));
     assert_eq!(plan.whole_list_bytes(), 285_000);
     assert!((plan.largest_zone() - 1900.0 * 0.31 / 2.0).abs() < 1e-9);
