--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -123,7 +123,7 @@
     /// Cores that watch the list of a service.
     watchers: Vec<Vec<u32>>,
     /// Balancers that call a service, in all.
-    callers: Vec<u32>,
+    replicas: Vec<u32>,
     /// Cores of each front, by the place among the entries.
     fronts: Vec<Vec<u32>>,
     front_up: Vec<bool>,
@@ -162,7 +162,7 @@
             cores: Vec::new(),
             changed: vec![None; services],
             watchers: vec![Vec::new(); services],
-            callers: vec![0; services],
+            replicas: vec![0; services],
             fronts: vec![Vec::new(); topology.fronts.len()],
             front_up: vec![true; topology.fronts.len()],
             changes: Vec::new(),
@@ -203,7 +203,7 @@
     fn add_slots(&mut self) {
         let topology = self.topology;
         for entry in &topology.entries {
-            self.callers[entry.service] = topology.fronts.len() as u32;
+            self.replicas[entry.service] = topology.fronts.len() as u32;
         }
         for (number, service) in topology.services.iter().enumerate() {
             for &zone in &service.zones {
@@ -211,8 +211,8 @@
                     .calls
                     .iter()
                     .map(|called| {
-                        self.callers[called.service] += 1;
-                        self.callers[called.service] - 1
+                        self.replicas[called.service] += 1;
+                        self.replicas[called.service] - 1
                     })
                     .collect();
                 self.slots.push(Slot { service: number, zone, process: None, index });
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -9,7 +9,7 @@
 };
 
 use super::World;
-use super::upstreams::{COLD_PART, COLD_S, OVERLOAD_MULTIPLE, OVERLOAD_S};
+use super::upstreams::{OVERLOAD_MULTIPLE, OVERLOAD_S, SLOW_START_MIN_FRACTION, SLOW_START_WINDOW_S};
 
 /// Time in which sends to a draining or gone upstream must end.
 pub(super) const GRACE_S: f64 = 1.0;
@@ -35,7 +35,7 @@
         };
         Settings {
             replica_index: index,
-            replicas: self.callers[service],
+            replicas: self.replicas[service],
             tier,
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
@@ -59,8 +59,8 @@
                 answer_slack: Duration::from_millis(20),
                 drain_grace: Duration::from_secs_f64(GRACE_S),
                 poll_interval_max: None,
-                slow_start_min_fraction: COLD_PART,
-                slow_start_window: Duration::from_secs_f64(COLD_S),
+                slow_start_min_fraction: SLOW_START_MIN_FRACTION,
+                slow_start_window: Duration::from_secs_f64(SLOW_START_WINDOW_S),
                 overload_multiple: OVERLOAD_MULTIPLE,
                 overload_window: Duration::from_secs_f64(OVERLOAD_S),
             },
--- a/crates/capacity/src/hollow/world/signals.rs
+++ b/crates/capacity/src/hollow/world/signals.rs
@@ -6,7 +6,7 @@
 use super::lists::{LIST_DELAY_MIN_S, LIST_DELAY_SPREAD_S};
 use super::report::Signals;
 use super::settings::QUOTAS;
-use super::upstreams::COLD_S;
+use super::upstreams::SLOW_START_WINDOW_S;
 use super::{SIGNAL_LOOK_S, World, ns};
 
 impl World<'_> {
@@ -19,7 +19,7 @@
             .map(|service| {
                 let cold = |&process: &u32| {
                     let started = self.processes[process as usize].started;
-                    started.is_some_and(|started| self.now < started + ns(COLD_S) + late)
+                    started.is_some_and(|started| self.now < started + ns(SLOW_START_WINDOW_S) + late)
                 };
                 self.cut.is_some()
                     || self.changed[service].is_some_and(|at| self.now < at + 2 * late)
--- a/crates/capacity/src/hollow/world/upstreams.rs
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -9,9 +9,9 @@
 use crate::hollow::topology::place;
 
 /// Part of its capacity with which a process starts, 0 to 1.
-pub(super) const COLD_PART: f64 = 0.3;
+pub(super) const SLOW_START_MIN_FRACTION: f64 = 0.3;
 /// Seconds from its start until a process has all of its capacity.
-pub(super) const COLD_S: f64 = 8.0;
+pub(super) const SLOW_START_WINDOW_S: f64 = 8.0;
 /// A cold process falls over when it is sent more than this many times what it can do...
 pub(super) const OVERLOAD_MULTIPLE: f64 = 2.8;
 /// ...in a window of this many seconds.
@@ -24,7 +24,7 @@
 const PLACES: usize = 400;
 
 pub(super) fn warmth(age_s: f64) -> f64 {
-    (COLD_PART + (1.0 - COLD_PART) * age_s / COLD_S).min(1.0)
+    (SLOW_START_MIN_FRACTION + (1.0 - SLOW_START_MIN_FRACTION) * age_s / SLOW_START_WINDOW_S).min(1.0)
 }
 
 impl World<'_> {
@@ -84,7 +84,7 @@
     /// Whether a cold process has been sent more in the window than it can bear, by the sum over all balancers.
     pub(super) fn falls_over(&mut self, number: usize) -> bool {
         let now = self.now;
-        let cold = ns(COLD_S);
+        let cold = ns(SLOW_START_WINDOW_S);
         let Process { started: Some(started), slot, .. } = self.processes[number] else { return false };
         if now - started >= cold {
             return false;
