--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -1,28 +1,28 @@
 //! Needs of control: what lists and configuration cost a balancer, the machines that spread them, and a registrant.
 
 use super::MB_PER_KIB;
-use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, ORIGIN, RELAY};
-use super::need::{Cost, Need, Read, Requirement};
+use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, Mechanism, ORIGIN, RELAY};
+use super::need::{Cost, Need, Read, Requirement, Term};
 use super::occasion::Occasion;
-use super::role::{Part, Role};
+use super::role::Role;
 use crate::plan::Plan;
 
 /// Bytes of an empty line of a watch as one chunk of HTTP/1.1.
 const BEAT_BYTES: f64 = 6.0;
 
-/// What lists and configuration cost on the wire on an occasion, for so many balancers.
-struct Told {
-    list: [Part; 3],
+/// What lists and configuration cost on the wire on an occasion, for so many balancers, in bytes a second.
+struct Traffic {
+    list: [Term; 3],
     list_reckoned: f64,
-    configuration: [Part; 2],
+    configuration: [Term; 2],
     /// What is by the plan in either case: documents caught up with, and those longer than the measured one.
     configuration_plain: f64,
     configuration_reckoned: f64,
-    /// Changes a second that they take in, with those that they catch up with.
-    taken: f64,
+    /// Changes a second that they receive, with those that they catch up with.
+    changes_received: f64,
 }
 
-impl Told {
+impl Traffic {
     fn of(plan: &Plan, on: &Occasion, balancers: f64) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let within = plan.configuration.in_force_s.value;
@@ -36,18 +36,22 @@
         let changes = on.changes * on.own;
         Self {
             list: [
-                ("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
-                ("control.list_change_bytes_by_changes", Read::OneMore, balancers * on.lines),
-                ("control.list_whole_bytes_by_upstreams", Read::At(upstreams), balancers * wholes),
+                Term::of("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                Term::of("control.list_change_bytes_by_changes", Read::OneMore, balancers * on.lines),
+                Term::of("control.list_whole_bytes_by_upstreams", Read::At(upstreams), balancers * wholes),
             ],
             list_reckoned: balancers * (beat + lines + wholes * whole),
             configuration: [
-                ("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
-                ("control.configuration_change_bytes_by_watchers", Read::OneMore, balancers * changes),
+                Term::of("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                Term::of(
+                    "control.configuration_change_bytes_by_watchers",
+                    Read::OneMore,
+                    balancers * changes,
+                ),
             ],
             configuration_plain: balancers * (longer + caught_up),
             configuration_reckoned: balancers * (beat + on.changes * on.own_bytes + caught_up),
-            taken: balancers * (changes + if on.caught_up > 0.0 { 1.0 / within } else { 0.0 }),
+            changes_received: balancers * (changes + if on.caught_up > 0.0 { 1.0 / within } else { 0.0 }),
         }
     }
 }
@@ -82,15 +86,15 @@
 /// What the control of one balancer costs on an occasion: the parts of which the rows of its clients, and of both
 /// together, are made.
 struct BalancerControl {
-    told: Told,
+    traffic: Traffic,
     /// Bytes of the whole list.
     whole: f64,
     /// Bytes of the documents that it uses.
     own_documents: f64,
-    list_core: [Part; 3],
-    configuration_core: [Part; 2],
-    list_memory: [Part; 1],
-    configuration_memory: [Part; 1],
+    list_core: [Term; 3],
+    configuration_core: [Term; 2],
+    list_memory: [Term; 1],
+    configuration_memory: [Term; 1],
     budget: Budget,
 }
 
@@ -105,21 +109,26 @@
     fn of(plan: &Plan, on: &Occasion) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let within = plan.configuration.in_force_s.value;
-        let told = Told::of(plan, on, 1.0);
-        let list_core: [Part; 3] = [
-            ("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
-            ("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
-            ("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
+        let traffic = Traffic::of(plan, on, 1.0);
+        let list_core: [Term; 3] = [
+            Term::of("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
+            Term::of("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
+            Term::of("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
         ];
-        let configuration_core: [Part; 2] = [
-            ("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
-            ("control.configuration_change_client_us_by_watchers", Read::OneMore, told.taken / 1e6),
+        let configuration_core: [Term; 2] = [
+            Term::of("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
+            Term::of(
+                "control.configuration_change_client_us_by_watchers",
+                Read::OneMore,
+                traffic.changes_received / 1e6,
+            ),
         ];
-        let list_memory: [Part; 1] = [("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
-        let configuration_memory: [Part; 1] =
-            [("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
+        let list_memory: [Term; 1] =
+            [Term::of("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
+        let configuration_memory: [Term; 1] =
+            [Term::of("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
         Self {
-            told,
+            traffic,
             whole: plan.whole_list_bytes() as f64,
             own_documents: plan.own_documents_bytes(),
             list_core,
@@ -143,10 +152,10 @@
             "beats + lines/s x bytes of one + whole lists x their bytes / time that a change has",
             "bytes/s",
             0.0,
-            &self.told.list,
+            &self.traffic.list,
             self.budget.bytes,
         )
-        .instead = Some(self.told.list_reckoned);
+        .instead = Some(self.traffic.list_reckoned);
         role.row(
             Cost::Processor,
             "a process at rest + whole lists and lines/s taken in and decided on, at all upstreams",
@@ -177,11 +186,11 @@
             Cost::Messages,
             "beats and reports + changes/s for it x bytes of one + documents caught up with / time that a change has",
             "bytes/s",
-            self.told.configuration_plain,
-            &self.told.configuration,
+            self.traffic.configuration_plain,
+            &self.traffic.configuration,
             self.budget.bytes,
         )
-        .instead = Some(self.told.configuration_reckoned);
+        .instead = Some(self.traffic.configuration_reckoned);
         role.row(
             Cost::Processor,
             "a client at rest + changes/s for it x time to take one in and report it",
@@ -213,11 +222,11 @@
             Cost::Messages,
             "list + configuration",
             "bytes/s",
-            self.told.configuration_plain,
-            &[&self.told.list[..], &self.told.configuration].concat(),
+            self.traffic.configuration_plain,
+            &[&self.traffic.list[..], &self.traffic.configuration].concat(),
             self.budget.bytes,
         )
-        .instead = Some(self.told.list_reckoned + self.told.configuration_reckoned);
+        .instead = Some(self.traffic.list_reckoned + self.traffic.configuration_reckoned);
         let both = [&self.list_core[..], &self.configuration_core].concat();
         role.row(Cost::Processor, "list + configuration", "cores", 0.0, &both, self.budget.core);
         let both = [&self.list_memory[..], &self.configuration_memory].concat();
@@ -233,7 +242,6 @@
 }
 
 pub(super) fn control_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
-    let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let documents = plan.documents_bytes();
     // A relay asks for all scopes and catches up with all documents at worst, a balancer for its own.
     let for_relays = Occasion {
@@ -245,17 +253,49 @@
     let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
     let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
     let below_region = on.region_children.min(relays * zones);
-    // With how many relays each has a watch, its own above among them, and how many balancers.
-    for (name, mechanism, above, below, balancers) in [
-        ("control: origin", ORIGIN, 0.0, on.origin_children, 0.0),
-        ("control: standby of the origin", RELAY, 1.0, 0.0, 0.0),
-        ("control: relay of a region", RELAY, 1.0, below_region, on.region_children - below_region),
-        ("control: relay of a zone", RELAY, 1.0, 0.0, on.zone_children),
+    let machine = |name, mechanism, relays: f64, balancers: f64, children: f64| ConfigurationMachine {
+        name,
+        mechanism,
+        to_relays: Traffic::of(plan, &for_relays, relays),
+        to_balancers: Traffic::of(plan, on, balancers),
+        children,
+    };
+    let in_region = on.region_children;
+    for machine in [
+        machine("control: origin", ORIGIN, on.origin_children, 0.0, on.origin_children),
+        machine("control: standby of the origin", RELAY, 1.0, 0.0, 0.0),
+        machine(
+            "control: relay of a region",
+            RELAY,
+            1.0 + below_region,
+            in_region - below_region,
+            below_region + (in_region - below_region),
+        ),
+        machine("control: relay of a zone", RELAY, 1.0, on.zone_children, on.zone_children),
     ] {
-        let (to_relays, to_balancers) =
-            (Told::of(plan, &for_relays, above + below), Told::of(plan, on, balancers));
-        let mut role = Role { name, mechanism, requirement: Requirement::Configuration, rows: &mut *rows };
-        role.row(Cost::State, "all documents", "bytes", documents, &[], None);
+        machine.rows(plan, rows);
+    }
+    list_machines(plan, on, rows);
+}
+
+/// A machine that spreads the configuration.
+struct ConfigurationMachine {
+    name: &'static str,
+    mechanism: Mechanism,
+    /// What goes between it and relays, the one above among them.
+    to_relays: Traffic,
+    /// What goes between it and balancers.
+    to_balancers: Traffic,
+    /// Relays and balancers that watch it.
+    children: f64,
+}
+
+impl ConfigurationMachine {
+    fn rows(&self, plan: &Plan, rows: &mut Vec<Need>) {
+        let Budget { bytes, core, memory } = Budget::of_machine(plan);
+        let &Self { name, mechanism, ref to_relays, ref to_balancers, children } = self;
+        let mut role = Role { name, mechanism, requirement: Requirement::Configuration, rows };
+        role.row(Cost::State, "all documents", "bytes", plan.documents_bytes(), &[], None);
         role.row(
             Cost::Messages,
             "its watches, above and below, x what each is told and reports",
@@ -271,11 +311,11 @@
             "cores",
             0.0,
             &[
-                ("control.configuration_server_core_by_watchers", Read::At(below + balancers), 1.0),
-                (
+                Term::of("control.configuration_server_core_by_watchers", Read::At(children), 1.0),
+                Term::of(
                     "control.configuration_change_server_us_by_watchers",
                     Read::OneMore,
-                    (to_relays.taken + to_balancers.taken) / 1e6,
+                    (to_relays.changes_received + to_balancers.changes_received) / 1e6,
                 ),
             ],
             core,
@@ -285,11 +325,10 @@
             "a relay with so many children and all documents",
             "MB",
             0.0,
-            &[("control.configuration_server_kb_by_watchers", Read::At(below + balancers), MB_PER_KIB)],
+            &[Term::of("control.configuration_server_kb_by_watchers", Read::At(children), MB_PER_KIB)],
             memory,
         );
     }
-    list_machines(plan, on, rows);
 }
 
 /// The service that hands out lists, on the machines of the zone relays.
@@ -302,25 +341,25 @@
         rows,
     };
     let readers = on.zone_children.max(on.region_children);
-    let told = Told::of(plan, on, readers);
+    let traffic = Traffic::of(plan, on, readers);
     role.row(Cost::State, "the whole list", "bytes", plan.whole_list_bytes() as f64, &[], None);
     role.row(
         Cost::Messages,
         "readers of the busiest x what each is told",
         "bytes/s",
         0.0,
-        &told.list,
+        &traffic.list,
         bytes,
     )
-    .instead = Some(told.list_reckoned);
+    .instead = Some(traffic.list_reckoned);
     role.row(
         Cost::Processor,
         "its readers' watches at rest, at a stand-in, + lines/s told",
         "cores",
         0.0,
         &[
-            ("control.list_server_core_by_watchers", Read::At(readers), 1.0),
-            ("control.list_change_server_us_by_watchers", Read::OneMore, readers * on.lines / 1e6),
+            Term::of("control.list_server_core_by_watchers", Read::At(readers), 1.0),
+            Term::of("control.list_change_server_us_by_watchers", Read::OneMore, readers * on.lines / 1e6),
         ],
         core,
     );
@@ -329,7 +368,7 @@
         "its readers' watches, at a stand-in",
         "MB",
         0.0,
-        &[("control.list_server_kb_by_watchers", Read::At(readers), MB_PER_KIB)],
+        &[Term::of("control.list_server_kb_by_watchers", Read::At(readers), MB_PER_KIB)],
         memory,
     );
 }
@@ -347,8 +386,8 @@
         &[],
         Some(plan.budget.bytes_per_s.value),
     );
-    let unknown: [Part; 1] =
-        [("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
+    let unknown: [Term; 1] =
+        [Term::of("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
     role.row(Cost::Processor, "renewals", "cores", 0.0, &unknown, Some(plan.budget.core_share.value));
     role.row(Cost::Memory, "its own entry", "MB", entry / 1e6, &[], Some(plan.budget.memory_mb.value));
 }
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -1,12 +1,12 @@
 //! What a role needs of something, how the figure is made from the plan and the measured slopes, and on which basis.
 
-use super::measured::Measured;
+use super::measured::{CostAt, Measured, Worst};
 use super::mechanism::Mechanism;
 
 /// What a row counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cost {
-    /// What has to be held.
+    /// Bytes or entries that have to be stored.
     State,
     /// What goes over its connections.
     Messages,
@@ -97,6 +97,13 @@
     pub times: f64,
 }
 
+impl Term {
+    /// A term of a slope, read in this way and counted so often.
+    pub(super) const fn of(slope: &'static str, read: Read, times: f64) -> Self {
+        Self { slope, read, times }
+    }
+}
+
 /// A figure of a table of results: the worst of its plays.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Played {
@@ -139,7 +146,7 @@
     pub requirement: Requirement,
 }
 
-/// How a figure was had.
+/// What a figure rests on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Basis {
     /// From the plan by arithmetic, in place of these slopes if any is missing.
@@ -161,7 +168,7 @@
     pub value: Option<f64>,
     /// In parts of the budget.
     pub ratio: Option<f64>,
-    /// How it was had.
+    /// What it rests on.
     pub basis: Basis,
 }
 
@@ -198,7 +205,7 @@
     /// The figure that the measurements give.
     #[must_use]
     pub fn figure(&self, measured: &Measured) -> Figure {
-        if let Some((value, plays)) = self.played.and_then(|played| measured.worst(played)) {
+        if let Some(Worst { value, plays }) = self.played.and_then(|played| measured.worst(played)) {
             let ratio = self.budget.map(|budget| value / budget);
             return Figure { value: Some(value), ratio, basis: Basis::Played(plays) };
         }
@@ -207,7 +214,7 @@
         let mut missing: Vec<String> = Vec::new();
         for &Term { slope, read, times } in &self.terms {
             match measured.read_as(slope, read) {
-                Some((cost, times_past)) => {
+                Some(CostAt { cost, times_past }) => {
                     value += cost * times;
                     past = past.max(times_past);
                 }
--- /dev/null
+++ b/crates/capacity/src/hollow/table.rs
@@ -0,0 +1,203 @@
+//! The table of the runs: a row for each, its columns, and the note that stands below.
+
+use super::scenario::{CALM_S, Scenario, Span};
+use super::world::{Depth, Faults, Report, Second, Signals};
+use super::{Played, Run, sum};
+use crate::plan::Reading;
+
+/// Columns that tell one run from another.
+pub(super) const KEY: usize = 4;
+
+/// The heads of the table.
+pub(super) const COLUMNS: [&str; 33] = [
+    "scenario",
+    "calls a second read as",
+    "upstreams",
+    "seed",
+    "virtual s",
+    "balancer cores",
+    "busiest upstream / mean",
+    "calls at the front",
+    "attempts",
+    "served in time %",
+    "served late %",
+    "refused %",
+    "failed %",
+    "served in time before / in / after the trouble %",
+    "worst second: served in time %",
+    "with an upstream at each step in the trouble %",
+    "seconds with under half served in time",
+    "s after the trouble until 99 % of what was served before",
+    "median ms",
+    "99 in 100 ms",
+    "attempts a call by depth",
+    "refused in 10000 calls by depth",
+    "failed in 10000 calls by depth",
+    "attempts ended good / error / turned away / timed out / not connected / broken",
+    "crossed zones / regions %",
+    "cold starts",
+    "cold pushed over",
+    "limits cut (most of the balancers, at s; first to last s)",
+    "upstreams set aside (balancers that did)",
+    "met a crowd (balancers)",
+    "list events",
+    "faults",
+    "wall s / MB / events / digest",
+];
+
+pub(super) const NOTE: &str = "Virtual time: the decisions are the real ones, the servers, links, lists and clients are modelled. \
+    A chain goes on with the same chance at each depth, so that the mean is that of the plan (hops) or the whole depth \
+    (front). Services have cores for their calls at 60% use after the loss of their largest zone. Cold: 0.3 of the \
+    capacity, all of it after 8 s; over 2.8 times what it can do for 1.6 s, as N + 2 root of N + 2 over all balancers, it \
+    falls over. Times are shortened: an ordinary day's 7 failures and 420 replacements come in about 35 s, a failed \
+    machine is back after 6 s, a zone after 35% of the run, a region's cut takes 30% of it and not 300 s. Lists come 0.2 \
+    to 0.5 s late, a silent machine leaves them after 1.5 s. Configuration does not change in these runs. The first 3 s \
+    are not counted but for `cold`. With an upstream at each step: the most that any routing could serve. Limits cut, set aside and crowd are read off the operator's vitals each second; set \
+    aside only where no upstream of the list is cold, as both lower the same figure. Where runs were played side by side \
+    the wall time is longer than alone.";
+
+fn percent(part: u64, all: u64) -> String {
+    if all == 0 { "-".to_owned() } else { format!("{:.2}", 100.0 * part as f64 / all as f64) }
+}
+
+/// The part of the calls that was served in time; not a number where there were none.
+fn served_share(second: &Second) -> f64 {
+    second.served as f64 / second.calls as f64
+}
+
+/// A count for one call, or for so many calls.
+fn per_call(part: u64, calls: u64, times: f64) -> f64 {
+    part as f64 * times / calls.max(1) as f64
+}
+
+/// Served in time before, in and after the trouble.
+fn phases(report: &Report, from: f64, trouble: Span) -> String {
+    let phases = [(from, trouble.from_s), (trouble.from_s, trouble.until_s), (trouble.until_s, f64::MAX)];
+    phases
+        .map(|(from, until)| {
+            let Second { calls, served, .. } = sum(&report.seconds, from, until);
+            percent(served, calls)
+        })
+        .join(" / ")
+}
+
+/// The second in which the least part of the calls was served in time.
+fn worst_second(report: &Report, from: f64) -> String {
+    let worst = (0..)
+        .zip(&report.seconds)
+        .filter(|&(at, second): &(u32, _)| f64::from(at) >= from && second.calls > 0)
+        .min_by(|a, b| served_share(a.1).total_cmp(&served_share(b.1)));
+    worst.map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)))
+}
+
+/// Seconds with under half of the calls served in time.
+fn seconds_under_half(report: &Report) -> usize {
+    report.seconds.iter().filter(|second| second.calls > 0 && 2 * second.served < second.calls).count()
+}
+
+/// Seconds after the trouble from which on no second falls under 99 % of what was served before the trouble.
+fn recovery(run: &Run, report: &Report, from: f64, trouble: Span) -> String {
+    if trouble.until_s >= run.seconds {
+        return "-".to_owned();
+    }
+    let calm = served_share(&sum(&report.seconds, from, trouble.from_s));
+    let wanted = 0.99 * if calm.is_nan() { 1.0 } else { calm };
+    let low = |(_, second): &(u32, &Second)| second.calls > 0 && served_share(second) < wanted;
+    let last =
+        (0..).zip(&report.seconds).filter(low).map(|(at, _)| f64::from(at) + 1.0).last().unwrap_or(0.0);
+    if last >= report.seconds.len() as f64 {
+        return "not in the run".to_owned();
+    }
+    format!("{:.0}", (last - trouble.until_s).max(0.0))
+}
+
+/// A figure of each depth that calls reached.
+fn by_depth(report: &Report, figure: impl Fn(&Depth) -> String) -> String {
+    report.depths.iter().filter(|depth| depth.calls > 0).map(figure).collect::<Vec<_>>().join(" ")
+}
+
+/// Attempts over all depths, by how they ended.
+fn ends(report: &Report) -> String {
+    let mut ends = [0; 6];
+    for depth in &report.depths {
+        for (sum, count) in ends.iter_mut().zip(depth.ends) {
+            *sum += count;
+        }
+    }
+    ends.map(|count| count.to_string()).join(" / ")
+}
+
+/// When a signal was seen, and on how many balancers at most.
+fn signal(report: &Report, from: f64, figure: impl Fn(&Signals) -> usize) -> String {
+    let seen = || report.signals.iter().filter(|signals| signals.at_s as f64 >= from && figure(signals) > 0);
+    let Some(most) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
+        return "none".to_owned();
+    };
+    let at = |signals: Option<&Signals>| signals.map_or(0, |signals| signals.at_s);
+    format!(
+        "{} of {} at {} s; {} to {} s",
+        figure(most),
+        most.cores,
+        most.at_s,
+        at(seen().next()),
+        at(seen().next_back())
+    )
+}
+
+fn faults_text(faults: Faults) -> String {
+    let Faults { unanswered, doubled, run_twice, after_grace } = faults;
+    if faults == Faults::default() {
+        return "none".to_owned();
+    }
+    format!(
+        "{unanswered} unanswered, {doubled} answered twice, {run_twice} run twice, {after_grace} after the grace"
+    )
+}
+
+/// The row of a run, in the order of [`COLUMNS`]; `wall_s` are the seconds that it took.
+pub(super) fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
+    let &Played { ref report, trouble, upstreams, busiest_over_mean, reachable } = played;
+    let from = if run.scenario == Scenario::Cold { 0.0 } else { CALM_S };
+    let all = sum(&report.seconds, from, f64::MAX);
+    let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
+    let calls_at_front: u64 = report.seconds.iter().map(|second| second.calls).sum();
+    vec![
+        run.scenario.name().to_owned(),
+        if run.reading == Reading::Front { "front" } else { "hops" }.to_owned(),
+        upstreams.to_string(),
+        run.seed.to_string(),
+        format!("{}", run.seconds),
+        report.cores.to_string(),
+        format!("{busiest_over_mean:.1}"),
+        calls_at_front.to_string(),
+        attempts.to_string(),
+        percent(all.served, all.calls),
+        percent(all.late, all.calls),
+        percent(all.refused, all.calls),
+        percent(all.failed, all.calls),
+        phases(report, from, trouble),
+        worst_second(report, from),
+        reachable.map_or("-".to_owned(), |part| format!("{:.2}", part * 100.0)),
+        seconds_under_half(report).to_string(),
+        recovery(run, report, from, trouble),
+        format!("{:.0}", report.time(0.5) * 1e3),
+        format!("{:.0}", report.time(0.99) * 1e3),
+        by_depth(report, |depth| format!("{:.3}", per_call(depth.attempts, depth.calls, 1.0))),
+        by_depth(report, |depth| format!("{:.1}", per_call(depth.refused, depth.calls, 1e4))),
+        by_depth(report, |depth| format!("{:.1}", per_call(depth.failed, depth.calls, 1e4))),
+        ends(report),
+        format!(
+            "{} / {}",
+            percent(report.crossed_zones, attempts),
+            percent(report.crossed_regions, attempts)
+        ),
+        report.cold_starts.to_string(),
+        report.pushed_over.to_string(),
+        signal(report, from, |signals| signals.limited),
+        signal(report, from, |signals| signals.ejected),
+        signal(report, from, |signals| signals.congested),
+        report.lists.to_string(),
+        faults_text(report.faults),
+        format!("{wall_s:.1} / {} / {} / {:016x}", report.memory_mb, report.events, report.digest),
+    ]
+}
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -26,7 +26,7 @@
             started,
             busy: 0,
             queue: VecDeque::new(),
-            held: 0,
+            in_flight: 0,
             cores: Vec::new(),
             window: VecDeque::new(),
         });
@@ -41,9 +41,9 @@
         let topology = self.topology;
         let slot = self.processes[process].slot;
         let Slot { service, zone, .. } = self.slots[slot];
-        for (number, &(called, _)) in topology.services[service].calls.iter().enumerate() {
+        for (number, called) in topology.services[service].calls.iter().enumerate() {
             let index = self.slots[slot].index[number];
-            let core = self.add_core(false, called, zone, index)?;
+            let core = self.add_core(false, called.service, zone, index)?;
             self.processes[process].cores.push(core);
         }
         Ok(())
@@ -53,8 +53,8 @@
         let topology = self.topology;
         self.fronts[front].clear();
         self.front_up[front] = true;
-        for &(entry, _) in &topology.entries {
-            let core = self.add_core(true, entry, topology.fronts[front], front as u32)?;
+        for entry in &topology.entries {
+            let core = self.add_core(true, entry.service, topology.fronts[front], front as u32)?;
             self.fronts[front].push(core);
         }
         Ok(())
@@ -79,7 +79,7 @@
             zone,
             service,
             connected: FxHashSet::default(),
-            told: FxHashMap::default(),
+            notified: FxHashMap::default(),
             listed_at: self.now,
             missed: false,
             first: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
@@ -112,19 +112,19 @@
         for core in mem::take(&mut process.cores) {
             let core = &mut self.cores[core as usize];
             core.balancer = None;
-            (core.connected, core.told) = Default::default();
+            (core.connected, core.notified) = Default::default();
         }
         if self.slots[slot].process == Some(number) {
             self.slots[slot].process = None;
         }
         let zone = self.slots[slot].zone;
         // In the order of their numbers.
-        let held: Vec<u64> = (0..)
+        let in_flight: Vec<u64> = (0..)
             .zip(&self.works.entries)
-            .filter(|(_, (_, held, work))| *held && work.process as usize == number)
-            .map(|(place, (generation, ..))| u64::from(*generation) << 32 | place)
+            .filter(|(_, entry)| entry.occupied && entry.value.process as usize == number)
+            .map(|(place, entry)| u64::from(entry.generation) << 32 | place)
             .collect();
-        for id in held {
+        for id in in_flight {
             let Some(work) = self.works.get(id) else { continue };
             let (hop, attempt) = (work.hop, work.attempt);
             self.works.remove(id);
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,11 +1,13 @@
-//! The plan of the fleet to come, what it costs, and fleets that are played to find out. A tool of the repository:
-//! nothing of it is in the balancer.
+//! Capacity planning: the plan of the fleet, measured costs of the programs, simulated fleets, and the page that compares
+//! needs with budgets. It is a tool of the repository; the balancer contains nothing of it.
 
 use std::fmt::Display;
 use std::path::Path;
 
 use thiserror::Error;
 
+use crate::plan::PlanFault;
+
 pub mod arithmetic;
 pub mod control;
 pub mod decisions;
@@ -21,7 +23,12 @@
 pub mod sockets;
 pub mod world;
 
-/// Why a run failed.
+/// Faults of a plan, each on a line of its own and indented after the first.
+fn lines(faults: &[PlanFault]) -> String {
+    faults.iter().map(PlanFault::to_string).collect::<Vec<_>>().join("\n  ")
+}
+
+/// Errors that end a run of the tool.
 #[derive(Debug, Error)]
 pub enum CapacityError {
     /// A text that cannot be parsed.
@@ -35,9 +42,9 @@
         /// The cause.
         cause: String,
     },
-    /// The plan contradicts itself; one text for each contradiction.
-    #[error("the plan contradicts itself:\n  {}", .0.join("\n  "))]
-    Plan(Vec<String>),
+    /// The plan contradicts itself.
+    #[error("the plan contradicts itself:\n  {}", lines(.0))]
+    Plan(Vec<PlanFault>),
     /// An argument outside its range.
     #[error("--{name}: {expected}")]
     Argument {
--- /dev/null
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -0,0 +1,253 @@
+//! Blocks that follow from the plan alone: its figures, what is derived from them, the dealing of the control machines.
+
+use std::path::Path;
+
+use super::format::{show, table};
+use crate::arithmetic::{Cost, Occasion, needs};
+use crate::plan::{Plan, Reading, Source};
+
+pub(super) fn plan_block(plan: &Plan) -> String {
+    let rows = plan.printed().into_iter().map(|printed| {
+        let from = if printed.from == Source::Given { "given" } else { "assumed" };
+        vec![format!("`{}`", printed.place), printed.value, printed.unit, from.to_owned(), printed.why]
+    });
+    table(&["figure", "value", "unit", "source", "why"], rows)
+}
+
+/// A figure that follows from the plan.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct Derived {
+    /// What it is, with its unit.
+    pub name: String,
+    /// Its value as the page shows it.
+    pub value: String,
+    /// How it is made from figures of the plan.
+    pub formula: String,
+}
+
+fn row(name: &str, value: String, formula: &str) -> Derived {
+    Derived { name: name.to_owned(), value, formula: formula.to_owned() }
+}
+
+/// All that follows from the plan.
+#[must_use]
+pub fn derived(plan: &Plan) -> Vec<Derived> {
+    let mut rows = Vec::from(rates(plan, Reading::Front, "rate at the front"));
+    rows.extend(rates(plan, Reading::Hops, "rate over all hops"));
+    rows.extend(sizes(plan));
+    rows.extend(bytes(plan));
+    rows.extend(changes(plan));
+    rows.extend(balancers_and_attempts(plan));
+    rows
+}
+
+/// The rates of calls in one reading of the plan.
+fn rates(plan: &Plan, reading: Reading, name: &str) -> [Derived; 5] {
+    let (over_all_hops, at_the_front) = match reading {
+        Reading::Front => ("traffic.calls_per_s x graph.depth", "traffic.calls_per_s"),
+        Reading::Hops => ("traffic.calls_per_s", "traffic.calls_per_s / graph.hops_per_call"),
+    };
+    let rate = |what: &str, figure: f64, how: &str| row(&format!("{name}: {what}"), show(figure), how);
+    [
+        rate("calls a second over all hops", plan.hops_per_s(reading), over_all_hops),
+        rate("calls a second at the front", plan.front_per_s(reading), at_the_front),
+        rate(
+            "calls a second of a balancer, mean",
+            plan.mean_rate(reading),
+            "over all hops / fleet.upstreams",
+        ),
+        rate("calls a second of the busiest", plan.busiest_rate(reading), "mean x traffic.busiest_over_mean"),
+        rate(
+            "calls a second of a front, mean",
+            plan.front_per_s(reading) / plan.fronts(),
+            "at the front / upstreams of the first depth",
+        ),
+    ]
+}
+
+/// How many upstreams services, regions and zones have, and how long a call is in flight.
+fn sizes(plan: &Plan) -> [Derived; 6] {
+    let sizes = plan.service_sizes();
+    let counted = |most: usize| sizes.iter().filter(|&&size| size <= most).count();
+    let of_rank = |rank: usize| sizes.get(rank).copied().unwrap_or(0);
+    let least = sizes.last().copied().unwrap_or(0);
+    [
+        row(
+            "upstreams of a service: largest, tenth, middle, least",
+            format!("{}, {}, {}, {least}", of_rank(0), of_rank(9), of_rank(sizes.len() / 2)),
+            "fleet.size_skew, one at least each, fleet.upstreams in sum",
+        ),
+        row(
+            "services of one upstream, of three at most",
+            format!("{}, {}", counted(1), counted(3)),
+            "the same",
+        ),
+        row("upstreams at the front", show(plan.fronts()), "fleet.upstreams x graph.services_by_depth[0]"),
+        row(
+            "upstreams of the largest region",
+            show(plan.largest_region()),
+            "fleet.upstreams x fleet.region_shares",
+        ),
+        row("upstreams of the largest zone", show(plan.largest_zone()), "largest region share / its zones"),
+        row(
+            "a call that meets no trouble is held, ms",
+            show(plan.call_in_flight_s() * 1e3),
+            "graph.depth x (traffic.work_ms + 2 x network.region_ms)",
+        ),
+    ]
+}
+
+/// Bytes of lists and documents.
+fn bytes(plan: &Plan) -> [Derived; 4] {
+    let whole_list = plan.whole_list_bytes() as f64;
+    [
+        row("bytes of a whole list", show(whole_list), "fleet.upstreams x list.entry_bytes"),
+        row(
+            "seconds that a whole list takes of a balancer's bytes",
+            show(whole_list / plan.budget.bytes_per_s.value),
+            "whole list / budget.bytes_per_s",
+        ),
+        row(
+            "bytes of the documents of one balancer",
+            show(plan.own_documents_bytes()),
+            "fleet's + region's + service's",
+        ),
+        row("bytes of all documents", show(plan.documents_bytes()), "fleet's + regions' + services'"),
+    ]
+}
+
+/// Changes of configuration, and the balancers that they concern.
+fn changes(plan: &Plan) -> [Derived; 4] {
+    let changes_per_day = plan.configuration.changes_per_day.value;
+    [
+        row("changes a minute, mean", show(changes_per_day / 1440.0), "configuration.changes_per_day / 1440"),
+        row(
+            "moments a day at which changes come",
+            show(changes_per_day / plan.configuration.bunch.value),
+            "configuration.changes_per_day / configuration.bunch",
+        ),
+        row(
+            "balancers that a change concerns, mean",
+            show(plan.balancers_per_change()),
+            "configuration.scope_shares, regions and services alike",
+        ),
+        row(
+            "restarts a day, were a change a restart",
+            show(plan.balancers_per_change() * changes_per_day),
+            "the row above x configuration.changes_per_day",
+        ),
+    ]
+}
+
+/// Balancers were there one for each service that a process calls, and the bound of the attempts for one call.
+fn balancers_and_attempts(plan: &Plan) -> [Derived; 3] {
+    let destinations = plan.graph.destinations_mean.value;
+    [
+        row(
+            "balancers that a process needs, mean",
+            show(destinations),
+            "graph.destinations_mean: a balancer serves the list of one tier, so a process that calls several services needs one for each today",
+        ),
+        row(
+            "balancers in all, were it so",
+            show(destinations * plan.fleet.upstreams.value as f64),
+            "the row above x fleet.upstreams; the rows below count one for each upstream, as was given",
+        ),
+        row(
+            "attempts at the deepest tier for one call, bound",
+            show(f64::from(plan.traffic.attempts.value).powf(plan.graph.depth.value as f64)),
+            "traffic.attempts to the power of graph.depth",
+        ),
+    ]
+}
+
+pub(super) fn derived_block(plan: &Plan) -> String {
+    table(
+        &["what follows", "figure", "from"],
+        derived(plan).into_iter().map(|Derived { name, value, formula }| vec![name, value, formula]),
+    )
+}
+
+pub(super) fn deal_block(plan: &Plan) -> String {
+    let day = Occasion::all(plan).swap_remove(0);
+    let deal = &plan.deal;
+    let relays = deal.zone_relays.value / plan.fleet.zones.value;
+    let region_relays = deal.region_relays.value / plan.fleet.regions.value;
+    let mut text = table(
+        &["kind", "machines", "where", "children of one at most", "what the loss of one costs"],
+        [
+            vec![
+                "origin".into(),
+                deal.origins.value.to_string(),
+                "the first region".into(),
+                format!("{} relays", show(day.origin_children)),
+                "nothing can be published; everything in force stays".into(),
+            ],
+            vec![
+                "standby".into(),
+                deal.standbys.value.to_string(),
+                "the second region".into(),
+                "none".into(),
+                "no copy outside the origin's region but the relays' own".into(),
+            ],
+            vec![
+                "relay of a region".into(),
+                deal.region_relays.value.to_string(),
+                format!("{region_relays} in each region"),
+                format!("{} relays of zones", show(day.region_children)),
+                "its zones' relays ask the origin".into(),
+            ],
+            vec![
+                "relay of a zone".into(),
+                deal.zone_relays.value.to_string(),
+                format!("{relays} in each zone"),
+                format!("{} balancers", show(day.zone_children)),
+                "its balancers go to the other of the zone; with both lost, to the region's".into(),
+            ],
+        ],
+    );
+    text.push('\n');
+    let zones = plan.fleet.zones_by_region.value.iter().zip(&plan.fleet.region_shares.value).enumerate();
+    text += &table(
+        &["region", "zones", "upstreams", "upstreams a zone", "control machines"],
+        zones.map(|(region, (&zones, share))| {
+            let upstreams = plan.fleet.upstreams.value as f64 * share;
+            let origins = if region == 0 { deal.origins.value } else { 0 };
+            let standbys = if region == 1 { deal.standbys.value } else { 0 };
+            vec![
+                (region + 1).to_string(),
+                zones.to_string(),
+                show(upstreams),
+                show(upstreams / zones as f64),
+                (origins + standbys + region_relays + zones * relays).to_string(),
+            ]
+        }),
+    );
+    text
+}
+
+/// Prints what `scale plan` tells.
+pub fn print_plan(plan: &Plan) {
+    for printed in plan.printed() {
+        let from = if printed.from == Source::Given { "given" } else { "assumed" };
+        println!("{:<36} {:<60} {from}; {}", printed.place, printed.value, printed.unit);
+    }
+    println!();
+    for Derived { name, value, formula } in derived(plan) {
+        println!("{name:<52} {value:<24} {formula}");
+    }
+    println!();
+    println!("{}", deal_block(plan));
+    for need in needs(plan, &Occasion::all(plan).swap_remove(0), Path::new(".")) {
+        if need.terms.is_empty() && need.cost != Cost::Repeats {
+            println!(
+                "{}, {}: {} {} ({})",
+                need.role,
+                need.cost.text(),
+                show(need.plain),
+                need.unit,
+                need.formula
+            );
+        }
+    }
+}
