--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -26,7 +26,8 @@
 
 impl WallClock for SystemClock {
     fn unix_ms(&self) -> u64 {
-        SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
     }
 }
 
@@ -112,9 +113,10 @@
         if since_ms == 0 {
             return None;
         }
-        let time = self.past.take(id, since_ms).unwrap_or_else(|| moment.start(since_ms));
-        self.listed.insert(id, Start { since_ms, time });
-        time
+        let remembered = self.past.take(id, since_ms);
+        let start = remembered.unwrap_or_else(|| Start { since_ms, time: moment.start(since_ms) });
+        self.listed.insert(id, start);
+        start.time
     }
 
     /// An upstream is not listed any more, or not with the start that it had.
@@ -199,10 +201,10 @@
         }
     }
 
-    /// The time that this start was given, if it is remembered.
-    fn take(&mut self, id: EndpointId, since_ms: u64) -> Option<Option<Time>> {
+    /// This start with the time that it was given, if it is remembered.
+    fn take(&mut self, id: EndpointId, since_ms: u64) -> Option<Start> {
         let (departure, time) = self.by_start.remove(&(id, since_ms))?;
         self.by_departure.remove(&departure);
-        Some(time)
+        Some(Start { since_ms, time })
     }
 }
--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -24,7 +24,7 @@
     let read = |raw: &RawValue| {
         serde_json::from_str(raw.get())
             .inspect_err(|error| {
-                crate::log(format_args!("passed over a malformed entry of the list: {error}"))
+                crate::log(format_args!("passed over a malformed entry of the list: {error}"));
             })
             .ok()
     };
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -61,9 +61,9 @@
         let limits = Limits { complete_by, answer_by: connections.answer_by() };
         handle_request(connections, connection, request, limits)
     });
-    let mut server = http1::Builder::new();
-    server.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(HEAD_MAX_BYTES);
-    let mut served = pin!(server.serve_connection(TokioIo::new(connection.socket.clone()), service));
+    let mut builder = http1::Builder::new();
+    builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(HEAD_MAX_BYTES);
+    let mut served = pin!(builder.serve_connection(TokioIo::new(connection.socket.clone()), service));
     let due = should_close(connections, connection);
     if let Some(ending) = serve_until(served.as_mut(), connection, due).await {
         return ending;
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -110,7 +110,7 @@
     pub(super) async fn first_request_overdue(&self) {
         sleep_until(self.opened_at + FIRST_REQUEST_TIMEOUT).await;
         if self.has_carried_request.get() {
-            pending().await
+            pending::<()>().await;
         }
     }
 
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -18,7 +18,7 @@
 use crate::socket::WeakSocket;
 use crate::upstream::{BODY_MOST, Call};
 
-/// AcceptedRequest off a client's time: the answer must arrive before it is up.
+/// Subtracted from the time that a client waits: the answer must arrive before that is up.
 const MARGIN: Duration = Duration::from_millis(30);
 
 /// What is wrong with a client's request.
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -218,19 +218,22 @@
     /// Accepts a request.
     pub fn accept(self: &Rc<Self>, accepted: AcceptedRequest) -> PendingAnswer {
         let (answer, receiver) = oneshot::channel();
+        let AcceptedRequest { class, tenant, subject, expected_work, is_client_retry, deadline, .. } =
+            accepted;
         let id = {
             let mut state = self.state.borrow_mut();
             state.counters.accepted += 1;
-            state.requests.insert(&accepted, answer)
+            state.requests.insert(accepted, answer)
         };
+        let time_left = deadline.saturating_duration_since(Instant::now());
         self.handle(Event::Request(Request {
             id,
-            class: accepted.class,
-            tenant: accepted.tenant,
-            subject: accepted.subject,
-            time_left: accepted.deadline.saturating_duration_since(Instant::now()),
-            expected_work: accepted.expected_work,
-            is_client_retry: accepted.is_client_retry,
+            class,
+            tenant,
+            subject,
+            time_left,
+            expected_work,
+            is_client_retry,
         }));
         PendingAnswer { id, answer: receiver }
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -37,6 +37,8 @@
 //! all -> telemetry::log
 //! ```
 
+#![warn(clippy::pedantic)]
+
 pub mod clock;
 pub mod config;
 pub mod discovery;
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,5 +1,7 @@
 //! The balancer on real sockets: starts from its configuration, serves until SIGTERM, then drains and ends.
 
+#![warn(clippy::pedantic)]
+
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/crates/proxy/src/offered.rs
+++ b/crates/proxy/src/offered.rs
@@ -123,7 +123,7 @@
     let before: FxHashSet<&String> = known.iter().collect();
     let new = by_position(names, count).into_iter().filter(|name| !before.contains(name));
     let list: Vec<String> = known.iter().cloned().chain(new).collect();
-    let named = list.iter().enumerate().filter(|(_, name)| names.contains_key(*name));
-    let places = named.map(|(place, name)| (name.clone(), place)).collect();
+    let in_force = list.iter().enumerate().filter(|(_, name)| names.contains_key(*name));
+    let places = in_force.map(|(place, name)| (name.clone(), place)).collect();
     (list, places)
 }
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -122,6 +122,10 @@
         number
     }
 
+    #[allow(
+        clippy::cast_possible_truncation,
+        reason = "a request has a handful of attempts, bounded by the settings"
+    )]
     fn next_attempt(&self) -> AttemptNumber {
         AttemptNumber(self.attempts.len() as u32)
     }
@@ -165,12 +169,12 @@
     }
 
     /// Enters a request, whose final answer goes to `answer`.
-    pub fn insert(&mut self, accepted: &AcceptedRequest, answer: oneshot::Sender<Answer>) -> RequestId {
+    pub fn insert(&mut self, accepted: AcceptedRequest, answer: oneshot::Sender<Answer>) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         let request = InFlight {
-            call: Rc::clone(&accepted.call),
-            client: accepted.client.clone(),
+            call: accepted.call,
+            client: accepted.client,
             deadline: accepted.deadline,
             answer: Some(answer),
             attempts: Vec::new(),
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -163,6 +163,10 @@
         parts: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let Some((first, rest)) = parts.split_first() else { return Poll::Ready(Ok(0)) };
+        #[allow(
+            clippy::cast_possible_truncation,
+            reason = "a request is a head and a body of 64 KiB at most"
+        )]
         let written = self.written.get() as usize;
         if written > 0 {
             self.gate.go_on()?;
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -30,7 +30,7 @@
         let accepted = accepted_request(ClassId(0), None, call("read", Bytes::new()), &near, deadline);
         let (sender, answer) = oneshot::channel();
         let mut table = RequestTable::default();
-        let request = table.insert(&accepted, sender);
+        let request = table.insert(accepted, sender);
         Self { table, request, answer, _client: (near, far) }
     }
 
