--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -92,7 +92,7 @@
                 "skip" => plan.skip = value.parse().ok()?,
                 "count" => plan.count = value.parse().ok()?,
                 "ports" => {
-                    plan.ports = value.split('+').map(|port| port.parse().ok()).collect::<Option<_>>()?
+                    plan.ports = value.split('+').map(|port| port.parse().ok()).collect::<Option<_>>()?;
                 }
                 _ => return None,
             }
@@ -113,7 +113,12 @@
         if affected >= self.count {
             return None;
         }
-        let error = self.errors.get(affected as usize % self.errors.len().max(1));
+        #[allow(
+            clippy::cast_possible_truncation,
+            reason = "less than the number of errors, which is a usize"
+        )]
+        let turn = (affected % self.errors.len().max(1) as u64) as usize;
+        let error = self.errors.get(turn);
         if let Some((text, _)) = error {
             log(self.name, text);
         }
@@ -129,7 +134,7 @@
     ERRORS.iter().find(|(known, _)| *known == name).map(|(known, error)| ((*known).to_owned(), *error))
 }
 
-/// The finalizer of SplitMix64.
+/// The finalizer of `SplitMix64`.
 fn mix(mut value: u64) -> u64 {
     value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -35,6 +35,8 @@
 //! says for edge-triggered events, and waits for the next edge. After a call that was cut short that edge is brought
 //! about by `EPOLL_CTL_MOD`.
 
+#![warn(clippy::pedantic)]
+
 mod clock;
 mod descriptors;
 mod faults;
--- a/crates/fault-injection/src/wrappers.rs
+++ b/crates/fault-injection/src/wrappers.rs
@@ -26,9 +26,8 @@
 macro_rules! real {
     ($name:ident($($argument:expr => $type:ty),*) -> $result:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
-        let name = match CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) {
-            Ok(name) => name,
-            Err(_) => unreachable!("the name has no zero byte"),
+        let Ok(name) = CStr::from_bytes_with_nul(concat!(stringify!($name), "\0").as_bytes()) else {
+            unreachable!("the name has no zero byte")
         };
         let address = *ADDRESS.get_or_init(|| address_of(name));
         // SAFETY: the function of this name has this signature; what it asks of its arguments the caller of the
@@ -70,7 +69,7 @@
     };
     let done = make(most);
     // One that did less by itself has used the socket up.
-    if done == most as ssize_t {
+    if done == most.cast_signed() {
         log_short(call);
         if let Some(error) = error {
             descriptors::breaks(descriptor, error);
@@ -134,6 +133,7 @@
 ///
 /// # Safety
 /// `address` points to an address of its family's length.
+#[allow(clippy::cast_ptr_alignment, reason = "the program under test hands over a whole, aligned address")]
 unsafe fn port_of(address: *const sockaddr) -> Option<u16> {
     // SAFETY: each address begins with its family; those of the internet families have the length of theirs.
     unsafe {
