--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -58,11 +58,6 @@
         Client::connect(self.address)
     }
 
-    /// [`Balancer::client`] by the name that `configuration.rs` still uses.
-    pub fn caller(&self) -> Client {
-        self.client()
-    }
-
     /// The status that the front gets.
     pub fn health(&self) -> u16 {
         self.client().health().expect("an answer")
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -90,6 +90,3 @@
     client.0.shutdown(Shutdown::Write).expect("open");
     all_of(client.0).is_empty()
 }
-
-/// [`Client`] by the name that `configuration.rs` still uses.
-pub type Caller = Client;
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -67,7 +67,7 @@
         .map(|client| {
             let done = Arc::clone(&done);
             thread::spawn(move || {
-                let mut connection = Caller::connect(address);
+                let mut connection = Client::connect(address);
                 let mut asked = Vec::new();
                 while !done.load(Ordering::Relaxed) {
                     let (class, body) =
@@ -95,7 +95,7 @@
     }
     watch.publishes(document("service/api", 61, &json!({"lanes": lanes(30.0, &[extra("last")])})));
     parent.wait_version("service/api", 61);
-    assert_eq!(balancer.caller().ask("last", "the last").body, b"the last");
+    assert_eq!(balancer.client().ask("last", "the last").body, b"the last");
     done.store(true, Ordering::Relaxed);
     let asked: Vec<String> =
         clients.into_iter().flat_map(|client| client.join().expect("each answer is its own")).collect();
@@ -133,7 +133,7 @@
     let upstreams = [breaking(Duration::ZERO, &released), breaking(Duration::ZERO, &released)];
     let (balancer, _discovery, parent, watch) = under_parent(&[&upstreams[0], &upstreams[1]]);
     let runs = || upstreams.iter().map(|upstream| upstream.count_of("one")).sum::<usize>();
-    let mut client = balancer.caller();
+    let mut client = balancer.client();
     client.send("order", "one");
     wait_for("it runs", || (runs() == 1).then_some(()));
     let mut lanes = lanes(30.0, &[]);
@@ -164,7 +164,7 @@
     };
     watch.publishes(document("fleet", 1, &windowed(window.as_secs_f64())));
     parent.wait_version("fleet", 1);
-    let mut client = balancer.caller();
+    let mut client = balancer.client();
     client.send("pay", "one");
     wait_for("it runs", || (runs() == 1).then_some(()));
     watch.publishes(document("fleet", 2, &windowed(60.0)));
@@ -182,7 +182,7 @@
 fn a_bad_document_leaves_the_last_good_one() {
     let upstream = echo();
     let (balancer, _discovery, parent, watch) = under_parent(&[&upstream]);
-    let mut client = balancer.caller();
+    let mut client = balancer.client();
     watch.publishes(document("fleet", 1, &json!({"lanes": lanes(30.0, &[extra("good")])})));
     parent.wait_version("fleet", 1);
     assert_eq!(client.ask("good", "one").body, b"one");
@@ -231,12 +231,12 @@
         parent.wait_report("both", |report| {
             report["versions"]["fleet"] != 0 && report["versions"]["service/api"] != 0
         });
-        assert_eq!(balancer.caller().ask("narrow", "one").status(), 200);
-        assert_eq!(balancer.caller().ask("wide", "one").status(), 400);
+        assert_eq!(balancer.client().ask("narrow", "one").status(), 200);
+        assert_eq!(balancer.client().ask("wide", "one").status(), 400);
         watch.publishes(document("service/api", 3, &Value::Null));
         parent.wait_version("service/api", 0);
-        assert_eq!(balancer.caller().ask("narrow", "two").status(), 400);
-        assert_eq!(balancer.caller().ask("wide", "two").status(), 200);
+        assert_eq!(balancer.client().ask("narrow", "two").status(), 400);
+        assert_eq!(balancer.client().ask("wide", "two").status(), 200);
     }
 }
 
@@ -247,7 +247,7 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let (balancer, _discovery) = configured(&known, &[dead_address(), dead_address()]);
     wait_for("it can serve", || (balancer.health() == 200).then_some(()));
-    assert_eq!(balancer.caller().ask("order", "one").body, b"one");
+    assert_eq!(balancer.client().ask("order", "one").body, b"one");
 }
 
 /// Guards a new process against settings that may be old: it is not sent to before the first state, if that comes soon.
@@ -273,7 +273,7 @@
     let (_, watch) = first.watch();
     watch.holds(3, vec![document("fleet", 3, &json!({"lanes": lanes(30.0, &[extra("late")])}))]);
     first.wait_version("fleet", 3);
-    assert_eq!(balancer.caller().ask("late", "one").body, b"one");
+    assert_eq!(balancer.client().ask("late", "one").body, b"one");
 }
 
 /// Guards the front: the first state that comes in time counts from the first request on.
@@ -292,7 +292,7 @@
     watch.holds(9, vec![document("service/api", 9, &json!({"lanes": lanes(30.0, &[extra("first")])}))]);
     wait_for("it can serve", || (balancer.health() == 200).then_some(()));
     if in_time() {
-        assert_eq!(balancer.caller().ask("first", "one").body, b"one");
+        assert_eq!(balancer.client().ask("first", "one").body, b"one");
     }
 }
 
@@ -334,7 +334,7 @@
     let (line, _new) = elsewhere.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
     parent.wait_version("fleet", 29);
-    assert_eq!(Caller::connect(address).ask("one", "one").body, b"one");
+    assert_eq!(Client::connect(address).ask("one", "one").body, b"one");
     signal(&child, "-TERM");
     assert!(child.wait().expect("ends").success());
 }
@@ -353,7 +353,7 @@
     let (_, watch) = parent.watch();
     watch.holds(1, vec![document("fleet", 1, &json!({"overShareWorth": 0.3}))]);
     parent.wait_version("fleet", 1);
-    let mut client = Caller::connect(address);
+    let mut client = Client::connect(address);
     client.send("order", "one");
     upstream.wait_requests(1);
     for version in 2..40 {
