--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -23,6 +23,13 @@
     answer_by: Cell<Option<Instant>>,
 }
 
+/// A connection that has been entered into the set.
+pub(super) struct InsertedConnection {
+    /// Removes it from the set.
+    pub(super) number: u64,
+    pub(super) connection: Rc<ClientConnection>,
+}
+
 /// Connections on which an answer may still be owed.
 struct Owed {
     open: usize,
@@ -53,12 +60,13 @@
         *self.phases.borrow()
     }
 
-    pub(super) fn insert(&self, stream: TcpStream) -> (u64, Rc<ClientConnection>) {
+    /// Enters a client's connection that has come up.
+    pub(super) fn insert(&self, stream: TcpStream) -> InsertedConnection {
         let connection = Rc::new(ClientConnection::new(stream));
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         self.open.borrow_mut().insert(number, Rc::clone(&connection));
-        (number, connection)
+        InsertedConnection { number, connection }
     }
 
     pub(super) fn remove(&self, number: u64) {
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -13,7 +13,7 @@
 
 use super::accept::FailedAccepts;
 use super::connection::handle_connection;
-use super::connection_set::ConnectionSet;
+use super::connection_set::{ConnectionSet, InsertedConnection};
 
 /// Wait after an accept that failed for want of something, and between looks for a free descriptor, so that this does
 /// not spin.
@@ -92,7 +92,7 @@
         if self.connections.event_loop().pool().is_nearly_full() {
             self.connections.evict_idle_connection();
         }
-        let (number, connection) = self.connections.insert(stream);
+        let InsertedConnection { number, connection } = self.connections.insert(stream);
         // Counted from here on, or a burst of connections would not see itself.
         let permit = self.connections.event_loop().pool().reserved_permit();
         let connections = Rc::clone(&self.connections);
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::event_loop::{AcceptedRequest, EventLoop};
-use crate::reconfiguration::Offered;
+use crate::reconfiguration::{Offered, OfferedClass};
 use crate::socket::WeakSocket;
 use crate::upstream::{BODY_MOST, Call};
 
@@ -76,7 +76,7 @@
 impl RequestHead {
     fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let (class, figures) = offered.class(class).ok_or(BadRequest::Class)?;
+        let OfferedClass { id: class, figures } = offered.class(class).ok_or(BadRequest::Class)?;
         check_method(figures.idempotency, head)?;
         let tenant = match header_text(&head.headers, "x-tenant") {
             Some(name) => Some(offered.tenant(name).ok_or(BadRequest::Tenant)?),
--- a/crates/proxy/src/offered.rs
+++ b/crates/proxy/src/offered.rs
@@ -40,6 +40,15 @@
     figures: Vec<Class>,
 }
 
+/// A class that requests may name.
+#[derive(Debug, Clone, Copy)]
+pub struct OfferedClass<'a> {
+    /// The position by which the decisions know it.
+    pub id: ClassId,
+    /// Its figures: objective, deadline, idempotency.
+    pub figures: &'a Class,
+}
+
 impl Offered {
     /// What the settings of the start offer.
     #[must_use]
@@ -79,11 +88,11 @@
         Ok(Self { classes, tenants, class_names, tenant_names, figures })
     }
 
-    /// A class by its name, and its figures.
+    /// A class by its name.
     #[must_use]
-    pub fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
+    pub fn class(&self, name: &str) -> Option<OfferedClass<'_>> {
         let place = *self.classes.get(name)?;
-        Some((ClassId(place), self.figures.get(place)?))
+        Some(OfferedClass { id: ClassId(place), figures: self.figures.get(place)? })
     }
 
     /// A tenant by its name.
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -22,7 +22,7 @@
 use crate::connection;
 use crate::pool::Pool;
 
-pub use crate::offered::{Offered, TooManyNames};
+pub use crate::offered::{Offered, OfferedClass, TooManyNames};
 
 /// Characters of a reason in a report at most; the log has it whole.
 const MAX_REASON_CHARS: usize = 200;
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -68,7 +68,7 @@
     deadline: Instant,
 ) -> oneshot::Receiver<Answer> {
     let offered = driver.offered();
-    let (class_id, _) = offered.class(class).expect("it is offered");
+    let class_id = offered.class(class).expect("it is offered").id;
     let tenant = offered.tenant("acme");
     driver.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
 }
