--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -12,7 +12,7 @@
 /// Starts of processes that are not listed any more that are remembered, the latest ones: enough for a tier of this size
 /// to leave the list and to return, in a fraction of a megabyte. One that returns later goes through slow start once
 /// more.
-pub const PAST_STARTS_MOST: usize = 4096;
+pub const MAX_PAST_STARTS: usize = 4096;
 
 /// Reads the time of day, which may step.
 pub trait WallClock: fmt::Debug + Send {
@@ -194,7 +194,7 @@
         self.next_departure += 1;
         self.by_start.insert((id, start.since_ms), (departure, start.time));
         self.by_departure.insert(departure, (id, start.since_ms));
-        if self.by_start.len() > PAST_STARTS_MOST
+        if self.by_start.len() > MAX_PAST_STARTS
             && let Some((_, oldest)) = self.by_departure.pop_first()
         {
             self.by_start.remove(&oldest);
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -16,7 +16,7 @@
 use crate::event_loop::{AcceptedRequest, EventLoop};
 use crate::reconfiguration::{Offered, OfferedClass};
 use crate::socket::WeakSocket;
-use crate::upstream::{BODY_MOST, Call};
+use crate::upstream::{Call, MAX_BODY_BYTES};
 
 /// Subtracted from the time that a client waits: the answer must arrive before that is up.
 const MARGIN: Duration = Duration::from_millis(30);
@@ -70,7 +70,7 @@
     /// How long its client waits.
     client_timeout: Duration,
     /// It must not run twice.
-    once: bool,
+    must_not_repeat: bool,
 }
 
 impl RequestHead {
@@ -88,8 +88,8 @@
             Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
             None => figures.deadline,
         };
-        let once = figures.idempotency == Idempotency::NotIdempotent;
-        Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), once })
+        let must_not_repeat = figures.idempotency == Idempotency::NotIdempotent;
+        Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), must_not_repeat })
     }
 }
 
@@ -126,7 +126,7 @@
     if !Rc::ptr_eq(&offered, &latest) {
         checked = RequestHead::read(&head, &latest)?;
     }
-    let RequestHead { class, tenant, client_timeout, once } = checked;
+    let RequestHead { class, tenant, client_timeout, must_not_repeat } = checked;
     let now = Instant::now();
     let cost = header_text(&head.headers, "x-cost-hint").and_then(|value| value.trim().parse().ok());
     Ok(AcceptedRequest {
@@ -144,16 +144,16 @@
             id,
             key,
             body,
-            once,
+            must_not_repeat,
         }),
     })
 }
 
 async fn read_body(body: Incoming, complete_by: Instant) -> Result<Bytes, BadRequest> {
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(BadRequest::TooLarge);
     }
-    match timeout_at(complete_by, Limited::new(body, BODY_MOST).collect()).await {
+    match timeout_at(complete_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Err(_) => Err(BadRequest::Slow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::TooLarge),
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -8,12 +8,12 @@
 use balancer_settings::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::clock::{Moment, PAST_STARTS_MOST, StartTimes, WallClock};
+use crate::clock::{MAX_PAST_STARTS, Moment, StartTimes, WallClock};
 use crate::discovery::update::{Endpoint, Update};
 
 /// Names that are remembered before any is forgotten: more than one for each past start that the clock remembers, so that
 /// what is looked through to forget some is, on average, a few names for each new one.
-pub const MIN_NAMES_TO_PRUNE: usize = 2 * PAST_STARTS_MOST;
+pub const MIN_NAMES_TO_PRUNE: usize = 2 * MAX_PAST_STARTS;
 
 /// An endpoint that is listed and not gone.
 #[derive(Debug)]
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -253,7 +253,7 @@
     // --- Discovery ---
 
     /// Applies an update of the watch.
-    pub fn learn(self: &Rc<Self>, mut update: Update) {
+    pub fn apply_update(self: &Rc<Self>, mut update: Update) {
         if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
             return;
         }
@@ -321,7 +321,7 @@
 
 impl WatchObserver for EventLoop {
     fn on_update(self: &Rc<Self>, update: Update) {
-        self.learn(update);
+        self.apply_update(update);
     }
 
     fn on_heartbeat(&self) {
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -30,11 +30,11 @@
     pub async fn acquire(
         self: &Rc<Self>,
         host: &Rc<Host>,
-        once: bool,
+        must_not_repeat: bool,
         is_last_attempt: bool,
         until: Instant,
     ) -> Result<Acquired, AcquireError> {
-        if let Some(acquired) = self.take_idle(host, once) {
+        if let Some(acquired) = self.take_idle(host, must_not_repeat) {
             return Ok(acquired);
         }
         let most = self.connect_timeout();
@@ -60,7 +60,7 @@
             if host.closed.get() {
                 return Err(AcquireError::Gone);
             }
-            if let Some(acquired) = self.take_idle(host, once) {
+            if let Some(acquired) = self.take_idle(host, must_not_repeat) {
                 return Ok(acquired);
             }
             let now = Instant::now();
@@ -77,10 +77,10 @@
         }
     }
 
-    /// A free connection, the most recently used first, and for how long it was idle. For a request that must run
-    /// at most `once`, those idle for longer than is trusted are closed: a new one replaces them.
-    fn take_idle(&self, host: &Host, once: bool) -> Option<Acquired> {
-        let most = if once { self.trusted_idle() } else { self.idle_limit() };
+    /// A free connection, the most recently used first, and for how long it was idle. For a request that must
+    /// not be repeated, those idle for longer than is trusted are closed: a new one replaces them.
+    fn take_idle(&self, host: &Host, must_not_repeat: bool) -> Option<Acquired> {
+        let most = if must_not_repeat { self.trusted_idle() } else { self.idle_limit() };
         let now = Instant::now();
         let mut idle_connections = host.idle.borrow_mut();
         while let Some(place) = idle_connections.iter().rposition(|idle| idle.free_at <= now) {
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -57,12 +57,12 @@
 }
 
 impl<C: AttemptContext> Clearance for Bounds<C> {
-    fn begin(&self) -> Option<Duration> {
+    fn time_left_to_begin(&self) -> Option<Duration> {
         let may = self.refusal().is_none() && self.context.is_awaited(self.request);
         may.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
-    fn go_on(&self) -> bool {
+    fn may_continue(&self) -> bool {
         !self.is_late() && self.context.is_awaited(self.request)
     }
 }
@@ -107,7 +107,7 @@
 
 /// The outcome of an attempt that was given up at its deadline.
 fn overdue(progress: &Progress) -> Outcome {
-    if progress.whole() {
+    if progress.is_complete() {
         Outcome::TimedOut
     } else if progress.connect_wait.get().is_none() {
         Outcome::ConnectTimedOut
@@ -142,7 +142,7 @@
     job: &Job,
     host: &Rc<Host>,
 ) -> Result<Acquired, Outcome> {
-    match context.pool().acquire(host, job.call.once, job.is_last_attempt, job.until).await {
+    match context.pool().acquire(host, job.call.must_not_repeat, job.is_last_attempt, job.until).await {
         Ok(acquired) => {
             if acquired.idle.is_none() {
                 context.on_connected();
@@ -178,7 +178,7 @@
     let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
     connection.written.set(0);
     connection.gate.set(Box::new(bounds));
-    progress.on(&connection.written, size_on_wire(&request, job.call.body.len()));
+    progress.start(&connection.written, size_on_wire(&request, job.call.body.len()));
     let Ok(response) = connection.sender.send_request(request).await else {
         return broken_off(&connection, idle, context, job, progress).map(Exchanged::from);
     };
@@ -209,9 +209,9 @@
     if let Some(idle) = idle {
         context.on_reused(idle, false);
         // It was closed, or had unexpected bytes to read: nothing was sent.
-        if !progress.begun() {
+        if !progress.has_begun() {
             return None;
         }
     }
-    Some(if progress.whole() { Outcome::Reset } else { Outcome::ConnectFailed })
+    Some(if progress.is_complete() { Outcome::Reset } else { Outcome::ConnectFailed })
 }
--- a/crates/proxy/src/upstream/call.rs
+++ b/crates/proxy/src/upstream/call.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, Uri};
 
 /// Bytes of a body at most, either way.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 /// What of a client's request goes on to upstreams, the same in each attempt.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     /// The body.
     pub body: Bytes,
     /// It must not run twice.
-    pub once: bool,
+    pub must_not_repeat: bool,
 }
 
 impl Call {
--- a/crates/proxy/src/upstream/connect_time.rs
+++ b/crates/proxy/src/upstream/connect_time.rs
@@ -21,7 +21,7 @@
 
 impl ConnectTime {
     /// Records a connect that came up (`up`) or was given up after this time.
-    pub(super) fn learn(&mut self, duration: Duration, up: bool) {
+    pub(super) fn record(&mut self, duration: Duration, up: bool) {
         // One that was given up only says that a connect takes longer than is known.
         if self.known == 0.0 && !up {
             return;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -78,11 +78,11 @@
     Ok(CountingSocket::new(TcpStream::connect(address).await?, permit))
 }
 
-/// Makes a connection of a socket that has come up.
+/// Makes an HTTP connection of a socket that is connected.
 ///
 /// # Errors
 /// It breaks as it comes up.
-pub async fn speak(stream: TcpStream, permit: Permit) -> Result<Connection, hyper::Error> {
+pub async fn handshake(stream: TcpStream, permit: Permit) -> Result<Connection, hyper::Error> {
     let io = CountingSocket::new(stream, permit);
     let (socket, written, gate) = (io.socket.clone(), Rc::clone(&io.written), Rc::clone(&io.gate));
     let (sender, connection) = http1::handshake(TokioIo::new(io)).await?;
@@ -169,9 +169,9 @@
         )]
         let written = self.written.get() as usize;
         if written > 0 {
-            self.gate.go_on()?;
+            self.gate.check_continue()?;
         } else {
-            self.head = self.gate.begin(first)?;
+            self.head = self.gate.check_begin(first)?;
         }
         // The socket may accept a head in parts: the rest of it goes with the first part's deadline.
         if let Some(head) = self.head.take_if(|head| written + first.len() == head.len()) {
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use super::acquire_error::{AcquireError, is_local};
-use super::connection::{Connection, Permit, speak};
+use super::connection::{Connection, Permit, handshake};
 use super::host::{Connecting, Host};
 use super::pool::Pool;
 
@@ -64,7 +64,7 @@
         };
         let stream = stream.map_err(failed)?;
         self.pool.record_connect(self.host, since.elapsed(), true);
-        Ok(speak(stream, permit).await?)
+        Ok(handshake(stream, permit).await?)
     }
 
     /// Connects again after a pause.
--- a/crates/proxy/src/upstream/gate.rs
+++ b/crates/proxy/src/upstream/gate.rs
@@ -11,9 +11,9 @@
 /// tasks may have run, or the process have been suspended.
 pub trait Clearance {
     /// Before the first byte: how long the attempt waits from now on; `None` if it must not begin.
-    fn begin(&self) -> Option<Duration>;
+    fn time_left_to_begin(&self) -> Option<Duration>;
     /// Before further bytes: whether they may follow.
-    fn go_on(&self) -> bool;
+    fn may_continue(&self) -> bool;
 }
 
 /// Checks the clearance of the request that goes out on a connection.
@@ -47,16 +47,17 @@
     }
 
     /// Checks whether the first bytes of a request may go out, and returns them with the time that is left now.
-    pub(super) fn begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
-        match self.clearance.borrow().as_deref().map(Clearance::begin) {
+    pub(super) fn check_begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
+        match self.clearance.borrow().as_deref().map(Clearance::time_left_to_begin) {
             None => Ok(None),
             Some(Some(time_left)) => Ok(with_deadline(head, time_left)),
             Some(None) => Err(self.refuse()),
         }
     }
 
-    pub(super) fn go_on(&self) -> io::Result<()> {
-        let may = self.clearance.borrow().as_deref().is_none_or(Clearance::go_on);
+    /// Checks whether further bytes of a request may go out.
+    pub(super) fn check_continue(&self) -> io::Result<()> {
+        let may = self.clearance.borrow().as_deref().is_none_or(Clearance::may_continue);
         if may { Ok(()) } else { Err(self.refuse()) }
     }
 
--- a/crates/proxy/src/upstream/idle_trust.rs
+++ b/crates/proxy/src/upstream/idle_trust.rs
@@ -8,30 +8,32 @@
 
 /// Trust is not cut below this, nor by what was idle for less: connections break under a request now and then
 /// however short they were idle, and a new one for each request costs the upstream work.
-pub const LEAST: Duration = Duration::from_millis(50);
+pub const MIN_TRUSTED_IDLE: Duration = Duration::from_millis(50);
 /// Answers in a row on connections idle for longer than is trusted, after which that time is doubled: where one
 /// in ten is reset, so many in a row are one chance in two hundred.
-pub const ANSWERS: u32 = 50;
+pub const ANSWERS_BEFORE_DOUBLING: u32 = 50;
 
 /// The longest idle time that is trusted.
 #[derive(Debug)]
-pub struct Trust {
-    most: Duration,
+pub struct IdleTrust {
+    /// Idle connections are closed after this time.
+    idle_limit: Duration,
     trusted: Duration,
     answers: u32,
 }
 
-impl Trust {
-    /// Trusts every idle connection, for `most` at the longest.
+impl IdleTrust {
+    /// Trusts every idle connection, for `idle_limit` at the longest.
     #[must_use]
-    pub fn new(most: Duration) -> Self {
-        Self { most, trusted: most, answers: 0 }
+    pub fn new(idle_limit: Duration) -> Self {
+        Self { idle_limit, trusted: idle_limit, answers: 0 }
     }
 
     /// Idle connections are closed after another time from now on: what was distrusted stays so.
-    pub fn keep_for(&mut self, most: Duration) {
-        self.trusted = if self.trusted == self.most { most } else { self.trusted.min(most) };
-        self.most = most;
+    pub fn set_idle_limit(&mut self, idle_limit: Duration) {
+        let trusts_all = self.trusted == self.idle_limit;
+        self.trusted = if trusts_all { idle_limit } else { self.trusted.min(idle_limit) };
+        self.idle_limit = idle_limit;
     }
 
     /// The longest idle time after which a connection may carry a request that must not run twice.
@@ -41,22 +43,22 @@
     }
 
     /// A connection that had been idle for `idle` was reset under its request.
-    pub fn reset(&mut self, idle: Duration) {
-        if idle >= LEAST {
+    pub fn record_reset(&mut self, idle: Duration) {
+        if idle >= MIN_TRUSTED_IDLE {
             self.answers = 0;
-            self.trusted = self.trusted.min((idle / 2).max(LEAST));
+            self.trusted = self.trusted.min((idle / 2).max(MIN_TRUSTED_IDLE));
         }
     }
 
     /// A connection that had been idle for `idle` has carried its request.
-    pub fn answered(&mut self, idle: Duration) {
+    pub fn record_answer(&mut self, idle: Duration) {
         if idle < self.trusted {
             return;
         }
         self.answers += 1;
-        if self.answers >= ANSWERS {
+        if self.answers >= ANSWERS_BEFORE_DOUBLING {
             self.answers = 0;
-            self.trusted = (self.trusted * 2).min(self.most);
+            self.trusted = (self.trusted * 2).min(self.idle_limit);
         }
     }
 }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -24,7 +24,7 @@
 
 pub use acquire_error::AcquireError;
 pub use attempt::attempt;
-pub use call::{BODY_MOST, Call, size_on_wire};
+pub use call::{Call, MAX_BODY_BYTES, size_on_wire};
 pub use context::AttemptContext;
 pub use job::{AttemptEnd, Job};
 pub use progress::Progress;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -17,9 +17,9 @@
 use tokio::time::timeout_at;
 
 use super::connect_time::ConnectTime;
-use super::connection::{Connection, Permit, speak};
+use super::connection::{Connection, Permit, handshake};
 use super::host::{Connecting, IdleConnection, LateDial};
-use super::idle_trust::Trust;
+use super::idle_trust::IdleTrust;
 
 pub use super::acquire_error::AcquireError;
 pub use super::host::Host;
@@ -60,7 +60,7 @@
     connect_times: RefCell<FxHashMap<Option<ZoneId>, ConnectTime>>,
     connect_timeout: Cell<Duration>,
     idle_limit: Cell<Duration>,
-    trust: RefCell<Trust>,
+    trust: RefCell<IdleTrust>,
     sockets: Rc<Cell<usize>>,
     max_sockets: usize,
     /// Notified of each connection that came up with no attempt waiting for it.
@@ -87,7 +87,7 @@
             connect_times: RefCell::default(),
             connect_timeout: Cell::new(connect_timeout),
             idle_limit: Cell::new(idle_limit),
-            trust: RefCell::new(Trust::new(idle_limit)),
+            trust: RefCell::new(IdleTrust::new(idle_limit)),
             sockets: Rc::default(),
             max_sockets: descriptors.saturating_sub(OTHER_DESCRIPTORS),
             on_connected: Box::new(on_connected),
@@ -104,7 +104,7 @@
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.idle_limit.set(keepalive.mul_f64(IDLE_LIMIT_FRACTION));
-        self.trust.borrow_mut().keep_for(self.idle_limit.get());
+        self.trust.borrow_mut().set_idle_limit(self.idle_limit.get());
     }
 
     // --- Sockets ---
@@ -236,7 +236,7 @@
     }
 
     pub(super) fn record_connect(&self, host: &Host, duration: Duration, up: bool) {
-        self.connect_times.borrow_mut().entry(host.zone).or_default().learn(duration, up);
+        self.connect_times.borrow_mut().entry(host.zone).or_default().record(duration, up);
     }
 
     /// For how long a connection may have been idle to carry a request that must not run twice.
@@ -247,9 +247,9 @@
     /// Records whether a connection that was idle for so long has carried its request.
     pub fn record_reuse(&self, idle: Duration, answered: bool) {
         if answered {
-            self.trust.borrow_mut().answered(idle);
+            self.trust.borrow_mut().record_answer(idle);
         } else {
-            self.trust.borrow_mut().reset(idle);
+            self.trust.borrow_mut().record_reset(idle);
         }
     }
 
@@ -289,7 +289,7 @@
     /// Adds a late connection to the idle ones if they are fewer than the attempts that wait, or if there is none.
     async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting.get().max(1)
-            && let Ok(connection) = speak(stream, self.reserved_permit()).await
+            && let Ok(connection) = handshake(stream, self.reserved_permit()).await
             && !host.closed.get()
         {
             host.add_idle(connection, Duration::ZERO);
--- a/crates/proxy/src/upstream/progress.rs
+++ b/crates/proxy/src/upstream/progress.rs
@@ -17,20 +17,20 @@
 
 impl Progress {
     /// A request of `size` bytes goes out on a socket that counts in `written` what it has accepted.
-    pub fn on(&self, written: &Rc<Cell<u64>>, size: u64) {
+    pub fn start(&self, written: &Rc<Cell<u64>>, size: u64) {
         self.size.set(size);
         self.written.replace(Some(Rc::clone(written)));
     }
 
-    /// Its last byte is out, so that it may run.
+    /// Whether its last byte is out, so that it may run.
     #[must_use]
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.written.borrow().as_ref().is_some_and(|written| written.get() >= self.size.get())
     }
 
-    /// Its first byte is out.
+    /// Whether its first byte is out.
     #[must_use]
-    pub fn begun(&self) -> bool {
+    pub fn has_begun(&self) -> bool {
         self.written.borrow().as_ref().is_some_and(|written| written.get() > 0)
     }
 }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Response, StatusCode};
 
-use super::call::BODY_MOST;
+use super::call::MAX_BODY_BYTES;
 use super::context::AttemptContext;
 use super::job::AttemptEnd;
 
@@ -21,7 +21,7 @@
     // A 503 without the mark, an upstream's own or of a tier behind it, may have run.
     let not_run = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
         && head.headers.get("x-not-run").is_some_and(|value| value.as_bytes() == b"1");
-    let body = match Limited::new(body, BODY_MOST).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         // Too large to pass on, yet an answer.
         Err(error) if error.is::<LengthLimitError>() => return Some(Outcome::Error.into()),
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -35,7 +35,7 @@
         id: HeaderValue::from_static("r-1"),
         key: (class == "pay").then(|| HeaderValue::from_static("k-1")),
         body,
-        once: class == "order",
+        must_not_repeat: class == "order",
     }
 }
 
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{EndpointId, ListUpdate, Time};
-use balancer_proxy::clock::{PAST_STARTS_MOST, SystemClock};
+use balancer_proxy::clock::{MAX_PAST_STARTS, SystemClock};
 use balancer_proxy::discovery::Update;
 use balancer_proxy::endpoint_table::{EndpointTable, ListSource, MIN_NAMES_TO_PRUNE};
 use balancer_settings::Names;
@@ -51,7 +51,7 @@
         for number in 0..MANY {
             let name = format!("passing-{since_ms}-{number}");
             self.patch(&name, "ready", since_ms);
-            let needed = self.table.listed() + self.in_attempts.len() + PAST_STARTS_MOST;
+            let needed = self.table.listed() + self.in_attempts.len() + MAX_PAST_STARTS;
             self.patch(&name, "gone", since_ms);
             assert!(self.table.names() <= 2 * needed, "{} names, {needed} needed", self.table.names());
         }
@@ -105,7 +105,7 @@
 fn the_names_of_past_starts_are_remembered() {
     let mut world = World::new();
     world.patch("older", "ready", 0);
-    let before: Vec<_> = (0..PAST_STARTS_MOST)
+    let before: Vec<_> = (0..MAX_PAST_STARTS)
         .map(|number| {
             let started = world.patch(&format!("s-{number}"), "ready", NEW_START_MS);
             world.patch(&format!("s-{number}"), "gone", NEW_START_MS);
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -75,7 +75,7 @@
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
             let word: Update = serde_json::from_value(word).expect("a word of discovery");
             let notified = Rc::clone(driver);
-            spawn_local(async move { notified.learn(word) });
+            spawn_local(async move { notified.apply_update(word) });
             assert!(!matches!(answer.await, Ok(Answer::Served(_))), "{status}");
         });
         assert_eq!(upstream.requests().len(), 1, "{status}");
--- a/crates/proxy/tests/sending.rs
+++ b/crates/proxy/tests/sending.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_proxy::connection::{Clearance, Permit, speak};
+use balancer_proxy::connection::{Clearance, Permit, handshake};
 use balancer_proxy::upstream::{Call, Progress, size_on_wire};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -26,7 +26,7 @@
         host: HeaderValue::from_static("origin.svc"),
         id: HeaderValue::from_static("r-1"),
         body: Bytes::from_static(body),
-        once: false,
+        must_not_repeat: false,
     }
 }
 
@@ -65,14 +65,14 @@
 #[test]
 fn a_request_is_whole_with_its_last_byte() {
     let progress = Progress::default();
-    assert!(!progress.whole() && !progress.begun());
+    assert!(!progress.is_complete() && !progress.has_begun());
     let written = Rc::new(Cell::new(0));
-    progress.on(&written, 200);
-    assert!(!progress.whole() && !progress.begun());
+    progress.start(&written, 200);
+    assert!(!progress.is_complete() && !progress.has_begun());
     written.set(199);
-    assert!(!progress.whole() && progress.begun());
+    assert!(!progress.is_complete() && progress.has_begun());
     written.set(200);
-    assert!(progress.whole());
+    assert!(progress.is_complete());
 }
 
 /// Guards a socket that is up against an option that fails on it, as TCP's do on a Unix socket: it carries
@@ -87,7 +87,7 @@
         let near = TcpStream::from_std(OwnedFd::from(near).into()).expect("an open socket");
         let mut far = tokio::net::UnixStream::from_std(far).expect("an open socket");
         assert!(near.set_nodelay(true).is_err(), "the option does not fail here");
-        let mut connection = speak(near, Permit::of(&Rc::default())).await.expect("it is up");
+        let mut connection = handshake(near, Permit::of(&Rc::default())).await.expect("it is up");
         let upstream = async {
             let mut head = [0; 64];
             assert!(far.read(&mut head).await.expect("open") > 0);
@@ -103,11 +103,11 @@
 struct Left(Duration);
 
 impl Clearance for Left {
-    fn begin(&self) -> Option<Duration> {
+    fn time_left_to_begin(&self) -> Option<Duration> {
         Some(self.0)
     }
 
-    fn go_on(&self) -> bool {
+    fn may_continue(&self) -> bool {
         true
     }
 }
@@ -129,7 +129,7 @@
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             let near = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
             let (mut far, _) = listener.accept().await.expect("a connection");
-            let mut connection = speak(near, Permit::of(&Rc::default())).await.expect("it is up");
+            let mut connection = handshake(near, Permit::of(&Rc::default())).await.expect("it is up");
             let call = call(Method::POST, b"instalments");
             let request = call.request(formed);
             let size = size_on_wire(&request, call.body.len());
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use balancer_policy::interface::{EndpointId, Time};
-use balancer_proxy::clock::{PAST_STARTS_MOST, StartTimes, WallClock};
+use balancer_proxy::clock::{MAX_PAST_STARTS, StartTimes, WallClock};
 
 /// Unix time in milliseconds at which the tests begin.
 const BEGIN_MS: u64 = 1_700_000_000_000;
@@ -383,13 +383,13 @@
     let mut world = World::with_list(0);
     let steady_ms = world.stamp();
     let steady = world.hear_one(0, steady_ms);
-    for id in 1..=3 * PAST_STARTS_MOST as u32 {
+    for id in 1..=3 * MAX_PAST_STARTS as u32 {
         world.pass(Duration::from_millis(20));
         let since_ms = world.stamp();
         world.hear_one(id, since_ms);
         world.starts.left(EndpointId(id));
         world.starts.left(EndpointId(0));
-        assert!(world.starts.past_len() <= PAST_STARTS_MOST);
+        assert!(world.starts.past_len() <= MAX_PAST_STARTS);
         assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are kept");
     }
 }
