--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -14,11 +14,11 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::event_loop::{AcceptedRequest, EventLoop};
-use crate::reconfiguration::Offered;
+use crate::reconfiguration::{Offered, OfferedClass};
 use crate::socket::WeakSocket;
-use crate::upstream::{BODY_MOST, Call};
+use crate::upstream::{Call, MAX_BODY_BYTES};
 
-/// AcceptedRequest off a client's time: the answer must arrive before it is up.
+/// Subtracted from the time that a client waits: the answer must arrive before that is up.
 const MARGIN: Duration = Duration::from_millis(30);
 
 /// What is wrong with a client's request.
@@ -70,13 +70,13 @@
     /// How long its client waits.
     client_timeout: Duration,
     /// It must not run twice.
-    once: bool,
+    must_not_repeat: bool,
 }
 
 impl RequestHead {
     fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let (class, figures) = offered.class(class).ok_or(BadRequest::Class)?;
+        let OfferedClass { id: class, figures } = offered.class(class).ok_or(BadRequest::Class)?;
         check_method(figures.idempotency, head)?;
         let tenant = match header_text(&head.headers, "x-tenant") {
             Some(name) => Some(offered.tenant(name).ok_or(BadRequest::Tenant)?),
@@ -88,8 +88,8 @@
             Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
             None => figures.deadline,
         };
-        let once = figures.idempotency == Idempotency::NotIdempotent;
-        Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), once })
+        let must_not_repeat = figures.idempotency == Idempotency::NotIdempotent;
+        Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), must_not_repeat })
     }
 }
 
@@ -126,7 +126,7 @@
     if !Rc::ptr_eq(&offered, &latest) {
         checked = RequestHead::read(&head, &latest)?;
     }
-    let RequestHead { class, tenant, client_timeout, once } = checked;
+    let RequestHead { class, tenant, client_timeout, must_not_repeat } = checked;
     let now = Instant::now();
     let cost = header_text(&head.headers, "x-cost-hint").and_then(|value| value.trim().parse().ok());
     Ok(AcceptedRequest {
@@ -144,16 +144,16 @@
             id,
             key,
             body,
-            once,
+            must_not_repeat,
         }),
     })
 }
 
 async fn read_body(body: Incoming, complete_by: Instant) -> Result<Bytes, BadRequest> {
-    if body.size_hint().lower() > BODY_MOST as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(BadRequest::TooLarge);
     }
-    match timeout_at(complete_by, Limited::new(body, BODY_MOST).collect()).await {
+    match timeout_at(complete_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
         Err(_) => Err(BadRequest::Slow),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::TooLarge),
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -35,7 +35,7 @@
         id: HeaderValue::from_static("r-1"),
         key: (class == "pay").then(|| HeaderValue::from_static("k-1")),
         body,
-        once: class == "order",
+        must_not_repeat: class == "order",
     }
 }
 
@@ -68,7 +68,7 @@
     deadline: Instant,
 ) -> oneshot::Receiver<Answer> {
     let offered = driver.offered();
-    let (class_id, _) = offered.class(class).expect("it is offered");
+    let class_id = offered.class(class).expect("it is offered").id;
     let tenant = offered.tenant("acme");
     driver.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
 }
