--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -111,17 +111,17 @@
 #[test]
 fn a_failed_accept_closes_no_other_connection() {
     beside_each_error(|errno, balancer| {
-        let mut kept: Vec<Client> = Vec::new();
+        let mut clients: Vec<Client> = Vec::new();
         for number in 0..60 {
             let mut client = balancer.client();
             let answer = client.try_ask("order", "one").map(|answer| answer.status());
             assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
-            kept.push(client);
+            clients.push(client);
         }
-        let again = kept.iter_mut().map(|client| client.try_ask("order", "again"));
+        let again = clients.iter_mut().map(|client| client.try_ask("order", "again"));
         let closed = again.filter(Option::is_none).count();
         assert_eq!(closed, 0, "errno {errno}: connections closed");
-        drop(kept);
+        drop(clients);
     });
 }
 
@@ -130,9 +130,9 @@
 #[test]
 fn a_failed_accept_in_a_drain_closes_no_other_connection() {
     beside_each_error(|errno, mut balancer| {
-        let mut kept: Vec<Client> = (0..12).map(|_| balancer.client()).collect();
-        let mut closing = vec![false; kept.len()];
-        for client in &mut kept {
+        let mut clients: Vec<Client> = (0..12).map(|_| balancer.client()).collect();
+        let mut closing = vec![false; clients.len()];
+        for client in &mut clients {
             assert_eq!(client.ask("order", "one").status(), 200);
         }
         balancer.stop();
@@ -141,13 +141,13 @@
         while began.elapsed() < Duration::from_millis(400) {
             let mut new = balancer.client();
             assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
-            for (client, closing) in kept.iter_mut().zip(&mut closing).filter(|(_, closing)| !**closing) {
+            for (client, closing) in clients.iter_mut().zip(&mut closing).filter(|(_, closing)| !**closing) {
                 let answer = client.try_ask("order", "still");
                 let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
                 *closing = answer.header("connection") == Some("close");
             }
         }
-        drop(kept);
+        drop(clients);
     });
 }
 
@@ -163,8 +163,8 @@
 impl Accept for BlockingListener {
     async fn accept(&self) -> io::Result<TcpStream> {
         let stream = self.listener.accept().await?.0;
-        if let Ok((held, go_on)) = self.turns.try_recv() {
-            let _ = held.send(());
+        if let Ok((blocked, go_on)) = self.turns.try_recv() {
+            let _ = blocked.send(());
             let _ = go_on.recv();
         }
         Ok(stream)
@@ -173,10 +173,10 @@
 
 /// Connects, and holds up the balancer as it accepts the connection until the returned sender says to go on.
 fn connect_while_blocked(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Client, mpsc::Sender<()>) {
-    let ((held, is_held), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
-    hold.send((held, goes_on)).expect("the balancer serves");
+    let ((blocked, is_blocked), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
+    hold.send((blocked, goes_on)).expect("the balancer serves");
     let client = balancer.client();
-    is_held.recv().expect("the balancer is held up");
+    is_blocked.recv().expect("the balancer is held up");
     (client, go_on)
 }
 
@@ -202,7 +202,7 @@
         let closed = matches!(oldest.0.peek(&mut [0]), Ok(0));
         oldest.0.set_nonblocking(false).expect("set");
         if closed || !served {
-            assert!(count > 20, "the budget is smaller than the test takes it to be");
+            assert!(count > 20, "the budget is smaller than the test assumes");
             break;
         }
         // One that brings nothing, so that the newest may be the first to meet a budget that is short.
--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -62,7 +62,7 @@
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", late.address, 0, status);
         watch.says(8, false, &[drained, endpoint("s-2", other.address, 1, "ready")]);
-        wait_for("the drain is taken in", || {
+        wait_for("the drain is applied", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
         // Its connections end while the balancer goes on.
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -23,7 +23,7 @@
     let requests = upstream.requests();
     assert_eq!(requests.len(), 3);
     for (connection, request) in requests {
-        assert_eq!(connection, 1, "a kept connection is used again");
+        assert_eq!(connection, 1, "a connection is used again");
         assert_eq!(request.line, "POST /pay?k=7f HTTP/1.1");
         assert_eq!(request.body, b"instalments");
         assert_eq!(request.header("x-request-id"), Some("r-1"));
@@ -189,7 +189,7 @@
 }
 
 /// Guards what must not run twice against connections that upstreams reset once idle: after one such reset it
-/// gets a new connection, while a request that may be repeated goes on finding out with the kept one.
+/// gets a new connection, while a request that may be repeated goes on finding out with the idle one.
 #[test]
 fn after_a_reset_only_repeatable_requests_use_connections_idle_for_long() {
     let upstream =
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -91,10 +91,10 @@
 /// in peace.
 #[test]
 fn an_answer_reaches_a_client_that_goes_on_sending() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, release_signal) = mpsc::channel::<()>();
+    let release_signal = std::sync::Mutex::new(release_signal);
     let upstream = Upstream::start(move |_, _| {
-        let _ = held.lock().expect("no panic").recv();
+        let _ = release_signal.lock().expect("no panic").recv();
         ok("served")
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -151,11 +151,11 @@
 /// answer closes its connection, and the program ends by itself.
 #[test]
 fn sigterm_finishes_what_was_accepted() {
-    let (release, held) = std::sync::mpsc::channel::<()>();
-    let held = std::sync::Mutex::new(held);
+    let (release, release_signal) = std::sync::mpsc::channel::<()>();
+    let release_signal = std::sync::Mutex::new(release_signal);
     let upstream = Upstream::start(move |number, _| {
         if number == 0 {
-            let _ = held.lock().expect("no panic").recv();
+            let _ = release_signal.lock().expect("no panic").recv();
         }
         ok("served")
     });
@@ -217,9 +217,9 @@
     let clients: Vec<_> = (0..8)
         .map(|_| {
             std::thread::spawn(move || {
-                let mut kept = Client::connect(address);
+                let mut client = Client::connect(address);
                 for sent in 1.. {
-                    match kept.try_ask("order", "on") {
+                    match client.try_ask("order", "on") {
                         Some(answer) if answer.header("connection") != Some("close") => {
                             std::thread::sleep(Duration::from_millis(4));
                         }
@@ -322,7 +322,7 @@
     let moved = Upstream::start(|_, _| ok("moved"));
     watch.says(9, false, &[endpoint("s-1", moved.address, 0, "ready")]);
     let mut client = Client::connect(address);
-    wait_for("the change is taken in", || (client.ask("order", "one").body == b"moved").then_some(()));
+    wait_for("the change is applied", || (client.ask("order", "one").body == b"moved").then_some(()));
     write_configuration("{");
     signal(&child, "-HUP");
     let mut line = String::new();
@@ -335,7 +335,7 @@
     let (line, watch) = after.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
     watch.says(10, true, &[endpoint("s-2", new.address, 0, "ready")]);
-    wait_for("the new list is taken in", || (client.ask("order", "two").body == b"new").then_some(()));
+    wait_for("the new list is applied", || (client.ask("order", "two").body == b"new").then_some(()));
     child.kill().expect("it runs");
     child.wait().expect("ends");
 }
--- a/crates/proxy/tests/common/balancer.rs
+++ b/crates/proxy/tests/common/balancer.rs
@@ -47,10 +47,11 @@
         Self { address, stop: Some(stop), thread: Some(thread) }
     }
 
-    /// With these upstreams, answers wanted within `aim` seconds, and a discovery that has nothing to add.
-    pub fn with(known: &[Value], aim: f64) -> (Self, Discovery) {
+    /// With these upstreams, answers wanted within `latency_objective` seconds, and a discovery that has nothing to
+    /// add.
+    pub fn with(known: &[Value], latency_objective: f64) -> (Self, Discovery) {
         let discovery = Discovery::start();
-        (Self::start(&configuration(discovery.address, known, aim, 1024)), discovery)
+        (Self::start(&configuration(discovery.address, known, latency_objective, 1024)), discovery)
     }
 
     /// A new connection to it.
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -21,8 +21,8 @@
     let config = parsed(configuration);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     LocalSet::new().block_on(&runtime, async {
-        let driver = EventLoop::start(config).expect("sound settings");
-        test(&driver).await;
+        let event_loop = EventLoop::start(config).expect("sound settings");
+        test(&event_loop).await;
     });
 }
 
@@ -61,16 +61,16 @@
 
 /// Hands the event loop a request of this class with this body, and gives what receives its answer.
 pub fn accept(
-    driver: &Rc<EventLoop>,
+    event_loop: &Rc<EventLoop>,
     class: &str,
     body: Bytes,
     near: &Socket,
     deadline: Instant,
 ) -> oneshot::Receiver<Answer> {
-    let offered = driver.offered();
+    let offered = event_loop.offered();
     let class_id = offered.class(class).expect("it is offered").id;
     let tenant = offered.tenant("acme");
-    driver.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
+    event_loop.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
 }
 
 /// Waits until a connection that has just carried an answer may carry the next request.
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -214,7 +214,7 @@
 #[derive(Debug, Default)]
 pub struct LogCounts {
     pub accepted: u64,
-    pub unreached: u64,
+    pub unreachable: u64,
     pub late: u64,
     pub unsent: u64,
     /// The least part of the tier that the program took itself to have.
@@ -226,7 +226,7 @@
 impl LogCounts {
     fn with(mut self, line: &str) -> Self {
         self.accepted += before(line, " taken");
-        self.unreached += before(line, " unreached");
+        self.unreachable += before(line, " unreached");
         self.late += before(line, " not connected in time");
         self.unsent += before(line, " unsent");
         let had: f64 = behind(line, "had ");
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -113,10 +113,10 @@
         Upstream::on(listener, own, move |number, message, _| script(number, message))
     }
 
-    /// The listener with room for connections, and where the test's own ones come from.
+    /// The listener with capacity for connections, and where the test's own ones come from.
     fn lift(self) -> (TcpListener, Vec<SocketAddr>) {
         let own = self.queue.iter().map(|own| own.local_addr().expect("up")).collect();
-        // Room for all of them: one that finds none would be left half open.
+        // Capacity for all of them: one that finds none would be left half open.
         self.listener.listen(1024).expect("listens");
         self.listener.set_read_timeout(None).expect("set");
         (self.listener.into(), own)
--- a/crates/proxy/tests/common/load.rs
+++ b/crates/proxy/tests/common/load.rs
@@ -17,8 +17,8 @@
 }
 
 impl Load {
-    /// Starts clients that send orders, each with a body of its own, on a kept connection until that closes, and then
-    /// one more on a new connection, as the front opens none later in a drain; or until the load is over.
+    /// Starts clients that send orders, each with a body of its own, on a persistent connection until that closes, and
+    /// then one more on a new connection, as the front opens none later in a drain; or until the load is over.
     pub fn start(address: SocketAddr, clients: usize) -> Self {
         let over = Arc::new(AtomicBool::new(false));
         let clients = (0..clients)
@@ -32,9 +32,9 @@
 
     fn send(address: SocketAddr, number: usize, over: &AtomicBool) -> (usize, usize) {
         let (mut sent, mut served) = (0, 0);
-        let mut kept = Client::connect(address);
+        let mut client = Client::connect(address);
         while !over.load(Ordering::Relaxed) {
-            let Some(answer) = Self::ask(&mut kept, &format!("{number}-{sent}")) else {
+            let Some(answer) = Self::ask(&mut client, &format!("{number}-{sent}")) else {
                 // It crossed the end of its connection, and counts as not sent.
                 return Self::ask_anew(address, number, sent, served);
             };
--- a/crates/proxy/tests/common/settings.rs
+++ b/crates/proxy/tests/common/settings.rs
@@ -21,15 +21,15 @@
         .collect()
 }
 
-/// The settings of the tests: three classes, answers wanted within `aim` seconds.
-pub fn settings(aim: f64) -> Value {
+/// The settings of the tests: three classes, answers wanted within `latency_objective` seconds.
+pub fn settings(latency_objective: f64) -> Value {
     json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": "north", "zones": ["north"], "kinds": ["std"],
         "lanes": [
-            {"name": "read", "onTimeS": aim, "hardLimitS": 60.0, "effect": "idempotent"},
-            {"name": "pay", "onTimeS": aim, "hardLimitS": 60.0, "effect": "deduplicated",
+            {"name": "read", "onTimeS": latency_objective, "hardLimitS": 60.0, "effect": "idempotent"},
+            {"name": "pay", "onTimeS": latency_objective, "hardLimitS": 60.0, "effect": "deduplicated",
              "dedupScope": "cell", "windowS": 10.0},
-            {"name": "order", "onTimeS": aim, "hardLimitS": 60.0, "effect": "at_most_once"}],
+            {"name": "order", "onTimeS": latency_objective, "hardLimitS": 60.0, "effect": "at_most_once"}],
         "projects": [{"name": "acme"}], "overShareWorth": 0.1, "discovery": "subscribe",
         "caps": {"tryLimit": 3, "secondCopies": false, "cancel": true, "retryAfter": true,
                  "maxRetryAfterS": 1.5, "keepaliveS": 15.0, "multiplex": 1, "dialTimeoutS": 5.0},
@@ -38,10 +38,15 @@
 }
 
 /// The text of a configuration whose list in hand is `known`.
-pub fn configuration(discovery: SocketAddr, known: &[Value], aim: f64, sockets: usize) -> String {
+pub fn configuration(
+    discovery: SocketAddr,
+    known: &[Value],
+    latency_objective: f64,
+    sockets: usize,
+) -> String {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
            "limits": {"sockets": sockets},
-           "known": {"index": 7, "snapshot": true, "endpoints": known}, "settings": settings(aim)})
+           "known": {"index": 7, "snapshot": true, "endpoints": known}, "settings": settings(latency_objective)})
     .to_string()
 }
 
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -45,7 +45,7 @@
     (balancer, discovery, bodies)
 }
 
-/// Waits until a connection has come up and the balancer has taken that in.
+/// Waits until a connection has come up and the balancer has applied that.
 fn wait_up(balancer: &Balancer, upstream: &Upstream) {
     wait_for("a connection comes up", || (upstream.connections() > 0).then_some(()));
     // A question that was asked after it is answered after it.
@@ -284,7 +284,7 @@
         }
         let (_, watch) = discovery.watch();
         watch.says(8, false, &[changed, endpoint("s-2", other.address, 1, "ready")]);
-        wait_for("the word is taken in", || {
+        wait_for("the word is applied", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
         let upstream = late.serve(|_, _| ok("late"));
@@ -319,7 +319,7 @@
 /// Guards clients against connects that nobody waits for: where descriptors run short these go first.
 #[test]
 fn left_connects_give_way_to_requests() {
-    const HELD: usize = 20;
+    const IN_FLIGHT: usize = 20;
     let lates: Vec<LateUpstream> = (0..8).map(|_| LateUpstream::start()).collect();
     let entries = |weight: f64| -> Vec<Value> {
         let entry = |(number, late): (usize, &LateUpstream)| {
@@ -347,12 +347,12 @@
         late.wait_connecting_falls(1);
     }
     // From here on all goes to one that answers, under many names.
-    let (release, held) = mpsc::channel::<()>();
-    let held = Mutex::new(held);
+    let (release, release_signal) = mpsc::channel::<()>();
+    let release_signal = Mutex::new(release_signal);
     let working = Upstream::start(move |_, request| {
         if request.body == b"held" {
             // Ends with the sender.
-            let _ = held.lock().expect("no panic").recv();
+            let _ = release_signal.lock().expect("no panic").recv();
         }
         ok("served")
     });
@@ -360,7 +360,7 @@
     list.extend((0..40).map(|number| endpoint(&format!("s-{number}"), working.address, 1, "ready")));
     let (_, watch) = discovery.watch();
     watch.says(8, false, &list);
-    wait_for("the list is taken in", || {
+    wait_for("the list is applied", || {
         let mut client = balancer.client();
         client.raw(
             b"GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n\r\n",
@@ -373,7 +373,7 @@
         assert_eq!(connecting(late.address).len(), 1, "nothing is crossed");
     }
     let mut clients = Vec::new();
-    for count in 1..=HELD {
+    for count in 1..=IN_FLIGHT {
         let mut client = balancer.client();
         client.send("order", "held");
         clients.push(client);
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -44,14 +44,14 @@
     }
 
     fn leave(&self, how: Departure) {
-        let mut held = self.0.lock().expect("no panic");
-        let mut stream = held.take().expect("it is still there");
+        let mut connection = self.0.lock().expect("no panic");
+        let mut stream = connection.take().expect("it is still there");
         match how {
             Departure::Close => {}
             Departure::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set"),
             Departure::EndOfSending => {
                 stream.shutdown(Shutdown::Write).expect("up");
-                *held = Some(stream);
+                *connection = Some(stream);
             }
             Departure::CloseBehindMore => stream.write_all(b"GET /read HTTP/1.1\r\n").expect("up"),
         }
@@ -66,8 +66,8 @@
 }
 
 /// Hands over a request of this class for the client at the other end of `near`.
-fn take(driver: &Rc<EventLoop>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
-    accept(driver, class, Bytes::new(), near, Instant::now() + LONG)
+fn accept_from(event_loop: &Rc<EventLoop>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
+    accept(event_loop, class, Bytes::new(), near, Instant::now() + LONG)
 }
 
 /// Lets a client leave, and waits until the system has heard of it.
@@ -77,7 +77,7 @@
 }
 
 /// Guards what everything else here rests on: the system is asked, whatever the runtime has heard, and what came before
-/// the end is kept for the HTTP code.
+/// the end is left for the HTTP code.
 #[test]
 fn a_departure_is_seen_without_the_runtime() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
@@ -88,7 +88,7 @@
             depart(&client, &near, how);
             if matches!(how, Departure::CloseBehindMore) {
                 let mut bytes = [0; 64];
-                let read = tokio::io::AsyncReadExt::read(&mut near, &mut bytes).await.expect("kept");
+                let read = tokio::io::AsyncReadExt::read(&mut near, &mut bytes).await.expect("still there");
                 assert_eq!(&bytes[..read], b"GET /read HTTP/1.1\r\n");
             }
             let weak = near.downgrade();
@@ -102,26 +102,26 @@
 #[test]
 fn a_client_that_stays_is_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
-    drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+    drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
         let (client, near) = Client::connect();
         client.0.lock().expect("no panic").as_mut().expect("up").write_all(b"GET /").expect("up");
-        let answer = take(driver, "order", &near).await;
+        let answer = accept_from(event_loop, "order", &near).await;
         assert_eq!(answer, Ok(Answer::Served(Bytes::from_static(b"served"))));
     });
 }
 
-/// Guards first attempts, on a new connection and on a kept one.
+/// Guards first attempts, on a new connection and on a reused one.
 #[test]
 fn a_first_attempt_does_not_begin_for_a_client_that_left() {
     for how in DEPARTURES {
         let upstream = Upstream::start(|_, _| ok("served"));
-        drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+        drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
             let (client, near) = Client::connect();
             depart(&client, &near, how);
-            assert!(take(driver, "order", &near).await.is_err(), "{how:?}, on a new connection");
+            assert!(accept_from(event_loop, "order", &near).await.is_err(), "{how:?}, on a new connection");
             let (_stays, at_hand) = Client::connect();
-            assert!(take(driver, "read", &at_hand).await.is_ok());
-            assert!(take(driver, "read", &near).await.is_err(), "{how:?}, on a kept connection");
+            assert!(accept_from(event_loop, "read", &at_hand).await.is_ok());
+            assert!(accept_from(event_loop, "read", &near).await.is_err(), "{how:?}, on a reused connection");
         });
         assert_eq!(upstream.requests().len(), 1, "{how:?}");
     }
@@ -133,11 +133,11 @@
 fn a_departure_between_hand_over_and_write_is_seen() {
     for how in DEPARTURES {
         let upstream = Upstream::start(|_, _| ok("served"));
-        drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |driver| {
+        drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
             let (client, near) = Client::connect();
-            assert!(take(driver, "read", &near).await.is_ok());
+            assert!(accept_from(event_loop, "read", &near).await.is_ok());
             wait_for_rest().await;
-            let answer = take(driver, "read", &near);
+            let answer = accept_from(event_loop, "read", &near);
             // Runs after the attempt, and before the connection that the attempt wakes.
             spawn_local(async move { depart(&client, &near, how) });
             assert!(answer.await.is_err(), "{how:?}");
@@ -153,9 +153,9 @@
         for how in DEPARTURES {
             scope.spawn(move || {
                 let late = LateUpstream::start();
-                drive_with(&[endpoint("s-1", late.address, 0, "ready")], async |driver| {
+                drive_with(&[endpoint("s-1", late.address, 0, "ready")], async |event_loop| {
                     let (client, near) = Client::connect();
-                    let answer = take(driver, "order", &near);
+                    let answer = accept_from(event_loop, "order", &near);
                     while connecting(late.address).is_empty() {
                         yield_now().await;
                     }
@@ -191,10 +191,10 @@
             let (first, second) = (failing(), failing());
             let known =
                 [endpoint("s-1", first.address, 4, "ready"), endpoint("s-2", second.address, 4, "ready")];
-            drive_with(&known, async |driver| {
+            drive_with(&known, async |event_loop| {
                 let (client, near) = Client::connect();
                 leaving.lock().expect("no panic").replace(client);
-                assert!(take(driver, class, &near).await.is_err(), "{how:?}, {class}");
+                assert!(accept_from(event_loop, class, &near).await.is_err(), "{how:?}, {class}");
             });
             assert_eq!(first.requests().len() + second.requests().len(), 1, "{how:?}, {class}");
         }
@@ -209,11 +209,11 @@
     let known = [endpoint("s-1", address, 0, "ready")];
     // So little room that a body does not go out at once.
     SockRef::from(&listener).set_recv_buffer_size(1024).expect("set");
-    drive_with(&known, async |driver| {
+    drive_with(&known, async |event_loop| {
         let (client, near) = Client::connect();
         let body = Bytes::from(vec![b'x'; 8 << 20]);
         let size = body.len();
-        let answer = accept(driver, "order", body, &near, Instant::now() + LONG);
+        let answer = accept(event_loop, "order", body, &near, Instant::now() + LONG);
         let accepted = tokio::task::spawn_blocking(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
             stream.read_exact(&mut [0; 64]).expect("it has begun");
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -9,7 +9,7 @@
 
 use common::*;
 
-/// Guards drains: once notified, nothing new goes there, not even over a connection that was kept.
+/// Guards drains: once notified, nothing new goes there, not even over an idle connection.
 #[test]
 fn a_draining_upstream_gets_nothing_new() {
     for status in ["draining", "gone"] {
@@ -50,9 +50,9 @@
     let three = format!(r#"{{"index":10,"snapshot":false,"endpoints":[{ready}]}}"#);
     watch.bytes(b"\n");
     let mut client = balancer.client();
-    wait_for("the first list is taken in", || (client.ask("read", "").body == b"first").then_some(()));
+    wait_for("the first list is applied", || (client.ask("read", "").body == b"first").then_some(()));
     watch.bytes(format!("{two}\n\n{three}\n").as_bytes());
-    wait_for("both changes are taken in", || (client.ask("read", "").body == b"second").then_some(()));
+    wait_for("both changes are applied", || (client.ask("read", "").body == b"second").then_some(()));
 }
 
 /// Guards against a list that grows old unseen: a watch that ends, or turns to nonsense, is asked for again
@@ -158,7 +158,7 @@
     assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining")]);
     let asked = |body| balancer.client().ask("order", body).body;
-    wait_for("the drain is taken in", || (0..8).all(|_| asked("one") == b"new").then_some(()));
+    wait_for("the drain is applied", || (0..8).all(|_| asked("one") == b"new").then_some(()));
     assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
 }
 
@@ -177,11 +177,11 @@
         false,
         &[endpoint("s-1", old.address, 0, "draining"), endpoint("s-2", new.address, 1, "ready")],
     );
-    wait_for("the drain is taken in", || (balancer.client().ask("order", "").body == b"new").then_some(()));
+    wait_for("the drain is applied", || (balancer.client().ask("order", "").body == b"new").then_some(()));
 }
 
 /// A change counts as notified this long after discovery had it and could be reached, whatever went before.
-const TOLD: Duration = Duration::from_secs(6);
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// A balancer whose settings say how lists are had, and allow it to ask seldom.
@@ -213,12 +213,12 @@
                     let place = listener.local_addr().expect("bound");
                     let known = [endpoint("s-1", old.address, 0, "ready")];
                     let balancer = in_mode(mode, place, &known);
-                    let mut held = Vec::new();
+                    let mut open_calls = Vec::new();
                     for _ in 0..4 {
                         let (mut stream, _) = listener.accept().expect("asked");
                         read_message(&mut stream).expect("a call");
                         stream.write_all(part.as_bytes()).expect("open");
-                        held.push(stream);
+                        open_calls.push(stream);
                     }
                     // From here on it answers whoever asks.
                     let back = Instant::now();
@@ -227,10 +227,8 @@
                     let drained = endpoint("s-1", old.address, 0, "draining");
                     watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
                     let mut client = balancer.client();
-                    wait_for("the list is taken in", || {
-                        (client.ask("read", "").body == b"new").then_some(())
-                    });
-                    assert!(back.elapsed() < TOLD, "{mode}, {part:?}: {:?}", back.elapsed());
+                    wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
+                    assert!(back.elapsed() < NOTIFIED_WITHIN, "{mode}, {part:?}: {:?}", back.elapsed());
                 });
             }
         });
@@ -257,8 +255,8 @@
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = balancer.client();
-        wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
-        assert!(began.elapsed() < TOLD, "{mode}: {:?}", began.elapsed());
+        wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
+        assert!(began.elapsed() < NOTIFIED_WITHIN, "{mode}: {:?}", began.elapsed());
         dripping.join().expect("no panic");
     });
 }
@@ -274,14 +272,14 @@
     let other = endpoint("s-2", new.address, 1, "ready");
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining"), other.clone()]);
     let mut client = balancer.client();
-    wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
+    wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
     let requests_before = old.requests().len();
     watch.says(8, false, std::slice::from_ref(&ready));
     watch.says(7, true, &[ready, other.clone()]);
-    // What comes last is taken in last.
+    // What comes last is applied last.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(8, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is taken in", || (client.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last word is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
     }
@@ -290,7 +288,7 @@
     let mut restarted = endpoint("s-1", old.address, 0, "ready");
     restarted["since_ms"] = 1_000.into();
     watch.says(9, false, &[restarted]);
-    wait_for("the new start is taken in", || (client.ask("read", "").body == b"old").then_some(()));
+    wait_for("the new start is applied", || (client.ask("read", "").body == b"old").then_some(()));
 }
 
 /// The entry of a process that started at this time.
@@ -317,13 +315,13 @@
     let mut client = balancer.client();
     wait_for("it is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
     watch.says(10, false, &[since("s-1", restarted.address, "draining", now)]);
-    wait_for("the drain is taken in", || {
+    wait_for("the drain is applied", || {
         (0..16).all(|_| client.ask("read", "").body == b"other").then_some(())
     });
     let restart = since("s-1", restarted.address, "ready", now - step_ms as u64);
     // Only the new start serves from here on.
     watch.says(3, true, &[restart]);
-    wait_for("the new start is taken in", || (client.ask("read", "").body == b"restarted").then_some(()));
+    wait_for("the new start is applied", || (client.ask("read", "").body == b"restarted").then_some(()));
 }
 
 /// Guards a drain against an older list that names the process before, from a time when this one had no list yet.
@@ -341,13 +339,13 @@
     let beside = endpoint("s-2", other.address, 0, "ready");
     watch.says(9, false, &[since("s-1", drained.address, "draining", 5_000), beside.clone()]);
     let mut client = balancer.client();
-    wait_for("the drain is taken in", || (client.ask("read", "").body == b"other").then_some(()));
+    wait_for("the drain is applied", || (client.ask("read", "").body == b"other").then_some(()));
     let requests_before = drained.requests().len();
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(3, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
-    // What comes last is taken in last.
+    // What comes last is applied last.
     watch.says(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is taken in", || (client.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last word is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
     }
@@ -366,14 +364,14 @@
     watch.says(8, false, &[since("s-1", drained.address, "ready", 2_000)]);
     watch.says(9, false, &[since("s-1", drained.address, "draining", 2_000), beside.clone()]);
     let mut client = balancer.client();
-    wait_for("the drain is taken in", || (client.ask("read", "").body == b"other").then_some(()));
+    wait_for("the drain is applied", || (client.ask("read", "").body == b"other").then_some(()));
     let requests_before = drained.requests().len();
-    // What comes last is taken in last; the list before it may say that start again, and the one after.
+    // What comes last is applied last; the list before it may say that start again, and the one after.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(7, true, &[since("s-1", drained.address, "ready", 5_000), beside.clone()]);
     watch.says(6, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
     watch.says(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is taken in", || (client.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last word is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
     }
@@ -393,7 +391,7 @@
     let drained = endpoint("s-1", old.address, 0, "draining");
     after.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
     let mut client = balancer.client();
-    wait_for("the drain is taken in", || (client.ask("read", "").body == b"new").then_some(()));
+    wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
     let requests_before = old.requests().len();
     before.try_bytes(
         format!(
@@ -423,7 +421,7 @@
         let mut child = program(&text(place(&first)));
         let (address, _log) = address(&mut child);
         // A call hangs there.
-        let _held = first.accept().expect("asked");
+        let _hangs = first.accept().expect("asked");
         write_configuration(&text(place(&second)));
         signal(&child, "-HUP");
         let _hangs_too = second.accept().expect("asked");
@@ -434,7 +432,7 @@
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = Client::connect(address);
-        wait_for("the list is taken in", || (client.ask("read", "").body == b"new").then_some(()));
+        wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
         assert!(announced.elapsed() < Duration::from_secs(4), "{mode}: {:?}", announced.elapsed());
         child.kill().expect("it runs");
         child.wait().expect("ends");
--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -52,7 +52,7 @@
 /// where there is none, or when the test says so.
 fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
     let mut sent = Sent::default();
-    let mut kept: Option<Client> = None;
+    let mut idle: Option<Client> = None;
     for number in 0.. {
         if orders.over.load(Ordering::Relaxed) {
             break;
@@ -60,14 +60,14 @@
         let mut resent = false;
         loop {
             let body = format!("{name}-{number}-{resent}");
-            let is_new = kept.is_none();
-            let Some(mut client) = kept.take().or_else(|| orders.connect(address)) else {
+            let is_new = idle.is_none();
+            let Some(mut client) = idle.take().or_else(|| orders.connect(address)) else {
                 return sent;
             };
             match try_order(&mut client, &body) {
                 Some(answer) => {
                     sent.answered.push((body, answer.status()));
-                    kept = (answer.header("connection") != Some("close")).then_some(client);
+                    idle = (answer.header("connection") != Some("close")).then_some(client);
                     break;
                 }
                 None if is_new => {
--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -20,7 +20,7 @@
 const PAUSE: Duration = Duration::from_millis(6);
 /// Between two changes that discovery tells: some tens while the traffic lasts.
 const CHANGE_EVERY: Duration = Duration::from_millis(25);
-/// Changes on one watch before it breaks: the list must be taken up again from the version in hand, as the whole one
+/// Changes on one watch before it breaks: the list must be resumed from the version in hand, as the whole one
 /// each time would be over the bound.
 const CHANGES_A_WATCH: u64 = 4;
 /// Watches that the balancer must have opened for the bound on bytes to tell anything: four whole lists of the large
@@ -185,7 +185,7 @@
 
     fn peak_memory_mb(&self) -> f64 {
         let status = self.read("status");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the peak is told");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the peak is reported");
         line.trim().trim_end_matches(" kB").parse::<f64>().expect("a number") / 1024.0
     }
 
@@ -232,12 +232,12 @@
     child.wait().expect("ends");
     let watches = discovery_stand_in.watches.load(Ordering::Relaxed);
     println!("{fleet:?}: {usage:?}, {watches} watches");
-    assert!(watches >= LEAST_WATCHES, "the watch broke and was taken up again: {watches}");
+    assert!(watches >= LEAST_WATCHES, "the watch broke and was resumed: {watches}");
     usage
 }
 
 /// Guards what a balancer costs against the size of the fleet around it: its traffic stays the same, and so must its
-/// time, memory, descriptors and connections, up to a little for the longer list. Lists are told by their changes, also
+/// time, memory, descriptors and connections, up to a little for the longer list. Lists are sent as their changes, also
 /// after a watch has broken.
 #[test]
 fn a_fleet_sixteen_times_the_size_costs_a_balancer_little_more() {
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -26,7 +26,7 @@
         Self { child, log, address, discovery }
     }
 
-    /// SIGTERM, up to where the program has taken it in.
+    /// SIGTERM, up to where the program has received it.
     fn terminate(&mut self) {
         signal(&self.child, "-TERM");
         wait_line(&mut self.log, "into the drain");
@@ -151,9 +151,9 @@
     let text = with_short_deadlines(&configuration(discovery.address, &known, 3.0, 1024));
     let mut child = program(&text);
     let (address, mut log) = address(&mut child);
-    let mut kept: Vec<Client> = (0..6).map(|_| Client::connect(address)).collect();
-    for client in &mut kept {
-        // Ready or not yet: it is a request, after which the connection is kept.
+    let mut idle_clients: Vec<Client> = (0..6).map(|_| Client::connect(address)).collect();
+    for client in &mut idle_clients {
+        // Ready or not yet: it is a request, after which the connection stays open.
         assert!(matches!(client.health(), Some(200 | 503)));
     }
     let classes = ["read", "pay", "order"];
@@ -178,7 +178,7 @@
     }
     // Clients go on using the connections they have; these have time past the earliest kill.
     thread::sleep(Duration::from_millis(1500).saturating_sub(stopped.elapsed()));
-    for mut client in kept {
+    for mut client in idle_clients {
         client.raw(&timed(classes[clients.len() % 3], &format!("late-{}", clients.len()), 3.0));
         clients.push(client);
     }
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -87,11 +87,11 @@
 /// request before it waited has its time from the answer, and is served if its rest comes then.
 #[test]
 fn the_time_of_a_head_counts_from_the_answer_before_it() {
-    let (release, held) = mpsc::channel::<()>();
-    let held = Mutex::new(held);
+    let (release, release_signal) = mpsc::channel::<()>();
+    let release_signal = Mutex::new(release_signal);
     let upstream = Upstream::start(move |number, _| {
         if number < 2 {
-            let _ = held.lock().expect("no panic").recv();
+            let _ = release_signal.lock().expect("no panic").recv();
         }
         ok("served")
     });
--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/hold_ups.rs
@@ -37,12 +37,12 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let discovery = Discovery::start();
-    drive(&configuration(discovery.address, &known, 50.0, 1024), async |driver| {
+    drive(&configuration(discovery.address, &known, 50.0, 1024), async |event_loop| {
         let (_client, near) = connected_pair();
         let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-        assert!(accept(driver, "read", Bytes::new(), &near, deadline).await.is_ok());
+        assert!(accept(event_loop, "read", Bytes::new(), &near, deadline).await.is_ok());
         wait_for_rest().await;
-        let answer = accept(driver, "read", Bytes::new(), &near, deadline);
+        let answer = accept(event_loop, "read", Bytes::new(), &near, deadline);
         // Runs after the attempt, and before the connection that the attempt wakes.
         let held_up = spawn_local(async move {
             thread::sleep(HOLD_UP);
@@ -65,16 +65,16 @@
         let upstream = Upstream::start(|_, _| ok("served"));
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
         let discovery = Discovery::start();
-        drive(&configuration(discovery.address, &known, 50.0, 1024), async |driver| {
+        drive(&configuration(discovery.address, &known, 50.0, 1024), async |event_loop| {
             let (_client, near) = connected_pair();
             let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-            assert!(accept(driver, "read", Bytes::new(), &near, deadline).await.is_ok());
+            assert!(accept(event_loop, "read", Bytes::new(), &near, deadline).await.is_ok());
             wait_for_rest().await;
-            let answer = accept(driver, "read", Bytes::new(), &near, deadline);
+            let answer = accept(event_loop, "read", Bytes::new(), &near, deadline);
             let word = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
             let word: Update = serde_json::from_value(word).expect("a word of discovery");
-            let notified = Rc::clone(driver);
+            let notified = Rc::clone(event_loop);
             spawn_local(async move { notified.apply_update(word) });
             assert!(!matches!(answer.await, Ok(Answer::Served(_))), "{status}");
         });
@@ -220,9 +220,9 @@
 
 /// Asks one request after another until its connection ends and no new ones are to be opened.
 fn ask_on(front: &Front, number: u64, seed: u64) -> Vec<Asked> {
-    let (mut draw, mut all, mut kept) = (Draw(seed + number), Vec::new(), None);
+    let (mut draw, mut all, mut idle) = (Draw(seed + number), Vec::new(), None);
     for request in 0.. {
-        let Some(mut client) = kept.take().or_else(|| front.connect()) else { break };
+        let Some(mut client) = idle.take().or_else(|| front.connect()) else { break };
         let mut asked = Asked {
             id: format!("{number}-{request}"),
             class: ["read", "pay", "order"][draw.below(3) as usize],
@@ -235,7 +235,7 @@
         let leaves = draw.below(LEAVES) == 0;
         let answer = ask_once(&mut client, &mut asked, leaves.then(|| draw.millis(0, 90)), front);
         if answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close")) {
-            kept = Some(client);
+            idle = Some(client);
         }
         all.push(asked);
     }
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -91,11 +91,14 @@
 }
 
 /// A balancer with one upstream that forgets idle connections and one that does not.
-fn with_one_forgetful(forgets: Forgets, aim: f64) -> (Balancer, Discovery, Forgetful, Upstream) {
+fn with_one_forgetful(
+    forgets: Forgets,
+    latency_objective: f64,
+) -> (Balancer, Discovery, Forgetful, Upstream) {
     let forgetful = Forgetful::start(forgets);
     let sound = Upstream::start(|_, _| ok("ok"));
     let known = [endpoint("s-1", forgetful.address, 0, "ready"), endpoint("s-2", sound.address, 1, "ready")];
-    let (balancer, discovery) = Balancer::with(&known, aim);
+    let (balancer, discovery) = Balancer::with(&known, latency_objective);
     (balancer, discovery, forgetful, sound)
 }
 
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -37,7 +37,7 @@
     (served, failed)
 }
 
-/// Guards what was learned against a long rest: after six quiet hours trouble is met as it is after busy minutes.
+/// Guards what was learned against a long rest: after six quiet hours a fault is met as it is after busy minutes.
 /// Requests are served from the first one on, and upstreams that fail are ejected.
 #[test]
 fn trouble_after_hours_of_quiet_is_met_as_any() {
@@ -55,7 +55,7 @@
         failed <= 12 && failed <= busy_failed + 4,
         "{failed} attempts failed, {busy_failed} in busy times"
     );
-    // And the trouble's end is seen.
+    // And the fault's end is seen.
     bench.pass(Duration::from_secs(60));
     assert_eq!(send(&mut bench, 200, &[]).0, 200);
 }
--- a/crates/proxy/tests/reloads.rs
+++ b/crates/proxy/tests/reloads.rs
@@ -23,7 +23,7 @@
     for (number, place) in places.iter().enumerate() {
         write_configuration(&configuration(place.address, &known, 5.0, 1024));
         signal(&child, "-HUP");
-        // Every other one follows before the one before it can have been taken up.
+        // Every other one follows before the one before it can have been applied.
         if number % 2 == 1 && number + 1 < RELOADS {
             earlier = place.watch().1;
         }
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -77,11 +77,11 @@
             .map(|_| {
                 let over = Arc::clone(&over);
                 thread::spawn(move || {
-                    let mut held = std::collections::VecDeque::new();
+                    let mut open_connections = std::collections::VecDeque::new();
                     while !over.load(Ordering::Relaxed) {
-                        held.extend(TcpStream::connect_timeout(&address, SOON));
-                        if held.len() > 100 {
-                            held.pop_front();
+                        open_connections.extend(TcpStream::connect_timeout(&address, SOON));
+                        if open_connections.len() > 100 {
+                            open_connections.pop_front();
                         }
                     }
                 })
@@ -100,7 +100,7 @@
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
-        wait_for("the list is taken in", || {
+        wait_for("the list is applied", || {
             let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"new").then_some(())
         });
@@ -112,7 +112,7 @@
             thread.join().expect("no panic");
         }
         let log = log.join().expect("no panic").expect("read");
-        assert!(!log.contains("could not be accepted"), "the last descriptor was taken: {log}");
+        assert!(!log.contains("could not be accepted"), "the last descriptor was used: {log}");
     }
 }
 
@@ -131,7 +131,7 @@
     watch.says(9, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
     let moved = Upstream::start(|_, _| ok("moved"));
     watch.says(10, false, &[endpoint("s-2", moved.address, 0, "ready")]);
-    wait_for("the lists are taken in", || {
+    wait_for("the lists are applied", || {
         let mut client = Client::connect(address);
         client.0.set_read_timeout(Some(SOON)).expect("set");
         client.send("read", "");
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -390,6 +390,6 @@
         world.starts.left(EndpointId(id));
         world.starts.left(EndpointId(0));
         assert!(world.starts.past_len() <= MAX_PAST_STARTS);
-        assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are kept");
+        assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are remembered");
     }
 }
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -34,7 +34,11 @@
 
 /// Checks that no upstream was charged with anything, and that none passes for gone.
 fn check_uncharged(log_counts: &LogCounts) {
-    assert_eq!((log_counts.unreached, log_counts.late, log_counts.had), (0, 0, Some(1.0)), "{log_counts:?}");
+    assert_eq!(
+        (log_counts.unreachable, log_counts.late, log_counts.had),
+        (0, 0, Some(1.0)),
+        "{log_counts:?}"
+    );
 }
 
 /// Guards upstreams and requests against connects for which the own machine has no port or no memory: each request is
@@ -138,7 +142,7 @@
     let [drains, ..] = &site.upstreams[..] else { panic!("there are some") };
     watch.says(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
     // A line of counts tells the index of the list in hand.
-    wait_for("the list is taken in", || {
+    wait_for("the list is applied", || {
         let log = site.log.lock().expect("no panic");
         log.iter().any(|line| line.contains("list 8;")).then_some(())
     });
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -58,12 +58,12 @@
     old: Group,
     new: Group,
     balancer: Balancer,
-    /// Goes on for as long as this is kept.
+    /// Goes on until this is dropped.
     _watch: Watch,
 }
 
-/// Cold upstreams take this part of a warm one's.
-const COLD_SHARE: f64 = 0.05;
+/// Upstreams in slow start get this part of a warm one's.
+const SLOW_START_MIN_FRACTION: f64 = 0.05;
 
 impl Joined {
     /// With a wall clock that is ahead by `from_ms` at the balancer's start, and by `to_ms` from the first list on; the
@@ -73,7 +73,7 @@
         let mut text: Value =
             serde_json::from_str(&configuration(discovery.address, &old.entries, 30.0, 1024)).expect("JSON");
         text["settings"]["rules"]["coldS"] = json!(cold_s);
-        text["settings"]["rules"]["coldShare"] = json!(COLD_SHARE);
+        text["settings"]["rules"]["coldShare"] = json!(SLOW_START_MIN_FRACTION);
         let ahead_ms = Arc::new(AtomicI64::new(from_ms));
         let balancer = start_with_clock(&text.to_string(), &ahead_ms);
         let (_, watch) = discovery.watch();
@@ -87,11 +87,11 @@
         ahead_ms.store(to_ms, Ordering::Relaxed);
         let new = Group::start("new", SystemClock.unix_ms());
         let mut entries = new.entries.clone();
-        // Tells that the change has been taken in.
+        // Tells that the change has been applied.
         let last = Upstream::start(|_, _| ok("last"));
         entries.push(endpoint("last", last.address, 0, "ready"));
         watch.says(9, false, &entries);
-        wait_for("the change is taken in", || (client.ask("read", "").body == b"last").then_some(()));
+        wait_for("the change is applied", || (client.ask("read", "").body == b"last").then_some(()));
         watch.says(10, false, &[endpoint("last", last.address, 0, "gone")]);
         wait_for("it has left", || (0..16).all(|_| client.ask("read", "").body != b"last").then_some(()));
         Self { old, new, balancer, _watch: watch }
@@ -119,7 +119,7 @@
     });
 }
 
-/// Guards upstreams that have just started, whose cold time here is longer than the test.
+/// Guards upstreams that have just started, whose slow start here is longer than the test.
 #[test]
 fn slow_start_is_not_skipped_under_a_wrong_clock() {
     under_each_clock(|from_ms, to_ms| {
@@ -129,7 +129,7 @@
     });
 }
 
-/// Guards the part of upstreams that have been up for their cold time.
+/// Guards the part of upstreams that have been up for their slow start.
 #[test]
 fn slow_start_ends_under_a_wrong_clock() {
     under_each_clock(|from_ms, to_ms| {
@@ -145,10 +145,10 @@
 /// had started by then.
 #[test]
 fn signs_of_life_bound_a_start_under_a_clock_that_is_ahead() {
-    let cold = Duration::from_secs(10);
-    let joined = Joined::start(HOUR_MS, HOUR_MS, cold.as_secs_f64(), cold);
+    let slow_start_window = Duration::from_secs(10);
+    let joined = Joined::start(HOUR_MS, HOUR_MS, slow_start_window.as_secs_f64(), slow_start_window);
     let changed = Instant::now();
     let (old, new) = joined.parts(300);
     // On a machine too busy to ask in time they may be warm by then, which proves nothing.
-    assert!(new * 2 < old || changed.elapsed() > cold / 4, "{new} beside {old}");
+    assert!(new * 2 < old || changed.elapsed() > slow_start_window / 4, "{new} beside {old}");
 }
