--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -12,6 +12,8 @@
 //! A line that makes no sense ends the process with the line's number: the simulator's run is void then, and
 //! a guess at what was meant would only hide it.
 
+#![warn(clippy::pedantic)]
+
 mod action;
 mod endpoint_lists;
 mod error;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -2,6 +2,8 @@
 //!
 //! Takes no arguments. Ends with the input; an error is one line on standard error and exit code 1.
 
+#![warn(clippy::pedantic)]
+
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
