--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -1,67 +1,71 @@
-//! The rate limit that the suppressor of a tenant applies, learned from what becomes of the calls.
+//! The adaptive rate limit of a tenant, which the tenant's suppressor enforces.
 //!
-//! Quotas are promised over all replicas, but a replica sees only its own part of the calls and cannot tell what the
-//! tier can serve. Each limit starts at the replica's part of the quota, with a margin for chance, falls
-//! multiplicatively while calls meet congestion, and rises with each call that is served in time. The module owns the
-//! limit of one tenant, or of all together, with its bounds.
+//! A quota applies to the sum of all replicas, but a replica sees only its own part of the requests and does not know
+//! the capacity of the tier. Each limit therefore starts at the replica's part of the quota, with a margin for random
+//! variation. It decreases multiplicatively while requests meet congestion and increases with each request that is
+//! served in time. The module owns the limit of one tenant, or of all tenants together, and the bounds of that limit.
 
 use crate::admission::suppression::WINDOW_S;
 use crate::interface::Settings;
 
-/// What all tenants of a replica may send beyond their quotas while no congestion is met, in parts of the
-/// replica's quota...
+/// Largest excess over the quotas that all tenants of a replica together may send while no congestion is detected, as a
+/// fraction of the replica's quota.
 const EXCESS: f64 = 0.4;
-/// ...half of it, and of what the busiest replica may be dealt, at about this many calls a second: the fewer a
-/// replica sees, the later it sees congestion come.
+/// Rate, in requests per second, at which half of that excess and half of the allowance for the busiest replica are
+/// granted. A replica that sees fewer requests detects congestion later, so it is granted less.
 const EXCESS_HALF_RATE: f64 = 12.0;
-/// Weight beyond the quota from which the excess is served too, so that no ceiling holds.
+/// Weight of requests beyond the quota from which serving them is worth it, so that the limit has no ceiling.
 const EXCESS_COUNTS: f64 = 0.5;
-/// Standard deviations of chance allowed above a replica's quota or in congestion, so that few calls do not
-/// pass for many.
+/// Standard deviations of random variation tolerated above a replica's quota and in the congestion average, so that a
+/// random cluster of a few requests is not taken for a high rate.
 pub const CHANCE_DEVIATIONS: f64 = 1.0;
-/// Calls a second gained by a call served in time: about 5% a second at the limit...
+/// Increase of the limit, in requests per second, for each request served in time: about 5% per second at the limit.
 const INCREASE: f64 = 0.05;
-/// ...and below the replica's quota, about 15% a second: back from a quarter in ten seconds.
+/// Increase of the limit, in requests per second, for each request served in time while the limit is below the
+/// replica's quota: about 15% per second, so that it recovers from a quarter of the quota in ten seconds.
 const INCREASE_BELOW_QUOTA: f64 = 0.15;
-/// What a maintenance pass makes of a decreased limit while all calls are denied: about 30% a second.
+/// Factor that a maintenance pass applies to a decreased limit while all requests are denied: about 30% per second.
 const REOPEN_FACTOR: f64 = 1.05;
-/// What a decrease leaves of the limit...
+/// Factor that a decrease applies to the limit in light congestion.
 const DECREASE_FACTOR: f64 = 0.85;
-/// ...and in overload: servers choke within seconds.
+/// Factor that a decrease applies to the limit in overload, where servers become unresponsive within seconds.
 const DECREASE_FACTOR_OVERLOADED: f64 = 0.7;
-/// Congestion from which a limit decreases.
+/// Congestion level from which a limit decreases.
 pub const CONGESTED: f64 = 0.2;
-/// Congestion in overload, at which the floor has given way...
+/// Congestion level of an overload, at which the floor of the limit is at its lowest.
 const OVERLOADED: f64 = 0.7;
-/// ...to this part of the replica's quota: what a choked tier can still serve.
+/// Floor of the limit in overload, as a fraction of the replica's quota: the rate that an overloaded tier can still
+/// serve.
 const OVERLOADED_FLOOR: f64 = 0.25;
-/// Floor of a limit without a quota, as a part of the recent rate. High, since a call denied below the first tier is
-/// work lost above.
+/// Floor of a limit without a quota, as a fraction of the recently admitted rate. It is high because a request that is
+/// denied below the first tier wastes the work done for it in the tiers above.
 const FLOOR_WITHOUT_QUOTA: f64 = 0.7;
-/// Least floor of a limit without a quota, in calls a second.
+/// Lowest floor of a limit without a quota, in requests per second.
 const MIN_FLOOR_WITHOUT_QUOTA: f64 = 1.0;
-/// Weight of one maintenance pass in the recent rate: some ten seconds.
+/// Weight of one maintenance pass in the recently admitted rate, which gives an averaging time of some ten seconds.
 const RECENT_RATE_WEIGHT: f64 = 0.02;
 
-/// A rate limit learned from what becomes of the calls.
+/// A rate limit that adapts to how the admitted requests end.
 #[derive(Debug, Clone, Copy)]
 pub struct AdaptiveLimit {
-    /// The limit, in calls a second.
+    /// Current limit, in requests per second.
     pub rate: f64,
-    /// This replica's part of the quota, in calls a second; `f64::MAX` without one.
+    /// This replica's part of the quota, in requests per second; `f64::MAX` without a quota.
     pub replica_quota: f64,
-    /// The replica's quota with its margin for chance; `None` without a quota.
+    /// This replica's part of the quota plus the margin for random variation, in requests per second; `None` without a
+    /// quota.
     quota_with_margin: Option<f64>,
-    /// What the limit may rise to.
+    /// Largest value that the limit may rise to, in requests per second.
     ceiling: f64,
-    /// Calls admitted a second of late, of which the floor without a quota is a part.
+    /// Recently admitted requests per second; the floor of a limit without a quota is a fraction of it.
     recent_rate: f64,
 }
 
 impl AdaptiveLimit {
-    /// The limit that a fresh replica begins with.
+    /// Creates the limit with which a new replica starts.
     ///
-    /// Quotas count requests of the first tier; below it calls are more, and no part of a quota can be given.
+    /// Quotas count requests of the first tier. A tier below receives more requests than the first, so no part of a
+    /// quota can be derived for it and its limits start unlimited.
     fn new(settings: &Settings, quota: Option<f64>) -> Self {
         let Some(quota) = quota.filter(|&quota| settings.tier == 0 && quota > 0.0) else {
             return Self::unlimited();
@@ -83,8 +87,8 @@
         }
     }
 
-    /// The limits of a fresh replica: of each tenant and, last, of all together, which is the sum of their
-    /// quotas until congestion is met.
+    /// Creates the limits of a new replica: one for each tenant and, last, one for all tenants together. The last one
+    /// starts from the sum of the tenants' quotas and may rise above it until congestion is detected.
     #[must_use]
     pub fn all(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
@@ -100,10 +104,10 @@
         limits
     }
 
-    /// What the limit becomes under other settings, where a fresh replica has `fresh`.
+    /// Adapts the limit to changed settings, under which a new replica would start with `fresh`.
     ///
-    /// What was learned stays, in parts of the quota. A lower quota holds at once; to a higher one the limit goes up
-    /// at once as far as a fresh replica begins, and rises from there.
+    /// The adaptation so far is kept relative to the quota. A lower quota applies at once. With a higher quota the
+    /// limit rises at once as far as the starting value of a new replica, and gradually from there.
     #[must_use]
     pub fn under(self, fresh: Self) -> Self {
         let rate = match self.quota_with_margin.zip(fresh.quota_with_margin) {
@@ -117,29 +121,30 @@
         Self { rate: rate.min(fresh.ceiling), recent_rate: self.recent_rate, ..fresh }
     }
 
-    /// Whether the limit comes from a quota.
+    /// Whether the limit is derived from a quota.
     #[must_use]
     pub fn has_quota(&self) -> bool {
         self.quota_with_margin.is_some()
     }
 
-    /// Raises the limit for a call served in time.
+    /// Raises the limit after a request was served in time.
     pub fn increase(&mut self) {
-        // Below the replica's quota the calls denied are the ones that count: recover from an overload faster.
+        // Requests denied below the replica's quota are within what was promised, so recover faster there after an
+        // overload.
         let is_below_quota = self.quota_with_margin.is_some_and(|quota| self.rate < quota);
         let increase = if is_below_quota { INCREASE_BELOW_QUOTA } else { INCREASE };
         self.rate = (self.rate + increase).min(self.ceiling);
     }
 
-    /// Lowers the limit for congestion, where `accepted` calls a second were admitted.
+    /// Lowers the limit because of congestion, where `accepted` requests per second were admitted.
     pub fn decrease(&mut self, congestion: f64, accepted: f64) {
-        // A lone refusal or slow call happens on the quietest day; a decrease for each one denies calls without
-        // need, which below the first tier fails the whole request above.
+        // Isolated refusals and slow requests also happen without overload. A decrease for each of them would deny
+        // requests needlessly, and a request denied below the first tier fails the whole client request above.
         if congestion < self.quota_with_margin.map_or(OVERLOADED, |_| CONGESTED) {
             return;
         }
-        // A limit stays at the replica's quota in light congestion. The more calls meet congestion, the less it is
-        // what the servers can do; once they have choked only much less lets them recover.
+        // In light congestion the floor is the replica's quota. The higher the congestion, the less the quota reflects
+        // what the servers can do, and overloaded servers recover only under a much lower rate.
         let overload = ((congestion - CONGESTED) / (OVERLOADED - CONGESTED)).min(1.0);
         let part = 1.0 - (1.0 - OVERLOADED_FLOOR) * overload;
         let floor = match self.quota_with_margin {
@@ -150,28 +155,28 @@
         self.rate = (self.rate.min(accepted.max(floor)) * factor).max(floor).min(self.rate);
     }
 
-    /// Takes note of the rate admitted at a maintenance pass.
+    /// Adds the admitted rate seen at a maintenance pass to the recently admitted rate.
     pub fn record_accepted_rate(&mut self, accepted: f64) {
         self.recent_rate += RECENT_RATE_WEIGHT * (accepted - self.recent_rate);
     }
 
-    /// Whether the limit lies below what a replica of a quiet tier starts with.
+    /// Whether the limit is below the starting value of a new replica without congestion; always true without a quota.
     #[must_use]
     pub fn is_decreased(&self) -> bool {
         self.quota_with_margin.is_none_or(|quota| self.rate < quota)
     }
 
-    /// Raises a limit at which every call is denied, so that none is served from which it could learn.
+    /// Raises a limit under which every request is denied. No request is served then that could raise it.
     pub fn reopen(&mut self) {
         self.rate *= REOPEN_FACTOR;
     }
 }
 
-/// What the busiest replica may be dealt, in parts of its quota.
+/// Rate that the busiest replica may receive, as a multiple of its quota.
 ///
-/// Clients dealt out by chance give the busiest of n replicas about ln n means. Of two that see twice their quotas
-/// the tier has too many calls, but one of fifty may just have more clients. The fewer calls a replica sees, the
-/// less of it is allowed, as it sees congestion late.
+/// When clients choose replicas at random, the busiest of n replicas receives about ln n times the mean. With two
+/// replicas, twice the quota means that the tier is overloaded; with fifty, that replica may just have more clients.
+/// The fewer requests a replica sees, the smaller the allowance, because the replica detects congestion late.
 fn busiest_replica(settings: &Settings) -> f64 {
     let replicas = f64::from(settings.replicas);
     let fair = settings.tenants.iter().filter_map(|tenant| tenant.quota).sum::<f64>() / replicas;
