--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -1,9 +1,9 @@
-//! What the ends of calls show of congestion in the tier, and when the limits decrease for it.
+//! Detects congestion in the tier from how requests end, and paces the decreases of the limits.
 //!
-//! No server says that it is overloaded. It shows in calls that fail, come late or take longer than the baseline of
-//! their class; one such call means nothing, so the signal is an average over the last seconds with its variance, and
-//! congestion is met only where the average lies above what chance explains. The module owns that average, the times
-//! of decreases and that of the latest answer.
+//! No server reports that it is overloaded. Overload shows in requests that fail, come late or take longer than the
+//! baseline latency of their class. A single such request means nothing, so the signal is a moving average over the
+//! last seconds with its variance, and congestion is detected only where the average exceeds what random variation
+//! explains. The module owns this average, the times of the decreases and the time of the latest answer.
 
 use oorandom::Rand64;
 
@@ -14,89 +14,91 @@
 use crate::maintenance::MAINTENANCE_PERIOD_S;
 use crate::random::between;
 
-/// Seconds of calls in the average, as servers choke within two.
+/// Averaging time of the congestion signal in seconds, short because servers become unresponsive within two seconds.
 const WINDOW_S: f64 = 2.0;
-/// Largest weight of one call in the average.
+/// Largest weight of one request in the average.
 const MAX_WEIGHT: f64 = 0.15;
-/// Weight of a call admitted before the latest decrease, in parts of a fresh one's: only slow ones are left to end,
-/// few fresh ones beside them, and a decrease would call for the next. Not none: in overload fresh calls end too
-/// late.
+/// Weight of a request admitted before the latest decrease, relative to a request admitted after it. Soon after a
+/// decrease mostly the slow earlier requests are still to end and few new ones end, so at full weight one decrease
+/// would cause the next. The weight is not 0 because new requests end too late during an overload.
 const WEIGHT_BEFORE_DECREASE: f64 = 0.3;
-/// Least seconds between decreases, and most: drawn, so that replicas do not decrease together.
+/// Bounds of the time between decreases in seconds. The time is random so that replicas do not decrease in step.
 const MIN_DECREASE_INTERVAL_S: f64 = 0.25;
 const MAX_DECREASE_INTERVAL_S: f64 = 0.5;
-/// Signal of a call that failed or came late, and the largest of any other. Of others it is how often the baseline
-/// latency doubled, more or less (a natural logarithm), so that a few heavy calls count little and a general delay
-/// much.
+/// Signal of a request that failed or came late, and the upper bound for all others. The signal of other requests is
+/// the natural logarithm of their latency over the baseline, so that a few expensive requests count little and a
+/// general delay counts much.
 const MAX_SIGNAL: f64 = 2.0;
-/// Smallest signal of a call served in time.
+/// Lower bound of the signal of a request served in time.
 const MIN_SIGNAL: f64 = -1.0;
-/// Part of the latency objective from which a time-out counts as one of the whole: the rest may go to connections.
+/// Fraction of the latency objective for which an attempt must have had a connection before its time-out counts as a
+/// time-out over the whole objective. The remaining time may have been spent on connecting.
 const WHOLE_OBJECTIVE: f64 = 0.9;
-/// Failure rate of the tier from which an error counts as congestion below and not as a bad endpoint.
+/// Failure rate of the tier above which an error counts as congestion and not as a fault of a single endpoint.
 const CONGESTED_FAILURE_RATE: f64 = 0.1;
-/// Shortest time that a call counts as served in, in seconds, so that its logarithm is finite.
+/// Lower bound, in seconds, for the duration of a request, so that the logarithm of the duration is finite.
 pub const SHORTEST_S: f64 = 1e-4;
 
-/// A call that has ended, as admission sees it. Times are in seconds.
+/// How a request ended, or an attempt of it that was retried after it may have run or was refused again. Times are in
+/// seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct CallEnd {
-    /// The place of its tenant among the limits.
+    /// Index of the request's tenant in the list of limits.
     pub tenant: usize,
-    /// How its last attempt ended.
+    /// Outcome of the request's last attempt.
     pub outcome: Outcome,
-    /// How long the last attempt had a connection.
+    /// Time that the last attempt spent with a connection.
     pub served: f64,
-    /// The latency objective of its class.
+    /// Latency objective of the request's class.
     pub latency_objective: f64,
-    /// When the call arrived.
+    /// Time at which the request arrived.
     pub arrived: f64,
-    /// How long its attempts waited for connections.
+    /// Total time that the request's attempts waited for connections.
     pub connect_wait: f64,
 }
 
-/// The tier as the rest of the balancer sees it when a call ends.
+/// State of the tier when a request ends, as the rest of the balancer knows it.
 #[derive(Debug, Clone, Copy)]
 pub struct TierState {
-    /// Whether clients reach it, and no other tier.
+    /// Whether this is the first tier, which receives its requests from clients and not from another tier.
     pub is_first: bool,
-    /// Its recent fraction of failed attempts.
+    /// Recent fraction of attempts to the tier that failed.
     pub failure_rate: f64,
-    /// The part of its capacity that is available.
+    /// Fraction of the tier's capacity that is available.
     pub available: f64,
 }
 
-/// What one call tells of congestion.
+/// Contribution of one request to the congestion average.
 #[derive(Debug, Clone, Copy)]
 pub struct Signal {
-    /// 0 for a call as usual, up to [`MAX_SIGNAL`] for one that failed.
+    /// Congestion signal: 0 for a request with the baseline latency, up to [`MAX_SIGNAL`] for a failed request.
     pub value: f64,
-    /// The call failed or came late.
+    /// Whether the request failed or came late.
     pub is_bad: bool,
 }
 
-/// Average of the recent signals, with its variance.
+/// Moving average of the recent congestion signals, with its variance.
 #[derive(Debug, Clone, Copy, Default)]
 struct Average {
     mean: f64,
     variance: f64,
 }
 
-/// When the limits decreased last and may decrease next, in seconds of the clock.
+/// Times of the latest decrease of the limits and of the earliest next one, in seconds of the clock.
 #[derive(Debug, Clone, Copy, Default)]
 struct DecreaseTimes {
     latest: f64,
     next: f64,
 }
 
-/// When any endpoint last answered, and the calls since that ended with no connection.
+/// Time of the latest answer of any endpoint, and the number of requests since then that got no connection in time.
 #[derive(Debug, Clone, Copy)]
 struct LatestAnswer {
     at: f64,
     connect_timeouts_since: u32,
 }
 
-/// Congestion as the recent calls met it.
+/// Detector of congestion in the tier, fed by the requests that end.
 #[derive(Debug)]
 pub struct Congestion {
     average: Average,
@@ -105,7 +107,7 @@
 }
 
 impl Congestion {
-    /// None is known yet.
+    /// Creates a detector that has seen no request.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -115,24 +117,24 @@
         }
     }
 
-    /// The average signal: from [`CONGESTED`] on, limits decrease.
+    /// Average congestion signal; limits decrease from [`CONGESTED`] on.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.average.mean
     }
 
-    /// By how much a call is expected to take longer than its baseline.
+    /// Factor by which a request is expected to exceed its baseline latency.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         self.average.mean.clamp(0.0, 1.0).exp()
     }
 
-    /// An endpoint has answered over a connection that stands.
+    /// Records that an endpoint has answered over an established connection.
     pub fn record_answer(&mut self, now: f64) {
         self.latest_answer = LatestAnswer { at: now, connect_timeouts_since: 0 };
     }
 
-    /// What the end of a call tells; `None` if nothing.
+    /// Congestion signal of a request that has ended; `None` if its end says nothing about congestion.
     pub fn signal(
         &mut self,
         now: f64,
@@ -142,8 +144,8 @@
     ) -> Option<Signal> {
         let is_bad = self.is_bad(now, end, tier.failure_rate)?;
         let slower = end.served.max(SHORTEST_S).ln() - baseline.ln_seconds;
-        // The duration of one given up is a lower bound: it shows nothing where the endpoint had less than the
-        // usual time.
+        // The duration of an abandoned attempt is only a lower bound of its latency. It says nothing if the endpoint
+        // had less than the baseline latency to answer.
         let is_cut_short = match end.outcome {
             Outcome::Cancelled => true,
             Outcome::TimedOut => end.served < end.latency_objective * WHOLE_OBJECTIVE,
@@ -157,7 +159,7 @@
         } else if is_bad {
             MAX_SIGNAL
         } else if end.outcome == Outcome::Success && tier.is_first {
-            // Shed early at the first tier only: a call denied below is work lost above.
+            // Only the first tier sheds load early: a request denied below it wastes the work done in the tiers above.
             slower.clamp(MIN_SIGNAL, MAX_SIGNAL)
         } else {
             0.0
@@ -165,15 +167,15 @@
         Some(Signal { value, is_bad })
     }
 
-    /// Whether a call failed or came late for a reason that may lie in congestion; `None` where its end tells
-    /// nothing.
+    /// Whether a request failed or came late for a reason that may be congestion; `None` where its end says nothing
+    /// about congestion.
     fn is_bad(&mut self, now: f64, end: &CallEnd, tier_failure_rate: f64) -> Option<bool> {
         let answer = &mut self.latest_answer;
         answer.connect_timeouts_since += u32::from(end.outcome == Outcome::ConnectTimedOut);
         let is_silent = now - answer.at > WINDOW_S && answer.connect_timeouts_since >= UNREACHABLE_AFTER;
         match end.outcome {
             Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled => Some(true),
-            // Late connections tell nothing of a tier that answers others.
+            // Late connections say nothing about a tier that answers other requests.
             Outcome::ConnectTimedOut if is_silent => Some(true),
             Outcome::Error => Some(tier_failure_rate > CONGESTED_FAILURE_RATE),
             Outcome::Success => Some(now - end.arrived - end.connect_wait > end.latency_objective),
@@ -181,50 +183,52 @@
         }
     }
 
-    /// The weight of a call that arrived at `arrived`, where `rate` calls a second are admitted.
+    /// Weight in the average of a request that arrived at `arrived`, where `rate` requests per second are admitted.
     #[must_use]
     pub fn weight(&self, rate: f64, arrived: f64) -> f64 {
         let fresh = if arrived < self.decreases.latest { WEIGHT_BEFORE_DECREASE } else { 1.0 };
         (1.0 / (rate * WINDOW_S)).min(MAX_WEIGHT) * fresh
     }
 
-    /// Takes a signal into the average.
+    /// Adds a signal to the average.
     pub fn record(&mut self, signal: f64, weight: f64) {
         let deviation = signal - self.average.mean;
         self.average.variance += weight * (deviation * deviation - self.average.variance);
         self.average.mean += weight * deviation;
     }
 
-    /// Whether congestion is met, where calls count with `weight` and the baseline was learned from
-    /// `baseline_samples`.
+    /// Whether congestion is detected, where a request counts with `weight` and the baseline was learned from
+    /// `baseline_samples` requests.
     ///
-    /// Of the few calls of one of many replicas, chance alone makes congestion: it is met only beyond the chance of
-    /// the calls and of the baseline, which a fresh replica has from few.
+    /// A replica of a large fleet sees few requests, whose average may be high by random variation alone. The average
+    /// must therefore exceed the threshold by more than the variation of the requests and of the baseline, which a new
+    /// replica has learned from few samples.
     #[must_use]
     pub fn is_met(&self, weight: f64, baseline_samples: f64) -> bool {
         let chance = weight / (2.0 - weight) + 1.0 / baseline_samples.max(1.0);
         self.average.mean - CHANCE_DEVIATIONS * (self.average.variance * chance).sqrt() > CONGESTED
     }
 
-    /// Whether limits may decrease again.
+    /// Whether enough time has passed since the latest decrease for the limits to decrease again.
     #[must_use]
     pub fn may_decrease(&self, now: f64) -> bool {
         now >= self.decreases.next
     }
 
-    /// Limits decrease now.
+    /// Records that the limits decrease now, and draws the time until they may decrease again.
     pub fn record_decrease(&mut self, now: f64, rng: &mut Rand64) {
         let pause = between(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
         self.decreases = DecreaseTimes { latest: now, next: now + pause };
     }
 
-    /// The level after a maintenance pass in which no call was admitted that could have met congestion.
+    /// Congestion level decayed over one maintenance pass, for a pass in which no request was admitted that could have
+    /// met congestion.
     #[must_use]
     pub fn faded(&self) -> f64 {
         self.average.mean * (1.0 - MAINTENANCE_PERIOD_S / WINDOW_S)
     }
 
-    /// Sets the level, where no calls tell of it.
+    /// Sets the congestion level while no requests end that would update it.
     pub fn set_level(&mut self, level: f64) {
         self.average.mean = level;
     }
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -1,23 +1,23 @@
-//! Which requests are admitted, and at what rate.
+//! Admission control: which requests are admitted, and at what rate.
 //!
-//! A tier that is sent more than it can serve serves less than it could: the excess must be refused before it costs
-//! anything. [`Admission`] holds each tenant, and all of them together, to a limit that follows what becomes of the
-//! calls:
+//! A tier that receives more than its capacity serves less than its capacity, so the excess must be refused before it
+//! uses any resources. [`Admission`] holds each tenant, and all tenants together, to a limit that adapts to how the
+//! admitted requests end:
 //!
-//! * [`suppression`] admits calls at about a limit's rate, by a probability that falls smoothly;
-//! * [`adaptive_limit`] is that limit: the replica's part of the quota, less while there is congestion;
-//! * [`congestion`] tells from the ends of calls whether there is any;
-//! * [`baseline_latency`] is what calls take when there is none.
+//! * [`suppression`] admits requests at about the rate of a limit, with a probability that falls smoothly;
+//! * [`adaptive_limit`] is the limit: the replica's part of the quota, reduced during congestion;
+//! * [`congestion`] detects congestion from how requests end;
+//! * [`baseline_latency`] estimates the latency of requests without congestion.
 //!
-//! The module owns the limit and the suppressor of each tenant and of all together, and the congestion; the baseline
-//! latencies are the balancer's.
+//! The module owns the limits and suppressors of each tenant and of all tenants together, and the congestion detector.
+//! The baseline latencies belong to the balancer.
 
 pub mod adaptive_limit;
 pub mod baseline_latency;
 pub mod congestion;
 pub mod suppression;
 #[cfg(test)]
-#[allow(clippy::float_cmp, reason = "figures that nothing has changed stay the same to the bit")]
+#[allow(clippy::float_cmp, reason = "values that no computation has changed are equal to the bit")]
 mod tests;
 
 use oorandom::Rand64;
@@ -28,23 +28,24 @@
 use crate::admission::suppression::Suppressor;
 use crate::interface::{Outcome, Settings};
 
-/// A limit with the suppressor that holds calls to it.
+/// A rate limit and the suppressor that enforces it.
 #[derive(Debug)]
 struct RateControl {
     suppressor: Suppressor,
     limit: AdaptiveLimit,
 }
 
-/// Admits or refuses requests, and learns from their ends.
+/// Admits or refuses requests, and learns from how they end.
 #[derive(Debug)]
 pub struct Admission {
-    /// That of each tenant and, last, that of all together.
+    /// Rate control of each tenant and, last, of all tenants together.
     controls: Vec<RateControl>,
     congestion: Congestion,
 }
 
 impl Admission {
-    /// A fresh replica's: limits start at its parts of the quotas, and nothing is known of congestion.
+    /// Creates the admission state of a new replica: limits start at the replica's parts of the quotas, and no
+    /// congestion is known.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
         let mut limits = AdaptiveLimit::all(settings);
@@ -59,45 +60,47 @@
         Self { controls, congestion: Congestion::new() }
     }
 
-    /// Goes over to other settings: new tenants come behind those known before, and what was learned stays.
+    /// Changes to other settings. New tenants are inserted behind the existing ones, and what was learned is kept.
     pub fn reconfigure(&mut self, settings: &Settings) {
         let fresh = AdaptiveLimit::all(settings);
         let (before, after) = (self.all(), settings.tenants.len());
         let new_tenants = fresh[before..after]
             .iter()
             .map(|&limit| RateControl { suppressor: Suppressor::for_tenant(), limit });
-        // The last place is that of all tenants together.
+        // The last entry belongs to all tenants together.
         self.controls.splice(before..before, new_tenants);
         for (control, fresh) in self.controls.iter_mut().zip(fresh) {
             control.limit = control.limit.under(fresh);
         }
     }
 
-    /// The place of all tenants together; that of a lone tenant too, where there are none.
+    /// Index of the rate control of all tenants together. Without configured tenants, the single tenant shares it.
     fn all(&self) -> usize {
         self.controls.len() - 1
     }
 
-    /// Congestion as the recent calls met it.
+    /// Detector of congestion in the tier.
     #[must_use]
     pub fn congestion(&self) -> &Congestion {
         &self.congestion
     }
 
-    /// The limits in calls a second, of each tenant and, last, of all together.
+    /// Limits in requests per second, of each tenant and, last, of all tenants together.
     pub fn limits(&self) -> impl Iterator<Item = f64> {
         self.controls.iter().map(|control| control.limit.rate)
     }
 
-    /// An endpoint has answered over a connection that stands.
+    /// Records that an endpoint has answered over an established connection.
     pub fn record_answer(&mut self, now: f64) {
         self.congestion.record_answer(now);
     }
 
-    /// Decides on a call of `tenant`, where the part `available` of the tier's capacity is there.
+    /// Decides whether to admit a request of `tenant`, where the fraction `available` of the tier's capacity is
+    /// available.
     ///
-    /// A tenant over the replica's quota must also fit into what all tenants of this replica may send: the chance
-    /// allowed to each of many small limits, over all replicas, would add up to more than the tier.
+    /// A tenant over the replica's part of its quota must also fit into the shared limit of all tenants of this
+    /// replica. Otherwise the margins for random variation of many small limits would add up, over all replicas, to
+    /// more than the capacity of the tier.
     #[must_use]
     pub fn admit(
         &mut self,
@@ -109,7 +112,7 @@
     ) -> bool {
         let all = self.all();
         let rate = self.controls[all].limit.rate * available;
-        // Each tenant's part of what they may send together is its own.
+        // Each tenant's part of the shared limit is guaranteed to that tenant.
         let level = (rate / self.controls[all].limit.replica_quota).min(1.0);
         let RateControl { suppressor, limit } = &mut self.controls[tenant];
         let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * level, rng);
@@ -123,7 +126,7 @@
         admitted
     }
 
-    /// Learns from the end of a call, also the `baseline` of its class.
+    /// Learns from a request that has ended, and updates the `baseline` of its class.
     pub fn record_call_end(
         &mut self,
         now: f64,
@@ -133,7 +136,8 @@
         rng: &mut Rand64,
     ) {
         let Some(signal) = self.congestion.signal(now, end, *baseline, tier) else { return };
-        // The tenants meet the same tier: a small one's own calls are too few to tell of overload in time.
+        // All tenants send to the same tier, and the requests of a small tenant are too few to show an overload in
+        // time.
         let all = self.all();
         let rate = self.controls[all].suppressor.accepted_rate(now);
         let has_no_history = tier.is_first && self.has_no_history(end.tenant);
@@ -151,8 +155,8 @@
         }
     }
 
-    /// Whether nothing is known that a limit could be cut to: without quotas it is cut to what was admitted, and the
-    /// baseline is learned from what came first, so before a second is over neither is known.
+    /// Whether nothing is known yet that a limit could be cut to. A limit without a quota is cut to the admitted rate,
+    /// and the baseline is learned from the first requests, so neither is known within the first second.
     fn has_no_history(&self, tenant: usize) -> bool {
         let RateControl { suppressor, limit } = &self.controls[tenant];
         !limit.has_quota() && suppressor.is_in_first_second()
@@ -162,8 +166,8 @@
         self.congestion.record_decrease(now, rng);
         let all = self.all();
         for (place, RateControl { suppressor, limit }) in self.controls.iter_mut().enumerate() {
-            // What all may send was admitted by the part of the tier that is available, by which the rate is divided
-            // again.
+            // The shared limit was scaled by the available fraction of the tier at admission, so the rate is scaled
+            // back.
             let available = if place == all && all > 0 { available } else { 1.0 };
             limit.decrease(self.congestion.level(), suppressor.accepted_rate(now) / available);
         }
@@ -177,7 +181,8 @@
         }
     }
 
-    /// The part of a maintenance pass that is admission's: reopens limits at which every call is denied.
+    /// Runs the part of the maintenance pass that concerns admission: reopens limits under which every request is
+    /// denied.
     pub fn maintain(&mut self, now: f64) {
         let all = self.all();
         let none_admitted = self.controls[all].suppressor.accepted_rate(now) == 0.0;
@@ -185,10 +190,11 @@
         for RateControl { suppressor, limit } in &mut self.controls {
             let accepted = suppressor.accepted_rate(now);
             limit.record_accepted_rate(accepted);
-            // Calls denied whole tell nothing: clients that come again at once would keep a cut limit for good.
+            // While all requests are denied, none ends that could raise the limit, so clients that retry at once would
+            // keep a reduced limit in place for good.
             if limit.is_decreased() && accepted == 0.0 && suppressor.is_over_hard_limit(limit.rate) {
                 limit.reopen();
-                // Nor do they tell that the congestion of a window ago still stands.
+                // Denied requests do not show either that the congestion of a window ago persists.
                 self.congestion.set_level(level);
             }
         }
