--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -1,69 +1,70 @@
-//! Admission by suppression: holds the calls of one key to a rate limit without cutting them off at once.
+//! Admission by suppression: holds the requests of one key to a rate limit without a hard cut-off.
 //!
-//! A plain limiter lets everything through up to its limit and nothing beyond it, so that many balancers, each of
-//! which sees a part of the calls, deny far too much or too little. The suppressed strategy of the source paper
-//! counts calls and admitted calls in a sliding window. Under the soft limit every call is admitted; over it, each is
-//! admitted with a probability that falls as the demand seen rises (the suppression factor); from the hard limit on,
-//! none is. The module owns the window of counts and the factor of one key.
+//! A plain limiter admits everything up to its limit and nothing beyond it. With many balancers that each see a part of
+//! the requests, it denies far too much or too little. The suppressed strategy, taken from the source paper, counts the
+//! received and the admitted requests in a sliding window. Under the soft limit every request is admitted. Over it,
+//! each is admitted with a probability that falls as the observed demand rises (the suppression factor). From the hard
+//! limit on, none is admitted. The module owns the window of counts and the suppression factor of one key.
 
 use std::mem::take;
 
 use oorandom::Rand64;
 
-/// Seconds in a bucket of the sliding window: the cache time of the factor, so that it sees whole buckets.
+/// Length of a bucket of the sliding window in seconds. The suppression factor is cached for the same time, so that it
+/// covers whole buckets.
 pub const BUCKET_S: f64 = 0.1;
-/// Buckets in the window. Three seconds smooth chance at a few calls a second and forget a burst before it has cost
-/// much.
+/// Number of buckets in the window. Three seconds smooth the random variation of a few requests per second and forget a
+/// burst before it has denied many requests.
 const BUCKETS: usize = 30;
-/// Seconds in a window of buckets of [`BUCKET_S`].
+/// Length in seconds of a window with buckets of [`BUCKET_S`].
 pub const WINDOW_S: f64 = BUCKET_S * BUCKETS as f64;
-/// Calls that the window of all tenants together should hold, so that chance does not decide it.
+/// Number of requests that the shared window of all tenants should hold, so that random variation does not dominate it.
 const CALLS_PER_WINDOW: f64 = 30.0;
 /// Largest multiple of [`BUCKET_S`] to which the buckets of a rarely used window are stretched.
 const MAX_STRETCH: f64 = 4.0;
-/// Buckets in the last second, the shorter of the two spans over which the demand is measured.
+/// Number of buckets in the last second, the shorter of the two periods over which the demand is measured.
 const BUCKETS_PER_SECOND: u64 = 10;
-/// Hard limit over soft limit. Wide, since a tenant that sends several times its quota would otherwise be denied
-/// whole, its quota included.
+/// Hard limit as a multiple of the soft limit. It is wide because otherwise all requests of a tenant that sends several
+/// times its quota would be denied, including those within the quota.
 const HARD_LIMIT_FACTOR: f64 = 32.0;
 
-/// Calls seen and admitted.
+/// Number of requests received and number of requests admitted.
 #[derive(Debug, Clone, Copy, Default)]
 struct CallCounts {
     total: u32,
     accepted: u32,
 }
 
-/// The suppressed strategy for one key: a tenant, or all tenants together.
+/// Suppressed strategy for one key, which is a tenant or all tenants together.
 #[derive(Debug, Default)]
 pub struct Suppressor {
     bucket_s: f64,
     buckets: [CallCounts; BUCKETS],
-    /// Sum of the buckets.
+    /// Sums of the counts of all buckets.
     window: CallCounts,
     /// Number of the latest bucket, counted from the start of the clock.
     current_bucket: u64,
-    /// The bucket of the first call.
+    /// Number of the bucket of the first request; `None` before it.
     first_bucket: Option<u64>,
-    /// The part of a call that the capacity left under the soft limit must exceed.
+    /// Fraction of a request that the remaining capacity under the soft limit must exceed to admit a request.
     sampled_threshold: f64,
-    /// The bucket from which the threshold is sampled anew.
+    /// Number of the bucket from which the threshold is sampled again.
     next_sample_bucket: u64,
-    /// The suppression factor: the probability of denying a call over the soft limit.
+    /// Suppression factor: the probability of denying a request over the soft limit.
     factor: f64,
-    /// The bucket in which the factor was computed.
+    /// Number of the bucket in which the suppression factor was computed.
     factor_bucket: u64,
 }
 
 impl Suppressor {
-    /// A suppressor that has seen no call, with the buckets of a single tenant.
+    /// Creates a suppressor for a single tenant, with buckets of [`BUCKET_S`] and no requests counted.
     #[must_use]
     pub fn for_tenant() -> Self {
         Self::with_bucket(BUCKET_S)
     }
 
-    /// A suppressor of all tenants together, with buckets wide enough to hold some calls at `fair_rate` calls a
-    /// second.
+    /// Creates a suppressor for all tenants together, with buckets long enough to count some requests each at
+    /// `fair_rate` requests per second.
     #[must_use]
     pub fn for_all_tenants(fair_rate: f64) -> Self {
         Self::with_bucket(BUCKET_S * (CALLS_PER_WINDOW / (fair_rate * WINDOW_S)).clamp(1.0, MAX_STRETCH))
@@ -73,7 +74,7 @@
         Self { bucket_s, factor_bucket: u64::MAX, ..Self::default() }
     }
 
-    /// The number of the bucket of a time, counted from the start of the clock.
+    /// Number of the bucket that contains the time `now`, counted from the start of the clock.
     #[allow(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -83,7 +84,7 @@
         (now / self.bucket_s) as u64
     }
 
-    /// Moves the window to `now`.
+    /// Moves the window forward to `now`.
     fn advance(&mut self, now: f64) {
         let bucket = self.bucket_at(now);
         let steps = bucket.saturating_sub(self.current_bucket).min(BUCKETS as u64);
@@ -95,32 +96,32 @@
         self.current_bucket = self.current_bucket.max(bucket);
     }
 
-    /// Calls admitted a second, over the window.
+    /// Requests admitted per second, averaged over the window.
     pub fn accepted_rate(&mut self, now: f64) -> f64 {
         self.advance(now);
         f64::from(self.window.accepted) / self.span()
     }
 
-    /// Whether less than a second has passed since the first call, as far as calls have moved the window.
+    /// Whether less than a second had passed since the first request when the window was last moved.
     #[must_use]
     pub fn is_in_first_second(&self) -> bool {
         self.first_bucket.is_none_or(|first| self.current_bucket < first + BUCKETS_PER_SECOND)
     }
 
-    /// Seconds that the window has seen. A fresh replica's empty window would let seconds of overload through whole
-    /// before it fills, and all replicas of a fresh fleet together.
+    /// Seconds that the window has covered so far, at least one. If the empty window of a new replica counted in full,
+    /// it would admit seconds of overload before it fills, and so would every replica of a new fleet at once.
     fn span(&self) -> f64 {
         let first = self.first_bucket.unwrap_or(self.current_bucket);
         let buckets = (self.current_bucket + 1).saturating_sub(first).min(BUCKETS as u64);
         (buckets as f64 * self.bucket_s).max(1.0)
     }
 
-    /// Whether a call fits under the soft limit of `limit` calls a second; where the window has capacity for a part
-    /// of a call, that part of the calls do.
+    /// Whether a request fits under the soft limit of `limit` requests per second. If the window has capacity left for
+    /// a fraction of a request only, that fraction of the requests fits.
     ///
-    /// A limit of less than a call a window would otherwise let a whole one through each, several times the limits
-    /// over many replicas. The threshold is sampled once a window and admission: sampled for each call, it would be
-    /// worn down by denied ones that are retried.
+    /// Otherwise a limit of less than one request per window would admit a whole request in each window, which over
+    /// many replicas is several times the limit. The threshold is sampled once per window and again after each
+    /// admission. If it were sampled for each request, retries of denied requests would soon draw a low threshold.
     #[must_use]
     pub fn fits_soft_limit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
         self.advance(now);
@@ -132,7 +133,7 @@
         self.span() * limit - f64::from(self.window.accepted) > self.sampled_threshold
     }
 
-    /// Decides on a call, which is to be counted next.
+    /// Decides whether to admit a request. The decision must then be passed to `count`.
     #[must_use]
     pub fn admit(&mut self, now: f64, limit: f64, rng: &mut Rand64) -> bool {
         let fits = self.fits_soft_limit(now, limit, rng);
@@ -142,13 +143,13 @@
         fits || rng.rand_float() >= self.suppression_factor(limit)
     }
 
-    /// Whether the hard limit is reached, at which all calls are denied.
+    /// Whether the hard limit is reached, at which all requests are denied.
     #[must_use]
     pub fn is_over_hard_limit(&self, limit: f64) -> bool {
         f64::from(self.window.total) >= self.span() * limit * HARD_LIMIT_FACTOR
     }
 
-    /// Counts a call that was decided on.
+    /// Counts a request after the decision on it.
     pub fn count(&mut self, admitted: bool) {
         for counts in [&mut self.buckets[position(self.current_bucket)], &mut self.window] {
             counts.total += 1;
@@ -159,7 +160,8 @@
         }
     }
 
-    /// The probability of denying a call over the soft limit: the part of the demand seen that lies over it.
+    /// Probability of denying a request over the soft limit: the fraction of the observed demand that exceeds the
+    /// limit.
     fn suppression_factor(&mut self, limit: f64) -> f64 {
         if self.factor_bucket != self.current_bucket {
             self.factor_bucket = self.current_bucket;
@@ -169,7 +171,7 @@
         self.factor
     }
 
-    /// Calls seen in the last second.
+    /// Number of requests received in the last second.
     fn last_second(&self) -> u32 {
         (0..BUCKETS_PER_SECOND)
             .map(|back| self.buckets[position(self.current_bucket.saturating_sub(back))].total)
@@ -177,7 +179,7 @@
     }
 }
 
-/// Where a bucket stands in the ring of the window's buckets.
+/// Index of a bucket in the ring buffer of the window.
 #[allow(clippy::cast_possible_truncation, reason = "the remainder lies below the number of buckets")]
 fn position(bucket: u64) -> usize {
     (bucket % BUCKETS as u64) as usize
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! The parts of admission, each alone.
+//! Unit tests of the components of admission control.
 
 use oorandom::Rand64;
 
@@ -10,7 +10,7 @@
 
 const TIER: TierState = TierState { is_first: true, failure_rate: 0.0, available: 1.0 };
 
-/// Offers calls at an even rate from the first second on and gives the calls admitted in the last two seconds.
+/// Sends requests at an even rate, starting at second 1, and returns how many of the last two seconds were admitted.
 fn admitted_in_two_seconds(limit: f64, calls_per_s: u32, seconds: u32) -> u32 {
     let mut suppressor = Suppressor::for_tenant();
     let mut rng = Rand64::new(1);
@@ -93,7 +93,7 @@
     let ceiling_gain = gain(&mut limit);
     limit.decrease(0.7, 1.0);
     let below = gain(&mut limit);
-    assert_eq!(ceiling_gain, 0.0, "it begins at its ceiling");
+    assert_eq!(ceiling_gain, 0.0, "a new limit starts at its ceiling");
     assert!((below - 0.15).abs() < 1e-9, "{below}");
 }
 
@@ -116,7 +116,7 @@
     let level = |outcome: Outcome| {
         let mut congestion = Congestion::new();
         for _ in 0..50 {
-            let signal = congestion.signal(10.1, &call(outcome, 0.1), baseline(0.1), TIER).expect("it tells");
+            let signal = congestion.signal(10.1, &call(outcome, 0.1), baseline(0.1), TIER).expect("the end gives a signal");
             congestion.record(signal.value, 0.1);
         }
         (congestion.level(), congestion.is_met(0.1, 100.0))
@@ -136,7 +136,7 @@
         assert!(congestion.signal(10.1, &late, baseline(0.1), TIER).is_none());
     }
     let signal = congestion.signal(11.1, &late, baseline(0.1), TIER);
-    assert!(signal.is_some_and(|signal| signal.is_bad), "silent for over two seconds: {signal:?}");
+    assert!(signal.is_some_and(|signal| signal.is_bad), "no endpoint has answered for over two seconds: {signal:?}");
 }
 
 #[test]
@@ -144,7 +144,7 @@
     let mut congestion = Congestion::new();
     let mut signal = |connect_wait: f64| {
         let end = CallEnd { connect_wait, ..call(Outcome::Success, 0.1) };
-        congestion.signal(11.5, &end, baseline(0.1), TIER).expect("it tells").is_bad
+        congestion.signal(11.5, &end, baseline(0.1), TIER).expect("the end gives a signal").is_bad
     };
     assert!(signal(0.0));
     assert!(!signal(0.8));
