--- a/crates/policy/src/endpoints/connections.rs
+++ b/crates/policy/src/endpoints/connections.rs
@@ -1,21 +1,21 @@
-//! An estimate of the connections that are open to an endpoint.
+//! Estimates how many connections are open to an endpoint.
 //!
-//! The embedding program owns the connections. Their count matters to the decisions only where a handshake has a
-//! price, so it is estimated here from the ends of attempts, without a question to the program. The module owns the
+//! The embedding program owns the connections. Their number matters to the decisions only where a handshake has a cost,
+//! so it is estimated here from the starts and ends of attempts, without asking the program. The module owns the
 //! estimate for one endpoint.
 
 use crate::interface::Permissions;
 
-/// Connections thought to be open to an endpoint.
+/// Estimated connections to an endpoint.
 #[derive(Debug)]
 pub struct Connections {
     open: u32,
-    /// When one was last used, in seconds of the clock.
+    /// Time at which a connection was last used, in seconds of the clock.
     last_used: f64,
 }
 
 impl Connections {
-    /// None is open.
+    /// Creates an estimate of no open connections.
     #[must_use]
     pub fn new(now: f64) -> Self {
         Self { open: 0, last_used: now }
@@ -28,19 +28,20 @@
         in_flight < streams && !self.are_idle_closed(now, in_flight, permissions)
     }
 
-    /// Counts a connection more; those that nobody used for long have been closed.
+    /// Counts a newly opened connection. Connections that were idle for longer than the keepalive count as closed
+    /// first.
     pub fn record_opened(&mut self, now: f64, in_flight: u32, permissions: &Permissions) {
         let are_closed = self.are_idle_closed(now, in_flight, permissions);
         self.open = if are_closed { 1 } else { self.open.saturating_add(1) };
         self.last_used = now;
     }
 
-    /// An attempt begins or ends now.
+    /// Records that an attempt begins or ends now.
     pub fn record_use(&mut self, now: f64) {
         self.last_used = now;
     }
 
-    /// A connection was closed.
+    /// Counts a closed connection.
     pub fn record_closed(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -1,8 +1,8 @@
-//! What is known of one endpoint.
+//! State of one endpoint.
 //!
-//! What one process of the tier did says nothing of the next process under the same name. So the state of an endpoint
-//! is forgotten when discovery names another start of the process. The module owns what this replica has seen of one
-//! endpoint: its attempts in flight, connections, health and budget.
+//! The past behaviour of a process says nothing about the next process under the same name. The learned state of an
+//! endpoint is therefore discarded when discovery reports another start of the process. The module owns what this
+//! replica has observed of one endpoint: its attempts in flight, connections, health and send budget.
 
 use oorandom::Rand64;
 
@@ -12,34 +12,34 @@
 use crate::interface::{Member, Outcome, Permissions, Rules, Settings};
 use crate::requests::attempt::AttemptEnd;
 
-/// An endpoint that owes answers and has been silent for this many baseline latencies is stalled...
+/// An endpoint with attempts in flight counts as stalled after a silence of this many baseline latencies.
 const STALLED_BASELINES: f64 = 3.0;
-/// ...but not before this many seconds.
+/// Shortest silence, in seconds, after which an endpoint counts as stalled.
 const MIN_STALL_S: f64 = 0.25;
 
-/// An endpoint as this replica has seen it.
+/// State of an endpoint as observed by this replica.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// What discovery says of it.
+    /// Latest entry of the endpoint in the list of service discovery.
     pub member: Member,
-    /// It is of the replica's own zone.
+    /// Whether the endpoint is in the replica's own zone.
     pub is_local: bool,
-    /// The place of its kind of machine in [`OutlierDetector`](crate::endpoints::outlier::OutlierDetector).
+    /// Index of the endpoint's machine type in [`OutlierDetector`](crate::endpoints::outlier::OutlierDetector).
     pub kind: usize,
-    /// Attempts of this replica in flight to it.
+    /// Number of attempts of this replica in flight to the endpoint.
     pub in_flight: u32,
-    /// Connections thought to be open.
+    /// Estimated open connections to the endpoint.
     pub connections: Connections,
-    /// Time of its latest answer, or of the send that ended an idle time.
+    /// Time of the endpoint's latest answer, or of the attempt that ended a period without attempts in flight.
     last_answer: f64,
-    /// How well it answers.
+    /// Failure rate, slowness and ejection state of the endpoint.
     pub health: Health,
-    /// What it may be sent while it warms up.
+    /// Number of attempts that may be sent to the endpoint while it warms up.
     pub send_budget: SendBudget,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing is known but its membership.
+    /// Creates the state of an endpoint of which only the list entry is known.
     pub fn new(member: Member, now: f64, rng: &mut Rand64) -> Self {
         Self {
             member,
@@ -53,8 +53,8 @@
         }
     }
 
-    /// Takes over what discovery says now. A new process knows nothing of what the old one did, so what was learned
-    /// of that goes; attempts in flight stay counted.
+    /// Updates the entry from discovery. If the process was restarted, everything learned from the old process is
+    /// discarded, except for the count of attempts in flight.
     pub fn update(&mut self, member: Member, now: f64, rng: &mut Rand64) {
         let is_restarted = member.started != self.member.started;
         self.member = member;
@@ -64,27 +64,29 @@
         }
     }
 
-    /// The part of its capacity that it surely has.
+    /// Fraction of its capacity that the endpoint is sure to have reached while warming up.
     #[must_use]
     pub fn warm_fraction(&self, now: f64, rules: &Rules) -> f64 {
         warm_fraction(self.member.started, now, rules)
     }
 
-    /// The part of its capacity that the tier has of it: none while it is ejected.
+    /// Fraction of the endpoint's capacity that counts as available to the tier: 0 while the endpoint is ejected and
+    /// lost.
     #[must_use]
     pub fn available_fraction(&self, now: f64, rules: &Rules) -> f64 {
         if self.health.is_lost(now) { 0.0 } else { self.warm_fraction(now, rules) }
     }
 
-    /// Whether it owes answers and has been silent for long, where requests take `baseline_s` seconds.
+    /// Whether the endpoint has attempts in flight but has not answered for long, where requests take `baseline_s`
+    /// seconds.
     #[must_use]
     pub fn is_stalled(&self, now: f64, baseline_s: f64) -> bool {
         let patience = (baseline_s * STALLED_BASELINES).max(MIN_STALL_S);
         self.in_flight > 0 && now - self.last_answer > patience
     }
 
-    /// What another attempt costs: the attempts in flight that it would meet, and one for a handshake with a price. A
-    /// replica that sees few requests then uses few of its endpoints, over connections that stay fresh.
+    /// Cost of another attempt to the endpoint: the attempts in flight, plus one if a handshake has a cost and is
+    /// needed. A replica with few requests then uses few endpoints, whose connections stay open.
     #[must_use]
     pub fn cost(&self, now: f64, settings: &Settings) -> u32 {
         let needs_handshake = settings.costs.handshake > 0.0
@@ -92,7 +94,7 @@
         self.in_flight + u32::from(needs_handshake)
     }
 
-    /// An attempt is sent to it.
+    /// Records that an attempt is sent to the endpoint.
     pub fn begin_attempt(&mut self, now: f64, permissions: &Permissions) {
         if self.in_flight == 0 {
             self.last_answer = now;
@@ -105,14 +107,14 @@
         self.send_budget.spend();
     }
 
-    /// An attempt to it has ended. Returns whether it has answered.
+    /// Records the end of an attempt to the endpoint. Returns whether the endpoint has answered.
     pub fn end_attempt(&mut self, now: f64, end: &AttemptEnd, permissions: &Permissions) -> bool {
         let outcome = end.outcome;
         let is_given_up = outcome.is_given_up();
         self.in_flight = self.in_flight.saturating_sub(1);
         self.connections.record_use(now);
-        // A connection goes with what broke it and, where it carries one attempt at a time, with an answer that is no
-        // longer waited for.
+        // A failure that breaks the connection closes it. A connection that carries one attempt at a time is also
+        // closed when its answer is no longer awaited.
         if outcome.breaks_connection() || (is_given_up && permissions.streams_per_connection == 1) {
             self.connections.record_closed();
         }
@@ -128,7 +130,7 @@
         has_answered
     }
 
-    /// A connection has come up that no attempt waits for any more.
+    /// Records that a connection was established after the attempts that waited for it had ended.
     pub fn record_late_connection(&mut self, now: f64, permissions: &Permissions) {
         self.connections.record_opened(now, self.in_flight, permissions);
         self.health.mark_reachable();
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoints that discovery has named.
+//! The list of endpoints reported by service discovery.
 //!
-//! Attempts may end long after their endpoint has left the list. So each endpoint has a slot, by which the rest of the
-//! policy refers to it, and a slot is used again only when its endpoint is gone and the last attempt to it has ended.
-//! The module owns the endpoints by slot.
+//! Attempts may end long after their endpoint was removed from the list. Each endpoint therefore has a slot, by which
+//! the rest of the policy refers to it. A slot is reused only after its endpoint was removed and the last attempt to it
+//! has ended. The module owns the endpoints by slot.
 
 use oorandom::Rand64;
 use rustc_hash::FxHashMap;
@@ -10,31 +10,31 @@
 use crate::endpoints::endpoint::Endpoint;
 use crate::interface::{EndpointId, KindId, Lifecycle, Member, Settings};
 
-/// Smallest weight that others are measured by, so that no weight is divided by 0.
+/// Lower bound of the largest weight, so that relative weights are never divided by 0.
 const MIN_WEIGHT: f64 = 1e-9;
 
-/// Slots of the ready endpoints by zone, in the order of their ids.
+/// Slots of the ready endpoints by zone, each list ordered by endpoint id.
 #[derive(Debug, Default)]
 pub struct ReadyByZone {
-    /// Those of the replica's own zone.
+    /// Slots of the ready endpoints in the replica's own zone.
     pub local: Vec<usize>,
-    /// Those of other zones.
+    /// Slots of the ready endpoints in other zones.
     pub remote: Vec<usize>,
 }
 
-/// The endpoints by slot.
+/// Endpoints by slot.
 #[derive(Debug)]
 pub struct EndpointList {
     endpoints: Vec<Endpoint>,
     slot_by_id: FxHashMap<EndpointId, usize>,
     free_slots: Vec<usize>,
-    /// Slots of the ready endpoints, in the order of their ids.
+    /// Slots of the ready endpoints, ordered by endpoint id.
     ready: Vec<usize>,
     largest_weight: f64,
 }
 
 impl EndpointList {
-    /// No endpoint is known.
+    /// Creates an empty list.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -46,41 +46,41 @@
         }
     }
 
-    /// The endpoint of a slot.
+    /// Endpoint in the given slot.
     #[must_use]
     pub fn get(&self, slot: usize) -> &Endpoint {
         &self.endpoints[slot]
     }
 
-    /// The endpoint of a slot.
+    /// Endpoint in the given slot, for changes.
     pub fn get_mut(&mut self, slot: usize) -> &mut Endpoint {
         &mut self.endpoints[slot]
     }
 
-    /// The endpoint of an id, if it is known.
+    /// Endpoint with the given id; `None` if the id is unknown.
     pub fn by_id_mut(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         let slot = *self.slot_by_id.get(&id)?;
         Some(&mut self.endpoints[slot])
     }
 
-    /// All endpoints.
+    /// Iterates over the endpoints of all slots, including free ones.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Endpoint> {
         self.endpoints.iter_mut()
     }
 
-    /// Slots of the ready endpoints, in the order of their ids.
+    /// Slots of the ready endpoints, ordered by endpoint id.
     #[must_use]
     pub fn ready(&self) -> &[usize] {
         &self.ready
     }
 
-    /// The weight of an endpoint in parts of the largest.
+    /// Weight of an endpoint relative to the largest weight of a ready endpoint.
     #[must_use]
     pub fn relative_weight(&self, slot: usize) -> f64 {
         self.endpoints[slot].member.weight / self.largest_weight
     }
 
-    /// Takes in a snapshot: what is absent was removed.
+    /// Applies a snapshot. Endpoints that it does not contain are marked as removed.
     pub fn replace(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
         for endpoint in &mut self.endpoints {
             endpoint.member.lifecycle = Lifecycle::Removed;
@@ -88,7 +88,7 @@
         self.apply_delta(now, members, rng);
     }
 
-    /// Takes in changed entries.
+    /// Applies a delta, which contains the changed entries only.
     pub fn apply_delta(&mut self, now: f64, members: Vec<Member>, rng: &mut Rand64) {
         for member in members {
             self.update_member(now, member, rng);
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Puts an endpoint into a free slot, or into a new one behind the last.
+    /// Stores an endpoint in a free slot, or in a new slot at the end.
     fn insert(&mut self, endpoint: Endpoint) -> usize {
         if let Some(slot) = self.free_slots.pop() {
             self.endpoints[slot] = endpoint;
@@ -115,7 +115,8 @@
         self.endpoints.len() - 1
     }
 
-    /// Sorts the endpoints anew after updates: frees the slots of those that are gone, and gives the ready ones.
+    /// Rebuilds the ordered list of ready endpoints after updates. Frees the slots of removed endpoints without
+    /// attempts in flight, and returns the ready endpoints by zone.
     pub fn sort(&mut self, settings: &Settings) -> ReadyByZone {
         let mut order: Vec<(EndpointId, usize)> =
             self.slot_by_id.iter().map(|(&id, &slot)| (id, slot)).collect();
--- a/crates/policy/src/endpoints/mod.rs
+++ b/crates/policy/src/endpoints/mod.rs
@@ -1,15 +1,16 @@
-//! What is known of the endpoints that requests may go to.
+//! State of the endpoints that requests may be sent to.
 //!
-//! Endpoints start, slow down, fail and leave while requests are in flight, and nobody but this replica's own attempts
-//! shows how each does now.
+//! Endpoints start, slow down, fail and leave while requests are in flight, and only this replica's own attempts show
+//! the current state of each.
 //!
-//! * [`endpoint_list`] owns the endpoints that discovery has named;
-//! * [`list_subscription`] decides when to subscribe to that list;
-//! * [`endpoint`] is what is known of one of them, with its [`connections`];
-//! * [`outlier`] finds those that fail or are slow, and ejects them for a while;
-//! * [`slow_start`] bounds what one that has just started is sent.
+//! * [`endpoint_list`] owns the endpoints reported by service discovery;
+//! * [`list_subscription`] schedules subscriptions to that list;
+//! * [`endpoint`] is the state of one endpoint, including its [`connections`];
+//! * [`outlier`] detects endpoints that fail or are slow, and ejects failing ones for a while;
+//! * [`slow_start`] limits what is sent to an endpoint that has just started.
 //!
-//! The module owns the list with the state of each endpoint, the subscription to it and the failures of the tier.
+//! The module owns the list with the state of each endpoint, the subscription to the list and the failure rate of the
+//! tier.
 
 pub mod connections;
 pub mod endpoint;
@@ -18,5 +19,5 @@
 pub mod outlier;
 pub mod slow_start;
 #[cfg(test)]
-#[allow(clippy::float_cmp, reason = "figures that nothing has changed stay the same to the bit")]
+#[allow(clippy::float_cmp, reason = "values that no computation has changed are equal to the bit")]
 mod tests;
