--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -1,40 +1,40 @@
-//! When to subscribe to discovery's list of endpoints, where it does not push it.
+//! Schedules subscriptions to the endpoint list, where service discovery does not push it.
 //!
-//! A subscription that broke is opened anew after a backoff. Replicas whose subscriptions break together must not come
-//! back together, so the pause is drawn. The module owns the time of the next subscription and the backoff.
+//! A broken subscription is opened again after a backoff. The backoff is random so that replicas whose subscriptions
+//! break together do not reconnect together. The module owns the time of the next subscription and the backoff.
 
 use oorandom::Rand64;
 
 use crate::interface::{DiscoveryMode, Settings};
 use crate::random::between;
 
-/// Seconds before a failed subscription is tried again, at first.
+/// Longest pause in seconds before the first retry of a failed subscription, and the lower bound of later ones.
 const MIN_BACKOFF_S: f64 = 0.5;
-/// Largest wait for a subscription, in parts of the poll interval allowed.
+/// Longest wait for a subscription, as a fraction of the longest poll interval allowed.
 const WAIT_PART: f64 = 0.4;
-/// Poll interval in seconds where the settings name none.
+/// Poll interval in seconds where the settings do not specify one.
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
-/// Why there is no subscription.
+/// Why the subscription was interrupted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Interruption {
-    /// It broke, or the request for it failed.
+    /// The subscription broke, or the request for it failed.
     Broken,
-    /// Discovery is elsewhere now, so earlier failures tell nothing of it.
+    /// Discovery moved to another address, so earlier failures say nothing about the new one.
     Relocated,
 }
 
-/// The subscription to the list. Times are in seconds.
+/// Subscription to the endpoint list. Times are in seconds.
 #[derive(Debug, Default)]
 pub struct ListSubscription {
-    /// When to subscribe next; never, while a subscription stands.
+    /// Time at which to subscribe next; `f64::MAX` while a subscription is open.
     next_at: f64,
-    /// How long the latest pause was, at most.
+    /// Upper bound of the latest pause.
     backoff_s: f64,
 }
 
 impl ListSubscription {
-    /// Whether to subscribe now; if so, it takes note that the request is out.
+    /// Whether to subscribe now. If so, schedules the next try for the case that no list arrives.
     #[must_use]
     pub fn begin_if_due(&mut self, now: f64, settings: &Settings) -> bool {
         let is_due = settings.discovery != DiscoveryMode::Push && now >= self.next_at;
@@ -44,15 +44,15 @@
         is_due
     }
 
-    /// A list has come over it.
+    /// Records that a list or an update has arrived over the subscription.
     pub fn record_update(&mut self) {
         self.next_at = f64::MAX;
         self.backoff_s = 0.0;
     }
 
-    /// It is interrupted: subscribes again after a pause, which grows while that fails.
+    /// Schedules a new subscription after an interruption. The pause doubles with each consecutive failure.
     pub fn back_off(&mut self, now: f64, why: Interruption, settings: &Settings, rng: &mut Rand64) {
-        // Each agent has one replica alone, so there is nobody to come back together with.
+        // Each agent serves one replica only, so no other replica could reconnect to it at the same time.
         let has_own_agent = settings.discovery == DiscoveryMode::Agent;
         let most = if has_own_agent { 0.0 } else { longest_wait(settings).max(MIN_BACKOFF_S) };
         let before = if why == Interruption::Relocated { 0.0 } else { self.backoff_s };
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -1,10 +1,10 @@
-//! Outlier detection: finds endpoints that fail, are slow or out of reach, and ejects the failing ones for a while.
+//! Outlier detection: finds endpoints that fail, are slow or unreachable, and ejects the failing ones for a while.
 //!
-//! One bad endpoint among many spoils its part of the requests for as long as it is sent to. It is distinguished from
-//! a tier that fails as a whole by comparison: each endpoint is compared with the tier, and no more than a part of a
-//! group is ejected at a time. Ejection ends after a while, longer each time that the return fails, and the endpoint
-//! recovers its part of the requests step by step. Slow endpoints are not ejected but chosen less often.
-//! The module owns the health of one endpoint, and the failure rate and slowness of the tier.
+//! A faulty endpoint fails its part of the requests for as long as it receives any. To distinguish it from a tier that
+//! fails as a whole, each endpoint is compared with the tier, and at most a fraction of a group is ejected at a time.
+//! An ejection ends after a while, which grows each time the endpoint fails again after its return, and the endpoint
+//! regains its part of the requests step by step. Slow endpoints are not ejected but selected less often. The module
+//! owns the health of one endpoint, and the failure rate and slowness of the tier.
 
 use oorandom::Rand64;
 
@@ -12,70 +12,71 @@
 use crate::random::between;
 use crate::requests::attempt::AttemptEnd;
 
-/// Weight of one outcome in an endpoint's failure rate: the second failed connect in a row stands out, and the third
-/// error, as errors count for the tier too.
+/// Weight of one outcome in an endpoint's failure rate. With this weight the second failed connect in a row makes an
+/// endpoint an outlier, and the third error in a row, because errors also raise the failure rate of the tier.
 const FAILURE_WEIGHT: f64 = 0.2;
-/// Weight of one outcome in the tier's failure rate, and of one latency in its slowness.
+/// Weight of one outcome in the tier's failure rate, and of one latency in the tier's slowness.
 const TIER_WEIGHT: f64 = 0.02;
-/// Failure rate of an endpoint from which it is ejected in a tier that does not fail...
+/// Failure rate from which an endpoint is an outlier in a tier without failures.
 const OUTLIER_FAILURE_RATE: f64 = 0.3;
-/// ...and how often the tier's own failure rate is added to that.
+/// Multiple of the tier's failure rate that is added to [`OUTLIER_FAILURE_RATE`].
 const TIER_FAILURE_MULTIPLE: f64 = 2.0;
-/// Largest part of a group of endpoints ejected at a time: the rest must carry the load.
+/// Largest fraction of a group of endpoints that may be ejected at a time, because the rest must carry the load.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
-/// Seconds of the first ejection; doubled when a return fails...
+/// Length of the first ejection in seconds. It doubles each time an endpoint fails again after its return.
 const MIN_EJECTION_S: f64 = 1.5;
-/// ...up to this.
+/// Upper bound of the length of an ejection in seconds.
 const MAX_EJECTION_S: f64 = 12.0;
-/// Parts of its time that an ejection lasts: drawn, so that replicas do not come back together.
+/// Random factor for the length of an ejection, so that replicas do not return to the endpoint at the same time.
 const EJECTION_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Connect timeouts of an endpoint, with neither an answer nor a connection between them, that show it unreachable:
-/// where a third of all connections come up late, two in a row are chance 1 time in 9, three 1 in 27.
+/// Number of consecutive connect time-outs, without an answer or a connection between them, after which an endpoint
+/// counts as unreachable. If a third of all connections are late, two in a row happen by chance 1 time in 9 and three 1
+/// time in 27.
 pub const UNREACHABLE_AFTER: u32 = 3;
-/// Part of its usual chance with which an endpoint returns from ejection; doubled by each good answer.
+/// Factor for the selection probability of an endpoint that returns from ejection; each success doubles it.
 const FIRST_RECOVERY_CHANCE: f64 = 0.1;
 /// Weight of one latency in an endpoint's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.15;
-/// Weight of one latency in the slowness of its kind of machine: known after some ten requests, when single endpoints
-/// are not yet.
+/// Weight of one latency in the slowness of a machine type. It is learned after some ten requests, before the slowness
+/// of single endpoints is known.
 const KIND_SLOWNESS_WEIGHT: f64 = 0.1;
-/// Largest slowness of one request that an endpoint is charged with, in baseline latencies.
+/// Upper bound of the slowness that one request may contribute to an endpoint, in baseline latencies.
 const MAX_SLOWNESS: f64 = 8.0;
-/// Largest slowness of one request that a kind is charged with, so that a crash leaves its restarted ones with
-/// requests.
+/// Upper bound of the slowness that one request may contribute to a machine type, in baseline latencies. The bound
+/// ensures that endpoints of the type still receive requests when they restart after a crash.
 const MAX_KIND_SLOWNESS: f64 = 2.0;
-/// Least chance of a slow endpoint: it must be seen to recover.
+/// Lowest selection factor for slowness: a slow endpoint must receive some requests, or its recovery would not be seen.
 const MIN_SLOW_CHANCE: f64 = 0.05;
 
-/// A fault that an attempt has shown its endpoint to have.
+/// Fault of an endpoint that an attempt has shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It answers with errors, or not in time.
+    /// The endpoint answers with errors or not in time.
     Failing,
-    /// There is no connection to it.
+    /// No connection to the endpoint can be established.
     Unreachable,
 }
 
-/// How well an endpoint answers.
+/// Health of an endpoint.
 #[derive(Debug)]
 pub struct Health {
     failure_rate: f64,
-    /// Connect timeouts since its latest answer or connection.
+    /// Consecutive connect time-outs since the endpoint's latest answer or connection.
     connect_timeouts: u32,
-    /// Latency over the baseline of its classes.
+    /// Average latency of the endpoint relative to the baseline latencies of the classes.
     slowness: f64,
-    /// Latencies that its slowness was learned from.
+    /// Number of latencies that the slowness was learned from.
     latency_samples: f64,
-    /// When its ejection ends, in seconds of the clock.
+    /// Time at which the endpoint's ejection ends, in seconds of the clock.
     ejected_until: f64,
-    /// How long the next ejection lasts, in seconds.
+    /// Length of the endpoint's next ejection in seconds, before jitter.
     ejection_s: f64,
-    /// Chance of being selected when drawn, after its return.
+    /// Factor for the endpoint's selection probability after its return from ejection.
     recovery_chance: f64,
 }
 
 impl Health {
-    /// Nothing is known yet.
+    /// Creates the health of an endpoint without any attempts.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Whether it is ejected: sent to only where nothing else is left.
+    /// Whether the endpoint is ejected, that is, used only when no other endpoint is left.
     #[must_use]
     pub fn is_ejected(&self, now: f64) -> bool {
         self.ejected_until > now
     }
 
-    /// Whether it is ejected for more than connections that may just be late: the first time that connect timeouts
-    /// eject it, a late connection comes up.
+    /// Whether the endpoint is ejected and its capacity counts as lost. In the first ejection for connect time-outs it
+    /// does not, because the connections may only be late and still come up.
     #[must_use]
     pub fn is_lost(&self, now: f64) -> bool {
         let may_be_late =
@@ -104,18 +105,18 @@
         self.is_ejected(now) && !may_be_late
     }
 
-    /// Chance of being selected when drawn, after its return from ejection; 1 for one that was not ejected.
+    /// Factor for the endpoint's selection probability after its return from ejection; 1 if it was not ejected.
     #[must_use]
     pub fn recovery_chance(&self) -> f64 {
         self.recovery_chance
     }
 
-    /// No connection came up in time.
+    /// Records that a connection to the endpoint was not established in time.
     pub fn record_connect_timeout(&mut self) {
         self.connect_timeouts += 1;
     }
 
-    /// It is within reach: what connect timeouts alone made of it is over.
+    /// Records that the endpoint is reachable, and ends an ejection that was caused by connect time-outs alone.
     pub fn mark_reachable(&mut self) {
         if self.connect_timeouts >= UNREACHABLE_AFTER && self.failure_rate < OUTLIER_FAILURE_RATE {
             self.ejected_until = 0.0;
@@ -125,7 +126,7 @@
         self.connect_timeouts = 0;
     }
 
-    /// Ejects it from now on.
+    /// Ejects the endpoint from now on, for a random time around the current ejection length.
     pub fn eject(&mut self, now: f64, rng: &mut Rand64) {
         self.ejected_until = now + self.ejection_s * between(rng, EJECTION_JITTER);
         self.ejection_s = (self.ejection_s * 2.0).min(MAX_EJECTION_S);
@@ -140,40 +141,40 @@
     }
 }
 
-/// Compares the endpoints with the tier.
+/// Compares endpoints with the tier to find outliers.
 #[derive(Debug)]
 pub struct OutlierDetector {
     tier_failure_rate: f64,
     tier_slowness: f64,
-    /// Slowness of each kind of machine and, last, of those of no known kind: what is expected of an endpoint not yet
-    /// measured.
+    /// Slowness of each machine type and, last, of endpoints of unknown type. It stands in for the slowness of an
+    /// endpoint that is not yet measured.
     kind_slowness: Vec<f64>,
 }
 
 impl OutlierDetector {
-    /// Nothing is known yet of the tier nor of its `kinds` of machine.
+    /// Creates a detector without any attempts, for `kinds` machine types.
     #[must_use]
     pub fn new(kinds: usize) -> Self {
         Self { tier_failure_rate: 0.0, tier_slowness: 1.0, kind_slowness: vec![1.0; kinds + 1] }
     }
 
-    /// The recent fraction of attempts that failed.
+    /// Recent fraction of attempts to the tier that failed.
     #[must_use]
     pub fn tier_failure_rate(&self) -> f64 {
         self.tier_failure_rate
     }
 
-    /// Part of its usual chance with which an endpoint of the given kind is selected for its slowness.
+    /// Factor for the selection probability of an endpoint of machine type `kind`, by its slowness.
     #[must_use]
     pub fn slowness_chance(&self, health: &Health, kind: usize) -> f64 {
-        // Its own or, before the first latency, that of its kind.
+        // Use the endpoint's own slowness or, before its first latency, the slowness of its machine type.
         let is_known = health.latency_samples > 0.0;
         let slowness = if is_known { health.slowness } else { self.kind_slowness[kind] };
         (self.tier_slowness / slowness).powi(2).clamp(MIN_SLOW_CHANCE, 1.0)
     }
 
-    /// Learns from an attempt that tells of its endpoint, where requests of its class take `baseline_s` seconds.
-    /// Returns the fault that it shows.
+    /// Updates the endpoint's health and the tier with the end of an attempt, where requests of its class take
+    /// `baseline_s` seconds. Returns the fault that the attempt shows.
     pub fn record(
         &mut self,
         health: &mut Health,
@@ -182,8 +183,8 @@
         baseline_s: f64,
     ) -> Option<Fault> {
         let AttemptEnd { outcome, served, .. } = *end;
-        // A late connection says nothing of the endpoint's work, nor does a time-out before which it left less than the
-        // usual time.
+        // A late connection says nothing about the endpoint's work. Neither does a time-out that left the endpoint less
+        // than the baseline latency to answer.
         if outcome == Outcome::ConnectTimedOut {
             let is_unreachable = health.connect_timeouts.is_multiple_of(UNREACHABLE_AFTER);
             return is_unreachable.then_some(Fault::Unreachable);
@@ -209,8 +210,8 @@
 
     fn record_failure(&mut self, health: &mut Health, outcome: Outcome, failure: f64) {
         health.failure_rate += FAILURE_WEIGHT * (failure - health.failure_rate);
-        // A failed connect is that endpoint's own: behind a broken link, counting it for the tier would make many
-        // lost endpoints look like congestion below, and none would be ejected.
+        // A failed connect is a fault of that endpoint alone. If it counted for the tier, many endpoints lost behind a
+        // broken link would look like congestion in the tier below, and none would be ejected.
         if outcome != Outcome::ConnectFailed {
             self.tier_failure_rate += TIER_WEIGHT * (failure - self.tier_failure_rate);
         }
@@ -230,7 +231,7 @@
         self.tier_slowness += TIER_WEIGHT * (slowness - self.tier_slowness);
     }
 
-    /// Whether an endpoint that has shown a fault stands out from the tier; an unreachable one is compared with none.
+    /// Whether an endpoint with the given fault is an outlier. An unreachable endpoint is not compared with the tier.
     #[must_use]
     pub fn is_outlier(&self, health: &Health, fault: Fault) -> bool {
         let tier = match fault {
@@ -241,7 +242,7 @@
     }
 }
 
-/// Whether one more may be ejected of a group of `members` of which `ejected` are already.
+/// Whether another endpoint may be ejected from a group with `members` members, `ejected` of which are already ejected.
 #[must_use]
 pub fn may_eject_another(ejected: usize, members: usize) -> bool {
     (ejected + 1) as f64 <= (members as f64 * MAX_EJECTED_FRACTION).max(1.0)
