--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -1,10 +1,10 @@
-//! Slow start: what an endpoint that has just started may be sent.
+//! Slow start: limits what is sent to an endpoint that has just started.
 //!
-//! A process that has just started can do a fraction of its later work, and one that is sent several times what it can
-//! do falls over. No replica knows what the others send, so each has a budget of sends for the endpoint that stays
-//! within its capacity when all replicas stay within theirs: a part of what warm endpoints are sent or, where none is
-//! warm, a little more than what it has answered. The module owns the budget of one endpoint and the rate at which the
-//! warm members of a group answer.
+//! A process that has just started has a fraction of its later capacity, and it fails if it is sent several times that.
+//! No replica knows how much the others send. Each replica therefore has a send budget for the endpoint, such that the
+//! sum over all replicas stays within the endpoint's capacity. The budget is a fraction of what warm endpoints serve
+//! or, where no endpoint is warm, slightly more than what the endpoint itself has answered. The module owns the send
+//! budget of one endpoint and the answer rate of the warm members of a group.
 
 use std::mem::take;
 
@@ -13,23 +13,25 @@
 use crate::interface::{Rules, Time};
 use crate::maintenance::MAINTENANCE_PERIOD_S;
 
-/// Part of the headroom between the capacity of an endpoint that is warming up and its overload that each of three may
-/// use where no warm one is beside it: growth, sends saved up, and sends that no answer has earned. With all three,
-/// chance still has a quarter of it.
+/// Fraction of the headroom between the capacity of a warming-up endpoint and its overload that each of three uses may
+/// take when no peer is warm: growth, saved-up sends, and sends that no answer has earned. The last quarter is left for
+/// random variation.
 const HEADROOM_PART: f64 = 0.25;
-/// Largest growth with each answer of an endpoint that warms up: doubled within four, as fast as a slow start needs.
+/// Largest growth of the sends per answer of a warming-up endpoint: they double within four answers, which is as fast
+/// as a slow start needs.
 const MAX_GROWTH: f64 = 0.25;
-/// Sends that an answer past its latency objective earns: a queue has formed, which must get shorter.
+/// Number of sends that an answer past its latency objective earns. Below 1, because a queue has formed that must
+/// shrink.
 const LATE_ANSWER_EARNS: f64 = 0.5;
-/// Sends that all replicas together may begin with in each overload window, while nothing is known of an endpoint.
+/// Number of sends that all replicas together may make in each overload window before any answer has earned one.
 const FIRST_SENDS: f64 = 1.0;
-/// Seconds of sends that may be saved up beside warm endpoints.
+/// Seconds' worth of sends that may be saved up while peers are warm.
 const SAVED_UP_S: f64 = 0.5;
-/// Weight of one maintenance pass in the rates of answers: a second.
+/// Weight of one maintenance pass in the answer rates, which gives an averaging time of one second.
 const RATE_WEIGHT: f64 = 0.2;
 
-/// The part of its capacity that an endpoint started at `started` surely has: it rises at least evenly from the
-/// fraction that every one starts with. `None` is long ago.
+/// Fraction of its capacity that an endpoint started at `started` is sure to have reached. It rises linearly from the
+/// minimum fraction with which every endpoint starts. `None` means that the endpoint started long ago.
 #[must_use]
 pub fn warm_fraction(started: Option<Time>, now: f64, rules: &Rules) -> f64 {
     let Some(started) = started else { return 1.0 };
@@ -38,31 +40,32 @@
     (min_fraction + (1.0 - min_fraction) * age / rules.slow_start_window.as_secs_f64().max(1e-6)).min(1.0)
 }
 
-/// Part of its capacity by which an endpoint that is warming up may be sent more than it can do, for each of the three
-/// uses of that.
+/// Fraction of its capacity by which a warming-up endpoint may be overcommitted, for each of the three uses described
+/// at [`HEADROOM_PART`].
 fn overload_headroom(rules: &Rules) -> f64 {
     ((rules.overload_multiple - 1.0) * HEADROOM_PART).max(0.0)
 }
 
-/// What the warm members of a group answer, for those that are warming up to go by.
+/// Answer rate of the warm members of a group, from which the budgets of the members that are warming up are derived.
 #[derive(Debug, Default)]
 pub struct WarmPeers {
-    /// Answers a second of a warm member: over all replicas no more than it can do, however many it is sent.
+    /// Answers per second of one warm member to this replica. Summed over all replicas it cannot exceed the member's
+    /// capacity, however much the member is sent.
     rate: f64,
-    /// Answers of warm members since the last maintenance pass.
+    /// Number of answers of warm members since the last maintenance pass.
     answers: u32,
-    /// No member is warm: those warming up go by their own answers, and the rate is that of before.
+    /// Whether no member is warm. Members then earn sends with their own answers, and `rate` keeps its last value.
     are_all_warming_up: bool,
 }
 
 impl WarmPeers {
-    /// A warm member has answered.
+    /// Counts an answer of a warm member.
     pub fn record_answer(&mut self) {
         self.answers += 1;
     }
 
-    /// Learns the rate from the answers since the last maintenance pass, by `warm` members. Where none is warm, the
-    /// latest is the best there is.
+    /// Updates the rate with the answers of `warm` warm members since the last maintenance pass. If no member is warm,
+    /// the last known rate is kept as the best estimate.
     pub fn maintain(&mut self, warm: usize) {
         let answers = f64::from(take(&mut self.answers));
         self.are_all_warming_up = warm == 0;
@@ -72,31 +75,32 @@
     }
 }
 
-/// The sends that an endpoint may still get while it warms up.
+/// Send budget of an endpoint that is warming up.
 #[derive(Debug)]
 pub struct SendBudget {
-    /// Sends saved up.
+    /// Number of sends saved up.
     tokens: f64,
-    /// When they were last refilled, in seconds of the clock.
+    /// Time at which the tokens were last refilled, in seconds of the clock.
     refilled_at: f64,
-    /// Answers since the last maintenance pass.
+    /// Number of answers of the endpoint since the last maintenance pass.
     answers: u32,
-    /// Answers a second of late.
+    /// Recent answers of the endpoint per second.
     answer_rate: f64,
 }
 
 impl SendBudget {
-    /// A part of a send, drawn, so that the replicas do not all begin at once.
+    /// Creates a budget with a random fraction of one send, so that the replicas do not all start sending at once.
     pub fn new(now: f64, rng: &mut Rand64) -> Self {
         Self { tokens: rng.rand_float(), refilled_at: now, answers: 0, answer_rate: 0.0 }
     }
 
-    /// Whether the budget of an endpoint that is warming up holds another send; refills it up to `now`.
+    /// Refills the budget of a warming-up endpoint up to `now`, and returns whether it allows another send.
     ///
-    /// A replica gives the endpoint, of what a warm peer gets from the same replica, the part that it surely can do;
-    /// summed over the replicas that stays within its capacity, whoever else sends. Where no peer is warm, its own
-    /// answers earn more sends, a few more than they are: what all replicas together get answered is what it can
-    /// do, so that their sum stays little above it. `sharers` is the number of replicas that send to it, on average.
+    /// The budget grows by the endpoint's warm fraction of the rate that this replica gets from a warm peer. The sum
+    /// over all replicas then stays within the endpoint's capacity, regardless of how the load is spread over the
+    /// replicas. Where no peer is warm, the endpoint's own answers earn slightly more sends than they are themselves.
+    /// The endpoint cannot answer more than its capacity to all replicas together, so the sum of their sends stays
+    /// little above it. `sharers` is the average number of replicas that send to the endpoint.
     #[must_use]
     pub fn allows_send(
         &mut self,
@@ -119,17 +123,17 @@
         self.tokens >= 1.0
     }
 
-    /// An attempt is sent.
+    /// Takes one send from the budget.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// The endpoint has served a request.
+    /// Counts a request that the endpoint has served.
     pub fn record_answer(&mut self) {
         self.answers += 1;
     }
 
-    /// An endpoint that is warming up has served a request, and earns sends by it where no peer is warm.
+    /// Adds the sends that a served request earns to the budget of a warming-up endpoint, if no peer is warm.
     pub fn earn(&mut self, peers: &WarmPeers, is_in_time: bool, rules: &Rules) {
         if peers.are_all_warming_up {
             let growth = overload_headroom(rules).min(MAX_GROWTH);
@@ -137,7 +141,7 @@
         }
     }
 
-    /// Learns the rate of answers since the last maintenance pass.
+    /// Updates the answer rate with the answers since the last maintenance pass.
     pub fn maintain(&mut self) {
         let rate = f64::from(take(&mut self.answers)) / MAINTENANCE_PERIOD_S;
         self.answer_rate += RATE_WEIGHT * (rate - self.answer_rate);
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! The parts of the endpoints' state, each alone.
+//! Unit tests of the components of the endpoint state.
 
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     Member { id: EndpointId(id), zone: Some(ZoneId(0)), kind: None, cell: 0, lifecycle, weight: 1.0, started }
 }
 
-/// Whether a replica takes an endpoint for an outlier after `errors` of it in a row, and `tier_errors` of others
-/// before.
+/// Whether an endpoint is an outlier after `errors` errors in a row, where other endpoints returned `tier_errors`
+/// errors before.
 fn is_outlier_after(errors: u32, tier_errors: u32) -> bool {
     let mut detector = OutlierDetector::new(0);
     for _ in 0..tier_errors {
@@ -163,7 +163,7 @@
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     for _ in 0..100 {
-        // 20 answers a second of each of two warm members.
+        // Each of two warm members answers 20 requests per second.
         (0..8).for_each(|_| peers.record_answer());
         peers.maintain(2);
     }
@@ -175,7 +175,7 @@
             sends += 1;
         }
     }
-    assert!((19..=22).contains(&sends), "a tenth of 20 a second for ten seconds: {sends}");
+    assert!((19..=22).contains(&sends), "expected a tenth of 20 per second over ten seconds, got {sends}");
 }
 
 #[test]
@@ -183,7 +183,7 @@
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     peers.maintain(0);
-    // Answered often, so that sends may be saved up.
+    // The endpoint has answered often, so that sends may be saved up.
     let earned = |is_in_time: bool| {
         let mut budget = SendBudget::new(0.0, &mut Rand64::new(1));
         (0..1000).for_each(|_| budget.record_answer());
@@ -206,17 +206,17 @@
     let mut list = EndpointList::new();
     list.replace(1.0, vec![member(1, Lifecycle::Ready, None), member(2, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(list.sort(&settings).local, [0, 1]);
-    list.by_id_mut(EndpointId(1)).expect("listed").in_flight = 1;
+    list.by_id_mut(EndpointId(1)).expect("endpoint 1 is in the list").in_flight = 1;
 
     list.replace(2.0, vec![member(2, Lifecycle::Ready, None)], &mut rng);
     list.sort(&settings);
     list.apply_delta(3.0, vec![member(3, Lifecycle::Ready, None)], &mut rng);
-    assert_eq!(list.sort(&settings).local, [1, 2], "the slot of 1 still has an attempt in flight");
+    assert_eq!(list.sort(&settings).local, [1, 2], "endpoint 1 keeps its slot while it has an attempt in flight");
 
-    list.by_id_mut(EndpointId(1)).expect("its attempt is in flight").in_flight = 0;
+    list.by_id_mut(EndpointId(1)).expect("endpoint 1 has an attempt in flight").in_flight = 0;
     list.sort(&settings);
     list.apply_delta(4.0, vec![member(4, Lifecycle::Ready, None)], &mut rng);
-    assert_eq!(list.sort(&settings).local, [1, 2, 0], "4 has the slot that 1 had");
+    assert_eq!(list.sort(&settings).local, [1, 2, 0], "endpoint 4 reuses the slot of endpoint 1");
 }
 
 #[test]
@@ -239,7 +239,7 @@
     connections.record_opened(1.0, 0, &permissions);
     assert!(connections.has_free_stream(15.9, 0, &permissions));
     assert!(!connections.has_free_stream(16.0, 0, &permissions));
-    assert!(connections.has_free_stream(16.0, 1, &permissions), "one with an attempt in flight is not idle");
+    assert!(connections.has_free_stream(16.0, 1, &permissions), "a connection with an attempt in flight is not idle");
 }
 
 #[test]
