--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -10,20 +10,20 @@
 
 /// Largest excess over the quotas that all tenants of a replica together may send while no congestion is detected, as a
 /// fraction of the replica's quota.
-const EXCESS: f64 = 0.4;
+const MAX_EXCESS_FRACTION: f64 = 0.4;
 /// Rate, in requests per second, at which half of that excess and half of the allowance for the busiest replica are
 /// granted. A replica that sees fewer requests detects congestion later, so it is granted less.
-const EXCESS_HALF_RATE: f64 = 12.0;
+const EXCESS_HALF_RPS: f64 = 12.0;
 /// Weight of requests beyond the quota from which serving them is worth it, so that the limit has no ceiling.
-const EXCESS_COUNTS: f64 = 0.5;
+const MIN_UNCAPPED_WEIGHT: f64 = 0.5;
 /// Standard deviations of random variation tolerated above a replica's quota and in the congestion average, so that a
 /// random cluster of a few requests is not taken for a high rate.
-pub const CHANCE_DEVIATIONS: f64 = 1.0;
+pub const NOISE_MARGIN_STD_DEVS: f64 = 1.0;
 /// Increase of the limit, in requests per second, for each request served in time: about 5% per second at the limit.
-const INCREASE: f64 = 0.05;
+const INCREASE_RPS: f64 = 0.05;
 /// Increase of the limit, in requests per second, for each request served in time while the limit is below the
 /// replica's quota: about 15% per second, so that it recovers from a quarter of the quota in ten seconds.
-const INCREASE_BELOW_QUOTA: f64 = 0.15;
+const INCREASE_BELOW_QUOTA_RPS: f64 = 0.15;
 /// Factor that a maintenance pass applies to a decreased limit while all requests are denied: about 30% per second.
 const REOPEN_FACTOR: f64 = 1.05;
 /// Factor that a decrease applies to the limit in light congestion.
@@ -31,17 +31,17 @@
 /// Factor that a decrease applies to the limit in overload, where servers become unresponsive within seconds.
 const DECREASE_FACTOR_OVERLOADED: f64 = 0.7;
 /// Congestion level from which a limit decreases.
-pub const CONGESTED: f64 = 0.2;
+pub const CONGESTED_LEVEL: f64 = 0.2;
 /// Congestion level of an overload, at which the floor of the limit is at its lowest.
-const OVERLOADED: f64 = 0.7;
+const OVERLOADED_LEVEL: f64 = 0.7;
 /// Floor of the limit in overload, as a fraction of the replica's quota: the rate that an overloaded tier can still
 /// serve.
-const OVERLOADED_FLOOR: f64 = 0.25;
+const OVERLOADED_FLOOR_FRACTION: f64 = 0.25;
 /// Floor of a limit without a quota, as a fraction of the recently admitted rate. It is high because a request that is
 /// denied below the first tier wastes the work done for it in the tiers above.
-const FLOOR_WITHOUT_QUOTA: f64 = 0.7;
+const FLOOR_WITHOUT_QUOTA_FRACTION: f64 = 0.7;
 /// Lowest floor of a limit without a quota, in requests per second.
-const MIN_FLOOR_WITHOUT_QUOTA: f64 = 1.0;
+const MIN_FLOOR_WITHOUT_QUOTA_RPS: f64 = 1.0;
 /// Weight of one maintenance pass in the recently admitted rate, which gives an averaging time of some ten seconds.
 const RECENT_RATE_WEIGHT: f64 = 0.02;
 
@@ -71,9 +71,9 @@
             return Self::unlimited();
         };
         let replica_quota = quota / f64::from(settings.replicas);
-        let with_margin = replica_quota + CHANCE_DEVIATIONS * (replica_quota / WINDOW_S).sqrt();
-        let rate = with_margin * busiest_replica(settings);
-        let ceiling = if settings.over_quota_weight < EXCESS_COUNTS { rate } else { f64::MAX };
+        let with_margin = replica_quota + NOISE_MARGIN_STD_DEVS * (replica_quota / WINDOW_S).sqrt();
+        let rate = with_margin * busiest_replica_factor(settings);
+        let ceiling = if settings.over_quota_weight < MIN_UNCAPPED_WEIGHT { rate } else { f64::MAX };
         Self { rate, replica_quota, quota_with_margin: Some(with_margin), ceiling, recent_rate: 0.0 }
     }
 
@@ -90,17 +90,19 @@
     /// Creates the limits of a new replica: one for each tenant and, last, one for all tenants together. The last one
     /// starts from the sum of the tenants' quotas and may rise above it until congestion is detected.
     #[must_use]
-    pub fn all(settings: &Settings) -> Vec<Self> {
+    pub fn all_tenants(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
-        let mut all = Self::new(settings, quotas.sum());
-        if all.has_quota() && limits.len() > 1 && settings.over_quota_weight < EXCESS_COUNTS {
-            all.quota_with_margin = Some(all.replica_quota);
-            all.rate = all.replica_quota * busiest_replica(settings);
-            all.ceiling =
-                all.rate * (1.0 + EXCESS * all.replica_quota / (all.replica_quota + EXCESS_HALF_RATE));
+        let mut all_tenants = Self::new(settings, quotas.sum());
+        if all_tenants.has_quota() && limits.len() > 1 && settings.over_quota_weight < MIN_UNCAPPED_WEIGHT {
+            all_tenants.quota_with_margin = Some(all_tenants.replica_quota);
+            all_tenants.rate = all_tenants.replica_quota * busiest_replica_factor(settings);
+            all_tenants.ceiling = all_tenants.rate
+                * (1.0
+                    + MAX_EXCESS_FRACTION * all_tenants.replica_quota
+                        / (all_tenants.replica_quota + EXCESS_HALF_RPS));
         }
-        limits.push(all);
+        limits.push(all_tenants);
         limits
     }
 
@@ -109,7 +111,7 @@
     /// The adaptation so far is kept relative to the quota. A lower quota applies at once. With a higher quota the
     /// limit rises at once as far as the starting value of a new replica, and gradually from there.
     #[must_use]
-    pub fn under(self, fresh: Self) -> Self {
+    pub fn adapted_to(self, fresh: Self) -> Self {
         let rate = match self.quota_with_margin.zip(fresh.quota_with_margin) {
             Some(_) => {
                 let scaled = self.rate * (fresh.replica_quota / self.replica_quota);
@@ -132,7 +134,7 @@
         // Requests denied below the replica's quota are within what was promised, so recover faster there after an
         // overload.
         let is_below_quota = self.quota_with_margin.is_some_and(|quota| self.rate < quota);
-        let increase = if is_below_quota { INCREASE_BELOW_QUOTA } else { INCREASE };
+        let increase = if is_below_quota { INCREASE_BELOW_QUOTA_RPS } else { INCREASE_RPS };
         self.rate = (self.rate + increase).min(self.ceiling);
     }
 
@@ -140,16 +142,16 @@
     pub fn decrease(&mut self, congestion: f64, accepted: f64) {
         // Isolated refusals and slow requests also happen without overload. A decrease for each of them would deny
         // requests needlessly, and a request denied below the first tier fails the whole client request above.
-        if congestion < self.quota_with_margin.map_or(OVERLOADED, |_| CONGESTED) {
+        if congestion < self.quota_with_margin.map_or(OVERLOADED_LEVEL, |_| CONGESTED_LEVEL) {
             return;
         }
         // In light congestion the floor is the replica's quota. The higher the congestion, the less the quota reflects
         // what the servers can do, and overloaded servers recover only under a much lower rate.
-        let overload = ((congestion - CONGESTED) / (OVERLOADED - CONGESTED)).min(1.0);
-        let part = 1.0 - (1.0 - OVERLOADED_FLOOR) * overload;
+        let overload = ((congestion - CONGESTED_LEVEL) / (OVERLOADED_LEVEL - CONGESTED_LEVEL)).min(1.0);
+        let floor_fraction = 1.0 - (1.0 - OVERLOADED_FLOOR_FRACTION) * overload;
         let floor = match self.quota_with_margin {
-            Some(quota) => quota * part,
-            None => (self.recent_rate * FLOOR_WITHOUT_QUOTA).max(MIN_FLOOR_WITHOUT_QUOTA),
+            Some(quota) => quota * floor_fraction,
+            None => (self.recent_rate * FLOOR_WITHOUT_QUOTA_FRACTION).max(MIN_FLOOR_WITHOUT_QUOTA_RPS),
         };
         let factor = DECREASE_FACTOR + (DECREASE_FACTOR_OVERLOADED - DECREASE_FACTOR) * overload;
         self.rate = (self.rate.min(accepted.max(floor)) * factor).max(floor).min(self.rate);
@@ -177,8 +179,8 @@
 /// When clients choose replicas at random, the busiest of n replicas receives about ln n times the mean. With two
 /// replicas, twice the quota means that the tier is overloaded; with fifty, that replica may just have more clients.
 /// The fewer requests a replica sees, the smaller the allowance, because the replica detects congestion late.
-fn busiest_replica(settings: &Settings) -> f64 {
+fn busiest_replica_factor(settings: &Settings) -> f64 {
     let replicas = f64::from(settings.replicas);
-    let fair = settings.tenants.iter().filter_map(|tenant| tenant.quota).sum::<f64>() / replicas;
-    1.0 + (replicas.ln().max(1.0) - 1.0) * fair / (fair + EXCESS_HALF_RATE)
+    let fair_share = settings.tenants.iter().filter_map(|tenant| tenant.quota).sum::<f64>() / replicas;
+    1.0 + (replicas.ln().max(1.0) - 1.0) * fair_share / (fair_share + EXCESS_HALF_RPS)
 }
--- a/crates/policy/src/admission/baseline_latency.rs
+++ b/crates/policy/src/admission/baseline_latency.rs
@@ -12,7 +12,7 @@
 /// baseline.
 const CONGESTED_DIVISOR: f64 = 10.0;
 /// Largest change by one request, as a natural logarithm. The first request is not bounded and sets the baseline.
-const MAX_STEP: f64 = 1.0;
+const MAX_LN_STEP: f64 = 1.0;
 
 /// Estimate of the median latency of a class without congestion.
 #[derive(Debug, Clone, Copy, Default)]
@@ -27,12 +27,12 @@
     /// Updates the estimate with a request that was served in `duration` seconds, using the weight `step`.
     pub fn record(&mut self, duration: f64, step: f64, congested: bool) {
         self.samples += 1.0;
-        let over = duration.ln() - self.ln_seconds;
+        let ln_deviation = duration.ln() - self.ln_seconds;
         // The reduced weight applies to longer and shorter latencies alike. If mostly short latencies were learned
         // during congestion, the baseline would fall and the congestion would seem to last longer than it does.
         let step = if congested { step / CONGESTED_DIVISOR } else { step }.min(MAX_WEIGHT);
-        let most = if self.samples > 1.0 { MAX_STEP } else { f64::MAX };
-        self.ln_seconds += step.max(1.0 / self.samples) * over.clamp(-most, most);
+        let max_step = if self.samples > 1.0 { MAX_LN_STEP } else { f64::MAX };
+        self.ln_seconds += step.max(1.0 / self.samples) * ln_deviation.clamp(-max_step, max_step);
     }
 
     /// Estimated latency in seconds; 0 while no request has been recorded.
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -7,7 +7,7 @@
 
 use oorandom::Rand64;
 
-use crate::admission::adaptive_limit::{CHANCE_DEVIATIONS, CONGESTED};
+use crate::admission::adaptive_limit::{CONGESTED_LEVEL, NOISE_MARGIN_STD_DEVS};
 use crate::admission::baseline_latency::BaselineLatency;
 use crate::endpoints::outlier::UNREACHABLE_AFTER;
 use crate::interface::Outcome;
@@ -31,13 +31,13 @@
 const MAX_SIGNAL: f64 = 2.0;
 /// Lower bound of the signal of a request served in time.
 const MIN_SIGNAL: f64 = -1.0;
-/// Fraction of the latency objective for which an attempt must have had a connection before its time-out counts as a
-/// time-out over the whole objective. The remaining time may have been spent on connecting.
-const WHOLE_OBJECTIVE: f64 = 0.9;
+/// Fraction of the latency objective for which an attempt must have had a connection before its timeout counts as a
+/// timeout over the whole objective. The remaining time may have been spent on connecting.
+const FULL_TIMEOUT_FRACTION: f64 = 0.9;
 /// Failure rate of the tier above which an error counts as congestion and not as a fault of a single endpoint.
 const CONGESTED_FAILURE_RATE: f64 = 0.1;
 /// Lower bound, in seconds, for the duration of a request, so that the logarithm of the duration is finite.
-pub const SHORTEST_S: f64 = 1e-4;
+pub const MIN_DURATION_S: f64 = 1e-4;
 
 /// How a request ended, or an attempt of it that was retried after it may have run or was refused again. Times are in
 /// seconds.
@@ -74,7 +74,7 @@
     /// Congestion signal: 0 for a request with the baseline latency, up to [`MAX_SIGNAL`] for a failed request.
     pub value: f64,
     /// Whether the request failed or came late.
-    pub is_bad: bool,
+    pub is_failed_or_late: bool,
 }
 
 /// Moving average of the recent congestion signals, with its variance.
@@ -94,7 +94,7 @@
 /// Time of the latest answer of any endpoint, and the number of requests since then that got no connection in time.
 #[derive(Debug, Clone, Copy)]
 struct LatestAnswer {
-    at: f64,
+    answered_at: f64,
     connect_timeouts_since: u32,
 }
 
@@ -113,11 +113,11 @@
         Self {
             average: Average::default(),
             decreases: DecreaseTimes::default(),
-            latest_answer: LatestAnswer { at: f64::MIN, connect_timeouts_since: 0 },
+            latest_answer: LatestAnswer { answered_at: f64::MIN, connect_timeouts_since: 0 },
         }
     }
 
-    /// Average congestion signal; limits decrease from [`CONGESTED`] on.
+    /// Average congestion signal; limits decrease from [`CONGESTED_LEVEL`] on.
     #[must_use]
     pub fn level(&self) -> f64 {
         self.average.mean
@@ -131,7 +131,7 @@
 
     /// Records that an endpoint has answered over an established connection.
     pub fn record_answer(&mut self, now: f64) {
-        self.latest_answer = LatestAnswer { at: now, connect_timeouts_since: 0 };
+        self.latest_answer = LatestAnswer { answered_at: now, connect_timeouts_since: 0 };
     }
 
     /// Congestion signal of a request that has ended; `None` if its end says nothing about congestion.
@@ -142,37 +142,38 @@
         baseline: BaselineLatency,
         tier: TierState,
     ) -> Option<Signal> {
-        let is_bad = self.is_bad(now, end, tier.failure_rate)?;
-        let slower = end.served.max(SHORTEST_S).ln() - baseline.ln_seconds;
+        let is_failed_or_late = self.is_failed_or_late(now, end, tier.failure_rate)?;
+        let ln_slowdown = end.served.max(MIN_DURATION_S).ln() - baseline.ln_seconds;
         // The duration of an abandoned attempt is only a lower bound of its latency. It says nothing if the endpoint
         // had less than the baseline latency to answer.
         let is_cut_short = match end.outcome {
             Outcome::Cancelled => true,
-            Outcome::TimedOut => end.served < end.latency_objective * WHOLE_OBJECTIVE,
+            Outcome::TimedOut => end.served < end.latency_objective * FULL_TIMEOUT_FRACTION,
             _ => false,
         };
-        if is_cut_short && slower < 0.0 {
+        if is_cut_short && ln_slowdown < 0.0 {
             return None;
         }
         let value = if is_cut_short {
-            slower.min(MAX_SIGNAL)
-        } else if is_bad {
+            ln_slowdown.min(MAX_SIGNAL)
+        } else if is_failed_or_late {
             MAX_SIGNAL
         } else if end.outcome == Outcome::Success && tier.is_first {
             // Only the first tier sheds load early: a request denied below it wastes the work done in the tiers above.
-            slower.clamp(MIN_SIGNAL, MAX_SIGNAL)
+            ln_slowdown.clamp(MIN_SIGNAL, MAX_SIGNAL)
         } else {
             0.0
         };
-        Some(Signal { value, is_bad })
+        Some(Signal { value, is_failed_or_late })
     }
 
     /// Whether a request failed or came late for a reason that may be congestion; `None` where its end says nothing
     /// about congestion.
-    fn is_bad(&mut self, now: f64, end: &CallEnd, tier_failure_rate: f64) -> Option<bool> {
+    fn is_failed_or_late(&mut self, now: f64, end: &CallEnd, tier_failure_rate: f64) -> Option<bool> {
         let answer = &mut self.latest_answer;
         answer.connect_timeouts_since += u32::from(end.outcome == Outcome::ConnectTimedOut);
-        let is_silent = now - answer.at > WINDOW_S && answer.connect_timeouts_since >= UNREACHABLE_AFTER;
+        let is_silent =
+            now - answer.answered_at > WINDOW_S && answer.connect_timeouts_since >= UNREACHABLE_AFTER;
         match end.outcome {
             Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled => Some(true),
             // Late connections say nothing about a tier that answers other requests.
@@ -186,8 +187,8 @@
     /// Weight in the average of a request that arrived at `arrived`, where `rate` requests per second are admitted.
     #[must_use]
     pub fn weight(&self, rate: f64, arrived: f64) -> f64 {
-        let fresh = if arrived < self.decreases.latest { WEIGHT_BEFORE_DECREASE } else { 1.0 };
-        (1.0 / (rate * WINDOW_S)).min(MAX_WEIGHT) * fresh
+        let age_factor = if arrived < self.decreases.latest { WEIGHT_BEFORE_DECREASE } else { 1.0 };
+        (1.0 / (rate * WINDOW_S)).min(MAX_WEIGHT) * age_factor
     }
 
     /// Adds a signal to the average.
@@ -204,9 +205,10 @@
     /// must therefore exceed the threshold by more than the variation of the requests and of the baseline, which a new
     /// replica has learned from few samples.
     #[must_use]
-    pub fn is_met(&self, weight: f64, baseline_samples: f64) -> bool {
-        let chance = weight / (2.0 - weight) + 1.0 / baseline_samples.max(1.0);
-        self.average.mean - CHANCE_DEVIATIONS * (self.average.variance * chance).sqrt() > CONGESTED
+    pub fn is_detected(&self, weight: f64, baseline_samples: f64) -> bool {
+        let variance_factor = weight / (2.0 - weight) + 1.0 / baseline_samples.max(1.0);
+        self.average.mean - NOISE_MARGIN_STD_DEVS * (self.average.variance * variance_factor).sqrt()
+            > CONGESTED_LEVEL
     }
 
     /// Whether enough time has passed since the latest decrease for the limits to decrease again.
@@ -217,14 +219,14 @@
 
     /// Records that the limits decrease now, and draws the time until they may decrease again.
     pub fn record_decrease(&mut self, now: f64, rng: &mut Rand64) {
-        let pause = between(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
-        self.decreases = DecreaseTimes { latest: now, next: now + pause };
+        let interval_s = between(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
+        self.decreases = DecreaseTimes { latest: now, next: now + interval_s };
     }
 
     /// Congestion level decayed over one maintenance pass, for a pass in which no request was admitted that could have
     /// met congestion.
     #[must_use]
-    pub fn faded(&self) -> f64 {
+    pub fn decayed_level(&self) -> f64 {
         self.average.mean * (1.0 - MAINTENANCE_PERIOD_S / WINDOW_S)
     }
 
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::admission::adaptive_limit::AdaptiveLimit;
 use crate::admission::baseline_latency::{BASELINE_WINDOW_S, BaselineLatency};
-use crate::admission::congestion::{CallEnd, Congestion, SHORTEST_S, TierState};
+use crate::admission::congestion::{CallEnd, Congestion, MIN_DURATION_S, TierState};
 use crate::admission::suppression::Suppressor;
 use crate::interface::{Outcome, Settings};
 
@@ -48,12 +48,12 @@
     /// congestion is known.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        let mut limits = AdaptiveLimit::all(settings);
-        let all = limits.pop();
+        let mut limits = AdaptiveLimit::all_tenants(settings);
+        let all_tenants = limits.pop();
         let tenants = limits.into_iter();
         let mut controls: Vec<_> =
             tenants.map(|limit| RateControl { suppressor: Suppressor::for_tenant(), limit }).collect();
-        controls.extend(all.map(|limit| RateControl {
+        controls.extend(all_tenants.map(|limit| RateControl {
             suppressor: Suppressor::for_all_tenants(limit.replica_quota),
             limit,
         }));
@@ -62,20 +62,20 @@
 
     /// Changes to other settings. New tenants are inserted behind the existing ones, and what was learned is kept.
     pub fn reconfigure(&mut self, settings: &Settings) {
-        let fresh = AdaptiveLimit::all(settings);
-        let (before, after) = (self.all(), settings.tenants.len());
-        let new_tenants = fresh[before..after]
+        let fresh = AdaptiveLimit::all_tenants(settings);
+        let (old_tenant_count, new_tenant_count) = (self.all_tenants(), settings.tenants.len());
+        let new_tenants = fresh[old_tenant_count..new_tenant_count]
             .iter()
             .map(|&limit| RateControl { suppressor: Suppressor::for_tenant(), limit });
         // The last entry belongs to all tenants together.
-        self.controls.splice(before..before, new_tenants);
+        self.controls.splice(old_tenant_count..old_tenant_count, new_tenants);
         for (control, fresh) in self.controls.iter_mut().zip(fresh) {
-            control.limit = control.limit.under(fresh);
+            control.limit = control.limit.adapted_to(fresh);
         }
     }
 
     /// Index of the rate control of all tenants together. Without configured tenants, the single tenant shares it.
-    fn all(&self) -> usize {
+    fn all_tenants(&self) -> usize {
         self.controls.len() - 1
     }
 
@@ -110,17 +110,17 @@
         available: f64,
         rng: &mut Rand64,
     ) -> bool {
-        let all = self.all();
-        let rate = self.controls[all].limit.rate * available;
+        let all_tenants = self.all_tenants();
+        let rate = self.controls[all_tenants].limit.rate * available;
         // Each tenant's part of the shared limit is guaranteed to that tenant.
-        let level = (rate / self.controls[all].limit.replica_quota).min(1.0);
+        let level = (rate / self.controls[all_tenants].limit.replica_quota).min(1.0);
         let RateControl { suppressor, limit } = &mut self.controls[tenant];
         let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * level, rng);
         let mut admitted = can_meet_deadline && suppressor.admit(now, limit.rate, rng);
-        if admitted && all != tenant {
-            let together = &mut self.controls[all].suppressor;
-            admitted = fits_quota || together.fits_soft_limit(now, rate, rng);
-            together.count(admitted);
+        if admitted && all_tenants != tenant {
+            let shared_suppressor = &mut self.controls[all_tenants].suppressor;
+            admitted = fits_quota || shared_suppressor.fits_soft_limit(now, rate, rng);
+            shared_suppressor.count(admitted);
         }
         self.controls[tenant].suppressor.count(admitted);
         admitted
@@ -138,19 +138,19 @@
         let Some(signal) = self.congestion.signal(now, end, *baseline, tier) else { return };
         // All tenants send to the same tier, and the requests of a small tenant are too few to show an overload in
         // time.
-        let all = self.all();
-        let rate = self.controls[all].suppressor.accepted_rate(now);
+        let all_tenants = self.all_tenants();
+        let rate = self.controls[all_tenants].suppressor.accepted_rate(now);
         let has_no_history = tier.is_first && self.has_no_history(end.tenant);
         let weight = if has_no_history { 0.0 } else { self.congestion.weight(rate, end.arrived) };
         self.congestion.record(signal.value, weight);
-        let is_congested = self.congestion.is_met(weight, baseline.samples);
-        let is_good = end.outcome == Outcome::Success;
-        if is_good {
-            baseline.record(end.served.max(SHORTEST_S), 1.0 / (rate * BASELINE_WINDOW_S), is_congested);
+        let is_congested = self.congestion.is_detected(weight, baseline.samples);
+        let is_success = end.outcome == Outcome::Success;
+        if is_success {
+            baseline.record(end.served.max(MIN_DURATION_S), 1.0 / (rate * BASELINE_WINDOW_S), is_congested);
         }
         if is_congested && self.congestion.may_decrease(now) {
             self.decrease_limits(now, tier.available, rng);
-        } else if !is_congested && !signal.is_bad && is_good {
+        } else if !is_congested && !signal.is_failed_or_late && is_success {
             self.increase_limits(end.tenant);
         }
     }
@@ -164,29 +164,29 @@
 
     fn decrease_limits(&mut self, now: f64, available: f64, rng: &mut Rand64) {
         self.congestion.record_decrease(now, rng);
-        let all = self.all();
-        for (place, RateControl { suppressor, limit }) in self.controls.iter_mut().enumerate() {
+        let all_tenants = self.all_tenants();
+        for (index, RateControl { suppressor, limit }) in self.controls.iter_mut().enumerate() {
             // The shared limit was scaled by the available fraction of the tier at admission, so the rate is scaled
             // back.
-            let available = if place == all && all > 0 { available } else { 1.0 };
+            let available = if index == all_tenants && all_tenants > 0 { available } else { 1.0 };
             limit.decrease(self.congestion.level(), suppressor.accepted_rate(now) / available);
         }
     }
 
     fn increase_limits(&mut self, tenant: usize) {
-        let all = self.all();
+        let all_tenants = self.all_tenants();
         self.controls[tenant].limit.increase();
-        if all != tenant {
-            self.controls[all].limit.increase();
+        if all_tenants != tenant {
+            self.controls[all_tenants].limit.increase();
         }
     }
 
     /// Runs the part of the maintenance pass that concerns admission: reopens limits under which every request is
     /// denied.
     pub fn maintain(&mut self, now: f64) {
-        let all = self.all();
-        let none_admitted = self.controls[all].suppressor.accepted_rate(now) == 0.0;
-        let level = if none_admitted { self.congestion.faded() } else { self.congestion.level() };
+        let all_tenants = self.all_tenants();
+        let none_admitted = self.controls[all_tenants].suppressor.accepted_rate(now) == 0.0;
+        let level = if none_admitted { self.congestion.decayed_level() } else { self.congestion.level() };
         for RateControl { suppressor, limit } in &mut self.controls {
             let accepted = suppressor.accepted_rate(now);
             limit.record_accepted_rate(accepted);
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -19,9 +19,9 @@
 /// Length in seconds of a window with buckets of [`BUCKET_S`].
 pub const WINDOW_S: f64 = BUCKET_S * BUCKETS as f64;
 /// Number of requests that the shared window of all tenants should hold, so that random variation does not dominate it.
-const CALLS_PER_WINDOW: f64 = 30.0;
+const MIN_REQUESTS_PER_WINDOW: f64 = 30.0;
 /// Largest multiple of [`BUCKET_S`] to which the buckets of a rarely used window are stretched.
-const MAX_STRETCH: f64 = 4.0;
+const MAX_BUCKET_STRETCH: f64 = 4.0;
 /// Number of buckets in the last second, the shorter of the two periods over which the demand is measured.
 const BUCKETS_PER_SECOND: u64 = 10;
 /// Hard limit as a multiple of the soft limit. It is wide because otherwise all requests of a tenant that sends several
@@ -30,7 +30,7 @@
 
 /// Number of requests received and number of requests admitted.
 #[derive(Debug, Clone, Copy, Default)]
-struct CallCounts {
+struct RequestCounts {
     total: u32,
     accepted: u32,
 }
@@ -39,9 +39,9 @@
 #[derive(Debug, Default)]
 pub struct Suppressor {
     bucket_s: f64,
-    buckets: [CallCounts; BUCKETS],
+    buckets: [RequestCounts; BUCKETS],
     /// Sums of the counts of all buckets.
-    window: CallCounts,
+    window: RequestCounts,
     /// Number of the latest bucket, counted from the start of the clock.
     current_bucket: u64,
     /// Number of the bucket of the first request; `None` before it.
@@ -67,7 +67,9 @@
     /// `fair_rate` requests per second.
     #[must_use]
     pub fn for_all_tenants(fair_rate: f64) -> Self {
-        Self::with_bucket(BUCKET_S * (CALLS_PER_WINDOW / (fair_rate * WINDOW_S)).clamp(1.0, MAX_STRETCH))
+        Self::with_bucket(
+            BUCKET_S * (MIN_REQUESTS_PER_WINDOW / (fair_rate * WINDOW_S)).clamp(1.0, MAX_BUCKET_STRETCH),
+        )
     }
 
     fn with_bucket(bucket_s: f64) -> Self {
@@ -89,7 +91,7 @@
         let bucket = self.bucket_at(now);
         let steps = bucket.saturating_sub(self.current_bucket).min(BUCKETS as u64);
         for step in 1..=steps {
-            let old = take(&mut self.buckets[position(self.current_bucket + step)]);
+            let old = take(&mut self.buckets[ring_index(self.current_bucket + step)]);
             self.window.total -= old.total;
             self.window.accepted -= old.accepted;
         }
@@ -99,7 +101,7 @@
     /// Requests admitted per second, averaged over the window.
     pub fn accepted_rate(&mut self, now: f64) -> f64 {
         self.advance(now);
-        f64::from(self.window.accepted) / self.span()
+        f64::from(self.window.accepted) / self.observed_span_s()
     }
 
     /// Whether less than a second had passed since the first request when the window was last moved.
@@ -110,7 +112,7 @@
 
     /// Seconds that the window has covered so far, at least one. If the empty window of a new replica counted in full,
     /// it would admit seconds of overload before it fills, and so would every replica of a new fleet at once.
-    fn span(&self) -> f64 {
+    fn observed_span_s(&self) -> f64 {
         let first = self.first_bucket.unwrap_or(self.current_bucket);
         let buckets = (self.current_bucket + 1).saturating_sub(first).min(BUCKETS as u64);
         (buckets as f64 * self.bucket_s).max(1.0)
@@ -130,7 +132,7 @@
             self.sampled_threshold = rng.rand_float();
             self.next_sample_bucket = self.current_bucket + BUCKETS as u64;
         }
-        self.span() * limit - f64::from(self.window.accepted) > self.sampled_threshold
+        self.observed_span_s() * limit - f64::from(self.window.accepted) > self.sampled_threshold
     }
 
     /// Decides whether to admit a request. The decision must then be passed to `count`.
@@ -146,12 +148,12 @@
     /// Whether the hard limit is reached, at which all requests are denied.
     #[must_use]
     pub fn is_over_hard_limit(&self, limit: f64) -> bool {
-        f64::from(self.window.total) >= self.span() * limit * HARD_LIMIT_FACTOR
+        f64::from(self.window.total) >= self.observed_span_s() * limit * HARD_LIMIT_FACTOR
     }
 
     /// Counts a request after the decision on it.
     pub fn count(&mut self, admitted: bool) {
-        for counts in [&mut self.buckets[position(self.current_bucket)], &mut self.window] {
+        for counts in [&mut self.buckets[ring_index(self.current_bucket)], &mut self.window] {
             counts.total += 1;
             counts.accepted += u32::from(admitted);
         }
@@ -165,22 +167,23 @@
     fn suppression_factor(&mut self, limit: f64) -> f64 {
         if self.factor_bucket != self.current_bucket {
             self.factor_bucket = self.current_bucket;
-            let demand = (f64::from(self.window.total) / self.span()).max(f64::from(self.last_second()));
+            let demand = (f64::from(self.window.total) / self.observed_span_s())
+                .max(f64::from(self.requests_in_last_second()));
             self.factor = if demand > limit { 1.0 - limit / demand } else { 0.0 };
         }
         self.factor
     }
 
     /// Number of requests received in the last second.
-    fn last_second(&self) -> u32 {
+    fn requests_in_last_second(&self) -> u32 {
         (0..BUCKETS_PER_SECOND)
-            .map(|back| self.buckets[position(self.current_bucket.saturating_sub(back))].total)
+            .map(|age| self.buckets[ring_index(self.current_bucket.saturating_sub(age))].total)
             .sum()
     }
 }
 
 /// Index of a bucket in the ring buffer of the window.
 #[allow(clippy::cast_possible_truncation, reason = "the remainder lies below the number of buckets")]
-fn position(bucket: u64) -> usize {
+fn ring_index(bucket: u64) -> usize {
     (bucket % BUCKETS as u64) as usize
 }
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -35,7 +35,7 @@
     let mut settings = Settings::single_zone(vec![class]);
     settings.over_quota_weight = 0.2;
     settings.tenants = quotas.iter().map(|&quota| Tenant { quota: Some(quota) }).collect();
-    AdaptiveLimit::all(&settings)
+    AdaptiveLimit::all_tenants(&settings)
 }
 
 fn call(outcome: Outcome, served: f64) -> CallEnd {
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_limit_begins_at_the_replicas_quota_with_a_margin() {
+fn a_limit_starts_at_the_replicas_quota_with_a_margin() {
     let limit = limits(&[100.0])[0];
     assert_eq!(limit.replica_quota, 100.0);
     assert!((100.0..110.0).contains(&limit.rate), "{}", limit.rate);
@@ -72,12 +72,12 @@
 #[test]
 fn a_limit_stays_at_the_quota_in_light_congestion_and_falls_below_it_in_overload() {
     let fresh = limits(&[100.0])[0];
-    let after_ten = |congestion: f64| {
+    let rate_after_ten_decreases = |congestion: f64| {
         let mut limit = fresh;
         (0..10).for_each(|_| limit.decrease(congestion, 100.0));
         limit.rate
     };
-    let (light, overload) = (after_ten(0.21), after_ten(0.7));
+    let (light, overload) = (rate_after_ten_decreases(0.21), rate_after_ten_decreases(0.7));
     assert!(light > 95.0, "{light}");
     assert!((24.0..30.0).contains(&overload), "{overload}");
 }
@@ -99,36 +99,38 @@
 
 #[test]
 fn the_first_request_sets_the_baseline_and_congestion_moves_it_a_tenth_as_far() {
-    let mut known = BaselineLatency::default();
-    known.record(0.2, 0.01, false);
-    assert!((known.seconds() - 0.2).abs() < 1e-9, "{}", known.seconds());
-    let moved = |is_congested: bool| {
-        let mut latency = BaselineLatency { samples: 10_000.0, ..known };
+    let mut first = BaselineLatency::default();
+    first.record(0.2, 0.01, false);
+    assert!((first.seconds() - 0.2).abs() < 1e-9, "{}", first.seconds());
+    let baseline_change = |is_congested: bool| {
+        let mut latency = BaselineLatency { samples: 10_000.0, ..first };
         latency.record(0.3, 0.01, is_congested);
-        latency.ln_seconds - known.ln_seconds
+        latency.ln_seconds - first.ln_seconds
     };
-    let (calm, congested) = (moved(false), moved(true));
+    let (calm, congested) = (baseline_change(false), baseline_change(true));
     assert!((congested / calm - 0.1).abs() < 1e-6, "{congested} {calm}");
 }
 
 #[test]
-fn refused_calls_are_congestion_and_usual_ones_are_not() {
+fn refused_requests_signal_congestion_and_usual_ones_do_not() {
     let level = |outcome: Outcome| {
         let mut congestion = Congestion::new();
         for _ in 0..50 {
-            let signal = congestion.signal(10.1, &call(outcome, 0.1), baseline(0.1), TIER).expect("the end gives a signal");
+            let signal = congestion
+                .signal(10.1, &call(outcome, 0.1), baseline(0.1), TIER)
+                .expect("the end gives a signal");
             congestion.record(signal.value, 0.1);
         }
-        (congestion.level(), congestion.is_met(0.1, 100.0))
+        (congestion.level(), congestion.is_detected(0.1, 100.0))
     };
-    let (refused, is_met) = level(Outcome::Refused);
-    assert!(refused > 1.9 && is_met, "{refused}");
-    let (usual, is_met) = level(Outcome::Success);
-    assert!(usual.abs() < 1e-9 && !is_met, "{usual}");
+    let (refused, is_detected) = level(Outcome::Refused);
+    assert!(refused > 1.9 && is_detected, "{refused}");
+    let (usual, is_detected) = level(Outcome::Success);
+    assert!(usual.abs() < 1e-9 && !is_detected, "{usual}");
 }
 
 #[test]
-fn late_connections_tell_of_congestion_only_while_nothing_answers() {
+fn late_connections_signal_congestion_only_while_no_endpoint_answers() {
     let late = call(Outcome::ConnectTimedOut, 0.0);
     let mut congestion = Congestion::new();
     congestion.record_answer(9.0);
@@ -136,15 +138,18 @@
         assert!(congestion.signal(10.1, &late, baseline(0.1), TIER).is_none());
     }
     let signal = congestion.signal(11.1, &late, baseline(0.1), TIER);
-    assert!(signal.is_some_and(|signal| signal.is_bad), "no endpoint has answered for over two seconds: {signal:?}");
+    assert!(
+        signal.is_some_and(|signal| signal.is_failed_or_late),
+        "no endpoint has answered for over two seconds: {signal:?}"
+    );
 }
 
 #[test]
-fn an_answer_past_the_latency_objective_is_bad_but_not_for_the_wait_for_a_connection() {
+fn an_answer_past_the_latency_objective_is_late_unless_it_waited_for_a_connection() {
     let mut congestion = Congestion::new();
     let mut signal = |connect_wait: f64| {
         let end = CallEnd { connect_wait, ..call(Outcome::Success, 0.1) };
-        congestion.signal(11.5, &end, baseline(0.1), TIER).expect("the end gives a signal").is_bad
+        congestion.signal(11.5, &end, baseline(0.1), TIER).expect("the end gives a signal").is_failed_or_late
     };
     assert!(signal(0.0));
     assert!(!signal(0.8));
