--- a/crates/policy/src/endpoints/connections.rs
+++ b/crates/policy/src/endpoints/connections.rs
@@ -25,13 +25,13 @@
     #[must_use]
     pub fn has_free_stream(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
         let streams = self.open.saturating_mul(permissions.streams_per_connection);
-        in_flight < streams && !self.are_idle_closed(now, in_flight, permissions)
+        in_flight < streams && !self.are_closed_by_keepalive(now, in_flight, permissions)
     }
 
     /// Counts a newly opened connection. Connections that were idle for longer than the keepalive count as closed
     /// first.
     pub fn record_opened(&mut self, now: f64, in_flight: u32, permissions: &Permissions) {
-        let are_closed = self.are_idle_closed(now, in_flight, permissions);
+        let are_closed = self.are_closed_by_keepalive(now, in_flight, permissions);
         self.open = if are_closed { 1 } else { self.open.saturating_add(1) };
         self.last_used = now;
     }
@@ -46,7 +46,7 @@
         self.open = self.open.saturating_sub(1);
     }
 
-    fn are_idle_closed(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
+    fn are_closed_by_keepalive(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
         in_flight == 0 && now - self.last_used >= permissions.keepalive.as_secs_f64()
     }
 }
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -13,9 +13,9 @@
 use crate::requests::attempt::AttemptEnd;
 
 /// An endpoint with attempts in flight counts as stalled after a silence of this many baseline latencies.
-const STALLED_BASELINES: f64 = 3.0;
+const STALL_TIMEOUT_BASELINES: f64 = 3.0;
 /// Shortest silence, in seconds, after which an endpoint counts as stalled.
-const MIN_STALL_S: f64 = 0.25;
+const MIN_STALL_TIMEOUT_S: f64 = 0.25;
 
 /// State of an endpoint as observed by this replica.
 #[derive(Debug)]
@@ -74,15 +74,15 @@
     /// lost.
     #[must_use]
     pub fn available_fraction(&self, now: f64, rules: &Rules) -> f64 {
-        if self.health.is_lost(now) { 0.0 } else { self.warm_fraction(now, rules) }
+        if self.health.is_lost_capacity(now) { 0.0 } else { self.warm_fraction(now, rules) }
     }
 
     /// Whether the endpoint has attempts in flight but has not answered for long, where requests take `baseline_s`
     /// seconds.
     #[must_use]
     pub fn is_stalled(&self, now: f64, baseline_s: f64) -> bool {
-        let patience = (baseline_s * STALLED_BASELINES).max(MIN_STALL_S);
-        self.in_flight > 0 && now - self.last_answer > patience
+        let stall_timeout_s = (baseline_s * STALL_TIMEOUT_BASELINES).max(MIN_STALL_TIMEOUT_S);
+        self.in_flight > 0 && now - self.last_answer > stall_timeout_s
     }
 
     /// Cost of another attempt to the endpoint: the attempts in flight, plus one if a handshake has a cost and is
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -11,7 +11,7 @@
 /// Longest pause in seconds before the first retry of a failed subscription, and the lower bound of later ones.
 const MIN_BACKOFF_S: f64 = 0.5;
 /// Longest wait for a subscription, as a fraction of the longest poll interval allowed.
-const WAIT_PART: f64 = 0.4;
+const MAX_WAIT_FRACTION: f64 = 0.4;
 /// Poll interval in seconds where the settings do not specify one.
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
@@ -39,7 +39,7 @@
     pub fn begin_if_due(&mut self, now: f64, settings: &Settings) -> bool {
         let is_due = settings.discovery != DiscoveryMode::Push && now >= self.next_at;
         if is_due {
-            self.next_at = now + longest_wait(settings);
+            self.next_at = now + max_wait_s(settings);
         }
         is_due
     }
@@ -51,16 +51,17 @@
     }
 
     /// Schedules a new subscription after an interruption. The pause doubles with each consecutive failure.
-    pub fn back_off(&mut self, now: f64, why: Interruption, settings: &Settings, rng: &mut Rand64) {
+    pub fn back_off(&mut self, now: f64, interruption: Interruption, settings: &Settings, rng: &mut Rand64) {
         // Each agent serves one replica only, so no other replica could reconnect to it at the same time.
         let has_own_agent = settings.discovery == DiscoveryMode::Agent;
-        let most = if has_own_agent { 0.0 } else { longest_wait(settings).max(MIN_BACKOFF_S) };
-        let before = if why == Interruption::Relocated { 0.0 } else { self.backoff_s };
-        self.backoff_s = (before * 2.0).max(MIN_BACKOFF_S).min(most);
+        let max_backoff_s = if has_own_agent { 0.0 } else { max_wait_s(settings).max(MIN_BACKOFF_S) };
+        let previous_backoff_s = if interruption == Interruption::Relocated { 0.0 } else { self.backoff_s };
+        self.backoff_s = (previous_backoff_s * 2.0).max(MIN_BACKOFF_S).min(max_backoff_s);
         self.next_at = now + between(rng, self.backoff_s / 2.0..self.backoff_s);
     }
 }
 
-fn longest_wait(settings: &Settings) -> f64 {
-    settings.rules.poll_interval_max.map_or(DEFAULT_POLL_INTERVAL_S, |span| span.as_secs_f64()) * WAIT_PART
+fn max_wait_s(settings: &Settings) -> f64 {
+    settings.rules.poll_interval_max.map_or(DEFAULT_POLL_INTERVAL_S, |span| span.as_secs_f64())
+        * MAX_WAIT_FRACTION
 }
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -20,7 +20,7 @@
 /// Failure rate from which an endpoint is an outlier in a tier without failures.
 const OUTLIER_FAILURE_RATE: f64 = 0.3;
 /// Multiple of the tier's failure rate that is added to [`OUTLIER_FAILURE_RATE`].
-const TIER_FAILURE_MULTIPLE: f64 = 2.0;
+const TIER_FAILURE_RATE_MULTIPLE: f64 = 2.0;
 /// Largest fraction of a group of endpoints that may be ejected at a time, because the rest must carry the load.
 const MAX_EJECTED_FRACTION: f64 = 0.34;
 /// Length of the first ejection in seconds. It doubles each time an endpoint fails again after its return.
@@ -29,12 +29,12 @@
 const MAX_EJECTION_S: f64 = 12.0;
 /// Random factor for the length of an ejection, so that replicas do not return to the endpoint at the same time.
 const EJECTION_JITTER: std::ops::Range<f64> = 0.75..1.25;
-/// Number of consecutive connect time-outs, without an answer or a connection between them, after which an endpoint
+/// Number of consecutive connect timeouts, without an answer or a connection between them, after which an endpoint
 /// counts as unreachable. If a third of all connections are late, two in a row happen by chance 1 time in 9 and three 1
 /// time in 27.
 pub const UNREACHABLE_AFTER: u32 = 3;
 /// Factor for the selection probability of an endpoint that returns from ejection; each success doubles it.
-const FIRST_RECOVERY_CHANCE: f64 = 0.1;
+const INITIAL_RECOVERY_CHANCE: f64 = 0.1;
 /// Weight of one latency in an endpoint's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.15;
 /// Weight of one latency in the slowness of a machine type. It is learned after some ten requests, before the slowness
@@ -46,7 +46,7 @@
 /// ensures that endpoints of the type still receive requests when they restart after a crash.
 const MAX_KIND_SLOWNESS: f64 = 2.0;
 /// Lowest selection factor for slowness: a slow endpoint must receive some requests, or its recovery would not be seen.
-const MIN_SLOW_CHANCE: f64 = 0.05;
+const MIN_SLOWNESS_CHANCE: f64 = 0.05;
 
 /// Fault of an endpoint that an attempt has shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct Health {
     failure_rate: f64,
-    /// Consecutive connect time-outs since the endpoint's latest answer or connection.
+    /// Consecutive connect timeouts since the endpoint's latest answer or connection.
     connect_timeouts: u32,
     /// Average latency of the endpoint relative to the baseline latencies of the classes.
     slowness: f64,
@@ -96,10 +96,10 @@
         self.ejected_until > now
     }
 
-    /// Whether the endpoint is ejected and its capacity counts as lost. In the first ejection for connect time-outs it
+    /// Whether the endpoint is ejected and its capacity counts as lost. In the first ejection for connect timeouts it
     /// does not, because the connections may only be late and still come up.
     #[must_use]
-    pub fn is_lost(&self, now: f64) -> bool {
+    pub fn is_lost_capacity(&self, now: f64) -> bool {
         let may_be_late =
             self.connect_timeouts >= UNREACHABLE_AFTER && self.ejection_s <= MIN_EJECTION_S * 2.0;
         self.is_ejected(now) && !may_be_late
@@ -116,7 +116,7 @@
         self.connect_timeouts += 1;
     }
 
-    /// Records that the endpoint is reachable, and ends an ejection that was caused by connect time-outs alone.
+    /// Records that the endpoint is reachable, and ends an ejection that was caused by connect timeouts alone.
     pub fn mark_reachable(&mut self) {
         if self.connect_timeouts >= UNREACHABLE_AFTER && self.failure_rate < OUTLIER_FAILURE_RATE {
             self.ejected_until = 0.0;
@@ -130,10 +130,10 @@
     pub fn eject(&mut self, now: f64, rng: &mut Rand64) {
         self.ejected_until = now + self.ejection_s * between(rng, EJECTION_JITTER);
         self.ejection_s = (self.ejection_s * 2.0).min(MAX_EJECTION_S);
-        self.recovery_chance = FIRST_RECOVERY_CHANCE;
+        self.recovery_chance = INITIAL_RECOVERY_CHANCE;
     }
 
-    fn record_good(&mut self) {
+    fn record_success(&mut self) {
         self.recovery_chance = (self.recovery_chance * 2.0).min(1.0);
         if self.recovery_chance >= 1.0 {
             self.ejection_s = MIN_EJECTION_S;
@@ -170,7 +170,7 @@
         // Use the endpoint's own slowness or, before its first latency, the slowness of its machine type.
         let is_known = health.latency_samples > 0.0;
         let slowness = if is_known { health.slowness } else { self.kind_slowness[kind] };
-        (self.tier_slowness / slowness).powi(2).clamp(MIN_SLOW_CHANCE, 1.0)
+        (self.tier_slowness / slowness).powi(2).clamp(MIN_SLOWNESS_CHANCE, 1.0)
     }
 
     /// Updates the endpoint's health and the tier with the end of an attempt, where requests of its class take
@@ -183,7 +183,7 @@
         baseline_s: f64,
     ) -> Option<Fault> {
         let AttemptEnd { outcome, served, .. } = *end;
-        // A late connection says nothing about the endpoint's work. Neither does a time-out that left the endpoint less
+        // A late connection says nothing about the endpoint's work. Neither does a timeout that left the endpoint less
         // than the baseline latency to answer.
         if outcome == Outcome::ConnectTimedOut {
             let is_unreachable = health.connect_timeouts.is_multiple_of(UNREACHABLE_AFTER);
@@ -200,7 +200,7 @@
         }
         match outcome {
             Outcome::Success => {
-                health.record_good();
+                health.record_success();
                 None
             }
             Outcome::ConnectFailed => Some(Fault::Unreachable),
@@ -217,7 +217,7 @@
         }
     }
 
-    fn record_slowness(&mut self, health: &mut Health, kind: usize, slowness: f64, is_good: bool) {
+    fn record_slowness(&mut self, health: &mut Health, kind: usize, slowness: f64, is_success: bool) {
         let kind_slowness = &mut self.kind_slowness[kind];
         if health.latency_samples == 0.0 {
             health.slowness = *kind_slowness;
@@ -225,7 +225,7 @@
         health.latency_samples += 1.0;
         let weight = SLOWNESS_WEIGHT.max(1.0 / (health.latency_samples + 1.0));
         health.slowness += weight * (slowness - health.slowness);
-        if is_good {
+        if is_success {
             *kind_slowness += KIND_SLOWNESS_WEIGHT * (slowness.min(MAX_KIND_SLOWNESS) - *kind_slowness);
         }
         self.tier_slowness += TIER_WEIGHT * (slowness - self.tier_slowness);
@@ -234,11 +234,12 @@
     /// Whether an endpoint with the given fault is an outlier. An unreachable endpoint is not compared with the tier.
     #[must_use]
     pub fn is_outlier(&self, health: &Health, fault: Fault) -> bool {
-        let tier = match fault {
+        let tier_margin = match fault {
             Fault::Unreachable => 0.0,
-            Fault::Failing => TIER_FAILURE_MULTIPLE * self.tier_failure_rate,
+            Fault::Failing => TIER_FAILURE_RATE_MULTIPLE * self.tier_failure_rate,
         };
-        health.failure_rate >= OUTLIER_FAILURE_RATE + tier || health.connect_timeouts >= UNREACHABLE_AFTER
+        health.failure_rate >= OUTLIER_FAILURE_RATE + tier_margin
+            || health.connect_timeouts >= UNREACHABLE_AFTER
     }
 }
 
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -16,17 +16,17 @@
 /// Fraction of the headroom between the capacity of a warming-up endpoint and its overload that each of three uses may
 /// take when no peer is warm: growth, saved-up sends, and sends that no answer has earned. The last quarter is left for
 /// random variation.
-const HEADROOM_PART: f64 = 0.25;
+const HEADROOM_FRACTION: f64 = 0.25;
 /// Largest growth of the sends per answer of a warming-up endpoint: they double within four answers, which is as fast
 /// as a slow start needs.
 const MAX_GROWTH: f64 = 0.25;
 /// Number of sends that an answer past its latency objective earns. Below 1, because a queue has formed that must
 /// shrink.
-const LATE_ANSWER_EARNS: f64 = 0.5;
+const LATE_ANSWER_SENDS: f64 = 0.5;
 /// Number of sends that all replicas together may make in each overload window before any answer has earned one.
-const FIRST_SENDS: f64 = 1.0;
+const INITIAL_SENDS: f64 = 1.0;
 /// Seconds' worth of sends that may be saved up while peers are warm.
-const SAVED_UP_S: f64 = 0.5;
+const MAX_SAVED_SENDS_S: f64 = 0.5;
 /// Weight of one maintenance pass in the answer rates, which gives an averaging time of one second.
 const RATE_WEIGHT: f64 = 0.2;
 
@@ -41,9 +41,9 @@
 }
 
 /// Fraction of its capacity by which a warming-up endpoint may be overcommitted, for each of the three uses described
-/// at [`HEADROOM_PART`].
+/// at [`HEADROOM_FRACTION`].
 fn overload_headroom(rules: &Rules) -> f64 {
-    ((rules.overload_multiple - 1.0) * HEADROOM_PART).max(0.0)
+    ((rules.overload_multiple - 1.0) * HEADROOM_FRACTION).max(0.0)
 }
 
 /// Answer rate of the warm members of a group, from which the budgets of the members that are warming up are derived.
@@ -64,13 +64,13 @@
         self.answers += 1;
     }
 
-    /// Updates the rate with the answers of `warm` warm members since the last maintenance pass. If no member is warm,
-    /// the last known rate is kept as the best estimate.
-    pub fn maintain(&mut self, warm: usize) {
+    /// Updates the rate with the answers that `warm_members` members gave since the last maintenance pass. If no member
+    /// is warm, the last known rate is kept as the best estimate.
+    pub fn maintain(&mut self, warm_members: usize) {
         let answers = f64::from(take(&mut self.answers));
-        self.are_all_warming_up = warm == 0;
-        if warm > 0 {
-            self.rate += RATE_WEIGHT * (answers / MAINTENANCE_PERIOD_S / warm as f64 - self.rate);
+        self.are_all_warming_up = warm_members == 0;
+        if warm_members > 0 {
+            self.rate += RATE_WEIGHT * (answers / MAINTENANCE_PERIOD_S / warm_members as f64 - self.rate);
         }
     }
 }
@@ -100,25 +100,25 @@
     /// over all replicas then stays within the endpoint's capacity, regardless of how the load is spread over the
     /// replicas. Where no peer is warm, the endpoint's own answers earn slightly more sends than they are themselves.
     /// The endpoint cannot answer more than its capacity to all replicas together, so the sum of their sends stays
-    /// little above it. `sharers` is the average number of replicas that send to the endpoint.
+    /// little above it. `replicas_per_endpoint` is the average number of replicas that send to the endpoint.
     #[must_use]
     pub fn allows_send(
         &mut self,
         now: f64,
         warm_fraction: f64,
         peers: &WarmPeers,
-        sharers: f64,
+        replicas_per_endpoint: f64,
         rules: &Rules,
     ) -> bool {
         let mut rate = warm_fraction * peers.rate;
-        let mut most = 1.0 + rate * SAVED_UP_S;
+        let mut max_tokens = 1.0 + rate * MAX_SAVED_SENDS_S;
         if peers.are_all_warming_up {
             let window = rules.overload_window.as_secs_f64().max(MAINTENANCE_PERIOD_S);
             let headroom = overload_headroom(rules);
-            most = 1.0 + headroom * window * self.answer_rate;
-            rate = headroom * rate + FIRST_SENDS / (window * sharers);
+            max_tokens = 1.0 + headroom * window * self.answer_rate;
+            rate = headroom * rate + INITIAL_SENDS / (window * replicas_per_endpoint);
         }
-        self.tokens = (self.tokens + rate * (now - self.refilled_at)).min(most);
+        self.tokens = (self.tokens + rate * (now - self.refilled_at)).min(max_tokens);
         self.refilled_at = now;
         self.tokens >= 1.0
     }
@@ -137,7 +137,7 @@
     pub fn earn(&mut self, peers: &WarmPeers, is_in_time: bool, rules: &Rules) {
         if peers.are_all_warming_up {
             let growth = overload_headroom(rules).min(MAX_GROWTH);
-            self.tokens += if is_in_time { 1.0 + growth } else { LATE_ANSWER_EARNS };
+            self.tokens += if is_in_time { 1.0 + growth } else { LATE_ANSWER_SENDS };
         }
     }
 
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn in_a_tier_that_fails_errors_make_no_outlier() {
+fn errors_make_no_outlier_in_a_failing_tier() {
     assert!(!is_outlier_after(20, 50));
 }
 
@@ -67,12 +67,12 @@
         detector.record(&mut Health::new(), 0, &end(Outcome::Error, 0.1), 0.1);
     }
     let mut health = Health::new();
-    let mut verdicts = Vec::new();
+    let mut results = Vec::new();
     for _ in 0..2 {
         let fault = detector.record(&mut health, 0, &end(Outcome::ConnectFailed, 0.0), 0.1);
-        verdicts.push(fault.map(|fault| (fault, detector.is_outlier(&health, fault))));
+        results.push(fault.map(|fault| (fault, detector.is_outlier(&health, fault))));
     }
-    assert_eq!(verdicts, [Some((Fault::Unreachable, false)), Some((Fault::Unreachable, true))]);
+    assert_eq!(results, [Some((Fault::Unreachable, false)), Some((Fault::Unreachable, true))]);
 }
 
 #[test]
@@ -103,13 +103,13 @@
 fn an_ejection_lasts_longer_each_time_up_to_a_bound() {
     let mut health = Health::new();
     let mut rng = Rand64::new(1);
-    let mut lasts = |now: f64| {
+    let mut measured_ejection_s = |now: f64| {
         health.eject(now, &mut rng);
         let tenths = (0..300).take_while(|tenth| health.is_ejected(now + f64::from(*tenth) / 10.0));
         tenths.count() as f64 / 10.0
     };
     for (turn, expected) in [1.5, 3.0, 6.0, 12.0, 12.0].into_iter().enumerate() {
-        let span = lasts(100.0 * (turn + 1) as f64);
+        let span = measured_ejection_s(100.0 * (turn + 1) as f64);
         assert!((0.7 * expected..=1.3 * expected + 0.1).contains(&span), "turn {turn}: {span}");
     }
 }
@@ -134,17 +134,17 @@
 }
 
 #[test]
-fn a_slow_endpoint_is_selected_less_often_but_never_given_up() {
+fn a_slow_endpoint_is_selected_less_often_but_never_excluded() {
     let mut detector = OutlierDetector::new(0);
     let mut slow = Health::new();
-    let mut quick = Health::new();
+    let mut fast = Health::new();
     for _ in 0..100 {
         detector.record(&mut slow, 0, &end(Outcome::Success, 2.0), 0.1);
         for _ in 0..20 {
-            detector.record(&mut quick, 0, &end(Outcome::Success, 0.1), 0.1);
+            detector.record(&mut fast, 0, &end(Outcome::Success, 0.1), 0.1);
         }
     }
-    assert_eq!(detector.slowness_chance(&quick, 0), 1.0);
+    assert_eq!(detector.slowness_chance(&fast, 0), 1.0);
     assert_eq!(detector.slowness_chance(&slow, 0), 0.05);
 }
 
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn an_endpoint_warming_up_is_sent_its_part_of_what_warm_peers_answer() {
+fn a_warming_up_endpoint_is_sent_a_fraction_of_what_warm_peers_answer() {
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     for _ in 0..100 {
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn where_all_are_warming_up_answers_in_time_earn_more_than_one_send_and_late_ones_less() {
+fn without_warm_peers_an_answer_in_time_earns_more_than_one_send_and_a_late_one_less() {
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     peers.maintain(0);
@@ -211,7 +211,11 @@
     list.replace(2.0, vec![member(2, Lifecycle::Ready, None)], &mut rng);
     list.sort(&settings);
     list.apply_delta(3.0, vec![member(3, Lifecycle::Ready, None)], &mut rng);
-    assert_eq!(list.sort(&settings).local, [1, 2], "endpoint 1 keeps its slot while it has an attempt in flight");
+    assert_eq!(
+        list.sort(&settings).local,
+        [1, 2],
+        "endpoint 1 keeps its slot while it has an attempt in flight"
+    );
 
     list.by_id_mut(EndpointId(1)).expect("endpoint 1 has an attempt in flight").in_flight = 0;
     list.sort(&settings);
@@ -220,7 +224,7 @@
 }
 
 #[test]
-fn a_restart_forgets_the_health_and_keeps_the_attempts_in_flight() {
+fn a_restart_resets_the_health_and_keeps_the_attempts_in_flight() {
     let mut rng = Rand64::new(1);
     let mut list = EndpointList::new();
     list.replace(1.0, vec![member(1, Lifecycle::Ready, None)], &mut rng);
@@ -239,18 +243,21 @@
     connections.record_opened(1.0, 0, &permissions);
     assert!(connections.has_free_stream(15.9, 0, &permissions));
     assert!(!connections.has_free_stream(16.0, 0, &permissions));
-    assert!(connections.has_free_stream(16.0, 1, &permissions), "a connection with an attempt in flight is not idle");
+    assert!(
+        connections.has_free_stream(16.0, 1, &permissions),
+        "a connection with an attempt in flight is not idle"
+    );
 }
 
 #[test]
-fn the_backoff_of_a_subscription_doubles_up_to_the_longest_wait_and_starts_anew_at_another_address() {
+fn the_backoff_of_a_subscription_doubles_up_to_the_longest_wait_and_restarts_at_another_address() {
     let mut settings = settings();
     settings.discovery = DiscoveryMode::Subscribe;
     settings.rules.poll_interval_max = Some(Duration::from_secs(4));
     let mut rng = Rand64::new(1);
     let mut subscription = ListSubscription::default();
-    let mut pause = |why: Interruption| {
-        subscription.back_off(100.0, why, &settings, &mut rng);
+    let mut pause = |interruption: Interruption| {
+        subscription.back_off(100.0, interruption, &settings, &mut rng);
         let mut ms = 0;
         while !subscription.begin_if_due(100.0 + f64::from(ms) / 1000.0, &settings) {
             ms += 1;
