--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -14,7 +14,7 @@
 use serde_json::{Map, Value};
 
 use self::field::{Field, Presence, ValueKind};
-use self::fields::{DEDUPLICATED, OWN, SHARED, key};
+use self::fields::{EFFECT_DEDUPLICATED, PER_BALANCER_FIELDS, SHARED_FIELDS, key};
 use crate::fault::{Fault, Faults, Found, excerpt};
 
 /// The path of the settings object itself.
@@ -26,10 +26,10 @@
 /// # Errors
 /// Whatever is wrong, all at once.
 pub fn check(settings: &Value) -> Result<(), Faults> {
-    let mut checker = Checker::new(Scope::Whole);
+    let mut checker = Checker::new(CheckScope::Full);
     if let Some(object) = checker.object(ROOT, settings) {
-        checker.fields(ROOT, object, SHARED, Completeness::Complete);
-        checker.fields(ROOT, object, OWN, Completeness::Complete);
+        checker.fields(ROOT, object, SHARED_FIELDS, Completeness::Complete);
+        checker.fields(ROOT, object, PER_BALANCER_FIELDS, Completeness::Complete);
         checker.zone(object);
     }
     checker.faults.into_result()
@@ -42,18 +42,18 @@
 /// # Errors
 /// Whatever is wrong, all at once.
 pub fn check_part(settings: &Value) -> Result<(), Faults> {
-    let mut checker = Checker::new(Scope::Document);
+    let mut checker = Checker::new(CheckScope::Document);
     if let Some(object) = checker.object(ROOT, settings) {
-        checker.fields(ROOT, object, SHARED, Completeness::Merged);
+        checker.fields(ROOT, object, SHARED_FIELDS, Completeness::Partial);
     }
     checker.faults.into_result()
 }
 
 /// What is checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Scope {
+enum CheckScope {
     /// All settings of a balancer.
-    Whole,
+    Full,
     /// The part that a document holds.
     Document,
 }
@@ -64,18 +64,18 @@
     /// All of it.
     Complete,
     /// What changes in another that it is merged into: any key may be absent.
-    Merged,
+    Partial,
 }
 
 /// A walk over settings that gathers faults.
 struct Checker {
-    scope: Scope,
+    scope: CheckScope,
     faults: Faults,
 }
 
 impl Checker {
-    fn new(scope: Scope) -> Self {
-        Self { scope, faults: Faults::none() }
+    fn new(scope: CheckScope) -> Self {
+        Self { scope, faults: Faults::empty() }
     }
 
     fn fault(&mut self, path: &str, expected: &str, found: Option<&Value>) {
@@ -115,7 +115,7 @@
         for field in fields {
             self.field(path, object, field, completeness);
         }
-        if self.scope == Scope::Document {
+        if self.scope == CheckScope::Document {
             for key in object.keys().filter(|key| fields.iter().all(|field| field.key != *key)) {
                 self.unknown_key(path, key, fields);
             }
@@ -124,11 +124,11 @@
 
     fn field(&mut self, path: &str, object: &Map<String, Value>, field: &Field, completeness: Completeness) {
         let path = format!("{path}.{}", field.key);
-        let merged = completeness == Completeness::Merged;
+        let partial = completeness == Completeness::Partial;
         match (object.get(field.key), field.presence) {
-            (None, Presence::Required) if !merged => self.fault(&path, &field.kind.expected(), None),
+            (None, Presence::Required) if !partial => self.fault(&path, &field.kind.expected(), None),
             (None, _) | (Some(Value::Null), Presence::Nullable) => {}
-            (Some(Value::Null), Presence::Optional) if merged => {}
+            (Some(Value::Null), Presence::Optional) if partial => {}
             (Some(value), _) => self.value(&path, value, &field.kind),
         }
     }
@@ -161,8 +161,8 @@
     /// Checks an object within the settings, which a document's is merged into.
     fn section(&mut self, path: &str, value: &Value, fields: &[Field]) {
         let completeness = match self.scope {
-            Scope::Whole => Completeness::Complete,
-            Scope::Document => Completeness::Merged,
+            CheckScope::Full => Completeness::Complete,
+            CheckScope::Document => Completeness::Partial,
         };
         if let Some(object) = self.object(path, value) {
             self.fields(path, object, fields, completeness);
@@ -182,16 +182,16 @@
             {
                 self.fault(&format!("{path}.{}", key::NAME), "a name of its own", object.get(key::NAME));
             }
-            self.class_times(&path, object);
-            self.class_dedup_scope(&path, object);
-            if self.scope == Scope::Document {
-                self.tenant_quota(&path, object);
+            self.check_class_durations(&path, object);
+            self.check_class_dedup_scope(&path, object);
+            if self.scope == CheckScope::Document {
+                self.check_tenant_quota(&path, object);
             }
         }
     }
 
     /// A class's latency objective lies within its deadline.
-    fn class_times(&mut self, path: &str, class: &Map<String, Value>) {
+    fn check_class_durations(&mut self, path: &str, class: &Map<String, Value>) {
         let seconds = |key: &str| class.get(key).and_then(Value::as_f64);
         if let (Some(latency_objective), Some(deadline)) =
             (seconds(key::LATENCY_OBJECTIVE), seconds(key::DEADLINE))
@@ -204,8 +204,8 @@
     }
 
     /// A class whose repeats are discarded names the group that does.
-    fn class_dedup_scope(&mut self, path: &str, class: &Map<String, Value>) {
-        let deduplicated = class.get(key::EFFECT).and_then(Value::as_str) == Some(DEDUPLICATED);
+    fn check_class_dedup_scope(&mut self, path: &str, class: &Map<String, Value>) {
+        let deduplicated = class.get(key::EFFECT).and_then(Value::as_str) == Some(EFFECT_DEDUPLICATED);
         let scope = class.get(key::DEDUP_SCOPE).filter(|scope| !scope.is_null());
         if deduplicated && scope.is_none() {
             let path = format!("{path}.{}", key::DEDUP_SCOPE);
@@ -214,7 +214,7 @@
     }
 
     /// A quota of 0 would count as none at all, which lifts the limit.
-    fn tenant_quota(&mut self, path: &str, tenant: &Map<String, Value>) {
+    fn check_tenant_quota(&mut self, path: &str, tenant: &Map<String, Value>) {
         let quota = tenant.get(key::QUOTA);
         if quota.and_then(Value::as_f64) == Some(0.0) {
             let path = format!("{path}.{}", key::QUOTA);
--- a/crates/settings/src/check/fields.rs
+++ b/crates/settings/src/check/fields.rs
@@ -21,16 +21,16 @@
 }
 
 /// The effect whose repeats a group of upstreams discards, so that the group must be named.
-pub const DEDUPLICATED: &str = "deduplicated";
+pub const EFFECT_DEDUPLICATED: &str = "deduplicated";
 
 /// Classes: each costs memory until the process ends, and time in every sweep.
 const MAX_CLASSES: usize = 1000;
 /// Tenants, for the same reason; there is a tenant for each customer.
 const MAX_TENANTS: usize = 10_000;
 /// Some thirty years: clocks go no further than some hundreds.
-const MAX_SECONDS: f64 = 1e9;
+const MAX_DURATION_S: f64 = 1e9;
 /// Where there must be some time: less would be none in the clocks' nanoseconds.
-const MIN_POSITIVE_SECONDS: f64 = 1e-6;
+const MIN_POSITIVE_DURATION_S: f64 = 1e-6;
 /// Requests a second; the policy's bound.
 const MAX_QUOTA_PER_S: f64 = 1e12;
 /// In requests of full weight; the policy's bound.
@@ -38,48 +38,48 @@
 /// The policy's bound.
 const MAX_OVERLOAD_MULTIPLE: f64 = 1e6;
 
-const SECONDS: ValueKind = Number(0.0..=MAX_SECONDS);
-const POSITIVE_SECONDS: ValueKind = Number(MIN_POSITIVE_SECONDS..=MAX_SECONDS);
+const DURATION_S: ValueKind = Number(0.0..=MAX_DURATION_S);
+const POSITIVE_DURATION_S: ValueKind = Number(MIN_POSITIVE_DURATION_S..=MAX_DURATION_S);
 const FRACTION: ValueKind = Number(0.0..=1.0);
 const PRICE: ValueKind = Number(0.0..=MAX_PRICE);
 
-const CLASS: &[Field] = &[
+const CLASS_FIELDS: &[Field] = &[
     required(key::NAME, NonEmptyString),
-    required(key::LATENCY_OBJECTIVE, POSITIVE_SECONDS),
-    required(key::DEADLINE, POSITIVE_SECONDS),
+    required(key::LATENCY_OBJECTIVE, POSITIVE_DURATION_S),
+    required(key::DEADLINE, POSITIVE_DURATION_S),
     optional("lateWorth", FRACTION),
-    required(key::EFFECT, OneOf(&["idempotent", DEDUPLICATED, "at_most_once"])),
+    required(key::EFFECT, OneOf(&["idempotent", EFFECT_DEDUPLICATED, "at_most_once"])),
     nullable(key::DEDUP_SCOPE, OneOf(&["all", "zone", "cell"])),
-    nullable("windowS", SECONDS),
+    nullable("windowS", DURATION_S),
 ];
 
-const TENANT: &[Field] =
+const TENANT_FIELDS: &[Field] =
     &[required(key::NAME, NonEmptyString), nullable(key::QUOTA, Number(0.0..=MAX_QUOTA_PER_S))];
 
-const CAPABILITIES: &[Field] = &[
+const CAPS_FIELDS: &[Field] = &[
     required("tryLimit", Integer { min: 1 }),
     optional("secondCopies", Bool),
     optional("cancel", Bool),
     optional("mayProbe", Bool),
     optional("mayTell", Bool),
     optional("retryAfter", Bool),
-    optional("maxRetryAfterS", SECONDS),
-    optional("keepaliveS", POSITIVE_SECONDS),
+    optional("maxRetryAfterS", DURATION_S),
+    optional("keepaliveS", POSITIVE_DURATION_S),
     optional("multiplex", Integer { min: 1 }),
-    optional("dialTimeoutS", POSITIVE_SECONDS),
+    optional("dialTimeoutS", POSITIVE_DURATION_S),
 ];
 
-const RULES: &[Field] = &[
-    optional("answerSlackS", SECONDS),
-    optional("drainGraceS", SECONDS),
-    nullable("askWithinS", SECONDS),
+const RULES_FIELDS: &[Field] = &[
+    optional("answerSlackS", DURATION_S),
+    optional("drainGraceS", DURATION_S),
+    nullable("askWithinS", DURATION_S),
     required("coldShare", PositiveNumber { max: 1.0 }),
-    required("coldS", SECONDS),
+    required("coldS", DURATION_S),
     required("fallMultiple", PositiveNumber { max: MAX_OVERLOAD_MULTIPLE }),
-    required("overloadForS", SECONDS),
+    required("overloadForS", DURATION_S),
 ];
 
-const PRICES: &[Field] = &[
+const PRICES_FIELDS: &[Field] = &[
     optional("crossZone", PRICE),
     optional("waste", PRICE),
     optional("lateFail", PRICE),
@@ -88,18 +88,18 @@
 ];
 
 /// What a distributed document may hold.
-pub const SHARED: &[Field] = &[
-    required("lanes", NamedObjects { fields: CLASS, count: 1..=MAX_CLASSES }),
-    optional("projects", NamedObjects { fields: TENANT, count: 0..=MAX_TENANTS }),
+pub const SHARED_FIELDS: &[Field] = &[
+    required("lanes", NamedObjects { fields: CLASS_FIELDS, count: 1..=MAX_CLASSES }),
+    optional("projects", NamedObjects { fields: TENANT_FIELDS, count: 0..=MAX_TENANTS }),
     optional("overShareWorth", FRACTION),
-    required("caps", Object(CAPABILITIES)),
-    required("rules", Object(RULES)),
-    optional("prices", Object(PRICES)),
+    required("caps", Object(CAPS_FIELDS)),
+    required("rules", Object(RULES_FIELDS)),
+    optional("prices", Object(PRICES_FIELDS)),
     required("balancers", Integer { min: 1 }),
 ];
 
 /// What is each balancer's own.
-pub const OWN: &[Field] = &[
+pub const PER_BALANCER_FIELDS: &[Field] = &[
     required("me", Integer { min: 0 }),
     optional("tier", Integer { min: 0 }),
     required(key::ZONE, NonEmptyString),
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -13,10 +13,10 @@
 use rustc_hash::FxHashMap;
 
 use crate::read::{Loaded, Names, SetupError};
-use crate::schema::{Caps, Discovery, EffectName, Lane, PriceFigures, Project, RuleFigures, Setup};
+use crate::schema::{Caps, Discovery, EffectName, Lane, PriceSettings, Project, RuleSettings, Setup};
 
 /// Converts the whole object.
-pub fn loaded(setup: Setup) -> Result<Loaded, SetupError> {
+pub fn into_loaded(setup: Setup) -> Result<Loaded, SetupError> {
     let settings = settings(&setup)?;
     let connect_timeout = duration("caps.dialTimeoutS", setup.capabilities.connect_timeout_s)?;
     let names = names(setup);
@@ -44,10 +44,10 @@
 
 fn names(setup: Setup) -> Names {
     Names {
-        classes: positions(setup.classes.into_iter().map(|class| class.name)),
-        tenants: positions(setup.tenants.into_iter().map(|tenant| tenant.name)),
-        zones: positions(setup.zones),
-        kinds: positions(setup.machine_kinds),
+        classes: index_by_name(setup.classes.into_iter().map(|class| class.name)),
+        tenants: index_by_name(setup.tenants.into_iter().map(|tenant| tenant.name)),
+        zones: index_by_name(setup.zones),
+        kinds: index_by_name(setup.machine_kinds),
         load_fields: setup.load_reports.fields,
     }
 }
@@ -120,7 +120,7 @@
     duration("caps.maxRetryAfterS", capabilities.max_retry_after_s).map(Some)
 }
 
-fn rules(rules: &RuleFigures) -> Result<Rules, SetupError> {
+fn rules(rules: &RuleSettings) -> Result<Rules, SetupError> {
     Ok(Rules {
         answer_slack: duration("rules.answerSlackS", rules.answer_slack_s)?,
         drain_grace: duration("rules.drainGraceS", rules.drain_grace_s)?,
@@ -135,7 +135,7 @@
     })
 }
 
-fn costs(prices: &PriceFigures) -> Costs {
+fn costs(prices: &PriceSettings) -> Costs {
     Costs {
         cross_zone: prices.cross_zone,
         wasted_work: prices.wasted_work,
@@ -153,6 +153,6 @@
     SetupError::Value { name: key, value: value.to_owned() }
 }
 
-fn positions(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
+fn index_by_name(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
     names.into_iter().enumerate().map(|(position, name)| (name, position)).collect()
 }
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -8,7 +8,7 @@
 
 /// Faults that are listed one by one; of further ones only how many there are. A document of garbage would
 /// else give an answer many times its own size.
-const MAX_LISTED: usize = 100;
+const MAX_LISTED_FAULTS: usize = 100;
 
 /// Characters of a value or a strange key that a fault repeats.
 const MAX_EXCERPT_CHARS: usize = 60;
@@ -80,13 +80,13 @@
     }
 
     /// As a check begins.
-    pub(crate) fn none() -> Self {
+    pub(crate) fn empty() -> Self {
         Self { listed: Vec::new(), unlisted: 0 }
     }
 
     /// Adds a fault, which is only put together if it is to be listed.
     pub(crate) fn add(&mut self, fault: impl FnOnce() -> Fault) {
-        if self.listed.len() < MAX_LISTED {
+        if self.listed.len() < MAX_LISTED_FAULTS {
             self.listed.push(fault());
         } else {
             self.unlisted += 1;
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -64,5 +64,5 @@
 /// of them, use [`check`](crate::check).
 pub fn read(json: &str) -> Result<Loaded, SetupError> {
     let setup: Setup = serde_json::from_str(json)?;
-    convert::loaded(setup)
+    convert::into_loaded(setup)
 }
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -12,7 +12,7 @@
 /// Seconds after which an idle connection is closed where none are given.
 const DEFAULT_KEEPALIVE_S: f64 = 15.0;
 /// Attempts on one connection at a time where no number is given.
-const DEFAULT_STREAMS: u32 = 100;
+const DEFAULT_STREAMS_PER_CONNECTION: u32 = 100;
 /// Seconds for a connection to come up where none are given.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 
@@ -40,9 +40,9 @@
     pub family: FamilyInfo,
     #[serde(rename = "caps")]
     pub capabilities: Caps,
-    pub rules: RuleFigures,
+    pub rules: RuleSettings,
     #[serde(default)]
-    pub prices: PriceFigures,
+    pub prices: PriceSettings,
     #[serde(rename = "loadInfo", default)]
     pub load_reports: LoadInfo,
 }
@@ -120,7 +120,7 @@
     pub max_retry_after_s: f64,
     #[serde(rename = "keepaliveS", default = "default_keepalive_s")]
     pub keepalive_s: f64,
-    #[serde(rename = "multiplex", default = "default_streams")]
+    #[serde(rename = "multiplex", default = "default_streams_per_connection")]
     pub streams_per_connection: u32,
     #[serde(rename = "dialTimeoutS", default = "default_connect_timeout_s")]
     pub connect_timeout_s: f64,
@@ -128,7 +128,7 @@
 
 /// Figures of the rules that a balancer is measured by.
 #[derive(Deserialize)]
-pub struct RuleFigures {
+pub struct RuleSettings {
     #[serde(rename = "answerSlackS", default)]
     pub answer_slack_s: f64,
     #[serde(rename = "drainGraceS", default)]
@@ -148,7 +148,7 @@
 /// Costs of choices, in requests of full priority weight.
 #[derive(Deserialize, Default)]
 #[serde(default)]
-pub struct PriceFigures {
+pub struct PriceSettings {
     #[serde(rename = "crossZone")]
     pub cross_zone: f64,
     #[serde(rename = "waste")]
@@ -175,8 +175,8 @@
     DEFAULT_KEEPALIVE_S
 }
 
-fn default_streams() -> u32 {
-    DEFAULT_STREAMS
+fn default_streams_per_connection() -> u32 {
+    DEFAULT_STREAMS_PER_CONNECTION
 }
 
 fn default_connect_timeout_s() -> f64 {
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 #[test]
-fn a_fault_holds_its_place_and_what_was_expected_and_found() {
+fn fault_holds_path_expected_and_found() {
     let faults = check_part(&json!({"caps": {"tryLimit": 0}})).expect_err("no attempt is allowed");
     let fault = Fault {
         path: "settings.caps.tryLimit".to_owned(),
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_missing_key_and_an_unknown_one_are_told_apart() {
+fn missing_and_unknown_keys_are_distinguished() {
     let faults = check_part(&json!({"projects": [{}], "strange": 1})).expect_err("two faults");
     let found: Vec<(&str, &Found)> =
         faults.listed().iter().map(|fault| (fault.path.as_str(), &fault.found)).collect();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn faults_are_written_out_in_one_line() {
+fn faults_are_displayed_on_one_line() {
     let faults = check_part(&json!({"balancers": 0, "strange": 1})).expect_err("two faults");
     assert_eq!(
         faults.to_string(),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn faults_beyond_a_bound_are_counted() {
+fn faults_beyond_the_limit_are_counted() {
     let projects = vec![json!({}); 130];
     let faults = check(&json!({"projects": projects})).expect_err("130 without a name, and much is missing");
     assert_eq!(faults.listed().len(), 100);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -13,7 +13,7 @@
     balancer_settings::check_part(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
 }
 
-fn whole() -> Value {
+fn full_settings() -> Value {
     json!({
         "balancers": 3, "me": 0, "tier": 0, "zone": "north", "zones": ["north", "south"], "kinds": ["std"],
         "lanes": [
@@ -31,40 +31,48 @@
 }
 
 /// The same with another value at a JSON pointer, or without what stands there.
-fn with(mut settings: Value, place: &str, value: Option<Value>) -> Value {
-    let (parent, key) = place.rsplit_once('/').expect("a pointer");
+fn with_value(mut settings: Value, path: &str, value: Option<Value>) -> Value {
+    let (parent, key) = path.rsplit_once('/').expect("a pointer");
     match (settings.pointer_mut(parent).expect("it stands there"), value) {
         (Value::Object(object), Some(value)) => drop(object.insert(key.to_owned(), value)),
         (Value::Object(object), None) => drop(object.remove(key)),
         (Value::Array(list), Some(value)) => list[key.parse::<usize>().expect("a place")] = value,
-        (other, _) => panic!("{place} in {other}"),
+        (other, _) => panic!("{path} in {other}"),
     }
     settings
 }
 
-fn part() -> Value {
-    let mut part = whole();
-    let own = ["me", "tier", "zone", "zones", "kinds", "discovery", "familyInfo", "loadInfo"];
-    for key in own {
-        part.as_object_mut().expect("an object").remove(key);
+fn document_settings() -> Value {
+    let mut document_settings = full_settings();
+    let per_balancer_keys = ["me", "tier", "zone", "zones", "kinds", "discovery", "familyInfo", "loadInfo"];
+    for key in per_balancer_keys {
+        document_settings.as_object_mut().expect("an object").remove(key);
     }
-    part
+    document_settings
 }
 
 #[test]
-fn sound_settings_have_no_fault() {
-    assert_eq!(check(&whole()), Vec::<String>::new());
-    assert!(read(&whole().to_string()).is_ok());
+fn valid_settings_have_no_faults() {
+    assert_eq!(check(&full_settings()), Vec::<String>::new());
+    assert!(read(&full_settings().to_string()).is_ok());
     // What the platform adds is none of ours.
-    let more = with(with(whole(), "/future", Some(json!({"a": [1]}))), "/lanes/0/stream", Some(json!(true)));
+    let more = with_value(
+        with_value(full_settings(), "/future", Some(json!({"a": [1]}))),
+        "/lanes/0/stream",
+        Some(json!(true)),
+    );
     assert_eq!(check(&more), Vec::<String>::new());
     for key in ["tier", "kinds", "projects", "overShareWorth", "familyInfo", "loadInfo", "prices"] {
-        assert_eq!(check(&with(whole(), &format!("/{key}"), None)), Vec::<String>::new(), "{key}");
+        assert_eq!(
+            check(&with_value(full_settings(), &format!("/{key}"), None)),
+            Vec::<String>::new(),
+            "{key}"
+        );
     }
 }
 
 #[test]
-fn a_part_may_hold_little() {
+fn document_settings_may_be_partial() {
     for text in [
         "{}",
         r#"{"balancers": 4}"#,
@@ -74,10 +82,10 @@
         // Taken away, so that the default holds again.
         r#"{"prices": null, "caps": {"dialTimeoutS": null}, "rules": {"askWithinS": null}, "overShareWorth": null}"#,
     ] {
-        let part: Value = serde_json::from_str(text).expect("JSON");
-        assert_eq!(check_part(&part), Vec::<String>::new(), "{text}");
+        let document_settings: Value = serde_json::from_str(text).expect("JSON");
+        assert_eq!(check_part(&document_settings), Vec::<String>::new(), "{text}");
     }
-    assert_eq!(check_part(&part()), Vec::<String>::new());
+    assert_eq!(check_part(&document_settings()), Vec::<String>::new());
 }
 
 /// Where in the settings, what stands there, and how the text of the one fault that it makes begins.
@@ -143,34 +151,37 @@
 
 /// Guards operators: each fault is told with its path, and no sound place beside it.
 #[test]
-fn each_fault_is_told_with_its_path() {
-    for (place, value, fault) in &single_faults() {
-        for (settings, check) in [(whole(), check as fn(&Value) -> Vec<String>), (part(), check_part)] {
-            let told = check(&with(settings, place, Some(value.clone())));
-            assert_eq!(told.len(), 1, "{place}: {told:?}");
-            assert!(told[0].starts_with(fault), "{told:?} is not {fault}");
+fn each_fault_is_reported_with_its_path() {
+    for (path, value, fault) in &single_faults() {
+        for (settings, check) in
+            [(full_settings(), check as fn(&Value) -> Vec<String>), (document_settings(), check_part)]
+        {
+            let reported = check(&with_value(settings, path, Some(value.clone())));
+            assert_eq!(reported.len(), 1, "{path}: {reported:?}");
+            assert!(reported[0].starts_with(fault), "{reported:?} is not {fault}");
         }
     }
 }
 
 /// Guards a publisher that has several faults: all are told at once, each once.
 #[test]
-fn several_faults_are_told_at_once() {
+fn several_faults_are_reported_together() {
     let faults = single_faults();
     let all = [0, 3, 9, 17, 22, 27].map(|number: usize| &faults[number]);
-    let broken =
-        all.iter().fold(whole(), |settings, (place, value, _)| with(settings, place, Some(value.clone())));
-    let told = check(&broken);
-    assert_eq!(told.len(), all.len(), "{told:?}");
+    let broken = all
+        .iter()
+        .fold(full_settings(), |settings, (path, value, _)| with_value(settings, path, Some(value.clone())));
+    let reported = check(&broken);
+    assert_eq!(reported.len(), all.len(), "{reported:?}");
     for (_, _, fault) in all {
-        assert!(told.iter().any(|told| told.starts_with(fault)), "{fault} in {told:?}");
+        assert!(reported.iter().any(|reported| reported.starts_with(fault)), "{fault} in {reported:?}");
     }
 }
 
 /// Guards a document against keys that would be passed over in silence: of another's part, or written wrongly.
 #[test]
-fn a_part_with_a_strange_key_is_refused_by_name() {
-    for (place, told) in [
+fn document_settings_with_unknown_keys_are_refused() {
+    for (path, reported) in [
         ("/zone", "settings.zone: not known, expected one of lanes, projects, overShareWorth, caps"),
         ("/me", "settings.me: not known"),
         ("/discovery", "settings.discovery: not known"),
@@ -180,9 +191,9 @@
         ("/rules/cold", "settings.rules.cold: not known"),
         ("/prices/x", "settings.prices.x: not known"),
     ] {
-        let faults = check_part(&with(part(), place, Some(json!(1))));
-        assert_eq!(faults.len(), 1, "{place}: {faults:?}");
-        assert!(faults[0].starts_with(told), "{faults:?} is not {told}");
+        let faults = check_part(&with_value(document_settings(), path, Some(json!(1))));
+        assert_eq!(faults.len(), 1, "{path}: {faults:?}");
+        assert!(faults[0].starts_with(reported), "{faults:?} is not {reported}");
     }
     // What a balancer can't do without is not taken away.
     for key in ["lanes", "caps", "rules", "balancers"] {
@@ -192,12 +203,12 @@
     assert_eq!(check_part(&json!({"caps": {"tryLimit": null}})).len(), 1);
     // A quota of 0 is none in the settings, which is not what it looks like.
     assert_eq!(check_part(&json!({"projects": [{"name": "a", "quotaPerS": 0}]})).len(), 1);
-    assert!(check(&with(whole(), "/projects/0/quotaPerS", Some(json!(0)))).is_empty());
+    assert!(check(&with_value(full_settings(), "/projects/0/quotaPerS", Some(json!(0)))).is_empty());
 }
 
 #[test]
-fn what_is_missing_is_told() {
-    for place in [
+fn missing_keys_are_reported() {
+    for path in [
         "/balancers",
         "/me",
         "/zone",
@@ -217,35 +228,39 @@
         "/lanes/0/effect",
         "/projects/0/name",
     ] {
-        let settings = with(whole(), place, None);
-        let told = check(&settings);
-        assert_eq!(told.len(), 1, "{place}: {told:?}");
-        assert!(told[0].contains(": missing, expected "), "{told:?}");
-        assert!(read(&settings.to_string()).is_err(), "{place}");
+        let settings = with_value(full_settings(), path, None);
+        let reported = check(&settings);
+        assert_eq!(reported.len(), 1, "{path}: {reported:?}");
+        assert!(reported[0].contains(": missing, expected "), "{reported:?}");
+        assert!(read(&settings.to_string()).is_err(), "{path}");
     }
-    assert_eq!(check(&with(whole(), "/zone", Some(json!("west")))).len(), 1);
+    assert_eq!(check(&with_value(full_settings(), "/zone", Some(json!("west")))).len(), 1);
 }
 
 /// Guards against garbage and against floods of faults.
 #[test]
-fn garbage_is_refused_in_bounds() {
-    for garbage in [json!(null), json!(3), json!("settings"), json!([whole()])] {
+fn malformed_input_yields_a_bounded_number_of_faults() {
+    for garbage in [json!(null), json!(3), json!("settings"), json!([full_settings()])] {
         assert_eq!(check(&garbage).len(), 1);
         assert_eq!(check_part(&garbage).len(), 1);
     }
     assert!(!check(&json!({})).is_empty());
     let lanes = vec![json!({"name": 1, "x": "y".repeat(10_000)}); 1000];
-    let told = check_part(&json!({"lanes": lanes}));
-    assert_eq!(told.len(), 101);
-    assert!(told.iter().all(|fault| fault.len() < 300), "{:?}", told.iter().max_by_key(|fault| fault.len()));
-    assert!(told[100].ends_with(" more"));
+    let reported = check_part(&json!({"lanes": lanes}));
+    assert_eq!(reported.len(), 101);
+    assert!(
+        reported.iter().all(|fault| fault.len() < 300),
+        "{:?}",
+        reported.iter().max_by_key(|fault| fault.len())
+    );
+    assert!(reported[100].ends_with(" more"));
     assert_eq!(check_part(&json!({"projects": vec![json!({"name": "a"}); 10_001]})).len(), 1);
 }
 
 /// Guards the balancer that applies what has no fault: whatever stands at whichever place, settings without a fault
 /// can be read and make sense to the decisions.
 #[test]
-fn what_has_no_fault_can_be_read() {
+fn settings_without_faults_can_be_read_and_validated() {
     let values = [
         json!(null),
         json!(true),
@@ -268,27 +283,27 @@
         json!(u64::MAX),
         json!(4_294_967_296_u64),
     ];
-    let mut places = vec![String::new()];
-    let mut sound = 0;
+    let mut paths = vec![String::new()];
+    let mut accepted = 0;
     let mut next = 0;
-    while let Some(place) = places.get(next).cloned() {
+    while let Some(path) = paths.get(next).cloned() {
         next += 1;
-        match whole().pointer(&place).expect("it stands there") {
-            Value::Object(object) => places.extend(object.keys().map(|key| format!("{place}/{key}"))),
-            Value::Array(list) => places.extend((0..list.len()).map(|number| format!("{place}/{number}"))),
+        match full_settings().pointer(&path).expect("it stands there") {
+            Value::Object(object) => paths.extend(object.keys().map(|key| format!("{path}/{key}"))),
+            Value::Array(list) => paths.extend((0..list.len()).map(|number| format!("{path}/{number}"))),
             _ => {}
         }
-        if place.is_empty() {
+        if path.is_empty() {
             continue;
         }
         for value in &values {
-            let settings = with(whole(), &place, Some(value.clone()));
+            let settings = with_value(full_settings(), &path, Some(value.clone()));
             let faults = check(&settings);
             let loaded = read(&settings.to_string());
-            let works = loaded.as_ref().is_ok_and(|loaded| loaded.settings.validate().is_ok());
-            assert!(works || !faults.is_empty(), "{place} {value}: {loaded:?}");
-            sound += u32::from(faults.is_empty());
+            let usable = loaded.as_ref().is_ok_and(|loaded| loaded.settings.validate().is_ok());
+            assert!(usable || !faults.is_empty(), "{path} {value}: {loaded:?}");
+            accepted += u32::from(faults.is_empty());
         }
     }
-    assert!(sound > 100, "{sound}");
+    assert!(accepted > 100, "{accepted}");
 }
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -12,7 +12,7 @@
 use crate::requests::RequestTable;
 
 /// The request that an action names.
-pub fn request_of(action: &Action) -> Option<RequestId> {
+pub fn request_id(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
         | Action::CancelAttempt { request, .. }
@@ -28,7 +28,7 @@
 
 /// Writes an action as a line.
 pub fn write_action(requests: &RequestTable, action: &Action, output: &mut impl Write) -> io::Result<()> {
-    let ticket = request_of(action).and_then(|id| requests.wire_id(id)).unwrap_or("-");
+    let ticket = request_id(action).and_then(|id| requests.wire_id(id)).unwrap_or("-");
     match action {
         Action::Send { upstream, timeout, .. } => {
             write!(output, "CALL_OUT\t{ticket}\t{}\t", upstream.0)?;
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -50,7 +50,7 @@
     pub fn open(&mut self, mut fields: Fields) -> Result<(), Malformed> {
         let number = fields.number("buffer")?;
         let missing = fields.number("membersList")?;
-        fields.end()?;
+        fields.ensure_end()?;
         self.lists.insert(number, Vec::new());
         self.set_open(number, missing);
         Ok(())
@@ -58,7 +58,7 @@
 
     /// Adds an entry to the list that was begun.
     pub fn add(&mut self, fields: Fields) -> Result<(), Malformed> {
-        let Some(OpenList { number, missing }) = self.open else { return Err(Malformed::StrayEntry) };
+        let Some(OpenList { number, missing }) = self.open else { return Err(Malformed::EntryOutsideList) };
         let entry = ListEntry::read(fields)?;
         self.lists.entry(number).or_default().push(entry);
         self.set_open(number, missing - 1);
@@ -98,7 +98,7 @@
         let lifecycle = wire::lifecycle(fields.text("phase")?)?;
         let weight = fields.optional("nominal")?.map_or(Ok(DEFAULT_WEIGHT), weight)?;
         let started = fields.optional_seconds("readyAtS")?.filter(|start| !start.is_zero());
-        fields.end()?;
+        fields.ensure_end()?;
         let member = Member { id, zone: None, kind: None, cell, lifecycle, weight, started };
         Ok(Self { zone, kind, member })
     }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -83,7 +83,7 @@
     },
     /// An entry with no list open.
     #[error("an entry outside a list")]
-    StrayEntry,
+    EntryOutsideList,
     /// The id of a request that has not ended, or has attempts in flight.
     #[error("request {0} was sent before")]
     DuplicateRequest(String),
@@ -118,7 +118,7 @@
 
 impl LineError {
     /// The same, with the line's number.
-    pub fn at(self, line: u64) -> HostError {
+    pub fn at_line(self, line: u64) -> HostError {
         match self {
             Self::Malformed(cause) => HostError::Line { line, cause },
             Self::Io(error) => HostError::Io(error),
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -153,7 +153,7 @@
 
 fn peer_message(fields: &mut Fields) -> Result<Event, Malformed> {
     let from = fields.number("by")?;
-    let content = wire::bytes(fields.text("content")?)?;
+    let content = wire::decode_hex(fields.text("content")?)?;
     Ok(Event::PeerMessage { from, content })
 }
 
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -88,7 +88,7 @@
     }
 
     /// Checks that no value is left.
-    pub fn end(&self) -> Result<(), Malformed> {
+    pub fn ensure_end(&self) -> Result<(), Malformed> {
         if self.rest.is_some() { Err(Malformed::TooManyValues) } else { Ok(()) }
     }
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -51,15 +51,15 @@
         loop {
             text.clear();
             if input.read_until(b'\n', &mut text)? == 0 {
-                return self.end().map_err(|cause| HostError::Line { line: number, cause });
+                return self.ensure_end().map_err(|cause| HostError::Line { line: number, cause });
             }
             number += 1;
             let text = text.strip_suffix(b"\n").unwrap_or(&text);
-            self.line(text, &mut output).map_err(|error| error.at(number))?;
+            self.line(text, &mut output).map_err(|error| error.at_line(number))?;
         }
     }
 
-    fn end(&self) -> Result<(), Malformed> {
+    fn ensure_end(&self) -> Result<(), Malformed> {
         if self.batch.is_some() { Err(Malformed::IncompleteBatch) } else { Ok(()) }
     }
 
@@ -77,7 +77,7 @@
             "YOUR_TURN" => return self.end_batch(&fields, output),
             "TO" => {
                 batch.recipient = Some(fields.number("balancerId")?);
-                fields.end()?;
+                fields.ensure_end()?;
             }
             "INVENTORY" => self.lists.open(fields)?,
             "M" => self.lists.add(fields)?,
@@ -97,7 +97,7 @@
         let clock = fields.seconds("clock")?;
         let number = fields.text("batch")?;
         number.parse::<u64>().map_err(|_| Malformed::value("batch", number))?;
-        fields.end()?;
+        fields.ensure_end()?;
         if clock < self.clock {
             return Err(Malformed::ClockWentBack);
         }
@@ -107,7 +107,7 @@
     }
 
     fn end_batch(&mut self, fields: &Fields, output: &mut impl Write) -> Result<(), LineError> {
-        fields.end()?;
+        fields.ensure_end()?;
         if let Some(batch) = self.batch.take() {
             writeln!(output, "READY\t{}", batch.number)?;
         }
@@ -122,13 +122,13 @@
         let instance = self.instances.get_mut(&number).ok_or(Malformed::NotStarted(number))?;
         if name == "DESTROY" {
             *instance = None;
-            return fields.end();
+            return fields.ensure_end();
         }
         let kind: EventKind = name.parse()?;
         // Nothing is owed to a killed instance: what still comes for it is dropped unread.
         let Some(instance) = instance else { return Ok(()) };
         let event = event::read(kind, instance, &self.lists, &mut fields)?;
-        fields.end()?;
+        fields.ensure_end()?;
         if let Some(event) = event {
             instance.handle(self.clock, event, &mut self.actions);
         }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -9,7 +9,7 @@
 use balancer_policy::{Action, Balancer, Event};
 use balancer_settings::{Loaded, Names};
 
-use crate::action::{request_of, write_action};
+use crate::action::{request_id, write_action};
 use crate::requests::RequestTable;
 
 /// A balancer of the simulator.
@@ -38,7 +38,7 @@
     /// Hands an event over; the actions that answer it go to `actions`, which are written before the next
     /// event.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
-        let ended = request_ended(&event);
+        let ended = maybe_ended_request(&event);
         self.balancer.handle(now, event, actions);
         for action in &*actions {
             self.track(action);
@@ -47,7 +47,7 @@
         if let Some(id) = ended
             && actions.is_empty()
         {
-            self.requests.remove_if_over(id);
+            self.requests.remove_if_finished(id);
         }
     }
 
@@ -68,8 +68,8 @@
     ) -> io::Result<()> {
         for action in actions {
             write_action(&self.requests, &action, output)?;
-            if let Some(id) = request_of(&action) {
-                self.requests.remove_if_over(id);
+            if let Some(id) = request_id(&action) {
+                self.requests.remove_if_finished(id);
             }
         }
         Ok(())
@@ -77,7 +77,7 @@
 }
 
 /// The request that may be over with an event.
-fn request_ended(event: &Event) -> Option<RequestId> {
+fn maybe_ended_request(event: &Event) -> Option<RequestId> {
     match *event {
         Event::ClientDisconnected(id) | Event::AttemptEnded { request: id, .. } => Some(id),
         _ => None,
--- a/crates/simulator-adapter/src/requests.rs
+++ b/crates/simulator-adapter/src/requests.rs
@@ -11,7 +11,7 @@
 /// Requests that a line or an action may still name.
 #[derive(Default)]
 pub struct RequestTable {
-    ids: FxHashMap<Box<str>, RequestId>,
+    ids_by_wire_id: FxHashMap<Box<str>, RequestId>,
     requests: FxHashMap<RequestId, TrackedRequest>,
     /// Ids are never used again.
     next_id: u64,
@@ -26,12 +26,12 @@
 impl RequestTable {
     /// Whether a request has this id on the wire.
     pub fn contains(&self, wire_id: &str) -> bool {
-        self.ids.contains_key(wire_id)
+        self.ids_by_wire_id.contains_key(wire_id)
     }
 
     /// The policy's id of a request; `None` for one that is over or was never seen.
     pub fn id(&self, wire_id: &str) -> Option<RequestId> {
-        self.ids.get(wire_id).copied()
+        self.ids_by_wire_id.get(wire_id).copied()
     }
 
     /// The id of a request on the wire.
@@ -43,7 +43,7 @@
     pub fn add(&mut self, wire_id: &str) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
-        self.ids.insert(wire_id.into(), id);
+        self.ids_by_wire_id.insert(wire_id.into(), id);
         self.requests
             .insert(id, TrackedRequest { wire_id: wire_id.into(), attempts_in_flight: 0, ended: false });
         id
@@ -71,12 +71,12 @@
     }
 
     /// Removes a request that has ended and has no attempt in flight: nothing names it any more.
-    pub fn remove_if_over(&mut self, id: RequestId) {
+    pub fn remove_if_finished(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id)
             && request.ended
             && request.attempts_in_flight == 0
         {
-            self.ids.remove(&request.wire_id);
+            self.ids_by_wire_id.remove(&request.wire_id);
             self.requests.remove(&id);
         }
     }
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -33,7 +33,7 @@
 }
 
 /// The bytes of a gossip message: hex digits, `-` for none.
-pub fn bytes(value: &str) -> Result<Vec<u8>, Malformed> {
+pub fn decode_hex(value: &str) -> Result<Vec<u8>, Malformed> {
     if value == "-" {
         return Ok(Vec::new());
     }
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -21,12 +21,12 @@
     let mut stdin = child.stdin.take().expect("piped");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || drop(stdin.write_all(&input)));
-    let done = child.wait_with_output().expect("the adapter ends");
+    let result = child.wait_with_output().expect("the adapter ends");
     writer.join().expect("the input is written");
     Run {
-        output: String::from_utf8(done.stdout).expect("text"),
-        errors: String::from_utf8(done.stderr).expect("text"),
-        success: done.status.success(),
+        output: String::from_utf8(result.stdout).expect("text"),
+        errors: String::from_utf8(result.stderr).expect("text"),
+        success: result.status.success(),
     }
 }
 
@@ -45,31 +45,34 @@
     .replace('\n', "")
 }
 
-const LIST: &str = "INVENTORY\t0\t2\nM\t71\tnorth\tstd\t1\tReady\t1\t-\nM\t72\tsouth\tstd\t2\tReady\t1\t-\n";
-const ASKED: &str = "ASK\treq-1\torder\tacme\t-\t2.5\t-\t0\n";
+const ENDPOINT_LIST: &str =
+    "INVENTORY\t0\t2\nM\t71\tnorth\tstd\t1\tReady\t1\t-\nM\t72\tsouth\tstd\t2\tReady\t1\t-\n";
+const REQUEST_LINE: &str = "ASK\treq-1\torder\tacme\t-\t2.5\t-\t0\n";
 
 /// The first batch: an instance with a list of two.
-fn started() -> String {
+fn first_batch() -> String {
     let setup = setup(0);
-    format!("TURN\t100\t1\nTO\t4\nSTART\t9\t{setup}\n{LIST}PEERS_KNOWN\tstale_copy\t1\t0\nYOUR_TURN\n")
+    format!(
+        "TURN\t100\t1\nTO\t4\nSTART\t9\t{setup}\n{ENDPOINT_LIST}PEERS_KNOWN\tstale_copy\t1\t0\nYOUR_TURN\n"
+    )
 }
 
 #[test]
-fn an_empty_input_and_an_empty_batch() {
-    let done = run(b"");
-    assert!(done.success && done.output.is_empty() && done.errors.is_empty());
+fn empty_input_and_empty_batch_are_accepted() {
+    let result = run(b"");
+    assert!(result.success && result.output.is_empty() && result.errors.is_empty());
     assert_eq!(run(b"TURN\t8.41225\t17\nYOUR_TURN\n").output, "READY\t17\n");
 }
 
 #[test]
-fn a_request_from_start_to_answer() {
-    let input = started()
+fn request_is_forwarded_and_answered() {
+    let input = first_batch()
         + "TURN\t100.1\t2\nTO\t4\n"
-        + ASKED
+        + REQUEST_LINE
         + "YOUR_TURN\nTURN\t100.2\t3\nTO\t4\nATTEMPT_END\treq-1\t0\t71\tGOOD\t0.1\t1\t3,0.5\nYOUR_TURN\n";
-    let done = run(input.as_bytes());
-    assert!(done.success, "{}", done.errors);
-    let lines: Vec<&str> = done.output.lines().collect();
+    let result = run(input.as_bytes());
+    assert!(result.success, "{}", result.errors);
+    let lines: Vec<&str> = result.output.lines().collect();
     assert_eq!(lines[..4], ["INSTANCE\t4", "AFTER\t0.200000\tsweep", "OBSERVE\t1", "READY\t1"]);
     assert_eq!(lines[4], "INSTANCE\t4");
     assert!(lines[5].starts_with("CALL_OUT\treq-1\t7"), "{}", lines[5]);
@@ -77,17 +80,17 @@
 }
 
 #[test]
-fn errors_are_passed_on_as_failures_where_they_may_have_run() {
-    let input = started()
+fn non_idempotent_request_that_may_have_run_fails_without_retry() {
+    let input = first_batch()
         + "TURN\t101\t2\nTO\t4\n"
-        + ASKED
+        + REQUEST_LINE
         + "YOUR_TURN\nTURN\t101\t3\nTO\t4\nATTEMPT_END\treq-1\t0\t71\tBAD\t0.1\t0\t-\nYOUR_TURN\n";
     assert!(run(input.as_bytes()).output.ends_with("INSTANCE\t4\nABORT\treq-1\nREADY\t3\n"));
 }
 
 #[test]
-fn a_refused_attempt_goes_elsewhere_and_then_the_request_is_refused() {
-    let mut input = started() + "TURN\t101\t2\nTO\t4\n" + ASKED;
+fn refused_attempt_is_retried_and_then_the_request_is_refused() {
+    let mut input = first_batch() + "TURN\t101\t2\nTO\t4\n" + REQUEST_LINE;
     for (n, upstream) in [(0, 71), (1, 72)] {
         input += &format!("ATTEMPT_END\treq-1\t{n}\t{upstream}\tFULL\t0.001\t0\t-\n");
     }
@@ -98,31 +101,31 @@
 
 /// Restarts within a batch, reused lists, late ids, every kind of event and list.
 #[test]
-fn odd_but_legal_batches() {
+fn unusual_but_valid_batches_are_accepted() {
     let setup = setup(1);
-    let input = started()
+    let input = first_batch()
         + &format!(
-            "TURN\t102\t2\nTO\t4\n{ASKED}INVENTORY\t0\t1\nM\t72\tsouth\tstd\t2\tTerminating\t1\t-\n\
+            "TURN\t102\t2\nTO\t4\n{REQUEST_LINE}INVENTORY\t0\t1\nM\t72\tsouth\tstd\t2\tTerminating\t1\t-\n\
              PEERS_KNOWN\tpatch\t2\t0\nINVENTORY\t0\t0\nPEERS_KNOWN\tpatch\t3\t0\n\
              PEERS_KNOWN\tbroken\t3\t0\nREMINDER\tsweep\nHEALTH\tGOOD\t0.1\t71\t1,0.2\n\
              NOTE_FROM\t2\t6869\nNOTE_FROM\t2\t-\nTIMED_OUT_CLIENT\treq-1\nTIMED_OUT_CLIENT\treq-1\n\
              ATTEMPT_END\treq-1\t0\t71\tCXL\t0.1\t1\t-\nATTEMPT_END\treq-1\t0\t71\tCXL\t0.1\t1\t-\n\
              ATTEMPT_END\tnever-seen\t0\t71\tLATE\t0.1\t1\t-\nDESTROY\nASK\treq-2\tread\t0\t7\t1\t0.1\t1\n\
-             START\t10\t{setup}\n{LIST}PEERS_KNOWN\twhole\t4\t0\nASK\treq-3\tread\t-\t7\t1\t0.1\t3\n\
+             START\t10\t{setup}\n{ENDPOINT_LIST}PEERS_KNOWN\twhole\t4\t0\nASK\treq-3\tread\t-\t7\t1\t0.1\t3\n\
              FIRST\treq-3\t0\t71\t0.1\nDESTROY\nREMINDER\tsweep\nYOUR_TURN\n"
         );
-    let done = run(input.as_bytes());
-    assert!(done.success, "{}", done.errors);
-    assert!(done.output.contains("CALL_OUT\treq-3"), "{}", done.output);
-    assert!(!done.output.contains("req-2"), "it was killed before: {}", done.output);
-    assert!(done.output.contains("WITHDRAW\treq-1\t0"), "{}", done.output);
+    let result = run(input.as_bytes());
+    assert!(result.success, "{}", result.errors);
+    assert!(result.output.contains("CALL_OUT\treq-3"), "{}", result.output);
+    assert!(!result.output.contains("req-2"), "it was killed before: {}", result.output);
+    assert!(result.output.contains("WITHDRAW\treq-1\t0"), "{}", result.output);
 }
 
 /// A drained upstream is passed over from the event that reported it on.
 #[test]
-fn a_drain_within_a_batch_counts_from_its_place() {
+fn drain_applies_to_later_events_of_the_same_batch() {
     let mut input =
-        started() + "TURN\t102\t2\nTO\t4\nINVENTORY\t3\t1\nM\t71\tnorth\tstd\t1\tTerminating\t1\t-\n";
+        first_batch() + "TURN\t102\t2\nTO\t4\nINVENTORY\t3\t1\nM\t71\tnorth\tstd\t1\tTerminating\t1\t-\n";
     input += "PEERS_KNOWN\tpatch\t2\t3\n";
     for id in 0..20 {
         input += &format!("ASK\tr{id}\tread\tzeta\t-\t2\t-\t0\n");
@@ -134,11 +137,11 @@
 /// Deals instances out among processes; what each instance does must not change.
 #[test]
 fn one_process_and_three_give_the_same_actions() {
-    let batches = |mine: &dyn Fn(u32) -> bool| {
+    let batches = |hosts_instance: &dyn Fn(u32) -> bool| {
         let mut input = String::from("TURN\t50\t1\n");
-        for instance in (0..6).filter(|&instance| mine(instance)) {
+        for instance in (0..6).filter(|&instance| hosts_instance(instance)) {
             input += &format!(
-                "TO\t{instance}\nSTART\t{}\t{}\n{LIST}PEERS_KNOWN\twhole\t1\t0\n",
+                "TO\t{instance}\nSTART\t{}\t{}\n{ENDPOINT_LIST}PEERS_KNOWN\twhole\t1\t0\n",
                 77 + instance,
                 setup(instance)
             );
@@ -146,7 +149,7 @@
         input += "YOUR_TURN\n";
         for turn in 0..40u32 {
             input += &format!("TURN\t{}\t{}\n", 51.0 + f64::from(turn) * 0.05, turn + 2);
-            for instance in (0..6).filter(|&instance| mine(instance)) {
+            for instance in (0..6).filter(|&instance| hosts_instance(instance)) {
                 input += &format!("TO\t{instance}\n");
                 for n in 0..3 {
                     let class = ["read", "pay", "order"][n];
@@ -179,10 +182,10 @@
         }
         all
     };
-    let process = |mine: &dyn Fn(u32) -> bool| {
-        let done = run(batches(mine).as_bytes());
-        assert!(done.success, "{}", done.errors);
-        done.output
+    let process = |hosts_instance: &dyn Fn(u32) -> bool| {
+        let result = run(batches(hosts_instance).as_bytes());
+        assert!(result.success, "{}", result.errors);
+        result.output
     };
     let one = by_instance(&[process(&|_| true)]);
     let three: Vec<String> = (0..3).map(|part| process(&move |instance| instance % 3 == part)).collect();
@@ -192,10 +195,10 @@
 }
 
 #[test]
-fn malformed_input_ends_it_with_the_line_and_the_cause() {
-    let start = started();
+fn malformed_input_stops_the_adapter_with_line_and_cause() {
+    let start = first_batch();
     let lines = start.lines().count();
-    let within =
+    let in_second_batch =
         |line: &str| (format!("{start}TURN\t101\t2\nTO\t4\n{line}\nYOUR_TURN\n").into_bytes(), lines + 3);
     let cases: Vec<((Vec<u8>, usize), &str)> = vec![
         ((b"YOUR_TURN\n".to_vec(), 1), "outside a batch"),
@@ -209,33 +212,33 @@
         ((b"TURN\t1\t1\nTO\t3\nREMINDER\tsweep\n".to_vec(), 3), "instance 3 has not started"),
         ((b"TURN\t1\t1\nTO\t3\nSTART\t1\t{\n".to_vec(), 3), "setup:"),
         ((b"TURN\t1\t1\nTO\t3\nSTART\tx\t{}\n".to_vec(), 3), "nonce64 is malformed"),
-        (within("HELLO"), "unknown message \"HELLO\""),
-        (within("ASK\ta\tread"), "owner is missing"),
-        (within("ASK\ta\tfly\tacme\t-\t1\t-\t0"), "cls is malformed: \"fly\""),
-        (within("ASK\ta\tread\tnobody\t-\t1\t-\t0"), "owner is malformed"),
-        (within("ASK\ta\tread\tacme\t-\tNaN\t-\t0"), "ttlS is malformed"),
-        (within("ASK\ta\tread\tacme\t-\t1\t-\t0\t9"), "more values"),
-        (within("ATTEMPT_END\ta\t0\t71\tFINE\t0.1\t1\t-"), "outcome is malformed"),
-        (within("ATTEMPT_END\ta\t0\t71\tGOOD\t0.1\tyes\t-"), "terminal is malformed"),
-        (within("ATTEMPT_END\ta\t0\t71\tGOOD\t0.1\t1\t1,2,3"), "stats is malformed"),
-        (within("PEERS_KNOWN\tpatch\t2\t9"), "list 9 has not been sent"),
-        (within("PEERS_KNOWN\tsome\t2\t0"), "scope is malformed"),
-        (within("NOTE_FROM\t1\txyz"), "content is malformed"),
-        (within("M\t1\tnorth\tstd\t1\tReady\t1\t-"), "an entry outside a list"),
-        (within("INVENTORY\t0\tmany"), "membersList is malformed"),
-        ((within("INVENTORY\t0\t2").0, lines + 4), "list 0 lacks 2 of its entries"),
+        (in_second_batch("HELLO"), "unknown message \"HELLO\""),
+        (in_second_batch("ASK\ta\tread"), "owner is missing"),
+        (in_second_batch("ASK\ta\tfly\tacme\t-\t1\t-\t0"), "cls is malformed: \"fly\""),
+        (in_second_batch("ASK\ta\tread\tnobody\t-\t1\t-\t0"), "owner is malformed"),
+        (in_second_batch("ASK\ta\tread\tacme\t-\tNaN\t-\t0"), "ttlS is malformed"),
+        (in_second_batch("ASK\ta\tread\tacme\t-\t1\t-\t0\t9"), "more values"),
+        (in_second_batch("ATTEMPT_END\ta\t0\t71\tFINE\t0.1\t1\t-"), "outcome is malformed"),
+        (in_second_batch("ATTEMPT_END\ta\t0\t71\tGOOD\t0.1\tyes\t-"), "terminal is malformed"),
+        (in_second_batch("ATTEMPT_END\ta\t0\t71\tGOOD\t0.1\t1\t1,2,3"), "stats is malformed"),
+        (in_second_batch("PEERS_KNOWN\tpatch\t2\t9"), "list 9 has not been sent"),
+        (in_second_batch("PEERS_KNOWN\tsome\t2\t0"), "scope is malformed"),
+        (in_second_batch("NOTE_FROM\t1\txyz"), "content is malformed"),
+        (in_second_batch("M\t1\tnorth\tstd\t1\tReady\t1\t-"), "an entry outside a list"),
+        (in_second_batch("INVENTORY\t0\tmany"), "membersList is malformed"),
+        ((in_second_batch("INVENTORY\t0\t2").0, lines + 4), "list 0 lacks 2 of its entries"),
     ];
     for ((input, line), cause) in cases {
-        let done = run(&input);
-        assert!(!done.success, "{cause}: it went on");
-        assert_eq!(done.errors.lines().count(), 1, "{}", done.errors);
-        assert!(done.errors.contains(&format!("line {line}: ")), "{cause}: {}", done.errors);
-        assert!(done.errors.contains(cause), "{cause}: {}", done.errors);
+        let result = run(&input);
+        assert!(!result.success, "{cause}: it went on");
+        assert_eq!(result.errors.lines().count(), 1, "{}", result.errors);
+        assert!(result.errors.contains(&format!("line {line}: ")), "{cause}: {}", result.errors);
+        assert!(result.errors.contains(cause), "{cause}: {}", result.errors);
     }
 }
 
 #[test]
-fn settings_without_sense_are_named() {
+fn invalid_settings_are_named_in_the_error() {
     for (from, to, cause) in [
         ("\"balancers\":3", "\"balancers\":0", "the number of copies is 0"),
         ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone makes no sense: \"west\""),
@@ -244,34 +247,36 @@
         ("\"cell\"", "\"street\"", "dedupScope makes no sense"),
         ("\"coldShare\":0.2", "\"coldShare\":0", "cold share is out of range"),
     ] {
-        let done = run(started().replace(from, to).as_bytes());
-        assert!(!done.success && done.errors.contains("line 3: setup: "), "{}", done.errors);
-        assert!(done.errors.contains(cause), "{cause}: {}", done.errors);
+        let result = run(first_batch().replace(from, to).as_bytes());
+        assert!(!result.success && result.errors.contains("line 3: setup: "), "{}", result.errors);
+        assert!(result.errors.contains(cause), "{cause}: {}", result.errors);
     }
 }
 
 /// Lines damaged in every way that a fixed seed brings: an error with its line or a good end, never a panic.
 #[test]
-fn damaged_lines_end_it_with_a_message_or_pass() {
-    let whole = format!("{}TURN\t101\t2\nTO\t4\n{ASKED}REMINDER\tsweep\nYOUR_TURN\n", started()).into_bytes();
+fn corrupted_input_never_panics() {
+    let valid_input =
+        format!("{}TURN\t101\t2\nTO\t4\n{REQUEST_LINE}REMINDER\tsweep\nYOUR_TURN\n", first_batch())
+            .into_bytes();
     let mut state = 7_u64;
-    let mut draw = |below: usize| {
+    let mut random_below = |below: usize| {
         state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (state >> 33) as usize % below
     };
     for _ in 0..150 {
-        let mut input = whole.clone();
-        for _ in 0..=draw(3) {
-            let place = draw(input.len());
-            match draw(4) {
-                0 => input[place] = b"\t\n-09.eN\xff"[draw(9)],
-                1 => drop(input.remove(place)),
-                2 => input.insert(place, b'9'),
-                _ => input.truncate(place.max(1)),
+        let mut input = valid_input.clone();
+        for _ in 0..=random_below(3) {
+            let position = random_below(input.len());
+            match random_below(4) {
+                0 => input[position] = b"\t\n-09.eN\xff"[random_below(9)],
+                1 => drop(input.remove(position)),
+                2 => input.insert(position, b'9'),
+                _ => input.truncate(position.max(1)),
             }
         }
-        let done = run(&input);
-        assert!(!done.errors.contains("panicked"), "{}", done.errors);
-        assert!(done.success || done.errors.contains("line "), "{}", done.errors);
+        let result = run(&input);
+        assert!(!result.errors.contains("panicked"), "{}", result.errors);
+        assert!(result.success || result.errors.contains("line "), "{}", result.errors);
     }
 }
