--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,10 +1,11 @@
-//! Checks settings before they are applied: every fault at once, each with its path and what was expected
-//! there.
+//! Checks settings before they are applied, and reports all faults together, each with its path and the
+//! expected value.
 //!
-//! Reading stops at the first fault, and settings that are changed while a balancer runs must not be found
-//! wrong half way. The check walks the JSON beside a table of all keys ([`fields`]) and gathers what does not
-//! fit; what values say together (an objective within its deadline, a zone among the zones) has a function
-//! each. Whoever adds a key adds it to the table and to `schema.rs`.
+//! Reading stops at the first fault, which is not enough for a balancer that changes its settings at run time:
+//! a fault must not be found when half of them are applied. The check compares the JSON with a table of all
+//! keys ([`fields`]) and collects the differences. Rules that involve several values have a function each, for
+//! example that a latency objective is not longer than its deadline, or that the zone is one of the zones. A new
+//! key must be added both to the table and to `schema.rs`.
 
 mod field;
 mod fields;
@@ -17,14 +18,13 @@
 use self::fields::{EFFECT_DEDUPLICATED, PER_BALANCER_FIELDS, SHARED_FIELDS, key};
 use crate::fault::{Fault, Faults, Found, excerpt};
 
-/// The path of the settings object itself.
+/// Path of the settings object itself, with which all paths of faults begin.
 const ROOT: &str = "settings";
 
-/// Checks a whole settings object; keys that it does not know are passed over. Gives every fault, with its
-/// path.
+/// Checks a complete settings object. Unknown keys are ignored.
 ///
 /// # Errors
-/// Whatever is wrong, all at once.
+/// Returns all faults, each with its path.
 pub fn check(settings: &Value) -> Result<(), Faults> {
     let mut checker = Checker::new(CheckScope::Full);
     if let Some(object) = checker.object(ROOT, settings) {
@@ -35,12 +35,12 @@
     checker.faults.into_result()
 }
 
-/// Checks the part of the settings that a distributed document holds, before it is merged into a balancer's
-/// own: a key may be absent, and null takes an optional one away. Gives every fault, with its path; a key
-/// that is not known, or that belongs to each balancer's own place, is one.
+/// Checks the partial settings of a distributed document, which are later merged into a balancer's own settings.
+/// Any key may be absent, except in list elements, which must be complete. Null removes an optional key. An unknown
+/// key, or one that is specific to each balancer, is a fault.
 ///
 /// # Errors
-/// Whatever is wrong, all at once.
+/// Returns all faults, each with its path.
 pub fn check_part(settings: &Value) -> Result<(), Faults> {
     let mut checker = Checker::new(CheckScope::Document);
     if let Some(object) = checker.object(ROOT, settings) {
@@ -49,25 +49,25 @@
     checker.faults.into_result()
 }
 
-/// What is checked.
+/// Kind of settings object that is checked.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum CheckScope {
-    /// All settings of a balancer.
+    /// The complete settings of a balancer.
     Full,
-    /// The part that a document holds.
+    /// The partial settings of a distributed document.
     Document,
 }
 
-/// How much of an object is there.
+/// Whether required keys of an object may be absent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Completeness {
-    /// All of it.
+    /// All required keys must be present.
     Complete,
-    /// What changes in another that it is merged into: any key may be absent.
+    /// Any key may be absent, because the object is merged into another one.
     Partial,
 }
 
-/// A walk over settings that gathers faults.
+/// Walks over a settings object and collects its faults.
 struct Checker {
     scope: CheckScope,
     faults: Faults,
@@ -158,7 +158,8 @@
         }
     }
 
-    /// Checks an object within the settings, which a document's is merged into.
+    /// Checks an object nested in the settings. In a document it may be partial, because it is merged into the
+    /// object of the same key.
     fn section(&mut self, path: &str, value: &Value, fields: &[Field]) {
         let completeness = match self.scope {
             CheckScope::Full => Completeness::Complete,
@@ -169,8 +170,8 @@
         }
     }
 
-    /// Checks a list of objects with names. A list takes the place of another whole, so that each is
-    /// complete.
+    /// Checks a list of named objects. A merge replaces a list as a whole, so each object must be complete, also
+    /// in a document.
     fn named_objects(&mut self, path: &str, list: &[Value], fields: &[Field]) {
         let mut names = BTreeSet::new();
         for (position, value) in list.iter().enumerate() {
@@ -180,7 +181,7 @@
             if let Some(name) = object.get(key::NAME).and_then(Value::as_str)
                 && !names.insert(name)
             {
-                self.fault(&format!("{path}.{}", key::NAME), "a name of its own", object.get(key::NAME));
+                self.fault(&format!("{path}.{}", key::NAME), "a unique name", object.get(key::NAME));
             }
             self.check_class_durations(&path, object);
             self.check_class_dedup_scope(&path, object);
@@ -190,7 +191,7 @@
         }
     }
 
-    /// A class's latency objective lies within its deadline.
+    /// Checks that the latency objective of a class is not longer than its deadline.
     fn check_class_durations(&mut self, path: &str, class: &Map<String, Value>) {
         let seconds = |key: &str| class.get(key).and_then(Value::as_f64);
         if let (Some(latency_objective), Some(deadline)) =
@@ -198,22 +199,22 @@
             && latency_objective > deadline
         {
             let path = format!("{path}.{}", key::LATENCY_OBJECTIVE);
-            let expected = format!("no more than {}, {deadline}", key::DEADLINE);
+            let expected = format!("no more than {} ({deadline})", key::DEADLINE);
             self.fault(&path, &expected, class.get(key::LATENCY_OBJECTIVE));
         }
     }
 
-    /// A class whose repeats are discarded names the group that does.
+    /// Checks that a class whose repeats are discarded names the group of upstreams that discards them.
     fn check_class_dedup_scope(&mut self, path: &str, class: &Map<String, Value>) {
         let deduplicated = class.get(key::EFFECT).and_then(Value::as_str) == Some(EFFECT_DEDUPLICATED);
         let scope = class.get(key::DEDUP_SCOPE).filter(|scope| !scope.is_null());
         if deduplicated && scope.is_none() {
             let path = format!("{path}.{}", key::DEDUP_SCOPE);
-            self.fault(&path, "all, zone or cell where repeats are dropped", None);
+            self.fault(&path, "all, zone or cell for a class with effect deduplicated", None);
         }
     }
 
-    /// A quota of 0 would count as none at all, which lifts the limit.
+    /// Checks that a tenant's quota is not 0. A quota of 0 would be treated as no quota, which removes the limit.
     fn check_tenant_quota(&mut self, path: &str, tenant: &Map<String, Value>) {
         let quota = tenant.get(key::QUOTA);
         if quota.and_then(Value::as_f64) == Some(0.0) {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// The balancer's zone is one of the zones.
+    /// Checks that the balancer's zone is one of the configured zones.
     fn zone(&mut self, settings: &Map<String, Value>) {
         if let (Some(zone), Some(Value::Array(zones))) = (settings.get(key::ZONE), settings.get(key::ZONES))
             && !zones.contains(zone)
--- a/crates/settings/src/check/field.rs
+++ b/crates/settings/src/check/field.rs
@@ -1,33 +1,33 @@
-//! The types that the table of keys is made of: a key, whether it must be there, and what may stand at it.
+//! Types for the table of settings keys: a key, whether it is required, and which values are valid.
 
 use std::ops::RangeInclusive;
 
-/// A key of an object.
+/// Table entry for one key of a JSON object.
 pub struct Field {
     pub key: &'static str,
     pub presence: Presence,
     pub kind: ValueKind,
 }
 
-/// Whether a key must be there.
+/// Whether a key is required, and whether its value may be null.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
     Required,
     Optional,
-    /// It may also be null, which says that there is none.
+    /// The key may be absent or null; null means that no value is set.
     Nullable,
 }
 
-/// What may be at a key.
+/// Type and range of the values that are valid for a key.
 pub enum ValueKind {
     Bool,
-    /// A whole number of 32 bits, at least this.
+    /// An unsigned 32-bit integer that is at least `min`.
     Integer {
         min: u32,
     },
-    /// A number within these bounds.
+    /// A number within an inclusive range.
     Number(RangeInclusive<f64>),
-    /// A number above 0 up to a bound. The policy takes only normal numbers for above 0, so this does.
+    /// A number above 0 and up to `max`. Subnormal numbers are refused, as the policy refuses them too.
     PositiveNumber {
         max: f64,
     },
@@ -35,7 +35,7 @@
     NonEmptyString,
     StringList,
     Object(&'static [Field]),
-    /// A list of objects, each with a name of its own.
+    /// A list of objects, each with a unique name; `count` is the range of valid lengths.
     NamedObjects {
         fields: &'static [Field],
         count: RangeInclusive<usize>,
@@ -55,7 +55,7 @@
 }
 
 impl ValueKind {
-    /// What a fault says was expected.
+    /// Description of the valid values, for the `expected` part of a fault.
     pub fn expected(&self) -> String {
         match self {
             Self::Bool => "true or false".to_owned(),
@@ -63,10 +63,12 @@
             Self::Number(range) => format!("a number from {} to {}", range.start(), range.end()),
             Self::PositiveNumber { max } => format!("a number above 0, up to {max}"),
             Self::OneOf(words) => format!("one of {}", words.join(", ")),
-            Self::NonEmptyString => "a text that is not empty".to_owned(),
-            Self::StringList => "a list of texts".to_owned(),
+            Self::NonEmptyString => "a non-empty string".to_owned(),
+            Self::StringList => "a list of strings".to_owned(),
             Self::Object(_) => "an object".to_owned(),
-            Self::NamedObjects { count, .. } => format!("a list of {} to {}", count.start(), count.end()),
+            Self::NamedObjects { count, .. } => {
+                format!("a list of {} to {} objects", count.start(), count.end())
+            }
         }
     }
 }
--- a/crates/settings/src/check/fields.rs
+++ b/crates/settings/src/check/fields.rs
@@ -1,14 +1,14 @@
-//! Every key that the settings have, and what may stand there.
+//! Table of all settings keys, with the values that are valid for each.
 //!
-//! Bounds are at least as strict as those of the policy's own validation: a document that passes here must
-//! not be refused by a balancer later.
+//! Ranges are at least as strict as those of the policy's own validation, so that a document that passes this
+//! check is never refused by a balancer later.
 
 use super::field::ValueKind::{
     Bool, Integer, NamedObjects, NonEmptyString, Number, Object, OneOf, PositiveNumber, StringList,
 };
 use super::field::{Field, ValueKind, nullable, optional, required};
 
-/// Keys that a check of several values together reads.
+/// Names of the keys that checks across several values refer to.
 pub mod key {
     pub const NAME: &str = "name";
     pub const LATENCY_OBJECTIVE: &str = "onTimeS";
@@ -20,22 +20,24 @@
     pub const ZONES: &str = "zones";
 }
 
-/// The effect whose repeats a group of upstreams discards, so that the group must be named.
+/// Value of `effect` for a class whose repeats are discarded by a group of upstreams. Such a class must name the
+/// group in `dedupScope`.
 pub const EFFECT_DEDUPLICATED: &str = "deduplicated";
 
-/// Classes: each costs memory until the process ends, and time in every sweep.
+/// Maximum number of classes: each one takes memory until the process ends, and time in every maintenance pass.
 const MAX_CLASSES: usize = 1000;
-/// Tenants, for the same reason; there is a tenant for each customer.
+/// Maximum number of tenants, limited for the same reason as [`MAX_CLASSES`] but higher, since each customer is a
+/// tenant.
 const MAX_TENANTS: usize = 10_000;
-/// Some thirty years: clocks go no further than some hundreds.
+/// Maximum duration of about thirty years, well below the few hundred years that clocks can represent.
 const MAX_DURATION_S: f64 = 1e9;
-/// Where there must be some time: less would be none in the clocks' nanoseconds.
+/// Minimum for durations that must not be zero: the clocks count nanoseconds, and smaller values could round to 0.
 const MIN_POSITIVE_DURATION_S: f64 = 1e-6;
-/// Requests a second; the policy's bound.
+/// Maximum quota in requests per second; the policy's validation has the same limit.
 const MAX_QUOTA_PER_S: f64 = 1e12;
-/// In requests of full weight; the policy's bound.
+/// Maximum cost, in units of one request of full weight; the policy's validation has the same limit.
 const MAX_PRICE: f64 = 1e6;
-/// The policy's bound.
+/// Maximum overload multiple; the policy's validation has the same limit.
 const MAX_OVERLOAD_MULTIPLE: f64 = 1e6;
 
 const DURATION_S: ValueKind = Number(0.0..=MAX_DURATION_S);
@@ -87,7 +89,7 @@
     optional("probe", PRICE),
 ];
 
-/// What a distributed document may hold.
+/// Settings that all balancers share; only these may be set in a distributed document.
 pub const SHARED_FIELDS: &[Field] = &[
     required("lanes", NamedObjects { fields: CLASS_FIELDS, count: 1..=MAX_CLASSES }),
     optional("projects", NamedObjects { fields: TENANT_FIELDS, count: 0..=MAX_TENANTS }),
@@ -98,7 +100,7 @@
     required("balancers", Integer { min: 1 }),
 ];
 
-/// What is each balancer's own.
+/// Settings that are specific to each balancer and must not be set in a distributed document.
 pub const PER_BALANCER_FIELDS: &[Field] = &[
     required("me", Integer { min: 0 }),
     optional("tier", Integer { min: 0 }),
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,8 +1,8 @@
-//! From the JSON form to the policy's types, section by section.
+//! Converts the JSON form of the settings to the policy's types, section by section.
 //!
-//! JSON has seconds as numbers and zones by name; the policy has durations and positions. The first value
-//! that has no counterpart ends the conversion. Ranges that only the policy cares about are not looked at
-//! here: it validates what it is given.
+//! In JSON, durations are numbers of seconds and zones are names; the policy uses `Duration` and indexes.
+//! The conversion stops at the first value that has no counterpart. It does not check ranges that only
+//! matter to the policy, because the policy validates its settings itself.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::read::{Loaded, Names, SetupError};
 use crate::schema::{Caps, Discovery, EffectName, Lane, PriceSettings, Project, RuleSettings, Setup};
 
-/// Converts the whole object.
+/// Converts the complete settings object.
 pub fn into_loaded(setup: Setup) -> Result<Loaded, SetupError> {
     let settings = settings(&setup)?;
     let connect_timeout = duration("caps.dialTimeoutS", setup.capabilities.connect_timeout_s)?;
@@ -53,7 +53,7 @@
 }
 
 fn local_zone(setup: &Setup) -> Result<ZoneId, SetupError> {
-    // Of two zones with one name the last counts, as it does in `Names`.
+    // If two zones have the same name, the last one is used, as in `Names`.
     let position = setup.zones.iter().rposition(|zone| *zone == setup.zone);
     position.map(ZoneId).ok_or_else(|| invalid("zone", &setup.zone))
 }
@@ -112,7 +112,8 @@
     })
 }
 
-/// `None` where clients get no Retry-After; what the longest would be is not looked at then.
+/// Returns the longest Retry-After that clients honour. `None` if clients are sent no Retry-After; the configured
+/// maximum is then not validated.
 fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, SetupError> {
     if !capabilities.retry_after {
         return Ok(None);
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,38 +1,39 @@
-//! What a check finds: faults, each with its place, what was expected there and what was found.
+//! Faults that a check of settings reports: each has a path, the expected value and the value found.
 //!
-//! An operator who publishes a document reads these lines at a prompt, and the distribution passes them on in
-//! its answers, so they are short, bounded in number and size, and say what to write instead.
+//! Operators who publish a document read these messages in a terminal, and the configuration distribution
+//! includes them in its responses. They are therefore short, limited in number and size, and state which value
+//! is expected.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
 
-/// Faults that are listed one by one; of further ones only how many there are. A document of garbage would
-/// else give an answer many times its own size.
+/// Maximum number of faults that are listed individually; further faults are only counted. Without a limit, a
+/// malformed document could produce a response many times its own size.
 const MAX_LISTED_FAULTS: usize = 100;
 
-/// Characters of a value or a strange key that a fault repeats.
+/// Maximum number of characters of a value or an unknown key that a fault quotes.
 const MAX_EXCERPT_CHARS: usize = 60;
 
-/// One fault of a settings object.
+/// A fault at one path of a settings object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The place, as in `settings.lanes[1].onTimeS`.
+    /// Path of the value or key at fault, for example `settings.lanes[1].onTimeS`.
     pub path: String,
-    /// What may stand there.
+    /// Description of the values that are valid at the path.
     pub expected: String,
-    /// What does.
+    /// What the settings contain at the path.
     pub found: Found,
 }
 
-/// What stands at the place of a fault.
+/// What a settings object contains at the path of a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Found {
-    /// Nothing, where something must.
+    /// A required key is missing.
     Missing,
-    /// A key that the settings do not have.
+    /// The key is not a settings key, or it must not be set in a distributed document.
     UnknownKey,
-    /// A value of the wrong kind or out of its range: the beginning of its JSON.
+    /// The value has the wrong type or is out of range. Holds the beginning of its JSON text.
     Value(String),
 }
 
@@ -41,7 +42,7 @@
         let Self { path, expected, found } = self;
         match found {
             Found::Missing => write!(formatter, "{path}: missing, expected {expected}"),
-            Found::UnknownKey => write!(formatter, "{path}: not known, expected {expected}"),
+            Found::UnknownKey => write!(formatter, "{path}: unknown key, expected {expected}"),
             Found::Value(value) => write!(formatter, "{path}: expected {expected}, found {value}"),
         }
     }
@@ -49,7 +50,7 @@
 
 impl Error for Fault {}
 
-/// All faults of a settings object, at least one. Written out, they stand in one line, with semicolons between.
+/// All faults of a settings object, at least one. `Display` writes them on one line, separated by semicolons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Faults {
     listed: Vec<Fault>,
@@ -57,19 +58,19 @@
 }
 
 impl Faults {
-    /// The faults in the order in which the check met them, up to a bound.
+    /// The faults in the order in which the check found them, up to the maximum that is listed.
     #[must_use]
     pub fn listed(&self) -> &[Fault] {
         &self.listed
     }
 
-    /// How many there are beyond those listed.
+    /// Number of faults found in addition to the listed ones.
     #[must_use]
     pub fn unlisted(&self) -> usize {
         self.unlisted
     }
 
-    /// A line for each fault listed, and one that counts the others if there are any.
+    /// One message for each listed fault, and a final one with the number of unlisted faults if there are any.
     #[must_use]
     pub fn messages(&self) -> Vec<String> {
         let mut messages: Vec<String> = self.listed.iter().map(Fault::to_string).collect();
@@ -79,12 +80,12 @@
         messages
     }
 
-    /// As a check begins.
+    /// Creates an empty collection, to which a check adds faults.
     pub(crate) fn empty() -> Self {
         Self { listed: Vec::new(), unlisted: 0 }
     }
 
-    /// Adds a fault, which is only put together if it is to be listed.
+    /// Adds a fault. The closure that builds it is only called if the fault will be listed.
     pub(crate) fn add(&mut self, fault: impl FnOnce() -> Fault) {
         if self.listed.len() < MAX_LISTED_FAULTS {
             self.listed.push(fault());
@@ -93,7 +94,7 @@
         }
     }
 
-    /// `Ok` if there is none.
+    /// Returns `Ok` if there are no faults, otherwise the faults as an error.
     pub(crate) fn into_result(self) -> Result<(), Self> {
         if self.listed.is_empty() { Ok(()) } else { Err(self) }
     }
@@ -107,7 +108,7 @@
 
 impl Error for Faults {}
 
-/// The beginning of a text that may be long, for a fault.
+/// Returns the beginning of a text, shortened to the length that a fault may quote.
 pub(crate) fn excerpt(text: &str) -> String {
     text.chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,14 +1,14 @@
-//! The settings object of a balancer: read into the types of `balancer-policy`, and checked.
+//! Reads the settings object of a balancer into the types of `balancer-policy`, and checks it for faults.
 //!
-//! The same JSON object reaches a balancer in three ways: in the configuration file of a real balancer, in a
-//! document of the configuration distribution, which holds the part that balancers share, and in the first
-//! message of the simulator. All of them must understand it alike, and whoever publishes a document wants to
-//! see every fault before it is in force anywhere. So there is one place that knows the keys, with two
-//! entries:
+//! The same JSON object reaches a balancer in three ways: in the configuration file of a real balancer; in a
+//! document of the configuration distribution, which holds the settings that all balancers share; and in the
+//! first message of the simulator. All three must be interpreted in the same way, and an operator who publishes
+//! a document needs to see every fault before any balancer applies it. This crate is therefore the only place
+//! that knows the keys. It has two sets of entry points:
 //!
-//! - [`read`] converts an object for use and stops at the first value that makes no sense;
-//! - [`check`] and [`check_part`] convert nothing and name every fault with its path. What passes [`check`] can be read,
-//!   and the policy accepts it.
+//! - [`read`] converts an object for use and stops at the first invalid value;
+//! - [`check`] and [`check_part`] convert nothing and report every fault with its path. Settings that pass
+//!   [`check`] can be read, and the policy accepts them.
 //!
 //! ```
 //! use serde_json::json;
@@ -23,7 +23,7 @@
 //! );
 //! ```
 //!
-//! The crate depends on the policy for its types alone. It knows no host, and does no input or output.
+//! The crate depends on the policy only for its types. It depends on no host and performs no input or output.
 
 #![warn(clippy::pedantic)]
 
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,7 +1,7 @@
-//! The values of a load report by the names that the settings give them.
+//! Maps the value names of a load report to the fields of the policy's `LoadReport`.
 //!
-//! An upstream may report its load with each answer, as bare numbers whose order the settings give
-//! (`loadInfo.fields`) or with a name before each; every host sets them in the policy's report here.
+//! An upstream may report its load with each response, either as plain numbers whose order is given by the
+//! settings (`loadInfo.fields`) or as pairs of name and number. All hosts use this module to fill the report.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 const MILLISECONDS_PER_SECOND: f64 = 1000.0;
 
-/// Sets the value that the settings call `name` in a load report; other names are passed over.
+/// Sets the field of a load report that belongs to the value name `name`; unknown names are ignored.
 ///
-/// `cpu` is a fraction, `rps` and `err_rps` are per second, `avg_ms` is in milliseconds; one that is negative
-/// or not finite leaves the report without a latency.
+/// `cpu` is a fraction, `rps` and `err_rps` are rates per second, `avg_ms` is in milliseconds. An `avg_ms` that
+/// is negative or not finite leaves the report without a latency.
 pub fn set_load_field(report: &mut LoadReport, name: &str, value: f64) {
     match name {
         "active" => report.in_flight = Some(value),
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -1,22 +1,22 @@
-//! The settings object as JSON has it: keys, types and defaults.
+//! The JSON form of the settings object: keys, types and defaults.
 //!
-//! Keys are given by the platform and older than the terms that the code uses.
+//! The platform defines the keys; they are older than the terms that the code uses.
 //!
-//! Types are named for the sections of the JSON, since the errors of reading name them ("expected struct
-//! Lane"); fields have the names of the field, with the key of the JSON beside each.
+//! Types are named after the sections of the JSON, because deserialization errors show these names ("expected
+//! struct Lane"). Fields use the terms of the code, and a `rename` attribute gives the JSON key.
 
 use serde::Deserialize;
 
-/// Priority weight beyond a tenant's quota where none is given: the quota then makes no difference.
+/// Default priority weight of requests beyond their tenant's quota. At full weight, the quota has no effect.
 const DEFAULT_OVER_QUOTA_WEIGHT: f64 = 1.0;
-/// Seconds after which an idle connection is closed where none are given.
+/// Default time after which an idle connection is closed.
 const DEFAULT_KEEPALIVE_S: f64 = 15.0;
-/// Attempts on one connection at a time where no number is given.
+/// Default number of concurrent attempts on one connection.
 const DEFAULT_STREAMS_PER_CONNECTION: u32 = 100;
-/// Seconds for a connection to come up where none are given.
+/// Default time-out for the establishment of a connection.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 
-/// The whole object.
+/// The complete settings object of one balancer.
 #[derive(Deserialize)]
 pub struct Setup {
     #[serde(rename = "balancers")]
@@ -47,7 +47,7 @@
     pub load_reports: LoadInfo,
 }
 
-/// A class of requests.
+/// A class of requests, with its latency objective, deadline and idempotency.
 #[derive(Deserialize)]
 pub struct Lane {
     pub name: String,
@@ -55,19 +55,19 @@
     pub latency_objective_s: f64,
     #[serde(rename = "hardLimitS")]
     pub deadline_s: f64,
-    /// Priority weight of an answer after the latency objective.
+    /// Priority weight of a response after the latency objective but before the deadline.
     #[serde(rename = "lateWorth", default)]
     pub late_weight: f64,
     pub effect: EffectName,
-    /// The group that discards repeats; an unknown name is refused by the conversion, and only where it
-    /// matters.
+    /// Name of the group of upstreams that discards repeats of a request. The conversion refuses an unknown
+    /// name, and only for a class whose effect is `deduplicated`.
     #[serde(rename = "dedupScope", default)]
     pub dedup_scope: Option<String>,
     #[serde(rename = "windowS", default)]
     pub dedup_window_s: Option<f64>,
 }
 
-/// What a repeat of a request does.
+/// Effect of running a request of a class more than once.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectName {
@@ -76,7 +76,7 @@
     AtMostOnce,
 }
 
-/// How the endpoint list is had.
+/// How a balancer receives the endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Discovery {
@@ -84,7 +84,7 @@
     Subscribe,
 }
 
-/// A tenant.
+/// A tenant with its optional quota.
 #[derive(Deserialize)]
 pub struct Project {
     pub name: String,
@@ -92,7 +92,7 @@
     pub quota_per_s: Option<f64>,
 }
 
-/// What calls from tier to tier carry.
+/// Information that calls from one tier to the next carry.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct FamilyInfo {
@@ -100,9 +100,9 @@
     pub propagates_deadline: bool,
 }
 
-/// What the site allows.
+/// Capabilities that the site grants to a balancer, with their limits.
 #[derive(Deserialize)]
-#[allow(clippy::struct_excessive_bools, reason = "each is a key of the JSON that stands for itself")]
+#[allow(clippy::struct_excessive_bools, reason = "each is an independent key of the JSON")]
 pub struct Caps {
     #[serde(rename = "tryLimit")]
     pub max_attempts: u32,
@@ -126,7 +126,7 @@
     pub connect_timeout_s: f64,
 }
 
-/// Figures of the rules that a balancer is measured by.
+/// Parameters of the rules by which a balancer is evaluated.
 #[derive(Deserialize)]
 pub struct RuleSettings {
     #[serde(rename = "answerSlackS", default)]
@@ -145,7 +145,7 @@
     pub overload_window_s: f64,
 }
 
-/// Costs of choices, in requests of full priority weight.
+/// Costs of balancing decisions, in units of one request of full priority weight.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PriceSettings {
@@ -160,7 +160,7 @@
     pub health_check: f64,
 }
 
-/// What load reports hold.
+/// Names of the values in the load reports of upstreams, in their order.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct LoadInfo {
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,11 +1,11 @@
-//! Faults as values: what stands where, what was expected, what was found.
+//! Tests of faults as values: their path, the expected value and the value found.
 
 use balancer_settings::{Fault, Found, check, check_part};
 use serde_json::json;
 
 #[test]
 fn fault_holds_path_expected_and_found() {
-    let faults = check_part(&json!({"caps": {"tryLimit": 0}})).expect_err("no attempt is allowed");
+    let faults = check_part(&json!({"caps": {"tryLimit": 0}})).expect_err("a limit of 0 attempts is a fault");
     let fault = Fault {
         path: "settings.caps.tryLimit".to_owned(),
         expected: "a whole number from 1 to 4294967295".to_owned(),
@@ -31,7 +31,7 @@
     let faults = check_part(&json!({"balancers": 0, "strange": 1})).expect_err("two faults");
     assert_eq!(
         faults.to_string(),
-        "settings.balancers: expected a whole number from 1 to 4294967295, found 0; settings.strange: not known, \
+        "settings.balancers: expected a whole number from 1 to 4294967295, found 0; settings.strange: unknown key, \
          expected one of lanes, projects, overShareWorth, caps, rules, prices, balancers"
     );
 }
@@ -39,7 +39,8 @@
 #[test]
 fn faults_beyond_the_limit_are_counted() {
     let projects = vec![json!({}); 130];
-    let faults = check(&json!({"projects": projects})).expect_err("130 without a name, and much is missing");
+    let faults = check(&json!({"projects": projects}))
+        .expect_err("130 tenants have no name, and required keys are missing");
     assert_eq!(faults.listed().len(), 100);
     assert!(faults.unlisted() >= 30, "{}", faults.unlisted());
     assert_eq!(faults.messages().last(), Some(&format!("and {} more", faults.unlisted())));
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,14 +1,15 @@
-//! Checks of settings: what a whole and what a document's part may hold, and that all faults are told at once.
+//! Tests of the settings checks: which complete settings and which document settings are valid, and that all
+//! faults are reported together.
 
 use balancer_settings::read;
 use serde_json::{Value, json};
 
-/// The faults of a whole settings object as they are written out.
+/// Returns the fault messages of a complete settings object.
 fn check(settings: &Value) -> Vec<String> {
     balancer_settings::check(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
 }
 
-/// The faults of a document's part as they are written out.
+/// Returns the fault messages of the settings of a distributed document.
 fn check_part(settings: &Value) -> Vec<String> {
     balancer_settings::check_part(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
 }
@@ -30,13 +31,13 @@
         "prices": {"crossZone": 0.02, "waste": 0.1, "lateFail": 0, "handshake": 0, "probe": 0}})
 }
 
-/// The same with another value at a JSON pointer, or without what stands there.
+/// Returns the settings with the value at a JSON pointer replaced, or removed if `value` is `None`.
 fn with_value(mut settings: Value, path: &str, value: Option<Value>) -> Value {
-    let (parent, key) = path.rsplit_once('/').expect("a pointer");
-    match (settings.pointer_mut(parent).expect("it stands there"), value) {
+    let (parent, key) = path.rsplit_once('/').expect("a JSON pointer");
+    match (settings.pointer_mut(parent).expect("the parent exists"), value) {
         (Value::Object(object), Some(value)) => drop(object.insert(key.to_owned(), value)),
         (Value::Object(object), None) => drop(object.remove(key)),
-        (Value::Array(list), Some(value)) => list[key.parse::<usize>().expect("a place")] = value,
+        (Value::Array(list), Some(value)) => list[key.parse::<usize>().expect("a list index")] = value,
         (other, _) => panic!("{path} in {other}"),
     }
     settings
@@ -55,7 +56,7 @@
 fn valid_settings_have_no_faults() {
     assert_eq!(check(&full_settings()), Vec::<String>::new());
     assert!(read(&full_settings().to_string()).is_ok());
-    // What the platform adds is none of ours.
+    // Unknown keys are ignored, because the platform may add keys.
     let more = with_value(
         with_value(full_settings(), "/future", Some(json!({"a": [1]}))),
         "/lanes/0/stream",
@@ -79,7 +80,7 @@
         r#"{"projects": []}"#,
         r#"{"caps": {"tryLimit": 2}}"#,
         r#"{"rules": {"coldS": 5}, "prices": {"waste": 0.2}}"#,
-        // Taken away, so that the default holds again.
+        // Null removes the key, so that the default applies again.
         r#"{"prices": null, "caps": {"dialTimeoutS": null}, "rules": {"askWithinS": null}, "overShareWorth": null}"#,
     ] {
         let document_settings: Value = serde_json::from_str(text).expect("JSON");
@@ -88,7 +89,7 @@
     assert_eq!(check_part(&document_settings()), Vec::<String>::new());
 }
 
-/// Where in the settings, what stands there, and how the text of the one fault that it makes begins.
+/// Cases with one fault each: JSON pointer, invalid value, and the beginning of the expected fault message.
 fn single_faults() -> Vec<(&'static str, Value, &'static str)> {
     vec![
         (
@@ -99,7 +100,7 @@
         (
             "/lanes/2/onTimeS",
             json!(4),
-            "settings.lanes[2].onTimeS: expected no more than hardLimitS, 3, found 4",
+            "settings.lanes[2].onTimeS: expected no more than hardLimitS (3), found 4",
         ),
         ("/lanes/0/onTimeS", json!("1"), "settings.lanes[0].onTimeS: expected a number from 0.000001"),
         ("/lanes/0/hardLimitS", json!(1e18), "settings.lanes[0].hardLimitS: expected"),
@@ -119,17 +120,13 @@
             "settings.lanes[1].dedupScope: expected one of all, zone, cell",
         ),
         ("/lanes/1/windowS", json!(-2), "settings.lanes[1].windowS: expected"),
-        (
-            "/lanes/1/name",
-            json!("read"),
-            "settings.lanes[1].name: expected a name of its own, found \"read\"",
-        ),
-        ("/lanes/1/name", json!(""), "settings.lanes[1].name: expected a text that is not empty"),
+        ("/lanes/1/name", json!("read"), "settings.lanes[1].name: expected a unique name, found \"read\""),
+        ("/lanes/1/name", json!(""), "settings.lanes[1].name: expected a non-empty string"),
         ("/lanes/1", json!(7), "settings.lanes[1]: expected an object, found 7"),
         ("/lanes", json!([]), "settings.lanes: expected a list of 1 to 1000"),
         ("/lanes", json!({"0": 1}), "settings.lanes: expected a list"),
         ("/lanes/0/lateWorth", json!(1.5), "settings.lanes[0].lateWorth: expected a number from 0 to 1"),
-        ("/projects/1/name", json!("acme"), "settings.projects[1].name: expected a name of its own"),
+        ("/projects/1/name", json!("acme"), "settings.projects[1].name: expected a unique name"),
         ("/projects/0/quotaPerS", json!(-3), "settings.projects[0].quotaPerS: expected"),
         ("/projects/0/quotaPerS", json!("many"), "settings.projects[0].quotaPerS: expected"),
         ("/overShareWorth", json!(1.1), "settings.overShareWorth: expected"),
@@ -149,7 +146,7 @@
     ]
 }
 
-/// Guards operators: each fault is told with its path, and no sound place beside it.
+/// Each fault is reported with its path, and no valid value is reported along with it.
 #[test]
 fn each_fault_is_reported_with_its_path() {
     for (path, value, fault) in &single_faults() {
@@ -158,12 +155,12 @@
         {
             let reported = check(&with_value(settings, path, Some(value.clone())));
             assert_eq!(reported.len(), 1, "{path}: {reported:?}");
-            assert!(reported[0].starts_with(fault), "{reported:?} is not {fault}");
+            assert!(reported[0].starts_with(fault), "{reported:?} does not begin with {fault}");
         }
     }
 }
 
-/// Guards a publisher that has several faults: all are told at once, each once.
+/// If settings have several faults, one check reports all of them, each exactly once.
 #[test]
 fn several_faults_are_reported_together() {
     let faults = single_faults();
@@ -178,30 +175,30 @@
     }
 }
 
-/// Guards a document against keys that would be passed over in silence: of another's part, or written wrongly.
+/// Misspelt keys, and keys that are specific to each balancer, would otherwise be ignored silently in a document.
 #[test]
 fn document_settings_with_unknown_keys_are_refused() {
     for (path, reported) in [
-        ("/zone", "settings.zone: not known, expected one of lanes, projects, overShareWorth, caps"),
-        ("/me", "settings.me: not known"),
-        ("/discovery", "settings.discovery: not known"),
-        ("/lanes/0/onTimes", "settings.lanes[0].onTimes: not known, expected one of name, onTimeS"),
-        ("/projects/1/portion", "settings.projects[1].portion: not known"),
-        ("/caps/trylimit", "settings.caps.trylimit: not known"),
-        ("/rules/cold", "settings.rules.cold: not known"),
-        ("/prices/x", "settings.prices.x: not known"),
+        ("/zone", "settings.zone: unknown key, expected one of lanes, projects, overShareWorth, caps"),
+        ("/me", "settings.me: unknown key"),
+        ("/discovery", "settings.discovery: unknown key"),
+        ("/lanes/0/onTimes", "settings.lanes[0].onTimes: unknown key, expected one of name, onTimeS"),
+        ("/projects/1/portion", "settings.projects[1].portion: unknown key"),
+        ("/caps/trylimit", "settings.caps.trylimit: unknown key"),
+        ("/rules/cold", "settings.rules.cold: unknown key"),
+        ("/prices/x", "settings.prices.x: unknown key"),
     ] {
         let faults = check_part(&with_value(document_settings(), path, Some(json!(1))));
         assert_eq!(faults.len(), 1, "{path}: {faults:?}");
-        assert!(faults[0].starts_with(reported), "{faults:?} is not {reported}");
+        assert!(faults[0].starts_with(reported), "{faults:?} does not begin with {reported}");
     }
-    // What a balancer can't do without is not taken away.
+    // Null cannot remove a required key.
     for key in ["lanes", "caps", "rules", "balancers"] {
         let faults = check_part(&json!({key: null}));
         assert_eq!(faults.len(), 1, "{key}: {faults:?}");
     }
     assert_eq!(check_part(&json!({"caps": {"tryLimit": null}})).len(), 1);
-    // A quota of 0 is none in the settings, which is not what it looks like.
+    // A quota of 0 would be treated as no quota, although it looks like a limit of 0 requests.
     assert_eq!(check_part(&json!({"projects": [{"name": "a", "quotaPerS": 0}]})).len(), 1);
     assert!(check(&with_value(full_settings(), "/projects/0/quotaPerS", Some(json!(0)))).is_empty());
 }
@@ -237,7 +234,7 @@
     assert_eq!(check(&with_value(full_settings(), "/zone", Some(json!("west")))).len(), 1);
 }
 
-/// Guards against garbage and against floods of faults.
+/// Malformed settings are refused, and the number and the size of the reported faults are limited.
 #[test]
 fn malformed_input_yields_a_bounded_number_of_faults() {
     for garbage in [json!(null), json!(3), json!("settings"), json!([full_settings()])] {
@@ -257,8 +254,8 @@
     assert_eq!(check_part(&json!({"projects": vec![json!({"name": "a"}); 10_001]})).len(), 1);
 }
 
-/// Guards the balancer that applies what has no fault: whatever stands at whichever place, settings without a fault
-/// can be read and make sense to the decisions.
+/// A balancer applies all settings that pass the check. So for every value at every path, settings without a fault
+/// must be readable and pass the validation of the policy.
 #[test]
 fn settings_without_faults_can_be_read_and_validated() {
     let values = [
@@ -288,7 +285,7 @@
     let mut next = 0;
     while let Some(path) = paths.get(next).cloned() {
         next += 1;
-        match full_settings().pointer(&path).expect("it stands there") {
+        match full_settings().pointer(&path).expect("the path exists") {
             Value::Object(object) => paths.extend(object.keys().map(|key| format!("{path}/{key}"))),
             Value::Array(list) => paths.extend((0..list.len()).map(|number| format!("{path}/{number}"))),
             _ => {}
