--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,7 +1,7 @@
-//! What a host gets from the settings: the policy's settings, and the names behind the positions in them.
+//! Reads settings for a host: the settings of the policy, and the names that belong to the indexes in them.
 //!
-//! The policy knows classes, tenants, zones and kinds of machine by position only; a host needs their names
-//! for what it reads from the wire.
+//! The policy identifies classes, tenants, zones and machine kinds by index only; a host needs their names to
+//! interpret what it reads from the wire.
 
 use std::time::Duration;
 
@@ -12,56 +12,57 @@
 use crate::convert;
 use crate::schema::Setup;
 
-/// Why the settings cannot be used.
+/// Error that prevents a settings object from being read.
 #[derive(Debug, Error)]
 pub enum SetupError {
-    /// The text is not JSON, or a section lacks a key or has a value of another type.
+    /// The text is not valid JSON, a required key is missing, or a value has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A value that has the right type and makes no sense.
-    #[error("{name} makes no sense: {value:?}")]
+    /// A value has the right type but is not valid for its key.
+    #[error("{name} has an invalid value: {value:?}")]
     Value {
-        /// Its key, with the section's before it where that is needed to find it.
+        /// Key of the invalid value, prefixed with its section where that is needed to locate it.
         name: &'static str,
-        /// The value as text.
+        /// The invalid value, formatted as text.
         value: String,
     },
 }
 
-/// Names in the settings, with their positions in [`Settings`].
+/// Names in the settings, mapped to their indexes in [`Settings`].
 ///
-/// Of two entries with one name the later counts; [`check`](crate::check) refuses such classes and tenants.
+/// If two entries have the same name, the later one is used; [`check`](crate::check) refuses duplicate names of
+/// classes and tenants.
 #[derive(Debug)]
 pub struct Names {
-    /// Classes of requests (`lanes`).
+    /// Indexes of the request classes by name (`lanes`).
     pub classes: FxHashMap<String, usize>,
-    /// Tenants (`projects`).
+    /// Indexes of the tenants by name (`projects`).
     pub tenants: FxHashMap<String, usize>,
-    /// Zones (`zones`).
+    /// Indexes of the zones by name (`zones`).
     pub zones: FxHashMap<String, usize>,
-    /// Kinds of machine (`kinds`).
+    /// Indexes of the machine kinds by name (`kinds`).
     pub kinds: FxHashMap<String, usize>,
-    /// Names of the values of a load report, in the order in which reports hold them (`loadInfo.fields`).
+    /// Names of the values in a load report, in the order in which reports list them (`loadInfo.fields`).
     pub load_fields: Vec<String>,
 }
 
-/// Settings as a host uses them.
+/// Settings after conversion, as a host uses them.
 #[derive(Debug)]
 pub struct Loaded {
-    /// What the policy is given. Not validated yet: `Balancer::new` does that.
+    /// Settings for the policy. They are not validated yet; `Balancer::new` validates them.
     pub settings: Settings,
-    /// The names behind the positions in it.
+    /// Names of the classes, tenants, zones and machine kinds that `settings` refers to by index.
     pub names: Names,
-    /// How long a connection may take to come up (`caps.dialTimeoutS`); hosts with sockets need it, the
-    /// policy does not.
+    /// Time-out for the establishment of a connection (`caps.dialTimeoutS`). Only hosts with real sockets use
+    /// it; the policy does not.
     pub connect_timeout: Duration,
 }
 
-/// Reads a settings object. Keys that are not known are passed over, since the platform may add some.
+/// Reads a settings object. Unknown keys are ignored, because the platform may add keys.
 ///
 /// # Errors
-/// The text is not JSON of the expected form, or a value makes no sense: the first that is met. To name all
-/// of them, use [`check`](crate::check).
+/// Returns the first fault found: the text is not JSON of the expected form, or a value is invalid. To get all
+/// faults, use [`check`](crate::check).
 pub fn read(json: &str) -> Result<Loaded, SetupError> {
     let setup: Setup = serde_json::from_str(json)?;
     convert::into_loaded(setup)
--- a/crates/simulator-adapter/src/action.rs
+++ b/crates/simulator-adapter/src/action.rs
@@ -1,7 +1,7 @@
-//! From the actions of the policy to the lines of the wire.
+//! Converts the actions of the policy to lines of the simulator's protocol.
 //!
-//! What the wire has no place for is left out: the span in which an attempt must begin, and whether it is the
-//! last one. The module owns no state.
+//! Two fields of an attempt have no counterpart in the protocol and are omitted: the deadline for its first byte,
+//! and whether it is the last attempt. The module owns no state.
 
 use std::io::{self, Write};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::requests::RequestTable;
 
-/// The request that an action names.
+/// Returns the id of the request that an action refers to, if any.
 pub fn request_id(action: &Action) -> Option<RequestId> {
     match *action {
         Action::Send { request, .. }
@@ -26,7 +26,7 @@
     }
 }
 
-/// Writes an action as a line.
+/// Writes an action as one line of the protocol.
 pub fn write_action(requests: &RequestTable, action: &Action, output: &mut impl Write) -> io::Result<()> {
     let ticket = request_id(action).and_then(|id| requests.wire_id(id)).unwrap_or("-");
     match action {
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -1,9 +1,9 @@
-//! Endpoint lists, which instances share.
+//! Endpoint lists that the instances of a process share.
 //!
-//! Many instances of one process are sent the same list at the same time, so the wire sends it once,
-//! numbered, and each instance's message refers to the number. An entry names its zone and its kind of
-//! machine; their positions differ by instance and are looked up when the list is handed over. The module
-//! owns the lists by number.
+//! Many instances of one process receive the same list at the same time. The simulator therefore sends the list
+//! once, with a number, and the message for each instance refers to that number. An entry contains the names of
+//! its zone and machine kind. The indexes of these names differ between instances, so they are looked up when
+//! an instance receives the list. The module owns the lists by number.
 
 use balancer_policy::interface::{EndpointId, KindId, ListUpdate, Member, ZoneId};
 use balancer_settings::Names;
@@ -13,24 +13,24 @@
 use crate::fields::Fields;
 use crate::wire;
 
-/// Weight of an entry that names none.
+/// Weight of an entry that has no weight in the list.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// All lists of the process by their numbers.
+/// All endpoint lists of the process, by number.
 #[derive(Default)]
 pub struct EndpointLists {
-    /// By number; one sent again takes the place of the one before.
+    /// Entries of each list by list number. A list that is sent again replaces the earlier one with its number.
     lists: FxHashMap<u32, Vec<ListEntry>>,
     open: Option<OpenList>,
 }
 
-/// The list whose entries are being read.
+/// The list whose entries are currently being read.
 struct OpenList {
     number: u32,
     missing: usize,
 }
 
-/// An entry of a list before an instance's names are applied to it.
+/// An entry of a list whose zone and machine kind are not yet resolved to the indexes of an instance.
 struct ListEntry {
     zone: String,
     kind: String,
@@ -38,7 +38,7 @@
 }
 
 impl EndpointLists {
-    /// Checks that no list lacks entries.
+    /// Checks that no list is still missing entries.
     pub fn ensure_complete(&self) -> Result<(), Malformed> {
         match self.open {
             Some(OpenList { number: list, missing }) => Err(Malformed::IncompleteList { list, missing }),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Begins a list, in place of one with the same number.
+    /// Begins a list, which replaces an earlier list with the same number.
     pub fn open(&mut self, mut fields: Fields) -> Result<(), Malformed> {
         let number = fields.number("buffer")?;
         let missing = fields.number("membersList")?;
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Adds an entry to the list that was begun.
+    /// Adds an entry to the list that was begun last.
     pub fn add(&mut self, fields: Fields) -> Result<(), Malformed> {
         let Some(OpenList { number, missing }) = self.open else { return Err(Malformed::EntryOutsideList) };
         let entry = ListEntry::read(fields)?;
@@ -69,7 +69,7 @@
         self.open = (missing > 0).then_some(OpenList { number, missing });
     }
 
-    /// What discovery tells an instance with these names.
+    /// Reads an update of the endpoint list for the instance whose settings contain `names`.
     pub fn update(&self, names: &Names, fields: &mut Fields) -> Result<ListUpdate, Malformed> {
         let scope = fields.text("scope")?;
         fields.number::<u64>("version")?;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,7 +1,7 @@
-//! Why the adapter stops.
+//! Errors that stop the adapter.
 //!
-//! Whoever reads these has a simulator run that broke off: each names the line, and in it the value.
-//! The module owns no state.
+//! The reader of these messages has a simulator run that was aborted, so each message states the input line and
+//! the field at fault. The module owns no state.
 
 use std::io;
 
@@ -9,105 +9,105 @@
 use balancer_settings::SetupError;
 use thiserror::Error;
 
-/// Characters of a value that an error repeats.
+/// Maximum number of characters of a value that an error message quotes.
 const MAX_EXCERPT_CHARS: usize = 80;
 
-/// Why the adapter stops early.
+/// Error that stops the adapter before the end of its input.
 #[derive(Debug, Error)]
 pub enum HostError {
-    /// A line makes no sense.
+    /// An input line is malformed or not allowed at its position.
     #[error("line {line}: {cause}")]
     Line {
-        /// Its number, from 1.
+        /// Number of the malformed line, counted from 1.
         line: u64,
-        /// What is wrong with it.
+        /// Reason why the line was rejected.
         #[source]
         cause: Malformed,
     },
-    /// Standard input or output failed, most often since the simulator has ended.
-    #[error("reading or writing failed: {0}")]
+    /// Standard input or output failed, most often because the simulator has exited.
+    #[error("reading input or writing output failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// What is wrong with a line.
+/// Reason why an input line is rejected.
 #[derive(Debug, Error)]
 pub enum Malformed {
-    /// Bytes that are no text.
+    /// The line is not valid UTF-8.
     #[error("not UTF-8 text")]
     NotText,
-    /// A line ends before this value.
-    #[error("value {field} is missing")]
+    /// The line ends before a required field, or the field is empty.
+    #[error("field {field} is missing")]
     Missing {
-        /// The value's name.
+        /// Name of the missing field.
         field: &'static str,
     },
-    /// A value of the wrong form.
-    #[error("value {field} is malformed: {value:?}")]
+    /// A field has a value that cannot be parsed or is not valid.
+    #[error("field {field} is malformed: {value:?}")]
     Value {
-        /// The value's name.
+        /// Name of the field with the malformed value.
         field: &'static str,
-        /// What stands there, shortened.
+        /// Beginning of the malformed value.
         value: String,
     },
-    /// A line goes on past its last value.
-    #[error("more values than the message has")]
+    /// The line has more fields than its message defines.
+    #[error("the line has more values than its message defines")]
     TooManyValues,
-    /// A name that the wire does not have.
+    /// The line begins with a message name that the protocol does not define.
     #[error("unknown message {0:?}")]
     UnknownMessage(String),
-    /// A line where none may stand.
+    /// A message is at the wrong position relative to a batch: outside one, or a `TURN` inside one.
     #[error("{0} outside a batch")]
     OutsideBatch(&'static str),
-    /// No more input, yet the batch is open.
+    /// The input ends before the current batch does.
     #[error("the input ends within a batch")]
     IncompleteBatch,
-    /// A batch earlier than the one before.
-    #[error("the clock goes back")]
+    /// The clock of a batch is earlier than that of the previous batch.
+    #[error("the clock is earlier than in the previous batch")]
     ClockWentBack,
-    /// An event for nobody.
+    /// An event precedes the first `TO` line of its batch, so that its recipient is unknown.
     #[error("no TO line before the first event")]
     NoRecipient,
-    /// An event before the instance has its settings.
+    /// An event is addressed to an instance that has not received a `START` message.
     #[error("instance {0} has not started")]
     NotStarted(u32),
-    /// A list that was never defined.
+    /// A message refers to an endpoint list that has not been sent.
     #[error("list {0} has not been sent")]
     UnknownList(u32),
-    /// A list cut off by another line.
-    #[error("list {list} lacks {missing} of its entries")]
+    /// Another message follows before all entries of an endpoint list have been received.
+    #[error("list {list} is missing {missing} of its entries")]
     IncompleteList {
-        /// The list's number.
+        /// Number of the incomplete list.
         list: u32,
-        /// How many entries are missing.
+        /// Number of entries that have not been received.
         missing: usize,
     },
-    /// An entry with no list open.
-    #[error("an entry outside a list")]
+    /// A list entry follows no list header, or exceeds the number of entries in the header.
+    #[error("list entry outside a list")]
     EntryOutsideList,
-    /// The id of a request that has not ended, or has attempts in flight.
-    #[error("request {0} was sent before")]
+    /// A new request has the id of a request that has not ended or still has attempts in flight.
+    #[error("duplicate request {0}: the earlier one has not ended or has attempts in flight")]
     DuplicateRequest(String),
-    /// The settings cannot be read.
+    /// The settings of an instance cannot be read.
     #[error("setup: {0}")]
     Setup(#[from] SetupError),
-    /// The policy refuses the settings.
+    /// The policy rejects the settings of an instance.
     #[error("setup: {0}")]
     Settings(#[from] SettingsError),
 }
 
 impl Malformed {
-    /// A value of the wrong form.
+    /// Creates the error for a malformed value, shortened to the length that a message may quote.
     pub(crate) fn value(field: &'static str, value: &str) -> Self {
         Self::Value { field, value: excerpt(value) }
     }
 
-    /// A name that the wire does not have.
+    /// Creates the error for an unknown message name, shortened to the length that a message may quote.
     pub(crate) fn unknown_message(name: &str) -> Self {
         Self::UnknownMessage(excerpt(name))
     }
 }
 
-/// Why a line is the last one handled; its number is not known here.
+/// Error in the processing of one line, without the line number.
 #[derive(Debug, Error)]
 pub(crate) enum LineError {
     #[error(transparent)]
@@ -117,7 +117,7 @@
 }
 
 impl LineError {
-    /// The same, with the line's number.
+    /// Adds the line number to the error.
     pub fn at_line(self, line: u64) -> HostError {
         match self {
             Self::Malformed(cause) => HostError::Line { line, cause },
@@ -126,7 +126,7 @@
     }
 }
 
-/// The beginning of a value that may be long.
+/// Returns the beginning of a value, shortened to the length that an error message may quote.
 fn excerpt(value: &str) -> String {
     value.chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,8 +1,8 @@
-//! From the messages of the wire to the events of the policy.
+//! Converts the messages of the simulator's protocol to events of the policy.
 //!
-//! The wire names requests by text and classes, tenants and load values as the settings do; the policy knows
-//! ids and positions. A late message may name a request that is over: its values are checked like all others,
-//! and there is no event. The module owns no state.
+//! The protocol identifies requests by text, and classes, tenants and load values by their names in the settings;
+//! the policy uses numeric ids and indexes. A late message may refer to a request that has ended: its fields are
+//! validated as usual, but it produces no event. The module owns no state.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::requests::RequestTable;
 use crate::wire;
 
-/// Set in `stateBits` if the hint of the expected work may be used.
+/// Bit of `stateBits` that is set if the hint of the expected work may be used.
 const EXPECTED_WORK_VALID: u32 = 1;
-/// Set in `stateBits` if the client has marked the request as its own retry.
+/// Bit of `stateBits` that is set if the client has marked the request as a retry.
 const CLIENT_RETRY: u32 = 2;
 
-/// A message that is an event for an instance that runs.
+/// Type of a message that is an event for a running instance.
 #[derive(Clone, Copy)]
 pub enum EventKind {
     List,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Reads an event; `None` for one of a request that is over or was never seen.
+/// Reads the fields of an event. Returns `None` if it refers to a request that has ended or is unknown.
 pub fn read(
     kind: EventKind,
     instance: &mut Instance,
@@ -125,7 +125,7 @@
     if finished {
         requests.ended(request);
     }
-    // The wire does not tell how long an attempt had no connection.
+    // The protocol does not report how long an attempt waited for a connection.
     let connect_wait = Duration::ZERO;
     Ok(Some(Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load }))
 }
@@ -157,7 +157,7 @@
     Ok(Event::PeerMessage { from, content })
 }
 
-/// Values in the order that the settings name.
+/// Reads a load report, whose values are in the order of `loadInfo.fields` in the settings.
 fn load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,9 @@
-//! The line loop: batches, and whose event each line is.
+//! Reads the input line by line, keeps track of batches and dispatches each event to its instance.
 //!
-//! A batch opens with `TURN` and its time, and ends with `YOUR_TURN`, which is answered by `READY`. Within it
-//! `TO` says for which instance the events are that follow, and actions stand behind an `INSTANCE` line in
-//! the same way. The output is flushed only at the end of a batch, which the simulator waits for.
+//! A batch begins with `TURN`, which contains its time, and ends with `YOUR_TURN`, which is answered by `READY`.
+//! Within a batch, a `TO` line selects the instance that receives the events that follow. In the output, an
+//! `INSTANCE` line likewise selects the instance that the following actions come from. The output is flushed
+//! only at the end of a batch, because the simulator waits until then.
 //! The module owns the instances, the clock and the batch that is being read.
 
 use std::io::{BufRead, Write};
@@ -18,33 +19,33 @@
 use crate::fields::{Fields, Line};
 use crate::instance::Instance;
 
-/// All instances of the process and the lists they share.
+/// All balancer instances of the process, and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Host {
-    /// By number; `None` for one that was killed.
+    /// Instances by number; `None` for an instance that was killed.
     instances: FxHashMap<u32, Option<Instance>>,
     lists: EndpointLists,
-    /// The time of the batch; it never goes back.
+    /// Time of the current or latest batch; it never decreases.
     clock: Time,
     batch: Option<Batch>,
-    /// Returned for the last event, and not written yet.
+    /// Actions that the latest event produced and that have not been written yet.
     actions: Vec<Action>,
 }
 
 /// The batch that is being read.
 struct Batch {
     number: String,
-    /// The instance that events are for.
+    /// Number of the instance that receives the next events; `None` before the first `TO` line.
     recipient: Option<u32>,
-    /// The instance whose actions were written last.
+    /// Number of the instance whose actions were written last in this batch.
     last_writer: Option<u32>,
 }
 
 impl Host {
-    /// Serves batches until the input ends.
+    /// Processes batches until the input ends.
     ///
     /// # Errors
-    /// A line makes no sense, the input ends within a batch, or reading or writing fails.
+    /// An input line is malformed, the input ends within a batch, or reading or writing fails.
     pub fn run(&mut self, mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
         let mut text = Vec::new();
         let mut number = 0;
@@ -92,7 +93,7 @@
 
     fn begin_batch(&mut self, mut fields: Fields) -> Result<(), Malformed> {
         if self.batch.is_some() {
-            return Err(Malformed::OutsideBatch("TURN stands within a batch, not"));
+            return Err(Malformed::OutsideBatch("TURN is only allowed"));
         }
         let clock = fields.seconds("clock")?;
         let number = fields.text("batch")?;
@@ -125,7 +126,7 @@
             return fields.ensure_end();
         }
         let kind: EventKind = name.parse()?;
-        // Nothing is owed to a killed instance: what still comes for it is dropped unread.
+        // A killed instance needs no further events; their fields are dropped without being read.
         let Some(instance) = instance else { return Ok(()) };
         let event = event::read(kind, instance, &self.lists, &mut fields)?;
         fields.ensure_end()?;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,8 @@
-//! An instance: a balancer, the names in its settings and its requests.
+//! A balancer instance of the simulator: the balancer, the names in its settings and its requests.
 //!
-//! The simulator starts, kills and restarts many in one process; each has its own names and ids, and shares
-//! nothing with the others but the endpoint lists. The module owns the balancer, names and requests of one.
+//! The simulator starts, kills and restarts many instances in one process. Each instance has its own names and
+//! ids, and shares only the endpoint lists with the others. The module owns the balancer, names and requests of
+//! one instance.
 
 use std::io::{self, Write};
 
@@ -12,17 +13,17 @@
 use crate::action::{request_id, write_action};
 use crate::requests::RequestTable;
 
-/// A balancer of the simulator.
+/// A balancer that the simulator has started, with the state to translate its events and actions.
 pub struct Instance {
     balancer: Balancer,
-    /// Names in its settings, for what is read from the wire.
+    /// Names in the settings of the instance, used to resolve names in messages to indexes.
     pub names: Names,
-    /// Requests by their ids.
+    /// Requests of the instance, by protocol id and by policy id.
     pub requests: RequestTable,
 }
 
 impl Instance {
-    /// Starts a balancer; its first actions are added to `actions`.
+    /// Starts a balancer and appends its first actions to `actions`.
     pub fn start(
         loaded: Loaded,
         seed: u64,
@@ -35,15 +36,15 @@
         Ok(Self { balancer, names, requests: RequestTable::default() })
     }
 
-    /// Hands an event over; the actions that answer it go to `actions`, which are written before the next
-    /// event.
+    /// Passes an event to the balancer and appends the resulting actions to `actions`, which the caller writes
+    /// before the next event.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let ended = maybe_ended_request(&event);
         self.balancer.handle(now, event, actions);
         for action in &*actions {
             self.track(action);
         }
-        // Actions that follow these events name the request: then it is removed once they are written.
+        // If the event produced actions, they may refer to the request; `write` then removes it afterwards.
         if let Some(id) = ended
             && actions.is_empty()
         {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Keeps the requests in step with the actions of the balancer.
+    /// Updates the request table for an action of the balancer.
     fn track(&mut self, action: &Action) {
         match *action {
             Action::Send { request, .. } => self.requests.attempt_sent(request),
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Writes the actions, and removes requests that are over with them.
+    /// Writes the actions, and removes the requests that have ended with them.
     pub fn write(
         &mut self,
         actions: impl Iterator<Item = Action>,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The request that may be over with an event.
+/// Returns the request that may have ended with an event.
 fn maybe_ended_request(event: &Event) -> Option<RequestId> {
     match *event {
         Event::ClientDisconnected(id) | Event::AttemptEnded { request: id, .. } => Some(id),
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,16 +1,17 @@
-//! Hosts balancers on the simulator's line protocol.
+//! Runs balancers on the line protocol of the simulator.
 //!
-//! The simulator plays clients, network, upstreams and discovery in virtual time and wants to see the same
-//! decisions as in service. It writes events in batches, a line each, for any number of instances in one
-//! process, and waits for their actions; between batches nothing happens, and the only clock is that of the
-//! batches. This crate translates both ways and decides nothing.
+//! The simulator models clients, network, upstreams and discovery in virtual time, and must observe the same
+//! decisions as in production. It writes events in batches, one per line, for any number of instances in one
+//! process, and waits for their actions. Nothing happens between batches, and the time of the batches is the only
+//! clock. This crate translates in both directions and makes no decisions.
 //!
-//! - [`Host`] reads lines, keeps batches in order and hands each event to its instance;
-//! - an instance joins a balancer, the names in its settings and its table of requests;
-//! - events are read from a line's fields, actions are written as lines; endpoint lists are shared by the instances.
+//! - [`Host`] reads lines, checks the order of batches and dispatches each event to its instance;
+//! - an instance combines a balancer, the names in its settings and its table of requests;
+//! - events are parsed from the fields of a line, and actions are written as lines;
+//! - endpoint lists are shared by the instances.
 //!
-//! A line that makes no sense ends the process with the line's number: the simulator's run is void then, and
-//! a guess at what was meant would only hide it.
+//! A malformed line ends the process with an error that contains the line number. The simulator run is invalid
+//! in this case, and guessing the intended meaning would only hide that.
 
 #![warn(clippy::pedantic)]
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,7 @@
-//! The simulator's adapter as a program: events on standard input, actions on standard output.
+//! Simulator adapter program: reads events from standard input and writes actions to standard output.
 //!
-//! Takes no arguments. Ends with the input; an error is one line on standard error and exit code 1.
+//! It takes no arguments and exits at the end of the input. On an error, it writes one line to standard error and
+//! exits with code 1.
 
 #![warn(clippy::pedantic)]
 
@@ -9,7 +10,7 @@
 
 use simulator_adapter::Host;
 
-/// Buffer space for many lines, so that a batch costs few system calls.
+/// Size of the input and output buffers: large enough for many lines, so that a batch needs few system calls.
 const BUFFER_BYTES: usize = 1 << 16;
 
 fn main() -> ExitCode {
--- a/crates/simulator-adapter/src/requests.rs
+++ b/crates/simulator-adapter/src/requests.rs
@@ -1,19 +1,20 @@
-//! The requests of an instance, by their ids on the wire and in the policy.
+//! Table of the requests of an instance, by protocol id and by policy id.
 //!
-//! The wire's ids are texts, the policy's small integers, and a message may name a request after its final
-//! answer: the end of an attempt that was cancelled, say. So a request stays in the table until it has ended
-//! and its last attempt has, and no longer: an instance must not grow with the requests that it has served.
-//! The module owns both ids of each request, and how many of its attempts are in flight.
+//! Request ids are texts in the protocol and integers in the policy. A message may refer to a request after its
+//! final response, for example when a cancelled attempt ends. A request therefore stays in the table until both
+//! the request and its last attempt have ended. It is then removed, so that memory use does not grow with the
+//! number of requests served.
+//! The module owns both ids of each request, and the number of its attempts in flight.
 
 use balancer_policy::interface::RequestId;
 use rustc_hash::FxHashMap;
 
-/// Requests that a line or an action may still name.
+/// Requests that a message or an action may still refer to.
 #[derive(Default)]
 pub struct RequestTable {
     ids_by_wire_id: FxHashMap<Box<str>, RequestId>,
     requests: FxHashMap<RequestId, TrackedRequest>,
-    /// Ids are never used again.
+    /// Policy id of the next request. Ids are never reused.
     next_id: u64,
 }
 
@@ -24,22 +25,22 @@
 }
 
 impl RequestTable {
-    /// Whether a request has this id on the wire.
+    /// Returns whether the table contains a request with this protocol id.
     pub fn contains(&self, wire_id: &str) -> bool {
         self.ids_by_wire_id.contains_key(wire_id)
     }
 
-    /// The policy's id of a request; `None` for one that is over or was never seen.
+    /// Returns the policy id of a request; `None` if it was removed or is unknown.
     pub fn id(&self, wire_id: &str) -> Option<RequestId> {
         self.ids_by_wire_id.get(wire_id).copied()
     }
 
-    /// The id of a request on the wire.
+    /// Returns the protocol id of a request; `None` if it was removed or is unknown.
     pub fn wire_id(&self, id: RequestId) -> Option<&str> {
         self.requests.get(&id).map(|request| &*request.wire_id)
     }
 
-    /// Adds a request and gives out its id.
+    /// Adds a request and returns its new policy id.
     pub fn add(&mut self, wire_id: &str) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -49,28 +50,28 @@
         id
     }
 
-    /// An attempt was sent.
+    /// Records that an attempt of a request was sent.
     pub fn attempt_sent(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight += 1;
         }
     }
 
-    /// An attempt is over.
+    /// Records that an attempt of a request has ended.
     pub fn attempt_ended(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// The request has its final answer, or nobody waits for one.
+    /// Records that a request has its final response, or that its client no longer waits for one.
     pub fn ended(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.ended = true;
         }
     }
 
-    /// Removes a request that has ended and has no attempt in flight: nothing names it any more.
+    /// Removes a request if it has ended and has no attempt in flight, since no message refers to it any more.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id)
             && request.ended
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,13 +1,13 @@
-//! Words and encodings of the wire: outcomes, phases, bytes.
+//! Parses the encoded values of the simulator's protocol: outcomes, lifecycle phases and hex-encoded bytes.
 //!
-//! The protocol's words are older than the policy's terms; this is the one place that pairs them.
+//! The words of the protocol are older than the terms of the policy; only this module maps one to the other.
 //! The module owns no state.
 
 use balancer_policy::interface::{Lifecycle, Outcome};
 
 use crate::error::Malformed;
 
-/// How an attempt or a health check ended.
+/// Parses the outcome of an attempt or a health check.
 pub fn outcome(value: &str) -> Result<Outcome, Malformed> {
     Ok(match value {
         "GOOD" => Outcome::Success,
@@ -22,7 +22,7 @@
     })
 }
 
-/// What discovery says of an upstream.
+/// Parses the lifecycle phase of an upstream as discovery reports it.
 pub fn lifecycle(value: &str) -> Result<Lifecycle, Malformed> {
     Ok(match value {
         "Ready" => Lifecycle::Ready,
@@ -32,7 +32,7 @@
     })
 }
 
-/// The bytes of a gossip message: hex digits, `-` for none.
+/// Decodes the content of a gossip message from hex digits; `-` stands for empty content.
 pub fn decode_hex(value: &str) -> Result<Vec<u8>, Malformed> {
     if value == "-" {
         return Ok(Vec::new());
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: what it writes for what it reads.
+//! Tests of the adapter as a process: the output that it writes for a given input.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -17,15 +17,15 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading early, at a malformed line.
+    // The adapter may stop reading early, at a malformed line, so a write error is ignored.
     let mut stdin = child.stdin.take().expect("piped");
     let input = input.to_vec();
     let writer = std::thread::spawn(move || drop(stdin.write_all(&input)));
     let result = child.wait_with_output().expect("the adapter ends");
     writer.join().expect("the input is written");
     Run {
-        output: String::from_utf8(result.stdout).expect("text"),
-        errors: String::from_utf8(result.stderr).expect("text"),
+        output: String::from_utf8(result.stdout).expect("standard output is UTF-8"),
+        errors: String::from_utf8(result.stderr).expect("standard error is UTF-8"),
         success: result.status.success(),
     }
 }
@@ -49,7 +49,7 @@
     "INVENTORY\t0\t2\nM\t71\tnorth\tstd\t1\tReady\t1\t-\nM\t72\tsouth\tstd\t2\tReady\t1\t-\n";
 const REQUEST_LINE: &str = "ASK\treq-1\torder\tacme\t-\t2.5\t-\t0\n";
 
-/// The first batch: an instance with a list of two.
+/// Returns a first batch, which starts instance 4 with an endpoint list of two upstreams.
 fn first_batch() -> String {
     let setup = setup(0);
     format!(
@@ -99,7 +99,8 @@
     assert!(output.contains("DENY\treq-1\t2.000000\n"), "{output}");
 }
 
-/// Restarts within a batch, reused lists, late ids, every kind of event and list.
+/// Covers restarts within a batch, reused list numbers, ids of ended requests, and all types of events and list
+/// updates.
 #[test]
 fn unusual_but_valid_batches_are_accepted() {
     let setup = setup(1);
@@ -117,11 +118,12 @@
     let result = run(input.as_bytes());
     assert!(result.success, "{}", result.errors);
     assert!(result.output.contains("CALL_OUT\treq-3"), "{}", result.output);
-    assert!(!result.output.contains("req-2"), "it was killed before: {}", result.output);
+    assert!(!result.output.contains("req-2"), "the instance was killed before req-2: {}", result.output);
     assert!(result.output.contains("WITHDRAW\treq-1\t0"), "{}", result.output);
 }
 
-/// A drained upstream is passed over from the event that reported it on.
+/// Requests that follow the event that reports an upstream as draining are not sent to that upstream, even within
+/// the same batch.
 #[test]
 fn drain_applies_to_later_events_of_the_same_batch() {
     let mut input =
@@ -134,7 +136,7 @@
     assert!(output.contains("\t72\t") && !output.contains("\t71\t"), "{output}");
 }
 
-/// Deals instances out among processes; what each instance does must not change.
+/// Distributes instances over one or three processes; the actions of each instance must be the same.
 #[test]
 fn one_process_and_three_give_the_same_actions() {
     let batches = |hosts_instance: &dyn Fn(u32) -> bool| {
@@ -190,7 +192,7 @@
     let one = by_instance(&[process(&|_| true)]);
     let three: Vec<String> = (0..3).map(|part| process(&move |instance| instance % 3 == part)).collect();
     assert_eq!(one.len(), 6);
-    assert!(one.values().all(|actions| actions.len() > 100), "they have acted");
+    assert!(one.values().all(|actions| actions.len() > 100), "each instance has written actions");
     assert_eq!(one, by_instance(&three));
 }
 
@@ -207,7 +209,10 @@
         ((b"TURN\t-1\t1\n".to_vec(), 1), "clock is malformed"),
         ((b"TURN\t1\t\xff\n".to_vec(), 1), "not UTF-8"),
         ((b"TURN\t1\n".to_vec(), 1), "batch is missing"),
-        ((b"TURN\t2\t1\nYOUR_TURN\nTURN\t1\t2\n".to_vec(), 3), "the clock goes back"),
+        (
+            (b"TURN\t2\t1\nYOUR_TURN\nTURN\t1\t2\n".to_vec(), 3),
+            "the clock is earlier than in the previous batch",
+        ),
         ((b"TURN\t1\t1\nREMINDER\tsweep\n".to_vec(), 2), "no TO line"),
         ((b"TURN\t1\t1\nTO\t3\nREMINDER\tsweep\n".to_vec(), 3), "instance 3 has not started"),
         ((b"TURN\t1\t1\nTO\t3\nSTART\t1\t{\n".to_vec(), 3), "setup:"),
@@ -224,13 +229,13 @@
         (in_second_batch("PEERS_KNOWN\tpatch\t2\t9"), "list 9 has not been sent"),
         (in_second_batch("PEERS_KNOWN\tsome\t2\t0"), "scope is malformed"),
         (in_second_batch("NOTE_FROM\t1\txyz"), "content is malformed"),
-        (in_second_batch("M\t1\tnorth\tstd\t1\tReady\t1\t-"), "an entry outside a list"),
+        (in_second_batch("M\t1\tnorth\tstd\t1\tReady\t1\t-"), "list entry outside a list"),
         (in_second_batch("INVENTORY\t0\tmany"), "membersList is malformed"),
-        ((in_second_batch("INVENTORY\t0\t2").0, lines + 4), "list 0 lacks 2 of its entries"),
+        ((in_second_batch("INVENTORY\t0\t2").0, lines + 4), "list 0 is missing 2 of its entries"),
     ];
     for ((input, line), cause) in cases {
         let result = run(&input);
-        assert!(!result.success, "{cause}: it went on");
+        assert!(!result.success, "{cause}: the adapter did not fail");
         assert_eq!(result.errors.lines().count(), 1, "{}", result.errors);
         assert!(result.errors.contains(&format!("line {line}: ")), "{cause}: {}", result.errors);
         assert!(result.errors.contains(cause), "{cause}: {}", result.errors);
@@ -241,10 +246,10 @@
 fn invalid_settings_are_named_in_the_error() {
     for (from, to, cause) in [
         ("\"balancers\":3", "\"balancers\":0", "the number of copies is 0"),
-        ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone makes no sense: \"west\""),
+        ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone has an invalid value: \"west\""),
         ("\"onTimeS\":1", "\"onTimeS\":9", "class 0"),
-        ("\"onTimeS\":1", "\"onTimeS\":-1", "onTimeS makes no sense"),
-        ("\"cell\"", "\"street\"", "dedupScope makes no sense"),
+        ("\"onTimeS\":1", "\"onTimeS\":-1", "onTimeS has an invalid value"),
+        ("\"cell\"", "\"street\"", "dedupScope has an invalid value"),
         ("\"coldShare\":0.2", "\"coldShare\":0", "cold share is out of range"),
     ] {
         let result = run(first_batch().replace(from, to).as_bytes());
@@ -253,7 +258,8 @@
     }
 }
 
-/// Lines damaged in every way that a fixed seed brings: an error with its line or a good end, never a panic.
+/// Corrupts the input at random positions with a fixed seed. The adapter must succeed or report an error with a line
+/// number, but never panic.
 #[test]
 fn corrupted_input_never_panics() {
     let valid_input =
