--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,8 +1,8 @@
-//! From the JSON form to the policy's types, section by section.
+//! Converts the JSON form of the settings to the policy's types, section by section.
 //!
-//! JSON has seconds as numbers and zones by name; the policy has durations and positions. The first value
-//! that has no counterpart ends the conversion. Ranges that only the policy cares about are not looked at
-//! here: it validates what it is given.
+//! In JSON, durations are numbers of seconds and zones are names; the policy uses `Duration` and indexes.
+//! The conversion stops at the first value that has no counterpart. It does not check ranges that only
+//! matter to the policy, because the policy validates its settings itself.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use rustc_hash::FxHashMap;
 
 use crate::read::{Loaded, Names, SetupError};
-use crate::schema::{Caps, Discovery, EffectName, Lane, PriceFigures, Project, RuleFigures, Setup};
+use crate::schema::{Caps, Discovery, EffectName, Lane, PriceSettings, Project, RuleSettings, Setup};
 
-/// Converts the whole object.
-pub fn loaded(setup: Setup) -> Result<Loaded, SetupError> {
+/// Converts the complete settings object.
+pub fn into_loaded(setup: Setup) -> Result<Loaded, SetupError> {
     let settings = settings(&setup)?;
     let connect_timeout = duration("caps.dialTimeoutS", setup.capabilities.connect_timeout_s)?;
     let names = names(setup);
@@ -44,16 +44,16 @@
 
 fn names(setup: Setup) -> Names {
     Names {
-        classes: positions(setup.classes.into_iter().map(|class| class.name)),
-        tenants: positions(setup.tenants.into_iter().map(|tenant| tenant.name)),
-        zones: positions(setup.zones),
-        kinds: positions(setup.machine_kinds),
+        classes: index_by_name(setup.classes.into_iter().map(|class| class.name)),
+        tenants: index_by_name(setup.tenants.into_iter().map(|tenant| tenant.name)),
+        zones: index_by_name(setup.zones),
+        kinds: index_by_name(setup.machine_kinds),
         load_fields: setup.load_reports.fields,
     }
 }
 
 fn local_zone(setup: &Setup) -> Result<ZoneId, SetupError> {
-    // Of two zones with one name the last counts, as it does in `Names`.
+    // If two zones have the same name, the last one is used, as in `Names`.
     let position = setup.zones.iter().rposition(|zone| *zone == setup.zone);
     position.map(ZoneId).ok_or_else(|| invalid("zone", &setup.zone))
 }
@@ -112,7 +112,8 @@
     })
 }
 
-/// `None` where clients get no Retry-After; what the longest would be is not looked at then.
+/// Returns the longest Retry-After that clients honour. `None` if clients are sent no Retry-After; the configured
+/// maximum is then not validated.
 fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, SetupError> {
     if !capabilities.retry_after {
         return Ok(None);
@@ -120,7 +121,7 @@
     duration("caps.maxRetryAfterS", capabilities.max_retry_after_s).map(Some)
 }
 
-fn rules(rules: &RuleFigures) -> Result<Rules, SetupError> {
+fn rules(rules: &RuleSettings) -> Result<Rules, SetupError> {
     Ok(Rules {
         answer_slack: duration("rules.answerSlackS", rules.answer_slack_s)?,
         drain_grace: duration("rules.drainGraceS", rules.drain_grace_s)?,
@@ -135,7 +136,7 @@
     })
 }
 
-fn costs(prices: &PriceFigures) -> Costs {
+fn costs(prices: &PriceSettings) -> Costs {
     Costs {
         cross_zone: prices.cross_zone,
         wasted_work: prices.wasted_work,
@@ -153,6 +154,6 @@
     SetupError::Value { name: key, value: value.to_owned() }
 }
 
-fn positions(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
+fn index_by_name(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
     names.into_iter().enumerate().map(|(position, name)| (name, position)).collect()
 }
