--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,28 +1,29 @@
-//! A load balancer on real sockets. All decisions are those of `balancer-policy`; this crate turns what happens on
-//! the network into its events and carries out its actions.
+//! A load balancer on real sockets. `balancer-policy` makes all decisions; this crate translates network activity into
+//! events for the policy and carries out the actions that the policy returns.
 //!
-//! One thread, one runtime: [`event_loop::EventLoop`] owns the state behind a `RefCell` that is never borrowed across an
-//! await.
+//! The balancer runs on one thread with one runtime. [`event_loop::EventLoop`] owns the state behind a `RefCell` that
+//! is never borrowed across an await.
 //!
 //! # Modules
 //!
-//! | module | concern |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`config`] | the configuration file and the environment, as plain data |
-//! | [`discovery`] | the form of endpoint lists, and the watch on discovery |
-//! | [`reconfiguration`] | following the distribution of settings |
-//! | [`offered`] | the classes and tenants that requests may name |
-//! | [`request_table`] | requests in flight with their attempts |
-//! | [`endpoint_table`] | endpoints: numbers, addresses, readiness, drains |
-//! | [`clock`] | start times; the one place that reads the wall clock |
-//! | [`event_loop`] | feeds events to the policy, carries out its actions |
-//! | [`telemetry`] | counts and log |
-//! | [`socket`] | a TCP socket that sees the peer's end, and how far HTTP code may read on it |
-//! | [`upstream`] | attempts and the connections that they use |
-//! | [`downstream`] | clients' connections and requests, and graceful shutdown |
+//! | [`config`] | reads the configuration file and the environment into plain data |
+//! | [`discovery`] | wire format of endpoint lists, and the watch on service discovery |
+//! | [`reconfiguration`] | follows the distribution of settings and applies changes at run time |
+//! | [`offered`] | names and ids of the classes and tenants that requests may use |
+//! | [`request_table`] | requests in flight and their attempts |
+//! | [`endpoint_table`] | endpoints: ids, addresses, readiness, drains |
+//! | [`clock`] | start times of upstreams; the only module that reads the wall clock |
+//! | [`event_loop`] | passes events to the policy and carries out its actions |
+//! | [`telemetry`] | counters and log |
+//! | [`socket`] | a TCP socket that detects the peer's close and limits how far HTTP code may read |
+//! | [`upstream`] | attempts and the upstream connections that they use |
+//! | [`downstream`] | client connections and requests, and graceful shutdown |
 //!
-//! Dependencies point one way. Discovery, configuration and attempts reach the event loop through traits of their own,
-//! [`discovery::WatchObserver`], [`reconfiguration::Reconfigurable`] and [`upstream::AttemptContext`]:
+//! Dependencies between modules have no cycles. Discovery, reconfiguration and attempts call the event loop through
+//! traits that they define themselves: [`discovery::WatchObserver`], [`reconfiguration::Reconfigurable`] and
+//! [`upstream::AttemptContext`].
 //!
 //! ```text
 //! downstream -----> event_loop, config, reconfiguration, upstream, socket
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer on real sockets: starts from its configuration, serves until SIGTERM, then drains and ends.
+//! The balancer program: reads its configuration, serves until SIGTERM or SIGINT, then drains and exits.
 
 #![warn(clippy::pedantic)]
 
@@ -32,7 +32,7 @@
             server::serve(config, stop).await
         })
     });
-    // A log that nobody reads must not delay the end.
+    // Log lines are flushed for a limited time only, so that a log that nobody reads does not delay the exit.
     log::flush(Duration::from_millis(100));
     match served {
         Ok(()) => ExitCode::SUCCESS,
