--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -1,6 +1,8 @@
-//! When did an upstream start, on the clock of the decisions? Discovery stamps a start with the wall clock of another
-//! machine; this is the one place that reads the wall clock of this one, and any of the two may step at any time. So a
-//! stamp names a start, and only says roughly when it was: the monotonic clock bounds that by when the list named it.
+//! Determines when each upstream started, as a time on the policy's monotonic clock.
+//!
+//! Discovery stamps a start with the wall clock of another machine, and this module, the only one that does so, reads
+//! the wall clock of this machine. Either clock may step at any time. A stamp therefore identifies a start but tells
+//! its time only roughly; the monotonic times at which lists arrived give the bounds.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,14 +11,14 @@
 use balancer_policy::interface::{EndpointId, Time};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Starts of processes that are not listed any more that are remembered, the latest ones: enough for a tier of this size
-/// to leave the list and to return, in a fraction of a megabyte. One that returns later goes through slow start once
-/// more.
+/// Maximum number of remembered starts of processes that are no longer listed; beyond it, the start that left the list
+/// first is forgotten. A tier of this size can leave the list and return, and the memory used is a fraction of a
+/// megabyte. A process that returns after its start was forgotten goes through slow start again.
 pub const MAX_PAST_STARTS: usize = 4096;
 
-/// Reads the time of day, which may step.
+/// A source of the time of day, which may step forwards or backwards.
 pub trait WallClock: fmt::Debug + Send {
-    /// Unix time in milliseconds.
+    /// Returns the current Unix time in milliseconds.
     fn unix_ms(&self) -> u64;
 }
 
@@ -31,20 +33,22 @@
     }
 }
 
-/// The moment at which a list is applied, as all its entries are placed by it.
+/// The time at which a list is applied. The start times of all entries of the list are derived from it.
 #[derive(Debug, Clone, Copy)]
 pub struct Moment {
     now: Time,
-    /// Unix time in milliseconds, as far as is known.
+    /// Best estimate of the Unix time in milliseconds at `now`.
     unix_ms: u64,
-    /// A start that is new in this list is not older than this; `None` for a first list, which bounds nothing.
+    /// Earliest possible time of a start that this list is the first to name. `None` until the first list of
+    /// discovery has been applied, as nothing bounds earlier starts.
     earliest: Option<Time>,
 }
 
 impl Moment {
-    /// When a process started that this list is the first to name.
+    /// Returns the start time of a process that this list is the first to name; `None` if it started before the zero of
+    /// the policy's clock.
     fn start(&self, since_ms: u64) -> Option<Time> {
-        // A stamp of the future counts as one of now.
+        // A stamp in the future counts as the current time.
         let age = Duration::from_millis(self.unix_ms.saturating_sub(since_ms));
         let start = self.now.checked_sub(age);
         match self.earliest {
@@ -54,28 +58,28 @@
     }
 }
 
-/// A start as it was named, and the time that it was given.
+/// A start of a process: the stamp from discovery, and the time that was assigned to it on the policy's clock.
 #[derive(Debug, Clone, Copy)]
 struct Start {
     since_ms: u64,
     time: Option<Time>,
 }
 
-/// The start times of the upstreams. A start that has been given a time keeps it, however clocks step later: to the
-/// decisions another time is another process.
+/// Start times of the upstreams. A start keeps the time that was first assigned to it, even if clocks step later,
+/// because the policy takes a different start time as a different process.
 #[derive(Debug)]
 pub struct StartTimes {
     clock: Box<dyn WallClock>,
     listed: FxHashMap<EndpointId, Start>,
     past: PastStarts,
-    /// When a list first named an upstream: what later ones add to it is new.
+    /// When a list first named an upstream. Starts that later lists add are new.
     first_list_at: Option<Time>,
-    /// When discovery last said a line: what it had by then is in the list in hand.
+    /// When discovery last sent a line. The current list has everything that discovery knew by then.
     last_line_at: Option<Time>,
 }
 
 impl StartTimes {
-    /// Before any list.
+    /// Creates a table of start times to which no list has been applied yet.
     #[must_use]
     pub fn new(clock: Box<dyn WallClock>) -> Self {
         Self {
@@ -87,23 +91,27 @@
         }
     }
 
-    /// Reads the wall clock for a list whose newest stamp is this. In a first list the machine that stamps had reached
-    /// that time, so that a clock of this one that is behind does not make the whole tier just started. Later lists
-    /// have bounds, and one stamp that is ahead must not make the others old.
+    /// Reads the wall clock for a list whose newest stamp is `newest_ms`.
+    ///
+    /// Until the first list of discovery has been applied, the Unix time is taken as at least `newest_ms`, because the
+    /// machine that stamps has reached that time: otherwise a local clock that is behind would make the whole tier look
+    /// just started. Starts in later lists have a lower bound, so this is not needed there, and one stamp that is ahead
+    /// must not make the other starts look old.
     #[must_use]
     pub fn moment(&self, now: Time, newest_ms: u64) -> Moment {
         let least_ms = if self.last_line_at.is_none() { newest_ms } else { 0 };
         Moment { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
     }
 
-    /// Discovery has said a line, if an empty one, and what it holds has been applied.
+    /// Records that discovery has sent a line, possibly an empty one, and that its content has been applied.
     pub fn note_line(&mut self, now: Time) {
         if self.first_list_at.is_some() {
             self.last_line_at = Some(now);
         }
     }
 
-    /// The start time of an upstream that a list names with this stamp; `None` for long ago.
+    /// Records that a list names an upstream with the stamp `since_ms`, and returns the upstream's start time; `None`
+    /// if it started long ago.
     pub fn listed(&mut self, moment: &Moment, id: EndpointId, since_ms: u64) -> Option<Time> {
         self.first_list_at.get_or_insert(moment.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
@@ -119,14 +127,14 @@
         start.time
     }
 
-    /// An upstream is not listed any more, or not with the start that it had.
+    /// Moves the start of an upstream to the past starts, because the upstream is no longer listed or has a new start.
     pub fn left(&mut self, id: EndpointId) {
         if let Some(start) = self.listed.remove(&id) {
             self.past.put(id, start);
         }
     }
 
-    /// Only these are listed.
+    /// Moves the starts of all upstreams other than `ids` to the past starts.
     pub fn retain(&mut self, ids: &FxHashSet<EndpointId>) {
         let past = &mut self.past;
         self.listed.retain(|&id, start| {
@@ -138,9 +146,12 @@
         });
     }
 
-    /// Whether a list that may be older than the one in hand names a new start of an upstream, and not one before. An
-    /// earlier stamp may be either, as the clock behind the stamps may have stepped back: it is a new start if no list
-    /// has named it though it seems to lie after the first one. Before that there may have been starts that none named.
+    /// Whether a list that may be older than the current one names a new start of an upstream rather than a previous
+    /// one.
+    ///
+    /// A stamp earlier than the current one can be either, as the clock that stamps may have stepped back. It counts as
+    /// a new start if no list has named it although it appears to lie after the first list; starts before the first
+    /// list may never have been named.
     #[must_use]
     pub fn is_new_start(&self, now: Time, id: EndpointId, since_ms: u64) -> bool {
         let listed_ms = self.listed.get(&id).map_or(0, |start| start.since_ms);
@@ -150,36 +161,37 @@
         since_ms > listed_ms || self.age(since_ms, listed_ms) < self.listed_for(now)
     }
 
-    /// How long ago a stamp was, as far as is known: the machine that stamps has reached `least_ms`.
+    /// Estimated age of a stamp, given that the clock of the machine that stamps has reached `least_ms`.
     fn age(&self, since_ms: u64, least_ms: u64) -> Duration {
         let unix_ms = self.clock.unix_ms().max(least_ms);
         Duration::from_millis(unix_ms.saturating_sub(since_ms))
     }
 
-    /// The time since the first list.
+    /// Time since a list first named an upstream; zero before that.
     fn listed_for(&self, now: Time) -> Duration {
         self.first_list_at.map_or(Duration::ZERO, |first| now.saturating_sub(first))
     }
 
-    /// The upstreams of which a start is remembered, those that are not listed any more among them.
+    /// Returns the ids of all upstreams with a remembered start, including those that are no longer listed.
     #[must_use]
     pub fn remembered(&self) -> FxHashSet<EndpointId> {
         let past = self.past.by_start.keys().map(|&(id, _)| id);
         self.listed.keys().copied().chain(past).collect()
     }
 
-    /// How many starts are remembered of processes that are not listed any more.
+    /// Number of remembered starts of processes that are no longer listed.
     #[must_use]
     pub fn past_len(&self) -> usize {
         self.past.by_start.len()
     }
 }
 
-/// The starts of processes that are not listed any more, of which the oldest are forgotten.
+/// Starts of processes that are no longer listed. Beyond [`MAX_PAST_STARTS`] the one that left first is forgotten.
 #[derive(Debug, Default)]
 struct PastStarts {
-    /// The number of its departure, and its start time.
+    /// Departure number and assigned start time, by upstream and stamp.
     by_start: FxHashMap<(EndpointId, u64), (u64, Option<Time>)>,
+    /// Upstream and stamp by departure number, which counts up as starts leave the list.
     by_departure: BTreeMap<u64, (EndpointId, u64)>,
     next_departure: u64,
 }
@@ -201,7 +213,7 @@
         }
     }
 
-    /// This start with the time that it was given, if it is remembered.
+    /// Removes and returns a start with the time that was assigned to it, if it is remembered.
     fn take(&mut self, id: EndpointId, since_ms: u64) -> Option<Start> {
         let (departure, time) = self.by_start.remove(&(id, since_ms))?;
         self.by_departure.remove(&departure);
