--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! The call to discovery: connects, asks for the list from a version on, and ends the call where it stays silent or its
-//! answer makes no sense.
+//! The HTTP call to discovery: connects, requests all changes since a version of the list, and ends the call if
+//! discovery stays silent or sends an invalid answer.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -13,43 +13,43 @@
 use crate::connection;
 use crate::pool::Pool;
 
-/// A watch sends a line every 2 s, if an empty one; silent for well over that, it is dead.
+/// Time without a line after which a watch counts as dead. Discovery sends a line, possibly an empty one, every 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
-/// Bytes of one line at most, so that a broken discovery cannot fill the memory.
+/// Maximum size of one line, so that a faulty discovery cannot exhaust the memory.
 const MAX_LINE_BYTES: usize = 8 << 20;
 
-/// How long a new watch may take from its asking to its first whole line.
+/// Time that a new watch may take from the start of the call, connecting included, to its first whole line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience(Duration);
 
 impl Patience {
-    /// By how lists are had. Discovery works through calls in turn. An agent answers at once; one that does not
-    /// is cut off from discovery, and whether it will send a line on a watch that it left waiting is not known, so that
-    /// new ones are tried meanwhile.
+    /// Chooses the timeout for a discovery mode. Discovery works through calls in turn, so it gets 2 s. An agent
+    /// answers at once and gets 1 s: an agent that does not answer is cut off from discovery, and it is not known
+    /// whether it will ever send a line on the waiting watch, so new watches are tried meanwhile.
     #[must_use]
     pub fn of(mode: DiscoveryMode) -> Self {
         Self(Duration::from_secs(if mode == DiscoveryMode::Agent { 1 } else { 2 }))
     }
 }
 
-/// Why a watch has ended.
+/// Why a watch on discovery has ended.
 #[derive(Debug, Error)]
 pub enum BrokenError {
-    /// Discovery was not reached in time.
-    #[error("no connection")]
+    /// No connection to discovery came up in time.
+    #[error("could not connect to discovery")]
     Connect,
-    /// The call failed, its answer made no sense, or it fell silent.
+    /// The call failed, its answer was invalid, or no line arrived in time.
     #[error("{0}")]
     Watch(#[from] WatchError<LineError>),
 }
 
-/// A line of a watch is not the JSON that is expected.
+/// A line of a watch is not the expected JSON.
 #[derive(Debug, Error)]
-#[error("a line is malformed: {0}")]
+#[error("discovery sent a malformed line: {0}")]
 pub struct LineError(#[from] serde_json::Error);
 
-/// Calls discovery at an address for all that comes after version `since`, and hands each whole line to `line`, an empty
-/// one as such. The connection counts against the sockets of `pool`.
+/// Requests all changes after version `since` from discovery at `address`, and passes each whole line, including empty
+/// ones, to `line`. Returns when the watch has ended. The connection counts towards the socket limit of `pool`.
 pub(super) async fn follow(
     pool: &Pool,
     address: SocketAddr,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,9 +1,9 @@
-//! How does a balancer learn of changes of the endpoint list? It watches discovery: one call that stays open, on which
-//! each line is an update or, if empty, a heartbeat.
+//! The watch on service discovery, by which a balancer learns of changes to the endpoint list: one HTTP call that stays
+//! open, on which each line is an update or, if empty, a heartbeat.
 //!
-//! [`client`] makes the call and bounds its times; [`mod@watch`] hands what its lines mean to a [`WatchObserver`];
-//! [`update`] is the form of an update on the wire. Each knows only those that it names: `watch` the other two,
-//! `client` and `update` neither.
+//! [`client`] makes the call and enforces its timeouts; [`mod@watch`] interprets the lines and notifies a
+//! [`WatchObserver`]; [`update`] defines the wire format of an update. `watch` depends on the other two; these depend
+//! neither on each other nor on `watch`.
 
 pub mod client;
 pub mod update;
--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -1,30 +1,30 @@
-//! What does discovery send? The form of the endpoint list on the wire, a snapshot or a change of one, also as the
-//! configuration file has it. Knows no other module but the log.
+//! Wire format of the endpoint list that discovery sends, as a snapshot or as a delta. The configuration file has its
+//! list of upstreams in the same format. Depends on no other module but the log.
 
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 
-/// An update from discovery: the whole list or what changed.
+/// An update from discovery: the whole endpoint list, or the entries that changed.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Update {
-    /// The list's version.
+    /// Version of the endpoint list after this update.
     #[serde(default)]
     pub index: u64,
-    /// The whole list: what is absent has been removed.
+    /// Whether this update is the whole list, so that endpoints absent from it have been removed.
     #[serde(default)]
     pub snapshot: bool,
-    /// The upstreams.
+    /// The upstreams of the list, or those that changed.
     #[serde(default, deserialize_with = "entries")]
     pub endpoints: Vec<Endpoint>,
 }
 
-/// Reads each entry by itself: one that makes no sense must not cost the others, a drain among them.
+/// Deserializes each entry separately, so that a malformed entry does not lose the others, which may include a drain.
 fn entries<'de, D: Deserializer<'de>>(input: D) -> Result<Vec<Endpoint>, D::Error> {
     let raw: Vec<Box<RawValue>> = Vec::deserialize(input)?;
     let read = |raw: &RawValue| {
         serde_json::from_str(raw.get())
             .inspect_err(|error| {
-                crate::log(format_args!("passed over a malformed entry of the list: {error}"));
+                crate::log(format_args!("skipped a malformed entry of the endpoint list: {error}"));
             })
             .ok()
     };
@@ -34,26 +34,26 @@
 /// An upstream as discovery lists it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoint {
-    /// Its name, the same at every balancer.
+    /// Name of the upstream, the same at every balancer.
     pub name: String,
-    /// Where it listens.
+    /// Address on which the upstream listens, as `IP:PORT`.
     #[serde(default)]
     pub address: String,
-    /// Its zone.
+    /// Name of the upstream's zone.
     #[serde(default)]
     pub zone: String,
-    /// Its kind of machine.
+    /// Name of the upstream's kind of machine.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its cell.
+    /// Number of the cell that the upstream belongs to.
     #[serde(default)]
     pub group: u32,
-    /// `ready`, `draining` or `gone`.
+    /// State of the upstream: `ready`, `draining` or `gone`.
     pub status: String,
-    /// Its size beside the others.
+    /// Capacity of the upstream relative to the others.
     #[serde(default = "one")]
     pub weight: f64,
-    /// Its latest start, Unix time in milliseconds; 0 for long ago.
+    /// Latest start of the upstream's process as Unix time in milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: what each line of the call means for the [`WatchObserver`].
+//! Interprets the lines of a watch on discovery and notifies the [`WatchObserver`].
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,50 +8,52 @@
 use super::update::Update;
 use crate::pool::Pool;
 
-/// A change counts as notified this long after discovery had it and could be reached, whatever call failed before. At its
-/// worst the way there is, in seconds, from when it can be reached again:
+/// Time within which a balancer must learn of a change, counted from when discovery has the change and can be reached,
+/// whatever calls failed before. The worst case from when discovery can be reached again, in seconds, where the list is
+/// requested from discovery and where it is pushed to an agent on the balancer's machine:
 ///
-/// | | asked for | pushed to an agent |
+/// | | requested | pushed to an agent |
 /// | --- | --- | --- |
-/// | a call that still hangs ([`Patience`]: connect, head and first whole line together) | 2 | 1 |
-/// | back-off after it (0.4 of this time, by the decisions) | 2.4 | 0 |
-/// | until the next sweep of the decisions | 0.2 | 0.2 |
+/// | a call that still hangs ([`Patience`]: connect, response head and first whole line together) | 2 | 1 |
+/// | back-off after it (the policy uses 0.4 of this limit) | 2.4 | 0 |
+/// | until the policy's next maintenance | 0.2 | 0.2 |
 /// | left for the answer | 1.4 | 4.8 |
 ///
-/// And from the last line of a watch that fell silent: its silence 3.2, back-off 0.5 or 0, sweep 0.2; left are 2.1
-/// and 2.6. A reload starts at the back-off of a first failure, 0.5 or 0, and has 4 s.
+/// After the last line of a watch that falls silent: silence timeout 3.2, back-off 0.5 or 0, maintenance 0.2, which
+/// leaves 2.1 or 2.6. After a reload the back-off is that of a first failure, 0.5 or 0, and 4 s are allowed.
 pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
-/// Is notified of what a watch brings.
+/// Receives the events of a watch on discovery.
 pub trait WatchObserver {
-    /// An update has come, or the first line of a watch has said that nothing has changed since it asked.
+    /// Called for an update. If the first line of a watch is empty, no endpoint has changed since the version that the
+    /// watch started from, and `update` has that version and no entries.
     fn on_update(self: &Rc<Self>, update: Update);
 
-    /// A later line was empty: the watch is alive.
+    /// Called for each empty line after the first line: the watch is alive.
     fn on_heartbeat(&self);
 
-    /// The watch of that number has ended; it notifies of nothing more.
+    /// Called when the watch with this number has ended; it makes no further calls.
     fn on_broken(self: &Rc<Self>, number: u64, why: &BrokenError);
 }
 
-/// A watch to be opened.
+/// Parameters of a watch to be opened.
 #[derive(Debug, Clone, Copy)]
 pub struct WatchStart {
-    /// Where discovery listens.
+    /// Address on which discovery listens.
     pub address: SocketAddr,
-    /// How long it may take to the first whole line.
+    /// Time that the watch may take until its first whole line.
     pub patience: Patience,
-    /// The version of the list in hand.
+    /// Version of the current list, from which on changes are requested.
     pub since: u64,
-    /// Distinguishes this watch from those before it.
+    /// Number that distinguishes this watch from earlier ones.
     pub number: u64,
 }
 
-/// Watches the list until the watch ends, then notifies the observer of its end. The connection counts against the
-/// sockets of `pool`.
+/// Watches the endpoint list until the watch ends, then notifies the observer of the end. The connection counts towards
+/// the socket limit of `pool`.
 ///
-/// Cancellation: dropping the future closes the connection, and the observer is not notified of that end. Each line is
-/// handed over whole, without an await in between.
+/// Cancellation: dropping the future closes the connection without a call of `on_broken`. The observer handles each
+/// whole line without an await in between, so no line is handled in part.
 pub async fn watch(observer: Rc<impl WatchObserver>, pool: Rc<Pool>, start: WatchStart) {
     let WatchStart { address, patience, since, number } = start;
     let mut stands = false;
@@ -59,7 +61,8 @@
         if !line.is_empty() {
             observer.on_update(serde_json::from_slice(line)?);
         } else if !stands {
-            // Nothing has changed since; the watch stands all the same.
+            // Nothing has changed since that version. The observer learns from the update that the watch is
+            // established.
             observer.on_update(Update { index: since, snapshot: false, endpoints: Vec::new() });
         } else {
             observer.on_heartbeat();
