--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -1,6 +1,6 @@
-//! The endpoints that discovery lists: the number by which the policy knows each, and whether new work may go to it at its
-//! address. Applies the updates of discovery, also one that is older than the list in hand. The table decides nothing: the
-//! numbers go to the policy, and connections are closed by the event loop.
+//! The endpoints that discovery lists: the id by which the policy knows each of them, its address, and whether new work
+//! may be sent to it. The table applies the updates of discovery, including updates older than the current list. It
+//! makes no decisions: the resulting list goes to the policy, and the event loop closes connections.
 
 use std::net::SocketAddr;
 
@@ -11,60 +11,66 @@
 use crate::clock::{MAX_PAST_STARTS, Moment, StartTimes, WallClock};
 use crate::discovery::update::{Endpoint, Update};
 
-/// Names that are remembered before any is forgotten: more than one for each past start that the clock remembers, so that
-/// what is looked through to forget some is, on average, a few names for each new one.
+/// Minimum number of remembered names at which unused names are removed. It is more than one name for each past start
+/// that the clock remembers, so that pruning examines only a few names per new name on average.
 pub const MIN_NAMES_TO_PRUNE: usize = 2 * MAX_PAST_STARTS;
 
-/// An endpoint that is listed and not gone.
+/// An endpoint that is on the list and has not been removed.
 #[derive(Debug)]
 pub struct ListedEndpoint {
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// Its zone, if the settings know it.
+    /// Zone of the endpoint, if the settings name it.
     pub zone: Option<ZoneId>,
+    /// Stamp of the latest start of the endpoint's process, as discovery gives it.
     since_ms: u64,
+    /// Whether new work may be sent to the endpoint; it drains otherwise.
     ready: bool,
 }
 
-/// How a list came.
+/// Source and form of a list of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListSource {
-    /// From discovery, the complete list.
+    /// The complete list, from discovery.
     Snapshot,
-    /// From discovery, changed entries only.
+    /// Changed entries only, from discovery.
     Delta,
-    /// From the configuration, complete and maybe old.
+    /// The complete list, from the configuration; it may be stale.
     Configuration,
 }
 
-/// What of a list goes to the policy, and what to the connections.
+/// Result of applying a list.
 #[derive(Debug)]
 pub struct AppliedList {
-    /// For the policy.
+    /// Update to pass to the policy.
     pub update: ListUpdate,
-    /// Endpoints whose process is a new one; the connections to the old one are dead.
+    /// Endpoints whose process has been replaced by a new one, so that connections to the old process are dead.
     pub restarted: Vec<EndpointId>,
 }
 
-/// An entry of a list in the form of the policy.
+/// An entry of a list, converted for the policy.
 struct AppliedEntry {
     member: Member,
+    /// Whether the process of the endpoint has been replaced by a new one.
     restarted: bool,
 }
 
-/// The endpoints and their list.
+/// The current list of endpoints, with their ids and start times.
 #[derive(Debug)]
 pub struct EndpointTable {
     ids: EndpointIds,
     listed: FxHashMap<EndpointId, ListedEndpoint>,
     starts: StartTimes,
+    /// Version of the current list.
     index: u64,
+    /// Whether any list has been applied, from the configuration or from discovery.
     has_list: bool,
+    /// Whether discovery has sent an update.
     has_update: bool,
 }
 
 impl EndpointTable {
-    /// A table without a list, to which `index` is the version known.
+    /// Creates a table without a list. `index` is the version of the list that will be applied first, or 0.
     #[must_use]
     pub fn new(wall_clock: Box<dyn WallClock>, index: u64) -> Self {
         Self {
@@ -77,77 +83,84 @@
         }
     }
 
-    /// The version of the list in hand.
+    /// Returns the version of the current list.
     #[must_use]
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// Whether some list has come, with the configuration or from discovery.
+    /// Whether any list has been applied, from the configuration or from discovery.
     #[must_use]
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// Whether discovery has sent an update, which goes before the list of the configuration.
+    /// Whether discovery has sent an update, which takes precedence over the list of the configuration.
     #[must_use]
     pub fn has_update(&self) -> bool {
         self.has_update
     }
 
-    /// How many endpoints are listed, draining ones among them.
+    /// Number of listed endpoints, including those that drain.
     #[must_use]
     pub fn listed(&self) -> usize {
         self.listed.len()
     }
 
-    /// How many endpoints new work may go to.
+    /// Number of endpoints that new work may be sent to.
     #[must_use]
     pub fn ready(&self) -> usize {
         self.listed.values().filter(|endpoint| endpoint.ready).count()
     }
 
-    /// An endpoint that new work may go to.
+    /// Returns an endpoint, if it is listed and new work may be sent to it.
     #[must_use]
     pub fn ready_endpoint(&self, id: EndpointId) -> Option<&ListedEndpoint> {
         self.listed.get(&id).filter(|endpoint| endpoint.ready)
     }
 
-    /// The same, if it is still at this address.
+    /// Returns an endpoint, if it is listed at this address and new work may be sent to it.
     #[must_use]
     pub fn ready_endpoint_at(&self, id: EndpointId, address: SocketAddr) -> Option<&ListedEndpoint> {
         self.ready_endpoint(id).filter(|endpoint| endpoint.address == address)
     }
 
-    /// How many names of endpoints are remembered.
+    /// Number of endpoint names that are remembered.
     #[must_use]
     pub fn names(&self) -> usize {
         self.ids.by_name.len()
     }
 
-    /// Forgets the names of endpoints that are neither listed, nor have an attempt out, nor a start that is remembered.
-    /// Where names never repeat they would fill the memory otherwise. A name that returns gets its number again, as that
-    /// is the hash of the name; only of two names that meet the later one may get another number, when nothing is left
-    /// that it was known by.
+    /// Forgets the names of endpoints that are not listed, have no attempt in progress and no remembered start. Without
+    /// this, names that never repeat would fill the memory. A name that returns gets the same id again, because the id
+    /// is the hash of the name. Only where the hashes of two names collide may the later name get another id, and only
+    /// once everything that used its old id is forgotten.
     fn prune_names(&mut self, in_attempts: &FxHashSet<EndpointId>) {
         let remembered = self.starts.remembered();
         let listed = &self.listed;
         self.ids.retain(|id| listed.contains_key(id) || in_attempts.contains(id) || remembered.contains(id));
     }
 
-    /// Discovery has sent a line, be it an empty one: a start that a later line names lies after it.
+    /// Records that discovery has sent a line, possibly an empty one: a start that a later line is the first to name
+    /// lies after this time.
     pub fn note_heartbeat(&mut self, now: Time) {
         self.starts.note_line(now);
     }
 
-    /// Whether an update of discovery is to be applied. One older than the list in hand, as from a discovery that lags
-    /// behind the one used before, must not end a drain: changes from then are passed over; a snapshot is what there is
-    /// now, but for endpoints that drain, which only a new start brings back, and those entries are changed here.
+    /// Prepares an update from discovery, and returns whether it is to be applied.
+    ///
+    /// An update older than the current list, for example from an instance of discovery that lags behind the one used
+    /// before, must not end a drain. An older delta is ignored. An older snapshot is applied, except that endpoints
+    /// that drain stay draining unless the snapshot names a new start of them; their entries in `update` are changed
+    /// here.
     #[must_use]
     pub fn admit(&mut self, now: Time, update: &mut Update) -> bool {
         self.has_update = true;
         if update.index < self.index {
-            crate::log(format_args!("an older list: {} after {}", update.index, self.index));
+            crate::log(format_args!(
+                "discovery sent version {} of the endpoint list after version {}; an older list ends no drain",
+                update.index, self.index
+            ));
             if !update.snapshot {
                 self.starts.note_line(now);
                 return false;
@@ -160,15 +173,15 @@
         true
     }
 
-    /// Whether an endpoint is listed as draining, and the entry of an older list names no new start of it.
+    /// Whether the endpoint of an older list's entry is listed as draining, and the entry names no new start of it.
     fn drains(&self, now: Time, entry: &Endpoint) -> bool {
         let Some(id) = self.ids.get(&entry.name) else { return false };
         let drains = self.listed.get(&id).is_some_and(|endpoint| !endpoint.ready);
         drains && !self.starts.is_new_start(now, id, entry.since_ms)
     }
 
-    /// Applies the entries of a list. Malformed ones are logged and skipped. `in_attempts` gives the endpoints that
-    /// attempts are out to, whose names must not be forgotten; it is called now and then.
+    /// Applies the entries of a list. Malformed entries are logged and skipped. `in_attempts` returns the endpoints
+    /// that have attempts in progress, whose names must not be forgotten; it is called only when names are pruned.
     pub fn apply(
         &mut self,
         now: Time,
@@ -183,7 +196,7 @@
         let mut restarted = Vec::new();
         for entry in entries {
             let Some(applied) = self.apply_entry(&moment, entry, names) else {
-                crate::log(format_args!("passed over a malformed entry of the list: {entry:?}"));
+                crate::log(format_args!("skipped a malformed entry of the endpoint list: {entry:?}"));
                 continue;
             };
             if applied.restarted {
@@ -221,7 +234,7 @@
         if lifecycle == Lifecycle::Removed {
             self.listed.remove(&id);
         } else {
-            // A drain applies, whatever has become of the address.
+            // A drain applies even if its entry has no valid address: the known address is used then.
             let known =
                 self.listed.get(&id).filter(|_| lifecycle == Lifecycle::Draining).map(|known| known.address);
             let address = entry.address.parse().ok().or(known)?;
@@ -247,12 +260,14 @@
     }
 }
 
-/// The numbers of endpoints, by name.
+/// Ids of endpoints by name.
 #[derive(Debug)]
 struct EndpointIds {
     by_name: FxHashMap<Box<str>, EndpointId>,
+    /// The ids in `by_name`.
     assigned: FxHashSet<EndpointId>,
-    /// From so many names on those not needed are removed: twice the number that the last removal has left.
+    /// Number of names at which unused ones are removed: twice the number that the last removal left, but at least
+    /// [`MIN_NAMES_TO_PRUNE`].
     prune_at: usize,
 }
 
@@ -271,8 +286,8 @@
         self.by_name.get(name).copied()
     }
 
-    /// The number of an endpoint: from its name alone, so that all balancers sort them alike. Should two names meet, the
-    /// later one takes the next free number.
+    /// Returns the id of an endpoint, assigning one if it has none. The id is the hash of the name, so that all
+    /// balancers order the endpoints alike. If the hashes of two names collide, the later name gets the next free id.
     fn get_or_assign(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.get(name) {
             return id;
@@ -286,7 +301,7 @@
     }
 }
 
-/// The 32-bit FNV-1a hash.
+/// Returns the 32-bit FNV-1a hash of a name.
 fn fnv1a(name: &str) -> u32 {
     const OFFSET_BASIS: u32 = 2_166_136_261;
     const PRIME: u32 = 16_777_619;
