--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -1,5 +1,5 @@
-//! The requests in flight with their attempts. A request stays in the table from when it is accepted until it has its final
-//! answer and its last attempt has ended. The table decides nothing.
+//! The requests in flight and their attempts. A request stays in the table from when it is accepted until it has its
+//! final answer and its last attempt has ended. The table makes no decisions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,97 +16,99 @@
 /// The final answer to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// What an upstream answered.
+    /// Body of the answer of an upstream.
     Served(Bytes),
-    /// No attempt has had an effect: a retry is harmless.
+    /// The request was refused: no attempt has had an effect, so a retry is safe.
     Refused {
-        /// How long the client is to wait before it.
+        /// How long the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// Nothing is said of its effect.
+    /// The request failed: it may or may not have had an effect.
     Failed,
 }
 
 /// A client's request, ready for the policy.
 #[derive(Debug)]
 pub struct AcceptedRequest {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant.
+    /// Tenant of the request, if it names one.
     pub tenant: Option<TenantId>,
-    /// Its subject.
+    /// Subject of the request, if it has one.
     pub subject: Option<u64>,
-    /// The work expected.
+    /// Expected work of the request as time on a standard core, if known.
     pub expected_work: Option<Duration>,
-    /// The client has marked it as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_client_retry: bool,
-    /// When the answer must be out.
+    /// When the answer must have been sent to the client.
     pub deadline: Instant,
-    /// What goes on to upstreams.
+    /// The part of the request that is forwarded to upstreams.
     pub call: Rc<Call>,
-    /// The client's connection.
+    /// Connection of the client.
     pub client: WeakSocket,
 }
 
-/// A request that awaits its answer, or has attempts out.
+/// A request that awaits its answer or has attempts in progress.
 #[derive(Debug)]
 pub struct InFlight {
     call: Rc<Call>,
     client: WeakSocket,
     deadline: Instant,
-    /// Used up by the final answer.
+    /// Sends the final answer; `None` once the request has it or needs none.
     answer: Option<oneshot::Sender<Answer>>,
+    /// All attempts so far, by number.
     attempts: Vec<Attempt>,
+    /// Number of attempts in progress.
     attempts_out: u32,
 }
 
 /// An attempt of a request that is in the table.
 #[derive(Debug, Default)]
 struct Attempt {
-    /// Where it is out to, until it has ended.
+    /// Upstream that the attempt was sent to; `None` once the attempt has ended.
     upstream: Option<EndpointId>,
-    /// Cancels it, once.
+    /// Cancels the attempt; `None` once the attempt has been cancelled or has ended.
     cancel: Option<oneshot::Sender<()>>,
 }
 
-/// An attempt that has been entered into the table.
+/// An attempt that has been added to the table.
 #[derive(Debug)]
 pub struct StartedAttempt {
-    /// Which of its request's attempts it is.
+    /// Number of the attempt among those of its request.
     pub number: AttemptNumber,
-    /// Resolves when it is cancelled.
+    /// Resolves when the attempt is cancelled.
     pub cancelled: oneshot::Receiver<()>,
 }
 
-/// What the end of an attempt has meant for its request.
+/// Effect of the end of an attempt on its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptResult {
-    /// It has given the final answer.
+    /// Whether this attempt gave the request its final answer.
     pub served: bool,
-    /// The request has its final answer, from this attempt or before.
+    /// Whether the request has its final answer or needs none, by this attempt or before.
     pub finished: bool,
 }
 
 impl InFlight {
-    /// What goes on to upstreams.
+    /// Returns the part of the request that is forwarded to upstreams.
     #[must_use]
     pub fn call(&self) -> &Rc<Call> {
         &self.call
     }
 
-    /// When the answer must be out.
+    /// Returns when the answer must have been sent to the client.
     #[must_use]
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
 
-    /// Whether it still lacks its final answer.
+    /// Whether the request still awaits its final answer.
     #[must_use]
     pub fn is_unanswered(&self) -> bool {
         self.answer.is_some()
     }
 
-    /// Enters an attempt that goes out.
+    /// Adds an attempt that is about to be sent.
     pub fn start_attempt(&mut self, upstream: EndpointId) -> StartedAttempt {
         let (cancel, cancelled) = oneshot::channel();
         let number = self.next_attempt();
@@ -115,7 +117,7 @@
         StartedAttempt { number, cancelled }
     }
 
-    /// Enters an attempt that ends before it goes out.
+    /// Adds an attempt that has ended without being sent.
     pub fn skip_attempt(&mut self) -> AttemptNumber {
         let number = self.next_attempt();
         self.attempts.push(Attempt::default());
@@ -143,32 +145,32 @@
 }
 
 impl RequestTable {
-    /// How many requests are in flight.
+    /// Number of requests in flight.
     #[must_use]
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether none is in flight.
+    /// Whether no request is in flight.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How many attempts are out.
+    /// Number of attempts in progress, of all requests.
     #[must_use]
     pub fn attempts_out(&self) -> u32 {
         self.requests.values().map(|request| request.attempts_out).sum()
     }
 
-    /// The upstreams that attempts are out to.
+    /// Returns the upstreams to which attempts are in progress.
     #[must_use]
     pub fn upstreams(&self) -> FxHashSet<EndpointId> {
         let attempts = self.requests.values().flat_map(|request| &request.attempts);
         attempts.filter_map(|attempt| attempt.upstream).collect()
     }
 
-    /// Enters a request, whose final answer goes to `answer`.
+    /// Adds an accepted request, whose final answer is to be sent to `answer`, and returns its id.
     pub fn insert(&mut self, accepted: AcceptedRequest, answer: oneshot::Sender<Answer>) -> RequestId {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -184,31 +186,32 @@
         id
     }
 
-    /// A request, if it is in flight.
+    /// Returns a request, if it is in flight.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut InFlight> {
         self.requests.get_mut(&id)
     }
 
-    /// Whether a request still lacks its answer: its client may have left, or another attempt have served it.
+    /// Whether a request still awaits its answer: false if its client has disconnected or another attempt has answered
+    /// it.
     #[must_use]
     pub fn is_wanted(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(InFlight::is_unanswered)
     }
 
-    /// The same, and its client is still there: asks the system, as the end of a connection may be unread in its
-    /// socket while the process was suspended or other tasks ran.
+    /// Whether a request still awaits its answer and its client is still connected. This queries the socket, because
+    /// the client's close may be unread there after the process was suspended or while other tasks ran.
     #[must_use]
     pub fn is_awaited(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id).filter(|request| request.is_unanswered());
         request.is_some_and(|request| !request.client.has_ended())
     }
 
-    /// Gives a request its final answer, and returns how many attempts it had; `None` if it had its answer before.
+    /// Sends a request its final answer and returns the number of its attempts; `None` if the request needs no answer.
     pub fn answer(&mut self, id: RequestId, answer: Answer) -> Option<usize> {
         let request = self.requests.get_mut(&id)?;
         let attempts = request.attempts.len();
         let answered = request.answer.take().map(|sender| {
-            // An error means that the client has just left, which its connection reports by itself.
+            // An error means that the client has just disconnected, which its connection reports separately.
             let _ = sender.send(answer);
             attempts
         });
@@ -216,7 +219,7 @@
         answered
     }
 
-    /// The client wants no answer any more. Whether it had none yet.
+    /// Marks a request as needing no answer, because its client has gone. Returns whether it still awaited its answer.
     pub fn abandon(&mut self, id: RequestId) -> bool {
         let abandoned = self.requests.get_mut(&id).is_some_and(|request| request.answer.take().is_some());
         if abandoned {
@@ -230,12 +233,13 @@
         let attempt =
             self.requests.get_mut(&id).and_then(|request| request.attempts.get_mut(attempt.0 as usize));
         if let Some(cancel) = attempt.and_then(|attempt| attempt.cancel.take()) {
-            // An error means that it has just ended, which it reports by itself.
+            // An error means that the attempt has just ended, which it reports separately.
             let _ = cancel.send(());
         }
     }
 
-    /// An attempt that was out has ended, with this body if it served the request; `None` if the request is unknown.
+    /// Ends an attempt that was in progress. `body` is the answer to the client, if the attempt succeeded. Returns
+    /// `None` if the request is unknown.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -252,7 +256,7 @@
             && let Some(answer) = request.answer.take()
         {
             served = true;
-            // An error means that the client has just left, which its connection reports by itself.
+            // An error means that the client has just disconnected, which its connection reports separately.
             let _ = answer.send(Answer::Served(body));
         }
         let finished = request.answer.is_none();
