--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -1,8 +1,8 @@
-//! The event loop turns what happens on the network into events of the policy, and carries out the actions that come back.
-//! It decides nothing, and has no table of its own: requests in flight are in the [`RequestTable`], endpoints in the
-//! [`EndpointTable`].
+//! The event loop translates network activity into events of the policy, and carries out the actions that the policy
+//! returns. It makes no decisions and has no tables of its own: requests in flight are in the [`RequestTable`],
+//! endpoints in the [`EndpointTable`].
 //!
-//! All state is behind one `RefCell` that is never borrowed across an await, nor while other tasks run: each borrow ends
+//! All state is behind one `RefCell` that is never borrowed across an await or while other tasks run: each borrow ends
 //! within the synchronous call that began it.
 
 mod actions;
@@ -31,20 +31,21 @@
 
 pub use crate::request_table::{AcceptedRequest, Answer};
 
-/// How far the policy's clock runs ahead of the program's start: upstreams that started before it have a time on that
-/// clock too. One that started earlier than that finished its slow start long ago.
+/// Time on the policy's clock when this process starts, so that upstreams that started before the process have a time
+/// on that clock too. An upstream that started even earlier finished its slow start long ago.
 const CLOCK_LEAD: Duration = Duration::from_secs(3600);
-/// How long a new process waits for discovery's first update before its health check passes: the agent on its own
-/// machine answers at once unless discovery is down, and then the list of the configuration is the best there is. It
-/// waits as long for its first settings, where they are distributed: after that it serves with those of its file.
+/// Time that a new process waits for discovery's first update before its health check passes with the list of the
+/// configuration. The agent on its machine answers at once unless discovery is down, and then no better list is to be
+/// had. Where settings are distributed, the process waits for its first settings for the same time and then serves with
+/// those of its file.
 const FIRST_UPDATE_WITHIN: Duration = Duration::from_millis(500);
-/// Least time between two checks for connections that were idle for too long.
+/// Minimum time between two checks for connections that have been idle for too long.
 const MIN_EVICTION_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What changes with events.
+/// The part of the event loop's state that events change.
 struct State {
     balancer: Balancer,
-    /// Events that actions have led to, still to be handled.
+    /// Events that have not been handled yet, such as those that result from an action.
     events: VecDeque<Event>,
     requests: RequestTable,
     endpoints: EndpointTable,
@@ -52,11 +53,13 @@
     counters: Counters,
 }
 
-/// The latest watch on discovery.
+/// The most recent watch on discovery.
 struct Watch {
-    /// Its task, until it ends.
+    /// Handle to abort the task of the watch; `None` once the watch has ended.
     task: Option<AbortHandle>,
+    /// Number that distinguishes this watch from earlier ones.
     number: u64,
+    /// Address of discovery that the watch was opened to.
     address: SocketAddr,
 }
 
@@ -68,43 +71,47 @@
     }
 }
 
-/// A request that has been accepted, and whose answer is to come.
+/// A request that has been accepted and awaits its answer.
 #[derive(Debug)]
 pub struct PendingAnswer {
-    /// Its number.
+    /// Id of the request.
     pub id: RequestId,
-    /// Brings the final answer.
+    /// Receives the final answer.
     pub answer: oneshot::Receiver<Answer>,
 }
 
-/// The state of a running balancer.
+/// A running balancer: its state, its connections to upstreams, and the settings in force.
 pub struct EventLoop {
     state: RefCell<State>,
-    /// Those of the start: zones, kinds and the fields of a load report never change.
+    /// Names from the settings of the start. Only those of zones, kinds of machine and load report fields are used,
+    /// which never change.
     names: Names,
+    /// Classes and tenants that requests may name under the settings in force.
     offered: RefCell<Rc<Offered>>,
-    /// The longest time that a client waits, under any settings since the start.
+    /// Longest deadline of any class under any settings since the start.
     longest_deadline: Cell<Duration>,
-    /// The settings in force are those that are distributed, as far as is known.
+    /// Whether the distribution of settings has sent its first state, or no distribution is configured.
     configured: Cell<bool>,
     started_at: Instant,
+    /// Address on which discovery listens.
     discovery: Cell<SocketAddr>,
+    /// Time that a watch on discovery may take until its first whole line.
     patience: Patience,
     pool: Rc<Pool>,
 }
 
 impl EventLoop {
-    /// Starts the policy with the list from the configuration.
+    /// Starts the policy, with the list of upstreams from the configuration if it has one.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// The policy does not accept the settings.
     pub fn start(config: Config) -> Result<Rc<Self>, SettingsError> {
         let mut loaded = config.loaded;
         fit_to_sockets(&mut loaded.settings);
         let patience = Patience::of(loaded.settings.discovery);
         let keepalive = loaded.settings.permissions.keepalive;
         let offered = Offered::new(&loaded.names, &loaded.settings);
-        // The subscription asks for what came after the list in hand, so that its version is noted first.
+        // The first watch requests changes since this version, so it is set before that watch is opened.
         let index = config.known.as_ref().map_or(0, |known| known.index);
         let state = State {
             balancer: Balancer::new(loaded.settings, config.seed)?,
@@ -136,7 +143,8 @@
         if let Some(known) = config.known {
             event_loop.apply_list(&known, ListSource::Configuration);
         }
-        // Detached: both run for as long as the process, hold the event loop alive, and end with the runtime's local set.
+        // Detached: both tasks keep the event loop alive, run as long as the process, and end with the runtime's local
+        // set.
         spawn_local(Rc::clone(&event_loop).evict_idle_connections());
         spawn_local(Rc::clone(&event_loop).log_stats_periodically());
         if let Some(distribution) = config.distribution {
@@ -146,26 +154,27 @@
         Ok(event_loop)
     }
 
-    /// What clients may ask for.
+    /// Returns the classes and tenants that requests may name under the settings in force.
     #[must_use]
     pub fn offered(&self) -> Rc<Offered> {
         Rc::clone(&self.offered.borrow())
     }
 
-    /// The longest time that a client waits, under any settings since the start.
+    /// Returns the longest deadline of any class under any settings since the start.
     #[must_use]
     pub fn longest_deadline(&self) -> Duration {
         self.longest_deadline.get()
     }
 
-    /// The connections to upstreams.
+    /// Returns the pool of connections to upstreams.
     #[must_use]
     pub fn pool(&self) -> &Rc<Pool> {
         &self.pool
     }
 
-    /// Whether a list of upstreams is in hand, and not just the configuration's, which may be old, while discovery
-    /// may still be about to send one: whatever it sends counts from the first moment.
+    /// Whether the health check passes: there is a list of upstreams, and discovery's first update and the first
+    /// distributed settings have arrived or 500 ms have passed since the start. The list of the configuration may be
+    /// stale, so a new process first gives discovery this time to send a current one.
     #[must_use]
     pub fn can_serve(&self) -> bool {
         let endpoints = &self.state.borrow().endpoints;
@@ -193,7 +202,7 @@
         }
     }
 
-    /// Writes what happened since the last time, and how things stand.
+    /// Writes the line of counters since the last such line, and of the current state, to the log.
     fn log_stats(&self) {
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
@@ -215,7 +224,7 @@
 
     // --- Requests ---
 
-    /// Accepts a request.
+    /// Accepts a request and hands it to the policy.
     pub fn accept(self: &Rc<Self>, accepted: AcceptedRequest) -> PendingAnswer {
         let (answer, receiver) = oneshot::channel();
         let AcceptedRequest { class, tenant, subject, expected_work, is_client_retry, deadline, .. } =
@@ -238,7 +247,7 @@
         PendingAnswer { id, answer: receiver }
     }
 
-    /// The client has left, or its time is up: it needs no answer.
+    /// Handles that the client of a request has disconnected, or that its time is up, so that it needs no answer.
     pub fn client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
@@ -252,15 +261,15 @@
 
     // --- Discovery ---
 
-    /// Applies an update of the watch.
+    /// Applies an update that the watch on discovery has received.
     pub fn apply_update(self: &Rc<Self>, mut update: Update) {
         if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
             return;
         }
         self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Delta });
         self.note_heartbeat();
-        // To the policy an update means that the watch is established. If it came from the old address, the policy must
-        // still ask for a watch at the new one.
+        // The policy takes an update as the sign that the watch is established. If the update came from the old address
+        // of discovery, the policy must still request a watch at the new one.
         let moved = self.state.borrow().watch.address != self.discovery.get();
         if moved {
             self.state.borrow_mut().watch.abort();
@@ -268,16 +277,16 @@
         }
     }
 
-    /// The watch has sent a line, be it an empty one.
+    /// Records that discovery has sent a line, possibly an empty one.
     pub fn note_heartbeat(&self) {
         self.state.borrow_mut().endpoints.note_heartbeat(self.now());
     }
 
-    /// Discovery listens elsewhere now: the policy is notified, and asks for a watch there. Until then the old one
-    /// continues.
+    /// Changes the address of discovery: the policy is notified and requests a watch at the new address. The old watch
+    /// continues until then.
     pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
-            crate::log(format_args!("discovery is at {address} now"));
+            crate::log(format_args!("discovery address changed to {address}"));
             self.handle(Event::List(ListUpdate::Relocated));
         }
     }
@@ -292,7 +301,7 @@
             for id in restarted {
                 self.pool.close(id);
             }
-            // No cached connection goes to an upstream that drains, is gone, or has moved.
+            // Closes idle connections to upstreams that drain, have been removed, or have another address now.
             self.pool.retain(|id, address| endpoints.ready_endpoint_at(id, address).is_some());
             update
         };
@@ -301,7 +310,7 @@
 }
 
 impl Reconfigurable for EventLoop {
-    /// Requests that were accepted keep the rules that they were accepted under, attempts and connections go on.
+    /// Requests accepted before keep the rules under which they were accepted; attempts and connections continue.
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError> {
         let Loaded { mut settings, names, connect_timeout } = loaded;
         fit_to_sockets(&mut settings);
@@ -336,19 +345,19 @@
             }
             watch.task = None;
         }
-        crate::log(format_args!("the watch on discovery broke: {why}"));
+        crate::log(format_args!("the watch on discovery ended and will be reopened: {why}"));
         self.handle(Event::List(ListUpdate::Broken));
     }
 }
 
-/// Fits the settings to real sockets.
+/// Adapts settings that are defined for the simulator to real sockets.
 fn fit_to_sockets(settings: &mut Settings) {
-    // 'Automatic' is defined for the simulator. On sockets a change comes only over a watch, and the setting means that
-    // lists are pushed to an agent on this machine.
+    // The setting `automatic` is defined for the simulator, which pushes changes to the balancer. On sockets a change
+    // arrives only over a watch, and the setting means that lists are pushed to an agent on this machine.
     if settings.discovery == DiscoveryMode::Push {
         settings.discovery = DiscoveryMode::Agent;
     }
-    // Where lists are polled, the settings may allow a longer interval than the time after which a change counts.
+    // Where lists are polled, the settings may allow a longer interval than the time within which a change must arrive.
     let poll_interval_max = &mut settings.rules.poll_interval_max;
     *poll_interval_max = Some(poll_interval_max.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the policy.
+//! Carries out the actions that the policy returns.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,8 @@
 use crate::upstream::{self, Job};
 
 impl EventLoop {
-    /// Hands an event to the policy and carries out its actions.
+    /// Passes an event to the policy and carries out the actions that it returns, also for events that result from
+    /// them.
     pub(super) fn handle(self: &Rc<Self>, event: Event) {
         let mut state = self.state.borrow_mut();
         state.events.push_back(event);
@@ -36,7 +37,7 @@
             Action::Refuse { request, retry_after } => state.refuse(request, retry_after),
             Action::Fail { request } => state.fail(request),
             Action::Subscribe => self.subscribe(state),
-            // Health checks are not made here: where a site allowed them, they would end unsent.
+            // This program makes no active health checks: where the settings permit them, each is reported as not sent.
             Action::HealthCheck { upstream } => state.events.push_back(Event::HealthChecked {
                 upstream,
                 outcome: Outcome::NotSent,
@@ -46,7 +47,8 @@
             Action::CloseIdle { upstream } => self.pool.close_idle(upstream),
             Action::ScheduleMaintenance(span) => {
                 let event_loop = Rc::clone(self);
-                // Detached: it ends by itself after this span, and the policy expects each event that it has scheduled.
+                // Detached: the task ends by itself after this time. It must not be cancelled, because the policy
+                // expects every event that it has scheduled.
                 spawn_local(async move {
                     sleep(span).await;
                     event_loop.handle(Event::MaintenanceDue);
@@ -100,12 +102,13 @@
             until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(requested_at + span)),
             is_last_attempt,
         };
-        // Detached: the request table owns its cancellation, it ends by itself soon after `until`, and it reports its end.
+        // Detached: the request table holds the sender that cancels the attempt. The task ends by itself soon after
+        // `until`, and reports its end.
         spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
 }
 
-/// [`Action::Send`].
+/// The fields of an [`Action::Send`].
 struct Send {
     request: RequestId,
     upstream: EndpointId,
--- a/crates/proxy/src/event_loop/attempt_context.rs
+++ b/crates/proxy/src/event_loop/attempt_context.rs
@@ -1,4 +1,4 @@
-//! What the event loop answers to attempts, and how it records their progress.
+//! The event loop as the context of attempts: answers their queries and records their progress.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -43,10 +43,10 @@
         self.state.borrow_mut().counters.opened += 1;
     }
 
-    /// Logs the reason once between two lines of counts: upstreams may be out of reach for long.
+    /// Logs the error at most once between two lines of counters, because upstreams may be unreachable for a long time.
     fn on_unreachable(&self, address: SocketAddr, error: &AcquireError) {
         if !std::mem::replace(&mut self.state.borrow_mut().counters.unreachable_logged, true) {
-            crate::log(format_args!("{address} was not reached: {error}"));
+            crate::log(format_args!("could not connect to upstream {address}: {error}"));
         }
     }
 
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -326,7 +326,7 @@
         watch.publishes(document("fleet", version, &json!({"lanes": lanes(30.0, &[extra("one")])})));
         if version == 15 {
             signal(&child, "-HUP");
-            wait_line(&mut log, "discovery is at");
+            wait_line(&mut log, "discovery address changed to");
         }
     }
     // A line on the watch of before does not keep the move from happening.
