--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! What does a balancer know at its start? What its configuration file and the environment say, as plain data.
+//! The configuration of a balancer at its start, read from its configuration file and the environment into plain data.
 
 use std::env;
 use std::fs;
@@ -16,11 +16,11 @@
 use crate::clock::{SystemClock, WallClock};
 use crate::discovery::update::Update;
 
-/// Fewer descriptors than this leave none to serve anybody.
+/// Minimum of `limits.sockets`. With fewer descriptors none is left to serve clients.
 const MIN_SOCKETS: usize = 48;
-/// Descriptors that the process may hold where the file does not say.
+/// Default of `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1024;
-/// Parents at most: a balancer follows one at a time.
+/// Maximum number of parents. A balancer follows one at a time.
 const MAX_PARENTS: usize = 16;
 
 /// Why the configuration cannot be used.
@@ -29,35 +29,35 @@
     /// `PROXY_CONFIG` is not set.
     #[error("PROXY_CONFIG is not set: it names the configuration file")]
     NoPath,
-    /// The file cannot be read.
-    #[error("cannot read the configuration {path}: {cause}")]
+    /// The configuration file cannot be read.
+    #[error("cannot read the configuration file {path}: {cause}")]
     Read {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// Why.
+        /// Error of the read.
         #[source]
         cause: io::Error,
     },
-    /// The file is not the JSON that is expected.
+    /// The configuration file is not the expected JSON.
     #[error("the configuration is malformed: {0}")]
     Json(#[from] serde_json::Error),
-    /// The settings in it cannot be used.
+    /// The settings in the configuration file cannot be used.
     #[error("the settings are malformed: {0}")]
     Setup(#[from] SetupError),
-    /// The region or the service is no name of a scope.
-    #[error("distribution: {0}")]
+    /// The region or the service cannot be the name of a scope.
+    #[error("invalid region or service in `distribution`: {0}")]
     Scope(#[from] ScopeError),
-    /// A value makes no sense.
-    #[error("{name} makes no sense: {value:?}")]
+    /// A value of the configuration is invalid.
+    #[error("invalid value for {name}: {value:?}")]
     Value {
-        /// Where it stands.
+        /// Key of the value.
         name: &'static str,
-        /// What stands there.
+        /// The invalid value.
         value: String,
     },
 }
 
-/// The configuration file.
+/// JSON form of the configuration file.
 #[derive(Deserialize)]
 struct File {
     #[serde(default)]
@@ -73,6 +73,7 @@
     settings: Box<RawValue>,
 }
 
+/// JSON form of the section `distribution` of the configuration file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct DistributionSection {
@@ -81,6 +82,7 @@
     service: String,
 }
 
+/// JSON form of the section `limits` of the configuration file.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
@@ -93,66 +95,67 @@
     }
 }
 
-/// Where changes of the settings come from.
+/// Where the balancer gets changes of its settings from.
 #[derive(Debug)]
 pub struct Distribution {
-    /// Whom this balancer may follow.
+    /// Addresses of the parents, one of which the balancer follows at a time.
     pub parents: Vec<SocketAddr>,
-    /// Whose documents it wants, the narrower last: fleet, region, service.
+    /// Scopes whose documents the balancer requests, the narrowest last: fleet, region, service.
     pub wanted: [Scope; 3],
-    /// The settings object of the file, over which the documents go.
+    /// The settings object of the configuration file, over which the documents are merged.
     pub own_settings: Value,
 }
 
 /// The configuration of one balancer.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the balancer listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery listens.
+    /// Address on which discovery listens.
     pub discovery: SocketAddr,
-    /// Seeds the random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// The upstreams as last known, maybe old.
+    /// The list of upstreams as last known, which may be stale.
     pub known: Option<Update>,
-    /// The settings object.
+    /// The settings, read from the settings object of the file.
     pub loaded: Loaded,
-    /// Where changes of it come from, if from anywhere.
+    /// Where changes of the settings come from, if they are distributed.
     pub distribution: Option<Distribution>,
-    /// The file it was read from, which a reload reads again.
+    /// The file that the configuration was read from, which a reload reads again.
     pub path: Option<PathBuf>,
-    /// Returns the time of day: the machine's clock, except in a test.
+    /// Source of the time of day: the machine's clock, except in tests.
     pub wall_clock: Box<dyn WallClock>,
 }
 
 impl Config {
-    /// Reads the file that `PROXY_CONFIG` names; `PROXY_NAME`, `PROXY_LISTEN` and `PROXY_DISCOVERY` go
-    /// before what the file says.
+    /// Reads the file that `PROXY_CONFIG` names. `PROXY_NAME`, `PROXY_LISTEN` and `PROXY_DISCOVERY` override the values
+    /// of the file.
     ///
     /// # Errors
-    /// The file is missing or makes no sense.
+    /// The file cannot be read, or the configuration is invalid.
     pub fn from_environment() -> Result<Self, ConfigError> {
         let path = PathBuf::from(env::var_os("PROXY_CONFIG").ok_or(ConfigError::NoPath)?);
         let config = Self::parse(&read_file(&path)?, |name| env::var(name).ok())?;
         Ok(Self { path: Some(path), ..config })
     }
 
-    /// Reads again where discovery listens; the file alone counts, as the environment is that of the start.
+    /// Reads the address of discovery from the configuration file again, for a reload. The environment is ignored,
+    /// because it still has the values of the start.
     ///
     /// # Errors
-    /// The file is missing or makes no sense.
+    /// The file cannot be read, or the configuration is invalid.
     pub fn discovery_now(path: &Path) -> Result<SocketAddr, ConfigError> {
         Ok(Self::parse(&read_file(path)?, |_| None)?.discovery)
     }
 
-    /// Reads a configuration from its text, with `variable` in place of the environment.
+    /// Reads a configuration from the text of a configuration file, with `variable` to look up environment variables.
     ///
     /// # Errors
-    /// The text makes no sense.
+    /// The configuration is invalid.
     pub fn parse(text: &str, variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let loaded = balancer_settings::read(file.settings.get())?;
@@ -200,7 +203,7 @@
     fs::read_to_string(path).map_err(|cause| ConfigError::Read { path: path.to_owned(), cause })
 }
 
-/// A seed in hexadecimal digits; none is 0.
+/// Reads a seed from hexadecimal digits; an empty text gives 0.
 fn seed(digits: &str) -> Result<u64, ConfigError> {
     if digits.is_empty() {
         return Ok(0);
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -259,9 +259,9 @@
     let sound = configuration(dead_address(), &[], 1.0, 1024);
     for (text, part) in [
         ("{".to_owned(), "malformed"),
-        (sound.replace("127.0.0.1:0", "here"), "listen makes no sense"),
-        (sound.replace("8c1f", "xyz"), "seed makes no sense"),
-        (sound.replace("1024", "4"), "limits.sockets makes no sense"),
+        (sound.replace("127.0.0.1:0", "here"), "invalid value for listen"),
+        (sound.replace("8c1f", "xyz"), "invalid value for seed"),
+        (sound.replace("1024", "4"), "invalid value for limits.sockets"),
         (sound.replace("idempotent", "harmless"), "settings are malformed"),
         (
             sound.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen("\"balancers\":1,", "", 1),
