--- a/crates/proxy/src/offered.rs
+++ b/crates/proxy/src/offered.rs
@@ -1,5 +1,5 @@
-//! Which classes and tenants may a request name? The names under the settings in force, each with the position by which
-//! the decisions know it, which stays the same through every change of the settings.
+//! Names of the classes and tenants that requests may use under the settings in force, with the ids by which the policy
+//! knows them. A name keeps its id through every change of the settings.
 
 use std::time::Duration;
 
@@ -9,48 +9,53 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use thiserror::Error;
 
-/// Classes in all since the start, those that went among them: their positions are never given to others, and a restart
-/// forgets them.
+/// Maximum number of class names since the start of the process, removed ones included: the id of a removed class is
+/// never given to another class. A restart forgets removed classes.
 const MAX_CLASSES: usize = 2000;
-/// Tenants in all since the start, likewise.
+/// Maximum number of tenant names since the start of the process, removed ones included.
 const MAX_TENANTS: usize = 20_000;
 
-/// There have been too many names since the start.
+/// New settings would raise the number of class or tenant names since the start of the process above its limit.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error(
-    "settings: {classes} names of lanes and {tenants} of projects since the start, {MAX_CLASSES} and {MAX_TENANTS} \
-     at most: a restart forgets those that went"
+    "settings: too many names since the start of the process, removed ones included: {classes} in `lanes` (limit \
+     {MAX_CLASSES}), {tenants} in `projects` (limit {MAX_TENANTS}); restart the balancer to forget removed names"
 )]
 pub struct TooManyNames {
-    /// Classes since the start, those of the refused settings among them.
+    /// Number of class names since the start, including those of the refused settings.
     pub classes: usize,
-    /// Tenants, likewise.
+    /// Number of tenant names since the start, including those of the refused settings.
     pub tenants: usize,
 }
 
-/// What clients may ask for under the settings in force, with the positions that the decisions know it by. Positions
-/// never change their meaning: what is new comes behind what was known, and what went keeps its place, unnamed.
+/// Classes and tenants that requests may name under the settings in force, with the ids by which the policy knows them.
+/// An id never changes its meaning: new names get the next ids, and a removed class or tenant keeps its id although
+/// requests can no longer name it.
 #[derive(Debug)]
 pub struct Offered {
+    /// Ids of the classes that requests may name.
     classes: FxHashMap<String, usize>,
+    /// Ids of the tenants that requests may name.
     tenants: FxHashMap<String, usize>,
-    /// By position.
+    /// Names of all classes since the start, by id.
     class_names: Vec<String>,
+    /// Names of all tenants since the start, by id.
     tenant_names: Vec<String>,
+    /// Parameters of all classes since the start, by id.
     figures: Vec<Class>,
 }
 
 /// A class that requests may name.
 #[derive(Debug, Clone, Copy)]
 pub struct OfferedClass<'a> {
-    /// The position by which the decisions know it.
+    /// Id by which the policy knows the class.
     pub id: ClassId,
-    /// Its figures: objective, deadline, idempotency.
+    /// Parameters of the class, such as latency objective, deadline and idempotency.
     pub figures: &'a Class,
 }
 
 impl Offered {
-    /// What the settings of the start offer.
+    /// Takes the names and ids from the settings that the process starts with.
     #[must_use]
     pub fn new(names: &Names, settings: &Settings) -> Self {
         Self {
@@ -62,11 +67,12 @@
         }
     }
 
-    /// What other settings offer, which are put in the order of these. The quota of a tenant that went is 0, so that it
-    /// counts to no sum.
+    /// Returns the names and ids after a change to `settings`, and reorders the classes and tenants of `settings` by
+    /// id. Removed ones are kept in `settings`; a removed tenant gets a quota of 0, so that it adds to no sum of
+    /// quotas.
     ///
     /// # Errors
-    /// There have been too many names since the start.
+    /// There would be too many names since the start of the process; `settings` are unchanged then.
     pub fn followed_by(&self, names: &Names, settings: &mut Settings) -> Result<Self, TooManyNames> {
         let (class_names, classes) = placed(&self.class_names, &names.classes, settings.classes.len());
         let (tenant_names, tenants) = placed(&self.tenant_names, &names.tenants, settings.tenants.len());
@@ -88,34 +94,35 @@
         Ok(Self { classes, tenants, class_names, tenant_names, figures })
     }
 
-    /// A class by its name.
+    /// Returns the class of this name, if requests may name it.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<OfferedClass<'_>> {
         let place = *self.classes.get(name)?;
         Some(OfferedClass { id: ClassId(place), figures: self.figures.get(place)? })
     }
 
-    /// A tenant by its name.
+    /// Returns the id of the tenant of this name, if requests may name it.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         self.tenants.get(name).copied().map(TenantId)
     }
 
-    /// Whether requests name no tenant.
+    /// Whether the settings in force have no tenants, so that requests need not name one.
     #[must_use]
     pub fn has_no_tenants(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// The longest time that a client waits.
+    /// Longest deadline of any class since the start; zero if there is no class.
     #[must_use]
     pub fn longest(&self) -> Duration {
         self.figures.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 }
 
+/// Returns the names in the order of their positions in the settings. A name that occurs twice in the settings maps to
+/// one position only; the other position gets an empty name.
 fn by_position(names: &FxHashMap<String, usize>, count: usize) -> Vec<String> {
-    // A place whose name another one has too has none.
     let mut list = vec![String::new(); count];
     for (name, &position) in names {
         list[position].clone_from(name);
@@ -123,7 +130,8 @@
     list
 }
 
-/// The names by place, new ones behind those known, and the places of those that are named now.
+/// Appends the names of new settings that are not in `known` to it. Returns the resulting names by id, and the ids of
+/// those names that are in the new settings.
 fn placed(
     known: &[String],
     names: &FxHashMap<String, usize>,
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -1,6 +1,6 @@
-//! How do settings change while the balancer serves? They are followed from the parents, merged over the file's own
-//! settings, checked whole and applied whole to a [`Reconfigurable`]. What has a fault is logged and reported up, and the
-//! last good stays.
+//! Changes of the settings while the balancer serves. Documents are followed from the parents, merged over the settings
+//! of the configuration file, checked as a whole and applied as a whole to a [`Reconfigurable`]. A document with a
+//! fault is logged and reported to the parent, and the last valid one stays in force.
 
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
@@ -24,50 +24,51 @@
 
 pub use crate::offered::{Offered, OfferedClass, TooManyNames};
 
-/// Characters of a reason in a report at most; the log has it whole.
+/// Maximum length of a reason in a report, in characters; the log has the whole reason.
 const MAX_REASON_CHARS: usize = 200;
 
-/// What goes over to other settings while it runs.
+/// A component whose settings can be replaced while it runs.
 pub trait Reconfigurable {
-    /// Goes over to other settings, whole or not at all.
+    /// Replaces the settings as a whole, or changes nothing.
     ///
     /// # Errors
-    /// They are no successor of those before; nothing has changed.
+    /// The new settings cannot follow those in force; nothing has changed.
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError>;
 
-    /// The distribution of settings has sent its state, and what can be applied of it has been.
+    /// Called each time the distribution of settings has sent its state and all valid documents of it are applied.
     fn configured(&self);
 }
 
-/// Why settings that make sense by themselves cannot follow those in force.
+/// Why settings that are valid by themselves cannot follow those in force.
 #[derive(Debug, Error)]
 pub enum ReconfigureError {
-    /// They have too many names beside those before.
+    /// With those of earlier settings, there would be too many names of classes or tenants.
     #[error(transparent)]
     Names(#[from] TooManyNames),
-    /// The decisions cannot work by them.
+    /// The policy does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// Why documents are not applied.
+/// Why documents could not be applied.
 #[derive(Debug, Error)]
 enum ApplyError {
-    /// Their form has faults.
+    /// A document does not have the form of a settings document.
     #[error("{}", fault::join(.0))]
     Documents(Vec<FormFault>),
-    /// The settings that they make have faults.
+    /// The merged settings have faults.
     #[error(transparent)]
     Settings(#[from] Faults),
-    /// The settings that they make cannot be read.
+    /// The merged settings cannot be read.
     #[error(transparent)]
     Read(#[from] SetupError),
-    /// The settings that they make cannot follow those in force.
+    /// The merged settings cannot follow those in force.
     #[error(transparent)]
     Reconfigure(#[from] ReconfigureError),
 }
 
-/// Follows the parents for as long as the balancer runs. Connections to them count against the sockets of `pool`.
+/// Starts to follow the parents, for as long as the balancer runs. Connections to them count towards the socket limit
+/// of `pool`.
 pub fn follow(
     target: Rc<impl Reconfigurable + 'static>,
     pool: Rc<Pool>,
@@ -76,7 +77,7 @@
     distribution: Distribution,
 ) {
     let Distribution { parents, wanted, own_settings } = distribution;
-    // Balancers that are given no seed must not all follow the same parent.
+    // The name is hashed into the seed so that balancers without a configured seed do not all follow the same parent.
     let mut hasher = FxHasher::default();
     (seed, name).hash(&mut hasher);
     let client = Client { name: name.to_owned(), parents, wanted: wanted.to_vec(), seed: hasher.finish() };
@@ -95,26 +96,29 @@
     ));
 }
 
+/// A document, if there is one, for each scope of [`Distribution::wanted`].
 type Documents = [Option<Document>; 3];
 
-/// Applies the documents that concern this balancer, and knows which are in force.
+/// Applies the documents of the scopes that concern this balancer, and keeps which of them are in force.
 struct Follower<T> {
     target: Rc<T>,
     name: Box<str>,
     own_settings: Value,
+    /// Scopes that concern this balancer, the narrowest last.
     wanted: [Scope; 3],
-    /// The documents that are applied, as they were when they had no fault.
+    /// For each scope, the document in force: the latest one that could be applied.
     in_force: Documents,
-    /// Those that are not.
+    /// For each scope, the latest document, if it could not be applied.
     refused: [Option<Refused>; 3],
 }
 
 impl<T: Reconfigurable> Follower<T> {
-    /// Applies the newest documents, and reports what is in force.
+    /// Applies the newest documents of a state, and returns the report of what is in force.
     fn on_state(&mut self, state: &State) -> InForce {
         let newest: Documents = self.wanted.each_ref().map(|scope| state.get(scope).cloned());
         if newest != self.in_force && !self.apply_all(newest.clone()) {
-            // Together they make no sense: those that do beside what stands are applied, the others stay as they were.
+            // The documents are not valid together. Each that is valid with those in force is applied; for the other
+            // scopes the document in force stays.
             for (place, document) in newest.into_iter().enumerate() {
                 if document != self.in_force[place] {
                     self.apply_one(place, document, state.index());
@@ -132,6 +136,7 @@
         }
     }
 
+    /// Applies the documents of all scopes together. Returns whether they are now in force.
     fn apply_all(&mut self, documents: Documents) -> bool {
         let applied = self.apply(documents).is_ok();
         if applied {
@@ -140,6 +145,8 @@
         applied
     }
 
+    /// Applies the document of one scope over those in force, or logs and records why it could not be applied. `index`
+    /// is the version to report where the document has been withdrawn.
     fn apply_one(&mut self, place: usize, document: Option<Document>, index: u64) {
         let version = document.as_ref().map_or(index, |document| document.version);
         let mut documents = self.in_force.clone();
@@ -149,14 +156,17 @@
             let scope = self.wanted[place].clone();
             let refused = Refused { scope, version, why: why.chars().take(MAX_REASON_CHARS).collect() };
             if self.refused[place].as_ref() != Some(&refused) {
-                crate::log(format_args!("{} {version} is not applied: {why}", refused.scope));
+                crate::log(format_args!(
+                    "document {} version {version} was not applied, the previous one stays in force: {why}",
+                    refused.scope
+                ));
             }
             refused
         });
         self.refused[place] = refused;
     }
 
-    /// Applies the settings that these documents make: whole, or not at all.
+    /// Merges these documents over the file's own settings and applies the result as a whole, or changes nothing.
     fn apply(&mut self, documents: Documents) -> Result<(), ApplyError> {
         let settings = effective(&self.own_settings, documents.each_ref().map(Option::as_ref))
             .map_err(ApplyError::Documents)?;
