--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -1,46 +1,47 @@
-//! What the balancer has done since the last line of counts in the log, which gets one every [`LOG_INTERVAL`]. The words of
-//! the line must stay as they are: pages and operators search for them.
+//! Counters of the balancer, written to the log as one line every [`LOG_INTERVAL`] and then reset. The words of the
+//! line must not change, because documentation refers to them and operators search for them.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
 use balancer_policy::interface::Outcome;
 
-/// Time between two lines: a few bytes a second, however busy the balancer is.
+/// Time between two lines of counters. At this interval the log grows by a few bytes a second, however busy the
+/// balancer is.
 pub const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What happened since the last line.
+/// Counts of what happened since the last line of counters.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests accepted.
+    /// Requests that were accepted.
     pub accepted: u32,
-    /// Answered with what an upstream answered.
+    /// Requests that were answered with the answer of an upstream.
     pub served: u32,
-    /// Refused with no attempt made.
+    /// Requests that were refused without any attempt.
     pub denied: u32,
-    /// Refused after attempts.
+    /// Requests that were refused after at least one attempt.
     pub refused: u32,
-    /// Failed.
+    /// Requests that were answered as failed.
     pub failed: u32,
-    /// Abandoned as the client left, or overdue.
+    /// Requests without an answer because the client disconnected or its time was up.
     pub left: u32,
-    /// Connections to upstreams that were opened.
+    /// Connections to upstreams that came up.
     pub opened: u32,
-    /// Attempts reset on a connection that had been idle before.
+    /// Attempts that were reset on a connection that had been idle before.
     pub reused_reset: u32,
-    /// The reason for one of the connections that did not come up has been logged.
+    /// Whether a failure to connect to an upstream has been logged since the last line of counters.
     pub unreachable_logged: bool,
-    /// Attempts by their outcome: good, error, refused, rejected, timed out, no connection, none in time,
-    /// reset, cancelled, not sent.
+    /// Number of attempts by [`Outcome`], in the words of the line: good, error, full, rejected, late, unreached, not
+    /// connected in time, reset, withdrawn, unsent.
     outcomes: [u32; 10],
-    /// Total duration of the good ones.
+    /// Total duration of the successful attempts.
     good_total: Duration,
-    /// The longest of them.
+    /// Longest duration of a successful attempt.
     good_max: Duration,
 }
 
 impl Counters {
-    /// Counts the end of an attempt.
+    /// Counts an attempt that has ended.
     pub fn attempt(&mut self, outcome: Outcome, duration: Duration) {
         self.outcomes[outcome as usize] += 1;
         if outcome == Outcome::Success {
--- a/crates/proxy/src/telemetry/mod.rs
+++ b/crates/proxy/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! What the operator sees: counts of what the balancer did, in one line every few seconds, and the log.
+//! Output for the operator: the log, with a line of counters every few seconds.
 
 pub mod counters;
 pub mod log;
