--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -20,9 +20,9 @@
 
 /// Time that a new watch may take from the start of the call, connecting included, to its first whole line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience(Duration);
+pub struct FirstLineTimeout(Duration);
 
-impl Patience {
+impl FirstLineTimeout {
     /// Chooses the timeout for a discovery mode. Discovery works through calls in turn, so it gets 2 s. An agent
     /// answers at once and gets 1 s: an agent that does not answer is cut off from discovery, and it is not known
     /// whether it will ever send a line on the waiting watch, so new watches are tried meanwhile.
@@ -34,7 +34,7 @@
 
 /// Why a watch on discovery has ended.
 #[derive(Debug, Error)]
-pub enum BrokenError {
+pub enum DiscoveryWatchError {
     /// No connection to discovery came up in time.
     #[error("could not connect to discovery")]
     Connect,
@@ -53,14 +53,14 @@
 pub(super) async fn follow(
     pool: &Pool,
     address: SocketAddr,
-    patience: Patience,
+    first_line_timeout: FirstLineTimeout,
     since: u64,
     line: impl FnMut(&[u8]) -> Result<(), LineError>,
-) -> Result<Infallible, BrokenError> {
-    let first_by = Instant::now() + patience.0;
+) -> Result<Infallible, DiscoveryWatchError> {
+    let first_by = Instant::now() + first_line_timeout.0;
     let permit = pool.reserved_permit();
     let Ok(Ok(stream)) = timeout_at(first_by, connection::open(address, permit)).await else {
-        return Err(BrokenError::Connect);
+        return Err(DiscoveryWatchError::Connect);
     };
     let request = WatchRequest {
         host: address.to_string(),
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -9,6 +9,6 @@
 pub mod update;
 pub mod watch;
 
-pub use client::{BrokenError, LineError, Patience};
+pub use client::{DiscoveryWatchError, FirstLineTimeout, LineError};
 pub use update::{Endpoint, Update};
-pub use watch::{NOTIFIED_WITHIN, WatchObserver, WatchStart, watch};
+pub use watch::{MAX_NOTIFICATION_DELAY, WatchObserver, WatchStart, watch};
--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -51,13 +51,13 @@
     /// State of the upstream: `ready`, `draining` or `gone`.
     pub status: String,
     /// Capacity of the upstream relative to the others.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     /// Latest start of the upstream's process as Unix time in milliseconds; 0 if it started long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::client::{self, BrokenError, Patience};
+use super::client::{self, DiscoveryWatchError, FirstLineTimeout};
 use super::update::Update;
 use crate::pool::Pool;
 
@@ -14,14 +14,14 @@
 ///
 /// | | requested | pushed to an agent |
 /// | --- | --- | --- |
-/// | a call that still hangs ([`Patience`]: connect, response head and first whole line together) | 2 | 1 |
+/// | a call that still hangs ([`FirstLineTimeout`]: connect, response head and first whole line together) | 2 | 1 |
 /// | back-off after it (the policy uses 0.4 of this limit) | 2.4 | 0 |
 /// | until the policy's next maintenance | 0.2 | 0.2 |
 /// | left for the answer | 1.4 | 4.8 |
 ///
 /// After the last line of a watch that falls silent: silence timeout 3.2, back-off 0.5 or 0, maintenance 0.2, which
 /// leaves 2.1 or 2.6. After a reload the back-off is that of a first failure, 0.5 or 0, and 4 s are allowed.
-pub const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 
 /// Receives the events of a watch on discovery.
 pub trait WatchObserver {
@@ -33,7 +33,7 @@
     fn on_heartbeat(&self);
 
     /// Called when the watch with this number has ended; it makes no further calls.
-    fn on_broken(self: &Rc<Self>, number: u64, why: &BrokenError);
+    fn on_watch_ended(self: &Rc<Self>, number: u64, cause: &DiscoveryWatchError);
 }
 
 /// Parameters of a watch to be opened.
@@ -42,7 +42,7 @@
     /// Address on which discovery listens.
     pub address: SocketAddr,
     /// Time that the watch may take until its first whole line.
-    pub patience: Patience,
+    pub first_line_timeout: FirstLineTimeout,
     /// Version of the current list, from which on changes are requested.
     pub since: u64,
     /// Number that distinguishes this watch from earlier ones.
@@ -52,24 +52,24 @@
 /// Watches the endpoint list until the watch ends, then notifies the observer of the end. The connection counts towards
 /// the socket limit of `pool`.
 ///
-/// Cancellation: dropping the future closes the connection without a call of `on_broken`. The observer handles each
+/// Cancellation: dropping the future closes the connection without a call of `on_watch_ended`. The observer handles each
 /// whole line without an await in between, so no line is handled in part.
 pub async fn watch(observer: Rc<impl WatchObserver>, pool: Rc<Pool>, start: WatchStart) {
-    let WatchStart { address, patience, since, number } = start;
-    let mut stands = false;
+    let WatchStart { address, first_line_timeout, since, number } = start;
+    let mut established = false;
     let line = |line: &[u8]| {
         if !line.is_empty() {
             observer.on_update(serde_json::from_slice(line)?);
-        } else if !stands {
+        } else if !established {
             // Nothing has changed since that version. The observer learns from the update that the watch is
             // established.
             observer.on_update(Update { index: since, snapshot: false, endpoints: Vec::new() });
         } else {
             observer.on_heartbeat();
         }
-        stands = true;
+        established = true;
         Ok(())
     };
-    let Err(error) = client::follow(&pool, address, patience, since, line).await;
-    observer.on_broken(number, &error);
+    let Err(error) = client::follow(&pool, address, first_line_timeout, since, line).await;
+    observer.on_watch_ended(number, &error);
 }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -22,7 +22,9 @@
 use tokio::time::{Instant, sleep};
 
 use crate::config::Config;
-use crate::discovery::{BrokenError, NOTIFIED_WITHIN, Patience, Update, WatchObserver};
+use crate::discovery::{
+    DiscoveryWatchError, FirstLineTimeout, MAX_NOTIFICATION_DELAY, Update, WatchObserver,
+};
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
 use crate::pool::{Pool, PoolStats};
 use crate::reconfiguration::{self, Offered, Reconfigurable, ReconfigureError};
@@ -96,7 +98,7 @@
     /// Address on which discovery listens.
     discovery: Cell<SocketAddr>,
     /// Time that a watch on discovery may take until its first whole line.
-    patience: Patience,
+    first_line_timeout: FirstLineTimeout,
     pool: Rc<Pool>,
 }
 
@@ -108,7 +110,7 @@
     pub fn start(config: Config) -> Result<Rc<Self>, SettingsError> {
         let mut loaded = config.loaded;
         fit_to_sockets(&mut loaded.settings);
-        let patience = Patience::of(loaded.settings.discovery);
+        let first_line_timeout = FirstLineTimeout::of(loaded.settings.discovery);
         let keepalive = loaded.settings.permissions.keepalive;
         let offered = Offered::new(&loaded.names, &loaded.settings);
         // The first watch requests changes since this version, so it is set before that watch is opened.
@@ -129,7 +131,7 @@
             configured: Cell::new(config.distribution.is_none()),
             started_at: Instant::now(),
             discovery: Cell::new(config.discovery),
-            patience,
+            first_line_timeout,
             pool: {
                 let this = Weak::clone(this);
                 Pool::new(loaded.connect_timeout, keepalive, config.sockets, move |upstream| {
@@ -337,7 +339,7 @@
         self.note_heartbeat();
     }
 
-    fn on_broken(self: &Rc<Self>, number: u64, why: &BrokenError) {
+    fn on_watch_ended(self: &Rc<Self>, number: u64, cause: &DiscoveryWatchError) {
         {
             let watch = &mut self.state.borrow_mut().watch;
             if watch.number != number {
@@ -345,7 +347,7 @@
             }
             watch.task = None;
         }
-        crate::log(format_args!("the watch on discovery ended and will be reopened: {why}"));
+        crate::log(format_args!("the watch on discovery ended and will be reopened: {cause}"));
         self.handle(Event::List(ListUpdate::Broken));
     }
 }
@@ -359,5 +361,6 @@
     }
     // Where lists are polled, the settings may allow a longer interval than the time within which a change must arrive.
     let poll_interval_max = &mut settings.rules.poll_interval_max;
-    *poll_interval_max = Some(poll_interval_max.unwrap_or(NOTIFIED_WITHIN).min(NOTIFIED_WITHIN));
+    *poll_interval_max =
+        Some(poll_interval_max.unwrap_or(MAX_NOTIFICATION_DELAY).min(MAX_NOTIFICATION_DELAY));
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -65,7 +65,7 @@
         watch.address = self.discovery.get();
         let start = WatchStart {
             address: watch.address,
-            patience: self.patience,
+            first_line_timeout: self.first_line_timeout,
             since: endpoints.index(),
             number: watch.number,
         };
