--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -35,7 +35,7 @@
 
 /// The time at which a list is applied. The start times of all entries of the list are derived from it.
 #[derive(Debug, Clone, Copy)]
-pub struct Moment {
+pub struct ListTime {
     now: Time,
     /// Best estimate of the Unix time in milliseconds at `now`.
     unix_ms: u64,
@@ -44,7 +44,7 @@
     earliest: Option<Time>,
 }
 
-impl Moment {
+impl ListTime {
     /// Returns the start time of a process that this list is the first to name; `None` if it started before the zero of
     /// the policy's clock.
     fn start(&self, since_ms: u64) -> Option<Time> {
@@ -98,9 +98,9 @@
     /// just started. Starts in later lists have a lower bound, so this is not needed there, and one stamp that is ahead
     /// must not make the other starts look old.
     #[must_use]
-    pub fn moment(&self, now: Time, newest_ms: u64) -> Moment {
+    pub fn moment(&self, now: Time, newest_ms: u64) -> ListTime {
         let least_ms = if self.last_line_at.is_none() { newest_ms } else { 0 };
-        Moment { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
+        ListTime { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
     }
 
     /// Records that discovery has sent a line, possibly an empty one, and that its content has been applied.
@@ -112,7 +112,7 @@
 
     /// Records that a list names an upstream with the stamp `since_ms`, and returns the upstream's start time; `None`
     /// if it started long ago.
-    pub fn listed(&mut self, moment: &Moment, id: EndpointId, since_ms: u64) -> Option<Time> {
+    pub fn listed(&mut self, moment: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
         self.first_list_at.get_or_insert(moment.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
             return start.time;
@@ -158,7 +158,7 @@
         if since_ms == 0 || since_ms == listed_ms || self.past.has(id, since_ms) {
             return false;
         }
-        since_ms > listed_ms || self.age(since_ms, listed_ms) < self.listed_for(now)
+        since_ms > listed_ms || self.age(since_ms, listed_ms) < self.time_since_first_list(now)
     }
 
     /// Estimated age of a stamp, given that the clock of the machine that stamps has reached `least_ms`.
@@ -168,7 +168,7 @@
     }
 
     /// Time since a list first named an upstream; zero before that.
-    fn listed_for(&self, now: Time) -> Duration {
+    fn time_since_first_list(&self, now: Time) -> Duration {
         self.first_list_at.map_or(Duration::ZERO, |first| now.saturating_sub(first))
     }
 
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -8,7 +8,7 @@
 use balancer_settings::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::clock::{MAX_PAST_STARTS, Moment, StartTimes, WallClock};
+use crate::clock::{ListTime, MAX_PAST_STARTS, StartTimes, WallClock};
 use crate::discovery::update::{Endpoint, Update};
 
 /// Minimum number of remembered names at which unused names are removed. It is more than one name for each past start
@@ -154,7 +154,7 @@
     /// that drain stay draining unless the snapshot names a new start of them; their entries in `update` are changed
     /// here.
     #[must_use]
-    pub fn admit(&mut self, now: Time, update: &mut Update) -> bool {
+    pub fn accept_update(&mut self, now: Time, update: &mut Update) -> bool {
         self.has_update = true;
         if update.index < self.index {
             crate::log(format_args!(
@@ -221,7 +221,7 @@
         AppliedList { update, restarted }
     }
 
-    fn apply_entry(&mut self, moment: &Moment, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
+    fn apply_entry(&mut self, moment: &ListTime, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
         let lifecycle = match entry.status.as_str() {
             "ready" => Lifecycle::Ready,
             "draining" => Lifecycle::Draining,
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -265,7 +265,7 @@
 
     /// Applies an update that the watch on discovery has received.
     pub fn apply_update(self: &Rc<Self>, mut update: Update) {
-        if !self.state.borrow_mut().endpoints.admit(self.now(), &mut update) {
+        if !self.state.borrow_mut().endpoints.accept_update(self.now(), &mut update) {
             return;
         }
         self.apply_list(&update, if update.snapshot { ListSource::Snapshot } else { ListSource::Delta });
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -132,7 +132,7 @@
         AttemptNumber(self.attempts.len() as u32)
     }
 
-    fn is_over(&self) -> bool {
+    fn is_complete(&self) -> bool {
         self.answer.is_none() && self.attempts_out == 0
     }
 }
@@ -215,7 +215,7 @@
             let _ = sender.send(answer);
             attempts
         });
-        self.remove_if_over(id);
+        self.remove_if_complete(id);
         answered
     }
 
@@ -223,7 +223,7 @@
     pub fn abandon(&mut self, id: RequestId) -> bool {
         let abandoned = self.requests.get_mut(&id).is_some_and(|request| request.answer.take().is_some());
         if abandoned {
-            self.remove_if_over(id);
+            self.remove_if_complete(id);
         }
         abandoned
     }
@@ -260,12 +260,12 @@
             let _ = answer.send(Answer::Served(body));
         }
         let finished = request.answer.is_none();
-        self.remove_if_over(id);
+        self.remove_if_complete(id);
         Some(AttemptResult { served, finished })
     }
 
-    fn remove_if_over(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(InFlight::is_over) {
+    fn remove_if_complete(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(InFlight::is_complete) {
             self.requests.remove(&id);
         }
     }
