--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -126,7 +126,7 @@
         let event_loop = Rc::new_cyclic(|this: &Weak<Self>| Self {
             state: RefCell::new(state),
             names: loaded.names,
-            longest_deadline: Cell::new(offered.longest()),
+            longest_deadline: Cell::new(offered.max_deadline()),
             offered: RefCell::new(Rc::new(offered)),
             configured: Cell::new(config.distribution.is_none()),
             started_at: Instant::now(),
@@ -316,10 +316,10 @@
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError> {
         let Loaded { mut settings, names, connect_timeout } = loaded;
         fit_to_sockets(&mut settings);
-        let offered = self.offered().followed_by(&names, &mut settings)?;
+        let offered = self.offered().updated(&names, &mut settings)?;
         settings.validate()?;
         self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
-        self.longest_deadline.set(self.longest_deadline.get().max(offered.longest()));
+        self.longest_deadline.set(self.longest_deadline.get().max(offered.max_deadline()));
         self.offered.replace(Rc::new(offered));
         self.handle(Event::Reconfigured(settings));
         Ok(())
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,7 +11,7 @@
 //! | [`config`] | reads the configuration file and the environment into plain data |
 //! | [`discovery`] | wire format of endpoint lists, and the watch on service discovery |
 //! | [`reconfiguration`] | follows the distribution of settings and applies changes at run time |
-//! | [`offered`] | names and ids of the classes and tenants that requests may use |
+//! | [`name_registry`] | names and ids of the classes and tenants that requests may use |
 //! | [`request_table`] | requests in flight and their attempts |
 //! | [`endpoint_table`] | endpoints: ids, addresses, readiness, drains |
 //! | [`clock`] | start times of upstreams; the only module that reads the wall clock |
@@ -28,13 +28,13 @@
 //! ```text
 //! downstream -----> event_loop, config, reconfiguration, upstream, socket
 //! event_loop -----> config, reconfiguration, discovery, endpoint_table, request_table, telemetry, upstream
-//! reconfiguration -> config, offered, upstream
+//! reconfiguration -> config, name_registry, upstream
 //! config ---------> clock, discovery
 //! endpoint_table -> clock, discovery
 //! discovery ------> upstream
 //! request_table --> socket, upstream
 //! upstream -------> socket
-//! clock, offered, socket: none
+//! clock, name_registry, socket: none
 //! all -> telemetry::log
 //! ```
 
@@ -46,7 +46,7 @@
 pub mod downstream;
 pub mod endpoint_table;
 pub mod event_loop;
-pub mod offered;
+pub mod name_registry;
 pub mod reconfiguration;
 pub mod request_table;
 pub mod socket;
--- a/crates/proxy/src/offered.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -59,8 +59,8 @@
     #[must_use]
     pub fn new(names: &Names, settings: &Settings) -> Self {
         Self {
-            class_names: by_position(&names.classes, settings.classes.len()),
-            tenant_names: by_position(&names.tenants, settings.tenants.len()),
+            class_names: names_by_position(&names.classes, settings.classes.len()),
+            tenant_names: names_by_position(&names.tenants, settings.tenants.len()),
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
             figures: settings.classes.clone(),
@@ -73,9 +73,9 @@
     ///
     /// # Errors
     /// There would be too many names since the start of the process; `settings` are unchanged then.
-    pub fn followed_by(&self, names: &Names, settings: &mut Settings) -> Result<Self, TooManyNames> {
-        let (class_names, classes) = placed(&self.class_names, &names.classes, settings.classes.len());
-        let (tenant_names, tenants) = placed(&self.tenant_names, &names.tenants, settings.tenants.len());
+    pub fn updated(&self, names: &Names, settings: &mut Settings) -> Result<Self, TooManyNames> {
+        let (class_names, classes) = assign_indices(&self.class_names, &names.classes, settings.classes.len());
+        let (tenant_names, tenants) = assign_indices(&self.tenant_names, &names.tenants, settings.tenants.len());
         if class_names.len() > MAX_CLASSES || tenant_names.len() > MAX_TENANTS {
             return Err(TooManyNames { classes: class_names.len(), tenants: tenant_names.len() });
         }
@@ -83,9 +83,9 @@
             class_names.iter().map(|name| names.classes.get(name).copied()).collect();
         let figures: Vec<Class> = (0..)
             .zip(&new)
-            .map(|(place, new): (usize, _)| match new {
+            .map(|(index, new): (usize, _)| match new {
                 Some(position) => settings.classes[*position].clone(),
-                None => self.figures[place].clone(),
+                None => self.figures[index].clone(),
             })
             .collect();
         let quota = |name| names.tenants.get(name).map_or(Some(0.0), |&new| settings.tenants[new].quota);
@@ -97,8 +97,8 @@
     /// Returns the class of this name, if requests may name it.
     #[must_use]
     pub fn class(&self, name: &str) -> Option<OfferedClass<'_>> {
-        let place = *self.classes.get(name)?;
-        Some(OfferedClass { id: ClassId(place), figures: self.figures.get(place)? })
+        let index = *self.classes.get(name)?;
+        Some(OfferedClass { id: ClassId(index), figures: self.figures.get(index)? })
     }
 
     /// Returns the id of the tenant of this name, if requests may name it.
@@ -115,14 +115,14 @@
 
     /// Longest deadline of any class since the start; zero if there is no class.
     #[must_use]
-    pub fn longest(&self) -> Duration {
+    pub fn max_deadline(&self) -> Duration {
         self.figures.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 }
 
 /// Returns the names in the order of their positions in the settings. A name that occurs twice in the settings maps to
 /// one position only; the other position gets an empty name.
-fn by_position(names: &FxHashMap<String, usize>, count: usize) -> Vec<String> {
+fn names_by_position(names: &FxHashMap<String, usize>, count: usize) -> Vec<String> {
     let mut list = vec![String::new(); count];
     for (name, &position) in names {
         list[position].clone_from(name);
@@ -132,15 +132,15 @@
 
 /// Appends the names of new settings that are not in `known` to it. Returns the resulting names by id, and the ids of
 /// those names that are in the new settings.
-fn placed(
+fn assign_indices(
     known: &[String],
     names: &FxHashMap<String, usize>,
     count: usize,
 ) -> (Vec<String>, FxHashMap<String, usize>) {
     let before: FxHashSet<&String> = known.iter().collect();
-    let new = by_position(names, count).into_iter().filter(|name| !before.contains(name));
+    let new = names_by_position(names, count).into_iter().filter(|name| !before.contains(name));
     let list: Vec<String> = known.iter().cloned().chain(new).collect();
     let in_force = list.iter().enumerate().filter(|(_, name)| names.contains_key(*name));
-    let places = in_force.map(|(place, name)| (name.clone(), place)).collect();
-    (list, places)
+    let indices = in_force.map(|(index, name)| (name.clone(), index)).collect();
+    (list, indices)
 }
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -22,7 +22,7 @@
 use crate::connection;
 use crate::pool::Pool;
 
-pub use crate::offered::{Offered, OfferedClass, TooManyNames};
+pub use crate::name_registry::{Offered, OfferedClass, TooManyNames};
 
 /// Maximum length of a reason in a report, in characters; the log has the whole reason.
 const MAX_REASON_CHARS: usize = 200;
