--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -40,7 +40,7 @@
 /// configuration. The agent on its machine answers at once unless discovery is down, and then no better list is to be
 /// had. Where settings are distributed, the process waits for its first settings for the same time and then serves with
 /// those of its file.
-const FIRST_UPDATE_WITHIN: Duration = Duration::from_millis(500);
+const FIRST_UPDATE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Minimum time between two checks for connections that have been idle for too long.
 const MIN_EVICTION_INTERVAL: Duration = Duration::from_millis(10);
 
@@ -93,7 +93,7 @@
     /// Longest deadline of any class under any settings since the start.
     longest_deadline: Cell<Duration>,
     /// Whether the distribution of settings has sent its first state, or no distribution is configured.
-    configured: Cell<bool>,
+    settings_received: Cell<bool>,
     started_at: Instant,
     /// Address on which discovery listens.
     discovery: Cell<SocketAddr>,
@@ -109,7 +109,7 @@
     /// The policy does not accept the settings.
     pub fn start(config: Config) -> Result<Rc<Self>, SettingsError> {
         let mut loaded = config.loaded;
-        fit_to_sockets(&mut loaded.settings);
+        adapt_to_sockets(&mut loaded.settings);
         let first_line_timeout = FirstLineTimeout::of(loaded.settings.discovery);
         let keepalive = loaded.settings.permissions.keepalive;
         let offered = Offered::new(&loaded.names, &loaded.settings);
@@ -128,7 +128,7 @@
             names: loaded.names,
             longest_deadline: Cell::new(offered.max_deadline()),
             offered: RefCell::new(Rc::new(offered)),
-            configured: Cell::new(config.distribution.is_none()),
+            settings_received: Cell::new(config.distribution.is_none()),
             started_at: Instant::now(),
             discovery: Cell::new(config.discovery),
             first_line_timeout,
@@ -180,8 +180,8 @@
     #[must_use]
     pub fn can_serve(&self) -> bool {
         let endpoints = &self.state.borrow().endpoints;
-        let up_to_date = endpoints.has_update() && self.configured.get();
-        endpoints.has_list() && (up_to_date || self.started_at.elapsed() >= FIRST_UPDATE_WITHIN)
+        let up_to_date = endpoints.has_update() && self.settings_received.get();
+        endpoints.has_list() && (up_to_date || self.started_at.elapsed() >= FIRST_UPDATE_TIMEOUT)
     }
 
     fn now(&self) -> Time {
@@ -315,7 +315,7 @@
     /// Requests accepted before keep the rules under which they were accepted; attempts and connections continue.
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError> {
         let Loaded { mut settings, names, connect_timeout } = loaded;
-        fit_to_sockets(&mut settings);
+        adapt_to_sockets(&mut settings);
         let offered = self.offered().updated(&names, &mut settings)?;
         settings.validate()?;
         self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
@@ -325,8 +325,8 @@
         Ok(())
     }
 
-    fn configured(&self) {
-        self.configured.set(true);
+    fn settings_received(&self) {
+        self.settings_received.set(true);
     }
 }
 
@@ -353,7 +353,7 @@
 }
 
 /// Adapts settings that are defined for the simulator to real sockets.
-fn fit_to_sockets(settings: &mut Settings) {
+fn adapt_to_sockets(settings: &mut Settings) {
     // The setting `automatic` is defined for the simulator, which pushes changes to the balancer. On sockets a change
     // arrives only over a watch, and the setting means that lists are pushed to an agent on this machine.
     if settings.discovery == DiscoveryMode::Push {
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -19,7 +19,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let served = Builder::new_current_thread().enable_all().build().and_then(|runtime| {
+    let result = Builder::new_current_thread().enable_all().build().and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
             let mut terminate = signal(SignalKind::terminate())?;
             let mut interrupt = signal(SignalKind::interrupt())?;
@@ -34,7 +34,7 @@
     });
     // Log lines are flushed for a limited time only, so that a log that nobody reads does not delay the exit.
     log::flush(Duration::from_millis(100));
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("balancer-proxy: {error}");
--- a/crates/proxy/src/name_registry.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -74,8 +74,10 @@
     /// # Errors
     /// There would be too many names since the start of the process; `settings` are unchanged then.
     pub fn updated(&self, names: &Names, settings: &mut Settings) -> Result<Self, TooManyNames> {
-        let (class_names, classes) = assign_indices(&self.class_names, &names.classes, settings.classes.len());
-        let (tenant_names, tenants) = assign_indices(&self.tenant_names, &names.tenants, settings.tenants.len());
+        let (class_names, classes) =
+            assign_indices(&self.class_names, &names.classes, settings.classes.len());
+        let (tenant_names, tenants) =
+            assign_indices(&self.tenant_names, &names.tenants, settings.tenants.len());
         if class_names.len() > MAX_CLASSES || tenant_names.len() > MAX_TENANTS {
             return Err(TooManyNames { classes: class_names.len(), tenants: tenant_names.len() });
         }
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -36,7 +36,7 @@
     fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError>;
 
     /// Called each time the distribution of settings has sent its state and all valid documents of it are applied.
-    fn configured(&self);
+    fn settings_received(&self);
 }
 
 /// Why settings that are valid by themselves cannot follow those in force.
@@ -119,13 +119,13 @@
         if newest != self.in_force && !self.apply_all(newest.clone()) {
             // The documents are not valid together. Each that is valid with those in force is applied; for the other
             // scopes the document in force stays.
-            for (place, document) in newest.into_iter().enumerate() {
-                if document != self.in_force[place] {
-                    self.apply_one(place, document, state.index());
+            for (scope_index, document) in newest.into_iter().enumerate() {
+                if document != self.in_force[scope_index] {
+                    self.apply_one(scope_index, document, state.index());
                 }
             }
         }
-        self.target.configured();
+        self.target.settings_received();
         let version = |document: &Option<Document>| document.as_ref().map_or(0, |document| document.version);
         let versions = self.in_force.iter().map(version);
         let refused = self.refused.iter().flatten().max_by_key(|refused| refused.version);
@@ -147,15 +147,15 @@
 
     /// Applies the document of one scope over those in force, or logs and records why it could not be applied. `index`
     /// is the version to report where the document has been withdrawn.
-    fn apply_one(&mut self, place: usize, document: Option<Document>, index: u64) {
+    fn apply_one(&mut self, scope_index: usize, document: Option<Document>, index: u64) {
         let version = document.as_ref().map_or(index, |document| document.version);
         let mut documents = self.in_force.clone();
-        documents[place] = document;
+        documents[scope_index] = document;
         let refused = self.apply(documents).err().map(|error| {
             let why = error.to_string();
-            let scope = self.wanted[place].clone();
+            let scope = self.wanted[scope_index].clone();
             let refused = Refused { scope, version, why: why.chars().take(MAX_REASON_CHARS).collect() };
-            if self.refused[place].as_ref() != Some(&refused) {
+            if self.refused[scope_index].as_ref() != Some(&refused) {
                 crate::log(format_args!(
                     "document {} version {version} was not applied, the previous one stays in force: {why}",
                     refused.scope
@@ -163,7 +163,7 @@
             }
             refused
         });
-        self.refused[place] = refused;
+        self.refused[scope_index] = refused;
     }
 
     /// Merges these documents over the file's own settings and applies the result as a whole, or changes nothing.
@@ -172,12 +172,12 @@
             .map_err(ApplyError::Documents)?;
         balancer_settings::check(&settings)?;
         self.target.reconfigure(balancer_settings::read(&settings.to_string())?)?;
-        let stands: Vec<String> = documents
+        let in_force_versions: Vec<String> = documents
             .iter()
             .flatten()
             .map(|document| format!("{} {}", document.scope, document.version))
             .collect();
-        crate::log(format_args!("in force over the file's own settings: {}", stands.join(", ")));
+        crate::log(format_args!("in force over the file's own settings: {}", in_force_versions.join(", ")));
         self.in_force = documents;
         Ok(())
     }
