--- a/crates/proxy/src/name_registry.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -122,8 +122,8 @@
     }
 }
 
-/// Returns the names in the order of their positions in the settings. A name that occurs twice in the settings maps to
-/// one position only; the other position gets an empty name.
+/// Returns the `count` names of the classes or tenants in settings, in the order of their positions there. A name that
+/// occurs twice in the settings maps to one position only; the other position gets an empty name.
 fn names_by_position(names: &FxHashMap<String, usize>, count: usize) -> Vec<String> {
     let mut list = vec![String::new(); count];
     for (name, &position) in names {
@@ -132,8 +132,8 @@
     list
 }
 
-/// Appends the names of new settings that are not in `known` to it. Returns the resulting names by id, and the ids of
-/// those names that are in the new settings.
+/// Assigns ids to the names of new settings with `count` classes or tenants: names in `known` keep their index there as
+/// id, and the others get the next ids. Returns all names by id, and the ids of the names in the new settings.
 fn assign_indices(
     known: &[String],
     names: &FxHashMap<String, usize>,
