--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer on real sockets: starts from its configuration, serves until SIGTERM, then drains and ends.
+//! The balancer program: reads its configuration, serves until SIGTERM or SIGINT, then drains and exits.
 
 #![warn(clippy::pedantic)]
 
@@ -19,7 +19,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let served = Builder::new_current_thread().enable_all().build().and_then(|runtime| {
+    let result = Builder::new_current_thread().enable_all().build().and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
             let mut terminate = signal(SignalKind::terminate())?;
             let mut interrupt = signal(SignalKind::interrupt())?;
@@ -32,9 +32,9 @@
             server::serve(config, stop).await
         })
     });
-    // A log that nobody reads must not delay the end.
+    // Log lines are flushed for a limited time only, so that a log that nobody reads does not delay the exit.
     log::flush(Duration::from_millis(100));
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("balancer-proxy: {error}");
