--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -1,5 +1,5 @@
-//! How an attempt gets its connection: an idle one, or else the first of its own dial and any other connection to the same
-//! upstream that becomes free.
+//! Acquires a connection for an attempt: an idle connection if there is one, else whichever is ready first of the
+//! attempt's own dial and any other connection to the same upstream that becomes free.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,21 +12,22 @@
 use super::host::Host;
 use super::pool::Pool;
 
-/// A connection for an attempt.
+/// A connection that an attempt has acquired from the pool.
 #[derive(Debug)]
 pub struct Acquired {
-    /// The connection.
+    /// The acquired connection, ready to carry a request.
     pub connection: Connection,
-    /// For how long it was idle, if it is not new.
+    /// How long the connection had been idle; `None` if it is new.
     pub idle: Option<Duration>,
 }
 
 impl Pool {
-    /// A connection for an attempt. A connect that fails for want of a local resource is repeated, as it would
-    /// fail to another upstream too: until `until`, and for as long as the settings allow.
+    /// Acquires a connection for an attempt. A connect that fails for lack of a local resource is retried, because a
+    /// connect to another upstream would fail too: until `until`, and for at most the connect timeout of the settings.
     ///
     /// # Errors
-    /// There is none within the usual time of a connect; if `is_last_attempt`, within the whole of the settings'.
+    /// No connection is available within the timeout derived from earlier connects to the zone or, if
+    /// `is_last_attempt`, within the whole connect timeout of the settings.
     pub async fn acquire(
         self: &Rc<Self>,
         host: &Rc<Host>,
@@ -44,7 +45,7 @@
         let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
         loop {
             let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
-            // One in its reuse delay is free sooner than a new connection is likely to be up.
+            // A connection in its reuse delay is likely to be free before a new connection is established.
             let check_at = host.next_free().unwrap_or(give_up_at);
             let retry_at = dial.retry.as_ref().map_or(check_at, |retry| retry.at);
             tokio::select! {
@@ -77,8 +78,8 @@
         }
     }
 
-    /// A free connection, the most recently used first, and for how long it was idle. For a request that must
-    /// not be repeated, those idle for longer than is trusted are closed: a new one replaces them.
+    /// Takes the most recently used free connection out of the pool. For a request that must not run twice, connections
+    /// that have been idle for longer than the trusted idle time are closed, and the attempt dials a new one.
     fn take_idle(&self, host: &Host, must_not_repeat: bool) -> Option<Acquired> {
         let most = if must_not_repeat { self.trusted_idle() } else { self.idle_limit() };
         let now = Instant::now();
--- a/crates/proxy/src/upstream/acquire_error.rs
+++ b/crates/proxy/src/upstream/acquire_error.rs
@@ -1,34 +1,36 @@
-//! Why an attempt has no connection, and whose fault that is.
+//! Reasons why an attempt gets no connection, and whether the cause is this machine or the upstream.
 
 use std::io;
 
 use thiserror::Error;
 
-/// Why there is no connection for an attempt.
+/// The reason why an attempt could not acquire a connection.
 #[derive(Debug, Error)]
 pub enum AcquireError {
-    /// The budget of sockets is used up, which is no fault of the upstream's.
-    #[error("no socket is free")]
+    /// The process's socket budget is used up, which says nothing about the upstream.
+    #[error("the socket budget of this process is used up")]
     NoSocket,
-    /// This machine has no resources for it, which is no fault of the upstream's either.
-    #[error("this machine has no socket: {0}")]
+    /// This machine lacks a resource for the connect (port, descriptor or memory), which says nothing about the
+    /// upstream.
+    #[error("this machine lacks the resources for a new connection: {0}")]
     Local(io::Error),
-    /// None came up in time; one may still do so later.
-    #[error("it did not come up in time")]
+    /// No connection was established within the attempt's connect timeout. The dial may still succeed later.
+    #[error("the connection was not established within the connect timeout")]
     TimedOut,
-    /// The upstream has left the list.
-    #[error("it left the list")]
+    /// Discovery's list no longer has the upstream ready at this address.
+    #[error("the endpoint was removed from discovery's list or is draining")]
     Gone,
-    /// The upstream does not accept it.
+    /// The connect failed with an error that is attributed to the upstream.
     #[error("{0}")]
     Failed(#[from] io::Error),
-    /// It broke as it came up.
+    /// The connection broke during the HTTP handshake.
     #[error("{0}")]
     Broken(#[from] hyper::Error),
 }
 
-/// Whether a connect failed for want of something on this machine: a port, a descriptor, memory. What a packet filter
-/// forbids (`EPERM`, `EACCES`) counts as the upstream's: it lasts, and another upstream may be allowed.
+/// Whether a connect failed because this machine lacks a resource: a port, a descriptor or memory. A connect that a
+/// packet filter forbids (`EPERM`, `EACCES`) counts as a failure of the upstream, because the condition lasts and
+/// another upstream may be allowed.
 pub(super) fn is_local(error: &io::Error) -> bool {
     const LOCAL: [i32; 8] = [
         libc::EADDRINUSE,
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -1,4 +1,4 @@
-//! A connection that an attempt waits for.
+//! A dial: the connect that an attempt waits for, with its retries after local failures.
 
 use std::future::poll_fn;
 use std::io;
@@ -14,26 +14,30 @@
 use super::host::{Connecting, Host};
 use super::pool::Pool;
 
-/// Wait before a connect that failed on this machine is tried again, at first: a lack of ports or memory may pass at once.
+/// Initial backoff before a connect that failed for lack of a local resource is retried. It is short because a lack of
+/// ports or memory may pass at once.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(2);
-/// The same after some such failures, as it doubles: a lack that lasts must not keep the machine busy with the search for
-/// a port.
+/// Upper bound of the backoff, which doubles with each local failure. It keeps the machine from spending its time on
+/// the search for a free port while a shortage lasts.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(64);
 
-/// A connect that failed on this machine, and is to be tried again.
+/// A scheduled retry of a connect that failed for lack of a local resource.
 pub(super) struct Retry {
+    /// The error of the failed connect.
     pub(super) error: io::Error,
+    /// When the connect is retried.
     pub(super) at: Instant,
 }
 
-/// A connection that an attempt waits for. Dropped before it is up, it continues for the next attempt.
+/// A connect that an attempt waits for. If the dial is dropped before the connect finishes, the pool continues the
+/// connect for the next attempt.
 pub(super) struct Dial<'a> {
     pub(super) pool: &'a Rc<Pool>,
     pub(super) host: &'a Rc<Host>,
     pub(super) connecting: Option<Connecting>,
-    /// The latest connect that failed on this machine, until the next one is under way.
+    /// The retry after the latest local failure, until it starts.
     pub(super) retry: Option<Retry>,
-    /// The latest pause before another try.
+    /// The latest backoff before a retry; zero before the first local failure.
     pub(super) pause: Duration,
 }
 
@@ -67,7 +71,7 @@
         Ok(handshake(stream, permit).await?)
     }
 
-    /// Connects again after a pause.
+    /// Schedules a retry of the connect after the next backoff.
     pub(super) fn retry_after(&mut self, error: io::Error) {
         self.pause = (self.pause * 2).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
         self.retry = Some(Retry { error, at: Instant::now() + self.pause });
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,10 +1,13 @@
-//! The side of the upstreams: attempts, and the connections that they use.
+//! The upstream side of the proxy: attempts, and the connections that they use.
 //!
-//! An attempt takes a connection from the [`pool`], which has those of each process as a [`host::Host`]; a new one comes up
-//! as a dial (`dial.rs`), within the time that `connect_time.rs` knows. The bytes of its request pass the [`gate`] as they are
-//! written. [`idle_trust`] estimates how long a connection may have been idle for a request that must not run twice.
+//! An attempt takes a connection from the [`pool`], which keeps the connections to each upstream process in a
+//! [`host::Host`]. A new connection is opened by a dial (`dial.rs`), with a timeout that `connect_time.rs` derives from
+//! earlier connects. The [`gate`] checks immediately before each write whether the bytes of the request may still be
+//! sent. [`idle_trust`] estimates for how long a connection may have been idle to carry a request that must not run
+//! twice.
 //!
-//! Nothing here knows the event loop: an attempt queries and notifies it through the [`AttemptContext`].
+//! This module does not depend on the event loop: an attempt queries and notifies it through the [`AttemptContext`]
+//! trait.
 
 pub mod acquire;
 pub mod acquire_error;
