--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: sends its request on a connection from the pool, and reports how that ended. An attempt never retries by
-//! itself: whether another may follow is the policy's decision.
+//! Runs one attempt: sends its request on a connection from the pool, and reports the outcome. An attempt never retries
+//! by itself; the policy decides whether another attempt follows.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,11 +20,11 @@
 use super::progress::Progress;
 use super::response::read_response;
 
-/// How long a connection may take to be ready again after an answer. One whose upstream answered without
-/// reading the request to its end never is.
+/// How long a connection may take to become ready for another request after a response. A connection whose upstream
+/// responded without reading the whole request never becomes ready.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The conditions that are checked as the bytes of an attempt's request are written.
+/// The conditions under which the bytes of an attempt's request may be written, checked at each write.
 struct Bounds<C> {
     context: Rc<C>,
     request: RequestId,
@@ -40,18 +40,19 @@
         Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
     }
 
-    /// Whether the window is over in which upstreams discard a repeat.
+    /// Whether the window in which upstreams deduplicate a repeated request has ended.
     fn is_late(&self) -> bool {
         self.begin_by.is_some_and(|by| Instant::now() > by)
     }
 
-    /// Why the attempt must not begin, if it must not.
+    /// The outcome of an attempt that must not send its request any more; `None` if it may.
     fn refusal(&self) -> Option<Outcome> {
-        // While it connected, the upstream may have begun to drain, or gone: nothing new goes there.
+        // While the attempt connected, the upstream may have begun to drain or have been removed from the list. No new
+        // request is sent to such an upstream.
         if !self.context.may_send(self.upstream, self.address) {
             return Some(Outcome::ConnectFailed);
         }
-        // Its client may have left meanwhile, or another attempt have served it.
+        // Meanwhile the client may have disconnected, or another attempt may have served the request.
         (!self.context.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
     }
 }
@@ -67,24 +68,24 @@
     }
 }
 
-/// The result of an exchange.
+/// The result of sending a request and reading its response.
 struct Exchanged {
     end: AttemptEnd,
-    /// The connection, if it may carry another request.
+    /// The connection, if it may carry another request; `None` if it is closed.
     connection: Option<Connection>,
 }
 
 impl From<Outcome> for Exchanged {
-    /// The connection, if there was one, is closed.
+    /// The result without a connection: the attempt's connection, if it had one, is closed.
     fn from(outcome: Outcome) -> Self {
         Self { end: outcome.into(), connection: None }
     }
 }
 
-/// Makes an attempt and notifies the context of how it ended.
+/// Runs an attempt and notifies the context of its outcome.
 pub async fn attempt<C: AttemptContext>(context: Rc<C>, job: Job, cancelled: oneshot::Receiver<()>) {
     let Some(host) = context.host(job.upstream, job.address) else {
-        // It drained, or went, between the decision and now.
+        // The upstream began to drain or was removed after the policy chose it.
         context.on_attempt_ended(&job, Outcome::ConnectFailed.into());
         return;
     };
@@ -92,12 +93,12 @@
     let exchange = exchange(&context, &job, &host, &progress);
     let Exchanged { end, connection } = tokio::select! {
         biased;
-        // At its deadline the exchange is dropped, and its connection closed with it.
+        // At the attempt's deadline the exchange is dropped, which closes its connection.
         done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| overdue(&progress).into()),
         Ok(()) = cancelled => Outcome::Cancelled.into(),
     };
     context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..end });
-    // The answer goes out first; then the connection is made ready for the next request.
+    // The client gets its response first; then this task waits until the connection can carry another request.
     if let Some(mut connection) = connection
         && let Ok(Ok(())) = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await
     {
@@ -112,12 +113,12 @@
     } else if progress.connect_wait.get().is_none() {
         Outcome::ConnectTimedOut
     } else {
-        // Closed before its last byte was written, it can't run any more.
+        // The connection is closed before the last byte of the request was written, so the request cannot run.
         Outcome::ConnectFailed
     }
 }
 
-/// Sends the request on a connection and reads the answer; on another connection where an idle one turns out closed.
+/// Sends the request and reads the response. If an idle connection turns out to be closed, it uses another connection.
 async fn exchange<C: AttemptContext>(
     context: &Rc<C>,
     job: &Job,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A connection, or the outcome of an attempt that gets none.
+/// Acquires a connection for the attempt, or returns the outcome of an attempt without a connection.
 async fn acquire<C: AttemptContext>(
     context: &Rc<C>,
     job: &Job,
@@ -162,8 +163,8 @@
     }
 }
 
-/// Sends the request on this connection and reads the answer; `None` if it was idle and turns out closed before a byte of
-/// the request went out.
+/// Sends the request on the given connection and reads the response. Returns `None` if the connection was idle and
+/// turns out to be closed before any byte of the request was written.
 async fn exchange_on<C: AttemptContext>(
     acquired: Acquired,
     context: &Rc<C>,
@@ -191,8 +192,8 @@
     Some(Exchanged { end, connection: Some(connection) })
 }
 
-/// The outcome of an attempt whose connection broke before its answer began; `None` if the connection was idle and no byte
-/// of the request went out.
+/// The outcome of an attempt whose connection broke before its response began; `None` if the connection was idle and no
+/// byte of the request was written.
 fn broken_off<C: AttemptContext>(
     connection: &Connection,
     idle: Option<Duration>,
@@ -208,7 +209,7 @@
     }
     if let Some(idle) = idle {
         context.on_reused(idle, false);
-        // It was closed, or had unexpected bytes to read: nothing was sent.
+        // The connection was closed, or had unexpected bytes to read, before anything was sent.
         if !progress.has_begun() {
             return None;
         }
--- a/crates/proxy/src/upstream/call.rs
+++ b/crates/proxy/src/upstream/call.rs
@@ -1,4 +1,4 @@
-//! What of a client's request is forwarded, the same in each attempt, and how many bytes that is.
+//! The parts of a client's request that are forwarded to upstreams, and the size of the forwarded request.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Method, Request, Uri};
 
-/// Bytes of a body at most, either way.
+/// Largest body that is accepted, of a request or of a response.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// What of a client's request goes on to upstreams, the same in each attempt.
+/// The parts of a client's request that are forwarded to upstreams, which are the same in each attempt.
 #[derive(Debug)]
 pub struct Call {
-    /// The method.
+    /// The request method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query of the request.
     pub uri: Uri,
-    /// `Host`.
+    /// Value of the `Host` header.
     pub host: HeaderValue,
-    /// `X-Request-Id`.
+    /// Value of the `X-Request-Id` header.
     pub id: HeaderValue,
-    /// `Idempotency-Key`.
+    /// Value of the `Idempotency-Key` header, if the client sent one.
     pub key: Option<HeaderValue>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
-    /// It must not run twice.
+    /// Whether the request must not run twice, because its class is not idempotent.
     pub must_not_repeat: bool,
 }
 
 impl Call {
-    /// The request of an attempt that will wait for so long.
+    /// Builds the request of an attempt that waits at most `time_left`, which is sent as its deadline.
     #[must_use]
     pub fn request(&self, time_left: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
@@ -52,8 +52,8 @@
     }
 }
 
-/// Bytes of a request on the socket, as few as they can be: a lower bound, so that in doubt a request counts
-/// as one that may have run.
+/// The least number of bytes that a request can take on the socket. A lower bound makes a request whose write was
+/// incomplete by a few bytes count as one that may have run, which is the safe side.
 #[must_use]
 pub fn size_on_wire(request: &Request<Full<Bytes>>, body: usize) -> u64 {
     let path = request.uri().path_and_query().map_or(1, |path| path.as_str().len());
--- a/crates/proxy/src/upstream/context.rs
+++ b/crates/proxy/src/upstream/context.rs
@@ -1,5 +1,5 @@
-//! What an attempt needs of the event loop. The trait is defined here, on the side that uses it, so that the event loop
-//! depends on the upstream side and not the other way round.
+//! The interface through which attempts use the event loop. The trait is defined here, in the module that uses it, so
+//! that the event loop depends on the upstream module and not the other way round.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,39 +12,43 @@
 use super::job::{AttemptEnd, Job};
 use super::pool::Pool;
 
-/// Answers the questions of an attempt and is notified of its progress.
+/// Provides an attempt with the state of the proxy, and is notified of the attempt's progress.
 pub trait AttemptContext: 'static {
-    /// The connections to upstreams.
+    /// The pool of connections to upstreams.
     fn pool(&self) -> &Rc<Pool>;
 
-    /// The connections to an upstream, if discovery's latest update allows new work for it at this address.
+    /// The pooled connections to an upstream; `None` if discovery's latest update allows no new requests to it at this
+    /// address.
     fn host(&self, upstream: EndpointId, address: SocketAddr) -> Option<Rc<Host>>;
 
-    /// Whether discovery's latest update allows new work for an upstream at this address.
+    /// Whether discovery's latest update allows new requests to an upstream at this address.
     fn may_send(&self, upstream: EndpointId, address: SocketAddr) -> bool;
 
-    /// Whether a request still wants an answer: its client may have left, or another attempt have served it.
+    /// Whether a request has no final answer yet and still needs one. It does not once its client has disconnected or
+    /// another attempt has served it.
     fn is_wanted(&self, request: RequestId) -> bool;
 
-    /// The same, and its client is still there: asks the system, as the end of a connection may be unread in its
-    /// socket while the process was suspended or other tasks ran.
+    /// Whether a request still needs an answer and its client is still connected. This reads the client's socket: the
+    /// client may have closed its connection while the process was suspended or other tasks ran, without the runtime
+    /// having noticed yet.
     fn is_awaited(&self, request: RequestId) -> bool;
 
-    /// Whether a load report may have a value of this name.
+    /// Whether the settings define a load report field of this name.
     fn has_load_field(&self, name: &str) -> bool;
 
-    /// A new connection to an upstream has come up.
+    /// Called when an attempt has opened a new connection to an upstream.
     fn on_connected(&self);
 
-    /// No connection to the upstream at this address could be had.
+    /// Called when an attempt could not get a connection to the upstream at this address.
     fn on_unreachable(&self, address: SocketAddr, error: &AcquireError);
 
-    /// A connection that had been idle for so long has carried its request, or was reset under it.
+    /// Called when a connection that had been idle for `idle` was reused. `answered` is false if the connection broke
+    /// before the response began.
     fn on_reused(&self, idle: Duration, answered: bool);
 
-    /// The client of a request has left.
+    /// Called when an attempt finds that the client of a request has disconnected.
     fn on_client_disconnected(self: &Rc<Self>, request: RequestId);
 
-    /// An attempt is over.
+    /// Called when an attempt has ended.
     fn on_attempt_ended(self: &Rc<Self>, job: &Job, ended: AttemptEnd);
 }
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -1,4 +1,4 @@
-//! An attempt as the event loop hands it over, and how it ended.
+//! The description of an attempt that the event loop starts, and the result of an attempt.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,39 +10,41 @@
 
 use super::call::Call;
 
-/// An attempt to make.
+/// An attempt that the policy has requested.
 #[derive(Debug)]
 pub struct Job {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt.
+    /// The number of the attempt within its request.
     pub attempt: AttemptNumber,
-    /// Where to.
+    /// The upstream that the attempt is sent to.
     pub upstream: EndpointId,
-    /// Its address.
+    /// The address of the upstream when the policy chose it.
     pub address: SocketAddr,
-    /// What to send.
+    /// The forwarded parts of the client's request.
     pub call: Rc<Call>,
-    /// When the policy requested it.
+    /// When the policy requested the attempt.
     pub requested_at: Instant,
-    /// When it must have begun, if there is a limit.
+    /// Time after which no byte of the request may be written any more, because upstreams would not recognise it as a
+    /// repeat; `None` if there is no such limit.
     pub begin_by: Option<Instant>,
-    /// When it is given up.
+    /// Deadline at which the attempt is given up.
     pub until: Instant,
-    /// No other can follow: it waits for a connection for as long as the settings allow.
+    /// Whether no other attempt can follow, so that this one waits for a connection for the whole connect timeout of
+    /// the settings.
     pub is_last_attempt: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt that has ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// The outcome.
+    /// The outcome of the attempt, as the policy distinguishes outcomes.
     pub outcome: Outcome,
-    /// The answer's body, if served.
+    /// The body of the response, if the attempt served the request.
     pub body: Option<Bytes>,
-    /// The load report, if one came.
+    /// The load report of the response, if it carried one.
     pub load: Option<LoadReport>,
-    /// How long it had no connection, if it ever had one.
+    /// How long the attempt waited for a connection; `None` if it never got one.
     pub connect_wait: Option<Duration>,
 }
 
