--- a/crates/proxy/src/upstream/connect_time.rs
+++ b/crates/proxy/src/upstream/connect_time.rs
@@ -1,18 +1,20 @@
-//! How long a connect to a zone usually takes, and so how long an attempt waits for one before it goes elsewhere.
+//! Estimates how long a connect to a zone usually takes, and derives the connect timeout of an attempt that can still
+//! be retried on another upstream.
 
 use std::time::Duration;
 
-/// Usual connect times that an attempt waits for its connection: as many deviations as TCP's own timer waits beyond
-/// its mean (RFC 6298).
+/// Connect timeout of an attempt as a multiple of the usual connect time. 4 is the number of deviations that TCP's
+/// retransmission timer adds to its mean (RFC 6298).
 const PATIENCE_MULTIPLE: f64 = 4.0;
-/// Least part of the settings' connect timeout that an attempt waits for, as a busy machine adds to a connect: those of
-/// the three or four attempts before a request's last one take a quarter of it together.
+/// Lower bound of an attempt's connect timeout, as a fraction of the connect timeout of the settings. It allows for the
+/// delay that a busy machine adds to a connect. With this value the three or four attempts before a request's last one
+/// take a quarter of the settings' timeout together.
 const MIN_PATIENCE_FRACTION: f64 = 0.0625;
-/// Weight of one connect in the usual time: the gain of TCP's own timer.
+/// Weight of one connect in the moving average of connect times, equal to the gain of TCP's retransmission timer.
 const CONNECT_WEIGHT: f64 = 0.125;
 
-/// The usual time in which connections to a zone come up: a mean of logarithms, in which a late one counts for at
-/// most e times the usual.
+/// The usual time of a connect to a zone: a moving average of the logarithms of connect times. A slow connect counts as
+/// at most e times the usual time.
 #[derive(Debug, Default)]
 pub(super) struct ConnectTime {
     ln_s: f64,
@@ -20,9 +22,9 @@
 }
 
 impl ConnectTime {
-    /// Records a connect that came up (`up`) or was given up after this time.
+    /// Records that a connect succeeded (`up`) or was given up after `duration`.
     pub(super) fn record(&mut self, duration: Duration, up: bool) {
-        // One that was given up only says that a connect takes longer than is known.
+        // A connect that was given up gives only a lower bound, which is no estimate to start from.
         if self.known == 0.0 && !up {
             return;
         }
@@ -32,7 +34,7 @@
         self.ln_s += CONNECT_WEIGHT.max(1.0 / self.known) * over;
     }
 
-    /// How long an attempt waits for a connection.
+    /// How long an attempt waits for a connection, at most `most`.
     pub(super) fn patience(&self, most: Duration) -> Duration {
         if self.known == 0.0 {
             return most;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to an upstream or to discovery.
+//! An HTTP/1.1 connection to an upstream or to discovery.
 
 use std::cell::Cell;
 use std::fmt::Debug;
@@ -22,12 +22,12 @@
 
 pub use super::gate::Clearance;
 
-/// A socket counted against the budget for as long as it lives.
+/// Counts a socket against the process's socket budget until it is dropped.
 #[derive(Debug)]
 pub struct Permit(Rc<Cell<usize>>);
 
 impl Permit {
-    /// Counts a socket more.
+    /// Adds a socket to the counter `sockets`; dropping the permit subtracts it.
     #[must_use]
     pub fn of(sockets: &Rc<Cell<usize>>) -> Self {
         sockets.set(sockets.get() + 1);
@@ -41,15 +41,15 @@
     }
 }
 
-/// An open connection. Dropping it closes the socket, whatever is still in progress on it: a request that
-/// nobody waits for any more must not run unnoticed.
+/// An open HTTP connection. Dropping it closes the socket even if a request is in progress on it, so that a request
+/// whose response is no longer awaited does not go on unnoticed.
 #[derive(Debug)]
 pub struct Connection {
-    /// Sends a request.
+    /// hyper's handle for sending requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Bytes that the socket has accepted.
+    /// Number of bytes that the socket has accepted since the counter was last reset.
     pub written: Rc<Cell<u64>>,
-    /// Checked before a request's bytes are written.
+    /// Decides before each write whether the bytes of a request may be sent.
     pub gate: Rc<Gate>,
     socket: Socket,
     task: AbortHandle,
@@ -62,44 +62,44 @@
 }
 
 impl Connection {
-    /// Whether a request may go out on it: the last answer is through, and the peer has neither closed nor sent
-    /// anything since, which would be read as the next answer.
+    /// Whether the connection can carry another request: the last response is complete, and since then the peer has
+    /// neither closed the connection nor sent any bytes, which would be read as the next response.
     #[must_use]
     pub fn is_free(&self) -> bool {
         self.sender.is_ready() && self.socket.is_silent()
     }
 }
 
-/// Connects to where a watch is served.
+/// Connects to the server of a watch.
 ///
 /// # Errors
-/// It does not come up.
+/// The connection is not established.
 pub async fn open(address: SocketAddr, permit: Permit) -> io::Result<CountingSocket> {
     Ok(CountingSocket::new(TcpStream::connect(address).await?, permit))
 }
 
-/// Makes an HTTP connection of a socket that is connected.
+/// Starts HTTP/1.1 on a connected socket.
 ///
 /// # Errors
-/// It breaks as it comes up.
+/// The connection breaks during the handshake.
 pub async fn handshake(stream: TcpStream, permit: Permit) -> Result<Connection, hyper::Error> {
     let io = CountingSocket::new(stream, permit);
     let (socket, written, gate) = (io.socket.clone(), Rc::clone(&io.written), Rc::clone(&io.gate));
     let (sender, connection) = http1::handshake(TokioIo::new(io)).await?;
     let task = tokio::task::spawn_local(async move {
-        // How it ends shows in the request that is out on it, if one is.
+        // An error also fails the request in progress on the connection, if there is one, and is handled there.
         let _ = connection.await;
     });
     Ok(Connection { sender, written, gate, socket, task: task.abort_handle() })
 }
 
-/// A socket that counts the bytes it has accepted: a request that was never written whole never ran.
+/// A socket that counts the bytes written to it: a request that was not written completely has not run.
 #[derive(Debug)]
 pub struct CountingSocket {
     socket: Socket,
     written: Rc<Cell<u64>>,
     gate: Rc<Gate>,
-    /// The first bytes of the request that is written, with the deadline of the moment at which it began.
+    /// The first buffer of the request being written, with the deadline header updated when the write began.
     head: Option<Vec<u8>>,
     _permit: Permit,
 }
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Writes what the socket has not accepted yet of a request's head, and what follows.
+    /// Writes `head`, the part of a request's head that the socket has not accepted yet, followed by `rest`.
     fn write_head(
         &mut self,
         context: &mut Context<'_>,
@@ -173,7 +173,7 @@
         } else {
             self.head = self.gate.check_begin(first)?;
         }
-        // The socket may accept a head in parts: the rest of it goes with the first part's deadline.
+        // The socket may accept the head in several writes: later parts must carry the same deadline as the first one.
         if let Some(head) = self.head.take_if(|head| written + first.len() == head.len()) {
             let done = self.write_head(context, &head[written..], rest);
             self.head = Some(head);
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -1,5 +1,5 @@
-//! The connections to one process of an upstream between attempts: those that are idle, and the dial that continues though
-//! no attempt waits for it.
+//! The connections to one upstream process that no attempt uses: the idle connections, and the dial that continues in
+//! the background after its attempt stopped waiting for it.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -16,25 +16,27 @@
 
 use super::connection::{Connection, Permit};
 
-/// A connection between two attempts.
+/// An idle connection, which waits in the pool for the next attempt.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
+    /// When the connection became idle.
     pub(super) since: Instant,
-    /// When it may carry the next request.
+    /// When the connection may carry the next request, after its reuse delay.
     pub(super) free_at: Instant,
 }
 
-/// A connect that is under way.
+/// A TCP connect in progress.
 pub(super) struct Connecting {
     pub(super) stream: Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>,
     pub(super) permit: Permit,
+    /// When the connect started.
     pub(super) since: Instant,
 }
 
-/// A dial that continues though the attempt that began it does not wait for it any more.
+/// A dial that continues in the background because the attempt that started it no longer waits for it.
 pub(super) struct LateDial {
     pub(super) connecting: Connecting,
-    /// Waits for it; `None` for the moment before it is started.
+    /// The task that waits for the connect; `None` until the task has been spawned.
     pub(super) task: Option<AbortHandle>,
 }
 
@@ -46,24 +48,25 @@
     }
 }
 
-/// The connections to one process of an upstream, for as long as the list has it ready at that address.
+/// The connections to one upstream process, kept for as long as discovery's list has it ready at this address.
 pub struct Host {
     pub(super) id: EndpointId,
     pub(super) address: SocketAddr,
     pub(super) zone: Option<ZoneId>,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     pub(super) idle: RefCell<Vec<IdleConnection>>,
-    /// At most one, so that an unreachable upstream uses no more sockets than this.
+    /// The background dial. There is at most one, so that an unreachable upstream uses only one socket.
     pub(super) late: RefCell<Option<LateDial>>,
-    /// Attempts that wait for a connection.
+    /// Number of attempts that wait for a connection to this host.
     pub(super) waiting: Cell<usize>,
+    /// Whether the upstream has been removed from the pool, so that no connection to it is kept.
     pub(super) closed: Cell<bool>,
-    /// Notifies those that wait of a change.
+    /// Notifies waiting attempts that an idle connection was added or the host was closed.
     pub(super) changed: Notify,
 }
 
 impl Host {
-    /// When the next connection has rested, if one rests.
+    /// The earliest time at which an idle connection may be reused; `None` if there is no idle connection.
     pub(super) fn next_free(&self) -> Option<Instant> {
         self.idle.borrow().iter().map(|idle| idle.free_at).min()
     }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams between attempts: those that are idle, dials that continue, and how long a dial usually
-//! takes. How an attempt gets a connection is in `acquire.rs`.
+//! The pool of connections to upstreams: idle connections, background dials, the usual connect times and the socket
+//! budget. How an attempt acquires a connection is in `acquire.rs`.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
@@ -24,46 +24,46 @@
 pub use super::acquire_error::AcquireError;
 pub use super::host::Host;
 
-/// Part of the settings' idle limit after which an idle connection is closed: one that the upstream closes as a
-/// request is written ends that request as a reset.
+/// Idle limit of the pool as a fraction of the keepalive time in the settings. The pool closes idle connections before
+/// the upstream does, because a request written while the upstream closes its connection ends as a reset.
 const IDLE_LIMIT_FRACTION: f64 = 0.7;
-/// How long a connection rests after an answer before it carries the next request: an upstream at fault may send a
-/// second answer some milliseconds behind the first, and the next request's client would get it.
+/// How long a connection stays unused after a response before it carries the next request. A faulty upstream may send a
+/// second response some milliseconds after the first, which the next request's client would get.
 const REUSE_DELAY: Duration = Duration::from_millis(10);
-/// Descriptors that are no connection: standard streams, listener, runtime.
+/// Number of descriptors reserved for other uses than connections: standard streams, listener and runtime.
 const OTHER_DESCRIPTORS: usize = 16;
-/// One in so many descriptors is left to clients by connections to upstreams.
+/// Connections to upstreams leave one in this many sockets of the budget to clients.
 const CLIENT_RESERVE_DIVISOR: usize = 4;
-/// How long a dial that no attempt waits for continues, counted from its start: TCP repeats its SYN after 1 s and after 3 s
-/// (RFC 6298, with the doubling), and the answer to the second repeat needs a round trip more.
+/// How long a dial that no attempt waits for continues, counted from its start. TCP repeats its SYN after 1 s and after
+/// 3 s (RFC 6298, with doubling), and the reply to the second repeat takes another round trip.
 const MAX_LATE_DIAL: Duration = Duration::from_millis(3500);
 
-/// The state of a pool, for the log.
+/// A snapshot of the state of a pool, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Connections that are idle.
+    /// Number of idle connections.
     pub idle_connections: usize,
-    /// Dials that no attempt waits for.
+    /// Number of dials that continue although no attempt waits for them.
     pub late_dials: usize,
-    /// Sockets in use, those of clients and of discovery among them.
+    /// Number of open sockets, including those of clients and of discovery.
     pub sockets: usize,
-    /// Sockets that may be in use.
+    /// Socket budget: the number of sockets that may be open.
     pub max_sockets: usize,
-    /// For how long a connection may have been idle to carry a request that must not run twice.
+    /// Longest idle time after which a connection may carry a request that must not run twice.
     pub trusted_idle: Duration,
 }
 
-/// All connections to upstreams, and the budget of sockets.
+/// All connections to upstreams, and the socket budget of the process.
 pub struct Pool {
     hosts: RefCell<FxHashMap<EndpointId, Rc<Host>>>,
-    /// By zone: how long a connect takes depends on where the upstream is.
+    /// Usual connect times by zone, because the time of a connect depends on the location of the upstream.
     connect_times: RefCell<FxHashMap<Option<ZoneId>, ConnectTime>>,
     connect_timeout: Cell<Duration>,
     idle_limit: Cell<Duration>,
     trust: RefCell<IdleTrust>,
     sockets: Rc<Cell<usize>>,
     max_sockets: usize,
-    /// Notified of each connection that came up with no attempt waiting for it.
+    /// Called for each background dial that has connected.
     on_connected: Box<dyn Fn(EndpointId)>,
 }
 
@@ -74,7 +74,8 @@
 }
 
 impl Pool {
-    /// An empty one. `keepalive` is the settings' idle limit, `descriptors` how many the process may have open.
+    /// Creates an empty pool. `keepalive` is the keepalive time of the settings, `descriptors` the number of
+    /// descriptors that the process may have open.
     pub fn new(
         connect_timeout: Duration,
         keepalive: Duration,
@@ -100,7 +101,7 @@
         self.idle_limit.get()
     }
 
-    /// Uses other settings from now on. A connect in progress keeps its time limit.
+    /// Applies new settings. A connect in progress keeps its timeout.
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.idle_limit.set(keepalive.mul_f64(IDLE_LIMIT_FRACTION));
@@ -109,26 +110,28 @@
 
     // --- Sockets ---
 
-    /// Counts a connection that is opened in any case: a client's, which the machine has already accepted, or
-    /// discovery's, without which drains would be missed.
+    /// Counts a connection that is opened even if the budget is used up: a client connection, which the kernel has
+    /// already accepted, or a connection to discovery, without which drains would be missed.
     #[must_use]
     pub fn reserved_permit(&self) -> Permit {
         Permit::of(&self.sockets)
     }
 
-    /// Whether so many sockets are open that unused ones must be closed.
+    /// Whether so many sockets are open that idle connections must be closed.
     #[must_use]
     pub fn is_nearly_full(&self) -> bool {
         self.sockets.get() >= self.max_sockets - self.max_sockets / (2 * CLIENT_RESERVE_DIVISOR)
     }
 
-    /// Whether the budget is used up: what is left then is discovery's and the program's own.
+    /// Whether the socket budget is used up. The remaining descriptors are reserved for discovery and the program
+    /// itself.
     #[must_use]
     pub fn is_full(&self) -> bool {
         self.sockets.get() > self.max_sockets
     }
 
-    /// A socket for a connection of our own, if the budget has one: unused ones are closed for it.
+    /// Takes a socket for a connection to an upstream from the budget, closing an unused one if the budget is nearly
+    /// used up; `None` if no socket is left.
     pub(super) fn permit(&self) -> Option<Permit> {
         let most = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
         if self.sockets.get() >= most {
@@ -137,8 +140,8 @@
         (self.sockets.get() < self.max_sockets).then(|| self.reserved_permit())
     }
 
-    /// Gives up a dial that nobody waits for or, if there is none, closes the idle connection that was used least
-    /// recently; returns whether there was one.
+    /// Gives up a background dial or, if there is none, closes the least recently used idle connection. Returns whether
+    /// there was one to close.
     pub fn close_unused(&self) -> bool {
         let hosts = self.hosts.borrow();
         if hosts.values().any(|host| host.late.take().is_some()) {
@@ -151,7 +154,8 @@
 
     // --- Hosts ---
 
-    /// The connections to an upstream that the list has ready at this address.
+    /// Returns the connections to an upstream that discovery's list has ready at this address, creating the entry if
+    /// needed.
     pub fn host(&self, id: EndpointId, address: SocketAddr, zone: Option<ZoneId>) -> Rc<Host> {
         let mut hosts = self.hosts.borrow_mut();
         if let Some(host) = hosts.get(&id).filter(|host| host.address == address) {
@@ -173,7 +177,7 @@
         host
     }
 
-    /// Closes all connections to an upstream but those that carry an attempt.
+    /// Closes all connections to an upstream except those that carry an attempt.
     pub fn close(&self, id: EndpointId) {
         if let Some(host) = self.hosts.borrow_mut().remove(&id) {
             host.close();
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Closes the connections to upstreams that are not, or no longer, `listed` as ready at their address.
+    /// Closes the connections to upstreams for which `listed` returns false, as they are not listed as ready at their
+    /// address.
     pub fn retain(&self, listed: impl Fn(EndpointId, SocketAddr) -> bool) {
         self.hosts.borrow_mut().retain(|&id, host| {
             let listed = listed(id, host.address);
@@ -198,7 +203,7 @@
         });
     }
 
-    /// Closes what has been idle for too long, or was closed by its upstream.
+    /// Closes connections that have exceeded the idle limit or were closed by their upstream.
     pub fn close_expired(&self) {
         for host in self.hosts.borrow().values() {
             let is_usable = |idle: &IdleConnection| {
@@ -208,7 +213,7 @@
         }
     }
 
-    /// The state of the pool now.
+    /// Returns a snapshot of the pool's state.
     #[must_use]
     pub fn stats(&self) -> PoolStats {
         let hosts = self.hosts.borrow();
@@ -223,28 +228,30 @@
 
     // --- Connections ---
 
-    /// The longest time that the settings allow for a connect.
+    /// The connect timeout of the settings.
     pub(super) fn connect_timeout(&self) -> Duration {
         self.connect_timeout.get()
     }
 
-    /// How long an attempt that is not its request's last waits for a connection to this host.
+    /// How long an attempt that is not the last of its request waits for a connection to this host.
     pub(super) fn patience(&self, host: &Host) -> Duration {
         let times = self.connect_times.borrow();
         let most = self.connect_timeout.get();
         times.get(&host.zone).map_or(most, |time| time.patience(most))
     }
 
+    /// Records that a connect to this host succeeded (`up`) or was given up after `duration`.
     pub(super) fn record_connect(&self, host: &Host, duration: Duration, up: bool) {
         self.connect_times.borrow_mut().entry(host.zone).or_default().record(duration, up);
     }
 
-    /// For how long a connection may have been idle to carry a request that must not run twice.
+    /// The longest idle time after which a connection may carry a request that must not run twice.
     pub(super) fn trusted_idle(&self) -> Duration {
         self.trust.borrow().trusted()
     }
 
-    /// Records whether a connection that was idle for so long has carried its request.
+    /// Records whether a request on a connection that had been idle for `idle` was answered or the connection was
+    /// reset.
     pub fn record_reuse(&self, idle: Duration, answered: bool) {
         if answered {
             self.trust.borrow_mut().record_answer(idle);
@@ -253,14 +260,15 @@
         }
     }
 
-    /// Keeps a connection that has carried an attempt for the next one.
+    /// Returns a connection to the pool after an attempt, if it can carry another request.
     pub fn release(&self, host: &Host, connection: Connection) {
         if !host.closed.get() && connection.is_free() {
             host.add_idle(connection, REUSE_DELAY);
         }
     }
 
-    /// Continues a dial that no attempt waits for any more, where its connection may be used.
+    /// Continues a dial in the background after its attempt stopped waiting, unless the host is closed, has such a dial
+    /// already, or sockets are scarce.
     pub(super) fn continue_dial(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
         if host.closed.get() || host.late.borrow().is_some() || self.is_nearly_full() {
             return;
@@ -274,7 +282,7 @@
                 None => Poll::Pending,
             });
             let connected = timeout_at(give_up_at, connect).await;
-            // The task must not abort itself as the dial is dropped.
+            // Dropping the dial aborts its task, which is this one, so its handle is removed first.
             let Some(mut late) = owner.late.take() else { return };
             late.task = None;
             if let Ok(Ok(stream)) = connected {
@@ -286,7 +294,8 @@
         }
     }
 
-    /// Adds a late connection to the idle ones if they are fewer than the attempts that wait, or if there is none.
+    /// Adds the connection of a background dial to the idle connections if there are fewer of them than waiting
+    /// attempts, or none at all.
     async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting.get().max(1)
             && let Ok(connection) = handshake(stream, self.reserved_permit()).await
