--- a/crates/proxy/src/upstream/gate.rs
+++ b/crates/proxy/src/upstream/gate.rs
@@ -1,22 +1,23 @@
-//! What is checked at the moment at which a request's bytes are written. Between the hand-over of a request to its
-//! connection and the write the process may be suspended and other tasks may run: the client may have left, the endpoint
-//! begun to drain, the window for repeats ended, and the deadline that is passed on has come nearer.
+//! Checks, immediately before the bytes of a request are written, whether they may still be sent. Between the hand-over
+//! of a request to its connection and the write, the process may be suspended and other tasks may run. Meanwhile the
+//! client may have disconnected, the endpoint may have begun to drain, the deduplication window of the upstream may
+//! have ended, and less time is left until the deadline that is forwarded.
 
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Debug, Formatter};
 use std::io;
 use std::time::Duration;
 
-/// Whether the bytes of a request may go out, checked as they are written: since the request was handed over, other
-/// tasks may have run, or the process have been suspended.
+/// Decides whether the bytes of a request may be sent. It is asked immediately before each write, because other tasks
+/// may have run, or the process may have been suspended, since the request was handed to the connection.
 pub trait Clearance {
-    /// Before the first byte: how long the attempt waits from now on; `None` if it must not begin.
+    /// Asked before the first byte: the time left for the attempt from now on; `None` if the request must not be sent.
     fn time_left_to_begin(&self) -> Option<Duration>;
-    /// Before further bytes: whether they may follow.
+    /// Asked before further bytes: whether they may be sent.
     fn may_continue(&self) -> bool;
 }
 
-/// Checks the clearance of the request that goes out on a connection.
+/// Checks the [`Clearance`] of the request that is being written on a connection.
 #[derive(Default)]
 pub struct Gate {
     clearance: RefCell<Option<Box<dyn Clearance>>>,
@@ -30,23 +31,24 @@
 }
 
 impl Gate {
-    /// Checks this clearance from now on.
+    /// Sets the clearance that is asked before each write.
     pub fn set(&self, clearance: Box<dyn Clearance>) {
         self.clearance.replace(Some(clearance));
     }
 
-    /// Checks none from now on.
+    /// Removes the clearance: all writes are allowed from now on.
     pub fn clear(&self) {
         self.clearance.take();
     }
 
-    /// Whether a clearance was refused, which breaks the connection.
+    /// Whether a write was refused, which breaks the connection.
     #[must_use]
     pub fn has_refused(&self) -> bool {
         self.refused.get()
     }
 
-    /// Checks whether the first bytes of a request may go out, and returns them with the time that is left now.
+    /// Checks whether the first bytes of a request may be sent. Returns them with the deadline header set to the time
+    /// left now; `None` if they are to be sent unchanged.
     pub(super) fn check_begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
         match self.clearance.borrow().as_deref().map(Clearance::time_left_to_begin) {
             None => Ok(None),
@@ -55,7 +57,7 @@
         }
     }
 
-    /// Checks whether further bytes of a request may go out.
+    /// Checks whether further bytes of a request may be sent.
     pub(super) fn check_continue(&self) -> io::Result<()> {
         let may = self.clearance.borrow().as_deref().is_none_or(Clearance::may_continue);
         if may { Ok(()) } else { Err(self.refuse()) }
@@ -63,11 +65,12 @@
 
     fn refuse(&self) -> io::Error {
         self.refused.set(true);
-        io::Error::other("the request must not go out any more")
+        io::Error::other("write refused: the attempt must no longer send its request")
     }
 }
 
-/// The same bytes with another time in the deadline's place, if they have one.
+/// Replaces the value of the deadline header in `head`, keeping its length; `None` if there is no such header or the
+/// value does not fit.
 fn with_deadline(head: &[u8], time_left: Duration) -> Option<Vec<u8>> {
     let start = head.windows(DEADLINE.len()).position(|part| part == DEADLINE)? + DEADLINE.len();
     let length = head[start..].iter().position(|&byte| byte == b'\r')?;
@@ -77,10 +80,11 @@
     Some(bytes)
 }
 
-/// What precedes the deadline in the head of a request.
+/// The bytes that precede the deadline's value in the head of a request.
 const DEADLINE: &[u8] = b"\r\nx-deadline: ";
 
-/// Seconds with as many decimals as make them so long, rounded down; `None` if they are longer.
+/// Formats a time in seconds with as many decimals as fill `length` characters, rounded down; `None` if it does not
+/// fit.
 fn seconds_in(time: Duration, length: usize) -> Option<String> {
     let mut text = format!("{}.{:09}", time.as_secs(), time.subsec_nanos());
     while text.len() < length {
--- a/crates/proxy/src/upstream/idle_trust.rs
+++ b/crates/proxy/src/upstream/idle_trust.rs
@@ -1,35 +1,38 @@
-//! How long a connection may have been idle and still carry a request that must not run twice.
+//! Estimates for how long a connection may have been idle and still carry a request that must not run twice.
 //!
-//! An upstream may close an idle connection well before the settings say that it must. A request that crosses
-//! the close ends as a reset, after which one that must not run twice has failed. Requests that may be repeated
-//! go on using any idle connection, and so show when the fault is over.
+//! An upstream may close an idle connection well before the keepalive time of the settings. A request that is sent
+//! while the upstream closes the connection ends as a reset, and a request that must not run twice then fails because
+//! it cannot be retried. Requests that may be repeated still use any idle connection, and their responses show when the
+//! upstream has stopped closing connections early.
 
 use std::time::Duration;
 
-/// Trust is not cut below this, nor by what was idle for less: connections break under a request now and then
-/// however short they were idle, and a new one for each request costs the upstream work.
+/// Lower bound of the trusted idle time. Resets of connections that were idle for less do not reduce the trusted idle
+/// time, because connections occasionally break during a request however short they were idle, and a new connection for
+/// each request costs the upstream work.
 pub const MIN_TRUSTED_IDLE: Duration = Duration::from_millis(50);
-/// Answers in a row on connections idle for longer than is trusted, after which that time is doubled: where one
-/// in ten is reset, so many in a row are one chance in two hundred.
+/// Number of consecutive answered requests on connections idle for at least the trusted idle time after which that time
+/// is doubled. If one reuse in ten is reset, a run of this length has a probability of one in two hundred.
 pub const ANSWERS_BEFORE_DOUBLING: u32 = 50;
 
-/// The longest idle time that is trusted.
+/// The trusted idle time: the longest idle time after which a connection may carry a request that must not run twice.
 #[derive(Debug)]
 pub struct IdleTrust {
-    /// Idle connections are closed after this time.
+    /// Idle time after which connections are closed, which is the upper bound of the trusted idle time.
     idle_limit: Duration,
     trusted: Duration,
     answers: u32,
 }
 
 impl IdleTrust {
-    /// Trusts every idle connection, for `idle_limit` at the longest.
+    /// Trusts every idle connection: the trusted idle time starts at `idle_limit`.
     #[must_use]
     pub fn new(idle_limit: Duration) -> Self {
         Self { idle_limit, trusted: idle_limit, answers: 0 }
     }
 
-    /// Idle connections are closed after another time from now on: what was distrusted stays so.
+    /// Changes the idle time after which connections are closed. A trusted idle time that resets have reduced is not
+    /// raised.
     pub fn set_idle_limit(&mut self, idle_limit: Duration) {
         let trusts_all = self.trusted == self.idle_limit;
         self.trusted = if trusts_all { idle_limit } else { self.trusted.min(idle_limit) };
@@ -42,7 +45,7 @@
         self.trusted
     }
 
-    /// A connection that had been idle for `idle` was reset under its request.
+    /// Records that a connection that had been idle for `idle` was reset during its request.
     pub fn record_reset(&mut self, idle: Duration) {
         if idle >= MIN_TRUSTED_IDLE {
             self.answers = 0;
@@ -50,7 +53,7 @@
         }
     }
 
-    /// A connection that had been idle for `idle` has carried its request.
+    /// Records that a connection that had been idle for `idle` carried its request.
     pub fn record_answer(&mut self, idle: Duration) {
         if idle < self.trusted {
             return;
