--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,6 +1,6 @@
-//! Failed accepts: whether a connection gives way and whether the accept loop pauses, so that neither a shortage nor a
-//! broken listener makes it spin. What kind of failure an error is says [`AcceptFailure`], which the hosts of the
-//! configuration use as well.
+//! Handles failed accepts: decides whether an idle connection is evicted and whether the accept loop pauses, so that
+//! neither a shortage of descriptors nor a broken listener makes the loop spin. Errors are classified by
+//! [`AcceptFailure`], which the configuration hosts use as well.
 
 use std::io;
 use std::time::Duration;
@@ -8,31 +8,35 @@
 pub use config_distribution::host::accept::AcceptFailure;
 use tokio::time::Instant;
 
-/// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
-/// that is under way frees one sooner, and costs nobody a connection.
+/// How long accepts must have failed for lack of descriptors before an idle connection is evicted. An attempt or a
+/// close in progress usually frees a descriptor sooner, without costing a client its connection.
 const SHORTAGE_BEFORE_EVICTION: Duration = Duration::from_millis(25);
-/// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
-/// were given up in the queue, few enough that a listener that only fails does not spin.
+/// Number of consecutive failed accepts, for whatever reason, after which the loop pauses. It allows for a burst of
+/// connections that clients gave up while they were in the accept queue, and still keeps a listener that always fails
+/// from making the loop spin.
 const FAILURES_BEFORE_PAUSE: u32 = 16;
-/// How often a failed accept is logged at most, so that the log costs little while accepts fail.
+/// Least interval between log lines about failed accepts, so that logging costs little while accepts fail.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The accepts that failed since the last one that succeeded.
+/// Tracks failed accepts, mainly those since the last accept that succeeded.
 #[derive(Debug, Default)]
 pub(super) struct FailedAccepts {
+    /// Number of failed accepts since the last one that succeeded.
     in_a_row: u32,
-    /// When the latest failed, also before one that succeeded.
+    /// When the latest failed accept occurred, even if an accept has succeeded since.
     pub(super) latest: Option<Instant>,
-    /// Since when descriptors have been short.
+    /// When descriptors ran short; `None` if an accept has succeeded since.
     short_since: Option<Instant>,
-    /// When one was last logged.
+    /// When a failed accept was last logged.
     logged: Option<Instant>,
 }
 
-/// What the accept loop does about a failed accept.
+/// How the accept loop reacts to a failed accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AcceptReaction {
+    /// Whether to evict an idle connection.
     pub(super) evict: bool,
+    /// Whether to pause before the next accept.
     pub(super) pause: bool,
 }
 
@@ -55,7 +59,7 @@
 
     fn log(&mut self, error: &io::Error) {
         if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
-            crate::log(format_args!("a connection could not be accepted: {error}"));
+            crate::log(format_args!("a client connection could not be accepted: {error}"));
             self.logged = Some(Instant::now());
         }
     }
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -1,4 +1,5 @@
-//! One client's connection: its requests are read and answered one at a time, and it ends so that an answer arrives.
+//! Serves one client connection: reads and answers its requests one at a time, and closes it so that the last answer
+//! reaches the client.
 
 use std::convert::Infallible;
 use std::future::{Future, poll_fn};
@@ -25,37 +26,38 @@
 use super::shutdown::Phase;
 use crate::socket::Socket;
 
-/// A connection that has carried a request is closed after this long without the next.
+/// Idle time after which a connection that has carried a request is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a closed connection waits for its client to close too, reading out what still comes: closing over unread
-/// bytes would reset it and could take the answer along.
+/// How long a connection that is shut down waits for its client to close, while reading and discarding incoming bytes.
+/// Closing a socket with unread bytes resets the connection, and the client could lose the answer.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Bytes of a request's head at most: more is no proper request, and many such must not fill the memory.
+/// Largest head of a request. A larger head is not a valid request, and many of them must not exhaust the memory.
 const HEAD_MAX_BYTES: usize = 32 * 1024;
 
-/// Serves a connection to its end.
+/// Serves a client connection until it is closed.
 pub(super) async fn handle_connection(connections: &Rc<ConnectionSet>, connection: &Rc<ClientConnection>) {
     let ending = serve_requests(connections, connection).await;
     if ending == Ending::InOrder {
-        // Short of sockets it reads out what has come, and does not wait for more.
+        // When sockets are scarce, it discards the bytes that have arrived but does not wait for the client to close.
         let congested = connections.event_loop().pool().is_nearly_full();
         let linger = if congested { Duration::ZERO } else { LINGER_TIMEOUT };
         connection.socket.clone().close(linger).await;
     }
 }
 
-/// How the requests of a client ended.
+/// How serving the requests of a client connection ended.
 #[derive(Debug, PartialEq, Eq)]
 enum Ending {
-    /// In order: what was written must reach the client.
+    /// The connection ended regularly: what was written must reach the client.
     InOrder,
-    /// The client has gone, or reads nothing more.
+    /// The client has disconnected or has stopped reading.
     ClientGone,
 }
 
 async fn serve_requests(connections: &Rc<ConnectionSet>, connection: &Rc<ClientConnection>) -> Ending {
     let service = service_fn(|request: Request<Incoming>| {
-        // Before the first poll, so that the connection counts as in a request from here on.
+        // Called before the future is first polled, so that the connection counts as having a request in progress at
+        // once.
         let body = request.body().size_hint().exact();
         let complete_by = connection.begin_request(body, is_health_check(&request));
         let limits = Limits { complete_by, answer_by: connections.answer_by() };
@@ -68,13 +70,14 @@
     if let Some(ending) = serve_until(served.as_mut(), connection, due).await {
         return ending;
     }
-    // What came while the program was held up is in the socket, and the server has not been told of it.
+    // Bytes that arrived while the process was delayed are in the socket, but hyper has not been notified of them yet.
     let caught_up = runtime_catches_up(&connection.socket);
     if let Some(ending) = serve_until(served.as_mut(), connection, caught_up).await {
         return ending;
     }
-    // The server would end one that is not in a request at once, though one may be on its way, in the socket or there
-    // in part: that one gets a moment, and its connection is then closed like the others.
+    // hyper would close a connection without a request in progress at once, although a request may be on its way, in
+    // the socket or partly read. Such a request gets a grace period, after which the connection is closed like the
+    // others.
     if let Some(until) = connection.grace_until() {
         if let Some(ending) = serve_until(served.as_mut(), connection, sleep_until(until)).await {
             return ending;
@@ -83,14 +86,14 @@
             return Ending::InOrder;
         }
     }
-    // It ends now if it is between requests.
+    // This closes the connection at once if it is between requests, else after the answer in progress.
     served.as_mut().graceful_shutdown();
     let unread = connection.answer_left_unread();
     serve_until(served, connection, unread).await.unwrap_or(Ending::ClientGone)
 }
 
-/// Serves until the connection ends, and tells how, or until the future is ready. Cancel safe as far as `served` is
-/// kept: it goes on from where it stood.
+/// Serves the connection until it ends, and returns how, or until the future `until` is ready. Cancel safe as long as
+/// `served` is kept: serving can then be resumed.
 async fn serve_until<T>(
     served: Pin<&mut impl Future<Output = T>>,
     connection: &ClientConnection,
@@ -104,8 +107,8 @@
     }
 }
 
-/// Waits until a client leaves that is owed an answer. The server does not look past bytes that it has no use for yet,
-/// and the client's end may be behind them. Cancel safe.
+/// Waits until a client that awaits an answer disconnects. hyper does not detect this if the client has sent further
+/// bytes before the end of its connection, because it does not read them yet. Cancel safe.
 async fn client_gone(connection: &ClientConnection) {
     poll_fn(|context| {
         if connection.awaiting_answer.get() { connection.socket.poll_gone(context) } else { Poll::Pending }
@@ -113,12 +116,12 @@
     .await;
 }
 
-/// Waits until the connection is to be closed once it is between requests. Cancel safe but for an eviction that it has
-/// heard of, which [`ClientConnection`] keeps.
+/// Waits until there is a reason to close the connection once it is between requests. Cancel safe except that the
+/// notification of an eviction may be consumed; [`ClientConnection`] still records the eviction.
 async fn should_close(connections: &ConnectionSet, connection: &ClientConnection) {
     let mut phases = connections.phases();
     tokio::select! {
-        // An error means that the program is ending.
+        // An error means that the program is shutting down.
         _ = phases.wait_for(|&phase| phase == Phase::Closing) => {}
         () = connection.evicted() => {}
         () = connection.first_request_overdue() => {}
@@ -126,14 +129,15 @@
     }
 }
 
-/// Waits until the runtime has heard from the system of what is in the socket. Cancel safe.
+/// Yields to the runtime if the socket has bytes to read, so that the runtime polls the kernel for them. Cancel safe.
 async fn runtime_catches_up(socket: &Socket) {
     if !socket.is_silent() {
         yield_now().await;
     }
 }
 
-/// Answers a request. Its future is dropped with the connection where the client leaves: `respond` says what then.
+/// Answers a request. If the client disconnects, the future is dropped with the connection; `respond` handles this
+/// case.
 async fn handle_request(
     connections: &ConnectionSet,
     connection: &ClientConnection,
@@ -141,7 +145,7 @@
     limits: Limits,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let event_loop = connections.event_loop();
-    // Its attempt wants a socket too, which clients that only stand by must not keep from it.
+    // The request's attempt needs a socket too, and idle clients must not keep it from getting one.
     if event_loop.pool().is_nearly_full() {
         connections.evict_idle_connection();
     }
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -1,4 +1,5 @@
-//! A client's connection as seen from outside it: what it is at, when its time is over, and whether it may give way.
+//! The state of a client connection: whether a request is in progress, which timeouts apply, and whether it may be
+//! evicted.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -10,38 +11,40 @@
 
 use crate::socket::Socket;
 
-/// How long a connection that has had no request waits for one once it should close: a client writes it right after
-/// its connection is up, but may be late itself. Together with `shutdown::LATE_ACCEPT_PERIOD` it ends before
-/// `shutdown::ANSWER_BEFORE_KILL`.
+/// How long a connection that should close but has not carried a request waits for its first one. A client writes its
+/// request right after connecting, but may itself be delayed. The sum of this and `shutdown::LATE_ACCEPT_PERIOD` ends
+/// before `shutdown::ANSWER_BEFORE_KILL`.
 const UNUSED_GRACE: Duration = Duration::from_millis(300);
-/// The same for one that gives way while descriptors are short, from its coming: many that bring nothing must not keep
-/// out those that do, whose request is there as soon as they are up.
+/// The same grace period for a connection that is evicted because sockets are scarce, counted from its accept if it has
+/// carried no request. It is shorter so that many connections without a request do not keep out clients that send
+/// theirs right after connecting.
 const EVICTED_GRACE: Duration = Duration::from_millis(50);
-/// The first request of a connection must be complete within this time: a peer that sends none is owed an error or a
-/// close within 3 s, and holds a socket until then.
+/// Time from the accept of a connection within which its first request must be complete. A client that sends no request
+/// must get an error or a close within 3 s, and holds a socket until then.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The head of a later request must be complete within this time of its first byte, for the same reason.
+/// Time from the first byte of a later request within which its head must be complete, for the same reason as for the
+/// first request.
 const HEAD_TIMEOUT: Duration = FIRST_REQUEST_TIMEOUT;
-/// The body of a later request must be complete within this time of its head.
+/// Time from the end of a later request's head within which its body must be complete.
 const BODY_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long an answer may stand unread, once its connection is to be closed.
+/// How long an answer may remain unread by the client once its connection is to be closed.
 const UNREAD_ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client's connection.
+/// The state of a client connection.
 pub(super) struct ClientConnection {
     pub(super) socket: Socket,
-    /// A request has come on it whose answer is not yet out.
+    /// Whether a request has been received whose answer is not ready yet.
     pub(super) in_request: Cell<bool>,
-    /// It gives way to others.
+    /// Whether the connection has been evicted to free its socket.
     evicted: Cell<bool>,
-    /// Its request waits for an answer, and for nothing from the client.
+    /// Whether the request has been read completely and its answer is awaited.
     pub(super) awaiting_answer: Cell<bool>,
-    /// It has ever carried a request; asking for the health is none.
+    /// Whether the connection has carried a request; a health check alone does not count.
     pub(super) has_carried_request: Cell<bool>,
     opened_at: Instant,
-    /// When it came, or its latest answer was made.
+    /// When the connection was accepted or, later, when its latest answer was ready.
     idle_since: Cell<Instant>,
-    /// Closes it once it is between requests.
+    /// Notified to close the connection once it is between requests.
     close: Notify,
 }
 
@@ -59,7 +62,7 @@
         }
     }
 
-    /// A request's head has come; tells when the whole request must have.
+    /// Records that the head of a request has been read. Returns the deadline for the rest of the request.
     pub(super) fn begin_request(&self, body: Option<u64>, is_health_check: bool) -> Instant {
         self.in_request.set(true);
         self.socket.head_complete(body);
@@ -68,35 +71,38 @@
         if is_first { self.opened_at + FIRST_REQUEST_TIMEOUT } else { Instant::now() + BODY_TIMEOUT }
     }
 
-    /// The answer to its request has been made, and is about to be written.
+    /// Records that the answer to the request is ready and about to be written.
     pub(super) fn end_request(&self) {
         self.socket.response_ready();
         self.in_request.set(false);
         self.idle_since.set(Instant::now());
     }
 
+    /// Whether the connection has no request in progress and has not been evicted yet.
     pub(super) fn may_be_evicted(&self) -> bool {
         !self.in_request.get() && !self.evicted.get()
     }
 
-    /// Least for the one that gives way first: the longest idle, but one on which a request has begun to come last.
+    /// Sort key for evictions, the least of which is evicted first: connections on which no head has begun to arrive
+    /// come before the others, and those idle for longest come first.
     pub(super) fn eviction_order(&self) -> (bool, Instant) {
         (self.socket.head_since().is_some(), self.idle_since.get())
     }
 
-    /// Closes it once it is between requests. It is marked, so that the next in need finds another.
+    /// Closes the connection once it is between requests. It is marked as evicted so that the next eviction chooses
+    /// another.
     pub(super) fn evict(&self) {
         self.evicted.set(true);
         self.close.notify_one();
     }
 
-    /// Waits until it has been evicted. Cancel safe.
+    /// Waits until the connection has been evicted. Cancel safe.
     pub(super) async fn evicted(&self) {
         self.close.notified().await;
     }
 
-    /// Until when a connection that is to be closed waits for a request that has not come whole: its first, which may
-    /// be on its way, or one whose head is there in part.
+    /// Until when a connection that is to be closed waits for a request that is not complete: its first request, which
+    /// may be on its way, or a request whose head has been received in part. `None` if there is nothing to wait for.
     pub(super) fn grace_until(&self) -> Option<Instant> {
         let (now, evicted) = (Instant::now(), self.evicted.get());
         if !self.has_carried_request.get() {
@@ -106,7 +112,7 @@
         self.socket.head_since().map(|since| (since + HEAD_TIMEOUT).min(now + grace))
     }
 
-    /// Waits until it has had its time for a first request, in vain. Cancel safe.
+    /// Waits until the timeout for the first request has expired without one. Cancel safe.
     pub(super) async fn first_request_overdue(&self) {
         sleep_until(self.opened_at + FIRST_REQUEST_TIMEOUT).await;
         if self.has_carried_request.get() {
@@ -114,7 +120,7 @@
         }
     }
 
-    /// Waits until a part of a head has had its time, in vain. Cancel safe.
+    /// Waits until the timeout of a partly received head has expired. Cancel safe.
     pub(super) async fn head_overdue(&self) {
         loop {
             let due = self.socket.head_begins().await + HEAD_TIMEOUT;
@@ -125,7 +131,7 @@
         }
     }
 
-    /// Waits until its last answer has been there for its client for long enough. Cancel safe.
+    /// Waits until the client has had [`UNREAD_ANSWER_TIMEOUT`] to read the latest answer. Cancel safe.
     pub(super) async fn answer_left_unread(&self) {
         loop {
             sleep_until(self.idle_since.get() + UNREAD_ANSWER_TIMEOUT).await;
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,5 +1,5 @@
-//! The accept loop: it accepts connections for as long as it is asked to, whatever a single accept fails of, and keeps
-//! the descriptors that discovery and attempts may need.
+//! The accept loop: it continues whatever the error of a single accept is, and leaves free the descriptors that
+//! discovery and attempts may need.
 
 use std::future::Future;
 use std::io;
@@ -15,15 +15,16 @@
 use super::connection::handle_connection;
 use super::connection_set::{ConnectionSet, InsertedConnection};
 
-/// Wait after an accept that failed for want of something, and between looks for a free descriptor, so that this does
-/// not spin.
+/// Pause after an accept that failed for lack of a resource, and between checks for a free descriptor, so that the loop
+/// does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// Idle connections closed at each such look: with [`ACCEPT_PAUSE`] a thousand in a second or so.
+/// Number of idle connections closed at each check for a free descriptor. With [`ACCEPT_PAUSE`] this is about a
+/// thousand a second.
 const EVICTIONS_PER_CHECK: usize = 4;
 
-/// Where clients' connections come from.
+/// A source of client connections, such as a listening socket.
 pub trait Accept {
-    /// The next connection. Cancel safe: no connection is lost if the future is dropped.
+    /// Accepts the next connection. Cancel safe: no connection is lost if the future is dropped.
     fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// Accepts connections and starts a task for each.
+/// Accepts client connections and spawns a task for each.
 pub(super) struct AcceptLoop<A> {
     listener: A,
     connections: Rc<ConnectionSet>,
@@ -50,18 +51,18 @@
         &self.connections
     }
 
-    /// When the latest accept that failed did so.
+    /// When the latest failed accept occurred; `None` if no accept has failed.
     pub(super) fn last_failure(&self) -> Option<Instant> {
         self.failed.latest
     }
 
-    /// Accepts until the future is ready.
+    /// Accepts connections until the future `until` is ready.
     pub(super) async fn run_until(&mut self, until: impl Future<Output = ()>) {
         let mut until = pin!(until);
         loop {
             let accepted = tokio::select! {
                 biased;
-                // First: in a flood there is always another connection, and this would never be looked at.
+                // Polled first: during a flood there is always another connection, and `until` would never be polled.
                 () = until.as_mut() => return,
                 accepted = self.next() => accepted,
             };
@@ -75,11 +76,11 @@
         }
     }
 
-    /// The next connection, once there is a descriptor for it that neither discovery nor an attempt may need. Cancel
-    /// safe: no connection is lost if the future is dropped.
+    /// Accepts the next connection, once there is a descriptor for it that neither discovery nor an attempt may need.
+    /// Cancel safe: no connection is lost if the future is dropped.
     async fn next(&self) -> io::Result<TcpStream> {
         while self.connections.event_loop().pool().is_full() {
-            // A few at a time: each may take its moment to close.
+            // Only a few at a time, because each connection may take a moment to close.
             for _ in 0..EVICTIONS_PER_CHECK {
                 self.connections.evict_idle_connection();
             }
@@ -93,10 +94,12 @@
             self.connections.evict_idle_connection();
         }
         let InsertedConnection { number, connection } = self.connections.insert(stream);
-        // Counted from here on, or a burst of connections would not see itself.
+        // The socket is counted here and not in the task, so that the checks for the next connections of a burst
+        // include it.
         let permit = self.connections.event_loop().pool().reserved_permit();
         let connections = Rc::clone(&self.connections);
-        // Detached: the set of connections knows it until it ends, and a drain waits for the set.
+        // The task is detached: the connection stays in the set until it ends, and a drain waits until the set is
+        // empty.
         spawn_local(async move {
             handle_connection(&connections, &connection).await;
             connections.remove(number);
@@ -106,7 +109,7 @@
 
     async fn recover(&mut self, error: &io::Error) {
         let reaction = self.failed.failed(error);
-        // In a drain all connections end soon, and those that are left may be their clients' last.
+        // During a drain all connections end soon, and their clients may have no other balancer to connect to.
         if reaction.evict && !self.connections.is_draining() {
             self.connections.evict_idle_connection();
         }
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,7 +1,8 @@
-//! The side of clients: their connections and requests, the health check, and the end of the program.
+//! The client side of the proxy: client connections and their requests, the health check, and graceful shutdown.
 //!
-//! `server` runs the whole; `listener` accepts, `connection` serves one client with `request` and `response`, and
-//! `connection_set` knows all that are open. Who is let in and what is sent where is not decided here.
+//! `server` runs the other modules; `listener` accepts connections, `connection` serves one client using `request` and
+//! `response`, and `connection_set` tracks all open connections. Admission and the choice of upstreams are decided
+//! elsewhere.
 
 mod accept;
 mod connection;
