--- a/crates/proxy/src/downstream/health.rs
+++ b/crates/proxy/src/downstream/health.rs
@@ -1,4 +1,4 @@
-//! The health check: whether the front may send requests here.
+//! The health check, which tells the front whether it may send requests to this process.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -7,7 +7,7 @@
 use super::response::plain_text;
 use crate::event_loop::EventLoop;
 
-/// Where the front asks whether it may send here.
+/// Path of the health check that the front requests.
 const HEALTH_PATH: &str = "/_health";
 
 pub(super) fn is_health_check<B>(request: &Request<B>) -> bool {
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! A request: read to its last byte and checked against the settings.
+//! Reads a client's request to its last byte and checks it against the settings.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 use crate::socket::WeakSocket;
 use crate::upstream::{Call, MAX_BODY_BYTES};
 
-/// Subtracted from the time that a client waits: the answer must arrive before that is up.
+/// Time subtracted from a client's deadline, so that the answer arrives before the deadline.
 const MARGIN: Duration = Duration::from_millis(30);
 
-/// What is wrong with a client's request.
+/// The reason why a client's request is malformed. The error texts are sent to the client.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum BadRequest {
     #[error("no such class")]
@@ -58,18 +58,18 @@
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Seconds as a client writes them.
+/// Parses a decimal number of seconds from a header.
 fn parse_seconds(value: &str) -> Option<Duration> {
     value.trim().parse().ok().and_then(|seconds| Duration::try_from_secs_f64(seconds).ok())
 }
 
-/// What the head of a request asks for.
+/// The parts of a request's head that are checked against the settings.
 struct RequestHead {
     class: ClassId,
     tenant: Option<TenantId>,
-    /// How long its client waits.
+    /// How long the client waits for the answer.
     client_timeout: Duration,
-    /// It must not run twice.
+    /// Whether the request must not run twice, because its class is not idempotent.
     must_not_repeat: bool,
 }
 
@@ -83,7 +83,7 @@
             None if offered.has_no_tenants() => None,
             None => return Err(BadRequest::Tenant),
         };
-        // A client that does not say how long it waits is held to wait as long as its class allows.
+        // A client that sends no deadline is assumed to wait for as long as its class allows.
         let client_timeout = match head.headers.get("x-deadline") {
             Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
             None => figures.deadline,
@@ -93,7 +93,8 @@
     }
 }
 
-/// Whether the method fits what the class does, and the key that it may want is there.
+/// Checks that the method fits the idempotency of the class, and that the idempotency key is present if the class needs
+/// one.
 fn check_method(idempotency: Idempotency, head: &Parts) -> Result<(), BadRequest> {
     match idempotency {
         Idempotency::Idempotent if head.method != Method::GET => Err(BadRequest::Method),
@@ -107,8 +108,8 @@
     }
 }
 
-/// Reads a request to its last byte, which must come by then. Not cancel safe: what was read of the body is lost, and
-/// the connection with it.
+/// Reads a request to its last byte, which must arrive before `complete_by`. Not cancel safe: the part of the body that
+/// was read is lost, and the connection cannot be used any more.
 pub(super) async fn read_request(
     event_loop: &EventLoop,
     request: Request<Incoming>,
@@ -121,7 +122,7 @@
     let key = head.headers.get("idempotency-key").cloned();
     let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::Id)?;
     let body = read_body(body, complete_by).await?;
-    // While the rest of it came the settings may have changed, and it is taken under those in force now.
+    // The settings may have changed while the body was read; the request is accepted under the settings now in force.
     let latest = event_loop.offered();
     if !Rc::ptr_eq(&offered, &latest) {
         checked = RequestHead::read(&head, &latest)?;
@@ -161,7 +162,7 @@
     }
 }
 
-/// What goes on is the path, also of a request that names its host there.
+/// Converts a request target to origin form (path and query), as only that is forwarded.
 fn origin_form(uri: Uri) -> Uri {
     if uri.scheme().is_none() {
         return uri;
@@ -169,7 +170,7 @@
     uri.into_parts().path_and_query.map(Uri::from).unwrap_or_default()
 }
 
-/// What a request is about, from the query parameter `k`.
+/// The key for subject affinity, from the hexadecimal query parameter `k`.
 fn affinity_key(query: Option<&str>) -> Option<u64> {
     let value = query?.split('&').find_map(|pair| pair.strip_prefix("k="))?;
     u64::from_str_radix(value, 16).ok()
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -1,4 +1,4 @@
-//! The answer to a request: what the decisions say of it, or what is wrong with the request itself.
+//! Builds the answer to a request: the result that the event loop gives, or an error if the request is malformed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,18 +15,19 @@
 use super::request::{BadRequest, read_request};
 use crate::event_loop::{AcceptedRequest, Answer, EventLoop, PendingAnswer};
 
-/// Left to the decisions for a last word past a request's deadline, before the answer is given for them.
+/// How long past a request's deadline the event loop may still answer, before the request is answered as failed without
+/// it.
 const DECISION_GRACE: Duration = Duration::from_millis(10);
 
-/// The times that a request has.
+/// The deadlines of a request.
 pub(super) struct Limits {
-    /// When its last byte must have come.
+    /// Deadline by which the last byte of the request must have arrived.
     pub(super) complete_by: Instant,
-    /// In a drain: when it must have its answer, whatever its deadline is.
+    /// Deadline for the answer during a drain, in addition to the request's own deadline; `None` if there is no drain.
     pub(super) answer_by: Option<Instant>,
 }
 
-/// Reads a request and waits for its answer. Dropped in the wait, it calls the request off.
+/// Reads a request and waits for its answer. Dropping the future while it waits cancels the request.
 pub(super) async fn respond(
     event_loop: &Rc<EventLoop>,
     connection: &ClientConnection,
@@ -36,7 +37,7 @@
     let client = connection.socket.downgrade();
     match read_request(event_loop, request, client, limits.complete_by).await {
         Err(error) => error_response(&error),
-        // No socket is left for an attempt either; nothing has run.
+        // An attempt would get no socket either. Nothing has run, so the request is refused.
         Ok(_) if event_loop.pool().is_full() => answer_response(Answer::Refused { retry_after: None }),
         Ok(mut received) => {
             if let Some(answer_by) = limits.answer_by {
@@ -51,7 +52,8 @@
     }
 }
 
-/// Notifies the event loop of a client that leaves before its answer: the connection drops this with the request.
+/// Notifies the event loop when a client disconnects before its answer: the guard is then dropped with the request's
+/// future.
 struct DepartureGuard {
     event_loop: Rc<EventLoop>,
     id: RequestId,
@@ -63,8 +65,8 @@
     }
 }
 
-/// Hands a request to the event loop and waits for its answer. Dropped in the wait, it notifies the event loop
-/// that the client has left.
+/// Hands a request to the event loop and waits for its answer. Dropping the future while it waits notifies the event
+/// loop that the client has disconnected.
 async fn await_answer(event_loop: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
     let overdue = received.deadline + DECISION_GRACE;
     let PendingAnswer { id, answer } = event_loop.accept(received);
@@ -78,7 +80,8 @@
     answer
 }
 
-/// What is wrong with a request. The end of it is not to be trusted, so that the connection closes behind this.
+/// The response to a malformed request. Where the request ends is uncertain, so the connection is closed after the
+/// response.
 fn error_response(error: &BadRequest) -> Response<Full<Bytes>> {
     let mut response = plain_text(error.status(), error.to_string());
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
