--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -1,4 +1,5 @@
-//! The open connections of clients: which may still be owed an answer, and which gives way when sockets run short.
+//! The set of open client connections: which are in use during a graceful shutdown, and which is evicted when sockets
+//! run short.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,27 +13,29 @@
 use super::shutdown::Phase;
 use crate::event_loop::EventLoop;
 
-/// The clients' connections, and what the whole of them goes by.
+/// The open client connections and the state that they share, such as the phase of the graceful shutdown.
 pub(super) struct ConnectionSet {
     event_loop: Rc<EventLoop>,
     phases: watch::Receiver<Phase>,
-    /// By number, which is the order of their coming.
+    /// Open connections by number; numbers ascend in the order in which connections were accepted.
     open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_number: Cell<u64>,
-    /// After SIGTERM: when what still comes must be answered.
+    /// Deadline for answers to requests that arrive after SIGTERM; `None` before SIGTERM.
     answer_by: Cell<Option<Instant>>,
 }
 
-/// A connection that has been entered into the set.
+/// A connection that has been inserted into the set, with its number.
 pub(super) struct InsertedConnection {
-    /// Removes it from the set.
+    /// Number of the connection, with which it is removed from the set.
     pub(super) number: u64,
     pub(super) connection: Rc<ClientConnection>,
 }
 
-/// Connections on which an answer may still be owed.
+/// Numbers of connections that have carried a request, which a graceful shutdown reports.
 struct Owed {
+    /// Number of open connections that have carried a request.
     open: usize,
+    /// Number of those connections with a request in progress.
     in_request: usize,
 }
 
@@ -51,7 +54,7 @@
         &self.event_loop
     }
 
-    /// Notified of each change of the phase.
+    /// A receiver that is notified of each change of the shutdown phase.
     pub(super) fn phases(&self) -> watch::Receiver<Phase> {
         self.phases.clone()
     }
@@ -60,7 +63,7 @@
         *self.phases.borrow()
     }
 
-    /// Enters a client's connection that has come up.
+    /// Inserts an accepted client connection into the set.
     pub(super) fn insert(&self, stream: TcpStream) -> InsertedConnection {
         let connection = Rc::new(ClientConnection::new(stream));
         let number = self.next_number.get();
@@ -77,8 +80,9 @@
         self.open.borrow().is_empty()
     }
 
-    /// Closes the connection that has stood idle for longest: a client's, which costs it a new one at most,
-    /// or else one to an upstream. One on which a request has begun to come goes last.
+    /// Closes the client connection that has been idle for longest, which at most makes its client open a new one.
+    /// Connections on which the head of a request has begun to arrive are chosen last. If no client connection is idle,
+    /// it closes an unused connection to an upstream.
     pub(super) fn evict_idle_connection(&self) {
         let open = self.open.borrow();
         let idle = open.values().filter(|connection| connection.may_be_evicted());
@@ -91,7 +95,7 @@
         }
     }
 
-    /// From now on what comes must be answered by then.
+    /// Starts the drain: requests that arrive from now on must be answered by `answer_by`.
     pub(super) fn start_drain(&self, answer_by: Instant) {
         self.answer_by.set(Some(answer_by));
     }
@@ -100,7 +104,7 @@
         self.answer_by.get().is_some()
     }
 
-    /// In a drain: when a request that comes must have its answer.
+    /// Deadline for the answer to a request that arrives during the drain; `None` if there is no drain.
     pub(super) fn answer_by(&self) -> Option<Instant> {
         self.answer_by.get()
     }
@@ -112,6 +116,7 @@
         Owed { open: used.count(), in_request: in_request.count() }
     }
 
+    /// Logs the progress of the graceful shutdown that began at `stopped`.
     pub(super) fn log_drain(&self, stopped: Instant) {
         let Owed { open, in_request } = self.owed();
         let since = stopped.elapsed().as_millis();
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -1,4 +1,4 @@
-//! The life of the program on the side of clients: it serves until it is to stop, drains, and ends.
+//! Runs the client side of the proxy: serves until the stop signal, then drains and returns.
 
 use std::future::Future;
 use std::io;
@@ -17,20 +17,20 @@
 use crate::config::Config;
 use crate::event_loop::EventLoop;
 
-/// Binds the address of the configuration and serves until `stop` and the drain after it are over.
+/// Binds the listen address of the configuration and serves until `stop` is ready and the following drain is complete.
 ///
 /// # Errors
-/// The address is not free, or the settings make no sense.
+/// The address cannot be bound, or the settings are invalid.
 pub async fn serve(config: Config, stop: impl Future<Output = ()>) -> io::Result<()> {
     let listener = TcpListener::bind(config.listen).await?;
     crate::log(format_args!("{} listens on {}", config.name, listener.local_addr()?));
     serve_on(listener, config, stop).await
 }
 
-/// Serves on a listener until `stop` and the drain after it are over.
+/// Serves connections from a listener until `stop` is ready and the following drain is complete.
 ///
 /// # Errors
-/// The settings make no sense.
+/// The settings are invalid, or the handler of SIGHUP cannot be installed.
 pub async fn serve_on(
     listener: impl Accept,
     config: Config,
@@ -38,9 +38,9 @@
 ) -> io::Result<()> {
     let path = config.path.clone();
     let event_loop = EventLoop::start(config).map_err(io::Error::other)?;
-    // The platform goes by the settings of the start.
+    // The platform bases the time of its kill on the settings at the start.
     let schedule = DrainSchedule::new(event_loop.longest_deadline());
-    // Aborted as this returns.
+    // These tasks are aborted when this function returns.
     let mut background_tasks = JoinSet::new();
     if let Some(path) = path {
         background_tasks.spawn_local(reload_on_hangup(
@@ -56,8 +56,8 @@
     Ok(())
 }
 
-/// From SIGTERM to the end. The front still sends here, and clients keep their connections: it goes on as before for
-/// as long as is safe.
+/// Runs the graceful shutdown from SIGTERM to the end of the program. The front still sends requests to this process
+/// and clients keep their connections, so it serves as before for as long as is safe.
 async fn drain(
     accept_loop: &mut AcceptLoop<impl Accept>,
     schedule: &DrainSchedule,
@@ -71,8 +71,8 @@
     phase.send_replace(Phase::Closing);
     connections.log_drain(stopped);
     accept_loop.run_until(sleep(schedule.late_accepts)).await;
-    // Connections that carried a request end with its answer, and one that has not yet may have it in the socket
-    // until its own time is over.
+    // A connection with a request in progress ends with its answer. A connection that has not carried a request may
+    // have one in its socket, and ends at the latest when its own timeout expires.
     let mut quiet_since = Instant::now();
     while quiet_since.elapsed() < QUIET_PERIOD
         && stopped.elapsed() < DrainSchedule::give_up_after(connections.event_loop().longest_deadline())
@@ -81,7 +81,7 @@
         if !connections.is_empty() {
             quiet_since = Instant::now();
         }
-        // What an accept failed to take may still stand in the queue.
+        // After a failed accept the connection may still be in the accept queue.
         if let Some(failed) = accept_loop.last_failure() {
             quiet_since = quiet_since.max(failed);
         }
@@ -89,7 +89,7 @@
     connections.log_drain(stopped);
 }
 
-/// On each SIGHUP takes over where discovery listens. A file that makes no sense changes nothing.
+/// Reloads the address of discovery from the configuration file on each SIGHUP. An invalid file changes nothing.
 async fn reload_on_hangup(event_loop: Rc<EventLoop>, path: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         match Config::discovery_now(&path) {
--- a/crates/proxy/src/downstream/shutdown.rs
+++ b/crates/proxy/src/downstream/shutdown.rs
@@ -1,54 +1,56 @@
-//! The drain between SIGTERM and the end of the program.
+//! The schedule of the drain between SIGTERM and the end of the program.
 //!
-//! After SIGTERM the front goes on sending for a while, clients keep their connections and may have no other balancer,
-//! and the platform kills the program some time later. [`DrainSchedule`] shares out the time before that kill, from
-//! the longest deadline alone: nothing here waits, reads a socket or a clock.
+//! After SIGTERM the front continues to send requests for a while, clients keep their connections and may have no other
+//! balancer, and the platform kills the program some time later. [`DrainSchedule`] divides the time before that kill
+//! into phases, based only on the longest deadline: nothing in this module waits, or reads a socket or a clock.
 
 use std::time::Duration;
 
-/// After SIGTERM the platform kills no sooner than the longest deadline, counted as this where it is longer...
+/// Upper bound of the longest deadline in the time until the kill: the platform sends SIGKILL no sooner than the
+/// longest deadline, or this if the deadline is longer, plus [`KILL_DELAY`] after SIGTERM.
 const KILL_DEADLINE_CAP: Duration = Duration::from_secs(3);
-/// ...and this much more.
+/// Time that the platform adds to the longest deadline before it sends SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// How long connections stay open after SIGTERM at the least: the front goes on sending for 0.4 s.
+/// Least time that connections stay open after SIGTERM, because the front continues to send requests for 0.4 s.
 const DRAIN_OPEN_MIN: Duration = Duration::from_millis(500);
-/// Before the earliest kill by this much, each answer closes its connection and idle ones are closed: until then
-/// clients go on using theirs, and may have no other balancer.
+/// How long before the earliest kill connections start to close: each answer then closes its connection, and idle
+/// connections are closed. Until then clients continue to use their connections, because they may have no other
+/// balancer.
 const CLOSE_BEFORE_KILL: Duration = Duration::from_millis(900);
-/// Before the earliest kill by this much, what came after SIGTERM must have its answer.
+/// How long before the earliest kill each request that arrived after SIGTERM must have its answer.
 const ANSWER_BEFORE_KILL: Duration = Duration::from_millis(350);
-/// How long new connections are accepted once connections close, at the least.
+/// Least time for which new connections are still accepted after connections start to close.
 const LATE_ACCEPT_PERIOD: Duration = Duration::from_millis(150);
-/// How long no connection must have been open before the program ends: a client whose request crossed the close of
-/// its connection comes with a new one.
+/// How long no connection must have been open before the program ends. A client that sent a request while its
+/// connection was being closed retries on a new connection.
 pub(super) const QUIET_PERIOD: Duration = Duration::from_millis(50);
-/// How often the end of a drain is looked for.
+/// Interval between checks for the end of the drain.
 pub(super) const QUIET_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Where the program stands between SIGTERM and its end.
+/// The phase of the program with regard to graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// Connections are served as they come, also in the first part of a drain.
+    /// Connections are served normally, including in the first part of a drain.
     Serving,
-    /// Each answer closes its connection, and idle ones are closed.
+    /// Each answer closes its connection, and idle connections are closed.
     Closing,
 }
 
-/// When each phase of a drain ends, as spans.
+/// The times of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainSchedule {
-    /// From SIGTERM to the earliest SIGKILL.
+    /// Time from SIGTERM to the earliest SIGKILL.
     pub earliest_kill: Duration,
-    /// From SIGTERM to the time by which every request that came after it must have its answer.
+    /// Time from SIGTERM within which every request that arrives after SIGTERM must have its answer.
     pub answer_by: Duration,
-    /// From SIGTERM to the time from which answers close their connections and idle connections are closed.
+    /// Time from SIGTERM after which answers close their connections and idle connections are closed.
     pub close_from: Duration,
-    /// From then on: how long new connections are still accepted, whether or not any is left open.
+    /// How long new connections are still accepted after `close_from`, whether or not any connection is open.
     pub late_accepts: Duration,
 }
 
 impl DrainSchedule {
-    /// The schedule where no class of the settings at the start has a longer deadline than this.
+    /// Calculates the schedule from the longest deadline of any class in the settings at the start.
     #[must_use]
     pub fn new(longest_deadline: Duration) -> Self {
         let earliest_kill = longest_deadline.min(KILL_DEADLINE_CAP) + KILL_DELAY;
@@ -60,8 +62,8 @@
         }
     }
 
-    /// From SIGTERM to the time at which the program ends though connections are open: a client that never takes its
-    /// answer must not hold it up. The longest deadline is that of the settings in force.
+    /// Time from SIGTERM after which the program ends even if connections are open, so that a client that never reads
+    /// its answer does not delay the end. `longest_deadline` is that of the settings in force.
     #[must_use]
     pub fn give_up_after(longest_deadline: Duration) -> Duration {
         longest_deadline + DRAIN_OPEN_MIN
