--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,5 +1,5 @@
-//! A TCP socket that two can hold: the HTTP code that speaks on it, and whoever must see what that code does not look
-//! at, such as the peer's end behind bytes that nobody has asked for yet.
+//! A TCP socket that is shared between hyper, which reads and writes it, and code that must observe what hyper does
+//! not, such as the peer's end of stream behind bytes that hyper has not read yet.
 
 mod framing;
 
@@ -20,37 +20,39 @@
 
 use framing::{HeadEnd, ReadLimit};
 
-/// Bytes read ahead of the HTTP code at most, for each socket: the next requests. What a peer sends beyond that while
-/// it is owed an answer is thrown away, and its connection closed behind the answer.
+/// Largest number of bytes per socket that are read before hyper asks for them, which are the next requests. Bytes that
+/// a peer sends beyond that while it awaits an answer are discarded, and its connection is closed after the answer.
 const READ_AHEAD_MAX_BYTES: usize = 32 * 1024;
-/// Reads in a row before others have their turn.
+/// Number of consecutive reads from one socket before other tasks may run.
 const READS_PER_TURN: usize = 16;
 
-/// A handle on a socket; it is closed with the last one.
+/// A shared handle to a socket. The socket is closed when the last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct Socket(Rc<Shared>);
 
 #[derive(Debug)]
 struct Shared {
-    /// Never borrowed across an await.
+    /// The TCP stream, which is never borrowed across an await.
     stream: RefCell<TcpStream>,
-    /// Read, but not yet asked for.
+    /// Bytes that have been read from the stream but not delivered to hyper yet.
     read_ahead: RefCell<BytesMut>,
-    /// Some of what came was thrown away: nothing after it makes sense.
+    /// Whether received bytes have been discarded, so that later bytes cannot be parsed.
     overflowed: Cell<bool>,
+    /// How far hyper may read at present.
     limit: RefCell<ReadLimit>,
-    /// Since when the HTTP code has had a part of a head, or else since the last byte before it was written.
+    /// When a partly received head began to be delivered to hyper, or when the last byte of the previous answer was
+    /// written if that is later. `None` if no head is partly received.
     head_since: Cell<Option<Instant>>,
-    /// Notified when a head begins.
+    /// Notified when the first byte of a head is delivered to hyper.
     head_begins: Notify,
 }
 
-/// A handle on a socket that does not keep it open.
+/// A weak handle to a socket, which does not keep it open.
 #[derive(Debug, Clone)]
 pub struct WeakSocket(Weak<Shared>);
 
 impl WeakSocket {
-    /// Whether the peer has gone, as [`Socket::has_ended`] tells, or the socket has been closed on this side.
+    /// Whether the peer has disconnected (see [`Socket::has_ended`]) or the socket has been closed on this side.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.0.upgrade().is_none_or(|shared| Socket(shared).has_ended())
@@ -58,22 +60,22 @@
 }
 
 impl Socket {
-    /// Takes over a socket that has come up. Small writes go out at once: held back by the system they would go down
-    /// with a close. That the option can't be set is no reason to hang up.
+    /// Wraps a connected stream. It disables Nagle's algorithm, because small writes that the kernel holds back would
+    /// be lost when the connection is closed. A failure to set the option is ignored.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self::with_limit(stream, ReadLimit::Unlimited)
     }
 
-    /// The same for the server's end of a connection, which reads a request at a time: [`Self::head_complete`] and
-    /// [`Self::response_ready`] are to be called for each.
+    /// Wraps an accepted stream like [`Self::new`], for a server that reads one request at a time. The server must call
+    /// [`Self::head_complete`] and [`Self::response_ready`] for each request.
     #[must_use]
     pub fn of_requests(stream: TcpStream) -> Self {
         Self::with_limit(stream, ReadLimit::ToHeadEnd(HeadEnd::default()))
     }
 
     fn with_limit(stream: TcpStream, limit: ReadLimit) -> Self {
-        // That it can't be set is no reason to hang up.
+        // A connection on which the option cannot be set is still usable.
         let _ = stream.set_nodelay(true);
         Self(Rc::new(Shared {
             stream: RefCell::new(stream),
@@ -85,29 +87,29 @@
         }))
     }
 
-    /// Tells that the head of a request is whole, and how long its body is, if that is known.
+    /// Records that the head of a request has been read, and the length of its body if that is known.
     pub fn head_complete(&self, body: Option<u64>) {
         self.0.head_since.set(None);
         self.0.limit.replace(body.map_or(ReadLimit::Unlimited, ReadLimit::Bytes));
     }
 
-    /// Tells that a request's body is whole: what comes now belongs to the next one.
+    /// Records that the body of a request has been read, so that further bytes belong to the next request.
     pub fn body_complete(&self) {
         self.0.limit.replace(ReadLimit::Bytes(0));
     }
 
-    /// Tells that a request has its answer, and the next one may be read.
+    /// Records that the answer to a request is ready, so that the next request may be read.
     pub fn response_ready(&self) {
         self.0.limit.replace(ReadLimit::ToHeadEnd(HeadEnd::default()));
     }
 
-    /// Since when a part of a head has been there, if one is.
+    /// Since when the head of a request has been partly received; `None` if it has not.
     #[must_use]
     pub fn head_since(&self) -> Option<Instant> {
         self.0.head_since.get()
     }
 
-    /// Waits until a part of a head is there; tells since when. Cancel safe.
+    /// Waits until the head of a request is partly received, and returns since when. Cancel safe.
     pub async fn head_begins(&self) -> Instant {
         loop {
             if let Some(since) = self.head_since() {
@@ -117,28 +119,28 @@
         }
     }
 
-    /// Whether more came than is kept, so that the connection can only be closed.
+    /// Whether received bytes have been discarded, so that the connection can only be closed.
     #[must_use]
     pub fn overflowed(&self) -> bool {
         self.0.overflowed.get()
     }
 
-    /// Whether the peer has sent nothing, not even its end, that is still to be read. Asks the system, and not what
-    /// the runtime last heard of it. A connection that has broken is not silent: only that there is nothing yet is.
+    /// Whether the kernel has nothing to read from the peer: no bytes, no end of stream and no error. It peeks at the
+    /// socket, because the readiness that the runtime last recorded may be out of date.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         let peeked = SockRef::from(&*self.0.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// A handle that does not keep the socket open.
+    /// Creates a weak handle, which does not keep the socket open.
     #[must_use]
     pub fn downgrade(&self) -> WeakSocket {
         WeakSocket(Rc::downgrade(&self.0))
     }
 
-    /// Whether the peer has ended its sending or the connection has broken. Asks the system, and not what the runtime
-    /// last heard of it. Reads what comes before that, for the HTTP code to find.
+    /// Whether the peer has ended its stream or the connection has broken. It reads the socket directly, because the
+    /// readiness that the runtime last recorded may be out of date. Bytes before the end are stored for hyper.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         let mut scratch = [0; 4096];
@@ -153,8 +155,8 @@
         false
     }
 
-    /// Ready once the peer has ended its sending or the connection has broken. Reads what comes before that, for the
-    /// HTTP code to find; to be asked from the task that reads for it too, as only one is woken.
+    /// Ready once the peer has ended its stream or the connection has broken. Bytes before the end are stored for
+    /// hyper. It must be polled from the same task as hyper's reads, because only one task is woken.
     pub fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut scratch = [0; 4096];
         for _ in 0..READS_PER_TURN {
@@ -169,23 +171,24 @@
         Poll::Pending
     }
 
-    /// Ends the connection so that the peer gets all that was written: closing over unread bytes would reset it. Waits
-    /// for the peer to close too, for `most` at the longest. Dropped before that, the connection may be reset.
+    /// Shuts the connection down so that the peer receives all that was written: closing a socket with unread bytes
+    /// would reset the connection. It then reads and discards incoming bytes until the peer closes too, for at most
+    /// `most`. If the future is dropped before that, the connection may be reset.
     pub async fn close(mut self, most: Duration) {
         let ended = std::future::poll_fn(|context| Pin::new(&mut self).poll_shutdown(context)).await;
         if ended.is_ok() {
             self.0.overflowed.set(true);
             if most.is_zero() {
-                // Once, without a timer: its next tick is up to a millisecond away, and others need the socket.
+                // Polled once without a timer, whose next tick is up to a millisecond away, because sockets are scarce.
                 std::future::poll_fn(|context| Poll::Ready(self.poll_gone(context).is_ready())).await;
             } else {
-                // Either the peer has closed or its time is over: the socket goes in both cases.
+                // Whether the peer has closed or the timeout has expired, the socket is closed next.
                 let _ = timeout(most, std::future::poll_fn(|context| self.poll_gone(context))).await;
             }
         }
     }
 
-    /// How many of these bytes the HTTP code is given; notes the time of a head that begins with them.
+    /// Returns how many of the given bytes may be delivered to hyper, and records the time if a head begins in them.
     fn deliverable(&self, bytes: &[u8]) -> usize {
         let advance = self.0.limit.borrow_mut().advance(bytes);
         if advance.in_head && self.head_since().is_none() {
@@ -195,20 +198,20 @@
         advance.bytes
     }
 
-    /// Gives the HTTP code what has been read ahead.
+    /// Delivers bytes that have been read ahead to hyper, as far as the limit allows.
     fn deliver_read_ahead(&self, buffer: &mut ReadBuf<'_>) {
         let mut ahead = self.0.read_ahead.borrow_mut();
         let offered = ahead.len().min(buffer.remaining());
         let given = self.deliverable(&ahead[..offered]);
         buffer.put_slice(&ahead[..given]);
         ahead.advance(given);
-        // Its memory is not kept by connections that rest.
+        // The buffer is freed so that idle connections do not hold its memory.
         if ahead.is_empty() {
             *ahead = BytesMut::new();
         }
     }
 
-    /// Gives the HTTP code what comes now, and keeps what is beyond its request.
+    /// Reads from the stream, delivers bytes of the current request to hyper and stores those beyond it.
     fn poll_deliver(&self, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(self.poll_receive(context, buffer))?;
@@ -219,14 +222,15 @@
         Poll::Ready(Ok(()))
     }
 
-    /// The time of a head counts from the end of the answer before it, for as long as that goes out.
+    /// Restarts the time of a partly received head after each write, so that it counts from the end of the previous
+    /// answer.
     fn wrote(&self, done: &Poll<io::Result<usize>>) {
         if matches!(done, Poll::Ready(Ok(_))) && self.head_since().is_some() {
             self.0.head_since.set(Some(Instant::now()));
         }
     }
 
-    /// Keeps bytes that the HTTP code has not asked for yet, as many as are kept.
+    /// Stores bytes that hyper has not asked for yet, or discards them if they exceed [`READ_AHEAD_MAX_BYTES`].
     fn store_read_ahead(&self, bytes: &[u8]) {
         let mut ahead = self.0.read_ahead.borrow_mut();
         if self.overflowed() || ahead.len() + bytes.len() > READ_AHEAD_MAX_BYTES {
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Reads past the runtime, which may not have heard yet of what has come.
+    /// Reads from the socket without the runtime, whose recorded readiness may be out of date.
     fn receive_now(&self, scratch: &mut [u8]) -> io::Result<usize> {
         let stream = self.0.stream.borrow();
         let socket = SockRef::from(&*stream);
@@ -261,7 +265,7 @@
             self.deliver_read_ahead(buffer);
             return Poll::Ready(Ok(()));
         }
-        // It is closed from this side, behind the answer.
+        // After an overflow nothing more is read; this side closes the connection after the answer.
         if self.overflowed() { Poll::Pending } else { self.poll_deliver(context, buffer) }
     }
 }
--- a/crates/proxy/src/socket/framing.rs
+++ b/crates/proxy/src/socket/framing.rs
@@ -1,34 +1,34 @@
-//! How far the HTTP code of a server may read: to the end of the request that it is at.
+//! Limits how far hyper's server reads on a connection: to the end of the current request.
 
-/// What the HTTP code is given. A server gets no byte beyond the request that it reads, so that what it holds of the
-/// next one is known.
+/// Limit on the bytes that are delivered to hyper. A server gets no byte beyond the current request, so that it is
+/// known whether part of the next request has been received.
 #[derive(Debug)]
 pub(super) enum ReadLimit {
-    /// Whatever comes.
+    /// All received bytes are delivered.
     Unlimited,
-    /// A request's head, up to its end.
+    /// Bytes are delivered up to the end of a request's head.
     ToHeadEnd(HeadEnd),
-    /// So many bytes more, and then only the end of the connection.
+    /// This number of further bytes is delivered, and after them only the end of the connection.
     Bytes(u64),
 }
 
-/// How far a limit has let the HTTP code go on.
+/// How many bytes a [`ReadLimit`] lets through, and whether they belong to a head.
 pub(super) struct Advance {
-    /// Bytes that it is given.
+    /// Number of bytes that are delivered.
     pub(super) bytes: usize,
-    /// They are part of a head, or end one, whose first line has begun.
+    /// Whether the bytes belong to a request's head whose first line has begun.
     pub(super) in_head: bool,
 }
 
 impl ReadLimit {
-    /// How many of these bytes the HTTP code is given; moves on by as many.
+    /// Calculates how many of the given bytes are delivered, and advances the limit by that number.
     pub(super) fn advance(&mut self, bytes: &[u8]) -> Advance {
         match self {
             Self::Unlimited => Advance { bytes: bytes.len(), in_head: false },
             Self::ToHeadEnd(head) => {
                 let end = head.find(bytes);
                 let in_head = head.begun;
-                // What follows the head is known once the HTTP code has read it.
+                // The length of the body is known only once hyper has parsed the head.
                 if end.is_some() {
                     *self = Self::Unlimited;
                 }
@@ -43,17 +43,17 @@
     }
 }
 
-/// Looks for the empty line that ends a request's head. Empty lines before its first line are no part of it.
+/// Finds the empty line that ends a request's head. Empty lines before the first line of the head are skipped.
 #[derive(Debug, Default)]
 pub(super) struct HeadEnd {
-    /// A line that is not empty has begun.
+    /// Whether the first line that is not empty has begun.
     begun: bool,
-    /// Something stands on the line that is looked at.
+    /// Whether the current line has any characters.
     in_line: bool,
 }
 
 impl HeadEnd {
-    /// Bytes of these up to the end of the head, if it ends among them.
+    /// Returns the number of the given bytes up to the end of the head; `None` if the head does not end in them.
     fn find(&mut self, bytes: &[u8]) -> Option<usize> {
         for (position, byte) in bytes.iter().enumerate() {
             match byte {
