--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -38,40 +38,45 @@
         if let Some(acquired) = self.take_idle(host, must_not_repeat) {
             return Ok(acquired);
         }
-        let most = self.connect_timeout();
+        let limit = self.connect_timeout();
         let mut since = Instant::now();
-        let local_until = until.min(since + most);
-        let patience = if is_last_attempt { most } else { self.patience(host) };
-        let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::NoSocket)?);
+        let local_retry_deadline = until.min(since + limit);
+        let attempt_connect_timeout =
+            if is_last_attempt { limit } else { self.attempt_connect_timeout(host) };
+        let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::SocketBudgetExhausted)?);
         loop {
-            let give_up_at = if dial.retry.is_some() { local_until } else { since + patience };
+            let give_up_at =
+                if dial.retry.is_some() { local_retry_deadline } else { since + attempt_connect_timeout };
             // A connection in its reuse delay is likely to be free before a new connection is established.
-            let check_at = host.next_free().unwrap_or(give_up_at);
+            let check_at = host.earliest_reuse().unwrap_or(give_up_at);
             let retry_at = dial.retry.as_ref().map_or(check_at, |retry| retry.at);
             tokio::select! {
                 biased;
                 connected = dial.connected() => match connected {
                     Ok(connection) => return Ok(Acquired { connection, idle: None }),
-                    Err(AcquireError::Local(error)) => dial.retry_after(error),
+                    Err(AcquireError::LocalShortage(error)) => dial.retry_after(error),
                     Err(error) => return Err(error),
                 },
                 () = host.changed.notified() => {}
                 () = sleep_until(check_at.min(retry_at)) => {}
             }
             if host.closed.get() {
-                return Err(AcquireError::Gone);
+                return Err(AcquireError::EndpointRemoved);
             }
             if let Some(acquired) = self.take_idle(host, must_not_repeat) {
                 return Ok(acquired);
             }
             let now = Instant::now();
-            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_until)) {
-                if now >= local_until {
-                    return Err(AcquireError::Local(retry.error));
+            if let Some(retry) = dial.retry.take_if(|retry| now >= retry.at.min(local_retry_deadline)) {
+                if now >= local_retry_deadline {
+                    return Err(AcquireError::LocalShortage(retry.error));
                 }
-                dial.connect(self.permit().ok_or(AcquireError::NoSocket)?);
+                dial.connect(self.permit().ok_or(AcquireError::SocketBudgetExhausted)?);
                 since = now;
-            } else if dial.retry.is_none() && host.next_free().is_none() && now >= since + patience {
+            } else if dial.retry.is_none()
+                && host.earliest_reuse().is_none()
+                && now >= since + attempt_connect_timeout
+            {
                 self.record_connect(host, since.elapsed(), false);
                 return Err(AcquireError::TimedOut);
             }
@@ -81,14 +86,15 @@
     /// Takes the most recently used free connection out of the pool. For a request that must not run twice, connections
     /// that have been idle for longer than the trusted idle time are closed, and the attempt dials a new one.
     fn take_idle(&self, host: &Host, must_not_repeat: bool) -> Option<Acquired> {
-        let most = if must_not_repeat { self.trusted_idle() } else { self.idle_limit() };
+        let limit = if must_not_repeat { self.trusted_idle() } else { self.idle_limit() };
         let now = Instant::now();
         let mut idle_connections = host.idle.borrow_mut();
-        while let Some(place) = idle_connections.iter().rposition(|idle| idle.free_at <= now) {
-            let last = idle_connections.remove(place);
-            let idle = last.since.elapsed();
-            if last.connection.is_free() && idle < self.idle_limit() {
-                return (idle <= most).then_some(Acquired { connection: last.connection, idle: Some(idle) });
+        while let Some(index) = idle_connections.iter().rposition(|idle| idle.reusable_at <= now) {
+            let candidate = idle_connections.remove(index);
+            let idle = candidate.since.elapsed();
+            if candidate.connection.is_free() && idle < self.idle_limit() {
+                return (idle <= limit)
+                    .then_some(Acquired { connection: candidate.connection, idle: Some(idle) });
             }
         }
         None
--- a/crates/proxy/src/upstream/acquire_error.rs
+++ b/crates/proxy/src/upstream/acquire_error.rs
@@ -9,17 +9,17 @@
 pub enum AcquireError {
     /// The process's socket budget is used up, which says nothing about the upstream.
     #[error("the socket budget of this process is used up")]
-    NoSocket,
+    SocketBudgetExhausted,
     /// This machine lacks a resource for the connect (port, descriptor or memory), which says nothing about the
     /// upstream.
     #[error("this machine lacks the resources for a new connection: {0}")]
-    Local(io::Error),
+    LocalShortage(io::Error),
     /// No connection was established within the attempt's connect timeout. The dial may still succeed later.
     #[error("the connection was not established within the connect timeout")]
     TimedOut,
     /// Discovery's list no longer has the upstream ready at this address.
     #[error("the endpoint was removed from discovery's list or is draining")]
-    Gone,
+    EndpointRemoved,
     /// The connect failed with an error that is attributed to the upstream.
     #[error("{0}")]
     Failed(#[from] io::Error),
@@ -31,7 +31,7 @@
 /// Whether a connect failed because this machine lacks a resource: a port, a descriptor or memory. A connect that a
 /// packet filter forbids (`EPERM`, `EACCES`) counts as a failure of the upstream, because the condition lasts and
 /// another upstream may be allowed.
-pub(super) fn is_local(error: &io::Error) -> bool {
+pub(super) fn is_local_shortage(error: &io::Error) -> bool {
     const LOCAL: [i32; 8] = [
         libc::EADDRINUSE,
         libc::EADDRNOTAVAIL,
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -25,7 +25,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The conditions under which the bytes of an attempt's request may be written, checked at each write.
-struct Bounds<C> {
+struct AttemptWriteCheck<C> {
     context: Rc<C>,
     request: RequestId,
     upstream: EndpointId,
@@ -34,14 +34,14 @@
     until: Instant,
 }
 
-impl<C: AttemptContext> Bounds<C> {
+impl<C: AttemptContext> AttemptWriteCheck<C> {
     fn of(context: &Rc<C>, job: &Job) -> Self {
         let &Job { request, upstream, address, begin_by, until, .. } = job;
         Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
     }
 
     /// Whether the window in which upstreams deduplicate a repeated request has ended.
-    fn is_late(&self) -> bool {
+    fn is_past_begin_by(&self) -> bool {
         self.begin_by.is_some_and(|by| Instant::now() > by)
     }
 
@@ -53,29 +53,29 @@
             return Some(Outcome::ConnectFailed);
         }
         // Meanwhile the client may have disconnected, or another attempt may have served the request.
-        (!self.context.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
+        (!self.context.is_wanted(self.request) || self.is_past_begin_by()).then_some(Outcome::NotSent)
     }
 }
 
-impl<C: AttemptContext> Clearance for Bounds<C> {
+impl<C: AttemptContext> Clearance for AttemptWriteCheck<C> {
     fn time_left_to_begin(&self) -> Option<Duration> {
-        let may = self.refusal().is_none() && self.context.is_awaited(self.request);
-        may.then(|| self.until.saturating_duration_since(Instant::now()))
+        let may_begin = self.refusal().is_none() && self.context.is_awaited(self.request);
+        may_begin.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
     fn may_continue(&self) -> bool {
-        !self.is_late() && self.context.is_awaited(self.request)
+        !self.is_past_begin_by() && self.context.is_awaited(self.request)
     }
 }
 
 /// The result of sending a request and reading its response.
-struct Exchanged {
+struct ExchangeResult {
     end: AttemptEnd,
     /// The connection, if it may carry another request; `None` if it is closed.
     connection: Option<Connection>,
 }
 
-impl From<Outcome> for Exchanged {
+impl From<Outcome> for ExchangeResult {
     /// The result without a connection: the attempt's connection, if it had one, is closed.
     fn from(outcome: Outcome) -> Self {
         Self { end: outcome.into(), connection: None }
@@ -91,10 +91,10 @@
     };
     let progress = Progress::default();
     let exchange = exchange(&context, &job, &host, &progress);
-    let Exchanged { end, connection } = tokio::select! {
+    let ExchangeResult { end, connection } = tokio::select! {
         biased;
         // At the attempt's deadline the exchange is dropped, which closes its connection.
-        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| overdue(&progress).into()),
+        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| outcome_at_deadline(&progress).into()),
         Ok(()) = cancelled => Outcome::Cancelled.into(),
     };
     context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..end });
@@ -107,7 +107,7 @@
 }
 
 /// The outcome of an attempt that was given up at its deadline.
-fn overdue(progress: &Progress) -> Outcome {
+fn outcome_at_deadline(progress: &Progress) -> Outcome {
     if progress.is_complete() {
         Outcome::TimedOut
     } else if progress.connect_wait.get().is_none() {
@@ -124,15 +124,15 @@
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
-) -> Exchanged {
+) -> ExchangeResult {
     loop {
         let acquired = match acquire(context, job, host).await {
             Ok(acquired) => acquired,
             Err(outcome) => return outcome.into(),
         };
         progress.connect_wait.set(Some(job.requested_at.elapsed()));
-        if let Some(exchanged) = exchange_on(acquired, context, job, progress).await {
-            return exchanged;
+        if let Some(result) = exchange_on(acquired, context, job, progress).await {
+            return result;
         }
     }
 }
@@ -151,11 +151,11 @@
             Ok(acquired)
         }
         Err(error) => {
-            if !matches!(error, AcquireError::NoSocket) {
+            if !matches!(error, AcquireError::SocketBudgetExhausted) {
                 context.on_unreachable(job.address, &error);
             }
             Err(match error {
-                AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
+                AcquireError::SocketBudgetExhausted | AcquireError::LocalShortage(_) => Outcome::NotSent,
                 AcquireError::TimedOut => Outcome::ConnectTimedOut,
                 _ => Outcome::ConnectFailed,
             })
@@ -170,18 +170,19 @@
     context: &Rc<C>,
     job: &Job,
     progress: &Progress,
-) -> Option<Exchanged> {
+) -> Option<ExchangeResult> {
     let Acquired { mut connection, idle } = acquired;
-    let bounds = Bounds::of(context, job);
-    if let Some(outcome) = bounds.refusal() {
+    let write_check = AttemptWriteCheck::of(context, job);
+    if let Some(outcome) = write_check.refusal() {
         return Some(outcome.into());
     }
     let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
     connection.written.set(0);
-    connection.gate.set(Box::new(bounds));
+    connection.gate.set(Box::new(write_check));
     progress.start(&connection.written, size_on_wire(&request, job.call.body.len()));
     let Ok(response) = connection.sender.send_request(request).await else {
-        return broken_off(&connection, idle, context, job, progress).map(Exchanged::from);
+        return outcome_of_broken_connection(&connection, idle, context, job, progress)
+            .map(ExchangeResult::from);
     };
     if let Some(idle) = idle {
         context.on_reused(idle, true);
@@ -189,12 +190,12 @@
     let end = read_response(&**context, response).await;
     connection.gate.clear();
     let Some(end) = end else { return Some(Outcome::Reset.into()) };
-    Some(Exchanged { end, connection: Some(connection) })
+    Some(ExchangeResult { end, connection: Some(connection) })
 }
 
 /// The outcome of an attempt whose connection broke before its response began; `None` if the connection was idle and no
 /// byte of the request was written.
-fn broken_off<C: AttemptContext>(
+fn outcome_of_broken_connection<C: AttemptContext>(
     connection: &Connection,
     idle: Option<Duration>,
     context: &Rc<C>,
@@ -205,7 +206,7 @@
         if !context.is_awaited(job.request) {
             context.on_client_disconnected(job.request);
         }
-        return Some(Bounds::of(context, job).refusal().unwrap_or(Outcome::NotSent));
+        return Some(AttemptWriteCheck::of(context, job).refusal().unwrap_or(Outcome::NotSent));
     }
     if let Some(idle) = idle {
         context.on_reused(idle, false);
--- a/crates/proxy/src/upstream/connect_time.rs
+++ b/crates/proxy/src/upstream/connect_time.rs
@@ -5,11 +5,11 @@
 
 /// Connect timeout of an attempt as a multiple of the usual connect time. 4 is the number of deviations that TCP's
 /// retransmission timer adds to its mean (RFC 6298).
-const PATIENCE_MULTIPLE: f64 = 4.0;
+const CONNECT_TIMEOUT_MULTIPLE: f64 = 4.0;
 /// Lower bound of an attempt's connect timeout, as a fraction of the connect timeout of the settings. It allows for the
 /// delay that a busy machine adds to a connect. With this value the three or four attempts before a request's last one
 /// take a quarter of the settings' timeout together.
-const MIN_PATIENCE_FRACTION: f64 = 0.0625;
+const MIN_CONNECT_TIMEOUT_FRACTION: f64 = 0.0625;
 /// Weight of one connect in the moving average of connect times, equal to the gain of TCP's retransmission timer.
 const CONNECT_WEIGHT: f64 = 0.125;
 
@@ -17,29 +17,30 @@
 /// at most e times the usual time.
 #[derive(Debug, Default)]
 pub(super) struct ConnectTime {
-    ln_s: f64,
-    known: f64,
+    mean_ln_s: f64,
+    sample_count: f64,
 }
 
 impl ConnectTime {
-    /// Records that a connect succeeded (`up`) or was given up after `duration`.
-    pub(super) fn record(&mut self, duration: Duration, up: bool) {
+    /// Records a connect that took `duration`, or that was given up after `duration` if `succeeded` is false.
+    pub(super) fn record(&mut self, duration: Duration, succeeded: bool) {
         // A connect that was given up gives only a lower bound, which is no estimate to start from.
-        if self.known == 0.0 && !up {
+        if self.sample_count == 0.0 && !succeeded {
             return;
         }
-        let over = duration.as_secs_f64().max(1e-6).ln() - self.ln_s;
-        self.known += 1.0;
-        let over = if self.known > 1.0 { over.min(1.0) } else { over };
-        self.ln_s += CONNECT_WEIGHT.max(1.0 / self.known) * over;
+        let deviation = duration.as_secs_f64().max(1e-6).ln() - self.mean_ln_s;
+        self.sample_count += 1.0;
+        let deviation = if self.sample_count > 1.0 { deviation.min(1.0) } else { deviation };
+        self.mean_ln_s += CONNECT_WEIGHT.max(1.0 / self.sample_count) * deviation;
     }
 
-    /// How long an attempt waits for a connection, at most `most`.
-    pub(super) fn patience(&self, most: Duration) -> Duration {
-        if self.known == 0.0 {
-            return most;
+    /// How long an attempt waits for a connection, at most `max_timeout`.
+    pub(super) fn attempt_connect_timeout(&self, max_timeout: Duration) -> Duration {
+        if self.sample_count == 0.0 {
+            return max_timeout;
         }
-        let times = Duration::try_from_secs_f64(self.ln_s.exp() * PATIENCE_MULTIPLE).unwrap_or(most);
-        times.clamp(most.mul_f64(MIN_PATIENCE_FRACTION), most)
+        let timeout = Duration::try_from_secs_f64(self.mean_ln_s.exp() * CONNECT_TIMEOUT_MULTIPLE)
+            .unwrap_or(max_timeout);
+        timeout.clamp(max_timeout.mul_f64(MIN_CONNECT_TIMEOUT_FRACTION), max_timeout)
     }
 }
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -9,17 +9,17 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::acquire_error::{AcquireError, is_local};
+use super::acquire_error::{AcquireError, is_local_shortage};
 use super::connection::{Connection, Permit, handshake};
 use super::host::{Connecting, Host};
 use super::pool::Pool;
 
 /// Initial backoff before a connect that failed for lack of a local resource is retried. It is short because a lack of
 /// ports or memory may pass at once.
-const MIN_RETRY_PAUSE: Duration = Duration::from_millis(2);
+const MIN_RETRY_BACKOFF: Duration = Duration::from_millis(2);
 /// Upper bound of the backoff, which doubles with each local failure. It keeps the machine from spending its time on
 /// the search for a free port while a shortage lasts.
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(64);
+const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(64);
 
 /// A scheduled retry of a connect that failed for lack of a local resource.
 pub(super) struct Retry {
@@ -38,13 +38,13 @@
     /// The retry after the latest local failure, until it starts.
     pub(super) retry: Option<Retry>,
     /// The latest backoff before a retry; zero before the first local failure.
-    pub(super) pause: Duration,
+    pub(super) backoff: Duration,
 }
 
 impl<'a> Dial<'a> {
     pub(super) fn start(pool: &'a Rc<Pool>, host: &'a Rc<Host>, permit: Permit) -> Self {
-        host.waiting.set(host.waiting.get() + 1);
-        let mut dial = Self { pool, host, connecting: None, retry: None, pause: Duration::ZERO };
+        host.waiting_attempts.set(host.waiting_attempts.get() + 1);
+        let mut dial = Self { pool, host, connecting: None, retry: None, backoff: Duration::ZERO };
         dial.connect(permit);
         dial
     }
@@ -64,7 +64,11 @@
             return Err(AcquireError::TimedOut);
         };
         let failed = |error| {
-            if is_local(&error) { AcquireError::Local(error) } else { AcquireError::Failed(error) }
+            if is_local_shortage(&error) {
+                AcquireError::LocalShortage(error)
+            } else {
+                AcquireError::Failed(error)
+            }
         };
         let stream = stream.map_err(failed)?;
         self.pool.record_connect(self.host, since.elapsed(), true);
@@ -73,14 +77,14 @@
 
     /// Schedules a retry of the connect after the next backoff.
     pub(super) fn retry_after(&mut self, error: io::Error) {
-        self.pause = (self.pause * 2).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
-        self.retry = Some(Retry { error, at: Instant::now() + self.pause });
+        self.backoff = (self.backoff * 2).clamp(MIN_RETRY_BACKOFF, MAX_RETRY_BACKOFF);
+        self.retry = Some(Retry { error, at: Instant::now() + self.backoff });
     }
 }
 
 impl Drop for Dial<'_> {
     fn drop(&mut self) {
-        self.host.waiting.set(self.host.waiting.get() - 1);
+        self.host.waiting_attempts.set(self.host.waiting_attempts.get() - 1);
         if let Some(connecting) = self.connecting.take() {
             self.pool.continue_dial(self.host, connecting);
         }
--- a/crates/proxy/src/upstream/gate.rs
+++ b/crates/proxy/src/upstream/gate.rs
@@ -17,10 +17,10 @@
     fn may_continue(&self) -> bool;
 }
 
-/// Checks the [`Clearance`] of the request that is being written on a connection.
+/// Applies the [`Clearance`] of the request that is being written on a connection.
 #[derive(Default)]
 pub struct Gate {
-    clearance: RefCell<Option<Box<dyn Clearance>>>,
+    check: RefCell<Option<Box<dyn Clearance>>>,
     refused: Cell<bool>,
 }
 
@@ -31,14 +31,14 @@
 }
 
 impl Gate {
-    /// Sets the clearance that is asked before each write.
-    pub fn set(&self, clearance: Box<dyn Clearance>) {
-        self.clearance.replace(Some(clearance));
+    /// Sets the check that is made before each write from now on.
+    pub fn set(&self, check: Box<dyn Clearance>) {
+        self.check.replace(Some(check));
     }
 
-    /// Removes the clearance: all writes are allowed from now on.
+    /// Removes the check: all writes are allowed from now on.
     pub fn clear(&self) {
-        self.clearance.take();
+        self.check.take();
     }
 
     /// Whether a write was refused, which breaks the connection.
@@ -50,7 +50,7 @@
     /// Checks whether the first bytes of a request may be sent. Returns them with the deadline header set to the time
     /// left now; `None` if they are to be sent unchanged.
     pub(super) fn check_begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
-        match self.clearance.borrow().as_deref().map(Clearance::time_left_to_begin) {
+        match self.check.borrow().as_deref().map(Clearance::time_left_to_begin) {
             None => Ok(None),
             Some(Some(time_left)) => Ok(with_deadline(head, time_left)),
             Some(None) => Err(self.refuse()),
@@ -59,8 +59,8 @@
 
     /// Checks whether further bytes of a request may be sent.
     pub(super) fn check_continue(&self) -> io::Result<()> {
-        let may = self.clearance.borrow().as_deref().is_none_or(Clearance::may_continue);
-        if may { Ok(()) } else { Err(self.refuse()) }
+        let is_allowed = self.check.borrow().as_deref().is_none_or(Clearance::may_continue);
+        if is_allowed { Ok(()) } else { Err(self.refuse()) }
     }
 
     fn refuse(&self) -> io::Error {
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -22,7 +22,7 @@
     /// When the connection became idle.
     pub(super) since: Instant,
     /// When the connection may carry the next request, after its reuse delay.
-    pub(super) free_at: Instant,
+    pub(super) reusable_at: Instant,
 }
 
 /// A TCP connect in progress.
@@ -56,9 +56,9 @@
     /// Idle connections, the most recently used last.
     pub(super) idle: RefCell<Vec<IdleConnection>>,
     /// The background dial. There is at most one, so that an unreachable upstream uses only one socket.
-    pub(super) late: RefCell<Option<LateDial>>,
+    pub(super) late_dial: RefCell<Option<LateDial>>,
     /// Number of attempts that wait for a connection to this host.
-    pub(super) waiting: Cell<usize>,
+    pub(super) waiting_attempts: Cell<usize>,
     /// Whether the upstream has been removed from the pool, so that no connection to it is kept.
     pub(super) closed: Cell<bool>,
     /// Notifies waiting attempts that an idle connection was added or the host was closed.
@@ -67,20 +67,20 @@
 
 impl Host {
     /// The earliest time at which an idle connection may be reused; `None` if there is no idle connection.
-    pub(super) fn next_free(&self) -> Option<Instant> {
-        self.idle.borrow().iter().map(|idle| idle.free_at).min()
+    pub(super) fn earliest_reuse(&self) -> Option<Instant> {
+        self.idle.borrow().iter().map(|idle| idle.reusable_at).min()
     }
 
-    pub(super) fn add_idle(&self, connection: Connection, rest: Duration) {
+    pub(super) fn add_idle(&self, connection: Connection, reuse_delay: Duration) {
         let since = Instant::now();
-        self.idle.borrow_mut().push(IdleConnection { connection, since, free_at: since + rest });
+        self.idle.borrow_mut().push(IdleConnection { connection, since, reusable_at: since + reuse_delay });
         self.changed.notify_waiters();
     }
 
     pub(super) fn close(&self) {
         self.closed.set(true);
         self.idle.take();
-        self.late.take();
+        self.late_dial.take();
         self.changed.notify_waiters();
     }
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -36,7 +36,7 @@
 const CLIENT_RESERVE_DIVISOR: usize = 4;
 /// How long a dial that no attempt waits for continues, counted from its start. TCP repeats its SYN after 1 s and after
 /// 3 s (RFC 6298, with doubling), and the reply to the second repeat takes another round trip.
-const MAX_LATE_DIAL: Duration = Duration::from_millis(3500);
+const LATE_DIAL_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// A snapshot of the state of a pool, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -133,8 +133,8 @@
     /// Takes a socket for a connection to an upstream from the budget, closing an unused one if the budget is nearly
     /// used up; `None` if no socket is left.
     pub(super) fn permit(&self) -> Option<Permit> {
-        let most = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
-        if self.sockets.get() >= most {
+        let limit = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
+        if self.sockets.get() >= limit {
             self.close_unused();
         }
         (self.sockets.get() < self.max_sockets).then(|| self.reserved_permit())
@@ -144,7 +144,7 @@
     /// there was one to close.
     pub fn close_unused(&self) -> bool {
         let hosts = self.hosts.borrow();
-        if hosts.values().any(|host| host.late.take().is_some()) {
+        if hosts.values().any(|host| host.late_dial.take().is_some()) {
             return true;
         }
         let oldest = |host: &&Rc<Host>| host.idle.borrow().first().map(|oldest| oldest.since);
@@ -166,13 +166,13 @@
             address,
             zone,
             idle: RefCell::default(),
-            late: RefCell::default(),
-            waiting: Cell::new(0),
+            late_dial: RefCell::default(),
+            waiting_attempts: Cell::new(0),
             closed: Cell::new(false),
             changed: Notify::new(),
         });
-        if let Some(moved) = hosts.insert(id, Rc::clone(&host)) {
-            moved.close();
+        if let Some(replaced) = hosts.insert(id, Rc::clone(&host)) {
+            replaced.close();
         }
         host
     }
@@ -219,7 +219,7 @@
         let hosts = self.hosts.borrow();
         PoolStats {
             idle_connections: hosts.values().map(|host| host.idle.borrow().len()).sum(),
-            late_dials: hosts.values().filter(|host| host.late.borrow().is_some()).count(),
+            late_dials: hosts.values().filter(|host| host.late_dial.borrow().is_some()).count(),
             sockets: self.sockets.get(),
             max_sockets: self.max_sockets,
             trusted_idle: self.trusted_idle(),
@@ -234,15 +234,16 @@
     }
 
     /// How long an attempt that is not the last of its request waits for a connection to this host.
-    pub(super) fn patience(&self, host: &Host) -> Duration {
+    pub(super) fn attempt_connect_timeout(&self, host: &Host) -> Duration {
         let times = self.connect_times.borrow();
-        let most = self.connect_timeout.get();
-        times.get(&host.zone).map_or(most, |time| time.patience(most))
+        let limit = self.connect_timeout.get();
+        times.get(&host.zone).map_or(limit, |time| time.attempt_connect_timeout(limit))
     }
 
-    /// Records that a connect to this host succeeded (`up`) or was given up after `duration`.
-    pub(super) fn record_connect(&self, host: &Host, duration: Duration, up: bool) {
-        self.connect_times.borrow_mut().entry(host.zone).or_default().record(duration, up);
+    /// Records a connect to this host that took `duration`, or that was given up after `duration` if `succeeded` is
+    /// false.
+    pub(super) fn record_connect(&self, host: &Host, duration: Duration, succeeded: bool) {
+        self.connect_times.borrow_mut().entry(host.zone).or_default().record(duration, succeeded);
     }
 
     /// The longest idle time after which a connection may carry a request that must not run twice.
@@ -270,34 +271,34 @@
     /// Continues a dial in the background after its attempt stopped waiting, unless the host is closed, has such a dial
     /// already, or sockets are scarce.
     pub(super) fn continue_dial(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
-        if host.closed.get() || host.late.borrow().is_some() || self.is_nearly_full() {
+        if host.closed.get() || host.late_dial.borrow().is_some() || self.is_nearly_full() {
             return;
         }
-        let give_up_at = connecting.since + MAX_LATE_DIAL.max(self.connect_timeout.get());
-        host.late.replace(Some(LateDial { connecting, task: None }));
+        let give_up_at = connecting.since + LATE_DIAL_TIMEOUT.max(self.connect_timeout.get());
+        host.late_dial.replace(Some(LateDial { connecting, task: None }));
         let (pool, owner) = (Rc::clone(self), Rc::clone(host));
         let task = spawn_local(async move {
-            let connect = poll_fn(|context| match &mut *owner.late.borrow_mut() {
-                Some(late) => late.connecting.stream.as_mut().poll(context),
+            let connect = poll_fn(|context| match &mut *owner.late_dial.borrow_mut() {
+                Some(late_dial) => late_dial.connecting.stream.as_mut().poll(context),
                 None => Poll::Pending,
             });
             let connected = timeout_at(give_up_at, connect).await;
             // Dropping the dial aborts its task, which is this one, so its handle is removed first.
-            let Some(mut late) = owner.late.take() else { return };
-            late.task = None;
+            let Some(mut late_dial) = owner.late_dial.take() else { return };
+            late_dial.task = None;
             if let Ok(Ok(stream)) = connected {
                 pool.on_late_connect(&owner, stream).await;
             }
         });
-        if let Some(late) = &mut *host.late.borrow_mut() {
-            late.task = Some(task.abort_handle());
+        if let Some(late_dial) = &mut *host.late_dial.borrow_mut() {
+            late_dial.task = Some(task.abort_handle());
         }
     }
 
     /// Adds the connection of a background dial to the idle connections if there are fewer of them than waiting
     /// attempts, or none at all.
     async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
-        if host.idle.borrow().len() < host.waiting.get().max(1)
+        if host.idle.borrow().len() < host.waiting_attempts.get().max(1)
             && let Ok(connection) = handshake(stream, self.reserved_permit()).await
             && !host.closed.get()
         {
