--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -22,13 +22,13 @@
 #[derive(Debug, Default)]
 pub(super) struct FailedAccepts {
     /// Number of failed accepts since the last one that succeeded.
-    in_a_row: u32,
+    consecutive_failures: u32,
     /// When the latest failed accept occurred, even if an accept has succeeded since.
-    pub(super) latest: Option<Instant>,
+    pub(super) last_failed_at: Option<Instant>,
     /// When descriptors ran short; `None` if an accept has succeeded since.
     short_since: Option<Instant>,
     /// When a failed accept was last logged.
-    logged: Option<Instant>,
+    last_logged_at: Option<Instant>,
 }
 
 /// How the accept loop reacts to a failed accept.
@@ -42,25 +42,25 @@
 
 impl FailedAccepts {
     pub(super) fn succeeded(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive_failures = 0;
         self.short_since = None;
     }
 
     pub(super) fn failed(&mut self, error: &io::Error) -> AcceptReaction {
         self.log(error);
-        self.in_a_row += 1;
-        self.latest = Some(Instant::now());
+        self.consecutive_failures += 1;
+        self.last_failed_at = Some(Instant::now());
         let failure = AcceptFailure::of(error);
         let evict = failure == AcceptFailure::OutOfDescriptors
             && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_BEFORE_EVICTION;
-        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_BEFORE_PAUSE;
+        let pause = failure != AcceptFailure::Transient || self.consecutive_failures >= FAILURES_BEFORE_PAUSE;
         AcceptReaction { evict, pause }
     }
 
     fn log(&mut self, error: &io::Error) {
-        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
+        if self.last_logged_at.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
             crate::log(format_args!("a client connection could not be accepted: {error}"));
-            self.logged = Some(Instant::now());
+            self.last_logged_at = Some(Instant::now());
         }
     }
 }
--- a/crates/proxy/src/downstream/connection.rs
+++ b/crates/proxy/src/downstream/connection.rs
@@ -22,7 +22,7 @@
 use super::connection_set::ConnectionSet;
 use super::connection_state::ClientConnection;
 use super::health::{check_health, is_health_check};
-use super::response::{Limits, respond};
+use super::response::{RequestDeadlines, respond};
 use super::shutdown::Phase;
 use crate::socket::Socket;
 
@@ -36,89 +36,96 @@
 
 /// Serves a client connection until it is closed.
 pub(super) async fn handle_connection(connections: &Rc<ConnectionSet>, connection: &Rc<ClientConnection>) {
-    let ending = serve_requests(connections, connection).await;
-    if ending == Ending::InOrder {
+    let end = serve_requests(connections, connection).await;
+    if end == ConnectionEnd::Completed {
         // When sockets are scarce, it discards the bytes that have arrived but does not wait for the client to close.
-        let congested = connections.event_loop().pool().is_nearly_full();
-        let linger = if congested { Duration::ZERO } else { LINGER_TIMEOUT };
+        let sockets_scarce = connections.event_loop().pool().is_nearly_full();
+        let linger = if sockets_scarce { Duration::ZERO } else { LINGER_TIMEOUT };
         connection.socket.clone().close(linger).await;
     }
 }
 
 /// How serving the requests of a client connection ended.
 #[derive(Debug, PartialEq, Eq)]
-enum Ending {
+enum ConnectionEnd {
     /// The connection ended regularly: what was written must reach the client.
-    InOrder,
+    Completed,
     /// The client has disconnected or has stopped reading.
-    ClientGone,
+    ClientDisconnected,
 }
 
-async fn serve_requests(connections: &Rc<ConnectionSet>, connection: &Rc<ClientConnection>) -> Ending {
+async fn serve_requests(connections: &Rc<ConnectionSet>, connection: &Rc<ClientConnection>) -> ConnectionEnd {
     let service = service_fn(|request: Request<Incoming>| {
         // Called before the future is first polled, so that the connection counts as having a request in progress at
         // once.
         let body = request.body().size_hint().exact();
         let complete_by = connection.begin_request(body, is_health_check(&request));
-        let limits = Limits { complete_by, answer_by: connections.answer_by() };
-        handle_request(connections, connection, request, limits)
+        let deadlines = RequestDeadlines { complete_by, answer_by: connections.answer_by() };
+        handle_request(connections, connection, request, deadlines)
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(HEAD_MAX_BYTES);
-    let mut served = pin!(builder.serve_connection(TokioIo::new(connection.socket.clone()), service));
-    let due = should_close(connections, connection);
-    if let Some(ending) = serve_until(served.as_mut(), connection, due).await {
-        return ending;
+    let mut http_connection =
+        pin!(builder.serve_connection(TokioIo::new(connection.socket.clone()), service));
+    let close_reason = wait_for_close_reason(connections, connection);
+    if let Some(end) = serve_until(http_connection.as_mut(), connection, close_reason).await {
+        return end;
     }
     // Bytes that arrived while the process was delayed are in the socket, but hyper has not been notified of them yet.
-    let caught_up = runtime_catches_up(&connection.socket);
-    if let Some(ending) = serve_until(served.as_mut(), connection, caught_up).await {
-        return ending;
+    let readiness_polled = yield_for_socket_readiness(&connection.socket);
+    if let Some(end) = serve_until(http_connection.as_mut(), connection, readiness_polled).await {
+        return end;
     }
     // hyper would close a connection without a request in progress at once, although a request may be on its way, in
     // the socket or partly read. Such a request gets a grace period, after which the connection is closed like the
     // others.
     if let Some(until) = connection.grace_until() {
-        if let Some(ending) = serve_until(served.as_mut(), connection, sleep_until(until)).await {
-            return ending;
+        if let Some(end) = serve_until(http_connection.as_mut(), connection, sleep_until(until)).await {
+            return end;
         }
         if !connection.has_carried_request.get() {
-            return Ending::InOrder;
+            return ConnectionEnd::Completed;
         }
     }
     // This closes the connection at once if it is between requests, else after the answer in progress.
-    served.as_mut().graceful_shutdown();
-    let unread = connection.answer_left_unread();
-    serve_until(served, connection, unread).await.unwrap_or(Ending::ClientGone)
+    http_connection.as_mut().graceful_shutdown();
+    let unread_timeout = connection.unread_answer_overdue();
+    serve_until(http_connection, connection, unread_timeout)
+        .await
+        .unwrap_or(ConnectionEnd::ClientDisconnected)
 }
 
 /// Serves the connection until it ends, and returns how, or until the future `until` is ready. Cancel safe as long as
-/// `served` is kept: serving can then be resumed.
+/// `http_connection` is kept: serving can then be resumed.
 async fn serve_until<T>(
-    served: Pin<&mut impl Future<Output = T>>,
+    http_connection: Pin<&mut impl Future<Output = T>>,
     connection: &ClientConnection,
     until: impl Future<Output = ()>,
-) -> Option<Ending> {
+) -> Option<ConnectionEnd> {
     tokio::select! {
         biased;
-        _ = served => Some(Ending::InOrder),
-        () = client_gone(connection) => Some(Ending::ClientGone),
+        _ = http_connection => Some(ConnectionEnd::Completed),
+        () = client_disconnected(connection) => Some(ConnectionEnd::ClientDisconnected),
         () = until => None,
     }
 }
 
 /// Waits until a client that awaits an answer disconnects. hyper does not detect this if the client has sent further
 /// bytes before the end of its connection, because it does not read them yet. Cancel safe.
-async fn client_gone(connection: &ClientConnection) {
+async fn client_disconnected(connection: &ClientConnection) {
     poll_fn(|context| {
-        if connection.awaiting_answer.get() { connection.socket.poll_gone(context) } else { Poll::Pending }
+        if connection.awaiting_answer.get() {
+            connection.socket.poll_disconnected(context)
+        } else {
+            Poll::Pending
+        }
     })
     .await;
 }
 
 /// Waits until there is a reason to close the connection once it is between requests. Cancel safe except that the
 /// notification of an eviction may be consumed; [`ClientConnection`] still records the eviction.
-async fn should_close(connections: &ConnectionSet, connection: &ClientConnection) {
+async fn wait_for_close_reason(connections: &ConnectionSet, connection: &ClientConnection) {
     let mut phases = connections.phases();
     tokio::select! {
         // An error means that the program is shutting down.
@@ -130,8 +137,8 @@
 }
 
 /// Yields to the runtime if the socket has bytes to read, so that the runtime polls the kernel for them. Cancel safe.
-async fn runtime_catches_up(socket: &Socket) {
-    if !socket.is_silent() {
+async fn yield_for_socket_readiness(socket: &Socket) {
+    if !socket.has_nothing_to_read() {
         yield_now().await;
     }
 }
@@ -142,7 +149,7 @@
     connections: &ConnectionSet,
     connection: &ClientConnection,
     request: Request<Incoming>,
-    limits: Limits,
+    deadlines: RequestDeadlines,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let event_loop = connections.event_loop();
     // The request's attempt needs a socket too, and idle clients must not keep it from getting one.
@@ -152,7 +159,7 @@
     let mut response = if is_health_check(&request) {
         check_health(event_loop)
     } else {
-        respond(event_loop, connection, request, limits).await
+        respond(event_loop, connection, request, deadlines).await
     };
     connection.end_request();
     if connections.phase() != Phase::Serving || event_loop.pool().is_full() || connection.socket.overflowed()
--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -32,7 +32,7 @@
 }
 
 /// Numbers of connections that have carried a request, which a graceful shutdown reports.
-struct Owed {
+struct DrainProgress {
     /// Number of open connections that have carried a request.
     open: usize,
     /// Number of those connections with a request in progress.
@@ -86,8 +86,8 @@
     pub(super) fn evict_idle_connection(&self) {
         let open = self.open.borrow();
         let idle = open.values().filter(|connection| connection.may_be_evicted());
-        let longest = idle.min_by_key(|connection| connection.eviction_order());
-        match longest {
+        let longest_idle = idle.min_by_key(|connection| connection.eviction_order());
+        match longest_idle {
             Some(connection) => connection.evict(),
             None => {
                 self.event_loop.pool().close_unused();
@@ -109,17 +109,17 @@
         self.answer_by.get()
     }
 
-    fn owed(&self) -> Owed {
+    fn drain_progress(&self) -> DrainProgress {
         let open = self.open.borrow();
-        let used = open.values().filter(|connection| connection.has_carried_request.get());
-        let in_request = used.clone().filter(|connection| connection.in_request.get());
-        Owed { open: used.count(), in_request: in_request.count() }
+        let in_use = open.values().filter(|connection| connection.has_carried_request.get());
+        let in_request = in_use.clone().filter(|connection| connection.in_request.get());
+        DrainProgress { open: in_use.count(), in_request: in_request.count() }
     }
 
-    /// Logs the progress of the graceful shutdown that began at `stopped`.
-    pub(super) fn log_drain(&self, stopped: Instant) {
-        let Owed { open, in_request } = self.owed();
-        let since = stopped.elapsed().as_millis();
+    /// Logs the progress of the graceful shutdown that began at `drain_started_at`.
+    pub(super) fn log_drain(&self, drain_started_at: Instant) {
+        let DrainProgress { open, in_request } = self.drain_progress();
+        let since = drain_started_at.elapsed().as_millis();
         crate::log(format_args!("{since} ms into the drain: {open} callers, {in_request} in a request"));
     }
 }
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -51,7 +51,7 @@
 impl ClientConnection {
     pub(super) fn new(stream: TcpStream) -> Self {
         Self {
-            socket: Socket::of_requests(stream),
+            socket: Socket::for_server(stream),
             in_request: Cell::new(false),
             evicted: Cell::new(false),
             awaiting_answer: Cell::new(false),
@@ -132,7 +132,7 @@
     }
 
     /// Waits until the client has had [`UNREAD_ANSWER_TIMEOUT`] to read the latest answer. Cancel safe.
-    pub(super) async fn answer_left_unread(&self) {
+    pub(super) async fn unread_answer_overdue(&self) {
         loop {
             sleep_until(self.idle_since.get() + UNREAD_ANSWER_TIMEOUT).await;
             if !self.in_request.get() && self.idle_since.get().elapsed() >= UNREAD_ANSWER_TIMEOUT {
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -53,7 +53,7 @@
 
     /// When the latest failed accept occurred; `None` if no accept has failed.
     pub(super) fn last_failure(&self) -> Option<Instant> {
-        self.failed.latest
+        self.failed.last_failed_at
     }
 
     /// Accepts connections until the future `until` is ready.
@@ -64,21 +64,21 @@
                 biased;
                 // Polled first: during a flood there is always another connection, and `until` would never be polled.
                 () = until.as_mut() => return,
-                accepted = self.next() => accepted,
+                accepted = self.next_connection() => accepted,
             };
             match accepted {
                 Ok(stream) => {
                     self.failed.succeeded();
                     self.start_connection(stream);
                 }
-                Err(error) => self.recover(&error).await,
+                Err(error) => self.handle_accept_error(&error).await,
             }
         }
     }
 
     /// Accepts the next connection, once there is a descriptor for it that neither discovery nor an attempt may need.
     /// Cancel safe: no connection is lost if the future is dropped.
-    async fn next(&self) -> io::Result<TcpStream> {
+    async fn next_connection(&self) -> io::Result<TcpStream> {
         while self.connections.event_loop().pool().is_full() {
             // Only a few at a time, because each connection may take a moment to close.
             for _ in 0..EVICTIONS_PER_CHECK {
@@ -107,7 +107,7 @@
         });
     }
 
-    async fn recover(&mut self, error: &io::Error) {
+    async fn handle_accept_error(&mut self, error: &io::Error) {
         let reaction = self.failed.failed(error);
         // During a drain all connections end soon, and their clients may have no other balancer to connect to.
         if reaction.evict && !self.connections.is_draining() {
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -19,36 +19,36 @@
 use crate::upstream::{Call, MAX_BODY_BYTES};
 
 /// Time subtracted from a client's deadline, so that the answer arrives before the deadline.
-const MARGIN: Duration = Duration::from_millis(30);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
 
 /// The reason why a client's request is malformed. The error texts are sent to the client.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub(super) enum BadRequest {
     #[error("no such class")]
-    Class,
+    UnknownClass,
     #[error("no such tenant")]
-    Tenant,
+    UnknownTenant,
     #[error("the deadline is not a time in seconds")]
-    Deadline,
+    InvalidDeadline,
     #[error("no request id")]
-    Id,
+    MissingRequestId,
     #[error("the method does not fit the class")]
     Method,
     #[error("the class wants an idempotency key")]
-    Key,
+    MissingIdempotencyKey,
     #[error("the body is too large")]
     TooLarge,
     #[error("the body broke off")]
     Body,
     #[error("the body came too slowly")]
-    Slow,
+    BodyTimedOut,
 }
 
 impl BadRequest {
     pub(super) fn status(&self) -> StatusCode {
         match self {
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::Slow => StatusCode::REQUEST_TIMEOUT,
+            Self::BodyTimedOut => StatusCode::REQUEST_TIMEOUT,
             _ => StatusCode::BAD_REQUEST,
         }
     }
@@ -76,16 +76,16 @@
 impl RequestHead {
     fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let OfferedClass { id: class, figures } = offered.class(class).ok_or(BadRequest::Class)?;
+        let OfferedClass { id: class, figures } = offered.class(class).ok_or(BadRequest::UnknownClass)?;
         check_method(figures.idempotency, head)?;
         let tenant = match header_text(&head.headers, "x-tenant") {
-            Some(name) => Some(offered.tenant(name).ok_or(BadRequest::Tenant)?),
+            Some(name) => Some(offered.tenant(name).ok_or(BadRequest::UnknownTenant)?),
             None if offered.has_no_tenants() => None,
-            None => return Err(BadRequest::Tenant),
+            None => return Err(BadRequest::UnknownTenant),
         };
         // A client that sends no deadline is assumed to wait for as long as its class allows.
         let client_timeout = match head.headers.get("x-deadline") {
-            Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::Deadline)?,
+            Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::InvalidDeadline)?,
             None => figures.deadline,
         };
         let must_not_repeat = figures.idempotency == Idempotency::NotIdempotent;
@@ -99,7 +99,7 @@
     match idempotency {
         Idempotency::Idempotent if head.method != Method::GET => Err(BadRequest::Method),
         Idempotency::IdempotencyKey { .. } if !head.headers.contains_key("idempotency-key") => {
-            Err(BadRequest::Key)
+            Err(BadRequest::MissingIdempotencyKey)
         }
         Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent if head.method != Method::POST => {
             Err(BadRequest::Method)
@@ -120,7 +120,7 @@
     let offered = event_loop.offered();
     let mut checked = RequestHead::read(&head, &offered)?;
     let key = head.headers.get("idempotency-key").cloned();
-    let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::Id)?;
+    let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::MissingRequestId)?;
     let body = read_body(body, complete_by).await?;
     // The settings may have changed while the body was read; the request is accepted under the settings now in force.
     let latest = event_loop.offered();
@@ -136,7 +136,7 @@
         subject: affinity_key(head.uri.query()),
         expected_work: cost.map(Duration::from_micros),
         is_client_retry: header_text(&head.headers, "x-retry") == Some("1"),
-        deadline: now + client_timeout.saturating_sub(MARGIN),
+        deadline: now + client_timeout.saturating_sub(RESPONSE_MARGIN),
         client,
         call: Rc::new(Call {
             method: head.method,
@@ -155,7 +155,7 @@
         return Err(BadRequest::TooLarge);
     }
     match timeout_at(complete_by, Limited::new(body, MAX_BODY_BYTES).collect()).await {
-        Err(_) => Err(BadRequest::Slow),
+        Err(_) => Err(BadRequest::BodyTimedOut),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(BadRequest::TooLarge),
         Ok(Err(_)) => Err(BadRequest::Body),
--- a/crates/proxy/src/downstream/response.rs
+++ b/crates/proxy/src/downstream/response.rs
@@ -20,7 +20,7 @@
 const DECISION_GRACE: Duration = Duration::from_millis(10);
 
 /// The deadlines of a request.
-pub(super) struct Limits {
+pub(super) struct RequestDeadlines {
     /// Deadline by which the last byte of the request must have arrived.
     pub(super) complete_by: Instant,
     /// Deadline for the answer during a drain, in addition to the request's own deadline; `None` if there is no drain.
@@ -32,20 +32,20 @@
     event_loop: &Rc<EventLoop>,
     connection: &ClientConnection,
     request: Request<Incoming>,
-    limits: Limits,
+    deadlines: RequestDeadlines,
 ) -> Response<Full<Bytes>> {
     let client = connection.socket.downgrade();
-    match read_request(event_loop, request, client, limits.complete_by).await {
+    match read_request(event_loop, request, client, deadlines.complete_by).await {
         Err(error) => error_response(&error),
         // An attempt would get no socket either. Nothing has run, so the request is refused.
         Ok(_) if event_loop.pool().is_full() => answer_response(Answer::Refused { retry_after: None }),
-        Ok(mut received) => {
-            if let Some(answer_by) = limits.answer_by {
-                received.deadline = received.deadline.min(answer_by);
+        Ok(mut accepted) => {
+            if let Some(answer_by) = deadlines.answer_by {
+                accepted.deadline = accepted.deadline.min(answer_by);
             }
             connection.socket.body_complete();
             connection.awaiting_answer.set(true);
-            let answer = await_answer(event_loop, received).await;
+            let answer = await_answer(event_loop, accepted).await;
             connection.awaiting_answer.set(false);
             answer_response(answer)
         }
@@ -67,14 +67,14 @@
 
 /// Hands a request to the event loop and waits for its answer. Dropping the future while it waits notifies the event
 /// loop that the client has disconnected.
-async fn await_answer(event_loop: &Rc<EventLoop>, received: AcceptedRequest) -> Answer {
-    let overdue = received.deadline + DECISION_GRACE;
-    let PendingAnswer { id, answer } = event_loop.accept(received);
+async fn await_answer(event_loop: &Rc<EventLoop>, accepted: AcceptedRequest) -> Answer {
+    let give_up_at = accepted.deadline + DECISION_GRACE;
+    let PendingAnswer { id, answer } = event_loop.accept(accepted);
     let guard = DepartureGuard { event_loop: Rc::clone(event_loop), id };
     let answer = tokio::select! {
         biased;
         answer = answer => answer.unwrap_or(Answer::Failed),
-        () = sleep_until(overdue) => Answer::Failed,
+        () = sleep_until(give_up_at) => Answer::Failed,
     };
     drop(guard);
     answer
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -64,18 +64,19 @@
     phase: &watch::Sender<Phase>,
 ) {
     let connections = Rc::clone(accept_loop.connections());
-    let stopped = Instant::now();
-    connections.start_drain(stopped + schedule.answer_by);
-    connections.log_drain(stopped);
+    let drain_started_at = Instant::now();
+    connections.start_drain(drain_started_at + schedule.answer_by);
+    connections.log_drain(drain_started_at);
     accept_loop.run_until(sleep(schedule.close_from)).await;
     phase.send_replace(Phase::Closing);
-    connections.log_drain(stopped);
+    connections.log_drain(drain_started_at);
     accept_loop.run_until(sleep(schedule.late_accepts)).await;
     // A connection with a request in progress ends with its answer. A connection that has not carried a request may
     // have one in its socket, and ends at the latest when its own timeout expires.
     let mut quiet_since = Instant::now();
     while quiet_since.elapsed() < QUIET_PERIOD
-        && stopped.elapsed() < DrainSchedule::give_up_after(connections.event_loop().longest_deadline())
+        && drain_started_at.elapsed()
+            < DrainSchedule::give_up_after(connections.event_loop().longest_deadline())
     {
         accept_loop.run_until(sleep(QUIET_POLL_INTERVAL)).await;
         if !connections.is_empty() {
@@ -86,7 +87,7 @@
             quiet_since = quiet_since.max(failed);
         }
     }
-    connections.log_drain(stopped);
+    connections.log_drain(drain_started_at);
 }
 
 /// Reloads the address of discovery from the configuration file on each SIGHUP. An invalid file changes nothing.
--- a/crates/proxy/src/downstream/shutdown.rs
+++ b/crates/proxy/src/downstream/shutdown.rs
@@ -12,7 +12,7 @@
 /// Time that the platform adds to the longest deadline before it sends SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Least time that connections stay open after SIGTERM, because the front continues to send requests for 0.4 s.
-const DRAIN_OPEN_MIN: Duration = Duration::from_millis(500);
+const MIN_DRAIN_OPEN: Duration = Duration::from_millis(500);
 /// How long before the earliest kill connections start to close: each answer then closes its connection, and idle
 /// connections are closed. Until then clients continue to use their connections, because they may have no other
 /// balancer.
@@ -57,7 +57,7 @@
         Self {
             earliest_kill,
             answer_by: earliest_kill.saturating_sub(ANSWER_BEFORE_KILL),
-            close_from: earliest_kill.saturating_sub(CLOSE_BEFORE_KILL).max(DRAIN_OPEN_MIN),
+            close_from: earliest_kill.saturating_sub(CLOSE_BEFORE_KILL).max(MIN_DRAIN_OPEN),
             late_accepts: LATE_ACCEPT_PERIOD,
         }
     }
@@ -66,6 +66,6 @@
     /// its answer does not delay the end. `longest_deadline` is that of the settings in force.
     #[must_use]
     pub fn give_up_after(longest_deadline: Duration) -> Duration {
-        longest_deadline + DRAIN_OPEN_MIN
+        longest_deadline + MIN_DRAIN_OPEN
     }
 }
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -70,7 +70,7 @@
     /// Wraps an accepted stream like [`Self::new`], for a server that reads one request at a time. The server must call
     /// [`Self::head_complete`] and [`Self::response_ready`] for each request.
     #[must_use]
-    pub fn of_requests(stream: TcpStream) -> Self {
+    pub fn for_server(stream: TcpStream) -> Self {
         Self::with_limit(stream, ReadLimit::ToHeadEnd(HeadEnd::default()))
     }
 
@@ -128,7 +128,7 @@
     /// Whether the kernel has nothing to read from the peer: no bytes, no end of stream and no error. It peeks at the
     /// socket, because the readiness that the runtime last recorded may be out of date.
     #[must_use]
-    pub fn is_silent(&self) -> bool {
+    pub fn has_nothing_to_read(&self) -> bool {
         let peeked = SockRef::from(&*self.0.stream.borrow()).peek(&mut [MaybeUninit::uninit()]);
         peeked.is_err_and(|error| error.kind() == ErrorKind::WouldBlock)
     }
@@ -157,7 +157,7 @@
 
     /// Ready once the peer has ended its stream or the connection has broken. Bytes before the end are stored for
     /// hyper. It must be polled from the same task as hyper's reads, because only one task is woken.
-    pub fn poll_gone(&self, context: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_disconnected(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut scratch = [0; 4096];
         for _ in 0..READS_PER_TURN {
             let mut buffer = ReadBuf::new(&mut scratch);
@@ -173,17 +173,19 @@
 
     /// Shuts the connection down so that the peer receives all that was written: closing a socket with unread bytes
     /// would reset the connection. It then reads and discards incoming bytes until the peer closes too, for at most
-    /// `most`. If the future is dropped before that, the connection may be reset.
-    pub async fn close(mut self, most: Duration) {
+    /// `linger_timeout`. If the future is dropped before that, the connection may be reset.
+    pub async fn close(mut self, linger_timeout: Duration) {
         let ended = std::future::poll_fn(|context| Pin::new(&mut self).poll_shutdown(context)).await;
         if ended.is_ok() {
             self.0.overflowed.set(true);
-            if most.is_zero() {
+            if linger_timeout.is_zero() {
                 // Polled once without a timer, whose next tick is up to a millisecond away, because sockets are scarce.
-                std::future::poll_fn(|context| Poll::Ready(self.poll_gone(context).is_ready())).await;
+                std::future::poll_fn(|context| Poll::Ready(self.poll_disconnected(context).is_ready())).await;
             } else {
                 // Whether the peer has closed or the timeout has expired, the socket is closed next.
-                let _ = timeout(most, std::future::poll_fn(|context| self.poll_gone(context))).await;
+                let _ =
+                    timeout(linger_timeout, std::future::poll_fn(|context| self.poll_disconnected(context)))
+                        .await;
             }
         }
     }
@@ -200,14 +202,14 @@
 
     /// Delivers bytes that have been read ahead to hyper, as far as the limit allows.
     fn deliver_read_ahead(&self, buffer: &mut ReadBuf<'_>) {
-        let mut ahead = self.0.read_ahead.borrow_mut();
-        let offered = ahead.len().min(buffer.remaining());
-        let given = self.deliverable(&ahead[..offered]);
-        buffer.put_slice(&ahead[..given]);
-        ahead.advance(given);
+        let mut buffered = self.0.read_ahead.borrow_mut();
+        let offered = buffered.len().min(buffer.remaining());
+        let delivered = self.deliverable(&buffered[..offered]);
+        buffer.put_slice(&buffered[..delivered]);
+        buffered.advance(delivered);
         // The buffer is freed so that idle connections do not hold its memory.
-        if ahead.is_empty() {
-            *ahead = BytesMut::new();
+        if buffered.is_empty() {
+            *buffered = BytesMut::new();
         }
     }
 
@@ -216,15 +218,15 @@
         let before = buffer.filled().len();
         ready!(self.poll_receive(context, buffer))?;
         let received = &buffer.filled()[before..];
-        let given = self.deliverable(received);
-        self.0.read_ahead.borrow_mut().extend_from_slice(&received[given..]);
-        buffer.set_filled(before + given);
+        let delivered = self.deliverable(received);
+        self.0.read_ahead.borrow_mut().extend_from_slice(&received[delivered..]);
+        buffer.set_filled(before + delivered);
         Poll::Ready(Ok(()))
     }
 
     /// Restarts the time of a partly received head after each write, so that it counts from the end of the previous
     /// answer.
-    fn wrote(&self, done: &Poll<io::Result<usize>>) {
+    fn restart_head_time(&self, done: &Poll<io::Result<usize>>) {
         if matches!(done, Poll::Ready(Ok(_))) && self.head_since().is_some() {
             self.0.head_since.set(Some(Instant::now()));
         }
@@ -232,11 +234,11 @@
 
     /// Stores bytes that hyper has not asked for yet, or discards them if they exceed [`READ_AHEAD_MAX_BYTES`].
     fn store_read_ahead(&self, bytes: &[u8]) {
-        let mut ahead = self.0.read_ahead.borrow_mut();
-        if self.overflowed() || ahead.len() + bytes.len() > READ_AHEAD_MAX_BYTES {
+        let mut buffered = self.0.read_ahead.borrow_mut();
+        if self.overflowed() || buffered.len() + bytes.len() > READ_AHEAD_MAX_BYTES {
             self.0.overflowed.set(true);
         } else {
-            ahead.extend_from_slice(bytes);
+            buffered.extend_from_slice(bytes);
         }
     }
 
@@ -259,7 +261,7 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if matches!(*self.0.limit.borrow(), ReadLimit::Bytes(0)) {
-            return self.poll_gone(context).map(Ok);
+            return self.poll_disconnected(context).map(Ok);
         }
         if !self.0.read_ahead.borrow().is_empty() {
             self.deliver_read_ahead(buffer);
@@ -273,7 +275,7 @@
 impl AsyncWrite for Socket {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(context, bytes);
-        self.wrote(&done);
+        self.restart_head_time(&done);
         done
     }
 
@@ -291,7 +293,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(context, parts);
-        self.wrote(&done);
+        self.restart_head_time(&done);
         done
     }
 
--- a/crates/proxy/src/socket/framing.rs
+++ b/crates/proxy/src/socket/framing.rs
@@ -27,17 +27,17 @@
             Self::Unlimited => Advance { bytes: bytes.len(), in_head: false },
             Self::ToHeadEnd(head) => {
                 let end = head.find(bytes);
-                let in_head = head.begun;
+                let in_head = head.started;
                 // The length of the body is known only once hyper has parsed the head.
                 if end.is_some() {
                     *self = Self::Unlimited;
                 }
                 Advance { bytes: end.unwrap_or(bytes.len()), in_head }
             }
-            Self::Bytes(left) => {
-                let given = bytes.len().min(usize::try_from(*left).unwrap_or(usize::MAX));
-                *left -= given as u64;
-                Advance { bytes: given, in_head: false }
+            Self::Bytes(remaining) => {
+                let delivered = bytes.len().min(usize::try_from(*remaining).unwrap_or(usize::MAX));
+                *remaining -= delivered as u64;
+                Advance { bytes: delivered, in_head: false }
             }
         }
     }
@@ -47,7 +47,7 @@
 #[derive(Debug, Default)]
 pub(super) struct HeadEnd {
     /// Whether the first line that is not empty has begun.
-    begun: bool,
+    started: bool,
     /// Whether the current line has any characters.
     in_line: bool,
 }
@@ -58,10 +58,10 @@
         for (position, byte) in bytes.iter().enumerate() {
             match byte {
                 b'\r' => {}
-                b'\n' if self.begun && !self.in_line => return Some(position + 1),
+                b'\n' if self.started && !self.in_line => return Some(position + 1),
                 b'\n' => self.in_line = false,
                 _ => {
-                    self.begun = true;
+                    self.started = true;
                     self.in_line = true;
                 }
             }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -66,7 +66,7 @@
     /// neither closed the connection nor sent any bytes, which would be read as the next response.
     #[must_use]
     pub fn is_free(&self) -> bool {
-        self.sender.is_ready() && self.socket.is_silent()
+        self.sender.is_ready() && self.socket.has_nothing_to_read()
     }
 }
 
