--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -119,7 +119,10 @@
     /// Logs the progress of the graceful shutdown that began at `drain_started_at`.
     pub(super) fn log_drain(&self, drain_started_at: Instant) {
         let DrainProgress { open, in_request } = self.drain_progress();
-        let since = drain_started_at.elapsed().as_millis();
-        crate::log(format_args!("{since} ms into the drain: {open} callers, {in_request} in a request"));
+        let elapsed_ms = drain_started_at.elapsed().as_millis();
+        crate::log(format_args!(
+            "graceful shutdown, {elapsed_ms} ms in: {open} client connections in use, {in_request} with a \
+             request in progress"
+        ));
     }
 }
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -169,7 +169,7 @@
     let mut idle = Client::connect(address);
     assert_eq!(idle.ask("order", "two").header("connection"), None);
     signal(&child, "-TERM");
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
     // Clients that may have nowhere else to go keep their connection for now.
     for _ in 0..2 {
         let answer = idle.ask("order", "still");
@@ -233,9 +233,9 @@
         .collect();
     upstream.wait_requests(100);
     signal(&child, "-TERM");
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
     let before = upstream.requests().len();
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
     assert!(upstream.requests().len() > before + 100, "they went on");
     let late: Vec<_> = (0..20)
         .map(|_| {
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -364,7 +364,7 @@
         watch.publishes(document("fleet", version, &json!({"lanes": lanes})));
         if version == 20 {
             signal(&child, "-TERM");
-            wait_line(&mut log, "into the drain");
+            wait_line(&mut log, "graceful shutdown, ");
         }
     }
     released.store(true, Ordering::Relaxed);
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -402,7 +402,7 @@
         let left = connecting(late.address);
         signal(&child, "-TERM");
         let stopped = Instant::now();
-        wait_line(&mut log, "into the drain");
+        wait_line(&mut log, "graceful shutdown, ");
         drop(log);
         wait_for("the end", || child.try_wait().expect("known"));
         assert!(refused != Some(200) && left.len() == 1, "nothing is crossed: {refused:?}, {left:?}");
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -29,7 +29,7 @@
     /// SIGTERM, up to where the program has received it.
     fn terminate(&mut self) {
         signal(&self.child, "-TERM");
-        wait_line(&mut self.log, "into the drain");
+        wait_line(&mut self.log, "graceful shutdown, ");
     }
 
     /// The client gets this answer, and the program its end.
@@ -168,7 +168,7 @@
     });
     let stopped = Instant::now();
     signal(&child, "-TERM");
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
     // Clients go on coming for as long as the front goes on sending.
     while stopped.elapsed() < Duration::from_millis(400) {
         let mut client = Client::connect(address);
@@ -209,7 +209,7 @@
     old.wait_requests(50);
     let stopped = Instant::now();
     signal(&child, "-TERM");
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
     watch.says(
         8,
         false,
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -191,7 +191,7 @@
     let mut resting = Client::connect(address);
     assert_eq!((begun.ask("order", "one").status(), resting.ask("order", "one").status()), (200, 200));
     signal(&child, "-TERM");
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
     // 0.9 s before the earliest kill, which is 3.7 s after the signal, connections begin to close.
     thread::sleep(Duration::from_millis(2300));
     let next = order_with(b"");
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -41,8 +41,8 @@
         .collect();
     signal(&child, "-TERM");
     let signalled = Instant::now();
-    wait_line(&mut log, "into the drain");
-    wait_line(&mut log, "into the drain");
+    wait_line(&mut log, "graceful shutdown, ");
+    wait_line(&mut log, "graceful shutdown, ");
     // Answers close their connections from 0.5 s on; the rest is for a machine with much else to do.
     assert!(signalled.elapsed() < SOON, "{:?}", signalled.elapsed());
     drop(log);
