--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -1,6 +1,6 @@
-//! Failed accepts: whether a connection gives way and whether the accept loop pauses, so that neither a shortage nor a
-//! broken listener makes it spin. What kind of failure an error is says [`AcceptFailure`], which the hosts of the
-//! configuration use as well.
+//! Handles failed accepts: decides whether an idle connection is evicted and whether the accept loop pauses, so that
+//! neither a shortage of descriptors nor a broken listener makes the loop spin. Errors are classified by
+//! [`AcceptFailure`], which the configuration hosts use as well.
 
 use std::io;
 use std::time::Duration;
@@ -8,55 +8,59 @@
 pub use config_distribution::host::accept::AcceptFailure;
 use tokio::time::Instant;
 
-/// For how long accepts must have failed for want of a descriptor before a connection gives way: an attempt or a close
-/// that is under way frees one sooner, and costs nobody a connection.
+/// How long accepts must have failed for lack of descriptors before an idle connection is evicted. An attempt or a
+/// close in progress usually frees a descriptor sooner, without costing a client its connection.
 const SHORTAGE_BEFORE_EVICTION: Duration = Duration::from_millis(25);
-/// Accepts that may fail in a row before the loop waits, whatever the reason: enough for a burst of connections that
-/// were given up in the queue, few enough that a listener that only fails does not spin.
+/// Number of consecutive failed accepts, for whatever reason, after which the loop pauses. It allows for a burst of
+/// connections that clients gave up while they were in the accept queue, and still keeps a listener that always fails
+/// from making the loop spin.
 const FAILURES_BEFORE_PAUSE: u32 = 16;
-/// How often a failed accept is logged at most, so that the log costs little while accepts fail.
+/// Least interval between log lines about failed accepts, so that logging costs little while accepts fail.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The accepts that failed since the last one that succeeded.
+/// Tracks failed accepts, mainly those since the last accept that succeeded.
 #[derive(Debug, Default)]
 pub(super) struct FailedAccepts {
-    in_a_row: u32,
-    /// When the latest failed, also before one that succeeded.
-    pub(super) latest: Option<Instant>,
-    /// Since when descriptors have been short.
+    /// Number of failed accepts since the last one that succeeded.
+    consecutive_failures: u32,
+    /// When the latest failed accept occurred, even if an accept has succeeded since.
+    pub(super) last_failed_at: Option<Instant>,
+    /// When descriptors ran short; `None` if an accept has succeeded since.
     short_since: Option<Instant>,
-    /// When one was last logged.
-    logged: Option<Instant>,
+    /// When a failed accept was last logged.
+    last_logged_at: Option<Instant>,
 }
 
-/// What the accept loop does about a failed accept.
+/// How the accept loop reacts to a failed accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AcceptReaction {
+    /// Whether to evict an idle connection.
     pub(super) evict: bool,
+    /// Whether to pause before the next accept.
     pub(super) pause: bool,
 }
 
 impl FailedAccepts {
     pub(super) fn succeeded(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive_failures = 0;
         self.short_since = None;
     }
 
     pub(super) fn failed(&mut self, error: &io::Error) -> AcceptReaction {
         self.log(error);
-        self.in_a_row += 1;
-        self.latest = Some(Instant::now());
+        self.consecutive_failures += 1;
+        self.last_failed_at = Some(Instant::now());
         let failure = AcceptFailure::of(error);
         let evict = failure == AcceptFailure::OutOfDescriptors
             && self.short_since.get_or_insert_with(Instant::now).elapsed() >= SHORTAGE_BEFORE_EVICTION;
-        let pause = failure != AcceptFailure::Transient || self.in_a_row >= FAILURES_BEFORE_PAUSE;
+        let pause = failure != AcceptFailure::Transient || self.consecutive_failures >= FAILURES_BEFORE_PAUSE;
         AcceptReaction { evict, pause }
     }
 
     fn log(&mut self, error: &io::Error) {
-        if self.logged.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
-            crate::log(format_args!("a connection could not be accepted: {error}"));
-            self.logged = Some(Instant::now());
+        if self.last_logged_at.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
+            crate::log(format_args!("a client connection could not be accepted: {error}"));
+            self.last_logged_at = Some(Instant::now());
         }
     }
 }
--- a/crates/proxy/src/downstream/connection_set.rs
+++ b/crates/proxy/src/downstream/connection_set.rs
@@ -1,4 +1,5 @@
-//! The open connections of clients: which may still be owed an answer, and which gives way when sockets run short.
+//! The set of open client connections: which are in use during a graceful shutdown, and which is evicted when sockets
+//! run short.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,27 +13,29 @@
 use super::shutdown::Phase;
 use crate::event_loop::EventLoop;
 
-/// The clients' connections, and what the whole of them goes by.
+/// The open client connections and the state that they share, such as the phase of the graceful shutdown.
 pub(super) struct ConnectionSet {
     event_loop: Rc<EventLoop>,
     phases: watch::Receiver<Phase>,
-    /// By number, which is the order of their coming.
+    /// Open connections by number; numbers ascend in the order in which connections were accepted.
     open: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_number: Cell<u64>,
-    /// After SIGTERM: when what still comes must be answered.
+    /// Deadline for answers to requests that arrive after SIGTERM; `None` before SIGTERM.
     answer_by: Cell<Option<Instant>>,
 }
 
-/// A connection that has been entered into the set.
+/// A connection that has been inserted into the set, with its number.
 pub(super) struct InsertedConnection {
-    /// Removes it from the set.
+    /// Number of the connection, with which it is removed from the set.
     pub(super) number: u64,
     pub(super) connection: Rc<ClientConnection>,
 }
 
-/// Connections on which an answer may still be owed.
-struct Owed {
+/// Numbers of connections that have carried a request, which a graceful shutdown reports.
+struct DrainProgress {
+    /// Number of open connections that have carried a request.
     open: usize,
+    /// Number of those connections with a request in progress.
     in_request: usize,
 }
 
@@ -51,7 +54,7 @@
         &self.event_loop
     }
 
-    /// Notified of each change of the phase.
+    /// A receiver that is notified of each change of the shutdown phase.
     pub(super) fn phases(&self) -> watch::Receiver<Phase> {
         self.phases.clone()
     }
@@ -60,7 +63,7 @@
         *self.phases.borrow()
     }
 
-    /// Enters a client's connection that has come up.
+    /// Inserts an accepted client connection into the set.
     pub(super) fn insert(&self, stream: TcpStream) -> InsertedConnection {
         let connection = Rc::new(ClientConnection::new(stream));
         let number = self.next_number.get();
@@ -77,13 +80,14 @@
         self.open.borrow().is_empty()
     }
 
-    /// Closes the connection that has stood idle for longest: a client's, which costs it a new one at most,
-    /// or else one to an upstream. One on which a request has begun to come goes last.
+    /// Closes the client connection that has been idle for longest, which at most makes its client open a new one.
+    /// Connections on which the head of a request has begun to arrive are chosen last. If no client connection is idle,
+    /// it closes an unused connection to an upstream.
     pub(super) fn evict_idle_connection(&self) {
         let open = self.open.borrow();
         let idle = open.values().filter(|connection| connection.may_be_evicted());
-        let longest = idle.min_by_key(|connection| connection.eviction_order());
-        match longest {
+        let longest_idle = idle.min_by_key(|connection| connection.eviction_order());
+        match longest_idle {
             Some(connection) => connection.evict(),
             None => {
                 self.event_loop.pool().close_unused();
@@ -91,7 +95,7 @@
         }
     }
 
-    /// From now on what comes must be answered by then.
+    /// Starts the drain: requests that arrive from now on must be answered by `answer_by`.
     pub(super) fn start_drain(&self, answer_by: Instant) {
         self.answer_by.set(Some(answer_by));
     }
@@ -100,21 +104,25 @@
         self.answer_by.get().is_some()
     }
 
-    /// In a drain: when a request that comes must have its answer.
+    /// Deadline for the answer to a request that arrives during the drain; `None` if there is no drain.
     pub(super) fn answer_by(&self) -> Option<Instant> {
         self.answer_by.get()
     }
 
-    fn owed(&self) -> Owed {
+    fn drain_progress(&self) -> DrainProgress {
         let open = self.open.borrow();
-        let used = open.values().filter(|connection| connection.has_carried_request.get());
-        let in_request = used.clone().filter(|connection| connection.in_request.get());
-        Owed { open: used.count(), in_request: in_request.count() }
+        let in_use = open.values().filter(|connection| connection.has_carried_request.get());
+        let in_request = in_use.clone().filter(|connection| connection.in_request.get());
+        DrainProgress { open: in_use.count(), in_request: in_request.count() }
     }
 
-    pub(super) fn log_drain(&self, stopped: Instant) {
-        let Owed { open, in_request } = self.owed();
-        let since = stopped.elapsed().as_millis();
-        crate::log(format_args!("{since} ms into the drain: {open} callers, {in_request} in a request"));
+    /// Logs the progress of the graceful shutdown that began at `drain_started_at`.
+    pub(super) fn log_drain(&self, drain_started_at: Instant) {
+        let DrainProgress { open, in_request } = self.drain_progress();
+        let elapsed_ms = drain_started_at.elapsed().as_millis();
+        crate::log(format_args!(
+            "graceful shutdown, {elapsed_ms} ms in: {open} client connections in use, {in_request} with a \
+             request in progress"
+        ));
     }
 }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,5 +1,5 @@
-//! One attempt: sends its request on a connection from the pool, and reports how that ended. An attempt never retries by
-//! itself: whether another may follow is the policy's decision.
+//! Runs one attempt: sends its request on a connection from the pool, and reports the outcome. An attempt never retries
+//! by itself; the policy decides whether another attempt follows.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,12 +20,12 @@
 use super::progress::Progress;
 use super::response::read_response;
 
-/// How long a connection may take to be ready again after an answer. One whose upstream answered without
-/// reading the request to its end never is.
+/// How long a connection may take to become ready for another request after a response. A connection whose upstream
+/// responded without reading the whole request never becomes ready.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The conditions that are checked as the bytes of an attempt's request are written.
-struct Bounds<C> {
+/// The conditions under which the bytes of an attempt's request may be written, checked at each write.
+struct AttemptWriteCheck<C> {
     context: Rc<C>,
     request: RequestId,
     upstream: EndpointId,
@@ -34,70 +34,71 @@
     until: Instant,
 }
 
-impl<C: AttemptContext> Bounds<C> {
+impl<C: AttemptContext> AttemptWriteCheck<C> {
     fn of(context: &Rc<C>, job: &Job) -> Self {
         let &Job { request, upstream, address, begin_by, until, .. } = job;
         Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
     }
 
-    /// Whether the window is over in which upstreams discard a repeat.
-    fn is_late(&self) -> bool {
+    /// Whether the window in which upstreams deduplicate a repeated request has ended.
+    fn is_past_begin_by(&self) -> bool {
         self.begin_by.is_some_and(|by| Instant::now() > by)
     }
 
-    /// Why the attempt must not begin, if it must not.
+    /// The outcome of an attempt that must not send its request any more; `None` if it may.
     fn refusal(&self) -> Option<Outcome> {
-        // While it connected, the upstream may have begun to drain, or gone: nothing new goes there.
+        // While the attempt connected, the upstream may have begun to drain or have been removed from the list. No new
+        // request is sent to such an upstream.
         if !self.context.may_send(self.upstream, self.address) {
             return Some(Outcome::ConnectFailed);
         }
-        // Its client may have left meanwhile, or another attempt have served it.
-        (!self.context.is_wanted(self.request) || self.is_late()).then_some(Outcome::NotSent)
+        // Meanwhile the client may have disconnected, or another attempt may have served the request.
+        (!self.context.is_wanted(self.request) || self.is_past_begin_by()).then_some(Outcome::NotSent)
     }
 }
 
-impl<C: AttemptContext> Clearance for Bounds<C> {
+impl<C: AttemptContext> Clearance for AttemptWriteCheck<C> {
     fn time_left_to_begin(&self) -> Option<Duration> {
-        let may = self.refusal().is_none() && self.context.is_awaited(self.request);
-        may.then(|| self.until.saturating_duration_since(Instant::now()))
+        let may_begin = self.refusal().is_none() && self.context.is_awaited(self.request);
+        may_begin.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
     fn may_continue(&self) -> bool {
-        !self.is_late() && self.context.is_awaited(self.request)
+        !self.is_past_begin_by() && self.context.is_awaited(self.request)
     }
 }
 
-/// The result of an exchange.
-struct Exchanged {
+/// The result of sending a request and reading its response.
+struct ExchangeResult {
     end: AttemptEnd,
-    /// The connection, if it may carry another request.
+    /// The connection, if it may carry another request; `None` if it is closed.
     connection: Option<Connection>,
 }
 
-impl From<Outcome> for Exchanged {
-    /// The connection, if there was one, is closed.
+impl From<Outcome> for ExchangeResult {
+    /// The result without a connection: the attempt's connection, if it had one, is closed.
     fn from(outcome: Outcome) -> Self {
         Self { end: outcome.into(), connection: None }
     }
 }
 
-/// Makes an attempt and notifies the context of how it ended.
+/// Runs an attempt and notifies the context of its outcome.
 pub async fn attempt<C: AttemptContext>(context: Rc<C>, job: Job, cancelled: oneshot::Receiver<()>) {
     let Some(host) = context.host(job.upstream, job.address) else {
-        // It drained, or went, between the decision and now.
+        // The upstream began to drain or was removed after the policy chose it.
         context.on_attempt_ended(&job, Outcome::ConnectFailed.into());
         return;
     };
     let progress = Progress::default();
     let exchange = exchange(&context, &job, &host, &progress);
-    let Exchanged { end, connection } = tokio::select! {
+    let ExchangeResult { end, connection } = tokio::select! {
         biased;
-        // At its deadline the exchange is dropped, and its connection closed with it.
-        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| overdue(&progress).into()),
+        // At the attempt's deadline the exchange is dropped, which closes its connection.
+        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| outcome_at_deadline(&progress).into()),
         Ok(()) = cancelled => Outcome::Cancelled.into(),
     };
     context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..end });
-    // The answer goes out first; then the connection is made ready for the next request.
+    // The client gets its response first; then this task waits until the connection can carry another request.
     if let Some(mut connection) = connection
         && let Ok(Ok(())) = timeout(SETTLE_TIMEOUT, connection.sender.ready()).await
     {
@@ -106,37 +107,37 @@
 }
 
 /// The outcome of an attempt that was given up at its deadline.
-fn overdue(progress: &Progress) -> Outcome {
+fn outcome_at_deadline(progress: &Progress) -> Outcome {
     if progress.is_complete() {
         Outcome::TimedOut
     } else if progress.connect_wait.get().is_none() {
         Outcome::ConnectTimedOut
     } else {
-        // Closed before its last byte was written, it can't run any more.
+        // The connection is closed before the last byte of the request was written, so the request cannot run.
         Outcome::ConnectFailed
     }
 }
 
-/// Sends the request on a connection and reads the answer; on another connection where an idle one turns out closed.
+/// Sends the request and reads the response. If an idle connection turns out to be closed, it uses another connection.
 async fn exchange<C: AttemptContext>(
     context: &Rc<C>,
     job: &Job,
     host: &Rc<Host>,
     progress: &Progress,
-) -> Exchanged {
+) -> ExchangeResult {
     loop {
         let acquired = match acquire(context, job, host).await {
             Ok(acquired) => acquired,
             Err(outcome) => return outcome.into(),
         };
         progress.connect_wait.set(Some(job.requested_at.elapsed()));
-        if let Some(exchanged) = exchange_on(acquired, context, job, progress).await {
-            return exchanged;
+        if let Some(result) = exchange_on(acquired, context, job, progress).await {
+            return result;
         }
     }
 }
 
-/// A connection, or the outcome of an attempt that gets none.
+/// Acquires a connection for the attempt, or returns the outcome of an attempt without a connection.
 async fn acquire<C: AttemptContext>(
     context: &Rc<C>,
     job: &Job,
@@ -150,11 +151,11 @@
             Ok(acquired)
         }
         Err(error) => {
-            if !matches!(error, AcquireError::NoSocket) {
+            if !matches!(error, AcquireError::SocketBudgetExhausted) {
                 context.on_unreachable(job.address, &error);
             }
             Err(match error {
-                AcquireError::NoSocket | AcquireError::Local(_) => Outcome::NotSent,
+                AcquireError::SocketBudgetExhausted | AcquireError::LocalShortage(_) => Outcome::NotSent,
                 AcquireError::TimedOut => Outcome::ConnectTimedOut,
                 _ => Outcome::ConnectFailed,
             })
@@ -162,25 +163,26 @@
     }
 }
 
-/// Sends the request on this connection and reads the answer; `None` if it was idle and turns out closed before a byte of
-/// the request went out.
+/// Sends the request on the given connection and reads the response. Returns `None` if the connection was idle and
+/// turns out to be closed before any byte of the request was written.
 async fn exchange_on<C: AttemptContext>(
     acquired: Acquired,
     context: &Rc<C>,
     job: &Job,
     progress: &Progress,
-) -> Option<Exchanged> {
+) -> Option<ExchangeResult> {
     let Acquired { mut connection, idle } = acquired;
-    let bounds = Bounds::of(context, job);
-    if let Some(outcome) = bounds.refusal() {
+    let write_check = AttemptWriteCheck::of(context, job);
+    if let Some(outcome) = write_check.refusal() {
         return Some(outcome.into());
     }
     let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
     connection.written.set(0);
-    connection.gate.set(Box::new(bounds));
+    connection.gate.set(Box::new(write_check));
     progress.start(&connection.written, size_on_wire(&request, job.call.body.len()));
     let Ok(response) = connection.sender.send_request(request).await else {
-        return broken_off(&connection, idle, context, job, progress).map(Exchanged::from);
+        return outcome_of_broken_connection(&connection, idle, context, job, progress)
+            .map(ExchangeResult::from);
     };
     if let Some(idle) = idle {
         context.on_reused(idle, true);
@@ -188,12 +190,12 @@
     let end = read_response(&**context, response).await;
     connection.gate.clear();
     let Some(end) = end else { return Some(Outcome::Reset.into()) };
-    Some(Exchanged { end, connection: Some(connection) })
+    Some(ExchangeResult { end, connection: Some(connection) })
 }
 
-/// The outcome of an attempt whose connection broke before its answer began; `None` if the connection was idle and no byte
-/// of the request went out.
-fn broken_off<C: AttemptContext>(
+/// The outcome of an attempt whose connection broke before its response began; `None` if the connection was idle and no
+/// byte of the request was written.
+fn outcome_of_broken_connection<C: AttemptContext>(
     connection: &Connection,
     idle: Option<Duration>,
     context: &Rc<C>,
@@ -204,11 +206,11 @@
         if !context.is_awaited(job.request) {
             context.on_client_disconnected(job.request);
         }
-        return Some(Bounds::of(context, job).refusal().unwrap_or(Outcome::NotSent));
+        return Some(AttemptWriteCheck::of(context, job).refusal().unwrap_or(Outcome::NotSent));
     }
     if let Some(idle) = idle {
         context.on_reused(idle, false);
-        // It was closed, or had unexpected bytes to read: nothing was sent.
+        // The connection was closed, or had unexpected bytes to read, before anything was sent.
         if !progress.has_begun() {
             return None;
         }
