--- a/crates/config-distribution/src/command/serve.rs
+++ b/crates/config-distribution/src/command/serve.rs
@@ -69,7 +69,7 @@
         Ok(body) => body,
         Err(error) => return vec![Fault::Json(error.into())],
     };
-    match balancer_settings::check_part(&body["settings"]) {
+    match balancer_settings::check_document(&body["settings"]) {
         Ok(()) => Vec::new(),
         Err(faults) => Fault::of_settings(&faults),
     }
--- a/crates/config-distribution/tests/core_fault.rs
+++ b/crates/config-distribution/tests/core_fault.rs
@@ -47,10 +47,10 @@
 #[test]
 fn faults_of_the_settings_have_the_text_of_the_check_and_a_count_of_those_not_listed() {
     let lanes: Vec<Value> = (0..200).map(|number| json!({ "name": number })).collect();
-    let faults = balancer_settings::check_part(&json!({ "lanes": lanes })).expect_err("faults");
+    let faults = balancer_settings::check_document(&json!({ "lanes": lanes })).expect_err("faults");
     assert!(faults.unlisted() > 0);
     let texts: Vec<String> = Fault::of_settings(&faults).iter().map(Fault::to_string).collect();
     assert_eq!(texts, faults.messages());
-    let one = balancer_settings::check_part(&json!({ "lanes": 1 })).expect_err("a fault");
+    let one = balancer_settings::check_document(&json!({ "lanes": 1 })).expect_err("a fault");
     assert_eq!(join(&Fault::of_settings(&one)), one.messages().join("; "));
 }
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -42,13 +42,13 @@
 /// How a request ended, or an attempt of it that was retried after it may have run or was refused again. Times are in
 /// seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct CallEnd {
+pub struct RequestEnd {
     /// Index of the request's tenant in the list of limits.
     pub tenant: usize,
     /// Outcome of the request's last attempt.
     pub outcome: Outcome,
     /// Time that the last attempt spent with a connection.
-    pub served: f64,
+    pub connected_duration: f64,
     /// Latency objective of the request's class.
     pub latency_objective: f64,
     /// Time at which the request arrived.
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct TierState {
     /// Whether this is the first tier, which receives its requests from clients and not from another tier.
-    pub is_first: bool,
+    pub is_first_tier: bool,
     /// Recent fraction of attempts to the tier that failed.
     pub failure_rate: f64,
     /// Fraction of the tier's capacity that is available.
@@ -138,17 +138,17 @@
     pub fn signal(
         &mut self,
         now: f64,
-        end: &CallEnd,
+        end: &RequestEnd,
         baseline: BaselineLatency,
         tier: TierState,
     ) -> Option<Signal> {
         let is_failed_or_late = self.is_failed_or_late(now, end, tier.failure_rate)?;
-        let ln_slowdown = end.served.max(MIN_DURATION_S).ln() - baseline.ln_seconds;
+        let ln_slowdown = end.connected_duration.max(MIN_DURATION_S).ln() - baseline.ln_seconds;
         // The duration of an abandoned attempt is only a lower bound of its latency. It says nothing if the endpoint
         // had less than the baseline latency to answer.
         let is_cut_short = match end.outcome {
             Outcome::Cancelled => true,
-            Outcome::TimedOut => end.served < end.latency_objective * FULL_TIMEOUT_FRACTION,
+            Outcome::TimedOut => end.connected_duration < end.latency_objective * FULL_TIMEOUT_FRACTION,
             _ => false,
         };
         if is_cut_short && ln_slowdown < 0.0 {
@@ -158,7 +158,7 @@
             ln_slowdown.min(MAX_SIGNAL)
         } else if is_failed_or_late {
             MAX_SIGNAL
-        } else if end.outcome == Outcome::Success && tier.is_first {
+        } else if end.outcome == Outcome::Success && tier.is_first_tier {
             // Only the first tier sheds load early: a request denied below it wastes the work done in the tiers above.
             ln_slowdown.clamp(MIN_SIGNAL, MAX_SIGNAL)
         } else {
@@ -169,7 +169,7 @@
 
     /// Whether a request failed or came late for a reason that may be congestion; `None` where its end says nothing
     /// about congestion.
-    fn is_failed_or_late(&mut self, now: f64, end: &CallEnd, tier_failure_rate: f64) -> Option<bool> {
+    fn is_failed_or_late(&mut self, now: f64, end: &RequestEnd, tier_failure_rate: f64) -> Option<bool> {
         let answer = &mut self.latest_answer;
         answer.connect_timeouts_since += u32::from(end.outcome == Outcome::ConnectTimedOut);
         let is_silent =
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::admission::adaptive_limit::AdaptiveLimit;
 use crate::admission::baseline_latency::{BASELINE_WINDOW_S, BaselineLatency};
-use crate::admission::congestion::{CallEnd, Congestion, MIN_DURATION_S, TierState};
+use crate::admission::congestion::{Congestion, MIN_DURATION_S, RequestEnd, TierState};
 use crate::admission::suppression::Suppressor;
 use crate::interface::{Outcome, Settings};
 
@@ -127,10 +127,10 @@
     }
 
     /// Learns from a request that has ended, and updates the `baseline` of its class.
-    pub fn record_call_end(
+    pub fn record_request_end(
         &mut self,
         now: f64,
-        end: &CallEnd,
+        end: &RequestEnd,
         baseline: &mut BaselineLatency,
         tier: TierState,
         rng: &mut Rand64,
@@ -140,13 +140,17 @@
         // time.
         let all_tenants = self.all_tenants();
         let rate = self.controls[all_tenants].suppressor.accepted_rate(now);
-        let has_no_history = tier.is_first && self.has_no_history(end.tenant);
+        let has_no_history = tier.is_first_tier && self.has_no_history(end.tenant);
         let weight = if has_no_history { 0.0 } else { self.congestion.weight(rate, end.arrived) };
         self.congestion.record(signal.value, weight);
         let is_congested = self.congestion.is_detected(weight, baseline.samples);
         let is_success = end.outcome == Outcome::Success;
         if is_success {
-            baseline.record(end.served.max(MIN_DURATION_S), 1.0 / (rate * BASELINE_WINDOW_S), is_congested);
+            baseline.record(
+                end.connected_duration.max(MIN_DURATION_S),
+                1.0 / (rate * BASELINE_WINDOW_S),
+                is_congested,
+            );
         }
         if is_congested && self.congestion.may_decrease(now) {
             self.decrease_limits(now, tier.available, rng);
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -4,11 +4,11 @@
 
 use crate::admission::adaptive_limit::AdaptiveLimit;
 use crate::admission::baseline_latency::BaselineLatency;
-use crate::admission::congestion::{CallEnd, Congestion, TierState};
+use crate::admission::congestion::{Congestion, RequestEnd, TierState};
 use crate::admission::suppression::Suppressor;
 use crate::interface::{Class, Idempotency, Outcome, Settings, Tenant};
 
-const TIER: TierState = TierState { is_first: true, failure_rate: 0.0, available: 1.0 };
+const TIER: TierState = TierState { is_first_tier: true, failure_rate: 0.0, available: 1.0 };
 
 /// Sends requests at an even rate, starting at second 1, and returns how many of the last two seconds were admitted.
 fn admitted_in_two_seconds(limit: f64, calls_per_s: u32, seconds: u32) -> u32 {
@@ -38,8 +38,15 @@
     AdaptiveLimit::all_tenants(&settings)
 }
 
-fn call(outcome: Outcome, served: f64) -> CallEnd {
-    CallEnd { tenant: 0, outcome, served, latency_objective: 1.0, arrived: 10.0, connect_wait: 0.0 }
+fn call(outcome: Outcome, connected_duration: f64) -> RequestEnd {
+    RequestEnd {
+        tenant: 0,
+        outcome,
+        connected_duration,
+        latency_objective: 1.0,
+        arrived: 10.0,
+        connect_wait: 0.0,
+    }
 }
 
 fn baseline(seconds: f64) -> BaselineLatency {
@@ -148,7 +155,7 @@
 fn an_answer_past_the_latency_objective_is_late_unless_it_waited_for_a_connection() {
     let mut congestion = Congestion::new();
     let mut signal = |connect_wait: f64| {
-        let end = CallEnd { connect_wait, ..call(Outcome::Success, 0.1) };
+        let end = RequestEnd { connect_wait, ..call(Outcome::Success, 0.1) };
         congestion.signal(11.5, &end, baseline(0.1), TIER).expect("the end gives a signal").is_failed_or_late
     };
     assert!(signal(0.0));
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -12,7 +12,7 @@
 
 use crate::admission::Admission;
 use crate::admission::baseline_latency::BaselineLatency;
-use crate::admission::congestion::{CallEnd, TierState};
+use crate::admission::congestion::{RequestEnd, TierState};
 use crate::endpoints::endpoint_list::EndpointList;
 use crate::endpoints::list_subscription::{Interruption, ListSubscription};
 use crate::endpoints::outlier::{Fault, OutlierDetector, may_eject_another};
@@ -86,11 +86,12 @@
                 ..
             } => {
                 let unconnected = if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
-                let served = duration.saturating_sub(unconnected).as_secs_f64();
+                let connected_duration = duration.saturating_sub(unconnected).as_secs_f64();
                 let Some(pending) = self.requests.get(request) else { return };
                 let latency_objective = pending.rules().latency_objective.as_secs_f64();
                 let duration = duration.as_secs_f64();
-                let end = AttemptEnd { number, outcome, duration, served, latency_objective, finished };
+                let end =
+                    AttemptEnd { number, outcome, duration, connected_duration, latency_objective, finished };
                 self.end_attempt(now, request, end, actions);
             }
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
@@ -159,7 +160,7 @@
     }
 
     fn lay_out_subset(&mut self) {
-        let ready = self.endpoints.sort(&self.settings);
+        let ready = self.endpoints.rebuild_ready(&self.settings);
         self.subset.lay_out(&self.settings, &ready);
     }
 
@@ -292,9 +293,10 @@
         // are congestion.
         let is_refused_again = outcome == Outcome::Refused && was_tried_before;
         if is_refused_again || !(is_retried && outcome.never_ran()) {
-            let AttemptEnd { served, latency_objective, .. } = end;
-            let call = CallEnd { tenant, outcome, served, latency_objective, arrived, connect_wait };
-            self.record_call_end(now, class, &call);
+            let AttemptEnd { connected_duration, latency_objective, .. } = end;
+            let call =
+                RequestEnd { tenant, outcome, connected_duration, latency_objective, arrived, connect_wait };
+            self.record_request_end(now, class, &call);
         }
     }
 
@@ -371,14 +373,14 @@
     }
 
     /// What the end of a call tells of congestion, and so of the limits.
-    fn record_call_end(&mut self, now: f64, class: ClassId, call: &CallEnd) {
+    fn record_request_end(&mut self, now: f64, class: ClassId, call: &RequestEnd) {
         let tier = TierState {
-            is_first: self.settings.tier == 0,
+            is_first_tier: self.settings.tier == 0,
             failure_rate: self.outliers.tier_failure_rate(),
             available: self.subset.available(),
         };
         let baseline = &mut self.baselines[class.0];
-        self.admission.record_call_end(now, call, baseline, tier, &mut self.rng);
+        self.admission.record_request_end(now, call, baseline, tier, &mut self.rng);
     }
 
     // --- Maintenance ---
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -124,7 +124,7 @@
         }
         if outcome == Outcome::ConnectTimedOut {
             self.health.record_connect_timeout();
-        } else if has_answered || (is_given_up && end.served > 0.0) {
+        } else if has_answered || (is_given_up && end.connected_duration > 0.0) {
             self.health.mark_reachable();
         }
         has_answered
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -117,7 +117,7 @@
 
     /// Rebuilds the ordered list of ready endpoints after updates. Frees the slots of removed endpoints without
     /// attempts in flight, and returns the ready endpoints by zone.
-    pub fn sort(&mut self, settings: &Settings) -> ReadyByZone {
+    pub fn rebuild_ready(&mut self, settings: &Settings) -> ReadyByZone {
         let mut order: Vec<(EndpointId, usize)> =
             self.slot_by_id.iter().map(|(&id, &slot)| (id, slot)).collect();
         order.sort_unstable();
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -182,20 +182,20 @@
         end: &AttemptEnd,
         baseline_s: f64,
     ) -> Option<Fault> {
-        let AttemptEnd { outcome, served, .. } = *end;
+        let AttemptEnd { outcome, connected_duration, .. } = *end;
         // A late connection says nothing about the endpoint's work. Neither does a timeout that left the endpoint less
         // than the baseline latency to answer.
         if outcome == Outcome::ConnectTimedOut {
             let is_unreachable = health.connect_timeouts.is_multiple_of(UNREACHABLE_AFTER);
             return is_unreachable.then_some(Fault::Unreachable);
         }
-        if outcome == Outcome::TimedOut && served < baseline_s {
+        if outcome == Outcome::TimedOut && connected_duration < baseline_s {
             return None;
         }
         let has_failed = !matches!(outcome, Outcome::Success | Outcome::Refused);
         self.record_failure(health, outcome, f64::from(u8::from(has_failed)));
         if baseline_s > 0.0 && matches!(outcome, Outcome::Success | Outcome::TimedOut) {
-            let slowness = (served / baseline_s).min(MAX_SLOWNESS);
+            let slowness = (connected_duration / baseline_s).min(MAX_SLOWNESS);
             self.record_slowness(health, kind, slowness, outcome == Outcome::Success);
         }
         match outcome {
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -25,9 +25,16 @@
     }])
 }
 
-fn end(outcome: Outcome, served: f64) -> AttemptEnd {
+fn end(outcome: Outcome, connected_duration: f64) -> AttemptEnd {
     let number = AttemptNumber(0);
-    AttemptEnd { number, outcome, duration: served, served, latency_objective: 1.0, finished: false }
+    AttemptEnd {
+        number,
+        outcome,
+        duration: connected_duration,
+        connected_duration,
+        latency_objective: 1.0,
+        finished: false,
+    }
 }
 
 fn member(id: u32, lifecycle: Lifecycle, started: Option<Duration>) -> Member {
@@ -205,22 +212,22 @@
     let (settings, mut rng) = (settings(), Rand64::new(1));
     let mut list = EndpointList::new();
     list.replace(1.0, vec![member(1, Lifecycle::Ready, None), member(2, Lifecycle::Ready, None)], &mut rng);
-    assert_eq!(list.sort(&settings).local, [0, 1]);
+    assert_eq!(list.rebuild_ready(&settings).local, [0, 1]);
     list.by_id_mut(EndpointId(1)).expect("endpoint 1 is in the list").in_flight = 1;
 
     list.replace(2.0, vec![member(2, Lifecycle::Ready, None)], &mut rng);
-    list.sort(&settings);
+    list.rebuild_ready(&settings);
     list.apply_delta(3.0, vec![member(3, Lifecycle::Ready, None)], &mut rng);
     assert_eq!(
-        list.sort(&settings).local,
+        list.rebuild_ready(&settings).local,
         [1, 2],
         "endpoint 1 keeps its slot while it has an attempt in flight"
     );
 
     list.by_id_mut(EndpointId(1)).expect("endpoint 1 has an attempt in flight").in_flight = 0;
-    list.sort(&settings);
+    list.rebuild_ready(&settings);
     list.apply_delta(4.0, vec![member(4, Lifecycle::Ready, None)], &mut rng);
-    assert_eq!(list.sort(&settings).local, [1, 2, 0], "endpoint 4 reuses the slot of endpoint 1");
+    assert_eq!(list.rebuild_ready(&settings).local, [1, 2, 0], "endpoint 4 reuses the slot of endpoint 1");
 }
 
 #[test]
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -47,7 +47,7 @@
     /// How long it took in all.
     pub duration: f64,
     /// For how long of that it had a connection.
-    pub served: f64,
+    pub connected_duration: f64,
     /// The latency objective of its class.
     pub latency_objective: f64,
     /// Whether its request has ended too.
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -96,7 +96,7 @@
         }
         attempt.ended = Some(end.outcome);
         self.in_flight -= 1;
-        self.connect_wait += end.duration - end.served;
+        self.connect_wait += end.duration - end.connected_duration;
         Some(attempt.slot)
     }
 
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -55,7 +55,14 @@
 
 fn end(number: u32, outcome: Outcome) -> AttemptEnd {
     let number = AttemptNumber(number);
-    AttemptEnd { number, outcome, duration: 0.3, served: 0.2, latency_objective: 0.5, finished: false }
+    AttemptEnd {
+        number,
+        outcome,
+        duration: 0.3,
+        connected_duration: 0.2,
+        latency_objective: 0.5,
+        finished: false,
+    }
 }
 
 fn keyed(scope: DeduplicationScope) -> Idempotency {
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -98,7 +98,7 @@
     /// just started. Starts in later lists have a lower bound, so this is not needed there, and one stamp that is ahead
     /// must not make the other starts look old.
     #[must_use]
-    pub fn moment(&self, now: Time, newest_ms: u64) -> ListTime {
+    pub fn list_time(&self, now: Time, newest_ms: u64) -> ListTime {
         let least_ms = if self.last_line_at.is_none() { newest_ms } else { 0 };
         ListTime { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
     }
@@ -112,23 +112,23 @@
 
     /// Records that a list names an upstream with the stamp `since_ms`, and returns the upstream's start time; `None`
     /// if it started long ago.
-    pub fn listed(&mut self, moment: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
-        self.first_list_at.get_or_insert(moment.now);
+    pub fn listed(&mut self, list_time: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
+        self.first_list_at.get_or_insert(list_time.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
             return start.time;
         }
-        self.left(id);
+        self.delist(id);
         if since_ms == 0 {
             return None;
         }
         let remembered = self.past.take(id, since_ms);
-        let start = remembered.unwrap_or_else(|| Start { since_ms, time: moment.start(since_ms) });
+        let start = remembered.unwrap_or_else(|| Start { since_ms, time: list_time.start(since_ms) });
         self.listed.insert(id, start);
         start.time
     }
 
     /// Moves the start of an upstream to the past starts, because the upstream is no longer listed or has a new start.
-    pub fn left(&mut self, id: EndpointId) {
+    pub fn delist(&mut self, id: EndpointId) {
         if let Some(start) = self.listed.remove(&id) {
             self.past.put(id, start);
         }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use balancer_settings::{Loaded, SetupError};
+use balancer_settings::{LoadedSettings, ReadSettingsError};
 use config_distribution::document::{Scope, ScopeError};
 use serde::Deserialize;
 use serde_json::Value;
@@ -43,7 +43,7 @@
     Json(#[from] serde_json::Error),
     /// The settings in the configuration file cannot be used.
     #[error("the settings are malformed: {0}")]
-    Setup(#[from] SetupError),
+    Setup(#[from] ReadSettingsError),
     /// The region or the service cannot be the name of a scope.
     #[error("invalid region or service in `distribution`: {0}")]
     Scope(#[from] ScopeError),
@@ -122,7 +122,7 @@
     /// The list of upstreams as last known, which may be stale.
     pub known: Option<Update>,
     /// The settings, read from the settings object of the file.
-    pub loaded: Loaded,
+    pub loaded: LoadedSettings,
     /// Where changes of the settings come from, if they are distributed.
     pub distribution: Option<Distribution>,
     /// The file that the configuration was read from, which a reload reads again.
@@ -148,7 +148,7 @@
     ///
     /// # Errors
     /// The file cannot be read, or the configuration is invalid.
-    pub fn discovery_now(path: &Path) -> Result<SocketAddr, ConfigError> {
+    pub fn read_discovery_address(path: &Path) -> Result<SocketAddr, ConfigError> {
         Ok(Self::parse(&read_file(path)?, |_| None)?.discovery)
     }
 
--- a/crates/proxy/src/downstream/request.rs
+++ b/crates/proxy/src/downstream/request.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::event_loop::{AcceptedRequest, EventLoop};
-use crate::reconfiguration::{Offered, OfferedClass};
+use crate::reconfiguration::{ClassEntry, NameRegistry};
 use crate::socket::WeakSocket;
 use crate::upstream::{Call, MAX_BODY_BYTES};
 
@@ -74,22 +74,28 @@
 }
 
 impl RequestHead {
-    fn read(head: &Parts, offered: &Offered) -> Result<Self, BadRequest> {
+    fn read(head: &Parts, name_registry: &NameRegistry) -> Result<Self, BadRequest> {
         let class = head.uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
-        let OfferedClass { id: class, figures } = offered.class(class).ok_or(BadRequest::UnknownClass)?;
-        check_method(figures.idempotency, head)?;
+        let ClassEntry { id: class, parameters } =
+            name_registry.class(class).ok_or(BadRequest::UnknownClass)?;
+        check_method(parameters.idempotency, head)?;
         let tenant = match header_text(&head.headers, "x-tenant") {
-            Some(name) => Some(offered.tenant(name).ok_or(BadRequest::UnknownTenant)?),
-            None if offered.has_no_tenants() => None,
+            Some(name) => Some(name_registry.tenant(name).ok_or(BadRequest::UnknownTenant)?),
+            None if name_registry.has_no_tenants() => None,
             None => return Err(BadRequest::UnknownTenant),
         };
         // A client that sends no deadline is assumed to wait for as long as its class allows.
         let client_timeout = match head.headers.get("x-deadline") {
             Some(value) => value.to_str().ok().and_then(parse_seconds).ok_or(BadRequest::InvalidDeadline)?,
-            None => figures.deadline,
+            None => parameters.deadline,
         };
-        let must_not_repeat = figures.idempotency == Idempotency::NotIdempotent;
-        Ok(Self { class, tenant, client_timeout: client_timeout.min(figures.deadline * 10), must_not_repeat })
+        let must_not_repeat = parameters.idempotency == Idempotency::NotIdempotent;
+        Ok(Self {
+            class,
+            tenant,
+            client_timeout: client_timeout.min(parameters.deadline * 10),
+            must_not_repeat,
+        })
     }
 }
 
@@ -117,14 +123,14 @@
     complete_by: Instant,
 ) -> Result<AcceptedRequest, BadRequest> {
     let (head, body) = request.into_parts();
-    let offered = event_loop.offered();
-    let mut checked = RequestHead::read(&head, &offered)?;
+    let name_registry = event_loop.name_registry();
+    let mut checked = RequestHead::read(&head, &name_registry)?;
     let key = head.headers.get("idempotency-key").cloned();
     let id = head.headers.get("x-request-id").cloned().ok_or(BadRequest::MissingRequestId)?;
     let body = read_body(body, complete_by).await?;
     // The settings may have changed while the body was read; the request is accepted under the settings now in force.
-    let latest = event_loop.offered();
-    if !Rc::ptr_eq(&offered, &latest) {
+    let latest = event_loop.name_registry();
+    if !Rc::ptr_eq(&name_registry, &latest) {
         checked = RequestHead::read(&head, &latest)?;
     }
     let RequestHead { class, tenant, client_timeout, must_not_repeat } = checked;
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -93,8 +93,8 @@
 /// Reloads the address of discovery from the configuration file on each SIGHUP. An invalid file changes nothing.
 async fn reload_on_hangup(event_loop: Rc<EventLoop>, path: PathBuf, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
-        match Config::discovery_now(&path) {
-            Ok(address) => event_loop.move_discovery(address),
+        match Config::read_discovery_address(&path) {
+            Ok(address) => event_loop.set_discovery_address(address),
             Err(error) => crate::log(format_args!("not reloaded: {error}")),
         }
     }
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -191,11 +191,11 @@
         in_attempts: impl FnOnce() -> FxHashSet<EndpointId>,
     ) -> AppliedList {
         let newest_ms = entries.iter().map(|entry| entry.since_ms).max().unwrap_or(0);
-        let moment = self.starts.moment(now, newest_ms);
+        let list_time = self.starts.list_time(now, newest_ms);
         let mut members = Vec::with_capacity(entries.len());
         let mut restarted = Vec::new();
         for entry in entries {
-            let Some(applied) = self.apply_entry(&moment, entry, names) else {
+            let Some(applied) = self.apply_entry(&list_time, entry, names) else {
                 crate::log(format_args!("skipped a malformed entry of the endpoint list: {entry:?}"));
                 continue;
             };
@@ -221,7 +221,7 @@
         AppliedList { update, restarted }
     }
 
-    fn apply_entry(&mut self, moment: &ListTime, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
+    fn apply_entry(&mut self, list_time: &ListTime, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
         let lifecycle = match entry.status.as_str() {
             "ready" => Lifecycle::Ready,
             "draining" => Lifecycle::Draining,
@@ -242,9 +242,9 @@
             let before = self.listed.insert(id, ListedEndpoint { address, zone, since_ms, ready });
             restarted = before.is_some_and(|before| before.since_ms != since_ms);
         }
-        let started = self.starts.listed(moment, id, entry.since_ms);
+        let started = self.starts.listed(list_time, id, entry.since_ms);
         if lifecycle == Lifecycle::Removed {
-            self.starts.left(id);
+            self.starts.delist(id);
         }
         let weight = entry.weight;
         let member = Member {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -16,7 +16,7 @@
 
 use balancer_policy::interface::{DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time};
 use balancer_policy::{Balancer, Event, Settings};
-use balancer_settings::{Loaded, Names};
+use balancer_settings::{LoadedSettings, Names};
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -27,7 +27,7 @@
 };
 use crate::endpoint_table::{AppliedList, EndpointTable, ListSource};
 use crate::pool::{Pool, PoolStats};
-use crate::reconfiguration::{self, Offered, Reconfigurable, ReconfigureError};
+use crate::reconfiguration::{self, NameRegistry, Reconfigurable, ReconfigureError};
 use crate::request_table::RequestTable;
 use crate::telemetry::counters::{self, Counters};
 
@@ -89,7 +89,7 @@
     /// which never change.
     names: Names,
     /// Classes and tenants that requests may name under the settings in force.
-    offered: RefCell<Rc<Offered>>,
+    name_registry: RefCell<Rc<NameRegistry>>,
     /// Longest deadline of any class under any settings since the start.
     longest_deadline: Cell<Duration>,
     /// Whether the distribution of settings has sent its first state, or no distribution is configured.
@@ -112,7 +112,7 @@
         adapt_to_sockets(&mut loaded.settings);
         let first_line_timeout = FirstLineTimeout::of(loaded.settings.discovery);
         let keepalive = loaded.settings.permissions.keepalive;
-        let offered = Offered::new(&loaded.names, &loaded.settings);
+        let name_registry = NameRegistry::new(&loaded.names, &loaded.settings);
         // The first watch requests changes since this version, so it is set before that watch is opened.
         let index = config.known.as_ref().map_or(0, |known| known.index);
         let state = State {
@@ -126,8 +126,8 @@
         let event_loop = Rc::new_cyclic(|this: &Weak<Self>| Self {
             state: RefCell::new(state),
             names: loaded.names,
-            longest_deadline: Cell::new(offered.max_deadline()),
-            offered: RefCell::new(Rc::new(offered)),
+            longest_deadline: Cell::new(name_registry.max_deadline()),
+            name_registry: RefCell::new(Rc::new(name_registry)),
             settings_received: Cell::new(config.distribution.is_none()),
             started_at: Instant::now(),
             discovery: Cell::new(config.discovery),
@@ -158,8 +158,8 @@
 
     /// Returns the classes and tenants that requests may name under the settings in force.
     #[must_use]
-    pub fn offered(&self) -> Rc<Offered> {
-        Rc::clone(&self.offered.borrow())
+    pub fn name_registry(&self) -> Rc<NameRegistry> {
+        Rc::clone(&self.name_registry.borrow())
     }
 
     /// Returns the longest deadline of any class under any settings since the start.
@@ -286,7 +286,7 @@
 
     /// Changes the address of discovery: the policy is notified and requests a watch at the new address. The old watch
     /// continues until then.
-    pub fn move_discovery(self: &Rc<Self>, address: SocketAddr) {
+    pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
             crate::log(format_args!("discovery address changed to {address}"));
             self.handle(Event::List(ListUpdate::Relocated));
@@ -313,14 +313,14 @@
 
 impl Reconfigurable for EventLoop {
     /// Requests accepted before keep the rules under which they were accepted; attempts and connections continue.
-    fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError> {
-        let Loaded { mut settings, names, connect_timeout } = loaded;
+    fn reconfigure(self: &Rc<Self>, loaded: LoadedSettings) -> Result<(), ReconfigureError> {
+        let LoadedSettings { mut settings, names, connect_timeout } = loaded;
         adapt_to_sockets(&mut settings);
-        let offered = self.offered().updated(&names, &mut settings)?;
+        let name_registry = self.name_registry().updated(&names, &mut settings)?;
         settings.validate()?;
         self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
-        self.longest_deadline.set(self.longest_deadline.get().max(offered.max_deadline()));
-        self.offered.replace(Rc::new(offered));
+        self.longest_deadline.set(self.longest_deadline.get().max(name_registry.max_deadline()));
+        self.name_registry.replace(Rc::new(name_registry));
         self.handle(Event::Reconfigured(settings));
         Ok(())
     }
--- a/crates/proxy/src/event_loop/attempt_context.rs
+++ b/crates/proxy/src/event_loop/attempt_context.rs
@@ -27,12 +27,12 @@
         self.state.borrow().endpoints.ready_endpoint_at(upstream, address).is_some()
     }
 
-    fn is_wanted(&self, request: RequestId) -> bool {
-        self.state.borrow().requests.is_wanted(request)
+    fn needs_answer(&self, request: RequestId) -> bool {
+        self.state.borrow().requests.needs_answer(request)
     }
 
-    fn is_awaited(&self, request: RequestId) -> bool {
-        self.state.borrow().requests.is_awaited(request)
+    fn is_client_waiting(&self, request: RequestId) -> bool {
+        self.state.borrow().requests.is_client_waiting(request)
     }
 
     fn has_load_field(&self, name: &str) -> bool {
@@ -44,13 +44,13 @@
     }
 
     /// Logs the error at most once between two lines of counters, because upstreams may be unreachable for a long time.
-    fn on_unreachable(&self, address: SocketAddr, error: &AcquireError) {
+    fn on_connect_failed(&self, address: SocketAddr, error: &AcquireError) {
         if !std::mem::replace(&mut self.state.borrow_mut().counters.unreachable_logged, true) {
             crate::log(format_args!("could not connect to upstream {address}: {error}"));
         }
     }
 
-    fn on_reused(&self, idle: Duration, answered: bool) {
+    fn on_connection_reused(&self, idle: Duration, answered: bool) {
         self.pool.record_reuse(idle, answered);
         self.state.borrow_mut().counters.reused_reset += u32::from(!answered);
     }
--- a/crates/proxy/src/name_registry.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -32,7 +32,7 @@
 /// An id never changes its meaning: new names get the next ids, and a removed class or tenant keeps its id although
 /// requests can no longer name it.
 #[derive(Debug)]
-pub struct Offered {
+pub struct NameRegistry {
     /// Ids of the classes that requests may name.
     classes: FxHashMap<String, usize>,
     /// Ids of the tenants that requests may name.
@@ -42,19 +42,19 @@
     /// Names of all tenants since the start, by id.
     tenant_names: Vec<String>,
     /// Parameters of all classes since the start, by id.
-    figures: Vec<Class>,
+    parameters: Vec<Class>,
 }
 
 /// A class that requests may name.
 #[derive(Debug, Clone, Copy)]
-pub struct OfferedClass<'a> {
+pub struct ClassEntry<'a> {
     /// Id by which the policy knows the class.
     pub id: ClassId,
     /// Parameters of the class, such as latency objective, deadline and idempotency.
-    pub figures: &'a Class,
+    pub parameters: &'a Class,
 }
 
-impl Offered {
+impl NameRegistry {
     /// Takes the names and ids from the settings that the process starts with.
     #[must_use]
     pub fn new(names: &Names, settings: &Settings) -> Self {
@@ -63,7 +63,7 @@
             tenant_names: names_by_position(&names.tenants, settings.tenants.len()),
             classes: names.classes.clone(),
             tenants: names.tenants.clone(),
-            figures: settings.classes.clone(),
+            parameters: settings.classes.clone(),
         }
     }
 
@@ -83,24 +83,24 @@
         }
         let new: Vec<Option<usize>> =
             class_names.iter().map(|name| names.classes.get(name).copied()).collect();
-        let figures: Vec<Class> = (0..)
+        let parameters: Vec<Class> = (0..)
             .zip(&new)
             .map(|(index, new): (usize, _)| match new {
                 Some(position) => settings.classes[*position].clone(),
-                None => self.figures[index].clone(),
+                None => self.parameters[index].clone(),
             })
             .collect();
         let quota = |name| names.tenants.get(name).map_or(Some(0.0), |&new| settings.tenants[new].quota);
         settings.tenants = tenant_names.iter().map(|name| Tenant { quota: quota(name) }).collect();
-        settings.classes.clone_from(&figures);
-        Ok(Self { classes, tenants, class_names, tenant_names, figures })
+        settings.classes.clone_from(&parameters);
+        Ok(Self { classes, tenants, class_names, tenant_names, parameters })
     }
 
     /// Returns the class of this name, if requests may name it.
     #[must_use]
-    pub fn class(&self, name: &str) -> Option<OfferedClass<'_>> {
+    pub fn class(&self, name: &str) -> Option<ClassEntry<'_>> {
         let index = *self.classes.get(name)?;
-        Some(OfferedClass { id: ClassId(index), figures: self.figures.get(index)? })
+        Some(ClassEntry { id: ClassId(index), parameters: self.parameters.get(index)? })
     }
 
     /// Returns the id of the tenant of this name, if requests may name it.
@@ -118,7 +118,7 @@
     /// Longest deadline of any class since the start; zero if there is no class.
     #[must_use]
     pub fn max_deadline(&self) -> Duration {
-        self.figures.iter().map(|class| class.deadline).max().unwrap_or_default()
+        self.parameters.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 }
 
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use balancer_policy::interface::SettingsError;
-use balancer_settings::{Faults, Loaded, SetupError};
+use balancer_settings::{Faults, LoadedSettings, ReadSettingsError};
 use config_distribution::document::{Document, Scope};
 use config_distribution::effective::effective;
 use config_distribution::fault::{self, FormFault};
@@ -22,7 +22,7 @@
 use crate::connection;
 use crate::pool::Pool;
 
-pub use crate::name_registry::{Offered, OfferedClass, TooManyNames};
+pub use crate::name_registry::{ClassEntry, NameRegistry, TooManyNames};
 
 /// Maximum length of a reason in a report, in characters; the log has the whole reason.
 const MAX_REASON_CHARS: usize = 200;
@@ -33,7 +33,7 @@
     ///
     /// # Errors
     /// The new settings cannot follow those in force; nothing has changed.
-    fn reconfigure(self: &Rc<Self>, loaded: Loaded) -> Result<(), ReconfigureError>;
+    fn reconfigure(self: &Rc<Self>, loaded: LoadedSettings) -> Result<(), ReconfigureError>;
 
     /// Called each time the distribution of settings has sent its state and all valid documents of it are applied.
     fn settings_received(&self);
@@ -61,7 +61,7 @@
     Settings(#[from] Faults),
     /// The merged settings cannot be read.
     #[error(transparent)]
-    Read(#[from] SetupError),
+    Read(#[from] ReadSettingsError),
     /// The merged settings cannot follow those in force.
     #[error(transparent)]
     Reconfigure(#[from] ReconfigureError),
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -194,14 +194,14 @@
     /// Whether a request still awaits its answer: false if its client has disconnected or another attempt has answered
     /// it.
     #[must_use]
-    pub fn is_wanted(&self, id: RequestId) -> bool {
+    pub fn needs_answer(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(InFlight::is_unanswered)
     }
 
     /// Whether a request still awaits its answer and its client is still connected. This queries the socket, because
     /// the client's close may be unread there after the process was suspended or while other tasks ran.
     #[must_use]
-    pub fn is_awaited(&self, id: RequestId) -> bool {
+    pub fn is_client_waiting(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id).filter(|request| request.is_unanswered());
         request.is_some_and(|request| !request.client.has_ended())
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -14,7 +14,7 @@
 use super::call::size_on_wire;
 use super::connection::Connection;
 use super::context::AttemptContext;
-use super::gate::Clearance;
+use super::gate::WriteCheck;
 use super::host::Host;
 use super::job::{AttemptEnd, Job};
 use super::progress::Progress;
@@ -53,18 +53,18 @@
             return Some(Outcome::ConnectFailed);
         }
         // Meanwhile the client may have disconnected, or another attempt may have served the request.
-        (!self.context.is_wanted(self.request) || self.is_past_begin_by()).then_some(Outcome::NotSent)
+        (!self.context.needs_answer(self.request) || self.is_past_begin_by()).then_some(Outcome::NotSent)
     }
 }
 
-impl<C: AttemptContext> Clearance for AttemptWriteCheck<C> {
+impl<C: AttemptContext> WriteCheck for AttemptWriteCheck<C> {
     fn time_left_to_begin(&self) -> Option<Duration> {
-        let may_begin = self.refusal().is_none() && self.context.is_awaited(self.request);
+        let may_begin = self.refusal().is_none() && self.context.is_client_waiting(self.request);
         may_begin.then(|| self.until.saturating_duration_since(Instant::now()))
     }
 
     fn may_continue(&self) -> bool {
-        !self.is_past_begin_by() && self.context.is_awaited(self.request)
+        !self.is_past_begin_by() && self.context.is_client_waiting(self.request)
     }
 }
 
@@ -152,7 +152,7 @@
         }
         Err(error) => {
             if !matches!(error, AcquireError::SocketBudgetExhausted) {
-                context.on_unreachable(job.address, &error);
+                context.on_connect_failed(job.address, &error);
             }
             Err(match error {
                 AcquireError::SocketBudgetExhausted | AcquireError::LocalShortage(_) => Outcome::NotSent,
@@ -185,7 +185,7 @@
             .map(ExchangeResult::from);
     };
     if let Some(idle) = idle {
-        context.on_reused(idle, true);
+        context.on_connection_reused(idle, true);
     }
     let end = read_response(&**context, response).await;
     connection.gate.clear();
@@ -203,13 +203,13 @@
     progress: &Progress,
 ) -> Option<Outcome> {
     if connection.gate.has_refused() {
-        if !context.is_awaited(job.request) {
+        if !context.is_client_waiting(job.request) {
             context.on_client_disconnected(job.request);
         }
         return Some(AttemptWriteCheck::of(context, job).refusal().unwrap_or(Outcome::NotSent));
     }
     if let Some(idle) = idle {
-        context.on_reused(idle, false);
+        context.on_connection_reused(idle, false);
         // The connection was closed, or had unexpected bytes to read, before anything was sent.
         if !progress.has_begun() {
             return None;
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -20,7 +20,7 @@
 use super::gate::Gate;
 use crate::socket::Socket;
 
-pub use super::gate::Clearance;
+pub use super::gate::WriteCheck;
 
 /// Counts a socket against the process's socket budget until it is dropped.
 #[derive(Debug)]
--- a/crates/proxy/src/upstream/context.rs
+++ b/crates/proxy/src/upstream/context.rs
@@ -26,12 +26,12 @@
 
     /// Whether a request has no final answer yet and still needs one. It does not once its client has disconnected or
     /// another attempt has served it.
-    fn is_wanted(&self, request: RequestId) -> bool;
+    fn needs_answer(&self, request: RequestId) -> bool;
 
     /// Whether a request still needs an answer and its client is still connected. This reads the client's socket: the
     /// client may have closed its connection while the process was suspended or other tasks ran, without the runtime
     /// having noticed yet.
-    fn is_awaited(&self, request: RequestId) -> bool;
+    fn is_client_waiting(&self, request: RequestId) -> bool;
 
     /// Whether the settings define a load report field of this name.
     fn has_load_field(&self, name: &str) -> bool;
@@ -40,11 +40,11 @@
     fn on_connected(&self);
 
     /// Called when an attempt could not get a connection to the upstream at this address.
-    fn on_unreachable(&self, address: SocketAddr, error: &AcquireError);
+    fn on_connect_failed(&self, address: SocketAddr, error: &AcquireError);
 
     /// Called when a connection that had been idle for `idle` was reused. `answered` is false if the connection broke
     /// before the response began.
-    fn on_reused(&self, idle: Duration, answered: bool);
+    fn on_connection_reused(&self, idle: Duration, answered: bool);
 
     /// Called when an attempt finds that the client of a request has disconnected.
     fn on_client_disconnected(self: &Rc<Self>, request: RequestId);
--- a/crates/proxy/src/upstream/gate.rs
+++ b/crates/proxy/src/upstream/gate.rs
@@ -10,17 +10,17 @@
 
 /// Decides whether the bytes of a request may be sent. It is asked immediately before each write, because other tasks
 /// may have run, or the process may have been suspended, since the request was handed to the connection.
-pub trait Clearance {
+pub trait WriteCheck {
     /// Asked before the first byte: the time left for the attempt from now on; `None` if the request must not be sent.
     fn time_left_to_begin(&self) -> Option<Duration>;
     /// Asked before further bytes: whether they may be sent.
     fn may_continue(&self) -> bool;
 }
 
-/// Applies the [`Clearance`] of the request that is being written on a connection.
+/// Applies the [`WriteCheck`] of the request that is being written on a connection.
 #[derive(Default)]
 pub struct Gate {
-    check: RefCell<Option<Box<dyn Clearance>>>,
+    check: RefCell<Option<Box<dyn WriteCheck>>>,
     refused: Cell<bool>,
 }
 
@@ -32,7 +32,7 @@
 
 impl Gate {
     /// Sets the check that is made before each write from now on.
-    pub fn set(&self, check: Box<dyn Clearance>) {
+    pub fn set(&self, check: Box<dyn WriteCheck>) {
         self.check.replace(Some(check));
     }
 
@@ -50,7 +50,7 @@
     /// Checks whether the first bytes of a request may be sent. Returns them with the deadline header set to the time
     /// left now; `None` if they are to be sent unchanged.
     pub(super) fn check_begin(&self, head: &[u8]) -> io::Result<Option<Vec<u8>>> {
-        match self.check.borrow().as_deref().map(Clearance::time_left_to_begin) {
+        match self.check.borrow().as_deref().map(WriteCheck::time_left_to_begin) {
             None => Ok(None),
             Some(Some(time_left)) => Ok(with_deadline(head, time_left)),
             Some(None) => Err(self.refuse()),
@@ -59,7 +59,7 @@
 
     /// Checks whether further bytes of a request may be sent.
     pub(super) fn check_continue(&self) -> io::Result<()> {
-        let is_allowed = self.check.borrow().as_deref().is_none_or(Clearance::may_continue);
+        let is_allowed = self.check.borrow().as_deref().is_none_or(WriteCheck::may_continue);
         if is_allowed { Ok(()) } else { Err(self.refuse()) }
     }
 
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -67,9 +67,9 @@
     near: &Socket,
     deadline: Instant,
 ) -> oneshot::Receiver<Answer> {
-    let offered = event_loop.offered();
-    let class_id = offered.class(class).expect("it is offered").id;
-    let tenant = offered.tenant("acme");
+    let name_registry = event_loop.name_registry();
+    let class_id = name_registry.class(class).expect("it is offered").id;
+    let tenant = name_registry.tenant("acme");
     event_loop.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
 }
 
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -59,7 +59,7 @@
         let result = world.table.end_attempt(world.request, number, None);
         assert_eq!(result, Some(AttemptResult { served: false, finished: false }));
         assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![], 0));
-        assert!(world.table.is_awaited(world.request), "it still lacks its answer");
+        assert!(world.table.is_client_waiting(world.request), "it still lacks its answer");
     });
 }
 
@@ -72,7 +72,7 @@
         let result = world.table.end_attempt(world.request, first, Some(Bytes::from_static(b"ok")));
         assert_eq!(result, Some(AttemptResult { served: true, finished: true }));
         assert_eq!(world.answer.try_recv(), Ok(Answer::Served(Bytes::from_static(b"ok"))));
-        assert!(!world.table.is_wanted(world.request));
+        assert!(!world.table.needs_answer(world.request));
         assert_eq!((world.upstreams(), world.table.len()), (vec![UPSTREAM], 1));
         assert_eq!(world.table.answer(world.request, Answer::Failed), None, "it has its answer");
         let result = world.table.end_attempt(world.request, second, Some(Bytes::new()));
--- a/crates/proxy/tests/sending.rs
+++ b/crates/proxy/tests/sending.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use balancer_proxy::connection::{Clearance, Permit, handshake};
+use balancer_proxy::connection::{Permit, WriteCheck, handshake};
 use balancer_proxy::upstream::{Call, Progress, size_on_wire};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -102,7 +102,7 @@
 /// Says that an attempt has so long left, and then that the rest may follow.
 struct Left(Duration);
 
-impl Clearance for Left {
+impl WriteCheck for Left {
     fn time_left_to_begin(&self) -> Option<Duration> {
         Some(self.0)
     }
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -80,8 +80,11 @@
     /// A list from the configuration.
     fn read(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let newest_ms = entries.iter().map(|entry| entry.1).max().unwrap_or(0);
-        let moment = self.starts.moment(self.now, newest_ms);
-        entries.iter().map(|&(id, since_ms)| self.starts.listed(&moment, EndpointId(id), since_ms)).collect()
+        let list_time = self.starts.list_time(self.now, newest_ms);
+        entries
+            .iter()
+            .map(|&(id, since_ms)| self.starts.listed(&list_time, EndpointId(id), since_ms))
+            .collect()
     }
 
     fn hear_one(&mut self, id: u32, since_ms: u64) -> Option<Time> {
@@ -367,7 +370,7 @@
         world.pass(seconds(2));
         let since_ms = world.stamp();
         let started = world.hear_one(1, since_ms);
-        world.starts.left(EndpointId(1));
+        world.starts.delist(EndpointId(1));
         world.pass(seconds(60));
         world.step(ahead_ms);
         assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
@@ -387,8 +390,8 @@
         world.pass(Duration::from_millis(20));
         let since_ms = world.stamp();
         world.hear_one(id, since_ms);
-        world.starts.left(EndpointId(id));
-        world.starts.left(EndpointId(0));
+        world.starts.delist(EndpointId(id));
+        world.starts.delist(EndpointId(0));
         assert!(world.starts.past_len() <= MAX_PAST_STARTS);
         assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are remembered");
     }
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// Returns all faults, each with its path.
-pub fn check_part(settings: &Value) -> Result<(), Faults> {
+pub fn check_document(settings: &Value) -> Result<(), Faults> {
     let mut checker = Checker::new(CheckScope::Document);
     if let Some(object) = checker.object(ROOT, settings) {
         checker.fields(ROOT, object, SHARED_FIELDS, Completeness::Partial);
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -12,18 +12,18 @@
 };
 use rustc_hash::FxHashMap;
 
-use crate::read::{Loaded, Names, SetupError};
+use crate::read::{LoadedSettings, Names, ReadSettingsError};
 use crate::schema::{Caps, Discovery, EffectName, Lane, PriceSettings, Project, RuleSettings, Setup};
 
 /// Converts the complete settings object.
-pub fn into_loaded(setup: Setup) -> Result<Loaded, SetupError> {
+pub fn into_loaded(setup: Setup) -> Result<LoadedSettings, ReadSettingsError> {
     let settings = settings(&setup)?;
     let connect_timeout = duration("caps.dialTimeoutS", setup.capabilities.connect_timeout_s)?;
     let names = names(setup);
-    Ok(Loaded { settings, names, connect_timeout })
+    Ok(LoadedSettings { settings, names, connect_timeout })
 }
 
-fn settings(setup: &Setup) -> Result<Settings, SetupError> {
+fn settings(setup: &Setup) -> Result<Settings, ReadSettingsError> {
     Ok(Settings {
         replica_index: setup.index,
         replicas: setup.replicas,
@@ -52,13 +52,13 @@
     }
 }
 
-fn local_zone(setup: &Setup) -> Result<ZoneId, SetupError> {
+fn local_zone(setup: &Setup) -> Result<ZoneId, ReadSettingsError> {
     // If two zones have the same name, the last one is used, as in `Names`.
     let position = setup.zones.iter().rposition(|zone| *zone == setup.zone);
     position.map(ZoneId).ok_or_else(|| invalid("zone", &setup.zone))
 }
 
-fn class(class: &Lane) -> Result<Class, SetupError> {
+fn class(class: &Lane) -> Result<Class, ReadSettingsError> {
     let idempotency = idempotency(class)?;
     Ok(Class {
         latency_objective: duration("onTimeS", class.latency_objective_s)?,
@@ -68,7 +68,7 @@
     })
 }
 
-fn idempotency(class: &Lane) -> Result<Idempotency, SetupError> {
+fn idempotency(class: &Lane) -> Result<Idempotency, ReadSettingsError> {
     Ok(match class.effect {
         EffectName::Idempotent => Idempotency::Idempotent,
         EffectName::AtMostOnce => Idempotency::NotIdempotent,
@@ -79,7 +79,7 @@
     })
 }
 
-fn deduplication_scope(name: Option<&str>) -> Result<DeduplicationScope, SetupError> {
+fn deduplication_scope(name: Option<&str>) -> Result<DeduplicationScope, ReadSettingsError> {
     match name {
         Some("all") => Ok(DeduplicationScope::All),
         Some("zone") => Ok(DeduplicationScope::Zone),
@@ -99,7 +99,7 @@
     }
 }
 
-fn permissions(capabilities: &Caps) -> Result<Permissions, SetupError> {
+fn permissions(capabilities: &Caps) -> Result<Permissions, ReadSettingsError> {
     Ok(Permissions {
         max_attempts: capabilities.max_attempts,
         hedging: capabilities.hedging,
@@ -114,14 +114,14 @@
 
 /// Returns the longest Retry-After that clients honour. `None` if clients are sent no Retry-After; the configured
 /// maximum is then not validated.
-fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, SetupError> {
+fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, ReadSettingsError> {
     if !capabilities.retry_after {
         return Ok(None);
     }
     duration("caps.maxRetryAfterS", capabilities.max_retry_after_s).map(Some)
 }
 
-fn rules(rules: &RuleSettings) -> Result<Rules, SetupError> {
+fn rules(rules: &RuleSettings) -> Result<Rules, ReadSettingsError> {
     Ok(Rules {
         answer_slack: duration("rules.answerSlackS", rules.answer_slack_s)?,
         drain_grace: duration("rules.drainGraceS", rules.drain_grace_s)?,
@@ -146,12 +146,12 @@
     }
 }
 
-fn duration(key: &'static str, seconds: f64) -> Result<Duration, SetupError> {
+fn duration(key: &'static str, seconds: f64) -> Result<Duration, ReadSettingsError> {
     Duration::try_from_secs_f64(seconds).map_err(|_| invalid(key, &seconds.to_string()))
 }
 
-fn invalid(key: &'static str, value: &str) -> SetupError {
-    SetupError::Value { name: key, value: value.to_owned() }
+fn invalid(key: &'static str, value: &str) -> ReadSettingsError {
+    ReadSettingsError::Value { name: key, value: value.to_owned() }
 }
 
 fn index_by_name(names: impl IntoIterator<Item = String>) -> FxHashMap<String, usize> {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -7,13 +7,13 @@
 //! that knows the keys. It has two sets of entry points:
 //!
 //! - [`read`] converts an object for use and stops at the first invalid value;
-//! - [`check`] and [`check_part`] convert nothing and report every fault with its path. Settings that pass
+//! - [`check`] and [`check_document`] convert nothing and report every fault with its path. Settings that pass
 //!   [`check`] can be read, and the policy accepts them.
 //!
 //! ```
 //! use serde_json::json;
 //!
-//! let faults = balancer_settings::check_part(&json!({"caps": {"tryLimit": 0}, "balancers": "3"})).unwrap_err();
+//! let faults = balancer_settings::check_document(&json!({"caps": {"tryLimit": 0}, "balancers": "3"})).unwrap_err();
 //! assert_eq!(
 //!     faults.messages(),
 //!     [
@@ -34,7 +34,7 @@
 mod read;
 mod schema;
 
-pub use check::{check, check_part};
+pub use check::{check, check_document};
 pub use fault::{Fault, Faults, Found};
 pub use load_report::set_load_field;
-pub use read::{Loaded, Names, SetupError, read};
+pub use read::{LoadedSettings, Names, ReadSettingsError, read};
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -14,7 +14,7 @@
 
 /// Error that prevents a settings object from being read.
 #[derive(Debug, Error)]
-pub enum SetupError {
+pub enum ReadSettingsError {
     /// The text is not valid JSON, a required key is missing, or a value has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
@@ -48,7 +48,7 @@
 
 /// Settings after conversion, as a host uses them.
 #[derive(Debug)]
-pub struct Loaded {
+pub struct LoadedSettings {
     /// Settings for the policy. They are not validated yet; `Balancer::new` validates them.
     pub settings: Settings,
     /// Names of the classes, tenants, zones and machine kinds that `settings` refers to by index.
@@ -63,7 +63,7 @@
 /// # Errors
 /// Returns the first fault found: the text is not JSON of the expected form, or a value is invalid. To get all
 /// faults, use [`check`](crate::check).
-pub fn read(json: &str) -> Result<Loaded, SetupError> {
+pub fn read(json: &str) -> Result<LoadedSettings, ReadSettingsError> {
     let setup: Setup = serde_json::from_str(json)?;
     convert::into_loaded(setup)
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,11 +1,12 @@
 //! Tests of faults as values: their path, the expected value and the value found.
 
-use balancer_settings::{Fault, Found, check, check_part};
+use balancer_settings::{Fault, Found, check, check_document};
 use serde_json::json;
 
 #[test]
 fn fault_holds_path_expected_and_found() {
-    let faults = check_part(&json!({"caps": {"tryLimit": 0}})).expect_err("a limit of 0 attempts is a fault");
+    let faults =
+        check_document(&json!({"caps": {"tryLimit": 0}})).expect_err("a limit of 0 attempts is a fault");
     let fault = Fault {
         path: "settings.caps.tryLimit".to_owned(),
         expected: "a whole number from 1 to 4294967295".to_owned(),
@@ -17,7 +18,7 @@
 
 #[test]
 fn missing_and_unknown_keys_are_distinguished() {
-    let faults = check_part(&json!({"projects": [{}], "strange": 1})).expect_err("two faults");
+    let faults = check_document(&json!({"projects": [{}], "strange": 1})).expect_err("two faults");
     let found: Vec<(&str, &Found)> =
         faults.listed().iter().map(|fault| (fault.path.as_str(), &fault.found)).collect();
     assert_eq!(
@@ -28,7 +29,7 @@
 
 #[test]
 fn faults_are_displayed_on_one_line() {
-    let faults = check_part(&json!({"balancers": 0, "strange": 1})).expect_err("two faults");
+    let faults = check_document(&json!({"balancers": 0, "strange": 1})).expect_err("two faults");
     assert_eq!(
         faults.to_string(),
         "settings.balancers: expected a whole number from 1 to 4294967295, found 0; settings.strange: unknown key, \
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -10,8 +10,8 @@
 }
 
 /// Returns the fault messages of the settings of a distributed document.
-fn check_part(settings: &Value) -> Vec<String> {
-    balancer_settings::check_part(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
+fn check_document(settings: &Value) -> Vec<String> {
+    balancer_settings::check_document(settings).map_or_else(|faults| faults.messages(), |()| Vec::new())
 }
 
 fn full_settings() -> Value {
@@ -84,9 +84,9 @@
         r#"{"prices": null, "caps": {"dialTimeoutS": null}, "rules": {"askWithinS": null}, "overShareWorth": null}"#,
     ] {
         let document_settings: Value = serde_json::from_str(text).expect("JSON");
-        assert_eq!(check_part(&document_settings), Vec::<String>::new(), "{text}");
+        assert_eq!(check_document(&document_settings), Vec::<String>::new(), "{text}");
     }
-    assert_eq!(check_part(&document_settings()), Vec::<String>::new());
+    assert_eq!(check_document(&document_settings()), Vec::<String>::new());
 }
 
 /// Cases with one fault each: JSON pointer, invalid value, and the beginning of the expected fault message.
@@ -151,7 +151,7 @@
 fn each_fault_is_reported_with_its_path() {
     for (path, value, fault) in &single_faults() {
         for (settings, check) in
-            [(full_settings(), check as fn(&Value) -> Vec<String>), (document_settings(), check_part)]
+            [(full_settings(), check as fn(&Value) -> Vec<String>), (document_settings(), check_document)]
         {
             let reported = check(&with_value(settings, path, Some(value.clone())));
             assert_eq!(reported.len(), 1, "{path}: {reported:?}");
@@ -188,18 +188,18 @@
         ("/rules/cold", "settings.rules.cold: unknown key"),
         ("/prices/x", "settings.prices.x: unknown key"),
     ] {
-        let faults = check_part(&with_value(document_settings(), path, Some(json!(1))));
+        let faults = check_document(&with_value(document_settings(), path, Some(json!(1))));
         assert_eq!(faults.len(), 1, "{path}: {faults:?}");
         assert!(faults[0].starts_with(reported), "{faults:?} does not begin with {reported}");
     }
     // Null cannot remove a required key.
     for key in ["lanes", "caps", "rules", "balancers"] {
-        let faults = check_part(&json!({key: null}));
+        let faults = check_document(&json!({key: null}));
         assert_eq!(faults.len(), 1, "{key}: {faults:?}");
     }
-    assert_eq!(check_part(&json!({"caps": {"tryLimit": null}})).len(), 1);
+    assert_eq!(check_document(&json!({"caps": {"tryLimit": null}})).len(), 1);
     // A quota of 0 would be treated as no quota, although it looks like a limit of 0 requests.
-    assert_eq!(check_part(&json!({"projects": [{"name": "a", "quotaPerS": 0}]})).len(), 1);
+    assert_eq!(check_document(&json!({"projects": [{"name": "a", "quotaPerS": 0}]})).len(), 1);
     assert!(check(&with_value(full_settings(), "/projects/0/quotaPerS", Some(json!(0)))).is_empty());
 }
 
@@ -239,11 +239,11 @@
 fn malformed_input_yields_a_bounded_number_of_faults() {
     for garbage in [json!(null), json!(3), json!("settings"), json!([full_settings()])] {
         assert_eq!(check(&garbage).len(), 1);
-        assert_eq!(check_part(&garbage).len(), 1);
+        assert_eq!(check_document(&garbage).len(), 1);
     }
     assert!(!check(&json!({})).is_empty());
     let lanes = vec![json!({"name": 1, "x": "y".repeat(10_000)}); 1000];
-    let reported = check_part(&json!({"lanes": lanes}));
+    let reported = check_document(&json!({"lanes": lanes}));
     assert_eq!(reported.len(), 101);
     assert!(
         reported.iter().all(|fault| fault.len() < 300),
@@ -251,7 +251,7 @@
         reported.iter().max_by_key(|fault| fault.len())
     );
     assert!(reported[100].ends_with(" more"));
-    assert_eq!(check_part(&json!({"projects": vec![json!({"name": "a"}); 10_001]})).len(), 1);
+    assert_eq!(check_document(&json!({"projects": vec![json!({"name": "a"}); 10_001]})).len(), 1);
 }
 
 /// A balancer applies all settings that pass the check. So for every value at every path, settings without a fault
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -6,7 +6,7 @@
 use std::io;
 
 use balancer_policy::interface::SettingsError;
-use balancer_settings::SetupError;
+use balancer_settings::ReadSettingsError;
 use thiserror::Error;
 
 /// Maximum number of characters of a value that an error message quotes.
@@ -89,7 +89,7 @@
     DuplicateRequest(String),
     /// The settings of an instance cannot be read.
     #[error("setup: {0}")]
-    Setup(#[from] SetupError),
+    Setup(#[from] ReadSettingsError),
     /// The policy rejects the settings of an instance.
     #[error("setup: {0}")]
     Settings(#[from] SettingsError),
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -8,7 +8,7 @@
 
 use balancer_policy::interface::{RequestId, SettingsError, Time};
 use balancer_policy::{Action, Balancer, Event};
-use balancer_settings::{Loaded, Names};
+use balancer_settings::{LoadedSettings, Names};
 
 use crate::action::{request_id, write_action};
 use crate::requests::RequestTable;
@@ -25,12 +25,12 @@
 impl Instance {
     /// Starts a balancer and appends its first actions to `actions`.
     pub fn start(
-        loaded: Loaded,
+        loaded: LoadedSettings,
         seed: u64,
         now: Time,
         actions: &mut Vec<Action>,
     ) -> Result<Self, SettingsError> {
-        let Loaded { settings, names, .. } = loaded;
+        let LoadedSettings { settings, names, .. } = loaded;
         let mut balancer = Balancer::new(settings, seed)?;
         balancer.handle(now, Event::Started, actions);
         Ok(Self { balancer, names, requests: RequestTable::default() })
