--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,61 +1,66 @@
-//! What a [`Balancer`](crate::Balancer) asks the embedding program to do.
+//! Actions: what a [`Balancer`](crate::Balancer) asks the embedding program to do.
 //!
-//! Decisions that did their own input and output could not be tested without sockets and timers. So each is handed out
-//! as plain data, and the embedding program carries the actions out in the order given. The module owns no state.
+//! The balancer does no input or output itself, so that its decisions can be tested without sockets and timers. It
+//! returns each decision as plain data, and the embedding program carries out the actions in the order in which they
+//! are returned. The module has no state.
 
 use std::time::Duration;
 
 use crate::ids::{AttemptNumber, EndpointId, RequestId};
 
-/// What a replica asks the embedding program to do.
+/// A request from the balancer to the embedding program to do something.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send the request to an endpoint. Attempts are numbered from 0 in the order sent.
+    /// Send an attempt of a request to an endpoint. The attempts of a request are numbered from 0 in the order in which
+    /// they are sent.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The endpoint.
+        /// The endpoint to send the attempt to.
         upstream: EndpointId,
-        /// The timeout of the attempt; `None` for as long as the client waits.
+        /// Timeout of the attempt; `None` means as long as the client waits.
         timeout: Option<Duration>,
-        /// Its first byte must be out within this; `None` for any time. Past it the attempt could repeat an effect.
+        /// Time within which the first byte of the attempt must be sent; `None` means no bound. An attempt that starts
+        /// later could repeat the effect of an earlier one.
         first_byte_deadline: Option<Duration>,
-        /// No retry can follow if it finds no connection: it waits for one as long as the settings allow.
+        /// Whether no retry can follow if this attempt gets no connection. Such an attempt waits for a connection for
+        /// as long as the settings allow.
         is_last_attempt: bool,
     },
-    /// Cancel an attempt; its end is still to be reported.
+    /// Cancel an attempt. The embedding program still reports the end of the cancelled attempt.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt to cancel.
         attempt: AttemptNumber,
     },
-    /// End the request unserved: the client may safely retry.
+    /// Answer the client that its request is refused. The client may safely retry.
     Refuse {
-        /// The request.
+        /// The request to refuse.
         request: RequestId,
-        /// The value of Retry-After: how long the client should wait before it retries.
+        /// Value of the Retry-After header: how long the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// End the request as failed: it may or may not have run.
+    /// Answer the client that its request has failed. The request may or may not have run.
     Fail {
-        /// The request.
+        /// The request that has failed.
         request: RequestId,
     },
     /// Open a subscription to the list of endpoints.
     Subscribe,
-    /// Send a health check; its result comes as [`Event::HealthChecked`](crate::Event::HealthChecked).
+    /// Send a health check to an endpoint. The result is reported by
+    /// [`Event::HealthChecked`](crate::Event::HealthChecked).
     HealthCheck {
-        /// The endpoint.
+        /// The endpoint to check.
         upstream: EndpointId,
     },
     /// Close the idle connections to an endpoint.
     CloseIdle {
-        /// The endpoint.
+        /// The endpoint whose idle connections are closed.
         upstream: EndpointId,
     },
-    /// Deliver [`Event::MaintenanceDue`](crate::Event::MaintenanceDue) after this long.
+    /// Deliver [`Event::MaintenanceDue`](crate::Event::MaintenanceDue) after the given duration.
     ScheduleMaintenance(Duration),
-    /// A line for the operator's log.
+    /// Write a line to the operator's log.
     Log(String),
 }
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -1,7 +1,7 @@
-//! What the embedding program reports to a [`Balancer`](crate::Balancer).
+//! Events: what the embedding program reports to a [`Balancer`](crate::Balancer).
 //!
-//! The same decisions run in service, in the simulator and in tests, so they see the world through one set of messages.
-//! Events are plain data: time is handed over beside them, and nothing here decides anything. The module owns no state.
+//! The same policy runs in production, in the simulator and in tests, so all of them report to it by one set of
+//! events. Events are plain data; the time of an event is passed separately. The module has no state.
 
 use std::time::Duration;
 
@@ -13,85 +13,88 @@
 /// A request received from a client.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// The request.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its tenant, if it has one.
+    /// Tenant that the request belongs to, if any.
     pub tenant: Option<TenantId>,
-    /// The subject of the request, where requests carry one.
+    /// Subject of the request, if it carries one.
     pub subject: Option<u64>,
-    /// How long the client still waits.
+    /// How much longer the client waits for an answer.
     pub time_left: Duration,
-    /// The work expected, as time on a standard core, where it is known.
+    /// Work that the request is expected to cost, as processor time on a standard core; `None` if it is unknown.
     pub expected_work: Option<Duration>,
-    /// The client has marked it as a retry of its own.
+    /// Whether the client has marked the request as a retry of an earlier one.
     pub is_client_retry: bool,
 }
 
-/// What happens at a replica of the balancer.
+/// Something that has happened at a replica of the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The replica has started; it may subscribe to the list of endpoints.
+    /// The replica has started and can subscribe to the list of endpoints.
     Started,
-    /// Service discovery has sent an update, or failed to.
+    /// Service discovery has sent an update of the list of endpoints, or could not send one.
     List(ListUpdate),
-    /// A request was received.
+    /// A client's request has been received.
     Request(Request),
-    /// A streamed answer has begun: its attempt can no longer be retried or cancelled.
+    /// A streamed answer has begun. The attempt that it belongs to can no longer be retried or cancelled.
     StreamStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// The attempt that answers.
+        /// Number of the attempt that answers.
         attempt: AttemptNumber,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt.
         attempt: AttemptNumber,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// How long it took.
+        /// Total duration of the attempt, including `connect_wait`.
         duration: Duration,
-        /// For how long of that it waited for a connection, which is no part of the endpoint's latency.
+        /// Part of `duration` that the attempt spent waiting for a connection. It does not count as latency of the
+        /// endpoint.
         connect_wait: Duration,
-        /// The request has ended with it, or before.
+        /// Whether the request has ended too, with this attempt or before it.
         finished: bool,
-        /// The endpoint's load report, if one came.
+        /// Load report that the endpoint sent with the answer, if any.
         load: Option<LoadReport>,
     },
-    /// A connection has come up that no attempt waits for any more: the endpoint is reachable.
+    /// A connection to the endpoint was established after the attempts that waited for it had ended. It shows that the
+    /// endpoint is reachable.
     Connected(EndpointId),
-    /// The client has closed its connection, or the final answer is overdue: no answer is owed any more.
+    /// The client has closed its connection, or its deadline for a final answer has passed. The request needs no
+    /// answer any more.
     ClientDisconnected(RequestId),
-    /// The maintenance pass asked for by [`Action::ScheduleMaintenance`](crate::Action::ScheduleMaintenance) is due.
+    /// The maintenance pass requested by [`Action::ScheduleMaintenance`](crate::Action::ScheduleMaintenance) is due.
     MaintenanceDue,
     /// The settings have changed.
     ///
-    /// Positions keep their meaning: classes and tenants known before stand where they stood, new ones behind them, and
-    /// removed ones stay as they were, referred to by no request any more; the quota of a removed tenant is 0. Requests
-    /// already received keep the rules that they were received under. Settings that are invalid, or that may not follow
-    /// those in force ([`Settings::may_follow`]), change nothing and are reported by
+    /// Indexes keep their meaning. Existing classes and tenants keep their index, and new ones are appended. A removed
+    /// class or tenant stays in the settings but is no longer referred to by any request; a removed tenant has a quota
+    /// of 0. Requests that were received earlier keep the settings under which they were received. Settings that are
+    /// invalid, or that must not replace the current ones ([`Settings::may_follow`]), are ignored and reported by
     /// [`Action::Log`](crate::Action::Log).
     Reconfigured(Settings),
-    /// The result of a health check.
+    /// A health check has ended.
     HealthChecked {
-        /// The endpoint.
+        /// The endpoint that was checked.
         upstream: EndpointId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// How long it took.
+        /// Duration of the health check.
         duration: Duration,
-        /// The endpoint's load report, if one came.
+        /// Load report that the endpoint sent with the answer, if any.
         load: Option<LoadReport>,
     },
-    /// Another replica has sent a message.
+    /// Another replica has sent a message to this one.
     PeerMessage {
         /// The sender's [`replica_index`](Settings::replica_index).
         from: u32,
-        /// What it sent.
+        /// Bytes of the message.
         content: Vec<u8>,
     },
 }
