--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,7 +1,7 @@
-//! The vocabulary of the crate: settings, events, actions and the types that they are made of.
+//! The public types of the crate: settings, events, actions and the types that they contain.
 //!
-//! An embedding program must not depend on how the crate is divided into modules: it imports from here, and where an
-//! item is defined inside the crate may change. The module owns no state.
+//! Embedding programs import these types from here, so that items can move between the private modules of the crate
+//! without breaking them. The module has no state.
 
 pub use crate::action::Action;
 pub use crate::event::{Event, Request};
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,20 +1,20 @@
 //! The decisions of a load balancer for services that call services.
 //!
-//! Which requests to admit, which endpoint to send each to, when to retry and when to eject: decisions like these
-//! are hard to test where they are tangled with sockets and timers. This crate holds them alone, sans-IO. Each replica
-//! of a balancer embeds one [`Balancer`]: it reports what happens as an [`Event`] and carries out the [`Action`]s that
-//! it gets back. The state machine does no input or output, reads no clock and has no threads; equal settings, seed and
-//! events give equal actions.
+//! The crate decides which requests to admit, which endpoint to send each request to, when to retry and when to eject
+//! an endpoint. It is sans-IO, so that these decisions can be tested without sockets and timers. Each replica of the
+//! load balancer embeds one [`Balancer`]: it reports what happens as an [`Event`] and carries out the [`Action`]s that
+//! the balancer returns. The state machine does no input or output, reads no clock and has no threads. Equal settings,
+//! seeds and events give equal actions.
 //!
 //! # Modules
 //!
-//! Each component owns its state and knows nothing of those above it in the list:
+//! Each component owns its state and does not depend on the components above it in this list:
 //!
-//! * `balancer` dispatches events over the components and owns the random source;
-//! * `routing` selects the endpoint of an attempt: subset, locality, power of two choices;
-//! * `admission` holds tenants to limits that follow congestion;
-//! * `endpoints` is what is known of each endpoint: health, slow start, connections, and the list of them;
-//! * `requests` holds the requests in flight, their attempts, and what lets them be retried.
+//! * `balancer` dispatches events to the components and owns the random number generator;
+//! * `routing` selects the endpoint of an attempt by subset, locality and the power of two choices;
+//! * `admission` keeps tenants to rate limits that adapt to congestion;
+//! * `endpoints` keeps the list of endpoints and the health, slow start and connections of each one;
+//! * `requests` keeps the requests in flight, their attempts, and the rules and budgets for retries.
 //!
 //! The types that an embedding program exchanges with the balancer are in [`interface`].
 //!
@@ -34,7 +34,7 @@
 //! let mut actions = Vec::new();
 //! let second = Duration::from_secs(1);
 //!
-//! // Discovery names one endpoint, then a client's request arrives and is sent there.
+//! // Service discovery lists one endpoint. Then a client's request arrives and is sent to it.
 //! let member = Member {
 //!     id: EndpointId(42),
 //!     zone: Some(ZoneId(0)),
@@ -59,7 +59,7 @@
 //! balancer.handle(second, Event::Request(request), &mut actions);
 //! assert!(matches!(actions[0], Action::Send { upstream: EndpointId(42), .. }));
 //!
-//! // The answer finishes it.
+//! // The answer ends the attempt and its request.
 //! let answer = Event::AttemptEnded {
 //!     request: RequestId(1),
 //!     attempt: AttemptNumber(0),
@@ -76,7 +76,7 @@
 #![warn(clippy::pedantic)]
 #![allow(
     clippy::cast_precision_loss,
-    reason = "counts of endpoints, replicas and buckets lie far below 2^52, from where an f64 rounds them"
+    reason = "counts of endpoints, replicas and buckets are far below 2^52, above which an f64 rounds integers"
 )]
 
 mod action;
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -1,51 +1,52 @@
-//! What service discovery says of the endpoints: the members of the list and its updates.
+//! What service discovery reports about the endpoints: the members of the list and updates of the list.
 //!
-//! Discovery services differ in their formats; the embedding program translates them into these types. The module owns
-//! no state: the list itself is that of `endpoints::endpoint_list`.
+//! Discovery services use different formats, which the embedding program translates into these types. The module has
+//! no state; the list itself is kept by `endpoints::endpoint_list`.
 
 use crate::ids::{EndpointId, KindId, Time, ZoneId};
 
 /// The lifecycle of an endpoint's process, as discovery reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It runs.
+    /// The endpoint runs and accepts requests.
     Ready,
-    /// It finishes the requests in flight and accepts no new ones.
+    /// The endpoint finishes its requests in flight and accepts no new ones.
     Draining,
-    /// It was removed.
+    /// The endpoint was removed from the list.
     Removed,
 }
 
 /// One entry of the list of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Member {
-    /// The endpoint.
+    /// Identifier of the endpoint.
     pub id: EndpointId,
-    /// Its zone; `None` for one that the settings do not name.
+    /// Zone of the endpoint; `None` if the settings do not name that zone.
     pub zone: Option<ZoneId>,
-    /// Its kind of machine; `None` for one that the settings do not name.
+    /// Kind of machine that the endpoint runs on; `None` if the settings do not name that kind.
     pub kind: Option<KindId>,
-    /// Its cell, for classes whose idempotency keys are remembered by cell.
+    /// Cell of the endpoint, for classes whose idempotency keys are shared within a cell.
     pub cell: u32,
-    /// The state of its lifecycle.
+    /// Lifecycle state of the endpoint.
     pub lifecycle: Lifecycle,
-    /// Its capacity relative to the others; 1 where capacities are not known.
+    /// Capacity of the endpoint relative to the others; 1 if capacities are not known.
     pub weight: f64,
-    /// The time of its latest start; `None` for long ago.
+    /// Time at which the endpoint's process last started; `None` if that was long ago.
     pub started: Option<Time>,
 }
 
-/// An update of the list of endpoints, or the failure to get one.
+/// An update of the list of endpoints, or a failure to get one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListUpdate {
-    /// A snapshot: what is absent has been removed.
+    /// The complete list. Endpoints that are absent from it have been removed.
     Snapshot(Vec<Member>),
-    /// The latest snapshot that the replica has cached, which may be stale.
+    /// The complete list that the replica cached last, which may be stale.
     CachedSnapshot(Vec<Member>),
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Delta(Vec<Member>),
-    /// The request for the list failed, or the subscription broke; the list stays as it is.
+    /// The request for the list failed, or the subscription broke. The list stays as it is.
     Broken,
-    /// Discovery is at another address now: as after [`ListUpdate::Broken`], but the backoff starts anew.
+    /// The address of the discovery service has changed. Handled like [`ListUpdate::Broken`], but the backoff starts
+    /// from its minimum again.
     Relocated,
 }
