--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,9 +1,9 @@
-//! What the operator decides before the first request arrives: the classes of requests, the tenants' quotas, what the
-//! site allows, and the figures of its rules.
+//! Settings that the operator chooses: the classes of requests, the tenants' quotas, the permissions, the rules and the
+//! costs.
 //!
-//! Settings that make no sense would show as odd decisions much later. So [`Settings`] are validated once, by
-//! [`Settings::validate`], or by [`Settings::may_follow`] where they replace others in a running balancer. The module
-//! owns no state: the balancer has the settings in force.
+//! Invalid settings would otherwise only show much later, as wrong decisions. [`Settings`] are therefore validated
+//! when they are handed over: by [`Settings::validate`], or by [`Settings::may_follow`] if they replace the settings of
+//! a running balancer. The module has no state; the balancer keeps the current settings.
 
 use std::time::Duration;
 
@@ -11,190 +11,190 @@
 
 use crate::ids::ZoneId;
 
-/// The endpoints that share what they remember of idempotency keys.
+/// The set of endpoints that share their record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints.
+    /// All endpoints share their record of idempotency keys.
     All,
-    /// Those of one zone.
+    /// Endpoints of the same zone share their record of idempotency keys.
     Zone,
-    /// Those of one cell.
+    /// Endpoints of the same cell share their record of idempotency keys.
     Cell,
 }
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// Idempotent: repeating it does no harm.
+    /// Running the request more than once does no harm.
     Idempotent,
-    /// Idempotent by its key: the endpoints of a scope discard repeats for a while.
+    /// The request carries an idempotency key, by which the endpoints of a scope discard repeats for a limited time.
     IdempotencyKey {
-        /// The endpoints that discard repeats.
+        /// The endpoints that discard repeats of a request which one of them has run.
         scope: DeduplicationScope,
-        /// For how long after the first attempt that may have run.
+        /// How long repeats are discarded, from the first attempt that may have run.
         window: Duration,
     },
-    /// Must never run twice.
+    /// The request must not run more than once.
     NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// The latency objective: answers within this time earn the full weight.
+    /// Latency objective of the class. Answers within this time count with their full weight.
     pub latency_objective: Duration,
-    /// How long a client waits in all.
+    /// Total time that a client waits for the answer to a request of the class.
     pub deadline: Duration,
-    /// The fraction of its weight that an answer past the latency objective still earns, 0 to 1.
+    /// Fraction of its weight, from 0 to 1, with which an answer after the latency objective still counts.
     pub late_weight: f64,
-    /// Whether it may run more than once.
+    /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
 }
 
-/// A tenant with its quota.
+/// The settings of one tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all replicas, that lie within its quota; `None` without one.
+    /// Quota of the tenant in requests per second, summed over all replicas; `None` if the tenant has no quota.
     pub quota: Option<f64>,
 }
 
-/// How the list of endpoints is received.
+/// How a replica receives the list of endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed.
+    /// The discovery service pushes changes without being asked.
     Push,
-    /// Changes come over a subscription, which the replica has to open.
+    /// Changes arrive over a subscription that the replica has to open.
     Subscribe,
-    /// Changes come over a subscription to an agent on the replica's own machine, which it shares with nobody: a broken
-    /// one is opened anew without a backoff.
+    /// Changes arrive over a subscription to an agent on the replica's own machine, which no other replica uses. A
+    /// broken subscription is therefore reopened without a backoff.
     Agent,
 }
 
-/// What a site permits the balancer to do.
+/// What the operator permits the balancer to do.
 #[derive(Debug, Clone, PartialEq)]
-#[allow(
-    clippy::struct_excessive_bools,
-    reason = "each is a permission of its own, granted apart from the others"
-)]
+#[allow(clippy::struct_excessive_bools, reason = "each permission is granted independently of the others")]
 pub struct Permissions {
-    /// Attempts that a request may have in all, at least 1.
+    /// Largest number of attempts of one request, including the first; at least 1.
     pub max_attempts: u32,
-    /// Hedged requests: a second attempt may be sent while the first is in flight.
+    /// Whether hedged requests are allowed: a second attempt sent while the first is still in flight.
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancel: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent to endpoints.
     pub health_checks: bool,
-    /// Replicas may send each other messages.
+    /// Whether replicas may send messages to each other.
     pub messages: bool,
-    /// Idle connections are closed after this.
+    /// Time after which an idle connection to an endpoint is closed.
     pub keepalive: Duration,
-    /// Concurrent streams of one connection.
+    /// Number of requests that one connection to an endpoint can carry at the same time; at least 1.
     pub streams_per_connection: u32,
-    /// The longest Retry-After that clients honour; `None` if they are sent none.
+    /// Largest value of Retry-After that clients honour; `None` if refusals carry no Retry-After.
     pub retry_after: Option<Duration>,
 }
 
-/// Figures of the rules that bind the balancer.
+/// Limits and durations of the rules that the balancer must keep.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// Time past the client's deadline in which a final answer still counts.
+    /// Time after the client's deadline within which a final answer still counts.
     pub answer_slack: Duration,
-    /// Grace within which sends to an endpoint that was reported draining or gone must end.
+    /// Grace period in which attempts may still be sent to an endpoint after it was reported as draining or removed.
     pub drain_grace: Duration,
-    /// A replica without a subscription must poll for the list at least this often; `None` if lists are pushed.
+    /// Longest interval at which a replica without a subscription must poll for the list of endpoints; `None` if the
+    /// list is pushed.
     pub poll_interval_max: Option<Duration>,
-    /// The least fraction of its capacity with which an endpoint starts, above 0 and up to 1.
+    /// Smallest fraction of its full capacity that an endpoint has at its start, above 0 and at most 1.
     pub slow_start_min_fraction: f64,
-    /// The longest time that an endpoint takes to warm up.
+    /// Longest time that an endpoint takes to warm up.
     pub slow_start_window: Duration,
-    /// An endpoint that is warming up is overloaded by more than this many times its present capacity...
+    /// Load, as a multiple of its current capacity, above which an endpoint that is warming up is overloaded if the
+    /// load lasts for `overload_window`.
     pub overload_multiple: f64,
-    /// ...when it is sent that for this long.
+    /// How long a load above `overload_multiple` must last to overload an endpoint that is warming up.
     pub overload_window: Duration,
 }
 
-/// Costs that bear on choices, in parts of the weight of one request.
+/// Costs that the balancer weighs against each other, as fractions of the weight of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Costs {
-    /// An attempt that crosses zones.
+    /// Cost of an attempt that is sent to another zone.
     pub cross_zone: f64,
-    /// The work of one request wasted.
+    /// Cost of wasting the work of one request.
     pub wasted_work: f64,
-    /// A request that ends unserved past its latency objective.
+    /// Cost of a request that ends without being served after its latency objective.
     pub late_failure: f64,
-    /// A connection opened.
+    /// Cost of opening a connection.
     pub handshake: f64,
-    /// A health check.
+    /// Cost of a health check.
     pub health_check: f64,
 }
 
-/// The settings of a replica, given at its start, and again with
-/// [`Event::Reconfigured`](crate::Event::Reconfigured) when they change.
+/// The settings of a replica. They are passed at its start and, when they change, with
+/// [`Event::Reconfigured`](crate::Event::Reconfigured).
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This replica's number, from 0.
+    /// Index of this replica among the replicas that send to the same tier, counted from 0.
     pub replica_index: u32,
-    /// How many replicas send to this tier.
+    /// Number of replicas that send to the same tier.
     pub replicas: u32,
-    /// The tier sent to, 0 for the one that clients reach.
+    /// Tier that this replica sends to; 0 is the tier that the clients' requests reach first.
     pub tier: usize,
-    /// This replica's zone.
+    /// Zone in which this replica runs.
     pub zone: ZoneId,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// How many kinds of machine there are.
+    /// Number of kinds of machine.
     pub kinds: usize,
-    /// The classes of requests, at least one.
+    /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its weight that a request keeps beyond its tenant's quota, 0 to 1.
+    /// Fraction of its weight, from 0 to 1, with which a request beyond its tenant's quota counts.
     pub over_quota_weight: f64,
-    /// How the list of endpoints is received.
+    /// How this replica receives the list of endpoints.
     pub discovery: DiscoveryMode,
-    /// Calls from tier to tier carry the time left until the client's deadline.
+    /// Whether requests between tiers carry the time left until the client's deadline.
     pub propagates_deadline: bool,
-    /// What a site permits the balancer to do.
+    /// What the operator permits the balancer to do.
     pub permissions: Permissions,
-    /// Figures of the rules that bind the balancer.
+    /// Limits and durations of the rules that the balancer must keep.
     pub rules: Rules,
-    /// Costs that bear on choices.
+    /// Costs that the balancer weighs against each other.
     pub costs: Costs,
 }
 
-/// Why [`Settings`] are refused.
+/// Why [`Settings`] are rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
-    /// There is no class.
+    /// The list of classes is empty.
     #[error("there is no class of requests")]
     NoClass,
-    /// There is no zone, or the replica's own is not among them.
-    #[error("the zone of this copy is not among the zones")]
+    /// The index of the replica's own zone is not below the number of zones.
+    #[error("the zone of this replica is not among the zones")]
     UnknownZone,
     /// The number of replicas is 0.
     #[error("the number of copies is 0")]
     NoReplicas,
-    /// No attempt is allowed.
-    #[error("no attempt is allowed")]
+    /// The largest number of attempts of a request is 0.
+    #[error("the largest number of attempts of a request is 0")]
     NoAttempts,
-    /// A class's latency objective or deadline is 0, or the objective lies past the deadline.
-    #[error("class {0}: the aim and the deadline must be above 0, the aim not past the deadline")]
+    /// The class with this index has a latency objective of 0 or one above its deadline.
+    #[error("class {0}: the latency objective must be above 0 and at most the deadline")]
     ClassTimes(usize),
-    /// There are fewer classes or tenants than in the settings in force: positions never change their meaning.
+    /// There are fewer classes or tenants than in the current settings. The indexes of classes and tenants must keep
+    /// their meaning, so none may be removed from the list.
     #[error("there are fewer classes or tenants than before")]
     PositionsRemoved,
-    /// They are of another replica, tier, zone or kinds than the settings in force.
-    #[error("they are those of another place: its number, tier, zone, zones and kinds stay for life")]
+    /// The replica index, tier, zone, number of zones or number of kinds of machine differs from the current settings.
+    #[error("the index, tier, zone, number of zones or number of kinds of a running replica cannot change")]
     DifferentPlace,
-    /// A fraction or a figure lies outside its range.
+    /// The named number is outside its valid range.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Settings of a lone replica in a single zone, with common rules and no tenants; change what
-    /// differs.
+    /// Default settings for a single replica in a single zone, with no tenants. Callers overwrite the fields that
+    /// differ in their case.
     #[must_use]
     pub fn single_zone(classes: Vec<Class>) -> Self {
         Self {
@@ -238,10 +238,10 @@
         }
     }
 
-    /// Checks that the settings make sense.
+    /// Checks that the settings are valid.
     ///
     /// # Errors
-    /// The first thing found wrong.
+    /// Returns the first fault that was found in the settings.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClass);
@@ -277,10 +277,10 @@
         Ok(())
     }
 
-    /// Checks that a running replica may go over to these from `before`.
+    /// Checks that these settings are valid and that a running replica may change to them from the settings `before`.
     ///
     /// # Errors
-    /// The first thing found wrong.
+    /// Returns the first fault that was found in the settings.
     pub fn may_follow(&self, before: &Self) -> Result<(), SettingsError> {
         let place = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.kinds);
         if place(self) != place(before) {
