--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,8 +1,9 @@
-//! The balancer: takes in events, passes them to the components that they concern, and gives the actions.
+//! The balancer: dispatches events to the components that they concern, and returns the resulting actions.
 //!
-//! Some decisions need several components at once, and the rules on them must not depend on which way a request has
-//! come: ONE gate, [`Balancer::send`], lets attempts out, and ONE path, [`Balancer::finish`], ends requests unserved.
-//! The module owns the components, the settings in force, the baseline latencies and the random source.
+//! Some decisions involve several components, and their rules must hold for first attempts, retries and hedged
+//! requests alike. Every attempt is therefore sent by [`Balancer::send`], and every request that is not served is ended
+//! by [`Balancer::finish`]. The module owns the components, the current settings, the baseline latencies and the random
+//! number generator.
 
 use std::mem::replace;
 use std::sync::Arc;
@@ -28,16 +29,16 @@
 use crate::routing::selection::Selection;
 use crate::routing::subset::Subset;
 
-/// Largest limit that the stats snapshot shows, in calls a second: more is no limit.
+/// Largest rate limit that the stats snapshot shows, in requests per second. Higher limits do not restrict anything.
 const LARGEST_LIMIT_SHOWN: f64 = 1e6;
 
-/// The decisions of one replica of a load balancer.
+/// The policy of one replica of a load balancer, as a state machine that turns events into actions.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Arc<Settings>,
     rng: Rand64,
     admission: Admission,
-    /// The baseline latency of each class.
+    /// Baseline latency of each class, by the index of the class.
     baselines: Vec<BaselineLatency>,
     endpoints: EndpointList,
     subscription: ListSubscription,
@@ -48,10 +49,10 @@
 }
 
 impl Balancer {
-    /// A replica that knows nothing yet but its settings.
+    /// Creates the balancer of a replica that has just started. Equal seeds give equal random draws.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Takes in an event and adds what is to be done to `actions`.
+    /// Processes an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let now = now.as_secs_f64();
         match event {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// The stats snapshot for the operator's log: congestion, failures and capacity of the tier, the limits and the
-    /// baseline latencies.
+    /// Formats a stats snapshot for the operator's log: the congestion level, failure rate and available fraction of
+    /// the tier, the rate limits in requests per second and the baseline latencies in milliseconds.
     #[must_use]
     pub fn stats_snapshot(&self) -> String {
         let limits: Vec<_> =
@@ -123,8 +124,8 @@
         )
     }
 
-    /// Goes over to other settings for what follows. Requests in flight keep theirs, and what was learned of what
-    /// stays, stays.
+    /// Replaces the settings. Requests in flight keep the settings under which they were received, and the state
+    /// learned about classes, tenants and endpoints is kept.
     fn reconfigure(&mut self, settings: Settings) {
         self.admission.reconfigure(&settings);
         self.baselines.resize(settings.classes.len(), BaselineLatency::default());
@@ -136,7 +137,7 @@
 
     // --- Endpoints ---
 
-    /// Takes in an update of the list of endpoints.
+    /// Applies an update of the list of endpoints.
     fn update_list(&mut self, now: f64, update: ListUpdate) {
         match update {
             ListUpdate::Broken => return self.back_off(now, Interruption::Broken),
@@ -169,11 +170,11 @@
         }
     }
 
-    // --- The way of a request ---
+    // --- Requests ---
 
-    /// Receives a request: admits it and sends its first attempt, or ends it.
+    /// Receives a request: admits it and sends its first attempt, or ends it as not served.
     fn accept(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
-        // An id in use or a class that the settings do not have is the embedding program's mistake.
+        // An id that is in use, or a class that is not in the settings, is an error of the embedding program.
         if self.requests.contains(request.id) {
             return;
         }
@@ -196,9 +197,12 @@
         }
     }
 
-    /// Whether a request has the time that its class takes, the longer the more congestion is met, or by chance the
-    /// part that it has suffices: what cannot end in time keeps others out, but a baseline learned too long must not
-    /// stand.
+    /// Whether a request has enough time left to be answered.
+    ///
+    /// The expected latency is the baseline latency of its class, raised by the current congestion. A request with less
+    /// time left would take capacity from others without being answered in time. It is still let through with a
+    /// probability equal to the fraction of the expected latency that it has left: otherwise a baseline that was
+    /// learned too high would never be corrected.
     fn can_meet_deadline(&mut self, now: f64, id: RequestId) -> bool {
         let Some(pending) = self.requests.get(id) else { return false };
         let left = pending.useful_until() - now;
@@ -221,7 +225,9 @@
         selection.select().is_some_and(|slot| self.send(now, id, slot, actions))
     }
 
-    /// The ONE gate that every attempt passes; it keeps the rules on idempotency, draining and slow start.
+    /// Sends an attempt of a request to the endpoint in `slot`, unless a rule on idempotency, draining, slow start or
+    /// the number of attempts forbids it. Every attempt passes through this method. Returns whether the attempt was
+    /// sent.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
         let endpoint = self.endpoints.get_mut(slot);
         let slow_start_allows = self.subset.slow_start_allows(now, endpoint, &self.settings);
@@ -260,7 +266,7 @@
         true
     }
 
-    /// A streamed answer has begun: the other attempts are called off.
+    /// Records that a streamed answer has begun, and cancels the other attempts of the request.
     fn begin_stream(&mut self, id: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.streaming = true;
@@ -269,7 +275,7 @@
         }
     }
 
-    /// An attempt has ended: learns from it, and retries or ends its request.
+    /// Processes the end of an attempt: updates the statistics, and retries or ends its request.
     fn end_attempt(&mut self, now: f64, id: RequestId, end: AttemptEnd, actions: &mut Vec<Action>) {
         let outcome = end.outcome;
         let Some(pending) = self.requests.get_mut(id) else { return };
@@ -287,9 +293,9 @@
         if is_idle && !is_retried {
             self.finish(id, outcome == Outcome::InvalidRequest, actions);
         }
-        // A call that was refused and went elsewhere has met no congestion yet: behind a broken link or one full
-        // server the tenant's limit would decrease although its calls are served. Refusals by two servers in a row
-        // are congestion.
+        // An attempt that never ran and is retried elsewhere does not count as congestion: with a broken link or a
+        // single full endpoint, the tenant's limit would decrease although its requests are served. Refusals by two
+        // endpoints in a row count as congestion.
         let is_refused_again = outcome == Outcome::Refused && was_tried_before;
         if is_refused_again || !(is_retried && outcome.never_ran()) {
             let AttemptEnd { served, latency_objective, .. } = end;
@@ -311,8 +317,8 @@
         is_sent
     }
 
-    /// The ONE path that ends a request unserved: refused where that is true and where it invites no wrong request
-    /// again.
+    /// Ends a request that was not served. Every such request is ended by this method. The request is refused, which
+    /// invites a retry, if a retry cannot repeat an effect and the request itself is valid. Otherwise it fails.
     fn finish(&mut self, id: RequestId, is_wrong: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
         let is_safe_anywhere = matches!(
@@ -328,14 +334,14 @@
         self.close(id, actions);
     }
 
-    /// Marks a request as ended and calls off what is still in flight for it.
+    /// Marks a request as ended and cancels its attempts in flight, if cancelling is permitted.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.requests.close(id, self.settings.permissions.cancel, actions);
     }
 
-    // --- Learning ---
+    // --- Statistics ---
 
-    /// What the end of an attempt tells of its endpoint and of the tier.
+    /// Updates the statistics of an endpoint and of the tier from the end of an attempt.
     fn record_attempt(&mut self, now: f64, slot: usize, class: ClassId, end: &AttemptEnd) {
         let outcome = end.outcome;
         let endpoint = self.endpoints.get_mut(slot);
@@ -343,7 +349,7 @@
         if has_answered && !outcome.breaks_connection() {
             self.admission.record_answer(now);
         }
-        // A rejection tells of the client, not of the endpoint.
+        // An invalid request is a fault of the client and does not count against the endpoint.
         if matches!(outcome, Outcome::NotSent | Outcome::Cancelled | Outcome::InvalidRequest) {
             return;
         }
@@ -355,8 +361,8 @@
         }
     }
 
-    /// Ejects an endpoint that stands out from the tier, unless too many are ejected already; an unreachable one in
-    /// any case.
+    /// Ejects an endpoint that is an outlier in its tier, unless too many members of its group are ejected already. An
+    /// unreachable endpoint is ejected in any case.
     fn eject_if_outlier(&mut self, now: f64, slot: usize, fault: Fault) {
         let endpoint = self.endpoints.get(slot);
         if endpoint.health.is_ejected(now) || !self.outliers.is_outlier(&endpoint.health, fault) {
@@ -370,7 +376,7 @@
         }
     }
 
-    /// What the end of a call tells of congestion, and so of the limits.
+    /// Updates the congestion level, and with it the rate limits, from the end of a request.
     fn record_call_end(&mut self, now: f64, class: ClassId, call: &CallEnd) {
         let tier = TierState {
             is_first: self.settings.tier == 0,
@@ -383,7 +389,7 @@
 
     // --- Maintenance ---
 
-    /// Asks for the next maintenance pass and, where it is due, for the list.
+    /// Schedules the next maintenance pass and, if one is due, subscribes to the list of endpoints.
     fn schedule_maintenance(&mut self, now: f64, actions: &mut Vec<Action>) {
         actions.push(Action::ScheduleMaintenance(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
         if self.subscription.begin_if_due(now, &self.settings) {
@@ -391,7 +397,7 @@
         }
     }
 
-    /// The maintenance pass: what is learned over time and not from events.
+    /// Runs a maintenance pass, which updates the state that changes with time and not with events.
     fn maintain(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.schedule_maintenance(now, actions);
         self.admission.maintain(now);
