--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -1,55 +1,56 @@
 //! One attempt of a request, and how it ended.
 //!
-//! An attempt may outlive its request, and whether it may have run decides on each retry. It is sent to one endpoint
-//! and ends exactly once, whatever becomes of its request. The module owns the state of one attempt.
+//! An attempt is sent to one endpoint and ends exactly once, which can be after the end of its request. Whether a
+//! retry is allowed depends on whether earlier attempts may have run. The module owns the state of one attempt.
 
 use crate::interface::{AttemptNumber, Member, Outcome};
 
-/// Seconds that an attempt must have left: a time-out at the deadline may be off by a rounding.
+/// Least time in seconds that must be left before the deadline for an attempt to be sent. A timeout computed for the
+/// deadline itself can be off by a rounding error.
 pub const MIN_TIMEOUT_S: f64 = 0.001;
 
-/// An attempt that was sent.
+/// An attempt that has been sent to an endpoint.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The slot of its endpoint.
+    /// Slot of the endpoint that the attempt was sent to.
     pub slot: usize,
-    /// The endpoint as it was when the attempt was sent.
+    /// List entry of the endpoint at the time when the attempt was sent.
     pub member: Member,
-    /// When it was sent, in seconds of the clock.
+    /// Time at which the attempt was sent, in seconds of the clock.
     pub sent: f64,
-    /// `None` while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     pub ended: Option<Outcome>,
-    /// It was called off, though its end is still to come.
+    /// Whether the attempt was cancelled. Its end is reported later.
     pub cancelled: bool,
 }
 
 impl Attempt {
-    /// An attempt sent at `sent`.
+    /// Creates an attempt that is sent at `sent` to `member` in `slot`.
     #[must_use]
     pub fn new(slot: usize, member: Member, sent: f64) -> Self {
         Self { slot, member, sent, ended: None, cancelled: false }
     }
 
-    /// Whether its request may have run: it is in flight, or did not end in a way that rules it out.
+    /// Whether the endpoint may have run the request: the attempt is in flight, or its outcome does not rule it out.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.ended.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-/// How an attempt ended. Times are in seconds.
+/// The end of an attempt. Times are in seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptEnd {
-    /// Which attempt of its request it is.
+    /// Number of the attempt within its request.
     pub number: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long it took in all.
+    /// Total duration of the attempt, including the wait for a connection.
     pub duration: f64,
-    /// For how long of that it had a connection.
+    /// Part of `duration` during which the attempt had a connection.
     pub served: f64,
-    /// The latency objective of its class.
+    /// Latency objective of the class of the request.
     pub latency_objective: f64,
-    /// Whether its request has ended too.
+    /// Whether the request has ended too.
     pub finished: bool,
 }
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -1,13 +1,14 @@
-//! Which endpoints the rules on idempotency let a retry go to.
+//! The rules on idempotency: which endpoints a retry may be sent to.
 //!
-//! An attempt that may have run binds those that follow: an unsafe request must never run twice, and one with an
-//! idempotency key only where the endpoints that remember the key discard the repeat. The module owns no state.
+//! An attempt that may have run restricts the later attempts. A request that is not idempotent must not run twice. A
+//! request with an idempotency key may be repeated only at endpoints that share the record of the key and discard the
+//! repeat. The module has no state.
 
 use crate::interface::{DeduplicationScope, Idempotency, Member};
 use crate::requests::attempt::Attempt;
 
-/// For how many seconds more a request may go to `member`, after `first_run`, the first of its attempts that may have
-/// run; `None` if it may not. Without such an attempt it may at any time.
+/// Returns for how many more seconds a request may be sent to `member`, or `None` if it must not be sent there.
+/// `first_run` is the first attempt of the request that may have run; without one there is no restriction.
 #[must_use]
 pub fn may_repeat(
     now: f64,
@@ -26,7 +27,7 @@
     }
 }
 
-/// Whether two endpoints surely share what they remember of idempotency keys.
+/// Whether two endpoints are known to share their record of idempotency keys.
 fn shares_scope(scope: DeduplicationScope, first: &Member, other: &Member) -> bool {
     match scope {
         DeduplicationScope::All => true,
--- a/crates/policy/src/requests/mod.rs
+++ b/crates/policy/src/requests/mod.rs
@@ -1,14 +1,14 @@
-//! The requests in flight, their attempts and what lets them be retried.
+//! The requests in flight, their attempts, and the rules and budgets for retries.
 //!
-//! A request may have several attempts, whose ends come in any order, and must end exactly once, with no effect
-//! repeated that must not be.
+//! A request can have several attempts, which end in any order. The request itself must end exactly once, and a retry
+//! must not repeat the effect of a request that is not idempotent.
 //!
-//! * [`request_table`] holds the requests that are not over;
+//! * [`request_table`] holds the requests that are pending;
 //! * [`attempt`] is one attempt of a request;
-//! * [`idempotency`] tells where the rules on idempotency let a request go again;
-//! * [`retry_budget`] bounds the retries to a fraction of the requests.
+//! * [`idempotency`] decides which endpoints a request may be retried at;
+//! * [`retry_budget`] limits the retries to a fraction of the requests.
 //!
-//! The module owns the table of requests and the retry budgets.
+//! The module owns the request table and the retry budgets.
 
 pub mod attempt;
 pub mod idempotency;
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -1,8 +1,8 @@
-//! The requests that are not over: received, and with an answer or the end of an attempt still to come.
+//! The table of pending requests: those that have no answer yet or whose attempts have not all ended.
 //!
-//! Ends of attempts still come for a request that has its answer, and a table that only grew would run out of memory.
-//! So a request leaves the table once it is closed and its last attempt has ended. The module owns the requests by id,
-//! with their attempts.
+//! Attempts can end after their request has been answered, so an answered request stays in the table for a while. To
+//! bound the size of the table, a request is removed once it is closed and its last attempt has ended. The module owns
+//! the pending requests by id, with their attempts.
 
 use std::sync::Arc;
 
@@ -11,34 +11,34 @@
 use crate::interface::{Action, AttemptNumber, Class, ClassId, Outcome, Request, RequestId, Settings};
 use crate::requests::attempt::{Attempt, AttemptEnd};
 
-/// A request that is not over. Times are in seconds of the clock.
+/// A request that has no answer yet or has attempts in flight. Times are in seconds of the clock.
 #[derive(Debug)]
 pub struct PendingRequest {
     id: RequestId,
-    /// Those that it was received under: no later ones let more of its attempts run.
+    /// Settings in force when the request was received. Later settings do not allow it more attempts.
     pub settings: Arc<Settings>,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The place of its tenant among the limits.
+    /// Index of the request's tenant in the rate limits of admission.
     pub tenant: usize,
-    /// When it arrived.
+    /// Time at which the request arrived.
     pub arrived: f64,
-    /// When its client gives up.
+    /// Time at which the client stops waiting.
     deadline: f64,
-    /// Its attempts by number.
+    /// Attempts of the request, indexed by attempt number.
     pub attempts: Vec<Attempt>,
-    /// Time that its attempts spent without a connection.
+    /// Total time that the attempts of the request spent without a connection, in seconds.
     pub connect_wait: f64,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub in_flight: u32,
-    /// It has ended; only attempts are left to end.
+    /// Whether the request has ended. Attempts of a closed request may still be in flight.
     pub closed: bool,
-    /// Its answer has begun to stream.
+    /// Whether a streamed answer has begun.
     pub streaming: bool,
 }
 
 impl PendingRequest {
-    /// A request received at `now`, for the tenant at the place `tenant`.
+    /// Creates a request that is received at `now`. `tenant` is the index of its tenant in the rate limits.
     #[must_use]
     pub fn new(now: f64, request: &Request, tenant: usize, settings: Arc<Settings>) -> Self {
         Self {
@@ -56,28 +56,29 @@
         }
     }
 
-    /// The rules of its class.
+    /// The settings of the request's class.
     #[must_use]
     pub fn rules(&self) -> &Class {
         &self.settings.classes[self.class.0]
     }
 
-    /// The time until which an answer is still useful to the client.
+    /// The latest time at which an answer is still useful to the client.
     #[must_use]
     pub fn useful_until(&self) -> f64 {
         let objective = self.arrived + self.rules().latency_objective.as_secs_f64();
-        // Where no deadline is passed on, a slot of the tier above would be reserved for a client long gone.
+        // Without a propagated deadline it is unknown whether the client still waits. Waiting past the latency
+        // objective could hold a slot of the tier above for a client that has left.
         let is_blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
         if self.rules().late_weight > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
     }
 
-    /// The first attempt not proved never to have run: it binds those that follow.
+    /// The first attempt that may have run. The rules on idempotency restrict the attempts after it.
     #[must_use]
     pub fn first_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
-    /// Cancels the attempts in flight, but for the one to keep.
+    /// Cancels the attempts in flight, except the attempt `keep`.
     pub fn cancel_attempts(&mut self, keep: Option<AttemptNumber>, actions: &mut Vec<Action>) {
         for (number, attempt) in (0..).map(AttemptNumber).zip(&mut self.attempts) {
             if Some(number) != keep && attempt.ended.is_none() && !attempt.cancelled {
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Takes note of the end of an attempt and gives the slot of its endpoint; `None` if it is unknown or has ended
-    /// before.
+    /// Records the end of an attempt and returns the slot of its endpoint. Returns `None` if the attempt is unknown or
+    /// has already ended.
     pub fn end_attempt(&mut self, end: &AttemptEnd) -> Option<usize> {
         let attempt = self.attempts.get_mut(end.number.0 as usize)?;
         if attempt.ended.is_some() {
@@ -100,7 +101,8 @@
         Some(attempt.slot)
     }
 
-    /// Whether an attempt before this one has ended in another way than by a connection that was late.
+    /// Whether an attempt with a lower number is in flight or ended in another way than
+    /// [`Outcome::ConnectTimedOut`].
     #[must_use]
     pub fn was_tried_before(&self, number: AttemptNumber) -> bool {
         let mut earlier = self.attempts[..number.0 as usize].iter();
@@ -108,36 +110,37 @@
     }
 }
 
-/// The requests that are not over, by their ids.
+/// The pending requests by id.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     by_id: FxHashMap<RequestId, PendingRequest>,
 }
 
 impl RequestTable {
-    /// Whether the request is not over.
+    /// Whether the request `id` is pending.
     #[must_use]
     pub fn contains(&self, id: RequestId) -> bool {
         self.by_id.contains_key(&id)
     }
 
-    /// The request, if it is not over.
+    /// Returns the request `id` if it is pending.
     #[must_use]
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.by_id.get(&id)
     }
 
-    /// The request, if it is not over.
+    /// Returns the request `id` for changes if it is pending.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.by_id.get_mut(&id)
     }
 
-    /// Adds a request.
+    /// Adds a pending request to the table.
     pub fn insert(&mut self, request: PendingRequest) {
         self.by_id.insert(request.id, request);
     }
 
-    /// Marks a request as ended and, where attempts may be cancelled, cancels those still in flight.
+    /// Marks a request as ended, and removes it from the table if none of its attempts is in flight. With `may_cancel`,
+    /// attempts in flight are cancelled unless a streamed answer has begun.
     pub fn close(&mut self, id: RequestId, may_cancel: bool, actions: &mut Vec<Action>) {
         let Some(request) = self.by_id.get_mut(&id) else { return };
         request.closed = true;
--- a/crates/policy/src/requests/retry_budget.rs
+++ b/crates/policy/src/requests/retry_budget.rs
@@ -1,30 +1,34 @@
-//! How many retries the admitted requests pay for.
+//! Retry budgets, which limit the retries to a fraction of the admitted requests.
 //!
-//! Retries help while few attempts fail; when many do, they multiply the load that made them fail. Each admitted
-//! request earns a fraction of a retry, and a retry is sent only where a whole one is saved up. The module owns the
-//! retries saved up by one replica.
+//! Retries help while few attempts fail. When many attempts fail, retries multiply the load that made them fail. Each
+//! admitted request therefore adds a fraction of a retry to the budget, and a retry is sent only if the budget holds at
+//! least one. The module owns the retry budgets of one replica.
 
 use crate::interface::Outcome;
 
-/// Retries that may repeat work, earned by each admitted request.
+/// Fraction of a retry that each admitted request adds to the budget of retries that may repeat work.
 const REPEATS_PER_REQUEST: f64 = 0.1;
-/// Retries that may repeat work, saved up at most.
+/// Largest balance of the budget of retries that may repeat work, in retries.
 const MAX_REPEATS: f64 = 10.0;
-/// Retries of attempts proved not to have run, earned by each admitted request: they cost the tier no work twice.
+/// Fraction of a retry that each admitted request adds to the budget of retries after attempts that never ran. It is
+/// larger, since such retries cause the tier no duplicate work.
 const REROUTES_PER_REQUEST: f64 = 0.5;
-/// Retries of attempts proved not to have run, saved up at most.
+/// Largest balance of the budget of retries after attempts that never ran, in retries.
 const MAX_REROUTES: f64 = 20.0;
 
-/// Retries saved up.
+/// A budget that admitted requests fill and retries use up.
 #[derive(Debug)]
 struct RetryBudget {
+    /// Number of retries that may be sent now.
     saved: f64,
+    /// Fraction of a retry that each admitted request adds.
     per_request: f64,
+    /// Upper bound of the balance.
     max: f64,
 }
 
 impl RetryBudget {
-    /// Half full, so that the first requests of a fresh replica may be retried.
+    /// Creates a budget that is half full, so that the first requests after the start of a replica can be retried.
     fn new(per_request: f64, max: f64) -> Self {
         Self { saved: max / 2.0, per_request, max }
     }
@@ -38,7 +42,8 @@
     }
 }
 
-/// The budgets of a replica: of retries that may repeat work, and of those after an attempt proved not to have run.
+/// The retry budgets of a replica: one for retries that may repeat work and one for retries after attempts that never
+/// ran.
 #[derive(Debug)]
 pub struct RetryBudgets {
     repeats: RetryBudget,
@@ -46,7 +51,7 @@
 }
 
 impl RetryBudgets {
-    /// The budgets of a fresh replica.
+    /// Creates the retry budgets of a replica that has just started.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -55,25 +60,26 @@
         }
     }
 
-    /// An admitted request pays in. Denied ones do not: a storm of them must not pay for retries.
+    /// Adds the share of an admitted request to both budgets. Denied requests add nothing, so that a flood of them
+    /// cannot fund retries.
     pub fn earn(&mut self) {
         self.repeats.earn();
         self.reroutes.earn();
     }
 
-    /// Whether a retry is saved up for an attempt that ended so.
+    /// Whether the budget allows a retry of an attempt that ended with `outcome`.
     #[must_use]
     pub fn allow_retry_after(&self, outcome: Outcome) -> bool {
         if outcome.never_ran() { self.reroutes.allows_retry() } else { self.repeats.allows_retry() }
     }
 
-    /// Whether a retry is saved up for an attempt that finds no connection.
+    /// Whether the budget allows a retry of an attempt that never ran.
     #[must_use]
     pub fn allow_reroute(&self) -> bool {
         self.reroutes.allows_retry()
     }
 
-    /// A retry was sent for an attempt that ended so.
+    /// Takes one retry from the budget, for a retry of an attempt that ended with `outcome`.
     pub fn spend(&mut self, outcome: Outcome) {
         let budget = if outcome.never_ran() { &mut self.reroutes } else { &mut self.repeats };
         budget.saved -= 1.0;
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -1,4 +1,4 @@
-//! The parts of the requests' state, each alone.
+//! Unit tests of the retry budgets, the rules on idempotency and the request table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     PendingRequest::new(10.0, &request, 0, Arc::new(settings))
 }
 
-/// A request with two attempts in flight.
+/// Returns a request with two attempts in flight, to the slots 3 and 5.
 fn with_two_attempts() -> PendingRequest {
     let mut request = pending(0.0);
     request.attempts = vec![Attempt::new(3, member(None, 0), 10.0), Attempt::new(5, member(None, 0), 10.1)];
@@ -70,7 +70,7 @@
     }
     (0..9).for_each(|_| budgets.earn());
     assert!(!budgets.allow_retry_after(Outcome::Error));
-    // One more, and one for the rounding of tenths.
+    // The tenth request, and another one since the sum of ten tenths is subject to rounding.
     (0..2).for_each(|_| budgets.earn());
     assert!(budgets.allow_retry_after(Outcome::Error));
 }
@@ -116,7 +116,7 @@
     assert!(may(DeduplicationScope::Cell, Some(1), 7) && !may(DeduplicationScope::Cell, Some(0), 8));
     let of_no_zone = Attempt::new(0, member(None, 7), 10.0);
     let left = may_repeat(10.5, keyed(DeduplicationScope::Zone), Some(&of_no_zone), &member(None, 7));
-    assert_eq!(left, None, "two endpoints of no known zone may share nothing");
+    assert_eq!(left, None, "endpoints of unknown zones are not known to share idempotency keys");
 }
 
 #[test]
@@ -138,7 +138,7 @@
     let mut request = with_two_attempts();
     assert_eq!(request.end_attempt(&end(1, Outcome::Error)), Some(5));
     assert_eq!(request.end_attempt(&end(1, Outcome::Success)), None);
-    assert_eq!(request.end_attempt(&end(2, Outcome::Success)), None, "it was never sent");
+    assert_eq!(request.end_attempt(&end(2, Outcome::Success)), None, "attempt 2 was never sent");
     assert_eq!(request.in_flight, 1);
     assert!((request.connect_wait - 0.1).abs() < 1e-9, "{}", request.connect_wait);
 }
@@ -146,7 +146,7 @@
 #[test]
 fn the_first_attempt_that_may_have_run_binds_the_others() {
     let mut request = with_two_attempts();
-    assert_eq!(request.first_run().map(|attempt| attempt.slot), Some(3), "it is in flight");
+    assert_eq!(request.first_run().map(|attempt| attempt.slot), Some(3), "attempt 0 is in flight");
     request.end_attempt(&end(0, Outcome::Refused));
     assert_eq!(request.first_run().map(|attempt| attempt.slot), Some(5));
     request.end_attempt(&end(1, Outcome::NotSent));
