--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -1,51 +1,55 @@
-//! Locality: how much of the requests stays in the replica's own zone.
+//! Locality: which fraction of the requests stays in the replica's own zone.
 //!
-//! A site prices each crossing of zones, yet one zone may have more requests than its endpoints can serve, and no
-//! replica is notified. From an even spread on, more stays in the own zone for as long as it is no slower than the
-//! others. The module owns the fraction of requests that stays.
+//! Traffic between zones has a cost, but a zone can receive more requests than its endpoints can serve, and no replica
+//! is notified of that. The local fraction therefore rises while the own zone is no slower than the others. It falls
+//! while the own zone is slower, at most to that of an even spread over all endpoints. The module owns the local
+//! fraction.
 
 use oorandom::Rand64;
 
 use crate::random::between;
 
-/// Latency objectives by which requests of the own zone must take longer than elsewhere before any leave it, over the
-/// noise of some twenty requests...
+/// Difference in delay, in latency objectives, by which the own zone must be slower than the others before the local
+/// fraction falls. It is above the noise of an average over some twenty requests.
 const SLOWER_BY: f64 = 0.03;
-/// ...and for each point of price of a crossing.
+/// Further difference in delay, in latency objectives, that is required for each unit of the cost of an attempt that
+/// crosses zones.
 const SLOWER_BY_PER_PRICE: f64 = 0.5;
-/// What a maintenance pass adds to the local fraction where the own zone is no slower...
+/// Amount that a maintenance pass adds to the local fraction if the own zone is no slower than the others.
 const STEP_UP: f64 = 0.004;
-/// ...and takes off it where it is: endpoints choke faster than a price adds up.
+/// Amount that a maintenance pass subtracts from the local fraction if the own zone is slower. It is larger than
+/// [`STEP_UP`], since endpoints become overloaded faster than the cost of crossing zones adds up.
 const STEP_DOWN: f64 = 0.03;
-/// Parts of a step that a pass moves by: drawn, so that replicas do not move together.
+/// Range of the random factor by which each step is multiplied, so that replicas do not move in lockstep.
 const STEP_JITTER: std::ops::Range<f64> = 0.5..1.5;
 
-/// The fraction of the requests that stays in the own zone.
+/// The fraction of the requests that stays in the replica's own zone.
 #[derive(Debug, Default)]
 pub struct Locality {
-    /// `None` before the first list.
+    /// Fraction of the requests that stays in the own zone; `None` before the first list of endpoints.
     local_fraction: Option<f64>,
 }
 
 impl Locality {
-    /// Begins with a fraction at the first list; later it changes nothing.
+    /// Sets the initial local fraction when the first list of endpoints arrives. Later calls have no effect.
     pub fn begin(&mut self, fraction: f64) {
         self.local_fraction.get_or_insert(fraction);
     }
 
-    /// Whether there has been a list.
+    /// Whether a list of endpoints has arrived and set the local fraction.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.local_fraction.is_some()
     }
 
-    /// Draws whether a request stays in the own zone.
+    /// Decides at random, by the local fraction, whether a request stays in the own zone.
     pub fn draw_local(&self, rng: &mut Rand64) -> bool {
         rng.rand_float() < self.local_fraction.unwrap_or(1.0)
     }
 
-    /// Learns from the delays in the own zone and elsewhere, in latency objectives. The fraction never falls below
-    /// `even`, that of an even spread.
+    /// Moves the local fraction by one step, depending on the delays in the own zone and in the others, which are given
+    /// in latency objectives. `price` is the cost of an attempt that crosses zones. The local fraction never falls
+    /// below `even`, the fraction of an even spread over all endpoints.
     pub fn adapt(&mut self, local_delay: f64, remote_delay: f64, even: f64, price: f64, rng: &mut Rand64) {
         let Some(fraction) = &mut self.local_fraction else { return };
         let is_slower = local_delay > remote_delay + SLOWER_BY + price * SLOWER_BY_PER_PRICE;
--- a/crates/policy/src/routing/mod.rs
+++ b/crates/policy/src/routing/mod.rs
@@ -1,10 +1,11 @@
-//! Which endpoint an attempt goes to.
+//! Routing: which endpoint an attempt is sent to.
 //!
-//! Many replicas choose at once without knowing each other's choices, and must not all choose the same endpoint.
+//! Many replicas choose at the same time without knowing each other's choices, and must not all choose the same
+//! endpoint.
 //!
 //! * [`subset`] is the part of the endpoints that one replica sends to;
-//! * [`locality`] tells how much of the requests stays in the replica's own zone;
-//! * [`selection`] takes the less busy of two random members.
+//! * [`locality`] decides which fraction of the requests stays in the replica's own zone;
+//! * [`selection`] chooses the less loaded of two random members of the subset.
 //!
 //! The module owns the subset and the locality.
 
@@ -12,5 +13,5 @@
 pub mod selection;
 pub mod subset;
 #[cfg(test)]
-#[allow(clippy::float_cmp, reason = "figures at the edge of their range are that edge to the bit")]
+#[allow(clippy::float_cmp, reason = "clamping to a bound of a range gives exactly that bound")]
 mod tests;
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -1,9 +1,10 @@
-//! Selection: the endpoint of an attempt, by the power of two choices.
+//! Selection of the endpoint of an attempt, by the power of two choices.
 //!
-//! The least busy of all endpoints would be the same one for many replicas at once, and a random one may be busy. The
-//! less busy of two random ones is nearly as good as the first and spreads like the second. Draws weigh endpoints by
-//! size, warmth, speed and recovery, and pass over those that are ejected or stalled; those come last, when nothing
-//! else is left. The module owns no state: a selection borrows what it reads.
+//! The least loaded of all endpoints would be the same for many replicas at the same time, and a random one may be
+//! loaded. The less loaded of two random endpoints is nearly as good as the least loaded one, and spreads the
+//! requests of many replicas like a random one. The probability of an endpoint depends on its weight, slow start,
+//! slowness and recovery after an ejection. Ejected and stalled endpoints are selected only if no other is left. The
+//! module has no state: a selection borrows what it reads.
 
 use oorandom::Rand64;
 
@@ -14,35 +15,38 @@
 use crate::requests::request_table::PendingRequest;
 use crate::routing::subset::Subset;
 
-/// Pairs drawn at most, until one member is no busier than the average.
+/// Largest number of pairs that are drawn in search of a member that is no more loaded than the average.
 const MAX_PAIRS: usize = 4;
-/// Draws for each of the two candidates.
+/// Largest number of draws for each of the two candidates of a pair.
 const DRAWS_PER_CANDIDATE: usize = 6;
 
 /// The selection of an endpoint for one attempt.
 #[derive(Debug)]
 pub struct Selection<'a> {
-    /// The time, in seconds of the clock.
+    /// Current time, in seconds of the clock.
     pub now: f64,
-    /// The settings in force.
+    /// Current settings.
     pub settings: &'a Settings,
-    /// The request to send.
+    /// Request that the attempt belongs to.
     pub request: &'a PendingRequest,
-    /// The baseline latency of its class, in seconds.
+    /// Baseline latency of the request's class, in seconds.
     pub baseline_s: f64,
-    /// The replica's part of the tier.
+    /// Subset of the endpoints that this replica sends to.
     pub subset: &'a Subset,
-    /// What is known of the tier.
+    /// Outlier detector, which knows how slow the endpoints are compared with the tier.
     pub outliers: &'a OutlierDetector,
-    /// The endpoints; slow start refills their budgets.
+    /// All endpoints; mutable, since a check of slow start refills the endpoint's send budget.
     pub endpoints: &'a mut EndpointList,
-    /// The balancer's random source.
+    /// Random number generator of the balancer.
     pub rng: &'a mut Rand64,
 }
 
 impl Selection<'_> {
-    /// Selects an endpoint: two draws from the own zone's members or, where locality says so, from the others; then
-    /// whatever is left.
+    /// Selects an endpoint and returns its slot, or `None` if there is none that the attempt may be sent to.
+    ///
+    /// Depending on the locality, the members of the own zone or those of the other zones come first. Two random
+    /// members of the first group are compared, then two of the second group. If that finds none, the least loaded
+    /// eligible member of the first group or else of the second one is taken.
     #[must_use]
     pub fn select(mut self) -> Option<usize> {
         if let Some(members) = self.bound_members() {
@@ -58,8 +62,8 @@
             .or_else(|| self.least_busy_untried(second))
     }
 
-    /// The endpoints that a request with an idempotency key is bound to by an attempt that may have run; `None` if it
-    /// may go anywhere.
+    /// The ready endpoints in the deduplication scope of a request with an idempotency key, once an attempt of it may
+    /// have run; `None` if the request may be sent to any endpoint.
     fn bound_members(&self) -> Option<Vec<usize>> {
         let Idempotency::IdempotencyKey { scope, .. } = self.request.rules().idempotency else { return None };
         let first = self.request.first_run()?.member;
@@ -75,10 +79,10 @@
         Some(ready.filter(|&slot| shares_scope(&self.endpoints.get(slot).member)).collect())
     }
 
-    /// The less busy of two random members, by own attempts in flight.
+    /// The less loaded of two random members of `from`, by this replica's attempts in flight.
     ///
-    /// Where both are busier than the members are on average, two others are drawn, a few times: many replicas that
-    /// each see few requests would otherwise pile on an endpoint by chance until it chokes.
+    /// If both are more loaded than the average member, another pair is drawn, up to [`MAX_PAIRS`] pairs in all.
+    /// Otherwise many replicas that each see few requests could overload an endpoint by chance.
     fn less_busy_of_two(&mut self, from: &[usize]) -> Option<usize> {
         let average = self.subset.average_in_flight();
         let mut best: Option<usize> = None;
@@ -98,7 +102,8 @@
         self.endpoints.get(slot).cost(self.now, self.settings)
     }
 
-    /// Draws a member that is eligible for an attempt and likely to answer it soon.
+    /// Draws a member of `from` that is eligible for an attempt and is neither ejected nor stalled. Members that warm
+    /// up, recover or are slow are drawn with a lower probability.
     fn draw_candidate(&mut self, from: &[usize]) -> Option<usize> {
         if from.is_empty() {
             return None;
@@ -118,7 +123,7 @@
         None
     }
 
-    /// The chance with which a drawn member is selected.
+    /// Probability with which the endpoint in `slot` is accepted when it is drawn.
     fn chance(&self, slot: usize) -> f64 {
         let endpoint = self.endpoints.get(slot);
         self.endpoints.relative_weight(slot)
@@ -127,7 +132,7 @@
             * self.outliers.slowness_chance(&endpoint.health, endpoint.kind)
     }
 
-    /// Whether an endpoint may be sent to at all and has not had this request yet.
+    /// Whether the endpoint in `slot` is ready and no attempt of this request has been sent to it yet.
     fn is_eligible(&self, slot: usize) -> bool {
         let member = &self.endpoints.get(slot).member;
         let is_tried = self.request.attempts.iter().any(|attempt| attempt.member.id == member.id);
@@ -138,7 +143,7 @@
         self.subset.slow_start_allows(self.now, self.endpoints.get_mut(slot), self.settings)
     }
 
-    /// A member that may be sent to at all, the least busy, when draws found none.
+    /// The least loaded eligible member of `from` to which slow start allows an attempt. It may be ejected or stalled.
     fn least_busy_untried(&mut self, from: &[usize]) -> Option<usize> {
         let mut left: Vec<usize> = from.iter().copied().filter(|&slot| self.is_eligible(slot)).collect();
         left.sort_by_key(|&slot| self.endpoints.get(slot).in_flight);
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -1,9 +1,9 @@
 //! Subsetting: the part of the endpoints that one replica sends to.
 //!
-//! If every replica sent to every endpoint, connections would grow with their product, and a replica would see too few
-//! requests of each endpoint to judge it. Each replica sends to an arc of the ring of endpoints, so that together
-//! they cover all of them evenly and a change of the list moves few. The module owns the members of the subset by zone,
-//! their delays and what of the tier is available.
+//! If every replica sent to every endpoint, the number of connections would be the product of both, and a replica would
+//! see too few requests at each endpoint to judge its health. Each replica therefore sends to an arc of a ring of
+//! endpoints. Together the arcs cover all endpoints evenly, and a change of the list changes few members. The module
+//! owns the members of the subset by zone, their delays and the available fraction of the tier.
 
 use oorandom::Rand64;
 
@@ -14,38 +14,40 @@
 use crate::requests::attempt::AttemptEnd;
 use crate::routing::locality::Locality;
 
-/// Least part of a tier that counts as available: more ejected is a fault of the tier, no loss of servers.
+/// Lower bound of the available fraction of the tier. If more endpoints than that are ejected, the tier itself is at
+/// fault and no endpoints have been lost.
 const MIN_AVAILABLE: f64 = 0.5;
-/// Replicas that cover each endpoint, on average.
+/// Average number of replicas that send to each endpoint.
 const REPLICAS_PER_ENDPOINT: f64 = 4.0;
-/// Members of a subset, at least: two draws out of fewer meet too often.
+/// Least number of members of a subset. With fewer members, two random draws pick the same one too often.
 const MIN_MEMBERS: usize = 8;
-/// Part of the ring by which the arcs of replicas with neighbouring numbers lie apart: the golden section, which
-/// spreads any count of them.
+/// Distance between the arcs of replicas with consecutive indexes, as a fraction of the ring. It is the inverse of
+/// the golden ratio, which spreads any number of replicas evenly.
 const STRIDE: f64 = 0.618;
-/// Weight of one request in a group's delay.
+/// Weight of one request in the moving average of a group's delay.
 const DELAY_WEIGHT: f64 = 0.05;
 
-/// The members of the subset in one zone, or in all other zones.
+/// The members of the subset in the replica's own zone, or those in all other zones.
 #[derive(Debug, Default)]
 pub struct Group {
-    /// Endpoints of the group's zones, members or not.
+    /// Number of ready endpoints in the zones of the group, whether or not they are members of the subset.
     listed: usize,
-    /// Slots of the members.
+    /// Slots of the members of the group.
     pub members: Vec<usize>,
-    /// What the warm members answer.
+    /// Rate at which the warm members of the group answer.
     pub peers: WarmPeers,
-    /// Time that requests take, failed ones at their duration, in latency objectives.
+    /// Moving average of the duration of attempts to the group, in latency objectives.
     delay: f64,
 }
 
 impl Group {
-    /// The replicas of `replicas` that send to one member of the group, on average.
+    /// Average number of replicas, out of `replicas`, that send to one member of the group.
     fn sharers(&self, replicas: u32) -> f64 {
         (f64::from(replicas) * self.members.len() as f64 / self.listed.max(1) as f64).max(1.0)
     }
 
-    /// Takes the time of an attempt into the group's delay; a failed one counts as no less than its latency objective.
+    /// Adds the duration of an attempt to the moving average of the group's delay. A failed attempt counts with at
+    /// least the latency objective.
     fn record_delay(&mut self, end: &AttemptEnd) {
         let is_answered = matches!(end.outcome, Outcome::Success | Outcome::Error);
         let delay = if is_answered { end.duration } else { end.duration.max(end.latency_objective) }
@@ -54,25 +56,25 @@
     }
 }
 
-/// The replica's part of the tier.
+/// The part of the tier's endpoints that this replica sends to.
 #[derive(Debug)]
 pub struct Subset {
-    /// Members of the own zone.
+    /// Members in the replica's own zone.
     pub local: Group,
-    /// Members of other zones.
+    /// Members in other zones.
     pub remote: Group,
-    /// How much stays in the own zone.
+    /// Fraction of the requests that stays in the own zone.
     pub locality: Locality,
-    /// Endpoints ready in the first list.
+    /// Number of ready endpoints in the first list that had any.
     first_ready: usize,
-    /// The part of their capacity that is still available.
+    /// Fraction of the tier's capacity that is available, compared with the first list.
     available: f64,
-    /// Attempts of this replica in flight, to members or not.
+    /// Number of this replica's attempts in flight, to any endpoint.
     in_flight: u32,
 }
 
 impl Subset {
-    /// Empty, before the first list.
+    /// Creates an empty subset, before the first list of endpoints has arrived.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The group of the own zone or of the others.
+    /// The group of the own zone if `is_local`, else the group of the other zones.
     #[must_use]
     pub fn group(&self, is_local: bool) -> &Group {
         if is_local { &self.local } else { &self.remote }
@@ -95,41 +97,41 @@
         if is_local { &mut self.local } else { &mut self.remote }
     }
 
-    /// The part of the tier's capacity that is available.
+    /// The fraction of the tier's capacity that is available, from [`MIN_AVAILABLE`] to 1.
     #[must_use]
     pub fn available(&self) -> f64 {
         self.available
     }
 
-    /// Members in all.
+    /// Number of members in both groups.
     fn size(&self) -> usize {
         self.local.members.len() + self.remote.members.len()
     }
 
-    /// Attempts in flight to a member, on average.
+    /// Average number of this replica's attempts in flight per member.
     #[must_use]
     pub fn average_in_flight(&self) -> f64 {
         f64::from(self.in_flight) / self.size().max(1) as f64
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub fn begin_attempt(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub fn end_attempt(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Lays out the subset anew, after an update of the list or with another number of replicas.
+    /// Rebuilds the subset after an update of the list of endpoints or a change of the number of replicas.
     pub fn lay_out(&mut self, settings: &Settings, ready: &ReadyByZone) {
         if self.first_ready == 0 {
             self.first_ready = ready.local.len() + ready.remote.len();
         }
         self.local.listed = ready.local.len();
         self.remote.listed = ready.remote.len();
-        // Below the first tier the clients stand where the tier above was spread to.
+        // Below the first tier, requests arrive already spread over the zones by the tier above.
         let first_fraction = if settings.tier == 0 { self.even_fraction() } else { 1.0 };
         self.locality.begin(first_fraction);
         let replicas = f64::from(settings.replicas);
@@ -137,13 +139,14 @@
         self.remote.members = arc(settings, replicas, &ready.remote);
     }
 
-    /// The fraction of the endpoints that is of the own zone.
+    /// The fraction of the ready endpoints that is in the own zone.
     fn even_fraction(&self) -> f64 {
         let (local, remote) = (self.local.listed as f64, self.remote.listed as f64);
         local / (local + remote).max(1.0)
     }
 
-    /// Whether slow start lets another attempt go to `endpoint`, beside the warm members of its group.
+    /// Whether slow start allows another attempt to `endpoint`. Its send budget follows the rate of the warm members of
+    /// its group.
     #[must_use]
     pub fn slow_start_allows(&self, now: f64, endpoint: &mut Endpoint, settings: &Settings) -> bool {
         let warm_fraction = endpoint.warm_fraction(now, &settings.rules);
@@ -155,7 +158,7 @@
         endpoint.send_budget.allows_send(now, warm_fraction, &group.peers, sharers, &settings.rules)
     }
 
-    /// Learns from the end of an attempt to `endpoint` what it tells of slow start and of its group's delay.
+    /// Updates the slow start of `endpoint` and the delay of its group from the end of an attempt.
     pub fn record_attempt(
         &mut self,
         now: f64,
@@ -180,10 +183,12 @@
         group.record_delay(end);
     }
 
-    /// The subset's part of a maintenance pass: measures what of the tier is available, and how much stays local.
+    /// Runs a maintenance pass: updates the available fraction of the tier, the local fraction of the requests and the
+    /// answer rates of the warm members.
     pub fn maintain(&mut self, now: f64, endpoints: &EndpointList, settings: &Settings, rng: &mut Rand64) {
         let capacity = |&slot: &usize| endpoints.get(slot).available_fraction(now, &settings.rules);
-        // Quotas are parts of a whole tier: while some is gone, warming up or ejected, the rest would choke.
+        // Quotas are meant for the whole tier. While a part of it is removed, warming up or ejected, the full quotas
+        // would overload the rest.
         let members = self.local.members.iter().chain(&self.remote.members);
         let part = members.map(capacity).sum::<f64>() / self.size().max(1) as f64;
         let ready = endpoints.ready().len() as f64 / self.first_ready.max(1) as f64;
@@ -197,15 +202,15 @@
     }
 }
 
-/// The arc of a ring of endpoints that this replica sends to, where each is shared by `sharers` replicas if it is in
-/// all arcs.
+/// The slots in the arc of `ring` that this replica sends to. `sharers` is the number of replicas that divide the ring
+/// among themselves.
 ///
-/// The starts of the replicas are evenly spaced; a stride spreads neighbours in number, which may share a zone, over
-/// the ring.
+/// The arcs of the replicas start at even distances. Replicas with consecutive indexes may be in the same zone, so a
+/// stride spreads their arcs over the ring.
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "sizes, strides and starts are whole, not negative and bounded by the endpoints or the replicas"
+    reason = "sizes, strides and starts are non-negative integers bounded by the number of endpoints or replicas"
 )]
 fn arc(settings: &Settings, sharers: f64, ring: &[usize]) -> Vec<usize> {
     let (replica_index, replicas) = (u64::from(settings.replica_index), u64::from(settings.replicas));
--- a/crates/policy/src/routing/tests.rs
+++ b/crates/policy/src/routing/tests.rs
@@ -1,4 +1,4 @@
-//! Locality and subsetting, each alone.
+//! Unit tests of locality and subsetting.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::routing::locality::Locality;
 use crate::routing::subset::Subset;
 
-/// The part of 10,000 requests that a locality keeps in the own zone.
+/// Returns the fraction of 10,000 requests that `locality` keeps in the own zone.
 fn local_part(locality: &Locality, rng: &mut Rand64) -> f64 {
     (0..10_000).filter(|_| locality.draw_local(rng)).count() as f64 / 10_000.0
 }
 
-/// The members of the subsets of all replicas, of `ready` endpoints in the own zone.
+/// Returns the members of the subset of each replica, for `ready` endpoints that are all in the own zone.
 fn subsets(replicas: u32, ready: usize) -> Vec<Vec<usize>> {
     let span = Duration::from_secs(1);
     let class = Class {
