--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,8 +1,9 @@
-//! A replica from its start to its end, with a made-up clock: list, requests, outcomes, wake-ups.
+//! Runs a replica from its start to its end with a simulated clock: the list of endpoints, requests, outcomes and
+//! maintenance passes.
 //!
-//! The embedding program must deliver each wake-up that was asked for, report every outcome once, and keep
-//! its clock from going back. A wake-up lost leaves the replica without maintenance, so that limits and lists stand
-//! still; an outcome lost leaves a call in flight for good; a second one is passed over.
+//! The embedding program must deliver every maintenance pass that was requested, report every outcome exactly once, and
+//! use a clock that never goes back. Without maintenance passes, limits and lists are no longer updated. An attempt
+//! whose outcome is not reported stays in flight forever. A second report of an outcome is ignored.
 
 use std::time::Duration;
 
@@ -31,12 +32,12 @@
     });
     balancer.handle(now, Event::List(ListUpdate::Snapshot(members.collect())), &mut actions);
 
-    let mut wake = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
+    let mut wake = carry_out(now, &mut actions).expect("the start schedules the first maintenance pass");
     for number in 0..20 {
         now += Duration::from_millis(50);
         if now >= wake {
             balancer.handle(now, Event::MaintenanceDue, &mut actions);
-            wake = carry_out(now, &mut actions).expect("each wake-up asks for the next");
+            wake = carry_out(now, &mut actions).expect("each maintenance pass schedules the next");
         }
         let id = RequestId(number);
         let request = Request {
@@ -52,7 +53,7 @@
         let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         carry_out(now, &mut actions);
         if sent {
-            // The upstream answers at once; the answer ends the request.
+            // The endpoint answers after 20 ms, and the answer ends the request.
             let ended = Event::AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
@@ -65,11 +66,12 @@
             balancer.handle(now + Duration::from_millis(20), ended, &mut actions);
         }
     }
-    // A replica is shut down by dropping it, once no request in flight is owed an answer.
+    // A replica is shut down by dropping it once all requests in flight have been answered.
     Ok(())
 }
 
-/// Prints what a program would do, and tells when the next wake-up is due, if one was asked for.
+/// Prints the actions that a real program would carry out, and returns when the next maintenance pass is due if one was
+/// scheduled.
 fn carry_out(now: Duration, actions: &mut Vec<Action>) -> Option<Duration> {
     let mut wake = None;
     for action in actions.drain(..) {
