--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -97,7 +97,7 @@
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
             Event::ClientDisconnected(request) => self.close(request, actions),
             Event::MaintenanceDue => self.maintain(now, actions),
-            Event::Reconfigured(settings) => match settings.may_follow(&self.settings) {
+            Event::Reconfigured(settings) => match settings.validate_change_from(&self.settings) {
                 Ok(()) => self.reconfigure(settings),
                 Err(why) => actions.push(Action::Log(format!("other settings were not taken over: {why}"))),
             },
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -76,8 +76,8 @@
     /// Indexes keep their meaning. Existing classes and tenants keep their index, and new ones are appended. A removed
     /// class or tenant stays in the settings but is no longer referred to by any request; a removed tenant has a quota
     /// of 0. Requests that were received earlier keep the settings under which they were received. Settings that are
-    /// invalid, or that must not replace the current ones ([`Settings::may_follow`]), are ignored and reported by
-    /// [`Action::Log`](crate::Action::Log).
+    /// invalid, or that must not replace the current ones ([`Settings::validate_change_from`]), are ignored and
+    /// reported by [`Action::Log`](crate::Action::Log).
     Reconfigured(Settings),
     /// A health check has ended.
     HealthChecked {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -2,8 +2,8 @@
 //! costs.
 //!
 //! Invalid settings would otherwise only show much later, as wrong decisions. [`Settings`] are therefore validated
-//! when they are handed over: by [`Settings::validate`], or by [`Settings::may_follow`] if they replace the settings of
-//! a running balancer. The module has no state; the balancer keeps the current settings.
+//! when they are handed over: by [`Settings::validate`], or by [`Settings::validate_change_from`] if they replace the
+//! settings of a running balancer. The module has no state; the balancer keeps the current settings.
 
 use std::time::Duration;
 
@@ -186,7 +186,7 @@
     PositionsRemoved,
     /// The replica index, tier, zone, number of zones or number of kinds of machine differs from the current settings.
     #[error("the index, tier, zone, number of zones or number of kinds of a running replica cannot change")]
-    DifferentPlace,
+    IdentityChanged,
     /// The named number is outside its valid range.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
@@ -262,37 +262,37 @@
             if class.latency_objective.is_zero() || class.latency_objective > class.deadline {
                 return Err(SettingsError::ClassTimes(number));
             }
-            in_range(class.late_weight, 0.0, 1.0, "late worth")?;
+            check_range(class.late_weight, 0.0, 1.0, "late worth")?;
         }
         for quota in self.tenants.iter().filter_map(|tenant| tenant.quota) {
-            in_range(quota, 0.0, 1e12, "quota")?;
+            check_range(quota, 0.0, 1e12, "quota")?;
         }
-        in_range(self.over_quota_weight, 0.0, 1.0, "over-share worth")?;
-        in_range(self.rules.slow_start_min_fraction, f64::MIN_POSITIVE, 1.0, "cold share")?;
-        in_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
+        check_range(self.over_quota_weight, 0.0, 1.0, "over-share worth")?;
+        check_range(self.rules.slow_start_min_fraction, f64::MIN_POSITIVE, 1.0, "cold share")?;
+        check_range(self.rules.overload_multiple, f64::MIN_POSITIVE, 1e6, "overload multiple")?;
         let Costs { cross_zone, wasted_work, late_failure, handshake, health_check } = self.costs;
         for cost in [cross_zone, wasted_work, late_failure, handshake, health_check] {
-            in_range(cost, 0.0, 1e6, "price")?;
+            check_range(cost, 0.0, 1e6, "price")?;
         }
         Ok(())
     }
 
-    /// Checks that these settings are valid and that a running replica may change to them from the settings `before`.
+    /// Checks that these settings are valid and that a running replica may change to them from the settings `current`.
     ///
     /// # Errors
     /// Returns the first fault that was found in the settings.
-    pub fn may_follow(&self, before: &Self) -> Result<(), SettingsError> {
-        let place = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.kinds);
-        if place(self) != place(before) {
-            return Err(SettingsError::DifferentPlace);
+    pub fn validate_change_from(&self, current: &Self) -> Result<(), SettingsError> {
+        let identity = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.kinds);
+        if identity(self) != identity(current) {
+            return Err(SettingsError::IdentityChanged);
         }
-        if self.classes.len() < before.classes.len() || self.tenants.len() < before.tenants.len() {
+        if self.classes.len() < current.classes.len() || self.tenants.len() < current.tenants.len() {
             return Err(SettingsError::PositionsRemoved);
         }
         self.validate()
     }
 }
 
-fn in_range(value: f64, low: f64, high: f64, name: &'static str) -> Result<(), SettingsError> {
+fn check_range(value: f64, low: f64, high: f64, name: &'static str) -> Result<(), SettingsError> {
     if (low..=high).contains(&value) { Ok(()) } else { Err(SettingsError::OutOfRange(name)) }
 }
