--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -190,7 +190,7 @@
         let available = self.subset.available();
         let admitted = self.admission.admit(now, tenant, can_meet_deadline, available, &mut self.rng);
         if admitted {
-            self.retry_budgets.earn();
+            self.retry_budgets.deposit();
         }
         if !admitted || !self.send_to_selected(now, request.id, actions) {
             self.finish(request.id, false, actions);
@@ -236,7 +236,7 @@
         let max_attempts = permissions.max_attempts.min(pending.settings.permissions.max_attempts) as usize;
         let timeout = pending.useful_until() - now;
         let repeat_within =
-            may_repeat(now, pending.rules().idempotency, pending.first_run(), &endpoint.member);
+            may_repeat(now, pending.rules().idempotency, pending.first_possible_run(), &endpoint.member);
         let is_over = pending.closed || pending.streaming || timeout < MIN_TIMEOUT_S;
         let has_attempts_left = pending.attempts.len() < max_attempts;
         let is_hedge = pending.in_flight > 0;
@@ -255,7 +255,8 @@
         pending.attempts.push(Attempt::new(slot, member, now));
         pending.in_flight += 1;
         let reachable = self.endpoints.ready().len().min(max_attempts);
-        let is_last_attempt = pending.attempts.len() >= reachable || !self.retry_budgets.allow_reroute();
+        let is_last_attempt =
+            pending.attempts.len() >= reachable || !self.retry_budgets.allow_transparent_retry();
         actions.push(Action::Send {
             request: id,
             upstream: member.id,
@@ -312,7 +313,7 @@
             && self.retry_budgets.allow_retry_after(outcome)
             && self.send_to_selected(now, id, actions);
         if is_sent {
-            self.retry_budgets.spend(outcome);
+            self.retry_budgets.withdraw(outcome);
         }
         is_sent
     }
@@ -325,7 +326,7 @@
             pending.rules().idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
         );
-        let may_come_again = is_safe_anywhere || pending.first_run().is_none();
+        let may_come_again = is_safe_anywhere || pending.first_possible_run().is_none();
         actions.push(if may_come_again && !is_wrong {
             Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
         } else {
--- a/crates/policy/src/requests/idempotency.rs
+++ b/crates/policy/src/requests/idempotency.rs
@@ -8,15 +8,15 @@
 use crate::requests::attempt::Attempt;
 
 /// Returns for how many more seconds a request may be sent to `member`, or `None` if it must not be sent there.
-/// `first_run` is the first attempt of the request that may have run; without one there is no restriction.
+/// `first_possible_run` is the first attempt of the request that may have run; without one there is no restriction.
 #[must_use]
 pub fn may_repeat(
     now: f64,
     idempotency: Idempotency,
-    first_run: Option<&Attempt>,
+    first_possible_run: Option<&Attempt>,
     member: &Member,
 ) -> Option<f64> {
-    let Some(first) = first_run else { return Some(f64::MAX) };
+    let Some(first) = first_possible_run else { return Some(f64::MAX) };
     match idempotency {
         Idempotency::Idempotent => Some(f64::MAX),
         Idempotency::NotIdempotent => None,
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -68,13 +68,17 @@
         let objective = self.arrived + self.rules().latency_objective.as_secs_f64();
         // Without a propagated deadline it is unknown whether the client still waits. Waiting past the latency
         // objective could hold a slot of the tier above for a client that has left.
-        let is_blind = self.settings.tier > 0 && !self.settings.propagates_deadline;
-        if self.rules().late_weight > 0.0 && !is_blind { self.deadline } else { self.deadline.min(objective) }
+        let is_deadline_unknown = self.settings.tier > 0 && !self.settings.propagates_deadline;
+        if self.rules().late_weight > 0.0 && !is_deadline_unknown {
+            self.deadline
+        } else {
+            self.deadline.min(objective)
+        }
     }
 
     /// The first attempt that may have run. The rules on idempotency restrict the attempts after it.
     #[must_use]
-    pub fn first_run(&self) -> Option<&Attempt> {
+    pub fn first_possible_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -66,7 +66,7 @@
     /// have run; `None` if the request may be sent to any endpoint.
     fn bound_members(&self) -> Option<Vec<usize>> {
         let Idempotency::IdempotencyKey { scope, .. } = self.request.rules().idempotency else { return None };
-        let first = self.request.first_run()?.member;
+        let first = self.request.first_possible_run()?.member;
         let shares_scope = |member: &Member| match scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => member.zone == first.zone,
