--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -130,8 +130,8 @@
         self.admission.reconfigure(&settings);
         self.baselines.resize(settings.classes.len(), BaselineLatency::default());
         let before = replace(&mut self.settings, Arc::new(settings));
-        if before.replicas != self.settings.replicas && self.subset.locality.is_known() {
-            self.lay_out_subset();
+        if before.replicas != self.settings.replicas && self.subset.locality.is_initialized() {
+            self.rebuild_subset();
         }
     }
 
@@ -152,16 +152,16 @@
                 self.endpoints.apply_delta(now, members, &mut self.rng);
             }
         }
-        self.lay_out_subset();
+        self.rebuild_subset();
     }
 
     fn back_off(&mut self, now: f64, why: Interruption) {
         self.subscription.back_off(now, why, &self.settings, &mut self.rng);
     }
 
-    fn lay_out_subset(&mut self) {
+    fn rebuild_subset(&mut self) {
         let ready = self.endpoints.sort(&self.settings);
-        self.subset.lay_out(&self.settings, &ready);
+        self.subset.rebuild(&self.settings, &ready);
     }
 
     fn record_late_connection(&mut self, now: f64, upstream: EndpointId) {
--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -11,10 +11,10 @@
 
 /// Difference in delay, in latency objectives, by which the own zone must be slower than the others before the local
 /// fraction falls. It is above the noise of an average over some twenty requests.
-const SLOWER_BY: f64 = 0.03;
+const MIN_SLOWDOWN: f64 = 0.03;
 /// Further difference in delay, in latency objectives, that is required for each unit of the cost of an attempt that
 /// crosses zones.
-const SLOWER_BY_PER_PRICE: f64 = 0.5;
+const MIN_SLOWDOWN_PER_COST: f64 = 0.5;
 /// Amount that a maintenance pass adds to the local fraction if the own zone is no slower than the others.
 const STEP_UP: f64 = 0.004;
 /// Amount that a maintenance pass subtracts from the local fraction if the own zone is slower. It is larger than
@@ -32,13 +32,13 @@
 
 impl Locality {
     /// Sets the initial local fraction when the first list of endpoints arrives. Later calls have no effect.
-    pub fn begin(&mut self, fraction: f64) {
+    pub fn set_initial(&mut self, fraction: f64) {
         self.local_fraction.get_or_insert(fraction);
     }
 
     /// Whether a list of endpoints has arrived and set the local fraction.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         self.local_fraction.is_some()
     }
 
@@ -48,12 +48,19 @@
     }
 
     /// Moves the local fraction by one step, depending on the delays in the own zone and in the others, which are given
-    /// in latency objectives. `price` is the cost of an attempt that crosses zones. The local fraction never falls
-    /// below `even`, the fraction of an even spread over all endpoints.
-    pub fn adapt(&mut self, local_delay: f64, remote_delay: f64, even: f64, price: f64, rng: &mut Rand64) {
+    /// in latency objectives. `cross_zone_cost` is the cost of an attempt that crosses zones. The local fraction never
+    /// falls below `even_fraction`, the fraction of an even spread over all endpoints.
+    pub fn adapt(
+        &mut self,
+        local_delay: f64,
+        remote_delay: f64,
+        even_fraction: f64,
+        cross_zone_cost: f64,
+        rng: &mut Rand64,
+    ) {
         let Some(fraction) = &mut self.local_fraction else { return };
-        let is_slower = local_delay > remote_delay + SLOWER_BY + price * SLOWER_BY_PER_PRICE;
+        let is_slower = local_delay > remote_delay + MIN_SLOWDOWN + cross_zone_cost * MIN_SLOWDOWN_PER_COST;
         let step = if is_slower { -STEP_DOWN } else { STEP_UP };
-        *fraction = (*fraction + step * between(rng, STEP_JITTER)).clamp(even.min(1.0), 1.0);
+        *fraction = (*fraction + step * between(rng, STEP_JITTER)).clamp(even_fraction.min(1.0), 1.0);
     }
 }
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -49,22 +49,22 @@
     /// eligible member of the first group or else of the second one is taken.
     #[must_use]
     pub fn select(mut self) -> Option<usize> {
-        if let Some(members) = self.bound_members() {
-            return self.less_busy_of_two(&members);
+        if let Some(members) = self.members_in_scope() {
+            return self.less_loaded_of_two(&members);
         }
         let subset = self.subset;
         let (local, remote) = (&subset.local.members, &subset.remote.members);
         let starts_local = remote.is_empty() || (!local.is_empty() && subset.locality.draw_local(self.rng));
         let (first, second) = if starts_local { (local, remote) } else { (remote, local) };
-        self.less_busy_of_two(first)
-            .or_else(|| self.less_busy_of_two(second))
-            .or_else(|| self.least_busy_untried(first))
-            .or_else(|| self.least_busy_untried(second))
+        self.less_loaded_of_two(first)
+            .or_else(|| self.less_loaded_of_two(second))
+            .or_else(|| self.least_loaded_untried(first))
+            .or_else(|| self.least_loaded_untried(second))
     }
 
     /// The ready endpoints in the deduplication scope of a request with an idempotency key, once an attempt of it may
     /// have run; `None` if the request may be sent to any endpoint.
-    fn bound_members(&self) -> Option<Vec<usize>> {
+    fn members_in_scope(&self) -> Option<Vec<usize>> {
         let Idempotency::IdempotencyKey { scope, .. } = self.request.rules().idempotency else { return None };
         let first = self.request.first_possible_run()?.member;
         let shares_scope = |member: &Member| match scope {
@@ -83,7 +83,7 @@
     ///
     /// If both are more loaded than the average member, another pair is drawn, up to [`MAX_PAIRS`] pairs in all.
     /// Otherwise many replicas that each see few requests could overload an endpoint by chance.
-    fn less_busy_of_two(&mut self, from: &[usize]) -> Option<usize> {
+    fn less_loaded_of_two(&mut self, from: &[usize]) -> Option<usize> {
         let average = self.subset.average_in_flight();
         let mut best: Option<usize> = None;
         for _ in 0..MAX_PAIRS {
@@ -116,7 +116,7 @@
             if is_avoided || !self.is_eligible(slot) {
                 continue;
             }
-            if self.rng.rand_float() < self.chance(slot) && self.slow_start_allows(slot) {
+            if self.rng.rand_float() < self.acceptance_probability(slot) && self.slow_start_allows(slot) {
                 return Some(slot);
             }
         }
@@ -124,7 +124,7 @@
     }
 
     /// Probability with which the endpoint in `slot` is accepted when it is drawn.
-    fn chance(&self, slot: usize) -> f64 {
+    fn acceptance_probability(&self, slot: usize) -> f64 {
         let endpoint = self.endpoints.get(slot);
         self.endpoints.relative_weight(slot)
             * endpoint.warm_fraction(self.now, &self.settings.rules)
@@ -144,7 +144,7 @@
     }
 
     /// The least loaded eligible member of `from` to which slow start allows an attempt. It may be ejected or stalled.
-    fn least_busy_untried(&mut self, from: &[usize]) -> Option<usize> {
+    fn least_loaded_untried(&mut self, from: &[usize]) -> Option<usize> {
         let mut left: Vec<usize> = from.iter().copied().filter(|&slot| self.is_eligible(slot)).collect();
         left.sort_by_key(|&slot| self.endpoints.get(slot).in_flight);
         left.into_iter().find(|&slot| self.slow_start_allows(slot))
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -23,7 +23,7 @@
 const MIN_MEMBERS: usize = 8;
 /// Distance between the arcs of replicas with consecutive indexes, as a fraction of the ring. It is the inverse of
 /// the golden ratio, which spreads any number of replicas evenly.
-const STRIDE: f64 = 0.618;
+const STRIDE_FRACTION: f64 = 0.618;
 /// Weight of one request in the moving average of a group's delay.
 const DELAY_WEIGHT: f64 = 0.05;
 
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub struct Group {
     /// Number of ready endpoints in the zones of the group, whether or not they are members of the subset.
-    listed: usize,
+    ready_count: usize,
     /// Slots of the members of the group.
     pub members: Vec<usize>,
     /// Rate at which the warm members of the group answer.
@@ -42,8 +42,8 @@
 
 impl Group {
     /// Average number of replicas, out of `replicas`, that send to one member of the group.
-    fn sharers(&self, replicas: u32) -> f64 {
-        (f64::from(replicas) * self.members.len() as f64 / self.listed.max(1) as f64).max(1.0)
+    fn sharing_replicas(&self, replicas: u32) -> f64 {
+        (f64::from(replicas) * self.members.len() as f64 / self.ready_count.max(1) as f64).max(1.0)
     }
 
     /// Adds the duration of an attempt to the moving average of the group's delay. A failed attempt counts with at
@@ -66,7 +66,7 @@
     /// Fraction of the requests that stays in the own zone.
     pub locality: Locality,
     /// Number of ready endpoints in the first list that had any.
-    first_ready: usize,
+    initial_ready_count: usize,
     /// Fraction of the tier's capacity that is available, compared with the first list.
     available: f64,
     /// Number of this replica's attempts in flight, to any endpoint.
@@ -81,7 +81,7 @@
             local: Group::default(),
             remote: Group::default(),
             locality: Locality::default(),
-            first_ready: 0,
+            initial_ready_count: 0,
             available: 1.0,
             in_flight: 0,
         }
@@ -125,15 +125,15 @@
     }
 
     /// Rebuilds the subset after an update of the list of endpoints or a change of the number of replicas.
-    pub fn lay_out(&mut self, settings: &Settings, ready: &ReadyByZone) {
-        if self.first_ready == 0 {
-            self.first_ready = ready.local.len() + ready.remote.len();
+    pub fn rebuild(&mut self, settings: &Settings, ready: &ReadyByZone) {
+        if self.initial_ready_count == 0 {
+            self.initial_ready_count = ready.local.len() + ready.remote.len();
         }
-        self.local.listed = ready.local.len();
-        self.remote.listed = ready.remote.len();
+        self.local.ready_count = ready.local.len();
+        self.remote.ready_count = ready.remote.len();
         // Below the first tier, requests arrive already spread over the zones by the tier above.
         let first_fraction = if settings.tier == 0 { self.even_fraction() } else { 1.0 };
-        self.locality.begin(first_fraction);
+        self.locality.set_initial(first_fraction);
         let replicas = f64::from(settings.replicas);
         self.local.members = arc(settings, replicas / settings.zones as f64, &ready.local);
         self.remote.members = arc(settings, replicas, &ready.remote);
@@ -141,7 +141,7 @@
 
     /// The fraction of the ready endpoints that is in the own zone.
     fn even_fraction(&self) -> f64 {
-        let (local, remote) = (self.local.listed as f64, self.remote.listed as f64);
+        let (local, remote) = (self.local.ready_count as f64, self.remote.ready_count as f64);
         local / (local + remote).max(1.0)
     }
 
@@ -154,8 +154,8 @@
             return true;
         }
         let group = self.group(endpoint.is_local);
-        let sharers = group.sharers(settings.replicas);
-        endpoint.send_budget.allows_send(now, warm_fraction, &group.peers, sharers, &settings.rules)
+        let sharing_replicas = group.sharing_replicas(settings.replicas);
+        endpoint.send_budget.allows_send(now, warm_fraction, &group.peers, sharing_replicas, &settings.rules)
     }
 
     /// Updates the slow start of `endpoint` and the delay of its group from the end of an attempt.
@@ -190,9 +190,9 @@
         // Quotas are meant for the whole tier. While a part of it is removed, warming up or ejected, the full quotas
         // would overload the rest.
         let members = self.local.members.iter().chain(&self.remote.members);
-        let part = members.map(capacity).sum::<f64>() / self.size().max(1) as f64;
-        let ready = endpoints.ready().len() as f64 / self.first_ready.max(1) as f64;
-        self.available = (part * ready).clamp(MIN_AVAILABLE, 1.0);
+        let member_fraction = members.map(capacity).sum::<f64>() / self.size().max(1) as f64;
+        let ready = endpoints.ready().len() as f64 / self.initial_ready_count.max(1) as f64;
+        self.available = (member_fraction * ready).clamp(MIN_AVAILABLE, 1.0);
         let even = self.even_fraction();
         self.locality.adapt(self.local.delay, self.remote.delay, even, settings.costs.cross_zone, rng);
         for group in [&mut self.local, &mut self.remote] {
@@ -202,8 +202,8 @@
     }
 }
 
-/// The slots in the arc of `ring` that this replica sends to. `sharers` is the number of replicas that divide the ring
-/// among themselves.
+/// The slots in the arc of `ring` that this replica sends to. `sharing_replicas` is the number of replicas that divide
+/// the ring among themselves.
 ///
 /// The arcs of the replicas start at even distances. Replicas with consecutive indexes may be in the same zone, so a
 /// stride spreads their arcs over the ring.
@@ -212,17 +212,17 @@
     clippy::cast_sign_loss,
     reason = "sizes, strides and starts are non-negative integers bounded by the number of endpoints or replicas"
 )]
-fn arc(settings: &Settings, sharers: f64, ring: &[usize]) -> Vec<usize> {
+fn arc(settings: &Settings, sharing_replicas: f64, ring: &[usize]) -> Vec<usize> {
     let (replica_index, replicas) = (u64::from(settings.replica_index), u64::from(settings.replicas));
     let count = ring.len();
-    let size = (count as f64 * REPLICAS_PER_ENDPOINT / sharers.max(1.0)).ceil() as usize;
+    let size = (count as f64 * REPLICAS_PER_ENDPOINT / sharing_replicas.max(1.0)).ceil() as usize;
     let size = size.clamp(MIN_MEMBERS.min(count), count);
-    let mut stride = (f64::from(settings.replicas) * STRIDE).round().max(1.0) as u64;
+    let mut stride = (f64::from(settings.replicas) * STRIDE_FRACTION).round().max(1.0) as u64;
     while greatest_common_divisor(stride, replicas) != 1 {
         stride += 1;
     }
-    let place = replica_index * stride % replicas;
-    let start = (place * count as u64 / replicas) as usize;
+    let position = replica_index * stride % replicas;
+    let start = (position * count as u64 / replicas) as usize;
     (0..size).map(|step| ring[(start + step) % count]).collect()
 }
 
