--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -2,8 +2,8 @@
 //!
 //! Some decisions involve several components, and their rules must hold for first attempts, retries and hedged
 //! requests alike. Every attempt is therefore sent by [`Balancer::send`], and every request that is not served is ended
-//! by [`Balancer::finish`]. The module owns the components, the current settings, the baseline latencies and the random
-//! number generator.
+//! by [`Balancer::end_unserved`]. The module owns the components, the current settings, the baseline latencies and the
+//! random number generator.
 
 use std::mem::replace;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 use crate::routing::subset::Subset;
 
 /// Largest rate limit that the stats snapshot shows, in requests per second. Higher limits do not restrict anything.
-const LARGEST_LIMIT_SHOWN: f64 = 1e6;
+const MAX_SHOWN_LIMIT_PER_S: f64 = 1e6;
 
 /// The policy of one replica of a load balancer, as a state machine that turns events into actions.
 #[derive(Debug)]
@@ -86,8 +86,9 @@
                 finished,
                 ..
             } => {
-                let unconnected = if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
-                let served = duration.saturating_sub(unconnected).as_secs_f64();
+                let unconnected_duration =
+                    if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
+                let served = duration.saturating_sub(unconnected_duration).as_secs_f64();
                 let Some(pending) = self.requests.get(request) else { return };
                 let latency_objective = pending.rules().latency_objective.as_secs_f64();
                 let duration = duration.as_secs_f64();
@@ -110,7 +111,7 @@
     #[must_use]
     pub fn stats_snapshot(&self) -> String {
         let limits: Vec<_> =
-            self.admission.limits().map(|rate| format!("{:.1}", rate.min(LARGEST_LIMIT_SHOWN))).collect();
+            self.admission.limits().map(|rate| format!("{:.1}", rate.min(MAX_SHOWN_LIMIT_PER_S))).collect();
         let baselines: Vec<_> =
             self.baselines.iter().map(|baseline| format!("{:.0}", baseline.seconds() * 1e3)).collect();
         let congestion = self.admission.congestion().level();
@@ -193,7 +194,7 @@
             self.retry_budgets.deposit();
         }
         if !admitted || !self.send_to_selected(now, request.id, actions) {
-            self.finish(request.id, false, actions);
+            self.end_unserved(request.id, false, actions);
         }
     }
 
@@ -292,7 +293,7 @@
         }
         let is_retried = is_idle && self.retry(now, id, outcome, actions);
         if is_idle && !is_retried {
-            self.finish(id, outcome == Outcome::InvalidRequest, actions);
+            self.end_unserved(id, outcome == Outcome::InvalidRequest, actions);
         }
         // An attempt that never ran and is retried elsewhere does not count as congestion: with a broken link or a
         // single full endpoint, the tenant's limit would decrease although its requests are served. Refusals by two
@@ -320,14 +321,14 @@
 
     /// Ends a request that was not served. Every such request is ended by this method. The request is refused, which
     /// invites a retry, if a retry cannot repeat an effect and the request itself is valid. Otherwise it fails.
-    fn finish(&mut self, id: RequestId, is_wrong: bool, actions: &mut Vec<Action>) {
+    fn end_unserved(&mut self, id: RequestId, is_invalid: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
         let is_safe_anywhere = matches!(
             pending.rules().idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
         );
-        let may_come_again = is_safe_anywhere || pending.first_possible_run().is_none();
-        actions.push(if may_come_again && !is_wrong {
+        let may_be_retried = is_safe_anywhere || pending.first_possible_run().is_none();
+        actions.push(if may_be_retried && !is_invalid {
             Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
         } else {
             Action::Fail { request: id }
