--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -11,13 +11,13 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
-    let read = Class {
+    let read_class = Class {
         latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
     };
-    let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
+    let mut balancer = Balancer::new(Settings::single_zone(vec![read_class]), 7)?;
     let mut now = Duration::from_secs(1);
     let mut actions = Vec::new();
     balancer.handle(now, Event::Started, &mut actions);
@@ -32,12 +32,14 @@
     });
     balancer.handle(now, Event::List(ListUpdate::Snapshot(members.collect())), &mut actions);
 
-    let mut wake = carry_out(now, &mut actions).expect("the start schedules the first maintenance pass");
+    let mut next_maintenance =
+        carry_out(now, &mut actions).expect("the start schedules the first maintenance pass");
     for number in 0..20 {
         now += Duration::from_millis(50);
-        if now >= wake {
+        if now >= next_maintenance {
             balancer.handle(now, Event::MaintenanceDue, &mut actions);
-            wake = carry_out(now, &mut actions).expect("each maintenance pass schedules the next");
+            next_maintenance =
+                carry_out(now, &mut actions).expect("each maintenance pass schedules the next");
         }
         let id = RequestId(number);
         let request = Request {
@@ -54,7 +56,7 @@
         carry_out(now, &mut actions);
         if sent {
             // The endpoint answers after 20 ms, and the answer ends the request.
-            let ended = Event::AttemptEnded {
+            let attempt_ended = Event::AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Success,
@@ -63,7 +65,7 @@
                 finished: true,
                 load: None,
             };
-            balancer.handle(now + Duration::from_millis(20), ended, &mut actions);
+            balancer.handle(now + Duration::from_millis(20), attempt_ended, &mut actions);
         }
     }
     // A replica is shut down by dropping it once all requests in flight have been answered.
@@ -73,12 +75,12 @@
 /// Prints the actions that a real program would carry out, and returns when the next maintenance pass is due if one was
 /// scheduled.
 fn carry_out(now: Duration, actions: &mut Vec<Action>) -> Option<Duration> {
-    let mut wake = None;
+    let mut next_maintenance = None;
     for action in actions.drain(..) {
         match action {
-            Action::ScheduleMaintenance(span) => wake = Some(now + span),
+            Action::ScheduleMaintenance(delay) => next_maintenance = Some(now + delay),
             other => println!("{:.2} s: {other:?}", now.as_secs_f64()),
         }
     }
-    wake
+    next_maintenance
 }
