--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -1,8 +1,9 @@
-//! A replica from its start to its end, with a made-up clock: list, requests, outcomes, wake-ups.
+//! Runs a replica from its start to its end with a simulated clock: the list of endpoints, requests, outcomes and
+//! maintenance passes.
 //!
-//! The embedding program must deliver each wake-up that was asked for, report every outcome once, and keep
-//! its clock from going back. A wake-up lost leaves the replica without maintenance, so that limits and lists stand
-//! still; an outcome lost leaves a call in flight for good; a second one is passed over.
+//! The embedding program must deliver every maintenance pass that was requested, report every outcome exactly once, and
+//! use a clock that never goes back. Without maintenance passes, limits and lists are no longer updated. An attempt
+//! whose outcome is not reported stays in flight forever. A second report of an outcome is ignored.
 
 use std::time::Duration;
 
@@ -10,13 +11,13 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 
 fn main() -> Result<(), SettingsError> {
-    let read = Class {
+    let read_class = Class {
         latency_objective: Duration::from_millis(500),
         deadline: Duration::from_secs(2),
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
     };
-    let mut balancer = Balancer::new(Settings::single_zone(vec![read]), 7)?;
+    let mut balancer = Balancer::new(Settings::single_zone(vec![read_class]), 7)?;
     let mut now = Duration::from_secs(1);
     let mut actions = Vec::new();
     balancer.handle(now, Event::Started, &mut actions);
@@ -31,12 +32,14 @@
     });
     balancer.handle(now, Event::List(ListUpdate::Snapshot(members.collect())), &mut actions);
 
-    let mut wake = carry_out(now, &mut actions).expect("a start asks for the first wake-up");
+    let mut next_maintenance =
+        carry_out(now, &mut actions).expect("the start schedules the first maintenance pass");
     for number in 0..20 {
         now += Duration::from_millis(50);
-        if now >= wake {
+        if now >= next_maintenance {
             balancer.handle(now, Event::MaintenanceDue, &mut actions);
-            wake = carry_out(now, &mut actions).expect("each wake-up asks for the next");
+            next_maintenance =
+                carry_out(now, &mut actions).expect("each maintenance pass schedules the next");
         }
         let id = RequestId(number);
         let request = Request {
@@ -52,8 +55,8 @@
         let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
         carry_out(now, &mut actions);
         if sent {
-            // The upstream answers at once; the answer ends the request.
-            let ended = Event::AttemptEnded {
+            // The endpoint answers after 20 ms, and the answer ends the request.
+            let attempt_ended = Event::AttemptEnded {
                 request: id,
                 attempt: AttemptNumber(0),
                 outcome: Outcome::Success,
@@ -62,21 +65,22 @@
                 finished: true,
                 load: None,
             };
-            balancer.handle(now + Duration::from_millis(20), ended, &mut actions);
+            balancer.handle(now + Duration::from_millis(20), attempt_ended, &mut actions);
         }
     }
-    // A replica is shut down by dropping it, once no request in flight is owed an answer.
+    // A replica is shut down by dropping it once all requests in flight have been answered.
     Ok(())
 }
 
-/// Prints what a program would do, and tells when the next wake-up is due, if one was asked for.
+/// Prints the actions that a real program would carry out, and returns when the next maintenance pass is due if one was
+/// scheduled.
 fn carry_out(now: Duration, actions: &mut Vec<Action>) -> Option<Duration> {
-    let mut wake = None;
+    let mut next_maintenance = None;
     for action in actions.drain(..) {
         match action {
-            Action::ScheduleMaintenance(span) => wake = Some(now + span),
+            Action::ScheduleMaintenance(delay) => next_maintenance = Some(now + delay),
             other => println!("{:.2} s: {other:?}", now.as_secs_f64()),
         }
     }
-    wake
+    next_maintenance
 }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,8 +1,9 @@
-//! The balancer: takes in events, passes them to the components that they concern, and gives the actions.
+//! The balancer: dispatches events to the components that they concern, and returns the resulting actions.
 //!
-//! Some decisions need several components at once, and the rules on them must not depend on which way a request has
-//! come: ONE gate, [`Balancer::send`], lets attempts out, and ONE path, [`Balancer::finish`], ends requests unserved.
-//! The module owns the components, the settings in force, the baseline latencies and the random source.
+//! Some decisions involve several components, and their rules must hold for first attempts, retries and hedged
+//! requests alike. Every attempt is therefore sent by [`Balancer::send`], and every request that is not served is ended
+//! by [`Balancer::end_unserved`]. The module owns the components, the current settings, the baseline latencies and the
+//! random number generator.
 
 use std::mem::replace;
 use std::sync::Arc;
@@ -28,16 +29,16 @@
 use crate::routing::selection::Selection;
 use crate::routing::subset::Subset;
 
-/// Largest limit that the stats snapshot shows, in calls a second: more is no limit.
-const LARGEST_LIMIT_SHOWN: f64 = 1e6;
+/// Largest rate limit that the stats snapshot shows, in requests per second. Higher limits do not restrict anything.
+const MAX_SHOWN_LIMIT_PER_S: f64 = 1e6;
 
-/// The decisions of one replica of a load balancer.
+/// The policy of one replica of a load balancer, as a state machine that turns events into actions.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Arc<Settings>,
     rng: Rand64,
     admission: Admission,
-    /// The baseline latency of each class.
+    /// Baseline latency of each class, by the index of the class.
     baselines: Vec<BaselineLatency>,
     endpoints: EndpointList,
     subscription: ListSubscription,
@@ -48,10 +49,10 @@
 }
 
 impl Balancer {
-    /// A replica that knows nothing yet but its settings.
+    /// Creates the balancer of a replica that has just started. Equal seeds give equal random draws.
     ///
     /// # Errors
-    /// The settings make no sense.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Takes in an event and adds what is to be done to `actions`.
+    /// Processes an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         let now = now.as_secs_f64();
         match event {
@@ -85,8 +86,9 @@
                 finished,
                 ..
             } => {
-                let unconnected = if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
-                let connected_duration = duration.saturating_sub(unconnected).as_secs_f64();
+                let unconnected_duration =
+                    if outcome == Outcome::ConnectTimedOut { duration } else { connect_wait };
+                let connected_duration = duration.saturating_sub(unconnected_duration).as_secs_f64();
                 let Some(pending) = self.requests.get(request) else { return };
                 let latency_objective = pending.rules().latency_objective.as_secs_f64();
                 let duration = duration.as_secs_f64();
@@ -97,7 +99,7 @@
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
             Event::ClientDisconnected(request) => self.close(request, actions),
             Event::MaintenanceDue => self.maintain(now, actions),
-            Event::Reconfigured(settings) => match settings.may_follow(&self.settings) {
+            Event::Reconfigured(settings) => match settings.validate_change_from(&self.settings) {
                 Ok(()) => self.reconfigure(settings),
                 Err(why) => actions.push(Action::Log(format!("other settings were not taken over: {why}"))),
             },
@@ -105,12 +107,12 @@
         }
     }
 
-    /// The stats snapshot for the operator's log: congestion, failures and capacity of the tier, the limits and the
-    /// baseline latencies.
+    /// Formats a stats snapshot for the operator's log: the congestion level, failure rate and available fraction of
+    /// the tier, the rate limits in requests per second and the baseline latencies in milliseconds.
     #[must_use]
     pub fn stats_snapshot(&self) -> String {
         let limits: Vec<_> =
-            self.admission.limits().map(|rate| format!("{:.1}", rate.min(LARGEST_LIMIT_SHOWN))).collect();
+            self.admission.limits().map(|rate| format!("{:.1}", rate.min(MAX_SHOWN_LIMIT_PER_S))).collect();
         let baselines: Vec<_> =
             self.baselines.iter().map(|baseline| format!("{:.0}", baseline.seconds() * 1e3)).collect();
         let congestion = self.admission.congestion().level();
@@ -124,20 +126,20 @@
         )
     }
 
-    /// Goes over to other settings for what follows. Requests in flight keep theirs, and what was learned of what
-    /// stays, stays.
+    /// Replaces the settings. Requests in flight keep the settings under which they were received, and the state
+    /// learned about classes, tenants and endpoints is kept.
     fn reconfigure(&mut self, settings: Settings) {
         self.admission.reconfigure(&settings);
         self.baselines.resize(settings.classes.len(), BaselineLatency::default());
         let before = replace(&mut self.settings, Arc::new(settings));
-        if before.replicas != self.settings.replicas && self.subset.locality.is_known() {
-            self.lay_out_subset();
+        if before.replicas != self.settings.replicas && self.subset.locality.is_initialized() {
+            self.rebuild_subset();
         }
     }
 
     // --- Endpoints ---
 
-    /// Takes in an update of the list of endpoints.
+    /// Applies an update of the list of endpoints.
     fn update_list(&mut self, now: f64, update: ListUpdate) {
         match update {
             ListUpdate::Broken => return self.back_off(now, Interruption::Broken),
@@ -152,16 +154,16 @@
                 self.endpoints.apply_delta(now, members, &mut self.rng);
             }
         }
-        self.lay_out_subset();
+        self.rebuild_subset();
     }
 
     fn back_off(&mut self, now: f64, why: Interruption) {
         self.subscription.back_off(now, why, &self.settings, &mut self.rng);
     }
 
-    fn lay_out_subset(&mut self) {
+    fn rebuild_subset(&mut self) {
         let ready = self.endpoints.rebuild_ready(&self.settings);
-        self.subset.lay_out(&self.settings, &ready);
+        self.subset.rebuild(&self.settings, &ready);
     }
 
     fn record_late_connection(&mut self, now: f64, upstream: EndpointId) {
@@ -170,11 +172,11 @@
         }
     }
 
-    // --- The way of a request ---
+    // --- Requests ---
 
-    /// Receives a request: admits it and sends its first attempt, or ends it.
+    /// Receives a request: admits it and sends its first attempt, or ends it as not served.
     fn accept(&mut self, now: f64, request: Request, actions: &mut Vec<Action>) {
-        // An id in use or a class that the settings do not have is the embedding program's mistake.
+        // An id that is in use, or a class that is not in the settings, is an error of the embedding program.
         if self.requests.contains(request.id) {
             return;
         }
@@ -190,16 +192,19 @@
         let available = self.subset.available();
         let admitted = self.admission.admit(now, tenant, can_meet_deadline, available, &mut self.rng);
         if admitted {
-            self.retry_budgets.earn();
+            self.retry_budgets.deposit();
         }
         if !admitted || !self.send_to_selected(now, request.id, actions) {
-            self.finish(request.id, false, actions);
+            self.end_unserved(request.id, false, actions);
         }
     }
 
-    /// Whether a request has the time that its class takes, the longer the more congestion is met, or by chance the
-    /// part that it has suffices: what cannot end in time keeps others out, but a baseline learned too long must not
-    /// stand.
+    /// Whether a request has enough time left to be answered.
+    ///
+    /// The expected latency is the baseline latency of its class, raised by the current congestion. A request with less
+    /// time left would take capacity from others without being answered in time. It is still let through with a
+    /// probability equal to the fraction of the expected latency that it has left: otherwise a baseline that was
+    /// learned too high would never be corrected.
     fn can_meet_deadline(&mut self, now: f64, id: RequestId) -> bool {
         let Some(pending) = self.requests.get(id) else { return false };
         let left = pending.useful_until() - now;
@@ -222,7 +227,9 @@
         selection.select().is_some_and(|slot| self.send(now, id, slot, actions))
     }
 
-    /// The ONE gate that every attempt passes; it keeps the rules on idempotency, draining and slow start.
+    /// Sends an attempt of a request to the endpoint in `slot`, unless a rule on idempotency, draining, slow start or
+    /// the number of attempts forbids it. Every attempt passes through this method. Returns whether the attempt was
+    /// sent.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
         let endpoint = self.endpoints.get_mut(slot);
         let slow_start_allows = self.subset.slow_start_allows(now, endpoint, &self.settings);
@@ -231,7 +238,7 @@
         let max_attempts = permissions.max_attempts.min(pending.settings.permissions.max_attempts) as usize;
         let timeout = pending.useful_until() - now;
         let repeat_within =
-            may_repeat(now, pending.rules().idempotency, pending.first_run(), &endpoint.member);
+            may_repeat(now, pending.rules().idempotency, pending.first_possible_run(), &endpoint.member);
         let is_over = pending.closed || pending.streaming || timeout < MIN_TIMEOUT_S;
         let has_attempts_left = pending.attempts.len() < max_attempts;
         let is_hedge = pending.in_flight > 0;
@@ -250,7 +257,8 @@
         pending.attempts.push(Attempt::new(slot, member, now));
         pending.in_flight += 1;
         let reachable = self.endpoints.ready().len().min(max_attempts);
-        let is_last_attempt = pending.attempts.len() >= reachable || !self.retry_budgets.allow_reroute();
+        let is_last_attempt =
+            pending.attempts.len() >= reachable || !self.retry_budgets.allow_transparent_retry();
         actions.push(Action::Send {
             request: id,
             upstream: member.id,
@@ -261,7 +269,7 @@
         true
     }
 
-    /// A streamed answer has begun: the other attempts are called off.
+    /// Records that a streamed answer has begun, and cancels the other attempts of the request.
     fn begin_stream(&mut self, id: RequestId, attempt: AttemptNumber, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(id) else { return };
         pending.streaming = true;
@@ -270,7 +278,7 @@
         }
     }
 
-    /// An attempt has ended: learns from it, and retries or ends its request.
+    /// Processes the end of an attempt: updates the statistics, and retries or ends its request.
     fn end_attempt(&mut self, now: f64, id: RequestId, end: AttemptEnd, actions: &mut Vec<Action>) {
         let outcome = end.outcome;
         let Some(pending) = self.requests.get_mut(id) else { return };
@@ -286,11 +294,11 @@
         }
         let is_retried = is_idle && self.retry(now, id, outcome, actions);
         if is_idle && !is_retried {
-            self.finish(id, outcome == Outcome::InvalidRequest, actions);
+            self.end_unserved(id, outcome == Outcome::InvalidRequest, actions);
         }
-        // A call that was refused and went elsewhere has met no congestion yet: behind a broken link or one full
-        // server the tenant's limit would decrease although its calls are served. Refusals by two servers in a row
-        // are congestion.
+        // An attempt that never ran and is retried elsewhere does not count as congestion: with a broken link or a
+        // single full endpoint, the tenant's limit would decrease although its requests are served. Refusals by two
+        // endpoints in a row count as congestion.
         let is_refused_again = outcome == Outcome::Refused && was_tried_before;
         if is_refused_again || !(is_retried && outcome.never_ran()) {
             let AttemptEnd { connected_duration, latency_objective, .. } = end;
@@ -308,21 +316,21 @@
             && self.retry_budgets.allow_retry_after(outcome)
             && self.send_to_selected(now, id, actions);
         if is_sent {
-            self.retry_budgets.spend(outcome);
+            self.retry_budgets.withdraw(outcome);
         }
         is_sent
     }
 
-    /// The ONE path that ends a request unserved: refused where that is true and where it invites no wrong request
-    /// again.
-    fn finish(&mut self, id: RequestId, is_wrong: bool, actions: &mut Vec<Action>) {
+    /// Ends a request that was not served. Every such request is ended by this method. The request is refused, which
+    /// invites a retry, if a retry cannot repeat an effect and the request itself is valid. Otherwise it fails.
+    fn end_unserved(&mut self, id: RequestId, is_invalid: bool, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(id).filter(|pending| !pending.closed) else { return };
         let is_safe_anywhere = matches!(
             pending.rules().idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. }
         );
-        let may_come_again = is_safe_anywhere || pending.first_run().is_none();
-        actions.push(if may_come_again && !is_wrong {
+        let may_be_retried = is_safe_anywhere || pending.first_possible_run().is_none();
+        actions.push(if may_be_retried && !is_invalid {
             Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
         } else {
             Action::Fail { request: id }
@@ -330,14 +338,14 @@
         self.close(id, actions);
     }
 
-    /// Marks a request as ended and calls off what is still in flight for it.
+    /// Marks a request as ended and cancels its attempts in flight, if cancelling is permitted.
     fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         self.requests.close(id, self.settings.permissions.cancel, actions);
     }
 
-    // --- Learning ---
+    // --- Statistics ---
 
-    /// What the end of an attempt tells of its endpoint and of the tier.
+    /// Updates the statistics of an endpoint and of the tier from the end of an attempt.
     fn record_attempt(&mut self, now: f64, slot: usize, class: ClassId, end: &AttemptEnd) {
         let outcome = end.outcome;
         let endpoint = self.endpoints.get_mut(slot);
@@ -345,7 +353,7 @@
         if has_answered && !outcome.breaks_connection() {
             self.admission.record_answer(now);
         }
-        // A rejection tells of the client, not of the endpoint.
+        // An invalid request is a fault of the client and does not count against the endpoint.
         if matches!(outcome, Outcome::NotSent | Outcome::Cancelled | Outcome::InvalidRequest) {
             return;
         }
@@ -357,8 +365,8 @@
         }
     }
 
-    /// Ejects an endpoint that stands out from the tier, unless too many are ejected already; an unreachable one in
-    /// any case.
+    /// Ejects an endpoint that is an outlier in its tier, unless too many members of its group are ejected already. An
+    /// unreachable endpoint is ejected in any case.
     fn eject_if_outlier(&mut self, now: f64, slot: usize, fault: Fault) {
         let endpoint = self.endpoints.get(slot);
         if endpoint.health.is_ejected(now) || !self.outliers.is_outlier(&endpoint.health, fault) {
@@ -372,7 +380,7 @@
         }
     }
 
-    /// What the end of a call tells of congestion, and so of the limits.
+    /// Updates the congestion level, and with it the rate limits, from the end of a request.
     fn record_request_end(&mut self, now: f64, class: ClassId, call: &RequestEnd) {
         let tier = TierState {
             is_first_tier: self.settings.tier == 0,
@@ -385,7 +393,7 @@
 
     // --- Maintenance ---
 
-    /// Asks for the next maintenance pass and, where it is due, for the list.
+    /// Schedules the next maintenance pass and, if one is due, subscribes to the list of endpoints.
     fn schedule_maintenance(&mut self, now: f64, actions: &mut Vec<Action>) {
         actions.push(Action::ScheduleMaintenance(Duration::from_secs_f64(MAINTENANCE_PERIOD_S)));
         if self.subscription.begin_if_due(now, &self.settings) {
@@ -393,7 +401,7 @@
         }
     }
 
-    /// The maintenance pass: what is learned over time and not from events.
+    /// Runs a maintenance pass, which updates the state that changes with time and not with events.
     fn maintain(&mut self, now: f64, actions: &mut Vec<Action>) {
         self.schedule_maintenance(now, actions);
         self.admission.maintain(now);
