--- a/crates/capacity/src/decisions/loaded_core.rs
+++ b/crates/capacity/src/decisions/loaded_core.rs
@@ -108,7 +108,7 @@
             outcome: Outcome::Success,
             duration: Duration::from_secs_f64(CALL_S),
             connect_wait: Duration::ZERO,
-            finished: true,
+            request_finished: true,
             load: None,
         };
         self.balancer.handle(self.time(), ended, &mut self.actions);
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -125,7 +125,7 @@
             outcome,
             duration: Duration::from_nanos(took),
             connect_wait: Duration::from_nanos(connect_wait.min(took)),
-            finished: good || self.hops.get(id).is_some_and(|hop| hop.answered),
+            request_finished: good || self.hops.get(id).is_some_and(|hop| hop.answered),
             load: None,
         };
         if good {
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -51,7 +51,7 @@
                 cancel: true,
                 health_checks: false,
                 messages: false,
-                keepalive: Duration::from_secs(30),
+                idle_timeout: Duration::from_secs(30),
                 streams_per_connection: 1,
                 retry_after: None,
             },
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -62,7 +62,7 @@
                 outcome: Outcome::Success,
                 duration: Duration::from_millis(20),
                 connect_wait: Duration::ZERO,
-                finished: true,
+                request_finished: true,
                 load: None,
             };
             balancer.handle(now + Duration::from_millis(20), attempt_ended, &mut actions);
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -65,7 +65,7 @@
     /// Recent fraction of attempts to the tier that failed.
     pub failure_rate: f64,
     /// Fraction of the tier's capacity that is available.
-    pub available: f64,
+    pub available_capacity: f64,
 }
 
 /// Contribution of one request to the congestion average.
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -95,7 +95,7 @@
         self.congestion.record_answer(now);
     }
 
-    /// Decides whether to admit a request of `tenant`, where the fraction `available` of the tier's capacity is
+    /// Decides whether to admit a request of `tenant`, where the fraction `available_capacity` of the tier's capacity is
     /// available.
     ///
     /// A tenant over the replica's part of its quota must also fit into the shared limit of all tenants of this
@@ -107,11 +107,11 @@
         now: f64,
         tenant: usize,
         can_meet_deadline: bool,
-        available: f64,
+        available_capacity: f64,
         rng: &mut Rand64,
     ) -> bool {
         let all_tenants = self.all_tenants();
-        let rate = self.controls[all_tenants].limit.rate * available;
+        let rate = self.controls[all_tenants].limit.rate * available_capacity;
         // Each tenant's part of the shared limit is guaranteed to that tenant.
         let level = (rate / self.controls[all_tenants].limit.replica_quota).min(1.0);
         let RateControl { suppressor, limit } = &mut self.controls[tenant];
@@ -153,7 +153,7 @@
             );
         }
         if is_congested && self.congestion.may_decrease(now) {
-            self.decrease_limits(now, tier.available, rng);
+            self.decrease_limits(now, tier.available_capacity, rng);
         } else if !is_congested && !signal.is_failed_or_late && is_success {
             self.increase_limits(end.tenant);
         }
@@ -166,14 +166,15 @@
         !limit.has_quota() && suppressor.is_in_first_second()
     }
 
-    fn decrease_limits(&mut self, now: f64, available: f64, rng: &mut Rand64) {
+    fn decrease_limits(&mut self, now: f64, available_capacity: f64, rng: &mut Rand64) {
         self.congestion.record_decrease(now, rng);
         let all_tenants = self.all_tenants();
         for (index, RateControl { suppressor, limit }) in self.controls.iter_mut().enumerate() {
             // The shared limit was scaled by the available fraction of the tier at admission, so the rate is scaled
             // back.
-            let available = if index == all_tenants && all_tenants > 0 { available } else { 1.0 };
-            limit.decrease(self.congestion.level(), suppressor.accepted_rate(now) / available);
+            let available_capacity =
+                if index == all_tenants && all_tenants > 0 { available_capacity } else { 1.0 };
+            limit.decrease(self.congestion.level(), suppressor.accepted_rate(now) / available_capacity);
         }
     }
 
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -8,7 +8,7 @@
 use crate::admission::suppression::Suppressor;
 use crate::interface::{Class, Idempotency, Outcome, Settings, Tenant};
 
-const TIER: TierState = TierState { is_first_tier: true, failure_rate: 0.0, available: 1.0 };
+const TIER: TierState = TierState { is_first_tier: true, failure_rate: 0.0, available_capacity: 1.0 };
 
 /// Sends requests at an even rate, starting at second 1, and returns how many of the last two seconds were admitted.
 fn admitted_in_two_seconds(limit: f64, calls_per_s: u32, seconds: u32) -> u32 {
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -83,7 +83,7 @@
                 outcome,
                 duration,
                 connect_wait,
-                finished,
+                request_finished,
                 ..
             } => {
                 let unconnected_duration =
@@ -92,8 +92,14 @@
                 let Some(pending) = self.requests.get(request) else { return };
                 let latency_objective = pending.rules().latency_objective.as_secs_f64();
                 let duration = duration.as_secs_f64();
-                let end =
-                    AttemptEnd { number, outcome, duration, connected_duration, latency_objective, finished };
+                let end = AttemptEnd {
+                    number,
+                    outcome,
+                    duration,
+                    connected_duration,
+                    latency_objective,
+                    request_finished,
+                };
                 self.end_attempt(now, request, end, actions);
             }
             Event::Connected(upstream) => self.record_late_connection(now, upstream),
@@ -117,9 +123,9 @@
             self.baselines.iter().map(|baseline| format!("{:.0}", baseline.seconds() * 1e3)).collect();
         let congestion = self.admission.congestion().level();
         let failure_rate = self.outliers.tier_failure_rate();
-        let available = self.subset.available();
+        let available_capacity = self.subset.available_capacity();
         format!(
-            "crowding {congestion:.2}, failing {failure_rate:.2}, had {available:.2}, \
+            "crowding {congestion:.2}, failing {failure_rate:.2}, had {available_capacity:.2}, \
              limits {}, usual ms {}",
             limits.join(" "),
             baselines.join(" ")
@@ -189,8 +195,9 @@
         let pending = PendingRequest::new(now, &request, tenant, Arc::clone(&self.settings));
         self.requests.insert(pending);
         let can_meet_deadline = self.can_meet_deadline(now, request.id);
-        let available = self.subset.available();
-        let admitted = self.admission.admit(now, tenant, can_meet_deadline, available, &mut self.rng);
+        let available_capacity = self.subset.available_capacity();
+        let admitted =
+            self.admission.admit(now, tenant, can_meet_deadline, available_capacity, &mut self.rng);
         if admitted {
             self.retry_budgets.deposit();
         }
@@ -285,7 +292,7 @@
         let Some(slot) = pending.end_attempt(&end) else { return };
         let PendingRequest { class, tenant, arrived, connect_wait, .. } = *pending;
         let was_tried_before = pending.was_tried_before(end.number);
-        let is_closed = pending.closed || end.finished;
+        let is_closed = pending.closed || end.request_finished;
         let is_idle = pending.in_flight == 0;
         self.subset.end_attempt();
         self.record_attempt(now, slot, class, &end);
@@ -385,7 +392,7 @@
         let tier = TierState {
             is_first_tier: self.settings.tier == 0,
             failure_rate: self.outliers.tier_failure_rate(),
-            available: self.subset.available(),
+            available_capacity: self.subset.available_capacity(),
         };
         let baseline = &mut self.baselines[class.0];
         self.admission.record_request_end(now, call, baseline, tier, &mut self.rng);
--- a/crates/policy/src/endpoints/connections.rs
+++ b/crates/policy/src/endpoints/connections.rs
@@ -47,6 +47,6 @@
     }
 
     fn are_closed_by_keepalive(&self, now: f64, in_flight: u32, permissions: &Permissions) -> bool {
-        in_flight == 0 && now - self.last_used >= permissions.keepalive.as_secs_f64()
+        in_flight == 0 && now - self.last_used >= permissions.idle_timeout.as_secs_f64()
     }
 }
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::endpoints::endpoint::Endpoint;
-use crate::interface::{EndpointId, KindId, Lifecycle, Member, Settings};
+use crate::interface::{EndpointId, Lifecycle, MachineKindId, Member, Settings};
 
 /// Lower bound of the largest weight, so that relative weights are never divided by 0.
 const MIN_WEIGHT: f64 = 1e-9;
@@ -135,7 +135,7 @@
             }
             endpoint.is_local = endpoint.member.zone == Some(settings.zone);
             endpoint.kind =
-                endpoint.member.kind.map_or(settings.kinds, |KindId(kind)| kind.min(settings.kinds));
+                endpoint.member.kind.map_or(settings.kinds, |MachineKindId(kind)| kind.min(settings.kinds));
             self.largest_weight = self.largest_weight.max(endpoint.member.weight);
             self.ready.push(slot);
             let zone = if endpoint.is_local { &mut by_zone.local } else { &mut by_zone.remote };
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -33,7 +33,7 @@
         duration: connected_duration,
         connected_duration,
         latency_objective: 1.0,
-        finished: false,
+        request_finished: false,
     }
 }
 
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -59,7 +59,7 @@
         /// endpoint.
         connect_wait: Duration,
         /// Whether the request has ended too, with this attempt or before it.
-        finished: bool,
+        request_finished: bool,
         /// Load report that the endpoint sent with the answer, if any.
         load: Option<LoadReport>,
     },
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -31,7 +31,7 @@
 
 /// Index of a kind of machine, as the embedding program numbers them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct KindId(pub usize);
+pub struct MachineKindId(pub usize);
 
 /// Number of an attempt within its request, counted from 0 in the order in which the attempts are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -5,7 +5,7 @@
 
 pub use crate::action::Action;
 pub use crate::event::{Event, Request};
-pub use crate::ids::{AttemptNumber, ClassId, EndpointId, KindId, RequestId, TenantId, Time, ZoneId};
+pub use crate::ids::{AttemptNumber, ClassId, EndpointId, MachineKindId, RequestId, TenantId, Time, ZoneId};
 pub use crate::member::{Lifecycle, ListUpdate, Member};
 pub use crate::outcome::{LoadReport, Outcome};
 pub use crate::settings::{
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -66,7 +66,7 @@
 //!     outcome: Outcome::Success,
 //!     duration: Duration::from_millis(80),
 //!     connect_wait: Duration::ZERO,
-//!     finished: true,
+//!     request_finished: true,
 //!     load: None,
 //! };
 //! balancer.handle(second + Duration::from_millis(80), answer, &mut actions);
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -3,7 +3,7 @@
 //! Discovery services use different formats, which the embedding program translates into these types. The module has
 //! no state; the list itself is kept by `endpoints::endpoint_list`.
 
-use crate::ids::{EndpointId, KindId, Time, ZoneId};
+use crate::ids::{EndpointId, MachineKindId, Time, ZoneId};
 
 /// The lifecycle of an endpoint's process, as discovery reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// Zone of the endpoint; `None` if the settings do not name that zone.
     pub zone: Option<ZoneId>,
     /// Kind of machine that the endpoint runs on; `None` if the settings do not name that kind.
-    pub kind: Option<KindId>,
+    pub kind: Option<MachineKindId>,
     /// Cell of the endpoint, for classes whose idempotency keys are shared within a cell.
     pub cell: u32,
     /// Lifecycle state of the endpoint.
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -52,5 +52,5 @@
     /// Latency objective of the class of the request.
     pub latency_objective: f64,
     /// Whether the request has ended too.
-    pub finished: bool,
+    pub request_finished: bool,
 }
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -61,7 +61,7 @@
         duration: 0.3,
         connected_duration: 0.2,
         latency_objective: 0.5,
-        finished: false,
+        request_finished: false,
     }
 }
 
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -68,7 +68,7 @@
     /// Number of ready endpoints in the first list that had any.
     initial_ready_count: usize,
     /// Fraction of the tier's capacity that is available, compared with the first list.
-    available: f64,
+    available_capacity: f64,
     /// Number of this replica's attempts in flight, to any endpoint.
     in_flight: u32,
 }
@@ -82,7 +82,7 @@
             remote: Group::default(),
             locality: Locality::default(),
             initial_ready_count: 0,
-            available: 1.0,
+            available_capacity: 1.0,
             in_flight: 0,
         }
     }
@@ -99,8 +99,8 @@
 
     /// The fraction of the tier's capacity that is available, from [`MIN_AVAILABLE`] to 1.
     #[must_use]
-    pub fn available(&self) -> f64 {
-        self.available
+    pub fn available_capacity(&self) -> f64 {
+        self.available_capacity
     }
 
     /// Number of members in both groups.
@@ -192,7 +192,7 @@
         let members = self.local.members.iter().chain(&self.remote.members);
         let member_fraction = members.map(capacity).sum::<f64>() / self.size().max(1) as f64;
         let ready = endpoints.ready().len() as f64 / self.initial_ready_count.max(1) as f64;
-        self.available = (member_fraction * ready).clamp(MIN_AVAILABLE, 1.0);
+        self.available_capacity = (member_fraction * ready).clamp(MIN_AVAILABLE, 1.0);
         let even = self.even_fraction();
         self.locality.adapt(self.local.delay, self.remote.delay, even, settings.costs.cross_zone, rng);
         for group in [&mut self.local, &mut self.remote] {
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -85,7 +85,7 @@
     /// Whether replicas may send messages to each other.
     pub messages: bool,
     /// Time after which an idle connection to an endpoint is closed.
-    pub keepalive: Duration,
+    pub idle_timeout: Duration,
     /// Number of requests that one connection to an endpoint can carry at the same time; at least 1.
     pub streams_per_connection: u32,
     /// Largest value of Retry-After that clients honour; `None` if refusals carry no Retry-After.
@@ -215,7 +215,7 @@
                 cancel: true,
                 health_checks: false,
                 messages: false,
-                keepalive: Duration::from_secs(15),
+                idle_timeout: Duration::from_secs(15),
                 streams_per_connection: 100,
                 retry_after: None,
             },
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -110,7 +110,7 @@
             outcome,
             duration,
             connect_wait,
-            finished: outcome == Outcome::Success,
+            request_finished: outcome == Outcome::Success,
             load: None,
         })
     }
--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -208,7 +208,7 @@
         tracked.attempts[n].ended = Some(outcome);
         let duration = self.now - tracked.attempts[n].at;
         tracked.over |= outcome == Outcome::Success;
-        let finished = tracked.over || tracked.finals > 0;
+        let request_finished = tracked.over || tracked.finals > 0;
         let attempt = AttemptNumber(n as u32);
         let connect_wait = millis(0);
         self.tell(Event::AttemptEnded {
@@ -217,7 +217,7 @@
             outcome,
             duration,
             connect_wait,
-            finished,
+            request_finished,
             load: None,
         });
         let tracked = &self.requests[&request];
--- a/crates/policy/tests/embedding_mistakes.rs
+++ b/crates/policy/tests/embedding_mistakes.rs
@@ -63,7 +63,7 @@
             outcome: Outcome::Success,
             duration: millis(0),
             connect_wait: millis(0),
-            finished: true,
+            request_finished: true,
             load: None,
         };
         balancer.handle(START, ended, &mut actions);
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -153,7 +153,7 @@
         Member {
             id: EndpointId(id),
             zone: (id % 7 != 6).then_some(ZoneId(id as usize % self.settings.zones)),
-            kind: (id % 5 != 4).then_some(KindId(id as usize % self.settings.kinds)),
+            kind: (id % 5 != 4).then_some(MachineKindId(id as usize % self.settings.kinds)),
             cell: id % 4,
             lifecycle: Lifecycle::Ready,
             weight: 1.0 + f64::from(id % 3),
@@ -197,8 +197,8 @@
     }
 
     fn handle(&mut self, event: Event) {
-        if let Event::AttemptEnded { request, finished: true, .. } | Event::ClientDisconnected(request) =
-            event
+        if let Event::AttemptEnded { request, request_finished: true, .. }
+        | Event::ClientDisconnected(request) = event
         {
             self.open.remove(&request);
         }
@@ -285,9 +285,10 @@
         duration: Duration,
         connect_wait: Duration,
     ) {
-        let finished = outcome == Outcome::Success || !self.open.contains_key(&request);
+        let request_finished = outcome == Outcome::Success || !self.open.contains_key(&request);
         let load = None;
-        let end = Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load };
+        let end =
+            Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, request_finished, load };
         self.schedule_event(after, end);
     }
 
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -129,10 +129,18 @@
             _ => Outcome::Success,
         };
         let duration = Duration::from_secs_f64(0.02 + self.rng.rand_float() * 0.3);
-        let (connect_wait, finished) = (Duration::ZERO, outcome == Outcome::Success);
+        let (connect_wait, request_finished) = (Duration::ZERO, outcome == Outcome::Success);
         (
             duration,
-            Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load: None },
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                duration,
+                connect_wait,
+                request_finished,
+                load: None,
+            },
         )
     }
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -167,7 +167,7 @@
         outcome: Outcome::Reset,
         duration: millis(1),
         connect_wait: millis(0),
-        finished: false,
+        request_finished: false,
         load: None,
     });
     assert!(!sent(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -203,7 +203,7 @@
                     outcome,
                     duration: Duration::from_micros(duration_us),
                     connect_wait: Duration::ZERO,
-                    finished: outcome == Outcome::Success,
+                    request_finished: outcome == Outcome::Success,
                     load: None,
                 };
                 (replica, event)
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use balancer_policy::interface::{EndpointId, KindId, Lifecycle, ListUpdate, Member, Time, ZoneId};
+use balancer_policy::interface::{EndpointId, Lifecycle, ListUpdate, MachineKindId, Member, Time, ZoneId};
 use balancer_settings::Names;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -250,7 +250,7 @@
         let member = Member {
             id,
             zone,
-            kind: names.kinds.get(&entry.kind).copied().map(KindId),
+            kind: names.kinds.get(&entry.kind).copied().map(MachineKindId),
             cell: entry.group,
             lifecycle,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -111,7 +111,7 @@
         let mut loaded = config.loaded;
         adapt_to_sockets(&mut loaded.settings);
         let first_line_timeout = FirstLineTimeout::of(loaded.settings.discovery);
-        let keepalive = loaded.settings.permissions.keepalive;
+        let idle_timeout = loaded.settings.permissions.idle_timeout;
         let name_registry = NameRegistry::new(&loaded.names, &loaded.settings);
         // The first watch requests changes since this version, so it is set before that watch is opened.
         let index = config.known.as_ref().map_or(0, |known| known.index);
@@ -134,7 +134,7 @@
             first_line_timeout,
             pool: {
                 let this = Weak::clone(this);
-                Pool::new(loaded.connect_timeout, keepalive, config.sockets, move |upstream| {
+                Pool::new(loaded.connect_timeout, idle_timeout, config.sockets, move |upstream| {
                     if let Some(event_loop) = this.upgrade() {
                         event_loop.handle(Event::Connected(upstream));
                     }
@@ -318,7 +318,7 @@
         adapt_to_sockets(&mut settings);
         let name_registry = self.name_registry().updated(&names, &mut settings)?;
         settings.validate()?;
-        self.pool.reconfigure(connect_timeout, settings.permissions.keepalive);
+        self.pool.reconfigure(connect_timeout, settings.permissions.idle_timeout);
         self.longest_deadline.set(self.longest_deadline.get().max(name_registry.max_deadline()));
         self.name_registry.replace(Rc::new(name_registry));
         self.handle(Event::Reconfigured(settings));
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -85,7 +85,7 @@
                 outcome: Outcome::NotSent,
                 duration: Duration::ZERO,
                 connect_wait: Duration::ZERO,
-                finished: !in_flight.is_unanswered(),
+                request_finished: !in_flight.is_unanswered(),
                 load: None,
             });
         };
--- a/crates/proxy/src/event_loop/attempt_context.rs
+++ b/crates/proxy/src/event_loop/attempt_context.rs
@@ -75,7 +75,7 @@
             outcome: ended.outcome,
             duration,
             connect_wait: ended.connect_wait.unwrap_or(duration),
-            finished: result.finished,
+            request_finished: result.request_finished,
             load: ended.load,
         });
     }
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -86,7 +86,7 @@
     /// Whether this attempt gave the request its final answer.
     pub served: bool,
     /// Whether the request has its final answer or needs none, by this attempt or before.
-    pub finished: bool,
+    pub request_finished: bool,
 }
 
 impl InFlight {
@@ -259,9 +259,9 @@
             // An error means that the client has just disconnected, which its connection reports separately.
             let _ = answer.send(Answer::Served(body));
         }
-        let finished = request.answer.is_none();
+        let request_finished = request.answer.is_none();
         self.remove_if_complete(id);
-        Some(AttemptResult { served, finished })
+        Some(AttemptResult { served, request_finished })
     }
 
     fn remove_if_complete(&mut self, id: RequestId) {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -74,15 +74,15 @@
 }
 
 impl Pool {
-    /// Creates an empty pool. `keepalive` is the keepalive time of the settings, `descriptors` the number of
+    /// Creates an empty pool. `idle_timeout` is the keepalive time of the settings, `descriptors` the number of
     /// descriptors that the process may have open.
     pub fn new(
         connect_timeout: Duration,
-        keepalive: Duration,
+        idle_timeout: Duration,
         descriptors: usize,
         on_connected: impl Fn(EndpointId) + 'static,
     ) -> Rc<Self> {
-        let idle_limit = keepalive.mul_f64(IDLE_LIMIT_FRACTION);
+        let idle_limit = idle_timeout.mul_f64(IDLE_LIMIT_FRACTION);
         Rc::new(Self {
             hosts: RefCell::default(),
             connect_times: RefCell::default(),
@@ -102,9 +102,9 @@
     }
 
     /// Applies new settings. A connect in progress keeps its timeout.
-    pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
+    pub fn reconfigure(&self, connect_timeout: Duration, idle_timeout: Duration) {
         self.connect_timeout.set(connect_timeout);
-        self.idle_limit.set(keepalive.mul_f64(IDLE_LIMIT_FRACTION));
+        self.idle_limit.set(idle_timeout.mul_f64(IDLE_LIMIT_FRACTION));
         self.trust.borrow_mut().set_idle_limit(self.idle_limit.get());
     }
 
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -57,7 +57,7 @@
         assert_eq!(cancelled.try_recv(), Ok(()));
         assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![UPSTREAM], 1));
         let result = world.table.end_attempt(world.request, number, None);
-        assert_eq!(result, Some(AttemptResult { served: false, finished: false }));
+        assert_eq!(result, Some(AttemptResult { served: false, request_finished: false }));
         assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![], 0));
         assert!(world.table.is_client_waiting(world.request), "it still lacks its answer");
     });
@@ -70,13 +70,13 @@
         let (first, _withdrawn) = world.start_attempt();
         let (second, _withdrawn) = world.start_attempt();
         let result = world.table.end_attempt(world.request, first, Some(Bytes::from_static(b"ok")));
-        assert_eq!(result, Some(AttemptResult { served: true, finished: true }));
+        assert_eq!(result, Some(AttemptResult { served: true, request_finished: true }));
         assert_eq!(world.answer.try_recv(), Ok(Answer::Served(Bytes::from_static(b"ok"))));
         assert!(!world.table.needs_answer(world.request));
         assert_eq!((world.upstreams(), world.table.len()), (vec![UPSTREAM], 1));
         assert_eq!(world.table.answer(world.request, Answer::Failed), None, "it has its answer");
         let result = world.table.end_attempt(world.request, second, Some(Bytes::new()));
-        assert_eq!(result, Some(AttemptResult { served: false, finished: true }));
+        assert_eq!(result, Some(AttemptResult { served: false, request_finished: true }));
         assert!(world.table.is_empty());
     });
 }
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -106,7 +106,7 @@
         cancel: capabilities.cancellation,
         health_checks: capabilities.health_checks,
         messages: capabilities.gossip,
-        keepalive: duration("caps.keepaliveS", capabilities.keepalive_s)?,
+        idle_timeout: duration("caps.keepaliveS", capabilities.keepalive_s)?,
         streams_per_connection: capabilities.streams_per_connection,
         retry_after: max_retry_after(capabilities)?,
     })
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -5,7 +5,7 @@
 //! its zone and machine kind. The indexes of these names differ between instances, so they are looked up when
 //! an instance receives the list. The module owns the lists by number.
 
-use balancer_policy::interface::{EndpointId, KindId, ListUpdate, Member, ZoneId};
+use balancer_policy::interface::{EndpointId, ListUpdate, MachineKindId, Member, ZoneId};
 use balancer_settings::Names;
 use rustc_hash::FxHashMap;
 
@@ -106,7 +106,7 @@
     fn member(&self, names: &Names) -> Member {
         Member {
             zone: names.zones.get(&self.zone).copied().map(ZoneId),
-            kind: names.kinds.get(&self.kind).copied().map(KindId),
+            kind: names.kinds.get(&self.kind).copied().map(MachineKindId),
             ..self.member
         }
     }
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -118,16 +118,24 @@
     fields.number::<u32>("upstream")?;
     let outcome = wire::outcome(fields.text("outcome")?)?;
     let duration = fields.seconds("durationS")?;
-    let finished = fields.flag("terminal")?;
+    let request_finished = fields.flag("terminal")?;
     let load = load_report(names, fields)?;
     let Some(request) = id else { return Ok(None) };
     requests.attempt_ended(request);
-    if finished {
+    if request_finished {
         requests.ended(request);
     }
     // The protocol does not report how long an attempt waited for a connection.
     let connect_wait = Duration::ZERO;
-    Ok(Some(Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, finished, load }))
+    Ok(Some(Event::AttemptEnded {
+        request,
+        attempt,
+        outcome,
+        duration,
+        connect_wait,
+        request_finished,
+        load,
+    }))
 }
 
 fn client_disconnected(requests: &mut RequestTable, fields: &mut Fields) -> Result<Option<Event>, Malformed> {
