--- a/crates/config-distribution/src/host/accept.rs
+++ b/crates/config-distribution/src/host/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections: what kind of failure an error of accept(2) is, and how long a host waits after one.
+//! Accepting connections: classifies the errors of accept(2), and sets how long a host waits before it accepts again.
 
 use std::future::Future;
 use std::io;
@@ -6,15 +6,16 @@
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// The wait for the system to have memory or file descriptors again, short beside the time a client waits.
+/// Pause after a failed accept, so that the system can free memory or file descriptors. It is short compared with the
+/// time that a client waits for a connection.
 const SHORTAGE_PAUSE: Duration = Duration::from_millis(100);
-/// Failures of single connections in a row, after which each is followed by a pause: as many in a row are a fault of the
-/// listener, and must not take a whole processor.
+/// Number of consecutive failures from which on every failure is followed by a pause, even one that concerns a single
+/// connection. So many in a row are a fault of the listener, and retrying without a pause would use a whole processor.
 const IN_A_ROW: u32 = 1000;
 
-/// Where connections come from.
+/// Source of connections: a listening socket, or a test's replacement for one.
 pub trait Listen {
-    /// The next connection.
+    /// Waits for the next connection.
     fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
 }
 
@@ -24,21 +25,22 @@
     }
 }
 
-/// What kind of failure an error of accept(2) is, for this crate's hosts and for those of other crates.
+/// Class of an error of accept(2), for the hosts of this crate and of other crates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// It concerns the one connection, or the one call: the next accept may follow at once.
+    /// The error concerns a single connection or a single call: the next accept may follow at once.
     Transient,
-    /// The process or the system has no descriptor left; the connection stays in the queue.
+    /// The process or the system has no file descriptor left. The connection stays in the accept queue.
     OutOfDescriptors,
-    /// The system is short of memory: the next accept waits a moment, and closing a connection would not help.
+    /// The system is short of memory. The next accept waits for a moment; closing a connection would not help.
     OutOfMemory,
-    /// None that is known here. It may come again at once, so that the next accept waits as well.
+    /// The error is not one of the errors known here. It may repeat at once, so the next accept waits as well.
     Unknown,
 }
 
 impl AcceptFailure {
-    /// Sorts an error of accept(2). Linux also passes on network errors that were pending on the new socket.
+    /// Classifies an error of accept(2). On Linux, accept(2) also returns network errors already pending on the new
+    /// socket; these concern only that connection.
     #[must_use]
     pub fn of(error: &io::Error) -> Self {
         match error.raw_os_error() {
@@ -65,14 +67,15 @@
     }
 }
 
-/// The failures since the last connection.
+/// Counts the failed accepts since the last successful one.
 #[derive(Debug, Default)]
 pub(crate) struct ConsecutiveFailures {
+    /// Number of failures since the last connection was accepted.
     in_a_row: u32,
 }
 
 impl ConsecutiveFailures {
-    /// Counts a failure; returns how long to wait before the next accept.
+    /// Counts a failed accept, and returns how long to wait before the next one.
     pub(crate) fn pause_after(&mut self, error: &io::Error) -> Duration {
         self.in_a_row = self.in_a_row.saturating_add(1);
         if concerns_one_connection(error) && self.in_a_row < IN_A_ROW {
@@ -82,14 +85,14 @@
         }
     }
 
-    /// Whether the last failure is the first in a row, which is the one to log.
+    /// Whether the last failure was the first since a connection was accepted. Only this one is logged.
     pub(crate) fn is_first(&self) -> bool {
         self.in_a_row == 1
     }
 }
 
-/// Whether the next connection can be accepted at once. A shortage lasts, and where a firewall refuses (`EPERM`) or there
-/// was nothing to accept, the next accept would fail of the same.
+/// Whether the next accept may follow this error at once. It may not after a shortage of resources, which lasts, nor if
+/// a firewall refused the connection (`EPERM`) or there was none to accept: the next accept would fail in the same way.
 fn concerns_one_connection(error: &io::Error) -> bool {
     let lasts = matches!(error.kind(), io::ErrorKind::PermissionDenied | io::ErrorKind::WouldBlock);
     AcceptFailure::of(error) == AcceptFailure::Transient && !lasts
--- a/crates/config-distribution/src/host/log.rs
+++ b/crates/config-distribution/src/host/log.rs
@@ -1,5 +1,5 @@
-//! Lines for the operator, on standard error. A thread of its own writes them: a log that somebody holds and nobody
-//! reads must not stop a process, nor one that is closed end it.
+//! Log lines for the operator, on standard error. A separate thread writes them, so that a reader which keeps standard
+//! error open without reading it cannot block the process, and a closed standard error cannot end it.
 
 use std::fmt::Arguments;
 use std::io::Write;
@@ -9,28 +9,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// Lines that may wait to be written; further ones are lost, and counted.
+/// Maximum number of lines that wait to be written. Further lines are dropped and counted.
 const MAX_QUEUED: usize = 256;
 
+/// Message to the log thread.
 enum Line {
+    /// Text of a log line, without the line break.
     Text(String),
-    /// All before it has been written.
+    /// Request to confirm on the channel that all lines queued before this message have been written.
     Flush(SyncSender<()>),
 }
 
+/// Queue of the log thread, which starts with the first line.
 static WRITER: LazyLock<SyncSender<Line>> = LazyLock::new(|| {
     let (sender, lines) = sync_channel(MAX_QUEUED);
-    // Without the thread all lines are lost, and nothing else is.
+    // If the thread cannot be started, log lines are lost, but the process works.
     let _ = thread::Builder::new().name("log".to_owned()).spawn(move || write(&lines));
     sender
 });
 
-/// Lines lost since the last that was not.
+/// Number of lines dropped since the last line that was queued.
 static LOST: AtomicU32 = AtomicU32::new(0);
 
+/// Writes the queued lines to standard error, and confirms flushes.
 fn write(lines: &Receiver<Line>) {
     for line in lines {
-        // Where standard error or the waiter has gone, there is nobody to say it to.
+        // Errors are ignored: a closed standard error, or a caller that no longer waits, cannot be reported to anyone.
         match line {
             Line::Text(text) => drop(writeln!(std::io::stderr(), "{text}")),
             Line::Flush(reached) => drop(reached.send(())),
@@ -38,26 +42,29 @@
     }
 }
 
-/// Writes a line sooner or later, or loses it; never waits.
+/// Queues a log line of the configuration service without blocking. The line is dropped if the queue is full.
 pub fn log(line: Arguments<'_>) {
     log_as("configuration", line);
 }
 
-/// The same with the name of the part of the process that says it.
+/// Queues a log line as [`log`] does, with `part` as the name of the component that writes it.
 pub fn log_as(part: &str, line: Arguments<'_>) {
     let lost = LOST.swap(0, Ordering::Relaxed);
-    let text =
-        if lost > 0 { format!("{part}: ({lost} lines lost) {line}") } else { format!("{part}: {line}") };
+    let text = if lost > 0 {
+        format!("{part}: ({lost} earlier lines dropped) {line}")
+    } else {
+        format!("{part}: {line}")
+    };
     if WRITER.try_send(Line::Text(text)).is_err() {
         LOST.fetch_add(lost + 1, Ordering::Relaxed);
     }
 }
 
-/// Waits until the lines so far have been written, for `most` at the longest.
+/// Waits until all lines queued so far have been written, for at most the given time.
 pub fn flush(most: Duration) {
     let (reached, mark) = sync_channel(1);
     if WRITER.try_send(Line::Flush(reached)).is_ok() {
-        // Past that time the lines are lost, as any that nobody reads.
+        // After a time-out the remaining lines are given up: nobody reads standard error.
         let _ = mark.recv_timeout(most);
     }
 }
--- a/crates/config-distribution/src/host/mod.rs
+++ b/crates/config-distribution/src/host/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts around the core: sockets and timers. They decide nothing.
+//! Hosts of the sans-IO core: they own the sockets, timers and disk access, and carry out what the core decides.
 
 pub mod accept;
 pub mod call;
