--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -1,4 +1,4 @@
-//! One request and its answer, on a connection of its own, so that nothing of one waits behind another.
+//! A single HTTP request and its response, on a connection of its own, so that no request waits behind another.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,45 +15,47 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Bytes of an answer at most.
+/// Maximum size of a response body.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Why there is no answer. What was asked for may have come to pass all the same.
+/// Why a call got no response. The server may have carried out the request all the same, except after
+/// [`CallError::Connect`].
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection, so that nothing was asked.
-    #[error("no connection: {0}")]
+    /// The connection could not be opened, so the request was not sent.
+    #[error("cannot connect: {0}")]
     Connect(io::Error),
-    /// The connection broke.
-    #[error("{0}")]
+    /// The connection failed before the whole response arrived.
+    #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
-    /// It took too long.
-    #[error("no answer in time")]
+    /// The call took longer than its time limit.
+    #[error("timed out before the whole response arrived")]
     Late,
-    /// The answer is too long.
-    #[error("the answer is over {MAX_ANSWER_BYTES} bytes")]
+    /// The response body is larger than the limit.
+    #[error("the response body exceeds {MAX_ANSWER_BYTES} bytes")]
     TooLong,
 }
 
-/// What is asked.
+/// HTTP request to send with [`call`] or [`call_to`].
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
-    /// The method.
+    /// HTTP method of the request.
     pub method: Method,
-    /// `Host`.
+    /// Value of the `Host` header.
     pub host: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: &'a str,
-    /// Further headers.
+    /// Names and values of further headers.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body.
+    /// Body of the request, empty if it has none.
     pub body: Bytes,
 }
 
-/// Asks on a connection that is up. Where it is dropped, what was asked for may still be done.
+/// Sends a request on an open connection, and returns the status and body of the response. If the future is dropped,
+/// the server may still carry out the request.
 ///
 /// # Errors
-/// There is no whole answer.
+/// The connection failed, or the response body is too large.
 pub async fn call<I>(stream: I, call: Call<'_>) -> Result<(StatusCode, Bytes), CallError>
 where
     I: AsyncRead + AsyncWrite + Unpin,
@@ -86,10 +88,12 @@
     answer.await
 }
 
-/// Connects and asks. Where it is dropped, what was asked for may still be done.
+/// Connects to an address, sends a request, and returns the status and body of the response. If the future is dropped,
+/// the server may still carry out the request.
 ///
 /// # Errors
-/// There is no whole answer within `within`.
+/// The whole response did not arrive within the time limit `within`, the connection failed, or the response body is too
+/// large.
 pub async fn call_to(
     address: SocketAddr,
     within: Duration,
@@ -97,7 +101,7 @@
 ) -> Result<(StatusCode, Bytes), CallError> {
     let whole = async {
         let stream = TcpStream::connect(address).await.map_err(CallError::Connect)?;
-        // Without it the request is slower and works.
+        // The request also works without this option, only slower.
         let _ = stream.set_nodelay(true);
         call(stream, request).await
     };
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -1,7 +1,8 @@
-//! The client of a watch: a chunked answer over HTTP/1.1 that stays open and holds one JSON object a line, with an
-//! empty line as a heartbeat. The list of upstreams and configuration come the same way, by the same client.
+//! Client of a watch: a chunked HTTP/1.1 response that stays open and carries one JSON object per line, with an empty
+//! line as a heartbeat. The list of upstreams and the configuration are both received with this client.
 //!
-//! A parent may fall silent without closing, or send a line without end: both end the watch, by a deadline and a bound.
+//! A server may stop sending without closing the connection, or send a line that never ends. A deadline for each line
+//! and a limit on its length end the watch in these cases.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -16,49 +17,49 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::time::{Instant, timeout_at};
 
-/// Why a watch ended; `E` is why its reader would not go on.
+/// Why a watch ended. `E` is the reason for which its reader rejected the response or one of its lines.
 #[derive(Debug, Error)]
 pub enum WatchError<E: std::error::Error> {
-    /// Nothing came for too long.
-    #[error("silent for too long")]
+    /// No whole line, or no response, arrived before the deadline.
+    #[error("no line arrived before the deadline")]
     Silent,
-    /// It was answered otherwise.
-    #[error("answered {0}")]
+    /// The response status was not 200.
+    #[error("unexpected response status {0}")]
     Status(StatusCode),
-    /// The connection broke.
-    #[error("{0}")]
+    /// The connection failed.
+    #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
-    /// It ended in order.
+    /// The server ended the response in order.
     #[error("ended")]
     Ended,
-    /// A line over the bound, so that a broken parent cannot fill the memory.
-    #[error("a line is too long")]
+    /// A line exceeded the size limit, which keeps a faulty server from filling the memory.
+    #[error("a line exceeds the size limit")]
     LongLine,
-    /// The reader found a line that it cannot use.
+    /// The reader rejected the response's headers or a line.
     #[error("{0}")]
     Line(E),
 }
 
-/// What a watch requests and how long it waits.
+/// Request of a watch, with its deadlines and limits.
 #[derive(Debug, Clone)]
 pub struct WatchRequest {
-    /// `Host`.
+    /// Value of the `Host` header.
     pub host: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub path: String,
-    /// By when the first whole line must have come.
+    /// Deadline for the first whole line.
     pub first_by: Instant,
-    /// How long the next may take from each.
+    /// Longest time from one whole line to the next.
     pub silence: Duration,
-    /// Bytes of a line at most.
+    /// Maximum size of a line.
     pub max_line_bytes: usize,
 }
 
-/// Follows a watch on a connection that is up, until it ends; hands each whole line to `line`, an empty one as such.
-/// Where it is dropped, the connection is closed, and a line that had come in part is lost.
+/// Follows a watch on an open connection until it ends, and passes each whole line to `line`, empty lines included. If
+/// the future is dropped, the connection is closed and a partly received line is discarded.
 ///
 /// # Errors
-/// Always: why it ended.
+/// Always returns an error, which says why the watch ended.
 pub async fn follow<I, E>(
     stream: I,
     request: WatchRequest,
@@ -71,10 +72,10 @@
     follow_checked(stream, request, |_| Ok(()), line).await
 }
 
-/// As [`follow`], for a reader that looks at the answer's head first.
+/// Follows a watch as [`follow`] does, but first passes the response's headers to `head`, which may reject them.
 ///
 /// # Errors
-/// Always: why it ended.
+/// Always returns an error, which says why the watch ended.
 pub async fn follow_checked<I, E>(
     stream: I,
     request: WatchRequest,
@@ -105,7 +106,7 @@
             let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
             lines.push(&data, |text| {
                 line(text).map_err(WatchError::Line)?;
-                // Only a whole line ends the silence.
+                // Only a whole line extends the deadline, not a part of one.
                 by = Instant::now() + silence;
                 Ok(())
             })?;
@@ -115,21 +116,22 @@
     tokio::select! {
         biased;
         ended = followed.as_mut() => return ended,
-        // The connection's end; what it has read before that is still in the body.
+        // The connection has ended, but data received before its end may still be in the body.
         _ = connection.as_mut() => {}
     }
     followed.await
 }
 
-/// A line that comes in parts.
+/// Buffer that assembles lines from the parts in which they arrive.
 struct LineBuffer {
+    /// Bytes of the current, incomplete line.
     text: Vec<u8>,
-    /// Its bytes at most.
+    /// Maximum size of a line, in bytes.
     max: usize,
 }
 
 impl LineBuffer {
-    /// Hands on each line that these bytes end; they may hold several, or a part of one.
+    /// Appends received bytes, which may hold several lines or a part of one, and passes each completed line to `line`.
     fn push<E: std::error::Error>(
         &mut self,
         bytes: &[u8],
@@ -145,6 +147,7 @@
         self.append(rest)
     }
 
+    /// Appends a part of the current line; fails if the line becomes too long.
     fn append<E: std::error::Error>(&mut self, part: &[u8]) -> Result<(), WatchError<E>> {
         self.text.extend_from_slice(part);
         if self.text.len() > self.max { Err(WatchError::LongLine) } else { Ok(()) }
