--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -1,7 +1,7 @@
-//! The child's side: follows its parents and reports up.
+//! Client of a child process: follows the parents and reports the configuration in force to them.
 //!
-//! The core decides which parent to follow and whether an update is accepted; this module opens the connections, feeds lines
-//! to the core and waits as it says.
+//! The core decides which parent to follow and whether an update is accepted. This module opens the connections, passes
+//! the received lines to the core, and waits for as long as the core says.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -28,57 +28,69 @@
 use crate::report::{InForce, REPORT_EVERY};
 use crate::state::{Refusal, State, Wanted};
 
-/// Bytes of a line to a balancer at most: three documents at the origin's bound, and what is around them.
+/// Maximum size of a line sent to a balancer: three documents of the origin's maximum size, and 16 KiB for the JSON
+/// around them.
 pub const MAX_LINE_BYTES: usize = 3 * (256 << 10) + (16 << 10);
-/// Reports after a change wait up to this, so that a parent does not get all at one moment.
+/// Maximum random delay of a report after a change, so that a parent does not receive the reports of all children at
+/// once.
 const REPORT_JITTER: Duration = Duration::from_millis(500);
-/// A report has so long to be answered.
+/// Time limit for sending a report and receiving the response.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A child that follows its parents.
+/// Options of a child process that follows its parents.
 #[derive(Debug, Clone)]
 pub struct Client {
-    /// As its parents know it.
+    /// Name under which the parents know the child.
     pub name: String,
-    /// Whom it may follow.
+    /// Addresses of the parents that the child may follow.
     pub parents: Vec<SocketAddr>,
-    /// The scopes that it uses.
+    /// Scopes whose documents the child uses.
     pub wanted: Vec<Scope>,
-    /// Of its draws: the order of the parents, and jitter.
+    /// Seed of the random numbers for the order of the parents and for jitter.
     pub seed: u64,
 }
 
-/// Why a child would not go on with a parent.
+/// Why a child stops following a parent.
 #[derive(Debug, Error)]
 pub(crate) enum LeaveError {
-    #[error("a line is malformed: {0}")]
+    /// A line is neither empty nor a valid JSON update.
+    #[error("received a malformed line: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("an update is refused: {0}")]
+    /// The core refused an update.
+    #[error("refused an update: {0}")]
     Refused(#[from] Refusal),
-    #[error("it is stale")]
+    /// The parent has received nothing from its own parents for too long.
+    #[error("the parent is stale")]
     Stale,
-    #[error("its level is not below this one's")]
+    /// The parent did not give its level, or its level is not below the level of this relay.
+    #[error("the parent's level is not below the level of this relay")]
     Level,
 }
 
-/// Which parents are followed, and how.
+/// Follows the parents of a balancer or relay, one at a time.
 pub(crate) struct Following<'a> {
+    /// Name under which the parents know this process.
     pub name: &'a str,
+    /// Addresses of the parents; the core refers to a parent by its index in this list.
     pub addresses: &'a [SocketAddr],
-    /// As in the query.
+    /// Scopes to watch, separated by commas as in the query, or `*` for all.
     pub scopes: &'a str,
-    /// A relay's level.
+    /// Level of this process if it is a relay; `None` for a balancer.
     pub level: Option<u8>,
+    /// Maximum size of a line of a watch.
     pub max_line_bytes: usize,
+    /// Start of the clock of `parents`, which counts time from this instant.
     pub start: Instant,
+    /// Core state that chooses the parent to follow.
     pub parents: &'a RefCell<Parents>,
-    /// The parent whose watch is up.
+    /// Parent whose watch is open and has sent at least one line; `None` if there is none.
     pub current: &'a Cell<Option<SocketAddr>>,
 }
 
 impl Following<'_> {
-    /// Follows the parents for ever, one after another. `since` is the index that the child stands at; `accept` gets
-    /// each update, or `None` for a heartbeat. Where it is dropped, the watch is closed, and no update is half accepted.
+    /// Follows the parents without end, one after another. `since` returns the index that this process has reached, and
+    /// `accept` is called with each update, or with `None` for a heartbeat. If the future is dropped, the watch is
+    /// closed; every update has then been accepted as a whole or not at all.
     pub(crate) async fn run<I, C>(
         &self,
         connect: &impl Fn(SocketAddr) -> C,
@@ -89,7 +101,8 @@
         C: Future<Output = io::Result<I>>,
         I: AsyncRead + AsyncWrite + Unpin,
     {
-        // Logged once by parent, until it has sent lines again: a cut of minutes is not to fill the log.
+        // An error that repeats for the same parent is logged once until the parent has sent lines again, so that an
+        // interruption of minutes does not fill the log.
         let mut logged: BTreeMap<SocketAddr, String> = BTreeMap::new();
         loop {
             let step = self.parents.borrow_mut().next(self.start.elapsed());
@@ -104,13 +117,13 @@
             let had_lines = self.current.take().is_some();
             self.parents.borrow_mut().ended(self.start.elapsed());
             if had_lines || logged.get(&address) != Some(&ended) {
-                log(format_args!("{}: the watch at {address} ended: {ended}", self.name));
+                log(format_args!("{}: lost the watch of parent {address}: {ended}", self.name));
                 logged.insert(address, ended);
             }
         }
     }
 
-    /// Follows one parent to the end of its watch; returns why it ended, for the log.
+    /// Follows one parent until its watch ends, and returns the reason as text for the log.
     async fn follow<I, C>(
         &self,
         address: SocketAddr,
@@ -124,8 +137,8 @@
     {
         let first_by = Instant::now() + FIRST_LINE;
         let stream = match timeout_at(first_by, connect(address)).await {
-            Err(_) => return "no connection in time".to_owned(),
-            Ok(Err(error)) => return format!("no connection: {error}"),
+            Err(_) => return "timed out connecting".to_owned(),
+            Ok(Err(error)) => return format!("cannot connect: {error}"),
             Ok(Ok(stream)) => stream,
         };
         let (since, scopes, name) = (since(), self.scopes, query_text(self.name));
@@ -140,6 +153,8 @@
         error.to_string()
     }
 
+    /// Follows a watch on an open connection: checks the parent's level, then passes each line to `accept` and to the
+    /// core. Always returns an error, which says why the watch ended.
     async fn watch<I>(
         &self,
         stream: I,
@@ -173,13 +188,14 @@
     }
 }
 
-/// A name as it may stand in a query.
+/// Replaces the characters of a name that cannot stand in a query by `_`.
 fn query_text(name: &str) -> String {
     let fits = |letter: char| letter.is_ascii_alphanumeric() || matches!(letter, '-' | '_' | '.' | ':' | '/');
     name.chars().map(|letter| if fits(letter) { letter } else { '_' }).collect()
 }
 
-/// Reports to a parent what is in force here or below; returns whether it was accepted.
+/// Posts a report to a parent, of the configuration in force in this process or below it. Returns whether the parent
+/// accepted the report.
 pub(crate) async fn report<I, C>(
     connect: &impl Fn(SocketAddr) -> C,
     address: SocketAddr,
@@ -203,9 +219,9 @@
     matches!(timeout(REPORT_TIMEOUT, answered).await, Ok(Some((status, _))) if status.is_success())
 }
 
-/// Follows the parents for ever, one after another; `connect` opens a connection, `apply` gets the state after each
-/// update that was accepted, with the scopes that changed, and returns what is now in force, which is reported up. Where it is
-/// dropped, the watch is closed; what was applied stays.
+/// Follows the parents without end, one after another. `connect` opens a connection. `apply` is called with the state
+/// after each accepted update and the scopes that changed, and returns what is now in force, which is reported to the
+/// parent. If the future is dropped, the watch is closed; updates that were applied stay in force.
 pub async fn run<I, C, F>(client: Client, connect: impl Fn(SocketAddr) -> C, mut apply: F) -> Infallible
 where
     C: Future<Output = io::Result<I>>,
@@ -248,7 +264,7 @@
     }
 }
 
-/// Reports what is in force: after each change with some jitter, and at intervals, to the parent whose watch is up.
+/// Reports what is in force to the parent whose watch is open: after each change with a random delay, and at intervals.
 async fn report_in_force<I, C>(
     connect: &impl Fn(SocketAddr) -> C,
     in_force: &RefCell<Option<InForce>>,
@@ -267,7 +283,7 @@
         }
         let Some(content) = in_force.borrow().clone() else { continue };
         let Some(address) = current.get() else { continue };
-        // A report that fails is made again with the next, at the latest after `REPORT_EVERY`.
+        // A failed report is not retried: the next report replaces it, at the latest after `REPORT_EVERY`.
         report(connect, address, &content).await;
     }
 }
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -420,7 +420,7 @@
             child.until_index(1).await;
         }
         let alone = Process::relay(1, &[one], address());
-        alone.says("its level is not below this one's").await;
+        alone.says("the parent's level is not below the level of this relay").await;
         let (status, _) = get(alone.address, "/configuration").await.unwrap();
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     });
