--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -1,17 +1,17 @@
-//! What origin and relay have in common: the server of watches and reports, over HTTP/1.1.
+//! HTTP/1.1 server of watches, reports and publications, which the origin and the relays share.
 //!
 //! Thousands of children stay connected for days, and each change has to reach all of them at once without a queue for
-//! each. A watch costs the server its index, its scopes and at most one line in flight; a line is encoded once for all
-//! watches of the same scopes and index.
+//! each child. For each watch the server holds its index, its scopes and at most one line in flight. A line is encoded
+//! once for all watches of the same scopes and index.
 //!
-//! - this module: the listener, its connections and their orderly end;
-//! - `limits`: how many watches and connections there may be;
-//! - `connection`: one connection and its deadline;
-//! - `request`: from method and path to an answer, and what is wrong with a request;
-//! - `query`: what a watch asks for;
-//! - `stream`: the lines of one watch, changes and heartbeats;
+//! - this module: the listener, its connections and the graceful shutdown;
+//! - `limits`: the number of watches and connections allowed;
+//! - `connection`: one connection and its deadlines;
+//! - `request`: routes a request by method and path to its response, and defines the errors of requests;
+//! - `query`: the query of a watch;
+//! - `stream`: the lines of one watch, updates and heartbeats;
 //! - `line_cache`: encoded lines that watches share;
-//! - `response`: bodies, and how far a line has gone.
+//! - `response`: response bodies, and the progress of sending a line.
 
 mod connection;
 mod limits;
@@ -46,48 +46,63 @@
 pub use self::limits::Limits;
 pub(crate) use self::response::{ResponseBody, error_response, json_response};
 
-/// At shutdown, watches have so long to take their end; a child that is cut off must not hold the process up.
+/// Time limit at shutdown for connections to end in order, so that an unreachable child cannot delay the process.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a host serves.
+/// State and changes of a host, as the server uses them.
 pub(crate) trait Source: 'static {
-    /// Reads the state that watches see; `None` while there is nothing yet to be sent as a snapshot.
+    /// Passes the state that watches see to `read`. Returns `None` while there is no state to send as a snapshot.
     fn with_state<T>(&self, read: impl FnOnce(&State) -> T) -> Option<T>;
-    /// For how many seconds nothing has come from above.
+    /// Seconds since the newest line received from above left the origin, as far as is known; 0 at the origin itself.
     fn stale_s(&self) -> u64;
-    /// Makes a change and the answer to it. Runs in a task of its own, so that it ends also where its client has gone.
+    /// Carries out a change and returns the response to it. Runs in a task of its own, so that it completes even if the
+    /// client has disconnected.
     fn change(self: Rc<Self>, change: Change) -> impl Future<Output = Response<ResponseBody>>;
-    /// Bytes of a document at most.
+    /// Maximum size of a document.
     fn max_body_bytes(&self) -> usize;
 }
 
-/// A publication as it came.
+/// Publication as received, before the core checks it.
 pub(crate) struct Change {
+    /// Scope of the document.
     pub scope: Scope,
-    /// None withdraws the document.
+    /// New body of the document, or `None` to withdraw it.
     pub body: Option<Bytes>,
+    /// Request id, by which a repeated request is recognized.
     pub request: Box<str>,
+    /// Version that the current document must have, if given; 0 stands for no document.
     pub if_version: Option<u64>,
 }
 
-/// What a relay reports to its parent of those below it.
+/// Report of a relay to its parent about the processes below the relay.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct RelayReport {
+    /// Name of the relay.
     pub who: Box<str>,
+    /// Sums over all processes below the relay.
     pub sums: Sums,
 }
 
-/// A server of watches over a host's state.
+/// Server of watches, reports and publications for the state of a host.
 pub(crate) struct Server<S> {
+    /// Host that holds the state and carries out changes.
     pub source: Rc<S>,
+    /// Level of this process, sent with each response; 0 is the origin.
     level: u8,
     limits: Limits,
+    /// Start of the clock of `reports`, which counts time from this instant.
     start: Instant,
+    /// Notifies all watches that the state has changed.
     changed: watch::Sender<()>,
+    /// Set to true at shutdown, which ends all watches.
     shutdown: watch::Sender<bool>,
+    /// Encoded lines of the current state.
     lines: RefCell<LineCache>,
+    /// Reports received from balancers and relays.
     reports: RefCell<Reports>,
+    /// Number of open watches.
     open_watches: Cell<usize>,
+    /// Random numbers that spread the heartbeats of the watches.
     draws: RefCell<Rand64>,
 }
 
@@ -113,18 +128,19 @@
         self.changed.send_replace(());
     }
 
-    /// Notified of each change from now on.
+    /// Returns a receiver that is notified of each change of the state from now on.
     pub(crate) fn subscribe(&self) -> watch::Receiver<()> {
         self.changed.subscribe()
     }
 
-    /// What is in force below.
+    /// Sums over all processes below this one: which versions are in force, and which processes lag or are silent.
     pub(crate) fn sums(&self) -> Sums {
         let sums = |state: &State| self.reports.borrow().sums(self.start.elapsed(), state);
         self.source.with_state(sums).unwrap_or_else(|| sums(&State::default()))
     }
 
-    /// Serves until `stop`, then ends all watches in order. Where it is dropped, all connections are closed at once.
+    /// Serves until `stop` completes, then ends all watches in order. If the future is dropped, all connections are
+    /// closed at once.
     pub(crate) async fn run(self: Rc<Self>, listener: impl Listen, stop: impl Future<Output = ()>) {
         let mut connections = JoinSet::new();
         self.accept_until(stop, &listener, &mut connections).await;
@@ -132,6 +148,7 @@
         self.end_watches(connections).await;
     }
 
+    /// Accepts connections until `stop` completes, and serves each in its own task.
     async fn accept_until(
         self: &Rc<Self>,
         stop: impl Future<Output = ()>,
@@ -151,7 +168,7 @@
             }
             match accepted {
                 Ok(_) if connections.len() >= self.limits.max_connections() => {
-                    log(format_args!("refused a connection: {} are open", connections.len()));
+                    log(format_args!("refused a connection: {} are already open", connections.len()));
                 }
                 Ok(stream) => {
                     connections.spawn_local(Rc::clone(self).serve_connection(stream));
@@ -161,19 +178,20 @@
                     if failures.is_first() {
                         log(format_args!("cannot accept a connection: {error}"));
                     }
-                    // Connections that are up go on: each has its own task.
+                    // Open connections are not affected by the pause: each has its own task.
                     if pause.is_zero() { yield_now().await } else { sleep(pause).await }
                 }
             }
         }
     }
 
+    /// Ends all watches and waits for the connections to close, for at most `SHUTDOWN_TIMEOUT`.
     async fn end_watches(&self, mut connections: JoinSet<()>) {
-        log(format_args!("ending the watches of {} readers", self.open_watches.get()));
+        log(format_args!("shutting down: ending {} watches", self.open_watches.get()));
         self.shutdown.send_replace(true);
         let ended = async { while connections.join_next().await.is_some() {} };
         if timeout(SHUTDOWN_TIMEOUT, ended).await.is_err() {
-            log(format_args!("some readers did not take the end of their watch"));
+            log(format_args!("some connections did not end within the shutdown timeout, closing them"));
         }
     }
 }
--- a/crates/config-distribution/src/host/server/connection.rs
+++ b/crates/config-distribution/src/host/server/connection.rs
@@ -1,5 +1,5 @@
-//! One connection, which carries one request. It has a deadline at each step, so that a client that stops in the middle
-//! of a request, or does not read its answer, holds no connection.
+//! A connection, which carries a single request. Each step has a deadline, so that a client that stops in the middle of
+//! a request, or does not read the response, cannot keep the connection open.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -17,25 +17,28 @@
 
 use super::{Server, Source};
 
-/// The header of an answer with the level of the process that answers.
+/// Response header with the level of the process that sends the response.
 pub const LEVEL: &str = "x-level";
 
-/// The head of a request has so long to come, so that one that stops in the middle of it holds no connection.
+/// Time limit for receiving the head of a request, so that a client that stops in the middle of it cannot keep the
+/// connection open.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// A request has so long to come whole, from the connection's start.
+/// Time limit for receiving the whole request, counted from the start of the connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// An answer that is no watch has so long to be made and read.
+/// Time limit for producing a response that is not a watch, and for the client to read it.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes of the socket's send buffer, of which Linux reserves twice as many: what waits there is no longer merged to the
-/// newest.
+/// Size of the socket's send buffer, of which Linux reserves twice as much. It is limited because updates that wait in
+/// the buffer can no longer be merged into newer ones.
 const SEND_BUFFER_BYTES: usize = 256 << 10;
-/// Bytes of hyper's buffer: a head of a request fits well, and thousands of connections stay small.
+/// Size of hyper's buffer for a connection: large enough for the head of a request, and small enough for thousands of
+/// connections.
 const HTTP_BUFFER_BYTES: usize = 16 << 10;
 
-/// What a connection's task observes beside the connection.
+/// Deadline and stall signal, which the task of a connection observes beside the connection.
 pub(super) struct ConnectionControl {
-    /// None for a watch, which has no end of its own.
+    /// Time at which the connection is closed; `None` for a watch, which may stay open.
     deadline: Cell<Option<Instant>>,
+    /// Notified when the reader of a watch accepts no data, so that the connection is closed.
     stalled: Notify,
 }
 
@@ -44,28 +47,28 @@
         Rc::new(Self { deadline: Cell::new(Some(deadline)), stalled: Notify::new() })
     }
 
-    /// The request is read: from now on its answer has so long.
+    /// Starts the time limit of the response; called once the request has been read.
     pub(super) fn expect_response(&self) {
         self.deadline.set(Some(Instant::now() + RESPONSE_TIMEOUT));
     }
 
-    /// The answer is a watch, which stays open.
+    /// Removes the deadline, because the response is a watch, which stays open.
     pub(super) fn stay_open(&self) {
         self.deadline.set(None);
     }
 
-    /// Closes the connection, since its reader accepts nothing.
+    /// Closes the connection, because its reader accepts no data.
     pub(super) fn close_stalled(&self) {
         self.stalled.notify_one();
     }
 
-    /// Waits until the deadline has passed or the reader has stalled. Cancellation safe.
+    /// Waits until the deadline has passed or the reader has stalled. This method is cancel safe.
     async fn expired(&self) {
         loop {
             let deadline = self.deadline.get();
             tokio::select! {
                 () = self.stalled.notified() => return,
-                // A new deadline is seen after the old one at the latest.
+                // A changed deadline is seen when the old one has passed, at the latest.
                 () = sleep_until(deadline.unwrap_or_else(|| Instant::now() + RESPONSE_TIMEOUT)) => {
                     if self.deadline.get().is_some_and(|deadline| deadline <= Instant::now()) {
                         return;
@@ -77,9 +80,10 @@
 }
 
 impl<S: Source> Server<S> {
-    /// Serves one connection to its end.
+    /// Serves a connection until it ends or its deadline passes.
     pub(super) async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
-        // Lines are small and are to go at once. Where an option cannot be set, the connection is slower and works.
+        // Lines are small and are to be sent at once. If a socket option cannot be set, the connection works all the
+        // same, only slower.
         let _ = stream.set_nodelay(true);
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let began = Instant::now();
@@ -93,12 +97,13 @@
                 Ok::<_, Infallible>(response)
             }
         });
-        // Queued and not copied together: all watches share the bytes of a line, and its end is seen.
+        // Vectored writes queue a line instead of copying it: all watches share its bytes, and its drop shows when it
+        // has been written.
         let mut builder = http1::Builder::new();
         let builder = builder.keep_alive(false).writev(true).max_buf_size(HTTP_BUFFER_BYTES);
         let connection = pin!(builder.serve_connection(TokioIo::new(stream), service));
         tokio::select! {
-            // How it ended concerns its client alone.
+            // An error of the connection concerns only its client and is ignored.
             _ = connection => {}
             () = control.expired() => {}
         }
--- a/crates/config-distribution/src/host/server/limits.rs
+++ b/crates/config-distribution/src/host/server/limits.rs
@@ -1,14 +1,15 @@
-//! How many watches and connections a server takes, so that children in great number cannot fill its memory.
+//! Limits on the watches and connections of a server, so that a great number of children cannot fill its memory.
 
 use std::cell::Cell;
 
-/// Connections beside those of watches: reports, publications and operators' questions, each short.
+/// Maximum number of connections beside those of watches. They carry reports, publications and operators' queries, and
+/// are short.
 const MAX_SHORT_CONNECTIONS: usize = 256;
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Readers, that is, open watches, at most.
+    /// Maximum number of readers, that is, of open watches.
     pub max_readers: usize,
 }
 
@@ -19,7 +20,7 @@
 }
 
 impl Limits {
-    /// Open connections at most, of watches and all others.
+    /// Maximum number of open connections, of watches and all others.
     pub(super) fn max_connections(self) -> usize {
         self.max_readers + MAX_SHORT_CONNECTIONS
     }
--- a/crates/config-distribution/src/host/server/line_cache.rs
+++ b/crates/config-distribution/src/host/server/line_cache.rs
@@ -1,25 +1,28 @@
-//! Encoded lines that watches share: after a change thousands of them need the same bytes.
+//! Cache of encoded lines that watches share: after a change, thousands of watches need the same bytes.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 
-/// Bytes of all cached lines at most; past this the cache begins anew, since another index makes most of it useless.
+/// Maximum total size of the cached lines. A line that would exceed it first empties the cache, because a new index
+/// makes most lines useless anyway.
 const MAX_CACHED_BYTES: usize = 32 << 20;
 
-/// What two watches must have in common to be sent the same line.
+/// Key of a cached line: watches with the same key are sent the same line.
 #[derive(Debug, PartialEq, Eq, Hash)]
 pub(super) struct LineKey {
-    /// As the query has them.
+    /// Scopes of the watch, as written in its query.
     pub scopes: Box<str>,
-    /// The index that the watch stands at.
+    /// Index that the reader of the watch has reached.
     pub since: u64,
+    /// Staleness of this process in seconds, which the line contains.
     pub stale_s: u64,
 }
 
-/// Encoded lines of one state; a change empties it.
+/// Encoded lines of the current state; the cache is replaced when the state changes.
 #[derive(Default)]
 pub(super) struct LineCache {
+    /// Total size of the cached lines.
     bytes: usize,
     lines: HashMap<LineKey, Bytes>,
 }
--- a/crates/config-distribution/src/host/server/query.rs
+++ b/crates/config-distribution/src/host/server/query.rs
@@ -1,4 +1,4 @@
-//! What a watch asks for, as its query says it.
+//! Parses the query of a watch, or of a request for the current state.
 
 use std::str::FromStr;
 
@@ -8,34 +8,38 @@
 use crate::report::MAX_CHILD_SCOPES;
 use crate::state::Wanted;
 
-/// Why a query cannot be used.
+/// Why a query is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(super) enum QueryError {
+    /// `since` is not an index.
     #[error("since: expected an index, got {0:?}")]
     Since(String),
+    /// `scopes` contains a text that is not a scope.
     #[error("scopes: {0}")]
     Scope(#[from] ScopeError),
+    /// `scopes` lists more scopes than a child may use.
     #[error("scopes: at most {MAX_CHILD_SCOPES}")]
     TooManyScopes,
 }
 
-/// What a watch, or a reader that wants one answer, asks for.
+/// Query of a watch, or of a request for the current state.
 pub(super) struct WatchQuery {
-    /// A watch, and not one answer.
+    /// Whether the request is a watch, and not one for a single response.
     pub follow: bool,
-    /// The index that the reader stands at.
+    /// Index that the reader has reached; 0 if it has no state.
     pub since: u64,
-    /// As they were written, by which lines are shared.
+    /// Scopes as written in the query, by which watches share encoded lines.
     pub scopes: Box<str>,
+    /// Parsed scopes, whose documents the reader is sent.
     pub wanted: Wanted,
-    /// Of the reader, for the log.
+    /// Name of the reader, for the log.
     pub name: Box<str>,
 }
 
 impl FromStr for WatchQuery {
     type Err = QueryError;
 
-    /// Keys that are not known are passed over, so that newer children can ask older parents.
+    /// Parses a query. Unknown keys are ignored, so that newer children can use older parents.
     fn from_str(text: &str) -> Result<Self, QueryError> {
         let mut query =
             Self { follow: false, since: 0, scopes: "*".into(), wanted: Wanted::All, name: Box::default() };
@@ -56,11 +60,12 @@
     }
 }
 
-/// Decodes the two characters of a list of scopes that a client may have percent-encoded.
+/// Decodes `/` and `,` in a list of scopes, the two characters that a client may have percent-encoded.
 fn decode_separators(value: &str) -> String {
     value.replace("%2F", "/").replace("%2f", "/").replace("%2C", ",").replace("%2c", ",")
 }
 
+/// Parses a list of scopes separated by commas; `*` stands for all scopes.
 fn parse_wanted(text: &str) -> Result<Wanted, QueryError> {
     if text == "*" {
         return Ok(Wanted::All);
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -1,4 +1,5 @@
-//! From a request's method and path to its answer. What is wrong with a request is one type, which knows its status.
+//! Routes a request by its method and path, and produces its response. All errors of requests are one type, which gives
+//! each its status.
 
 use std::rc::Rc;
 
@@ -17,49 +18,65 @@
 use crate::document::{Scope, ScopeError};
 use crate::host::log::log;
 
+/// Path of watches and of requests for the current state.
 const CONFIGURATION: &str = "/configuration";
+/// Path of reports, and of requests for the sums over them.
 const REPORT: &str = "/configuration/report";
-/// Before the scope in the path of a publication.
+/// Part of a publication's path before the scope.
 const DOCUMENT_PREFIX: &str = "/configuration/";
 
-/// Bytes of a report at most: sums of thousands of scopes fit.
+/// Maximum size of a report: the sums of thousands of scopes fit.
 const MAX_REPORT_BYTES: usize = 1 << 20;
-/// Bytes of a body over its bound that are still read, so that the sender reads why it is rejected and not a reset.
+/// Number of bytes beyond a body's size limit that are still read, so that the sender receives the error response
+/// instead of a connection reset.
 const MAX_EXCESS_BYTES: usize = 4 << 20;
 
 /// Why a request is rejected.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
+    /// The path is unknown.
     #[error("no such path")]
     NoSuchPath,
+    /// The path does not support the method.
     #[error("no such method here")]
     NoSuchMethod,
+    /// The query of a watch is invalid.
     #[error("{0}")]
     Query(#[from] QueryError),
+    /// The path of a publication does not contain a valid scope.
     #[error("{0}")]
     Scope(#[from] ScopeError),
-    #[error("X-Request-Id: expected an id, so that a repeat is known")]
+    /// A publication has no request id.
+    #[error("X-Request-Id: expected an id, by which a repeated request is recognized")]
     NoRequestId,
+    /// The `If-Match` header of a publication is not a version.
     #[error("If-Match: expected a version, got {0:?}")]
     IfMatch(String),
-    #[error("expected a report or sums: {0}")]
+    /// The body of a report is neither a balancer's report nor a relay's sums.
+    #[error("expected a balancer's report or a relay's sums: {0}")]
     Report(serde_json::Error),
-    #[error("the body broke off")]
+    /// The connection failed before the whole body arrived.
+    #[error("the request body is incomplete")]
     BodyCutOff,
-    #[error("over the bound of {max} bytes")]
+    /// The body is larger than `max` bytes.
+    #[error("the request body exceeds {max} bytes")]
     BodyTooLarge { max: usize },
-    #[error("nothing has come from above yet")]
+    /// This relay has not received a state from a parent or from disk yet.
+    #[error("no configuration received yet")]
     NoStateYet,
+    /// The server is shutting down.
     #[error("ending")]
     ShuttingDown,
+    /// The maximum number of watches is open.
     #[error("too many readers")]
     TooManyWatches,
-    /// The change's task panicked.
-    #[error("it came to no end")]
+    /// The task that carried out the change panicked.
+    #[error("the change was aborted: repeat the request with the same id")]
     ChangeAborted,
 }
 
 impl RequestError {
+    /// HTTP status of the response to a request with this error.
     fn status(&self) -> StatusCode {
         match self {
             Self::NoSuchPath => StatusCode::NOT_FOUND,
@@ -78,7 +95,7 @@
 }
 
 impl<S: Source> Server<S> {
-    /// The answer to a request.
+    /// Produces the response to a request.
     pub(super) async fn respond(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -88,6 +105,7 @@
         response.unwrap_or_else(|error| error_response(error.status(), &error.to_string()))
     }
 
+    /// Dispatches a request by method and path.
     async fn route(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -110,7 +128,7 @@
         }
     }
 
-    /// A watch, or the state in one answer.
+    /// Opens a watch, or responds with the current state in a single response.
     fn configuration(
         self: &Rc<Self>,
         request: &Request<Incoming>,
@@ -129,14 +147,14 @@
             return Ok(Response::new(ResponseBody::Complete(line.map(|line| line.bytes))));
         }
         if self.open_watches.get() >= self.limits.max_readers {
-            log(format_args!("refused a reader: {} are here", self.open_watches.get()));
+            log(format_args!("refused a reader: {} watches are already open", self.open_watches.get()));
             return Err(RequestError::TooManyWatches);
         }
         control.stay_open();
         Ok(Response::new(ResponseBody::Stream(self.open_watch(query, control))))
     }
 
-    /// A report of a balancer, or the sums of a relay.
+    /// Records a report of a balancer, or the sums of a relay.
     async fn record_report(
         &self,
         request: Request<Incoming>,
@@ -157,6 +175,7 @@
         Ok(json_response(StatusCode::OK, &json!({})))
     }
 
+    /// Reads a publication and carries it out.
     async fn publish(
         &self,
         request: Request<Incoming>,
@@ -164,13 +183,13 @@
     ) -> Result<Response<ResponseBody>, RequestError> {
         let change = read_change(request, self.source.max_body_bytes()).await?;
         control.expect_response();
-        // By itself, so that it comes to its end also when who asked for it has gone.
+        // In a task of its own, so that the change completes even if the client has disconnected.
         let made = spawn_local(Rc::clone(&self.source).change(change)).await;
         made.map_err(|_| RequestError::ChangeAborted)
     }
 }
 
-/// Reads a body up to a bound.
+/// Reads a request body of at most `max` bytes.
 async fn read_body(request: Request<Incoming>, max: usize) -> Result<Bytes, RequestError> {
     let mut body = request.into_body();
     let (mut bytes, mut count) = (BytesMut::new(), 0);
@@ -190,7 +209,7 @@
     Ok(bytes.freeze())
 }
 
-/// Reads a publication: its scope, its request id, its condition, and only then its body.
+/// Reads a publication. Its scope, request id and condition are checked before the body is read.
 async fn read_change(request: Request<Incoming>, max_body_bytes: usize) -> Result<Change, RequestError> {
     let scope: Scope = request.uri().path().trim_start_matches(DOCUMENT_PREFIX).parse()?;
     let id = header_text(request.headers(), "x-request-id").filter(|id| !id.is_empty());
@@ -201,11 +220,12 @@
     Ok(Change { scope, body: (!withdraws).then_some(body), request: id.into(), if_version })
 }
 
-/// A header's text; empty where it is no text.
+/// Returns the value of a header if the request has it, or an empty string if the value is not visible ASCII text.
 fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).map(|value| value.to_str().unwrap_or_default())
 }
 
+/// Parses the value of `If-Match`: a version, quoted or not.
 fn parse_if_match(text: &str) -> Result<u64, RequestError> {
     text.trim_matches('"').parse().map_err(|_| RequestError::IfMatch(text.to_owned()))
 }
--- a/crates/config-distribution/src/host/server/response.rs
+++ b/crates/config-distribution/src/host/server/response.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers, and how far a line of a watch has gone towards its reader.
+//! Response bodies, and the progress of sending a line of a watch to its reader.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -14,25 +14,28 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// Bytes on their way to one reader.
+/// Bytes being sent to one reader: a line of a watch, or a whole response body.
 pub(crate) struct Line {
     bytes: Bytes,
     delivery: Rc<Delivery>,
 }
 
-/// How far a line has gone.
+/// Progress of sending a line.
 pub(super) struct Delivery {
+    /// Notified when the line has been written to the socket, or dropped with its connection.
     finished: Notify,
+    /// Time at which the socket last accepted bytes of the line.
     last_progress: Cell<Instant>,
 }
 
 impl Delivery {
-    /// Waits until the line has been written to the socket, or dropped with its connection. Cancellation safe.
+    /// Waits until the line has been written to the socket, or dropped with its connection. This method is cancel safe.
     pub(super) async fn finished(&self) {
         self.finished.notified().await;
     }
 
-    /// When the socket last accepted bytes of the line; at first, when the line was made.
+    /// Returns the time at which the socket last accepted bytes of the line, or at first the time at which the line was
+    /// created.
     pub(super) fn last_progress(&self) -> Instant {
         self.last_progress.get()
     }
@@ -44,6 +47,7 @@
         Self { bytes, delivery: Rc::new(delivery) }
     }
 
+    /// Returns a handle to the progress of sending this line.
     pub(super) fn delivery(&self) -> Rc<Delivery> {
         Rc::clone(&self.delivery)
     }
@@ -70,11 +74,11 @@
     }
 }
 
-/// The body of an answer.
+/// Body of a response.
 pub(crate) enum ResponseBody {
-    /// All of it; none once it has been handed over.
+    /// Whole body of a single response; `None` once hyper has taken it.
     Complete(Option<Bytes>),
-    /// The lines of a watch, as they come.
+    /// Lines of a watch, each sent as it arrives on the channel.
     Stream(mpsc::Receiver<Line>),
 }
 
@@ -108,7 +112,7 @@
     }
 }
 
-/// An answer of one JSON object.
+/// Creates a response whose body is one JSON object and a line break.
 pub(crate) fn json_response(status: StatusCode, content: &impl Serialize) -> Response<ResponseBody> {
     let mut text = serde_json::to_vec(content).unwrap_or_default();
     text.push(b'\n');
@@ -118,7 +122,7 @@
     response
 }
 
-/// A rejection with its reason.
+/// Creates an error response with the reason `why`.
 pub(crate) fn error_response(status: StatusCode, why: &str) -> Response<ResponseBody> {
     json_response(status, &json!({ "error": why }))
 }
--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -1,5 +1,5 @@
-//! The lines of one watch: each change as soon as the reader has accepted the line before, merged to the newest, and a
-//! heartbeat where there is none.
+//! Sends the lines of one watch. After a change, an update is sent as soon as the reader has accepted the line before
+//! it; changes in between are merged into one update. A heartbeat is sent if there is no change.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,31 +20,38 @@
 use crate::parents::HEARTBEAT_EVERY;
 use crate::state::State;
 
-/// A reader that accepts nothing of a line for so long is closed.
+/// Time after which a reader that accepts no bytes of a line is disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An encoded line, and the index that its reader stands at once it has it.
+/// Encoded line of a watch.
 pub(super) struct EncodedLine {
+    /// Bytes of the line, with its line break.
     pub bytes: Bytes,
+    /// Index that the reader has reached once it has received the line.
     pub index: u64,
 }
 
-/// What a reader is sent next.
+/// Content of the next line of a watch.
 enum Content {
+    /// Changes since the last line, or a snapshot.
     Update(Update),
-    /// An empty line.
+    /// Empty line, which shows that the connection and the server work.
     Heartbeat,
 }
 
-/// How the sending of a line ended.
+/// Outcome of sending a line.
 enum Sent {
+    /// The whole line was written to the socket.
     Delivered,
+    /// The connection was closed.
     Closed,
+    /// The reader accepted no bytes of the line for `STALL_TIMEOUT`.
     Stalled,
 }
 
 impl<S: Source> Server<S> {
-    /// Starts a watch; its lines come over the channel. Its task ends with the connection, by a stall or at shutdown.
+    /// Starts the task of a watch, and returns the channel on which its lines arrive. The task ends when the connection
+    /// is closed, when the reader stalls, or at shutdown.
     pub(super) fn open_watch(
         self: &Rc<Self>,
         query: WatchQuery,
@@ -55,6 +62,7 @@
         receiver
     }
 
+    /// Sends the lines of a watch until the connection is closed, the reader stalls, or the server shuts down.
     async fn stream_watch(
         self: Rc<Self>,
         query: WatchQuery,
@@ -73,7 +81,10 @@
                     Sent::Closed => return,
                     Sent::Stalled => {
                         let seconds = STALL_TIMEOUT.as_secs();
-                        log(format_args!("closed reader {:?}: it took nothing for {seconds} s", query.name));
+                        log(format_args!(
+                            "closed reader {:?}: it accepted no data for {seconds} s",
+                            query.name
+                        ));
                         control.close_stalled();
                         return;
                     }
@@ -89,7 +100,8 @@
         }
     }
 
-    /// By itself and not counted from the last line, so that heartbeats stay spread after a change for all.
+    /// Creates the heartbeat timer of a watch, which starts at a random time and does not restart with each line. The
+    /// heartbeats of all watches thus stay spread in time, even after a change that is sent to all of them.
     fn heartbeat(&self) -> Interval {
         let first = HEARTBEAT_EVERY.mul_f64(self.draws.borrow_mut().rand_float());
         let mut heartbeat = interval_at(Instant::now() + first, HEARTBEAT_EVERY);
@@ -97,7 +109,7 @@
         heartbeat
     }
 
-    /// The next line of a reader that stands at an index, if there is one.
+    /// Returns the next line for a reader that has reached the index `since`, or `None` if there is nothing to send.
     pub(super) fn next_line(
         &self,
         since: u64,
@@ -126,7 +138,8 @@
     }
 }
 
-/// What a reader that stands at an index is sent next, if anything.
+/// Returns the content of the next line for a reader that has reached the index `since`, or `None` if there is nothing
+/// to send.
 fn next_content(
     state: &State,
     since: u64,
@@ -143,7 +156,7 @@
         Some(update) => Some(Content::Update(Update { stale_s, ..update })),
         None if !heartbeat_due => None,
         None if query.follow => Some(Content::Heartbeat),
-        // One answer is an object also where nothing has changed.
+        // A single response is a JSON object even if nothing has changed.
         None => Some(Content::Update(Update {
             index: state.index(),
             snapshot: false,
@@ -154,6 +167,7 @@
     }
 }
 
+/// Encodes an update as a line of JSON. Returns `None` and logs the error if that fails.
 fn encode(update: &Update) -> Option<Bytes> {
     match serde_json::to_vec(update) {
         Ok(mut text) => {
@@ -161,13 +175,14 @@
             Some(text.into())
         }
         Err(error) => {
-            log(format_args!("cannot encode a line: {error}"));
+            log(format_args!("cannot encode an update: {error}"));
             None
         }
     }
 }
 
-/// Sends a line and waits until its reader has accepted all of it. Where it is dropped, the line may still go out.
+/// Sends a line, and waits until it has been written to the socket. If the future is dropped, the line may still be
+/// sent.
 async fn send(lines: &mpsc::Sender<Line>, bytes: Bytes) -> Sent {
     let line = Line::new(bytes);
     let delivery = line.delivery();
@@ -181,7 +196,7 @@
     }
 }
 
-/// Waits until a line has made no progress for too long.
+/// Waits until the socket has accepted no bytes of a line for `STALL_TIMEOUT`.
 async fn stalled(delivery: &Delivery) {
     loop {
         let deadline = delivery.last_progress() + STALL_TIMEOUT;
