--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -1,4 +1,4 @@
-//! The origin's host: publications go through the core to the disk, and then to readers.
+//! Host of the origin: passes publications through the core, writes them to disk, and then notifies the readers.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -20,39 +20,39 @@
 use crate::state::State;
 use crate::store::{Found, Outcome, Store, StoreError};
 
-/// Publications that may wait for their turn.
+/// Maximum number of publications in the queue, with the one being processed.
 const MAX_QUEUED: usize = 64;
-/// Records that are deleted with one write at most, so that none takes long.
+/// Maximum number of records deleted in one write, so that no write takes long.
 const MAX_DELETED: usize = 64;
 
-/// Returns the faults of a document whose form is sound.
+/// Checks the content of a document that is well-formed, and returns its faults.
 pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<Fault>>;
 
-/// Why an origin cannot begin.
+/// Why an origin cannot start.
 #[derive(Debug, Error)]
 pub enum OriginError {
-    /// What is on disk makes no origin.
+    /// The records on disk cannot be restored as the state of an origin.
     #[error("{0}")]
     Restore(#[from] RestoreError),
-    /// The disk.
+    /// The store failed.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// What has to be written first cannot be.
-    #[error("the first write failed: {0}")]
+    /// The documents that the core reissued at the start could not be written.
+    #[error("cannot write the reissued documents: {0}")]
     First(StoreError),
 }
 
-/// An origin, ready to serve.
+/// Origin that has restored its state and is ready to serve.
 pub struct OriginHost {
     server: Rc<Server<OriginSource>>,
 }
 
 impl OriginHost {
-    /// Over a store and what was found in it. `index_at_least` is the highest index that may have been acknowledged
-    /// where the disk is known to have lost some.
+    /// Restores an origin from a store and the records found in it. If the disk is known to have lost acknowledged
+    /// changes, `index_at_least` is the highest index that may have been acknowledged; otherwise it is 0.
     ///
     /// # Errors
-    /// What is on disk makes no origin, or cannot be brought in order.
+    /// The records cannot be restored as the state of an origin, or the reissued documents cannot be written.
     pub fn new(
         (mut store, found): (Store, Found),
         bounds: Bounds,
@@ -64,7 +64,7 @@
         let at_least = index_at_least.max(found.index);
         let mut origin = Origin::restore(bounds, found.records, at_least)?;
         write_reissued(&mut origin, &mut store)?;
-        log(format_args!("origin at index {}", origin.state().index()));
+        log(format_args!("origin starts at index {}", origin.state().index()));
         let source = OriginSource {
             origin: RefCell::new(origin),
             max_body_bytes: bounds.max_body_bytes,
@@ -85,14 +85,15 @@
         Ok(Self { server })
     }
 
-    /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`. Where it is dropped, a change that is
-    /// being written may be on disk without an answer; its repeat is answered with its index.
+    /// Serves until `stop` completes, then ends all watches in order. Must run within a `LocalSet`. If the future is
+    /// dropped, a change that is being written may be on disk although its request got no response; when the request is
+    /// repeated, the response is the index of that change.
     pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
         self.server.run(listener, stop).await;
     }
 }
 
-/// Writes what the core reissued at its start, all at once.
+/// Writes the documents that the core reissued at the start, in one transaction.
 fn write_reissued(origin: &mut Origin, store: &mut Store) -> Result<(), OriginError> {
     let reissued: Vec<Record> = origin.pending().to_vec();
     let Some(last) = reissued.last().map(|record| record.index) else { return Ok(()) };
@@ -108,12 +109,16 @@
 /// Why a change is not acknowledged.
 #[derive(Debug, Error)]
 enum ChangeError {
-    #[error("the body is no UTF-8")]
+    /// The document's body is not valid UTF-8.
+    #[error("the body is not valid UTF-8")]
     NoText,
-    #[error("too many publications wait")]
+    /// The queue of publications is full.
+    #[error("too many publications are queued: repeat the request later")]
     QueueFull,
+    /// The core rejected the publication.
     #[error("{0}")]
     Rejected(#[from] PublishError),
+    /// The change could not be written, or it is unknown whether it was.
     #[error("{0}")]
     Write(#[from] WriteError),
 }
@@ -121,16 +126,19 @@
 /// Why a change is not known to be on disk.
 #[derive(Debug, Error)]
 enum WriteError {
-    /// The write's thread panicked.
-    #[error("the write came to no end: ask again")]
+    /// The thread that wrote the change panicked.
+    #[error("the write was aborted: repeat the request with the same id")]
     Aborted,
+    /// The change is not on disk: the store read the file again after the failure.
     #[error("not written: {0}")]
     NotWritten(StoreError),
-    #[error("whether it is written is unknown: {0}; nothing is accepted until it is known")]
+    /// The store could not find out whether the change is on disk.
+    #[error("whether the change is on disk is unknown: {0}; no change is accepted until it is known")]
     Unknown(StoreError),
 }
 
 impl ChangeError {
+    /// HTTP status of the response to a change that failed for this reason.
     fn status(&self) -> StatusCode {
         match self {
             Self::NoText | Self::Rejected(PublishError::Faults(_)) => StatusCode::BAD_REQUEST,
@@ -145,6 +153,7 @@
         }
     }
 
+    /// Response to a change that failed for this reason.
     fn response(&self) -> Response<ResponseBody> {
         match self {
             Self::Rejected(PublishError::Faults(faults)) => {
@@ -159,31 +168,36 @@
     }
 }
 
-/// The origin's core and its disk, behind the server.
+/// Core and store of the origin, as the server sees them.
 struct OriginSource {
     origin: RefCell<Origin>,
+    /// Maximum size of a document's body.
     max_body_bytes: usize,
     store: Arc<Mutex<Store>>,
-    /// One publication at a time.
+    /// Held while a publication is processed, so that only one is at a time.
     turn: tokio::sync::Mutex<()>,
-    /// Publications that wait for their turn, and the one whose turn it is.
+    /// Permits of the publications that are queued or being processed.
     queue: Semaphore,
+    /// Checks the content of each document to be published.
     check: Check,
+    /// Notifies the watches that the state has changed; set once the server exists.
     notify_changed: RefCell<Option<Box<dyn Fn()>>>,
 }
 
 impl OriginSource {
-    /// Writes what the core waits for, and notifies it of the outcome.
+    /// Writes records that are pending in the core, and passes the outcome to the core.
     async fn write(&self, records: Vec<Record>) -> Result<(), WriteError> {
         let store = Arc::clone(&self.store);
         let indexes: Vec<u64> = records.iter().map(|record| record.index).collect();
         let obsolete = self.obsolete_records();
         let written = spawn_blocking(move || {
-            // After a panic in there the store opens the file anew with the next failure.
+            // A lock poisoned by a panic is used all the same: the store reopens the file after the next failure.
             store.lock().unwrap_or_else(PoisonError::into_inner).write(&records, &obsolete, None)
         });
         let Ok(outcome) = written.await else {
-            log(format_args!("a write came to no end; nothing is accepted until it has been made"));
+            log(format_args!(
+                "a write was aborted by a panic; no change is accepted until the write has been repeated"
+            ));
             return Err(WriteError::Aborted);
         };
         match outcome {
@@ -201,26 +215,26 @@
                 for &index in &indexes {
                     origin.not_written(index);
                 }
-                log(format_args!("{indexes:?} not written: {error}"));
+                log(format_args!("changes {indexes:?} not written: {error}"));
                 Err(WriteError::NotWritten(error))
             }
             Outcome::Unknown(error) => {
                 log(format_args!(
-                    "whether {indexes:?} is written is unknown, nothing is accepted until it is: {error}"
+                    "whether changes {indexes:?} are on disk is unknown; no change is accepted until it is known: {error}"
                 ));
                 Err(WriteError::Unknown(error))
             }
         }
     }
 
-    /// Records on disk that nothing needs any more, the oldest.
+    /// Indexes of the oldest records on disk that are no longer needed, at most `MAX_DELETED`.
     fn obsolete_records(&self) -> Vec<u64> {
         let origin = self.origin.borrow();
         let Ok(store) = self.store.lock() else { return Vec::new() };
         store.indexes().filter(|&index| !origin.needs(index)).take(MAX_DELETED).collect()
     }
 
-    /// Takes the change's turn and publishes it; returns its index.
+    /// Queues a change, publishes it once the changes before it are done, and returns its index.
     async fn accept(&self, change: Change) -> Result<u64, ChangeError> {
         let Change { scope, body, request, if_version } = change;
         let body = body.map(|body| String::from_utf8(body.into())).transpose();
@@ -230,8 +244,9 @@
         self.publish(Publication { scope, body, request, if_version }).await
     }
 
+    /// Publishes a change: the core checks it and gives it an index, then it is written to disk. Returns its index.
     async fn publish(&self, publication: Publication) -> Result<u64, ChangeError> {
-        // What a failed disk left open comes first: written again, it is known.
+        // Records whose write had an unknown outcome come first: writing them again settles it.
         let open = self.origin.borrow().pending().to_vec();
         if !open.is_empty()
             && let Err(error) = self.write(open).await
@@ -244,7 +259,10 @@
             Accepted::Known(index) => Ok(index),
             Accepted::Write(record) => {
                 let index = record.index;
-                log(format_args!("{} at index {index}, request {:?}", record.document.scope, record.request));
+                log(format_args!(
+                    "publishing {} at index {index}, request id {:?}",
+                    record.document.scope, record.request
+                ));
                 self.write(vec![record]).await?;
                 Ok(index)
             }
