--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -1,4 +1,4 @@
-//! A relay's host: follows its parents as a child that wants everything, and serves what it has.
+//! Host of a relay: follows its parents as a child that watches all scopes, and serves the state that it has received.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -27,63 +27,66 @@
 use crate::state::{Refusal, State, Wanted};
 use crate::store::{Found, Outcome, Store, StoreError};
 
-/// Bytes of a line to a relay at most: all documents at the origin's bound together, and what is around each.
+/// Maximum size of a line sent to a relay: all documents at the origin's limit on their total size, and the JSON around
+/// each.
 pub const MAX_LINE_BYTES: usize = 20 << 20;
-/// Sums go up this often at most.
+/// Minimum interval between reports of the sums to a parent.
 const SUMS_EVERY: Duration = Duration::from_secs(1);
-/// A disk that failed is tried again after so long.
+/// Pause before a failed disk operation is tried again.
 const DISK_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
-/// What a relay is.
+/// Options of a relay.
 #[derive(Debug, Clone)]
 pub struct RelayOptions {
-    /// As its parents know it.
+    /// Name under which the parents know the relay.
     pub name: String,
-    /// Its parents' levels must be lower.
+    /// Level of the relay, which must be higher than the levels of its parents.
     pub level: u8,
-    /// Whom it follows.
+    /// Addresses of the parents.
     pub parents: Vec<SocketAddr>,
-    /// Where it stores what it has; without, it begins with nothing.
+    /// Directory in which the relay stores its state; without one it starts with no state.
     pub directory: Option<PathBuf>,
-    /// Of its server.
+    /// Limits of the relay's server.
     pub limits: Limits,
-    /// Of its draws.
+    /// Seed of the relay's random numbers.
     pub seed: u64,
 }
 
-/// Why a relay cannot begin.
+/// Why a relay cannot start.
 #[derive(Debug, Error)]
 pub enum RelayError {
-    /// The disk.
+    /// The store failed.
     #[error("{0}")]
     Store(#[from] StoreError),
-    /// What is on disk makes no state.
-    #[error("what is on disk is damaged: {0}")]
+    /// The records on disk cannot be restored as a state.
+    #[error("the state on disk is damaged: {0}")]
     Damaged(#[from] Refusal),
 }
 
-/// A relay, ready to serve.
+/// Relay that is ready to serve.
 pub struct RelayHost {
     options: RelayOptions,
     disk: Option<RelayDisk>,
     server: Rc<Server<RelaySource>>,
 }
 
+/// Opens the relay's store, and returns it with the records found in it.
 type Open = Arc<dyn Fn() -> Result<(Store, Found), StoreError> + Send + Sync>;
 
-/// Where a relay stores what it has.
+/// Store of a relay, and the function that opens it.
 struct RelayDisk {
     open: Open,
-    /// None while the disk fails.
+    /// `None` until the store has been opened, while the disk fails.
     store: Option<Store>,
 }
 
-/// What a relay has accepted from above, and whom it follows.
+/// State that a relay has accepted from its parents, and the choice of the parent to follow.
 struct RelaySource {
+    /// Start of the clock of `parents`, which counts time from this instant.
     start: Instant,
     state: RefCell<State>,
     parents: RefCell<Parents>,
-    /// There is something to be sent as a snapshot: from disk, or from a parent.
+    /// Whether `state` has been received from a parent or read from disk, so that it can be sent as a snapshot.
     has_state: Cell<bool>,
 }
 
@@ -101,12 +104,16 @@
     }
 
     async fn change(self: Rc<Self>, _: Change) -> Response<ResponseBody> {
-        error_response(StatusCode::METHOD_NOT_ALLOWED, "a relay takes no publication: publish at the origin")
+        error_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "a relay does not accept publications: publish at the origin",
+        )
     }
 }
 
 impl RelaySource {
-    /// Accepts what was found on disk, unless the state is as new. Returns whether watches have to be notified.
+    /// Accepts the state found on disk, unless the current state is at least as new. Returns whether the state changed,
+    /// so that watches must be notified.
     fn restore(&self, found: Found) -> Result<bool, Refusal> {
         let last = found.records.iter().map(|record| record.index).max().unwrap_or(0);
         let index = last.max(found.index);
@@ -122,7 +129,7 @@
     }
 }
 
-/// Opens the store at the start; `None` where the disk fails in a way that may pass.
+/// Opens the store at the start. Returns `None` if the disk has a fault that may be temporary.
 fn open_at_start(source: &RelaySource, open: &Open) -> Result<Option<Store>, RelayError> {
     match open() {
         Ok((store, found)) => {
@@ -130,7 +137,9 @@
             Ok(Some(store))
         }
         Err(error) if error.may_pass() => {
-            log(format_args!("beginning with nothing, the disk fails: {error}"));
+            log(format_args!(
+                "cannot open the store, starting without a stored state and trying again later: {error}"
+            ));
             Ok(None)
         }
         Err(error) => Err(error.into()),
@@ -138,19 +147,21 @@
 }
 
 impl RelayHost {
-    /// With what its directory holds. It begins with nothing where that is damaged, or the disk fails for the time being.
+    /// Creates a relay with the state that its directory holds. The relay starts without a state if the file there is
+    /// damaged, or if the disk has a fault that may be temporary.
     ///
     /// # Errors
-    /// The directory cannot be used, or what is on it is no relay's.
+    /// The directory cannot be used, or the records in it are not those of a relay.
     pub fn new(options: RelayOptions) -> Result<Self, RelayError> {
         let Some(directory) = options.directory.clone() else { return Self::with(options, None) };
         Self::over(options, move || Store::at_or_anew(&directory))
     }
 
-    /// Over what `open` opens in place of the directory; it is asked again while the disk fails.
+    /// Creates a relay with the store that `open` opens, instead of one in a directory. `open` is called again for as
+    /// long as the disk fails.
     ///
     /// # Errors
-    /// As [`RelayHost::new`].
+    /// As for [`RelayHost::new`].
     pub fn over(
         options: RelayOptions,
         open: impl Fn() -> Result<(Store, Found), StoreError> + Send + Sync + 'static,
@@ -159,6 +170,7 @@
         Self::with(options, Some(open))
     }
 
+    /// Creates a relay, with a store if `open` is given.
     fn with(options: RelayOptions, open: Option<Open>) -> Result<Self, RelayError> {
         let source = RelaySource {
             start: Instant::now(),
@@ -170,13 +182,13 @@
             Some(open) => Some(RelayDisk { store: open_at_start(&source, &open)?, open }),
             None => None,
         };
-        log(format_args!("relay {} at index {}", options.name, source.state.borrow().index()));
+        log(format_args!("relay {} starts at index {}", options.name, source.state.borrow().index()));
         let server = Server::new(Rc::new(source), options.level, options.limits, !options.seed);
         Ok(Self { options, disk, server })
     }
 
-    /// Serves until `stop`, then ends all watches in order. Within a `LocalSet`. Where it is dropped, a write of the store
-    /// goes on in its thread.
+    /// Serves until `stop` completes, then ends all watches in order. Must run within a `LocalSet`. If the future is
+    /// dropped, a write of the store continues in its thread.
     pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
         let Self { options, disk, server } = self;
         let current = Cell::new(None);
@@ -195,13 +207,15 @@
     }
 }
 
+/// Opens a connection to a parent.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
-/// Follows the parents for ever; `current` is the one whose watch is up.
+/// Follows the parents without end, and applies their updates to the state. Sets `current` to the parent whose watch is
+/// open.
 async fn follow_parents(
     server: &Server<RelaySource>,
     options: &RelayOptions,
@@ -226,7 +240,7 @@
         let index = state.index();
         drop(state);
         if !source.has_state.replace(true) || index != before || !scopes.is_empty() {
-            log(format_args!("{}: index {index}, {} documents changed", options.name, scopes.len()));
+            log(format_args!("{}: now at index {index}, {} documents changed", options.name, scopes.len()));
             server.notify_changed();
         }
         Ok(())
@@ -234,7 +248,8 @@
     following.run(&connect, || source.state.borrow().index(), accept).await
 }
 
-/// Reports the sums of what is below to the parent whose watch is up: where they have changed, and as a heartbeat.
+/// Reports the sums over the processes below this relay to the parent whose watch is open: when they have changed, and
+/// as a heartbeat after `REPORT_EVERY`.
 async fn report_sums(
     server: &Server<RelaySource>,
     name: &str,
@@ -258,7 +273,8 @@
     }
 }
 
-/// Stores the state after each change. It is served before it is stored: what is lost comes again from above.
+/// Stores the state after each change. A state is served before it is stored: one that is lost is received again from a
+/// parent.
 async fn store_changes(server: &Server<RelaySource>, disk: RelayDisk) {
     let mut changes = server.subscribe();
     let store = match disk.store {
@@ -274,23 +290,27 @@
     }
 }
 
-/// A state that is not known to be on disk.
+/// Error of storing a state, after which it is not known to be on disk.
 #[derive(Debug, Error)]
-#[error("index {index} is not kept on disk: {cause}")]
+#[error("index {index} is not known to be stored on disk, trying again: {cause}")]
 struct StoreStateError {
+    /// Index of the state.
     index: u64,
     cause: StoreStateCause,
 }
 
+/// Why a state is not known to be on disk.
 #[derive(Debug, Error)]
 enum StoreStateCause {
+    /// The store failed.
     #[error("{0}")]
     Store(#[from] StoreError),
-    #[error("{0}")]
+    /// The thread that wrote the state panicked.
+    #[error("the write was aborted: {0}")]
     Aborted(#[from] JoinError),
 }
 
-/// Writes the state as it is now.
+/// Writes the current state to disk.
 async fn store_state(source: &RelaySource, store: &Arc<Mutex<Store>>) -> Result<(), StoreStateError> {
     let (index, documents) = {
         let state = source.state.borrow();
@@ -303,7 +323,7 @@
     });
     match written.await {
         Ok(Outcome::Written) => {
-            log(format_args!("kept index {index} on disk"));
+            log(format_args!("stored index {index} on disk"));
             Ok(())
         }
         Ok(Outcome::NotWritten(error) | Outcome::Unknown(error)) => {
@@ -313,7 +333,8 @@
     }
 }
 
-/// Writes the documents that the store does not have, and deletes those that are no longer in the state.
+/// Writes the documents that the store does not have yet and the index, and deletes the documents that are no longer in
+/// the state.
 fn write_state(store: &mut Store, index: u64, documents: Vec<Document>) -> Outcome {
     let stored: Vec<u64> = store.indexes().collect();
     let in_state = |index: &u64| documents.iter().any(|document| document.version == *index);
@@ -326,7 +347,7 @@
     store.write(&new, &obsolete, Some(index))
 }
 
-/// Opens the store of a disk that failed at the start as soon as it can be, and accepts what is in it.
+/// Retries to open a store that could not be opened at the start, until it succeeds, and accepts the state found in it.
 async fn open_later(server: &Server<RelaySource>, open: &Open) -> Store {
     loop {
         sleep(DISK_RETRY_PAUSE).await;
@@ -336,12 +357,12 @@
                 match server.source.restore(found) {
                     Ok(true) => server.notify_changed(),
                     Ok(false) => {}
-                    Err(refusal) => log(format_args!("what is on disk is not taken: {refusal}")),
+                    Err(refusal) => log(format_args!("ignoring the state on disk: {refusal}")),
                 }
                 return store;
             }
-            Ok(Err(error)) => log(format_args!("the disk still fails: {error}")),
-            Err(error) => log(format_args!("the disk still fails: {error}")),
+            Ok(Err(error)) => log(format_args!("cannot open the store, trying again: {error}")),
+            Err(error) => log(format_args!("cannot open the store, trying again: {error}")),
         }
     }
 }
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -372,7 +372,7 @@
         let mut relay = Process::start(&arguments, own);
         let mut child = Follower::start("api-1", &[own], &SCOPES, 1);
         child.until_index(2).await;
-        relay.says("kept index 2").await;
+        relay.says("stored index 2").await;
         origin.kill();
         relay.kill();
         let _relay = Process::start(&arguments, own);
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -49,7 +49,7 @@
             let (place, parent) = (directory.path().to_str().unwrap(), origin.address.to_string());
             let arguments = ["relay", "--level", "1", "--parent", &parent, "--dir", place];
             let mut relay = Process::start(&arguments, kept);
-            relay.says("kept index 1").await;
+            relay.says("stored index 1").await;
             relay.kill();
             drop(origin);
             let relay = Process::start(&arguments, kept);
@@ -227,7 +227,7 @@
         let mut kept = 0;
         for round in 0..10_u64 {
             let mut relay = started(to);
-            relay.says("kept index").await;
+            relay.says("stored index").await;
             sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
             relay.kill();
             // Nobody above it tells it anything.
