--- a/crates/config-distribution/src/host/accept.rs
+++ b/crates/config-distribution/src/host/accept.rs
@@ -8,10 +8,10 @@
 
 /// Pause after a failed accept, so that the system can free memory or file descriptors. It is short compared with the
 /// time that a client waits for a connection.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Number of consecutive failures from which on every failure is followed by a pause, even one that concerns a single
 /// connection. So many in a row are a fault of the listener, and retrying without a pause would use a whole processor.
-const IN_A_ROW: u32 = 1000;
+const FAILURES_BEFORE_PAUSE: u32 = 1000;
 
 /// Source of connections: a listening socket, or a test's replacement for one.
 pub trait Listen {
@@ -71,29 +71,29 @@
 #[derive(Debug, Default)]
 pub(crate) struct ConsecutiveFailures {
     /// Number of failures since the last connection was accepted.
-    in_a_row: u32,
+    count: u32,
 }
 
 impl ConsecutiveFailures {
     /// Counts a failed accept, and returns how long to wait before the next one.
     pub(crate) fn pause_after(&mut self, error: &io::Error) -> Duration {
-        self.in_a_row = self.in_a_row.saturating_add(1);
-        if concerns_one_connection(error) && self.in_a_row < IN_A_ROW {
+        self.count = self.count.saturating_add(1);
+        if can_accept_at_once(error) && self.count < FAILURES_BEFORE_PAUSE {
             Duration::ZERO
         } else {
-            SHORTAGE_PAUSE
+            RETRY_PAUSE
         }
     }
 
     /// Whether the last failure was the first since a connection was accepted. Only this one is logged.
     pub(crate) fn is_first(&self) -> bool {
-        self.in_a_row == 1
+        self.count == 1
     }
 }
 
 /// Whether the next accept may follow this error at once. It may not after a shortage of resources, which lasts, nor if
 /// a firewall refused the connection (`EPERM`) or there was none to accept: the next accept would fail in the same way.
-fn concerns_one_connection(error: &io::Error) -> bool {
-    let lasts = matches!(error.kind(), io::ErrorKind::PermissionDenied | io::ErrorKind::WouldBlock);
-    AcceptFailure::of(error) == AcceptFailure::Transient && !lasts
+fn can_accept_at_once(error: &io::Error) -> bool {
+    let would_repeat = matches!(error.kind(), io::ErrorKind::PermissionDenied | io::ErrorKind::WouldBlock);
+    AcceptFailure::of(error) == AcceptFailure::Transient && !would_repeat
 }
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 /// Maximum size of a response body.
-const MAX_ANSWER_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Why a call got no response. The server may have carried out the request all the same, except after
 /// [`CallError::Connect`].
@@ -30,10 +30,10 @@
     Http(#[from] hyper::Error),
     /// The call took longer than its time limit.
     #[error("timed out before the whole response arrived")]
-    Late,
+    TimedOut,
     /// The response body is larger than the limit.
-    #[error("the response body exceeds {MAX_ANSWER_BYTES} bytes")]
-    TooLong,
+    #[error("the response body exceeds {MAX_RESPONSE_BYTES} bytes")]
+    ResponseTooLarge,
 }
 
 /// HTTP request to send with [`call`] or [`call_to`].
@@ -62,7 +62,7 @@
 {
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     let mut connection = pin!(connection);
-    let answer = async {
+    let result = async {
         let mut request =
             Request::builder().method(call.method).uri(call.path).header(header::HOST, call.host);
         for (name, value) in call.headers {
@@ -71,39 +71,38 @@
         let request = request.body(Full::new(call.body)).unwrap_or_default();
         let response = sender.send_request(request).await?;
         let status = response.status();
-        match Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect().await {
+        match Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await {
             Ok(body) => Ok((status, body.to_bytes())),
-            Err(error) if error.is::<LengthLimitError>() => Err(CallError::TooLong),
+            Err(error) if error.is::<LengthLimitError>() => Err(CallError::ResponseTooLarge),
             Err(error) => {
-                Err(error.downcast::<hyper::Error>().map_or(CallError::Late, |error| (*error).into()))
+                Err(error.downcast::<hyper::Error>().map_or(CallError::TimedOut, |error| (*error).into()))
             }
         }
     };
-    let mut answer = pin!(answer);
+    let mut result = pin!(result);
     tokio::select! {
         biased;
-        answer = answer.as_mut() => return answer,
+        result = result.as_mut() => return result,
         _ = connection.as_mut() => {}
     }
-    answer.await
+    result.await
 }
 
 /// Connects to an address, sends a request, and returns the status and body of the response. If the future is dropped,
 /// the server may still carry out the request.
 ///
 /// # Errors
-/// The whole response did not arrive within the time limit `within`, the connection failed, or the response body is too
-/// large.
+/// The whole response did not arrive within `time_limit`, the connection failed, or the response body is too large.
 pub async fn call_to(
     address: SocketAddr,
-    within: Duration,
+    time_limit: Duration,
     request: Call<'_>,
 ) -> Result<(StatusCode, Bytes), CallError> {
-    let whole = async {
+    let exchange = async {
         let stream = TcpStream::connect(address).await.map_err(CallError::Connect)?;
         // The request also works without this option, only slower.
         let _ = stream.set_nodelay(true);
         call(stream, request).await
     };
-    timeout(within, whole).await.map_err(|_| CallError::Late)?
+    timeout(time_limit, exchange).await.map_err(|_| CallError::TimedOut)?
 }
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -21,7 +21,7 @@
 
 use super::call::{Call, call};
 use super::log::log;
-use super::server::LEVEL;
+use super::server::LEVEL_HEADER;
 use super::watch::{WatchError, WatchRequest, follow_checked};
 use crate::document::{Scope, Update};
 use crate::parents::{FIRST_LINE, PARENT_SILENCE_TIMEOUT, Parents, Step, Verdict, may_serve};
@@ -64,11 +64,11 @@
     Stale,
     /// The parent did not give its level, or its level is not below the level of this relay.
     #[error("the parent's level is not below the level of this relay")]
-    Level,
+    LevelTooHigh,
 }
 
 /// Follows the parents of a balancer or relay, one at a time.
-pub(crate) struct Following<'a> {
+pub(crate) struct ParentFollower<'a> {
     /// Name under which the parents know this process.
     pub name: &'a str,
     /// Addresses of the parents; the core refers to a parent by its index in this list.
@@ -87,7 +87,7 @@
     pub current: &'a Cell<Option<SocketAddr>>,
 }
 
-impl Following<'_> {
+impl ParentFollower<'_> {
     /// Follows the parents without end, one after another. `since` returns the index that this process has reached, and
     /// `accept` is called with each update, or with `None` for a heartbeat. If the future is dropped, the watch is
     /// closed; every update has then been accepted as a whole or not at all.
@@ -103,7 +103,7 @@
     {
         // An error that repeats for the same parent is logged once until the parent has sent lines again, so that an
         // interruption of minutes does not fill the log.
-        let mut logged: BTreeMap<SocketAddr, String> = BTreeMap::new();
+        let mut last_logged: BTreeMap<SocketAddr, String> = BTreeMap::new();
         loop {
             let step = self.parents.borrow_mut().next(self.start.elapsed());
             let address = match step {
@@ -116,9 +116,9 @@
             let ended = self.follow(address, connect, &since, &mut accept).await;
             let had_lines = self.current.take().is_some();
             self.parents.borrow_mut().ended(self.start.elapsed());
-            if had_lines || logged.get(&address) != Some(&ended) {
+            if had_lines || last_logged.get(&address) != Some(&ended) {
                 log(format_args!("{}: lost the watch of parent {address}: {ended}", self.name));
-                logged.insert(address, ended);
+                last_logged.insert(address, ended);
             }
         }
     }
@@ -141,7 +141,7 @@
             Ok(Err(error)) => return format!("cannot connect: {error}"),
             Ok(Ok(stream)) => stream,
         };
-        let (since, scopes, name) = (since(), self.scopes, query_text(self.name));
+        let (since, scopes, name) = (since(), self.scopes, sanitize_query_name(self.name));
         let request = WatchRequest {
             host: address.to_string(),
             path: format!("/configuration?follow=1&since={since}&scopes={scopes}&name={name}"),
@@ -167,9 +167,9 @@
     {
         let head = |headers: &HeaderMap| {
             let Some(own) = self.level else { return Ok(()) };
-            let level = headers.get(LEVEL).and_then(|level| level.to_str().ok()?.parse().ok());
+            let level = headers.get(LEVEL_HEADER).and_then(|level| level.to_str().ok()?.parse().ok());
             let fits = level.is_some_and(|level| may_serve(level, Some(own)));
-            if fits { Ok(()) } else { Err(LeaveError::Level) }
+            if fits { Ok(()) } else { Err(LeaveError::LevelTooHigh) }
         };
         let line = |text: &[u8]| {
             let mut stale_s = 0;
@@ -189,7 +189,7 @@
 }
 
 /// Replaces the characters of a name that cannot stand in a query by `_`.
-fn query_text(name: &str) -> String {
+fn sanitize_query_name(name: &str) -> String {
     let fits = |letter: char| letter.is_ascii_alphanumeric() || matches!(letter, '-' | '_' | '.' | ':' | '/');
     name.chars().map(|letter| if fits(letter) { letter } else { '_' }).collect()
 }
@@ -234,7 +234,7 @@
     let state = RefCell::new(State::default());
     let in_force = RefCell::new(None);
     let (changed, current) = (Notify::new(), Cell::new(None));
-    let following = Following {
+    let following = ParentFollower {
         name: &name,
         addresses: &parents,
         scopes: &scopes,
@@ -270,16 +270,16 @@
     in_force: &RefCell<Option<InForce>>,
     changed: &Notify,
     current: &Cell<Option<SocketAddr>>,
-    mut draws: Rand64,
+    mut rng: Rand64,
 ) -> Infallible
 where
     C: Future<Output = io::Result<I>>,
     I: AsyncRead + AsyncWrite + Unpin,
 {
     loop {
-        let every = REPORT_EVERY.mul_f64(0.9 + 0.1 * draws.rand_float());
+        let every = REPORT_EVERY.mul_f64(0.9 + 0.1 * rng.rand_float());
         if timeout(every, changed.notified()).await.is_ok() {
-            sleep(REPORT_JITTER.mul_f64(draws.rand_float())).await;
+            sleep(REPORT_JITTER.mul_f64(rng.rand_float())).await;
         }
         let Some(content) = in_force.borrow().clone() else { continue };
         let Some(address) = current.get() else { continue };
--- a/crates/config-distribution/src/host/log.rs
+++ b/crates/config-distribution/src/host/log.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Maximum number of lines that wait to be written. Further lines are dropped and counted.
-const MAX_QUEUED: usize = 256;
+const MAX_QUEUED_LINES: usize = 256;
 
 /// Message to the log thread.
 enum Line {
@@ -22,14 +22,14 @@
 
 /// Queue of the log thread, which starts with the first line.
 static WRITER: LazyLock<SyncSender<Line>> = LazyLock::new(|| {
-    let (sender, lines) = sync_channel(MAX_QUEUED);
+    let (sender, lines) = sync_channel(MAX_QUEUED_LINES);
     // If the thread cannot be started, log lines are lost, but the process works.
     let _ = thread::Builder::new().name("log".to_owned()).spawn(move || write(&lines));
     sender
 });
 
 /// Number of lines dropped since the last line that was queued.
-static LOST: AtomicU32 = AtomicU32::new(0);
+static DROPPED: AtomicU32 = AtomicU32::new(0);
 
 /// Writes the queued lines to standard error, and confirms flushes.
 fn write(lines: &Receiver<Line>) {
@@ -37,7 +37,7 @@
         // Errors are ignored: a closed standard error, or a caller that no longer waits, cannot be reported to anyone.
         match line {
             Line::Text(text) => drop(writeln!(std::io::stderr(), "{text}")),
-            Line::Flush(reached) => drop(reached.send(())),
+            Line::Flush(done) => drop(done.send(())),
         }
     }
 }
@@ -49,22 +49,22 @@
 
 /// Queues a log line as [`log`] does, with `part` as the name of the component that writes it.
 pub fn log_as(part: &str, line: Arguments<'_>) {
-    let lost = LOST.swap(0, Ordering::Relaxed);
-    let text = if lost > 0 {
-        format!("{part}: ({lost} earlier lines dropped) {line}")
+    let dropped = DROPPED.swap(0, Ordering::Relaxed);
+    let text = if dropped > 0 {
+        format!("{part}: ({dropped} earlier lines dropped) {line}")
     } else {
         format!("{part}: {line}")
     };
     if WRITER.try_send(Line::Text(text)).is_err() {
-        LOST.fetch_add(lost + 1, Ordering::Relaxed);
+        DROPPED.fetch_add(dropped + 1, Ordering::Relaxed);
     }
 }
 
 /// Waits until all lines queued so far have been written, for at most the given time.
-pub fn flush(most: Duration) {
-    let (reached, mark) = sync_channel(1);
-    if WRITER.try_send(Line::Flush(reached)).is_ok() {
+pub fn flush(max_wait: Duration) {
+    let (done, flushed) = sync_channel(1);
+    if WRITER.try_send(Line::Flush(done)).is_ok() {
         // After a time-out the remaining lines are given up: nobody reads standard error.
-        let _ = mark.recv_timeout(most);
+        let _ = flushed.recv_timeout(max_wait);
     }
 }
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -21,12 +21,12 @@
 use crate::store::{Found, Outcome, Store, StoreError};
 
 /// Maximum number of publications in the queue, with the one being processed.
-const MAX_QUEUED: usize = 64;
+const MAX_QUEUED_PUBLICATIONS: usize = 64;
 /// Maximum number of records deleted in one write, so that no write takes long.
-const MAX_DELETED: usize = 64;
+const MAX_DELETED_RECORDS: usize = 64;
 
 /// Checks the content of a document that is well-formed, and returns its faults.
-pub type Check = Box<dyn Fn(&Scope, &str) -> Vec<Fault>>;
+pub type DocumentCheck = Box<dyn Fn(&Scope, &str) -> Vec<Fault>>;
 
 /// Why an origin cannot start.
 #[derive(Debug, Error)]
@@ -39,7 +39,7 @@
     Store(#[from] StoreError),
     /// The documents that the core reissued at the start could not be written.
     #[error("cannot write the reissued documents: {0}")]
-    First(StoreError),
+    Reissue(StoreError),
 }
 
 /// Origin that has restored its state and is ready to serve.
@@ -58,7 +58,7 @@
         bounds: Bounds,
         limits: Limits,
         index_at_least: u64,
-        check: Check,
+        check: DocumentCheck,
         seed: u64,
     ) -> Result<Self, OriginError> {
         let at_least = index_at_least.max(found.index);
@@ -69,15 +69,15 @@
             origin: RefCell::new(origin),
             max_body_bytes: bounds.max_body_bytes,
             store: Arc::new(Mutex::new(store)),
-            turn: tokio::sync::Mutex::new(()),
-            queue: Semaphore::new(MAX_QUEUED),
+            publish_lock: tokio::sync::Mutex::new(()),
+            queue: Semaphore::new(MAX_QUEUED_PUBLICATIONS),
             check,
             notify_changed: RefCell::new(None),
         };
         let server = Server::new(Rc::new(source), 0, limits, seed);
-        let notified = Rc::downgrade(&server);
+        let weak_server = Rc::downgrade(&server);
         let notify_changed = move || {
-            if let Some(server) = notified.upgrade() {
+            if let Some(server) = weak_server.upgrade() {
                 server.notify_changed();
             }
         };
@@ -102,7 +102,7 @@
             origin.written(last);
             Ok(())
         }
-        Outcome::NotWritten(error) | Outcome::Unknown(error) => Err(OriginError::First(error)),
+        Outcome::NotWritten(error) | Outcome::Unknown(error) => Err(OriginError::Reissue(error)),
     }
 }
 
@@ -111,7 +111,7 @@
 enum ChangeError {
     /// The document's body is not valid UTF-8.
     #[error("the body is not valid UTF-8")]
-    NoText,
+    NotUtf8,
     /// The queue of publications is full.
     #[error("too many publications are queued: repeat the request later")]
     QueueFull,
@@ -141,7 +141,7 @@
     /// HTTP status of the response to a change that failed for this reason.
     fn status(&self) -> StatusCode {
         match self {
-            Self::NoText | Self::Rejected(PublishError::Faults(_)) => StatusCode::BAD_REQUEST,
+            Self::NotUtf8 | Self::Rejected(PublishError::Faults(_)) => StatusCode::BAD_REQUEST,
             Self::Rejected(PublishError::Conflict { .. } | PublishError::Reused) => StatusCode::CONFLICT,
             Self::Rejected(
                 PublishError::TooLarge { .. } | PublishError::TooMany { .. } | PublishError::Full { .. },
@@ -175,11 +175,11 @@
     max_body_bytes: usize,
     store: Arc<Mutex<Store>>,
     /// Held while a publication is processed, so that only one is at a time.
-    turn: tokio::sync::Mutex<()>,
+    publish_lock: tokio::sync::Mutex<()>,
     /// Permits of the publications that are queued or being processed.
     queue: Semaphore,
     /// Checks the content of each document to be published.
-    check: Check,
+    check: DocumentCheck,
     /// Notifies the watches that the state has changed; set once the server exists.
     notify_changed: RefCell<Option<Box<dyn Fn()>>>,
 }
@@ -227,29 +227,29 @@
         }
     }
 
-    /// Indexes of the oldest records on disk that are no longer needed, at most `MAX_DELETED`.
+    /// Indexes of the oldest records on disk that are no longer needed, at most `MAX_DELETED_RECORDS`.
     fn obsolete_records(&self) -> Vec<u64> {
         let origin = self.origin.borrow();
         let Ok(store) = self.store.lock() else { return Vec::new() };
-        store.indexes().filter(|&index| !origin.needs(index)).take(MAX_DELETED).collect()
+        store.indexes().filter(|&index| !origin.needs(index)).take(MAX_DELETED_RECORDS).collect()
     }
 
     /// Queues a change, publishes it once the changes before it are done, and returns its index.
-    async fn accept(&self, change: Change) -> Result<u64, ChangeError> {
+    async fn queue_and_publish(&self, change: Change) -> Result<u64, ChangeError> {
         let Change { scope, body, request, if_version } = change;
         let body = body.map(|body| String::from_utf8(body.into())).transpose();
-        let body = body.map_err(|_| ChangeError::NoText)?.map(Into::into);
-        let _queued = self.queue.try_acquire().map_err(|_| ChangeError::QueueFull)?;
-        let _turn = self.turn.lock().await;
+        let body = body.map_err(|_| ChangeError::NotUtf8)?.map(Into::into);
+        let _queue_permit = self.queue.try_acquire().map_err(|_| ChangeError::QueueFull)?;
+        let _publish_guard = self.publish_lock.lock().await;
         self.publish(Publication { scope, body, request, if_version }).await
     }
 
     /// Publishes a change: the core checks it and gives it an index, then it is written to disk. Returns its index.
     async fn publish(&self, publication: Publication) -> Result<u64, ChangeError> {
         // Records whose write had an unknown outcome come first: writing them again settles it.
-        let open = self.origin.borrow().pending().to_vec();
-        if !open.is_empty()
-            && let Err(error) = self.write(open).await
+        let unresolved = self.origin.borrow().pending().to_vec();
+        if !unresolved.is_empty()
+            && let Err(error) = self.write(unresolved).await
             && !self.origin.borrow().pending().is_empty()
         {
             return Err(error.into());
@@ -284,7 +284,7 @@
     }
 
     async fn change(self: Rc<Self>, change: Change) -> Response<ResponseBody> {
-        match self.accept(change).await {
+        match self.queue_and_publish(change).await {
             Ok(index) => json_response(StatusCode::OK, &json!({ "index": index })),
             Err(error) => error.response(),
         }
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -17,7 +17,7 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
 use super::accept::Listen;
-use super::client::{Following, report};
+use super::client::{ParentFollower, report};
 use super::log::log;
 use super::server::{Change, Limits, RelayReport, ResponseBody, Server, Source, error_response};
 use crate::document::{Document, Update};
@@ -31,7 +31,7 @@
 /// each.
 pub const MAX_LINE_BYTES: usize = 20 << 20;
 /// Minimum interval between reports of the sums to a parent.
-const SUMS_EVERY: Duration = Duration::from_secs(1);
+const SUMS_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause before a failed disk operation is tried again.
 const DISK_RETRY_PAUSE: Duration = Duration::from_secs(5);
 
@@ -71,11 +71,11 @@
 }
 
 /// Opens the relay's store, and returns it with the records found in it.
-type Open = Arc<dyn Fn() -> Result<(Store, Found), StoreError> + Send + Sync>;
+type OpenStore = Arc<dyn Fn() -> Result<(Store, Found), StoreError> + Send + Sync>;
 
 /// Store of a relay, and the function that opens it.
 struct RelayDisk {
-    open: Open,
+    open: OpenStore,
     /// `None` until the store has been opened, while the disk fails.
     store: Option<Store>,
 }
@@ -130,7 +130,7 @@
 }
 
 /// Opens the store at the start. Returns `None` if the disk has a fault that may be temporary.
-fn open_at_start(source: &RelaySource, open: &Open) -> Result<Option<Store>, RelayError> {
+fn open_at_start(source: &RelaySource, open: &OpenStore) -> Result<Option<Store>, RelayError> {
     match open() {
         Ok((store, found)) => {
             source.restore(found)?;
@@ -166,12 +166,12 @@
         options: RelayOptions,
         open: impl Fn() -> Result<(Store, Found), StoreError> + Send + Sync + 'static,
     ) -> Result<Self, RelayError> {
-        let open: Open = Arc::new(open);
+        let open: OpenStore = Arc::new(open);
         Self::with(options, Some(open))
     }
 
     /// Creates a relay, with a store if `open` is given.
-    fn with(options: RelayOptions, open: Option<Open>) -> Result<Self, RelayError> {
+    fn with(options: RelayOptions, open: Option<OpenStore>) -> Result<Self, RelayError> {
         let source = RelaySource {
             start: Instant::now(),
             has_state: Cell::new(false),
@@ -222,7 +222,7 @@
     current: &Cell<Option<SocketAddr>>,
 ) -> Infallible {
     let source = &server.source;
-    let following = Following {
+    let following = ParentFollower {
         name: &options.name,
         addresses: &options.parents,
         scopes: "*",
@@ -255,11 +255,11 @@
     name: &str,
     current: &Cell<Option<SocketAddr>>,
 ) -> Infallible {
-    let mut every = interval(SUMS_EVERY);
-    every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticker = interval(SUMS_REPORT_INTERVAL);
+    ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut last: Option<(Sums, Instant)> = None;
     loop {
-        every.tick().await;
+        ticker.tick().await;
         let Some(parent) = current.get() else { continue };
         let sums = server.sums();
         let is_due = last.as_ref().is_none_or(|(before, at)| *before != sums || at.elapsed() >= REPORT_EVERY);
@@ -279,7 +279,7 @@
     let mut changes = server.subscribe();
     let store = match disk.store {
         Some(store) => store,
-        None => open_later(server, &disk.open).await,
+        None => retry_open(server, &disk.open).await,
     };
     let store = Arc::new(Mutex::new(store));
     while changes.changed().await.is_ok() {
@@ -348,7 +348,7 @@
 }
 
 /// Retries to open a store that could not be opened at the start, until it succeeds, and accepts the state found in it.
-async fn open_later(server: &Server<RelaySource>, open: &Open) -> Store {
+async fn retry_open(server: &Server<RelaySource>, open: &OpenStore) -> Store {
     loop {
         sleep(DISK_RETRY_PAUSE).await;
         let open = Arc::clone(open);
--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -42,11 +42,12 @@
 use crate::report::{Reports, Sums};
 use crate::state::State;
 
-pub use self::connection::LEVEL;
+pub use self::connection::LEVEL_HEADER;
 pub use self::limits::Limits;
 pub(crate) use self::response::{ResponseBody, error_response, json_response};
 
-/// Time limit at shutdown for connections to end in order, so that an unreachable child cannot delay the process.
+/// Time limit at shutdown for connections to end in order, so that an unreachable child cannot delay the exit of
+/// the process.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// State and changes of a host, as the server uses them.
@@ -103,7 +104,7 @@
     /// Number of open watches.
     open_watches: Cell<usize>,
     /// Random numbers that spread the heartbeats of the watches.
-    draws: RefCell<Rand64>,
+    rng: RefCell<Rand64>,
 }
 
 impl<S: Source> Server<S> {
@@ -118,7 +119,7 @@
             lines: RefCell::default(),
             reports: RefCell::default(),
             open_watches: Cell::new(0),
-            draws: RefCell::new(Rand64::new(u128::from(seed))),
+            rng: RefCell::new(Rand64::new(u128::from(seed))),
         })
     }
 
--- a/crates/config-distribution/src/host/server/connection.rs
+++ b/crates/config-distribution/src/host/server/connection.rs
@@ -18,7 +18,7 @@
 use super::{Server, Source};
 
 /// Response header with the level of the process that sends the response.
-pub const LEVEL: &str = "x-level";
+pub const LEVEL_HEADER: &str = "x-level";
 
 /// Time limit for receiving the head of a request, so that a client that stops in the middle of it cannot keep the
 /// connection open.
@@ -93,7 +93,7 @@
             async move {
                 control.deadline.set(Some(began + REQUEST_TIMEOUT));
                 let mut response = server.respond(request, &control).await;
-                response.headers_mut().insert(LEVEL, u16::from(server.level).into());
+                response.headers_mut().insert(LEVEL_HEADER, u16::from(server.level).into());
                 Ok::<_, Infallible>(response)
             }
         });
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -184,8 +184,8 @@
         let change = read_change(request, self.source.max_body_bytes()).await?;
         control.expect_response();
         // In a task of its own, so that the change completes even if the client has disconnected.
-        let made = spawn_local(Rc::clone(&self.source).change(change)).await;
-        made.map_err(|_| RequestError::ChangeAborted)
+        let result = spawn_local(Rc::clone(&self.source).change(change)).await;
+        result.map_err(|_| RequestError::ChangeAborted)
     }
 }
 
--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -32,7 +32,7 @@
 }
 
 /// Content of the next line of a watch.
-enum Content {
+enum LineContent {
     /// Changes since the last line, or a snapshot.
     Update(Update),
     /// Empty line, which shows that the connection and the server work.
@@ -40,7 +40,7 @@
 }
 
 /// Outcome of sending a line.
-enum Sent {
+enum SendOutcome {
     /// The whole line was written to the socket.
     Delivered,
     /// The connection was closed.
@@ -77,9 +77,9 @@
             changed.borrow_and_update();
             if let Some(line) = self.next_line(since, &query, heartbeat_due) {
                 match send(&lines, line.bytes).await {
-                    Sent::Delivered => since = line.index,
-                    Sent::Closed => return,
-                    Sent::Stalled => {
+                    SendOutcome::Delivered => since = line.index,
+                    SendOutcome::Closed => return,
+                    SendOutcome::Stalled => {
                         let seconds = STALL_TIMEOUT.as_secs();
                         log(format_args!(
                             "closed reader {:?}: it accepted no data for {seconds} s",
@@ -103,7 +103,7 @@
     /// Creates the heartbeat timer of a watch, which starts at a random time and does not restart with each line. The
     /// heartbeats of all watches thus stay spread in time, even after a change that is sent to all of them.
     fn heartbeat(&self) -> Interval {
-        let first = HEARTBEAT_EVERY.mul_f64(self.draws.borrow_mut().rand_float());
+        let first = HEARTBEAT_EVERY.mul_f64(self.rng.borrow_mut().rand_float());
         let mut heartbeat = interval_at(Instant::now() + first, HEARTBEAT_EVERY);
         heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         heartbeat
@@ -123,8 +123,8 @@
                 return Some(EncodedLine { bytes, index: state.index() });
             }
             let update = match next_content(state, since, query, stale_s, heartbeat_due)? {
-                Content::Update(update) => update,
-                Content::Heartbeat => {
+                LineContent::Update(update) => update,
+                LineContent::Heartbeat => {
                     return Some(EncodedLine { bytes: Bytes::from_static(b"\n"), index: since });
                 }
             };
@@ -146,18 +146,18 @@
     query: &WatchQuery,
     stale_s: u64,
     heartbeat_due: bool,
-) -> Option<Content> {
+) -> Option<LineContent> {
     let update = if heartbeat_due {
         state.next_update(since, &query.wanted, stale_s)
     } else {
         state.since(since, &query.wanted)
     };
     match update {
-        Some(update) => Some(Content::Update(Update { stale_s, ..update })),
+        Some(update) => Some(LineContent::Update(Update { stale_s, ..update })),
         None if !heartbeat_due => None,
-        None if query.follow => Some(Content::Heartbeat),
+        None if query.follow => Some(LineContent::Heartbeat),
         // A single response is a JSON object even if nothing has changed.
-        None => Some(Content::Update(Update {
+        None => Some(LineContent::Update(Update {
             index: state.index(),
             snapshot: false,
             after: since,
@@ -183,16 +183,16 @@
 
 /// Sends a line, and waits until it has been written to the socket. If the future is dropped, the line may still be
 /// sent.
-async fn send(lines: &mpsc::Sender<Line>, bytes: Bytes) -> Sent {
+async fn send(lines: &mpsc::Sender<Line>, bytes: Bytes) -> SendOutcome {
     let line = Line::new(bytes);
     let delivery = line.delivery();
     if lines.send(line).await.is_err() {
-        return Sent::Closed;
+        return SendOutcome::Closed;
     }
     tokio::select! {
-        () = delivery.finished() => Sent::Delivered,
-        () = lines.closed() => Sent::Closed,
-        () = stalled(&delivery) => Sent::Stalled,
+        () = delivery.finished() => SendOutcome::Delivered,
+        () = lines.closed() => SendOutcome::Closed,
+        () = stalled(&delivery) => SendOutcome::Stalled,
     }
 }
 
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -34,7 +34,7 @@
     Ended,
     /// A line exceeded the size limit, which keeps a faulty server from filling the memory.
     #[error("a line exceeds the size limit")]
-    LongLine,
+    LineTooLong,
     /// The reader rejected the response's headers or a line.
     #[error("{0}")]
     Line(E),
@@ -87,27 +87,28 @@
     E: std::error::Error,
 {
     let WatchRequest { host, path, first_by, silence, max_line_bytes } = request;
-    let mut by = first_by;
+    let mut deadline = first_by;
     let handshake = http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream));
-    let (mut sender, connection) = timeout_at(by, handshake).await.map_err(|_| WatchError::Silent)??;
+    let (mut sender, connection) =
+        timeout_at(deadline, handshake).await.map_err(|_| WatchError::Silent)??;
     let mut connection = pin!(connection);
     let followed = async {
         let request = Request::get(path).header(header::HOST, host).body(Empty::new()).unwrap_or_default();
         let response =
-            timeout_at(by, sender.send_request(request)).await.map_err(|_| WatchError::Silent)??;
+            timeout_at(deadline, sender.send_request(request)).await.map_err(|_| WatchError::Silent)??;
         if response.status() != StatusCode::OK {
             return Err(WatchError::Status(response.status()));
         }
         head(response.headers()).map_err(WatchError::Line)?;
         let mut body = response.into_body();
-        let mut lines = LineBuffer { text: Vec::new(), max: max_line_bytes };
+        let mut lines = LineBuffer { text: Vec::new(), max_bytes: max_line_bytes };
         loop {
-            let frame = timeout_at(by, body.frame()).await.map_err(|_| WatchError::Silent)?;
+            let frame = timeout_at(deadline, body.frame()).await.map_err(|_| WatchError::Silent)?;
             let Ok(data) = frame.ok_or(WatchError::Ended)??.into_data() else { continue };
             lines.push(&data, |text| {
                 line(text).map_err(WatchError::Line)?;
                 // Only a whole line extends the deadline, not a part of one.
-                by = Instant::now() + silence;
+                deadline = Instant::now() + silence;
                 Ok(())
             })?;
         }
@@ -127,7 +128,7 @@
     /// Bytes of the current, incomplete line.
     text: Vec<u8>,
     /// Maximum size of a line, in bytes.
-    max: usize,
+    max_bytes: usize,
 }
 
 impl LineBuffer {
@@ -150,6 +151,6 @@
     /// Appends a part of the current line; fails if the line becomes too long.
     fn append<E: std::error::Error>(&mut self, part: &[u8]) -> Result<(), WatchError<E>> {
         self.text.extend_from_slice(part);
-        if self.text.len() > self.max { Err(WatchError::LongLine) } else { Ok(()) }
+        if self.text.len() > self.max_bytes { Err(WatchError::LineTooLong) } else { Ok(()) }
     }
 }
