--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -41,7 +41,7 @@
 
 /// Outcome of sending a line.
 enum SendOutcome {
-    /// The whole line was written to the socket.
+    /// The whole line was written to the socket, or dropped with its connection.
     Delivered,
     /// The connection was closed.
     Closed,
