--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -372,7 +372,7 @@
         let mut relay = Process::start(&arguments, own);
         let mut child = Follower::start("api-1", &[own], &SCOPES, 1);
         child.until_index(2).await;
-        relay.says("kept index 2").await;
+        relay.says("stored index 2").await;
         origin.kill();
         relay.kill();
         let _relay = Process::start(&arguments, own);
@@ -420,7 +420,7 @@
             child.until_index(1).await;
         }
         let alone = Process::relay(1, &[one], address());
-        alone.says("its level is not below this one's").await;
+        alone.says("the parent's level is not below the level of this relay").await;
         let (status, _) = get(alone.address, "/configuration").await.unwrap();
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     });
