--- a/crates/config-distribution/src/core/document.rs
+++ b/crates/config-distribution/src/core/document.rs
@@ -1,4 +1,4 @@
-//! Documents: what is published, by scope, each at a version and with a digest over the whole of it.
+//! Published configuration documents. Each belongs to a scope and has a version and a digest over its whole content.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -9,21 +9,22 @@
 use serde_json::value::RawValue;
 use thiserror::Error;
 
-/// Bytes of a scope's name at most.
+/// Maximum length in bytes of the name in a region or service scope.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Whom a document is for. The narrower goes before the wider where both say something.
+/// The set of balancers that a document applies to. Where two documents set the same value, the one with the narrower
+/// scope takes precedence.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Scope {
-    /// Every balancer.
+    /// Every balancer of the fleet.
     Fleet,
-    /// Those of a region.
+    /// The balancers of the named region.
     Region(Box<str>),
-    /// Those of a service.
+    /// The balancers of the named service.
     Service(Box<str>),
 }
 
-/// Why a text names no scope.
+/// Error returned when a text is not a valid scope; contains the start of that text.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error(
     "{0:?} is no scope: expected fleet, region/NAME or service/NAME, with 1 to 64 letters, digits, '-', '_' or '.' in NAME"
@@ -69,12 +70,12 @@
     }
 }
 
-/// A digest over a document: its scope, version and body.
+/// BLAKE3 digest over a document's scope, version and body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// Of a document's parts; a withdrawn one has the body `null`.
+    /// Computes the digest of a document from its scope, version and body; the body of a withdrawn document is `null`.
     #[must_use]
     pub fn of(scope: &Scope, version: u64, body: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
@@ -104,41 +105,42 @@
     }
 }
 
-/// A document at one version. Its body is the text as the origin took it in, on one line and to the byte the same for
-/// everyone: a JSON object, or `null` once it has been withdrawn.
+/// One version of a document. The body is the text that the origin accepted, on one line and byte for byte the same in
+/// every process: a JSON object, or `null` if the document has been withdrawn.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Document {
-    /// Whom it is for.
+    /// The balancers that the document applies to.
     pub scope: Scope,
-    /// The index of the change that made it.
+    /// Version of the document: the index of the change that published or withdrew it.
     pub version: u64,
-    /// Over scope, version and body.
+    /// Digest over the document's scope, version and body.
     pub digest: Digest,
-    /// JSON text.
+    /// JSON text of the document; `null` if it has been withdrawn.
     pub body: Arc<str>,
 }
 
 impl Document {
-    /// One with its digest.
+    /// Creates a document and computes its digest.
     #[must_use]
     pub fn new(scope: Scope, version: u64, body: Arc<str>) -> Self {
         let digest = Digest::of(&scope, version, &body);
         Self { scope, version, digest, body }
     }
 
-    /// Whether the digest is that of the document.
+    /// Whether the digest matches the document's scope, version and body.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.digest == Digest::of(&self.scope, self.version, &self.body)
     }
 
-    /// Whether it says that there is none any more.
+    /// Whether this version marks the document as withdrawn.
     #[must_use]
     pub fn is_withdrawn(&self) -> bool {
         &*self.body == "null"
     }
 }
 
+/// JSON form of a [`Document`], with the body as raw JSON.
 #[derive(Serialize, Deserialize)]
 struct Wire {
     scope: Scope,
@@ -162,21 +164,22 @@
     }
 }
 
-/// A line of a watch: the form of the platform's list, with documents for its entries.
+/// One line of a watch, in the same format as an update of the platform's endpoint list, with documents as its entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The index that the reader stands at with it.
+    /// The reader's index after it has applied this update.
     pub index: u64,
-    /// All documents of the reader's scopes: what is absent has been withdrawn.
+    /// Whether the update contains all documents of the reader's scopes, so that a document missing from it has been
+    /// withdrawn. Otherwise the update is a delta.
     #[serde(default)]
     pub snapshot: bool,
-    /// The index that a change builds on; a reader that stands before it has missed something.
+    /// The index that a delta builds on; a reader with a lower index has missed a change.
     #[serde(default)]
     pub after: u64,
-    /// For how many seconds the sender itself has received nothing from above; 0 while it receives.
+    /// Seconds since the sender last received anything from its own parent; 0 while its parent is up to date.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub stale_s: u64,
-    /// The documents, each at its newest version.
+    /// The documents of this update, each at its newest version.
     #[serde(default)]
     pub documents: Vec<Document>,
 }
--- a/crates/config-distribution/src/core/effective.rs
+++ b/crates/config-distribution/src/core/effective.rs
@@ -1,18 +1,19 @@
-//! The settings in force: a process's own, and over them the documents, the narrower last.
+//! Computes the settings in force: a process's own settings, overridden by the documents from the widest scope to the
+//! narrowest.
 
 use serde_json::{Map, Value};
 
 use crate::document::{Document, Scope};
 use crate::fault::{FormFault, FormFaultKind};
 
-/// The parts of the settings that a document may say something about; all else belongs to the process's own file.
+/// Top-level settings keys that a document may contain; all other keys may only be set in the process's own file.
 pub const ALLOWED: [&str; 7] =
     ["lanes", "projects", "overShareWorth", "caps", "rules", "prices", "balancers"];
 
-/// The settings that a document's body holds, `{"settings": {...}}`.
+/// Extracts the settings from a document's body, which has the form `{"settings": {...}}`.
 ///
 /// # Errors
-/// Every fault of the body's form, with the scope and the path.
+/// All faults in the form of the body, with the scope and the path of each.
 pub fn part(scope: &Scope, body: &str) -> Result<Map<String, Value>, Vec<FormFault>> {
     let fault = |kind| FormFault { scope: scope.clone(), kind };
     let mut body = match serde_json::from_str(body) {
@@ -37,11 +38,11 @@
     Err(faults)
 }
 
-/// The settings that a process's own and its documents make: JSON merge patch (RFC 7396), in the order given, which is
-/// fleet, region, service. Whether the whole makes sense is for the reader of settings to check.
+/// Applies the documents to a process's own settings as JSON merge patches (RFC 7396), in the order given: fleet,
+/// region, service. The result is not validated; the code that reads the settings does that.
 ///
 /// # Errors
-/// Every fault of every document's form, with its scope and path.
+/// All faults in the form of all documents, with the scope and the path of each.
 pub fn effective(own_settings: &Value, documents: [Option<&Document>; 3]) -> Result<Value, Vec<FormFault>> {
     let mut settings = own_settings.clone();
     let mut faults = Vec::new();
@@ -54,7 +55,7 @@
     if faults.is_empty() { Ok(settings) } else { Err(faults) }
 }
 
-/// JSON merge patch, RFC 7396, section 2.
+/// Applies a JSON merge patch to `target` (RFC 7396, section 2).
 fn merge(target: &mut Value, patch: Value) {
     let Value::Object(patch) = patch else {
         *target = patch;
--- a/crates/config-distribution/src/core/fault.rs
+++ b/crates/config-distribution/src/core/fault.rs
@@ -1,5 +1,5 @@
-//! What can be wrong with a publication or a document: each fault names its place, and says what was expected there and
-//! what was found. Its text is what a publisher reads in the answer and what a balancer logs and reports.
+//! Faults of publications and documents. Each names the place of the fault, what was expected there and what was found.
+//! The text of a fault is sent to the publisher in the response, and balancers log and report it.
 
 use std::fmt::Display;
 
@@ -15,34 +15,35 @@
     /// The request id is empty or too long.
     #[error("request id: expected 1 to {MAX_REQUEST_ID_BYTES} bytes, got {bytes}")]
     RequestId {
-        /// The bytes that it has.
+        /// Length of the request id in bytes.
         bytes: usize,
     },
-    /// A document is to be withdrawn where there is none.
+    /// The publication withdraws a document that does not exist.
     #[error("{scope}: there is no document to withdraw")]
     NothingToWithdraw {
-        /// Where.
+        /// The scope that has no document.
         scope: Scope,
     },
-    /// The body has not the form of a document.
+    /// The body does not have the form of a document.
     #[error(transparent)]
     Form(#[from] FormFault),
-    /// A check of the settings cannot read the body.
+    /// The body is not JSON, found when its settings were checked.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// The settings in the body have a fault.
+    /// A setting in the body is invalid.
     #[error(transparent)]
     Settings(#[from] balancer_settings::Fault),
-    /// Further faults of the settings, which the check did not list.
+    /// Further faults of the settings that the check counted but did not list.
     #[error("and {count} more")]
     Unlisted {
-        /// How many.
+        /// Number of faults that are not listed.
         count: usize,
     },
 }
 
 impl Fault {
-    /// The faults that a check of the settings found, the last of which counts those that it did not list.
+    /// Converts the faults that a check of the settings found. If the check did not list all of them, the last element
+    /// is [`Fault::Unlisted`] with the number of the others.
     #[must_use]
     pub fn of_settings(faults: &balancer_settings::Faults) -> Vec<Self> {
         let listed = faults.listed().iter().cloned().map(Self::Settings);
@@ -51,11 +52,11 @@
     }
 }
 
-/// A fault of the form of a document's body, which is to be `{"settings": {...}}`.
+/// A fault in the form of a document's body, which must be `{"settings": {...}}`.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{scope}: {kind}")]
 pub struct FormFault {
-    /// Of which document.
+    /// Scope of the document that has the fault.
     pub scope: Scope,
     /// What is wrong, and where in the body.
     pub kind: FormFaultKind,
@@ -64,28 +65,28 @@
 /// What is wrong with the form of a document's body.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FormFaultKind {
-    /// It is not JSON.
+    /// The body is not JSON.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// It is JSON, but not an object.
+    /// The body is JSON, but not an object.
     #[error("expected an object")]
     NotAnObject,
-    /// It has a key beside `settings`.
+    /// The body has a key other than `settings`.
     #[error("{key}: expected nothing but settings")]
     UnknownKey {
-        /// The key.
+        /// The unknown key.
         key: String,
     },
-    /// It has a part of the settings that belongs to the process's own file.
+    /// The settings contain a key that may only be set in the process's own file; see [`ALLOWED`].
     #[error("settings.{key}: a document may only hold {}", ALLOWED.join(", "))]
     NotAllowed {
-        /// The part.
+        /// The settings key that is not allowed.
         key: String,
     },
-    /// Its `settings` is not an object.
+    /// The value of `settings` is not an object.
     #[error("settings: expected an object")]
     SettingsNotAnObject,
-    /// It has no `settings`.
+    /// The body has no `settings` key.
     #[error("settings: missing")]
     NoSettings,
 }
@@ -94,11 +95,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{message}")]
 pub struct JsonError {
-    /// The line of the text, from 1; 0 where none is known.
+    /// Line of the error in the text, counted from 1; 0 if unknown.
     pub line: usize,
-    /// The column, from 1; 0 where none is known.
+    /// Column of the error in its line, counted from 1; 0 if unknown.
     pub column: usize,
-    /// What was expected or found there, with the line and the column.
+    /// What was expected or found, with the line and the column.
     pub message: Box<str>,
 }
 
@@ -108,7 +109,7 @@
     }
 }
 
-/// Faults on one line, with semicolons between, as logs and reports have them.
+/// Joins faults into one line, separated by semicolons, for logs and reports.
 #[must_use]
 pub fn join(faults: &[impl Display]) -> String {
     faults.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
--- a/crates/config-distribution/src/core/mod.rs
+++ b/crates/config-distribution/src/core/mod.rs
@@ -1,5 +1,6 @@
-//! All decisions of the distribution, without input or output: times, events and draws come in, verdicts go out. So the
-//! same code runs in service, and in tests in virtual time with thousands of children.
+//! Sans-IO core of the configuration distribution: it makes every decision and does no input or output. The caller
+//! passes in times, events and random seeds and carries out the results. The same code therefore runs in production and
+//! in tests that simulate thousands of children in virtual time.
 
 pub mod document;
 pub mod effective;
