--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -1,32 +1,35 @@
-//! Which parent to follow, and when: one at a time, in drawn order.
+//! Chooses which parent to follow, and when: one at a time, in a random order.
 //!
-//! A child has several parents, and any of them may be gone, silent, or cut off from the origin itself. Thousands of children
-//! must not all go to the same one, nor come back at one moment. Times are since any zero; draws come from a seed.
+//! A child has several parents, and each of them may be down, silent, or cut off from the origin itself. Thousands of
+//! children must not all choose the same parent, nor reconnect at the same moment. Times are measured from an arbitrary
+//! zero; random numbers come from a seed.
 
 use std::time::Duration;
 
 use oorandom::Rand64;
 
-/// How long the first whole line of a call may take, from the call on.
+/// How long the first complete line of a watch may take, measured from the start of the call.
 pub const FIRST_LINE: Duration = Duration::from_secs(2);
-/// How long each next one may take; a parent's heartbeat comes every [`HEARTBEAT_EVERY`].
+/// How long each further line of a watch may take; a parent sends a heartbeat every [`HEARTBEAT_EVERY`].
 pub const PARENT_SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
-/// How often a parent that has nothing to send sends a heartbeat, an empty line.
+/// How often a parent sends a heartbeat, which is an empty line, while it has nothing else to send.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_secs(2);
-/// The wait before the next parent is drawn up to this after a watch that stood, and up to twice as much after each
-/// call that came to nothing.
+/// Upper bound of the random wait before the next parent is called, after a watch that was established. Each call that
+/// fails doubles the bound, up to [`MAX_WAIT`].
 pub const WAIT_FIRST: Duration = Duration::from_millis(250);
-/// The wait is drawn up to this at most.
+/// Largest upper bound of the random wait before the next parent is called.
 pub const MAX_WAIT: Duration = Duration::from_secs(1);
-/// A watch that has sent lines for so long has stood, so that its end begins no backoff.
+/// A watch that has received lines for this long counts as established, so that its end does not increase the backoff.
 pub const STOOD: Duration = Duration::from_secs(2);
-/// From here to twice this is drawn how stale a parent has to be before it is left.
+/// A child leaves a parent that is staler than a limit drawn at random between this and twice this.
 pub const STALE: Duration = Duration::from_secs(2);
-/// From here to twice this is drawn how long a stale parent is still followed when no other is known to be better.
+/// If no other parent is known to be better, a child still follows a stale parent for a time drawn at random between
+/// this and twice this.
 pub const STALE_GRACE: Duration = Duration::from_secs(2);
 
-/// Whether a process at a level may be read by one at another: levels grow away from the origin, which has 0, so that no
-/// loop of relays can form. A reader that is no relay names no level.
+/// Whether a process may serve a reader at the given level. The origin has level 0 and a relay may only read from a
+/// process with a lower level than its own, so that relays cannot form a loop. A reader that is not a relay has no
+/// level.
 #[must_use]
 pub fn may_serve(own_level: u8, reader_level: Option<u8>) -> bool {
     reader_level.is_none_or(|reader| own_level < reader)
@@ -35,48 +38,54 @@
 /// What to do next where no watch is up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Follow this one of the parents; [`Parents::ended`] must follow at its end.
+    /// Follow the parent with this number. The host calls [`Parents::ended`] when the watch ends.
     Follow(usize),
-    /// Look for one again after so long.
+    /// Call [`Parents::next`] again after this time.
     Wait(Duration),
 }
 
-/// What to do with a watch after one of its lines.
+/// Whether to keep a watch after one of its lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Go on.
+    /// Keep following this parent.
     Stay,
-    /// It is stale: end it and follow the next.
+    /// The parent is stale: end the watch and follow the next parent.
     Leave,
 }
 
-/// The parents of one child.
+/// The parents of one child, with the state needed to choose among them.
 #[derive(Debug, Clone)]
 pub struct Parents {
     draws: Rand64,
     order: Vec<usize>,
-    /// Place in the order.
+    /// Position in `order` of the parent that is followed now, or next.
     at: usize,
-    /// By place: seen as stale or not reached since one was last fresh, or since all were.
+    /// For each position in `order`, whether that parent was found stale or unreachable. Cleared when a parent is up to
+    /// date, and when every parent is marked and the grace time of a stale one has passed.
     worse: Vec<bool>,
     not_before: Duration,
     wait: Duration,
-    /// The watch that is up, or the call for it.
+    /// The watch that is open, or the call that is to open it.
     watch: Option<Watch>,
-    /// When the newest line from above left the origin's side, as far as is known; from the first step on.
+    /// Latest time at which the parent that sent a line was known to be up to date: the arrival of that line less the
+    /// staleness it states. Before the first line, the time of the first call of [`Parents::next`].
     fresh: Option<Duration>,
 }
 
+/// The watch at one parent.
 #[derive(Debug, Clone)]
 struct Watch {
     began: Duration,
+    /// Whether a line arrived at least [`STOOD`] after the watch began.
     stood: bool,
+    /// The parent is left once it is staler than this.
     max_stale: Duration,
+    /// End of the grace time in which a stale parent is kept because no other is known to be better.
     grace_until: Option<Duration>,
 }
 
 impl Parents {
-    /// Parents by number, `0..count`, in an order drawn from the seed.
+    /// Creates the state for parents with the numbers `0..count`, in a random order that depends on the seed.
     #[must_use]
     pub fn new(count: usize, seed: u64) -> Self {
         let mut draws = Rand64::new(u128::from(seed));
@@ -98,7 +107,8 @@
         }
     }
 
-    /// Which to follow now, where no watch is up. Without parents it waits for ever.
+    /// Returns which parent to follow now, or how long to wait; to be called while no watch is open. Without parents
+    /// the result is always a wait.
     pub fn next(&mut self, now: Duration) -> Step {
         self.fresh.get_or_insert(now);
         let Some(&parent) = self.order.get(self.at) else { return Step::Wait(MAX_WAIT) };
@@ -110,8 +120,8 @@
         Step::Follow(parent)
     }
 
-    /// A line came that could be used, also an empty one (`stale_s` 0). One that was refused is none: the host ends the
-    /// watch.
+    /// Processes the arrival of a valid line, which may be an empty one (`stale_s` 0). The host does not call this for
+    /// a line that was refused, but ends the watch.
     pub fn line(&mut self, now: Duration, stale_s: u64) -> Verdict {
         let stale = Duration::from_secs(stale_s);
         self.fresh = self.fresh.max(Some(now.saturating_sub(stale)));
@@ -124,14 +134,14 @@
             self.worse.fill(false);
             return Verdict::Stay;
         }
-        // An only parent is as good as any.
+        // A stale parent is kept if it is the only one.
         if stale <= watch.max_stale || self.order.len() == 1 {
             return Verdict::Stay;
         }
         if others_worse && now < *watch.grace_until.get_or_insert(now + grace) {
             return Verdict::Stay;
         }
-        // After the grace, the others are tried anew, each once.
+        // After the grace time, each of the other parents is tried once again.
         if others_worse {
             self.worse.fill(false);
         }
@@ -139,7 +149,7 @@
         Verdict::Leave
     }
 
-    /// The watch ended, never came, or was left.
+    /// Processes the end of a watch: it ended, could not be opened, or was left by the child.
     pub fn ended(&mut self, now: Duration) {
         let Some(watch) = self.watch.take() else { return };
         if watch.stood {
@@ -152,8 +162,8 @@
         self.at = (self.at + 1) % self.order.len();
     }
 
-    /// For how many seconds nothing fresh came from above, as this process passes it on to its own readers; 0 until that
-    /// lasts longer than the silence that ends a watch.
+    /// Seconds since this process last had up-to-date information from its parents, as it reports them to its own
+    /// readers. Returns 0 until that time exceeds [`PARENT_SILENCE_TIMEOUT`], the silence that ends a watch.
     #[must_use]
     pub fn stale_s(&self, now: Duration) -> u64 {
         let stale = self.fresh.map_or(Duration::ZERO, |fresh| now.saturating_sub(fresh));
