--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -1,7 +1,8 @@
-//! What is in force below: children's reports, and sums of them that go up.
+//! Reports of which documents are in force: children report to their parent, and relays report sums to theirs.
 //!
-//! An operator asks one process what thousands have in force, and which of them lag. No process may need memory for each
-//! balancer of the fleet, so a relay sums its children within bounds, and names only the first few.
+//! An operator asks one process which versions thousands of balancers have in force, and which balancers lag behind. No
+//! process may need memory for each balancer of the fleet, so a relay adds up the reports of its children within fixed
+//! bounds and names only the first few children in each list.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,111 +12,114 @@
 use crate::document::Scope;
 use crate::state::State;
 
-/// How often a child reports, and at once after a change.
+/// How often a child reports. It also reports immediately after a change.
 pub const REPORT_EVERY: Duration = Duration::from_secs(5);
-/// A child that has not reported for so long is silent and counted no more: it may have gone to another parent. So
-/// nobody is counted twice for longer than this, and [`REPORT_EVERY`] more for each level that its sums go up.
+/// A child that has not reported for this long counts as silent and is no longer included in the sums, because it may
+/// have moved to another parent. A child is therefore counted twice for at most this long, plus [`REPORT_EVERY`] for
+/// each level that the sums pass on the way up.
 pub const SILENT_AFTER: Duration = Duration::from_secs(12);
-/// A child that has not reported for so long is forgotten.
+/// A child that has not reported for this long is no longer counted as silent either.
 pub const FORGOTTEN_AFTER: Duration = Duration::from_secs(120);
-/// Balancers that report to one parent at most.
+/// Maximum number of balancers whose reports one parent keeps.
 pub const MAX_CHILDREN: usize = 4096;
-/// Relays that report to one parent at most; their sums are larger.
+/// Maximum number of relays whose reports one parent keeps; lower than [`MAX_CHILDREN`] because sums are larger than
+/// the report of one balancer.
 pub const MAX_RELAYS: usize = 64;
-/// Scopes of one child's report at most.
+/// Maximum number of scopes in the report of one balancer.
 pub const MAX_CHILD_SCOPES: usize = 8;
-/// Scopes of sums at most.
+/// Maximum number of scopes in one set of sums.
 pub const MAX_SCOPES: usize = 4096;
-/// Versions of a scope that are counted each, the newest; the older are counted together.
+/// Number of newest versions of a scope that are counted separately; all older versions are counted together.
 pub const MAX_VERSIONS: usize = 4;
-/// Children that are named in each list.
+/// Maximum number of children named in each list of the sums.
 pub const MAX_NAMED: usize = 8;
-/// Bytes of a name, and of a reason, at most.
+/// Maximum length in bytes of a child's name and of a reason; longer texts are truncated.
 pub const MAX_TEXT_BYTES: usize = 256;
 
-/// What a child has in force.
+/// Report of one balancer: the versions that it has in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InForce {
-    /// Its name.
+    /// Name of the reporting balancer.
     pub who: Box<str>,
-    /// The version of each scope that it wants; 0 where there is none.
+    /// Version in force of each scope that the balancer uses; 0 if it has no document of that scope.
     pub versions: BTreeMap<Scope, u64>,
-    /// A document that it received and does not apply.
+    /// A document that the balancer received but refused to apply, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<Refused>,
 }
 
-/// A document that is not applied.
+/// A document version that a balancer refused to apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Whose.
+    /// Scope of the refused document.
     pub scope: Scope,
-    /// Its version.
+    /// Version of the refused document.
     pub version: u64,
-    /// The faults.
+    /// Reason for the refusal: the faults of the document.
     pub why: Box<str>,
 }
 
-/// A child that holds another version than the one that stands.
+/// A balancer that lags: it holds another version of a document than the newest.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Laggard {
-    /// Its name.
+    /// Name of the lagging balancer.
     pub who: Box<str>,
-    /// Of which scope.
+    /// Scope of the document whose version lags.
     pub scope: Scope,
-    /// What it holds; 0 is none.
+    /// The version that the balancer holds; 0 if it has no document of that scope.
     pub version: u64,
 }
 
-/// A child that does not apply a document.
+/// A balancer that refuses to apply a document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusedBy {
-    /// Its name.
+    /// Name of the refusing balancer.
     pub who: Box<str>,
-    /// What it refused.
+    /// The document that the balancer refused.
     pub refused: Refused,
 }
 
-/// How many hold each version of a scope.
+/// Number of balancers that hold each version of a scope's document.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holders {
-    /// By version, the newest [`MAX_VERSIONS`]; version 0 is none.
+    /// Number of balancers by version, for the newest [`MAX_VERSIONS`]; version 0 stands for no document.
     pub versions: BTreeMap<u64, u64>,
-    /// Those that hold an older one.
+    /// Number of balancers that hold a version older than those in `versions`.
     #[serde(default)]
     pub older: u64,
 }
 
-/// Sums over all that is below.
+/// Sums over the reports of all balancers below a process, directly or through relays.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sums {
-    /// Balancers that report.
+    /// Number of balancers that report.
     pub children: u64,
-    /// By scope.
+    /// Number of balancers that hold each version, by scope.
     #[serde(default)]
     pub holders: BTreeMap<Scope, Holders>,
-    /// Reports of scopes past [`MAX_SCOPES`].
+    /// How many times a scope was left out because there were already [`MAX_SCOPES`].
     #[serde(default)]
     pub scopes_left_out: u64,
-    /// The first few that lag behind the state of their parent.
+    /// The first few balancers that lag behind the state of their parent, at most [`MAX_NAMED`].
     #[serde(default)]
     pub laggards: Vec<Laggard>,
-    /// How many refuse a document.
+    /// Number of balancers that refuse a document.
     #[serde(default)]
     pub refusing: u64,
-    /// The first few of these.
+    /// The first few balancers that refuse a document, at most [`MAX_NAMED`].
     #[serde(default)]
     pub refused: Vec<RefusedBy>,
-    /// How many are silent: children, and relays with all that is below them as one.
+    /// Number of silent balancers and relays; a silent relay counts as one, whatever is below it.
     #[serde(default)]
     pub silent: u64,
-    /// The first few of these.
+    /// Names of the first few silent balancers and relays, at most [`MAX_NAMED`].
     #[serde(default)]
     pub silent_names: Vec<Box<str>>,
 }
 
 impl Sums {
-    /// How many hold another version of a scope than a state has, or none of it.
+    /// Number of balancers that lag: those that report a version of a scope other than the one in `state`, or no
+    /// document of it. Versions newer than `state` do not count.
     #[must_use]
     pub fn lagging(&self, state: &State, scope: &Scope) -> u64 {
         let Some(holders) = self.holders.get(scope) else { return 0 };
@@ -123,7 +127,7 @@
         behind.fold(holders.older, |sum, (_, count)| sum.saturating_add(*count))
     }
 
-    /// Adds others, within the bounds.
+    /// Adds other sums to these, within the bounds on scopes, versions and names.
     pub fn add(&mut self, other: &Self) {
         let add = |sum: &mut u64, more: u64| *sum = sum.saturating_add(more);
         add(&mut self.children, other.children);
@@ -152,42 +156,46 @@
     }
 }
 
+/// Appends entries to a list of named children, up to [`MAX_NAMED`].
 fn add_names<T: Clone>(names: &mut Vec<T>, more: &[T]) {
     let capacity = MAX_NAMED.saturating_sub(names.len());
     names.extend(more.iter().take(capacity).cloned());
 }
 
-/// Whether a version is another than the one that stands, and no newer one than the state knows of.
+/// Whether a version differs from the newest in `state` and is not newer than `state` itself.
 fn lags(state: &State, scope: &Scope, version: u64) -> bool {
     let stands = state.get(scope).map_or(0, |document| document.version);
     version != stands && version <= state.index()
 }
 
-/// The newest report of a child, and when it came.
+/// The newest report of a child and the time of its arrival.
 #[derive(Debug, Clone)]
 struct Received<T> {
     at: Duration,
     content: T,
 }
 
+/// The newest report of each child, by the name of the child.
 type ByName<T> = BTreeMap<Box<str>, Received<T>>;
 
 /// The reports of the children of one process.
 #[derive(Debug, Clone, Default)]
 pub struct Reports {
+    /// Reports of the balancers that follow this process directly.
     children: ByName<InForce>,
+    /// Sums reported by the relays that follow this process.
     relays: ByName<Sums>,
 }
 
 impl Reports {
-    /// None yet.
+    /// Creates an empty set of reports.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A balancer's report. Over the bounds, names and reasons are cut and scopes left out, and one past
-    /// [`MAX_CHILDREN`] is left out.
+    /// Stores the report of a balancer. Names and reasons over the bound are truncated, excess scopes are left out, and
+    /// the report is dropped if it is of a new balancer and [`MAX_CHILDREN`] others are not silent.
     pub fn record(&mut self, now: Duration, mut report: InForce) {
         report.who = cut(&report.who);
         while report.versions.len() > MAX_CHILD_SCOPES {
@@ -199,9 +207,10 @@
         insert(&mut self.children, MAX_CHILDREN, now, report.who.clone(), report);
     }
 
-    /// A relay's sums. They are bounded likewise, and one past [`MAX_RELAYS`] is left out.
+    /// Stores the sums of a relay. They are bounded in the same way, and dropped if they are of a new relay and
+    /// [`MAX_RELAYS`] others are not silent.
     pub fn record_sums(&mut self, now: Duration, who: &str, sums: &Sums) {
-        // As added to nothing they are within the bounds.
+        // Adding the sums to an empty set brings them within the bounds.
         let mut bounded = Sums::default();
         bounded.add(sums);
         for who in bounded
@@ -219,7 +228,7 @@
         insert(&mut self.relays, MAX_RELAYS, now, cut(who), bounded);
     }
 
-    /// Sums over all children, as they go up.
+    /// Adds up the reports of all children, for the report to the parent and for operators.
     #[must_use]
     pub fn sums(&self, now: Duration, state: &State) -> Sums {
         let mut sums = Sums::default();
@@ -241,7 +250,7 @@
     }
 }
 
-/// Replaces a child's report; a new child at capacity evicts those that are silent, or is left out.
+/// Replaces a child's report. A new child at capacity evicts all silent children; if there are none, it is left out.
 fn insert<T>(reports: &mut ByName<T>, max: usize, now: Duration, who: Box<str>, content: T) {
     if reports.len() >= max && !reports.contains_key(&who) {
         reports.retain(|_, report| now.saturating_sub(report.at) <= SILENT_AFTER);
@@ -253,7 +262,7 @@
 }
 
 impl InForce {
-    /// The sums of this child alone.
+    /// The report of this balancer as sums over one balancer.
     fn sums(&self, state: &State) -> Sums {
         let holders = |(scope, version): (&Scope, &u64)| {
             (scope.clone(), Holders { versions: BTreeMap::from([(*version, 1)]), older: 0 })
@@ -276,6 +285,7 @@
     }
 }
 
+/// Truncates a text to [`MAX_TEXT_BYTES`] at a character boundary.
 fn cut(text: &str) -> Box<str> {
     let end = text
         .char_indices()
