--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -1,7 +1,8 @@
-//! What a process knows: the newest document of each scope, and one index that never goes back.
+//! The documents that a process knows: the newest one of each scope, and one index that never goes back.
 //!
-//! Parents fall behind, restart on older disks and lie; a balancer must not go back because one of them did. So an update
-//! is accepted complete or refused, by rules that look at the index, the digests and what is known already.
+//! A parent can lag behind, restart from an older disk or send wrong data, and a balancer must not go back to an older
+//! configuration because of it. Therefore an update is either accepted completely or refused, depending on its index,
+//! its digests and the documents that are already known.
 
 use std::collections::BTreeMap;
 
@@ -9,76 +10,79 @@
 
 use crate::document::{Document, Scope, Update};
 
-/// Withdrawn documents that are remembered as such at most; a reader that stands before one that was forgotten is sent a
-/// snapshot.
+/// Maximum number of withdrawn documents that are remembered. A reader whose index is below the version of a forgotten
+/// one is sent a snapshot.
 pub const MAX_WITHDRAWN: usize = 256;
 
-/// Why an update was refused; nothing of it was accepted.
+/// Reason for refusing an update. A refused update changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// It would take the index back.
-    #[error("index {index} after {have}: it never goes back")]
+    /// The index of the update is below the index of the state.
+    #[error("index {index} of the update is below the current index {have}; an index never goes back")]
     Older {
-        /// What it said.
+        /// Index of the update.
         index: u64,
-        /// What stands.
+        /// Current index of the state.
         have: u64,
     },
-    /// It builds on changes that were not seen.
-    #[error("it builds on {after}, and {have} was the last seen")]
+    /// The update is a delta that builds on changes that the state does not have.
+    #[error(
+        "the update builds on index {after}, but the current index is {have}; changes in between are missing"
+    )]
     Gap {
-        /// What it builds on.
+        /// The index that the update builds on.
         after: u64,
-        /// What stands.
+        /// Current index of the state.
         have: u64,
     },
-    /// A document's digest is not that of the document.
-    #[error("{scope} {version}: the digest is not the document's")]
+    /// The digest of a document does not match its content.
+    #[error("{scope}, version {version}: the digest does not match the document")]
     Damaged {
-        /// Whose.
+        /// Scope of the document.
         scope: Scope,
-        /// Its version.
+        /// Version of the document.
         version: u64,
     },
-    /// A document's version goes back, or it is another one than the one known at the same index, or it comes twice.
-    #[error("{scope} {version} after {have}")]
+    /// A document contradicts the state: its version goes back, its content or its absence differs from what is known
+    /// at the same index, or it occurs twice in the update.
+    #[error("{scope}: version {version} of the update conflicts with the known version {have}")]
     Conflict {
-        /// Whose.
+        /// Scope of the document.
         scope: Scope,
-        /// What it said.
+        /// Version of the document in the update; for a document missing from a snapshot, the index of the snapshot.
         version: u64,
-        /// What stands; 0 where there is none.
+        /// Version of the document in the state; 0 if it has none.
         have: u64,
     },
-    /// A document's version lies past the index that it came with.
-    #[error("{scope} {version} at index {index}")]
+    /// The version of a document is above the index of its update.
+    #[error("{scope}: version {version} is above the index {index} of the update")]
     Beyond {
-        /// Whose.
+        /// Scope of the document.
         scope: Scope,
-        /// What it said.
+        /// Version of the document.
         version: u64,
-        /// What it came with.
+        /// Index of the update.
         index: u64,
     },
-    /// A document that was not asked for.
-    #[error("{scope} was not asked for")]
+    /// The update has a document of a scope that the reader did not request.
+    #[error("{scope}: the update has this scope, which was not requested")]
     Foreign {
-        /// Whose.
+        /// Scope of the document.
         scope: Scope,
     },
 }
 
-/// Which scopes a reader asks for.
+/// The scopes that a reader requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Wanted {
-    /// All, as a relay does.
+    /// All scopes, as a relay requests.
     All,
-    /// These.
+    /// Only the listed scopes.
     These(Vec<Scope>),
 }
 
 impl Wanted {
-    /// Whether a scope is among them.
+    /// Whether a scope is among the requested ones.
     #[must_use]
     pub fn has(&self, scope: &Scope) -> bool {
         match self {
@@ -88,38 +92,42 @@
     }
 }
 
-/// The newest documents. It is of one set of scopes for as long as it lives: a reader that comes to want others begins
-/// with an empty one.
+/// The newest documents of a fixed set of scopes. A reader that changes the scopes it requests starts again with an
+/// empty state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
+    /// Index of the newest change in the state.
     index: u64,
-    /// Of changes before it, withdrawals may be unknown here: a reader that stands before it is sent a snapshot.
+    /// Lowest index from which a reader can be sent a delta. Withdrawals of earlier changes may be unknown, so a reader
+    /// with a lower index is sent a snapshot.
     floor: u64,
+    /// The newest document of each scope, including withdrawn ones that are remembered.
     documents: BTreeMap<Scope, Document>,
 }
 
 impl State {
-    /// The index that it stands at.
+    /// Index of the newest change in the state.
     #[must_use]
     pub fn index(&self) -> u64 {
         self.index
     }
 
-    /// The newest document of a scope, if there is one.
+    /// The newest document of a scope; `None` if there is none or it has been withdrawn.
     #[must_use]
     pub fn get(&self, scope: &Scope) -> Option<&Document> {
         self.documents.get(scope).filter(|document| !document.is_withdrawn())
     }
 
-    /// All documents, also those withdrawn.
+    /// All documents, including the withdrawn ones that are remembered.
     pub fn documents(&self) -> impl Iterator<Item = &Document> {
         self.documents.values()
     }
 
-    /// Accepts an update complete, or refuses it and stays as it was. Returns the scopes that changed.
+    /// Applies an update completely, or refuses it and leaves the state as it was. Returns the scopes that changed.
     ///
     /// # Errors
-    /// It goes back, has a gap before it, is damaged, of another service, or of another history than this state.
+    /// The update goes back, skips changes, is damaged, has a scope that was not requested, or conflicts with the
+    /// history of this state.
     pub fn apply(&mut self, update: Update, wanted: &Wanted) -> Result<Vec<Scope>, Refusal> {
         let have = self.index;
         let Update { index, snapshot, after, documents, .. } = update;
@@ -135,7 +143,7 @@
             accepted.values().filter(|document| self.is_change(document)).map(|each| each.scope.clone()),
         );
         if snapshot && index > have {
-            // What was withdrawn on the way here is not in it.
+            // A snapshot does not contain the documents that were withdrawn since the reader's index.
             self.floor = index;
             self.documents = accepted;
         } else {
@@ -146,7 +154,7 @@
         Ok(changed)
     }
 
-    /// The documents of an update by scope, each of which can be accepted.
+    /// Checks that each document of an update can be accepted, and returns the documents by scope.
     fn check_all(
         &self,
         documents: Vec<Document>,
@@ -165,7 +173,7 @@
         Ok(accepted)
     }
 
-    /// Whether a document that comes at an index can be accepted.
+    /// Checks that a document can be accepted from an update with the given index.
     fn check(&self, document: &Document, index: u64, wanted: &Wanted) -> Result<(), Refusal> {
         let (scope, version) = (document.scope.clone(), document.version);
         if !wanted.has(&scope) {
@@ -177,7 +185,7 @@
         if version > index {
             return Err(Refusal::Beyond { scope, version, index });
         }
-        // What was made up to the index that stands has been seen; a withdrawn one may have been forgotten since.
+        // All versions up to the current index are known, but a withdrawn document may have been forgotten since.
         let is_sound = match self.documents.get(&scope) {
             Some(current) if version <= self.index => current == document,
             Some(_) => true,
@@ -186,12 +194,14 @@
         if is_sound { Ok(()) } else { Err(self.conflict(scope, version)) }
     }
 
+    /// Returns the refusal of a document that conflicts with the known version of its scope.
     fn conflict(&self, scope: Scope, version: u64) -> Refusal {
         let have = self.documents.get(&scope).map_or(0, |current| current.version);
         Refusal::Conflict { scope, version, have }
     }
 
-    /// The scopes whose documents a snapshot at an index no longer has; at the index that stands there can be none.
+    /// Returns the scopes whose documents are missing from a snapshot at the given index, as they were withdrawn. At
+    /// the current index none may be missing, so there the snapshot is refused.
     fn check_absent(&self, index: u64, snapshot: &BTreeMap<Scope, Document>) -> Result<Vec<Scope>, Refusal> {
         let is_absent =
             |current: &&Document| !current.is_withdrawn() && !snapshot.contains_key(&current.scope);
@@ -203,16 +213,17 @@
         }
     }
 
-    /// Whether an accepted document changes what its scope says.
+    /// Whether an accepted document changes the configuration of its scope.
     fn is_change(&self, document: &Document) -> bool {
         let current = self.documents.get(&document.scope);
         current.is_none_or(|current| current.version < document.version)
             && !(document.is_withdrawn() && current.is_none_or(Document::is_withdrawn))
     }
 
-    /// What a reader that stands at `since` has to be sent, merged to the newest: the whole where it has nothing or
-    /// stands before what is known here, else the changes; `None` where there are none. A reader that stands past this
-    /// state is sent its index, so that it refuses it and looks for another parent.
+    /// Returns the update that brings a reader at index `since` to the current index, with only the newest version of
+    /// each document: a snapshot if the reader has nothing or its index is too low for a delta, otherwise a delta, and
+    /// `None` if nothing has changed. A reader with a higher index than this state is sent the index of this state, so
+    /// that it refuses the update and looks for another parent.
     #[must_use]
     pub fn since(&self, since: u64, wanted: &Wanted) -> Option<Update> {
         let update = |snapshot, after, documents| {
@@ -236,8 +247,9 @@
         }
     }
 
-    /// As [`State::since`], from a parent that has received nothing from above for `stale_s` seconds: where there is
-    /// nothing to send but that, a change without documents. `None`, for an empty line as a heartbeat, only where it is 0.
+    /// As [`State::since`], for a parent that has received nothing from its own parents for `stale_s` seconds. If there
+    /// is no change and `stale_s` is not 0, returns a delta without documents that carries `stale_s`. Returns `None`
+    /// only if there is no change and `stale_s` is 0; the parent then sends an empty line as a heartbeat.
     #[must_use]
     pub fn next_update(&self, since: u64, wanted: &Wanted, stale_s: u64) -> Option<Update> {
         let update = self.since(since, wanted).or_else(|| {
@@ -247,21 +259,23 @@
         Some(Update { stale_s, ..update })
     }
 
-    /// One of documents that are known to be all up to `index`; withdrawals before `floor` may be missing.
+    /// Creates a state from documents that are complete up to `index`, except that withdrawals before `floor` may be
+    /// missing.
     pub(crate) fn restored(index: u64, floor: u64, documents: BTreeMap<Scope, Document>) -> Self {
         let mut state = Self { index, floor, documents };
         state.forget_oldest_withdrawn();
         state
     }
 
-    /// The next change.
+    /// Adds the document of the next change, whose version becomes the index of the state.
     pub(crate) fn put(&mut self, document: Document) {
         self.index = document.version;
         self.documents.insert(document.scope.clone(), document);
         self.forget_oldest_withdrawn();
     }
 
-    /// Forgets the oldest withdrawn documents over the bound; who stands before them is sent a snapshot.
+    /// Forgets the oldest withdrawn documents beyond [`MAX_WITHDRAWN`]. Readers whose index is below one of them are
+    /// sent a snapshot from then on.
     fn forget_oldest_withdrawn(&mut self) {
         let withdrawn = |document: &&Document| document.is_withdrawn();
         let mut versions: Vec<u64> =
