--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -1,7 +1,8 @@
-//! The origin: accepts publications, gives each the next index, and shows it once it is on disk.
+//! The origin: accepts publications, gives each the next index, and makes it visible to readers once it is on disk.
 //!
-//! A publisher that has no answer repeats its request, and a disk may fail between a write and its confirmation. So a change
-//! is pending until the host knows that it is stored or that it is not, and a request id gets the answer of before.
+//! A publisher that receives no answer repeats its request, and a disk may fail between a write and its confirmation.
+//! Therefore a change stays pending until the host knows whether it was stored, and a repeated request id gets the same
+//! answer as before.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -14,21 +15,21 @@
 use crate::fault::{self, Fault};
 use crate::state::State;
 
-/// Bytes of a request id at most.
+/// Maximum length of a request id in bytes.
 pub const MAX_REQUEST_ID_BYTES: usize = 128;
-/// The highest index: the largest integer that every reader of JSON has exactly.
+/// The highest index: the largest integer up to which every JSON parser represents all integers exactly.
 pub const MAX_INDEX: u64 = 1 << 53;
 
-/// What the origin accepts at most.
+/// Limits of what the origin accepts and remembers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Bytes of a document's body.
+    /// Maximum size in bytes of a document's body.
     pub max_body_bytes: usize,
-    /// Documents that stand.
+    /// Maximum number of documents, not counting withdrawn ones.
     pub max_documents: usize,
-    /// Request ids that are remembered, the newest.
+    /// Maximum number of request ids that are remembered; the oldest are forgotten first.
     pub max_request_ids: usize,
-    /// Bytes of all bodies that stand together, so that a snapshot has a bound.
+    /// Maximum total size in bytes of the bodies of all documents, which bounds the size of a snapshot.
     pub max_total_bytes: usize,
 }
 
@@ -43,132 +44,137 @@
     }
 }
 
-/// What a publisher asks for.
+/// A publisher's request to publish or withdraw a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Publication {
-    /// Whom the document is for.
+    /// Scope of the document.
     pub scope: Scope,
     /// The document, or `None` to withdraw it.
     pub body: Option<Arc<str>>,
-    /// Said again, it gets the answer of before. 1 to 128 bytes.
+    /// Request id, 1 to 128 bytes. A repeated request with the same id gets the same answer as before.
     pub request: Box<str>,
-    /// Only if this version stands; 0 is none.
+    /// If set, the change is only accepted while this is the current version of the document; 0 stands for no document.
     pub if_version: Option<u64>,
 }
 
 /// An accepted change, as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The change's index, which is the document's version.
+    /// Index of the change, which is also the version of its document.
     pub index: u64,
-    /// The document.
+    /// The document as published; its body is `null` if the change withdraws it.
     pub document: Document,
-    /// The request id that it was asked for with; empty where the origin reissued it.
+    /// Request id of the publication; empty if the origin reissued the document itself.
     pub request: Box<str>,
 }
 
-/// What became of a publication.
+/// Result of a publication that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Accepted {
-    /// It is accepted once this is on disk; [`Origin::written`] or [`Origin::not_written`] must follow.
+    /// The publication is accepted once this record is on disk. The host writes it and then calls [`Origin::written`]
+    /// or [`Origin::not_written`].
     Write(Record),
-    /// It had been accepted before, at this index.
+    /// The publication is a repeat of a request that was already accepted at this index.
     Known(u64),
 }
 
-/// Why a publication was refused; nothing of it remains.
+/// Reason for refusing a publication. A refused publication changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PublishError {
-    /// All that is wrong with it.
+    /// The publication has these faults.
     #[error("{}", fault::join(.0))]
     Faults(Vec<Fault>),
-    /// Another version stands than the one named.
+    /// The current version of the document is not the one that the publication requires.
     #[error("version {have} stands")]
     Conflict {
-        /// The version that stands; 0 where there is none.
+        /// Current version of the document; 0 if there is none.
         have: u64,
     },
-    /// The request id has been used for something else.
-    #[error("the request id has been used for something else")]
+    /// The request id was already used for a different change.
+    #[error("the request id was already used for a different change; use a new one")]
     Reused,
-    /// The body is over its bound.
-    #[error("{bytes} bytes: at most {most}")]
+    /// The body is larger than [`Bounds::max_body_bytes`].
+    #[error("the document has {bytes} bytes; at most {most} are allowed")]
     TooLarge {
-        /// Its bytes.
+        /// Size of the body in bytes.
         bytes: usize,
-        /// The bound.
+        /// Maximum size of a body in bytes.
         most: usize,
     },
-    /// There would be too many documents.
-    #[error("at most {most} documents")]
+    /// There are already [`Bounds::max_documents`] documents.
+    #[error("there are already {most} documents, the maximum; withdraw one first")]
     TooMany {
-        /// The bound.
+        /// Maximum number of documents.
         most: usize,
     },
-    /// All bodies together would be over their bound.
-    #[error("{bytes} bytes of documents together: at most {most}")]
+    /// All bodies together would be larger than [`Bounds::max_total_bytes`].
+    #[error("all documents together would have {bytes} bytes; at most {most} are allowed")]
     Full {
-        /// What it would come to.
+        /// Total size of the bodies in bytes that the publication would lead to.
         bytes: usize,
-        /// The bound.
+        /// Maximum total size of the bodies in bytes.
         most: usize,
     },
-    /// The one before is being written: ask again after it.
-    #[error("another change is being written")]
+    /// An earlier change is still being written; the publisher has to retry later.
+    #[error("another change is being written; try again later")]
     Busy,
 }
 
-/// Why records make no origin.
+/// Reason why an origin cannot be restored from its records.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// A record's digest or index is not its document's.
-    #[error("record {index} is damaged")]
+    /// A record's index is 0 or differs from its document's version, or the digest does not match the document.
+    #[error("record {index} is damaged: its index or digest does not match its document")]
     Damaged {
-        /// Its index.
+        /// Index of the damaged record.
         index: u64,
     },
-    /// An index past the highest.
-    #[error("index {index}: at most {MAX_INDEX}")]
+    /// An index is above [`MAX_INDEX`].
+    #[error("index {index} is above the maximum of {MAX_INDEX}")]
     TooHigh {
-        /// The index.
+        /// The index that is too high.
         index: u64,
     },
-    /// Two records have one index.
-    #[error("record {index} comes twice")]
+    /// Two records have the same index.
+    #[error("there are two records with index {index}")]
     Twice {
-        /// Their index.
+        /// Index of both records.
         index: u64,
     },
 }
 
-/// A request id that is remembered: its newest change.
+/// The newest change that was made with a remembered request id.
 #[derive(Debug)]
 struct KnownRequest {
+    /// Index of the change.
     index: u64,
-    /// Over what was asked, by which a repeat differs from another use of the id.
+    /// Digest of the requested change, which tells a repeat of the request from another use of its id.
     content: Digest,
 }
 
-/// The one process that accepts changes.
+/// State of the origin, the one process that accepts changes.
 #[derive(Debug)]
 pub struct Origin {
     bounds: Bounds,
+    /// The documents that readers see.
     state: State,
-    /// Request ids that are remembered, by the index of their change.
+    /// Remembered request ids, by the index of their change.
     requests: BTreeMap<u64, Box<str>>,
+    /// The newest change of each remembered request id.
     by_request: HashMap<Box<str>, KnownRequest>,
-    /// What is to be written before anything else: one record, or all documents reissued.
+    /// Records that must be written before the next change is accepted: one change, or all reissued documents.
     pending: Vec<Record>,
 }
 
 impl Origin {
-    /// From what the disk has, in any order. Where the disk is known to have lost acknowledged changes, `index_at_least`
-    /// is the highest index that may have been seen: if the records end before it, all documents that stand are
-    /// reissued past it, so that whoever has a lost change accepts them instead. These are [`Origin::pending`] and must be
-    /// written, in one transaction, before anything is published; until then readers see what the disk had.
+    /// Restores the origin from the records on disk, given in any order. If the disk is known to have lost acknowledged
+    /// changes, `index_at_least` is the highest index that readers may have seen. If the records end before it, all
+    /// current documents are reissued with indexes above it, so that readers that have a lost change accept them
+    /// instead. The reissued records are in [`Origin::pending`] and must be written in one transaction before anything
+    /// is published; until then readers see what was on disk.
     ///
     /// # Errors
-    /// A record is damaged or comes twice, or an index is too high.
+    /// A record is damaged or occurs twice, or an index is too high.
     pub fn restore(
         bounds: Bounds,
         records: impl IntoIterator<Item = Record>,
@@ -200,7 +206,7 @@
             }
         }
         let last = indexes.last().copied().unwrap_or(0);
-        // After the last index that is missing every change is known.
+        // All changes after the last missing index are known, so a reader with a higher index can be sent a delta.
         let run =
             indexes.iter().rev().zip((1..=last).rev()).take_while(|(index, next)| **index == *next).count();
         let missing = last - run as u64;
@@ -215,7 +221,7 @@
         Ok(origin)
     }
 
-    /// All documents that stand, past an index that may have been seen.
+    /// Makes new records of all current documents pending, with indexes above `past`, which readers may have seen.
     fn reissue(&mut self, past: u64) {
         let mut standing: Vec<(Scope, Arc<str>)> = self
             .state
@@ -224,10 +230,10 @@
             .map(|document| (document.scope.clone(), Arc::clone(&document.body)))
             .collect();
         if standing.is_empty() {
-            // Something has to carry the index.
+            // At least one record is needed to raise the index, so the empty fleet scope is withdrawn.
             standing.push((Scope::Fleet, "null".into()));
         }
-        // One index stays free, so that nobody can stand at the one before.
+        // Index `past + 1` is left out, so that no reader can be at the index before the first reissued record.
         for (index, (scope, body)) in (past + 2..).zip(standing) {
             self.pending.push(Record {
                 index,
@@ -237,10 +243,11 @@
         }
     }
 
-    /// Checks a publication and gives it the next index. `check` returns the faults of a body whose form is sound.
+    /// Checks a publication and gives it the next index. `check` returns the faults in the settings of a body whose
+    /// form is valid.
     ///
     /// # Errors
-    /// Why it is refused; nothing remains of it.
+    /// The reason why the publication is refused; the origin is unchanged.
     pub fn publish(
         &mut self,
         publication: Publication,
@@ -288,7 +295,7 @@
         Ok(Accepted::Write(record))
     }
 
-    /// Whether there is capacity for a body in place of the document that stands.
+    /// Checks that the limits allow `body` in place of the current document of its scope.
     fn check_capacity(
         &self,
         current: Option<&Document>,
@@ -308,8 +315,8 @@
         Ok(())
     }
 
-    /// What was pending is on disk, synced, and `index` is that of its last record: readers see it from now on, and it may
-    /// be acknowledged.
+    /// The host calls this once the pending records are on disk and synced; `index` is that of the last one. From then
+    /// on readers see the change, and it may be acknowledged to the publisher.
     pub fn written(&mut self, index: u64) {
         if self.pending.last().is_none_or(|record| record.index != index) {
             return;
@@ -328,20 +335,20 @@
         }
     }
 
-    /// A record is not on disk and will not be; the host has looked. It is as if it had not been asked for, and its index
-    /// is given again. What was reissued stays pending.
+    /// The host calls this once it has checked that a record is not on disk and will not be. The change is dropped as
+    /// if it had not been requested, and its index is used for the next one. Reissued records stay pending.
     pub fn not_written(&mut self, index: u64) {
         self.pending.retain(|record| record.index != index || record.request.is_empty());
     }
 
-    /// What is to be written, in one transaction, and is not visible yet.
+    /// Records that the host has to write in one transaction, and that readers do not see yet.
     #[must_use]
     pub fn pending(&self) -> &[Record] {
         &self.pending
     }
 
-    /// Whether a record on disk is needed still: its document stands or its request id is remembered. Others may be
-    /// deleted, the oldest first.
+    /// Whether a record on disk is still needed, because it is pending, its document is the newest of its scope or its
+    /// request id is remembered. Other records may be deleted, the oldest first.
     #[must_use]
     pub fn needs(&self, index: u64) -> bool {
         self.requests.contains_key(&index)
@@ -349,12 +356,13 @@
             || self.pending.iter().any(|record| record.index == index)
     }
 
-    /// What readers see.
+    /// The documents that readers see.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.state
     }
 
+    /// Remembers the request id of a record and forgets the oldest ids beyond the limit.
     fn remember(&mut self, record: &Record) {
         let Record { index, document, request } = record;
         if request.is_empty() {
@@ -362,7 +370,7 @@
         }
         let content = Digest::of(&document.scope, 0, &document.body);
         self.requests.insert(*index, request.clone());
-        // An id that was forgotten may have been used again.
+        // Records can have the same id, as an id can be used again after it was forgotten.
         if self.by_request.get(request).is_none_or(|known| known.index < *index) {
             self.by_request.insert(request.clone(), KnownRequest { index: *index, content });
         }
@@ -376,7 +384,8 @@
     }
 }
 
-/// A body as it goes out, on a line of its own: line breaks stand between the parts of JSON only.
+/// Returns a body on one line, as it is sent to readers. Replacing line breaks by spaces does not change the JSON
+/// value, because JSON allows line breaks only between its tokens.
 fn on_one_line(body: &str) -> Arc<str> {
     body.trim().replace(['\n', '\r'], " ").into()
 }
