--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -1,5 +1,5 @@
-//! What a process keeps on disk: records by index in one table of a redb file, each commit synced. redb keeps the last
-//! good commit beside the one that is being written and checks both by digest, so that a torn write leaves the former.
+//! Storage on disk: records by index in one table of a redb file; each commit is synced. redb keeps the last good
+//! commit while it writes the next and verifies both by checksum, so that after a torn write the last good one is used.
 
 use std::any::Any;
 use std::collections::BTreeSet;
@@ -15,36 +15,39 @@
 use crate::host::log::log;
 use crate::origin::Record;
 
+/// Table of the records, as JSON, by index.
 const RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("records");
-/// Figures by name; `index` is the one that the process stood at.
+/// Table of numbers by name; `index` is the index that the process had reached.
 const FIGURES: TableDefinition<&str, u64> = TableDefinition::new("figures");
-/// The file in the directory.
+/// Name of the store's file in its directory.
 const FILE: &str = "configuration.redb";
-/// The file while it is made. It gets its name once it is whole, so that a file of that name was whole once.
+/// Name of the file while it is being created. It is renamed to [`FILE`] once it is complete, so that a file of that
+/// name was complete at least once.
 const NEW_FILE: &str = "configuration.redb.new";
-/// A damaged file that was renamed out of the way, the last one only.
+/// Name that a damaged file is renamed to; only the last one is kept.
 const DAMAGED_FILE: &str = "configuration.redb.damaged";
-/// Faults that pass and have no stable `io::ErrorKind`: `EIO`, `ENFILE` and `EMFILE`.
+/// Codes (errno) of transient errors that have no stable `io::ErrorKind`: `EIO`, `ENFILE` and `EMFILE`.
 const PASSING_CODES: [i32; 3] = [5, 23, 24];
-/// Bytes of the file that are cached in memory; records are read once, at the start.
+/// Size of the file's cache in memory, in bytes; small because the records are only read once, at the start.
 const CACHE: usize = 4 << 20;
 
-/// Why the store cannot be used.
+/// Error of the store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The file or its directory.
+    /// The file system or redb reported an error.
     #[error("{0}")]
     Database(Box<redb::Error>),
-    /// A record that is none.
-    #[error("record {index}: {error}")]
+    /// A record cannot be decoded from JSON, or encoded as JSON.
+    #[error("record {index} cannot be decoded or encoded: {error}")]
     Record {
-        /// Its index.
+        /// Index of the record.
         index: u64,
-        /// Why.
+        /// The JSON error.
         error: serde_json::Error,
     },
-    /// The file is not what its header says, which redb answers with a panic.
-    #[error("the file is damaged: {0}")]
+    /// The content of the file is inconsistent: redb panicked with this message, or a document does not match its
+    /// digest.
+    #[error("the store's file is damaged: {0}")]
     Damaged(String),
 }
 
@@ -55,7 +58,7 @@
 }
 
 impl StoreError {
-    /// Whether the disk takes nothing more.
+    /// Whether the disk is full or a quota or a limit on the file's size is reached.
     #[must_use]
     pub fn is_full(&self) -> bool {
         use io::ErrorKind::{FileTooLarge, QuotaExceeded, StorageFull};
@@ -64,7 +67,7 @@
         matches!(error.kind(), StorageFull | QuotaExceeded | FileTooLarge)
     }
 
-    /// Whether the disk fails in a way that may pass by itself, so that the same may succeed later.
+    /// Whether the error is transient, so that the same operation may succeed later.
     #[must_use]
     pub fn may_pass(&self) -> bool {
         use io::ErrorKind::{Interrupted, OutOfMemory, ResourceBusy, TimedOut};
@@ -75,7 +78,7 @@
             || error.raw_os_error().is_some_and(|code| PASSING_CODES.contains(&code))
     }
 
-    /// Whether what stands in the file is no store, or no longer.
+    /// Whether the content of the file is not, or no longer, a valid store.
     #[must_use]
     pub fn is_damage(&self) -> bool {
         use io::ErrorKind::{InvalidData, UnexpectedEof};
@@ -90,47 +93,50 @@
     }
 }
 
-/// What became of a write.
+/// Result of a write to the store.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is on disk, synced.
+    /// The write is on disk and synced.
     Written,
-    /// It is not on disk, which was looked at after the failure.
+    /// The write failed, and reading the file again showed that it is not on disk.
     NotWritten(StoreError),
-    /// It cannot be known; a repeat of the write finds out.
+    /// The write failed, and it is unknown whether it is on disk. Repeating the write settles it.
     Unknown(StoreError),
 }
 
+/// Function that opens the database.
 type Open = Box<dyn Fn() -> Result<Database, DatabaseError> + Send>;
 
-/// The records on disk.
+/// A store of records on disk.
 pub struct Store {
     open: Open,
-    /// None after a failure, until the file has been opened anew.
+    /// The open database; `None` after a failure, until it is opened again.
     database: Option<Database>,
+    /// Indexes of the records on disk.
     indexes: BTreeSet<u64>,
 }
 
-/// What was found at the start.
+/// Content of a store when it was opened.
 #[derive(Debug, Default)]
 pub struct Found {
-    /// In the order of their indexes.
+    /// The records, in the order of their indexes.
     pub records: Vec<Record>,
-    /// The index that the process stood at, if it stored one.
+    /// The index that the process had reached; 0 if it stored none.
     pub index: u64,
 }
 
 impl Found {
+    /// Whether the digests of all documents match.
     fn is_whole(&self) -> bool {
         self.records.iter().all(|record| record.document.is_whole())
     }
 }
 
 impl Store {
-    /// In a directory, which is made if need be.
+    /// Opens the store in a directory. The directory and the store are created if they do not exist.
     ///
     /// # Errors
-    /// The disk, or what stands in the file; another process has it open.
+    /// The disk fails, the file is not a valid store, or another process has it open.
     pub fn at(directory: &Path) -> Result<(Self, Found), StoreError> {
         fs::create_dir_all(directory)?;
         let path = directory.join(FILE);
@@ -138,30 +144,30 @@
             make(&directory.join(NEW_FILE), &path)?;
         }
         let opened = Self::over(move || Builder::new().set_cache_size(CACHE).open(&path))?;
-        // The file's name is to outlast a loss of power as well.
+        // Syncing the directory makes the file's name survive a power failure.
         File::open(directory)?.sync_all()?;
         Ok(opened)
     }
 
-    /// As [`Store::at`], for what can be had again from elsewhere: a damaged file is renamed, and a
-    /// store without records takes its place.
+    /// As [`Store::at`], for records that can be fetched again from another process: a damaged file is renamed and
+    /// replaced by an empty store.
     ///
     /// # Errors
-    /// As [`Store::at`], but for damage.
+    /// As [`Store::at`], except that a damaged file is no error.
     pub fn at_or_anew(directory: &Path) -> Result<(Self, Found), StoreError> {
         let error = match Self::at(directory) {
             Ok((store, found)) if found.is_whole() => return Ok((store, found)),
-            // The file is closed with its store, before another takes its place.
-            Ok(_) => StoreError::Damaged("a document differs from its digest".to_owned()),
+            // Dropping the store closes the file before it is renamed.
+            Ok(_) => StoreError::Damaged("a document does not match its digest".to_owned()),
             Err(error) if error.is_damage() => error,
             Err(error) => return Err(error),
         };
-        log(format_args!("set aside as {DAMAGED_FILE}: {error}"));
+        log(format_args!("renaming the store to {DAMAGED_FILE} and creating an empty one: {error}"));
         fs::rename(directory.join(FILE), directory.join(DAMAGED_FILE))?;
         Self::at(directory)
     }
 
-    /// Over what `open` opens, which is asked again after each failure.
+    /// Opens a store on the database that `open` returns. `open` is called again after each failure.
     ///
     /// # Errors
     /// As [`Store::at`].
@@ -178,17 +184,19 @@
         self.indexes.iter().copied()
     }
 
-    /// Writes records and deletes others, all or nothing, and syncs; where that fails, looks at what is on disk.
+    /// Writes records, deletes others, and stores `index` if it is given, in one synced transaction. If that fails, the
+    /// file is read again to find out whether the records are on disk.
     pub fn write(&mut self, records: &[Record], delete: &[u64], index: Option<u64>) -> Outcome {
         let Err(error) = self.commit(records, delete, index) else { return Outcome::Written };
-        // The file is read anew from the disk's side: the failed handle knows what it meant to write.
+        // The file is opened and read again, because the failed handle may show data that did not reach the disk.
         self.database = None;
         match self.read() {
             Err(_) => Outcome::Unknown(error),
             Ok(_) if !records.iter().all(|record| self.indexes.contains(&record.index)) => {
                 Outcome::NotWritten(error)
             }
-            // It reads well, which a failed sync does not rule out: written again, it is known.
+            // After a failed sync the records can be readable but not yet on disk. If writing them again succeeds, they
+            // are.
             Ok(_) => match self.commit(records, delete, index) {
                 Ok(()) => Outcome::Written,
                 Err(error) => {
@@ -199,10 +207,12 @@
         }
     }
 
+    /// Commits a transaction; see [`Store::write`].
     fn commit(&mut self, records: &[Record], delete: &[u64], index: Option<u64>) -> Result<(), StoreError> {
         caught(|| self.try_commit(records, delete, index))
     }
 
+    /// Reads all records from disk.
     fn read(&mut self) -> Result<Found, StoreError> {
         caught(|| self.try_read())
     }
@@ -258,20 +268,21 @@
         Ok(found)
     }
 
+    /// Returns the database, opened if need be.
     fn database(&mut self) -> Result<&Database, StoreError> {
         if self.database.is_none() {
             self.database = Some((self.open)()?);
         }
-        // It has just been opened.
+        // The database is open at this point, so the error never occurs.
         self.database.as_ref().ok_or_else(|| StorageError::PreviousIo.into())
     }
 }
 
-/// Makes a store without records under a name of its own, and gives it its own name once it is synced. What a process
-/// that was killed in the middle of this left is written over.
+/// Creates an empty store under the name `new` and renames it to `path` once it is synced. A file `new` that was left
+/// by a process killed while it created the store is overwritten.
 fn make(new: &Path, path: &Path) -> Result<(), StoreError> {
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(new)?;
-    // Locked, so that of two processes one makes it, and no longer than until it has its name.
+    // The backend locks the file until it has been renamed, so that only one of two processes creates the store.
     let backend = FileBackend::new(file)?;
     if path.try_exists()? {
         return Ok(());
@@ -283,14 +294,15 @@
     Ok(())
 }
 
-/// Makes an error of a panic: redb checks some of what it reads by assertions, and a damaged file must not end a process
-/// that has more to do than to keep it.
+/// Converts a panic into an error. redb checks some of the data it reads with assertions, and a damaged file must not
+/// end a process that has other work to do.
 fn caught<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
         .unwrap_or_else(|panic| Err(StoreError::Damaged(text_of(&*panic).to_owned())))
 }
 
+/// Returns the message of a panic.
 fn text_of(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no reason told")
+    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a message")
 }
