--- a/crates/config-distribution/src/main.rs
+++ b/crates/config-distribution/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary of the distribution.
+//! The `config-distribution` program: origin, relay and publisher of the configuration.
 
 #![warn(clippy::pedantic)]
 
