--- a/crates/config-distribution/src/command.rs
+++ b/crates/config-distribution/src/command.rs
@@ -1,7 +1,7 @@
-//! The command line of the distribution, also for a binary that carries it beside its own.
+//! Command line of the configuration distribution. Another program can embed it with [`run`].
 //!
-//! This module parses and dispatches; `serve` runs an origin or a relay, `publisher` asks one for something, and
-//! `failure` says what can go wrong and which exit code that has.
+//! This module parses the arguments and dispatches the command. `serve` runs an origin or a relay, `publisher` sends
+//! requests to one, and `failure` defines the errors and their exit codes.
 
 mod failure;
 mod publisher;
@@ -23,26 +23,28 @@
 use thiserror::Error;
 use tokio::task::LocalSet;
 
-/// At the end, what still runs on the disk has so long; a write that hangs there is left behind.
+/// Time that unfinished disk operations are given at shutdown; a write that hangs is abandoned after it.
 const DISK_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// At the end, lines of the log have so long to be written.
+/// Time that buffered log lines are given to be written at shutdown.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Configuration to every balancer, by scope and by one index that never goes back.
+/// Distributes configuration documents to every balancer, with one index that never goes back.
 ///
-/// One `origin` accepts changes and keeps them on disk; `relay`s stand between it and the balancers, in trees whose
-/// levels grow away from the origin. `publish`, `withdraw`, `get` and `status` ask an origin or a relay.
+/// One `origin` accepts changes and stores them on disk. `relay`s pass them on to the balancers, in trees whose levels
+/// increase with the distance from the origin. `publish` and `withdraw` send a change to the origin; `get` and `status`
+/// query an origin or a relay.
 ///
-/// A document is `{"settings": {...}}`, a part of a balancer's settings; a SCOPE is `fleet`, `region/NAME` or
-/// `service/NAME`, and the narrower goes before the wider.
+/// A document has the form `{"settings": {...}}` and contains part of a balancer's settings. A SCOPE is `fleet`,
+/// `region/NAME` or `service/NAME`; where documents set the same value, the one with the narrower scope takes
+/// precedence.
 #[derive(Parser)]
 #[command(
     version,
     after_long_help = "EXIT STATUS\n  \
-    0  done; an origin or a relay: ended by SIGTERM or SIGINT, in order\n  \
-    1  refused, with the reasons on standard error; nothing has changed\n  \
-    2  bad arguments, or a file or directory that cannot be used\n  \
-    3  no answer: whether the change was accepted is unknown; say it again with the same --request\n\n\
+    0  success; for an origin or a relay: graceful shutdown after SIGTERM or SIGINT\n  \
+    1  the request was refused, with the reasons on standard error; nothing has changed\n  \
+    2  invalid arguments, or a file, directory or address that cannot be used\n  \
+    3  no answer; whether a change was accepted is unknown: repeat it with the same --request\n\n\
 EXAMPLES\n  \
     config-distribution origin --listen 127.0.0.1:9100 --dir /var/lib/configuration\n  \
     config-distribution relay --listen 127.0.0.1:9101 --level 1 --parent 127.0.0.1:9100\n  \
@@ -56,100 +58,104 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Accepts changes, keeps them on disk, and tells them to its readers
+    /// Accepts changes, stores them on disk, and sends them to relays and balancers
     Origin {
-        /// Where it listens; its address is printed once it does
+        /// Address to listen on; the actual address is printed once the origin listens
         #[arg(long, value_name = "ADDR")]
         listen: SocketAddr,
-        /// Where it keeps what it acknowledged; made if need be
+        /// Directory that accepted changes are stored in; created if it does not exist
         #[arg(long, value_name = "DIR")]
         dir: PathBuf,
-        /// The highest index that may have been acknowledged, where the disk is known to have lost some
+        /// Highest index that may have been acknowledged, if the disk is known to have lost changes
         ///
-        /// All documents that stand are then published again past it.
+        /// If the stored changes end before it, all current documents are published again with higher indexes.
         #[arg(long, value_name = "N", default_value_t = 0)]
         index_at_least: u64,
-        /// Readers at most; further ones are refused with 503
+        /// Maximum number of readers; further readers are refused with status 503
         #[arg(long, value_name = "N", default_value_t = Limits::default().max_readers)]
         readers_most: usize,
     },
-    /// Follows its parents and tells their documents on
+    /// Follows its parents and passes their documents on to relays and balancers
     Relay {
-        /// Where it listens; its address is printed once it does
+        /// Address to listen on; the actual address is printed once the relay listens
         #[arg(long, value_name = "ADDR")]
         listen: SocketAddr,
-        /// Its level: 1 or more, and over those of its parents, so that no loop can form
+        /// Level of the relay: at least 1 and higher than the levels of all its parents, so that relays cannot form a
+        /// loop
         #[arg(long, value_name = "N", value_parser = clap::value_parser!(u8).range(1..))]
         level: u8,
-        /// A parent; given once for each
+        /// Address of a parent; repeat the flag for each parent
         #[arg(long, value_name = "ADDR", required = true)]
         parent: Vec<SocketAddr>,
-        /// Where it keeps what it has, so that it can serve it after a restart while it is cut off
+        /// Directory to store the documents in, so that the relay can serve them after a restart without a parent
         #[arg(long, value_name = "DIR")]
         dir: Option<PathBuf>,
-        /// Its name to its parents; by default the address that it listens at
+        /// Name of the relay in its reports to its parents; by default the address it listens on
         #[arg(long, value_name = "NAME")]
         name: Option<String>,
-        /// Readers at most; further ones are refused with 503
+        /// Maximum number of readers; further readers are refused with status 503
         #[arg(long, value_name = "N", default_value_t = Limits::default().max_readers)]
         readers_most: usize,
     },
-    /// Publishes a document, and prints the index of the change
+    /// Publishes a document and prints the index of the change
     Publish {
         #[command(flatten)]
         target: Target,
-        /// Whom it is for: fleet, region/NAME or service/NAME
+        /// Scope of the document: fleet, region/NAME or service/NAME
         scope: Scope,
-        /// The document; - for standard input
+        /// File that contains the document; - for standard input
         file: PathBuf,
         #[command(flatten)]
         options: ChangeOptions,
     },
-    /// Withdraws a document, and prints the index of the change
+    /// Withdraws a document and prints the index of the change
     Withdraw {
         #[command(flatten)]
         target: Target,
-        /// Whose: fleet, region/NAME or service/NAME
+        /// Scope of the document: fleet, region/NAME or service/NAME
         scope: Scope,
         #[command(flatten)]
         options: ChangeOptions,
     },
-    /// Prints the documents, as one JSON object
+    /// Prints the current documents as one JSON object
     Get {
         #[command(flatten)]
         target: Target,
-        /// Of these scopes; by default of all
+        /// Scopes of the documents to print; by default all
         scopes: Vec<Scope>,
     },
-    /// Prints which versions are in force below, how many hold each, who lags and who is silent, as one JSON object
+    /// Prints how many balancers have each version in force, and which lag, refuse a document or are silent, as one
+    /// JSON object
     Status {
         #[command(flatten)]
         target: Target,
     },
 }
 
+/// The process that a request is sent to.
 #[derive(Args)]
 struct Target {
-    /// Whom to ask
+    /// Address of the origin or relay
     #[arg(long, value_name = "ADDR")]
     to: SocketAddr,
 }
 
+/// Flags of the commands that change a document.
 #[derive(Args)]
 struct ChangeOptions {
-    /// The request's id: said again with the same one, a change is made once; by default a new one
+    /// Request id; a change that is repeated with the same id is made only once; by default a new id is generated
     #[arg(long, value_name = "ID")]
     request: Option<RequestId>,
-    /// Only if this version stands; 0 is none
+    /// Make the change only if this is the current version of the document; 0 if there must be no document
     #[arg(long, value_name = "N")]
     if_version: Option<u64>,
 }
 
-/// A request id that fits in a header.
+/// A request id that can be sent in an HTTP header.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RequestId(String);
 
-/// Why a text is no request id.
+/// Error returned when a text is not a valid request id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("expected 1 to {MAX_REQUEST_ID_BYTES} visible ASCII characters")]
 struct RequestIdError;
@@ -165,13 +171,13 @@
 }
 
 impl RequestId {
-    /// One that no other process makes.
+    /// Generates an id that no other process generates.
     fn generate() -> Self {
         Self(format!("{:016x}-{}", seed(), std::process::id()))
     }
 }
 
-/// Runs the command that the arguments name, the first of which is the program's own name; returns the exit status.
+/// Runs the command given by the arguments and returns the exit status. The first argument is the program's own name.
 #[must_use]
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     let arguments = Arguments::parse_from(arguments);
@@ -184,6 +190,7 @@
     }
 }
 
+/// Runs a command on a new async runtime, then shuts the runtime down and flushes the log.
 fn run_to_end(command: Command) -> Result<(), Failure> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Failure::Runtime)?;
@@ -214,7 +221,7 @@
     }
 }
 
-/// Another one for each process, so that those started at once don't draw alike.
+/// Returns a seed that differs between processes, including those started at the same time.
 fn seed() -> u64 {
     let time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let nanos = u64::try_from(time.as_nanos() & u128::from(u64::MAX)).unwrap_or_default();
--- a/crates/config-distribution/src/command/failure.rs
+++ b/crates/config-distribution/src/command/failure.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a command, and the exit code that a script sees of it. The codes stand in the help as well.
+//! Errors of commands and their exit codes. The command line's help lists the exit codes too.
 
 use std::fmt::{self, Display, Formatter};
 use std::io;
@@ -15,43 +15,48 @@
 use crate::host::relay::RelayError;
 use crate::store::StoreError;
 
-/// Rejected, with the reasons; nothing has changed.
+/// Exit code if the request was refused; nothing has changed.
 const EXIT_REJECTED: u8 = 1;
-/// Bad arguments (clap uses the same), or a file, directory or address that cannot be used.
+/// Exit code for invalid arguments (clap uses the same code), or a file, directory or address that cannot be used.
 const EXIT_UNUSABLE: u8 = 2;
-/// No answer: whether a change was accepted is unknown.
+/// Exit code if there was no answer, so that it is unknown whether a change was accepted.
 const EXIT_UNKNOWN: u8 = 3;
 
-/// Why a command did not do what was asked.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub(super) enum Failure {
-    #[error("{0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(io::Error),
-    #[error("signals: {0}")]
+    #[error("cannot install the signal handlers: {0}")]
     Signals(io::Error),
-    #[error("{address}: {source}")]
+    #[error("cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: io::Error },
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read the document from {}: {source}", path.display())]
     Document { path: PathBuf, source: io::Error },
-    #[error("{}: over {MAX_DOCUMENT_BYTES} bytes", path.display())]
+    #[error("the document in {} is larger than {MAX_DOCUMENT_BYTES} bytes", path.display())]
     DocumentTooLarge { path: PathBuf },
-    #[error("{}: {source}", directory.display())]
+    #[error("cannot open the store in {}: {source}", directory.display())]
     Store { directory: PathBuf, source: StoreError },
-    #[error("{}: {source}", directory.display())]
+    #[error("cannot start the origin from the store in {}: {source}", directory.display())]
     Origin { directory: PathBuf, source: OriginError },
-    #[error("{}: {source}", directory.display())]
+    #[error("cannot start the relay from the store in {}: {source}", directory.display())]
     Relay { directory: PathBuf, source: RelayError },
-    #[error("{0}")]
+    /// The change was refused.
+    #[error("the change was refused: {0}")]
     ChangeRejected(Rejection),
-    #[error("{to}: {rejection}")]
+    /// The request for documents or for the report was refused.
+    #[error("{to} refused the request: {rejection}")]
     ReadRejected { to: SocketAddr, rejection: Rejection },
-    #[error("{to}: {source}")]
+    /// There was no answer to the request for documents or for the report.
+    #[error("no answer from {to}: {source}")]
     ReadUnanswered { to: SocketAddr, source: CallError },
-    #[error("{to}: {last}; say it again with --request {id}")]
+    /// No attempt at the change had a conclusive answer, so it is unknown whether the change was accepted.
+    #[error("no conclusive answer from {to}: {last}; repeat the change with --request {id}")]
     ChangeUnknown { to: SocketAddr, last: Unanswered, id: String },
 }
 
 impl Failure {
+    /// Exit code of the program for this error.
     pub(super) fn exit_code(&self) -> u8 {
         match self {
             Self::ChangeRejected(_) | Self::ReadRejected { .. } => EXIT_REJECTED,
@@ -68,7 +73,7 @@
     }
 }
 
-/// Why the last attempt at a change leaves open whether it was accepted.
+/// Result of the last attempt at a change that leaves open whether the change was accepted.
 #[derive(Debug, Error)]
 pub(super) enum Unanswered {
     #[error("{0}")]
@@ -77,16 +82,17 @@
     Rejection(Rejection),
 }
 
-/// An answer that says no, as an operator reads it.
+/// A response that refuses a request, formatted for the operator.
 #[derive(Debug)]
 pub(super) struct Rejection {
     status: StatusCode,
+    /// The JSON body of the response; null if the body is not JSON.
     answer: Value,
 }
 
 impl Rejection {
     pub(super) fn new(status: StatusCode, text: &[u8]) -> Self {
-        // Of what is no JSON the status is all that can be said.
+        // If the body is not JSON, only the status is shown.
         Self { status, answer: serde_json::from_slice(text).unwrap_or_default() }
     }
 }
@@ -98,6 +104,6 @@
             let faults: Vec<&str> = faults.iter().filter_map(Value::as_str).collect();
             return write!(f, "{status}\n{}", faults.join("\n"));
         }
-        write!(f, "{status}: {}", answer["error"].as_str().unwrap_or("no reason told"))
+        write!(f, "{status}: {}", answer["error"].as_str().unwrap_or("no reason given"))
     }
 }
--- a/crates/config-distribution/src/command/publisher.rs
+++ b/crates/config-distribution/src/command/publisher.rs
@@ -1,4 +1,5 @@
-//! Asks an origin or a relay: publishes and withdraws documents, prints what stands and what is in force.
+//! Requests to an origin or a relay: publishes and withdraws documents, and prints the documents and the report of the
+//! versions in force.
 
 use std::fs::File;
 use std::io::{self, IsTerminal, Read, Write};
@@ -16,17 +17,17 @@
 use crate::document::Scope;
 use crate::host::call::{Call, call_to};
 
-/// Bytes of a document that are read at most; the origin's bound is lower, and it is the origin that names it.
+/// Maximum size in bytes of a document that is read. The origin's limit is lower, and its refusal states that limit.
 pub(super) const MAX_DOCUMENT_BYTES: u64 = 4 << 20;
 
-/// An answer has so long to come.
+/// How long a response to one request may take.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
-/// A change is asked for so often, with one request id, until it has an answer.
+/// Maximum number of attempts at a change, all with the same request id, until there is an answer.
 const MAX_ATTEMPTS: u32 = 3;
-/// Between two attempts.
+/// Pause between two attempts at a change.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Reads a document from a file, or from standard input where it is `-`.
+/// Reads a document from a file, or from standard input if the path is `-`.
 pub(super) fn read_document(path: &Path) -> Result<Bytes, Failure> {
     let bytes = read(path).map_err(|source| Failure::Document { path: path.to_owned(), source })?;
     if bytes.len() as u64 > MAX_DOCUMENT_BYTES {
@@ -35,12 +36,12 @@
     Ok(bytes.into())
 }
 
-/// One byte past the bound, by which it is seen that there are more.
+/// Reads at most one byte more than [`MAX_DOCUMENT_BYTES`], which shows the caller that the document is too large.
 fn read(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     if path == Path::new("-") {
         if io::stdin().is_terminal() {
-            eprintln!("reading the document from the terminal");
+            eprintln!("reading the document from the terminal; press Ctrl-D to end it");
         }
         io::stdin().take(MAX_DOCUMENT_BYTES + 1).read_to_end(&mut bytes)?;
     } else {
@@ -49,7 +50,8 @@
     Ok(bytes)
 }
 
-/// Asks for a change, again with the same id where there is no answer, and prints its index. No body withdraws.
+/// Publishes a document, or withdraws it if `body` is `None`, and prints the index of the change. Repeats the request
+/// with the same id if there is no answer.
 pub(super) async fn change(
     to: SocketAddr,
     scope: &Scope,
@@ -85,28 +87,30 @@
     }
 }
 
-/// Whether a rejection says that nothing has changed, and that a repeat would not either.
+/// Whether a response with this status means that nothing has changed and that repeating the request would be refused
+/// too.
 fn is_final(status: StatusCode) -> bool {
     status.is_client_error() || status == StatusCode::INSUFFICIENT_STORAGE
 }
 
-/// Prints the documents of scopes; without any, of all.
+/// Prints the documents of the given scopes, or of all scopes if none is given.
 pub(super) async fn get(to: SocketAddr, scopes: &[Scope]) -> Result<(), Failure> {
     let scopes = scopes.iter().map(Scope::to_string).collect::<Vec<_>>().join(",");
     let scopes = if scopes.is_empty() { "*" } else { &scopes };
     print(to, &format!("/configuration?scopes={scopes}")).await
 }
 
-/// Prints what is in force below.
+/// Prints the report of the versions that balancers have in force.
 pub(super) async fn status(to: SocketAddr) -> Result<(), Failure> {
     print(to, "/configuration/report").await
 }
 
+/// Sends a GET request and prints the body of the response.
 async fn print(to: SocketAddr, path: &str) -> Result<(), Failure> {
     let request = Call { method: Method::GET, host: to.to_string(), path, headers: &[], body: Bytes::new() };
     match call_to(to, ANSWER_TIMEOUT, request).await {
         Ok((StatusCode::OK, text)) => {
-            // A reader that has gone, such as `head`, is no failure.
+            // A closed standard output, as with `| head`, is not an error.
             let _ = io::stdout().write_all(&text);
             Ok(())
         }
--- a/crates/config-distribution/src/command/serve.rs
+++ b/crates/config-distribution/src/command/serve.rs
@@ -1,4 +1,4 @@
-//! Runs an origin or a relay until a signal ends it.
+//! Runs an origin or a relay until a signal stops it.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -18,15 +18,16 @@
 use crate::origin::Bounds;
 use crate::store::Store;
 
-/// What the arguments say of a relay.
+/// Command-line options of a relay.
 pub(super) struct Relay {
     pub level: u8,
     pub parents: Vec<SocketAddr>,
     pub directory: Option<PathBuf>,
-    /// By default the address that it listens at.
+    /// Name of the relay in its reports; the address it listens on if `None`.
     pub name: Option<String>,
 }
 
+/// Runs an origin on the store in `directory`.
 pub(super) async fn origin(
     listen: SocketAddr,
     directory: &Path,
@@ -44,6 +45,7 @@
     Ok(())
 }
 
+/// Runs a relay.
 pub(super) async fn relay(listen: SocketAddr, relay: Relay, limits: Limits) -> Result<(), Failure> {
     let Relay { level, parents, directory, name } = relay;
     let listener = bind(listen).await?;
@@ -63,7 +65,7 @@
     Ok(())
 }
 
-/// The faults of a document whose form is sound.
+/// Returns the faults in the settings of a document whose form is valid.
 fn check_settings(_: &Scope, body: &str) -> Vec<Fault> {
     let body: serde_json::Value = match serde_json::from_str(body) {
         Ok(body) => body,
@@ -79,16 +81,16 @@
     TcpListener::bind(address).await.map_err(|source| Failure::Listen { address, source })
 }
 
-/// Prints the address, which a starter that asked for any port waits for.
+/// Prints the address, so that whoever started the process with port 0 learns the port.
 fn announce(listener: &TcpListener) {
     if let Ok(address) = listener.local_addr() {
         let mut output = std::io::stdout();
-        // Whoever does not read it is served all the same.
+        // The process also runs if its standard output is closed.
         let _ = writeln!(output, "listening on {address}").and_then(|()| output.flush());
     }
 }
 
-/// Completes with SIGTERM or SIGINT.
+/// Returns a future that completes on SIGTERM or SIGINT.
 fn shutdown_signal() -> Result<impl Future<Output = ()>, Failure> {
     let mut terminate = signal(SignalKind::terminate()).map_err(Failure::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(Failure::Signals)?;
@@ -97,6 +99,6 @@
             _ = terminate.recv() => "SIGTERM",
             _ = interrupt.recv() => "SIGINT",
         };
-        log(format_args!("ending by {name}"));
+        log(format_args!("received {name}, shutting down"));
     })
 }
