--- a/crates/config-distribution/src/command.rs
+++ b/crates/config-distribution/src/command.rs
@@ -164,9 +164,9 @@
     type Err = RequestIdError;
 
     fn from_str(text: &str) -> Result<Self, RequestIdError> {
-        let is_sound = (1..=MAX_REQUEST_ID_BYTES).contains(&text.len())
+        let is_valid = (1..=MAX_REQUEST_ID_BYTES).contains(&text.len())
             && text.bytes().all(|byte| byte.is_ascii_graphic());
-        if is_sound { Ok(Self(text.to_owned())) } else { Err(RequestIdError) }
+        if is_valid { Ok(Self(text.to_owned())) } else { Err(RequestIdError) }
     }
 }
 
@@ -194,10 +194,10 @@
 fn run_to_end(command: Command) -> Result<(), Failure> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(Failure::Runtime)?;
-    let ended = LocalSet::new().block_on(&runtime, dispatch(command));
+    let result = LocalSet::new().block_on(&runtime, dispatch(command));
     runtime.shutdown_timeout(DISK_SHUTDOWN_TIMEOUT);
     flush(FLUSH_TIMEOUT);
-    ended
+    result
 }
 
 async fn dispatch(command: Command) -> Result<(), Failure> {
--- a/crates/config-distribution/src/command/serve.rs
+++ b/crates/config-distribution/src/command/serve.rs
@@ -40,7 +40,7 @@
         OriginHost::new(opened, Bounds::default(), limits, index_at_least, Box::new(check_settings), seed())
             .map_err(|source| Failure::Origin { directory: directory.to_owned(), source })?;
     let listener = bind(listen).await?;
-    announce(&listener);
+    print_address(&listener);
     host.run(listener, shutdown_signal()?).await;
     Ok(())
 }
@@ -60,7 +60,7 @@
     };
     let host = RelayHost::new(options)
         .map_err(|source| Failure::Relay { directory: directory.unwrap_or_default(), source })?;
-    announce(&listener);
+    print_address(&listener);
     host.run(listener, shutdown_signal()?).await;
     Ok(())
 }
@@ -82,7 +82,7 @@
 }
 
 /// Prints the address, so that whoever started the process with port 0 learns the port.
-fn announce(listener: &TcpListener) {
+fn print_address(listener: &TcpListener) {
     if let Ok(address) = listener.local_addr() {
         let mut output = std::io::stdout();
         // The process also runs if its standard output is closed.
--- a/crates/config-distribution/src/core/document.rs
+++ b/crates/config-distribution/src/core/document.rs
@@ -35,14 +35,14 @@
     type Err = ScopeError;
 
     fn from_str(text: &str) -> Result<Self, ScopeError> {
-        let sound = |name: &str| {
-            let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-            (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(fits)
+        let is_valid = |name: &str| {
+            let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+            (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(is_allowed)
         };
         match text.split_once('/') {
             None if text == "fleet" => Ok(Self::Fleet),
-            Some(("region", name)) if sound(name) => Ok(Self::Region(name.into())),
-            Some(("service", name)) if sound(name) => Ok(Self::Service(name.into())),
+            Some(("region", name)) if is_valid(name) => Ok(Self::Region(name.into())),
+            Some(("service", name)) if is_valid(name) => Ok(Self::Service(name.into())),
             _ => Err(ScopeError(text.chars().take(2 * MAX_NAME_BYTES).collect())),
         }
     }
--- a/crates/config-distribution/src/core/effective.rs
+++ b/crates/config-distribution/src/core/effective.rs
@@ -7,7 +7,7 @@
 use crate::fault::{FormFault, FormFaultKind};
 
 /// Top-level settings keys that a document may contain; all other keys may only be set in the process's own file.
-pub const ALLOWED: [&str; 7] =
+pub const ALLOWED_KEYS: [&str; 7] =
     ["lanes", "projects", "overShareWorth", "caps", "rules", "prices", "balancers"];
 
 /// Extracts the settings from a document's body, which has the form `{"settings": {...}}`.
@@ -26,8 +26,8 @@
         body.into_iter().map(|(key, _)| fault(FormFaultKind::UnknownKey { key })).collect();
     match settings {
         Some(Value::Object(settings)) => {
-            let strange = settings.keys().filter(|key| !ALLOWED.contains(&key.as_str()));
-            faults.extend(strange.map(|key| fault(FormFaultKind::NotAllowed { key: key.clone() })));
+            let disallowed = settings.keys().filter(|key| !ALLOWED_KEYS.contains(&key.as_str()));
+            faults.extend(disallowed.map(|key| fault(FormFaultKind::NotAllowed { key: key.clone() })));
             if faults.is_empty() {
                 return Ok(settings);
             }
--- a/crates/config-distribution/src/core/fault.rs
+++ b/crates/config-distribution/src/core/fault.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 use crate::document::Scope;
-use crate::effective::ALLOWED;
+use crate::effective::ALLOWED_KEYS;
 use crate::origin::MAX_REQUEST_ID_BYTES;
 
 /// One fault of a publication.
@@ -77,8 +77,8 @@
         /// The unknown key.
         key: String,
     },
-    /// The settings contain a key that may only be set in the process's own file; see [`ALLOWED`].
-    #[error("settings.{key}: a document may only hold {}", ALLOWED.join(", "))]
+    /// The settings contain a key that may only be set in the process's own file; see [`ALLOWED_KEYS`].
+    #[error("settings.{key}: a document may only hold {}", ALLOWED_KEYS.join(", "))]
     NotAllowed {
         /// The settings key that is not allowed.
         key: String,
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -200,18 +200,18 @@
             if !indexes.insert(*index) {
                 return Err(RestoreError::Twice { index: *index });
             }
-            origin.remember(&record);
+            origin.remember_request(&record);
             if documents.get(&document.scope).is_none_or(|newest| newest.version < *index) {
                 documents.insert(document.scope.clone(), record.document);
             }
         }
         let last = indexes.last().copied().unwrap_or(0);
         // All changes after the last missing index are known, so a reader with a higher index can be sent a delta.
-        let run =
+        let consecutive =
             indexes.iter().rev().zip((1..=last).rev()).take_while(|(index, next)| **index == *next).count();
-        let missing = last - run as u64;
-        let floor = if missing == 0 { 0 } else { missing + 1 };
-        origin.state = State::restored(last, floor, documents);
+        let missing = last - consecutive as u64;
+        let min_delta_base = if missing == 0 { 0 } else { missing + 1 };
+        origin.state = State::restored(last, min_delta_base, documents);
         if index_at_least > MAX_INDEX {
             return Err(RestoreError::TooHigh { index: index_at_least });
         }
@@ -223,18 +223,18 @@
 
     /// Makes new records of all current documents pending, with indexes above `past`, which readers may have seen.
     fn reissue(&mut self, past: u64) {
-        let mut standing: Vec<(Scope, Arc<str>)> = self
+        let mut live: Vec<(Scope, Arc<str>)> = self
             .state
             .documents()
             .filter(|document| !document.is_withdrawn())
             .map(|document| (document.scope.clone(), Arc::clone(&document.body)))
             .collect();
-        if standing.is_empty() {
+        if live.is_empty() {
             // At least one record is needed to raise the index, so the empty fleet scope is withdrawn.
-            standing.push((Scope::Fleet, "null".into()));
+            live.push((Scope::Fleet, "null".into()));
         }
         // Index `past + 1` is left out, so that no reader can be at the index before the first reissued record.
-        for (index, (scope, body)) in (past + 2..).zip(standing) {
+        for (index, (scope, body)) in (past + 2..).zip(live) {
             self.pending.push(Record {
                 index,
                 document: Document::new(scope, index, body),
@@ -302,9 +302,9 @@
         body: &str,
         withdraws: bool,
     ) -> Result<(), PublishError> {
-        let standing = self.state.documents().filter(|document| !document.is_withdrawn());
+        let live = self.state.documents().filter(|document| !document.is_withdrawn());
         let (count, bytes) =
-            standing.fold((0, 0), |(count, bytes), document| (count + 1, bytes + document.body.len()));
+            live.fold((0, 0), |(count, bytes), document| (count + 1, bytes + document.body.len()));
         if current.is_none() && count >= self.bounds.max_documents {
             return Err(PublishError::TooMany { most: self.bounds.max_documents });
         }
@@ -330,7 +330,7 @@
             return;
         }
         for record in pending {
-            self.remember(&record);
+            self.remember_request(&record);
             self.state.put(record.document);
         }
     }
@@ -363,7 +363,7 @@
     }
 
     /// Remembers the request id of a record and forgets the oldest ids beyond the limit.
-    fn remember(&mut self, record: &Record) {
+    fn remember_request(&mut self, record: &Record) {
         let Record { index, document, request } = record;
         if request.is_empty() {
             return;
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -20,7 +20,7 @@
 /// Largest upper bound of the random wait before the next parent is called.
 pub const MAX_WAIT: Duration = Duration::from_secs(1);
 /// A watch that has received lines for this long counts as established, so that its end does not increase the backoff.
-pub const STOOD: Duration = Duration::from_secs(2);
+pub const ESTABLISHED_AFTER: Duration = Duration::from_secs(2);
 /// A child leaves a parent that is staler than a limit drawn at random between this and twice this.
 pub const STALE: Duration = Duration::from_secs(2);
 /// If no other parent is known to be better, a child still follows a stale parent for a time drawn at random between
@@ -56,28 +56,28 @@
 /// The parents of one child, with the state needed to choose among them.
 #[derive(Debug, Clone)]
 pub struct Parents {
-    draws: Rand64,
+    rng: Rand64,
     order: Vec<usize>,
     /// Position in `order` of the parent that is followed now, or next.
-    at: usize,
+    current: usize,
     /// For each position in `order`, whether that parent was found stale or unreachable. Cleared when a parent is up to
     /// date, and when every parent is marked and the grace time of a stale one has passed.
-    worse: Vec<bool>,
+    failed_or_stale: Vec<bool>,
     not_before: Duration,
     wait: Duration,
     /// The watch that is open, or the call that is to open it.
     watch: Option<Watch>,
-    /// Latest time at which the parent that sent a line was known to be up to date: the arrival of that line less the
+    /// Latest time at which a parent was known to be up to date, from all lines: the arrival of a line less the
     /// staleness it states. Before the first line, the time of the first call of [`Parents::next`].
-    fresh: Option<Duration>,
+    fresh_at: Option<Duration>,
 }
 
 /// The watch at one parent.
 #[derive(Debug, Clone)]
 struct Watch {
-    began: Duration,
-    /// Whether a line arrived at least [`STOOD`] after the watch began.
-    stood: bool,
+    began_at: Duration,
+    /// Whether a line arrived at least [`ESTABLISHED_AFTER`] after the watch began.
+    is_established: bool,
     /// The parent is left once it is staler than this.
     max_stale: Duration,
     /// End of the grace time in which a stale parent is kept because no other is known to be better.
@@ -88,35 +88,35 @@
     /// Creates the state for parents with the numbers `0..count`, in a random order that depends on the seed.
     #[must_use]
     pub fn new(count: usize, seed: u64) -> Self {
-        let mut draws = Rand64::new(u128::from(seed));
+        let mut rng = Rand64::new(u128::from(seed));
         let mut order: Vec<usize> = (0..count).collect();
         for place in (1..count).rev() {
             #[allow(clippy::cast_possible_truncation, reason = "it is at most `place`, a usize")]
-            let other = draws.rand_range(0..place as u64 + 1) as usize;
+            let other = rng.rand_range(0..place as u64 + 1) as usize;
             order.swap(place, other);
         }
         Self {
-            draws,
+            rng,
             order,
-            at: 0,
-            worse: vec![false; count],
+            current: 0,
+            failed_or_stale: vec![false; count],
             not_before: Duration::ZERO,
             wait: WAIT_FIRST,
             watch: None,
-            fresh: None,
+            fresh_at: None,
         }
     }
 
     /// Returns which parent to follow now, or how long to wait; to be called while no watch is open. Without parents
     /// the result is always a wait.
     pub fn next(&mut self, now: Duration) -> Step {
-        self.fresh.get_or_insert(now);
-        let Some(&parent) = self.order.get(self.at) else { return Step::Wait(MAX_WAIT) };
+        self.fresh_at.get_or_insert(now);
+        let Some(&parent) = self.order.get(self.current) else { return Step::Wait(MAX_WAIT) };
         if now < self.not_before {
             return Step::Wait(self.not_before.saturating_sub(now));
         }
-        let max_stale = STALE + self.draw(STALE);
-        self.watch = Some(Watch { began: now, stood: false, max_stale, grace_until: None });
+        let max_stale = STALE + self.random_up_to(STALE);
+        self.watch = Some(Watch { began_at: now, is_established: false, max_stale, grace_until: None });
         Step::Follow(parent)
     }
 
@@ -124,53 +124,55 @@
     /// a line that was refused, but ends the watch.
     pub fn line(&mut self, now: Duration, stale_s: u64) -> Verdict {
         let stale = Duration::from_secs(stale_s);
-        self.fresh = self.fresh.max(Some(now.saturating_sub(stale)));
-        let others_worse = (0..self.worse.len()).all(|place| place == self.at || self.worse[place]);
-        let grace = STALE_GRACE + self.draw(STALE_GRACE);
+        self.fresh_at = self.fresh_at.max(Some(now.saturating_sub(stale)));
+        let others_failed_or_stale =
+            (0..self.failed_or_stale.len()).all(|place| place == self.current || self.failed_or_stale[place]);
+        let grace = STALE_GRACE + self.random_up_to(STALE_GRACE);
         let Some(watch) = &mut self.watch else { return Verdict::Stay };
-        watch.stood |= now >= watch.began + STOOD;
+        watch.is_established |= now >= watch.began_at + ESTABLISHED_AFTER;
         if stale_s == 0 {
             watch.grace_until = None;
-            self.worse.fill(false);
+            self.failed_or_stale.fill(false);
             return Verdict::Stay;
         }
         // A stale parent is kept if it is the only one.
         if stale <= watch.max_stale || self.order.len() == 1 {
             return Verdict::Stay;
         }
-        if others_worse && now < *watch.grace_until.get_or_insert(now + grace) {
+        if others_failed_or_stale && now < *watch.grace_until.get_or_insert(now + grace) {
             return Verdict::Stay;
         }
         // After the grace time, each of the other parents is tried once again.
-        if others_worse {
-            self.worse.fill(false);
+        if others_failed_or_stale {
+            self.failed_or_stale.fill(false);
         }
-        self.worse[self.at] = true;
+        self.failed_or_stale[self.current] = true;
         Verdict::Leave
     }
 
     /// Processes the end of a watch: it ended, could not be opened, or was left by the child.
     pub fn ended(&mut self, now: Duration) {
         let Some(watch) = self.watch.take() else { return };
-        if watch.stood {
+        if watch.is_established {
             self.wait = WAIT_FIRST;
         } else {
-            self.worse[self.at] = true;
+            self.failed_or_stale[self.current] = true;
         }
-        self.not_before = now + self.draw(self.wait);
+        self.not_before = now + self.random_up_to(self.wait);
         self.wait = (2 * self.wait).min(MAX_WAIT);
-        self.at = (self.at + 1) % self.order.len();
+        self.current = (self.current + 1) % self.order.len();
     }
 
     /// Seconds since this process last had up-to-date information from its parents, as it reports them to its own
     /// readers. Returns 0 until that time exceeds [`PARENT_SILENCE_TIMEOUT`], the silence that ends a watch.
     #[must_use]
     pub fn stale_s(&self, now: Duration) -> u64 {
-        let stale = self.fresh.map_or(Duration::ZERO, |fresh| now.saturating_sub(fresh));
+        let stale = self.fresh_at.map_or(Duration::ZERO, |fresh_at| now.saturating_sub(fresh_at));
         if stale > PARENT_SILENCE_TIMEOUT { stale.as_secs() } else { 0 }
     }
 
-    fn draw(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.draws.rand_float())
+    /// Returns a random time below `upper_bound`.
+    fn random_up_to(&mut self, upper_bound: Duration) -> Duration {
+        upper_bound.mul_f64(self.rng.rand_float())
     }
 }
--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -164,8 +164,8 @@
 
 /// Whether a version differs from the newest in `state` and is not newer than `state` itself.
 fn lags(state: &State, scope: &Scope, version: u64) -> bool {
-    let stands = state.get(scope).map_or(0, |document| document.version);
-    version != stands && version <= state.index()
+    let newest = state.get(scope).map_or(0, |document| document.version);
+    version != newest && version <= state.index()
 }
 
 /// The newest report of a child and the time of its arrival.
@@ -197,12 +197,12 @@
     /// Stores the report of a balancer. Names and reasons over the bound are truncated, excess scopes are left out, and
     /// the report is dropped if it is of a new balancer and [`MAX_CHILDREN`] others are not silent.
     pub fn record(&mut self, now: Duration, mut report: InForce) {
-        report.who = cut(&report.who);
+        report.who = truncated(&report.who);
         while report.versions.len() > MAX_CHILD_SCOPES {
             report.versions.pop_last();
         }
         if let Some(refused) = &mut report.refused {
-            refused.why = cut(&refused.why);
+            refused.why = truncated(&refused.why);
         }
         insert(&mut self.children, MAX_CHILDREN, now, report.who.clone(), report);
     }
@@ -220,12 +220,12 @@
             .chain(bounded.refused.iter_mut().map(|refused| &mut refused.who))
             .chain(&mut bounded.silent_names)
         {
-            *who = cut(who);
+            *who = truncated(who);
         }
         for refused in &mut bounded.refused {
-            refused.refused.why = cut(&refused.refused.why);
+            refused.refused.why = truncated(&refused.refused.why);
         }
-        insert(&mut self.relays, MAX_RELAYS, now, cut(who), bounded);
+        insert(&mut self.relays, MAX_RELAYS, now, truncated(who), bounded);
     }
 
     /// Adds up the reports of all children, for the report to the parent and for operators.
@@ -286,7 +286,7 @@
 }
 
 /// Truncates a text to [`MAX_TEXT_BYTES`] at a character boundary.
-fn cut(text: &str) -> Box<str> {
+fn truncated(text: &str) -> Box<str> {
     let end = text
         .char_indices()
         .map(|(at, char)| at + char.len_utf8())
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -100,7 +100,7 @@
     index: u64,
     /// Lowest index from which a reader can be sent a delta. Withdrawals of earlier changes may be unknown, so a reader
     /// with a lower index is sent a snapshot.
-    floor: u64,
+    min_delta_base: u64,
     /// The newest document of each scope, including withdrawn ones that are remembered.
     documents: BTreeMap<Scope, Document>,
 }
@@ -144,7 +144,7 @@
         );
         if snapshot && index > have {
             // A snapshot does not contain the documents that were withdrawn since the reader's index.
-            self.floor = index;
+            self.min_delta_base = index;
             self.documents = accepted;
         } else {
             self.documents.extend(accepted);
@@ -186,12 +186,12 @@
             return Err(Refusal::Beyond { scope, version, index });
         }
         // All versions up to the current index are known, but a withdrawn document may have been forgotten since.
-        let is_sound = match self.documents.get(&scope) {
+        let is_acceptable = match self.documents.get(&scope) {
             Some(current) if version <= self.index => current == document,
             Some(_) => true,
             None => version > self.index || version > 0 && document.is_withdrawn(),
         };
-        if is_sound { Ok(()) } else { Err(self.conflict(scope, version)) }
+        if is_acceptable { Ok(()) } else { Err(self.conflict(scope, version)) }
     }
 
     /// Returns the refusal of a document that conflicts with the known version of its scope.
@@ -232,7 +232,7 @@
         if since > self.index {
             return update(false, self.index, Vec::new());
         }
-        let snapshot = since == 0 || since < self.floor;
+        let snapshot = since == 0 || since < self.min_delta_base;
         let is_sent = |document: &&Document| {
             wanted.has(&document.scope)
                 && if snapshot { !document.is_withdrawn() } else { document.version > since }
@@ -259,10 +259,10 @@
         Some(Update { stale_s, ..update })
     }
 
-    /// Creates a state from documents that are complete up to `index`, except that withdrawals before `floor` may be
-    /// missing.
-    pub(crate) fn restored(index: u64, floor: u64, documents: BTreeMap<Scope, Document>) -> Self {
-        let mut state = Self { index, floor, documents };
+    /// Creates a state from documents that are complete up to `index`, except that withdrawals before `min_delta_base`
+    /// may be missing.
+    pub(crate) fn restored(index: u64, min_delta_base: u64, documents: BTreeMap<Scope, Document>) -> Self {
+        let mut state = Self { index, min_delta_base, documents };
         state.forget_oldest_withdrawn();
         state
     }
@@ -286,6 +286,6 @@
         versions.sort_unstable();
         let last = versions[versions.len() - MAX_WITHDRAWN - 1];
         self.documents.retain(|_, document| !document.is_withdrawn() || document.version > last);
-        self.floor = self.floor.max(last);
+        self.min_delta_base = self.min_delta_base.max(last);
     }
 }
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -20,16 +20,16 @@
 /// Table of numbers by name; `index` is the index that the process had reached.
 const FIGURES: TableDefinition<&str, u64> = TableDefinition::new("figures");
 /// Name of the store's file in its directory.
-const FILE: &str = "configuration.redb";
-/// Name of the file while it is being created. It is renamed to [`FILE`] once it is complete, so that a file of that
-/// name was complete at least once.
-const NEW_FILE: &str = "configuration.redb.new";
+const FILE_NAME: &str = "configuration.redb";
+/// Name of the file while it is being created. It is renamed to [`FILE_NAME`] once it is complete, so that a file of
+/// that name was complete at least once.
+const NEW_FILE_NAME: &str = "configuration.redb.new";
 /// Name that a damaged file is renamed to; only the last one is kept.
-const DAMAGED_FILE: &str = "configuration.redb.damaged";
+const DAMAGED_FILE_NAME: &str = "configuration.redb.damaged";
 /// Codes (errno) of transient errors that have no stable `io::ErrorKind`: `EIO`, `ENFILE` and `EMFILE`.
-const PASSING_CODES: [i32; 3] = [5, 23, 24];
+const TRANSIENT_ERROR_CODES: [i32; 3] = [5, 23, 24];
 /// Size of the file's cache in memory, in bytes; small because the records are only read once, at the start.
-const CACHE: usize = 4 << 20;
+const CACHE_BYTES: usize = 4 << 20;
 
 /// Error of the store.
 #[derive(Debug, Error)]
@@ -75,7 +75,7 @@
         let redb::Error::Io(error) = &**error else { return false };
         self.is_full()
             || matches!(error.kind(), Interrupted | OutOfMemory | ResourceBusy | TimedOut)
-            || error.raw_os_error().is_some_and(|code| PASSING_CODES.contains(&code))
+            || error.raw_os_error().is_some_and(|code| TRANSIENT_ERROR_CODES.contains(&code))
     }
 
     /// Whether the content of the file is not, or no longer, a valid store.
@@ -139,11 +139,11 @@
     /// The disk fails, the file is not a valid store, or another process has it open.
     pub fn at(directory: &Path) -> Result<(Self, Found), StoreError> {
         fs::create_dir_all(directory)?;
-        let path = directory.join(FILE);
+        let path = directory.join(FILE_NAME);
         if !path.try_exists()? {
-            make(&directory.join(NEW_FILE), &path)?;
+            create_empty(&directory.join(NEW_FILE_NAME), &path)?;
         }
-        let opened = Self::over(move || Builder::new().set_cache_size(CACHE).open(&path))?;
+        let opened = Self::over(move || Builder::new().set_cache_size(CACHE_BYTES).open(&path))?;
         // Syncing the directory makes the file's name survive a power failure.
         File::open(directory)?.sync_all()?;
         Ok(opened)
@@ -162,8 +162,8 @@
             Err(error) if error.is_damage() => error,
             Err(error) => return Err(error),
         };
-        log(format_args!("renaming the store to {DAMAGED_FILE} and creating an empty one: {error}"));
-        fs::rename(directory.join(FILE), directory.join(DAMAGED_FILE))?;
+        log(format_args!("renaming the store to {DAMAGED_FILE_NAME} and creating an empty one: {error}"));
+        fs::rename(directory.join(FILE_NAME), directory.join(DAMAGED_FILE_NAME))?;
         Self::at(directory)
     }
 
@@ -209,12 +209,12 @@
 
     /// Commits a transaction; see [`Store::write`].
     fn commit(&mut self, records: &[Record], delete: &[u64], index: Option<u64>) -> Result<(), StoreError> {
-        caught(|| self.try_commit(records, delete, index))
+        catch_panic(|| self.try_commit(records, delete, index))
     }
 
     /// Reads all records from disk.
     fn read(&mut self) -> Result<Found, StoreError> {
-        caught(|| self.try_read())
+        catch_panic(|| self.try_read())
     }
 
     fn try_commit(
@@ -226,8 +226,8 @@
         let transaction = self.database()?.begin_write()?;
         {
             let mut table = transaction.open_table(RECORDS)?;
-            for &gone in delete {
-                table.remove(gone)?;
+            for &deleted in delete {
+                table.remove(deleted)?;
             }
             for record in records {
                 let text = serde_json::to_vec(record)
@@ -246,10 +246,10 @@
 
     fn try_read(&mut self) -> Result<Found, StoreError> {
         let transaction = self.database()?.begin_read()?;
-        let missing = |error: &redb::TableError| matches!(error, redb::TableError::TableDoesNotExist(_));
+        let is_missing = |error: &redb::TableError| matches!(error, redb::TableError::TableDoesNotExist(_));
         let mut found = Found::default();
         match transaction.open_table(RECORDS) {
-            Err(error) if missing(&error) => {}
+            Err(error) if is_missing(&error) => {}
             table => {
                 for entry in table?.iter()? {
                     let (index, text) = entry?;
@@ -261,7 +261,7 @@
             }
         }
         match transaction.open_table(FIGURES) {
-            Err(error) if missing(&error) => {}
+            Err(error) if is_missing(&error) => {}
             table => found.index = table?.get("index")?.map_or(0, |index| index.value()),
         }
         self.indexes = found.records.iter().map(|record| record.index).collect();
@@ -280,7 +280,7 @@
 
 /// Creates an empty store under the name `new` and renames it to `path` once it is synced. A file `new` that was left
 /// by a process killed while it created the store is overwritten.
-fn make(new: &Path, path: &Path) -> Result<(), StoreError> {
+fn create_empty(new: &Path, path: &Path) -> Result<(), StoreError> {
     let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(new)?;
     // The backend locks the file until it has been renamed, so that only one of two processes creates the store.
     let backend = FileBackend::new(file)?;
@@ -296,13 +296,13 @@
 
 /// Converts a panic into an error. redb checks some of the data it reads with assertions, and a damaged file must not
 /// end a process that has other work to do.
-fn caught<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+fn catch_panic<T>(work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     catch_unwind(AssertUnwindSafe(work))
-        .unwrap_or_else(|panic| Err(StoreError::Damaged(text_of(&*panic).to_owned())))
+        .unwrap_or_else(|panic| Err(StoreError::Damaged(panic_message(&*panic).to_owned())))
 }
 
 /// Returns the message of a panic.
-fn text_of(panic: &(dyn Any + Send)) -> &str {
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a message")
 }
