--- a/crates/config-distribution/src/command/failure.rs
+++ b/crates/config-distribution/src/command/failure.rs
@@ -47,8 +47,8 @@
     /// The request for documents or for the report was refused.
     #[error("{to} refused the request: {rejection}")]
     ReadRejected { to: SocketAddr, rejection: Rejection },
-    /// There was no answer to the request for documents or for the report.
-    #[error("no answer from {to}: {source}")]
+    /// The request for documents or for the report had no usable answer.
+    #[error("the request to {to} failed: {source}")]
     ReadUnanswered { to: SocketAddr, source: CallError },
     /// No attempt at the change had a conclusive answer, so it is unknown whether the change was accepted.
     #[error("no conclusive answer from {to}: {last}; repeat the change with --request {id}")]
