--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -35,7 +35,7 @@
     reader_level.is_none_or(|reader| own_level < reader)
 }
 
-/// What to do next where no watch is up.
+/// What a child does next while it has no open watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// Follow the parent with this number. The host calls [`Parents::ended`] when the watch ends.
@@ -57,13 +57,16 @@
 #[derive(Debug, Clone)]
 pub struct Parents {
     rng: Rand64,
+    /// Numbers of the parents in the random order in which they are tried.
     order: Vec<usize>,
     /// Position in `order` of the parent that is followed now, or next.
     current: usize,
     /// For each position in `order`, whether that parent was found stale or unreachable. Cleared when a parent is up to
     /// date, and when every parent is marked and the grace time of a stale one has passed.
     failed_or_stale: Vec<bool>,
+    /// Time before which no parent is called.
     not_before: Duration,
+    /// Upper bound of the random wait after the next watch ends, unless that watch is established.
     wait: Duration,
     /// The watch that is open, or the call that is to open it.
     watch: Option<Watch>,
