--- a/crates/config-distribution/src/command/publisher.rs
+++ b/crates/config-distribution/src/command/publisher.rs
@@ -15,7 +15,7 @@
 use super::failure::{Failure, Rejection, Unanswered};
 use super::{ChangeOptions, RequestId};
 use crate::document::Scope;
-use crate::host::call::{Call, call_to};
+use crate::host::call::{Call, connect_and_call};
 
 /// Maximum size in bytes of a document that is read. The origin's limit is lower, and its refusal states that limit.
 pub(super) const MAX_DOCUMENT_BYTES: u64 = 4 << 20;
@@ -67,7 +67,7 @@
     let request = Call { method, host: to.to_string(), path: &path, headers: &headers, body };
     let mut attempt = 1;
     loop {
-        let last = match call_to(to, ANSWER_TIMEOUT, request.clone()).await {
+        let last = match connect_and_call(to, ANSWER_TIMEOUT, request.clone()).await {
             Ok((StatusCode::OK, text)) => {
                 let answer: Value = serde_json::from_slice(&text).unwrap_or_default();
                 println!("{}", answer["index"]);
@@ -108,7 +108,7 @@
 /// Sends a GET request and prints the body of the response.
 async fn print(to: SocketAddr, path: &str) -> Result<(), Failure> {
     let request = Call { method: Method::GET, host: to.to_string(), path, headers: &[], body: Bytes::new() };
-    match call_to(to, ANSWER_TIMEOUT, request).await {
+    match connect_and_call(to, ANSWER_TIMEOUT, request).await {
         Ok((StatusCode::OK, text)) => {
             // A closed standard output, as with `| head`, is not an error.
             let _ = io::stdout().write_all(&text);
--- a/crates/config-distribution/src/core/document.rs
+++ b/crates/config-distribution/src/core/document.rs
@@ -129,7 +129,7 @@
 
     /// Whether the digest matches the document's scope, version and body.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn has_valid_digest(&self) -> bool {
         self.digest == Digest::of(&self.scope, self.version, &self.body)
     }
 
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -75,7 +75,7 @@
     /// or [`Origin::not_written`].
     Write(Record),
     /// The publication is a repeat of a request that was already accepted at this index.
-    Known(u64),
+    AlreadyAccepted(u64),
 }
 
 /// Reason for refusing a publication. A refused publication changes nothing.
@@ -92,7 +92,7 @@
     },
     /// The request id was already used for a different change.
     #[error("the request id was already used for a different change; use a new one")]
-    Reused,
+    RequestIdReused,
     /// The body is larger than [`Bounds::max_body_bytes`].
     #[error("the document has {bytes} bytes; at most {most} are allowed")]
     TooLarge {
@@ -137,7 +137,7 @@
     },
     /// Two records have the same index.
     #[error("there are two records with index {index}")]
-    Twice {
+    Duplicate {
         /// Index of both records.
         index: u64,
     },
@@ -194,11 +194,11 @@
             if *index > MAX_INDEX {
                 return Err(RestoreError::TooHigh { index: *index });
             }
-            if *index == 0 || document.version != *index || !document.is_whole() {
+            if *index == 0 || document.version != *index || !document.has_valid_digest() {
                 return Err(RestoreError::Damaged { index: *index });
             }
             if !indexes.insert(*index) {
-                return Err(RestoreError::Twice { index: *index });
+                return Err(RestoreError::Duplicate { index: *index });
             }
             origin.remember_request(&record);
             if documents.get(&document.scope).is_none_or(|newest| newest.version < *index) {
@@ -266,7 +266,11 @@
         let body: Arc<str> = body.map_or_else(|| "null".into(), |body| on_one_line(&body));
         if let Some(known) = self.by_request.get(&request) {
             let same = known.content == Digest::of(&scope, 0, &body);
-            return if same { Ok(Accepted::Known(known.index)) } else { Err(PublishError::Reused) };
+            return if same {
+                Ok(Accepted::AlreadyAccepted(known.index))
+            } else {
+                Err(PublishError::RequestIdReused)
+            };
         }
         if !self.pending.is_empty() {
             return Err(PublishError::Busy);
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -9,23 +9,23 @@
 use oorandom::Rand64;
 
 /// How long the first complete line of a watch may take, measured from the start of the call.
-pub const FIRST_LINE: Duration = Duration::from_secs(2);
+pub const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long each further line of a watch may take; a parent sends a heartbeat every [`HEARTBEAT_EVERY`].
 pub const PARENT_SILENCE_TIMEOUT: Duration = Duration::from_millis(3200);
 /// How often a parent sends a heartbeat, which is an empty line, while it has nothing else to send.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_secs(2);
 /// Upper bound of the random wait before the next parent is called, after a watch that was established. Each call that
-/// fails doubles the bound, up to [`MAX_WAIT`].
-pub const WAIT_FIRST: Duration = Duration::from_millis(250);
+/// fails doubles the bound, up to [`MAX_BACKOFF`].
+pub const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// Largest upper bound of the random wait before the next parent is called.
-pub const MAX_WAIT: Duration = Duration::from_secs(1);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// A watch that has received lines for this long counts as established, so that its end does not increase the backoff.
 pub const ESTABLISHED_AFTER: Duration = Duration::from_secs(2);
 /// A child leaves a parent that is staler than a limit drawn at random between this and twice this.
-pub const STALE: Duration = Duration::from_secs(2);
+pub const MIN_STALE_LIMIT: Duration = Duration::from_secs(2);
 /// If no other parent is known to be better, a child still follows a stale parent for a time drawn at random between
 /// this and twice this.
-pub const STALE_GRACE: Duration = Duration::from_secs(2);
+pub const MIN_STALE_GRACE: Duration = Duration::from_secs(2);
 
 /// Whether a process may serve a reader at the given level. The origin has level 0 and a relay may only read from a
 /// process with a lower level than its own, so that relays cannot form a loop. A reader that is not a relay has no
@@ -104,7 +104,7 @@
             current: 0,
             failed_or_stale: vec![false; count],
             not_before: Duration::ZERO,
-            wait: WAIT_FIRST,
+            wait: INITIAL_BACKOFF,
             watch: None,
             fresh_at: None,
         }
@@ -114,11 +114,11 @@
     /// the result is always a wait.
     pub fn next(&mut self, now: Duration) -> Step {
         self.fresh_at.get_or_insert(now);
-        let Some(&parent) = self.order.get(self.current) else { return Step::Wait(MAX_WAIT) };
+        let Some(&parent) = self.order.get(self.current) else { return Step::Wait(MAX_BACKOFF) };
         if now < self.not_before {
             return Step::Wait(self.not_before.saturating_sub(now));
         }
-        let max_stale = STALE + self.random_up_to(STALE);
+        let max_stale = MIN_STALE_LIMIT + self.random_up_to(MIN_STALE_LIMIT);
         self.watch = Some(Watch { began_at: now, is_established: false, max_stale, grace_until: None });
         Step::Follow(parent)
     }
@@ -130,7 +130,7 @@
         self.fresh_at = self.fresh_at.max(Some(now.saturating_sub(stale)));
         let others_failed_or_stale =
             (0..self.failed_or_stale.len()).all(|place| place == self.current || self.failed_or_stale[place]);
-        let grace = STALE_GRACE + self.random_up_to(STALE_GRACE);
+        let grace = MIN_STALE_GRACE + self.random_up_to(MIN_STALE_GRACE);
         let Some(watch) = &mut self.watch else { return Verdict::Stay };
         watch.is_established |= now >= watch.began_at + ESTABLISHED_AFTER;
         if stale_s == 0 {
@@ -157,12 +157,12 @@
     pub fn ended(&mut self, now: Duration) {
         let Some(watch) = self.watch.take() else { return };
         if watch.is_established {
-            self.wait = WAIT_FIRST;
+            self.wait = INITIAL_BACKOFF;
         } else {
             self.failed_or_stale[self.current] = true;
         }
         self.not_before = now + self.random_up_to(self.wait);
-        self.wait = (2 * self.wait).min(MAX_WAIT);
+        self.wait = (2 * self.wait).min(MAX_BACKOFF);
         self.current = (self.current + 1) % self.order.len();
     }
 
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -19,7 +19,7 @@
 pub enum Refusal {
     /// The index of the update is below the index of the state.
     #[error("index {index} of the update is below the current index {have}; an index never goes back")]
-    Older {
+    IndexWentBack {
         /// Index of the update.
         index: u64,
         /// Current index of the state.
@@ -29,7 +29,7 @@
     #[error(
         "the update builds on index {after}, but the current index is {have}; changes in between are missing"
     )]
-    Gap {
+    MissingChanges {
         /// The index that the update builds on.
         after: u64,
         /// Current index of the state.
@@ -56,7 +56,7 @@
     },
     /// The version of a document is above the index of its update.
     #[error("{scope}: version {version} is above the index {index} of the update")]
-    Beyond {
+    VersionAboveIndex {
         /// Scope of the document.
         scope: Scope,
         /// Version of the document.
@@ -66,7 +66,7 @@
     },
     /// The update has a document of a scope that the reader did not request.
     #[error("{scope}: the update has this scope, which was not requested")]
-    Foreign {
+    NotRequested {
         /// Scope of the document.
         scope: Scope,
     },
@@ -132,10 +132,10 @@
         let have = self.index;
         let Update { index, snapshot, after, documents, .. } = update;
         if index < have {
-            return Err(Refusal::Older { index, have });
+            return Err(Refusal::IndexWentBack { index, have });
         }
         if !snapshot && after > have {
-            return Err(Refusal::Gap { after, have });
+            return Err(Refusal::MissingChanges { after, have });
         }
         let accepted = self.check_all(documents, index, wanted)?;
         let mut changed = if snapshot { self.check_absent(index, &accepted)? } else { Vec::new() };
@@ -177,13 +177,13 @@
     fn check(&self, document: &Document, index: u64, wanted: &Wanted) -> Result<(), Refusal> {
         let (scope, version) = (document.scope.clone(), document.version);
         if !wanted.has(&scope) {
-            return Err(Refusal::Foreign { scope });
+            return Err(Refusal::NotRequested { scope });
         }
-        if !document.is_whole() {
+        if !document.has_valid_digest() {
             return Err(Refusal::Damaged { scope, version });
         }
         if version > index {
-            return Err(Refusal::Beyond { scope, version, index });
+            return Err(Refusal::VersionAboveIndex { scope, version, index });
         }
         // All versions up to the current index are known, but a withdrawn document may have been forgotten since.
         let is_acceptable = match self.documents.get(&scope) {
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -36,7 +36,7 @@
     ResponseTooLarge,
 }
 
-/// HTTP request to send with [`call`] or [`call_to`].
+/// HTTP request to send with [`call`] or [`connect_and_call`].
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
     /// HTTP method of the request.
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 /// The whole response did not arrive within `time_limit`, the connection failed, or the response body is too large.
-pub async fn call_to(
+pub async fn connect_and_call(
     address: SocketAddr,
     time_limit: Duration,
     request: Call<'_>,
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -24,7 +24,7 @@
 use super::server::LEVEL_HEADER;
 use super::watch::{WatchError, WatchRequest, follow_checked};
 use crate::document::{Scope, Update};
-use crate::parents::{FIRST_LINE, PARENT_SILENCE_TIMEOUT, Parents, Step, Verdict, may_serve};
+use crate::parents::{FIRST_LINE_TIMEOUT, PARENT_SILENCE_TIMEOUT, Parents, Step, Verdict, may_serve};
 use crate::report::{InForce, REPORT_EVERY};
 use crate::state::{Refusal, State, Wanted};
 
@@ -135,8 +135,8 @@
         C: Future<Output = io::Result<I>>,
         I: AsyncRead + AsyncWrite + Unpin,
     {
-        let first_by = Instant::now() + FIRST_LINE;
-        let stream = match timeout_at(first_by, connect(address)).await {
+        let first_line_deadline = Instant::now() + FIRST_LINE_TIMEOUT;
+        let stream = match timeout_at(first_line_deadline, connect(address)).await {
             Err(_) => return "timed out connecting".to_owned(),
             Ok(Err(error)) => return format!("cannot connect: {error}"),
             Ok(Ok(stream)) => stream,
@@ -145,8 +145,8 @@
         let request = WatchRequest {
             host: address.to_string(),
             path: format!("/configuration?follow=1&since={since}&scopes={scopes}&name={name}"),
-            first_by,
-            silence: PARENT_SILENCE_TIMEOUT,
+            first_line_deadline,
+            silence_timeout: PARENT_SILENCE_TIMEOUT,
             max_line_bytes: self.max_line_bytes,
         };
         let Err(error) = self.watch(stream, request, address, accept).await;
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -142,7 +142,9 @@
     fn status(&self) -> StatusCode {
         match self {
             Self::NotUtf8 | Self::Rejected(PublishError::Faults(_)) => StatusCode::BAD_REQUEST,
-            Self::Rejected(PublishError::Conflict { .. } | PublishError::Reused) => StatusCode::CONFLICT,
+            Self::Rejected(PublishError::Conflict { .. } | PublishError::RequestIdReused) => {
+                StatusCode::CONFLICT
+            }
             Self::Rejected(
                 PublishError::TooLarge { .. } | PublishError::TooMany { .. } | PublishError::Full { .. },
             ) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -256,7 +258,7 @@
         }
         let accepted = self.origin.borrow_mut().publish(publication, &self.check)?;
         match accepted {
-            Accepted::Known(index) => Ok(index),
+            Accepted::AlreadyAccepted(index) => Ok(index),
             Accepted::Write(record) => {
                 let index = record.index;
                 log(format_args!(
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -136,7 +136,7 @@
             source.restore(found)?;
             Ok(Some(store))
         }
-        Err(error) if error.may_pass() => {
+        Err(error) if error.is_transient() => {
             log(format_args!(
                 "cannot open the store, starting without a stored state and trying again later: {error}"
             ));
@@ -154,7 +154,7 @@
     /// The directory cannot be used, or the records in it are not those of a relay.
     pub fn new(options: RelayOptions) -> Result<Self, RelayError> {
         let Some(directory) = options.directory.clone() else { return Self::with(options, None) };
-        Self::over(options, move || Store::at_or_anew(&directory))
+        Self::over(options, move || Store::open_or_recreate(&directory))
     }
 
     /// Creates a relay with the store that `open` opens, instead of one in a directory. `open` is called again for as
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -48,9 +48,9 @@
     /// Path and query of the request.
     pub path: String,
     /// Deadline for the first whole line.
-    pub first_by: Instant,
+    pub first_line_deadline: Instant,
     /// Longest time from one whole line to the next.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// Maximum size of a line.
     pub max_line_bytes: usize,
 }
@@ -86,8 +86,8 @@
     I: AsyncRead + AsyncWrite + Unpin,
     E: std::error::Error,
 {
-    let WatchRequest { host, path, first_by, silence, max_line_bytes } = request;
-    let mut deadline = first_by;
+    let WatchRequest { host, path, first_line_deadline, silence_timeout, max_line_bytes } = request;
+    let mut deadline = first_line_deadline;
     let handshake = http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream));
     let (mut sender, connection) =
         timeout_at(deadline, handshake).await.map_err(|_| WatchError::Silent)??;
@@ -108,7 +108,7 @@
             lines.push(&data, |text| {
                 line(text).map_err(WatchError::Line)?;
                 // Only a whole line extends the deadline, not a part of one.
-                deadline = Instant::now() + silence;
+                deadline = Instant::now() + silence_timeout;
                 Ok(())
             })?;
         }
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -69,7 +69,7 @@
 
     /// Whether the error is transient, so that the same operation may succeed later.
     #[must_use]
-    pub fn may_pass(&self) -> bool {
+    pub fn is_transient(&self) -> bool {
         use io::ErrorKind::{Interrupted, OutOfMemory, ResourceBusy, TimedOut};
         let Self::Database(error) = self else { return false };
         let redb::Error::Io(error) = &**error else { return false };
@@ -127,8 +127,8 @@
 
 impl Found {
     /// Whether the digests of all documents match.
-    fn is_whole(&self) -> bool {
-        self.records.iter().all(|record| record.document.is_whole())
+    fn has_valid_digest(&self) -> bool {
+        self.records.iter().all(|record| record.document.has_valid_digest())
     }
 }
 
@@ -154,9 +154,9 @@
     ///
     /// # Errors
     /// As [`Store::at`], except that a damaged file is no error.
-    pub fn at_or_anew(directory: &Path) -> Result<(Self, Found), StoreError> {
+    pub fn open_or_recreate(directory: &Path) -> Result<(Self, Found), StoreError> {
         let error = match Self::at(directory) {
-            Ok((store, found)) if found.is_whole() => return Ok((store, found)),
+            Ok((store, found)) if found.has_valid_digest() => return Ok((store, found)),
             // Dropping the store closes the file before it is renamed.
             Ok(_) => StoreError::Damaged("a document does not match its digest".to_owned()),
             Err(error) if error.is_damage() => error,
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use config_distribution::document::{Scope, Update};
-use config_distribution::parents::{FIRST_LINE, PARENT_SILENCE_TIMEOUT, Step, Verdict, may_serve};
+use config_distribution::parents::{FIRST_LINE_TIMEOUT, PARENT_SILENCE_TIMEOUT, Step, Verdict, may_serve};
 use config_distribution::report::InForce;
 use config_distribution::state::Wanted;
 
@@ -25,7 +25,7 @@
                 self.count += 1;
                 let watch = self.count;
                 self.calls.push((self.now, node, parent));
-                let deadline = self.now + FIRST_LINE + self.nodes[node].slow;
+                let deadline = self.now + FIRST_LINE_TIMEOUT + self.nodes[node].slow;
                 self.nodes[node].watch = Some((watch, parent));
                 self.nodes[node].deadline = deadline;
                 self.push(node, deadline, Event::Deadline(watch));
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -5,7 +5,9 @@
 
 use std::time::Duration;
 
-use config_distribution::parents::{FIRST_LINE, MAX_WAIT, PARENT_SILENCE_TIMEOUT, STALE_GRACE};
+use config_distribution::parents::{
+    FIRST_LINE_TIMEOUT, MAX_BACKOFF, MIN_STALE_GRACE, PARENT_SILENCE_TIMEOUT,
+};
 use config_distribution::report::{REPORT_EVERY, SILENT_AFTER};
 use config_distribution::state::{Refusal, Wanted};
 use core_common::network::{Act, Network, ORIGIN, REGIONS, ZONES, balancer, region_relay, zone_relay};
@@ -146,7 +148,7 @@
         let most = region.iter().map(|node| network.calls_of(*node, cut)).max().expect("some");
         let mean = region.iter().map(|node| network.calls_of(*node, cut)).sum::<usize>() as f64
             / region.len() as f64;
-        assert!(most <= 300 / STALE_GRACE.as_secs() as usize * 2, "{most} calls in the cut");
+        assert!(most <= 300 / MIN_STALE_GRACE.as_secs() as usize * 2, "{most} calls in the cut");
         let at = network.run_until_converged(heal + ms(1000) + WITHIN).expect("in force");
         println!(
             "seed {seed}: in force {:?} after the return; {mean:.0} calls a balancer in the cut, {most} at most",
@@ -241,7 +243,7 @@
     assert_eq!(network.refusals, []);
     network.publish(ms(25_000), "fleet");
     assert!(network.run_until_converged(ms(26_000)).is_some(), "{:?}", network.lagging());
-    assert!(matches!(network.refusals[..], [(node, Refusal::Gap { .. })] if node == skips));
+    assert!(matches!(network.refusals[..], [(node, Refusal::MissingChanges { .. })] if node == skips));
 }
 
 #[test]
@@ -259,7 +261,7 @@
     network.publish(ms(21_060), "fleet");
     assert!(network.run_until_converged(ms(21_060) + WITHIN).is_some(), "{:?}", network.lagging());
     // Those that had the newest and came to a parent that stood before it were told so, and refused to go back.
-    assert!(network.refusals.iter().all(|(_, refusal)| matches!(refusal, Refusal::Older { .. })));
+    assert!(network.refusals.iter().all(|(_, refusal)| matches!(refusal, Refusal::IndexWentBack { .. })));
     assert!(!network.refusals.is_empty());
 }
 
@@ -378,7 +380,7 @@
     assert!((0..network.nodes.len()).all(|node| held(&network, node) == before[node]));
     for number in 0..BALANCERS {
         let calls = network.calls_of(balancer(number), ms(21_000));
-        assert!(calls <= 600 / STALE_GRACE.as_secs() as usize * 2, "{calls}");
+        assert!(calls <= 600 / MIN_STALE_GRACE.as_secs() as usize * 2, "{calls}");
     }
     network.act(ms(621_000), Act::Start { node: ORIGIN, disk: true });
     network.publish(ms(621_100), "fleet");
@@ -479,7 +481,9 @@
     // balancer has a silence, and a wait before each of its two others, of which the first says nothing.
     let delays = 6 * ms(80);
     assert!(
-        (PARENT_SILENCE_TIMEOUT + MAX_WAIT) + (PARENT_SILENCE_TIMEOUT + 2 * MAX_WAIT + FIRST_LINE) + delays
+        (PARENT_SILENCE_TIMEOUT + MAX_BACKOFF)
+            + (PARENT_SILENCE_TIMEOUT + 2 * MAX_BACKOFF + FIRST_LINE_TIMEOUT)
+            + delays
             < WITHIN
     );
     for churn in [false, true] {
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -72,7 +72,7 @@
     assert_eq!(origin.publish(publication("service/api", 2, "b"), sound), Err(PublishError::Busy));
     assert_eq!(origin.publish(first.clone(), sound), Err(PublishError::Busy), "not acknowledged yet");
     origin.written(1);
-    assert_eq!(origin.publish(first, sound), Ok(Accepted::Known(1)));
+    assert_eq!(origin.publish(first, sound), Ok(Accepted::AlreadyAccepted(1)));
     assert_eq!(write(&mut origin, publication("service/api", 2, "b")).index, 2);
 }
 
@@ -89,7 +89,7 @@
     assert_eq!(origin.state(), &before);
     // The id is free for another content, and the index is given again.
     assert_eq!(write(&mut origin, publication("service/api", 3, "b")).index, 2);
-    assert_eq!(origin.publish(second, sound), Err(PublishError::Reused));
+    assert_eq!(origin.publish(second, sound), Err(PublishError::RequestIdReused));
 }
 
 #[test]
@@ -102,12 +102,15 @@
     records.push(write(&mut origin, publication("service/api", 4, "d")));
     // Also after a restart, also where the condition no longer holds, and without being checked again.
     for mut origin in [restored(&records), origin] {
-        assert_eq!(origin.publish(condition.clone(), faulty), Ok(Accepted::Known(2)));
-        assert_eq!(origin.publish(withdrawal("fleet", "c"), sound), Ok(Accepted::Known(3)));
+        assert_eq!(origin.publish(condition.clone(), faulty), Ok(Accepted::AlreadyAccepted(2)));
+        assert_eq!(origin.publish(withdrawal("fleet", "c"), sound), Ok(Accepted::AlreadyAccepted(3)));
         assert_eq!(origin.state().index(), 4);
-        assert_eq!(origin.publish(publication("service/api", 5, "d"), sound), Err(PublishError::Reused));
-        assert_eq!(origin.publish(publication("fleet", 4, "d"), sound), Err(PublishError::Reused));
-        assert_eq!(origin.publish(withdrawal("fleet", "a"), sound), Err(PublishError::Reused));
+        assert_eq!(
+            origin.publish(publication("service/api", 5, "d"), sound),
+            Err(PublishError::RequestIdReused)
+        );
+        assert_eq!(origin.publish(publication("fleet", 4, "d"), sound), Err(PublishError::RequestIdReused));
+        assert_eq!(origin.publish(withdrawal("fleet", "a"), sound), Err(PublishError::RequestIdReused));
     }
 }
 
@@ -177,8 +180,8 @@
     write(&mut origin, withdrawal("service/b", "e"));
     write(&mut origin, sized("service/c", 15, "f"));
     // The two newest ids are remembered.
-    assert_eq!(origin.publish(sized("service/c", 15, "f"), sound), Ok(Accepted::Known(6)));
-    assert_eq!(origin.publish(withdrawal("service/b", "e"), sound), Ok(Accepted::Known(5)));
+    assert_eq!(origin.publish(sized("service/c", 15, "f"), sound), Ok(Accepted::AlreadyAccepted(6)));
+    assert_eq!(origin.publish(withdrawal("service/b", "e"), sound), Ok(Accepted::AlreadyAccepted(5)));
     assert_eq!(write(&mut origin, sized("fleet", 99, "d")).index, 7);
 }
 
@@ -196,7 +199,7 @@
     let kept: Record =
         serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a record");
     assert_eq!(kept, record);
-    assert!(kept.document.is_whole());
+    assert!(kept.document.has_valid_digest());
 }
 
 #[test]
@@ -208,7 +211,7 @@
     };
     let refused =
         |records: Vec<Record>| Origin::restore(Bounds::default(), records, 0).map(|_| ()).unwrap_err();
-    assert_eq!(refused(vec![record(1), record(2), record(1)]), RestoreError::Twice { index: 1 });
+    assert_eq!(refused(vec![record(1), record(2), record(1)]), RestoreError::Duplicate { index: 1 });
     let mut damaged = record(2);
     damaged.document.body = body(3);
     assert_eq!(refused(vec![record(1), damaged]), RestoreError::Damaged { index: 2 });
@@ -243,7 +246,7 @@
     let older = restored(&records);
     let mut refuses = child.clone();
     let told = older.state().since(child.index(), &Wanted::All).expect("told");
-    assert_eq!(refuses.apply(told, &Wanted::All), Err(Refusal::Older { index: 2, have: 5 }));
+    assert_eq!(refuses.apply(told, &Wanted::All), Err(Refusal::IndexWentBack { index: 2, have: 5 }));
     assert_eq!(refuses, child, "it keeps what it has");
 
     let mut lifted = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
@@ -269,7 +272,7 @@
         assert_eq!(child.get(&Scope::Fleet).map(|document| Arc::clone(&document.body)), Some(body(1)));
         assert_eq!(child.get(&scope("service/new")), None);
     }
-    assert_eq!(lifted.publish(publication("fleet", 1, "a"), sound), Ok(Accepted::Known(1)));
+    assert_eq!(lifted.publish(publication("fleet", 1, "a"), sound), Ok(Accepted::AlreadyAccepted(1)));
     assert!(write(&mut lifted, publication("fleet", 9, "z")).index > records.last().expect("some").index);
 }
 
@@ -407,7 +410,7 @@
     fn repeat(&mut self, back: usize) -> Result<(), TestCaseError> {
         let Some((publication, index)) = self.acknowledged.iter().rev().nth(back) else { return Ok(()) };
         let known = self.origin.publish(publication.clone(), sound);
-        prop_assert_eq!(known, Ok(Accepted::Known(*index)));
+        prop_assert_eq!(known, Ok(Accepted::AlreadyAccepted(*index)));
         Ok(())
     }
 
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use config_distribution::parents::{
-    HEARTBEAT_EVERY, MAX_WAIT, PARENT_SILENCE_TIMEOUT, Parents, STALE, STALE_GRACE, Step, Verdict,
-    WAIT_FIRST, may_serve,
+    HEARTBEAT_EVERY, INITIAL_BACKOFF, MAX_BACKOFF, MIN_STALE_GRACE, MIN_STALE_LIMIT, PARENT_SILENCE_TIMEOUT,
+    Parents, Step, Verdict, may_serve,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -72,10 +72,10 @@
         waits.push(now - end);
     }
     waits.sort();
-    assert!(*waits.last().expect("some") <= WAIT_FIRST);
+    assert!(*waits.last().expect("some") <= INITIAL_BACKOFF);
     // Evenly: a tenth in each tenth of the time.
     for tenth in 0..10 {
-        let (from, to) = (WAIT_FIRST * tenth / 10, WAIT_FIRST * (tenth + 1) / 10);
+        let (from, to) = (INITIAL_BACKOFF * tenth / 10, INITIAL_BACKOFF * (tenth + 1) / 10);
         let count = waits.iter().filter(|wait| (from..to).contains(wait)).count();
         assert!((60..140).contains(&count), "{count} of 1000 in tenth {tenth}");
     }
@@ -94,8 +94,8 @@
             *most = (*most).max(now - end);
         }
     }
-    let bounds = [1, 2, 4, 4, 4, 4, 4, 4].map(|times| WAIT_FIRST * times);
-    assert_eq!(*bounds.last().expect("some"), MAX_WAIT);
+    let bounds = [1, 2, 4, 4, 4, 4, 4, 4].map(|times| INITIAL_BACKOFF * times);
+    assert_eq!(*bounds.last().expect("some"), MAX_BACKOFF);
     for (most, bound) in most.iter().zip(bounds) {
         assert!(*most <= bound && *most > bound * 9 / 10, "{most:?} of {bound:?}");
     }
@@ -130,8 +130,11 @@
         assert_ne!(follow(&mut parents, &mut now), first);
         assert_eq!(parents.line(now, 0), Verdict::Stay);
     }
-    let longest = 2 * STALE.as_secs();
-    assert!(left.iter().all(|stale_s| (STALE.as_secs() + 1..=longest).contains(stale_s)), "{left:?}");
+    let longest = 2 * MIN_STALE_LIMIT.as_secs();
+    assert!(
+        left.iter().all(|stale_s| (MIN_STALE_LIMIT.as_secs() + 1..=longest).contains(stale_s)),
+        "{left:?}"
+    );
     assert!(left.contains(&3) && left.contains(&4));
 }
 
@@ -149,7 +152,7 @@
                 seen.insert(parent);
                 if seen.len() == count {
                     // A parent that came to be fresh is found within a hold and a round of calls.
-                    let most = 2 * STALE_GRACE + HEARTBEAT_EVERY + count as u32 * MAX_WAIT;
+                    let most = 2 * MIN_STALE_GRACE + HEARTBEAT_EVERY + count as u32 * MAX_BACKOFF;
                     assert!(now - since <= most, "{:?}", now - since);
                     seen = BTreeSet::from([parent]);
                     since = now;
@@ -159,7 +162,7 @@
                 }
                 parents.ended(now);
             }
-            let most = if count == 1 { 1 } else { 600 / STALE_GRACE.as_secs() as usize * count };
+            let most = if count == 1 { 1 } else { 600 / MIN_STALE_GRACE.as_secs() as usize * count };
             assert!(calls <= most, "{count} parents: {calls} calls");
         }
     }
@@ -241,7 +244,7 @@
                             seen.push(parent as u64);
                         }
                         Step::Wait(wait) => {
-                            assert!(wait <= MAX_WAIT && wait > Duration::ZERO);
+                            assert!(wait <= MAX_BACKOFF && wait > Duration::ZERO);
                             seen.push(wait.as_nanos() as u64);
                         }
                     },
--- a/crates/config-distribution/tests/core_state.rs
+++ b/crates/config-distribution/tests/core_state.rs
@@ -45,13 +45,19 @@
 
 #[test]
 fn an_index_that_goes_back_is_refused() {
-    assert_eq!(refused(change(0, 1, vec![])), Refusal::Older { index: 1, have: 2 });
-    assert_eq!(refused(snapshot(1, vec![document("fleet", 1)])), Refusal::Older { index: 1, have: 2 });
+    assert_eq!(refused(change(0, 1, vec![])), Refusal::IndexWentBack { index: 1, have: 2 });
+    assert_eq!(
+        refused(snapshot(1, vec![document("fleet", 1)])),
+        Refusal::IndexWentBack { index: 1, have: 2 }
+    );
 }
 
 #[test]
 fn a_change_that_skips_is_refused_and_the_whole_is_not() {
-    assert_eq!(refused(change(3, 4, vec![document("fleet", 4)])), Refusal::Gap { after: 3, have: 2 });
+    assert_eq!(
+        refused(change(3, 4, vec![document("fleet", 4)])),
+        Refusal::MissingChanges { after: 3, have: 2 }
+    );
     let mut state = at_two();
     let update = snapshot(9, vec![document("fleet", 4), document("service/api", 2)]);
     assert_eq!(state.apply(update, &balancers()), Ok(vec![Scope::Fleet]));
@@ -80,9 +86,9 @@
     let update = change(2, 4, vec![good.clone(), renamed]);
     assert_eq!(refused(update), Refusal::Damaged { scope: Scope::Fleet, version: 3 });
     let update = change(2, 4, vec![good.clone(), document("service/other", 4)]);
-    assert_eq!(refused(update), Refusal::Foreign { scope: scope("service/other") });
+    assert_eq!(refused(update), Refusal::NotRequested { scope: scope("service/other") });
     let update = change(2, 4, vec![good.clone(), document("fleet", 5)]);
-    assert_eq!(refused(update), Refusal::Beyond { scope: Scope::Fleet, version: 5, index: 4 });
+    assert_eq!(refused(update), Refusal::VersionAboveIndex { scope: Scope::Fleet, version: 5, index: 4 });
     let update = change(2, 4, vec![good.clone(), document("fleet", 4), document("fleet", 3)]);
     assert_eq!(refused(update), Refusal::Conflict { scope: Scope::Fleet, version: 3, have: 1 });
     let update = change(0, 4, vec![good, document("service/api", 1)]);
@@ -132,7 +138,7 @@
     assert_eq!(told, change(2, 2, vec![]));
     let mut reader = State::default();
     reader.apply(snapshot(7, vec![document("fleet", 7)]), &balancers()).expect("taken");
-    assert_eq!(reader.apply(told, &balancers()), Err(Refusal::Older { index: 2, have: 7 }));
+    assert_eq!(reader.apply(told, &balancers()), Err(Refusal::IndexWentBack { index: 2, have: 7 }));
 }
 
 #[test]
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -16,7 +16,7 @@
 
 use bytes::Bytes;
 use config_distribution::document::Scope;
-use config_distribution::host::call::{Call, CallError, call_to};
+use config_distribution::host::call::{Call, CallError, connect_and_call};
 use config_distribution::host::client::{self, Client};
 use config_distribution::parents::{Parents, Step};
 use config_distribution::report::InForce;
@@ -204,7 +204,7 @@
         headers: &headers,
         body: Bytes::from(body.unwrap_or_default().to_owned()),
     };
-    let (status, text) = call_to(to, Duration::from_secs(10), asked).await?;
+    let (status, text) = connect_and_call(to, Duration::from_secs(10), asked).await?;
     Ok((status, serde_json::from_slice(&text).unwrap_or(Value::Null)))
 }
 
@@ -233,7 +233,7 @@
 
 pub async fn get(to: SocketAddr, path: &str) -> Result<(StatusCode, Value), CallError> {
     let asked = Call { method: Method::GET, host: to.to_string(), path, headers: &[], body: Bytes::new() };
-    let (status, text) = call_to(to, Duration::from_secs(10), asked).await?;
+    let (status, text) = connect_and_call(to, Duration::from_secs(10), asked).await?;
     Ok((status, serde_json::from_slice(&text).unwrap_or(Value::Null)))
 }
 
@@ -325,7 +325,10 @@
             while !fits(&self.state) {
                 let next = self.states.recv().await.expect("the child goes on");
                 assert!(next.index() >= self.state.index(), "the index went back");
-                assert!(next.documents().all(|document| document.is_whole()), "a document is damaged");
+                assert!(
+                    next.documents().all(|document| document.has_valid_digest()),
+                    "a document is damaged"
+                );
                 self.state = next;
             }
         };
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -56,7 +56,7 @@
             let (mut store, found) = Shared::with(image).store();
             let kept = indexes(&found);
             assert_eq!(kept[..5], [1, 2, 3, 4, 5], "torn at {torn} of {}", writes.len());
-            assert!(found.records.iter().all(|record| record.document.is_whole()));
+            assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
             seen.insert(kept.len());
             // It takes further ones.
             assert!(matches!(store.write(&[record(7, &document(7))], &[], None), Outcome::Written));
@@ -339,6 +339,6 @@
         running.abort();
         let found = disk.rebooted().store().1;
         assert_eq!(indexes(&found).last(), Some(&last));
-        assert!(found.records.iter().all(|record| record.document.is_whole()));
+        assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
     });
 }
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -197,7 +197,7 @@
                 Write::Bytes(*at, bytes[..length].to_vec()).apply(&mut torn);
                 let (_, found) = Shared::with(torn).store();
                 // Index and document are of the same write.
-                assert!(found.records.iter().all(|record| record.document.is_whole()));
+                assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
                 assert_eq!(indexes(&found), [found.index], "torn at {length} of {}", bytes.len());
                 played += 1;
             }
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -57,16 +57,16 @@
     since: u64,
     line: impl FnMut(&[u8]) -> Result<(), LineError>,
 ) -> Result<Infallible, DiscoveryWatchError> {
-    let first_by = Instant::now() + first_line_timeout.0;
+    let first_line_deadline = Instant::now() + first_line_timeout.0;
     let permit = pool.reserved_permit();
-    let Ok(Ok(stream)) = timeout_at(first_by, connection::open(address, permit)).await else {
+    let Ok(Ok(stream)) = timeout_at(first_line_deadline, connection::open(address, permit)).await else {
         return Err(DiscoveryWatchError::Connect);
     };
     let request = WatchRequest {
         host: address.to_string(),
         path: format!("/catalog/members?follow=1&since={since}"),
-        first_by,
-        silence: SILENCE_TIMEOUT,
+        first_line_deadline,
+        silence_timeout: SILENCE_TIMEOUT,
         max_line_bytes: MAX_LINE_BYTES,
     };
     Ok(watch::follow(stream, request, line).await?)
