--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts that fail: what each error asks of the loop, and that it costs no other connection.
+//! Failed accepts: how each error is classified, and that a failure closes no other connection.
 
 mod common;
 
@@ -12,12 +12,14 @@
 use common::*;
 use tokio::net::TcpStream;
 
-/// A listener on which the accept of every third connection fails; the connection stays for the next one.
+/// A listener on which the accept of every third connection fails with `errno`. The connection is returned by the next
+/// accept.
 struct Failing {
     listener: tokio::net::TcpListener,
     errno: i32,
+    /// Number of connections that have been taken from the listener.
     accepted: Cell<usize>,
-    /// Where an accept failed.
+    /// The connection whose accept failed, until the next accept returns it.
     waiting: RefCell<Option<TcpStream>>,
 }
 
@@ -36,7 +38,7 @@
     }
 }
 
-/// A balancer behind such a listener.
+/// Starts a balancer on a listener of which every third accept fails with `errno`.
 fn start_failing(errno: i32, configuration: &str) -> Balancer {
     Balancer::start_on(parsed(configuration), move |listener| Failing {
         listener,
@@ -46,7 +48,7 @@
     })
 }
 
-/// Errors that say nothing about connections which are already up, one of each kind.
+/// Errors of an accept that do not affect connections which are already open, with examples of each class.
 const ERRORS: [i32; 7] = [
     libc::ECONNABORTED,
     libc::EINTR,
@@ -57,7 +59,7 @@
     libc::ENOMEM,
 ];
 
-/// Runs a test for each of these errors side by side, each with a balancer whose accepts fail so.
+/// Runs `test` for each of [`ERRORS`] in parallel, each time with a balancer whose accepts fail with that error.
 fn beside_each_error(test: impl Fn(i32, Balancer) + Sync) {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
@@ -71,7 +73,7 @@
     });
 }
 
-/// Guards the sorting of the errors that accept(2) of Linux documents.
+/// Guards the classification of the errors that accept(2) of Linux documents.
 #[test]
 fn each_error_of_accept_has_its_kind() {
     let kinds: [(AcceptFailure, &[i32]); 4] = [
@@ -100,14 +102,18 @@
     ];
     for (kind, errors) in kinds {
         for &errno in errors {
-            assert_eq!(AcceptFailure::of(&io::Error::from_raw_os_error(errno)), kind, "errno {errno}");
+            assert_eq!(
+                AcceptFailure::of(&io::Error::from_raw_os_error(errno)),
+                kind,
+                "class of errno {errno}"
+            );
         }
     }
     assert_eq!(AcceptFailure::of(&io::Error::other("no errno")), AcceptFailure::Unknown);
 }
 
-/// Guards the connections of clients that have nothing to do with a failed accept: all stay open, and the connection
-/// whose accept failed is served too.
+/// Guards the connections of other clients against a failed accept: all of them stay open, and the connection whose
+/// accept failed is served by a later accept.
 #[test]
 fn a_failed_accept_closes_no_other_connection() {
     beside_each_error(|errno, balancer| {
@@ -115,18 +121,25 @@
         for number in 0..60 {
             let mut client = balancer.client();
             let answer = client.try_ask("order", "one").map(|answer| answer.status());
-            assert_eq!(answer, Some(200), "errno {errno}: connection {number}");
+            assert_eq!(
+                answer,
+                Some(200),
+                "errno {errno}: status of the first request on connection {number}"
+            );
             clients.push(client);
         }
         let again = clients.iter_mut().map(|client| client.try_ask("order", "again"));
         let closed = again.filter(Option::is_none).count();
-        assert_eq!(closed, 0, "errno {errno}: connections closed");
+        assert_eq!(
+            closed, 0,
+            "errno {errno}: number of connections that were closed before their second request"
+        );
         drop(clients);
     });
 }
 
-/// Guards the same in a drain: a connection is kept until an answer on it says that it closes, and one whose accept
-/// failed is served up to the end.
+/// Guards the connections of other clients against a failed accept during a drain: a connection stays open until an
+/// answer on it announces the close, and a connection whose accept failed is served until the end of the drain.
 #[test]
 fn a_failed_accept_in_a_drain_closes_no_other_connection() {
     beside_each_error(|errno, mut balancer| {
@@ -137,13 +150,17 @@
         }
         balancer.stop();
         let began = Instant::now();
-        // The front goes on dealing for so long.
+        // The front continues to send requests for 400 ms after the drain has begun.
         while began.elapsed() < Duration::from_millis(400) {
             let mut new = balancer.client();
-            assert!(new.try_ask("order", "new").is_some(), "errno {errno}: a new connection");
+            assert!(
+                new.try_ask("order", "new").is_some(),
+                "errno {errno}: a new connection got no answer during the drain"
+            );
             for (client, closing) in clients.iter_mut().zip(&mut closing).filter(|(_, closing)| !**closing) {
                 let answer = client.try_ask("order", "still");
-                let answer = answer.unwrap_or_else(|| panic!("errno {errno}: closed in the drain"));
+                let answer =
+                    answer.unwrap_or_else(|| panic!("errno {errno}: closed unannounced in the drain"));
                 *closing = answer.header("connection") == Some("close");
             }
         }
@@ -151,10 +168,11 @@
     });
 }
 
-/// A turn to hold up the program: tells that it is held up, and hears when to go on.
+/// Channels for one pause of the program: the sender reports that the program is blocked, the receiver waits for the
+/// signal to resume.
 type Turn = (mpsc::Sender<()>, mpsc::Receiver<()>);
 
-/// A listener that holds up the whole program as it accepts a connection, once for each turn.
+/// A listener that blocks the whole program after it has accepted a connection, once for each pause that was sent.
 struct BlockingListener {
     listener: tokio::net::TcpListener,
     turns: mpsc::Receiver<Turn>,
@@ -171,17 +189,18 @@
     }
 }
 
-/// Connects, and holds up the balancer as it accepts the connection until the returned sender says to go on.
+/// Connects, and blocks the balancer as it accepts the connection until the returned sender gives the signal to resume.
 fn connect_while_blocked(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Client, mpsc::Sender<()>) {
     let ((blocked, is_blocked), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
-    hold.send((blocked, goes_on)).expect("the balancer serves");
+    hold.send((blocked, goes_on)).expect("the balancer is serving");
     let client = balancer.client();
-    is_blocked.recv().expect("the balancer is held up");
+    is_blocked.recv().expect("the balancer blocks in the accept");
     (client, go_on)
 }
 
-/// Guards requests that came while the program was held up: the connection that is to give way then is not closed over
-/// one. How many connections it takes is the budget's, so that each number is played up to the first that closes one.
+/// Guards requests that arrive while the program is blocked: the connection that would be evicted next is not closed if
+/// such a request is on it. The number of connections at which an eviction occurs depends on the socket budget, so the
+/// test tries each number up to the first at which a connection is closed.
 #[test]
 fn a_request_that_came_in_a_hold_up_is_answered_before_its_connection_gives_way() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -194,25 +213,31 @@
         let mut balancer =
             Balancer::start_on(parsed(&text), move |listener| BlockingListener { listener, turns });
         let mut clients: Vec<Client> = (0..count).map(|_| balancer.client()).collect();
-        // On a busy machine one of too many may be closed before it has asked.
+        // If there are too many connections, a busy machine may close one before its request is sent.
         let served = clients.iter_mut().all(|client| client.try_ask("order", "one").is_some());
-        // It has rested for longest, and is the first to give way.
+        // The first connection has been idle for longest and is the first to be evicted.
         let oldest = &mut clients[0];
-        oldest.0.set_nonblocking(true).expect("set");
+        oldest.0.set_nonblocking(true).expect("the socket option can be set");
         let closed = matches!(oldest.0.peek(&mut [0]), Ok(0));
-        oldest.0.set_nonblocking(false).expect("set");
+        oldest.0.set_nonblocking(false).expect("the socket option can be set");
         if closed || !served {
-            assert!(count > 20, "the budget is smaller than the test assumes");
+            assert!(
+                count > 20,
+                "expected more than 20 connections to fit into the socket budget, but {count} do not"
+            );
             break;
         }
-        // One that brings nothing, so that the newest may be the first to meet a budget that is short.
+        // This connection sends nothing, so that the next one may be the first that exceeds the budget.
         let (_silent, go_on) = connect_while_blocked(&balancer, &hold);
-        go_on.send(()).expect("the balancer is held up");
+        go_on.send(()).expect("the balancer is blocked");
         let (_newest, go_on) = connect_while_blocked(&balancer, &hold);
         oldest.raw(&order_with(b""));
-        go_on.send(()).expect("the balancer is held up");
-        assert!(oldest.answer().is_some(), "closed over a request, beside {count} connections");
-        // Its drain goes on beside the next number.
+        go_on.send(()).expect("the balancer is blocked");
+        assert!(
+            oldest.answer().is_some(),
+            "the connection was closed although a request was on it, with {count} connections"
+        );
+        // The balancer drains while the next number of connections is tried.
         balancer.stop();
         draining.push(balancer);
     }
--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -1,5 +1,5 @@
-//! Attempts that meet another event: the end of their window, a drain, a second answer, a reset. Each case brings the
-//! two together on purpose. `docs/CROSSINGS.md` lists what is promised for each.
+//! Races between an attempt and another event: the end of its deduplication window, a drain, a second answer, a reset.
+//! Each test makes the two events coincide. `docs/CROSSINGS.md` lists what is guaranteed in each case.
 
 mod common;
 
@@ -12,11 +12,11 @@
 use common::*;
 use socket2::SockRef;
 
-/// For how long a connection rests after an answer, before it carries the next request.
+/// How long a connection stays unused after an answer before it carries the next request.
 const REST: Duration = Duration::from_millis(10);
 
-/// Guards what must not run twice in effect: a repeat goes out within the window in which repeats are dropped, also
-/// when the connection that it waits for takes longer.
+/// Guards keyed requests against running twice: a retry is sent only within the window in which upstreams drop
+/// duplicates, even if it waits for a connection that takes longer to be established.
 #[test]
 fn a_repeat_does_not_begin_after_its_window() {
     let failing = Upstream::start(|_, _| Reply::Last(Vec::new()));
@@ -25,7 +25,8 @@
     let discovery = Discovery::start();
     let text =
         configuration(discovery.address, &known, 50.0, 1024).replace("\"windowS\":10.0", "\"windowS\":0.3");
-    // Which upstream is first is drawn: it must be the failing one, so that the other gets the repeat.
+    // The first upstream of a request is chosen at random. For at least one client it must be the failing one, so that
+    // the other one would get the retry.
     let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
     let mut clients: Vec<Client> = (0..4).map(|_| balancer.client()).collect();
     for client in &mut clients {
@@ -35,18 +36,23 @@
     let first = Instant::now();
     thread::sleep(Duration::from_millis(400));
     let came = late.open();
-    // Those that went to the late one at first may go there.
+    // Requests whose first attempt goes to the late upstream may be sent there.
     let direct = clients.len() - failing.requests().len();
     let mut got = 0;
     while let Ok(stream) = came.recv_timeout(SOON) {
-        stream.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
+        stream.set_read_timeout(Some(Duration::from_millis(200))).expect("the socket option can be set");
         let mut byte = [0];
         got += usize::from(matches!((&stream).read(&mut byte), Ok(1)));
     }
-    assert!(got <= direct, "{got} of {direct} after {:?}", first.elapsed());
+    assert!(
+        got <= direct,
+        "the late upstream got {got} requests, expected at most {direct}; {:?} after the first request",
+        first.elapsed()
+    );
 }
 
-/// Guards drains against a connection that is long in coming: what was chosen before the word is not sent after it.
+/// Guards drains against slow connects: a request whose upstream was chosen before the update that announces the drain
+/// is not sent to it after the update, and is served by another upstream.
 #[test]
 fn a_drain_learned_during_a_connect_holds() {
     for status in ["draining", "gone"] {
@@ -65,22 +71,29 @@
         wait_for("the drain is applied", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
-        // Its connections end while the balancer goes on.
-        assert!(nothing_came(all_that_came(&late.open())), "{status}");
-        assert_eq!(client.answer().expect("an answer").body, b"other", "{status}");
+        // The connections to the drained upstream end while the balancer is still running.
+        assert!(
+            nothing_came(all_that_came(&late.open())),
+            "{status}: a request was sent to the drained upstream"
+        );
+        assert_eq!(
+            client.answer().expect("the balancer answers").body,
+            b"other",
+            "{status}: body of the answer"
+        );
     }
 }
 
-/// Guards clients against another's answer: what an upstream sends beyond its answer is nobody's, also when it comes
-/// some milliseconds later, and the connection it came on carries nothing more.
+/// Guards clients against receiving another client's answer: bytes that an upstream sends after its answer are given to
+/// no client, even if they arrive some milliseconds later, and their connection carries no further request.
 #[test]
 fn a_second_answer_is_nobodys() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright";
     let wrong = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
     for late in [None, Some(Duration::from_millis(1)), Some(Duration::from_millis(6))] {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
-        // The longest time between the two answers, of those that were written.
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+        let address = listener.local_addr().expect("the listener is bound");
+        // Longest time between the two answers of a connection, among the second answers that were written.
         let longest = Arc::new(std::sync::Mutex::new(Duration::ZERO));
         let between = Arc::clone(&longest);
         thread::spawn(move || {
@@ -98,16 +111,16 @@
                             let first = Instant::now();
                             write(answer);
                             thread::sleep(late);
-                            // On a busy machine it may be later than is promised for.
+                            // On a busy machine the second answer may be later than the balancer guards against.
                             if first.elapsed() >= REST {
                                 return;
                             }
                             write(wrong);
-                            let mut longest = between.lock().expect("no panic");
+                            let mut longest = between.lock().expect("the lock is not poisoned");
                             *longest = first.elapsed().max(*longest);
                         }
                     }
-                    // Whatever comes now is not answered any more.
+                    // Keeps the connection open; a further request on it is not answered.
                     let _ = read_message(&mut stream);
                 });
             }
@@ -115,32 +128,41 @@
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", address, 0, "ready")], 30.0);
         let mut client = balancer.client();
         for _ in 0..20 {
-            // A machine without time for it may look like congestion, and a refusal is an answer of its own.
-            let answer = wait_for("an answer beside refusals", || {
+            // On a busy machine slow responses may be taken for congestion; a refused request is sent again.
+            let answer = wait_for("an answer other than a refusal", || {
                 Some(client.ask("order", "one")).filter(|answer| answer.status() != 503)
             });
             if answer.body == b"wrong" {
-                // Held up between its look at the clock and its write, the upstream was too late for the promise.
-                let longest = || *longest.lock().expect("no panic");
+                // The upstream's thread was suspended between its check of the clock and the write, so that the second
+                // answer was later than the balancer guards against.
+                let longest = || *longest.lock().expect("the lock is not poisoned");
                 wait_for("the upstream was too late", || (longest() >= REST).then_some(()));
                 break;
             }
-            assert_eq!((answer.status(), answer.body.as_slice()), (200, b"right".as_slice()), "{late:?}");
+            assert_eq!(
+                (answer.status(), answer.body.as_slice()),
+                (200, b"right".as_slice()),
+                "second answer after {late:?}"
+            );
         }
     }
 }
 
-/// Guards clients against half an answer: one without a length that is reset has not ended.
+/// Guards clients against a truncated answer: an answer without a length whose connection is reset is incomplete.
 #[test]
 fn a_reset_is_no_end_of_an_answer() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+    let address = listener.local_addr().expect("the listener is bound");
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             if read_message(&mut stream).is_some() {
-                stream.write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf").expect("the balancer reads");
+                stream
+                    .write_all(b"HTTP/1.1 200 OK\r\n\r\nhalf")
+                    .expect("the balancer keeps the connection open");
                 thread::sleep(Duration::from_millis(50));
-                SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set");
+                SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("the socket option can be set");
             }
         }
     });
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts: outcomes, connections, and the final answer that follows from them.
+//! Outcomes of attempts: what happens to their connections, and which final answer the client gets.
 
 mod common;
 
@@ -7,8 +7,8 @@
 
 use common::*;
 
-/// Guards what passes through: path, body and ids unchanged, and the same connection for the next request, once it has
-/// rested: until then a second answer could still come on it.
+/// Guards forwarding and connection reuse: path, body and ids are forwarded unchanged, and the next request uses the
+/// same connection after the reuse delay, within which a second answer could still arrive on it.
 #[test]
 fn an_answer_passes_through_and_the_connection_is_kept() {
     let upstream = Upstream::start(|number, _| ok(&format!("quote {number}")));
@@ -18,23 +18,29 @@
         let answer = client.ask("pay", "instalments");
         assert_eq!((answer.status(), answer.body), (200, format!("quote {number}").into_bytes()));
         let (answered, rested) = (Instant::now(), Duration::from_millis(40));
-        wait_for("the connection has rested", || (answered.elapsed() > rested).then_some(()));
+        wait_for("the reuse delay is over", || (answered.elapsed() > rested).then_some(()));
     }
     let requests = upstream.requests();
     assert_eq!(requests.len(), 3);
     for (connection, request) in requests {
-        assert_eq!(connection, 1, "a connection is used again");
+        assert_eq!(connection, 1, "number of the connection that carried the request");
         assert_eq!(request.line, "POST /pay?k=7f HTTP/1.1");
         assert_eq!(request.body, b"instalments");
         assert_eq!(request.header("x-request-id"), Some("r-1"));
         assert_eq!(request.header("idempotency-key"), Some("k-1"));
-        let deadline: f64 = request.header("x-deadline").and_then(|text| text.parse().ok()).expect("a time");
-        assert!(deadline > 0.0 && deadline <= 30.0, "{deadline}");
+        let deadline: f64 = request
+            .header("x-deadline")
+            .and_then(|text| text.parse().ok())
+            .expect("the deadline header is a number");
+        assert!(
+            deadline > 0.0 && deadline <= 30.0,
+            "expected a deadline between 0 and 30 s, got {deadline} s"
+        );
     }
 }
 
-/// Guards against an upstream's own 503 reaching the client: it may have run, and a refusal would say that it
-/// did not.
+/// Guards against forwarding an upstream's own 503 to the client: the request may have run, but the client would take a
+/// 503 as a refusal, which says that it did not run.
 #[test]
 fn a_503_without_the_mark_is_a_failure() {
     for line in
@@ -43,13 +49,17 @@
         let upstream = Upstream::start(move |_, _| status(line));
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
         let answer = balancer.client().ask("order", "one");
-        assert_eq!(answer.status(), 502, "{line}");
-        assert_eq!(upstream.requests().len(), 1, "an unsafe request that may have run went out again");
+        assert_eq!(answer.status(), 502, "status after an upstream's {line}");
+        assert_eq!(
+            upstream.requests().len(),
+            1,
+            "number of times that an unsafe request that may have run was sent"
+        );
     }
 }
 
-/// Guards what the mark allows: another attempt for an unsafe request, and a refusal when none is left, at
-/// once and with the advice to stay away.
+/// Guards the handling of a response marked as not run: an unsafe request is retried on another upstream, and when no
+/// attempt is left it is refused at once, with a `Retry-After` header.
 #[test]
 fn a_marked_503_is_sent_elsewhere_and_then_refused() {
     let full = || Upstream::start(|_, _| status("503 Full\r\nX-Not-Run: 1"));
@@ -62,7 +72,8 @@
     assert_eq!((first.requests().len(), second.requests().len()), (1, 1));
 }
 
-/// Guards the other proof that nothing ran: nobody listens there.
+/// Guards the handling of refused connections, which prove that the request did not run: it is sent to another upstream,
+/// and refused if there is none.
 #[test]
 fn a_refused_connection_is_sent_elsewhere_and_then_refused() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -75,8 +86,9 @@
     assert_eq!(alone.client().ask("order", "one").status(), 503);
 }
 
-/// Guards against a resend that nobody decided on, and against a refusal for what may have run: once the last
-/// byte is out, a break is a reset, whatever part of an answer came before it.
+/// Guards against a retry that the policy did not decide on, and against a refusal for a request that may have run: if
+/// the connection breaks after the last byte of the request was sent, the attempt ends as a reset, whatever part of an
+/// answer was received.
 #[test]
 fn a_break_after_the_last_byte_may_have_run() {
     for part in [
@@ -92,12 +104,13 @@
         let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
         let mut client = balancer.client();
         assert_eq!(client.ask("order", "one").status(), 200);
-        assert_eq!(client.ask("order", "two").status(), 502, "{part:?}");
-        assert_eq!(upstream.requests().len(), 2, "{part:?}: it was sent again");
+        assert_eq!(client.ask("order", "two").status(), 502, "status after the partial answer {part:?}");
+        assert_eq!(upstream.requests().len(), 2, "{part:?}: number of requests at the upstream");
     }
 }
 
-/// Guards the group of a keyed request: what may have run is repeated only where repeats are dropped.
+/// Guards the deduplication scope of a keyed request: a request that may have run is retried only within the cell in
+/// which duplicates are dropped.
 #[test]
 fn a_keyed_request_is_repeated_within_its_cell_only() {
     let failing = || Upstream::start(|_, _| Reply::Last(Vec::new()));
@@ -110,10 +123,13 @@
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
     assert_eq!(balancer.client().ask("pay", "one").status(), 502);
     let seen = [first.requests().len() + same.requests().len(), other.requests().len()];
-    assert!(seen == [2, 0] || seen == [0, 1], "{seen:?}");
+    assert!(
+        seen == [2, 0] || seen == [0, 1],
+        "requests at the first cell's upstreams and at the other cell's: {seen:?}"
+    );
 }
 
-/// Guards against a late answer on a connection used again: a time-out closes it.
+/// Guards against a late answer on a reused connection: an attempt that times out closes its connection.
 #[test]
 fn a_time_out_closes_its_connection() {
     let upstream = Upstream::start(|number, _| if number == 0 { Reply::Silence } else { ok("late") });
@@ -124,7 +140,7 @@
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards against a client's short patience being taken for the class's long one.
+/// Guards against applying the class's long deadline to a client that sent a shorter one.
 #[test]
 fn the_answer_does_not_outlast_the_clients_deadline() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -133,12 +149,12 @@
     client.raw(
         b"GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n\r\n",
     );
-    let status = client.answer().expect("an answer long before the class's deadline").status();
-    assert!(status == 502 || status == 503, "{status}");
+    let status = client.answer().expect("the balancer answers long before the class's deadline").status();
+    assert!(status == 502 || status == 503, "expected status 502 or 503, got {status}");
     upstream.wait_closed(1);
 }
 
-/// Guards against work for nobody: a client that leaves takes its attempt along.
+/// Guards upstreams against work whose result nobody needs: if a client disconnects, its attempt is cancelled.
 #[test]
 fn a_client_that_leaves_stops_its_attempt() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -146,12 +162,12 @@
     let mut client = balancer.client();
     client.send("order", "one");
     upstream.wait_requests(1);
-    client.0.shutdown(Shutdown::Both).expect("closed");
+    client.0.shutdown(Shutdown::Both).expect("the connection is open");
     upstream.wait_closed(1);
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Guards against writing to a connection that the upstream has closed: the next request finds a new one.
+/// Guards against writing to a connection that the upstream has closed: the next request uses a new connection.
 #[test]
 fn a_connection_that_the_upstream_closed_is_not_used_again() {
     let upstream = Upstream::start(|_, _| {
@@ -165,7 +181,7 @@
     }
 }
 
-/// Guards memory and the client against an answer past the limit of the protocol.
+/// Guards memory and the client against an answer that is larger than the protocol allows.
 #[test]
 fn an_oversized_answer_is_a_failure() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(65 * 1024)));
@@ -173,8 +189,8 @@
     assert_eq!(balancer.client().ask("order", "one").status(), 502);
 }
 
-/// Guards upstreams and limits against a client's bad request: it is answered as failed at once, sent nowhere
-/// else, and no sign of a bad upstream or of congestion.
+/// Guards upstreams and concurrency limits against a client's bad request: a request that an upstream rejects fails at
+/// once, is not sent to another upstream, and counts neither against the upstream nor as congestion.
 #[test]
 fn a_request_that_an_upstream_rejects_is_not_sent_again() {
     let (first, second) =
@@ -188,8 +204,9 @@
     }
 }
 
-/// Guards what must not run twice against connections that upstreams reset once idle: after one such reset it
-/// gets a new connection, while a request that may be repeated goes on finding out with the idle one.
+/// Guards requests that must not run twice against idle connections that the upstream resets: after one such reset these
+/// requests get new connections, while requests that may be repeated still use idle connections, which shows when the
+/// upstream has stopped resetting them.
 #[test]
 fn after_a_reset_only_repeatable_requests_use_connections_idle_for_long() {
     let upstream =
@@ -200,7 +217,7 @@
         assert_eq!(client.ask(class, "").status(), status);
         let answered = Instant::now();
         let idle = Duration::from_millis(100);
-        wait_for("the connection stands idle", || (answered.elapsed() > idle).then_some(()));
+        wait_for("the connection has been idle for 100 ms", || (answered.elapsed() > idle).then_some(()));
     };
     ask("read", 200);
     ask("read", 503);
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -1,5 +1,5 @@
-//! Clients that leave, or that send more than a request: what meets their request, their answer and the end of their
-//! connection. `docs/CROSSINGS.md` lists what is promised for each.
+//! Clients that disconnect, or that send more than one request: races with their request, with their answer and with
+//! the end of their connection. `docs/CROSSINGS.md` lists what is guaranteed in each case.
 
 mod common;
 
@@ -11,8 +11,9 @@
 
 use common::*;
 
-/// Guards upstreams against work for nobody: a client has gone with the end of its sending, also when it had sent more
-/// behind its request, which keeps a server that reads only what it needs from seeing the end.
+/// Guards upstreams against work whose result nobody needs: a client counts as disconnected when it ends its sending
+/// side, even if it has sent more bytes after its request. A server that reads only what it needs would not reach the
+/// end of the stream behind these bytes.
 #[test]
 fn a_client_that_sent_more_is_seen_to_leave() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -28,16 +29,22 @@
             upstream.wait_requests(asked);
             client.raw(extra);
             let left = Instant::now();
-            client.0.shutdown(how).expect("up");
+            client.0.shutdown(how).expect("the connection is open");
             upstream.wait_closed(asked);
-            assert!(left.elapsed() < SOON, "{} bytes, {how:?}: {:?}", extra.len(), left.elapsed());
+            assert!(
+                left.elapsed() < SOON,
+                "{} extra bytes, {how:?}: the attempt was cancelled only after {:?}",
+                extra.len(),
+                left.elapsed()
+            );
             assert_eq!(upstream.requests().len(), asked);
         }
     }
 }
 
-/// Guards the same while the first attempt waits for its connection: it does not begin once the client has gone, be it
-/// one or a burst of them, whether or not attempts may be called off there.
+/// Guards upstreams against work whose result nobody needs while first attempts wait for a connection: no attempt begins
+/// after its client has disconnected, for one client and for many at once, whether or not the settings allow attempts
+/// to be cancelled.
 #[test]
 fn nothing_begins_for_clients_that_left_during_a_connect() {
     let case = |clients: usize, cancel: bool| {
@@ -56,26 +63,27 @@
             .collect();
         late.wait_connecting(clients.len());
         drop(clients);
-        // From then on nothing may begin.
+        // Leaves the balancer time to notice the disconnects. From here on no attempt may begin.
         thread::sleep(Duration::from_millis(100));
-        // One connection stays for the next attempt; it is closed with the balancer at the latest.
+        // The pool keeps one connection for the next attempt and closes it when the balancer ends, if not before.
         let streams = all_that_came(&late.open());
-        assert!(!streams.is_empty(), "withdrawals allowed: {cancel}");
+        assert!(!streams.is_empty(), "cancel: {cancel}: expected a connection, got none");
         drop(balancer);
-        assert!(nothing_came(streams), "withdrawals allowed: {cancel}");
+        assert!(nothing_came(streams), "cancel: {cancel}: a request was sent for a disconnected client");
     };
     thread::scope(|scope| {
         for cancel in [true, false] {
             scope.spawn(move || case(1, cancel));
         }
-        // One after the other: a process may have no more than a thousand descriptors.
+        // These run one after the other, because a process may have no more than a thousand descriptors.
         for cancel in [true, false] {
             case(200, cancel);
         }
     });
 }
 
-/// Guards clients that do not leave: what they had sent behind their request is the next one, in order.
+/// Guards pipelined requests: bytes that a client has sent after a request are its next requests, and are answered in
+/// order.
 #[test]
 fn requests_sent_together_are_answered_in_order() {
     let upstream = Upstream::start(|number, _| ok(&format!("answer {number}")));
@@ -83,31 +91,34 @@
     let mut client = balancer.client();
     client.raw(&[order_with(b""), order_with(b""), order_with(b"")].concat());
     for number in 0..3 {
-        assert_eq!(client.answer().expect("an answer").body, format!("answer {number}").into_bytes());
+        assert_eq!(
+            client.answer().expect("the balancer answers").body,
+            format!("answer {number}").into_bytes()
+        );
     }
 }
 
-/// Guards the answer to a client that sends far more than a request behind it: it comes, and its connection ends
-/// in peace.
+/// Guards the answer to a client that sends much more data after its request: the client gets the answer, and its
+/// connection is closed without a reset.
 #[test]
 fn an_answer_reaches_a_client_that_goes_on_sending() {
     let (release, release_signal) = mpsc::channel::<()>();
     let release_signal = std::sync::Mutex::new(release_signal);
     let upstream = Upstream::start(move |_, _| {
-        let _ = release_signal.lock().expect("no panic").recv();
+        let _ = release_signal.lock().expect("the lock is not poisoned").recv();
         ok("served")
     });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
     client.raw(&order_with(&[b'x'; 200_000]));
     upstream.wait_requests(1);
-    release.send(()).expect("the upstream waits");
-    let answer = client.answer().expect("an answer");
+    release.send(()).expect("the upstream waits for the release");
+    let answer = client.answer().expect("the balancer answers");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert_eq!(client.0.read(&mut [0]).expect("closed in peace"), 0);
+    assert_eq!(client.0.read(&mut [0]).expect("the connection is closed without a reset"), 0);
 }
 
-/// Guards an error against the reset that closing over unread bytes would send after it.
+/// Guards error answers against the reset that the kernel sends if a connection is closed while it has unread bytes.
 #[test]
 fn an_error_is_not_followed_by_a_reset() {
     let (balancer, _discovery) = Balancer::with(&[], 30.0);
@@ -118,8 +129,15 @@
     for head in heads {
         let mut client = balancer.client();
         client.raw(&[head.as_bytes(), &[b'x'; 60_000]].concat());
-        assert!(client.answer().expect("an answer").status() >= 400, "{head}");
+        assert!(
+            client.answer().expect("the balancer answers").status() >= 400,
+            "expected an error status for {head}"
+        );
         let mut rest = Vec::new();
-        assert_eq!(client.0.read_to_end(&mut rest).expect("closed in peace"), 0, "{head}");
+        assert_eq!(
+            client.0.read_to_end(&mut rest).expect("the connection is closed without a reset"),
+            0,
+            "bytes after the answer to {head}"
+        );
     }
 }
