--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -14,24 +14,24 @@
 
 /// A listener on which the accept of every third connection fails with `errno`. The connection is returned by the next
 /// accept.
-struct Failing {
+struct FailingListener {
     listener: tokio::net::TcpListener,
     errno: i32,
     /// Number of connections that have been taken from the listener.
     accepted: Cell<usize>,
     /// The connection whose accept failed, until the next accept returns it.
-    waiting: RefCell<Option<TcpStream>>,
+    pending: RefCell<Option<TcpStream>>,
 }
 
-impl Accept for Failing {
+impl Accept for FailingListener {
     async fn accept(&self) -> io::Result<TcpStream> {
-        if let Some(stream) = self.waiting.take() {
+        if let Some(stream) = self.pending.take() {
             return Ok(stream);
         }
         let stream = self.listener.accept().await?.0;
         self.accepted.set(self.accepted.get() + 1);
         if self.accepted.get().is_multiple_of(3) {
-            self.waiting.replace(Some(stream));
+            self.pending.replace(Some(stream));
             return Err(io::Error::from_raw_os_error(self.errno));
         }
         Ok(stream)
@@ -39,12 +39,12 @@
 }
 
 /// Starts a balancer on a listener of which every third accept fails with `errno`.
-fn start_failing(errno: i32, configuration: &str) -> Balancer {
-    Balancer::start_on(parsed(configuration), move |listener| Failing {
+fn start_with_failing_accepts(errno: i32, configuration: &str) -> Balancer {
+    Balancer::start_on(parsed(configuration), move |listener| FailingListener {
         listener,
         errno,
         accepted: Cell::default(),
-        waiting: RefCell::default(),
+        pending: RefCell::default(),
     })
 }
 
@@ -60,7 +60,7 @@
 ];
 
 /// Runs `test` for each of [`ERRORS`] in parallel, each time with a balancer whose accepts fail with that error.
-fn beside_each_error(test: impl Fn(i32, Balancer) + Sync) {
+fn for_each_error(test: impl Fn(i32, Balancer) + Sync) {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -68,15 +68,15 @@
     thread::scope(|scope| {
         for errno in ERRORS {
             let (test, text) = (&test, &text);
-            scope.spawn(move || test(errno, start_failing(errno, text)));
+            scope.spawn(move || test(errno, start_with_failing_accepts(errno, text)));
         }
     });
 }
 
 /// Guards the classification of the errors that accept(2) of Linux documents.
 #[test]
-fn each_error_of_accept_has_its_kind() {
-    let kinds: [(AcceptFailure, &[i32]); 4] = [
+fn accept_errors_are_classified() {
+    let classes: [(AcceptFailure, &[i32]); 4] = [
         (
             AcceptFailure::Transient,
             &[
@@ -100,11 +100,11 @@
         (AcceptFailure::OutOfMemory, &[libc::ENOBUFS, libc::ENOMEM, libc::ENOSR]),
         (AcceptFailure::Unknown, &[libc::EBADF, libc::EFAULT, libc::EINVAL, libc::ENOTSOCK, 9999]),
     ];
-    for (kind, errors) in kinds {
+    for (class, errors) in classes {
         for &errno in errors {
             assert_eq!(
                 AcceptFailure::of(&io::Error::from_raw_os_error(errno)),
-                kind,
+                class,
                 "class of errno {errno}"
             );
         }
@@ -116,7 +116,7 @@
 /// accept failed is served by a later accept.
 #[test]
 fn a_failed_accept_closes_no_other_connection() {
-    beside_each_error(|errno, balancer| {
+    for_each_error(|errno, balancer| {
         let mut clients: Vec<Client> = Vec::new();
         for number in 0..60 {
             let mut client = balancer.client();
@@ -128,8 +128,8 @@
             );
             clients.push(client);
         }
-        let again = clients.iter_mut().map(|client| client.try_ask("order", "again"));
-        let closed = again.filter(Option::is_none).count();
+        let second_answers = clients.iter_mut().map(|client| client.try_ask("order", "again"));
+        let closed = second_answers.filter(Option::is_none).count();
         assert_eq!(
             closed, 0,
             "errno {errno}: number of connections that were closed before their second request"
@@ -142,16 +142,16 @@
 /// answer on it announces the close, and a connection whose accept failed is served until the end of the drain.
 #[test]
 fn a_failed_accept_in_a_drain_closes_no_other_connection() {
-    beside_each_error(|errno, mut balancer| {
+    for_each_error(|errno, mut balancer| {
         let mut clients: Vec<Client> = (0..12).map(|_| balancer.client()).collect();
         let mut closing = vec![false; clients.len()];
         for client in &mut clients {
             assert_eq!(client.ask("order", "one").status(), 200);
         }
         balancer.stop();
-        let began = Instant::now();
+        let drain_started_at = Instant::now();
         // The front continues to send requests for 400 ms after the drain has begun.
-        while began.elapsed() < Duration::from_millis(400) {
+        while drain_started_at.elapsed() < Duration::from_millis(400) {
             let mut new = balancer.client();
             assert!(
                 new.try_ask("order", "new").is_some(),
@@ -170,57 +170,60 @@
 
 /// Channels for one pause of the program: the sender reports that the program is blocked, the receiver waits for the
 /// signal to resume.
-type Turn = (mpsc::Sender<()>, mpsc::Receiver<()>);
+type Pause = (mpsc::Sender<()>, mpsc::Receiver<()>);
 
 /// A listener that blocks the whole program after it has accepted a connection, once for each pause that was sent.
 struct BlockingListener {
     listener: tokio::net::TcpListener,
-    turns: mpsc::Receiver<Turn>,
+    pauses: mpsc::Receiver<Pause>,
 }
 
 impl Accept for BlockingListener {
     async fn accept(&self) -> io::Result<TcpStream> {
         let stream = self.listener.accept().await?.0;
-        if let Ok((blocked, go_on)) = self.turns.try_recv() {
+        if let Ok((blocked, resume)) = self.pauses.try_recv() {
             let _ = blocked.send(());
-            let _ = go_on.recv();
+            let _ = resume.recv();
         }
         Ok(stream)
     }
 }
 
 /// Connects, and blocks the balancer as it accepts the connection until the returned sender gives the signal to resume.
-fn connect_while_blocked(balancer: &Balancer, hold: &mpsc::Sender<Turn>) -> (Client, mpsc::Sender<()>) {
-    let ((blocked, is_blocked), (go_on, goes_on)) = (mpsc::channel(), mpsc::channel());
-    hold.send((blocked, goes_on)).expect("the balancer is serving");
+fn connect_while_blocked(
+    balancer: &Balancer,
+    pause_sender: &mpsc::Sender<Pause>,
+) -> (Client, mpsc::Sender<()>) {
+    let ((blocked, is_blocked), (resume, resumed)) = (mpsc::channel(), mpsc::channel());
+    pause_sender.send((blocked, resumed)).expect("the balancer is serving");
     let client = balancer.client();
     is_blocked.recv().expect("the balancer blocks in the accept");
-    (client, go_on)
+    (client, resume)
 }
 
 /// Guards requests that arrive while the program is blocked: the connection that would be evicted next is not closed if
 /// such a request is on it. The number of connections at which an eviction occurs depends on the socket budget, so the
 /// test tries each number up to the first at which a connection is closed.
 #[test]
-fn a_request_that_came_in_a_hold_up_is_answered_before_its_connection_gives_way() {
+fn a_request_that_arrives_during_a_pause_is_answered_before_its_connection_is_evicted() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let text = configuration(discovery.address, &known, 30.0, 48);
     let mut draining = Vec::new();
     for count in 20.. {
-        let (hold, turns) = mpsc::channel();
+        let (pause_sender, pauses) = mpsc::channel();
         let mut balancer =
-            Balancer::start_on(parsed(&text), move |listener| BlockingListener { listener, turns });
+            Balancer::start_on(parsed(&text), move |listener| BlockingListener { listener, pauses });
         let mut clients: Vec<Client> = (0..count).map(|_| balancer.client()).collect();
         // If there are too many connections, a busy machine may close one before its request is sent.
-        let served = clients.iter_mut().all(|client| client.try_ask("order", "one").is_some());
+        let all_answered = clients.iter_mut().all(|client| client.try_ask("order", "one").is_some());
         // The first connection has been idle for longest and is the first to be evicted.
         let oldest = &mut clients[0];
         oldest.0.set_nonblocking(true).expect("the socket option can be set");
         let closed = matches!(oldest.0.peek(&mut [0]), Ok(0));
         oldest.0.set_nonblocking(false).expect("the socket option can be set");
-        if closed || !served {
+        if closed || !all_answered {
             assert!(
                 count > 20,
                 "expected more than 20 connections to fit into the socket budget, but {count} do not"
@@ -228,11 +231,11 @@
             break;
         }
         // This connection sends nothing, so that the next one may be the first that exceeds the budget.
-        let (_silent, go_on) = connect_while_blocked(&balancer, &hold);
-        go_on.send(()).expect("the balancer is blocked");
-        let (_newest, go_on) = connect_while_blocked(&balancer, &hold);
+        let (_silent, resume) = connect_while_blocked(&balancer, &pause_sender);
+        resume.send(()).expect("the balancer is blocked");
+        let (_newest, resume) = connect_while_blocked(&balancer, &pause_sender);
         oldest.raw(&order_with(b""));
-        go_on.send(()).expect("the balancer is blocked");
+        resume.send(()).expect("the balancer is blocked");
         assert!(
             oldest.answer().is_some(),
             "the connection was closed although a request was on it, with {count} connections"
--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -13,12 +13,12 @@
 use socket2::SockRef;
 
 /// How long a connection stays unused after an answer before it carries the next request.
-const REST: Duration = Duration::from_millis(10);
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// Guards keyed requests against running twice: a retry is sent only within the window in which upstreams drop
 /// duplicates, even if it waits for a connection that takes longer to be established.
 #[test]
-fn a_repeat_does_not_begin_after_its_window() {
+fn a_retry_does_not_begin_after_the_deduplication_window() {
     let failing = Upstream::start(|_, _| Reply::Last(Vec::new()));
     let late = LateUpstream::start();
     let known = [endpoint("s-1", failing.address, 4, "ready"), endpoint("s-2", late.address, 4, "ready")];
@@ -33,28 +33,28 @@
         client.send("pay", "instalments");
     }
     failing.wait_requests(1);
-    let first = Instant::now();
+    let started_at = Instant::now();
     thread::sleep(Duration::from_millis(400));
-    let came = late.open();
+    let connections = late.open();
     // Requests whose first attempt goes to the late upstream may be sent there.
-    let direct = clients.len() - failing.requests().len();
-    let mut got = 0;
-    while let Ok(stream) = came.recv_timeout(SOON) {
+    let max_expected = clients.len() - failing.requests().len();
+    let mut received = 0;
+    while let Ok(stream) = connections.recv_timeout(SOON) {
         stream.set_read_timeout(Some(Duration::from_millis(200))).expect("the socket option can be set");
         let mut byte = [0];
-        got += usize::from(matches!((&stream).read(&mut byte), Ok(1)));
+        received += usize::from(matches!((&stream).read(&mut byte), Ok(1)));
     }
     assert!(
-        got <= direct,
-        "the late upstream got {got} requests, expected at most {direct}; {:?} after the first request",
-        first.elapsed()
+        received <= max_expected,
+        "the late upstream got {received} requests, expected at most {max_expected}; {:?} after the first request",
+        started_at.elapsed()
     );
 }
 
 /// Guards drains against slow connects: a request whose upstream was chosen before the update that announces the drain
 /// is not sent to it after the update, and is served by another upstream.
 #[test]
-fn a_drain_learned_during_a_connect_holds() {
+fn a_drain_announced_during_a_connect_is_respected() {
     for status in ["draining", "gone"] {
         let late = LateUpstream::start();
         let other = Upstream::start(|_, _| ok("other"));
@@ -87,18 +87,18 @@
 /// Guards clients against receiving another client's answer: bytes that an upstream sends after its answer are given to
 /// no client, even if they arrive some milliseconds later, and their connection carries no further request.
 #[test]
-fn a_second_answer_is_nobodys() {
+fn a_second_answer_is_given_to_no_client() {
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nright";
-    let wrong = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
+    let second_answer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong";
     for late in [None, Some(Duration::from_millis(1)), Some(Duration::from_millis(6))] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
         let address = listener.local_addr().expect("the listener is bound");
         // Longest time between the two answers of a connection, among the second answers that were written.
-        let longest = Arc::new(std::sync::Mutex::new(Duration::ZERO));
-        let between = Arc::clone(&longest);
+        let max_gap = Arc::new(std::sync::Mutex::new(Duration::ZERO));
+        let shared_max_gap = Arc::clone(&max_gap);
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let between = Arc::clone(&between);
+                let shared_max_gap = Arc::clone(&shared_max_gap);
                 thread::spawn(move || {
                     if read_message(&mut stream).is_none() {
                         return;
@@ -106,18 +106,18 @@
                     let mut write =
                         |text: &str| stream.write_all(text.as_bytes()).expect("the balancer reads");
                     match late {
-                        None => write(&format!("{answer}{wrong}")),
+                        None => write(&format!("{answer}{second_answer}")),
                         Some(late) => {
-                            let first = Instant::now();
+                            let started_at = Instant::now();
                             write(answer);
                             thread::sleep(late);
                             // On a busy machine the second answer may be later than the balancer guards against.
-                            if first.elapsed() >= REST {
+                            if started_at.elapsed() >= REUSE_DELAY {
                                 return;
                             }
-                            write(wrong);
-                            let mut longest = between.lock().expect("the lock is not poisoned");
-                            *longest = first.elapsed().max(*longest);
+                            write(second_answer);
+                            let mut max_gap = shared_max_gap.lock().expect("the lock is not poisoned");
+                            *max_gap = started_at.elapsed().max(*max_gap);
                         }
                     }
                     // Keeps the connection open; a further request on it is not answered.
@@ -135,8 +135,8 @@
             if answer.body == b"wrong" {
                 // The upstream's thread was suspended between its check of the clock and the write, so that the second
                 // answer was later than the balancer guards against.
-                let longest = || *longest.lock().expect("the lock is not poisoned");
-                wait_for("the upstream was too late", || (longest() >= REST).then_some(()));
+                let max_gap = || *max_gap.lock().expect("the lock is not poisoned");
+                wait_for("the upstream was too late", || (max_gap() >= REUSE_DELAY).then_some(()));
                 break;
             }
             assert_eq!(
@@ -150,7 +150,7 @@
 
 /// Guards clients against a truncated answer: an answer without a length whose connection is reset is incomplete.
 #[test]
-fn a_reset_is_no_end_of_an_answer() {
+fn a_reset_does_not_complete_an_answer() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
     let address = listener.local_addr().expect("the listener is bound");
     thread::spawn(move || {
--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -10,15 +10,15 @@
 /// Guards forwarding and connection reuse: path, body and ids are forwarded unchanged, and the next request uses the
 /// same connection after the reuse delay, within which a second answer could still arrive on it.
 #[test]
-fn an_answer_passes_through_and_the_connection_is_kept() {
+fn an_answer_is_forwarded_and_the_connection_is_reused() {
     let upstream = Upstream::start(|number, _| ok(&format!("quote {number}")));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
     for number in 0..3 {
         let answer = client.ask("pay", "instalments");
         assert_eq!((answer.status(), answer.body), (200, format!("quote {number}").into_bytes()));
-        let (answered, rested) = (Instant::now(), Duration::from_millis(40));
-        wait_for("the reuse delay is over", || (answered.elapsed() > rested).then_some(()));
+        let (answered, past_reuse_delay) = (Instant::now(), Duration::from_millis(40));
+        wait_for("the reuse delay is over", || (answered.elapsed() > past_reuse_delay).then_some(()));
     }
     let requests = upstream.requests();
     assert_eq!(requests.len(), 3);
@@ -42,7 +42,7 @@
 /// Guards against forwarding an upstream's own 503 to the client: the request may have run, but the client would take a
 /// 503 as a refusal, which says that it did not run.
 #[test]
-fn a_503_without_the_mark_is_a_failure() {
+fn a_503_without_the_not_run_header_is_a_failure() {
     for line in
         ["503 Service Unavailable", "500 Oops\r\nX-Not-Run: 1", "503 Busy\r\nX-Not-Run: 0", "429 Slow"]
     {
@@ -61,9 +61,9 @@
 /// Guards the handling of a response marked as not run: an unsafe request is retried on another upstream, and when no
 /// attempt is left it is refused at once, with a `Retry-After` header.
 #[test]
-fn a_marked_503_is_sent_elsewhere_and_then_refused() {
-    let full = || Upstream::start(|_, _| status("503 Full\r\nX-Not-Run: 1"));
-    let (first, second) = (full(), full());
+fn a_503_with_the_not_run_header_is_retried_and_then_refused() {
+    let start_full = || Upstream::start(|_, _| status("503 Full\r\nX-Not-Run: 1"));
+    let (first, second) = (start_full(), start_full());
     let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
     let answer = balancer.client().ask("order", "one");
@@ -75,22 +75,23 @@
 /// Guards the handling of refused connections, which prove that the request did not run: it is sent to another upstream,
 /// and refused if there is none.
 #[test]
-fn a_refused_connection_is_sent_elsewhere_and_then_refused() {
+fn a_request_after_a_refused_connection_is_retried_and_then_refused() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let known = [endpoint("s-1", dead_address(), 0, "ready"), endpoint("s-2", upstream.address, 1, "ready")];
     let (balancer, _discovery) = Balancer::with(&known, 30.0);
     for _ in 0..4 {
         assert_eq!(balancer.client().ask("order", "one").status(), 200);
     }
-    let (alone, _discovery) = Balancer::with(&[endpoint("s-1", dead_address(), 0, "ready")], 30.0);
-    assert_eq!(alone.client().ask("order", "one").status(), 503);
+    let (without_alternative, _discovery) =
+        Balancer::with(&[endpoint("s-1", dead_address(), 0, "ready")], 30.0);
+    assert_eq!(without_alternative.client().ask("order", "one").status(), 503);
 }
 
 /// Guards against a retry that the policy did not decide on, and against a refusal for a request that may have run: if
 /// the connection breaks after the last byte of the request was sent, the attempt ends as a reset, whatever part of an
 /// answer was received.
 #[test]
-fn a_break_after_the_last_byte_may_have_run() {
+fn a_request_whose_connection_breaks_after_the_last_byte_is_not_retried() {
     for part in [
         "",
         "HTTP/1.1 200 OK\r\nContent-Le",
@@ -112,9 +113,9 @@
 /// Guards the deduplication scope of a keyed request: a request that may have run is retried only within the cell in
 /// which duplicates are dropped.
 #[test]
-fn a_keyed_request_is_repeated_within_its_cell_only() {
-    let failing = || Upstream::start(|_, _| Reply::Last(Vec::new()));
-    let (first, same, other) = (failing(), failing(), failing());
+fn a_keyed_request_is_retried_only_within_its_cell() {
+    let start_failing = || Upstream::start(|_, _| Reply::Last(Vec::new()));
+    let (first, same, other) = (start_failing(), start_failing(), start_failing());
     let known = [
         endpoint("s-1", first.address, 4, "ready"),
         endpoint("s-2", same.address, 4, "ready"),
@@ -131,7 +132,7 @@
 
 /// Guards against a late answer on a reused connection: an attempt that times out closes its connection.
 #[test]
-fn a_time_out_closes_its_connection() {
+fn a_timed_out_attempt_closes_its_connection() {
     let upstream = Upstream::start(|number, _| if number == 0 { Reply::Silence } else { ok("late") });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 0.3);
     let mut client = balancer.client();
@@ -142,7 +143,7 @@
 
 /// Guards against applying the class's long deadline to a client that sent a shorter one.
 #[test]
-fn the_answer_does_not_outlast_the_clients_deadline() {
+fn a_request_ends_by_the_clients_deadline() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 59.0);
     let mut client = balancer.client();
@@ -156,7 +157,7 @@
 
 /// Guards upstreams against work whose result nobody needs: if a client disconnects, its attempt is cancelled.
 #[test]
-fn a_client_that_leaves_stops_its_attempt() {
+fn a_client_that_disconnects_cancels_its_attempt() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
     let mut client = balancer.client();
@@ -169,7 +170,7 @@
 
 /// Guards against writing to a connection that the upstream has closed: the next request uses a new connection.
 #[test]
-fn a_connection_that_the_upstream_closed_is_not_used_again() {
+fn a_connection_that_the_upstream_closed_is_not_reused() {
     let upstream = Upstream::start(|_, _| {
         Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok".to_vec())
     });
@@ -183,7 +184,7 @@
 
 /// Guards memory and the client against an answer that is larger than the protocol allows.
 #[test]
-fn an_oversized_answer_is_a_failure() {
+fn an_oversized_answer_is_a_failed_attempt() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(65 * 1024)));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     assert_eq!(balancer.client().ask("order", "one").status(), 502);
@@ -192,7 +193,7 @@
 /// Guards upstreams and concurrency limits against a client's bad request: a request that an upstream rejects fails at
 /// once, is not sent to another upstream, and counts neither against the upstream nor as congestion.
 #[test]
-fn a_request_that_an_upstream_rejects_is_not_sent_again() {
+fn a_request_that_an_upstream_rejects_is_not_retried() {
     let (first, second) =
         (Upstream::start(|_, _| status("400 Bad Request")), Upstream::start(|_, _| status("404 Not Found")));
     let known = [endpoint("s-1", first.address, 0, "ready"), endpoint("s-2", second.address, 1, "ready")];
@@ -208,7 +209,7 @@
 /// requests get new connections, while requests that may be repeated still use idle connections, which shows when the
 /// upstream has stopped resetting them.
 #[test]
-fn after_a_reset_only_repeatable_requests_use_connections_idle_for_long() {
+fn after_an_idle_reset_only_repeatable_requests_use_long_idle_connections() {
     let upstream =
         Upstream::start(|number, _| if number == 1 { Reply::Last(Vec::new()) } else { ok("served") });
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -15,29 +15,29 @@
 /// side, even if it has sent more bytes after its request. A server that reads only what it needs would not reach the
 /// end of the stream behind these bytes.
 #[test]
-fn a_client_that_sent_more_is_seen_to_leave() {
+fn a_disconnect_is_detected_behind_unread_bytes() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 50.0);
-    let second = order_with(b"");
-    let much = vec![b'x'; 300_000];
-    let mut asked = 0;
-    for extra in [b"".as_slice(), b"\r\n", b"G", &second, &much] {
-        for how in [Shutdown::Write, Shutdown::Both] {
-            asked += 1;
+    let next_request = order_with(b"");
+    let long_extra = vec![b'x'; 300_000];
+    let mut request_count = 0;
+    for extra in [b"".as_slice(), b"\r\n", b"G", &next_request, &long_extra] {
+        for shutdown in [Shutdown::Write, Shutdown::Both] {
+            request_count += 1;
             let mut client = balancer.client();
             client.raw(&order_with(b""));
-            upstream.wait_requests(asked);
+            upstream.wait_requests(request_count);
             client.raw(extra);
-            let left = Instant::now();
-            client.0.shutdown(how).expect("the connection is open");
-            upstream.wait_closed(asked);
+            let disconnected_at = Instant::now();
+            client.0.shutdown(shutdown).expect("the connection is open");
+            upstream.wait_closed(request_count);
             assert!(
-                left.elapsed() < SOON,
-                "{} extra bytes, {how:?}: the attempt was cancelled only after {:?}",
+                disconnected_at.elapsed() < SOON,
+                "{} extra bytes, {shutdown:?}: the attempt was cancelled only after {:?}",
                 extra.len(),
-                left.elapsed()
+                disconnected_at.elapsed()
             );
-            assert_eq!(upstream.requests().len(), asked);
+            assert_eq!(upstream.requests().len(), request_count);
         }
     }
 }
@@ -46,7 +46,7 @@
 /// after its client has disconnected, for one client and for many at once, whether or not the settings allow attempts
 /// to be cancelled.
 #[test]
-fn nothing_begins_for_clients_that_left_during_a_connect() {
+fn no_attempt_begins_for_clients_that_disconnected_during_a_connect() {
     let case = |clients: usize, cancel: bool| {
         let late = LateUpstream::start();
         let discovery = Discovery::start();
@@ -85,7 +85,7 @@
 /// Guards pipelined requests: bytes that a client has sent after a request are its next requests, and are answered in
 /// order.
 #[test]
-fn requests_sent_together_are_answered_in_order() {
+fn pipelined_requests_are_answered_in_order() {
     let upstream = Upstream::start(|number, _| ok(&format!("answer {number}")));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
@@ -120,7 +120,7 @@
 
 /// Guards error answers against the reset that the kernel sends if a connection is closed while it has unread bytes.
 #[test]
-fn an_error_is_not_followed_by_a_reset() {
+fn an_error_answer_is_not_followed_by_a_reset() {
     let (balancer, _discovery) = Balancer::with(&[], 30.0);
     let heads = [
         "POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nContent-Length: 70000\r\n\r\n",
