--- a/crates/proxy/tests/attempts.rs
+++ b/crates/proxy/tests/attempts.rs
@@ -72,8 +72,8 @@
     assert_eq!((first.requests().len(), second.requests().len()), (1, 1));
 }
 
-/// Guards the handling of refused connections, which prove that the request did not run: it is sent to another upstream,
-/// and refused if there is none.
+/// Guards the handling of refused connections, which prove that the request did not run: it is sent to another
+/// upstream, and refused if there is none.
 #[test]
 fn a_request_after_a_refused_connection_is_retried_and_then_refused() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -205,9 +205,9 @@
     }
 }
 
-/// Guards requests that must not run twice against idle connections that the upstream resets: after one such reset these
-/// requests get new connections, while requests that may be repeated still use idle connections, which shows when the
-/// upstream has stopped resetting them.
+/// Guards requests that must not run twice against idle connections that the upstream resets: after one such reset
+/// these requests get new connections, while requests that may be repeated still use idle connections, which shows when
+/// the upstream has stopped resetting them.
 #[test]
 fn after_an_idle_reset_only_repeatable_requests_use_long_idle_connections() {
     let upstream =
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -22,18 +22,18 @@
     let long_extra = vec![b'x'; 300_000];
     let mut request_count = 0;
     for extra in [b"".as_slice(), b"\r\n", b"G", &next_request, &long_extra] {
-        for shutdown in [Shutdown::Write, Shutdown::Both] {
+        for shutdown_mode in [Shutdown::Write, Shutdown::Both] {
             request_count += 1;
             let mut client = balancer.client();
             client.raw(&order_with(b""));
             upstream.wait_requests(request_count);
             client.raw(extra);
             let disconnected_at = Instant::now();
-            client.0.shutdown(shutdown).expect("the connection is open");
+            client.0.shutdown(shutdown_mode).expect("the connection is open");
             upstream.wait_closed(request_count);
             assert!(
                 disconnected_at.elapsed() < SOON,
-                "{} extra bytes, {shutdown:?}: the attempt was cancelled only after {:?}",
+                "{} extra bytes, {shutdown_mode:?}: the attempt was cancelled only after {:?}",
                 extra.len(),
                 disconnected_at.elapsed()
             );
@@ -42,9 +42,9 @@
     }
 }
 
-/// Guards upstreams against work whose result nobody needs while first attempts wait for a connection: no attempt begins
-/// after its client has disconnected, for one client and for many at once, whether or not the settings allow attempts
-/// to be cancelled.
+/// Guards upstreams against work whose result nobody needs while first attempts wait for a connection: no attempt
+/// begins after its client has disconnected, for one client and for many at once, whether or not the settings allow
+/// attempts to be cancelled.
 #[test]
 fn no_attempt_begins_for_clients_that_disconnected_during_a_connect() {
     let case = |clients: usize, cancel: bool| {
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: what they may send, how many there may be, and how the program ends.
+//! Client requests that are accepted or rejected, limits on the number of client connections, graceful shutdown and
+//! reload of the program.
 
 mod common;
 
@@ -7,7 +8,8 @@
 
 use common::*;
 
-/// Guards the decisions against what they can't take, and the client against silence.
+/// Guards the policy against input that it cannot handle, and the client against getting no answer: a bad request is
+/// answered with an error status and not forwarded.
 #[test]
 fn a_bad_request_is_rejected_and_harms_nobody() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -35,14 +37,14 @@
         let mut client = balancer.client();
         client.raw(good.replacen(from, to, 1).as_bytes());
         let answer = client.answer().map(|answer| answer.status());
-        assert_eq!(answer, Some(status), "{from:?} as {to:?}");
+        assert_eq!(answer, Some(status), "status of a request with {from:?} replaced by {to:?}");
     }
     for (_, request) in upstream.requests() {
         assert_eq!(request.line, "GET /read HTTP/1.1");
     }
 }
 
-/// Guards the descriptor limit: idle clients give way to new ones, and nobody is left waiting.
+/// Guards the descriptor limit: idle client connections are evicted for new ones, and each new client is served.
 #[test]
 fn idle_clients_give_way_when_sockets_run_out() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -56,12 +58,12 @@
             client
         })
         .collect();
-    // The first have been closed in favour of the last.
+    // The oldest connections have been closed to make room for the newest.
     assert!(clients.remove(0).answer().is_none());
     assert_eq!(upstream.requests().len(), 100);
 }
 
-/// Guards the same against connections that never carry a request.
+/// Guards the descriptor limit against connections that never carry a request: they are evicted for new ones.
 #[test]
 fn silent_clients_give_way_too() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -69,13 +71,13 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 48));
     let mut silent: Vec<Client> = (0..60).map(|_| balancer.client()).collect();
-    wait_for("an answer beside them", || {
+    wait_for("a client is served while silent connections are open", || {
         (balancer.client().ask("order", "one").status() == 200).then_some(())
     });
     assert!(silent.remove(0).answer().is_none());
 }
 
-/// Guards the read of a request that comes in pieces: it is accepted with its last byte.
+/// Guards the reading of a request that arrives in pieces: it is accepted once its last byte has arrived.
 #[test]
 fn a_request_may_come_in_pieces() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -88,12 +90,12 @@
         client.raw(piece);
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.answer().expect("the balancer answers").status(), 200);
     assert_eq!(upstream.requests()[0].1.body, b"instalments");
 }
 
-/// Guards clients against waiting for a socket that does not come: with all busy, the rest are refused at
-/// once, and truly.
+/// Guards clients against waiting for a socket that does not become free: while all sockets are in use, further
+/// requests are refused at once and are not sent to an upstream.
 #[test]
 fn busy_clients_beyond_the_budget_are_refused() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
@@ -104,9 +106,12 @@
     let refused = wait_for("a refusal", || {
         let mut client = balancer.client();
         client.send("order", "one");
-        client.0.set_read_timeout(Some(std::time::Duration::from_millis(200))).expect("set");
+        client
+            .0
+            .set_read_timeout(Some(std::time::Duration::from_millis(200)))
+            .expect("the socket option can be set");
         let answered = client.0.peek(&mut [0]).is_ok();
-        client.0.set_read_timeout(Some(LONG)).expect("set");
+        client.0.set_read_timeout(Some(LONG)).expect("the socket option can be set");
         if answered {
             return client.answer();
         }
@@ -114,11 +119,15 @@
         None
     });
     assert_eq!(refused.status(), 503);
-    assert!(upstream.requests().len() < 48, "{}", upstream.requests().len());
+    assert!(
+        upstream.requests().len() < 48,
+        "expected fewer than 48 requests, got {}",
+        upstream.requests().len()
+    );
 }
 
-/// Guards the accept loop against EMFILE: with fewer descriptors than the budget says, and nobody who reads
-/// the log of it, clients are still served, then as before.
+/// Guards the accept loop against EMFILE: if the process has fewer descriptors than its socket budget assumes, and
+/// nobody reads its log, clients are still served, both during the shortage and after it.
 #[test]
 fn running_out_of_descriptors_does_not_end_the_program() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -128,34 +137,34 @@
     let (address, log) = address(&mut child);
     drop(log);
     let many: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
-    wait_for("an answer beside the many", || {
+    wait_for("a client is served while descriptors are short", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
     drop(many);
-    wait_for("an answer after it", || {
+    wait_for("a client is served after the shortage", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
-    assert!(child.try_wait().expect("known").is_none());
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    assert!(child.try_wait().expect("the program's status can be read").is_none());
+    child.kill().expect("the program is running");
+    child.wait().expect("the program ends");
 }
 
-/// A connection that is to be closed waits this long for its first request, and longer.
+/// Least time that the balancer, while it closes connections in a drain, waits for the first request on a new one.
 const LATE: Duration = Duration::from_millis(250);
 
-/// Guards planned restarts: after SIGTERM what was accepted is finished, new connections are still served, each
-/// answer closes its connection, and the program ends by itself.
+/// Guards planned restarts: after SIGTERM accepted requests are finished, new connections are still served, answers
+/// close their connections in the closing phase, and the program then ends by itself.
 #[test]
 fn sigterm_finishes_what_was_accepted() {
     let (release, release_signal) = std::sync::mpsc::channel::<()>();
     let release_signal = std::sync::Mutex::new(release_signal);
     let upstream = Upstream::start(move |number, _| {
         if number == 0 {
-            let _ = release_signal.lock().expect("no panic").recv();
+            let _ = release_signal.lock().expect("the lock is not poisoned").recv();
         }
         ok("served")
     });
@@ -170,7 +179,7 @@
     assert_eq!(idle.ask("order", "two").header("connection"), None);
     signal(&child, "-TERM");
     wait_line(&mut log, "graceful shutdown, ");
-    // Clients that may have nowhere else to go keep their connection for now.
+    // Before the closing phase clients keep their connections, because they may have no other balancer.
     for _ in 0..2 {
         let answer = idle.ask("order", "still");
         assert_eq!((answer.status(), answer.header("connection")), (200, None));
@@ -181,25 +190,25 @@
         late.send("order", "three");
         let answer = match late.answer() {
             Some(answer) => answer,
-            // Where this thread itself was late with its request, the connection was rightly closed before it.
+            // If this thread was late with its request, the balancer was right to close the connection before it.
             None if connected.elapsed() >= LATE => return None,
-            None => panic!("closed with a request on it that came at once"),
+            None => panic!("the connection was closed although its request was sent at once"),
         };
-        // Towards the end there is no time for another attempt.
-        assert!(matches!(answer.status(), 200 | 503), "{}", answer.line);
+        // Towards the end of the drain there is no time for another attempt, so that the request may be refused.
+        assert!(matches!(answer.status(), 200 | 503), "expected status 200 or 503, got {}", answer.line);
         (answer.header("connection") == Some("close")).then_some(())
     });
-    // It is closed between requests, and the program waits for the one that is out.
+    // The idle connection is closed, and the program waits for the request in progress.
     assert!(idle.answer().is_none());
-    assert!(child.try_wait().expect("known").is_none());
-    release.send(()).expect("the upstream waits");
-    assert_eq!(accepted.answer().expect("an answer").status(), 200);
-    assert!(child.wait().expect("ends").success());
+    assert!(child.try_wait().expect("the program's status can be read").is_none());
+    release.send(()).expect("the upstream waits for the release");
+    assert_eq!(accepted.answer().expect("the balancer answers").status(), 200);
+    assert!(child.wait().expect("the program ends").success());
 }
 
-/// Guards planned restarts against clients that go on: each sends on its connection until an answer says that this
-/// closes; a request that crosses the close goes out once more on a new connection, and whoever connects late gets
-/// an answer too, up to the end of the program.
+/// Guards clients that continue to send requests during a planned restart. Each client sends on its connection until an
+/// answer announces the close. A request that was sent while the balancer closed its connection is sent again on a new
+/// connection. Clients that connect late in the drain also get an answer, until the program ends.
 #[test]
 fn a_drain_answers_clients_that_go_on_sending() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -207,7 +216,9 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, mut log) = address(&mut child);
-    // On a new connection, 40 ms after it is up, as from a client that has other things to do.
+    // Whether a request on a new connection is answered. It is sent 40 ms after the connect, as by a client that is
+    // busy with other work meanwhile. `Some(true)` also if this thread was late, and `None` if the program no longer
+    // accepts connections.
     let answered_anew = move || {
         let Ok(stream) = std::net::TcpStream::connect(address) else { return None };
         let connected = Instant::now();
@@ -227,7 +238,7 @@
                         None => return (sent, answered_anew() == Some(true)),
                     }
                 }
-                unreachable!("a drain ends")
+                unreachable!("the drain closes the connection")
             })
         })
         .collect();
@@ -236,7 +247,10 @@
     wait_line(&mut log, "graceful shutdown, ");
     let before = upstream.requests().len();
     wait_line(&mut log, "graceful shutdown, ");
-    assert!(upstream.requests().len() > before + 100, "they went on");
+    assert!(
+        upstream.requests().len() > before + 100,
+        "expected more than 100 requests between the two log lines of the drain"
+    );
     let late: Vec<_> = (0..20)
         .map(|_| {
             std::thread::sleep(Duration::from_millis(10));
@@ -244,16 +258,21 @@
         })
         .collect();
     for client in clients {
-        let (sent, answered) = client.join().expect("no panic");
+        let (sent, answered) = client.join().expect("the thread does not panic");
         assert!(answered, "request {sent} was not answered");
     }
     for client in late {
-        assert_ne!(client.join().expect("no panic"), Some(false), "closed with a request on it");
+        assert_ne!(
+            client.join().expect("the thread does not panic"),
+            Some(false),
+            "the connection of a late client was closed without an answer to its request"
+        );
     }
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program ends").success());
 }
 
-/// Guards operators against a program that runs on a configuration it did not understand.
+/// Guards operators against a program that runs with an invalid configuration: it exits with an error message that
+/// names the fault.
 #[test]
 fn a_bad_configuration_is_a_plain_message() {
     let sound = configuration(dead_address(), &[], 1.0, 1024);
@@ -269,14 +288,17 @@
         ),
     ] {
         let child = program(&text);
-        let done = child.wait_with_output().expect("ends");
+        let done = child.wait_with_output().expect("the program ends");
         let log = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(!done.status.success() && log.contains(part) && !log.contains("panicked"), "{part}: {log}");
+        assert!(
+            !done.status.success() && log.contains(part) && !log.contains("panicked"),
+            "expected a failed start with {part:?} in the log, got: {log}"
+        );
     }
 }
 
-/// Guards the sockets against peers that connect and send nothing, a part of a head, or a part of a body: each
-/// gets an error or a close, while one that has been served may stand idle.
+/// Guards the socket budget against peers that connect and send nothing, a part of a head, or a part of a body: each
+/// gets an error or is disconnected, while a connection that has carried a request may be idle for longer.
 #[test]
 fn a_peer_without_a_whole_request_is_let_go() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -301,16 +323,23 @@
         peer.raw(part.as_bytes());
     }
     for (peer, (part, status)) in peers.iter_mut().zip(parts) {
-        assert_eq!(peer.answer().map(|answer| answer.status()), status, "{part}");
-        assert!(peer.answer().is_none(), "{part}: still open");
+        assert_eq!(
+            peer.answer().map(|answer| answer.status()),
+            status,
+            "status after the partial request {part:?}"
+        );
+        assert!(
+            peer.answer().is_none(),
+            "expected the connection to be closed after the partial request {part:?}"
+        );
     }
-    // Later than any of them came, and longer idle than they were let to be.
+    // This connection is older than those of the peers and has been idle for longer than they were allowed to be.
     assert_eq!(served.ask("order", "two").status(), 200);
     assert_eq!(upstream.requests().len(), 2);
 }
 
-/// Guards reloads: SIGHUP ends nothing, a file that makes no sense changes nothing, and one that names another
-/// discovery moves the watch there, from the version in hand.
+/// Guards reloads: SIGHUP does not end the program, a malformed file changes nothing, and a file that names another
+/// discovery moves the watch to it, starting from the current version.
 #[test]
 fn sighup_moves_the_watch_to_the_discovery_of_the_file() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -326,8 +355,8 @@
     write_configuration("{");
     signal(&child, "-HUP");
     let mut line = String::new();
-    wait_for("the file is passed over", || {
-        log.read_line(&mut line).expect("a line");
+    wait_for("the malformed file is rejected", || {
+        log.read_line(&mut line).expect("the log can be read");
         line.contains("not reloaded: the configuration is malformed").then_some(())
     });
     write_configuration(&configuration(after.address, &known, 30.0, 1024));
@@ -336,6 +365,6 @@
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
     watch.says(10, true, &[endpoint("s-2", new.address, 0, "ready")]);
     wait_for("the new list is applied", || (client.ask("order", "two").body == b"new").then_some(()));
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    child.kill().expect("the program is running");
+    child.wait().expect("the program ends");
 }
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Changes of the settings in a serving balancer.
+//! Changes of the settings of a running balancer that documents of a configuration parent make.
 
 mod common;
 
@@ -14,29 +14,32 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// The classes of the file with another one behind them, and this latency objective.
+/// The classes of the configuration file with the latency objective `objective` in seconds, followed by `more`.
 fn lanes(objective: f64, more: &[Value]) -> Value {
     let mut lanes = settings(objective)["lanes"].clone();
-    lanes.as_array_mut().expect("a list").extend_from_slice(more);
+    lanes.as_array_mut().expect("the value is a list").extend_from_slice(more);
     lanes
 }
 
+/// A class that the configuration file does not have.
 fn extra(name: &str) -> Value {
     json!({"name": name, "onTimeS": 30.0, "hardLimitS": 60.0, "effect": "at_most_once"})
 }
 
-/// Says back what it was asked.
+/// Starts an upstream that answers with the body of the request.
 fn echo() -> Upstream {
     Upstream::start(|_, message| ok(&String::from_utf8_lossy(&message.body)))
 }
 
+/// Starts a balancer that knows the endpoints `known` and watches the configuration `parents`.
 fn configured(known: &[Value], parents: &[SocketAddr]) -> (Balancer, Discovery) {
     let discovery = Discovery::start();
     let text = with_parents(&configuration(discovery.address, known, 30.0, 1024), parents);
     (Balancer::start(&text), discovery)
 }
 
-/// A balancer with these upstreams and one parent that holds nothing yet.
+/// Starts a balancer with these upstreams and one parent that has no documents yet. Returns the balancer, its
+/// discovery, the parent and the balancer's watch on the parent.
 fn under_parent(upstreams: &[&Upstream]) -> (Balancer, Discovery, Parent, Watch) {
     let parent = Parent::start();
     let known: Vec<Value> = (1..)
@@ -49,15 +52,15 @@
         line.starts_with(
             "GET /configuration?follow=1&since=0&scopes=fleet,region/north,service/api&name=n0 "
         ),
-        "{line}"
+        "unexpected request line of the watch: {line}"
     );
     watch.holds(0, Vec::new());
     parent.wait_version("fleet", 0);
     (balancer, discovery, parent, watch)
 }
 
-/// Guards clients and upstreams through changes under load, 60 in quick succession: each request is answered with its
-/// own answer, and none is lost or runs twice.
+/// Guards requests during changes of the settings under load, 60 in quick succession: each request gets its own answer,
+/// and none is lost or runs twice.
 #[test]
 fn sixty_changes_under_load_cost_no_request() {
     let (first, second) = (echo(), echo());
@@ -73,7 +76,11 @@
                     let (class, body) =
                         (["order", "pay"][asked.len() % 2], format!("{client}-{}", asked.len()));
                     let answer = connection.ask(class, &body);
-                    assert_eq!((answer.status(), answer.body), (200, body.clone().into_bytes()), "{class}");
+                    assert_eq!(
+                        (answer.status(), answer.body),
+                        (200, body.clone().into_bytes()),
+                        "answer to class {class}"
+                    );
                     asked.push(body);
                 }
                 asked
@@ -81,7 +88,7 @@
         })
         .collect();
     for version in 1..=60 {
-        // Classes and tenants come and go, and figures of all kinds change.
+        // The changes add and remove classes and tenants and vary parameters of all kinds.
         let scope = ["fleet", "region/north", "service/api"][version as usize % 3];
         let objective = 20.0 + version as f64 / 10.0;
         let names: Vec<Value> =
@@ -97,20 +104,22 @@
     parent.wait_version("service/api", 61);
     assert_eq!(balancer.client().ask("last", "the last").body, b"the last");
     done.store(true, Ordering::Relaxed);
-    let asked: Vec<String> =
-        clients.into_iter().flat_map(|client| client.join().expect("each answer is its own")).collect();
-    assert!(asked.len() > 20, "{}", asked.len());
+    let asked: Vec<String> = clients
+        .into_iter()
+        .flat_map(|client| client.join().expect("each client gets its own answers"))
+        .collect();
+    assert!(asked.len() > 20, "expected more than 20 requests, got {}", asked.len());
     let mut ran: BTreeMap<Vec<u8>, u32> = BTreeMap::new();
     for (_, request) in first.requests().into_iter().chain(second.requests()) {
         *ran.entry(request.body).or_default() += 1;
     }
     for body in asked {
-        assert_eq!(ran.get(body.as_bytes()), Some(&1), "{body}");
+        assert_eq!(ran.get(body.as_bytes()), Some(&1), "number of times that request {body} ran");
     }
 }
 
-/// An upstream that says back what it was asked, but breaks the connection under a request `one` after `long`, once it
-/// is let.
+/// Starts an upstream that answers with the body of the request. If the body is `one`, it closes the connection without
+/// an answer instead, as soon as `released` is set and the request has run for `long`.
 fn breaking(long: Duration, released: &Arc<AtomicBool>) -> Upstream {
     let released = Arc::clone(released);
     Upstream::start(move |_, message| {
@@ -118,15 +127,16 @@
             return ok(&String::from_utf8_lossy(&message.body));
         }
         let started = Instant::now();
-        wait_for("it is released", || {
+        wait_for("the request is released", || {
             (released.load(Ordering::Relaxed) && started.elapsed() >= long).then_some(())
         });
         Reply::Last(Vec::new())
     })
 }
 
-/// Guards the rule on effects: a request in flight that must not run twice does not, though its class is one that may
-/// by the time that it breaks. The next one may.
+/// Guards requests that must not run twice against a change of their class: a request in flight keeps the rule under
+/// which it was accepted, even if its class allows retries when its connection breaks. The next request of the class
+/// may be retried.
 #[test]
 fn an_unsafe_request_in_flight_stays_unsafe() {
     let released = Arc::new(AtomicBool::new(false));
@@ -135,21 +145,22 @@
     let runs = || upstreams.iter().map(|upstream| upstream.count_of("one")).sum::<usize>();
     let mut client = balancer.client();
     client.send("order", "one");
-    wait_for("it runs", || (runs() == 1).then_some(()));
+    wait_for("the request runs", || (runs() == 1).then_some(()));
     let mut lanes = lanes(30.0, &[]);
     lanes[2] = json!({"name": "order", "onTimeS": 30.0, "hardLimitS": 60.0, "effect": "deduplicated",
                       "dedupScope": "all", "windowS": 60.0});
     watch.publishes(document("fleet", 1, &json!({"lanes": lanes})));
     parent.wait_version("fleet", 1);
     released.store(true, Ordering::Relaxed);
-    assert_eq!(client.answer().expect("an answer").status(), 502);
+    assert_eq!(client.answer().expect("the balancer answers").status(), 502);
     assert_eq!(runs(), 1);
-    // Under the rules of now it is tried at the other one, and refused once that broke too.
+    // Under the new settings the request is retried on the other upstream, and refused when that one fails too.
     assert_eq!(client.ask("order", "one").status(), 503);
     assert_eq!(runs(), 3);
 }
 
-/// Guards the upstreams' memory of keys: the window of a request in flight does not grow under it.
+/// Guards the deduplication of upstreams: the window of a request in flight is not extended by a change of the
+/// settings, because the upstream may have forgotten its key by then.
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window() {
     let window = Duration::from_millis(300);
@@ -166,18 +177,18 @@
     parent.wait_version("fleet", 1);
     let mut client = balancer.client();
     client.send("pay", "one");
-    wait_for("it runs", || (runs() == 1).then_some(()));
+    wait_for("the request runs", || (runs() == 1).then_some(()));
     watch.publishes(document("fleet", 2, &windowed(60.0)));
     parent.wait_version("fleet", 2);
     released.store(true, Ordering::Relaxed);
-    assert_eq!(client.answer().expect("an answer").status(), 502);
+    assert_eq!(client.answer().expect("the balancer answers").status(), 502);
     assert_eq!(runs(), 1);
     assert_eq!(client.ask("pay", "one").status(), 502);
-    assert_eq!(runs(), 3, "tried at the other one within the window of now");
+    assert_eq!(runs(), 3, "expected a retry on the other upstream within the new window");
 }
 
-/// Guards what serves: a document with faults changes nothing and is reported with its faults, the last good one stays, and
-/// documents of other scopes go on coming into force.
+/// Guards the settings in force against a document with faults: it changes nothing and is reported with its faults, the
+/// last valid document stays in force, and documents of other scopes still take effect.
 #[test]
 fn a_bad_document_leaves_the_last_good_one() {
     let upstream = echo();
@@ -190,33 +201,37 @@
     lanes[0]["onTimeS"] = json!(-1);
     lanes[3]["effect"] = json!("none");
     watch.publishes(document("fleet", 2, &json!({"lanes": lanes})));
-    let report = parent.wait_report("a refusal", |report| !report["refused"].is_null());
-    let why = report["refused"]["why"].as_str().expect("a reason");
-    assert!(why.starts_with("settings.lanes[0].onTimeS: expected a number from 0.000001"), "{why}");
+    let report = parent.wait_report("a rejected document", |report| !report["refused"].is_null());
+    let why = report["refused"]["why"].as_str().expect("the report has a reason");
+    assert!(
+        why.starts_with("settings.lanes[0].onTimeS: expected a number from 0.000001"),
+        "unexpected reason: {why}"
+    );
     assert_eq!(report["refused"]["scope"], "fleet");
     assert_eq!(report["refused"]["version"], 2);
     assert_eq!(report["versions"], json!({"fleet": 1, "region/north": 0, "service/api": 0}));
     assert_eq!(client.ask("good", "two").body, b"two");
-    // One that is no JSON of settings, and one that is sound: each by itself.
+    // A document whose settings are invalid and a valid document are applied independently.
     watch.publishes(document("region/north", 3, &json!({"zone": "south"})));
-    let report = parent.wait_report("the third", |report| report["refused"]["version"] == 3);
+    let report =
+        parent.wait_report("the document of the third version", |report| report["refused"]["version"] == 3);
     assert_eq!(report["refused"]["scope"], "region/north");
     watch.publishes(document("service/api", 4, &json!({"projects": [{"name": "acme"}, {"name": "new"}]})));
     let report = parent.wait_version("service/api", 4);
     assert_eq!(report["versions"], json!({"fleet": 1, "region/north": 0, "service/api": 4}));
-    assert_eq!(report["refused"]["version"], 3, "still reported");
+    assert_eq!(report["refused"]["version"], 3, "version of the rejected document that is still reported");
     watch.publishes(document("fleet", 5, &json!({"lanes": self::lanes(30.0, &[extra("better")])})));
     watch.publishes(document("region/north", 6, &json!({"overShareWorth": 0.2})));
     let report = parent.wait_version("region/north", 6);
     assert_eq!(report["versions"], json!({"fleet": 5, "region/north": 6, "service/api": 4}));
     assert_eq!(report.get("refused"), None);
     assert_eq!(client.ask("better", "three").body, b"three");
-    // The class that went is unknown; the connection ends with that answer.
+    // The class that was removed is unknown; the connection is closed after that answer.
     assert_eq!(client.ask("good", "four").status(), 400);
 }
 
-/// Guards against an order of arrival that decides: of two documents that cross, the narrower goes before the wider,
-/// whichever comes last; and one that is withdrawn gives way again.
+/// Guards the precedence of scopes: of two documents with the same setting the one of the narrower scope takes effect,
+/// in whichever order they arrive, and when it is withdrawn the one of the wider scope takes effect again.
 #[test]
 fn of_two_that_cross_the_narrower_counts() {
     let upstream = echo();
@@ -228,7 +243,7 @@
         for document in documents.clone() {
             watch.publishes(document);
         }
-        parent.wait_report("both", |report| {
+        parent.wait_report("documents of both scopes", |report| {
             report["versions"]["fleet"] != 0 && report["versions"]["service/api"] != 0
         });
         assert_eq!(balancer.client().ask("narrow", "one").status(), 200);
@@ -240,18 +255,20 @@
     }
 }
 
-/// Guards a balancer that starts while its region is cut off: it serves by its own file.
+/// Guards a balancer that starts while no configuration parent can be reached: it serves with the settings of its own
+/// file.
 #[test]
 fn with_no_parent_in_reach_the_file_has_to_do() {
     let upstream = echo();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let (balancer, _discovery) = configured(&known, &[dead_address(), dead_address()]);
-    wait_for("it can serve", || (balancer.health() == 200).then_some(()));
+    wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     assert_eq!(balancer.client().ask("order", "one").body, b"one");
 }
 
-/// Guards a new process against settings that may be old: it is not sent to before the first state, if that comes soon.
-/// And against a parent that answers and never speaks, which holds up neither that nor a change: the next is asked.
+/// Guards a new process against outdated settings and against a parent that accepts the watch but never sends a state.
+/// Health reports 503 until the first state has arrived, but only for a limited time, and the balancer then opens a
+/// watch on the next parent, whose changes take effect.
 #[test]
 fn a_parent_that_never_speaks_is_left() {
     let upstream = echo();
@@ -261,13 +278,13 @@
     let (balancer, discovery) = configured(&known, &[silent.address, other.address]);
     let (_, list) = discovery.watch();
     list.says(8, false, &[]);
-    // A machine too busy to ask in time proves nothing here, and must not fail the test.
+    // On a machine that is too busy to check the health in time, the check is skipped.
     let in_time = || started.elapsed() < Duration::from_millis(500);
     assert!(balancer.health() == 503 || !in_time());
-    wait_for("it can serve", || (balancer.health() == 200).then_some(()));
-    assert!(!in_time(), "before the first state");
-    // Whichever was asked first says nothing; the other one is asked, and then speaks.
-    let first = wait_for("a first watch", || {
+    wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
+    assert!(!in_time(), "expected health to report 503 while the first state is awaited, got 200");
+    // The parent that was asked first stays silent; the balancer then asks the other one, which sends its state.
+    let first = wait_for("one of the parents gets the first watch", || {
         silent.try_watch().map(|_| &other).or(other.try_watch().map(|_| &silent))
     });
     let (_, watch) = first.watch();
@@ -276,7 +293,8 @@
     assert_eq!(balancer.client().ask("late", "one").body, b"one");
 }
 
-/// Guards the front: the first state that comes in time counts from the first request on.
+/// Guards the first requests of a new process: health reports 503 until the first state has been applied if that
+/// arrives in time, so that the state applies from the first request on.
 #[test]
 fn the_first_word_is_waited_for() {
     let upstream = echo();
@@ -290,12 +308,14 @@
     assert!(balancer.health() == 503 || !in_time());
     let (_, watch) = parent.watch();
     watch.holds(9, vec![document("service/api", 9, &json!({"lanes": lanes(30.0, &[extra("first")])}))]);
-    wait_for("it can serve", || (balancer.health() == 200).then_some(()));
+    wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     if in_time() {
         assert_eq!(balancer.client().ask("first", "one").body, b"one");
     }
 }
 
+/// Starts the program with these parents and one upstream. Returns the process, its configuration file, its discovery,
+/// the address on which it listens, and its log.
 fn started(
     parents: &[SocketAddr],
     upstream: &Upstream,
@@ -309,7 +329,8 @@
     (child, file, discovery, address, log)
 }
 
-/// Guards what is in force against SIGHUP, which moves discovery alone, also between two changes.
+/// Guards the settings in force against SIGHUP, which changes only the discovery address, even between two changes of
+/// the settings.
 #[test]
 fn a_hangup_between_changes_moves_discovery_alone() {
     let (upstream, parent) = (echo(), Parent::start());
@@ -321,7 +342,7 @@
     let elsewhere = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let text = with_parents(&configuration(elsewhere.address, &known, 30.0, 1024), &[dead_address()]);
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("the file can be written");
     for version in 2..30 {
         watch.publishes(document("fleet", version, &json!({"lanes": lanes(30.0, &[extra("one")])})));
         if version == 15 {
@@ -329,23 +350,24 @@
             wait_line(&mut log, "discovery address changed to");
         }
     }
-    // A line on the watch of before does not keep the move from happening.
+    // A line on the old watch does not prevent the move to the new discovery.
     old.try_bytes(b"\n");
     let (line, _new) = elsewhere.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
     parent.wait_version("fleet", 29);
     assert_eq!(Client::connect(address).ask("one", "one").body, b"one");
     signal(&child, "-TERM");
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program ends").success());
 }
 
-/// Guards the end of a balancer: SIGTERM amid changes drains as ever, and what is in flight gets its answer.
+/// Guards graceful shutdown during changes of the settings: the balancer drains, and a request in flight gets its
+/// answer.
 #[test]
 fn a_drain_amid_changes_loses_nothing() {
     let released = Arc::new(AtomicBool::new(false));
     let gate = Arc::clone(&released);
     let upstream = Upstream::start(move |_, message| {
-        wait_for("it is released", || gate.load(Ordering::Relaxed).then_some(()));
+        wait_for("the request is released", || gate.load(Ordering::Relaxed).then_some(()));
         ok(&String::from_utf8_lossy(&message.body))
     });
     let parent = Parent::start();
@@ -357,10 +379,15 @@
     client.send("order", "one");
     upstream.wait_requests(1);
     for version in 2..40 {
-        // Its class goes, and comes back.
+        // The changes remove the class of the request in flight and add it again.
         let all = lanes(30.0, &[]);
-        let lanes: Vec<Value> =
-            all.as_array().expect("a list").iter().take(2 + version as usize % 2).cloned().collect();
+        let lanes: Vec<Value> = all
+            .as_array()
+            .expect("the value is a list")
+            .iter()
+            .take(2 + version as usize % 2)
+            .cloned()
+            .collect();
         watch.publishes(document("fleet", version, &json!({"lanes": lanes})));
         if version == 20 {
             signal(&child, "-TERM");
@@ -368,8 +395,8 @@
         }
     }
     released.store(true, Ordering::Relaxed);
-    assert_eq!(client.answer().expect("an answer").body, b"one");
+    assert_eq!(client.answer().expect("the balancer answers").body, b"one");
     drop(client);
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program ends").success());
     assert_eq!(upstream.count_of("one"), 1);
 }
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -1,5 +1,5 @@
-//! Connections that are late in coming up: what becomes of the attempts that wait for one, and of a connection whose
-//! attempt has gone. `docs/CONNECTIONS.md` tells the design.
+//! Slow connects: what happens to attempts that wait for one, and to a connect that no attempt waits for any more.
+//! `docs/CONNECTIONS.md` describes the design.
 
 mod common;
 
@@ -12,21 +12,23 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// An attempt waits so long for a connection at the most where it is to give up before one comes up: less than the
-/// second after which the system tries again, and with a sixteenth that a busy machine needs for no connect.
+/// Connect timeout of the settings for tests in which an attempt gives up before it has a connection. It is less than
+/// the second after which the kernel repeats its SYN. A sixteenth of it, the lower bound of an attempt's connect
+/// timeout, is longer than a connect takes on a busy machine.
 const SHORT_S: f64 = 0.8;
-/// The same where it is to go on waiting.
+/// Connect timeout of the settings for tests in which an attempt continues to wait for a connection.
 const LONG_S: f64 = 5.0;
 
-/// A balancer whose attempts wait so long for a connection at the most.
+/// Starts a balancer that knows the endpoints `known`, with a connect timeout of `dial_timeout` seconds.
 fn start(known: &[Value], dial_timeout: f64) -> (Balancer, Discovery) {
     let discovery = Discovery::start();
     let text = configuration(discovery.address, known, 50.0, 1024);
     (Balancer::start(&with_dial_timeout(&text, dial_timeout)), discovery)
 }
 
-/// One that knows a late upstream and one that answers `other`, and has a connection to the late one under way that no
-/// attempt waits for any more; each of the `bodies` asked for it was answered by the other one.
+/// Starts a balancer that knows a late upstream and one that answers `other`, and waits until a connect to the late one
+/// is in progress that no attempt waits for any more. Returns the balancer, its discovery and the bodies of the
+/// requests that were sent until then, each of which the other upstream answered.
 fn start_with_one_late(
     late: &LateUpstream,
     other: &Upstream,
@@ -35,8 +37,8 @@
     let known = [endpoint("s-1", late.address, 0, "ready"), endpoint("s-2", other.address, 1, "ready")];
     let (balancer, discovery) = start(&known, SHORT_S);
     let mut bodies = Vec::new();
-    // Which upstream is first is drawn.
-    wait_for("an attempt goes to the late one", || {
+    // The first upstream of a request is chosen at random.
+    wait_for("an attempt is sent to the late upstream", || {
         bodies.push(format!("early {}", bodies.len()));
         let answer = balancer.client().ask(class, &bodies[bodies.len() - 1]);
         assert_eq!((answer.status(), answer.body), (200, b"other".to_vec()), "{bodies:?}");
@@ -45,32 +47,33 @@
     (balancer, discovery, bodies)
 }
 
-/// Waits until a connection has come up and the balancer has applied that.
+/// Waits until a connection has been established and the balancer has processed that event.
 fn wait_up(balancer: &Balancer, upstream: &Upstream) {
-    wait_for("a connection comes up", || (upstream.connections() > 0).then_some(()));
-    // A question that was asked after it is answered after it.
+    wait_for("a connection is established", || (upstream.connections() > 0).then_some(()));
+    // The balancer answers a health check that was sent after the connect only after it has processed the connect.
     balancer.health();
 }
 
-/// Writes an answer.
+/// Writes an answer with the body `served`.
 fn answer(stream: &mut TcpStream) {
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved").expect("open");
+    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved").expect("the connection is open");
 }
 
-/// What the client is owed: one answer, and nothing after it.
+/// Reads the client's answer and checks that its connection carries nothing after it.
 fn only_answer(mut client: Client) -> Message {
-    let answer = client.answer().expect("an answer");
-    client.0.shutdown(Shutdown::Write).expect("up");
+    let answer = client.answer().expect("the balancer answers");
+    client.0.shutdown(Shutdown::Write).expect("the connection is open");
     let mut rest = Vec::new();
-    client.0.read_to_end(&mut rest).expect("closed in peace");
-    assert_eq!(rest, b"", "after {}", answer.line);
+    client.0.read_to_end(&mut rest).expect("the connection is closed without a reset");
+    assert_eq!(rest, b"", "bytes after the answer {}", answer.line);
     answer
 }
 
-// --- Attempts ---
+// --- Attempts that wait for a connection ---
 
-/// Guards requests and connections alike against a connection that is late: the request is served elsewhere, and the
-/// connection, once up, carries the next one for its upstream, which opens no other.
+/// Guards requests against a slow connect, and the connect against being wasted: the request is served by another
+/// upstream, and the connection, once established, carries the next request for its upstream, so that no other
+/// connection is opened.
 #[test]
 fn a_late_connection_carries_the_next_request() {
     let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
@@ -79,24 +82,25 @@
     wait_up(&balancer, &upstream);
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-2", other.address, 1, "gone")]);
-    wait_for("the late one serves", || (balancer.client().ask("read", "").body == b"late").then_some(()));
+    wait_for("late upstream serves", || (balancer.client().ask("read", "").body == b"late").then_some(()));
     let connections: Vec<usize> = upstream.requests().iter().map(|(connection, _)| *connection).collect();
     drop(balancer);
     assert_eq!((connections, upstream.all_links().len()), (vec![1], 1));
 }
 
-/// Guards against waiting for all of `dialTimeoutS` where connections usually come up at once: an attempt gives up
-/// before the system even tries again, a second later, and its request is served elsewhere, once.
+/// Guards against waiting for all of `dialTimeoutS` if connects are usually fast: an attempt gives up before the kernel
+/// repeats its SYN, a second after the first, and its request is served by another upstream, once.
 #[test]
 fn the_usual_connect_time_bounds_the_wait() {
     let other = Upstream::start(|_, _| ok("other"));
-    // A sixteenth is a quarter of a second, and the whole is longer than the system's second.
+    // A sixteenth of this timeout, the lower bound for an attempt, is a quarter of a second. The timeout itself is
+    // longer than the second after which the kernel repeats its SYN.
     let (balancer, discovery) = start(&[endpoint("s-2", other.address, 1, "ready")], 4.0);
     thread::scope(|scope| {
         for _ in 0..8 {
-            // On a busy machine it may pass for congestion, and a refusal is an answer of its own.
+            // On a busy machine slow responses may be taken for congestion; a refused request is sent again.
             scope.spawn(|| {
-                wait_for("an answer beside refusals", || {
+                wait_for("an answer other than a refusal", || {
                     (balancer.client().ask("read", "").body == b"other").then_some(())
                 });
             });
@@ -106,67 +110,72 @@
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-1", late.address, 0, "ready")]);
     let mut asked = 0;
-    // One at a time, some of which may be denied, up to the one that waits for a connection.
-    let mut client = wait_for("an attempt goes to the late one", || {
+    // Sends one request at a time, some of which may be refused, until one waits for a connection.
+    let mut client = wait_for("an attempt is sent to the late upstream", || {
         asked += 1;
         let mut client = balancer.client();
         client.send("order", &asked.to_string());
-        client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("set");
-        let waits = wait_for("an answer or a connect", || {
+        client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("the socket option can be set");
+        let waits = wait_for("an answer arrives or a connect is in progress", || {
             let waits = !connecting(late.address).is_empty();
             (waits || client.0.peek(&mut [0]).is_ok()).then_some(waits)
         });
-        client.0.set_read_timeout(Some(LONG)).expect("set");
+        client.0.set_read_timeout(Some(LONG)).expect("the socket option can be set");
         waits.then_some(client)
     });
     let upstream = late.serve(|_, _| ok("late"));
-    let answer = client.answer().expect("an answer");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"other".as_slice()), "order {asked}");
+    let answer = client.answer().expect("the balancer answers");
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, b"other".as_slice()),
+        "answer to order {asked}"
+    );
     wait_up(&balancer, &upstream);
     let body = asked.to_string();
     assert_eq!((other.count_of(&body), upstream.count_of(&body)), (1, 0));
 }
 
-/// A balancer of whose two attempts at one upstream the second waited for a connection of its own, which can't come up
-/// yet, and went out on the first's as soon as that was free; that one stands idle now.
+/// Starts a balancer with two attempts at one upstream. The second attempt waits for a new connection, which cannot be
+/// established yet, and is sent on the connection of the first attempt as soon as that is free. Returns the balancer,
+/// its discovery, the upstream, and the upstream's end of that connection, which is idle now.
 fn late_binding() -> (Balancer, Discovery, LateUpstream, TcpStream) {
     let mut late = LateUpstream::with_room_for_one();
     let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], LONG_S);
     let (mut first, mut second) = (balancer.client(), balancer.client());
     first.send("read", "");
     let mut stream = late.accept();
-    stream.set_read_timeout(Some(LONG)).expect("set");
-    read_message(&mut stream).expect("the first request");
+    stream.set_read_timeout(Some(LONG)).expect("the socket option can be set");
+    read_message(&mut stream).expect("the first request arrives");
     late.close_up();
     second.send("read", "");
     late.wait_connecting(1);
     answer(&mut stream);
-    assert_eq!(first.answer().expect("an answer").body, b"served");
-    read_message(&mut stream).expect("the second request");
+    assert_eq!(first.answer().expect("the balancer answers").body, b"served");
+    read_message(&mut stream).expect("the second request arrives");
     answer(&mut stream);
-    assert_eq!(second.answer().expect("an answer").body, b"served");
+    assert_eq!(second.answer().expect("the balancer answers").body, b"served");
     (balancer, discovery, late, stream)
 }
 
-/// Guards an attempt against waiting for its own connection while another to the same upstream falls free.
+/// Guards an attempt against waiting for a new connection while another one to the same upstream becomes free.
 #[test]
 fn an_attempt_takes_the_connection_that_falls_free() {
     let (balancer, _discovery, late, _stream) = late_binding();
-    // Neither of them had another connection.
+    // Neither of the two attempts got another connection.
     let address = late.address;
     drop(balancer);
     assert!(connecting(address).is_empty());
     assert!(late.serve(|_, _| ok("late")).all_links().is_empty());
 }
 
-/// Guards what must not run twice: rerouted after a wait for a connection it arrives once, over all upstreams, and also
-/// once the connection has come up.
+/// Guards requests that must not run twice: a request that is rerouted after it waited for a connection arrives once
+/// over all upstreams, even after that connection has been established.
 #[test]
 fn a_reroute_after_a_late_connect_runs_once() {
     let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
     let (balancer, _discovery, mut bodies) = start_with_one_late(&late, &other, "order");
     let ask = |body: &str, status| {
-        assert_eq!(balancer.client().ask("order", body).status(), status, "{body}");
+        assert_eq!(balancer.client().ask("order", body).status(), status, "status of {body}");
     };
     let burst: Vec<String> = (0..8).map(|number| format!("burst {number}")).collect();
     thread::scope(|scope| {
@@ -183,17 +192,21 @@
     drop(balancer);
     bodies.extend(burst);
     for body in &bodies {
-        assert_eq!((other.count_of(body), upstream.count_of(body)), (1, 0), "{body}");
+        assert_eq!(
+            (other.count_of(body), upstream.count_of(body)),
+            (1, 0),
+            "times that {body} arrived at the other upstream and at the late one"
+        );
     }
     for body in &after {
-        assert_eq!(other.count_of(body) + upstream.count_of(body), 1, "{body}");
+        assert_eq!(other.count_of(body) + upstream.count_of(body), 1, "times that {body} arrived");
     }
 }
 
-// --- What is left under way ---
+// --- Connects that no attempt waits for ---
 
-/// Guards an upstream that is out of reach, and our own descriptors, against a connect for every request that came: one
-/// stays under way, whatever the number of attempts that gave up, and each client has one answer.
+/// Guards an unreachable upstream and the balancer's descriptors against a connect for every request: one connect
+/// continues, however many attempts gave up, and each client gets one answer.
 #[test]
 fn one_connect_stays_under_way() {
     let late = LateUpstream::start();
@@ -207,19 +220,19 @@
         .collect();
     for client in clients {
         let status = only_answer(client).status();
-        assert!(status == 502 || status == 503, "{status}");
+        assert!(status == 502 || status == 503, "expected status 502 or 503, got {status}");
     }
     late.wait_connecting_falls(1);
     let left = connecting(late.address);
-    assert_eq!(left.len(), 1, "{left:?}");
+    assert_eq!(left.len(), 1, "local ports of the connects in progress: {left:?}");
     let upstream = late.serve(|_, _| ok("late"));
     wait_up(&balancer, &upstream);
     drop(balancer);
     let links = upstream.all_links();
-    assert!(links.len() == 1 && !links[0].spoken, "{links:?}");
+    assert!(links.len() == 1 && !links[0].spoken, "expected one unused connection, got {links:?}");
 }
 
-/// Guards descriptors against a connection that never comes up: it is given up, whether or not somebody asks for the
+/// Guards descriptors against a connect that never succeeds: it is given up, whether or not requests are sent to the
 /// upstream meanwhile.
 #[test]
 fn a_connect_is_let_go_of() {
@@ -228,7 +241,7 @@
         let (balancer, _discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
         assert_ne!(balancer.client().ask("read", "").status(), 200);
         let first = connecting(late.address);
-        assert_eq!(first.len(), 1, "asking: {asking}, {first:?}");
+        assert_eq!(first.len(), 1, "asking: {asking}, local ports of the connects in progress: {first:?}");
         wait_for("the connect is given up", || {
             if asking {
                 balancer.client().ask("read", "");
@@ -244,36 +257,40 @@
     });
 }
 
-/// Guards upstreams against connections that nobody needs: one that comes up while another stands idle is closed, and
-/// the idle one goes on.
+/// Guards upstreams against unnecessary connections: a connection that is established while another one is idle is
+/// closed, and the idle one stays in use.
 #[test]
 fn a_late_connection_is_closed_where_another_stands_idle() {
     let (balancer, _discovery, late, mut stream) = late_binding();
     let upstream = late.serve(|_, _| ok("late"));
     wait_for("the connect is over", || connecting(upstream.address).is_empty().then_some(()));
-    // It may have been given up before.
+    // The balancer may have given up the connect before it succeeded; then there is no connection to check.
     for (number, link) in upstream.all_links().iter().enumerate() {
         wait_for("the balancer closes it", || upstream.links()[number].closed.then_some(()));
-        assert!(!upstream.links()[number].spoken, "{link:?}");
+        assert!(!upstream.links()[number].spoken, "a request was sent on {link:?}");
     }
     let mut client = balancer.client();
     client.send("read", "");
-    read_message(&mut stream).expect("the request");
+    read_message(&mut stream).expect("the request arrives");
     answer(&mut stream);
-    assert_eq!(client.answer().expect("an answer").body, b"served");
+    assert_eq!(client.answer().expect("the balancer answers").body, b"served");
 }
 
-/// Guards drains, moves and restarts: a connect from before is let go of, or its connection closed, and nothing is ever
-/// sent on it.
+/// Guards drains, address changes and restarts of an endpoint: a connect from before the update is given up, or its
+/// connection is closed, and no request is ever sent on it.
 #[test]
 fn a_connect_from_before_the_word_carries_nothing() {
     let case = |change: &str| {
         let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
         let moved = Upstream::start(|_, _| ok("moved"));
         let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
-        assert_ne!(balancer.client().ask("read", "").status(), 200, "{change}");
+        assert_ne!(
+            balancer.client().ask("read", "").status(),
+            200,
+            "{change}: the request was served before the connect succeeded"
+        );
         let before = connecting(late.address);
-        assert_eq!(before.len(), 1, "{change}: {before:?}");
+        assert_eq!(before.len(), 1, "{change}: local ports of the connects in progress: {before:?}");
         let mut changed = match change {
             "moved" => endpoint("s-1", moved.address, 0, "ready"),
             "restarted" => endpoint("s-1", late.address, 0, "ready"),
@@ -284,14 +301,14 @@
         }
         let (_, watch) = discovery.watch();
         watch.says(8, false, &[changed, endpoint("s-2", other.address, 1, "ready")]);
-        wait_for("the word is applied", || {
+        wait_for("the update is applied", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
         let upstream = late.serve(|_, _| ok("late"));
         wait_for("the connect is over", || {
             (!connecting(upstream.address).contains(&before[0])).then_some(())
         });
-        // A balancer that has met only connect timeouts so far may deny some.
+        // A balancer that has seen only connect timeouts so far may refuse some requests.
         for _ in 0..20 {
             wait_for("a request is served", || {
                 (balancer.client().ask("read", "").status() == 200).then_some(())
@@ -299,12 +316,15 @@
         }
         if let Some(number) = upstream.all_links().iter().position(|link| link.peer.port() == before[0]) {
             wait_for("the balancer closes it", || upstream.links()[number].closed.then_some(()));
-            assert!(!upstream.links()[number].spoken, "{change}");
+            assert!(!upstream.links()[number].spoken, "{change}: sent on the old connection");
         }
         drop(balancer);
-        // After a restart its new process is asked on connections of its own.
+        // After a restart the new process gets requests, on new connections.
         if change != "restarted" {
-            assert!(upstream.all_links().iter().all(|link| !link.spoken), "{change}");
+            assert!(
+                upstream.all_links().iter().all(|link| !link.spoken),
+                "{change}: sent to the old address"
+            );
         }
     };
     thread::scope(|scope| {
@@ -314,9 +334,10 @@
     });
 }
 
-// --- Other crossings ---
+// --- Other races ---
 
-/// Guards clients against connects that nobody waits for: where descriptors run short these go first.
+/// Guards clients against connects that no attempt waits for: if descriptors run short, these connects are given up
+/// first.
 #[test]
 fn left_connects_give_way_to_requests() {
     const IN_FLIGHT: usize = 20;
@@ -333,7 +354,7 @@
     let text = configuration(discovery.address, &entries(1.0), 50.0, 64);
     let balancer = Balancer::start(&with_dial_timeout(&text, LONG_S));
     let mut clients = Vec::new();
-    wait_for("all are asked for a connection", || {
+    wait_for("a connect to each upstream is in progress", || {
         if clients.len() == 16 {
             clients.clear();
         }
@@ -346,13 +367,13 @@
     for late in &lates {
         late.wait_connecting_falls(1);
     }
-    // From here on all goes to one that answers, under many names.
+    // From here on all requests are sent to one upstream that answers and is listed under many names.
     let (release, release_signal) = mpsc::channel::<()>();
     let release_signal = Mutex::new(release_signal);
     let working = Upstream::start(move |_, request| {
         if request.body == b"held" {
-            // Ends with the sender.
-            let _ = release_signal.lock().expect("no panic").recv();
+            // The wait ends when the sender is dropped.
+            let _ = release_signal.lock().expect("the lock is not poisoned").recv();
         }
         ok("served")
     });
@@ -368,9 +389,9 @@
         (client.answer()?.body == b"served").then_some(())
     });
     for late in &lates {
-        // An attempt of those above ends some moments after its client's answer.
+        // The attempts of the requests above end shortly after their clients have been answered.
         late.wait_connecting_falls(1);
-        assert_eq!(connecting(late.address).len(), 1, "nothing is crossed");
+        assert_eq!(connecting(late.address).len(), 1, "connects in progress to a late upstream");
     }
     let mut clients = Vec::new();
     for count in 1..=IN_FLIGHT {
@@ -382,11 +403,12 @@
     assert_eq!(balancer.client().ask("order", "fresh").body, b"served");
     drop(release);
     for mut client in clients {
-        assert_eq!(client.answer().expect("an answer").body, b"served");
+        assert_eq!(client.answer().expect("the balancer answers").body, b"served");
     }
 }
 
-/// Guards planned restarts: a connect under way, waited for or not, does not hold up the end.
+/// Guards planned restarts: a connect in progress does not delay the end of the program, whether or not an attempt
+/// waits for it.
 #[test]
 fn a_connect_does_not_hold_up_the_drain() {
     let case = |dial_timeout: f64| {
@@ -398,16 +420,20 @@
         let mut client = Client::connect(address);
         client.send("order", "one");
         late.wait_connecting(1);
-        let refused = (dial_timeout == SHORT_S).then(|| client.answer().expect("an answer").status());
+        let refused =
+            (dial_timeout == SHORT_S).then(|| client.answer().expect("the balancer answers").status());
         let left = connecting(late.address);
         signal(&child, "-TERM");
         let stopped = Instant::now();
         wait_line(&mut log, "graceful shutdown, ");
         drop(log);
-        wait_for("the end", || child.try_wait().expect("known"));
-        assert!(refused != Some(200) && left.len() == 1, "nothing is crossed: {refused:?}, {left:?}");
-        // The end comes the longest deadline and half a second after the signal.
-        assert!(stopped.elapsed() < SOON, "{:?}", stopped.elapsed());
+        wait_for("the program ends", || child.try_wait().expect("the program's status can be read"));
+        assert!(
+            refused != Some(200) && left.len() == 1,
+            "expected a connect in progress and no answer 200, got {left:?} and {refused:?}"
+        );
+        // The program ends at the latest half a second plus the longest deadline after the signal.
+        assert!(stopped.elapsed() < SOON, "the program ended {:?} after the signal", stopped.elapsed());
         assert!(connecting(late.address).is_empty());
     };
     thread::scope(|scope| {
