--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The list and its watch.
+//! Endpoint lists and the watch on service discovery.
 
 mod common;
 
@@ -9,7 +9,8 @@
 
 use common::*;
 
-/// Guards drains: once notified, nothing new goes there, not even over an idle connection.
+/// Guards drains: once the balancer is notified, it sends no new request to the draining endpoint, not even over an
+/// idle connection.
 #[test]
 fn a_draining_upstream_gets_nothing_new() {
     for status in ["draining", "gone"] {
@@ -19,7 +20,7 @@
         assert_eq!(client.ask("order", "one").body, b"old");
         let (line, watch) = discovery.watch();
         assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
-        // An address that can't be read does not keep the drain from being heard.
+        // The drain is applied even if the address in its entry is invalid.
         let mut drained = endpoint("s-1", old.address, 0, status);
         drained["address"] = "".into();
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
@@ -31,7 +32,7 @@
     }
 }
 
-/// Guards the reading of the watch: lines cut by chunks, several in one, entries that make no sense.
+/// Guards the parsing of the watch: lines that are split over chunks, several lines in one chunk, and invalid entries.
 #[test]
 fn lines_are_put_together_from_chunks() {
     let (first, second) = (Upstream::start(|_, _| ok("first")), Upstream::start(|_, _| ok("second")));
@@ -55,8 +56,8 @@
     wait_for("both changes are applied", || (client.ask("read", "").body == b"second").then_some(()));
 }
 
-/// Guards against a list that grows old unseen: a watch that ends, or turns to nonsense, is asked for again
-/// from the version in hand, while the old list stands.
+/// Guards against an outdated list: a watch that ends or sends a malformed line is opened again from the current
+/// version, and the current list stays in use meanwhile.
 #[test]
 fn a_broken_watch_is_taken_up_again() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -73,8 +74,8 @@
     assert_eq!(balancer.client().ask("read", "").status(), 200);
 }
 
-/// Guards against a watch that stays open and says nothing, as when discovery's machine is cut off: what it
-/// would have notified of counts as notified all the same.
+/// Guards against a watch that stays open and sends nothing, as when discovery's machine is partitioned: the balancer
+/// opens a new watch, because it must learn of the changes that the silent watch does not send.
 #[test]
 fn a_silent_watch_is_dead() {
     let discovery = Discovery::beating(LONG);
@@ -85,7 +86,7 @@
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
 }
 
-/// Guards against sends to where an upstream was: its address may change under the same name.
+/// Guards against requests to the former address of an upstream: its address may change under the same name.
 #[test]
 fn an_upstream_may_move() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -98,7 +99,7 @@
     assert_eq!(client.ask("order", "two").body, b"new");
 }
 
-/// Guards the front against a balancer that has no list yet.
+/// Guards the front against a balancer that has no endpoint list yet: its health reports 503.
 #[test]
 fn health_waits_for_a_list() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -109,14 +110,15 @@
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
 }
 
-/// A balancer whose settings say that lists come by themselves.
+/// Starts a balancer whose settings say that lists are pushed to it (`automatic`).
 fn pushed(discovery: &Discovery, known: &[serde_json::Value]) -> Balancer {
     let text = configuration(discovery.address, known, 30.0, 1024);
     Balancer::start(&text.replace("subscribe", "automatic"))
 }
 
-/// Guards a new process against the list of its configuration, which may be old: what discovery has counts as notified
-/// from the first moment, so the front hears of the balancer once that has come, or does not come.
+/// Guards a new process against the list of its configuration, which may be outdated: the balancer counts as notified
+/// of what discovery has from the start. So health reports 503 until the list of discovery has arrived, or until the
+/// balancer stops waiting because discovery does not answer.
 #[test]
 fn a_new_process_waits_for_what_discovery_already_has() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -124,7 +126,7 @@
     let known = [endpoint("s-1", old.address, 0, "ready")];
     let started = Instant::now();
     let balancer = pushed(&discovery, &known);
-    // A machine too busy to ask in time proves nothing here, and must not fail the test.
+    // On a machine that is too busy to check the health in time, the check is skipped.
     let in_time = || started.elapsed() < Duration::from_millis(500);
     assert!(balancer.health() == 503 || !in_time());
     let (_, watch) = discovery.watch();
@@ -135,15 +137,16 @@
         assert_eq!(balancer.client().ask("order", "one").body, b"new");
         assert!(old.requests().is_empty());
     }
-    // With discovery down, the list in hand has to do.
+    // If discovery is down, the balancer serves with the list of its configuration.
     let down = configuration(Discovery::beating(LONG).address, &known, 30.0, 1024);
     let balancer = Balancer::start(&down);
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     assert_eq!(balancer.client().ask("order", "one").body, b"old");
 }
 
-/// Guards drains against an outage: a watch falls silent, the next is opened while discovery is still down and never
-/// gets a word, and what the first one missed counts as notified 6 s after it fell silent.
+/// Guards drains against an outage of discovery: a watch falls silent, the next one is opened while discovery is still
+/// down and never receives anything, and the balancer counts as notified of what the first watch missed 6 s after that
+/// watch fell silent.
 #[test]
 fn a_drain_missed_in_an_outage_is_heard_within_six_seconds() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -159,11 +162,11 @@
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining")]);
     let asked = |body| balancer.client().ask("order", body).body;
     wait_for("the drain is applied", || (0..8).all(|_| asked("one") == b"new").then_some(()));
-    assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
+    assert!(silent.elapsed() < Duration::from_secs(6), "the drain took {:?}", silent.elapsed());
 }
 
-/// Guards against a list that never changes: settings under which lists are said to come by themselves leave the
-/// watch to the balancer all the same.
+/// Guards against a list that never changes: the balancer opens a watch even if its settings say that lists are pushed
+/// to it (`automatic`).
 #[test]
 fn a_watch_stays_open_whatever_the_settings_call_it() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -180,17 +183,19 @@
     wait_for("the drain is applied", || (balancer.client().ask("order", "").body == b"new").then_some(()));
 }
 
-/// A change counts as notified this long after discovery had it and could be reached, whatever went before.
+/// Time within which a balancer must learn of a change, counted from when discovery has the change and can be reached,
+/// whatever calls failed before.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+/// Head of the response to a watch request.
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// A balancer whose settings say how lists are had, and allow it to ask seldom.
+/// Starts a balancer with the discovery mode `mode`, whose settings allow it to poll discovery at long intervals.
 fn in_mode(mode: &str, discovery: SocketAddr, known: &[serde_json::Value]) -> Balancer {
     let text = configuration(discovery, known, 30.0, 1024).replace("subscribe", mode);
     Balancer::start(&text.replace("\"askWithinS\":10.0", "\"askWithinS\":60.0"))
 }
 
-/// Plays a case in each way of having lists, side by side.
+/// Runs `case` for each discovery mode in parallel.
 fn in_each_mode(case: impl Fn(&'static str) + Send + Sync) {
     thread::scope(|scope| {
         for mode in ["subscribe", "automatic"] {
@@ -200,8 +205,9 @@
     });
 }
 
-/// Guards the time to the list against a discovery that takes calls and leaves them waiting, wherever in its answer: a
-/// few failed calls in a row must not space the next one out past the time at which a change counts as notified.
+/// Guards the notification delay against a discovery that accepts calls and then hangs, at whatever point of its
+/// answer: the backoff after a few failed calls in a row must not delay the next call beyond the time within which the
+/// balancer must learn of a change.
 #[test]
 fn calls_that_hang_do_not_keep_the_list_away() {
     in_each_mode(|mode| {
@@ -209,18 +215,18 @@
             for part in [String::new(), HEAD.to_owned(), format!("{HEAD}9\r\n{{\"index\"\r\n")] {
                 scope.spawn(move || {
                     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-                    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-                    let place = listener.local_addr().expect("bound");
+                    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+                    let place = listener.local_addr().expect("the listener is bound");
                     let known = [endpoint("s-1", old.address, 0, "ready")];
                     let balancer = in_mode(mode, place, &known);
                     let mut open_calls = Vec::new();
                     for _ in 0..4 {
-                        let (mut stream, _) = listener.accept().expect("asked");
-                        read_message(&mut stream).expect("a call");
-                        stream.write_all(part.as_bytes()).expect("open");
+                        let (mut stream, _) = listener.accept().expect("the balancer connects");
+                        read_message(&mut stream).expect("the balancer requests the list");
+                        stream.write_all(part.as_bytes()).expect("the connection is open");
                         open_calls.push(stream);
                     }
-                    // From here on it answers whoever asks.
+                    // From here on discovery answers every call.
                     let back = Instant::now();
                     let discovery = Discovery::on(listener, Duration::from_millis(500));
                     let (_, watch) = discovery.watch();
@@ -228,14 +234,18 @@
                     watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
                     let mut client = balancer.client();
                     wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
-                    assert!(back.elapsed() < NOTIFIED_WITHIN, "{mode}, {part:?}: {:?}", back.elapsed());
+                    assert!(
+                        back.elapsed() < NOTIFIED_WITHIN,
+                        "{mode}, hang after {part:?}: the list took {:?}",
+                        back.elapsed()
+                    );
                 });
             }
         });
     });
 }
 
-/// Guards against a watch that goes on writing and tells nothing: bytes that never become a line are no sign of life.
+/// Guards against a watch that keeps sending bytes but never a complete line: such bytes do not count as a heartbeat.
 #[test]
 fn a_line_that_never_ends_is_silence() {
     in_each_mode(|mode| {
@@ -246,7 +256,7 @@
         watch.says(8, false, &[]);
         let began = Instant::now();
         let dripping = thread::spawn(move || {
-            // The watch is given up under it.
+            // The balancer gives up the watch while this thread writes to it.
             while began.elapsed() < LONG && watch.try_bytes(b" ") {
                 thread::sleep(Duration::from_millis(100));
             }
@@ -256,13 +266,13 @@
         watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = balancer.client();
         wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
-        assert!(began.elapsed() < NOTIFIED_WITHIN, "{mode}: {:?}", began.elapsed());
-        dripping.join().expect("no panic");
+        assert!(began.elapsed() < NOTIFIED_WITHIN, "{mode}: the drain took {:?}", began.elapsed());
+        dripping.join().expect("the thread does not panic");
     });
 }
 
-/// Guards drains against news from before them, as from a discovery that lags behind the one asked before: an older
-/// change is passed over, and an older whole list takes nothing out of its drain but a new start.
+/// Guards drains against older updates, as from a discovery that lags behind the one that was asked before: an older
+/// delta is ignored, and an older snapshot ends the drain of an endpoint only if it shows a new start of the endpoint.
 #[test]
 fn an_older_list_ends_no_drain() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -276,30 +286,35 @@
     let requests_before = old.requests().len();
     watch.says(8, false, std::slice::from_ref(&ready));
     watch.says(7, true, &[ready, other.clone()]);
-    // What comes last is applied last.
+    // Updates are applied in the order in which they arrive, so the last one shows that all are applied.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(8, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is applied", || (client.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
     }
-    assert_eq!(old.requests().len(), requests_before, "the older list ended its drain");
-    // A new start is news.
+    assert_eq!(
+        old.requests().len(),
+        requests_before,
+        "number of requests to the drained endpoint after the older list"
+    );
+    // A new start ends the drain.
     let mut restarted = endpoint("s-1", old.address, 0, "ready");
     restarted["since_ms"] = 1_000.into();
     watch.says(9, false, &[restarted]);
     wait_for("the new start is applied", || (client.ask("read", "").body == b"old").then_some(()));
 }
 
-/// The entry of a process that started at this time.
+/// The list entry of a process that started at `since_ms`, in milliseconds.
 fn since(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> serde_json::Value {
     let mut entry = endpoint(name, address, 0, status);
     entry["since_ms"] = since_ms.into();
     entry
 }
 
-/// Guards a new process against the drain of the one before, where the clock behind the stamps stepped back between
-/// the two: also in a list of a lower index, as from a discovery that counts anew, a start never named is a new one.
+/// Guards a new process against the drain of its predecessor if the clock that gives the start times stepped back
+/// between the two starts. A start time that has not been listed before is a new start, even in a list with a lower
+/// index, as from a discovery whose index has been reset.
 #[test]
 fn a_new_start_with_an_earlier_stamp_ends_the_drain() {
     let (restarted, other) = (Upstream::start(|_, _| ok("restarted")), Upstream::start(|_, _| ok("other")));
@@ -309,29 +324,31 @@
     let first_list = Instant::now();
     // The clock steps back by less than the time since the first list.
     let step_ms = 20;
-    wait_for("time passes", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
+    wait_for("twice the step has passed", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
     watch.says(9, false, &[since("s-1", restarted.address, "ready", now)]);
     let mut client = balancer.client();
-    wait_for("it is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
+    wait_for("the endpoint is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
     watch.says(10, false, &[since("s-1", restarted.address, "draining", now)]);
     wait_for("the drain is applied", || {
         (0..16).all(|_| client.ask("read", "").body == b"other").then_some(())
     });
     let restart = since("s-1", restarted.address, "ready", now - step_ms as u64);
-    // Only the new start serves from here on.
+    // From here on the list contains only the new start of the endpoint.
     watch.says(3, true, &[restart]);
     wait_for("the new start is applied", || (client.ask("read", "").body == b"restarted").then_some(()));
 }
 
-/// Guards a drain against an older list that names the process before, from a time when this one had no list yet.
+/// Guards a drain against an older list that names the previous process of the endpoint and dates from before this
+/// balancer had a list.
 #[test]
 fn an_older_list_with_a_start_never_named_ends_no_drain() {
     let (drained, other) = (Upstream::start(|_, _| ok("drained")), Upstream::start(|_, _| ok("other")));
     let known = [since("s-1", drained.address, "ready", 5_000)];
     let discovery = Discovery::start();
     let text = configuration(discovery.address, &known, 30.0, 1024);
-    // Were it taken for a new start, slow start must not hide it.
+    // A short slow start, so that the test would notice requests to the endpoint if the entry were taken for a new
+    // start.
     let (usual, short) = ("\"coldS\":10.0", "\"coldS\":0.001");
     assert!(text.contains(usual));
     let balancer = Balancer::start(&text.replace(usual, short));
@@ -343,17 +360,21 @@
     let requests_before = drained.requests().len();
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(3, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
-    // What comes last is applied last.
+    // Updates are applied in the order in which they arrive, so the last one shows that all are applied.
     watch.says(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is applied", || (client.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
     }
-    assert_eq!(drained.requests().len(), requests_before, "the older list ended its drain");
+    assert_eq!(
+        drained.requests().len(),
+        requests_before,
+        "number of requests to the drained endpoint after the older list"
+    );
 }
 
-/// Guards a drain against an older list that names the process before, whose stamp is the later one as the clock
-/// behind the stamps stepped back between the two.
+/// Guards a drain against an older list that names the previous process of the endpoint, whose start time is the later
+/// one because the clock that gives the start times stepped back between the two starts.
 #[test]
 fn an_older_list_with_a_later_stamp_of_a_start_before_ends_no_drain() {
     let (drained, other) = (Upstream::start(|_, _| ok("drained")), Upstream::start(|_, _| ok("other")));
@@ -366,19 +387,24 @@
     let mut client = balancer.client();
     wait_for("the drain is applied", || (client.ask("read", "").body == b"other").then_some(()));
     let requests_before = drained.requests().len();
-    // What comes last is applied last; the list before it may say that start again, and the one after.
+    // Updates are applied in the order in which they arrive, so the last one shows that all are applied. The older
+    // lists before it name the start of the previous process again, and the one of the current process.
     let third = Upstream::start(|_, _| ok("third"));
     watch.says(7, true, &[since("s-1", drained.address, "ready", 5_000), beside.clone()]);
     watch.says(6, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
     watch.says(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
-    wait_for("the last word is applied", || (client.ask("read", "").body == b"third").then_some(()));
+    wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
     }
-    assert_eq!(drained.requests().len(), requests_before, "the older list ended its drain");
+    assert_eq!(
+        drained.requests().len(),
+        requests_before,
+        "number of requests to the drained endpoint after the older list"
+    );
 }
 
-/// Guards the list in hand against a watch that was given up: what still comes on it is not heard.
+/// Guards the current list against a watch that was given up: what still arrives on that watch is ignored.
 #[test]
 fn a_watch_given_up_is_not_heard() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
@@ -386,7 +412,7 @@
     let balancer = pushed(&discovery, &[endpoint("s-1", old.address, 0, "ready")]);
     let (_, before) = discovery.watch();
     before.says(8, false, &[]);
-    // It falls silent, and the next one speaks.
+    // The first watch falls silent, and the next one sends an update.
     let (_, after) = discovery.watch();
     let drained = endpoint("s-1", old.address, 0, "draining");
     after.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
@@ -406,25 +432,25 @@
     assert_eq!(old.requests().len(), requests_before);
 }
 
-/// Guards reloads in a row, the first of them onto a discovery that takes calls and never answers: the last one's list
-/// is notified in time.
+/// Guards consecutive reloads, the first of which names a discovery that accepts calls and never answers: the balancer
+/// learns in time of the list of the discovery that the last reload names.
 #[test]
 fn the_last_of_two_reloads_counts() {
     in_each_mode(|mode| {
         let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
         let known = [endpoint("s-1", old.address, 0, "ready")];
-        let mute = || TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let mute = || TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
         let (first, second) = (mute(), mute());
-        let place = |listener: &TcpListener| listener.local_addr().expect("bound");
+        let place = |listener: &TcpListener| listener.local_addr().expect("the listener is bound");
         let last = Discovery::start();
         let text = |place| configuration(place, &known, 30.0, 1024).replace("subscribe", mode);
         let mut child = program(&text(place(&first)));
         let (address, _log) = address(&mut child);
-        // A call hangs there.
-        let _hangs = first.accept().expect("asked");
+        // The call to the first discovery hangs.
+        let _hangs = first.accept().expect("the balancer connects");
         write_configuration(&text(place(&second)));
         signal(&child, "-HUP");
-        let _hangs_too = second.accept().expect("asked");
+        let _hangs_too = second.accept().expect("the balancer connects");
         write_configuration(&text(last.address));
         let announced = Instant::now();
         signal(&child, "-HUP");
@@ -433,8 +459,12 @@
         watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = Client::connect(address);
         wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
-        assert!(announced.elapsed() < Duration::from_secs(4), "{mode}: {:?}", announced.elapsed());
-        child.kill().expect("it runs");
-        child.wait().expect("ends");
+        assert!(
+            announced.elapsed() < Duration::from_secs(4),
+            "{mode}: the list took {:?} after the last reload",
+            announced.elapsed()
+        );
+        child.kill().expect("the program is running");
+        child.wait().expect("the program ends");
     });
 }
