--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -11,10 +11,11 @@
 /// Guards the policy against input that it cannot handle, and the client against getting no answer: a bad request is
 /// answered with an error status and not forwarded.
 #[test]
-fn a_bad_request_is_rejected_and_harms_nobody() {
+fn a_bad_request_is_rejected_and_not_forwarded() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
-    let good = "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 9\r\n\r\n";
+    let valid_request =
+        "GET /read HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 9\r\n\r\n";
     let cases = [
         ("/read", "/other", 400),
         ("acme", "nobody", 400),
@@ -35,7 +36,7 @@
     ];
     for (from, to, status) in cases {
         let mut client = balancer.client();
-        client.raw(good.replacen(from, to, 1).as_bytes());
+        client.raw(valid_request.replacen(from, to, 1).as_bytes());
         let answer = client.answer().map(|answer| answer.status());
         assert_eq!(answer, Some(status), "status of a request with {from:?} replaced by {to:?}");
     }
@@ -46,7 +47,7 @@
 
 /// Guards the descriptor limit: idle client connections are evicted for new ones, and each new client is served.
 #[test]
-fn idle_clients_give_way_when_sockets_run_out() {
+fn idle_clients_are_evicted_when_sockets_run_out() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -65,7 +66,7 @@
 
 /// Guards the descriptor limit against connections that never carry a request: they are evicted for new ones.
 #[test]
-fn silent_clients_give_way_too() {
+fn silent_clients_are_evicted_when_sockets_run_out() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -79,7 +80,7 @@
 
 /// Guards the reading of a request that arrives in pieces: it is accepted once its last byte has arrived.
 #[test]
-fn a_request_may_come_in_pieces() {
+fn a_request_may_arrive_in_pieces() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
@@ -97,13 +98,13 @@
 /// Guards clients against waiting for a socket that does not become free: while all sockets are in use, further
 /// requests are refused at once and are not sent to an upstream.
 #[test]
-fn busy_clients_beyond_the_budget_are_refused() {
+fn requests_beyond_the_socket_budget_are_refused() {
     let upstream = Upstream::start(|_, _| Reply::Silence);
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 50.0, 48));
     let mut waiting = Vec::new();
-    let refused = wait_for("a refusal", || {
+    let refusal = wait_for("a refusal", || {
         let mut client = balancer.client();
         client.send("order", "one");
         client
@@ -118,7 +119,7 @@
         waiting.push(client);
         None
     });
-    assert_eq!(refused.status(), 503);
+    assert_eq!(refusal.status(), 503);
     assert!(
         upstream.requests().len() < 48,
         "expected fewer than 48 requests, got {}",
@@ -136,13 +137,13 @@
     let mut child = program_within(32, &configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     drop(log);
-    let many: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
+    let other_clients: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
     wait_for("a client is served while descriptors are short", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
         client.answer().filter(|answer| answer.status() == 200)
     });
-    drop(many);
+    drop(other_clients);
     wait_for("a client is served after the shortage", || {
         let mut client = Client::connect(address);
         client.send("order", "one");
@@ -154,12 +155,12 @@
 }
 
 /// Least time that the balancer, while it closes connections in a drain, waits for the first request on a new one.
-const LATE: Duration = Duration::from_millis(250);
+const MIN_FIRST_REQUEST_WAIT: Duration = Duration::from_millis(250);
 
 /// Guards planned restarts: after SIGTERM accepted requests are finished, new connections are still served, answers
 /// close their connections in the closing phase, and the program then ends by itself.
 #[test]
-fn sigterm_finishes_what_was_accepted() {
+fn sigterm_finishes_accepted_requests() {
     let (release, release_signal) = std::sync::mpsc::channel::<()>();
     let release_signal = std::sync::Mutex::new(release_signal);
     let upstream = Upstream::start(move |number, _| {
@@ -172,8 +173,8 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, mut log) = address(&mut child);
-    let mut accepted = Client::connect(address);
-    accepted.send("order", "one");
+    let mut client_in_request = Client::connect(address);
+    client_in_request.send("order", "one");
     upstream.wait_requests(1);
     let mut idle = Client::connect(address);
     assert_eq!(idle.ask("order", "two").header("connection"), None);
@@ -191,7 +192,7 @@
         let answer = match late.answer() {
             Some(answer) => answer,
             // If this thread was late with its request, the balancer was right to close the connection before it.
-            None if connected.elapsed() >= LATE => return None,
+            None if connected.elapsed() >= MIN_FIRST_REQUEST_WAIT => return None,
             None => panic!("the connection was closed although its request was sent at once"),
         };
         // Towards the end of the drain there is no time for another attempt, so that the request may be refused.
@@ -202,7 +203,7 @@
     assert!(idle.answer().is_none());
     assert!(child.try_wait().expect("the program's status can be read").is_none());
     release.send(()).expect("the upstream waits for the release");
-    assert_eq!(accepted.answer().expect("the balancer answers").status(), 200);
+    assert_eq!(client_in_request.answer().expect("the balancer answers").status(), 200);
     assert!(child.wait().expect("the program ends").success());
 }
 
@@ -210,7 +211,7 @@
 /// answer announces the close. A request that was sent while the balancer closed its connection is sent again on a new
 /// connection. Clients that connect late in the drain also get an answer, until the program ends.
 #[test]
-fn a_drain_answers_clients_that_go_on_sending() {
+fn a_drain_answers_clients_that_continue_to_send() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -219,11 +220,14 @@
     // Whether a request on a new connection is answered. It is sent 40 ms after the connect, as by a client that is
     // busy with other work meanwhile. `Some(true)` also if this thread was late, and `None` if the program no longer
     // accepts connections.
-    let answered_anew = move || {
+    let answered_on_new_connection = move || {
         let Ok(stream) = std::net::TcpStream::connect(address) else { return None };
         let connected = Instant::now();
         std::thread::sleep(Duration::from_millis(40));
-        Some(Client::new(stream).try_ask("order", "anew").is_some() || connected.elapsed() >= LATE)
+        Some(
+            Client::new(stream).try_ask("order", "anew").is_some()
+                || connected.elapsed() >= MIN_FIRST_REQUEST_WAIT,
+        )
     };
     let clients: Vec<_> = (0..8)
         .map(|_| {
@@ -235,7 +239,7 @@
                             std::thread::sleep(Duration::from_millis(4));
                         }
                         Some(_) => return (sent, true),
-                        None => return (sent, answered_anew() == Some(true)),
+                        None => return (sent, answered_on_new_connection() == Some(true)),
                     }
                 }
                 unreachable!("the drain closes the connection")
@@ -254,7 +258,7 @@
     let late: Vec<_> = (0..20)
         .map(|_| {
             std::thread::sleep(Duration::from_millis(10));
-            std::thread::spawn(answered_anew)
+            std::thread::spawn(answered_on_new_connection)
         })
         .collect();
     for client in clients {
@@ -274,24 +278,28 @@
 /// Guards operators against a program that runs with an invalid configuration: it exits with an error message that
 /// names the fault.
 #[test]
-fn a_bad_configuration_is_a_plain_message() {
-    let sound = configuration(dead_address(), &[], 1.0, 1024);
+fn a_bad_configuration_gives_an_error_message() {
+    let valid_configuration = configuration(dead_address(), &[], 1.0, 1024);
     for (text, part) in [
         ("{".to_owned(), "malformed"),
-        (sound.replace("127.0.0.1:0", "here"), "invalid value for listen"),
-        (sound.replace("8c1f", "xyz"), "invalid value for seed"),
-        (sound.replace("1024", "4"), "invalid value for limits.sockets"),
-        (sound.replace("idempotent", "harmless"), "settings are malformed"),
+        (valid_configuration.replace("127.0.0.1:0", "here"), "invalid value for listen"),
+        (valid_configuration.replace("8c1f", "xyz"), "invalid value for seed"),
+        (valid_configuration.replace("1024", "4"), "invalid value for limits.sockets"),
+        (valid_configuration.replace("idempotent", "harmless"), "settings are malformed"),
         (
-            sound.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen("\"balancers\":1,", "", 1),
+            valid_configuration.replace("\"me\":0", "\"me\":0,\"balancers\":0").replacen(
+                "\"balancers\":1,",
+                "",
+                1,
+            ),
             "copies is 0",
         ),
     ] {
         let child = program(&text);
-        let done = child.wait_with_output().expect("the program ends");
-        let log = String::from_utf8_lossy(&done.stderr).into_owned();
+        let output = child.wait_with_output().expect("the program ends");
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !done.status.success() && log.contains(part) && !log.contains("panicked"),
+            !output.status.success() && log.contains(part) && !log.contains("panicked"),
             "expected a failed start with {part:?} in the log, got: {log}"
         );
     }
@@ -300,22 +308,22 @@
 /// Guards the socket budget against peers that connect and send nothing, a part of a head, or a part of a body: each
 /// gets an error or is disconnected, while a connection that has carried a request may be idle for longer.
 #[test]
-fn a_peer_without_a_whole_request_is_let_go() {
+fn a_peer_that_sends_no_complete_request_is_disconnected() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     discovery.watch().1.bytes(b"\n");
-    let mut served = balancer.client();
+    let mut served_client = balancer.client();
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
-    assert_eq!(served.ask("order", "one").status(), 200);
+    assert_eq!(served_client.ask("order", "one").status(), 200);
     let head =
         "POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nContent-Length: 9\r\n\r\n";
-    let (health, begun) = ("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n", format!("{head}abc"));
+    let (health, partial_body) = ("GET /_health HTTP/1.1\r\nHost: a\r\n\r\n", format!("{head}abc"));
     let parts = [
         ("", None),
         ("GET /re", None),
         (&head[..60], None),
         (head, Some(408)),
-        (&begun, Some(408)),
+        (&partial_body, Some(408)),
         (health, Some(200)),
     ];
     let mut peers: Vec<Client> = parts.iter().map(|_| balancer.client()).collect();
@@ -334,14 +342,14 @@
         );
     }
     // This connection is older than those of the peers and has been idle for longer than they were allowed to be.
-    assert_eq!(served.ask("order", "two").status(), 200);
+    assert_eq!(served_client.ask("order", "two").status(), 200);
     assert_eq!(upstream.requests().len(), 2);
 }
 
 /// Guards reloads: SIGHUP does not end the program, a malformed file changes nothing, and a file that names another
 /// discovery moves the watch to it, starting from the current version.
 #[test]
-fn sighup_moves_the_watch_to_the_discovery_of_the_file() {
+fn sighup_moves_the_watch_to_the_configured_discovery() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let (before, after) = (Discovery::start(), Discovery::start());
     let known = [endpoint("s-1", old.address, 0, "ready")];
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -15,9 +15,9 @@
 /// Connect timeout of the settings for tests in which an attempt gives up before it has a connection. It is less than
 /// the second after which the kernel repeats its SYN. A sixteenth of it, the lower bound of an attempt's connect
 /// timeout, is longer than a connect takes on a busy machine.
-const SHORT_S: f64 = 0.8;
+const SHORT_CONNECT_TIMEOUT_S: f64 = 0.8;
 /// Connect timeout of the settings for tests in which an attempt continues to wait for a connection.
-const LONG_S: f64 = 5.0;
+const LONG_CONNECT_TIMEOUT_S: f64 = 5.0;
 
 /// Starts a balancer that knows the endpoints `known`, with a connect timeout of `dial_timeout` seconds.
 fn start(known: &[Value], dial_timeout: f64) -> (Balancer, Discovery) {
@@ -35,7 +35,7 @@
     class: &str,
 ) -> (Balancer, Discovery, Vec<String>) {
     let known = [endpoint("s-1", late.address, 0, "ready"), endpoint("s-2", other.address, 1, "ready")];
-    let (balancer, discovery) = start(&known, SHORT_S);
+    let (balancer, discovery) = start(&known, SHORT_CONNECT_TIMEOUT_S);
     let mut bodies = Vec::new();
     // The first upstream of a request is chosen at random.
     wait_for("an attempt is sent to the late upstream", || {
@@ -48,7 +48,7 @@
 }
 
 /// Waits until a connection has been established and the balancer has processed that event.
-fn wait_up(balancer: &Balancer, upstream: &Upstream) {
+fn wait_connected(balancer: &Balancer, upstream: &Upstream) {
     wait_for("a connection is established", || (upstream.connections() > 0).then_some(()));
     // The balancer answers a health check that was sent after the connect only after it has processed the connect.
     balancer.health();
@@ -60,7 +60,7 @@
 }
 
 /// Reads the client's answer and checks that its connection carries nothing after it.
-fn only_answer(mut client: Client) -> Message {
+fn read_only_answer(mut client: Client) -> Message {
     let answer = client.answer().expect("the balancer answers");
     client.0.shutdown(Shutdown::Write).expect("the connection is open");
     let mut rest = Vec::new();
@@ -79,7 +79,7 @@
     let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
     let (balancer, discovery, _) = start_with_one_late(&late, &other, "read");
     let upstream = late.serve(|_, _| ok("late"));
-    wait_up(&balancer, &upstream);
+    wait_connected(&balancer, &upstream);
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-2", other.address, 1, "gone")]);
     wait_for("late upstream serves", || (balancer.client().ask("read", "").body == b"late").then_some(()));
@@ -91,7 +91,7 @@
 /// Guards against waiting for all of `dialTimeoutS` if connects are usually fast: an attempt gives up before the kernel
 /// repeats its SYN, a second after the first, and its request is served by another upstream, once.
 #[test]
-fn the_usual_connect_time_bounds_the_wait() {
+fn the_usual_connect_time_limits_the_wait() {
     let other = Upstream::start(|_, _| ok("other"));
     // A sixteenth of this timeout, the lower bound for an attempt, is a quarter of a second. The timeout itself is
     // longer than the second after which the kernel repeats its SYN.
@@ -109,38 +109,38 @@
     let late = LateUpstream::start();
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-1", late.address, 0, "ready")]);
-    let mut asked = 0;
+    let mut request_number = 0;
     // Sends one request at a time, some of which may be refused, until one waits for a connection.
     let mut client = wait_for("an attempt is sent to the late upstream", || {
-        asked += 1;
+        request_number += 1;
         let mut client = balancer.client();
-        client.send("order", &asked.to_string());
+        client.send("order", &request_number.to_string());
         client.0.set_read_timeout(Some(Duration::from_millis(1))).expect("the socket option can be set");
-        let waits = wait_for("an answer arrives or a connect is in progress", || {
-            let waits = !connecting(late.address).is_empty();
-            (waits || client.0.peek(&mut [0]).is_ok()).then_some(waits)
+        let is_connecting = wait_for("an answer arrives or a connect is in progress", || {
+            let is_connecting = !connecting(late.address).is_empty();
+            (is_connecting || client.0.peek(&mut [0]).is_ok()).then_some(is_connecting)
         });
         client.0.set_read_timeout(Some(LONG)).expect("the socket option can be set");
-        waits.then_some(client)
+        is_connecting.then_some(client)
     });
     let upstream = late.serve(|_, _| ok("late"));
     let answer = client.answer().expect("the balancer answers");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, b"other".as_slice()),
-        "answer to order {asked}"
+        "answer to order {request_number}"
     );
-    wait_up(&balancer, &upstream);
-    let body = asked.to_string();
+    wait_connected(&balancer, &upstream);
+    let body = request_number.to_string();
     assert_eq!((other.count_of(&body), upstream.count_of(&body)), (1, 0));
 }
 
 /// Starts a balancer with two attempts at one upstream. The second attempt waits for a new connection, which cannot be
 /// established yet, and is sent on the connection of the first attempt as soon as that is free. Returns the balancer,
 /// its discovery, the upstream, and the upstream's end of that connection, which is idle now.
-fn late_binding() -> (Balancer, Discovery, LateUpstream, TcpStream) {
+fn start_with_attempt_on_freed_connection() -> (Balancer, Discovery, LateUpstream, TcpStream) {
     let mut late = LateUpstream::with_room_for_one();
-    let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], LONG_S);
+    let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], LONG_CONNECT_TIMEOUT_S);
     let (mut first, mut second) = (balancer.client(), balancer.client());
     first.send("read", "");
     let mut stream = late.accept();
@@ -159,8 +159,8 @@
 
 /// Guards an attempt against waiting for a new connection while another one to the same upstream becomes free.
 #[test]
-fn an_attempt_takes_the_connection_that_falls_free() {
-    let (balancer, _discovery, late, _stream) = late_binding();
+fn an_attempt_uses_a_connection_that_becomes_free() {
+    let (balancer, _discovery, late, _stream) = start_with_attempt_on_freed_connection();
     // Neither of the two attempts got another connection.
     let address = late.address;
     drop(balancer);
@@ -171,26 +171,26 @@
 /// Guards requests that must not run twice: a request that is rerouted after it waited for a connection arrives once
 /// over all upstreams, even after that connection has been established.
 #[test]
-fn a_reroute_after_a_late_connect_runs_once() {
+fn a_request_rerouted_after_a_slow_connect_runs_once() {
     let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
     let (balancer, _discovery, mut bodies) = start_with_one_late(&late, &other, "order");
     let ask = |body: &str, status| {
         assert_eq!(balancer.client().ask("order", body).status(), status, "status of {body}");
     };
-    let burst: Vec<String> = (0..8).map(|number| format!("burst {number}")).collect();
+    let burst_bodies: Vec<String> = (0..8).map(|number| format!("burst {number}")).collect();
     thread::scope(|scope| {
-        for body in &burst {
+        for body in &burst_bodies {
             scope.spawn(|| ask(body, 200));
         }
     });
     let upstream = late.serve(|_, _| ok("late"));
-    wait_up(&balancer, &upstream);
-    let after: Vec<String> = (0..16).map(|number| format!("after {number}")).collect();
-    for body in &after {
+    wait_connected(&balancer, &upstream);
+    let later_bodies: Vec<String> = (0..16).map(|number| format!("after {number}")).collect();
+    for body in &later_bodies {
         ask(body, 200);
     }
     drop(balancer);
-    bodies.extend(burst);
+    bodies.extend(burst_bodies);
     for body in &bodies {
         assert_eq!(
             (other.count_of(body), upstream.count_of(body)),
@@ -198,7 +198,7 @@
             "times that {body} arrived at the other upstream and at the late one"
         );
     }
-    for body in &after {
+    for body in &later_bodies {
         assert_eq!(other.count_of(body) + upstream.count_of(body), 1, "times that {body} arrived");
     }
 }
@@ -208,9 +208,9 @@
 /// Guards an unreachable upstream and the balancer's descriptors against a connect for every request: one connect
 /// continues, however many attempts gave up, and each client gets one answer.
 #[test]
-fn one_connect_stays_under_way() {
+fn one_connect_per_upstream_continues() {
     let late = LateUpstream::start();
-    let (balancer, _discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
+    let (balancer, _discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_CONNECT_TIMEOUT_S);
     let clients: Vec<Client> = (0..20)
         .map(|_| {
             let mut client = balancer.client();
@@ -219,14 +219,14 @@
         })
         .collect();
     for client in clients {
-        let status = only_answer(client).status();
+        let status = read_only_answer(client).status();
         assert!(status == 502 || status == 503, "expected status 502 or 503, got {status}");
     }
     late.wait_connecting_falls(1);
-    let left = connecting(late.address);
-    assert_eq!(left.len(), 1, "local ports of the connects in progress: {left:?}");
+    let connecting_ports = connecting(late.address);
+    assert_eq!(connecting_ports.len(), 1, "local ports of the connects in progress: {connecting_ports:?}");
     let upstream = late.serve(|_, _| ok("late"));
-    wait_up(&balancer, &upstream);
+    wait_connected(&balancer, &upstream);
     drop(balancer);
     let links = upstream.all_links();
     assert!(links.len() == 1 && !links[0].spoken, "expected one unused connection, got {links:?}");
@@ -235,15 +235,20 @@
 /// Guards descriptors against a connect that never succeeds: it is given up, whether or not requests are sent to the
 /// upstream meanwhile.
 #[test]
-fn a_connect_is_let_go_of() {
-    let case = |asking: bool| {
+fn a_connect_that_never_succeeds_is_given_up() {
+    let case = |with_requests: bool| {
         let late = LateUpstream::start();
-        let (balancer, _discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
+        let (balancer, _discovery) =
+            start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_CONNECT_TIMEOUT_S);
         assert_ne!(balancer.client().ask("read", "").status(), 200);
         let first = connecting(late.address);
-        assert_eq!(first.len(), 1, "asking: {asking}, local ports of the connects in progress: {first:?}");
+        assert_eq!(
+            first.len(),
+            1,
+            "asking: {with_requests}, local ports of the connects in progress: {first:?}"
+        );
         wait_for("the connect is given up", || {
-            if asking {
+            if with_requests {
                 balancer.client().ask("read", "");
             }
             (!connecting(late.address).contains(&first[0])).then_some(())
@@ -251,8 +256,8 @@
         late.wait_connecting_falls(0);
     };
     thread::scope(|scope| {
-        for asking in [false, true] {
-            scope.spawn(move || case(asking));
+        for with_requests in [false, true] {
+            scope.spawn(move || case(with_requests));
         }
     });
 }
@@ -260,8 +265,8 @@
 /// Guards upstreams against unnecessary connections: a connection that is established while another one is idle is
 /// closed, and the idle one stays in use.
 #[test]
-fn a_late_connection_is_closed_where_another_stands_idle() {
-    let (balancer, _discovery, late, mut stream) = late_binding();
+fn a_late_connection_is_closed_if_another_is_idle() {
+    let (balancer, _discovery, late, mut stream) = start_with_attempt_on_freed_connection();
     let upstream = late.serve(|_, _| ok("late"));
     wait_for("the connect is over", || connecting(upstream.address).is_empty().then_some(()));
     // The balancer may have given up the connect before it succeeded; then there is no connection to check.
@@ -279,18 +284,19 @@
 /// Guards drains, address changes and restarts of an endpoint: a connect from before the update is given up, or its
 /// connection is closed, and no request is ever sent on it.
 #[test]
-fn a_connect_from_before_the_word_carries_nothing() {
+fn a_connect_from_before_an_update_carries_no_request() {
     let case = |change: &str| {
         let (late, other) = (LateUpstream::start(), Upstream::start(|_, _| ok("other")));
         let moved = Upstream::start(|_, _| ok("moved"));
-        let (balancer, discovery) = start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_S);
+        let (balancer, discovery) =
+            start(&[endpoint("s-1", late.address, 0, "ready")], SHORT_CONNECT_TIMEOUT_S);
         assert_ne!(
             balancer.client().ask("read", "").status(),
             200,
             "{change}: the request was served before the connect succeeded"
         );
-        let before = connecting(late.address);
-        assert_eq!(before.len(), 1, "{change}: local ports of the connects in progress: {before:?}");
+        let old_ports = connecting(late.address);
+        assert_eq!(old_ports.len(), 1, "{change}: local ports of the connects in progress: {old_ports:?}");
         let mut changed = match change {
             "moved" => endpoint("s-1", moved.address, 0, "ready"),
             "restarted" => endpoint("s-1", late.address, 0, "ready"),
@@ -306,7 +312,7 @@
         });
         let upstream = late.serve(|_, _| ok("late"));
         wait_for("the connect is over", || {
-            (!connecting(upstream.address).contains(&before[0])).then_some(())
+            (!connecting(upstream.address).contains(&old_ports[0])).then_some(())
         });
         // A balancer that has seen only connect timeouts so far may refuse some requests.
         for _ in 0..20 {
@@ -314,7 +320,7 @@
                 (balancer.client().ask("read", "").status() == 200).then_some(())
             });
         }
-        if let Some(number) = upstream.all_links().iter().position(|link| link.peer.port() == before[0]) {
+        if let Some(number) = upstream.all_links().iter().position(|link| link.peer.port() == old_ports[0]) {
             wait_for("the balancer closes it", || upstream.links()[number].closed.then_some(()));
             assert!(!upstream.links()[number].spoken, "{change}: sent on the old connection");
         }
@@ -339,20 +345,20 @@
 /// Guards clients against connects that no attempt waits for: if descriptors run short, these connects are given up
 /// first.
 #[test]
-fn left_connects_give_way_to_requests() {
+fn connects_without_an_attempt_are_given_up_for_requests() {
     const IN_FLIGHT: usize = 20;
-    let lates: Vec<LateUpstream> = (0..8).map(|_| LateUpstream::start()).collect();
+    let late_upstreams: Vec<LateUpstream> = (0..8).map(|_| LateUpstream::start()).collect();
     let entries = |weight: f64| -> Vec<Value> {
         let entry = |(number, late): (usize, &LateUpstream)| {
             let mut entry = endpoint(&format!("late-{number}"), late.address, 0, "ready");
             entry["weight"] = json!(weight);
             entry
         };
-        lates.iter().enumerate().map(entry).collect()
+        late_upstreams.iter().enumerate().map(entry).collect()
     };
     let discovery = Discovery::start();
     let text = configuration(discovery.address, &entries(1.0), 50.0, 64);
-    let balancer = Balancer::start(&with_dial_timeout(&text, LONG_S));
+    let balancer = Balancer::start(&with_dial_timeout(&text, LONG_CONNECT_TIMEOUT_S));
     let mut clients = Vec::new();
     wait_for("a connect to each upstream is in progress", || {
         if clients.len() == 16 {
@@ -361,16 +367,16 @@
         let mut client = balancer.client();
         client.send("order", "leaves");
         clients.push(client);
-        lates.iter().all(|late| !connecting(late.address).is_empty()).then_some(())
+        late_upstreams.iter().all(|late| !connecting(late.address).is_empty()).then_some(())
     });
     drop(clients);
-    for late in &lates {
+    for late in &late_upstreams {
         late.wait_connecting_falls(1);
     }
     // From here on all requests are sent to one upstream that answers and is listed under many names.
     let (release, release_signal) = mpsc::channel::<()>();
     let release_signal = Mutex::new(release_signal);
-    let working = Upstream::start(move |_, request| {
+    let answering = Upstream::start(move |_, request| {
         if request.body == b"held" {
             // The wait ends when the sender is dropped.
             let _ = release_signal.lock().expect("the lock is not poisoned").recv();
@@ -378,7 +384,7 @@
         ok("served")
     });
     let mut list = entries(0.0);
-    list.extend((0..40).map(|number| endpoint(&format!("s-{number}"), working.address, 1, "ready")));
+    list.extend((0..40).map(|number| endpoint(&format!("s-{number}"), answering.address, 1, "ready")));
     let (_, watch) = discovery.watch();
     watch.says(8, false, &list);
     wait_for("the list is applied", || {
@@ -388,7 +394,7 @@
         );
         (client.answer()?.body == b"served").then_some(())
     });
-    for late in &lates {
+    for late in &late_upstreams {
         // The attempts of the requests above end shortly after their clients have been answered.
         late.wait_connecting_falls(1);
         assert_eq!(connecting(late.address).len(), 1, "connects in progress to a late upstream");
@@ -398,7 +404,7 @@
         let mut client = balancer.client();
         client.send("order", "held");
         clients.push(client);
-        wait_for("a request is served", || (working.count_of("held") == count).then_some(()));
+        wait_for("a request is served", || (answering.count_of("held") == count).then_some(()));
     }
     assert_eq!(balancer.client().ask("order", "fresh").body, b"served");
     drop(release);
@@ -410,7 +416,7 @@
 /// Guards planned restarts: a connect in progress does not delay the end of the program, whether or not an attempt
 /// waits for it.
 #[test]
-fn a_connect_does_not_hold_up_the_drain() {
+fn a_connect_in_progress_does_not_delay_shutdown() {
     let case = |dial_timeout: f64| {
         let (late, discovery) = (LateUpstream::start(), Discovery::start());
         let known = [endpoint("s-1", late.address, 0, "ready")];
@@ -420,24 +426,28 @@
         let mut client = Client::connect(address);
         client.send("order", "one");
         late.wait_connecting(1);
-        let refused =
-            (dial_timeout == SHORT_S).then(|| client.answer().expect("the balancer answers").status());
-        let left = connecting(late.address);
+        let refused = (dial_timeout == SHORT_CONNECT_TIMEOUT_S)
+            .then(|| client.answer().expect("the balancer answers").status());
+        let connecting_ports = connecting(late.address);
         signal(&child, "-TERM");
-        let stopped = Instant::now();
+        let signalled_at = Instant::now();
         wait_line(&mut log, "graceful shutdown, ");
         drop(log);
         wait_for("the program ends", || child.try_wait().expect("the program's status can be read"));
         assert!(
-            refused != Some(200) && left.len() == 1,
-            "expected a connect in progress and no answer 200, got {left:?} and {refused:?}"
+            refused != Some(200) && connecting_ports.len() == 1,
+            "expected a connect in progress and no answer 200, got {connecting_ports:?} and {refused:?}"
         );
         // The program ends at the latest half a second plus the longest deadline after the signal.
-        assert!(stopped.elapsed() < SOON, "the program ended {:?} after the signal", stopped.elapsed());
+        assert!(
+            signalled_at.elapsed() < SOON,
+            "the program ended {:?} after the signal",
+            signalled_at.elapsed()
+        );
         assert!(connecting(late.address).is_empty());
     };
     thread::scope(|scope| {
-        for dial_timeout in [SHORT_S, LONG_S] {
+        for dial_timeout in [SHORT_CONNECT_TIMEOUT_S, LONG_CONNECT_TIMEOUT_S] {
             scope.spawn(move || case(dial_timeout));
         }
     });
--- a/crates/proxy/tests/departures.rs
+++ b/crates/proxy/tests/departures.rs
@@ -22,19 +22,19 @@
 
 /// How a client disconnects.
 #[derive(Debug, Clone, Copy)]
-enum Departure {
+enum Disconnect {
     /// The client closes its connection.
     Close,
     /// The client resets its connection.
     Reset,
     /// The client shuts down the sending side of its connection.
-    EndOfSending,
+    HalfClose,
     /// The client sends more bytes after its request and then closes its connection.
-    CloseBehindMore,
+    SendThenClose,
 }
 
-const DEPARTURES: [Departure; 4] =
-    [Departure::Close, Departure::Reset, Departure::EndOfSending, Departure::CloseBehindMore];
+const DISCONNECTS: [Disconnect; 4] =
+    [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose, Disconnect::SendThenClose];
 
 /// A client's end of its connection, `None` once it is closed. It is shared so that an upstream's script can disconnect
 /// the client.
@@ -44,21 +44,21 @@
 impl Client {
     /// Connects a client. Returns it and the balancer's end of its connection.
     fn connect() -> (Self, Socket) {
-        let (client, near) = connected_pair();
-        (Self(Arc::new(Mutex::new(Some(client)))), near)
+        let (client, socket) = connected_pair();
+        (Self(Arc::new(Mutex::new(Some(client)))), socket)
     }
 
-    fn leave(&self, how: Departure) {
+    fn disconnect(&self, kind: Disconnect) {
         let mut connection = self.0.lock().expect("the lock is not poisoned");
         let mut stream = connection.take().expect("the client is still connected");
-        match how {
-            Departure::Close => {}
-            Departure::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("option set"),
-            Departure::EndOfSending => {
+        match kind {
+            Disconnect::Close => {}
+            Disconnect::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("option set"),
+            Disconnect::HalfClose => {
                 stream.shutdown(Shutdown::Write).expect("the connection is open");
                 *connection = Some(stream);
             }
-            Departure::CloseBehindMore => stream.write_all(b"GET /read HTTP/1.1\r\n").expect("open"),
+            Disconnect::SendThenClose => stream.write_all(b"GET /read HTTP/1.1\r\n").expect("open"),
         }
     }
 }
@@ -70,37 +70,37 @@
     drive(&with_dial_timeout(&text, LONG.as_secs_f64()), test);
 }
 
-/// Passes a request of this class to the event loop, from the client at the other end of `near`.
-fn accept_from(event_loop: &Rc<EventLoop>, class: &str, near: &Socket) -> oneshot::Receiver<Answer> {
-    accept(event_loop, class, Bytes::new(), near, Instant::now() + LONG)
+/// Passes a request of this class to the event loop, from the client at the other end of `socket`.
+fn accept_from(event_loop: &Rc<EventLoop>, class: &str, socket: &Socket) -> oneshot::Receiver<Answer> {
+    accept(event_loop, class, Bytes::new(), socket, Instant::now() + LONG)
 }
 
 /// Disconnects a client, and waits until the kernel reports the disconnect on the balancer's end.
-fn depart(client: &Client, near: &Socket, how: Departure) {
-    client.leave(how);
-    wait_for("the kernel reports the disconnect", || near.has_ended().then_some(()));
+fn disconnect_and_wait(client: &Client, socket: &Socket, kind: Disconnect) {
+    client.disconnect(kind);
+    wait_for("the kernel reports the disconnect", || socket.has_ended().then_some(()));
 }
 
 /// Guards the detection of disconnects, on which the other tests of this file depend: it queries the kernel, whatever
 /// events the runtime has received, and leaves bytes that arrived before the end of the stream for the HTTP code.
 #[test]
-fn a_departure_is_seen_without_the_runtime() {
+fn a_disconnect_is_detected_without_the_runtime() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     runtime.block_on(async {
-        for how in DEPARTURES {
-            let (client, mut near) = Client::connect();
-            assert!(!near.has_ended(), "reported as ended before {how:?}");
-            depart(&client, &near, how);
-            if matches!(how, Departure::CloseBehindMore) {
+        for kind in DISCONNECTS {
+            let (client, mut socket) = Client::connect();
+            assert!(!socket.has_ended(), "reported as ended before {kind:?}");
+            disconnect_and_wait(&client, &socket, kind);
+            if matches!(kind, Disconnect::SendThenClose) {
                 let mut bytes = [0; 64];
-                let read = tokio::io::AsyncReadExt::read(&mut near, &mut bytes)
+                let read = tokio::io::AsyncReadExt::read(&mut socket, &mut bytes)
                     .await
                     .expect("the bytes before the end can be read");
                 assert_eq!(&bytes[..read], b"GET /read HTTP/1.1\r\n");
             }
-            let weak = near.downgrade();
-            drop(near);
+            let weak = socket.downgrade();
+            drop(socket);
             assert!(weak.has_ended(), "a connection closed on this side has no client");
         }
     });
@@ -108,10 +108,10 @@
 
 /// Guards clients that stay connected, even if they have sent bytes of the next request after the first one.
 #[test]
-fn a_client_that_stays_is_served() {
+fn a_client_that_stays_connected_is_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
     drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
-        let (client, near) = Client::connect();
+        let (client, socket) = Client::connect();
         client
             .0
             .lock()
@@ -120,74 +120,74 @@
             .expect("the connection is open")
             .write_all(b"GET /")
             .expect("the connection is open");
-        let answer = accept_from(event_loop, "order", &near).await;
+        let answer = accept_from(event_loop, "order", &socket).await;
         assert_eq!(answer, Ok(Answer::Served(Bytes::from_static(b"served"))));
     });
 }
 
 /// Guards first attempts, on a new connection and on a reused one: none begins after the client has disconnected.
 #[test]
-fn a_first_attempt_does_not_begin_for_a_client_that_left() {
-    for how in DEPARTURES {
+fn a_first_attempt_does_not_begin_for_a_disconnected_client() {
+    for kind in DISCONNECTS {
         let upstream = Upstream::start(|_, _| ok("served"));
         drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
-            let (client, near) = Client::connect();
-            depart(&client, &near, how);
+            let (client, socket) = Client::connect();
+            disconnect_and_wait(&client, &socket, kind);
             assert!(
-                accept_from(event_loop, "order", &near).await.is_err(),
-                "{how:?}: answered on a new connection"
+                accept_from(event_loop, "order", &socket).await.is_err(),
+                "{kind:?}: answered on a new connection"
             );
-            let (_stays, at_hand) = Client::connect();
-            assert!(accept_from(event_loop, "read", &at_hand).await.is_ok());
+            let (_staying_client, staying_socket) = Client::connect();
+            assert!(accept_from(event_loop, "read", &staying_socket).await.is_ok());
             assert!(
-                accept_from(event_loop, "read", &near).await.is_err(),
-                "{how:?}: answered on a reused connection"
+                accept_from(event_loop, "read", &socket).await.is_err(),
+                "{kind:?}: answered on a reused connection"
             );
         });
-        assert_eq!(upstream.requests().len(), 1, "{how:?}: number of attempts");
+        assert_eq!(upstream.requests().len(), 1, "{kind:?}: number of attempts");
     }
 }
 
 /// Guards the last step before a request is written: the client disconnects after its request was handed to the
 /// connection, but before the connection has written it.
 #[test]
-fn a_departure_between_hand_over_and_write_is_seen() {
-    for how in DEPARTURES {
+fn a_disconnect_between_hand_over_and_write_is_detected() {
+    for kind in DISCONNECTS {
         let upstream = Upstream::start(|_, _| ok("served"));
         drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
-            let (client, near) = Client::connect();
-            assert!(accept_from(event_loop, "read", &near).await.is_ok());
+            let (client, socket) = Client::connect();
+            assert!(accept_from(event_loop, "read", &socket).await.is_ok());
             wait_for_rest().await;
-            let answer = accept_from(event_loop, "read", &near);
+            let answer = accept_from(event_loop, "read", &socket);
             // This task runs after the attempt, and before the connection task that the attempt wakes.
-            spawn_local(async move { depart(&client, &near, how) });
-            assert!(answer.await.is_err(), "{how:?}: answered");
+            spawn_local(async move { disconnect_and_wait(&client, &socket, kind) });
+            assert!(answer.await.is_err(), "{kind:?}: answered");
         });
         assert_eq!(
             (upstream.requests().len(), upstream.connections()),
             (1, 1),
-            "{how:?}: requests and connections"
+            "{kind:?}: requests and connections"
         );
     }
 }
 
 /// Guards attempts whose connection is established after their client has disconnected: they do not begin.
 #[test]
-fn an_attempt_that_waits_for_a_connection_does_not_begin_for_a_client_that_left() {
+fn an_attempt_that_waits_for_a_connection_does_not_begin_for_a_disconnected_client() {
     std::thread::scope(|scope| {
-        for how in DEPARTURES {
+        for kind in DISCONNECTS {
             scope.spawn(move || {
                 let late = LateUpstream::start();
                 drive_with(&[endpoint("s-1", late.address, 0, "ready")], async |event_loop| {
-                    let (client, near) = Client::connect();
-                    let answer = accept_from(event_loop, "order", &near);
+                    let (client, socket) = Client::connect();
+                    let answer = accept_from(event_loop, "order", &socket);
                     while connecting(late.address).is_empty() {
                         yield_now().await;
                     }
-                    depart(&client, &near, how);
+                    disconnect_and_wait(&client, &socket, kind);
                     let upstream = late.serve(|_, _| ok("served"));
-                    assert!(answer.await.is_err(), "{how:?}: answered");
-                    assert_eq!(upstream.requests().len(), 0, "{how:?}: number of attempts");
+                    assert!(answer.await.is_err(), "{kind:?}: answered");
+                    assert_eq!(upstream.requests().len(), 0, "{kind:?}: number of attempts");
                 });
             });
         }
@@ -196,19 +196,21 @@
 
 /// Guards retries: the client disconnects during its first attempt, which then fails in a way that allows a retry.
 #[test]
-fn a_retry_does_not_begin_for_a_client_that_left() {
-    for how in DEPARTURES {
+fn a_retry_does_not_begin_for_a_disconnected_client() {
+    for kind in DISCONNECTS {
         for (class, reply) in [
             ("order", status("503 Full\r\nX-Not-Run: 1")),
             ("read", Reply::Last(Vec::new())),
             ("pay", Reply::Last(Vec::new())),
         ] {
-            let leaving: Arc<Mutex<Option<Client>>> = Arc::default();
+            let client_to_disconnect: Arc<Mutex<Option<Client>>> = Arc::default();
             let failing = || {
-                let (leaving, reply) = (Arc::clone(&leaving), reply.clone());
+                let (client_to_disconnect, reply) = (Arc::clone(&client_to_disconnect), reply.clone());
                 Upstream::start(move |_, _| {
-                    if let Some(client) = leaving.lock().expect("the lock is not poisoned").take() {
-                        client.leave(how);
+                    if let Some(client) =
+                        client_to_disconnect.lock().expect("the lock is not poisoned").take()
+                    {
+                        client.disconnect(kind);
                     }
                     reply.clone()
                 })
@@ -217,14 +219,17 @@
             let known =
                 [endpoint("s-1", first.address, 4, "ready"), endpoint("s-2", second.address, 4, "ready")];
             drive_with(&known, async |event_loop| {
-                let (client, near) = Client::connect();
-                leaving.lock().expect("the lock is not poisoned").replace(client);
-                assert!(accept_from(event_loop, class, &near).await.is_err(), "{how:?}, {class}: answered");
+                let (client, socket) = Client::connect();
+                client_to_disconnect.lock().expect("the lock is not poisoned").replace(client);
+                assert!(
+                    accept_from(event_loop, class, &socket).await.is_err(),
+                    "{kind:?}, {class}: answered"
+                );
             });
             assert_eq!(
                 first.requests().len() + second.requests().len(),
                 1,
-                "{how:?}, {class}: number of attempts"
+                "{kind:?}, {class}: number of attempts"
             );
         }
     }
@@ -233,24 +238,24 @@
 /// Guards the rest of a request: if the client disconnects when a part of the request has been written, the last byte
 /// is never written.
 #[test]
-fn the_rest_of_a_request_does_not_follow_for_a_client_that_left() {
+fn the_rest_of_a_request_is_not_written_for_a_disconnected_client() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
     let address = listener.local_addr().expect("the listener is bound");
     let known = [endpoint("s-1", address, 0, "ready")];
     // The small receive buffer keeps the body from being written at once.
     SockRef::from(&listener).set_recv_buffer_size(1024).expect("the socket option can be set");
     drive_with(&known, async |event_loop| {
-        let (client, near) = Client::connect();
+        let (client, socket) = Client::connect();
         let body = Bytes::from(vec![b'x'; 8 << 20]);
         let size = body.len();
-        let answer = accept(event_loop, "order", body, &near, Instant::now() + LONG);
+        let answer = accept(event_loop, "order", body, &socket, Instant::now() + LONG);
         let accepted = tokio::task::spawn_blocking(move || {
             let (mut stream, _) = listener.accept().expect("the balancer connects");
             stream.read_exact(&mut [0; 64]).expect("the request has begun");
             stream
         });
         let stream = accepted.await.expect("the thread does not panic");
-        depart(&client, &near, Departure::Close);
+        disconnect_and_wait(&client, &socket, Disconnect::Close);
         let read = tokio::task::spawn_blocking(move || all_of(stream).len());
         assert!(answer.await.is_err());
         assert!(
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -12,7 +12,7 @@
 /// Guards drains: once the balancer is notified, it sends no new request to the draining endpoint, not even over an
 /// idle connection.
 #[test]
-fn a_draining_upstream_gets_nothing_new() {
+fn a_draining_upstream_gets_no_new_requests() {
     for status in ["draining", "gone"] {
         let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
         let (balancer, discovery) = Balancer::with(&[endpoint("s-1", old.address, 0, "ready")], 30.0);
@@ -34,7 +34,7 @@
 
 /// Guards the parsing of the watch: lines that are split over chunks, several lines in one chunk, and invalid entries.
 #[test]
-fn lines_are_put_together_from_chunks() {
+fn lines_are_assembled_from_chunks() {
     let (first, second) = (Upstream::start(|_, _| ok("first")), Upstream::start(|_, _| ok("second")));
     let (balancer, discovery) = Balancer::with(&[], 30.0);
     let (_, watch) = discovery.watch();
@@ -59,7 +59,7 @@
 /// Guards against an outdated list: a watch that ends or sends a malformed line is opened again from the current
 /// version, and the current list stays in use meanwhile.
 #[test]
-fn a_broken_watch_is_taken_up_again() {
+fn a_broken_watch_is_reopened_from_the_current_version() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let (_, watch) = discovery.watch();
@@ -77,7 +77,7 @@
 /// Guards against a watch that stays open and sends nothing, as when discovery's machine is partitioned: the balancer
 /// opens a new watch, because it must learn of the changes that the silent watch does not send.
 #[test]
-fn a_silent_watch_is_dead() {
+fn a_silent_watch_is_reopened() {
     let discovery = Discovery::beating(LONG);
     let _balancer = Balancer::start(&configuration(discovery.address, &[], 30.0, 1024));
     let (_, watch) = discovery.watch();
@@ -88,7 +88,7 @@
 
 /// Guards against requests to the former address of an upstream: its address may change under the same name.
 #[test]
-fn an_upstream_may_move() {
+fn an_upstream_may_change_its_address() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", old.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
@@ -111,7 +111,7 @@
 }
 
 /// Starts a balancer whose settings say that lists are pushed to it (`automatic`).
-fn pushed(discovery: &Discovery, known: &[serde_json::Value]) -> Balancer {
+fn start_with_pushed_lists(discovery: &Discovery, known: &[serde_json::Value]) -> Balancer {
     let text = configuration(discovery.address, known, 30.0, 1024);
     Balancer::start(&text.replace("subscribe", "automatic"))
 }
@@ -120,12 +120,12 @@
 /// of what discovery has from the start. So health reports 503 until the list of discovery has arrived, or until the
 /// balancer stops waiting because discovery does not answer.
 #[test]
-fn a_new_process_waits_for_what_discovery_already_has() {
+fn a_new_process_waits_for_the_list_of_discovery() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let discovery = Discovery::beating(LONG);
     let known = [endpoint("s-1", old.address, 0, "ready")];
     let started = Instant::now();
-    let balancer = pushed(&discovery, &known);
+    let balancer = start_with_pushed_lists(&discovery, &known);
     // On a machine that is too busy to check the health in time, the check is skipped.
     let in_time = || started.elapsed() < Duration::from_millis(500);
     assert!(balancer.health() == 503 || !in_time());
@@ -148,31 +148,31 @@
 /// down and never receives anything, and the balancer counts as notified of what the first watch missed 6 s after that
 /// watch fell silent.
 #[test]
-fn a_drain_missed_in_an_outage_is_heard_within_six_seconds() {
+fn a_drain_missed_in_an_outage_is_applied_within_six_seconds() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let discovery = Discovery::beating(LONG);
     let known = [endpoint("s-1", old.address, 0, "ready")];
-    let balancer = pushed(&discovery, &known);
+    let balancer = start_with_pushed_lists(&discovery, &known);
     let (_, watch) = discovery.watch();
     watch.says(8, false, &[endpoint("s-2", new.address, 1, "ready")]);
-    let silent = Instant::now();
+    let silent_since = Instant::now();
     let (_, _never_speaks) = discovery.watch();
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
     watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining")]);
     let asked = |body| balancer.client().ask("order", body).body;
     wait_for("the drain is applied", || (0..8).all(|_| asked("one") == b"new").then_some(()));
-    assert!(silent.elapsed() < Duration::from_secs(6), "the drain took {:?}", silent.elapsed());
+    assert!(silent_since.elapsed() < Duration::from_secs(6), "the drain took {:?}", silent_since.elapsed());
 }
 
 /// Guards against a list that never changes: the balancer opens a watch even if its settings say that lists are pushed
 /// to it (`automatic`).
 #[test]
-fn a_watch_stays_open_whatever_the_settings_call_it() {
+fn a_watch_is_opened_in_automatic_mode() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", old.address, 0, "ready")];
-    let balancer = pushed(&discovery, &known);
+    let balancer = start_with_pushed_lists(&discovery, &known);
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
     watch.says(
@@ -185,12 +185,12 @@
 
 /// Time within which a balancer must learn of a change, counted from when discovery has the change and can be reached,
 /// whatever calls failed before.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 /// Head of the response to a watch request.
-const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 /// Starts a balancer with the discovery mode `mode`, whose settings allow it to poll discovery at long intervals.
-fn in_mode(mode: &str, discovery: SocketAddr, known: &[serde_json::Value]) -> Balancer {
+fn start_in_mode(mode: &str, discovery: SocketAddr, known: &[serde_json::Value]) -> Balancer {
     let text = configuration(discovery, known, 30.0, 1024).replace("subscribe", mode);
     Balancer::start(&text.replace("\"askWithinS\":10.0", "\"askWithinS\":60.0"))
 }
@@ -209,16 +209,18 @@
 /// answer: the backoff after a few failed calls in a row must not delay the next call beyond the time within which the
 /// balancer must learn of a change.
 #[test]
-fn calls_that_hang_do_not_keep_the_list_away() {
+fn calls_that_hang_do_not_delay_the_list() {
     in_each_mode(|mode| {
         thread::scope(|scope| {
-            for part in [String::new(), HEAD.to_owned(), format!("{HEAD}9\r\n{{\"index\"\r\n")] {
+            for part in
+                [String::new(), RESPONSE_HEAD.to_owned(), format!("{RESPONSE_HEAD}9\r\n{{\"index\"\r\n")]
+            {
                 scope.spawn(move || {
                     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
                     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
-                    let place = listener.local_addr().expect("the listener is bound");
+                    let addr = listener.local_addr().expect("the listener is bound");
                     let known = [endpoint("s-1", old.address, 0, "ready")];
-                    let balancer = in_mode(mode, place, &known);
+                    let balancer = start_in_mode(mode, addr, &known);
                     let mut open_calls = Vec::new();
                     for _ in 0..4 {
                         let (mut stream, _) = listener.accept().expect("the balancer connects");
@@ -227,7 +229,7 @@
                         open_calls.push(stream);
                     }
                     // From here on discovery answers every call.
-                    let back = Instant::now();
+                    let reachable_since = Instant::now();
                     let discovery = Discovery::on(listener, Duration::from_millis(500));
                     let (_, watch) = discovery.watch();
                     let drained = endpoint("s-1", old.address, 0, "draining");
@@ -235,9 +237,9 @@
                     let mut client = balancer.client();
                     wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
                     assert!(
-                        back.elapsed() < NOTIFIED_WITHIN,
+                        reachable_since.elapsed() < MAX_NOTIFICATION_DELAY,
                         "{mode}, hang after {part:?}: the list took {:?}",
-                        back.elapsed()
+                        reachable_since.elapsed()
                     );
                 });
             }
@@ -247,17 +249,17 @@
 
 /// Guards against a watch that keeps sending bytes but never a complete line: such bytes do not count as a heartbeat.
 #[test]
-fn a_line_that_never_ends_is_silence() {
+fn a_line_that_never_ends_is_no_heartbeat() {
     in_each_mode(|mode| {
         let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
         let discovery = Discovery::beating(LONG);
-        let balancer = in_mode(mode, discovery.address, &[endpoint("s-1", old.address, 0, "ready")]);
+        let balancer = start_in_mode(mode, discovery.address, &[endpoint("s-1", old.address, 0, "ready")]);
         let (_, watch) = discovery.watch();
         watch.says(8, false, &[]);
-        let began = Instant::now();
-        let dripping = thread::spawn(move || {
+        let started_at = Instant::now();
+        let writer = thread::spawn(move || {
             // The balancer gives up the watch while this thread writes to it.
-            while began.elapsed() < LONG && watch.try_bytes(b" ") {
+            while started_at.elapsed() < LONG && watch.try_bytes(b" ") {
                 thread::sleep(Duration::from_millis(100));
             }
         });
@@ -266,8 +268,12 @@
         watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = balancer.client();
         wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
-        assert!(began.elapsed() < NOTIFIED_WITHIN, "{mode}: the drain took {:?}", began.elapsed());
-        dripping.join().expect("the thread does not panic");
+        assert!(
+            started_at.elapsed() < MAX_NOTIFICATION_DELAY,
+            "{mode}: the drain took {:?}",
+            started_at.elapsed()
+        );
+        writer.join().expect("the thread does not panic");
     });
 }
 
@@ -306,7 +312,7 @@
 }
 
 /// The list entry of a process that started at `since_ms`, in milliseconds.
-fn since(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> serde_json::Value {
+fn endpoint_started_at(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> serde_json::Value {
     let mut entry = endpoint(name, address, 0, status);
     entry["since_ms"] = since_ms.into();
     entry
@@ -316,24 +322,24 @@
 /// between the two starts. A start time that has not been listed before is a new start, even in a list with a lower
 /// index, as from a discovery whose index has been reset.
 #[test]
-fn a_new_start_with_an_earlier_stamp_ends_the_drain() {
+fn a_new_start_with_an_earlier_start_time_ends_the_drain() {
     let (restarted, other) = (Upstream::start(|_, _| ok("restarted")), Upstream::start(|_, _| ok("other")));
-    let beside = endpoint("s-2", other.address, 0, "ready");
-    let (balancer, discovery) = Balancer::with(std::slice::from_ref(&beside), 30.0);
+    let other_entry = endpoint("s-2", other.address, 0, "ready");
+    let (balancer, discovery) = Balancer::with(std::slice::from_ref(&other_entry), 30.0);
     let (_, watch) = discovery.watch();
     let first_list = Instant::now();
     // The clock steps back by less than the time since the first list.
     let step_ms = 20;
     wait_for("twice the step has passed", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
-    watch.says(9, false, &[since("s-1", restarted.address, "ready", now)]);
+    watch.says(9, false, &[endpoint_started_at("s-1", restarted.address, "ready", now)]);
     let mut client = balancer.client();
     wait_for("the endpoint is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
-    watch.says(10, false, &[since("s-1", restarted.address, "draining", now)]);
+    watch.says(10, false, &[endpoint_started_at("s-1", restarted.address, "draining", now)]);
     wait_for("the drain is applied", || {
         (0..16).all(|_| client.ask("read", "").body == b"other").then_some(())
     });
-    let restart = since("s-1", restarted.address, "ready", now - step_ms as u64);
+    let restart = endpoint_started_at("s-1", restarted.address, "ready", now - step_ms as u64);
     // From here on the list contains only the new start of the endpoint.
     watch.says(3, true, &[restart]);
     wait_for("the new start is applied", || (client.ask("read", "").body == b"restarted").then_some(()));
@@ -342,9 +348,9 @@
 /// Guards a drain against an older list that names the previous process of the endpoint and dates from before this
 /// balancer had a list.
 #[test]
-fn an_older_list_with_a_start_never_named_ends_no_drain() {
+fn an_older_list_with_an_unknown_start_ends_no_drain() {
     let (drained, other) = (Upstream::start(|_, _| ok("drained")), Upstream::start(|_, _| ok("other")));
-    let known = [since("s-1", drained.address, "ready", 5_000)];
+    let known = [endpoint_started_at("s-1", drained.address, "ready", 5_000)];
     let discovery = Discovery::start();
     let text = configuration(discovery.address, &known, 30.0, 1024);
     // A short slow start, so that the test would notice requests to the endpoint if the entry were taken for a new
@@ -353,13 +359,17 @@
     assert!(text.contains(usual));
     let balancer = Balancer::start(&text.replace(usual, short));
     let (_, watch) = discovery.watch();
-    let beside = endpoint("s-2", other.address, 0, "ready");
-    watch.says(9, false, &[since("s-1", drained.address, "draining", 5_000), beside.clone()]);
+    let other_entry = endpoint("s-2", other.address, 0, "ready");
+    watch.says(
+        9,
+        false,
+        &[endpoint_started_at("s-1", drained.address, "draining", 5_000), other_entry.clone()],
+    );
     let mut client = balancer.client();
     wait_for("the drain is applied", || (client.ask("read", "").body == b"other").then_some(()));
     let requests_before = drained.requests().len();
     let third = Upstream::start(|_, _| ok("third"));
-    watch.says(3, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
+    watch.says(3, true, &[endpoint_started_at("s-1", drained.address, "ready", 2_000), other_entry]);
     // Updates are applied in the order in which they arrive, so the last one shows that all are applied.
     watch.says(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
     wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
@@ -376,22 +386,26 @@
 /// Guards a drain against an older list that names the previous process of the endpoint, whose start time is the later
 /// one because the clock that gives the start times stepped back between the two starts.
 #[test]
-fn an_older_list_with_a_later_stamp_of_a_start_before_ends_no_drain() {
+fn an_older_list_with_a_later_start_time_of_an_earlier_start_ends_no_drain() {
     let (drained, other) = (Upstream::start(|_, _| ok("drained")), Upstream::start(|_, _| ok("other")));
-    let known = [since("s-1", drained.address, "ready", 5_000)];
+    let known = [endpoint_started_at("s-1", drained.address, "ready", 5_000)];
     let (balancer, discovery) = Balancer::with(&known, 30.0);
     let (_, watch) = discovery.watch();
-    let beside = endpoint("s-2", other.address, 0, "ready");
-    watch.says(8, false, &[since("s-1", drained.address, "ready", 2_000)]);
-    watch.says(9, false, &[since("s-1", drained.address, "draining", 2_000), beside.clone()]);
+    let other_entry = endpoint("s-2", other.address, 0, "ready");
+    watch.says(8, false, &[endpoint_started_at("s-1", drained.address, "ready", 2_000)]);
+    watch.says(
+        9,
+        false,
+        &[endpoint_started_at("s-1", drained.address, "draining", 2_000), other_entry.clone()],
+    );
     let mut client = balancer.client();
     wait_for("the drain is applied", || (client.ask("read", "").body == b"other").then_some(()));
     let requests_before = drained.requests().len();
     // Updates are applied in the order in which they arrive, so the last one shows that all are applied. The older
     // lists before it name the start of the previous process again, and the one of the current process.
     let third = Upstream::start(|_, _| ok("third"));
-    watch.says(7, true, &[since("s-1", drained.address, "ready", 5_000), beside.clone()]);
-    watch.says(6, true, &[since("s-1", drained.address, "ready", 2_000), beside]);
+    watch.says(7, true, &[endpoint_started_at("s-1", drained.address, "ready", 5_000), other_entry.clone()]);
+    watch.says(6, true, &[endpoint_started_at("s-1", drained.address, "ready", 2_000), other_entry]);
     watch.says(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
     wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
@@ -406,20 +420,20 @@
 
 /// Guards the current list against a watch that was given up: what still arrives on that watch is ignored.
 #[test]
-fn a_watch_given_up_is_not_heard() {
+fn updates_on_an_abandoned_watch_are_ignored() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let discovery = Discovery::beating(LONG);
-    let balancer = pushed(&discovery, &[endpoint("s-1", old.address, 0, "ready")]);
-    let (_, before) = discovery.watch();
-    before.says(8, false, &[]);
+    let balancer = start_with_pushed_lists(&discovery, &[endpoint("s-1", old.address, 0, "ready")]);
+    let (_, old_watch) = discovery.watch();
+    old_watch.says(8, false, &[]);
     // The first watch falls silent, and the next one sends an update.
-    let (_, after) = discovery.watch();
+    let (_, new_watch) = discovery.watch();
     let drained = endpoint("s-1", old.address, 0, "draining");
-    after.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+    new_watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
     let mut client = balancer.client();
     wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
     let requests_before = old.requests().len();
-    before.try_bytes(
+    old_watch.try_bytes(
         format!(
             "{}\n",
             serde_json::json!({"index": 10, "snapshot": false, "endpoints": [endpoint("s-1", old.address, 0, "ready")]})
@@ -435,24 +449,24 @@
 /// Guards consecutive reloads, the first of which names a discovery that accepts calls and never answers: the balancer
 /// learns in time of the list of the discovery that the last reload names.
 #[test]
-fn the_last_of_two_reloads_counts() {
+fn the_last_of_two_reloads_takes_effect() {
     in_each_mode(|mode| {
         let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
         let known = [endpoint("s-1", old.address, 0, "ready")];
-        let mute = || TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
-        let (first, second) = (mute(), mute());
-        let place = |listener: &TcpListener| listener.local_addr().expect("the listener is bound");
+        let bind_unresponsive = || TcpListener::bind("127.0.0.1:0").expect("a free port can be bound");
+        let (first, second) = (bind_unresponsive(), bind_unresponsive());
+        let addr = |listener: &TcpListener| listener.local_addr().expect("the listener is bound");
         let last = Discovery::start();
-        let text = |place| configuration(place, &known, 30.0, 1024).replace("subscribe", mode);
-        let mut child = program(&text(place(&first)));
+        let text = |addr| configuration(addr, &known, 30.0, 1024).replace("subscribe", mode);
+        let mut child = program(&text(addr(&first)));
         let (address, _log) = address(&mut child);
         // The call to the first discovery hangs.
         let _hangs = first.accept().expect("the balancer connects");
-        write_configuration(&text(place(&second)));
+        write_configuration(&text(addr(&second)));
         signal(&child, "-HUP");
         let _hangs_too = second.accept().expect("the balancer connects");
         write_configuration(&text(last.address));
-        let announced = Instant::now();
+        let reloaded_at = Instant::now();
         signal(&child, "-HUP");
         let (_, watch) = last.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
@@ -460,9 +474,9 @@
         let mut client = Client::connect(address);
         wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
         assert!(
-            announced.elapsed() < Duration::from_secs(4),
+            reloaded_at.elapsed() < Duration::from_secs(4),
             "{mode}: the list took {:?} after the last reload",
-            announced.elapsed()
+            reloaded_at.elapsed()
         );
         child.kill().expect("the program is running");
         child.wait().expect("the program ends");
