--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -331,7 +331,8 @@
     // The clock steps back by less than the time since the first list.
     let step_ms = 20;
     wait_for("twice the step has passed", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
+    let now =
+        SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64;
     watch.says(9, false, &[endpoint_started_at("s-1", restarted.address, "ready", now)]);
     let mut client = balancer.client();
     wait_for("the endpoint is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
