--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -1,5 +1,5 @@
-//! Endpoints that are warming up under the sum of what many replicas send: the replicas share nothing, so that each
-//! one's ramp has to make the sum hold. Everything runs in virtual time.
+//! Load that many replicas together send to endpoints that are warming up. The replicas do not communicate, so the send
+//! budget of each one must keep the sum within the overload budget of the endpoint. Everything runs in virtual time.
 
 mod common;
 
@@ -12,63 +12,82 @@
 use common::*;
 use oorandom::Rand64;
 
-/// A deployment and a scenario for it.
+/// A deployment of replicas and upstreams, and the load and faults that it is simulated with.
 #[derive(Debug, Clone)]
 struct Scenario {
+    /// Number of replicas that send to the upstreams.
     replicas: u32,
+    /// Number of upstreams, including those that are warming up.
     upstreams: u32,
-    /// Upstreams that start together.
+    /// Number of upstreams that start together at [`START_S`] and warm up.
     warming_up: u32,
-    /// Requests a second that a warm upstream serves.
+    /// Requests per second that a warm upstream serves.
     capacity: f64,
-    /// Requests offered before the start, in parts of what the warm tier can serve.
+    /// Offered load before the burst, as a fraction of the capacity of the warm upstreams; of all upstreams if none is
+    /// warm.
     offered: f64,
-    /// How many times that comes from some seconds after the start on.
+    /// Offered load from the burst on, as a multiple of the load before it.
     burst: f64,
+    /// Time from the start of the upstreams that warm up to the burst, in seconds.
     burst_after_s: f64,
-    /// How many times the mean one replica of five is dealt.
+    /// Load of every fifth replica, as a multiple of the load of another replica; used with more than four replicas.
     uneven: f64,
-    /// Part of the warm upstreams that can't be reached from then on.
+    /// Fraction of the warm upstreams that cannot be reached from the burst on.
     lost: f64,
+    /// Fraction of its capacity that an upstream has when it starts.
     slow_start_min_fraction: f64,
+    /// Time that an upstream takes to warm up, in seconds.
     slow_start_s: f64,
+    /// Multiple of its current capacity above which an upstream that is warming up is overloaded.
     multiple: f64,
+    /// Length of the window over which an overload is measured, in seconds.
     window_s: f64,
+    /// Tier that the replicas send to.
     tier: usize,
+    /// Largest number of attempts of one request.
     attempts: u32,
-    /// Replicas hear of it up to this long after; long where discovery was out of reach.
+    /// Longest delay, in seconds, with which a replica is notified of the start; long to simulate an outage of discovery.
     late_s: f64,
-    /// Upstreams that start were there before, warm and under the same names.
+    /// Whether the upstreams that start were in the list before, warm and with the same ids.
     restarts: bool,
-    /// No requests come from some seconds before the start until the burst.
+    /// Whether no requests arrive from [`LULL_BEFORE_S`] before the start until the burst.
     lull: bool,
+    /// Seed of the random numbers of the scenario.
     seed: u64,
 }
 
+/// Something that is scheduled to happen at a point in virtual time.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
+    /// A request arrives at a random replica.
     Arrival,
+    /// The maintenance pass of the replica with this index is due.
     Maintenance(usize),
+    /// The burst starts.
     Burst,
+    /// The replica with this index is notified of the upstreams that started.
     Notified(usize),
+    /// An attempt ends; `outcome` is an index into [`OUTCOMES`].
     Ended { replica: usize, request: u64, attempt: u32, outcome: u8, duration_us: u64 },
 }
 
+/// Outcomes of attempts in the scenarios; [`Due::Ended`] refers to them by index.
 const OUTCOMES: [Outcome; 3] = [Outcome::Success, Outcome::Refused, Outcome::ConnectFailed];
-/// When those warming up start, and when the scenario ends.
+/// Time at which the upstreams that warm up start, in seconds from the beginning of the scenario.
 const START_S: f64 = 12.0;
+/// Time at which the scenario ends, in seconds.
 const END_S: f64 = 24.0;
-/// How long before the start a lull begins.
+/// Time from the beginning of a lull to the start of the upstreams that warm up, in seconds.
 const LULL_BEFORE_S: f64 = 1.0;
-/// A request's time at an upstream.
+/// Time that an upstream takes to serve a request, in seconds.
 const SERVICE_TIME_S: f64 = 0.05;
 
 fn micros(seconds: f64) -> u64 {
     (seconds * 1e6) as u64
 }
 
-/// The least number of requests with which an endpoint that is warming up may fall, over the window that ends at its
-/// age.
+/// Smallest number of requests by which an endpoint that is warming up may be overloaded, within the overload window
+/// that ends when the endpoint has been up for `age` seconds.
 fn budget(scenario: &Scenario, age: f64) -> f64 {
     let warmth = |age: f64| {
         (scenario.slow_start_min_fraction
@@ -83,27 +102,29 @@
     scenario.multiple * mean * scenario.capacity * scenario.window_s
 }
 
-/// What a scenario showed.
+/// Result of the simulation of one scenario.
 struct Played {
-    /// By how much the busiest window of an endpoint that is warming up went over its budget and the chance above it;
-    /// negative under it.
+    /// Requests by which the busiest window of an endpoint that is warming up exceeded its budget and the margin for
+    /// random variation; negative if it stayed below.
     over: f64,
-    /// Requests that those warming up were sent while warming up.
+    /// Number of requests that were sent to the endpoints that are warming up, during their slow start.
     sent: usize,
-    /// Requests that came in that time.
+    /// Number of requests that arrived during the slow start.
     offered: usize,
 }
 
-/// Chance above N, as the page has it, but stricter where N is small.
+/// Margin for random variation above a budget of `n` requests: the one that the overload rule allows for large `n`, and a
+/// stricter one for `n` below 30.
 fn strict_chance(n: f64) -> f64 {
     2.0 * n.sqrt() + 2.0
 }
 
-/// Chance above N as the page has it.
+/// Margin for random variation above a budget of `n` requests that the overload rule allows.
 fn chance(n: f64) -> f64 {
     if n < 30.0 { 3.0 * n.sqrt() + 3.0 } else { strict_chance(n) }
 }
 
+/// Simulates a scenario; `chance` returns the margin for random variation above a budget.
 fn play(scenario: &Scenario, chance: fn(f64) -> f64) -> Played {
     let mut rng = Rand64::new(u128::from(scenario.seed));
     let settings = |replica: u32| {
@@ -140,14 +161,14 @@
     }
     due.push(Reverse((0, Due::Arrival)));
     due.push(Reverse((micros(START_S + scenario.burst_after_s), Due::Burst)));
-    // What each replica is dealt.
+    // Relative load of each replica.
     let parts: Vec<f64> = (0..scenario.replicas)
         .map(|replica| if replica % 5 == 0 && scenario.replicas > 4 { scenario.uneven } else { 1.0 })
         .collect();
     let all: f64 = parts.iter().sum();
     let loaded = if warm > 0 { warm } else { scenario.upstreams };
     let base = scenario.offered * f64::from(loaded) * scenario.capacity;
-    // The recent requests of each warm upstream, and all of each one that is warming up.
+    // Times of the recent requests to each warm upstream, and of all requests to each one that is warming up.
     let mut recent: Vec<VecDeque<f64>> = vec![VecDeque::new(); scenario.upstreams as usize];
     let mut sent_warming_up: Vec<Vec<f64>> = vec![Vec::new(); scenario.warming_up as usize];
     let lost = scenario.warming_up + (f64::from(warm) * scenario.lost) as u32;
@@ -228,7 +249,7 @@
                     } else if begun && upstream.0 < lost {
                         2
                     } else {
-                        // It serves what it can within a second, and turns the rest away.
+                        // A warm upstream serves its capacity in each second and refuses the rest.
                         while recent[place].front().is_some_and(|&at| at < now - 1.0) {
                             recent[place].pop_front();
                         }
@@ -268,6 +289,7 @@
     Played { over: worst, sent, offered }
 }
 
+/// Draws a random scenario with `replicas` replicas.
 fn drawn(rng: &mut Rand64, replicas: u32) -> Scenario {
     let mut between = |low: f64, high: f64| low + (high - low) * rng.rand_float();
     let upstreams = between(6.0, 24.0) as u32;
@@ -294,22 +316,27 @@
     }
 }
 
-/// Many scenarios of one kind.
+/// Random scenarios with the same number of replicas.
 struct Scenarios {
+    /// Number of replicas in each scenario; also the seed from which the scenarios are drawn.
     replicas: u32,
+    /// Number of scenarios.
     count: u32,
+    /// Returns the margin for random variation above a budget.
     chance: fn(f64) -> f64,
-    /// What of a drawn scenario is otherwise.
+    /// Adjusts each scenario after it was drawn.
     change: fn(&mut Scenario, &mut Rand64),
 }
 
 impl Scenarios {
+    /// A thousand random scenarios, checked with the stricter margin.
     fn drawn(replicas: u32) -> Self {
         Self { replicas, count: 1000, chance: strict_chance, change: |_, _| {} }
     }
 
-    /// Plays them: in no window may the sum go over what the rule puts down to chance. Returns the part that those
-    /// warming up got of what they could do once warm, and the part of the requests that came meanwhile.
+    /// Simulates the scenarios and checks that the load on an endpoint that is warming up exceeds its budget in no window
+    /// by more than the margin for random variation. Returns the requests sent to the endpoints that are warming up, as a
+    /// fraction of what they could serve once warm and as a fraction of the requests that arrived in the same time.
     fn play(&self) -> (f64, f64) {
         let mut rng = Rand64::new(u128::from(self.replicas));
         let (mut used, mut sent, mut offered) = (0.0, 0, 0);
@@ -317,22 +344,29 @@
             let mut scenario = drawn(&mut rng, self.replicas);
             (self.change)(&mut scenario, &mut rng);
             let played = play(&scenario, self.chance);
-            assert!(played.over <= 0.0, "{} over the budget on {scenario:?}", played.over);
+            assert!(
+                played.over <= 0.0,
+                "expected no window over the budget, a window had {} requests too many in {scenario:?}",
+                played.over
+            );
             used += played.sent as f64
                 / (scenario.capacity * f64::from(scenario.warming_up) * scenario.slow_start_s);
             sent += played.sent;
             offered += played.offered;
         }
         let parts = (used / f64::from(self.count), sent as f64 / offered as f64);
-        println!("{} {parts:?}", self.replicas);
+        println!(
+            "{} replicas: fractions of warm capacity and of offered requests sent: {parts:?}",
+            self.replicas
+        );
         parts
     }
 }
 
-/// Those warming up get a good part of what they can do all the same.
+/// Checks that endpoints that are warming up stay within their budget but still get a good part of what they can serve.
 fn many_scenarios(replicas: u32) {
     let (used, _) = Scenarios::drawn(replicas).play();
-    assert!(used > 0.15, "those warming up got {used} of what they could do once warm");
+    assert!(used > 0.15, "expected more than 0.15 of the warm capacity to be used, saw {used}");
 }
 
 #[test]
@@ -355,7 +389,8 @@
     many_scenarios(30);
 }
 
-/// Upstreams for as many requests at each replica as where there are a tenth of the replicas.
+/// Raises the capacity of the upstreams, so that each replica sees as many requests as in a deployment with a tenth of
+/// the replicas.
 fn large(scenario: &mut Scenario, rng: &mut Rand64) {
     scenario.capacity *= 1.0 + 29.0 * rng.rand_float();
 }
@@ -363,9 +398,10 @@
 #[test]
 fn nine_hundred_replicas_keep_the_budget_of_an_endpoint_warming_up() {
     let (used, _) = Scenarios { count: 40, change: large, ..Scenarios::drawn(900) }.play();
-    assert!(used > 0.15, "those warming up got {used} of what they could do once warm");
+    assert!(used > 0.15, "expected more than 0.15 of the warm capacity to be used, saw {used}");
 }
 
+/// Puts a lull before the start and makes the burst after it three times as high above the load before.
 fn lull(scenario: &mut Scenario, _: &mut Rand64) {
     scenario.lull = true;
     scenario.burst = 1.0 + 3.0 * (scenario.burst - 1.0);
@@ -383,12 +419,13 @@
     Scenarios { count: 20, change: both, ..Scenarios::drawn(900) }.play();
 }
 
-/// The whole tier starts, with replicas that know nothing or, where it restarts, knew it warm.
+/// Makes all upstreams of the tier start together: in half of the scenarios as upstreams that are new to the replicas,
+/// in the other half as restarts of upstreams that the replicas know as warm.
 fn all_warming_up(scenario: &mut Scenario, rng: &mut Rand64) {
     scenario.warming_up = scenario.upstreams;
     scenario.restarts = rng.rand_float() < 0.5;
     if scenario.restarts {
-        // What is sent by replicas that have not heard of the start yet is not theirs to hold back.
+        // A replica that has not been notified of a restart yet cannot limit what it sends, so notify all at once.
         scenario.late_s = 0.0;
     }
 }
@@ -398,15 +435,21 @@
     for replicas in [1, 2, 20, 30] {
         let (_, served) =
             Scenarios { count: 500, change: all_warming_up, chance, ..Scenarios::drawn(replicas) }.play();
-        assert!(served > 0.4, "{replicas} replicas sent {served} of the requests");
+        assert!(
+            served > 0.4,
+            "expected more than 0.4 of the requests to be sent with {replicas} replicas, saw {served}"
+        );
     }
     let both = |scenario: &mut Scenario, rng: &mut Rand64| {
         all_warming_up(scenario, rng);
         large(scenario, rng);
     };
     let (_, served) = Scenarios { count: 20, change: both, chance, ..Scenarios::drawn(900) }.play();
-    // Most of them see less than a request a second for each upstream.
-    assert!(served > 0.2, "900 replicas sent {served} of the requests");
+    // Most of the 900 replicas see less than one request per second for each upstream.
+    assert!(
+        served > 0.2,
+        "expected more than 0.2 of the requests to be sent with 900 replicas, saw {served}"
+    );
 }
 
 #[test]
