--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -1,4 +1,5 @@
-//! Other settings in a running replica, over drawn streams of events and for its subset.
+//! Reconfiguration of a running replica: over random sequences of events, with settings that are rejected, and its
+//! effect on the subset of endpoints that the replica sends to.
 
 mod common;
 #[path = "common/reconfigured.rs"]
@@ -13,25 +14,32 @@
 use oorandom::Rand64;
 use reconfigured::{bench, request, settings, single};
 
-/// A replica and what is due in its world: requests, answers, lists and maintenance passes.
+/// A replica with a virtual clock, to which random requests, answers, lists and maintenance passes are delivered.
 struct World {
+    /// The replica.
     balancer: Balancer,
+    /// Source of the random events.
     rng: Rand64,
+    /// Current virtual time.
     now: Duration,
-    /// By time and the order of coming.
+    /// Scheduled events, by their time and, for equal times, the order in which they were scheduled.
     due: BTreeMap<(Duration, u64), Event>,
+    /// Number of events scheduled so far.
     coming: u64,
+    /// Index of the class of each request.
     classes: BTreeMap<RequestId, usize>,
+    /// Number of attempts sent for each request.
     attempts: BTreeMap<RequestId, u32>,
-    /// How many attempts may have run, and how often it ended.
+    /// Number of attempts of each request that may have run.
     ran: BTreeMap<RequestId, u32>,
+    /// Number of final results of each request: it was served, refused or failed.
     ended: BTreeMap<RequestId, u32>,
-    /// All actions, each with its time.
+    /// All actions of the replica in their recorded form, each with its time.
     text: String,
 }
 
 impl World {
-    /// Plays so many requests; `other` may put in an event before each.
+    /// Simulates `requests` requests; before each one, the event that `other` returns for its number is delivered.
     fn play(seed: u64, requests: u64, mut other: impl FnMut(u64) -> Option<Event>) -> Self {
         let mut world = Self {
             balancer: Balancer::new(settings(), seed).expect("the settings make sense"),
@@ -71,12 +79,12 @@
         world
     }
 
-    /// All actions, and how things stand.
+    /// Returns all recorded actions and the final statistics of the replica.
     fn record(self) -> String {
         self.text + &self.balancer.stats_snapshot()
     }
 
-    /// Lets everything end that is still out.
+    /// Ends all attempts that are still in flight.
     fn end(&mut self) {
         while let Some(((at, _), event)) = self.due.pop_first() {
             self.now = at;
@@ -86,12 +94,14 @@
         }
     }
 
+    /// Returns an endpoint that is at random ready or draining, and warm or started recently.
     fn member(&mut self, id: u32) -> Member {
         let lifecycle = if self.rng.rand_float() < 0.1 { Lifecycle::Draining } else { Lifecycle::Ready };
         let started = (self.rng.rand_float() < 0.3).then_some(START - millis(1000));
         Member { zone: Some(ZoneId(id as usize % 2)), cell: id % 3, lifecycle, started, ..member(id) }
     }
 
+    /// Delivers an event to the replica, records its actions and schedules the events that follow from them.
     fn tell(&mut self, event: Event) {
         if let Event::AttemptEnded { request, outcome, .. } = event {
             *self.ran.entry(request).or_default() += u32::from(!outcome.never_ran());
@@ -115,7 +125,7 @@
         }
     }
 
-    /// How the next attempt of a request ends, and after how long.
+    /// Draws how the next attempt of a request ends, and after what time.
     fn ending(&mut self, request: RequestId) -> (Duration, Event) {
         let next = self.attempts.entry(request).or_default();
         let attempt = AttemptNumber(*next);
@@ -145,9 +155,9 @@
     }
 }
 
-/// An action as text, with every field, in the form in which the digest of
-/// `without_other_settings_nothing_is_different` was recorded: the `Debug` form of that time, whose names stay here
-/// whatever the code's names are.
+/// Formats an action with all its fields, in the form in which the digest of
+/// `without_reconfiguration_the_recorded_decisions_are_unchanged` was recorded. This is the `Debug` form of that time;
+/// its names stay as they are when items of the code are renamed.
 fn recorded_form(action: &Action) -> String {
     match action {
         Action::Send {
@@ -181,39 +191,41 @@
     }
 }
 
-/// FNV-1a.
+/// FNV-1a hash of a text.
 fn digest(text: &str) -> u64 {
     let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     text.bytes().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// Guards runs without any change of settings: seeds and events as before this event was there give the same actions
-/// to the byte. The digest is that of the decisions before it.
+/// Guards against a change of the decisions of replicas that are never reconfigured. The digest was recorded before
+/// [`Event::Reconfigured`] was added; the same seeds and events must still give the same actions byte for byte.
 #[test]
-fn without_other_settings_nothing_is_different() {
+fn without_reconfiguration_the_recorded_decisions_are_unchanged() {
     let played: String = (1..=5).map(|seed| World::play(seed, 4000, |_| None).record()).collect();
     assert_eq!(digest(&played), 0xbb1b_aa21_1b3f_d6ce);
 }
 
-/// Guards what was learned: settings that say the same again change nothing, whenever they come.
+/// Guards against a reconfiguration that resets learned state: equal settings must change nothing, whenever they are
+/// applied.
 #[test]
-fn the_same_settings_again_change_nothing() {
+fn reconfiguring_with_equal_settings_changes_no_decision() {
     for seed in 1..=5 {
         let alone = World::play(seed, 4000, |_| None).record();
         let repeated = World::play(seed, 4000, |number| {
             number.is_multiple_of(7).then(|| Event::Reconfigured(settings()))
         });
-        assert!(alone == repeated.record(), "seed {seed}");
+        assert!(alone == repeated.record(), "equal settings changed the decisions with seed {seed}");
     }
 }
 
-/// Guards against a change in the middle of everything: whatever the settings turn to and however often, each request
-/// ends once, and none runs twice that was received as one that must not.
+/// Guards against requests that are lost or unsafely repeated when the settings change while they are in flight. With
+/// frequent random changes each request must still end exactly once, and no request that was not idempotent when it
+/// arrived may run twice.
 #[test]
-fn many_changes_lose_nothing_and_repeat_nothing() {
+fn frequent_reconfiguration_neither_loses_nor_unsafely_repeats_requests() {
     for seed in 1..=5 {
         let mut draws = Rand64::new(u128::from(seed) + 99);
-        // The class that must not run twice is one that may from the middle on.
+        // The class that is not idempotent becomes idempotent from the middle on.
         let (requests, middle, mut changed) = (4000, 2000, false);
         let mut world = World::play(seed, requests, |number| {
             number.is_multiple_of(20).then(|| {
@@ -234,19 +246,25 @@
         world.end();
         let mut repeated = 0;
         for id in (0..requests).map(RequestId) {
-            assert_eq!(world.ended.get(&id), Some(&1), "seed {seed}, {id:?}");
+            assert_eq!(world.ended.get(&id), Some(&1), "final results of {id:?} with seed {seed}");
             let ran = world.ran.get(&id).copied().unwrap_or_default();
-            assert!(ran <= 1 || id.0 >= middle || world.classes[&id] != 2, "seed {seed}, {id:?}");
+            assert!(
+                ran <= 1 || id.0 >= middle || world.classes[&id] != 2,
+                "{ran} attempts of unsafe {id:?} may be executed, seed {seed}"
+            );
             repeated += u32::from(ran > 1);
         }
-        assert!(repeated > 0 && !world.text.contains("Log"), "seed {seed}");
+        assert!(
+            repeated > 0 && !world.text.contains("Log"),
+            "{repeated} repeated, or a log line, seed {seed}"
+        );
     }
 }
 
-/// Guards positions and the place of a replica, and against settings that make no sense: they change nothing but the
-/// log.
+/// Guards against a reconfiguration with invalid settings, or with settings that remove classes or tenants or change
+/// the identity of the replica. Such settings must be rejected with a log line and change nothing else.
 #[test]
-fn settings_that_are_no_successor_change_nothing() {
+fn rejected_settings_change_nothing_and_are_logged() {
     let but = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
@@ -276,14 +294,18 @@
         let mut bench = bench(settings());
         let before = format!("{:?}", bench.balancer);
         let actions = bench.tell(Event::Reconfigured(other.clone()));
-        assert!(matches!(&actions[..], [Action::Log(_)]), "{actions:?} for {other:?}");
-        assert_eq!(format!("{:?}", bench.balancer), before, "{other:?}");
+        assert!(
+            matches!(&actions[..], [Action::Log(_)]),
+            "expected only a log line, saw {actions:?} for {other:?}"
+        );
+        assert_eq!(format!("{:?}", bench.balancer), before, "state changed by rejected {other:?}");
     }
 }
 
-/// Guards the tier: with more replicas each sends to a part of it, with fewer again to all.
+/// Guards against a subset that keeps its size when the number of replicas changes: one replica of many sends to a
+/// part of the tier, a single replica to all of it.
 #[test]
-fn the_subset_follows_the_number_of_replicas() {
+fn the_subset_size_follows_the_number_of_replicas() {
     let with = |replicas| Settings { replica_index: 1, replicas, ..single(Idempotency::Idempotent) };
     let mut bench = Bench::new(with(1), 7, (0..64).map(member).collect());
     let seen = |bench: &mut Bench| {
@@ -299,9 +321,10 @@
     assert_eq!(seen(&mut bench), 64);
 }
 
-/// Guards the first list, from which a replica learns how far it spreads: a change before it leaves it the first.
+/// Guards against a reconfiguration before the first list of endpoints that takes its place: the fraction of requests
+/// that stays in the own zone must still be initialised by the first list.
 #[test]
-fn a_change_before_the_first_list_is_none_to_the_subset() {
+fn a_replica_reconfigured_before_its_first_list_selects_like_a_new_one() {
     let with = |replicas| Settings { replicas, zones: 2, ..single(Idempotency::Idempotent) };
     let members: Vec<Member> =
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
--- a/crates/policy/tests/reconfiguration_limits.rs
+++ b/crates/policy/tests/reconfiguration_limits.rs
@@ -1,4 +1,5 @@
-//! Other quotas in a running replica: they apply at once or within seconds, and what was learned stays.
+//! Quotas changed in a running replica: they apply at once or within seconds, and the limits keep what they have
+//! adapted to.
 
 mod common;
 #[path = "common/reconfigured.rs"]
@@ -11,7 +12,7 @@
 use common::{Bench, class, millis, sent};
 use reconfigured::bench;
 
-/// The limits of the tenants and, last, of all together.
+/// Returns the current limits of the tenants and, last, the one of all tenants together, in requests per second.
 fn limits(bench: &Bench) -> Vec<f64> {
     let stats_snapshot = bench.balancer.stats_snapshot();
     let (_, after) = stats_snapshot.split_once("limits ").expect("limits");
@@ -19,14 +20,15 @@
     rates.split(' ').map(|rate| rate.parse().expect("a rate")).collect()
 }
 
+/// Settings with one class and with one tenant for each of the quotas.
 fn quotas(quotas: &[Option<f64>]) -> Settings {
     let settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     let tenants = quotas.iter().map(|&quota| Tenant { quota }).collect();
     Settings { tenants, over_quota_weight: 0.1, ..settings }
 }
 
-/// Offers a tenant's requests at a rate for a while, each answered after 10 ms, and returns how many a second were
-/// admitted.
+/// Offers `rate` requests per second of a tenant for `seconds`, each answered after 10 ms, and returns how many per
+/// second were admitted.
 fn accepted(bench: &mut Bench, tenant: usize, rate: f64, seconds: f64) -> f64 {
     let (mut admitted, count) = (0, (rate * seconds) as u32);
     let mut answers: Vec<(Duration, RequestId)> = Vec::new();
@@ -49,7 +51,7 @@
     f64::from(admitted) / seconds
 }
 
-/// Lets the servers refuse all for a while.
+/// Offers requests for 4 s while all upstreams refuse, so that the limits decrease.
 fn overload(bench: &mut Bench) {
     for _ in 0..400 {
         bench.pass(millis(10));
@@ -62,75 +64,100 @@
     }
 }
 
-/// Guards the operator who halves a quota: it applies from the next calls on, also where the limit had been learned.
+/// Guards against a lowered quota that takes effect late: half the quota applies from the next requests on, even if the
+/// limit has adapted since the start.
 #[test]
 fn a_halved_quota_holds_at_once() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
     let before = accepted(&mut bench, 0, 300.0, 8.0);
-    assert!((85.0..150.0).contains(&before), "{before}");
+    assert!(
+        (85.0..150.0).contains(&before),
+        "expected 85 to 150 requests/s under a quota of 100, saw {before}"
+    );
     let old = limits(&bench);
     bench.tell(Event::Reconfigured(quotas(&[Some(50.0), Some(50.0)])));
     let new = limits(&bench);
-    assert!(new[0] <= old[0] * 0.51 && new[0] >= 45.0, "{old:?} {new:?}");
-    assert_eq!(new[1], old[1], "the other's stays");
+    assert!(
+        new[0] <= old[0] * 0.51 && new[0] >= 45.0,
+        "expected half the limit: {old:?} before, {new:?} after"
+    );
+    assert_eq!(new[1], old[1], "limit of the tenant whose quota did not change");
     let second = accepted(&mut bench, 0, 300.0, 1.0);
-    assert!(second <= 75.0, "{second}");
+    assert!(second <= 75.0, "expected at most 75 requests/s in the first second, saw {second}");
     let after = accepted(&mut bench, 0, 300.0, 8.0);
-    assert!((40.0..75.0).contains(&after), "{after} after {before}");
+    assert!(
+        (40.0..75.0).contains(&after),
+        "expected 40 to 75 requests/s under a quota of 50, saw {after} after {before}"
+    );
 }
 
-/// Guards the operator who raises a quota: it applies within seconds, from a small one too, which finishes in time
-/// alone would take minutes to raise.
+/// Guards against a raised quota that takes minutes to apply: if the quota was small before, requests served in time
+/// raise the limit too slowly, so the limit must rise with the quota.
 #[test]
 fn a_raised_quota_applies_within_seconds() {
     for (before, after) in [(50.0, 100.0), (1.0, 100.0)] {
         let mut bench = bench(quotas(&[Some(before), Some(50.0)]));
         let denied = accepted(&mut bench, 0, 90.0, 8.0);
-        assert!(denied < 80.0, "{denied}");
+        assert!(denied < 80.0, "expected below 80 requests/s under a quota of {before}, saw {denied}");
         bench.tell(Event::Reconfigured(quotas(&[Some(after), Some(50.0)])));
         accepted(&mut bench, 0, 90.0, 5.0);
         let admitted = accepted(&mut bench, 0, 90.0, 5.0);
-        assert!(admitted > 80.0, "{admitted} of 90 a second where the quota went from {before} to {after}");
+        assert!(
+            admitted > 80.0,
+            "{admitted} of 90 requests/s admitted after the quota rose from {before} to {after}"
+        );
     }
 }
 
-/// Guards a tier in overload: a change elsewhere in the settings, or of a quota, does not open a limit that was cut.
+/// Guards an overloaded tier against a reconfiguration that lifts the decreased limits: a change of another setting
+/// leaves a limit as it is, and a change of its quota keeps it at the same fraction of the quota.
 #[test]
-fn a_cut_limit_stays_cut() {
+fn reconfiguration_keeps_the_decrease_of_a_limit() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
     overload(&mut bench);
     let cut = limits(&bench);
-    assert!(cut[0] < 60.0, "{cut:?}");
+    assert!(cut[0] < 60.0, "expected the overload to decrease the limit below 60, saw {cut:?}");
     let mut other = quotas(&[Some(100.0), Some(50.0), Some(30.0)]);
     other.costs.cross_zone = 0.01;
     bench.tell(Event::Reconfigured(other));
     let retained = limits(&bench);
     assert_eq!(retained[..2], cut[..2]);
-    assert!(retained[2] >= 30.0, "a new one begins whole: {retained:?}");
+    assert!(
+        retained[2] >= 30.0,
+        "expected the limit of a new tenant to start at its quota, saw {retained:?}"
+    );
     bench.tell(Event::Reconfigured(quotas(&[Some(200.0), Some(50.0), Some(30.0)])));
     let raised = limits(&bench);
-    assert!((raised[0] / cut[0] - 2.0).abs() < 0.05, "the same part of its quota: {cut:?} {raised:?}");
+    assert!(
+        (raised[0] / cut[0] - 2.0).abs() < 0.05,
+        "expected the same fraction of the quota: {cut:?} before, {raised:?} after"
+    );
     bench.tell(Event::Reconfigured(quotas(&[Some(100.0), Some(50.0), Some(30.0)])));
     let back = limits(&bench);
-    assert!((back[0] - cut[0]).abs() < 0.11, "{cut:?} {back:?}");
+    assert!((back[0] - cut[0]).abs() < 0.11, "expected the limit to return to {cut:?}, saw {back:?}");
 }
 
-/// Guards limits without quotas on either side of a change: one added applies from then on, one removed no longer does.
+/// Guards changes between a limit with a quota and one without: a quota that is added limits the tenant from then on,
+/// and one that is removed no longer does.
 #[test]
-fn a_quota_may_come_and_go() {
+fn a_quota_can_be_added_and_removed() {
     let mut bench = bench(quotas(&[None]));
     assert!(accepted(&mut bench, 0, 200.0, 4.0) > 190.0);
     bench.tell(Event::Reconfigured(quotas(&[Some(50.0)])));
     let limited = accepted(&mut bench, 0, 200.0, 6.0);
-    assert!((40.0..75.0).contains(&limited), "{limited}");
+    assert!(
+        (40.0..75.0).contains(&limited),
+        "expected 40 to 75 requests/s under a quota of 50, saw {limited}"
+    );
     bench.tell(Event::Reconfigured(quotas(&[None])));
     let free = accepted(&mut bench, 0, 200.0, 4.0);
-    assert!(free > 190.0, "{free}");
+    assert!(free > 190.0, "expected above 190 of 200 requests/s without a quota, saw {free}");
 }
 
-/// Guards a replica that started with no tenant, whose only limit is that of all together, which stands last.
+/// Guards a replica that starts without tenants. Its only limit is the one of all tenants together, which must stay the
+/// last one in the list when tenants are added.
 #[test]
-fn tenants_may_come_where_there_were_none() {
+fn tenants_can_be_added_to_a_replica_without_tenants() {
     let mut bench = bench(quotas(&[]));
     let (early, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
@@ -141,17 +168,23 @@
     for tenant in [0, 1] {
         let (limited, usual) =
             (accepted(&mut bench, tenant, 200.0, 8.0), accepted(&mut fresh, tenant, 200.0, 8.0));
-        assert!((limited / usual - 1.0).abs() < 0.1, "{limited} where a new replica lets in {usual}");
+        assert!(
+            (limited / usual - 1.0).abs() < 0.1,
+            "{limited} requests/s admitted, expected {usual} as by a new replica"
+        );
     }
 }
 
-/// Guards the quota of a tenant that was removed, whose quota is 0: it no longer counts to what all may send together.
+/// Guards against a removed tenant, whose quota is 0, that still counts in the limit of all tenants together.
 #[test]
-fn a_removed_tenant_leaves_its_quota() {
+fn the_quota_of_a_removed_tenant_leaves_the_limit_of_all_tenants() {
     let mut bench = bench(quotas(&[Some(40.0), Some(60.0)]));
     let before = limits(&bench);
     bench.tell(Event::Reconfigured(quotas(&[Some(40.0), Some(0.0)])));
     let after = limits(&bench);
-    assert!(after[2] < before[2] * 0.5, "{before:?} {after:?}");
+    assert!(
+        after[2] < before[2] * 0.5,
+        "expected less than half the limit: {before:?} before, {after:?} after"
+    );
     assert_eq!(after[0], before[0]);
 }
