--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -15,7 +15,7 @@
 use reconfigured::{bench, request, settings, single};
 
 /// A replica with a virtual clock, to which random requests, answers, lists and maintenance passes are delivered.
-struct World {
+struct Simulation {
     /// The replica.
     balancer: Balancer,
     /// Source of the random events.
@@ -23,70 +23,71 @@
     /// Current virtual time.
     now: Duration,
     /// Scheduled events, by their time and, for equal times, the order in which they were scheduled.
-    due: BTreeMap<(Duration, u64), Event>,
+    scheduled: BTreeMap<(Duration, u64), Event>,
     /// Number of events scheduled so far.
-    coming: u64,
+    scheduled_count: u64,
     /// Index of the class of each request.
     classes: BTreeMap<RequestId, usize>,
     /// Number of attempts sent for each request.
     attempts: BTreeMap<RequestId, u32>,
     /// Number of attempts of each request that may have run.
-    ran: BTreeMap<RequestId, u32>,
+    possibly_run: BTreeMap<RequestId, u32>,
     /// Number of final results of each request: it was served, refused or failed.
-    ended: BTreeMap<RequestId, u32>,
+    final_results: BTreeMap<RequestId, u32>,
     /// All actions of the replica in their recorded form, each with its time.
     text: String,
 }
 
-impl World {
+impl Simulation {
     /// Simulates `requests` requests; before each one, the event that `other` returns for its number is delivered.
-    fn play(seed: u64, requests: u64, mut other: impl FnMut(u64) -> Option<Event>) -> Self {
-        let mut world = Self {
+    fn run(seed: u64, requests: u64, mut other: impl FnMut(u64) -> Option<Event>) -> Self {
+        let mut simulation = Self {
             balancer: Balancer::new(settings(), seed).expect("the settings make sense"),
             rng: Rand64::new(u128::from(seed)),
             now: START,
-            due: BTreeMap::new(),
-            coming: 0,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
             classes: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            ran: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            possibly_run: BTreeMap::new(),
+            final_results: BTreeMap::new(),
             text: String::new(),
         };
-        let whole = (0..12).map(|id| world.member(id)).collect();
-        world.tell(Event::Started);
-        world.tell(Event::List(ListUpdate::Snapshot(whole)));
+        let full_list = (0..12).map(|id| simulation.member(id)).collect();
+        simulation.tell(Event::Started);
+        simulation.tell(Event::List(ListUpdate::Snapshot(full_list)));
         for number in 0..requests {
-            let next = world.now + Duration::from_secs_f64(world.rng.rand_float() * 0.02);
-            while let Some(entry) = world.due.first_entry().filter(|entry| entry.key().0 <= next) {
+            let next = simulation.now + Duration::from_secs_f64(simulation.rng.rand_float() * 0.02);
+            while let Some(entry) = simulation.scheduled.first_entry().filter(|entry| entry.key().0 <= next) {
                 let ((at, _), event) = entry.remove_entry();
-                world.now = at;
-                world.tell(event);
+                simulation.now = at;
+                simulation.tell(event);
             }
-            world.now = next;
+            simulation.now = next;
             if let Some(event) = other(number) {
-                world.tell(event);
+                simulation.tell(event);
             }
-            if world.rng.rand_float() < 0.02 {
-                let id = world.rng.rand_range(0..16) as u32;
-                let changed = vec![world.member(id)];
-                world.tell(Event::List(ListUpdate::Delta(changed)));
+            if simulation.rng.rand_float() < 0.02 {
+                let id = simulation.rng.rand_range(0..16) as u32;
+                let changed = vec![simulation.member(id)];
+                simulation.tell(Event::List(ListUpdate::Delta(changed)));
             }
-            let (class, tenant) = (world.rng.rand_range(0..3) as usize, world.rng.rand_range(0..3) as usize);
-            world.classes.insert(RequestId(number), class);
-            world.tell(Event::Request(request(number, class, Some(tenant))));
+            let (class, tenant) =
+                (simulation.rng.rand_range(0..3) as usize, simulation.rng.rand_range(0..3) as usize);
+            simulation.classes.insert(RequestId(number), class);
+            simulation.tell(Event::Request(request(number, class, Some(tenant))));
         }
-        world
+        simulation
     }
 
     /// Returns all recorded actions and the final statistics of the replica.
-    fn record(self) -> String {
+    fn into_record(self) -> String {
         self.text + &self.balancer.stats_snapshot()
     }
 
     /// Ends all attempts that are still in flight.
     fn end(&mut self) {
-        while let Some(((at, _), event)) = self.due.pop_first() {
+        while let Some(((at, _), event)) = self.scheduled.pop_first() {
             self.now = at;
             if event != Event::MaintenanceDue {
                 self.tell(event);
@@ -104,29 +105,29 @@
     /// Delivers an event to the replica, records its actions and schedules the events that follow from them.
     fn tell(&mut self, event: Event) {
         if let Event::AttemptEnded { request, outcome, .. } = event {
-            *self.ran.entry(request).or_default() += u32::from(!outcome.never_ran());
-            *self.ended.entry(request).or_default() += u32::from(outcome == Outcome::Success);
+            *self.possibly_run.entry(request).or_default() += u32::from(!outcome.never_ran());
+            *self.final_results.entry(request).or_default() += u32::from(outcome == Outcome::Success);
         }
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.text.push_str(&format!("{:?} {}\n", self.now, recorded_form(&action)));
             let (span, event) = match action {
-                Action::Send { request, .. } => self.ending(request),
+                Action::Send { request, .. } => self.draw_attempt_end(request),
                 Action::Refuse { request, .. } | Action::Fail { request } => {
-                    *self.ended.entry(request).or_default() += 1;
+                    *self.final_results.entry(request).or_default() += 1;
                     continue;
                 }
                 Action::ScheduleMaintenance(span) => (span, Event::MaintenanceDue),
                 _ => continue,
             };
-            self.coming += 1;
-            self.due.insert((self.now + span, self.coming), event);
+            self.scheduled_count += 1;
+            self.scheduled.insert((self.now + span, self.scheduled_count), event);
         }
     }
 
     /// Draws how the next attempt of a request ends, and after what time.
-    fn ending(&mut self, request: RequestId) -> (Duration, Event) {
+    fn draw_attempt_end(&mut self, request: RequestId) -> (Duration, Event) {
         let next = self.attempts.entry(request).or_default();
         let attempt = AttemptNumber(*next);
         *next += 1;
@@ -201,8 +202,8 @@
 /// [`Event::Reconfigured`] was added; the same seeds and events must still give the same actions byte for byte.
 #[test]
 fn without_reconfiguration_the_recorded_decisions_are_unchanged() {
-    let played: String = (1..=5).map(|seed| World::play(seed, 4000, |_| None).record()).collect();
-    assert_eq!(digest(&played), 0xbb1b_aa21_1b3f_d6ce);
+    let recorded: String = (1..=5).map(|seed| Simulation::run(seed, 4000, |_| None).into_record()).collect();
+    assert_eq!(digest(&recorded), 0xbb1b_aa21_1b3f_d6ce);
 }
 
 /// Guards against a reconfiguration that resets learned state: equal settings must change nothing, whenever they are
@@ -210,11 +211,11 @@
 #[test]
 fn reconfiguring_with_equal_settings_changes_no_decision() {
     for seed in 1..=5 {
-        let alone = World::play(seed, 4000, |_| None).record();
-        let repeated = World::play(seed, 4000, |number| {
+        let alone = Simulation::run(seed, 4000, |_| None).into_record();
+        let repeated = Simulation::run(seed, 4000, |number| {
             number.is_multiple_of(7).then(|| Event::Reconfigured(settings()))
         });
-        assert!(alone == repeated.record(), "equal settings changed the decisions with seed {seed}");
+        assert!(alone == repeated.into_record(), "equal settings changed the decisions with seed {seed}");
     }
 }
 
@@ -224,18 +225,19 @@
 #[test]
 fn frequent_reconfiguration_neither_loses_nor_unsafely_repeats_requests() {
     for seed in 1..=5 {
-        let mut draws = Rand64::new(u128::from(seed) + 99);
+        let mut settings_rng = Rand64::new(u128::from(seed) + 99);
         // The class that is not idempotent becomes idempotent from the middle on.
         let (requests, middle, mut changed) = (4000, 2000, false);
-        let mut world = World::play(seed, requests, |number| {
+        let mut simulation = Simulation::run(seed, requests, |number| {
             number.is_multiple_of(20).then(|| {
                 let mut other = settings();
-                other.replicas = draws.rand_range(1..9) as u32;
+                other.replicas = settings_rng.rand_range(1..9) as u32;
                 for tenant in &mut other.tenants {
-                    tenant.quota = (draws.rand_float() < 0.8).then(|| draws.rand_float() * 200.0);
+                    tenant.quota =
+                        (settings_rng.rand_float() < 0.8).then(|| settings_rng.rand_float() * 200.0);
                 }
-                other.classes[0].latency_objective = millis(100 + draws.rand_range(0..900));
-                other.permissions.max_attempts = draws.rand_range(1..5) as u32;
+                other.classes[0].latency_objective = millis(100 + settings_rng.rand_range(0..900));
+                other.permissions.max_attempts = settings_rng.rand_range(1..5) as u32;
                 changed |= number >= middle;
                 if changed {
                     other.classes[2].idempotency = Idempotency::Idempotent;
@@ -243,19 +245,23 @@
                 Event::Reconfigured(other)
             })
         });
-        world.end();
+        simulation.end();
         let mut repeated = 0;
         for id in (0..requests).map(RequestId) {
-            assert_eq!(world.ended.get(&id), Some(&1), "final results of {id:?} with seed {seed}");
-            let ran = world.ran.get(&id).copied().unwrap_or_default();
+            assert_eq!(
+                simulation.final_results.get(&id),
+                Some(&1),
+                "final results of {id:?} with seed {seed}"
+            );
+            let possibly_run = simulation.possibly_run.get(&id).copied().unwrap_or_default();
             assert!(
-                ran <= 1 || id.0 >= middle || world.classes[&id] != 2,
-                "{ran} attempts of unsafe {id:?} may be executed, seed {seed}"
+                possibly_run <= 1 || id.0 >= middle || simulation.classes[&id] != 2,
+                "{possibly_run} attempts of unsafe {id:?} may be executed, seed {seed}"
             );
-            repeated += u32::from(ran > 1);
+            repeated += u32::from(possibly_run > 1);
         }
         assert!(
-            repeated > 0 && !world.text.contains("Log"),
+            repeated > 0 && !simulation.text.contains("Log"),
             "{repeated} repeated, or a log line, seed {seed}"
         );
     }
@@ -265,32 +271,32 @@
 /// the identity of the replica. Such settings must be rejected with a log line and change nothing else.
 #[test]
 fn rejected_settings_change_nothing_and_are_logged() {
-    let but = |change: fn(&mut Settings)| {
+    let settings_with = |change: fn(&mut Settings)| {
         let mut settings = settings();
         change(&mut settings);
         settings
     };
-    let refused_ones = [
-        but(|settings| settings.classes.truncate(2)),
-        but(|settings| settings.tenants.truncate(2)),
-        but(|settings| settings.classes.clear()),
-        but(|settings| settings.replica_index = 1),
-        but(|settings| settings.tier = 1),
-        but(|settings| settings.zone = ZoneId(1)),
-        but(|settings| settings.zones = 1),
-        but(|settings| settings.kinds = 0),
-        but(|settings| settings.replicas = 0),
-        but(|settings| settings.permissions.max_attempts = 0),
-        but(|settings| settings.permissions.streams_per_connection = 0),
-        but(|settings| settings.classes[0].latency_objective = millis(9000)),
-        but(|settings| settings.classes[1].late_weight = f64::NAN),
-        but(|settings| settings.tenants[0].quota = Some(-1.0)),
-        but(|settings| settings.tenants[0].quota = Some(f64::INFINITY)),
-        but(|settings| settings.over_quota_weight = 2.0),
-        but(|settings| settings.rules.slow_start_min_fraction = 0.0),
-        but(|settings| settings.costs.wasted_work = -0.1),
+    let rejected_settings = [
+        settings_with(|settings| settings.classes.truncate(2)),
+        settings_with(|settings| settings.tenants.truncate(2)),
+        settings_with(|settings| settings.classes.clear()),
+        settings_with(|settings| settings.replica_index = 1),
+        settings_with(|settings| settings.tier = 1),
+        settings_with(|settings| settings.zone = ZoneId(1)),
+        settings_with(|settings| settings.zones = 1),
+        settings_with(|settings| settings.kinds = 0),
+        settings_with(|settings| settings.replicas = 0),
+        settings_with(|settings| settings.permissions.max_attempts = 0),
+        settings_with(|settings| settings.permissions.streams_per_connection = 0),
+        settings_with(|settings| settings.classes[0].latency_objective = millis(9000)),
+        settings_with(|settings| settings.classes[1].late_weight = f64::NAN),
+        settings_with(|settings| settings.tenants[0].quota = Some(-1.0)),
+        settings_with(|settings| settings.tenants[0].quota = Some(f64::INFINITY)),
+        settings_with(|settings| settings.over_quota_weight = 2.0),
+        settings_with(|settings| settings.rules.slow_start_min_fraction = 0.0),
+        settings_with(|settings| settings.costs.wasted_work = -0.1),
     ];
-    for other in refused_ones {
+    for other in rejected_settings {
         let mut bench = bench(settings());
         let before = format!("{:?}", bench.balancer);
         let actions = bench.tell(Event::Reconfigured(other.clone()));
@@ -328,7 +334,7 @@
     let with = |replicas| Settings { replicas, zones: 2, ..single(Idempotency::Idempotent) };
     let members: Vec<Member> =
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
-    let picked = |first| {
+    let selected = |first| {
         let mut bench = Bench::new(with(first), 7, Vec::new());
         let mut balancer = Balancer::new(with(first), 7).expect("they make sense");
         balancer.handle(START, Event::Reconfigured(with(3)), &mut Vec::new());
@@ -336,5 +342,5 @@
         bench.balancer = balancer;
         (0..200).flat_map(|_| bench.run(|_| (Outcome::Success, millis(1)))).collect::<Vec<_>>()
     };
-    assert_eq!(picked(2), picked(3));
+    assert_eq!(selected(2), selected(3));
 }
--- a/crates/policy/tests/reconfiguration_limits.rs
+++ b/crates/policy/tests/reconfiguration_limits.rs
@@ -29,7 +29,7 @@
 
 /// Offers `rate` requests per second of a tenant for `seconds`, each answered after 10 ms, and returns how many per
 /// second were admitted.
-fn accepted(bench: &mut Bench, tenant: usize, rate: f64, seconds: f64) -> f64 {
+fn admitted_rate(bench: &mut Bench, tenant: usize, rate: f64, seconds: f64) -> f64 {
     let (mut admitted, count) = (0, (rate * seconds) as u32);
     let mut answers: Vec<(Duration, RequestId)> = Vec::new();
     for _ in 0..count {
@@ -69,7 +69,7 @@
 #[test]
 fn a_halved_quota_holds_at_once() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
-    let before = accepted(&mut bench, 0, 300.0, 8.0);
+    let before = admitted_rate(&mut bench, 0, 300.0, 8.0);
     assert!(
         (85.0..150.0).contains(&before),
         "expected 85 to 150 requests/s under a quota of 100, saw {before}"
@@ -82,9 +82,9 @@
         "expected half the limit: {old:?} before, {new:?} after"
     );
     assert_eq!(new[1], old[1], "limit of the tenant whose quota did not change");
-    let second = accepted(&mut bench, 0, 300.0, 1.0);
+    let second = admitted_rate(&mut bench, 0, 300.0, 1.0);
     assert!(second <= 75.0, "expected at most 75 requests/s in the first second, saw {second}");
-    let after = accepted(&mut bench, 0, 300.0, 8.0);
+    let after = admitted_rate(&mut bench, 0, 300.0, 8.0);
     assert!(
         (40.0..75.0).contains(&after),
         "expected 40 to 75 requests/s under a quota of 50, saw {after} after {before}"
@@ -97,11 +97,11 @@
 fn a_raised_quota_applies_within_seconds() {
     for (before, after) in [(50.0, 100.0), (1.0, 100.0)] {
         let mut bench = bench(quotas(&[Some(before), Some(50.0)]));
-        let denied = accepted(&mut bench, 0, 90.0, 8.0);
+        let denied = admitted_rate(&mut bench, 0, 90.0, 8.0);
         assert!(denied < 80.0, "expected below 80 requests/s under a quota of {before}, saw {denied}");
         bench.tell(Event::Reconfigured(quotas(&[Some(after), Some(50.0)])));
-        accepted(&mut bench, 0, 90.0, 5.0);
-        let admitted = accepted(&mut bench, 0, 90.0, 5.0);
+        admitted_rate(&mut bench, 0, 90.0, 5.0);
+        let admitted = admitted_rate(&mut bench, 0, 90.0, 5.0);
         assert!(
             admitted > 80.0,
             "{admitted} of 90 requests/s admitted after the quota rose from {before} to {after}"
@@ -142,15 +142,15 @@
 #[test]
 fn a_quota_can_be_added_and_removed() {
     let mut bench = bench(quotas(&[None]));
-    assert!(accepted(&mut bench, 0, 200.0, 4.0) > 190.0);
+    assert!(admitted_rate(&mut bench, 0, 200.0, 4.0) > 190.0);
     bench.tell(Event::Reconfigured(quotas(&[Some(50.0)])));
-    let limited = accepted(&mut bench, 0, 200.0, 6.0);
+    let limited = admitted_rate(&mut bench, 0, 200.0, 6.0);
     assert!(
         (40.0..75.0).contains(&limited),
         "expected 40 to 75 requests/s under a quota of 50, saw {limited}"
     );
     bench.tell(Event::Reconfigured(quotas(&[None])));
-    let free = accepted(&mut bench, 0, 200.0, 4.0);
+    let free = admitted_rate(&mut bench, 0, 200.0, 4.0);
     assert!(free > 190.0, "expected above 190 of 200 requests/s without a quota, saw {free}");
 }
 
@@ -167,7 +167,7 @@
     let mut fresh = self::bench(quotas(&[Some(50.0), Some(20.0)]));
     for tenant in [0, 1] {
         let (limited, usual) =
-            (accepted(&mut bench, tenant, 200.0, 8.0), accepted(&mut fresh, tenant, 200.0, 8.0));
+            (admitted_rate(&mut bench, tenant, 200.0, 8.0), admitted_rate(&mut fresh, tenant, 200.0, 8.0));
         assert!(
             (limited / usual - 1.0).abs() < 0.1,
             "{limited} requests/s admitted, expected {usual} as by a new replica"
