--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -1,4 +1,5 @@
-//! Other settings while requests are in flight: each ends under those that it was received under.
+//! Reconfiguration while requests are in flight: each request is handled by the settings that were current when it
+//! arrived.
 
 mod common;
 #[path = "common/reconfigured.rs"]
@@ -11,10 +12,12 @@
 use common::{Bench, class, member, millis, sent};
 use reconfigured::{bench, request, settings, single};
 
+/// Idempotency key that the endpoints of a cell remember for 300 ms.
 const WINDOW: Idempotency =
     Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(300) };
 
-/// Ends each attempt of a request as a reset and counts them; each of which ends as a reset after `duration`.
+/// Ends each attempt of a request with a reset after `duration` and returns the number of attempts. `first` are the
+/// actions that the request caused when it arrived.
 fn resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
     let (mut sends, mut out) = (0, sent(first));
     while out.is_some() {
@@ -26,10 +29,10 @@
     sends
 }
 
-/// Guards the rule on effects: a request received as one that must not run twice never becomes repeatable, whatever its
-/// class is by the time that it breaks. One received afterwards goes by what holds then.
+/// Guards against running a non-idempotent request twice: a request that arrives as not idempotent is not retried after
+/// a reset, even if its class has become idempotent by then. Requests that arrive later follow the new settings.
 #[test]
-fn an_unsafe_request_in_flight_stays_unsafe() {
+fn a_request_that_arrived_as_not_idempotent_is_not_retried() {
     for other in [
         Idempotency::Idempotent,
         Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) },
@@ -40,15 +43,19 @@
         let upstream = sent(&actions).expect("sent");
         bench.pass(millis(10));
         let actions = bench.end(id, 0, Outcome::Reset, millis(10));
-        assert_eq!(actions, [Action::Fail { request: id }], "{other:?}");
+        assert_eq!(actions, [Action::Fail { request: id }], "retried after its class changed to {other:?}");
         let (id, actions) = bench.offer(None);
-        assert!(resets(&mut bench, id, &actions, millis(10)) > 1, "{other:?} after {upstream:?}");
+        assert!(
+            resets(&mut bench, id, &actions, millis(10)) > 1,
+            "a later request was not retried under {other:?}; the first went to {upstream:?}"
+        );
     }
 }
 
-/// Guards the other way: a request keeps what it was promised, and the next one does not get it.
+/// Guards the opposite change: a request that arrives as idempotent is still retried after its class has become not
+/// idempotent, and the next request of the class is not.
 #[test]
-fn a_safe_request_in_flight_stays_safe() {
+fn a_request_that_arrived_as_idempotent_is_still_retried() {
     let mut bench = bench(single(Idempotency::Idempotent));
     let (id, actions) = bench.offer(None);
     bench.tell(Event::Reconfigured(single(Idempotency::NotIdempotent)));
@@ -57,24 +64,26 @@
     assert_eq!(resets(&mut bench, id, &actions, millis(10)), 1);
 }
 
-/// Guards the upstreams' memory of keys: neither the window nor the group of a request in flight grows under it.
+/// Guards against retries that the upstreams do not recognise as repeats: neither the window nor the scope of the
+/// idempotency key of a request in flight may grow.
 #[test]
 fn a_keyed_request_in_flight_keeps_its_window_and_scope() {
     let wider = Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: millis(60_000) };
     for (other, duration, sends) in [
-        // Past its own window, within the other: no repeat.
+        // The reset comes after the window that the request arrived with, but within the new one: no retry.
         (
             Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(60_000) },
             millis(400),
             1,
         ),
-        // Within its own: only its own cell accepts it, which has two upstreams.
+        // The reset comes within the window that the request arrived with: a retry may only go to the same cell, which
+        // has two upstreams.
         (wider, millis(100), 2),
     ] {
         let mut bench = bench(single(WINDOW));
         let (id, actions) = bench.offer(None);
         bench.tell(Event::Reconfigured(single(other)));
-        assert_eq!(resets(&mut bench, id, &actions, duration), sends, "{other:?}");
+        assert_eq!(resets(&mut bench, id, &actions, duration), sends, "attempts after a change to {other:?}");
     }
     let mut bench = bench(single(WINDOW));
     bench.tell(Event::Reconfigured(single(wider)));
@@ -82,9 +91,10 @@
     assert!(resets(&mut bench, id, &actions, millis(400)) > 1);
 }
 
-/// Guards a keyed request's window within its cell: it applies to the end, and no repeat may begin after it.
+/// Guards against a retry that begins after the idempotency window: the window that the request arrived with limits the
+/// first-byte deadline of the retry, even if the class has a longer one by then.
 #[test]
-fn a_repeat_begins_within_the_window_it_was_received_under() {
+fn a_retry_must_begin_within_the_window_that_the_request_arrived_with() {
     let members = (0..8).map(member).collect();
     let mut bench = Bench::new(single(WINDOW), 7, members);
     let (id, actions) = bench.offer(None);
@@ -99,11 +109,15 @@
         Action::Send { first_byte_deadline, .. } => *first_byte_deadline,
         _ => None,
     });
-    let left = first_byte_deadline.expect("sent again within its window");
-    assert!(left <= millis(200) && left > millis(199), "{left:?}");
+    let left = first_byte_deadline.expect("expected a retry within the window, with a first-byte deadline");
+    assert!(
+        left <= millis(200) && left > millis(199),
+        "expected the remaining 200 ms of the window, saw {left:?}"
+    );
 }
 
-/// Guards clients: the latency objective and the weight of a late answer are those that the request was received under.
+/// Guards clients against changed timeouts: the latency objective and the weight of a late answer stay those that the
+/// request arrived with.
 #[test]
 fn a_request_in_flight_keeps_its_latency_objective_and_deadline() {
     let timeout = |actions: &[Action]| {
@@ -120,13 +134,18 @@
     assert_eq!(timeout(&first), Some(millis(1000)));
     bench.tell(Event::Reconfigured(longer));
     bench.pass(millis(400));
-    let again = timeout(&bench.end(id, 0, Outcome::Refused, millis(400))).expect("sent again");
-    assert!(again <= millis(600) && again > millis(599), "{again:?}");
+    let again =
+        timeout(&bench.end(id, 0, Outcome::Refused, millis(400))).expect("expected a retry with a timeout");
+    assert!(
+        again <= millis(600) && again > millis(599),
+        "expected the remaining 600 ms of the latency objective, saw {again:?}"
+    );
     let (_, next) = bench.offer(None);
     assert_eq!(timeout(&next), Some(millis(3000)));
 }
 
-/// Guards upstreams against more of a request's attempts than it was received with; a lower number applies at once.
+/// Guards upstreams against more attempts of a request than were allowed when it arrived. A lower number applies at
+/// once.
 #[test]
 fn a_request_in_flight_gets_no_more_attempts() {
     let with = |attempts| {
@@ -140,16 +159,25 @@
         let mut bench = bench(with(before));
         let (id, first) = bench.offer(None);
         bench.tell(Event::Reconfigured(with(after)));
-        assert_eq!(resets(&mut bench, id, &first, millis(5)), of_this, "{before} to {after}");
+        assert_eq!(
+            resets(&mut bench, id, &first, millis(5)),
+            of_this,
+            "attempts of a request in flight, limit {before} to {after}"
+        );
         let (id, next) = bench.offer(None);
-        assert_eq!(resets(&mut bench, id, &next, millis(5)), of_next, "{before} to {after}");
+        assert_eq!(
+            resets(&mut bench, id, &next, millis(5)),
+            of_next,
+            "attempts of the next request, limit {before} to {after}"
+        );
     }
 }
 
-/// Guards requests in flight whose class or tenant went: they end as they would have.
+/// Guards requests in flight whose tenant is removed while a class is added: they end as they would have without the
+/// change.
 #[test]
-fn a_request_of_a_removed_class_ends_as_before() {
-    // What went stays as it was, the quota of its tenant is 0, and what is new stands behind it.
+fn a_request_of_a_removed_tenant_ends_as_before() {
+    // Removed classes and tenants stay in their lists, with a quota of 0 for the tenants, and new ones are appended.
     let mut after = settings();
     after.tenants[1].quota = Some(0.0);
     after.classes.push(class(Idempotency::Idempotent));
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules over arbitrary legal sequences of events, against a small independent oracle.
+//! Property tests of the four rules that the balancer must keep, over random valid sequences of events. A small
+//! independent oracle checks each action.
 
 mod common;
 #[path = "common/oracle.rs"]
@@ -16,6 +17,7 @@
 use proptest::test_runner::RngSeed;
 use two_zones::{member, settings};
 
+/// Generates the outcome of an attempt.
 fn outcome() -> impl Strategy<Value = Outcome> {
     prop_oneof![
         4 => Just(Outcome::Success),
@@ -29,6 +31,7 @@
     ]
 }
 
+/// Generates a step of a sequence.
 fn step() -> impl Strategy<Value = Step> {
     let lifecycle = prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Removed)];
     prop_oneof![
@@ -48,7 +51,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_rules_hold_over_any_legal_events(
+    fn the_rules_hold_for_any_valid_sequence_of_events(
         seed in any::<u64>(),
         hedging in any::<bool>(),
         subscribe in any::<bool>(),
@@ -61,7 +64,8 @@
         world.pass(millis(4000));
     }
 
-    /// Whatever the other upstreams do, one that is warming up gets no more than the budget of the rule.
+    /// Checks that an upstream that is warming up is sent no more than the overload rule allows, however the other
+    /// upstreams answer.
     #[test]
     fn an_endpoint_warming_up_is_never_sent_over_its_budget(
         seed in any::<u64>(),
@@ -99,15 +103,15 @@
             let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
             let budget = rules.overload_multiple * warmth * warm + 2.0;
             for id in 0..warming_up {
-                prop_assert!(within(id, end) <= budget, "{} sent, budget {budget}", within(id, end));
+                prop_assert!(within(id, end) <= budget, "{} requests sent in one window, expected at most {budget}", within(id, end));
             }
         }
     }
 }
 
-/// Equal settings, seeds and events give equal actions.
+/// Guards against decisions that depend on anything but the settings, the seed and the events.
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn equal_seeds_and_events_give_equal_actions() {
     let run = || {
         let mut balancer = Balancer::new(settings(false, true), 11).unwrap();
         let mut actions = Vec::new();
@@ -143,10 +147,11 @@
     assert_eq!(actions, []);
 }
 
-/// Upstreams of zones that the settings do not name need not share one: what may have run at the first is not
-/// repeated at the second, as if 'unknown' were a zone of its own.
+/// Guards against treating 'unknown' as a zone of its own: two upstreams without a known zone may be in different
+/// zones, so a request whose key is remembered per zone is not retried at the second one if it may have run at the
+/// first.
 #[test]
-fn upstreams_of_unknown_zones_share_no_zone() {
+fn upstreams_of_unknown_zones_are_not_in_the_same_zone() {
     let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Zone, window: millis(5000) };
     let members = (0..2).map(|id| Member { zone: None, ..common::member(id) }).collect();
     let mut bench = common::Bench::new(Settings::single_zone(vec![common::class(keyed)]), 3, members);
@@ -170,5 +175,8 @@
         request_finished: false,
         load: None,
     });
-    assert!(!sent(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }), "{actions:?}");
+    assert!(
+        !sent(&actions) && actions.contains(&Action::Fail { request: RequestId(1) }),
+        "expected no retry and a failure, saw {actions:?}"
+    );
 }
