--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -40,7 +40,7 @@
 
 impl Simulation {
     /// Simulates `requests` requests; before each one, the event that `other` returns for its number is delivered.
-    fn run(seed: u64, requests: u64, mut other: impl FnMut(u64) -> Option<Event>) -> Self {
+    fn simulate(seed: u64, requests: u64, mut other: impl FnMut(u64) -> Option<Event>) -> Self {
         let mut simulation = Self {
             balancer: Balancer::new(settings(), seed).expect("the settings make sense"),
             rng: Rand64::new(u128::from(seed)),
@@ -202,7 +202,8 @@
 /// [`Event::Reconfigured`] was added; the same seeds and events must still give the same actions byte for byte.
 #[test]
 fn without_reconfiguration_the_recorded_decisions_are_unchanged() {
-    let recorded: String = (1..=5).map(|seed| Simulation::run(seed, 4000, |_| None).into_record()).collect();
+    let recorded: String =
+        (1..=5).map(|seed| Simulation::simulate(seed, 4000, |_| None).into_record()).collect();
     assert_eq!(digest(&recorded), 0xbb1b_aa21_1b3f_d6ce);
 }
 
@@ -211,8 +212,8 @@
 #[test]
 fn reconfiguring_with_equal_settings_changes_no_decision() {
     for seed in 1..=5 {
-        let alone = Simulation::run(seed, 4000, |_| None).into_record();
-        let repeated = Simulation::run(seed, 4000, |number| {
+        let alone = Simulation::simulate(seed, 4000, |_| None).into_record();
+        let repeated = Simulation::simulate(seed, 4000, |number| {
             number.is_multiple_of(7).then(|| Event::Reconfigured(settings()))
         });
         assert!(alone == repeated.into_record(), "equal settings changed the decisions with seed {seed}");
@@ -228,7 +229,7 @@
         let mut settings_rng = Rand64::new(u128::from(seed) + 99);
         // The class that is not idempotent becomes idempotent from the middle on.
         let (requests, middle, mut changed) = (4000, 2000, false);
-        let mut simulation = Simulation::run(seed, requests, |number| {
+        let mut simulation = Simulation::simulate(seed, requests, |number| {
             number.is_multiple_of(20).then(|| {
                 let mut other = settings();
                 other.replicas = settings_rng.rand_range(1..9) as u32;
--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -13,12 +13,12 @@
 use reconfigured::{bench, request, settings, single};
 
 /// Idempotency key that the endpoints of a cell remember for 300 ms.
-const WINDOW: Idempotency =
+const CELL_KEY_300_MS: Idempotency =
     Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(300) };
 
 /// Ends each attempt of a request with a reset after `duration` and returns the number of attempts. `first` are the
 /// actions that the request caused when it arrived.
-fn resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
+fn attempts_under_resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
     let (mut sends, mut out) = (0, sent(first));
     while out.is_some() {
         sends += 1;
@@ -46,7 +46,7 @@
         assert_eq!(actions, [Action::Fail { request: id }], "retried after its class changed to {other:?}");
         let (id, actions) = bench.offer(None);
         assert!(
-            resets(&mut bench, id, &actions, millis(10)) > 1,
+            attempts_under_resets(&mut bench, id, &actions, millis(10)) > 1,
             "a later request was not retried under {other:?}; the first went to {upstream:?}"
         );
     }
@@ -59,9 +59,9 @@
     let mut bench = bench(single(Idempotency::Idempotent));
     let (id, actions) = bench.offer(None);
     bench.tell(Event::Reconfigured(single(Idempotency::NotIdempotent)));
-    assert!(resets(&mut bench, id, &actions, millis(10)) > 1);
+    assert!(attempts_under_resets(&mut bench, id, &actions, millis(10)) > 1);
     let (id, actions) = bench.offer(None);
-    assert_eq!(resets(&mut bench, id, &actions, millis(10)), 1);
+    assert_eq!(attempts_under_resets(&mut bench, id, &actions, millis(10)), 1);
 }
 
 /// Guards against retries that the upstreams do not recognise as repeats: neither the window nor the scope of the
@@ -80,15 +80,19 @@
         // has two upstreams.
         (wider, millis(100), 2),
     ] {
-        let mut bench = bench(single(WINDOW));
+        let mut bench = bench(single(CELL_KEY_300_MS));
         let (id, actions) = bench.offer(None);
         bench.tell(Event::Reconfigured(single(other)));
-        assert_eq!(resets(&mut bench, id, &actions, duration), sends, "attempts after a change to {other:?}");
+        assert_eq!(
+            attempts_under_resets(&mut bench, id, &actions, duration),
+            sends,
+            "attempts after a change to {other:?}"
+        );
     }
-    let mut bench = bench(single(WINDOW));
+    let mut bench = bench(single(CELL_KEY_300_MS));
     bench.tell(Event::Reconfigured(single(wider)));
     let (id, actions) = bench.offer(None);
-    assert!(resets(&mut bench, id, &actions, millis(400)) > 1);
+    assert!(attempts_under_resets(&mut bench, id, &actions, millis(400)) > 1);
 }
 
 /// Guards against a retry that begins after the idempotency window: the window that the request arrived with limits the
@@ -96,7 +100,7 @@
 #[test]
 fn a_retry_must_begin_within_the_window_that_the_request_arrived_with() {
     let members = (0..8).map(member).collect();
-    let mut bench = Bench::new(single(WINDOW), 7, members);
+    let mut bench = Bench::new(single(CELL_KEY_300_MS), 7, members);
     let (id, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
     bench.tell(Event::Reconfigured(single(Idempotency::IdempotencyKey {
@@ -134,11 +138,11 @@
     assert_eq!(timeout(&first), Some(millis(1000)));
     bench.tell(Event::Reconfigured(longer));
     bench.pass(millis(400));
-    let again =
+    let retry_timeout =
         timeout(&bench.end(id, 0, Outcome::Refused, millis(400))).expect("expected a retry with a timeout");
     assert!(
-        again <= millis(600) && again > millis(599),
-        "expected the remaining 600 ms of the latency objective, saw {again:?}"
+        retry_timeout <= millis(600) && retry_timeout > millis(599),
+        "expected the remaining 600 ms of the latency objective, saw {retry_timeout:?}"
     );
     let (_, next) = bench.offer(None);
     assert_eq!(timeout(&next), Some(millis(3000)));
@@ -155,19 +159,19 @@
             ..settings
         }
     };
-    for (before, after, of_this, of_next) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
+    for (before, after, in_flight_attempts, next_attempts) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
         let mut bench = bench(with(before));
         let (id, first) = bench.offer(None);
         bench.tell(Event::Reconfigured(with(after)));
         assert_eq!(
-            resets(&mut bench, id, &first, millis(5)),
-            of_this,
+            attempts_under_resets(&mut bench, id, &first, millis(5)),
+            in_flight_attempts,
             "attempts of a request in flight, limit {before} to {after}"
         );
         let (id, next) = bench.offer(None);
         assert_eq!(
-            resets(&mut bench, id, &next, millis(5)),
-            of_next,
+            attempts_under_resets(&mut bench, id, &next, millis(5)),
+            next_attempts,
             "attempts of the next request, limit {before} to {after}"
         );
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -100,8 +100,8 @@
             let end = started + millis(second * 1_000);
             let warm = (warming_up..8).map(|id| within(id, end)).fold(0.0, f64::max);
             let age = (second as f64 - window.as_secs_f64()).max(0.0);
-            let warmth = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
-            let budget = rules.overload_multiple * warmth * warm + 2.0;
+            let warm_fraction = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
+            let budget = rules.overload_multiple * warm_fraction * warm + 2.0;
             for id in 0..warming_up {
                 prop_assert!(within(id, end) <= budget, "{} requests sent in one window, expected at most {budget}", within(id, end));
             }
