--- a/crates/policy/tests/connect_timeouts.rs
+++ b/crates/policy/tests/connect_timeouts.rs
@@ -1,4 +1,4 @@
-//! Connect timeouts of one endpoint: what ejects it, what ends that, and which connections count as open.
+//! Connect timeouts of one endpoint: when it is ejected, what ends the ejection, and which connections count as open.
 
 mod common;
 
@@ -6,12 +6,12 @@
 use balancer_policy::{Event, Settings};
 use common::*;
 
-/// The calls of 200 that go to the first of four upstreams, which answer all.
+/// Returns how many of 200 requests are sent to the first upstream, while all upstreams answer.
 fn calls_to_the_first(bench: &mut Bench) -> usize {
     (0..200).filter(|_| bench.run(|_| (Outcome::Success, millis(2))) == [EndpointId(0)]).count()
 }
 
-/// Four upstreams, of which the first has ended each of its attempts with `outcome` until it was ejected.
+/// A replica with four upstreams, the first of which was ejected after each of its attempts ended with `outcome`.
 fn first_ejected(outcome: Outcome) -> Bench {
     let mut bench = Bench::new(
         Settings::single_zone(vec![class(Idempotency::Idempotent)]),
@@ -26,15 +26,22 @@
 
 #[test]
 fn a_connection_ends_an_ejection_for_connect_timeouts() {
-    assert_eq!(calls_to_the_first(&mut first_ejected(Outcome::ConnectTimedOut)), 0, "not ejected");
+    assert_eq!(
+        calls_to_the_first(&mut first_ejected(Outcome::ConnectTimedOut)),
+        0,
+        "expected the first upstream to be ejected"
+    );
     let mut bench = first_ejected(Outcome::ConnectTimedOut);
     assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
     let calls = calls_to_the_first(&mut bench);
-    assert!((30..70).contains(&calls), "{calls} of 200 after a connection came up");
+    assert!(
+        (30..70).contains(&calls),
+        "expected 30 to 70 of 200 requests after a connection came up, saw {calls}"
+    );
 }
 
 #[test]
-fn a_connection_ends_no_ejection_for_errors() {
+fn a_connection_does_not_end_an_ejection_for_errors() {
     let mut bench = first_ejected(Outcome::Error);
     for upstream in [0, 0, 99] {
         assert_eq!(bench.tell(Event::Connected(EndpointId(upstream))), []);
@@ -42,13 +49,14 @@
     assert_eq!(calls_to_the_first(&mut bench), 0);
 }
 
-/// Two late connections in a row are chance, as are many with answers between them.
+/// Guards against an ejection for late connections that occur by chance: two in a row do not eject an endpoint, nor do
+/// many with answers or connections between them.
 #[test]
-fn an_answer_or_a_connection_breaks_a_row_of_connect_timeouts() {
+fn an_answer_or_a_connection_ends_a_series_of_connect_timeouts() {
     for between in [None, Some(Outcome::Success), Some(Outcome::Refused), Some(Outcome::InvalidRequest)] {
         let mut bench =
             Bench::new(Settings::single_zone(vec![class(Idempotency::Idempotent)]), 3, vec![member(0)]);
-        // The second upstream shows by its calls whether the first is ejected.
+        // If the first upstream were ejected, the requests would go to the second one.
         bench.tell(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
         let mut met = 0;
         let mut calls = 0;
@@ -69,11 +77,15 @@
                 bench.tell(Event::ClientDisconnected(id));
             }
         }
-        assert!(calls > 120, "{calls} of 400 with {between:?} between");
+        assert!(
+            calls > 120,
+            "expected above 120 of 400 requests at the first upstream with {between:?} between timeouts, saw {calls}"
+        );
     }
 }
 
-/// Of benches whose handshakes have a price, the calls of 60 that go to the fourth of eight upstreams after `what`.
+/// Returns how many of 60 replicas, for which a handshake has a cost, send a request to the fourth of eight upstreams
+/// after `what` was done to them.
 fn calls_to_the_fourth(what: impl Fn(&mut Bench)) -> usize {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.costs.handshake = 0.1;
@@ -89,13 +101,16 @@
 fn late_connections_are_counted_once_they_are_up() {
     let none = calls_to_the_fourth(|_| {});
     let one = calls_to_the_fourth(|bench| assert_eq!(bench.tell(Event::Connected(EndpointId(3))), []));
-    assert!(none < 15 && one > 30, "{none} without, {one} with a connection");
-    // The connection is not the one that the attempt waited for: that never came.
+    assert!(
+        none < 15 && one > 30,
+        "requests at the fourth upstream: {none} of 60 without, {one} with a connection"
+    );
+    // The connect timeout is that of another connection, which the attempt waited for and which never came up.
     let lost = calls_to_the_fourth(|bench| {
         bench.tell(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
         bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
         bench.tell(Event::ClientDisconnected(id));
     });
-    assert!(lost < 15, "{lost} with a connection that was lost");
+    assert!(lost < 15, "expected below 15 of 60 requests with a connection that was lost, saw {lost}");
 }
--- a/crates/policy/tests/many_replicas.rs
+++ b/crates/policy/tests/many_replicas.rs
@@ -1,4 +1,4 @@
-//! Limits of one of many replicas: it sees few calls, and may be dealt more of them than others.
+//! Limits of a replica that is one of many: it sees few requests, and may receive more of them than other replicas.
 
 #[path = "common/calls.rs"]
 mod calls;
@@ -9,10 +9,11 @@
 use calls::admitted;
 use common::*;
 
-/// Found on days with fifty fronts: five of them were dealt several times the mean of clients, and denied two in
-/// three while the tier was at ease. Of two replicas, one that sees as much means that there is too much.
+/// Guards against refusals by a replica that happens to have many clients. With fifty fronts, five of them received
+/// several times the mean load and denied two of three requests while the tier was not overloaded. With two replicas
+/// the same excess at one of them means that the tier is overloaded.
 #[test]
-fn one_of_many_replicas_may_be_dealt_several_quotas() {
+fn one_of_many_replicas_admits_several_times_its_part_of_the_quota() {
     let admitted_by_one_of = |replicas: u32| {
         let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
         settings.replicas = replicas;
@@ -22,15 +23,16 @@
         admitted(&mut bench, 30.0, 5.0, 60.0, Outcome::Success)
     };
     let (many, few) = (admitted_by_one_of(50), admitted_by_one_of(2));
-    assert!(many > 0.99, "one of fifty admitted {many}");
-    assert!(few < 0.6, "one of two admitted {few}");
+    assert!(many > 0.99, "expected one of fifty replicas to admit above 0.99, saw {many}");
+    assert!(few < 0.6, "expected one of two replicas to admit below 0.6, saw {few}");
 }
 
-/// Found on days with a hundred balancers: fronts that saw some twenty calls a second met congestion by chance
-/// alone, as few calls that differ by far average out slowly, and denied the clients they were dealt over their
-/// parts while the tier was at ease. Calls here take their usual times throughout, spread as on those days.
+/// Guards against congestion that is detected in random variation alone. With a hundred balancers, fronts that saw some
+/// twenty requests per second detected congestion because a few widely varying latencies average out slowly, and denied
+/// requests beyond their part of the quota while the tier was not overloaded. The latencies here are spread as widely,
+/// around an unchanged median.
 #[test]
-fn few_calls_that_differ_by_far_are_no_congestion() {
+fn few_requests_of_widely_varying_latency_are_not_taken_for_congestion() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replicas = 20;
     settings.tenants = vec![Tenant { quota: Some(6.0 * 20.0) }; 2];
@@ -47,13 +49,14 @@
             bench.end(id, 0, Outcome::Success, millis(spread(150)));
         }
     }
-    // Twenty calls a second are a part and two thirds of this replica's: one of twenty may be dealt that many.
+    // Twenty requests per second are 1 2/3 times this replica's part of the quotas. One of twenty replicas may happen
+    // to receive that many.
     let part = f64::from(passed) / f64::from(offered);
-    assert!(part > 0.85, "{part} admitted while nothing was congested");
+    assert!(part > 0.85, "expected above 0.85 admitted without congestion, saw {part}");
 }
 
-/// A fixed stream of times that calls take, in milliseconds: their logs are spread by about `wide`
-/// around that of the given middle.
+/// Returns a deterministic generator of request durations in milliseconds. The logarithms of the durations are spread
+/// by about `wide` around the logarithm of the middle value that is passed to the generator.
 fn spread(seed: u64, wide: f64) -> impl FnMut(u64) -> u64 {
     let mut state = 0x9e37_79b9_7f4a_7c15_u64 ^ seed.wrapping_mul(0x2545_f491_4f6c_dd1d);
     move |middle| {
@@ -69,8 +72,8 @@
     }
 }
 
-/// Lets `rate(t)` calls a second into a replica of many for `seconds`, each ending when `duration` says, late ones
-/// timed out at their latency objective; the calls admitted in each second.
+/// Offers `rate(second)` requests in each of `seconds` seconds and returns the number admitted in each second. A
+/// request takes `duration(second)` milliseconds, or times out if that reaches its latency objective.
 fn admitted_by_second(
     bench: &mut Bench,
     seconds: usize,
@@ -84,7 +87,7 @@
             let mut admitted = 0;
             for call in 0..rate(second) {
                 let due = start + millis(1000 * second as u64 + 1000 * call / rate(second));
-                // Calls end in the order of their ends, between those that come.
+                // End the requests that are due before this one arrives, in the order of their ends.
                 out.sort_by_key(|&(end, ..)| std::cmp::Reverse(end));
                 while let Some((end, id, span)) = out.pop_if(|&mut (end, ..)| end <= due) {
                     bench.pass(end.saturating_sub(bench.now));
@@ -104,7 +107,7 @@
         .collect()
 }
 
-/// One replica of fifty whose two tenants have a quota of `part` calls a second each.
+/// One replica of fifty, whose part of the quota of each of two tenants is `part` requests per second.
 fn one_of_fifty(seed: u64, part: f64) -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     settings.replicas = 50;
@@ -113,10 +116,11 @@
     Bench::new(settings, seed, (0..8).map(member).collect())
 }
 
-/// Found on days with three hundred balancers: a replica dealt three parts took its first few calls, short ones by
-/// chance, for the usual latency, and cut its limit to one part within seconds of its start.
+/// Guards against a baseline latency that is learned from too few requests. With three hundred balancers, a replica
+/// that received three times its part of the quota took the latency of its first few requests, which happened to be
+/// short, for the baseline, and cut its limit to its part within seconds of its start.
 #[test]
-fn the_first_calls_of_a_fresh_replica_are_no_measure_of_congestion() {
+fn the_first_requests_of_a_new_replica_do_not_cause_congestion() {
     let denied: u64 = (0..40)
         .map(|seed| {
             let mut spread = spread(seed, 0.8);
@@ -124,36 +128,41 @@
             300 - admitted.iter().sum::<u64>()
         })
         .sum();
-    assert!(denied < 120, "{denied} of 12000 denied while nothing was congested");
+    assert!(denied < 120, "expected below 120 of 12000 requests denied without congestion, saw {denied}");
 }
 
-/// Found on days with three hundred balancers: where half of a tier was gone, each decrease took that half off the
-/// limit of all tenants once more, and in mild congestion a replica dealt three parts fell to one within two decreases.
+/// Guards against lost capacity that is subtracted at each decrease. With three hundred balancers and half of a tier
+/// gone, each decrease halved the limit of all tenants once more, and in light congestion a replica that received three
+/// times its part of the quota fell to its part within two decreases.
 #[test]
-fn a_lost_part_of_the_tier_is_subtracted_once() {
+fn lost_capacity_is_subtracted_from_the_limit_once() {
     let admitted: u64 = (0..10)
         .map(|seed| {
             let mut bench = one_of_fifty(seed, 20.0);
             let calm = admitted_by_second(&mut bench, 20, |_| 60, |_| 100);
             assert_eq!(calm.iter().sum::<u64>(), 1200);
             bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
-            // Slower by half until that has been noticed, then as usual.
+            // Requests take half as long again until the congestion has been detected, then their usual time.
             let duration = |second| if second < 2 { 150 } else { 100 };
             admitted_by_second(&mut bench, 6, |_| 60, duration)[2..].iter().sum::<u64>()
         })
         .sum();
-    assert!(admitted > 1200, "{admitted} of 2400 admitted after a short congestion");
+    assert!(
+        admitted > 1200,
+        "expected above 1200 of 2400 requests admitted after a short congestion, saw {admitted}"
+    );
 }
 
-/// Found on days with three hundred balancers: a decrease left only the slow calls of those before it to end, which
-/// called for the next decrease, and a replica dealt three parts fell to one while its upstreams were at ease.
+/// Guards against a decrease that causes the next one. With three hundred balancers, only the slow requests of those
+/// admitted before a decrease were still to end after it, which caused another decrease, and a replica that received
+/// three times its part of the quota fell to its part while its upstreams were not overloaded.
 #[test]
-fn the_slow_calls_before_a_decrease_do_not_cause_the_next() {
+fn slow_requests_admitted_before_a_decrease_do_not_cause_the_next() {
     let admitted: u64 = (0..10)
         .map(|seed| {
             let mut bench = one_of_fifty(seed, 15.0);
             let mut call = 0;
-            // In the first second of the burst every third call is slow, but comes.
+            // In the first second of the burst every third request is slow, but still served in time.
             let duration = |second| {
                 call += 1;
                 if second == 20 && call % 3 == 0 { 950 } else { 100 }
@@ -162,5 +171,8 @@
             admitted_by_second(&mut bench, 24, rate, duration)[21..].iter().sum::<u64>()
         })
         .sum();
-    assert!(admitted > 930, "{admitted} of 2550 admitted after a burst that was slow at first");
+    assert!(
+        admitted > 930,
+        "expected above 930 of 2550 requests admitted after a burst that was slow at first, saw {admitted}"
+    );
 }
--- a/crates/policy/tests/tier_out_of_reach.rs
+++ b/crates/policy/tests/tier_out_of_reach.rs
@@ -1,4 +1,5 @@
-//! Endpoints that are full or out of reach behind late connections: limits fall where they must, and open again.
+//! Endpoints that are overloaded or unreachable while connections come up late: the limits decrease in overload, and
+//! rise again once requests succeed.
 
 mod common;
 #[path = "common/connecting.rs"]
@@ -11,8 +12,9 @@
 use connecting::{World, idle, settings, third_late, usual};
 use oorandom::Rand64;
 
-/// The parts admitted by two replicas whose upstreams are full in the given way: one has connections at once, of the
-/// other's a third come up late.
+/// Returns the fractions of the requests that two replicas admit whose upstreams are overloaded, so that a fraction
+/// `part` of the attempts ends with `outcome`. The first replica has connections at once; a third of the second one's
+/// come up late.
 fn admitted_of_full(rate: f64, outcome: Outcome, part: f64) -> (f64, f64) {
     let run = |late: bool| {
         let mut world = World::new(settings(2, rate / 1.2), 5, 6, millis(12));
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn full_upstreams_cut_the_limits_though_connections_are_late() {
+fn overloaded_upstreams_decrease_the_limits_despite_late_connections() {
     for (rate, outcome, part) in [
         (10.0, Outcome::Refused, 0.8),
         (60.0, Outcome::Refused, 0.8),
@@ -40,30 +42,37 @@
         let (at_once, late) = admitted_of_full(rate, outcome, part);
         assert!(
             at_once < 0.5 && late < at_once + 0.06,
-            "{rate}/s, {outcome:?}: {late} admitted, {at_once} if none is late"
+            "{rate} requests/s, {outcome:?}: expected both below 0.5: {late} admitted with late connections, {at_once} without"
         );
     }
 }
 
 #[test]
-fn a_tier_of_which_half_is_out_of_reach_is_served_by_the_other_half() {
+fn the_reachable_half_of_a_tier_serves_the_requests() {
     for (rate, most) in [(2.0, 0.25), (10.0, 0.1), (60.0, 0.05)] {
         let mut world = World::new(settings(2, rate * 2.0), 5, 8, millis(12));
         world.run(rate, 20, idle);
         let half = |id: EndpointId, rng: &mut Rand64| {
             (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Success, usual(rng))
         };
-        // The unreachable ones must be met first.
+        // The unreachable upstreams are only found by sending to them, so a few requests fail at first.
         let first = world.run(rate, 20, half);
         let tally = world.run(rate, 60, half);
-        assert!(first.served() > 0.85 && tally.served() > 0.94, "{rate}/s: {first:?}, then {tally:?}");
-        assert!(tally.part_of(0..4) < most, "{rate}/s: {tally:?}");
+        assert!(
+            first.served() > 0.85 && tally.served() > 0.94,
+            "{rate} requests/s: too few served, in the first 20 s {first:?}, then {tally:?}"
+        );
+        assert!(
+            tally.part_of(0..4) < most,
+            "{rate} requests/s: expected below {most} of the attempts at the unreachable half, saw {tally:?}"
+        );
     }
 }
 
-/// A tier that answers nobody is congestion, whatever the connects fail with.
+/// Guards against unlimited load on a tier of which no endpoint can be reached: this counts as congestion, whether the
+/// connection attempts are refused or time out.
 #[test]
-fn a_tier_that_is_wholly_out_of_reach_cuts_the_limits() {
+fn a_wholly_unreachable_tier_decreases_the_limits() {
     for rate in [2.0, 10.0, 60.0] {
         let run = |connects: Option<Duration>| {
             let mut world = World::new(settings(2, rate * 1.2), 5, 8, millis(12));
@@ -74,13 +83,14 @@
         let (failed, timed_out) = (run(Some(Duration::ZERO)), run(None));
         assert!(
             failed < 0.5 && timed_out < failed + 0.15,
-            "{rate}/s: {timed_out} admitted, {failed} if refused"
+            "{rate} requests/s: {timed_out} admitted with connect timeouts, {failed} with failed connections"
         );
     }
 }
 
-/// The second from which on most of a replica's quota is admitted again, over any six seconds, of clients that come
-/// `times` as often and find their upstreams at ease, after these had answered nobody for a while.
+/// Returns the second from which on a replica serves most of its part of the quota again, over any six seconds. The
+/// upstreams have answered no request for 15 s and are idle again; clients send `times` the replica's part of the
+/// quota. `quota` says whether the tenant has a quota at all.
 fn seconds_to_open(quota: bool, part: f64, times: f64) -> usize {
     let mut settings = settings(2, part);
     if !quota {
@@ -90,15 +100,15 @@
     world.run(part, 30, idle);
     world.run(part * 3.0, 15, |_, _| (Some(Duration::ZERO), Outcome::TimedOut, millis(10)));
     let served: Vec<u32> = (0..50).map(|_| world.run(part * times, 1, idle).served).collect();
-    // Under a hard limit calls come in bursts.
+    // Under a strict limit requests are admitted in bursts, so count them over six seconds.
     let shut = |seconds: &[u32]| f64::from(seconds.iter().sum::<u32>()) < 0.7 * 6.0 * part;
     served.windows(6).rposition(shut).map_or(0, |at| at + 1)
 }
 
-/// Found on days with late connections: cut limits stayed at their floors under clients that came again at once, as
-/// calls denied whole teach nothing and the few admitted between met the congestion of long before.
+/// Guards against limits that stay at their floors. With late connections and clients that retried at once, denied
+/// requests told nothing about the tier, and the few admitted ones met the congestion level of long before.
 #[test]
-fn a_limit_at_its_floor_opens_within_seconds_once_what_is_let_in_succeeds() {
+fn a_limit_at_its_floor_recovers_within_seconds_once_requests_succeed() {
     for (quota, part, times) in [
         (true, 10.0, 1.0),
         (true, 60.0, 1.0),
@@ -114,7 +124,7 @@
         let seconds = seconds_to_open(quota, part, times);
         assert!(
             seconds <= 10,
-            "quota {quota}, {part}/s, {times} times as many calls: open after {seconds} s"
+            "quota {quota}, {part} requests/s, {times} times as many offered: expected recovery within 10 s, took {seconds} s"
         );
     }
 }
