--- a/crates/policy/tests/connect_timeouts.rs
+++ b/crates/policy/tests/connect_timeouts.rs
@@ -105,7 +105,7 @@
         none < 15 && one > 30,
         "requests at the fourth upstream: {none} of 60 without, {one} with a connection"
     );
-    // The connect timeout is that of another connection, which the attempt waited for and which never came up.
+    // The attempt times out while it waits for a connection, although one counts as open: that one no longer counts.
     let lost = calls_to_the_fourth(|bench| {
         bench.tell(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come up late: they cut no limit, eject no endpoint and count as no latency.
+//! Connections that come up late: they decrease no limit, eject no endpoint and do not count as latency of upstreams.
 
 mod common;
 #[path = "common/connecting.rs"]
@@ -10,10 +10,10 @@
 use common::*;
 use connecting::{World, idle, idle_third_late, settings, usual};
 
-/// Found on days on which a third of the connections came up late while the upstreams answered in 13 to 30 ms: the
-/// limits were cut to their floors, and 80 to 95 calls in 100 denied.
+/// Guards against late connections that are taken for overload. With a third of the connections late and upstreams that
+/// answered in 13 to 30 ms, the limits fell to their floors, and 80 to 95 of 100 requests were denied.
 #[test]
-fn late_connections_neither_cut_limits_nor_eject_endpoints() {
+fn late_connections_neither_decrease_limits_nor_eject_endpoints() {
     for (rate, replicas, is_reported) in [2.0, 10.0, 60.0]
         .into_iter()
         .flat_map(|rate| [(rate, 2, true), (rate, 2, false), (rate, 30, true), (rate, 30, false)])
@@ -27,18 +27,25 @@
             let case = format!(
                 "{rate}/s, {replicas} replicas, {upstreams} upstreams, reported {is_reported}: {tally:?}"
             );
-            assert!(tally.limit >= calm.limit, "a limit was cut: {case}");
-            assert!(tally.admitted() > 0.95, "{} admitted: {case}", tally.admitted());
-            // Three attempts are allowed, and all meet a late connection 1 time in 27.
-            assert!(tally.served() > 0.9, "{} served: {case}", tally.served());
-            assert!(tally.least_sent(upstreams) > 0.5, "ejected: {case}");
+            assert!(tally.limit >= calm.limit, "a limit decreased: {case}");
+            assert!(
+                tally.admitted() > 0.95,
+                "expected above 0.95 admitted, saw {}: {case}",
+                tally.admitted()
+            );
+            // With three attempts allowed, all attempts of 1 request in 27 wait for a late connection.
+            assert!(tally.served() > 0.9, "expected above 0.9 served, saw {}: {case}", tally.served());
+            assert!(
+                tally.least_sent(upstreams) > 0.5,
+                "an upstream was sent less than half the mean: {case}"
+            );
         }
     }
 }
 
-/// Where an attempt waits for its late connection, nothing of that wait is the upstreams' latency.
+/// Guards against counting the time that an attempt waits for a late connection as latency of the upstreams.
 #[test]
-fn the_wait_for_a_connection_is_no_latency() {
+fn the_wait_for_a_connection_does_not_count_as_latency() {
     for (rate, replicas) in [(2.0, 2), (10.0, 2), (60.0, 2), (2.0, 30), (10.0, 30), (60.0, 30)] {
         let mut world = World::new(settings(replicas, rate * 1.2), 7, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
@@ -49,12 +56,13 @@
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95, "{case}");
         assert!(rate < 10.0 || tally.congestion < 0.2, "{case}");
         assert!((world.figure("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
-        // Of the connections 12 in 100 come up after the latency objective.
+        // Of 100 connections, 12 come up after the latency objective.
         assert!(tally.served() > 0.82, "{case}");
     }
 }
 
-/// A replica for clients that wait 0.4 s and want their answers within half of that.
+/// A replica whose clients have a deadline of 400 ms and a latency objective of 200 ms. Attempts wait for a connection
+/// for up to `patience`.
 fn short_deadlines(replicas: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
     let mut settings = settings(replicas, rate * 1.2);
     settings.classes[0] = Class {
@@ -69,7 +77,7 @@
 }
 
 #[test]
-fn short_deadlines_leave_time_for_another_upstream() {
+fn short_deadlines_leave_time_for_a_retry_at_another_upstream() {
     for (rate, replicas, patience) in
         [(10.0, 2, 8), (10.0, 2, 60), (60.0, 2, 8), (60.0, 2, 60), (60.0, 30, 8), (60.0, 30, 60)]
     {
@@ -84,9 +92,10 @@
     }
 }
 
-/// Where the upstreams are sent to with less time left than they take, the time-outs tell of the connections alone.
+/// Guards against timeouts that are taken for congestion although the connections caused them: the connection came up
+/// so late that the upstream could not answer in the time left.
 #[test]
-fn time_outs_behind_late_connections_are_no_congestion() {
+fn timeouts_after_late_connections_do_not_count_as_congestion() {
     for (rate, replicas) in [(10.0, 2), (60.0, 2), (60.0, 30)] {
         let mut world = short_deadlines(replicas, rate, 6, millis(1000));
         let calm = world.run(rate, 30, idle);
@@ -94,19 +103,22 @@
         let tally = world.run(rate, 60, |_, rng| {
             let is_late = rng.rand_float() < 1.0 / 3.0;
             late += u32::from(is_late);
-            // About a third of these time out with 10 ms to go for the upstream, which takes 15 to 30 ms.
+            // About a third of these time out, with 10 ms left for the upstream, which takes 15 to 30 ms.
             let after = if is_late { millis(350 + rng.rand_range(0..60)) } else { Duration::ZERO };
             (Some(after), Outcome::Success, usual(rng))
         });
         let case = format!("{rate}/s, {replicas} replicas, {late} late: {tally:?}");
-        assert!(tally.served() < 0.95 && late > tally.offered / 4, "nothing timed out: {case}");
+        assert!(
+            tally.served() < 0.95 && late > tally.offered / 4,
+            "expected late connections to cause timeouts: {case}"
+        );
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.congestion < 0.2, "{case}");
         assert!(tally.least_sent(6) > 0.5, "{case}");
     }
 }
 
-/// An upstream is neither slower nor worse than others for the waits of half its connections, be they for most of the
-/// time that a call has or for so long that the upstream cannot answer in the rest.
+/// Guards against treating an upstream as slow or failing because half of its connections come up late, whether the
+/// wait takes most of the time that a request has or so much that the upstream cannot answer in the rest.
 #[test]
 fn one_upstream_whose_connections_are_late_is_neither_slow_nor_failing() {
     for wait in [200, 385] {
@@ -117,35 +129,39 @@
             (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Success, usual(rng))
         });
         let part = tally.part_of(0..1) * 6.0;
-        assert!(part > 0.6, "{part} of the mean sent to it after waits of {wait} ms: {tally:?}");
+        assert!(
+            part > 0.6,
+            "expected above 0.6 of the mean at the upstream with waits of {wait} ms, saw {part}: {tally:?}"
+        );
     }
 }
 
-/// At a call every few seconds nobody else's answer stands beside a late connection's request.
+/// Guards against a decrease for a few connect timeouts at a low request rate. With one request every few seconds, no
+/// other request is answered around the time of a connect timeout that would show that the tier is reachable.
 #[test]
-fn a_handful_of_connect_timeouts_at_few_calls_a_second_cuts_nothing() {
+fn a_few_connect_timeouts_at_a_low_rate_do_not_decrease_limits() {
     for seed in 0..20 {
         let mut settings = settings(30, 0.5);
         settings.permissions.max_attempts = 2;
         let mut world = World::new(settings, seed, 6, millis(12));
         let calm = world.run(0.3, 120, idle);
         let tally = world.run(0.3, 300, idle_third_late);
-        assert!(tally.limit >= calm.limit, "seed {seed}: {tally:?}");
+        assert!(tally.limit >= calm.limit, "a limit decreased below {calm:?}, seed {seed}: {tally:?}");
     }
 }
 
-/// One refusal is no congestion, and the connect timeout before it does not make it the second.
+/// Guards against counting the connect timeout before a refusal as another refusal: a single refusal is not congestion.
 #[test]
-fn a_refusal_after_a_connect_timeout_is_one_refusal() {
+fn a_refusal_after_a_connect_timeout_counts_as_one_refusal() {
     let mut settings = settings(2, 25.0 / 3.0);
     settings.over_quota_weight = 1.0;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
     for call in 0..820 {
-        // The limit climbs at first.
+        // The limit rises at first, so denials count only afterwards.
         let climbed = call >= 540;
         bench.pass(millis(if climbed { 71 } else { 111 }));
         let (id, mut actions) = bench.offer(Some(0));
-        assert!(!climbed || sent(&actions).is_some(), "call {call} denied");
+        assert!(!climbed || sent(&actions).is_some(), "request {call} was denied");
         let mut number = 0;
         if climbed && call % 4 == 0 {
             for outcome in [Outcome::ConnectTimedOut, Outcome::Refused] {
@@ -153,7 +169,7 @@
                 number += 1;
             }
         }
-        assert!(!climbed || sent(&actions).is_some(), "call {call} not sent elsewhere");
+        assert!(!climbed || sent(&actions).is_some(), "request {call} was not retried after a refusal");
         bench.end(id, number, Outcome::Success, millis(20));
     }
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -103,7 +103,7 @@
             let warm_fraction = rules.slow_start_min_fraction + (1.0 - rules.slow_start_min_fraction) * age / 20.0;
             let budget = rules.overload_multiple * warm_fraction * warm + 2.0;
             for id in 0..warming_up {
-                prop_assert!(within(id, end) <= budget, "{} requests sent in one window, expected at most {budget}", within(id, end));
+                prop_assert!(within(id, end) <= budget, "{} sent in one window, expected at most {budget}", within(id, end));
             }
         }
     }
--- a/crates/policy/tests/tier_out_of_reach.rs
+++ b/crates/policy/tests/tier_out_of_reach.rs
@@ -42,7 +42,7 @@
         let (at_once, late) = admitted_of_full(rate, outcome, part);
         assert!(
             at_once < 0.5 && late < at_once + 0.06,
-            "{rate} requests/s, {outcome:?}: expected both below 0.5: {late} admitted with late connections, {at_once} without"
+            "{rate}/s, {outcome:?}: {late} admitted with late connections, {at_once} without"
         );
     }
 }
@@ -124,7 +124,7 @@
         let seconds = seconds_to_open(quota, part, times);
         assert!(
             seconds <= 10,
-            "quota {quota}, {part} requests/s, {times} times as many offered: expected recovery within 10 s, took {seconds} s"
+            "quota {quota}, {part}/s, {times} times as many offered: recovery took {seconds} s of at most 10"
         );
     }
 }
