--- a/crates/policy/tests/connect_timeouts.rs
+++ b/crates/policy/tests/connect_timeouts.rs
@@ -7,7 +7,7 @@
 use common::*;
 
 /// Returns how many of 200 requests are sent to the first upstream, while all upstreams answer.
-fn calls_to_the_first(bench: &mut Bench) -> usize {
+fn requests_to_first(bench: &mut Bench) -> usize {
     (0..200).filter(|_| bench.run(|_| (Outcome::Success, millis(2))) == [EndpointId(0)]).count()
 }
 
@@ -27,16 +27,16 @@
 #[test]
 fn a_connection_ends_an_ejection_for_connect_timeouts() {
     assert_eq!(
-        calls_to_the_first(&mut first_ejected(Outcome::ConnectTimedOut)),
+        requests_to_first(&mut first_ejected(Outcome::ConnectTimedOut)),
         0,
         "expected the first upstream to be ejected"
     );
     let mut bench = first_ejected(Outcome::ConnectTimedOut);
     assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
-    let calls = calls_to_the_first(&mut bench);
+    let requests = requests_to_first(&mut bench);
     assert!(
-        (30..70).contains(&calls),
-        "expected 30 to 70 of 200 requests after a connection came up, saw {calls}"
+        (30..70).contains(&requests),
+        "expected 30 to 70 of 200 requests after a connection came up, saw {requests}"
     );
 }
 
@@ -46,7 +46,7 @@
     for upstream in [0, 0, 99] {
         assert_eq!(bench.tell(Event::Connected(EndpointId(upstream))), []);
     }
-    assert_eq!(calls_to_the_first(&mut bench), 0);
+    assert_eq!(requests_to_first(&mut bench), 0);
 }
 
 /// Guards against an ejection for late connections that occur by chance: two in a row do not eject an endpoint, nor do
@@ -58,17 +58,17 @@
             Bench::new(Settings::single_zone(vec![class(Idempotency::Idempotent)]), 3, vec![member(0)]);
         // If the first upstream were ejected, the requests would go to the second one.
         bench.tell(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
-        let mut met = 0;
-        let mut calls = 0;
+        let mut events_at_first = 0;
+        let mut requests = 0;
         for _ in 0..400 {
             let (id, actions) = bench.offer(None);
             let first = sent(&actions) == Some(EndpointId(0));
-            calls += u32::from(first);
-            met += u32::from(first);
-            let late = first && met % 3 != 0;
-            if first && met % 3 == 0 && between.is_none() {
+            requests += u32::from(first);
+            events_at_first += u32::from(first);
+            let late = first && events_at_first % 3 != 0;
+            if first && events_at_first % 3 == 0 && between.is_none() {
                 assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
-                met += 1;
+                events_at_first += 1;
             }
             bench.pass(millis(2));
             let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Success) };
@@ -78,35 +78,35 @@
             }
         }
         assert!(
-            calls > 120,
-            "expected above 120 of 400 requests at the first upstream with {between:?} between timeouts, saw {calls}"
+            requests > 120,
+            "expected above 120 of 400 requests at the first upstream with {between:?} between timeouts, saw {requests}"
         );
     }
 }
 
 /// Returns how many of 60 replicas, for which a handshake has a cost, send a request to the fourth of eight upstreams
-/// after `what` was done to them.
-fn calls_to_the_fourth(what: impl Fn(&mut Bench)) -> usize {
+/// after `prepare` was called for them.
+fn requests_to_fourth(prepare: impl Fn(&mut Bench)) -> usize {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.costs.handshake = 0.1;
-    let calls = (0..60).filter(|&seed| {
+    let requests = (0..60).filter(|&seed| {
         let mut bench = Bench::new(settings.clone(), seed, (0..8).map(member).collect());
-        what(&mut bench);
+        prepare(&mut bench);
         sent(&bench.offer(None).1) == Some(EndpointId(3))
     });
-    calls.count()
+    requests.count()
 }
 
 #[test]
 fn late_connections_are_counted_once_they_are_up() {
-    let none = calls_to_the_fourth(|_| {});
-    let one = calls_to_the_fourth(|bench| assert_eq!(bench.tell(Event::Connected(EndpointId(3))), []));
+    let none = requests_to_fourth(|_| {});
+    let one = requests_to_fourth(|bench| assert_eq!(bench.tell(Event::Connected(EndpointId(3))), []));
     assert!(
         none < 15 && one > 30,
         "requests at the fourth upstream: {none} of 60 without, {one} with a connection"
     );
     // The attempt times out while it waits for a connection, although one counts as open: that one no longer counts.
-    let lost = calls_to_the_fourth(|bench| {
+    let lost = requests_to_fourth(|bench| {
         bench.tell(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
         bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -62,8 +62,8 @@
 }
 
 /// A replica whose clients have a deadline of 400 ms and a latency objective of 200 ms. Attempts wait for a connection
-/// for up to `patience`.
-fn short_deadlines(replicas: u32, rate: f64, upstreams: u32, patience: Duration) -> World {
+/// for up to `connect_timeout`.
+fn short_deadlines(replicas: u32, rate: f64, upstreams: u32, connect_timeout: Duration) -> World {
     let mut settings = settings(replicas, rate * 1.2);
     settings.classes[0] = Class {
         latency_objective: millis(200),
@@ -71,21 +71,21 @@
         late_weight: 0.5,
         idempotency: Idempotency::Idempotent,
     };
-    let mut world = World::new(settings, 9, upstreams, patience);
+    let mut world = World::new(settings, 9, upstreams, connect_timeout);
     world.bench.time_left = millis(400);
     world
 }
 
 #[test]
 fn short_deadlines_leave_time_for_a_retry_at_another_upstream() {
-    for (rate, replicas, patience) in
+    for (rate, replicas, connect_timeout) in
         [(10.0, 2, 8), (10.0, 2, 60), (60.0, 2, 8), (60.0, 2, 60), (60.0, 30, 8), (60.0, 30, 60)]
     {
-        let mut world = short_deadlines(replicas, rate, 6, millis(patience));
+        let mut world = short_deadlines(replicas, rate, 6, millis(connect_timeout));
         let calm = world.run(rate, 30, idle);
         let usual = world.figure("usual ms ");
         let tally = world.run(rate, 60, idle_third_late);
-        let case = format!("{rate}/s, {replicas} replicas, {patience} ms: {tally:?}");
+        let case = format!("{rate}/s, {replicas} replicas, {connect_timeout} ms: {tally:?}");
         assert!(tally.limit >= calm.limit && tally.admitted() > 0.95 && tally.served() > 0.92, "{case}");
         assert!(tally.congestion < 0.2 && tally.least_sent(6) > 0.5, "{case}");
         assert!((world.figure("usual ms ") / usual - 1.0).abs() < 0.15, "{usual} ms before: {case}");
@@ -156,20 +156,23 @@
     let mut settings = settings(2, 25.0 / 3.0);
     settings.over_quota_weight = 1.0;
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
-    for call in 0..820 {
+    for request_index in 0..820 {
         // The limit rises at first, so denials count only afterwards.
-        let climbed = call >= 540;
-        bench.pass(millis(if climbed { 71 } else { 111 }));
+        let limit_settled = request_index >= 540;
+        bench.pass(millis(if limit_settled { 71 } else { 111 }));
         let (id, mut actions) = bench.offer(Some(0));
-        assert!(!climbed || sent(&actions).is_some(), "request {call} was denied");
+        assert!(!limit_settled || sent(&actions).is_some(), "request {request_index} was denied");
         let mut number = 0;
-        if climbed && call % 4 == 0 {
+        if limit_settled && request_index % 4 == 0 {
             for outcome in [Outcome::ConnectTimedOut, Outcome::Refused] {
                 actions = bench.end(id, number, outcome, millis(2));
                 number += 1;
             }
         }
-        assert!(!climbed || sent(&actions).is_some(), "request {call} was not retried after a refusal");
+        assert!(
+            !limit_settled || sent(&actions).is_some(),
+            "request {request_index} was not retried after a refusal"
+        );
         bench.end(id, number, Outcome::Success, millis(20));
     }
 }
--- a/crates/policy/tests/many_replicas.rs
+++ b/crates/policy/tests/many_replicas.rs
@@ -38,26 +38,26 @@
     settings.tenants = vec![Tenant { quota: Some(6.0 * 20.0) }; 2];
     settings.over_quota_weight = 0.2;
     let mut bench = Bench::new(settings, 5, (0..8).map(member).collect());
-    let mut spread = spread(0, 1.0);
-    let (mut offered, mut passed) = (0, 0);
-    for call in 0..1800 {
+    let mut durations = durations(0, 1.0);
+    let (mut offered, mut admitted_count) = (0, 0);
+    for request_index in 0..1800 {
         bench.pass(millis(50));
-        let (id, actions) = bench.offer(Some(call % 2));
-        offered += u32::from(call >= 200);
+        let (id, actions) = bench.offer(Some(request_index % 2));
+        offered += u32::from(request_index >= 200);
         if sent(&actions).is_some() {
-            passed += u32::from(call >= 200);
-            bench.end(id, 0, Outcome::Success, millis(spread(150)));
+            admitted_count += u32::from(request_index >= 200);
+            bench.end(id, 0, Outcome::Success, millis(durations(150)));
         }
     }
     // Twenty requests per second are 1 2/3 times this replica's part of the quotas. One of twenty replicas may happen
     // to receive that many.
-    let part = f64::from(passed) / f64::from(offered);
+    let part = f64::from(admitted_count) / f64::from(offered);
     assert!(part > 0.85, "expected above 0.85 admitted without congestion, saw {part}");
 }
 
 /// Returns a deterministic generator of request durations in milliseconds. The logarithms of the durations are spread
-/// by about `wide` around the logarithm of the middle value that is passed to the generator.
-fn spread(seed: u64, wide: f64) -> impl FnMut(u64) -> u64 {
+/// by about `log_spread` around the logarithm of the middle value that is passed to the generator.
+fn durations(seed: u64, log_spread: f64) -> impl FnMut(u64) -> u64 {
     let mut state = 0x9e37_79b9_7f4a_7c15_u64 ^ seed.wrapping_mul(0x2545_f491_4f6c_dd1d);
     move |middle| {
         let sum: f64 = (0..4)
@@ -68,7 +68,7 @@
                 (state >> 11) as f64 / (1u64 << 53) as f64
             })
             .sum();
-        (middle as f64 * ((sum - 2.0) * 1.7 * wide).exp()).clamp(5.0, 2900.0) as u64
+        (middle as f64 * ((sum - 2.0) * 1.7 * log_spread).exp()).clamp(5.0, 2900.0) as u64
     }
 }
 
@@ -81,25 +81,25 @@
     mut duration: impl FnMut(usize) -> u64,
 ) -> Vec<u64> {
     let (start, latency_objective) = (bench.now, millis(1000));
-    let mut out: Vec<(std::time::Duration, RequestId, std::time::Duration)> = Vec::new();
+    let mut in_flight: Vec<(std::time::Duration, RequestId, std::time::Duration)> = Vec::new();
     (0..seconds)
         .map(|second| {
             let mut admitted = 0;
-            for call in 0..rate(second) {
-                let due = start + millis(1000 * second as u64 + 1000 * call / rate(second));
+            for request_index in 0..rate(second) {
+                let due = start + millis(1000 * second as u64 + 1000 * request_index / rate(second));
                 // End the requests that are due before this one arrives, in the order of their ends.
-                out.sort_by_key(|&(end, ..)| std::cmp::Reverse(end));
-                while let Some((end, id, span)) = out.pop_if(|&mut (end, ..)| end <= due) {
+                in_flight.sort_by_key(|&(end, ..)| std::cmp::Reverse(end));
+                while let Some((end, id, span)) = in_flight.pop_if(|&mut (end, ..)| end <= due) {
                     bench.pass(end.saturating_sub(bench.now));
                     let outcome = if span < latency_objective { Outcome::Success } else { Outcome::TimedOut };
                     bench.end(id, 0, outcome, span);
                 }
                 bench.pass(due.saturating_sub(bench.now));
-                let (id, actions) = bench.offer(Some(call as usize % 2));
+                let (id, actions) = bench.offer(Some(request_index as usize % 2));
                 if sent(&actions).is_some() {
                     admitted += 1;
                     let span = millis(duration(second)).min(latency_objective);
-                    out.push((due + span, id, span));
+                    in_flight.push((due + span, id, span));
                 }
             }
             admitted
@@ -123,8 +123,8 @@
 fn the_first_requests_of_a_new_replica_do_not_cause_congestion() {
     let denied: u64 = (0..40)
         .map(|seed| {
-            let mut spread = spread(seed, 0.8);
-            let admitted = admitted_by_second(&mut one_of_fifty(seed, 15.0), 5, |_| 60, |_| spread(150));
+            let mut durations = durations(seed, 0.8);
+            let admitted = admitted_by_second(&mut one_of_fifty(seed, 15.0), 5, |_| 60, |_| durations(150));
             300 - admitted.iter().sum::<u64>()
         })
         .sum();
@@ -139,8 +139,8 @@
     let admitted: u64 = (0..10)
         .map(|seed| {
             let mut bench = one_of_fifty(seed, 20.0);
-            let calm = admitted_by_second(&mut bench, 20, |_| 60, |_| 100);
-            assert_eq!(calm.iter().sum::<u64>(), 1200);
+            let admitted_before = admitted_by_second(&mut bench, 20, |_| 60, |_| 100);
+            assert_eq!(admitted_before.iter().sum::<u64>(), 1200);
             bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
             // Requests take half as long again until the congestion has been detected, then their usual time.
             let duration = |second| if second < 2 { 150 } else { 100 };
@@ -161,11 +161,11 @@
     let admitted: u64 = (0..10)
         .map(|seed| {
             let mut bench = one_of_fifty(seed, 15.0);
-            let mut call = 0;
+            let mut request_index = 0;
             // In the first second of the burst every third request is slow, but still served in time.
             let duration = |second| {
-                call += 1;
-                if second == 20 && call % 3 == 0 { 950 } else { 100 }
+                request_index += 1;
+                if second == 20 && request_index % 3 == 0 { 950 } else { 100 }
             };
             let rate = |second| if second < 20 { 45 } else { 85 };
             admitted_by_second(&mut bench, 24, rate, duration)[21..].iter().sum::<u64>()
--- a/crates/policy/tests/tier_out_of_reach.rs
+++ b/crates/policy/tests/tier_out_of_reach.rs
@@ -15,18 +15,18 @@
 /// Returns the fractions of the requests that two replicas admit whose upstreams are overloaded, so that a fraction
 /// `part` of the attempts ends with `outcome`. The first replica has connections at once; a third of the second one's
 /// come up late.
-fn admitted_of_full(rate: f64, outcome: Outcome, part: f64) -> (f64, f64) {
+fn admitted_under_overload(rate: f64, outcome: Outcome, part: f64) -> (f64, f64) {
     let run = |late: bool| {
         let mut world = World::new(settings(2, rate / 1.2), 5, 6, millis(12));
         world.run(rate, 20, idle);
-        let full = |_: EndpointId, rng: &mut Rand64| {
-            let connects = if late { third_late(rng) } else { Some(Duration::ZERO) };
+        let overloaded = |_: EndpointId, rng: &mut Rand64| {
+            let connect_wait = if late { third_late(rng) } else { Some(Duration::ZERO) };
             let (how, duration) =
                 if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Success, usual(rng)) };
-            (connects, how, if how == Outcome::Refused { millis(2) } else { duration })
+            (connect_wait, how, if how == Outcome::Refused { millis(2) } else { duration })
         };
-        world.run(rate, 15, full);
-        world.run(rate, 45, full).admitted()
+        world.run(rate, 15, overloaded);
+        world.run(rate, 45, overloaded).admitted()
     };
     (run(false), run(true))
 }
@@ -39,7 +39,7 @@
         (10.0, Outcome::TimedOut, 0.7),
         (60.0, Outcome::TimedOut, 0.7),
     ] {
-        let (at_once, late) = admitted_of_full(rate, outcome, part);
+        let (at_once, late) = admitted_under_overload(rate, outcome, part);
         assert!(
             at_once < 0.5 && late < at_once + 0.06,
             "{rate}/s, {outcome:?}: {late} admitted with late connections, {at_once} without"
@@ -49,7 +49,7 @@
 
 #[test]
 fn the_reachable_half_of_a_tier_serves_the_requests() {
-    for (rate, most) in [(2.0, 0.25), (10.0, 0.1), (60.0, 0.05)] {
+    for (rate, max_fraction) in [(2.0, 0.25), (10.0, 0.1), (60.0, 0.05)] {
         let mut world = World::new(settings(2, rate * 2.0), 5, 8, millis(12));
         world.run(rate, 20, idle);
         let half = |id: EndpointId, rng: &mut Rand64| {
@@ -63,8 +63,8 @@
             "{rate} requests/s: too few served, in the first 20 s {first:?}, then {tally:?}"
         );
         assert!(
-            tally.part_of(0..4) < most,
-            "{rate} requests/s: expected below {most} of the attempts at the unreachable half, saw {tally:?}"
+            tally.part_of(0..4) < max_fraction,
+            "{rate} requests/s: expected below {max_fraction} of the attempts at the unreachable half, saw {tally:?}"
         );
     }
 }
@@ -74,11 +74,11 @@
 #[test]
 fn a_wholly_unreachable_tier_decreases_the_limits() {
     for rate in [2.0, 10.0, 60.0] {
-        let run = |connects: Option<Duration>| {
+        let run = |connect_wait: Option<Duration>| {
             let mut world = World::new(settings(2, rate * 1.2), 5, 8, millis(12));
             world.run(rate, 20, idle);
-            world.run(rate, 15, |_, _| (connects, Outcome::ConnectFailed, millis(12)));
-            world.run(rate, 40, |_, _| (connects, Outcome::ConnectFailed, millis(12))).admitted()
+            world.run(rate, 15, |_, _| (connect_wait, Outcome::ConnectFailed, millis(12)));
+            world.run(rate, 40, |_, _| (connect_wait, Outcome::ConnectFailed, millis(12))).admitted()
         };
         let (failed, timed_out) = (run(Some(Duration::ZERO)), run(None));
         assert!(
@@ -89,9 +89,9 @@
 }
 
 /// Returns the second from which on a replica serves most of its part of the quota again, over any six seconds. The
-/// upstreams have answered no request for 15 s and are idle again; clients send `times` the replica's part of the
-/// quota. `quota` says whether the tenant has a quota at all.
-fn seconds_to_open(quota: bool, part: f64, times: f64) -> usize {
+/// upstreams have answered no request for 15 s and are idle again; clients send `load_multiple` times the replica's
+/// part of the quota. `quota` says whether the tenant has a quota at all.
+fn seconds_to_recover(quota: bool, part: f64, load_multiple: f64) -> usize {
     let mut settings = settings(2, part);
     if !quota {
         settings.tenants = vec![Tenant { quota: None }];
@@ -99,17 +99,17 @@
     let mut world = World::new(settings, 5, 8, millis(12));
     world.run(part, 30, idle);
     world.run(part * 3.0, 15, |_, _| (Some(Duration::ZERO), Outcome::TimedOut, millis(10)));
-    let served: Vec<u32> = (0..50).map(|_| world.run(part * times, 1, idle).served).collect();
+    let served: Vec<u32> = (0..50).map(|_| world.run(part * load_multiple, 1, idle).served).collect();
     // Under a strict limit requests are admitted in bursts, so count them over six seconds.
-    let shut = |seconds: &[u32]| f64::from(seconds.iter().sum::<u32>()) < 0.7 * 6.0 * part;
-    served.windows(6).rposition(shut).map_or(0, |at| at + 1)
+    let below_quota = |seconds: &[u32]| f64::from(seconds.iter().sum::<u32>()) < 0.7 * 6.0 * part;
+    served.windows(6).rposition(below_quota).map_or(0, |at| at + 1)
 }
 
 /// Guards against limits that stay at their floors. With late connections and clients that retried at once, denied
 /// requests told nothing about the tier, and the few admitted ones met the congestion level of long before.
 #[test]
 fn a_limit_at_its_floor_recovers_within_seconds_once_requests_succeed() {
-    for (quota, part, times) in [
+    for (quota, part, load_multiple) in [
         (true, 10.0, 1.0),
         (true, 60.0, 1.0),
         (true, 10.0, 10.0),
@@ -121,10 +121,10 @@
         (false, 10.0, 60.0),
         (false, 60.0, 60.0),
     ] {
-        let seconds = seconds_to_open(quota, part, times);
+        let seconds = seconds_to_recover(quota, part, load_multiple);
         assert!(
             seconds <= 10,
-            "quota {quota}, {part}/s, {times} times as many offered: recovery took {seconds} s of at most 10"
+            "quota {quota}, {part}/s, {load_multiple} load_multiple as many offered: recovery took {seconds} s of at max_fraction 10"
         );
     }
 }
