--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -42,7 +42,7 @@
     /// Simulates `requests` requests; before each one, the event that `other` returns for its number is delivered.
     fn simulate(seed: u64, requests: u64, mut other: impl FnMut(u64) -> Option<Event>) -> Self {
         let mut simulation = Self {
-            balancer: Balancer::new(settings(), seed).expect("the settings make sense"),
+            balancer: Balancer::new(settings(), seed).expect("the settings are valid"),
             rng: Rand64::new(u128::from(seed)),
             now: START,
             scheduled: BTreeMap::new(),
@@ -257,13 +257,13 @@
             let possibly_run = simulation.possibly_run.get(&id).copied().unwrap_or_default();
             assert!(
                 possibly_run <= 1 || id.0 >= middle || simulation.classes[&id] != 2,
-                "{possibly_run} attempts of unsafe {id:?} may be executed, seed {seed}"
+                "expected at most 1 attempt of {id:?} to run, saw {possibly_run}, seed {seed}"
             );
             repeated += u32::from(possibly_run > 1);
         }
         assert!(
             repeated > 0 && !simulation.text.contains("Log"),
-            "{repeated} repeated, or a log line, seed {seed}"
+            "expected repeats and no log line, saw {repeated} repeats, seed {seed}"
         );
     }
 }
@@ -337,7 +337,7 @@
         (0..16).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) }).collect();
     let selected = |first| {
         let mut bench = Bench::new(with(first), 7, Vec::new());
-        let mut balancer = Balancer::new(with(first), 7).expect("they make sense");
+        let mut balancer = Balancer::new(with(first), 7).expect("the settings are valid");
         balancer.handle(START, Event::Reconfigured(with(3)), &mut Vec::new());
         balancer.handle(START, Event::List(ListUpdate::Snapshot(members.clone())), &mut Vec::new());
         bench.balancer = balancer;
--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -40,7 +40,7 @@
         let mut bench = bench(single(Idempotency::NotIdempotent));
         let (id, actions) = bench.offer(None);
         assert!(bench.tell(Event::Reconfigured(single(other))).is_empty());
-        let upstream = sent(&actions).expect("sent");
+        let upstream = sent(&actions).expect("the request is sent");
         bench.pass(millis(10));
         let actions = bench.end(id, 0, Outcome::Reset, millis(10));
         assert_eq!(actions, [Action::Fail { request: id }], "retried after its class changed to {other:?}");
--- a/crates/policy/tests/reconfiguration_limits.rs
+++ b/crates/policy/tests/reconfiguration_limits.rs
@@ -15,9 +15,9 @@
 /// Returns the current limits of the tenants and, last, the one of all tenants together, in requests per second.
 fn limits(bench: &Bench) -> Vec<f64> {
     let stats_snapshot = bench.balancer.stats_snapshot();
-    let (_, after) = stats_snapshot.split_once("limits ").expect("limits");
-    let (rates, _) = after.split_once(',').expect("more");
-    rates.split(' ').map(|rate| rate.parse().expect("a rate")).collect()
+    let (_, after) = stats_snapshot.split_once("limits ").expect("the stats snapshot lists the limits");
+    let (rates, _) = after.split_once(',').expect("a comma follows the limits");
+    rates.split(' ').map(|rate| rate.parse().expect("a limit is a number")).collect()
 }
 
 /// Settings with one class and with one tenant for each of the quotas.
@@ -67,7 +67,7 @@
 /// Guards against a lowered quota that takes effect late: half the quota applies from the next requests on, even if the
 /// limit has adapted since the start.
 #[test]
-fn a_halved_quota_holds_at_once() {
+fn a_halved_quota_applies_at_once() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
     let before = admitted_rate(&mut bench, 0, 300.0, 8.0);
     assert!(
@@ -115,13 +115,13 @@
 fn reconfiguration_keeps_the_decrease_of_a_limit() {
     let mut bench = bench(quotas(&[Some(100.0), Some(50.0)]));
     overload(&mut bench);
-    let cut = limits(&bench);
-    assert!(cut[0] < 60.0, "expected the overload to decrease the limit below 60, saw {cut:?}");
+    let decreased = limits(&bench);
+    assert!(decreased[0] < 60.0, "expected the overload to decrease the limit below 60, saw {decreased:?}");
     let mut other = quotas(&[Some(100.0), Some(50.0), Some(30.0)]);
     other.costs.cross_zone = 0.01;
     bench.tell(Event::Reconfigured(other));
     let retained = limits(&bench);
-    assert_eq!(retained[..2], cut[..2]);
+    assert_eq!(retained[..2], decreased[..2]);
     assert!(
         retained[2] >= 30.0,
         "expected the limit of a new tenant to start at its quota, saw {retained:?}"
@@ -129,12 +129,15 @@
     bench.tell(Event::Reconfigured(quotas(&[Some(200.0), Some(50.0), Some(30.0)])));
     let raised = limits(&bench);
     assert!(
-        (raised[0] / cut[0] - 2.0).abs() < 0.05,
-        "expected the same fraction of the quota: {cut:?} before, {raised:?} after"
+        (raised[0] / decreased[0] - 2.0).abs() < 0.05,
+        "expected the limit to double with the quota: {decreased:?} before, {raised:?} after"
     );
     bench.tell(Event::Reconfigured(quotas(&[Some(100.0), Some(50.0), Some(30.0)])));
-    let back = limits(&bench);
-    assert!((back[0] - cut[0]).abs() < 0.11, "expected the limit to return to {cut:?}, saw {back:?}");
+    let restored = limits(&bench);
+    assert!(
+        (restored[0] - decreased[0]).abs() < 0.11,
+        "expected the limit to return to {decreased:?}, saw {restored:?}"
+    );
 }
 
 /// Guards changes between a limit with a quota and one without: a quota that is added limits the tenant from then on,
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -149,7 +149,7 @@
     let mut replicas: Vec<Balancer> = (0..scenario.replicas)
         .map(|replica| {
             let seed = rng.rand_u64();
-            Balancer::new(settings(replica), seed).expect("the settings make sense")
+            Balancer::new(settings(replica), seed).expect("the settings are valid")
         })
         .collect();
     let mut schedule = BinaryHeap::new();
@@ -353,7 +353,7 @@
             let result = simulate(&scenario, self.random_margin);
             assert!(
                 result.excess <= 0.0,
-                "expected no window excess the budget, a window had {} requests too many in {scenario:?}",
+                "expected no window over the budget, but one had {} requests too many in {scenario:?}",
                 result.excess
             );
             used += result.sent as f64
--- a/crates/policy/tests/unreachable_tier.rs
+++ b/crates/policy/tests/unreachable_tier.rs
@@ -124,7 +124,7 @@
         let seconds = seconds_to_recover(quota, part, load_multiple);
         assert!(
             seconds <= 10,
-            "quota {quota}, {part}/s, {load_multiple} load_multiple as many offered: recovery took {seconds} s of at max_fraction 10"
+            "quota {quota}, {part}/s, {load_multiple} times as many offered: expected recovery within 10 s, saw {seconds} s"
         );
     }
 }
