--- a/crates/policy/tests/common/calls.rs
+++ b/crates/policy/tests/common/calls.rs
@@ -1,16 +1,16 @@
-//! Calls of one tenant at an even rate, and the part of them that is admitted.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Sends the requests of one tenant at a constant rate and measures the fraction that is admitted.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use balancer_policy::Settings;
 use balancer_policy::interface::*;
 
 use crate::common::{Bench, class, member, millis, sent};
 
-/// The latency objective of the class that the tests use.
+/// Latency objective of the only request class in these tests.
 pub const LATENCY_OBJECTIVE: std::time::Duration = millis(1000);
 
-/// A first-tier replica whose only tenant is limited to 10 calls a second: a third of 25 and a standard
-/// deviation of its chance over the window.
+/// Creates a first-tier replica whose only tenant is limited to 10 requests per second: a quota of a third of 25
+/// requests per second, plus one standard deviation of random variation over the window.
 pub fn ten_a_second() -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
@@ -18,7 +18,8 @@
     Bench::new(settings, 5, (0..4).map(member).collect())
 }
 
-/// Offers `rate` calls a second for `seconds`; the part that is admitted after `warm_up` seconds.
+/// Offers `rate` requests per second for `seconds` seconds, ends each admitted request with `outcome`, and returns the
+/// fraction admitted among the requests that are offered after the first `warm_up` seconds.
 pub fn admitted(bench: &mut Bench, rate: f64, warm_up: f64, seconds: f64, outcome: Outcome) -> f64 {
     let gap = std::time::Duration::from_secs_f64(1.0 / rate);
     let (mut offered, mut passed) = (0, 0);
@@ -29,7 +30,7 @@
         offered += u32::from(counted);
         if sent(&actions).is_some() {
             passed += u32::from(counted);
-            // What times out has waited for the whole latency objective.
+            // An attempt that times out lasts for the whole latency objective.
             bench.end(
                 id,
                 0,
--- a/crates/policy/tests/common/connecting.rs
+++ b/crates/policy/tests/common/connecting.rs
@@ -1,5 +1,5 @@
-//! A host whose attempts wait for their connections, some of which come up late or never.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Simulated host whose attempts wait for their connections, some of which are established late or never.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,17 +10,19 @@
 
 use crate::common::{Bench, class, member, sent};
 
-/// What an attempt meets: how long its connection takes to come up, `None` for one that never does, and how it then
-/// ends after how long.
+/// Simulated course of an attempt: the time until its connection is established (`None` if it never is), the outcome,
+/// and the time from the connection to that outcome.
 pub type Meets = (Option<Duration>, Outcome, Duration);
 
-/// A host whose attempts wait for a connection for as long as `patience`, and no longer than they may.
+/// Simulated host of one balancer. An attempt waits for its connection until the connect timeout `patience` or the
+/// attempt's own timeout, whichever is shorter.
 pub struct World {
     pub bench: Bench,
     pub patience: Duration,
-    /// Reports the connections that come up when nobody waits for them any more.
+    /// Whether the host reports connections that are established after the attempts waiting for them have ended.
     pub reports_late_connections: bool,
     pub rng: Rand64,
+    /// Scheduled events by their time and, for equal times, the order in which they were scheduled.
     pub due: BTreeMap<(Duration, u64), Due>,
     pub next: u64,
 }
@@ -42,7 +44,8 @@
         self.due.insert((self.bench.now + after, self.next), due);
     }
 
-    /// Offers some `rate` calls a second for `seconds`, at times drawn, and sees all to their ends.
+    /// Offers requests at random times, `rate` per second on average, for `seconds` seconds, and runs until all of them
+    /// have ended. `meets` draws the course of each attempt. Returns the counts of this run.
     pub fn run(
         &mut self,
         rate: f64,
@@ -78,6 +81,7 @@
         tally
     }
 
+    /// Simulates the attempt that `actions` send, if any: schedules its end and the late connection.
     pub fn send(
         &mut self,
         request: RequestId,
@@ -92,7 +96,8 @@
             return;
         };
         *tally.sent.entry(upstream.0).or_default() += 1;
-        let most = timeout.expect("classes have latency objectives");
+        let most =
+            timeout.expect("every attempt should have a timeout, as its class has a latency objective");
         let (connects, outcome, serves) = meets(*upstream, &mut self.rng);
         let patience = self.patience.min(most);
         let end = match connects {
@@ -116,58 +121,64 @@
         self.plan(duration, end);
     }
 
-    /// The figure after a word of the stats snapshot.
+    /// First number after `word` in the stats snapshot of the balancer.
     pub fn figure(&self, word: &str) -> f64 {
         let stats_snapshot = self.bench.balancer.stats_snapshot();
         let figure =
             stats_snapshot.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
-        figure.and_then(|figure| figure.parse().ok()).expect("a figure after the word")
+        figure
+            .and_then(|figure| figure.parse().ok())
+            .expect("the stats snapshot should have a number after the word")
     }
 }
 
+/// Event that the simulated host has scheduled: the next request, the end of an attempt, or a late connection.
 pub enum Due {
     Call,
     End { request: RequestId, number: u32, outcome: Outcome, duration: Duration, connect_wait: Duration },
     Connected(EndpointId),
 }
 
-/// What became of the calls.
+/// Counts of the requests of one run and of their attempts, with the extremes of the stats snapshot.
 #[derive(Debug, Default)]
 pub struct Tally {
     pub offered: u32,
     pub admitted: u32,
     pub served: u32,
-    /// Attempts sent to each upstream.
+    /// Number of attempts sent to each upstream, by the upstream's identifier.
     pub sent: BTreeMap<u32, u32>,
-    /// The greatest congestion and the least limit seen.
+    /// Highest congestion level seen in the run.
     pub congestion: f64,
+    /// Lowest limit seen in the run, in requests per second.
     pub limit: f64,
 }
 
 impl Tally {
+    /// Fraction of the offered requests that was admitted.
     pub fn admitted(&self) -> f64 {
         f64::from(self.admitted) / f64::from(self.offered)
     }
 
+    /// Fraction of the offered requests that was answered successfully.
     pub fn served(&self) -> f64 {
         f64::from(self.served) / f64::from(self.offered)
     }
 
-    /// The fewest attempts of an upstream, in parts of the mean.
+    /// Number of attempts of the upstream that was sent the fewest, as a fraction of the mean per upstream.
     pub fn least_sent(&self, upstreams: u32) -> f64 {
         let all: u32 = self.sent.values().sum();
         let least = (0..upstreams).map(|id| self.sent.get(&id).copied().unwrap_or(0)).min();
-        f64::from(least.expect("there is one") * upstreams) / f64::from(all)
+        f64::from(least.expect("there should be at least one upstream") * upstreams) / f64::from(all)
     }
 
-    /// The part of all attempts that went to the upstreams named.
+    /// Fraction of all attempts that was sent to these upstreams.
     pub fn part_of(&self, upstreams: std::ops::Range<u32>) -> f64 {
         let all: u32 = self.sent.values().sum();
         f64::from(self.sent.range(upstreams).map(|(_, sent)| sent).sum::<u32>()) / f64::from(all)
     }
 }
 
-/// One replica whose only tenant has a quota of `part` calls a second.
+/// Settings of one of `replicas` replicas whose only tenant has a quota of `part` requests per second for each replica.
 pub fn settings(replicas: u32, part: f64) -> Settings {
     let mut settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     settings.replicas = replicas;
@@ -176,21 +187,23 @@
     settings
 }
 
-/// The usual latency of upstreams that have little to do.
+/// Draws the latency of an upstream with little load: 15 to 30 ms.
 pub fn usual(rng: &mut Rand64) -> Duration {
     Duration::from_secs_f64(0.015 + 0.015 * rng.rand_float())
 }
 
-/// A connection of which a third come up late, by up to 1.5 s.
+/// Draws the time until a connection is established. A third of the connections are late, by up to 1.5 s.
 pub fn third_late(rng: &mut Rand64) -> Option<Duration> {
     let late = rng.rand_float() < 1.0 / 3.0;
     Some(if late { Duration::from_secs_f64(0.1 + 1.4 * rng.rand_float()) } else { Duration::ZERO })
 }
 
+/// Course of an attempt at an upstream with little load whose connection is established at once.
 pub fn idle(_: EndpointId, rng: &mut Rand64) -> Meets {
     (Some(Duration::ZERO), Outcome::Success, usual(rng))
 }
 
+/// Course of an attempt at an upstream with little load, where a third of the connections are late.
 pub fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> Meets {
     (third_late(rng), Outcome::Success, usual(rng))
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A small world for the tests: upstreams that answer as the test says, a clock that the test moves.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Test bench for one balancer: the test decides how the upstreams answer and advances the clock.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use std::time::Duration;
 
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Balancer, Event, Settings};
 
-/// Where the test clocks start; any time will do.
+/// Time at which the clock of each test starts. Its value does not matter.
 pub const START: Duration = Duration::from_secs(1000);
 
 pub const fn millis(span: u64) -> Duration {
@@ -29,11 +29,11 @@
     }
 }
 
-/// A balancer with its clock.
+/// A balancer with a virtual clock, which runs the maintenance passes when they are due.
 pub struct Bench {
     pub balancer: Balancer,
     pub now: Duration,
-    /// How long clients wait.
+    /// Time left of each offered request: how much longer its client waits for an answer.
     pub time_left: Duration,
     next_id: u64,
     next_wake: Duration,
@@ -41,7 +41,7 @@
 
 impl Bench {
     pub fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
-        let mut balancer = Balancer::new(settings, seed).expect("the settings make sense");
+        let mut balancer = Balancer::new(settings, seed).expect("the settings should be valid");
         let mut actions = Vec::new();
         balancer.handle(START, Event::Started, &mut actions);
         balancer.handle(START, Event::List(ListUpdate::Snapshot(members)), &mut actions);
@@ -54,7 +54,7 @@
         actions
     }
 
-    /// Moves the clock, with the maintenance passes that fall due.
+    /// Advances the clock by `span` and runs the maintenance passes that become due.
     pub fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while self.next_wake <= end {
@@ -64,12 +64,12 @@
                 Action::ScheduleMaintenance(span) => Some(*span),
                 _ => None,
             });
-            self.next_wake = self.now + wake.expect("a maintenance pass asks for the next");
+            self.next_wake = self.now + wake.expect("a maintenance pass should schedule the next one");
         }
         self.now = end;
     }
 
-    /// Offers a request of the first class and returns what is done about it.
+    /// Sends the balancer a request of the first class. Returns the request's identifier and the balancer's actions.
     pub fn offer(&mut self, tenant: Option<usize>) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
@@ -95,7 +95,8 @@
         self.end_late(request, number, outcome, duration, Duration::ZERO)
     }
 
-    /// Ends an attempt that had no connection for `connect_wait` of its duration.
+    /// Ends an attempt that lasted for `duration` and waited for a connection during the first `connect_wait` of it.
+    /// Returns the actions of the balancer.
     pub fn end_late(
         &mut self,
         request: RequestId,
@@ -115,8 +116,8 @@
         })
     }
 
-    /// Offers a request and lets each attempt end with what `outcome` says of its upstream, after
-    /// the time it says. Returns the upstreams tried.
+    /// Offers a request and ends each of its attempts with the outcome and after the duration that `outcome` returns
+    /// for the upstream. Returns the upstreams that the attempts were sent to, in their order.
     pub fn run(&mut self, outcome: impl Fn(EndpointId) -> (Outcome, Duration)) -> Vec<EndpointId> {
         let (id, mut actions) = self.offer(None);
         let mut tried = Vec::new();
@@ -130,7 +131,7 @@
     }
 }
 
-/// The upstream that the first send among the actions names.
+/// Upstream of the first [`Action::Send`] among the actions; `None` if nothing is sent.
 pub fn sent(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
@@ -138,6 +139,7 @@
     })
 }
 
+/// Whether the actions refuse a request.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -1,4 +1,4 @@
-//! A small independent oracle of the rules: the world around a balancer, which checks every action of it.
+//! Independent check of the policy's rules: simulates the surroundings of a balancer and checks each of its actions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,71 +9,71 @@
 use crate::common::{START, millis};
 use crate::two_zones::member;
 
+/// One step of a test. Times are in milliseconds.
 #[derive(Debug, Clone)]
 pub enum Step {
+    /// Advances the clock.
     Pass(u64),
-    Request {
-        class: usize,
-        time_left: u64,
-    },
-    /// Ends one of the attempts that are out.
-    End {
-        which: usize,
-        outcome: Outcome,
-    },
-    Disconnect {
-        which: usize,
-    },
-    /// Changes one upstream: its phase, or a restart.
-    Change {
-        upstream: u32,
-        lifecycle: Lifecycle,
-        restarted: bool,
-    },
-    Replace {
-        keep: u32,
-        stale: bool,
-    },
+    /// Sends a request of the class with this index.
+    Request { class: usize, time_left: u64 },
+    /// Ends one of the attempts in flight, which `which` selects modulo their number.
+    End { which: usize, outcome: Outcome },
+    /// Closes the client's connection of one of all requests so far, which `which` selects modulo their number.
+    Disconnect { which: usize },
+    /// Sends a delta of the list that sets the lifecycle of one upstream and may report that it has restarted.
+    Change { upstream: u32, lifecycle: Lifecycle, restarted: bool },
+    /// Replaces the list by the first `keep` upstreams; the new list comes from a cache if `stale` is set.
+    Replace { keep: u32, stale: bool },
+    /// Breaks the subscription to the list.
     Broken,
-    /// A connection comes up late.
-    Connected {
-        upstream: u32,
-    },
+    /// Reports a connection to the upstream that was established late.
+    Connected { upstream: u32 },
 }
 
+/// An attempt that the balancer has sent.
 pub struct Sent {
     pub upstream: EndpointId,
+    /// Time at which the attempt was sent.
     pub at: Duration,
+    /// Time at which the attempt times out.
     pub until: Duration,
+    /// Outcome of the attempt; `None` while it is in flight.
     pub ended: Option<Outcome>,
 }
 
+/// A request with all that the balancer has done about it.
 pub struct TrackedRequest {
     pub class: usize,
     pub deadline: Duration,
     pub attempts: Vec<Sent>,
+    /// Number of actions that refused or failed the request.
     pub finals: u32,
-    /// Its end was reported by an outcome or by the client's leaving.
+    /// Whether the balancer was told that the request ended, by a successful attempt or because the client
+    /// disconnected.
     pub over: bool,
 }
 
-/// The world around the balancer, and the oracle that checks what it does.
+/// Simulated surroundings of a balancer, which check that each of its actions is allowed.
 pub struct World {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Duration,
     pub requests: BTreeMap<RequestId, TrackedRequest>,
+    /// Upstreams by identifier, as the latest list and its deltas have described them.
     pub list: BTreeMap<EndpointId, Member>,
+    /// Time of the next maintenance pass.
     pub wake: Option<Duration>,
-    /// Since when the replica neither has a subscription nor has requested one.
+    /// Time from which the longest poll interval until the next subscription counts: that of the latest request for a
+    /// subscription, or of its loss if none was requested since. `None` while the list is subscribed to.
     pub unsubscribed_since: Option<Duration>,
+    /// Identifier of the next request.
     pub next: u64,
 }
 
 impl World {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut world = Self {
-            balancer: Balancer::new(settings.clone(), seed).expect("the settings make sense"),
+            balancer: Balancer::new(settings.clone(), seed).expect("the settings should be valid"),
             settings,
             now: START,
             requests: BTreeMap::new(),
@@ -87,6 +87,7 @@
         world
     }
 
+    /// Reports an event to the balancer and checks the actions that it returns.
     pub fn tell(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
@@ -95,28 +96,47 @@
         }
     }
 
+    /// Checks that an action is allowed, and records it.
     pub fn check(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
-                let tracked = self.requests.get_mut(&request).expect("a request that it has");
-                assert!(tracked.finals == 0 && !tracked.over, "sent after its end");
-                assert!(self.now < tracked.deadline, "sent after the deadline");
-                let target = self.list.get(&upstream).expect("an upstream that a list has named");
-                assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to one that drains or is gone");
+                let tracked =
+                    self.requests.get_mut(&request).expect("the action should name a known request");
+                assert!(tracked.finals == 0 && !tracked.over, "{request:?} was sent after it had ended");
+                assert!(self.now < tracked.deadline, "{request:?} was sent after its deadline");
+                let target = self.list.get(&upstream).expect("the upstream of a send should be in a list");
+                assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to {upstream:?}, which is not ready");
                 let out = tracked.attempts.iter().filter(|sent| sent.ended.is_none()).count();
-                assert!(out == 0 || self.settings.permissions.hedging, "two attempts at once");
+                assert!(
+                    out == 0 || self.settings.permissions.hedging,
+                    "{request:?} has two attempts in flight without hedging"
+                );
                 let allowed = self.settings.permissions.max_attempts as usize;
                 assert!(tracked.attempts.len() < allowed);
-                assert!(is_last_attempt || tracked.attempts.len() + 1 < allowed, "another is said to follow");
+                assert!(
+                    is_last_attempt || tracked.attempts.len() + 1 < allowed,
+                    "the last allowed attempt is not marked as the last"
+                );
                 let ran = |sent: &&Sent| sent.ended.is_none_or(|outcome| !outcome.never_ran());
                 if let Some(first) = tracked.attempts.iter().find(ran) {
                     match self.settings.classes[tracked.class].idempotency {
                         Idempotency::Idempotent => {}
-                        Idempotency::NotIdempotent => panic!("an unsafe request sent twice"),
+                        Idempotency::NotIdempotent => {
+                            panic!("{request:?} may have run and is not idempotent, but was sent again")
+                        }
                         Idempotency::IdempotencyKey { scope, window } => {
-                            assert!(self.now <= first.at + window, "past the window");
-                            let by = self.now + first_byte_deadline.expect("the window bounds its begin");
-                            assert!(by <= first.at + window + Duration::from_micros(1), "may begin past it");
+                            assert!(
+                                self.now <= first.at + window,
+                                "{request:?} was sent again after its deduplication window"
+                            );
+                            let by = self.now
+                                + first_byte_deadline.expect(
+                                    "the deduplication window should limit the time of the first byte",
+                                );
+                            assert!(
+                                by <= first.at + window + Duration::from_micros(1),
+                                "{request:?} may begin after its deduplication window"
+                            );
                             let (one, two) = (member(first.upstream.0), member(upstream.0));
                             match scope {
                                 DeduplicationScope::All => {}
@@ -130,38 +150,50 @@
                 tracked.attempts.push(Sent { upstream, at: self.now, until, ended: None });
             }
             Action::Refuse { request, .. } => {
-                let tracked = self.requests.get_mut(&request).expect("a request that it has");
+                let tracked =
+                    self.requests.get_mut(&request).expect("the action should name a known request");
                 tracked.finals += 1;
-                assert!(tracked.finals == 1 && !tracked.over, "a second final answer");
+                assert!(tracked.finals == 1 && !tracked.over, "{request:?} got a second final answer");
                 let ran = tracked.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
                 let free = match self.settings.classes[tracked.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => false,
                 };
-                assert!(free || !ran, "refused though it may have run");
+                assert!(free || !ran, "{request:?} was refused though it may have run");
             }
             Action::Fail { request } => {
-                let tracked = self.requests.get_mut(&request).expect("a request that it has");
+                let tracked =
+                    self.requests.get_mut(&request).expect("the action should name a known request");
                 tracked.finals += 1;
-                assert!(tracked.finals == 1 && !tracked.over, "a second final answer");
+                assert!(tracked.finals == 1 && !tracked.over, "{request:?} got a second final answer");
             }
             Action::ScheduleMaintenance(span) => self.wake = Some(self.now + span),
             Action::Subscribe => self.unsubscribed_since = Some(self.now),
             Action::CancelAttempt { request, attempt } => {
-                let tracked = self.requests.get(&request).expect("a request that it has");
-                assert!((attempt.0 as usize) < tracked.attempts.len(), "cancelled what was never sent");
+                let tracked = self.requests.get(&request).expect("the action should name a known request");
+                assert!(
+                    (attempt.0 as usize) < tracked.attempts.len(),
+                    "cancelled {attempt:?} of {request:?}, which was never sent"
+                );
             }
             Action::HealthCheck { upstream } => {
-                assert!(self.settings.permissions.health_checks, "a health check that is not allowed");
-                assert!(self.list.contains_key(&upstream), "checked one that no list has named");
+                assert!(
+                    self.settings.permissions.health_checks,
+                    "health check of {upstream:?}, but health checks are not allowed"
+                );
+                assert!(
+                    self.list.contains_key(&upstream),
+                    "health check of {upstream:?}, which is in no list"
+                );
             }
             Action::CloseIdle { upstream } => assert!(self.list.contains_key(&upstream)),
             Action::Log(_) => {}
         }
     }
 
-    /// Moves the clock step by step, with time-outs and maintenance passes as they fall due.
+    /// Advances the clock by `span`, with the timeouts and the maintenance passes that become due on the way. Checks
+    /// that no request is left without an answer after its deadline.
     pub fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
@@ -184,18 +216,23 @@
         for (id, tracked) in &self.requests {
             assert!(
                 tracked.over || tracked.finals == 1 || self.now <= tracked.deadline + slack,
-                "{id:?} lost"
+                "{id:?} got no answer by its deadline"
             );
         }
     }
 
+    /// Checks that the replica requests a subscription within the longest poll interval.
     pub fn check_subscribes(&self) {
         if let (Some(since), Some(within)) = (self.unsubscribed_since, self.settings.rules.poll_interval_max)
         {
-            assert!(self.now <= since + within, "has not subscribed to the list in time");
+            assert!(
+                self.now <= since + within,
+                "the replica has not subscribed to the list within {within:?}"
+            );
         }
     }
 
+    /// Attempts in flight: the request and the number of the attempt.
     pub fn outs(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(&id, tracked)| {
             tracked.attempts.iter().enumerate().map(move |(n, sent)| (id, n, sent.ended))
@@ -203,8 +240,9 @@
         each.filter(|(.., ended)| ended.is_none()).map(|(id, n, _)| (id, n)).collect()
     }
 
+    /// Ends attempt number `n` of the request and reports its outcome to the balancer.
     pub fn end(&mut self, request: RequestId, n: usize, outcome: Outcome) {
-        let tracked = self.requests.get_mut(&request).expect("tracked");
+        let tracked = self.requests.get_mut(&request).expect("the request should be tracked");
         tracked.attempts[n].ended = Some(outcome);
         let duration = self.now - tracked.attempts[n].at;
         tracked.over |= outcome == Outcome::Success;
@@ -222,9 +260,13 @@
         });
         let tracked = &self.requests[&request];
         let out = tracked.attempts.iter().any(|sent| sent.ended.is_none());
-        assert!(tracked.over || tracked.finals == 1 || out, "left without an attempt or an answer");
+        assert!(
+            tracked.over || tracked.finals == 1 || out,
+            "{request:?} has neither an attempt in flight nor an answer"
+        );
     }
 
+    /// Replaces the list of upstreams; `stale` marks it as coming from a cache.
     pub fn replace(&mut self, members: Vec<Member>, stale: bool) {
         self.list = members.iter().map(|member| (member.id, *member)).collect();
         if !stale {
@@ -254,7 +296,10 @@
                     is_client_retry: false,
                 }));
                 let tracked = &self.requests[&id];
-                assert!(tracked.finals == 1 || !tracked.attempts.is_empty(), "neither sent nor answered");
+                assert!(
+                    tracked.finals == 1 || !tracked.attempts.is_empty(),
+                    "{id:?} was neither sent nor answered"
+                );
             }
             Step::End { which, outcome } => {
                 let outs = self.outs();
@@ -265,7 +310,7 @@
             Step::Disconnect { which } => {
                 let ids: Vec<_> = self.requests.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
-                    self.requests.get_mut(id).expect("tracked").over = true;
+                    self.requests.get_mut(id).expect("the request should be tracked").over = true;
                     self.tell(Event::ClientDisconnected(*id));
                 }
             }
--- a/crates/policy/tests/common/reconfigured.rs
+++ b/crates/policy/tests/common/reconfigured.rs
@@ -1,12 +1,12 @@
-//! Balancers whose settings change while they run: the settings before, requests, and a bench.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Fixtures for tests that change the settings of a running balancer: initial settings, requests and a test bench.
+#![allow(dead_code, reason = "each test file uses only some of these items")]
 
 use balancer_policy::Settings;
 use balancer_policy::interface::*;
 
 use crate::common::{Bench, class, member, millis};
 
-/// Two zones, a class of each effect, three tenants with quotas.
+/// Settings with two zones, one class of each idempotency, and three tenants with quotas.
 pub fn settings() -> Settings {
     let keyed = Idempotency::IdempotencyKey { scope: DeduplicationScope::Cell, window: millis(800) };
     Settings {
@@ -23,6 +23,7 @@
     }
 }
 
+/// Settings with one zone and one class of the given idempotency, which allow four attempts per request.
 pub fn single(idempotency: Idempotency) -> Settings {
     let settings = Settings::single_zone(vec![class(idempotency)]);
     Settings { permissions: Permissions { max_attempts: 4, ..settings.permissions.clone() }, ..settings }
@@ -40,7 +41,7 @@
     }
 }
 
-/// A replica with plenty of upstreams, two in each cell, and these settings.
+/// Creates a test bench with these settings and eight upstreams, two in each of four cells.
 pub fn bench(settings: Settings) -> Bench {
     let members = (0..8).map(|id| Member { cell: id % 4, ..member(id) }).collect();
     Bench::new(settings, 7, members)
--- a/crates/policy/tests/common/two_zones.rs
+++ b/crates/policy/tests/common/two_zones.rs
@@ -1,4 +1,4 @@
-//! Two zones of endpoints, and a class of each idempotency that the rules distinguish.
+//! Settings with two zones and one class for each kind of idempotency, and endpoints that alternate between the zones.
 
 use balancer_policy::Settings;
 use balancer_policy::interface::*;
