--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -121,9 +121,7 @@
                 if let Some(first) = tracked.attempts.iter().find(ran) {
                     match self.settings.classes[tracked.class].idempotency {
                         Idempotency::Idempotent => {}
-                        Idempotency::NotIdempotent => {
-                            panic!("{request:?} may have run and is not idempotent, but was sent again")
-                        }
+                        Idempotency::NotIdempotent => panic!("non-idempotent {request:?} sent twice"),
                         Idempotency::IdempotencyKey { scope, window } => {
                             assert!(
                                 self.now <= first.at + window,
