--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -1,8 +1,8 @@
-//! A golden record of the decisions: fixed settings, seeds and events must give the same actions, to the last bit.
+//! Golden test of the balancer's decisions: fixed settings, seeds and events must give exactly the same actions.
 //!
-//! A change that is meant to keep behaviour (a move, a split, a rename) keeps every hash below: the order in which
-//! random numbers are drawn and the order of floating-point sums are part of it. A change that is meant to alter
-//! decisions records new hashes and says so in its commit.
+//! A refactoring that must not change behaviour keeps every hash below. The hashes also depend on the order in which
+//! random numbers are drawn and on the order of floating-point sums. A change that is meant to alter decisions records
+//! new hashes and says so in its commit message.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -12,14 +12,14 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 use oorandom::Rand64;
 
-/// How long each stream of events runs.
+/// Duration of each simulation on the virtual clock.
 const RUN: Duration = Duration::from_secs(30);
-/// Where the clock of each stream starts.
+/// Time at which the clock of each simulation starts.
 const START: Duration = Duration::from_secs(1000);
-/// Span between two requests, on average: some 120 a second.
+/// Mean time between two requests, in seconds: 120 requests per second.
 const BETWEEN_REQUESTS_S: f64 = 1.0 / 120.0;
 
-/// FNV-1a with 64 bits: small, and the same on every machine.
+/// FNV-1a hash with 64 bits, which gives the same value on every machine.
 struct Hash(u64);
 
 impl Hash {
@@ -86,39 +86,45 @@
     }
 }
 
-/// What lies ahead in a stream.
+/// Step of a simulation that is scheduled for a later time.
 enum Next {
-    /// An event of its own.
+    /// Reports an event to the balancer.
     Event(Box<Event>),
-    /// A new request.
+    /// Sends a new request.
     Request,
-    /// Something happens to an upstream or to its list.
+    /// Changes the list of upstreams, its subscription or the settings.
     Change,
-    /// The service gets much slower, or as it was.
+    /// Starts (`true`) or ends (`false`) a congestion, in which the upstreams are much slower.
     Congestion(bool),
 }
 
-/// Upstreams and clients drawn from a seed, with the balancer under test between them.
+/// Simulated clients and upstreams, drawn from a seed, with the balancer under test between them.
 struct Stream {
     balancer: Balancer,
     settings: Settings,
     rng: Rand64,
     now: Duration,
+    /// Times and numbers of the scheduled steps, earliest first.
     next: BinaryHeap<Reverse<(Duration, u64)>>,
+    /// Scheduled steps by their number.
     ahead: HashMap<u64, Next>,
+    /// Number of steps scheduled so far.
     scheduled: u64,
     members: Vec<Member>,
-    /// Requests not ended yet, with the attempts sent.
+    /// Requests that have not ended, each with the number of its latest attempt.
     open: HashMap<RequestId, u32>,
+    /// Number of requests sent so far.
     requests: u64,
     congested: bool,
+    /// Number of actions returned by the balancer so far.
     actions: u64,
+    /// Hash of those actions and of the stats snapshots.
     hash: Hash,
 }
 
 impl Stream {
     fn new(settings: Settings, seed: u64, upstreams: u32) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed).expect("the settings make sense");
+        let balancer = Balancer::new(settings.clone(), seed).expect("the settings should be valid");
         let mut stream = Self {
             balancer,
             settings,
@@ -179,14 +185,14 @@
         self.rng.rand_range(0..bound as u64) as usize
     }
 
-    /// Plays the stream to its end and gives the count of actions and their hash.
+    /// Runs the simulation to its end and returns the number of actions and the hash.
     fn play(mut self) -> (u64, u64) {
         while let Some(Reverse((at, number))) = self.next.pop() {
             if at > START + RUN {
                 break;
             }
             self.now = at;
-            match self.ahead.remove(&number).expect("each entry is scheduled once") {
+            match self.ahead.remove(&number).expect("each scheduled step should run once") {
                 Next::Event(event) => self.handle(*event),
                 Next::Request => self.request(),
                 Next::Change => self.change(),
@@ -237,7 +243,7 @@
         }
     }
 
-    /// Draws what becomes of an attempt.
+    /// Draws the course of an attempt that was sent, and schedules its end.
     fn attempt(&mut self, request: RequestId, upstream: EndpointId, timeout: Option<Duration>) {
         let attempt = AttemptNumber(*self.open.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
         let timeout = timeout.unwrap_or(Duration::from_secs(3));
@@ -297,7 +303,7 @@
         self.requests += 1;
         let class = ClassId(self.below(self.settings.classes.len()));
         let tenant = (!self.settings.tenants.is_empty()).then(|| {
-            // The first tenant sends several times its part.
+            // The first tenant sends several times as many requests as any other.
             let first = self.chance(0.6);
             TenantId(if first { 0 } else { self.below(self.settings.tenants.len()) })
         });
@@ -320,7 +326,7 @@
         self.handle(Event::Request(request));
     }
 
-    /// One change to the list, its source or the settings.
+    /// Draws one change of the list, of its subscription or of the settings, and schedules the next change.
     fn change(&mut self) {
         let place = self.below(self.members.len());
         let kind = self.below(8);
@@ -334,7 +340,7 @@
                 ListUpdate::Delta(vec![self.members[place]])
             }
             2..=4 => {
-                // The process is replaced.
+                // A restarted process takes the place of the earlier one.
                 self.members[place].lifecycle = Lifecycle::Ready;
                 self.members[place].started = Some(self.now);
                 ListUpdate::Delta(vec![self.members[place]])
@@ -418,7 +424,7 @@
 #[track_caller]
 fn check(settings: Settings, seed: u64, upstreams: u32, recorded: (u64, u64)) {
     let played = Stream::new(settings, seed, upstreams).play();
-    assert_eq!(played, recorded, "(actions, hash); played {:#x}", played.1);
+    assert_eq!(played, recorded, "(actions, hash); the hash of this run is {:#x}", played.1);
 }
 
 #[test]
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Subsets, the pick and endpoint health; one test for each failure found.
+//! Subsetting, endpoint selection, outlier ejection and slow start. Most tests guard against a failure seen earlier.
 
 mod common;
 
@@ -14,7 +14,7 @@
     Settings::single_zone(vec![class(Idempotency::Idempotent)])
 }
 
-/// The upstreams that a replica uses, over many calls.
+/// Upstreams that a replica has sent at least one of 400 requests to.
 fn used(replica_index: u32, replicas: u32, upstreams: u32) -> Vec<u32> {
     let settings = Settings { replica_index, replicas, ..settings() };
     let mut bench = Bench::new(settings, u64::from(replica_index), (0..upstreams).map(member).collect());
@@ -29,7 +29,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// No upstream is left bare and none is used by far more replicas than another.
+    /// Each upstream is used by at least one replica, and the numbers of replicas that use any two upstreams differ by
+    /// at most 2.
     #[test]
     fn subsets_cover_the_tier_evenly(replicas in 1u32..40, upstreams in 1u32..60) {
         let mut covered = vec![0u32; upstreams as usize];
@@ -39,8 +40,8 @@
             }
         }
         let (least, most) = (covered.iter().min().unwrap(), covered.iter().max().unwrap());
-        prop_assert!(*least >= 1, "a bare upstream: {covered:?}");
-        prop_assert!(most - least <= 2, "uneven: {covered:?}");
+        prop_assert!(*least >= 1, "an upstream is used by no replica; replicas per upstream: {covered:?}");
+        prop_assert!(most - least <= 2, "uneven numbers of replicas per upstream: {covered:?}");
     }
 }
 
@@ -55,7 +56,8 @@
     assert!(refused(&bench.offer(None).1));
 }
 
-/// Many replicas that see few calls each piled on servers by chance until these choked.
+/// Guards against requests that pile up on a few servers by chance. Many replicas that each saw few requests overloaded
+/// servers in this way.
 #[test]
 fn calls_spread_over_idle_members_before_any_gets_a_second() {
     let mut stacked = 0;
@@ -68,11 +70,15 @@
         }
         stacked += in_flight.values().filter(|&&calls| calls > 1).count();
     }
-    // Two draws alone stack about half a call in each run.
-    assert!(stacked < 15, "{stacked} members got a second call while others idled");
+    // If only two random members were compared, about 0.5 members per run would get a second request.
+    assert!(
+        stacked < 15,
+        "{stacked} members got a second request while others were idle, expected fewer than 15"
+    );
 }
 
-/// Counts the first attempts of `calls` requests that went to upstream 0.
+/// Sends `calls` requests and returns the fraction whose first attempt went to upstream 0. That upstream ends its
+/// attempts with the outcome and after the milliseconds in `bad`, the others succeed after `good_ms`.
 fn fraction_to_first(bench: &mut Bench, calls: u32, bad: (Outcome, u64), good_ms: u64) -> f64 {
     let mut first = 0;
     for _ in 0..calls {
@@ -85,28 +91,38 @@
     f64::from(first) / f64::from(calls)
 }
 
-/// A server that fails fast looks idle; it must not draw the calls.
+/// A server that fails fast has few requests in flight and looks idle, yet it must not attract requests.
 #[test]
 fn a_failing_endpoint_is_ejected_and_returns() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
     fraction_to_first(&mut bench, 200, (Outcome::Success, 20), 20);
     let failing = fraction_to_first(&mut bench, 1000, (Outcome::Error, 2), 20);
-    assert!(failing < 0.04, "{failing} of the calls still went to it");
+    assert!(
+        failing < 0.04,
+        "a fraction of {failing} of the requests still went to the failing endpoint, expected less than 0.04"
+    );
     fraction_to_first(&mut bench, 1500, (Outcome::Success, 20), 20);
     let back = fraction_to_first(&mut bench, 500, (Outcome::Success, 20), 20);
-    assert!(back > 0.1, "{back} of the calls go to it after it has recovered");
+    assert!(
+        back > 0.1,
+        "a fraction of {back} of the requests goes to the recovered endpoint, expected more than 0.1"
+    );
 }
 
-/// With calls one at a time none is in flight, so only the latencies show a slow server.
+/// With one request at a time, none is in flight when the next arrives, so only the latencies show that a server is
+/// slow.
 #[test]
 fn a_slow_upstream_gets_a_smaller_part() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
     fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let slow = fraction_to_first(&mut bench, 600, (Outcome::Success, 100), 20);
-    assert!(slow < 0.07, "{slow} of the calls went to it");
+    assert!(
+        slow < 0.07,
+        "a fraction of {slow} of the requests went to the slow upstream, expected less than 0.07"
+    );
 }
 
-/// A hung server accepts calls and answers none.
+/// A hung server accepts requests and answers none.
 #[test]
 fn a_silent_upstream_gets_no_more_while_it_owes_answers() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
@@ -120,7 +136,7 @@
             _ => drop(bench.end(id, 0, Outcome::Success, millis(20))),
         }
     }
-    assert!(swallowed <= 2, "it swallowed {swallowed} calls");
+    assert!(swallowed <= 2, "the hung upstream got {swallowed} requests, expected at most 2");
 }
 
 fn two_zones(tier: usize, price: f64) -> Bench {
@@ -130,7 +146,8 @@
     Bench::new(settings, 9, members.collect())
 }
 
-/// The part of the calls that stays in the own zone (even ids) when it takes `local_ms` there.
+/// Sends `calls` requests and returns the fraction that stays in the local zone (upstreams with even identifiers).
+/// A request takes `local_ms` milliseconds there and 50 ms in the other zone.
 fn stay(bench: &mut Bench, calls: u32, local_ms: u64) -> f64 {
     let mut local = 0;
     for _ in 0..calls {
@@ -143,17 +160,20 @@
     f64::from(local) / f64::from(calls)
 }
 
-/// All calls stayed in the local zone at the start of a day, and the congested zone choked within 2 s.
+/// Guards against a start with all requests in the local zone, which overloaded a congested zone within 2 s.
 #[test]
 fn the_first_tier_starts_evenly_spread_and_then_keeps_calls_in_the_local_zone() {
     let mut bench = two_zones(0, 0.1);
     let start = stay(&mut bench, 40, 50);
-    assert!((0.2..0.8).contains(&start), "{start} stayed at first");
+    assert!(
+        (0.2..0.8).contains(&start),
+        "a fraction of {start} of the first requests stayed in the local zone, expected 0.2 to 0.8"
+    );
     stay(&mut bench, 1500, 50);
     assert!(stay(&mut bench, 200, 50) > 0.9);
 }
 
-/// Below the first tier the noise of few calls sent half of them across zones.
+/// Guards against noise in the latencies of few requests, which sent half of them across zones below the first tier.
 #[test]
 fn lower_tiers_start_in_the_local_zone_and_leave_it_only_when_it_is_slower() {
     let mut bench = two_zones(1, 0.1);
@@ -162,7 +182,7 @@
     assert!(stay(&mut bench, 100, 700) < 0.9);
 }
 
-/// Endpoints that are warming up: what they get stays within what they surely can do.
+/// An endpoint that is warming up gets no more requests than the capacity that it is sure to have reached allows.
 #[test]
 fn an_endpoint_warming_up_gets_its_part_of_what_warm_ones_get() {
     let mut settings = settings();
@@ -186,13 +206,20 @@
         let warmth = 0.1 + 0.9 * (age as f64 + 1.0) / 20.0;
         let warm_peer = f64::from(all - warming_up) / 4.0;
         let most = warmth * warm_peer * 1.5 + 2.0;
-        assert!(f64::from(warming_up) <= most, "second {age}: {warming_up} sent, {most} at most");
+        assert!(
+            f64::from(warming_up) <= most,
+            "second {age}: {warming_up} requests sent to the endpoint, expected at most {most}"
+        );
     }
     let (warming_up, all) = per_second[21];
-    assert!(f64::from(warming_up) > 0.1 * f64::from(all), "warm, yet {warming_up} of {all}");
+    assert!(
+        f64::from(warming_up) > 0.1 * f64::from(all),
+        "the endpoint is warm but got only {warming_up} of {all} requests"
+    );
 }
 
-/// A storm of denied calls paid for retries, which kept a choked tier choked.
+/// Guards against denied requests that add to the retry budget. Many denied requests paid for retries in this way and
+/// kept an overloaded tier overloaded.
 #[test]
 fn denied_calls_earn_no_further_attempts() {
     let mut settings = settings();
@@ -214,11 +241,14 @@
             number += 1;
         }
     }
-    assert!(retries <= 6 + first / 10, "{retries} retries for {first} admitted");
+    assert!(
+        retries <= 6 + first / 10,
+        "{retries} retries for {first} admitted requests, expected at most 6 plus a tenth of them"
+    );
 }
 
-/// Giving a slow attempt up early and sending it once more added work just as servers reached their
-/// limit; at one deployment that alone cost 0.07.
+/// Guards against slow attempts that are given up early and sent once more. That adds work just as servers reach their
+/// limit, and at one deployment this alone cost 0.07.
 #[test]
 fn an_attempt_is_not_given_up_before_its_latency_objective() {
     let mut bench = Bench::new(settings(), 3, (0..8).map(member).collect());
@@ -228,10 +258,10 @@
         Action::Send { timeout, .. } => *timeout,
         _ => None,
     });
-    assert!(timeout.unwrap() > millis(990), "{timeout:?}");
+    assert!(timeout.unwrap() > millis(990), "timeout of {timeout:?}, expected more than 990 ms");
 }
 
-/// Behind a broken link many upstreams are out of reach at once; that must not look like congestion.
+/// Behind a broken link many upstreams are unreachable at once, which must not be taken for congestion.
 #[test]
 fn unreachable_endpoints_are_ejected_however_many_they_are() {
     let mut bench = Bench::new(settings(), 3, (0..9).map(member).collect());
@@ -243,11 +273,14 @@
         });
         lost += u32::from(call >= 100 && tried[0].0 < 5);
     }
-    assert!(lost < 75, "{lost} of 500 calls went to upstreams out of reach first");
+    assert!(
+        lost < 75,
+        "the first attempts of {lost} of 500 requests went to unreachable upstreams, expected fewer than 75"
+    );
 }
 
-/// Found on the quiet days of two deployments: replicas that see a few calls a second spread them over all
-/// members and paid a handshake for most.
+/// Guards against a handshake for most requests where load is low: at two deployments, replicas that saw a few requests
+/// per second spread them over all members.
 #[test]
 fn a_replica_with_few_requests_keeps_to_open_connections_where_handshakes_are_priced() {
     let distinct = |price: f64| {
