--- a/crates/policy/tests/adaptive_limit.rs
+++ b/crates/policy/tests/adaptive_limit.rs
@@ -1,4 +1,4 @@
-//! The learned limit: what cuts it, what does not, and how it rises again.
+//! The adaptive limit of a tenant: what lowers it, what does not, and how it rises again.
 
 #[path = "common/calls.rs"]
 mod calls;
@@ -9,8 +9,9 @@
 use calls::{LATENCY_OBJECTIVE, admitted, ten_a_second};
 use common::*;
 
-/// Found on a busy machine: after a moment of long latencies a limit had been cut, and a client that came again at once
-/// met the hard limit for good, as calls denied whole tell nothing of the congestion's end.
+/// Guards against a limit that stays low for ever. After a short time of long latencies had lowered it, a client that
+/// retried at once kept its demand above the hard limit, and as every request was denied, none could show that the
+/// congestion had ended.
 #[test]
 fn a_cut_limit_opens_again_under_calls_that_come_at_once() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -19,10 +20,10 @@
     assert_eq!(admitted(&mut bench, 5.0, 0.0, 30.0, Outcome::Success), 1.0);
     admitted(&mut bench, 5.0, 0.0, 10.0, Outcome::TimedOut);
     let after = admitted(&mut bench, 500.0, 15.0, 25.0, Outcome::Success);
-    assert!(after > 0.0, "all calls denied for as long as they come");
+    assert!(after > 0.0, "all requests were denied, expected some to be admitted");
 }
 
-/// A limit stays at the quota while few calls fail, falls below it in overload, and comes back after it.
+/// A limit stays at the quota while few requests fail, falls below it in overload, and recovers afterwards.
 #[test]
 fn the_floor_gives_way_only_in_overload_and_the_limit_recovers() {
     let mut bench = ten_a_second();
@@ -31,17 +32,17 @@
     for call in 0..200 {
         bench.pass(gap);
         let (id, actions) = bench.offer(Some(0));
-        assert!(sent(&actions).is_some(), "denied inside its quota");
+        assert!(sent(&actions).is_some(), "request {call} was denied within the quota");
         bench.end(id, 0, if call % 5 == 0 { Outcome::Reset } else { Outcome::Success }, millis(20));
     }
     let overloaded = admitted(&mut bench, 9.5, 15.0, 30.0, Outcome::TimedOut);
-    assert!(overloaded < 0.5, "{overloaded} admitted in overload");
+    assert!(overloaded < 0.5, "a fraction of {overloaded} was admitted in overload, expected less than 0.5");
     let after = admitted(&mut bench, 8.5, 15.0, 25.0, Outcome::Success);
-    assert!(after > 0.95, "{after} admitted after it");
+    assert!(after > 0.95, "a fraction of {after} was admitted after the overload, expected more than 0.95");
 }
 
-/// Found on the quiet day of a deployment: single refusals cut the limits below the first tier, and
-/// a call denied there fails the whole request above.
+/// Guards against limits that single refusals lower below the first tier, as happened at a deployment at low load. A
+/// request denied there also fails the request of the tier above that it serves.
 #[test]
 fn single_refusals_do_not_cut_a_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -51,19 +52,20 @@
     for call in 0..2000 {
         bench.pass(millis(20));
         let (id, mut actions) = bench.offer(Some(0));
-        assert!(sent(&actions).is_some(), "call {call} denied");
+        assert!(sent(&actions).is_some(), "request {call} was denied");
         let mut number = 0;
         if call % 10 == 0 {
             actions = bench.end(id, number, Outcome::Refused, millis(1));
-            assert!(sent(&actions).is_some(), "call {call} not sent elsewhere");
+            assert!(sent(&actions).is_some(), "request {call} was not sent to another upstream");
             number += 1;
         }
         bench.end(id, number, Outcome::Success, millis(20));
     }
 }
 
-/// A replica whose tenant has been let to climb well over its part, offered 14 calls a second of which
-/// every fourth is first turned away `refusals` times; the calls denied in 20 s.
+/// Counts the requests denied out of 280, offered at 14 per second for 20 s, after the limit has risen well above the
+/// tenant's quota. The first `refusals` attempts of every second request end with `outcome`, all others succeed after
+/// `duration` milliseconds.
 fn denied_of_280(refusals: u32, outcome: Outcome, duration: u64) -> u32 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
@@ -86,8 +88,8 @@
     denied
 }
 
-/// Found in an incident: behind a broken link a third of the connects failed, the calls went elsewhere
-/// and were served, yet the limits decreased.
+/// Guards against limits that decrease although all requests are served. In an incident a third of the connections
+/// failed behind a broken link, the requests were served by other upstreams, yet the limits decreased.
 #[test]
 fn calls_that_go_elsewhere_and_are_served_do_not_cut_the_limit() {
     assert_eq!(denied_of_280(0, Outcome::Refused, 20), 0);
@@ -95,19 +97,20 @@
     assert_eq!(denied_of_280(1, Outcome::ConnectFailed, 20), 0);
 }
 
-/// Servers that refused two attempts in five did not reach the limits, since the calls went elsewhere.
+/// Guards against refusals that have no effect on the limits. Servers refused two attempts in five, but as other
+/// servers took the requests, the limits did not decrease.
 #[test]
 fn refusals_by_two_servers_in_a_row_cut_the_limit() {
     assert!(denied_of_280(2, Outcome::Refused, 20) > 10);
 }
 
-/// A latency objective of four usual latencies shows congestion only after the servers have choked.
+/// A latency objective of four times the baseline latency is exceeded only after the servers have become unresponsive.
 #[test]
 fn calls_far_slower_than_usual_cut_the_limit_within_their_latency_objective() {
     assert!(denied_of_280(0, Outcome::Refused, 150) > 10);
 }
 
-/// A small tenant's own calls are too few to tell of overload in time.
+/// The requests of a small tenant alone are too few to show an overload in time.
 #[test]
 fn an_overload_that_one_tenant_meets_cuts_all_limits() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -123,11 +126,15 @@
         }
     }
     let small = admitted(&mut bench, 20.0, 0.0, 1.5, Outcome::Success);
-    assert!(small < 0.6, "{small} of the small tenant's calls admitted in overload");
+    assert!(
+        small < 0.6,
+        "a fraction of {small} of the small tenant's requests was admitted in overload, expected less than 0.6"
+    );
 }
 
-/// Found in an incident: the chance allowed to each of many small limits added up to a fifth more than the
-/// tier could do, and the limits of single tenants never fell under it while less than overload was seen.
+/// Guards against the margins for random variation of many small limits. In an incident they added up to a fifth more
+/// than the tier could serve, and no tenant's limit fell below its own margin as long as congestion was short of
+/// overload.
 #[test]
 fn in_congestion_all_tenants_together_are_limited_to_their_quotas() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -147,11 +154,18 @@
         }
     }
     let (generous, congested) = (f64::from(passed[0]) / 40.0, f64::from(passed[1]) / 80.0);
-    assert!(generous > 12.5, "{generous} a second before any congestion");
-    assert!(congested < generous - 0.7, "{congested} a second in congestion, 12 are fair, {generous} before");
+    assert!(
+        generous > 12.5,
+        "{generous} requests per second admitted before any congestion, expected more than 12.5"
+    );
+    assert!(
+        congested < generous - 0.7,
+        "{congested} requests per second admitted in congestion and {generous} before; the quotas allow 12"
+    );
 }
 
-/// Found in an incident: a third of a tier died, the quotas stayed what they were, and the survivors choked.
+/// Guards against quotas that stay the same when upstreams fail. In an incident a third of a tier failed, and the
+/// others were overloaded.
 #[test]
 fn the_limits_shrink_with_the_tier() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -174,11 +188,14 @@
     assert_eq!(run(&mut bench), 900);
     bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
     let passed = run(&mut bench);
-    assert!(passed < 900 * 85 / 100, "{passed} of 900 passed to half a tier");
+    assert!(
+        passed < 900 * 85 / 100,
+        "{passed} of 900 requests admitted with half of the upstreams, expected fewer than 85%"
+    );
 }
 
-/// Found in an incident: a replica that saw 200 calls a second learned three times the latency as its baseline
-/// within eight seconds, and let the servers choke.
+/// Guards against learning the latency in congestion as the baseline. In an incident a replica that saw 200 requests
+/// per second tripled its baseline within eight seconds, and the servers were overloaded.
 #[test]
 fn congestion_does_not_become_the_baseline_of_a_busy_replica() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -200,15 +217,16 @@
     run(&mut bench, 2000, 20);
     run(&mut bench, 1000, 60);
     let passed = run(&mut bench, 500, 60);
-    assert!(passed < 400, "{passed} of 500 passed in congestion");
+    assert!(passed < 400, "{passed} of 500 requests admitted in congestion, expected fewer than 400");
 }
 
-/// Found on a day of 45 minutes: in congestion the usual latency was learned downwards ten times as fast as upwards
-/// and sank to a third, so that calls which took what they always had passed for congestion ever after.
+/// Guards against a baseline latency that falls during congestion. In a run of 45 minutes it was learned downwards ten
+/// times as fast as upwards and fell to a third, so that requests with their usual latency counted as congestion from
+/// then on.
 #[test]
 fn congestion_ends_once_calls_take_their_usual_times() {
     let mut bench = ten_a_second();
-    // Calls differ by far, mixed evenly.
+    // Durations in milliseconds that differ widely and follow each other in turn.
     let duration = [13, 135, 23, 243, 42, 437, 75];
     let mut run = |seconds: u64, slower_tenths: u64| {
         let mut passed = 0;
@@ -224,14 +242,18 @@
     };
     assert_eq!(run(120, 10), 960);
     let passed = run(120, 16);
-    assert!(passed < 960 * 3 / 4, "{passed} of 960 passed in the congestion");
+    assert!(passed < 960 * 3 / 4, "{passed} of 960 requests admitted in congestion, expected fewer than 720");
     run(120, 10);
     let passed = run(60, 10);
-    assert!(passed > 480 * 95 / 100, "{passed} of 480 passed two minutes after the congestion");
+    assert!(
+        passed > 480 * 95 / 100,
+        "{passed} of 480 requests admitted two minutes after the congestion, expected more than 95%"
+    );
 }
 
-/// Guards the limits and the upstreams against clients whose requests are rejected as wrong: half of all calls
-/// being such cuts nothing and ejects nobody, and each gets its final answer with its first attempt.
+/// Guards the limits and the upstreams against clients that send invalid requests. Even if half of all requests are
+/// rejected as invalid, no limit is lowered and no upstream is ejected, and each such request fails after its first
+/// attempt.
 #[test]
 fn rejected_requests_are_neither_congestion_nor_a_failing_endpoint() {
     let mut bench = ten_a_second();
@@ -240,24 +262,28 @@
     for call in 0..280 {
         bench.pass(millis(125));
         let (id, actions) = bench.offer(Some(0));
-        let EndpointId(upstream) = sent(&actions).expect("below the limit all pass");
+        let EndpointId(upstream) =
+            sent(&actions).expect("every request should be sent, as the rate is below the limit");
         tried[upstream as usize] += 1;
         let outcome = if call % 2 == 0 { Outcome::InvalidRequest } else { Outcome::Success };
         let actions = bench.end(id, 0, outcome, millis(20));
         assert_eq!(actions.contains(&Action::Fail { request: id }), outcome == Outcome::InvalidRequest);
         assert!(sent(&actions).is_none() && !refused(&actions));
     }
-    assert!(tried.iter().all(|&calls| calls > 40), "{tried:?}");
+    assert!(
+        tried.iter().all(|&calls| calls > 40),
+        "requests per upstream: {tried:?}, expected more than 40 each"
+    );
 }
 
-/// Guards fresh replicas without quotas: in the first moments the rate of what was let in is not known yet, and a limit
-/// cut to what a few tens of milliseconds have brought would keep out nearly all for seconds.
+/// Guards new replicas without quotas. Just after the start the admitted rate is not known yet, and a limit lowered to
+/// the rate of the first few tens of milliseconds would deny nearly all requests for seconds.
 #[test]
 fn a_fresh_limit_is_not_cut_to_what_its_first_moments_brought() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    // Eight clients that come again 4 ms after each answer; calls are slower once there are several.
+    // Eight clients send their next requests 4 ms after each answer. From the second round on, requests are slower.
     let served: Vec<usize> = (0..600)
         .map(|round| {
             let duration = std::time::Duration::from_micros(if round < 1 { 200 } else { 10_000 });
@@ -272,5 +298,9 @@
         })
         .collect();
     let later: usize = served[300..].iter().sum();
-    assert!(later > 300 * 8 / 4, "{later} of {} were let in after the first moments", 300 * 8);
+    assert!(
+        later > 300 * 8 / 4,
+        "{later} of {} requests admitted after the first moments, expected more than a quarter",
+        300 * 8
+    );
 }
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -1,4 +1,4 @@
-//! The suppressor against the figures of the source page.
+//! The suppressor, checked against the figures of the source page.
 
 #[path = "common/calls.rs"]
 mod calls;
@@ -14,14 +14,18 @@
     assert_eq!(admitted(&mut ten_a_second(), 8.0, 10.0, 60.0, Outcome::Success), 1.0);
 }
 
-/// The page's probabilities, limit over rate, hold once the window is at its soft limit; while chance
-/// keeps it below, all pass, so that a little more than the page's figure gets through.
+/// The probabilities of the source page, limit divided by rate, hold while the window is at its soft limit. While
+/// random variation keeps it below, every request is admitted, so the admitted fraction is slightly higher than on the
+/// page.
 #[test]
 fn the_worked_examples_of_the_page_hold() {
     for (rate, probability) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
         let part = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Success);
         let over = part - probability;
-        assert!((-0.01..0.08).contains(&over), "{rate}/s: {part} admitted, {probability} expected");
+        assert!(
+            (-0.01..0.08).contains(&over),
+            "{rate} requests per second: a fraction of {part} was admitted, expected {probability}"
+        );
     }
 }
 
@@ -42,21 +46,26 @@
         denied += u32::from(refused(&actions));
     }
     assert!(denied > 100);
-    // Were denied calls counted as accepted, the window would stay over its soft limit for good.
+    // If denied requests counted as accepted, the window would stay over its soft limit for ever.
     assert!(admitted(&mut bench, 9.5, 4.0, 20.0, Outcome::Success) > 0.95);
 }
 
-/// Found on the first days: every replica of a fresh fleet let seconds of overload through while its
-/// window was filling, and the servers choked.
+/// Guards against overload in the first seconds. Every replica of a new fleet admitted too many requests while its
+/// window was filling, which overloaded the servers.
 #[test]
 fn a_fresh_replica_does_not_let_a_window_of_overload_through() {
     let mut bench = ten_a_second();
     let first_second = admitted(&mut bench, 50.0, 0.0, 1.0, Outcome::Success) * 50.0;
-    // A second's worth and what passes while the last second fills; with a whole window it were 35.
-    assert!(first_second <= 28.0, "{first_second} calls in the first second");
+    // One second of the limit, and what is admitted while the count of the last second fills. A whole window would
+    // admit 35 requests.
+    assert!(
+        first_second <= 28.0,
+        "{first_second} requests admitted in the first second, expected at most 28"
+    );
 }
 
-/// Found at full size with 644 replicas: a soft limit of a third of a call let a whole one a window through.
+/// Guards against rounding up a soft limit of less than one request. With 644 replicas, a soft limit of a third of a
+/// request per window admitted a whole request per window.
 #[test]
 fn a_limit_of_less_than_a_call_a_window_holds() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -64,13 +73,13 @@
     settings.tenants = vec![Tenant { quota: Some(20.0) }];
     settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    // The part is 0.05 a second, 0.11 with its chance.
+    // The replica's part of the quota is 0.05 requests per second, 0.11 with the margin for random variation.
     let part = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
-    assert!(part < 0.3, "{part} of a call a second");
+    assert!(part < 0.3, "{part} requests per second admitted, expected less than 0.3");
 }
 
-/// Found on an overloaded day: clients that retried at once wore down a threshold sampled for each call, and nearly
-/// every part of a call became a whole one.
+/// Guards against a threshold that is sampled for each request. In an overload, clients that retried at once got a new
+/// sample each time, until nearly every fraction of a request was admitted as a whole request.
 #[test]
 fn retries_do_not_wear_down_a_part_of_a_call() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
@@ -89,7 +98,7 @@
             }
         }
     }
-    // Fair are 0.16 calls a second; with a threshold for each call they were 0.64.
+    // The quotas allow 0.16 requests per second. With a threshold sampled for each request, 0.64 were admitted.
     let rate = f64::from(passed) / replicas as f64 / 10.0;
-    assert!(rate < 0.4, "{rate} calls a second a replica");
+    assert!(rate < 0.4, "{rate} requests per second admitted by each replica, expected less than 0.4");
 }
