--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -1,5 +1,5 @@
-//! What the time that a request has left decides: whether it goes out, how long it waits for a connection, and what
-//! its time-out tells.
+//! Effects of the time that a request has left: whether it is sent, how long it may wait for a connection, and whether
+//! its timeout counts as congestion.
 
 mod common;
 
@@ -7,10 +7,11 @@
 use balancer_policy::{Action, Settings};
 use common::*;
 
-/// Calls of the tests take this long.
+/// Latency of a successful request in these tests, in milliseconds.
 const USUAL_MS: u64 = 20;
 
-/// A first-tier replica whose tenant may send 10 calls a second and the chance of that.
+/// Creates a first-tier replica whose tenant has a quota of 10 requests per second; its limit adds the margin for
+/// random variation.
 fn bench() -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(10.0) }];
@@ -18,8 +19,9 @@
     Bench::new(settings, 5, (0..4).map(member).collect())
 }
 
-/// Offers 10 calls a second, each with the time left that `left` says; what goes out is answered in the usual time or,
-/// with less left than `needs`, times out. Tells how many went out of those that had less, and of the others.
+/// Offers 10 requests per second; `left` returns the time left of each in milliseconds. A request that is sent succeeds
+/// after [`USUAL_MS`] or, with less than `needs` milliseconds left, times out. Returns the fraction sent of the
+/// requests with less than `needs` left, and that of the others.
 fn run(bench: &mut Bench, calls: u64, needs: u64, left: impl Fn(u64) -> u64) -> [f64; 2] {
     let mut out = [(0, 0); 2];
     for call in 0..calls {
@@ -39,29 +41,37 @@
     out.map(|(went, offered)| f64::from(went) / f64::from(offered.max(1)))
 }
 
-/// Found on a day on which clients gave up early or came again with little time left: a third of the attempts timed
-/// out within some 20 ms, passed for congestion, and the limits fell to their floor while no upstream had a queue.
+/// Guards against timeouts of short deadlines that count as congestion. Where clients gave up early or retried with
+/// little time left, a third of the attempts timed out within some 20 ms, and the limits fell to their floor although
+/// no upstream had a queue.
 #[test]
 fn a_time_out_of_little_time_is_no_congestion() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
-    // A quarter has just over the usual time, and one upstream in them is a little slower than that.
+    // A quarter of the requests has 24 ms left, just over the usual latency, and times out as the upstream needs 25 ms.
     let [short, whole] = run(&mut bench, 400, 25, |call| if call % 4 == 0 { 24 } else { 3000 });
-    assert!(short > 0.95 && whole > 0.95, "{short} of the short calls admitted, {whole} of the others");
+    assert!(
+        short > 0.95 && whole > 0.95,
+        "a fraction of {short} of the requests with little time left was admitted and {whole} of the others"
+    );
 }
 
-/// Guards the other side: where upstreams had the whole latency objective, a quarter that times out is congestion as
-/// ever.
+/// Guards the opposite case: where attempts had the whole latency objective, timeouts of a quarter of them are
+/// congestion.
 #[test]
 fn a_time_out_of_the_whole_latency_objective_is_congestion() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let [slow, whole] = run(&mut bench, 400, 3000, |call| if call % 4 == 0 { 1100 } else { 3000 });
-    assert!(slow < 0.9 && whole < 0.9, "{slow} of the slow calls admitted, {whole} of the others");
+    assert!(
+        slow < 0.9 && whole < 0.9,
+        "a fraction of {slow} of the slow requests was admitted and {whole} of the others, expected less than 0.9"
+    );
 }
 
-/// Found on a day on which clients left a full tier in a burst: what they had waited counted for nothing, as nobody
-/// answered it, and the limits stood for seconds. Leaving before the usual time shows nothing.
+/// Guards against ignoring the waiting time of clients that disconnect. Clients left an overloaded tier in a burst, and
+/// as their requests had no answer, their waiting time did not count and the limits stayed high for seconds. A client
+/// that disconnects before the usual latency shows no congestion.
 #[test]
 fn clients_that_leave_after_long_show_congestion() {
     let admitted = |waited: u64| {
@@ -87,11 +97,12 @@
     let (soon, long) = (admitted(USUAL_MS / 2), admitted(USUAL_MS * 4));
     assert!(
         soon > 0.98 && long < 0.9,
-        "{soon} admitted where clients leave soon, {long} where they waited for long"
+        "a fraction of {soon} was admitted where clients disconnect early and {long} where they wait for long"
     );
 }
 
-/// Found on the same days: attempts with a few milliseconds left used the places of calls that could have ended.
+/// Guards against attempts with a few milliseconds left, which took capacity from requests that could have been served
+/// in time.
 #[test]
 fn a_request_goes_out_by_the_chance_of_its_time_left() {
     let mut bench = bench();
@@ -99,18 +110,19 @@
     let [quarter, whole] = run(&mut bench, 800, USUAL_MS, |call| if call % 2 == 0 { 5 } else { 3000 });
     assert!(
         (0.15..0.35).contains(&quarter),
-        "{quarter} of the requests with a quarter of the usual time went out"
+        "with a quarter of the usual latency left, a fraction of {quarter} was sent, expected 0.15 to 0.35"
     );
-    assert!(whole > 0.98, "{whole} of the others");
+    assert!(whole > 0.98, "a fraction of {whole} of the others was sent, expected more than 0.98");
 }
 
-/// Found on days with a truly full tier: calls take longer there, and one with the usual time left is as hopeless.
+/// Guards against requests that cannot be served in time by an overloaded tier. Requests take longer there, so the
+/// usual latency as the time left is not enough.
 #[test]
 fn in_congestion_calls_need_more_than_the_usual_time() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
-    // Half time out at the whole latency objective; then those with a little more than the usual time compete with the
-    // others.
+    // Half of the requests time out after the whole latency objective. After that, requests with 25 ms left, a little
+    // more than the usual latency, compete with the others.
     run(&mut bench, 100, 3000, |call| if call % 2 == 0 { 1100 } else { 3000 });
     let mut admitted = [0, 0];
     for call in 0..400 {
@@ -129,12 +141,12 @@
     let [short, whole] = [f64::from(admitted[0]) / 100.0, f64::from(admitted[1]) / 300.0];
     assert!(
         short < whole * 0.85 && short > 0.1,
-        "{short} of the short calls admitted, {whole} of the others"
+        "a fraction of {short} of the requests with little time left was admitted and {whole} of the others"
     );
 }
 
-/// Guards against a usual time that stands because nothing is sent any more: the first call alone took fifty times
-/// what calls take.
+/// Guards against a baseline latency that stays too high because no request is sent any more. Here the very first
+/// request takes fifty times the usual latency.
 #[test]
 fn a_baseline_learned_too_long_does_not_deny_all_calls() {
     let mut bench = bench();
@@ -142,31 +154,34 @@
     bench.end(id, 0, Outcome::Success, millis(50 * USUAL_MS));
     let first = run(&mut bench, 100, 0, |_| 100);
     let later = run(&mut bench, 100, 0, |_| 100);
-    assert!(later[1] > 0.95, "{first:?} of 100 requests, then {later:?} of another 100");
+    assert!(
+        later[1] > 0.95,
+        "fractions sent of the first 100 requests: {first:?}, of the next 100: {later:?}, expected more than 0.95"
+    );
 }
 
-/// Guards retries: with no time for one, a request that found no connection ends at once.
+/// Guards against retries that have no time to succeed: a request that got no connection then ends at once.
 #[test]
 fn a_retry_goes_by_the_time_left_too() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let again = (0..200)
         .filter(|_| {
-            // The tier answers others, so that no congestion is met.
+            // The tier answers another request in between, so that the missing connections do not count as congestion.
             run(&mut bench, 1, 0, |_| 3000);
             bench.pass(millis(100));
             bench.time_left = millis(40);
             let (id, _) = bench.offer(Some(0));
-            // Two of the 40 ms are left, a tenth of the usual time.
+            // 2 of the 40 ms are left, a tenth of the usual latency.
             bench.pass(millis(38));
             sent(&bench.end_late(id, 0, Outcome::ConnectTimedOut, millis(38), millis(38))).is_some()
         })
         .count();
-    assert!((5..50).contains(&again), "{again} of 200 went out again");
+    assert!((5..50).contains(&again), "{again} of 200 requests were retried, expected 5 to 49");
 }
 
-/// Guards the longest wait for a connection where no other attempt can follow: with one upstream, at the last attempt
-/// allowed, and with nothing saved up for another.
+/// Guards the mark on an attempt that no other can follow, which lets it wait for a connection for longest: the only
+/// upstream, the last attempt allowed, or an empty retry budget.
 #[test]
 fn the_last_attempt_is_marked_as_such() {
     let last = |actions: &[Action]| {
@@ -192,7 +207,7 @@
             assert_eq!(connect_times_out(&mut bench, id, 1), said[2], "{upstreams} upstreams");
         }
     }
-    // Each request earns half of a retry and pays two: what was saved up is used up.
+    // Each request adds half a retry to the retry budget and takes two, so that the budget is used up.
     let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let is_marked = (0..40).any(|_| {
@@ -200,9 +215,9 @@
         for number in 0..3 {
             connect_times_out(&mut bench, id, number);
         }
-        // They are within reach all the same.
+        // A connection to each upstream shows that it is reachable, so that none is ejected.
         (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(EndpointId(id)))));
         last(&actions) == Some(true)
     });
-    assert!(is_marked, "a first attempt that none could follow was not marked as the last");
+    assert!(is_marked, "with an empty retry budget, no first attempt was marked as the last");
 }
--- a/crates/policy/tests/embedding_mistakes.rs
+++ b/crates/policy/tests/embedding_mistakes.rs
@@ -1,4 +1,4 @@
-//! Mistakes of the embedding program: settings without sense are typed errors, unknown ids do no harm.
+//! Mistakes of the embedding program: invalid settings give typed errors, and unknown identifiers are ignored.
 
 mod common;
 #[path = "common/two_zones.rs"]
@@ -31,10 +31,10 @@
     );
 }
 
-/// Mistakes of the embedding program are answered or passed over, never a panic.
+/// Events that refer to unknown classes, upstreams or requests are refused or ignored and cause no panic.
 #[test]
 fn unknown_classes_upstreams_and_requests_do_no_harm() {
-    let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
+    let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings should be valid");
     let mut actions = Vec::new();
     balancer.handle(START, Event::List(ListUpdate::Snapshot(Vec::new())), &mut actions);
     let request = Request {
@@ -53,7 +53,7 @@
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
-    assert_eq!(actions.len(), 1, "an id in use is not accepted twice");
+    assert_eq!(actions.len(), 1, "a request with an identifier in use should be ignored");
     actions.clear();
     for id in [7, 8] {
         balancer.handle(START, Event::ClientDisconnected(RequestId(id)), &mut actions);
--- a/crates/policy/tests/list_subscription.rs
+++ b/crates/policy/tests/list_subscription.rs
@@ -1,4 +1,4 @@
-//! When a replica subscribes to discovery's list again.
+//! When a replica subscribes to the list of service discovery again.
 
 mod common;
 
@@ -6,12 +6,12 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 use common::{START, class, millis};
 
-/// The seconds from an update of discovery's until the replica subscribes anew, after five failures in a row.
+/// Returns the seconds from `update` until the replica subscribes again, after five failures in a row.
 fn subscribes_after(mode: DiscoveryMode, update: ListUpdate) -> f64 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = mode;
     settings.rules.poll_interval_max = Some(millis(10_000));
-    let mut balancer = Balancer::new(settings, 7).expect("the settings make sense");
+    let mut balancer = Balancer::new(settings, 7).expect("the settings should be valid");
     let mut now = START;
     let mut wait_for_subscribe = |balancer: &mut Balancer, event: Event| {
         let (reported_at, mut actions) = (now, Vec::new());
@@ -29,9 +29,9 @@
     wait_for_subscribe(&mut balancer, Event::List(update))
 }
 
-/// Guards drains in an outage and a move of discovery's within one: failures of a service of many replicas space their
-/// calls out, but say nothing of another address, and an agent of the replica's own is connected to again before the
-/// grace of a drain (0.3 s) is over.
+/// Guards drains during an outage of service discovery, and a move of discovery to another address during an outage.
+/// Failures of a discovery service that many replicas use make them back off. They say nothing about a new address, and
+/// a replica reconnects to an agent of its own before the grace period of a drain (0.3 s) has passed.
 #[test]
 fn failures_delay_neither_a_moved_discovery_nor_an_agent() {
     assert!(subscribes_after(DiscoveryMode::Subscribe, ListUpdate::Broken) > 1.0);
