--- a/crates/policy/tests/adaptive_limit.rs
+++ b/crates/policy/tests/adaptive_limit.rs
@@ -13,7 +13,7 @@
 /// retried at once kept its demand above the hard limit, and as every request was denied, none could show that the
 /// congestion had ended.
 #[test]
-fn a_cut_limit_opens_again_under_calls_that_come_at_once() {
+fn a_lowered_limit_recovers_while_clients_retry_at_once() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
@@ -25,7 +25,7 @@
 
 /// A limit stays at the quota while few requests fail, falls below it in overload, and recovers afterwards.
 #[test]
-fn the_floor_gives_way_only_in_overload_and_the_limit_recovers() {
+fn the_limit_falls_below_the_quota_only_in_overload_and_recovers() {
     let mut bench = ten_a_second();
     admitted(&mut bench, 9.5, 0.0, 20.0, Outcome::Success);
     let gap = millis(120);
@@ -44,7 +44,7 @@
 /// Guards against limits that single refusals lower below the first tier, as happened at a deployment at low load. A
 /// request denied there also fails the request of the tier above that it serves.
 #[test]
-fn single_refusals_do_not_cut_a_limit() {
+fn single_refusals_do_not_lower_a_limit() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tier = 1;
     settings.tenants = vec![Tenant { quota: Some(5.0) }];
@@ -91,7 +91,7 @@
 /// Guards against limits that decrease although all requests are served. In an incident a third of the connections
 /// failed behind a broken link, the requests were served by other upstreams, yet the limits decreased.
 #[test]
-fn calls_that_go_elsewhere_and_are_served_do_not_cut_the_limit() {
+fn requests_served_by_another_upstream_do_not_lower_the_limit() {
     assert_eq!(denied_of_280(0, Outcome::Refused, 20), 0);
     assert_eq!(denied_of_280(1, Outcome::Refused, 20), 0);
     assert_eq!(denied_of_280(1, Outcome::ConnectFailed, 20), 0);
@@ -100,19 +100,19 @@
 /// Guards against refusals that have no effect on the limits. Servers refused two attempts in five, but as other
 /// servers took the requests, the limits did not decrease.
 #[test]
-fn refusals_by_two_servers_in_a_row_cut_the_limit() {
+fn refusals_by_two_servers_in_a_row_lower_the_limit() {
     assert!(denied_of_280(2, Outcome::Refused, 20) > 10);
 }
 
 /// A latency objective of four times the baseline latency is exceeded only after the servers have become unresponsive.
 #[test]
-fn calls_far_slower_than_usual_cut_the_limit_within_their_latency_objective() {
+fn requests_far_above_the_baseline_latency_lower_the_limit_within_their_latency_objective() {
     assert!(denied_of_280(0, Outcome::Refused, 150) > 10);
 }
 
 /// The requests of a small tenant alone are too few to show an overload in time.
 #[test]
-fn an_overload_that_one_tenant_meets_cuts_all_limits() {
+fn an_overload_seen_by_one_tenant_lowers_all_limits() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }, Tenant { quota: Some(100.0) }];
     settings.over_quota_weight = 0.0;
@@ -167,7 +167,7 @@
 /// Guards against quotas that stay the same when upstreams fail. In an incident a third of a tier failed, and the
 /// others were overloaded.
 #[test]
-fn the_limits_shrink_with_the_tier() {
+fn the_limits_fall_with_the_number_of_upstreams() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(20.0) }; 2];
     settings.over_quota_weight = 0.0;
@@ -224,7 +224,7 @@
 /// times as fast as upwards and fell to a third, so that requests with their usual latency counted as congestion from
 /// then on.
 #[test]
-fn congestion_ends_once_calls_take_their_usual_times() {
+fn congestion_ends_once_latencies_are_back_at_the_baseline() {
     let mut bench = ten_a_second();
     // Durations in milliseconds that differ widely and follow each other in turn.
     let duration = [13, 135, 23, 243, 42, 437, 75];
@@ -255,7 +255,7 @@
 /// rejected as invalid, no limit is lowered and no upstream is ejected, and each such request fails after its first
 /// attempt.
 #[test]
-fn rejected_requests_are_neither_congestion_nor_a_failing_endpoint() {
+fn invalid_requests_count_neither_as_congestion_nor_as_endpoint_failures() {
     let mut bench = ten_a_second();
     assert_eq!(admitted(&mut bench, 8.0, 10.0, 20.0, Outcome::Success), 1.0);
     let mut tried = [0; 4];
@@ -279,7 +279,7 @@
 /// Guards new replicas without quotas. Just after the start the admitted rate is not known yet, and a limit lowered to
 /// the rate of the first few tens of milliseconds would deny nearly all requests for seconds.
 #[test]
-fn a_fresh_limit_is_not_cut_to_what_its_first_moments_brought() {
+fn a_new_limit_is_not_lowered_to_the_rate_of_its_first_moments() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -45,7 +45,7 @@
 /// little time left, a third of the attempts timed out within some 20 ms, and the limits fell to their floor although
 /// no upstream had a queue.
 #[test]
-fn a_time_out_of_little_time_is_no_congestion() {
+fn a_timeout_after_a_short_time_left_is_not_congestion() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     // A quarter of the requests has 24 ms left, just over the usual latency, and times out as the upstream needs 25 ms.
@@ -59,7 +59,7 @@
 /// Guards the opposite case: where attempts had the whole latency objective, timeouts of a quarter of them are
 /// congestion.
 #[test]
-fn a_time_out_of_the_whole_latency_objective_is_congestion() {
+fn a_timeout_after_the_whole_latency_objective_is_congestion() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let [slow, whole] = run(&mut bench, 400, 3000, |call| if call % 4 == 0 { 1100 } else { 3000 });
@@ -73,7 +73,7 @@
 /// as their requests had no answer, their waiting time did not count and the limits stayed high for seconds. A client
 /// that disconnects before the usual latency shows no congestion.
 #[test]
-fn clients_that_leave_after_long_show_congestion() {
+fn clients_that_disconnect_after_a_long_wait_show_congestion() {
     let admitted = |waited: u64| {
         let mut bench = bench();
         run(&mut bench, 100, 0, |_| 3000);
@@ -104,7 +104,7 @@
 /// Guards against attempts with a few milliseconds left, which took capacity from requests that could have been served
 /// in time.
 #[test]
-fn a_request_goes_out_by_the_chance_of_its_time_left() {
+fn a_request_is_sent_with_a_probability_that_depends_on_its_time_left() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let [quarter, whole] = run(&mut bench, 800, USUAL_MS, |call| if call % 2 == 0 { 5 } else { 3000 });
@@ -118,7 +118,7 @@
 /// Guards against requests that cannot be served in time by an overloaded tier. Requests take longer there, so the
 /// usual latency as the time left is not enough.
 #[test]
-fn in_congestion_calls_need_more_than_the_usual_time() {
+fn in_congestion_requests_need_more_time_left_than_the_usual_latency() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     // Half of the requests time out after the whole latency objective. After that, requests with 25 ms left, a little
@@ -148,7 +148,7 @@
 /// Guards against a baseline latency that stays too high because no request is sent any more. Here the very first
 /// request takes fifty times the usual latency.
 #[test]
-fn a_baseline_learned_too_long_does_not_deny_all_calls() {
+fn a_baseline_learned_too_high_does_not_deny_all_requests() {
     let mut bench = bench();
     let (id, _) = bench.offer(Some(0));
     bench.end(id, 0, Outcome::Success, millis(50 * USUAL_MS));
@@ -162,7 +162,7 @@
 
 /// Guards against retries that have no time to succeed: a request that got no connection then ends at once.
 #[test]
-fn a_retry_goes_by_the_time_left_too() {
+fn a_retry_also_depends_on_the_time_left() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
     let again = (0..200)
--- a/crates/policy/tests/embedding_mistakes.rs
+++ b/crates/policy/tests/embedding_mistakes.rs
@@ -10,7 +10,7 @@
 use two_zones::{member, settings};
 
 #[test]
-fn settings_that_make_no_sense_are_typed_errors() {
+fn invalid_settings_give_typed_errors() {
     let with = |change: fn(&mut Settings)| {
         let mut settings = settings(false, false);
         change(&mut settings);
@@ -33,7 +33,7 @@
 
 /// Events that refer to unknown classes, upstreams or requests are refused or ignored and cause no panic.
 #[test]
-fn unknown_classes_upstreams_and_requests_do_no_harm() {
+fn unknown_classes_upstreams_and_requests_are_refused_or_ignored() {
     let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings should be valid");
     let mut actions = Vec::new();
     balancer.handle(START, Event::List(ListUpdate::Snapshot(Vec::new())), &mut actions);
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -428,18 +428,18 @@
 }
 
 #[test]
-fn quotas_in_three_zones_keep_their_record() {
+fn three_zones_with_quotas_match_the_recorded_hash() {
     check(first_tier(), 1, 24, (4036, 0xf85e1da52e161db7));
     check(first_tier(), 2, 24, (3969, 0xd57eadd668c00872));
 }
 
 #[test]
-fn a_lone_zone_without_quotas_keeps_its_record() {
+fn a_single_zone_without_quotas_matches_the_recorded_hash() {
     check(Settings::single_zone(classes()), 3, 10, (4538, 0x9831ce64647e0326));
 }
 
 #[test]
-fn a_lower_tier_with_an_agent_keeps_its_record() {
+fn a_lower_tier_with_an_agent_matches_the_recorded_hash() {
     let mut settings = first_tier();
     settings.tier = 1;
     settings.tenants.clear();
@@ -452,7 +452,7 @@
 }
 
 #[test]
-fn a_fleet_of_many_replicas_keeps_its_record() {
+fn many_replicas_match_the_recorded_hash() {
     let mut settings = first_tier();
     settings.replicas = 40;
     settings.over_quota_weight = 1.0;
@@ -461,7 +461,7 @@
 }
 
 #[test]
-fn a_cold_start_of_all_upstreams_keeps_its_record() {
+fn a_restart_of_all_upstreams_matches_the_recorded_hash() {
     let mut stream = Stream::new(first_tier(), 6, 24);
     for member in &mut stream.members {
         member.started = Some(START);
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn an_index_past_the_count_still_gets_a_subset() {
+fn a_replica_index_beyond_the_replica_count_still_gets_a_subset() {
     assert!(!used(17, 5, 30).is_empty());
 }
 
 #[test]
-fn without_upstreams_a_call_is_refused_at_once() {
+fn without_upstreams_a_request_is_refused_at_once() {
     let mut bench = Bench::new(settings(), 1, Vec::new());
     assert!(refused(&bench.offer(None).1));
 }
@@ -59,7 +59,7 @@
 /// Guards against requests that pile up on a few servers by chance. Many replicas that each saw few requests overloaded
 /// servers in this way.
 #[test]
-fn calls_spread_over_idle_members_before_any_gets_a_second() {
+fn requests_go_to_idle_members_before_any_gets_a_second() {
     let mut stacked = 0;
     for seed in 0..100 {
         let mut bench = Bench::new(settings(), seed, (0..10).map(member).collect());
@@ -112,7 +112,7 @@
 /// With one request at a time, none is in flight when the next arrives, so only the latencies show that a server is
 /// slow.
 #[test]
-fn a_slow_upstream_gets_a_smaller_part() {
+fn a_slow_upstream_gets_fewer_requests() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
     fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let slow = fraction_to_first(&mut bench, 600, (Outcome::Success, 100), 20);
@@ -124,7 +124,7 @@
 
 /// A hung server accepts requests and answers none.
 #[test]
-fn a_silent_upstream_gets_no_more_while_it_owes_answers() {
+fn an_upstream_that_does_not_answer_gets_no_more_requests() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
     fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
     let mut swallowed = 0;
@@ -162,7 +162,7 @@
 
 /// Guards against a start with all requests in the local zone, which overloaded a congested zone within 2 s.
 #[test]
-fn the_first_tier_starts_evenly_spread_and_then_keeps_calls_in_the_local_zone() {
+fn the_first_tier_starts_evenly_spread_and_then_keeps_requests_in_the_local_zone() {
     let mut bench = two_zones(0, 0.1);
     let start = stay(&mut bench, 40, 50);
     assert!(
@@ -184,7 +184,7 @@
 
 /// An endpoint that is warming up gets no more requests than the capacity that it is sure to have reached allows.
 #[test]
-fn an_endpoint_warming_up_gets_its_part_of_what_warm_ones_get() {
+fn an_endpoint_warming_up_gets_a_fraction_of_what_warm_ones_get() {
     let mut settings = settings();
     settings.rules.slow_start_min_fraction = 0.1;
     settings.rules.slow_start_window = millis(20_000);
@@ -221,7 +221,7 @@
 /// Guards against denied requests that add to the retry budget. Many denied requests paid for retries in this way and
 /// kept an overloaded tier overloaded.
 #[test]
-fn denied_calls_earn_no_further_attempts() {
+fn denied_requests_do_not_add_to_the_retry_budget() {
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota: Some(2.0) }];
     settings.over_quota_weight = 0.0;
@@ -282,7 +282,7 @@
 /// Guards against a handshake for most requests where load is low: at two deployments, replicas that saw a few requests
 /// per second spread them over all members.
 #[test]
-fn a_replica_with_few_requests_keeps_to_open_connections_where_handshakes_are_priced() {
+fn a_replica_with_few_requests_reuses_connections_where_handshakes_have_a_cost() {
     let distinct = |price: f64| {
         let mut settings = settings();
         settings.costs.handshake = price;
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -10,7 +10,7 @@
 use common::*;
 
 #[test]
-fn everything_passes_below_the_limit() {
+fn every_request_is_admitted_below_the_limit() {
     assert_eq!(admitted(&mut ten_a_second(), 8.0, 10.0, 60.0, Outcome::Success), 1.0);
 }
 
@@ -18,7 +18,7 @@
 /// random variation keeps it below, every request is admitted, so the admitted fraction is slightly higher than on the
 /// page.
 #[test]
-fn the_worked_examples_of_the_page_hold() {
+fn the_examples_of_the_source_page_hold() {
     for (rate, probability) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
         let part = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Success);
         let over = part - probability;
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn the_hard_limit_denies_everything() {
+fn every_request_is_denied_above_the_hard_limit() {
     let part = admitted(&mut ten_a_second(), 400.0, 5.0, 20.0, Outcome::Success);
     assert_eq!(part, 0.0);
 }
 
 #[test]
-fn a_denied_call_is_refused_unsent_and_does_not_count_as_accepted() {
+fn a_denied_request_is_refused_unsent_and_does_not_count_as_accepted() {
     let mut bench = ten_a_second();
     let mut denied = 0;
     for _ in 0..200 {
@@ -53,7 +53,7 @@
 /// Guards against overload in the first seconds. Every replica of a new fleet admitted too many requests while its
 /// window was filling, which overloaded the servers.
 #[test]
-fn a_fresh_replica_does_not_let_a_window_of_overload_through() {
+fn a_new_replica_does_not_admit_a_whole_window_at_once() {
     let mut bench = ten_a_second();
     let first_second = admitted(&mut bench, 50.0, 0.0, 1.0, Outcome::Success) * 50.0;
     // One second of the limit, and what is admitted while the count of the last second fills. A whole window would
@@ -67,7 +67,7 @@
 /// Guards against rounding up a soft limit of less than one request. With 644 replicas, a soft limit of a third of a
 /// request per window admitted a whole request per window.
 #[test]
-fn a_limit_of_less_than_a_call_a_window_holds() {
+fn a_limit_of_less_than_one_request_per_window_holds() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replicas = 400;
     settings.tenants = vec![Tenant { quota: Some(20.0) }];
@@ -81,7 +81,7 @@
 /// Guards against a threshold that is sampled for each request. In an overload, clients that retried at once got a new
 /// sample each time, until nearly every fraction of a request was admitted as a whole request.
 #[test]
-fn retries_do_not_wear_down_a_part_of_a_call() {
+fn retries_do_not_raise_the_chance_of_a_fractional_request() {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.replicas = 100;
     settings.tenants = vec![Tenant { quota: Some(4.0) }; 4];
