--- a/crates/policy/tests/adaptive_limit.rs
+++ b/crates/policy/tests/adaptive_limit.rs
@@ -66,7 +66,7 @@
 /// Counts the requests denied out of 280, offered at 14 per second for 20 s, after the limit has risen well above the
 /// tenant's quota. The first `refusals` attempts of every second request end with `outcome`, all others succeed after
 /// `duration` milliseconds.
-fn denied_of_280(refusals: u32, outcome: Outcome, duration: u64) -> u32 {
+fn denied_of_280_requests(refusals: u32, outcome: Outcome, duration: u64) -> u32 {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
@@ -92,22 +92,22 @@
 /// failed behind a broken link, the requests were served by other upstreams, yet the limits decreased.
 #[test]
 fn requests_served_by_another_upstream_do_not_lower_the_limit() {
-    assert_eq!(denied_of_280(0, Outcome::Refused, 20), 0);
-    assert_eq!(denied_of_280(1, Outcome::Refused, 20), 0);
-    assert_eq!(denied_of_280(1, Outcome::ConnectFailed, 20), 0);
+    assert_eq!(denied_of_280_requests(0, Outcome::Refused, 20), 0);
+    assert_eq!(denied_of_280_requests(1, Outcome::Refused, 20), 0);
+    assert_eq!(denied_of_280_requests(1, Outcome::ConnectFailed, 20), 0);
 }
 
 /// Guards against refusals that have no effect on the limits. Servers refused two attempts in five, but as other
 /// servers took the requests, the limits did not decrease.
 #[test]
 fn refusals_by_two_servers_in_a_row_lower_the_limit() {
-    assert!(denied_of_280(2, Outcome::Refused, 20) > 10);
+    assert!(denied_of_280_requests(2, Outcome::Refused, 20) > 10);
 }
 
 /// A latency objective of four times the baseline latency is exceeded only after the servers have become unresponsive.
 #[test]
 fn requests_far_above_the_baseline_latency_lower_the_limit_within_their_latency_objective() {
-    assert!(denied_of_280(0, Outcome::Refused, 150) > 10);
+    assert!(denied_of_280_requests(0, Outcome::Refused, 150) > 10);
 }
 
 /// The requests of a small tenant alone are too few to show an overload in time.
@@ -228,14 +228,14 @@
     let mut bench = ten_a_second();
     // Durations in milliseconds that differ widely and follow each other in turn.
     let duration = [13, 135, 23, 243, 42, 437, 75];
-    let mut run = |seconds: u64, slower_tenths: u64| {
+    let mut run = |seconds: u64, tenths_of_usual: u64| {
         let mut passed = 0;
         for _ in 0..seconds * 8 {
             bench.pass(millis(125));
             let (id, actions) = bench.offer(Some(0));
             if sent(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(duration[passed % 7] * slower_tenths / 10));
+                bench.end(id, 0, Outcome::Success, millis(duration[passed % 7] * tenths_of_usual / 10));
             }
         }
         passed
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -8,7 +8,7 @@
 use common::*;
 
 /// Latency of a successful request in these tests, in milliseconds.
-const USUAL_MS: u64 = 20;
+const USUAL_LATENCY_MS: u64 = 20;
 
 /// Creates a first-tier replica whose tenant has a quota of 10 requests per second; its limit adds the margin for
 /// random variation.
@@ -20,25 +20,28 @@
 }
 
 /// Offers 10 requests per second; `left` returns the time left of each in milliseconds. A request that is sent succeeds
-/// after [`USUAL_MS`] or, with less than `needs` milliseconds left, times out. Returns the fraction sent of the
-/// requests with less than `needs` left, and that of the others.
-fn run(bench: &mut Bench, calls: u64, needs: u64, left: impl Fn(u64) -> u64) -> [f64; 2] {
+/// after [`USUAL_LATENCY_MS`] or, with less than `needed_ms` milliseconds left, times out. Returns the fraction sent of
+/// the requests with less than `needed_ms` left, and that of the others.
+fn run(bench: &mut Bench, calls: u64, needed_ms: u64, left: impl Fn(u64) -> u64) -> [f64; 2] {
     let mut out = [(0, 0); 2];
     for call in 0..calls {
         bench.pass(millis(100));
         let left = left(call);
         bench.time_left = millis(left);
         let (id, actions) = bench.offer(Some(0));
-        let (went, offered) = &mut out[usize::from(left >= needs)];
+        let (sent_count, offered) = &mut out[usize::from(left >= needed_ms)];
         *offered += 1;
         if sent(&actions).is_some() {
-            *went += 1;
-            let (outcome, duration) =
-                if left < needs { (Outcome::TimedOut, left.min(1000)) } else { (Outcome::Success, USUAL_MS) };
+            *sent_count += 1;
+            let (outcome, duration) = if left < needed_ms {
+                (Outcome::TimedOut, left.min(1000))
+            } else {
+                (Outcome::Success, USUAL_LATENCY_MS)
+            };
             bench.end(id, 0, outcome, millis(duration));
         }
     }
-    out.map(|(went, offered)| f64::from(went) / f64::from(offered.max(1)))
+    out.map(|(sent_count, offered)| f64::from(sent_count) / f64::from(offered.max(1)))
 }
 
 /// Guards against timeouts of short deadlines that count as congestion. Where clients gave up early or retried with
@@ -77,24 +80,27 @@
     let admitted = |waited: u64| {
         let mut bench = bench();
         run(&mut bench, 100, 0, |_| 3000);
-        let mut went = 0;
+        let mut sent_count = 0;
         for call in 0..400 {
             bench.pass(millis(100));
             let (id, actions) = bench.offer(Some(0));
             if sent(&actions).is_some() {
-                went += 1;
-                let leaves = call % 2 == 0;
-                if leaves {
+                sent_count += 1;
+                let disconnects = call % 2 == 0;
+                if disconnects {
                     bench.tell(balancer_policy::Event::ClientDisconnected(id));
                 }
-                let (outcome, duration) =
-                    if leaves { (Outcome::Cancelled, waited) } else { (Outcome::Success, USUAL_MS) };
+                let (outcome, duration) = if disconnects {
+                    (Outcome::Cancelled, waited)
+                } else {
+                    (Outcome::Success, USUAL_LATENCY_MS)
+                };
                 bench.end(id, 0, outcome, millis(duration));
             }
         }
-        f64::from(went) / 400.0
+        f64::from(sent_count) / 400.0
     };
-    let (soon, long) = (admitted(USUAL_MS / 2), admitted(USUAL_MS * 4));
+    let (soon, long) = (admitted(USUAL_LATENCY_MS / 2), admitted(USUAL_LATENCY_MS * 4));
     assert!(
         soon > 0.98 && long < 0.9,
         "a fraction of {soon} was admitted where clients disconnect early and {long} where they wait for long"
@@ -107,7 +113,8 @@
 fn a_request_is_sent_with_a_probability_that_depends_on_its_time_left() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
-    let [quarter, whole] = run(&mut bench, 800, USUAL_MS, |call| if call % 2 == 0 { 5 } else { 3000 });
+    let [quarter, whole] =
+        run(&mut bench, 800, USUAL_LATENCY_MS, |call| if call % 2 == 0 { 5 } else { 3000 });
     assert!(
         (0.15..0.35).contains(&quarter),
         "with a quarter of the usual latency left, a fraction of {quarter} was sent, expected 0.15 to 0.35"
@@ -134,7 +141,7 @@
             admitted[usize::from(!short)] += 1;
             let late = call % 4 == 1;
             let (outcome, duration) =
-                if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_MS) };
+                if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_LATENCY_MS) };
             bench.end(id, 0, outcome, millis(duration));
         }
     }
@@ -151,7 +158,7 @@
 fn a_baseline_learned_too_high_does_not_deny_all_requests() {
     let mut bench = bench();
     let (id, _) = bench.offer(Some(0));
-    bench.end(id, 0, Outcome::Success, millis(50 * USUAL_MS));
+    bench.end(id, 0, Outcome::Success, millis(50 * USUAL_LATENCY_MS));
     let first = run(&mut bench, 100, 0, |_| 100);
     let later = run(&mut bench, 100, 0, |_| 100);
     assert!(
@@ -165,7 +172,7 @@
 fn a_retry_also_depends_on_the_time_left() {
     let mut bench = bench();
     run(&mut bench, 100, 0, |_| 3000);
-    let again = (0..200)
+    let retried = (0..200)
         .filter(|_| {
             // The tier answers another request in between, so that the missing connections do not count as congestion.
             run(&mut bench, 1, 0, |_| 3000);
@@ -177,7 +184,7 @@
             sent(&bench.end_late(id, 0, Outcome::ConnectTimedOut, millis(38), millis(38))).is_some()
         })
         .count();
-    assert!((5..50).contains(&again), "{again} of 200 requests were retried, expected 5 to 49");
+    assert!((5..50).contains(&retried), "{retried} of 200 requests were retried, expected 5 to 49");
 }
 
 /// Guards the mark on an attempt that no other can follow, which lets it wait for a connection for longest: the only
@@ -190,10 +197,10 @@
             _ => None,
         })
     };
-    let connect_times_out = |bench: &mut Bench, id, number| {
+    let end_with_connect_timeout = |bench: &mut Bench, id, number| {
         last(&bench.end_late(id, number, Outcome::ConnectTimedOut, millis(6), millis(6)))
     };
-    for (upstreams, said) in [
+    for (upstreams, expected_marks) in [
         (1, [Some(true), None, None]),
         (2, [Some(false), Some(true), None]),
         (4, [Some(false), Some(false), Some(true)]),
@@ -201,10 +208,14 @@
         let settings = Settings::single_zone(vec![class(Idempotency::NotIdempotent)]);
         let mut bench = Bench::new(settings, 5, (0..upstreams).map(member).collect());
         let (id, actions) = bench.offer(None);
-        assert_eq!(last(&actions), said[0], "{upstreams} upstreams");
-        assert_eq!(connect_times_out(&mut bench, id, 0), said[1], "{upstreams} upstreams");
-        if said[1].is_some() {
-            assert_eq!(connect_times_out(&mut bench, id, 1), said[2], "{upstreams} upstreams");
+        assert_eq!(last(&actions), expected_marks[0], "{upstreams} upstreams");
+        assert_eq!(end_with_connect_timeout(&mut bench, id, 0), expected_marks[1], "{upstreams} upstreams");
+        if expected_marks[1].is_some() {
+            assert_eq!(
+                end_with_connect_timeout(&mut bench, id, 1),
+                expected_marks[2],
+                "{upstreams} upstreams"
+            );
         }
     }
     // Each request adds half a retry to the retry budget and takes two, so that the budget is used up.
@@ -213,7 +224,7 @@
     let is_marked = (0..40).any(|_| {
         let (id, actions) = bench.offer(None);
         for number in 0..3 {
-            connect_times_out(&mut bench, id, number);
+            end_with_connect_timeout(&mut bench, id, number);
         }
         // A connection to each upstream shows that it is reachable, so that none is ejected.
         (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(EndpointId(id)))));
--- a/crates/policy/tests/embedding_mistakes.rs
+++ b/crates/policy/tests/embedding_mistakes.rs
@@ -70,13 +70,13 @@
         let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
-    let odd = Event::HealthChecked {
+    let unknown_upstream = Event::HealthChecked {
         upstream: EndpointId(99),
         outcome: Outcome::Success,
         duration: millis(1),
         load: None,
     };
-    balancer.handle(START, odd, &mut actions);
+    balancer.handle(START, unknown_upstream, &mut actions);
     balancer.handle(START, Event::Connected(EndpointId(99)), &mut actions);
     assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -13,11 +13,11 @@
 use oorandom::Rand64;
 
 /// Duration of each simulation on the virtual clock.
-const RUN: Duration = Duration::from_secs(30);
+const RUN_DURATION: Duration = Duration::from_secs(30);
 /// Time at which the clock of each simulation starts.
 const START: Duration = Duration::from_secs(1000);
 /// Mean time between two requests, in seconds: 120 requests per second.
-const BETWEEN_REQUESTS_S: f64 = 1.0 / 120.0;
+const MEAN_REQUEST_INTERVAL_S: f64 = 1.0 / 120.0;
 
 /// FNV-1a hash with 64 bits, which gives the same value on every machine.
 struct Hash(u64);
@@ -87,7 +87,7 @@
 }
 
 /// Step of a simulation that is scheduled for a later time.
-enum Next {
+enum Step {
     /// Reports an event to the balancer.
     Event(Box<Event>),
     /// Sends a new request.
@@ -99,20 +99,20 @@
 }
 
 /// Simulated clients and upstreams, drawn from a seed, with the balancer under test between them.
-struct Stream {
+struct Simulation {
     balancer: Balancer,
     settings: Settings,
     rng: Rand64,
     now: Duration,
     /// Times and numbers of the scheduled steps, earliest first.
-    next: BinaryHeap<Reverse<(Duration, u64)>>,
+    pending: BinaryHeap<Reverse<(Duration, u64)>>,
     /// Scheduled steps by their number.
-    ahead: HashMap<u64, Next>,
+    steps: HashMap<u64, Step>,
     /// Number of steps scheduled so far.
     scheduled: u64,
     members: Vec<Member>,
     /// Requests that have not ended, each with the number of its latest attempt.
-    open: HashMap<RequestId, u32>,
+    open_requests: HashMap<RequestId, u32>,
     /// Number of requests sent so far.
     requests: u64,
     congested: bool,
@@ -122,19 +122,19 @@
     hash: Hash,
 }
 
-impl Stream {
+impl Simulation {
     fn new(settings: Settings, seed: u64, upstreams: u32) -> Self {
         let balancer = Balancer::new(settings.clone(), seed).expect("the settings should be valid");
-        let mut stream = Self {
+        let mut simulation = Self {
             balancer,
             settings,
             rng: Rand64::new(u128::from(seed) + 99),
             now: START,
-            next: BinaryHeap::new(),
-            ahead: HashMap::new(),
+            pending: BinaryHeap::new(),
+            steps: HashMap::new(),
             scheduled: 0,
             members: Vec::new(),
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             requests: 0,
             congested: false,
             actions: 0,
@@ -142,17 +142,18 @@
         };
         for id in 0..upstreams {
             let started = (id % 4 == 0).then(|| START - Duration::from_secs(u64::from(id)));
-            let member = stream.member(id, started);
-            stream.members.push(member);
+            let member = simulation.member(id, started);
+            simulation.members.push(member);
         }
-        stream.schedule_event(Duration::ZERO, Event::Started);
-        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
-        stream.schedule(Duration::ZERO, Next::Request);
-        stream.schedule(Duration::from_millis(700), Next::Change);
+        simulation.schedule_event(Duration::ZERO, Event::Started);
+        simulation
+            .schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(simulation.members.clone())));
+        simulation.schedule(Duration::ZERO, Step::Request);
+        simulation.schedule(Duration::from_millis(700), Step::Change);
         for (at, congested) in [(10, true), (14, false), (20, true), (22, false)] {
-            stream.schedule(Duration::from_secs(at), Next::Congestion(congested));
+            simulation.schedule(Duration::from_secs(at), Step::Congestion(congested));
         }
-        stream
+        simulation
     }
 
     fn member(&mut self, id: u32, started: Option<Duration>) -> Member {
@@ -167,36 +168,36 @@
         }
     }
 
-    fn schedule(&mut self, after: Duration, next: Next) {
+    fn schedule(&mut self, after: Duration, pending: Step) {
         self.scheduled += 1;
-        self.next.push(Reverse((self.now + after, self.scheduled)));
-        self.ahead.insert(self.scheduled, next);
+        self.pending.push(Reverse((self.now + after, self.scheduled)));
+        self.steps.insert(self.scheduled, pending);
     }
 
     fn schedule_event(&mut self, after: Duration, event: Event) {
-        self.schedule(after, Next::Event(Box::new(event)));
+        self.schedule(after, Step::Event(Box::new(event)));
     }
 
     fn chance(&mut self, probability: f64) -> bool {
         self.rng.rand_float() < probability
     }
 
-    fn below(&mut self, bound: usize) -> usize {
+    fn random_index(&mut self, bound: usize) -> usize {
         self.rng.rand_range(0..bound as u64) as usize
     }
 
     /// Runs the simulation to its end and returns the number of actions and the hash.
-    fn play(mut self) -> (u64, u64) {
-        while let Some(Reverse((at, number))) = self.next.pop() {
-            if at > START + RUN {
+    fn run(mut self) -> (u64, u64) {
+        while let Some(Reverse((at, number))) = self.pending.pop() {
+            if at > START + RUN_DURATION {
                 break;
             }
             self.now = at;
-            match self.ahead.remove(&number).expect("each scheduled step should run once") {
-                Next::Event(event) => self.handle(*event),
-                Next::Request => self.request(),
-                Next::Change => self.change(),
-                Next::Congestion(congested) => self.congested = congested,
+            match self.steps.remove(&number).expect("each scheduled step should run once") {
+                Step::Event(event) => self.handle(*event),
+                Step::Request => self.request(),
+                Step::Change => self.change(),
+                Step::Congestion(congested) => self.congested = congested,
             }
         }
         (self.actions, self.hash.0)
@@ -206,22 +207,22 @@
         if let Event::AttemptEnded { request, request_finished: true, .. }
         | Event::ClientDisconnected(request) = event
         {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
         }
-        let woke = event == Event::MaintenanceDue;
+        let is_maintenance = event == Event::MaintenanceDue;
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        if woke {
+        if is_maintenance {
             self.hash.bytes(self.balancer.stats_snapshot().as_bytes());
         }
         for action in actions {
             self.actions += 1;
             self.hash.action(&action);
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
             Action::CancelAttempt { request, attempt } => {
@@ -229,7 +230,7 @@
                 self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, duration, Duration::ZERO);
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
-                self.open.remove(&request);
+                self.open_requests.remove(&request);
             }
             Action::ScheduleMaintenance(span) => self.schedule_event(span, Event::MaintenanceDue),
             Action::Subscribe if self.chance(0.4) => {
@@ -245,19 +246,20 @@
 
     /// Draws the course of an attempt that was sent, and schedules its end.
     fn attempt(&mut self, request: RequestId, upstream: EndpointId, timeout: Option<Duration>) {
-        let attempt = AttemptNumber(*self.open.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
+        let attempt =
+            AttemptNumber(*self.open_requests.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
         let timeout = timeout.unwrap_or(Duration::from_secs(3));
         let slow = if self.congested { 9.0 } else { 1.0 } * if upstream.0 % 5 == 1 { 2.5 } else { 1.0 };
         let work = Duration::from_secs_f64((0.02 + 0.08 * self.rng.rand_float()) * slow);
-        let late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
+        let is_connect_late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
         let connect_wait = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
-        let bad = if upstream.0 == 8 { 0.5 } else { 0.01 };
-        let outcome = if late {
+        let failure_probability = if upstream.0 == 8 { 0.5 } else { 0.01 };
+        let outcome = if is_connect_late {
             Outcome::ConnectTimedOut
-        } else if self.chance(bad) {
-            let ways =
+        } else if self.chance(failure_probability) {
+            let failures =
                 [Outcome::Error, Outcome::Refused, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent];
-            ways[self.below(ways.len())]
+            failures[self.random_index(failures.len())]
         } else if self.chance(0.01) {
             Outcome::InvalidRequest
         } else if self.congested && self.chance(0.2) {
@@ -270,7 +272,7 @@
             Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent => Duration::from_millis(2),
             _ => connect_wait + work,
         };
-        if late && self.chance(0.5) {
+        if is_connect_late && self.chance(0.5) {
             self.schedule_event(duration + Duration::from_millis(200), Event::Connected(upstream));
         }
         if duration > timeout {
@@ -291,7 +293,7 @@
         duration: Duration,
         connect_wait: Duration,
     ) {
-        let request_finished = outcome == Outcome::Success || !self.open.contains_key(&request);
+        let request_finished = outcome == Outcome::Success || !self.open_requests.contains_key(&request);
         let load = None;
         let end =
             Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, request_finished, load };
@@ -301,11 +303,11 @@
     fn request(&mut self) {
         let id = RequestId(self.requests);
         self.requests += 1;
-        let class = ClassId(self.below(self.settings.classes.len()));
+        let class = ClassId(self.random_index(self.settings.classes.len()));
         let tenant = (!self.settings.tenants.is_empty()).then(|| {
             // The first tenant sends several times as many requests as any other.
             let first = self.chance(0.6);
-            TenantId(if first { 0 } else { self.below(self.settings.tenants.len()) })
+            TenantId(if first { 0 } else { self.random_index(self.settings.tenants.len()) })
         });
         let time_left = Duration::from_secs_f64(0.05 + 2.0 * self.rng.rand_float());
         let request = Request {
@@ -318,32 +320,33 @@
             is_client_retry: false,
         };
         if self.chance(0.02) {
-            let stays = Duration::from_secs_f64(0.1 * self.rng.rand_float());
-            self.schedule_event(stays, Event::ClientDisconnected(id));
+            let disconnects_after = Duration::from_secs_f64(0.1 * self.rng.rand_float());
+            self.schedule_event(disconnects_after, Event::ClientDisconnected(id));
         }
-        let pause = Duration::from_secs_f64(2.0 * BETWEEN_REQUESTS_S * self.rng.rand_float());
-        self.schedule(pause, Next::Request);
+        let until_next_request =
+            Duration::from_secs_f64(2.0 * MEAN_REQUEST_INTERVAL_S * self.rng.rand_float());
+        self.schedule(until_next_request, Step::Request);
         self.handle(Event::Request(request));
     }
 
     /// Draws one change of the list, of its subscription or of the settings, and schedules the next change.
     fn change(&mut self) {
-        let place = self.below(self.members.len());
-        let kind = self.below(8);
+        let position = self.random_index(self.members.len());
+        let kind = self.random_index(8);
         let list = match kind {
             0 => {
-                self.members[place].lifecycle = Lifecycle::Draining;
-                ListUpdate::Delta(vec![self.members[place]])
+                self.members[position].lifecycle = Lifecycle::Draining;
+                ListUpdate::Delta(vec![self.members[position]])
             }
             1 => {
-                self.members[place].lifecycle = Lifecycle::Removed;
-                ListUpdate::Delta(vec![self.members[place]])
+                self.members[position].lifecycle = Lifecycle::Removed;
+                ListUpdate::Delta(vec![self.members[position]])
             }
             2..=4 => {
                 // A restarted process takes the place of the earlier one.
-                self.members[place].lifecycle = Lifecycle::Ready;
-                self.members[place].started = Some(self.now);
-                ListUpdate::Delta(vec![self.members[place]])
+                self.members[position].lifecycle = Lifecycle::Ready;
+                self.members[position].started = Some(self.now);
+                ListUpdate::Delta(vec![self.members[position]])
             }
             5 => {
                 let listed = self.members.iter().filter(|member| member.lifecycle == Lifecycle::Ready);
@@ -363,11 +366,11 @@
             }
         };
         self.handle(Event::List(list));
-        self.schedule(Duration::from_millis(700), Next::Change);
+        self.schedule(Duration::from_millis(700), Step::Change);
     }
 
     fn reconfigure(&mut self) {
-        match self.below(4) {
+        match self.random_index(4) {
             0 => self.settings.replicas += 1,
             1 if !self.settings.tenants.is_empty() && self.settings.tenants.len() < 5 => {
                 self.settings.tenants.push(Tenant { quota: Some(15.0) });
@@ -387,7 +390,7 @@
 }
 
 fn classes() -> Vec<Class> {
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
         Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_millis(400) },
@@ -400,7 +403,7 @@
         late_weight: if number % 2 == 0 { 0.5 } else { 0.0 },
         idempotency,
     };
-    effects.into_iter().enumerate().map(class).collect()
+    idempotencies.into_iter().enumerate().map(class).collect()
 }
 
 fn first_tier() -> Settings {
@@ -423,8 +426,8 @@
 
 #[track_caller]
 fn check(settings: Settings, seed: u64, upstreams: u32, recorded: (u64, u64)) {
-    let played = Stream::new(settings, seed, upstreams).play();
-    assert_eq!(played, recorded, "(actions, hash); the hash of this run is {:#x}", played.1);
+    let actual = Simulation::new(settings, seed, upstreams).run();
+    assert_eq!(actual, recorded, "(actions, hash); the hash of this run is {:#x}", actual.1);
 }
 
 #[test]
@@ -462,10 +465,10 @@
 
 #[test]
 fn a_restart_of_all_upstreams_matches_the_recorded_hash() {
-    let mut stream = Stream::new(first_tier(), 6, 24);
-    for member in &mut stream.members {
+    let mut simulation = Simulation::new(first_tier(), 6, 24);
+    for member in &mut simulation.members {
         member.started = Some(START);
     }
-    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
-    assert_eq!(stream.play(), (3853, 0xf30defdbb8cd0fb8));
+    simulation.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(simulation.members.clone())));
+    assert_eq!(simulation.run(), (3853, 0xf30defdbb8cd0fb8));
 }
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -60,7 +60,7 @@
 /// servers in this way.
 #[test]
 fn requests_go_to_idle_members_before_any_gets_a_second() {
-    let mut stacked = 0;
+    let mut members_with_two = 0;
     for seed in 0..100 {
         let mut bench = Bench::new(settings(), seed, (0..10).map(member).collect());
         let mut in_flight = BTreeMap::new();
@@ -68,23 +68,23 @@
             let upstream = sent(&bench.offer(None).1).unwrap();
             *in_flight.entry(upstream).or_insert(0) += 1;
         }
-        stacked += in_flight.values().filter(|&&calls| calls > 1).count();
+        members_with_two += in_flight.values().filter(|&&calls| calls > 1).count();
     }
     // If only two random members were compared, about 0.5 members per run would get a second request.
     assert!(
-        stacked < 15,
-        "{stacked} members got a second request while others were idle, expected fewer than 15"
+        members_with_two < 15,
+        "{members_with_two} members got a second request while others were idle, expected fewer than 15"
     );
 }
 
 /// Sends `calls` requests and returns the fraction whose first attempt went to upstream 0. That upstream ends its
-/// attempts with the outcome and after the milliseconds in `bad`, the others succeed after `good_ms`.
-fn fraction_to_first(bench: &mut Bench, calls: u32, bad: (Outcome, u64), good_ms: u64) -> f64 {
+/// attempts with the outcome and after the milliseconds in `first_upstream`, the others succeed after `other_ms`.
+fn fraction_to_first(bench: &mut Bench, calls: u32, first_upstream: (Outcome, u64), other_ms: u64) -> f64 {
     let mut first = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream {
-            EndpointId(0) => (bad.0, millis(bad.1)),
-            _ => (Outcome::Success, millis(good_ms)),
+            EndpointId(0) => (first_upstream.0, millis(first_upstream.1)),
+            _ => (Outcome::Success, millis(other_ms)),
         });
         first += u32::from(tried.first() == Some(&EndpointId(0)));
     }
@@ -127,28 +127,28 @@
 fn an_upstream_that_does_not_answer_gets_no_more_requests() {
     let mut bench = Bench::new(settings(), 3, (0..5).map(member).collect());
     fraction_to_first(&mut bench, 100, (Outcome::Success, 20), 20);
-    let mut swallowed = 0;
+    let mut unanswered = 0;
     for _ in 0..200 {
         let (id, actions) = bench.offer(None);
         bench.pass(millis(20));
         match sent(&actions) {
-            Some(EndpointId(0)) => swallowed += 1,
+            Some(EndpointId(0)) => unanswered += 1,
             _ => drop(bench.end(id, 0, Outcome::Success, millis(20))),
         }
     }
-    assert!(swallowed <= 2, "the hung upstream got {swallowed} requests, expected at most 2");
+    assert!(unanswered <= 2, "the hung upstream got {unanswered} requests, expected at most 2");
 }
 
-fn two_zones(tier: usize, price: f64) -> Bench {
+fn two_zone_bench(tier: usize, cost: f64) -> Bench {
     let mut settings = Settings { zones: 2, tier, ..settings() };
-    settings.costs.cross_zone = price;
+    settings.costs.cross_zone = cost;
     let members = (0..8).map(|id| Member { zone: Some(ZoneId(id as usize % 2)), ..member(id) });
     Bench::new(settings, 9, members.collect())
 }
 
 /// Sends `calls` requests and returns the fraction that stays in the local zone (upstreams with even identifiers).
 /// A request takes `local_ms` milliseconds there and 50 ms in the other zone.
-fn stay(bench: &mut Bench, calls: u32, local_ms: u64) -> f64 {
+fn local_fraction(bench: &mut Bench, calls: u32, local_ms: u64) -> f64 {
     let mut local = 0;
     for _ in 0..calls {
         let tried = bench.run(|upstream| match upstream.0 % 2 {
@@ -163,23 +163,23 @@
 /// Guards against a start with all requests in the local zone, which overloaded a congested zone within 2 s.
 #[test]
 fn the_first_tier_starts_evenly_spread_and_then_keeps_requests_in_the_local_zone() {
-    let mut bench = two_zones(0, 0.1);
-    let start = stay(&mut bench, 40, 50);
+    let mut bench = two_zone_bench(0, 0.1);
+    let start = local_fraction(&mut bench, 40, 50);
     assert!(
         (0.2..0.8).contains(&start),
         "a fraction of {start} of the first requests stayed in the local zone, expected 0.2 to 0.8"
     );
-    stay(&mut bench, 1500, 50);
-    assert!(stay(&mut bench, 200, 50) > 0.9);
+    local_fraction(&mut bench, 1500, 50);
+    assert!(local_fraction(&mut bench, 200, 50) > 0.9);
 }
 
 /// Guards against noise in the latencies of few requests, which sent half of them across zones below the first tier.
 #[test]
 fn lower_tiers_start_in_the_local_zone_and_leave_it_only_when_it_is_slower() {
-    let mut bench = two_zones(1, 0.1);
-    assert_eq!(stay(&mut bench, 200, 60), 1.0);
-    stay(&mut bench, 100, 700);
-    assert!(stay(&mut bench, 100, 700) < 0.9);
+    let mut bench = two_zone_bench(1, 0.1);
+    assert_eq!(local_fraction(&mut bench, 200, 60), 1.0);
+    local_fraction(&mut bench, 100, 700);
+    assert!(local_fraction(&mut bench, 100, 700) < 0.9);
 }
 
 /// An endpoint that is warming up gets no more requests than the capacity that it is sure to have reached allows.
@@ -283,9 +283,9 @@
 /// per second spread them over all members.
 #[test]
 fn a_replica_with_few_requests_reuses_connections_where_handshakes_have_a_cost() {
-    let distinct = |price: f64| {
+    let distinct = |cost: f64| {
         let mut settings = settings();
-        settings.costs.handshake = price;
+        settings.costs.handshake = cost;
         settings.permissions.streams_per_connection = 1;
         let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
         let mut used = BTreeMap::new();
