--- a/crates/policy/tests/common/connecting.rs
+++ b/crates/policy/tests/common/connecting.rs
@@ -12,7 +12,7 @@
 
 /// Simulated course of an attempt: the time until its connection is established (`None` if it never is), the outcome,
 /// and the time from the connection to that outcome.
-pub type Meets = (Option<Duration>, Outcome, Duration);
+pub type AttemptCourse = (Option<Duration>, Outcome, Duration);
 
 /// Simulated host of one balancer. An attempt waits for its connection until the connect timeout `patience` or the
 /// attempt's own timeout, whichever is shorter.
@@ -23,7 +23,7 @@
     pub reports_late_connections: bool,
     pub rng: Rand64,
     /// Scheduled events by their time and, for equal times, the order in which they were scheduled.
-    pub due: BTreeMap<(Duration, u64), Due>,
+    pub scheduled: BTreeMap<(Duration, u64), ScheduledEvent>,
     pub next: u64,
 }
 
@@ -34,46 +34,48 @@
             patience,
             reports_late_connections: true,
             rng: Rand64::new(u128::from(seed)),
-            due: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             next: 0,
         }
     }
 
-    pub fn plan(&mut self, after: Duration, due: Due) {
+    pub fn schedule(&mut self, after: Duration, scheduled: ScheduledEvent) {
         self.next += 1;
-        self.due.insert((self.bench.now + after, self.next), due);
+        self.scheduled.insert((self.bench.now + after, self.next), scheduled);
     }
 
     /// Offers requests at random times, `rate` per second on average, for `seconds` seconds, and runs until all of them
-    /// have ended. `meets` draws the course of each attempt. Returns the counts of this run.
+    /// have ended. `draw_attempt` draws the course of each attempt. Returns the counts of this run.
     pub fn run(
         &mut self,
         rate: f64,
         seconds: u64,
-        mut meets: impl FnMut(EndpointId, &mut Rand64) -> Meets,
-    ) -> Tally {
-        let mut tally = Tally { limit: f64::MAX, ..Tally::default() };
+        mut draw_attempt: impl FnMut(EndpointId, &mut Rand64) -> AttemptCourse,
+    ) -> RunCounts {
+        let mut tally = RunCounts { limit: f64::MAX, ..RunCounts::default() };
         let end = self.bench.now + Duration::from_secs(seconds);
-        self.plan(Duration::ZERO, Due::Call);
-        while let Some(((at, _), due)) = self.due.pop_first() {
+        self.schedule(Duration::ZERO, ScheduledEvent::Call);
+        while let Some(((at, _), scheduled)) = self.scheduled.pop_first() {
             self.bench.pass(at - self.bench.now);
-            match due {
-                Due::Call => {
+            match scheduled {
+                ScheduledEvent::Call => {
                     let gap = -(1.0 - self.rng.rand_float()).ln() / rate;
                     if at < end {
-                        self.plan(Duration::from_secs_f64(gap), Due::Call);
+                        self.schedule(Duration::from_secs_f64(gap), ScheduledEvent::Call);
                         let (request, actions) = self.bench.offer(Some(0));
                         tally.offered += 1;
                         tally.admitted += u32::from(sent(&actions).is_some());
-                        self.send(request, 0, &actions, &mut tally, &mut meets);
+                        self.send(request, 0, &actions, &mut tally, &mut draw_attempt);
                     }
                 }
-                Due::End { request, number, outcome, duration, connect_wait } => {
+                ScheduledEvent::End { request, number, outcome, duration, connect_wait } => {
                     let actions = self.bench.end_late(request, number, outcome, duration, connect_wait);
                     tally.served += u32::from(outcome == Outcome::Success);
-                    self.send(request, number + 1, &actions, &mut tally, &mut meets);
+                    self.send(request, number + 1, &actions, &mut tally, &mut draw_attempt);
+                }
+                ScheduledEvent::Connected(upstream) => {
+                    assert_eq!(self.bench.tell(Event::Connected(upstream)), [])
                 }
-                Due::Connected(upstream) => assert_eq!(self.bench.tell(Event::Connected(upstream)), []),
             }
             tally.congestion = tally.congestion.max(self.figure("crowding "));
             tally.limit = tally.limit.min(self.figure("limits "));
@@ -87,8 +89,8 @@
         request: RequestId,
         number: u32,
         actions: &[Action],
-        tally: &mut Tally,
-        meets: &mut impl FnMut(EndpointId, &mut Rand64) -> Meets,
+        tally: &mut RunCounts,
+        draw_attempt: &mut impl FnMut(EndpointId, &mut Rand64) -> AttemptCourse,
     ) {
         let Some(Action::Send { upstream, timeout, .. }) =
             actions.iter().find(|action| matches!(action, Action::Send { .. }))
@@ -96,29 +98,41 @@
             return;
         };
         *tally.sent.entry(upstream.0).or_default() += 1;
-        let most =
+        let attempt_timeout =
             timeout.expect("every attempt should have a timeout, as its class has a latency objective");
-        let (connects, outcome, serves) = meets(*upstream, &mut self.rng);
-        let patience = self.patience.min(most);
-        let end = match connects {
-            Some(connect_wait) if connect_wait < patience && connect_wait + serves < most => {
-                Due::End { request, number, outcome, duration: connect_wait + serves, connect_wait }
-            }
-            Some(connect_wait) if connect_wait < patience => {
-                Due::End { request, number, outcome: Outcome::TimedOut, duration: most, connect_wait }
+        let (connect_time, outcome, service_time) = draw_attempt(*upstream, &mut self.rng);
+        let patience = self.patience.min(attempt_timeout);
+        let end = match connect_time {
+            Some(connect_wait)
+                if connect_wait < patience && connect_wait + service_time < attempt_timeout =>
+            {
+                ScheduledEvent::End {
+                    request,
+                    number,
+                    outcome,
+                    duration: connect_wait + service_time,
+                    connect_wait,
+                }
             }
+            Some(connect_wait) if connect_wait < patience => ScheduledEvent::End {
+                request,
+                number,
+                outcome: Outcome::TimedOut,
+                duration: attempt_timeout,
+                connect_wait,
+            },
             _ => {
                 let outcome = Outcome::ConnectTimedOut;
-                Due::End { request, number, outcome, duration: patience, connect_wait: patience }
+                ScheduledEvent::End { request, number, outcome, duration: patience, connect_wait: patience }
             }
         };
-        if let Some(later) =
-            connects.filter(|&connect_wait| connect_wait >= patience && self.reports_late_connections)
+        if let Some(connected_after) =
+            connect_time.filter(|&connect_wait| connect_wait >= patience && self.reports_late_connections)
         {
-            self.plan(later, Due::Connected(*upstream));
+            self.schedule(connected_after, ScheduledEvent::Connected(*upstream));
         }
-        let Due::End { duration, .. } = end else { return };
-        self.plan(duration, end);
+        let ScheduledEvent::End { duration, .. } = end else { return };
+        self.schedule(duration, end);
     }
 
     /// First number after `word` in the stats snapshot of the balancer.
@@ -133,7 +147,7 @@
 }
 
 /// Event that the simulated host has scheduled: the next request, the end of an attempt, or a late connection.
-pub enum Due {
+pub enum ScheduledEvent {
     Call,
     End { request: RequestId, number: u32, outcome: Outcome, duration: Duration, connect_wait: Duration },
     Connected(EndpointId),
@@ -141,7 +155,7 @@
 
 /// Counts of the requests of one run and of their attempts, with the extremes of the stats snapshot.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct RunCounts {
     pub offered: u32,
     pub admitted: u32,
     pub served: u32,
@@ -153,7 +167,7 @@
     pub limit: f64,
 }
 
-impl Tally {
+impl RunCounts {
     /// Fraction of the offered requests that was admitted.
     pub fn admitted(&self) -> f64 {
         f64::from(self.admitted) / f64::from(self.offered)
@@ -199,11 +213,11 @@
 }
 
 /// Course of an attempt at an upstream with little load whose connection is established at once.
-pub fn idle(_: EndpointId, rng: &mut Rand64) -> Meets {
+pub fn idle(_: EndpointId, rng: &mut Rand64) -> AttemptCourse {
     (Some(Duration::ZERO), Outcome::Success, usual(rng))
 }
 
 /// Course of an attempt at an upstream with little load, where a third of the connections are late.
-pub fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> Meets {
+pub fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> AttemptCourse {
     (third_late(rng), Outcome::Success, usual(rng))
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -122,9 +122,9 @@
         let (id, mut actions) = self.offer(None);
         let mut tried = Vec::new();
         while let Some(upstream) = sent(&actions) {
-            let (how, duration) = outcome(upstream);
+            let (attempt_outcome, duration) = outcome(upstream);
             self.pass(duration);
-            actions = self.end(id, tried.len() as u32, how, duration);
+            actions = self.end(id, tried.len() as u32, attempt_outcome, duration);
             tried.push(upstream);
         }
         tried
--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -36,7 +36,7 @@
     /// Time at which the attempt was sent.
     pub at: Duration,
     /// Time at which the attempt times out.
-    pub until: Duration,
+    pub times_out_at: Duration,
     /// Outcome of the attempt; `None` while it is in flight.
     pub ended: Option<Outcome>,
 }
@@ -47,10 +47,10 @@
     pub deadline: Duration,
     pub attempts: Vec<Sent>,
     /// Number of actions that refused or failed the request.
-    pub finals: u32,
+    pub final_answers: u32,
     /// Whether the balancer was told that the request ended, by a successful attempt or because the client
     /// disconnected.
-    pub over: bool,
+    pub is_over: bool,
 }
 
 /// Simulated surroundings of a balancer, which check that each of its actions is allowed.
@@ -62,7 +62,7 @@
     /// Upstreams by identifier, as the latest list and its deltas have described them.
     pub list: BTreeMap<EndpointId, Member>,
     /// Time of the next maintenance pass.
-    pub wake: Option<Duration>,
+    pub next_maintenance: Option<Duration>,
     /// Time from which the longest poll interval until the next subscription counts: that of the latest request for a
     /// subscription, or of its loss if none was requested since. `None` while the list is subscribed to.
     pub unsubscribed_since: Option<Duration>,
@@ -78,7 +78,7 @@
             now: START,
             requests: BTreeMap::new(),
             list: BTreeMap::new(),
-            wake: None,
+            next_maintenance: None,
             unsubscribed_since: Some(START),
             next: 0,
         };
@@ -102,7 +102,10 @@
             Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
                 let tracked =
                     self.requests.get_mut(&request).expect("the action should name a known request");
-                assert!(tracked.finals == 0 && !tracked.over, "{request:?} was sent after it had ended");
+                assert!(
+                    tracked.final_answers == 0 && !tracked.is_over,
+                    "{request:?} was sent after it had ended"
+                );
                 assert!(self.now < tracked.deadline, "{request:?} was sent after its deadline");
                 let target = self.list.get(&upstream).expect("the upstream of a send should be in a list");
                 assert_eq!(target.lifecycle, Lifecycle::Ready, "sent to {upstream:?}, which is not ready");
@@ -127,12 +130,12 @@
                                 self.now <= first.at + window,
                                 "{request:?} was sent again after its deduplication window"
                             );
-                            let by = self.now
+                            let latest_begin = self.now
                                 + first_byte_deadline.expect(
                                     "the deduplication window should limit the time of the first byte",
                                 );
                             assert!(
-                                by <= first.at + window + Duration::from_micros(1),
+                                latest_begin <= first.at + window + Duration::from_micros(1),
                                 "{request:?} may begin after its deduplication window"
                             );
                             let (one, two) = (member(first.upstream.0), member(upstream.0));
@@ -144,29 +147,36 @@
                         }
                     }
                 }
-                let until = timeout.map_or(tracked.deadline, |span| tracked.deadline.min(self.now + span));
-                tracked.attempts.push(Sent { upstream, at: self.now, until, ended: None });
+                let times_out_at =
+                    timeout.map_or(tracked.deadline, |span| tracked.deadline.min(self.now + span));
+                tracked.attempts.push(Sent { upstream, at: self.now, times_out_at, ended: None });
             }
             Action::Refuse { request, .. } => {
                 let tracked =
                     self.requests.get_mut(&request).expect("the action should name a known request");
-                tracked.finals += 1;
-                assert!(tracked.finals == 1 && !tracked.over, "{request:?} got a second final answer");
+                tracked.final_answers += 1;
+                assert!(
+                    tracked.final_answers == 1 && !tracked.is_over,
+                    "{request:?} got a second final answer"
+                );
                 let ran = tracked.attempts.iter().any(|sent| sent.ended.is_none_or(|o| !o.never_ran()));
-                let free = match self.settings.classes[tracked.class].idempotency {
+                let may_refuse_after_run = match self.settings.classes[tracked.class].idempotency {
                     Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: DeduplicationScope::All, .. } => true,
                     Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent => false,
                 };
-                assert!(free || !ran, "{request:?} was refused though it may have run");
+                assert!(may_refuse_after_run || !ran, "{request:?} was refused though it may have run");
             }
             Action::Fail { request } => {
                 let tracked =
                     self.requests.get_mut(&request).expect("the action should name a known request");
-                tracked.finals += 1;
-                assert!(tracked.finals == 1 && !tracked.over, "{request:?} got a second final answer");
+                tracked.final_answers += 1;
+                assert!(
+                    tracked.final_answers == 1 && !tracked.is_over,
+                    "{request:?} got a second final answer"
+                );
             }
-            Action::ScheduleMaintenance(span) => self.wake = Some(self.now + span),
+            Action::ScheduleMaintenance(span) => self.next_maintenance = Some(self.now + span),
             Action::Subscribe => self.unsubscribed_since = Some(self.now),
             Action::CancelAttempt { request, attempt } => {
                 let tracked = self.requests.get(&request).expect("the action should name a known request");
@@ -196,31 +206,31 @@
         let end = self.now + span;
         loop {
             let outs = self.outs();
-            let late = outs.iter().map(|&(id, n)| (self.requests[&id].attempts[n].until, id, n)).min();
-            let next = late.map(|(at, ..)| at).into_iter().chain(self.wake).min();
+            let late = outs.iter().map(|&(id, n)| (self.requests[&id].attempts[n].times_out_at, id, n)).min();
+            let next = late.map(|(at, ..)| at).into_iter().chain(self.next_maintenance).min();
             let Some(next) = next.filter(|&next| next <= end) else { break };
             self.now = self.now.max(next);
             match late.filter(|&(at, ..)| at <= self.now) {
                 Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
                 None => {
-                    self.wake = None;
+                    self.next_maintenance = None;
                     self.tell(Event::MaintenanceDue);
                 }
             }
-            self.check_subscribes();
+            self.check_subscription_delay();
         }
         self.now = end;
         let slack = self.settings.rules.answer_slack;
         for (id, tracked) in &self.requests {
             assert!(
-                tracked.over || tracked.finals == 1 || self.now <= tracked.deadline + slack,
+                tracked.is_over || tracked.final_answers == 1 || self.now <= tracked.deadline + slack,
                 "{id:?} got no answer by its deadline"
             );
         }
     }
 
     /// Checks that the replica requests a subscription within the longest poll interval.
-    pub fn check_subscribes(&self) {
+    pub fn check_subscription_delay(&self) {
         if let (Some(since), Some(within)) = (self.unsubscribed_since, self.settings.rules.poll_interval_max)
         {
             assert!(
@@ -243,8 +253,8 @@
         let tracked = self.requests.get_mut(&request).expect("the request should be tracked");
         tracked.attempts[n].ended = Some(outcome);
         let duration = self.now - tracked.attempts[n].at;
-        tracked.over |= outcome == Outcome::Success;
-        let request_finished = tracked.over || tracked.finals > 0;
+        tracked.is_over |= outcome == Outcome::Success;
+        let request_finished = tracked.is_over || tracked.final_answers > 0;
         let attempt = AttemptNumber(n as u32);
         let connect_wait = millis(0);
         self.tell(Event::AttemptEnded {
@@ -259,7 +269,7 @@
         let tracked = &self.requests[&request];
         let out = tracked.attempts.iter().any(|sent| sent.ended.is_none());
         assert!(
-            tracked.over || tracked.finals == 1 || out,
+            tracked.is_over || tracked.final_answers == 1 || out,
             "{request:?} has neither an attempt in flight nor an answer"
         );
     }
@@ -281,8 +291,13 @@
                 let id = RequestId(self.next);
                 self.next += 1;
                 let deadline = self.now + millis(time_left);
-                let tracked =
-                    TrackedRequest { class, deadline, attempts: Vec::new(), finals: 0, over: false };
+                let tracked = TrackedRequest {
+                    class,
+                    deadline,
+                    attempts: Vec::new(),
+                    final_answers: 0,
+                    is_over: false,
+                };
                 self.requests.insert(id, tracked);
                 self.tell(Event::Request(Request {
                     id,
@@ -295,7 +310,7 @@
                 }));
                 let tracked = &self.requests[&id];
                 assert!(
-                    tracked.finals == 1 || !tracked.attempts.is_empty(),
+                    tracked.final_answers == 1 || !tracked.attempts.is_empty(),
                     "{id:?} was neither sent nor answered"
                 );
             }
@@ -308,7 +323,7 @@
             Step::Disconnect { which } => {
                 let ids: Vec<_> = self.requests.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
-                    self.requests.get_mut(id).expect("the request should be tracked").over = true;
+                    self.requests.get_mut(id).expect("the request should be tracked").is_over = true;
                     self.tell(Event::ClientDisconnected(*id));
                 }
             }
