--- a/crates/policy/tests/common/connecting.rs
+++ b/crates/policy/tests/common/connecting.rs
@@ -23,7 +23,7 @@
     pub reports_late_connections: bool,
     pub rng: Rand64,
     /// Scheduled events by their time and, for equal times, the order in which they were scheduled.
-    pub scheduled: BTreeMap<(Duration, u64), ScheduledEvent>,
+    pub pending: BTreeMap<(Duration, u64), Pending>,
     pub next: u64,
 }
 
@@ -34,14 +34,14 @@
             patience,
             reports_late_connections: true,
             rng: Rand64::new(u128::from(seed)),
-            scheduled: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next: 0,
         }
     }
 
-    pub fn schedule(&mut self, after: Duration, scheduled: ScheduledEvent) {
+    pub fn schedule(&mut self, after: Duration, pending: Pending) {
         self.next += 1;
-        self.scheduled.insert((self.bench.now + after, self.next), scheduled);
+        self.pending.insert((self.bench.now + after, self.next), pending);
     }
 
     /// Offers requests at random times, `rate` per second on average, for `seconds` seconds, and runs until all of them
@@ -54,26 +54,26 @@
     ) -> RunCounts {
         let mut tally = RunCounts { limit: f64::MAX, ..RunCounts::default() };
         let end = self.bench.now + Duration::from_secs(seconds);
-        self.schedule(Duration::ZERO, ScheduledEvent::Call);
-        while let Some(((at, _), scheduled)) = self.scheduled.pop_first() {
+        self.schedule(Duration::ZERO, Pending::Call);
+        while let Some(((at, _), pending)) = self.pending.pop_first() {
             self.bench.pass(at - self.bench.now);
-            match scheduled {
-                ScheduledEvent::Call => {
+            match pending {
+                Pending::Call => {
                     let gap = -(1.0 - self.rng.rand_float()).ln() / rate;
                     if at < end {
-                        self.schedule(Duration::from_secs_f64(gap), ScheduledEvent::Call);
+                        self.schedule(Duration::from_secs_f64(gap), Pending::Call);
                         let (request, actions) = self.bench.offer(Some(0));
                         tally.offered += 1;
                         tally.admitted += u32::from(sent(&actions).is_some());
                         self.send(request, 0, &actions, &mut tally, &mut draw_attempt);
                     }
                 }
-                ScheduledEvent::End { request, number, outcome, duration, connect_wait } => {
+                Pending::End { request, number, outcome, duration, connect_wait } => {
                     let actions = self.bench.end_late(request, number, outcome, duration, connect_wait);
                     tally.served += u32::from(outcome == Outcome::Success);
                     self.send(request, number + 1, &actions, &mut tally, &mut draw_attempt);
                 }
-                ScheduledEvent::Connected(upstream) => {
+                Pending::Connected(upstream) => {
                     assert_eq!(self.bench.tell(Event::Connected(upstream)), [])
                 }
             }
@@ -98,40 +98,28 @@
             return;
         };
         *tally.sent.entry(upstream.0).or_default() += 1;
-        let attempt_timeout =
+        let max_time =
             timeout.expect("every attempt should have a timeout, as its class has a latency objective");
         let (connect_time, outcome, service_time) = draw_attempt(*upstream, &mut self.rng);
-        let patience = self.patience.min(attempt_timeout);
+        let patience = self.patience.min(max_time);
         let end = match connect_time {
-            Some(connect_wait)
-                if connect_wait < patience && connect_wait + service_time < attempt_timeout =>
-            {
-                ScheduledEvent::End {
-                    request,
-                    number,
-                    outcome,
-                    duration: connect_wait + service_time,
-                    connect_wait,
-                }
+            Some(connect_wait) if connect_wait < patience && connect_wait + service_time < max_time => {
+                Pending::End { request, number, outcome, duration: connect_wait + service_time, connect_wait }
+            }
+            Some(connect_wait) if connect_wait < patience => {
+                Pending::End { request, number, outcome: Outcome::TimedOut, duration: max_time, connect_wait }
             }
-            Some(connect_wait) if connect_wait < patience => ScheduledEvent::End {
-                request,
-                number,
-                outcome: Outcome::TimedOut,
-                duration: attempt_timeout,
-                connect_wait,
-            },
             _ => {
                 let outcome = Outcome::ConnectTimedOut;
-                ScheduledEvent::End { request, number, outcome, duration: patience, connect_wait: patience }
+                Pending::End { request, number, outcome, duration: patience, connect_wait: patience }
             }
         };
         if let Some(connected_after) =
             connect_time.filter(|&connect_wait| connect_wait >= patience && self.reports_late_connections)
         {
-            self.schedule(connected_after, ScheduledEvent::Connected(*upstream));
+            self.schedule(connected_after, Pending::Connected(*upstream));
         }
-        let ScheduledEvent::End { duration, .. } = end else { return };
+        let Pending::End { duration, .. } = end else { return };
         self.schedule(duration, end);
     }
 
@@ -147,7 +135,7 @@
 }
 
 /// Event that the simulated host has scheduled: the next request, the end of an attempt, or a late connection.
-pub enum ScheduledEvent {
+pub enum Pending {
     Call,
     End { request: RequestId, number: u32, outcome: Outcome, duration: Duration, connect_wait: Duration },
     Connected(EndpointId),
