--- a/crates/policy/tests/common/connecting.rs
+++ b/crates/policy/tests/common/connecting.rs
@@ -73,9 +73,7 @@
                     tally.served += u32::from(outcome == Outcome::Success);
                     self.send(request, number + 1, &actions, &mut tally, &mut draw_attempt);
                 }
-                Pending::Connected(upstream) => {
-                    assert_eq!(self.bench.tell(Event::Connected(upstream)), [])
-                }
+                Pending::Connected(upstream) => assert_eq!(self.bench.tell(Event::Connected(upstream)), []),
             }
             tally.congestion = tally.congestion.max(self.figure("crowding "));
             tally.limit = tally.limit.min(self.figure("limits "));
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -20,19 +20,19 @@
 #[test]
 fn the_examples_of_the_source_page_hold() {
     for (rate, probability) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
-        let admitted_fraction = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Success);
-        let over = admitted_fraction - probability;
+        let fraction = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Success);
+        let over = fraction - probability;
         assert!(
             (-0.01..0.08).contains(&over),
-            "{rate} requests per second: a fraction of {admitted_fraction} was admitted, expected {probability}"
+            "{rate} requests per second: a fraction of {fraction} was admitted, expected {probability}"
         );
     }
 }
 
 #[test]
 fn every_request_is_denied_above_the_hard_limit() {
-    let admitted_fraction = admitted(&mut ten_a_second(), 400.0, 5.0, 20.0, Outcome::Success);
-    assert_eq!(admitted_fraction, 0.0);
+    let fraction = admitted(&mut ten_a_second(), 400.0, 5.0, 20.0, Outcome::Success);
+    assert_eq!(fraction, 0.0);
 }
 
 #[test]
@@ -74,11 +74,8 @@
     settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // The replica's part of the quota is 0.05 requests per second, 0.11 with the margin for random variation.
-    let admitted_fraction = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
-    assert!(
-        admitted_fraction < 0.3,
-        "{admitted_fraction} requests per second admitted, expected less than 0.3"
-    );
+    let fraction = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
+    assert!(fraction < 0.3, "{fraction} requests per second admitted, expected less than 0.3");
 }
 
 /// Guards against a threshold that is sampled for each request. In an overload, clients that retried at once got a new
