--- a/crates/policy/tests/embedding_mistakes.rs
+++ b/crates/policy/tests/embedding_mistakes.rs
@@ -1,4 +1,4 @@
-//! Mistakes of the embedding program: settings without sense are typed errors, unknown ids do no harm.
+//! Mistakes of the embedding program: invalid settings give typed errors, and unknown identifiers are ignored.
 
 mod common;
 #[path = "common/two_zones.rs"]
@@ -10,7 +10,7 @@
 use two_zones::{member, settings};
 
 #[test]
-fn settings_that_make_no_sense_are_typed_errors() {
+fn invalid_settings_give_typed_errors() {
     let with = |change: fn(&mut Settings)| {
         let mut settings = settings(false, false);
         change(&mut settings);
@@ -31,10 +31,10 @@
     );
 }
 
-/// Mistakes of the embedding program are answered or passed over, never a panic.
+/// Events that refer to unknown classes, upstreams or requests are refused or ignored and cause no panic.
 #[test]
-fn unknown_classes_upstreams_and_requests_do_no_harm() {
-    let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings make sense");
+fn unknown_classes_upstreams_and_requests_are_refused_or_ignored() {
+    let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings should be valid");
     let mut actions = Vec::new();
     balancer.handle(START, Event::List(ListUpdate::Snapshot(Vec::new())), &mut actions);
     let request = Request {
@@ -53,7 +53,7 @@
     let request = Request { class: ClassId(0), time_left: millis(900), ..request };
     balancer.handle(START, Event::Request(request), &mut actions);
     balancer.handle(START, Event::Request(request), &mut actions);
-    assert_eq!(actions.len(), 1, "an id in use is not accepted twice");
+    assert_eq!(actions.len(), 1, "a request with an identifier in use should be ignored");
     actions.clear();
     for id in [7, 8] {
         balancer.handle(START, Event::ClientDisconnected(RequestId(id)), &mut actions);
@@ -70,13 +70,13 @@
         let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
-    let odd = Event::HealthChecked {
+    let unknown_upstream = Event::HealthChecked {
         upstream: EndpointId(99),
         outcome: Outcome::Success,
         duration: millis(1),
         load: None,
     };
-    balancer.handle(START, odd, &mut actions);
+    balancer.handle(START, unknown_upstream, &mut actions);
     balancer.handle(START, Event::Connected(EndpointId(99)), &mut actions);
     assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -1,8 +1,8 @@
-//! A golden record of the decisions: fixed settings, seeds and events must give the same actions, to the last bit.
+//! Golden test of the balancer's decisions: fixed settings, seeds and events must give exactly the same actions.
 //!
-//! A change that is meant to keep behaviour (a move, a split, a rename) keeps every hash below: the order in which
-//! random numbers are drawn and the order of floating-point sums are part of it. A change that is meant to alter
-//! decisions records new hashes and says so in its commit.
+//! A refactoring that must not change behaviour keeps every hash below. The hashes also depend on the order in which
+//! random numbers are drawn and on the order of floating-point sums. A change that is meant to alter decisions records
+//! new hashes and says so in its commit message.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -12,14 +12,14 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 use oorandom::Rand64;
 
-/// How long each stream of events runs.
-const RUN: Duration = Duration::from_secs(30);
-/// Where the clock of each stream starts.
+/// Duration of each simulation on the virtual clock.
+const RUN_DURATION: Duration = Duration::from_secs(30);
+/// Time at which the clock of each simulation starts.
 const START: Duration = Duration::from_secs(1000);
-/// Span between two requests, on average: some 120 a second.
-const BETWEEN_REQUESTS_S: f64 = 1.0 / 120.0;
+/// Mean time between two requests, in seconds: 120 requests per second.
+const MEAN_REQUEST_INTERVAL_S: f64 = 1.0 / 120.0;
 
-/// FNV-1a with 64 bits: small, and the same on every machine.
+/// FNV-1a hash with 64 bits, which gives the same value on every machine.
 struct Hash(u64);
 
 impl Hash {
@@ -86,49 +86,55 @@
     }
 }
 
-/// What lies ahead in a stream.
-enum Next {
-    /// An event of its own.
+/// Step of a simulation that is scheduled for a later time.
+enum Step {
+    /// Reports an event to the balancer.
     Event(Box<Event>),
-    /// A new request.
+    /// Sends a new request.
     Request,
-    /// Something happens to an upstream or to its list.
+    /// Changes the list of upstreams, its subscription or the settings.
     Change,
-    /// The service gets much slower, or as it was.
+    /// Starts (`true`) or ends (`false`) a congestion, in which the upstreams are much slower.
     Congestion(bool),
 }
 
-/// Upstreams and clients drawn from a seed, with the balancer under test between them.
-struct Stream {
+/// Simulated clients and upstreams, drawn from a seed, with the balancer under test between them.
+struct Simulation {
     balancer: Balancer,
     settings: Settings,
     rng: Rand64,
     now: Duration,
-    next: BinaryHeap<Reverse<(Duration, u64)>>,
-    ahead: HashMap<u64, Next>,
+    /// Times and numbers of the scheduled steps, earliest first.
+    pending: BinaryHeap<Reverse<(Duration, u64)>>,
+    /// Scheduled steps by their number.
+    steps: HashMap<u64, Step>,
+    /// Number of steps scheduled so far.
     scheduled: u64,
     members: Vec<Member>,
-    /// Requests not ended yet, with the attempts sent.
-    open: HashMap<RequestId, u32>,
+    /// Requests that have not ended, each with the number of its latest attempt.
+    open_requests: HashMap<RequestId, u32>,
+    /// Number of requests sent so far.
     requests: u64,
     congested: bool,
+    /// Number of actions returned by the balancer so far.
     actions: u64,
+    /// Hash of those actions and of the stats snapshots.
     hash: Hash,
 }
 
-impl Stream {
+impl Simulation {
     fn new(settings: Settings, seed: u64, upstreams: u32) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed).expect("the settings make sense");
-        let mut stream = Self {
+        let balancer = Balancer::new(settings.clone(), seed).expect("the settings should be valid");
+        let mut simulation = Self {
             balancer,
             settings,
             rng: Rand64::new(u128::from(seed) + 99),
             now: START,
-            next: BinaryHeap::new(),
-            ahead: HashMap::new(),
+            pending: BinaryHeap::new(),
+            steps: HashMap::new(),
             scheduled: 0,
             members: Vec::new(),
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             requests: 0,
             congested: false,
             actions: 0,
@@ -136,17 +142,18 @@
         };
         for id in 0..upstreams {
             let started = (id % 4 == 0).then(|| START - Duration::from_secs(u64::from(id)));
-            let member = stream.member(id, started);
-            stream.members.push(member);
+            let member = simulation.member(id, started);
+            simulation.members.push(member);
         }
-        stream.schedule_event(Duration::ZERO, Event::Started);
-        stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
-        stream.schedule(Duration::ZERO, Next::Request);
-        stream.schedule(Duration::from_millis(700), Next::Change);
+        simulation.schedule_event(Duration::ZERO, Event::Started);
+        simulation
+            .schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(simulation.members.clone())));
+        simulation.schedule(Duration::ZERO, Step::Request);
+        simulation.schedule(Duration::from_millis(700), Step::Change);
         for (at, congested) in [(10, true), (14, false), (20, true), (22, false)] {
-            stream.schedule(Duration::from_secs(at), Next::Congestion(congested));
+            simulation.schedule(Duration::from_secs(at), Step::Congestion(congested));
         }
-        stream
+        simulation
     }
 
     fn member(&mut self, id: u32, started: Option<Duration>) -> Member {
@@ -161,36 +168,36 @@
         }
     }
 
-    fn schedule(&mut self, after: Duration, next: Next) {
+    fn schedule(&mut self, after: Duration, pending: Step) {
         self.scheduled += 1;
-        self.next.push(Reverse((self.now + after, self.scheduled)));
-        self.ahead.insert(self.scheduled, next);
+        self.pending.push(Reverse((self.now + after, self.scheduled)));
+        self.steps.insert(self.scheduled, pending);
     }
 
     fn schedule_event(&mut self, after: Duration, event: Event) {
-        self.schedule(after, Next::Event(Box::new(event)));
+        self.schedule(after, Step::Event(Box::new(event)));
     }
 
     fn chance(&mut self, probability: f64) -> bool {
         self.rng.rand_float() < probability
     }
 
-    fn below(&mut self, bound: usize) -> usize {
+    fn random_index(&mut self, bound: usize) -> usize {
         self.rng.rand_range(0..bound as u64) as usize
     }
 
-    /// Plays the stream to its end and gives the count of actions and their hash.
-    fn play(mut self) -> (u64, u64) {
-        while let Some(Reverse((at, number))) = self.next.pop() {
-            if at > START + RUN {
+    /// Runs the simulation to its end and returns the number of actions and the hash.
+    fn run(mut self) -> (u64, u64) {
+        while let Some(Reverse((at, number))) = self.pending.pop() {
+            if at > START + RUN_DURATION {
                 break;
             }
             self.now = at;
-            match self.ahead.remove(&number).expect("each entry is scheduled once") {
-                Next::Event(event) => self.handle(*event),
-                Next::Request => self.request(),
-                Next::Change => self.change(),
-                Next::Congestion(congested) => self.congested = congested,
+            match self.steps.remove(&number).expect("each scheduled step should run once") {
+                Step::Event(event) => self.handle(*event),
+                Step::Request => self.request(),
+                Step::Change => self.change(),
+                Step::Congestion(congested) => self.congested = congested,
             }
         }
         (self.actions, self.hash.0)
@@ -200,22 +207,22 @@
         if let Event::AttemptEnded { request, request_finished: true, .. }
         | Event::ClientDisconnected(request) = event
         {
-            self.open.remove(&request);
+            self.open_requests.remove(&request);
         }
-        let woke = event == Event::MaintenanceDue;
+        let is_maintenance = event == Event::MaintenanceDue;
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
-        if woke {
+        if is_maintenance {
             self.hash.bytes(self.balancer.stats_snapshot().as_bytes());
         }
         for action in actions {
             self.actions += 1;
             self.hash.action(&action);
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
             Action::CancelAttempt { request, attempt } => {
@@ -223,7 +230,7 @@
                 self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, duration, Duration::ZERO);
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
-                self.open.remove(&request);
+                self.open_requests.remove(&request);
             }
             Action::ScheduleMaintenance(span) => self.schedule_event(span, Event::MaintenanceDue),
             Action::Subscribe if self.chance(0.4) => {
@@ -237,21 +244,22 @@
         }
     }
 
-    /// Draws what becomes of an attempt.
+    /// Draws the course of an attempt that was sent, and schedules its end.
     fn attempt(&mut self, request: RequestId, upstream: EndpointId, timeout: Option<Duration>) {
-        let attempt = AttemptNumber(*self.open.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
+        let attempt =
+            AttemptNumber(*self.open_requests.entry(request).and_modify(|sent| *sent += 1).or_insert(0));
         let timeout = timeout.unwrap_or(Duration::from_secs(3));
         let slow = if self.congested { 9.0 } else { 1.0 } * if upstream.0 % 5 == 1 { 2.5 } else { 1.0 };
         let work = Duration::from_secs_f64((0.02 + 0.08 * self.rng.rand_float()) * slow);
-        let late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
+        let is_connect_late = self.chance(if upstream.0 == 3 { 0.6 } else { 0.02 });
         let connect_wait = Duration::from_millis(if self.chance(0.1) { 40 } else { 0 });
-        let bad = if upstream.0 == 8 { 0.5 } else { 0.01 };
-        let outcome = if late {
+        let failure_probability = if upstream.0 == 8 { 0.5 } else { 0.01 };
+        let outcome = if is_connect_late {
             Outcome::ConnectTimedOut
-        } else if self.chance(bad) {
-            let ways =
+        } else if self.chance(failure_probability) {
+            let failures =
                 [Outcome::Error, Outcome::Refused, Outcome::ConnectFailed, Outcome::Reset, Outcome::NotSent];
-            ways[self.below(ways.len())]
+            failures[self.random_index(failures.len())]
         } else if self.chance(0.01) {
             Outcome::InvalidRequest
         } else if self.congested && self.chance(0.2) {
@@ -264,7 +272,7 @@
             Outcome::Refused | Outcome::ConnectFailed | Outcome::NotSent => Duration::from_millis(2),
             _ => connect_wait + work,
         };
-        if late && self.chance(0.5) {
+        if is_connect_late && self.chance(0.5) {
             self.schedule_event(duration + Duration::from_millis(200), Event::Connected(upstream));
         }
         if duration > timeout {
@@ -285,7 +293,7 @@
         duration: Duration,
         connect_wait: Duration,
     ) {
-        let request_finished = outcome == Outcome::Success || !self.open.contains_key(&request);
+        let request_finished = outcome == Outcome::Success || !self.open_requests.contains_key(&request);
         let load = None;
         let end =
             Event::AttemptEnded { request, attempt, outcome, duration, connect_wait, request_finished, load };
@@ -295,11 +303,11 @@
     fn request(&mut self) {
         let id = RequestId(self.requests);
         self.requests += 1;
-        let class = ClassId(self.below(self.settings.classes.len()));
+        let class = ClassId(self.random_index(self.settings.classes.len()));
         let tenant = (!self.settings.tenants.is_empty()).then(|| {
-            // The first tenant sends several times its part.
+            // The first tenant sends several times as many requests as any other.
             let first = self.chance(0.6);
-            TenantId(if first { 0 } else { self.below(self.settings.tenants.len()) })
+            TenantId(if first { 0 } else { self.random_index(self.settings.tenants.len()) })
         });
         let time_left = Duration::from_secs_f64(0.05 + 2.0 * self.rng.rand_float());
         let request = Request {
@@ -312,32 +320,33 @@
             is_client_retry: false,
         };
         if self.chance(0.02) {
-            let stays = Duration::from_secs_f64(0.1 * self.rng.rand_float());
-            self.schedule_event(stays, Event::ClientDisconnected(id));
+            let disconnects_after = Duration::from_secs_f64(0.1 * self.rng.rand_float());
+            self.schedule_event(disconnects_after, Event::ClientDisconnected(id));
         }
-        let pause = Duration::from_secs_f64(2.0 * BETWEEN_REQUESTS_S * self.rng.rand_float());
-        self.schedule(pause, Next::Request);
+        let until_next_request =
+            Duration::from_secs_f64(2.0 * MEAN_REQUEST_INTERVAL_S * self.rng.rand_float());
+        self.schedule(until_next_request, Step::Request);
         self.handle(Event::Request(request));
     }
 
-    /// One change to the list, its source or the settings.
+    /// Draws one change of the list, of its subscription or of the settings, and schedules the next change.
     fn change(&mut self) {
-        let place = self.below(self.members.len());
-        let kind = self.below(8);
+        let position = self.random_index(self.members.len());
+        let kind = self.random_index(8);
         let list = match kind {
             0 => {
-                self.members[place].lifecycle = Lifecycle::Draining;
-                ListUpdate::Delta(vec![self.members[place]])
+                self.members[position].lifecycle = Lifecycle::Draining;
+                ListUpdate::Delta(vec![self.members[position]])
             }
             1 => {
-                self.members[place].lifecycle = Lifecycle::Removed;
-                ListUpdate::Delta(vec![self.members[place]])
+                self.members[position].lifecycle = Lifecycle::Removed;
+                ListUpdate::Delta(vec![self.members[position]])
             }
             2..=4 => {
-                // The process is replaced.
-                self.members[place].lifecycle = Lifecycle::Ready;
-                self.members[place].started = Some(self.now);
-                ListUpdate::Delta(vec![self.members[place]])
+                // A restarted process takes the place of the earlier one.
+                self.members[position].lifecycle = Lifecycle::Ready;
+                self.members[position].started = Some(self.now);
+                ListUpdate::Delta(vec![self.members[position]])
             }
             5 => {
                 let listed = self.members.iter().filter(|member| member.lifecycle == Lifecycle::Ready);
@@ -357,11 +366,11 @@
             }
         };
         self.handle(Event::List(list));
-        self.schedule(Duration::from_millis(700), Next::Change);
+        self.schedule(Duration::from_millis(700), Step::Change);
     }
 
     fn reconfigure(&mut self) {
-        match self.below(4) {
+        match self.random_index(4) {
             0 => self.settings.replicas += 1,
             1 if !self.settings.tenants.is_empty() && self.settings.tenants.len() < 5 => {
                 self.settings.tenants.push(Tenant { quota: Some(15.0) });
@@ -381,7 +390,7 @@
 }
 
 fn classes() -> Vec<Class> {
-    let effects = [
+    let idempotencies = [
         Idempotency::Idempotent,
         Idempotency::NotIdempotent,
         Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_millis(400) },
@@ -394,7 +403,7 @@
         late_weight: if number % 2 == 0 { 0.5 } else { 0.0 },
         idempotency,
     };
-    effects.into_iter().enumerate().map(class).collect()
+    idempotencies.into_iter().enumerate().map(class).collect()
 }
 
 fn first_tier() -> Settings {
@@ -417,23 +426,23 @@
 
 #[track_caller]
 fn check(settings: Settings, seed: u64, upstreams: u32, recorded: (u64, u64)) {
-    let played = Stream::new(settings, seed, upstreams).play();
-    assert_eq!(played, recorded, "(actions, hash); played {:#x}", played.1);
+    let actual = Simulation::new(settings, seed, upstreams).run();
+    assert_eq!(actual, recorded, "(actions, hash); the hash of this run is {:#x}", actual.1);
 }
 
 #[test]
-fn quotas_in_three_zones_keep_their_record() {
+fn three_zones_with_quotas_match_the_recorded_hash() {
     check(first_tier(), 1, 24, (4036, 0xf85e1da52e161db7));
     check(first_tier(), 2, 24, (3969, 0xd57eadd668c00872));
 }
 
 #[test]
-fn a_lone_zone_without_quotas_keeps_its_record() {
+fn a_single_zone_without_quotas_matches_the_recorded_hash() {
     check(Settings::single_zone(classes()), 3, 10, (4538, 0x9831ce64647e0326));
 }
 
 #[test]
-fn a_lower_tier_with_an_agent_keeps_its_record() {
+fn a_lower_tier_with_an_agent_matches_the_recorded_hash() {
     let mut settings = first_tier();
     settings.tier = 1;
     settings.tenants.clear();
@@ -446,7 +455,7 @@
 }
 
 #[test]
-fn a_fleet_of_many_replicas_keeps_its_record() {
+fn many_replicas_match_the_recorded_hash() {
     let mut settings = first_tier();
     settings.replicas = 40;
     settings.over_quota_weight = 1.0;
@@ -455,11 +464,11 @@
 }
 
 #[test]
-fn a_cold_start_of_all_upstreams_keeps_its_record() {
-    let mut stream = Stream::new(first_tier(), 6, 24);
-    for member in &mut stream.members {
+fn a_restart_of_all_upstreams_matches_the_recorded_hash() {
+    let mut simulation = Simulation::new(first_tier(), 6, 24);
+    for member in &mut simulation.members {
         member.started = Some(START);
     }
-    stream.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(stream.members.clone())));
-    assert_eq!(stream.play(), (3853, 0xf30defdbb8cd0fb8));
+    simulation.schedule_event(Duration::ZERO, Event::List(ListUpdate::Snapshot(simulation.members.clone())));
+    assert_eq!(simulation.run(), (3853, 0xf30defdbb8cd0fb8));
 }
