--- a/crates/policy/tests/adaptive_limit.rs
+++ b/crates/policy/tests/adaptive_limit.rs
@@ -6,7 +6,7 @@
 
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Event, Settings};
-use calls::{LATENCY_OBJECTIVE, admitted, ten_a_second};
+use calls::{LATENCY_OBJECTIVE, admitted_fraction, ten_per_second};
 use common::*;
 
 /// Guards against a limit that stays low for ever. After a short time of long latencies had lowered it, a client that
@@ -17,27 +17,27 @@
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: None }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    assert_eq!(admitted(&mut bench, 5.0, 0.0, 30.0, Outcome::Success), 1.0);
-    admitted(&mut bench, 5.0, 0.0, 10.0, Outcome::TimedOut);
-    let after = admitted(&mut bench, 500.0, 15.0, 25.0, Outcome::Success);
+    assert_eq!(admitted_fraction(&mut bench, 5.0, 0.0, 30.0, Outcome::Success), 1.0);
+    admitted_fraction(&mut bench, 5.0, 0.0, 10.0, Outcome::TimedOut);
+    let after = admitted_fraction(&mut bench, 500.0, 15.0, 25.0, Outcome::Success);
     assert!(after > 0.0, "all requests were denied, expected some to be admitted");
 }
 
 /// A limit stays at the quota while few requests fail, falls below it in overload, and recovers afterwards.
 #[test]
 fn the_limit_falls_below_the_quota_only_in_overload_and_recovers() {
-    let mut bench = ten_a_second();
-    admitted(&mut bench, 9.5, 0.0, 20.0, Outcome::Success);
+    let mut bench = ten_per_second();
+    admitted_fraction(&mut bench, 9.5, 0.0, 20.0, Outcome::Success);
     let gap = millis(120);
     for call in 0..200 {
-        bench.pass(gap);
+        bench.advance(gap);
         let (id, actions) = bench.offer(Some(0));
         assert!(sent(&actions).is_some(), "request {call} was denied within the quota");
         bench.end(id, 0, if call % 5 == 0 { Outcome::Reset } else { Outcome::Success }, millis(20));
     }
-    let overloaded = admitted(&mut bench, 9.5, 15.0, 30.0, Outcome::TimedOut);
+    let overloaded = admitted_fraction(&mut bench, 9.5, 15.0, 30.0, Outcome::TimedOut);
     assert!(overloaded < 0.5, "a fraction of {overloaded} was admitted in overload, expected less than 0.5");
-    let after = admitted(&mut bench, 8.5, 15.0, 25.0, Outcome::Success);
+    let after = admitted_fraction(&mut bench, 8.5, 15.0, 25.0, Outcome::Success);
     assert!(after > 0.95, "a fraction of {after} was admitted after the overload, expected more than 0.95");
 }
 
@@ -50,7 +50,7 @@
     settings.tenants = vec![Tenant { quota: Some(5.0) }];
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     for call in 0..2000 {
-        bench.pass(millis(20));
+        bench.advance(millis(20));
         let (id, mut actions) = bench.offer(Some(0));
         assert!(sent(&actions).is_some(), "request {call} was denied");
         let mut number = 0;
@@ -70,10 +70,10 @@
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }];
     let mut bench = Bench::new(settings, 5, (0..6).map(member).collect());
-    admitted(&mut bench, 9.0, 0.0, 60.0, Outcome::Success);
+    admitted_fraction(&mut bench, 9.0, 0.0, 60.0, Outcome::Success);
     let mut denied = 0;
     for call in 0..280 {
-        bench.pass(millis(71));
+        bench.advance(millis(71));
         let (id, mut actions) = bench.offer(Some(0));
         denied += u32::from(sent(&actions).is_none());
         let mut number = 0;
@@ -117,15 +117,15 @@
     settings.tenants = vec![Tenant { quota: Some(25.0 / 3.0) }, Tenant { quota: Some(100.0) }];
     settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-    admitted(&mut bench, 9.5, 0.0, 5.0, Outcome::Success);
+    admitted_fraction(&mut bench, 9.5, 0.0, 5.0, Outcome::Success);
     for _ in 0..2000 {
-        bench.pass(millis(10));
+        bench.advance(millis(10));
         let (id, actions) = bench.offer(Some(1));
         if sent(&actions).is_some() {
             bench.end(id, 0, Outcome::TimedOut, LATENCY_OBJECTIVE);
         }
     }
-    let small = admitted(&mut bench, 20.0, 0.0, 1.5, Outcome::Success);
+    let small = admitted_fraction(&mut bench, 20.0, 0.0, 1.5, Outcome::Success);
     assert!(
         small < 0.6,
         "a fraction of {small} of the small tenant's requests was admitted in overload, expected less than 0.6"
@@ -143,7 +143,7 @@
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     let mut passed = [0, 0];
     for call in 0..3000 {
-        bench.pass(millis(40));
+        bench.advance(millis(40));
         let (id, actions) = bench.offer(Some(call % 6));
         if sent(&actions).is_some() {
             passed[usize::from(call >= 1000)] += 1;
@@ -175,7 +175,7 @@
     let run = |bench: &mut Bench| {
         let mut passed = 0;
         for call in 0..900 {
-            bench.pass(millis(28));
+            bench.advance(millis(28));
             let (id, actions) = bench.offer(Some(call % 2));
             if sent(&actions).is_some() {
                 passed += 1;
@@ -186,7 +186,7 @@
     };
     run(&mut bench);
     assert_eq!(run(&mut bench), 900);
-    bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
+    bench.report(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
     let passed = run(&mut bench);
     assert!(
         passed < 900 * 85 / 100,
@@ -205,7 +205,7 @@
     let run = |bench: &mut Bench, calls: usize, duration: u64| {
         let mut passed = 0;
         for call in 0..calls {
-            bench.pass(millis(10));
+            bench.advance(millis(10));
             let (id, actions) = bench.offer(Some(call % 2));
             if sent(&actions).is_some() {
                 passed += 1;
@@ -225,13 +225,13 @@
 /// then on.
 #[test]
 fn congestion_ends_once_latencies_are_back_at_the_baseline() {
-    let mut bench = ten_a_second();
+    let mut bench = ten_per_second();
     // Durations in milliseconds that differ widely and follow each other in turn.
     let duration = [13, 135, 23, 243, 42, 437, 75];
     let mut run = |seconds: u64, tenths_of_usual: u64| {
         let mut passed = 0;
         for _ in 0..seconds * 8 {
-            bench.pass(millis(125));
+            bench.advance(millis(125));
             let (id, actions) = bench.offer(Some(0));
             if sent(&actions).is_some() {
                 passed += 1;
@@ -256,11 +256,11 @@
 /// attempt.
 #[test]
 fn invalid_requests_count_neither_as_congestion_nor_as_endpoint_failures() {
-    let mut bench = ten_a_second();
-    assert_eq!(admitted(&mut bench, 8.0, 10.0, 20.0, Outcome::Success), 1.0);
+    let mut bench = ten_per_second();
+    assert_eq!(admitted_fraction(&mut bench, 8.0, 10.0, 20.0, Outcome::Success), 1.0);
     let mut tried = [0; 4];
     for call in 0..280 {
-        bench.pass(millis(125));
+        bench.advance(millis(125));
         let (id, actions) = bench.offer(Some(0));
         let EndpointId(upstream) =
             sent(&actions).expect("every request should be sent, as the rate is below the limit");
@@ -288,12 +288,12 @@
         .map(|round| {
             let duration = std::time::Duration::from_micros(if round < 1 { 200 } else { 10_000 });
             let calls: Vec<_> = (0..8).map(|_| bench.offer(Some(0))).collect();
-            bench.pass(duration);
+            bench.advance(duration);
             let sent: Vec<_> = calls.iter().filter(|(_, actions)| sent(actions).is_some()).collect();
             for (id, _) in &sent {
                 bench.end(*id, 0, Outcome::Success, duration);
             }
-            bench.pass(millis(4));
+            bench.advance(millis(4));
             sent.len()
         })
         .collect();
--- a/crates/policy/tests/common/connecting.rs
+++ b/crates/policy/tests/common/connecting.rs
@@ -14,11 +14,11 @@
 /// and the time from the connection to that outcome.
 pub type AttemptCourse = (Option<Duration>, Outcome, Duration);
 
-/// Simulated host of one balancer. An attempt waits for its connection until the connect timeout `patience` or the
+/// Simulated host of one balancer. An attempt waits for its connection until the connect timeout `connect_timeout` or the
 /// attempt's own timeout, whichever is shorter.
-pub struct World {
+pub struct SimulatedHost {
     pub bench: Bench,
-    pub patience: Duration,
+    pub connect_timeout: Duration,
     /// Whether the host reports connections that are established after the attempts waiting for them have ended.
     pub reports_late_connections: bool,
     pub rng: Rand64,
@@ -27,11 +27,11 @@
     pub next: u64,
 }
 
-impl World {
-    pub fn new(settings: Settings, seed: u64, upstreams: u32, patience: Duration) -> Self {
+impl SimulatedHost {
+    pub fn new(settings: Settings, seed: u64, upstreams: u32, connect_timeout: Duration) -> Self {
         Self {
             bench: Bench::new(settings, seed, (0..upstreams).map(member).collect()),
-            patience,
+            connect_timeout,
             reports_late_connections: true,
             rng: Rand64::new(u128::from(seed)),
             pending: BTreeMap::new(),
@@ -52,33 +52,34 @@
         seconds: u64,
         mut draw_attempt: impl FnMut(EndpointId, &mut Rand64) -> AttemptCourse,
     ) -> RunCounts {
-        let mut tally = RunCounts { limit: f64::MAX, ..RunCounts::default() };
+        let mut counts = RunCounts { limit: f64::MAX, ..RunCounts::default() };
         let end = self.bench.now + Duration::from_secs(seconds);
         self.schedule(Duration::ZERO, Pending::Call);
         while let Some(((at, _), pending)) = self.pending.pop_first() {
-            self.bench.pass(at - self.bench.now);
+            self.bench.advance(at - self.bench.now);
             match pending {
                 Pending::Call => {
                     let gap = -(1.0 - self.rng.rand_float()).ln() / rate;
                     if at < end {
                         self.schedule(Duration::from_secs_f64(gap), Pending::Call);
                         let (request, actions) = self.bench.offer(Some(0));
-                        tally.offered += 1;
-                        tally.admitted += u32::from(sent(&actions).is_some());
-                        self.send(request, 0, &actions, &mut tally, &mut draw_attempt);
+                        counts.offered += 1;
+                        counts.admitted += u32::from(sent(&actions).is_some());
+                        self.send(request, 0, &actions, &mut counts, &mut draw_attempt);
                     }
                 }
                 Pending::End { request, number, outcome, duration, connect_wait } => {
-                    let actions = self.bench.end_late(request, number, outcome, duration, connect_wait);
-                    tally.served += u32::from(outcome == Outcome::Success);
-                    self.send(request, number + 1, &actions, &mut tally, &mut draw_attempt);
+                    let actions =
+                        self.bench.end_with_connect_wait(request, number, outcome, duration, connect_wait);
+                    counts.served += u32::from(outcome == Outcome::Success);
+                    self.send(request, number + 1, &actions, &mut counts, &mut draw_attempt);
                 }
-                Pending::Connected(upstream) => assert_eq!(self.bench.tell(Event::Connected(upstream)), []),
+                Pending::Connected(upstream) => assert_eq!(self.bench.report(Event::Connected(upstream)), []),
             }
-            tally.congestion = tally.congestion.max(self.figure("crowding "));
-            tally.limit = tally.limit.min(self.figure("limits "));
+            counts.congestion = counts.congestion.max(self.stat("crowding "));
+            counts.limit = counts.limit.min(self.stat("limits "));
         }
-        tally
+        counts
     }
 
     /// Simulates the attempt that `actions` send, if any: schedules its end and the late connection.
@@ -87,7 +88,7 @@
         request: RequestId,
         number: u32,
         actions: &[Action],
-        tally: &mut RunCounts,
+        counts: &mut RunCounts,
         draw_attempt: &mut impl FnMut(EndpointId, &mut Rand64) -> AttemptCourse,
     ) {
         let Some(Action::Send { upstream, timeout, .. }) =
@@ -95,25 +96,33 @@
         else {
             return;
         };
-        *tally.sent.entry(upstream.0).or_default() += 1;
+        *counts.sent.entry(upstream.0).or_default() += 1;
         let max_time =
             timeout.expect("every attempt should have a timeout, as its class has a latency objective");
         let (connect_time, outcome, service_time) = draw_attempt(*upstream, &mut self.rng);
-        let patience = self.patience.min(max_time);
+        let connect_timeout = self.connect_timeout.min(max_time);
         let end = match connect_time {
-            Some(connect_wait) if connect_wait < patience && connect_wait + service_time < max_time => {
+            Some(connect_wait)
+                if connect_wait < connect_timeout && connect_wait + service_time < max_time =>
+            {
                 Pending::End { request, number, outcome, duration: connect_wait + service_time, connect_wait }
             }
-            Some(connect_wait) if connect_wait < patience => {
+            Some(connect_wait) if connect_wait < connect_timeout => {
                 Pending::End { request, number, outcome: Outcome::TimedOut, duration: max_time, connect_wait }
             }
             _ => {
                 let outcome = Outcome::ConnectTimedOut;
-                Pending::End { request, number, outcome, duration: patience, connect_wait: patience }
+                Pending::End {
+                    request,
+                    number,
+                    outcome,
+                    duration: connect_timeout,
+                    connect_wait: connect_timeout,
+                }
             }
         };
-        if let Some(connected_after) =
-            connect_time.filter(|&connect_wait| connect_wait >= patience && self.reports_late_connections)
+        if let Some(connected_after) = connect_time
+            .filter(|&connect_wait| connect_wait >= connect_timeout && self.reports_late_connections)
         {
             self.schedule(connected_after, Pending::Connected(*upstream));
         }
@@ -122,12 +131,11 @@
     }
 
     /// First number after `word` in the stats snapshot of the balancer.
-    pub fn figure(&self, word: &str) -> f64 {
+    pub fn stat(&self, word: &str) -> f64 {
         let stats_snapshot = self.bench.balancer.stats_snapshot();
-        let figure =
+        let stat =
             stats_snapshot.split(word).nth(1).and_then(|rest| rest.split([',', ' ']).find(|s| !s.is_empty()));
-        figure
-            .and_then(|figure| figure.parse().ok())
+        stat.and_then(|stat| stat.parse().ok())
             .expect("the stats snapshot should have a number after the word")
     }
 }
@@ -165,14 +173,14 @@
     }
 
     /// Number of attempts of the upstream that was sent the fewest, as a fraction of the mean per upstream.
-    pub fn least_sent(&self, upstreams: u32) -> f64 {
+    pub fn least_sent_fraction(&self, upstreams: u32) -> f64 {
         let all: u32 = self.sent.values().sum();
         let least = (0..upstreams).map(|id| self.sent.get(&id).copied().unwrap_or(0)).min();
         f64::from(least.expect("there should be at least one upstream") * upstreams) / f64::from(all)
     }
 
     /// Fraction of all attempts that was sent to these upstreams.
-    pub fn part_of(&self, upstreams: std::ops::Range<u32>) -> f64 {
+    pub fn fraction_sent_to(&self, upstreams: std::ops::Range<u32>) -> f64 {
         let all: u32 = self.sent.values().sum();
         f64::from(self.sent.range(upstreams).map(|(_, sent)| sent).sum::<u32>()) / f64::from(all)
     }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -48,18 +48,18 @@
         Self { balancer, now: START, time_left: millis(3000), next_id: 0, next_wake: START }
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn report(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         actions
     }
 
     /// Advances the clock by `span` and runs the maintenance passes that become due.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.next_wake <= end {
             self.now = self.now.max(self.next_wake);
-            let actions = self.tell(Event::MaintenanceDue);
+            let actions = self.report(Event::MaintenanceDue);
             let wake = actions.iter().find_map(|action| match action {
                 Action::ScheduleMaintenance(span) => Some(*span),
                 _ => None,
@@ -82,7 +82,7 @@
             expected_work: None,
             is_client_retry: false,
         };
-        (id, self.tell(Event::Request(request)))
+        (id, self.report(Event::Request(request)))
     }
 
     pub fn end(
@@ -92,12 +92,12 @@
         outcome: Outcome,
         duration: Duration,
     ) -> Vec<Action> {
-        self.end_late(request, number, outcome, duration, Duration::ZERO)
+        self.end_with_connect_wait(request, number, outcome, duration, Duration::ZERO)
     }
 
     /// Ends an attempt that lasted for `duration` and waited for a connection during the first `connect_wait` of it.
     /// Returns the actions of the balancer.
-    pub fn end_late(
+    pub fn end_with_connect_wait(
         &mut self,
         request: RequestId,
         number: u32,
@@ -105,7 +105,7 @@
         duration: Duration,
         connect_wait: Duration,
     ) -> Vec<Action> {
-        self.tell(Event::AttemptEnded {
+        self.report(Event::AttemptEnded {
             request,
             attempt: AttemptNumber(number),
             outcome,
@@ -123,7 +123,7 @@
         let mut tried = Vec::new();
         while let Some(upstream) = sent(&actions) {
             let (attempt_outcome, duration) = outcome(upstream);
-            self.pass(duration);
+            self.advance(duration);
             actions = self.end(id, tried.len() as u32, attempt_outcome, duration);
             tried.push(upstream);
         }
--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -54,7 +54,7 @@
 }
 
 /// Simulated surroundings of a balancer, which check that each of its actions is allowed.
-pub struct World {
+pub struct RuleChecker {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Duration,
@@ -70,9 +70,9 @@
     pub next: u64,
 }
 
-impl World {
+impl RuleChecker {
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let mut world = Self {
+        let mut checker = Self {
             balancer: Balancer::new(settings.clone(), seed).expect("the settings should be valid"),
             settings,
             now: START,
@@ -82,13 +82,13 @@
             unsubscribed_since: Some(START),
             next: 0,
         };
-        world.tell(Event::Started);
-        world.replace((0..8).map(member).collect(), false);
-        world
+        checker.report(Event::Started);
+        checker.replace((0..8).map(member).collect(), false);
+        checker
     }
 
     /// Reports an event to the balancer and checks the actions that it returns.
-    pub fn tell(&mut self, event: Event) {
+    pub fn report(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
@@ -202,11 +202,14 @@
 
     /// Advances the clock by `span`, with the timeouts and the maintenance passes that become due on the way. Checks
     /// that no request is left without an answer after its deadline.
-    pub fn pass(&mut self, span: Duration) {
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         loop {
-            let outs = self.outs();
-            let late = outs.iter().map(|&(id, n)| (self.requests[&id].attempts[n].times_out_at, id, n)).min();
+            let attempts_in_flight = self.attempts_in_flight();
+            let late = attempts_in_flight
+                .iter()
+                .map(|&(id, n)| (self.requests[&id].attempts[n].times_out_at, id, n))
+                .min();
             let next = late.map(|(at, ..)| at).into_iter().chain(self.next_maintenance).min();
             let Some(next) = next.filter(|&next| next <= end) else { break };
             self.now = self.now.max(next);
@@ -214,7 +217,7 @@
                 Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
                 None => {
                     self.next_maintenance = None;
-                    self.tell(Event::MaintenanceDue);
+                    self.report(Event::MaintenanceDue);
                 }
             }
             self.check_subscription_delay();
@@ -241,7 +244,7 @@
     }
 
     /// Attempts in flight: the request and the number of the attempt.
-    pub fn outs(&self) -> Vec<(RequestId, usize)> {
+    pub fn attempts_in_flight(&self) -> Vec<(RequestId, usize)> {
         let each = self.requests.iter().flat_map(|(&id, tracked)| {
             tracked.attempts.iter().enumerate().map(move |(n, sent)| (id, n, sent.ended))
         });
@@ -257,7 +260,7 @@
         let request_finished = tracked.is_over || tracked.final_answers > 0;
         let attempt = AttemptNumber(n as u32);
         let connect_wait = millis(0);
-        self.tell(Event::AttemptEnded {
+        self.report(Event::AttemptEnded {
             request,
             attempt,
             outcome,
@@ -281,12 +284,12 @@
             self.unsubscribed_since = None;
         }
         let update = if stale { ListUpdate::CachedSnapshot(members) } else { ListUpdate::Snapshot(members) };
-        self.tell(Event::List(update));
+        self.report(Event::List(update));
     }
 
     pub fn step(&mut self, step: Step) {
         match step {
-            Step::Pass(span) => self.pass(millis(span)),
+            Step::Pass(span) => self.advance(millis(span)),
             Step::Request { class, time_left } => {
                 let id = RequestId(self.next);
                 self.next += 1;
@@ -299,7 +302,7 @@
                     is_over: false,
                 };
                 self.requests.insert(id, tracked);
-                self.tell(Event::Request(Request {
+                self.report(Event::Request(Request {
                     id,
                     class: ClassId(class),
                     tenant: None,
@@ -315,8 +318,8 @@
                 );
             }
             Step::End { which, outcome } => {
-                let outs = self.outs();
-                if let Some(&(id, n)) = outs.get(which % outs.len().max(1)) {
+                let attempts_in_flight = self.attempts_in_flight();
+                if let Some(&(id, n)) = attempts_in_flight.get(which % attempts_in_flight.len().max(1)) {
                     self.end(id, n, outcome);
                 }
             }
@@ -324,7 +327,7 @@
                 let ids: Vec<_> = self.requests.keys().copied().collect();
                 if let Some(id) = ids.get(which % ids.len().max(1)) {
                     self.requests.get_mut(id).expect("the request should be tracked").is_over = true;
-                    self.tell(Event::ClientDisconnected(*id));
+                    self.report(Event::ClientDisconnected(*id));
                 }
             }
             Step::Change { upstream, lifecycle, restarted } => {
@@ -332,14 +335,14 @@
                 let member = Member { lifecycle, started, ..member(upstream) };
                 self.list.insert(member.id, member);
                 self.unsubscribed_since = None;
-                self.tell(Event::List(ListUpdate::Delta(vec![member])));
+                self.report(Event::List(ListUpdate::Delta(vec![member])));
             }
             Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
-            Step::Connected { upstream } => self.tell(Event::Connected(EndpointId(upstream))),
+            Step::Connected { upstream } => self.report(Event::Connected(EndpointId(upstream))),
             Step::Broken => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
                     self.unsubscribed_since.get_or_insert(self.now);
-                    self.tell(Event::List(ListUpdate::Broken));
+                    self.report(Event::List(ListUpdate::Broken));
                 }
             }
         }
--- a/crates/policy/tests/connect_timeouts.rs
+++ b/crates/policy/tests/connect_timeouts.rs
@@ -32,7 +32,7 @@
         "expected the first upstream to be ejected"
     );
     let mut bench = first_ejected(Outcome::ConnectTimedOut);
-    assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
+    assert_eq!(bench.report(Event::Connected(EndpointId(0))), []);
     let requests = requests_to_first(&mut bench);
     assert!(
         (30..70).contains(&requests),
@@ -44,7 +44,7 @@
 fn a_connection_does_not_end_an_ejection_for_errors() {
     let mut bench = first_ejected(Outcome::Error);
     for upstream in [0, 0, 99] {
-        assert_eq!(bench.tell(Event::Connected(EndpointId(upstream))), []);
+        assert_eq!(bench.report(Event::Connected(EndpointId(upstream))), []);
     }
     assert_eq!(requests_to_first(&mut bench), 0);
 }
@@ -57,7 +57,7 @@
         let mut bench =
             Bench::new(Settings::single_zone(vec![class(Idempotency::Idempotent)]), 3, vec![member(0)]);
         // If the first upstream were ejected, the requests would go to the second one.
-        bench.tell(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
+        bench.report(Event::List(ListUpdate::Snapshot(vec![member(0), member(1)])));
         let mut events_at_first = 0;
         let mut requests = 0;
         for _ in 0..400 {
@@ -67,14 +67,14 @@
             events_at_first += u32::from(first);
             let late = first && events_at_first % 3 != 0;
             if first && events_at_first % 3 == 0 && between.is_none() {
-                assert_eq!(bench.tell(Event::Connected(EndpointId(0))), []);
+                assert_eq!(bench.report(Event::Connected(EndpointId(0))), []);
                 events_at_first += 1;
             }
-            bench.pass(millis(2));
+            bench.advance(millis(2));
             let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Success) };
             bench.end(id, 0, if first { outcome } else { Outcome::Success }, millis(2));
             if late {
-                bench.tell(Event::ClientDisconnected(id));
+                bench.report(Event::ClientDisconnected(id));
             }
         }
         assert!(
@@ -100,17 +100,17 @@
 #[test]
 fn late_connections_are_counted_once_they_are_up() {
     let none = requests_to_fourth(|_| {});
-    let one = requests_to_fourth(|bench| assert_eq!(bench.tell(Event::Connected(EndpointId(3))), []));
+    let one = requests_to_fourth(|bench| assert_eq!(bench.report(Event::Connected(EndpointId(3))), []));
     assert!(
         none < 15 && one > 30,
         "requests at the fourth upstream: {none} of 60 without, {one} with a connection"
     );
     // The attempt times out while it waits for a connection, although one counts as open: that one no longer counts.
     let lost = requests_to_fourth(|bench| {
-        bench.tell(Event::Connected(EndpointId(3)));
+        bench.report(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
         bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
-        bench.tell(Event::ClientDisconnected(id));
+        bench.report(Event::ClientDisconnected(id));
     });
     assert!(lost < 15, "expected below 15 of 60 requests with a connection that was lost, saw {lost}");
 }
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -25,7 +25,7 @@
 fn run(bench: &mut Bench, calls: u64, needed_ms: u64, left: impl Fn(u64) -> u64) -> [f64; 2] {
     let mut out = [(0, 0); 2];
     for call in 0..calls {
-        bench.pass(millis(100));
+        bench.advance(millis(100));
         let left = left(call);
         bench.time_left = millis(left);
         let (id, actions) = bench.offer(Some(0));
@@ -82,13 +82,13 @@
         run(&mut bench, 100, 0, |_| 3000);
         let mut sent_count = 0;
         for call in 0..400 {
-            bench.pass(millis(100));
+            bench.advance(millis(100));
             let (id, actions) = bench.offer(Some(0));
             if sent(&actions).is_some() {
                 sent_count += 1;
                 let disconnects = call % 2 == 0;
                 if disconnects {
-                    bench.tell(balancer_policy::Event::ClientDisconnected(id));
+                    bench.report(balancer_policy::Event::ClientDisconnected(id));
                 }
                 let (outcome, duration) = if disconnects {
                     (Outcome::Cancelled, waited)
@@ -133,7 +133,7 @@
     run(&mut bench, 100, 3000, |call| if call % 2 == 0 { 1100 } else { 3000 });
     let mut admitted = [0, 0];
     for call in 0..400 {
-        bench.pass(millis(100));
+        bench.advance(millis(100));
         let short = call % 4 == 0;
         bench.time_left = millis(if short { 25 } else { 3000 });
         let (id, actions) = bench.offer(Some(0));
@@ -176,12 +176,13 @@
         .filter(|_| {
             // The tier answers another request in between, so that the missing connections do not count as congestion.
             run(&mut bench, 1, 0, |_| 3000);
-            bench.pass(millis(100));
+            bench.advance(millis(100));
             bench.time_left = millis(40);
             let (id, _) = bench.offer(Some(0));
             // 2 of the 40 ms are left, a tenth of the usual latency.
-            bench.pass(millis(38));
-            sent(&bench.end_late(id, 0, Outcome::ConnectTimedOut, millis(38), millis(38))).is_some()
+            bench.advance(millis(38));
+            sent(&bench.end_with_connect_wait(id, 0, Outcome::ConnectTimedOut, millis(38), millis(38)))
+                .is_some()
         })
         .count();
     assert!((5..50).contains(&retried), "{retried} of 200 requests were retried, expected 5 to 49");
@@ -198,7 +199,7 @@
         })
     };
     let end_with_connect_timeout = |bench: &mut Bench, id, number| {
-        last(&bench.end_late(id, number, Outcome::ConnectTimedOut, millis(6), millis(6)))
+        last(&bench.end_with_connect_wait(id, number, Outcome::ConnectTimedOut, millis(6), millis(6)))
     };
     for (upstreams, expected_marks) in [
         (1, [Some(true), None, None]),
@@ -227,7 +228,7 @@
             end_with_connect_timeout(&mut bench, id, number);
         }
         // A connection to each upstream shows that it is reachable, so that none is ejected.
-        (0..4).for_each(|id| drop(bench.tell(balancer_policy::Event::Connected(EndpointId(id)))));
+        (0..4).for_each(|id| drop(bench.report(balancer_policy::Event::Connected(EndpointId(id)))));
         last(&actions) == Some(true)
     });
     assert!(is_marked, "with an empty retry budget, no first attempt was marked as the last");
--- a/crates/policy/tests/many_replicas.rs
+++ b/crates/policy/tests/many_replicas.rs
@@ -6,7 +6,7 @@
 
 use balancer_policy::interface::*;
 use balancer_policy::{Event, Settings};
-use calls::admitted;
+use calls::admitted_fraction;
 use common::*;
 
 /// Guards against refusals by a replica that happens to have many clients. With fifty fronts, five of them received
@@ -20,7 +20,7 @@
         settings.tenants = vec![Tenant { quota: Some(10.0 * f64::from(replicas)) }; 2];
         settings.over_quota_weight = 0.2;
         let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
-        admitted(&mut bench, 30.0, 5.0, 60.0, Outcome::Success)
+        admitted_fraction(&mut bench, 30.0, 5.0, 60.0, Outcome::Success)
     };
     let (many, few) = (admitted_by_one_of(50), admitted_by_one_of(2));
     assert!(many > 0.99, "expected one of fifty replicas to admit above 0.99, saw {many}");
@@ -41,7 +41,7 @@
     let mut durations = durations(0, 1.0);
     let (mut offered, mut admitted_count) = (0, 0);
     for request_index in 0..1800 {
-        bench.pass(millis(50));
+        bench.advance(millis(50));
         let (id, actions) = bench.offer(Some(request_index % 2));
         offered += u32::from(request_index >= 200);
         if sent(&actions).is_some() {
@@ -84,25 +84,25 @@
     let mut in_flight: Vec<(std::time::Duration, RequestId, std::time::Duration)> = Vec::new();
     (0..seconds)
         .map(|second| {
-            let mut admitted = 0;
+            let mut admitted_fraction = 0;
             for request_index in 0..rate(second) {
                 let due = start + millis(1000 * second as u64 + 1000 * request_index / rate(second));
                 // End the requests that are due before this one arrives, in the order of their ends.
                 in_flight.sort_by_key(|&(end, ..)| std::cmp::Reverse(end));
                 while let Some((end, id, span)) = in_flight.pop_if(|&mut (end, ..)| end <= due) {
-                    bench.pass(end.saturating_sub(bench.now));
+                    bench.advance(end.saturating_sub(bench.now));
                     let outcome = if span < latency_objective { Outcome::Success } else { Outcome::TimedOut };
                     bench.end(id, 0, outcome, span);
                 }
-                bench.pass(due.saturating_sub(bench.now));
+                bench.advance(due.saturating_sub(bench.now));
                 let (id, actions) = bench.offer(Some(request_index as usize % 2));
                 if sent(&actions).is_some() {
-                    admitted += 1;
+                    admitted_fraction += 1;
                     let span = millis(duration(second)).min(latency_objective);
                     in_flight.push((due + span, id, span));
                 }
             }
-            admitted
+            admitted_fraction
         })
         .collect()
 }
@@ -124,8 +124,9 @@
     let denied: u64 = (0..40)
         .map(|seed| {
             let mut durations = durations(seed, 0.8);
-            let admitted = admitted_by_second(&mut one_of_fifty(seed, 15.0), 5, |_| 60, |_| durations(150));
-            300 - admitted.iter().sum::<u64>()
+            let admitted_fraction =
+                admitted_by_second(&mut one_of_fifty(seed, 15.0), 5, |_| 60, |_| durations(150));
+            300 - admitted_fraction.iter().sum::<u64>()
         })
         .sum();
     assert!(denied < 120, "expected below 120 of 12000 requests denied without congestion, saw {denied}");
@@ -136,20 +137,20 @@
 /// times its part of the quota fell to its part within two decreases.
 #[test]
 fn lost_capacity_is_subtracted_from_the_limit_once() {
-    let admitted: u64 = (0..10)
+    let admitted_fraction: u64 = (0..10)
         .map(|seed| {
             let mut bench = one_of_fifty(seed, 20.0);
             let admitted_before = admitted_by_second(&mut bench, 20, |_| 60, |_| 100);
             assert_eq!(admitted_before.iter().sum::<u64>(), 1200);
-            bench.tell(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
+            bench.report(Event::List(ListUpdate::Snapshot((0..4).map(member).collect())));
             // Requests take half as long again until the congestion has been detected, then their usual time.
             let duration = |second| if second < 2 { 150 } else { 100 };
             admitted_by_second(&mut bench, 6, |_| 60, duration)[2..].iter().sum::<u64>()
         })
         .sum();
     assert!(
-        admitted > 1200,
-        "expected above 1200 of 2400 requests admitted after a short congestion, saw {admitted}"
+        admitted_fraction > 1200,
+        "expected above 1200 of 2400 requests admitted after a short congestion, saw {admitted_fraction}"
     );
 }
 
@@ -158,7 +159,7 @@
 /// three times its part of the quota fell to its part while its upstreams were not overloaded.
 #[test]
 fn slow_requests_admitted_before_a_decrease_do_not_cause_the_next() {
-    let admitted: u64 = (0..10)
+    let admitted_fraction: u64 = (0..10)
         .map(|seed| {
             let mut bench = one_of_fifty(seed, 15.0);
             let mut request_index = 0;
@@ -172,7 +173,7 @@
         })
         .sum();
     assert!(
-        admitted > 930,
-        "expected above 930 of 2550 requests admitted after a burst that was slow at first, saw {admitted}"
+        admitted_fraction > 930,
+        "expected above 930 of 2550 requests admitted after a burst that was slow at first, saw {admitted_fraction}"
     );
 }
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -54,28 +54,28 @@
             text: String::new(),
         };
         let full_list = (0..12).map(|id| simulation.member(id)).collect();
-        simulation.tell(Event::Started);
-        simulation.tell(Event::List(ListUpdate::Snapshot(full_list)));
+        simulation.report(Event::Started);
+        simulation.report(Event::List(ListUpdate::Snapshot(full_list)));
         for number in 0..requests {
             let next = simulation.now + Duration::from_secs_f64(simulation.rng.rand_float() * 0.02);
             while let Some(entry) = simulation.scheduled.first_entry().filter(|entry| entry.key().0 <= next) {
                 let ((at, _), event) = entry.remove_entry();
                 simulation.now = at;
-                simulation.tell(event);
+                simulation.report(event);
             }
             simulation.now = next;
             if let Some(event) = other(number) {
-                simulation.tell(event);
+                simulation.report(event);
             }
             if simulation.rng.rand_float() < 0.02 {
                 let id = simulation.rng.rand_range(0..16) as u32;
                 let changed = vec![simulation.member(id)];
-                simulation.tell(Event::List(ListUpdate::Delta(changed)));
+                simulation.report(Event::List(ListUpdate::Delta(changed)));
             }
             let (class, tenant) =
                 (simulation.rng.rand_range(0..3) as usize, simulation.rng.rand_range(0..3) as usize);
             simulation.classes.insert(RequestId(number), class);
-            simulation.tell(Event::Request(request(number, class, Some(tenant))));
+            simulation.report(Event::Request(request(number, class, Some(tenant))));
         }
         simulation
     }
@@ -90,7 +90,7 @@
         while let Some(((at, _), event)) = self.scheduled.pop_first() {
             self.now = at;
             if event != Event::MaintenanceDue {
-                self.tell(event);
+                self.report(event);
             }
         }
     }
@@ -103,7 +103,7 @@
     }
 
     /// Delivers an event to the replica, records its actions and schedules the events that follow from them.
-    fn tell(&mut self, event: Event) {
+    fn report(&mut self, event: Event) {
         if let Event::AttemptEnded { request, outcome, .. } = event {
             *self.possibly_run.entry(request).or_default() += u32::from(!outcome.never_ran());
             *self.final_results.entry(request).or_default() += u32::from(outcome == Outcome::Success);
@@ -300,7 +300,7 @@
     for other in rejected_settings {
         let mut bench = bench(settings());
         let before = format!("{:?}", bench.balancer);
-        let actions = bench.tell(Event::Reconfigured(other.clone()));
+        let actions = bench.report(Event::Reconfigured(other.clone()));
         assert!(
             matches!(&actions[..], [Action::Log(_)]),
             "expected only a log line, saw {actions:?} for {other:?}"
@@ -322,9 +322,9 @@
         seen.len()
     };
     assert_eq!(seen(&mut bench), 64);
-    bench.tell(Event::Reconfigured(with(32)));
+    bench.report(Event::Reconfigured(with(32)));
     assert_eq!(seen(&mut bench), 8);
-    bench.tell(Event::Reconfigured(with(1)));
+    bench.report(Event::Reconfigured(with(1)));
     assert_eq!(seen(&mut bench), 64);
 }
 
--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -22,7 +22,7 @@
     let (mut sends, mut out) = (0, sent(first));
     while out.is_some() {
         sends += 1;
-        bench.pass(duration);
+        bench.advance(duration);
         let actions = bench.end(id, sends as u32 - 1, Outcome::Reset, duration);
         out = sent(&actions);
     }
@@ -39,9 +39,9 @@
     ] {
         let mut bench = bench(single(Idempotency::NotIdempotent));
         let (id, actions) = bench.offer(None);
-        assert!(bench.tell(Event::Reconfigured(single(other))).is_empty());
+        assert!(bench.report(Event::Reconfigured(single(other))).is_empty());
         let upstream = sent(&actions).expect("the request is sent");
-        bench.pass(millis(10));
+        bench.advance(millis(10));
         let actions = bench.end(id, 0, Outcome::Reset, millis(10));
         assert_eq!(actions, [Action::Fail { request: id }], "retried after its class changed to {other:?}");
         let (id, actions) = bench.offer(None);
@@ -58,7 +58,7 @@
 fn a_request_that_arrived_as_idempotent_is_still_retried() {
     let mut bench = bench(single(Idempotency::Idempotent));
     let (id, actions) = bench.offer(None);
-    bench.tell(Event::Reconfigured(single(Idempotency::NotIdempotent)));
+    bench.report(Event::Reconfigured(single(Idempotency::NotIdempotent)));
     assert!(attempts_under_resets(&mut bench, id, &actions, millis(10)) > 1);
     let (id, actions) = bench.offer(None);
     assert_eq!(attempts_under_resets(&mut bench, id, &actions, millis(10)), 1);
@@ -82,7 +82,7 @@
     ] {
         let mut bench = bench(single(CELL_KEY_300_MS));
         let (id, actions) = bench.offer(None);
-        bench.tell(Event::Reconfigured(single(other)));
+        bench.report(Event::Reconfigured(single(other)));
         assert_eq!(
             attempts_under_resets(&mut bench, id, &actions, duration),
             sends,
@@ -90,7 +90,7 @@
         );
     }
     let mut bench = bench(single(CELL_KEY_300_MS));
-    bench.tell(Event::Reconfigured(single(wider)));
+    bench.report(Event::Reconfigured(single(wider)));
     let (id, actions) = bench.offer(None);
     assert!(attempts_under_resets(&mut bench, id, &actions, millis(400)) > 1);
 }
@@ -103,11 +103,11 @@
     let mut bench = Bench::new(single(CELL_KEY_300_MS), 7, members);
     let (id, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
-    bench.tell(Event::Reconfigured(single(Idempotency::IdempotencyKey {
+    bench.report(Event::Reconfigured(single(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: millis(60_000),
     })));
-    bench.pass(millis(100));
+    bench.advance(millis(100));
     let actions = bench.end(id, 0, Outcome::Reset, millis(100));
     let first_byte_deadline = actions.iter().find_map(|action| match action {
         Action::Send { first_byte_deadline, .. } => *first_byte_deadline,
@@ -136,8 +136,8 @@
     let mut bench = bench(single(Idempotency::Idempotent));
     let (id, first) = bench.offer(None);
     assert_eq!(timeout(&first), Some(millis(1000)));
-    bench.tell(Event::Reconfigured(longer));
-    bench.pass(millis(400));
+    bench.report(Event::Reconfigured(longer));
+    bench.advance(millis(400));
     let retry_timeout =
         timeout(&bench.end(id, 0, Outcome::Refused, millis(400))).expect("expected a retry with a timeout");
     assert!(
@@ -162,7 +162,7 @@
     for (before, after, in_flight_attempts, next_attempts) in [(2, 4, 2, 4), (4, 2, 2, 2), (1, 3, 1, 3)] {
         let mut bench = bench(with(before));
         let (id, first) = bench.offer(None);
-        bench.tell(Event::Reconfigured(with(after)));
+        bench.report(Event::Reconfigured(with(after)));
         assert_eq!(
             attempts_under_resets(&mut bench, id, &first, millis(5)),
             in_flight_attempts,
@@ -186,13 +186,13 @@
     after.tenants[1].quota = Some(0.0);
     after.classes.push(class(Idempotency::Idempotent));
     let mut bench = bench(settings());
-    let actions = bench.tell(Event::Request(request(900, 0, Some(1))));
+    let actions = bench.report(Event::Request(request(900, 0, Some(1))));
     assert!(sent(&actions).is_some());
-    bench.tell(Event::Reconfigured(after));
-    bench.pass(millis(20));
+    bench.report(Event::Reconfigured(after));
+    bench.advance(millis(20));
     assert!(sent(&bench.end(RequestId(900), 0, Outcome::Refused, millis(20))).is_some());
-    bench.pass(millis(20));
+    bench.advance(millis(20));
     assert!(bench.end(RequestId(900), 1, Outcome::Success, millis(20)).is_empty());
-    let actions = bench.tell(Event::Request(request(901, 3, Some(0))));
+    let actions = bench.report(Event::Request(request(901, 3, Some(0))));
     assert!(sent(&actions).is_some());
 }
--- a/crates/policy/tests/reconfiguration_limits.rs
+++ b/crates/policy/tests/reconfiguration_limits.rs
@@ -33,7 +33,7 @@
     let (mut admitted, count) = (0, (rate * seconds) as u32);
     let mut answers: Vec<(Duration, RequestId)> = Vec::new();
     for _ in 0..count {
-        bench.pass(Duration::from_secs_f64(1.0 / rate));
+        bench.advance(Duration::from_secs_f64(1.0 / rate));
         let due = answers.iter().take_while(|(at, _)| *at <= bench.now).count();
         for (_, id) in answers.drain(..due) {
             bench.end(id, 0, Outcome::Success, millis(10));
@@ -44,7 +44,7 @@
             answers.push((bench.now + millis(10), id));
         }
     }
-    bench.pass(millis(20));
+    bench.advance(millis(20));
     for (_, id) in answers {
         bench.end(id, 0, Outcome::Success, millis(10));
     }
@@ -54,7 +54,7 @@
 /// Offers requests for 4 s while all upstreams refuse, so that the limits decrease.
 fn overload(bench: &mut Bench) {
     for _ in 0..400 {
-        bench.pass(millis(10));
+        bench.advance(millis(10));
         let (id, mut actions) = bench.offer(Some(0));
         let mut number = 0;
         while sent(&actions).is_some() {
@@ -75,7 +75,7 @@
         "expected 85 to 150 requests/s under a quota of 100, saw {before}"
     );
     let old = limits(&bench);
-    bench.tell(Event::Reconfigured(quotas(&[Some(50.0), Some(50.0)])));
+    bench.report(Event::Reconfigured(quotas(&[Some(50.0), Some(50.0)])));
     let new = limits(&bench);
     assert!(
         new[0] <= old[0] * 0.51 && new[0] >= 45.0,
@@ -99,7 +99,7 @@
         let mut bench = bench(quotas(&[Some(before), Some(50.0)]));
         let denied = admitted_rate(&mut bench, 0, 90.0, 8.0);
         assert!(denied < 80.0, "expected below 80 requests/s under a quota of {before}, saw {denied}");
-        bench.tell(Event::Reconfigured(quotas(&[Some(after), Some(50.0)])));
+        bench.report(Event::Reconfigured(quotas(&[Some(after), Some(50.0)])));
         admitted_rate(&mut bench, 0, 90.0, 5.0);
         let admitted = admitted_rate(&mut bench, 0, 90.0, 5.0);
         assert!(
@@ -119,20 +119,20 @@
     assert!(decreased[0] < 60.0, "expected the overload to decrease the limit below 60, saw {decreased:?}");
     let mut other = quotas(&[Some(100.0), Some(50.0), Some(30.0)]);
     other.costs.cross_zone = 0.01;
-    bench.tell(Event::Reconfigured(other));
+    bench.report(Event::Reconfigured(other));
     let retained = limits(&bench);
     assert_eq!(retained[..2], decreased[..2]);
     assert!(
         retained[2] >= 30.0,
         "expected the limit of a new tenant to start at its quota, saw {retained:?}"
     );
-    bench.tell(Event::Reconfigured(quotas(&[Some(200.0), Some(50.0), Some(30.0)])));
+    bench.report(Event::Reconfigured(quotas(&[Some(200.0), Some(50.0), Some(30.0)])));
     let raised = limits(&bench);
     assert!(
         (raised[0] / decreased[0] - 2.0).abs() < 0.05,
         "expected the limit to double with the quota: {decreased:?} before, {raised:?} after"
     );
-    bench.tell(Event::Reconfigured(quotas(&[Some(100.0), Some(50.0), Some(30.0)])));
+    bench.report(Event::Reconfigured(quotas(&[Some(100.0), Some(50.0), Some(30.0)])));
     let restored = limits(&bench);
     assert!(
         (restored[0] - decreased[0]).abs() < 0.11,
@@ -146,13 +146,13 @@
 fn a_quota_can_be_added_and_removed() {
     let mut bench = bench(quotas(&[None]));
     assert!(admitted_rate(&mut bench, 0, 200.0, 4.0) > 190.0);
-    bench.tell(Event::Reconfigured(quotas(&[Some(50.0)])));
+    bench.report(Event::Reconfigured(quotas(&[Some(50.0)])));
     let limited = admitted_rate(&mut bench, 0, 200.0, 6.0);
     assert!(
         (40.0..75.0).contains(&limited),
         "expected 40 to 75 requests/s under a quota of 50, saw {limited}"
     );
-    bench.tell(Event::Reconfigured(quotas(&[None])));
+    bench.report(Event::Reconfigured(quotas(&[None])));
     let free = admitted_rate(&mut bench, 0, 200.0, 4.0);
     assert!(free > 190.0, "expected above 190 of 200 requests/s without a quota, saw {free}");
 }
@@ -164,8 +164,8 @@
     let mut bench = bench(quotas(&[]));
     let (early, actions) = bench.offer(None);
     assert!(sent(&actions).is_some());
-    bench.tell(Event::Reconfigured(quotas(&[Some(50.0), Some(20.0)])));
-    bench.pass(millis(10));
+    bench.report(Event::Reconfigured(quotas(&[Some(50.0), Some(20.0)])));
+    bench.advance(millis(10));
     bench.end(early, 0, Outcome::Success, millis(10));
     let mut fresh = self::bench(quotas(&[Some(50.0), Some(20.0)]));
     for tenant in [0, 1] {
@@ -183,7 +183,7 @@
 fn the_quota_of_a_removed_tenant_leaves_the_limit_of_all_tenants() {
     let mut bench = bench(quotas(&[Some(40.0), Some(60.0)]));
     let before = limits(&bench);
-    bench.tell(Event::Reconfigured(quotas(&[Some(40.0), Some(0.0)])));
+    bench.report(Event::Reconfigured(quotas(&[Some(40.0), Some(0.0)])));
     let after = limits(&bench);
     assert!(
         after[2] < before[2] * 0.5,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -12,7 +12,7 @@
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Balancer, Event, Settings};
 use common::{START, millis};
-use oracle::{Step, World};
+use oracle::{RuleChecker, Step};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use two_zones::{member, settings};
@@ -57,11 +57,11 @@
         subscribe in any::<bool>(),
         steps in proptest::collection::vec(step(), 1..250),
     ) {
-        let mut world = World::new(settings(hedging, subscribe), seed);
+        let mut checker = RuleChecker::new(settings(hedging, subscribe), seed);
         for step in steps {
-            world.step(step);
+            checker.step(step);
         }
-        world.pass(millis(4000));
+        checker.advance(millis(4000));
     }
 
     /// Checks that an upstream that is warming up is sent no more than the overload rule allows, however the other
@@ -78,19 +78,19 @@
         settings.rules.slow_start_window = millis(20_000);
         settings.rules.overload_window = millis(2_000);
         let rules = settings.rules.clone();
-        let mut world = World::new(settings, seed);
-        let started = world.now;
+        let mut checker = RuleChecker::new(settings, seed);
+        let started = checker.now;
         let list = (0..8).map(|id| Member { started: (id < warming_up).then_some(started), ..member(id) });
-        world.replace(list.collect(), false);
+        checker.replace(list.collect(), false);
         let mut sends: Vec<(Duration, u32)> = Vec::new();
-        while world.now < started + millis(6_000) {
-            world.step(Step::Request { class: 0, time_left: 500 });
-            for (id, n) in world.outs() {
-                sends.push((world.now, world.requests[&id].attempts[n].upstream.0));
-                let is_warming_up = world.requests[&id].attempts[n].upstream.0 < warming_up;
-                world.end(id, n, if refusing && is_warming_up { Outcome::Refused } else { Outcome::Success });
+        while checker.now < started + millis(6_000) {
+            checker.step(Step::Request { class: 0, time_left: 500 });
+            for (id, n) in checker.attempts_in_flight() {
+                sends.push((checker.now, checker.requests[&id].attempts[n].upstream.0));
+                let is_warming_up = checker.requests[&id].attempts[n].upstream.0 < warming_up;
+                checker.end(id, n, if refusing && is_warming_up { Outcome::Refused } else { Outcome::Success });
             }
-            world.pass(millis(gap));
+            checker.advance(millis(gap));
         }
         let window = rules.overload_window;
         let within = |id: u32, end: Duration| {
@@ -138,12 +138,12 @@
 
 #[test]
 fn a_stream_that_has_started_is_neither_cancelled_nor_retried() {
-    let mut world = World::new(settings(false, false), 3);
-    world.step(Step::Request { class: 0, time_left: 300 });
+    let mut checker = RuleChecker::new(settings(false, false), 3);
+    checker.step(Step::Request { class: 0, time_left: 300 });
     let id = RequestId(0);
-    world.tell(Event::StreamStarted { request: id, attempt: AttemptNumber(0) });
+    checker.report(Event::StreamStarted { request: id, attempt: AttemptNumber(0) });
     let mut actions = Vec::new();
-    world.balancer.handle(world.now + millis(5000), Event::ClientDisconnected(id), &mut actions);
+    checker.balancer.handle(checker.now + millis(5000), Event::ClientDisconnected(id), &mut actions);
     assert_eq!(actions, []);
 }
 
@@ -165,8 +165,8 @@
         is_client_retry: false,
     };
     let sent = |actions: &[Action]| actions.iter().any(|action| matches!(action, Action::Send { .. }));
-    assert!(sent(&bench.tell(Event::Request(request))));
-    let actions = bench.tell(Event::AttemptEnded {
+    assert!(sent(&bench.report(Event::Request(request))));
+    let actions = bench.report(Event::AttemptEnded {
         request: RequestId(1),
         attempt: AttemptNumber(0),
         outcome: Outcome::Reset,
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -130,7 +130,7 @@
     let mut unanswered = 0;
     for _ in 0..200 {
         let (id, actions) = bench.offer(None);
-        bench.pass(millis(20));
+        bench.advance(millis(20));
         match sent(&actions) {
             Some(EndpointId(0)) => unanswered += 1,
             _ => drop(bench.end(id, 0, Outcome::Success, millis(20))),
@@ -228,7 +228,7 @@
     let mut bench = Bench::new(settings, 3, (0..8).map(member).collect());
     let (mut first, mut retries) = (0, 0);
     for _ in 0..2000 {
-        bench.pass(millis(5));
+        bench.advance(millis(5));
         let (id, mut actions) = bench.offer(Some(0));
         let mut number = 0;
         while sent(&actions).is_some() {
@@ -291,7 +291,7 @@
         let mut used = BTreeMap::new();
         for _ in 0..60 {
             used.insert(bench.run(|_| (Outcome::Success, millis(10)))[0], ());
-            bench.pass(millis(300));
+            bench.advance(millis(300));
         }
         used.len()
     };
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -6,12 +6,12 @@
 
 use balancer_policy::Settings;
 use balancer_policy::interface::*;
-use calls::{admitted, ten_a_second};
+use calls::{admitted_fraction, ten_per_second};
 use common::*;
 
 #[test]
 fn every_request_is_admitted_below_the_limit() {
-    assert_eq!(admitted(&mut ten_a_second(), 8.0, 10.0, 60.0, Outcome::Success), 1.0);
+    assert_eq!(admitted_fraction(&mut ten_per_second(), 8.0, 10.0, 60.0, Outcome::Success), 1.0);
 }
 
 /// The probabilities of the source page, limit divided by rate, hold while the window is at its soft limit. While
@@ -20,7 +20,7 @@
 #[test]
 fn the_examples_of_the_source_page_hold() {
     for (rate, probability) in [(12.0, 0.833), (14.0, 0.714), (15.0, 0.667), (50.0, 0.2)] {
-        let fraction = admitted(&mut ten_a_second(), rate, 5.0, 120.0, Outcome::Success);
+        let fraction = admitted_fraction(&mut ten_per_second(), rate, 5.0, 120.0, Outcome::Success);
         let over = fraction - probability;
         assert!(
             (-0.01..0.08).contains(&over),
@@ -31,31 +31,31 @@
 
 #[test]
 fn every_request_is_denied_above_the_hard_limit() {
-    let fraction = admitted(&mut ten_a_second(), 400.0, 5.0, 20.0, Outcome::Success);
+    let fraction = admitted_fraction(&mut ten_per_second(), 400.0, 5.0, 20.0, Outcome::Success);
     assert_eq!(fraction, 0.0);
 }
 
 #[test]
 fn a_denied_request_is_refused_unsent_and_does_not_count_as_accepted() {
-    let mut bench = ten_a_second();
+    let mut bench = ten_per_second();
     let mut denied = 0;
     for _ in 0..200 {
-        bench.pass(millis(10));
+        bench.advance(millis(10));
         let (_, actions) = bench.offer(Some(0));
         assert_ne!(sent(&actions).is_some(), refused(&actions));
         denied += u32::from(refused(&actions));
     }
     assert!(denied > 100);
     // If denied requests counted as accepted, the window would stay over its soft limit for ever.
-    assert!(admitted(&mut bench, 9.5, 4.0, 20.0, Outcome::Success) > 0.95);
+    assert!(admitted_fraction(&mut bench, 9.5, 4.0, 20.0, Outcome::Success) > 0.95);
 }
 
 /// Guards against overload in the first seconds. Every replica of a new fleet admitted too many requests while its
 /// window was filling, which overloaded the servers.
 #[test]
 fn a_new_replica_does_not_admit_a_whole_window_at_once() {
-    let mut bench = ten_a_second();
-    let first_second = admitted(&mut bench, 50.0, 0.0, 1.0, Outcome::Success) * 50.0;
+    let mut bench = ten_per_second();
+    let first_second = admitted_fraction(&mut bench, 50.0, 0.0, 1.0, Outcome::Success) * 50.0;
     // One second of the limit, and what is admitted while the count of the last second fills. A whole window would
     // admit 35 requests.
     assert!(
@@ -74,7 +74,7 @@
     settings.over_quota_weight = 0.0;
     let mut bench = Bench::new(settings, 5, (0..4).map(member).collect());
     // The replica's part of the quota is 0.05 requests per second, 0.11 with the margin for random variation.
-    let fraction = admitted(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
+    let fraction = admitted_fraction(&mut bench, 1.0, 10.0, 400.0, Outcome::Success);
     assert!(fraction < 0.3, "{fraction} requests per second admitted, expected less than 0.3");
 }
 
@@ -90,7 +90,7 @@
     for seed in 0..replicas {
         let mut bench = Bench::new(settings.clone(), seed, (0..4).map(member).collect());
         for call in 0..200 {
-            bench.pass(millis(50));
+            bench.advance(millis(50));
             let (id, actions) = bench.offer(Some(call % 4));
             if sent(&actions).is_some() {
                 passed += 1;
--- a/crates/policy/tests/unreachable_tier.rs
+++ b/crates/policy/tests/unreachable_tier.rs
@@ -9,7 +9,7 @@
 
 use balancer_policy::interface::*;
 use common::millis;
-use connecting::{World, idle, settings, third_late, usual};
+use connecting::{SimulatedHost, idle, settings, third_late, usual};
 use oorandom::Rand64;
 
 /// Returns the fractions of the requests that two replicas admit whose upstreams are overloaded, so that a fraction
@@ -17,16 +17,16 @@
 /// come up late.
 fn admitted_under_overload(rate: f64, outcome: Outcome, part: f64) -> (f64, f64) {
     let run = |late: bool| {
-        let mut world = World::new(settings(2, rate / 1.2), 5, 6, millis(12));
-        world.run(rate, 20, idle);
+        let mut host = SimulatedHost::new(settings(2, rate / 1.2), 5, 6, millis(12));
+        host.run(rate, 20, idle);
         let overloaded = |_: EndpointId, rng: &mut Rand64| {
             let connect_wait = if late { third_late(rng) } else { Some(Duration::ZERO) };
             let (how, duration) =
                 if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Success, usual(rng)) };
             (connect_wait, how, if how == Outcome::Refused { millis(2) } else { duration })
         };
-        world.run(rate, 15, overloaded);
-        world.run(rate, 45, overloaded).admitted()
+        host.run(rate, 15, overloaded);
+        host.run(rate, 45, overloaded).admitted()
     };
     (run(false), run(true))
 }
@@ -50,21 +50,21 @@
 #[test]
 fn the_reachable_half_of_a_tier_serves_the_requests() {
     for (rate, max_fraction) in [(2.0, 0.25), (10.0, 0.1), (60.0, 0.05)] {
-        let mut world = World::new(settings(2, rate * 2.0), 5, 8, millis(12));
-        world.run(rate, 20, idle);
+        let mut host = SimulatedHost::new(settings(2, rate * 2.0), 5, 8, millis(12));
+        host.run(rate, 20, idle);
         let half = |id: EndpointId, rng: &mut Rand64| {
             (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Success, usual(rng))
         };
         // The unreachable upstreams are only found by sending to them, so a few requests fail at first.
-        let first = world.run(rate, 20, half);
-        let tally = world.run(rate, 60, half);
+        let first = host.run(rate, 20, half);
+        let counts = host.run(rate, 60, half);
         assert!(
-            first.served() > 0.85 && tally.served() > 0.94,
-            "{rate} requests/s: too few served, in the first 20 s {first:?}, then {tally:?}"
+            first.served() > 0.85 && counts.served() > 0.94,
+            "{rate} requests/s: too few served, in the first 20 s {first:?}, then {counts:?}"
         );
         assert!(
-            tally.part_of(0..4) < max_fraction,
-            "{rate} requests/s: expected below {max_fraction} of the attempts at the unreachable half, saw {tally:?}"
+            counts.fraction_sent_to(0..4) < max_fraction,
+            "{rate} requests/s: expected below {max_fraction} of the attempts at the unreachable half, saw {counts:?}"
         );
     }
 }
@@ -75,10 +75,10 @@
 fn a_wholly_unreachable_tier_decreases_the_limits() {
     for rate in [2.0, 10.0, 60.0] {
         let run = |connect_wait: Option<Duration>| {
-            let mut world = World::new(settings(2, rate * 1.2), 5, 8, millis(12));
-            world.run(rate, 20, idle);
-            world.run(rate, 15, |_, _| (connect_wait, Outcome::ConnectFailed, millis(12)));
-            world.run(rate, 40, |_, _| (connect_wait, Outcome::ConnectFailed, millis(12))).admitted()
+            let mut host = SimulatedHost::new(settings(2, rate * 1.2), 5, 8, millis(12));
+            host.run(rate, 20, idle);
+            host.run(rate, 15, |_, _| (connect_wait, Outcome::ConnectFailed, millis(12)));
+            host.run(rate, 40, |_, _| (connect_wait, Outcome::ConnectFailed, millis(12))).admitted()
         };
         let (failed, timed_out) = (run(Some(Duration::ZERO)), run(None));
         assert!(
@@ -96,10 +96,10 @@
     if !quota {
         settings.tenants = vec![Tenant { quota: None }];
     }
-    let mut world = World::new(settings, 5, 8, millis(12));
-    world.run(part, 30, idle);
-    world.run(part * 3.0, 15, |_, _| (Some(Duration::ZERO), Outcome::TimedOut, millis(10)));
-    let served: Vec<u32> = (0..50).map(|_| world.run(part * load_multiple, 1, idle).served).collect();
+    let mut host = SimulatedHost::new(settings, 5, 8, millis(12));
+    host.run(part, 30, idle);
+    host.run(part * 3.0, 15, |_, _| (Some(Duration::ZERO), Outcome::TimedOut, millis(10)));
+    let served: Vec<u32> = (0..50).map(|_| host.run(part * load_multiple, 1, idle).served).collect();
     // Under a strict limit requests are admitted in bursts, so count them over six seconds.
     let below_quota = |seconds: &[u32]| f64::from(seconds.iter().sum::<u32>()) < 0.7 * 6.0 * part;
     served.windows(6).rposition(below_quota).map_or(0, |at| at + 1)
