--- a/crates/fault-injection/src/clock.rs
+++ b/crates/fault-injection/src/clock.rs
@@ -1,4 +1,4 @@
-//! How far the wall clock is off.
+//! The offset of the wall clock.
 
 use std::ffi::OsString;
 use std::sync::OnceLock;
@@ -9,7 +9,8 @@
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 const NANOS_PER_MILLISECOND: i64 = 1_000_000;
 
-/// The milliseconds in the file of `FAULT_CLOCK`; none if there is no such file yet.
+/// Reads the offset from the file that `FAULT_CLOCK` names, in milliseconds; 0 if the variable is not set or the file
+/// cannot be read or parsed.
 fn offset_ms() -> i64 {
     static PATH: OnceLock<Option<OsString>> = OnceLock::new();
     let path = PATH.get_or_init(|| env::var_os("FAULT_CLOCK"));
@@ -17,7 +18,7 @@
     text.and_then(|text| text.trim().parse().ok()).unwrap_or(0)
 }
 
-/// What a clock shows that is off by the offset of now.
+/// Adds the current offset of the wall clock to a time.
 pub fn shifted(time: timespec) -> timespec {
     let offset = offset_ms();
     let nanos = time.tv_nsec + offset % 1000 * NANOS_PER_MILLISECOND;
--- a/crates/fault-injection/src/descriptors.rs
+++ b/crates/fault-injection/src/descriptors.rs
@@ -1,4 +1,4 @@
-//! The program's TCP sockets: where they connect to, and how they are watched for events.
+//! A table of the program's TCP sockets, with the port each connects to and its registration with epoll.
 
 use std::collections::BTreeMap;
 use std::os::fd::RawFd;
@@ -6,7 +6,7 @@
 
 use libc::c_int;
 
-/// How an epoll instance watches a socket.
+/// The registration of a socket with an epoll instance.
 #[derive(Debug, Clone, Copy)]
 pub struct Watched {
     pub epoll: RawFd,
@@ -14,14 +14,14 @@
     pub data: u64,
 }
 
-/// A TCP socket.
+/// State of a TCP socket of the program.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Socket {
-    /// The port that it connects to; `None` for one that was accepted or listens.
+    /// Port that the socket connects to; `None` for an accepted or listening socket.
     pub port: Option<u16>,
-    /// `None` until it is watched.
+    /// Registration of the socket with epoll; `None` while it is not registered.
     pub watched: Option<Watched>,
-    /// It has broken: transfers fail with this error.
+    /// Error with which all transfers on the socket fail; `None` while the socket works.
     pub broken: Option<c_int>,
 }
 
@@ -31,36 +31,36 @@
     SOCKETS.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Notes a new socket.
+/// Adds a new socket to the table.
 pub fn opened(descriptor: RawFd) {
     sockets().insert(descriptor, Socket::default());
 }
 
-/// Forgets a descriptor, whatever it is.
+/// Removes a descriptor from the table, if it is in it.
 pub fn closed(descriptor: RawFd) {
     sockets().remove(&descriptor);
 }
 
-/// The socket of a descriptor, if it is one.
+/// Returns the state of a socket; `None` if the descriptor is not a TCP socket.
 pub fn find(descriptor: RawFd) -> Option<Socket> {
     sockets().get(&descriptor).copied()
 }
 
-/// Notes where a socket connects to.
+/// Records the port that a socket connects to.
 pub fn connects(descriptor: RawFd, port: u16) {
     if let Some(socket) = sockets().get_mut(&descriptor) {
         socket.port = Some(port);
     }
 }
 
-/// Notes how a socket is watched.
+/// Records the registration of a socket with epoll, or its removal.
 pub fn watched(descriptor: RawFd, watched: Option<Watched>) {
     if let Some(socket) = sockets().get_mut(&descriptor) {
         socket.watched = watched;
     }
 }
 
-/// Notes that a socket breaks with this error.
+/// Makes all later transfers on a socket fail with this error.
 pub fn breaks(descriptor: RawFd, error: c_int) {
     if let Some(socket) = sockets().get_mut(&descriptor) {
         socket.broken = Some(error);
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -1,4 +1,4 @@
-//! Which call is affected, and how.
+//! The faults that the environment variables specify, and the selection of the calls that they affect.
 
 use std::env;
 use std::fs::{File, OpenOptions};
@@ -12,10 +12,10 @@
 
 use crate::descriptors;
 
-/// Seed of the draw of the calls that are affected.
+/// Seed of the selection of the calls that are affected by `every=N`.
 const SEED: u64 = 0x5eed_0ffa;
 
-/// Errors by their names.
+/// The errors that `errno` accepts, by name.
 const ERRORS: [(&str, c_int); 22] = [
     ("EACCES", libc::EACCES),
     ("EADDRINUSE", libc::EADDRINUSE),
@@ -41,7 +41,7 @@
     ("ETIMEDOUT", libc::ETIMEDOUT),
 ];
 
-/// A kind of calls.
+/// A kind of system call, which one environment variable affects.
 #[derive(Debug, Clone, Copy)]
 pub enum Call {
     Accept,
@@ -54,19 +54,20 @@
     SetSockOpt,
 }
 
-/// The kinds by their names, in the order of their numbers.
+/// Suffixes of the environment variables, in the order of the variants of [`Call`].
 const CALLS: [&str; 8] = ["ACCEPT", "SOCKET", "CONNECT", "READ", "WRITE", "WAIT", "SO_ERROR", "SETSOCKOPT"];
 
-/// What happens to a call.
+/// The fault that is injected into a call.
 #[derive(Debug, Clone, Copy)]
 pub enum Fault {
-    /// It is not made and fails with this error.
+    /// The call is not made and fails with this error.
     Fails(c_int),
-    /// It is made with so many bytes at most. With an error, all later transfers on the socket fail with that.
+    /// The call transfers at most this number of bytes. If an error is given, all later transfers on the socket fail
+    /// with it.
     Short(usize, Option<c_int>),
 }
 
-/// What happens to a kind of calls.
+/// The faults for one kind of call, as parsed from its environment variable, and the counts of its calls so far.
 #[derive(Debug, Default)]
 struct Plan {
     name: &'static str,
@@ -149,7 +150,7 @@
             let text = env::var(format!("FAULT_{name}")).ok()?;
             let plan = Plan::parse(name, &text);
             if plan.is_none() {
-                eprintln!("FAULT_{name} is not understood: {text}");
+                eprintln!("FAULT_{name}: value cannot be parsed: {text}");
                 abort();
             }
             plan
@@ -157,19 +158,21 @@
     })
 }
 
-/// What happens to this call on a socket; `port` is where it connects to, if it does.
+/// Counts a call and returns the fault to inject into it, if any. `port` is the port that its socket connects to.
 pub fn next(call: Call, port: Option<u16>) -> Option<Fault> {
     plans()[call as usize].as_ref()?.next(port)
 }
 
-/// What happens to this call on a socket that is there; nothing if the descriptor is none.
+/// Counts a call on an existing socket and returns the fault to inject into it; `None` if the descriptor is not a TCP
+/// socket.
 pub fn next_on(call: Call, descriptor: RawFd) -> Option<Fault> {
-    // Looked at first: a message on a word that is not understood is itself written.
+    // The descriptor is checked before the variables are parsed, because the message about a value that cannot be
+    // parsed is itself written through this function.
     let socket = descriptors::find(descriptor)?;
     next(call, socket.port)
 }
 
-/// Notes that a call was cut short.
+/// Logs that a call transferred fewer bytes than requested.
 pub fn log_short(call: Call) {
     log(CALLS[call as usize], "short");
 }
@@ -178,10 +181,16 @@
     static FILE: OnceLock<Option<File>> = OnceLock::new();
     let file = FILE.get_or_init(|| {
         let path = env::var_os("FAULT_LOG")?;
-        Some(OpenOptions::new().append(true).create(true).open(path).expect("FAULT_LOG can be written"))
+        Some(
+            OpenOptions::new()
+                .append(true)
+                .create(true)
+                .open(path)
+                .expect("the file of FAULT_LOG can be opened"),
+        )
     });
     if let Some(mut file) = file.as_ref() {
-        // The file is no socket, so that this write is not affected.
+        // The file is not a socket, so no fault is injected into this write.
         let _ = file.write_all(format!("{call} {what}\n").as_bytes());
     }
 }
--- a/crates/fault-injection/src/wrappers.rs
+++ b/crates/fault-injection/src/wrappers.rs
@@ -1,5 +1,5 @@
-//! The wrapped functions. Each has the signature and the contract of the C library's function of its name, which it
-//! calls with the same arguments, or with fewer bytes, unless the call is to fail.
+//! The wrapped functions. Each has the signature and the contract of the C library function of the same name. It calls
+//! that function with the same arguments, or with fewer bytes, unless the call is to fail.
 
 use std::ffi::CStr;
 use std::mem::transmute;
@@ -14,15 +14,15 @@
 use crate::descriptors::{self, Watched};
 use crate::faults::{self, Call, Fault, log_short};
 
-/// The address of the C library's own function of this name.
+/// Returns the address of the C library function of this name.
 fn address_of(name: &CStr) -> usize {
-    // SAFETY: the name is a C string; `RTLD_NEXT` needs nothing else.
+    // SAFETY: the name is a C string, and a call with `RTLD_NEXT` has no further requirement.
     let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
-    assert!(!address.is_null(), "the C library has no {name:?}");
+    assert!(!address.is_null(), "function not found in the C library: {name:?}");
     address as usize
 }
 
-/// Calls the C library's own function: `real!(name(argument: type, ...) -> type)`.
+/// Calls the C library function of a name: `real!(name(argument => type, ...) -> type)`.
 macro_rules! real {
     ($name:ident($($argument:expr => $type:ty),*) -> $result:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
@@ -30,21 +30,23 @@
             unreachable!("the name has no zero byte")
         };
         let address = *ADDRESS.get_or_init(|| address_of(name));
-        // SAFETY: the function of this name has this signature; what it asks of its arguments the caller of the
-        // wrapper, which has the same contract, has seen to.
+        // SAFETY: the function of this name has this signature. The wrapper has the same contract, so its caller has
+        // ensured that the arguments are valid.
         unsafe {
             transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(address)($($argument),*)
         }
     }};
 }
 
+/// Sets `errno` to this error and returns -1.
 fn fail(error: c_int) -> c_int {
-    // SAFETY: the location is this thread's own, and valid for as long as the thread lives.
+    // SAFETY: the location belongs to this thread and is valid for the lifetime of the thread.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// Brings about the edge that a call which was cut short is taken to have used up.
+/// Triggers a new edge for a descriptor after a shortened call, because the runtime takes the descriptor to be not
+/// ready after a transfer of fewer bytes than requested.
 fn bring_edge(descriptor: c_int) {
     let watched = descriptors::find(descriptor).and_then(|socket| socket.watched);
     if let Some(Watched { epoll, events, data }) = watched {
@@ -55,7 +57,8 @@
     }
 }
 
-/// Makes a call on `length` bytes by what is to happen to it; `make` makes it on so many of them.
+/// Performs a transfer of `length` bytes with the fault that applies to it, if any. `make` calls the C library for the
+/// given number of bytes.
 fn transfer(call: Call, descriptor: c_int, length: usize, make: impl Fn(usize) -> ssize_t) -> ssize_t {
     if let Some(error) = descriptors::find(descriptor).and_then(|socket| socket.broken) {
         return fail(error) as ssize_t;
@@ -68,7 +71,7 @@
         _ => return make(length),
     };
     let done = make(most);
-    // One that did less by itself has used the socket up.
+    // A call that transferred even fewer bytes found that the socket was not ready any more, so no edge is missing.
     if done == most.cast_signed() {
         log_short(call);
         if let Some(error) = error {
@@ -79,7 +82,7 @@
     done
 }
 
-/// The error with which a call other than a transfer is to fail.
+/// Returns the error with which a call other than a transfer is to fail.
 fn error_of(fault: Option<Fault>) -> Option<c_int> {
     match fault? {
         Fault::Fails(error) => Some(error),
@@ -92,7 +95,7 @@
 /// `socket(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let internet = domain == libc::AF_INET || domain == libc::AF_INET6;
@@ -109,7 +112,7 @@
 /// `accept4(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     listener: c_int,
@@ -129,13 +132,13 @@
     descriptor
 }
 
-/// The port of an address; `None` if it is of no internet family.
+/// Returns the port of an address; `None` if it is neither an IPv4 nor an IPv6 address.
 ///
 /// # Safety
-/// `address` points to an address of its family's length.
-#[allow(clippy::cast_ptr_alignment, reason = "the program under test hands over a whole, aligned address")]
+/// `address` points to an address that has the length required by its family.
+#[allow(clippy::cast_ptr_alignment, reason = "the program under test passes a complete, aligned address")]
 unsafe fn port_of(address: *const sockaddr) -> Option<u16> {
-    // SAFETY: each address begins with its family; those of the internet families have the length of theirs.
+    // SAFETY: every address begins with its family, and the caller ensures that it has the length of that family.
     unsafe {
         match c_int::from((*address).sa_family) {
             libc::AF_INET => Some(u16::from_be((*address.cast::<libc::sockaddr_in>()).sin_port)),
@@ -148,10 +151,10 @@
 /// `connect(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: the caller hands over an address of this length.
+    // SAFETY: the caller passes an address of this length.
     if let Some(port) = unsafe { port_of(address) } {
         descriptors::connects(descriptor, port);
         if let Some(error) = error_of(faults::next_on(Call::Connect, descriptor)) {
@@ -164,7 +167,7 @@
 /// `close(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
     descriptors::closed(descriptor);
@@ -174,7 +177,7 @@
 /// `getsockopt(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn getsockopt(
     descriptor: c_int,
@@ -190,7 +193,7 @@
         && (level, name) == (libc::SOL_SOCKET, libc::SO_ERROR)
         && let Some(error) = error_of(faults::next_on(Call::SoError, descriptor))
     {
-        // SAFETY: this option is a C integer, and the call has just written one there.
+        // SAFETY: the value of this option is a C integer, which the call has just written there.
         unsafe { *value.cast::<c_int>() = error };
     }
     done
@@ -199,7 +202,7 @@
 /// `setsockopt(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn setsockopt(
     descriptor: c_int,
@@ -221,7 +224,7 @@
 /// `read(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
     transfer(
@@ -235,7 +238,7 @@
 /// `recv(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -257,7 +260,7 @@
 /// `recvfrom(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recvfrom(
     descriptor: c_int,
@@ -284,7 +287,7 @@
 /// `write(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     transfer(
@@ -298,7 +301,7 @@
 /// `send(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -316,7 +319,7 @@
 /// `sendto(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn sendto(
     descriptor: c_int,
@@ -334,14 +337,14 @@
     })
 }
 
-/// The bytes of some parts together, and the first `most` of them as parts.
+/// Returns the total length of the buffers, and a copy of them that is truncated to `most` bytes in all.
 ///
 /// # Safety
-/// `parts` points to `count` of them.
+/// `parts` points to `count` buffers.
 unsafe fn first_of(parts: *const iovec, count: usize, most: usize) -> (usize, Vec<iovec>) {
     let (mut length, mut first) = (0, Vec::new());
     for place in 0..count {
-        // SAFETY: there are as many.
+        // SAFETY: `parts` points to `count` buffers, and `place` is less than that.
         let mut part = unsafe { *parts.add(place) };
         let left = most.saturating_sub(length);
         length += part.iov_len;
@@ -354,14 +357,14 @@
 /// `writev(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     let number = usize::try_from(count).unwrap_or(0);
-    // SAFETY: the caller hands over as many parts.
+    // SAFETY: the caller passes an array of `count` buffers.
     let (length, _) = unsafe { first_of(parts, number, 0) };
     transfer(Call::Write, descriptor, length, |most| {
-        // SAFETY: as above.
+        // SAFETY: the buffers are still those of the caller.
         let (_, first) = unsafe { first_of(parts, number, most) };
         real!(writev(descriptor => c_int, first.as_ptr() => *const iovec, count => c_int) -> ssize_t)
     })
@@ -370,13 +373,13 @@
 /// `sendmsg(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn sendmsg(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
-    // SAFETY: the caller hands over a message, and as many parts as it says.
+    // SAFETY: the caller passes a valid message with as many buffers as it states.
     let (whole, (length, _)) = unsafe { (*message, first_of((*message).msg_iov, (*message).msg_iovlen, 0)) };
     transfer(Call::Write, descriptor, length, |most| {
-        // SAFETY: as above.
+        // SAFETY: the buffers are still those of the caller.
         let (_, mut first) = unsafe { first_of(whole.msg_iov, whole.msg_iovlen, most) };
         let message = msghdr { msg_iov: first.as_mut_ptr(), ..whole };
         real!(sendmsg(descriptor => c_int, &raw const message => *const msghdr, flags => c_int) -> ssize_t)
@@ -388,7 +391,7 @@
 /// `epoll_ctl(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_ctl(
     epoll: c_int,
@@ -401,7 +404,8 @@
     ) -> c_int);
     if done == 0 {
         let watched = (operation != libc::EPOLL_CTL_DEL).then(|| {
-            // SAFETY: the call, which needs an event unless it ends the watch, has succeeded; it may lie unaligned.
+            // SAFETY: the call has succeeded and every operation but a removal requires a valid event, which may be
+            // unaligned.
             let event = unsafe { ptr::read_unaligned(event) };
             Watched { epoll, events: event.events, data: event.u64 }
         });
@@ -413,7 +417,7 @@
 /// `epoll_wait(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
@@ -434,12 +438,12 @@
 /// `clock_gettime(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     let done = real!(clock_gettime(clock => clockid_t, time => *mut timespec) -> c_int);
     if done == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the call has just written it.
+        // SAFETY: the call has just written the time there.
         unsafe { *time = clock::shifted(*time) };
     }
     done
