--- a/crates/fault-injection/src/descriptors.rs
+++ b/crates/fault-injection/src/descriptors.rs
@@ -8,7 +8,7 @@
 
 /// The registration of a socket with an epoll instance.
 #[derive(Debug, Clone, Copy)]
-pub struct Watched {
+pub struct EpollRegistration {
     pub epoll: RawFd,
     pub events: u32,
     pub data: u64,
@@ -20,7 +20,7 @@
     /// Port that the socket connects to; `None` for an accepted or listening socket.
     pub port: Option<u16>,
     /// Registration of the socket with epoll; `None` while it is not registered.
-    pub watched: Option<Watched>,
+    pub watched: Option<EpollRegistration>,
     /// Error with which all transfers on the socket fail; `None` while the socket works.
     pub broken: Option<c_int>,
 }
@@ -32,12 +32,12 @@
 }
 
 /// Adds a new socket to the table.
-pub fn opened(descriptor: RawFd) {
+pub fn record_opened(descriptor: RawFd) {
     sockets().insert(descriptor, Socket::default());
 }
 
 /// Removes a descriptor from the table, if it is in it.
-pub fn closed(descriptor: RawFd) {
+pub fn record_closed(descriptor: RawFd) {
     sockets().remove(&descriptor);
 }
 
@@ -47,21 +47,21 @@
 }
 
 /// Records the port that a socket connects to.
-pub fn connects(descriptor: RawFd, port: u16) {
+pub fn record_port(descriptor: RawFd, port: u16) {
     if let Some(socket) = sockets().get_mut(&descriptor) {
         socket.port = Some(port);
     }
 }
 
 /// Records the registration of a socket with epoll, or its removal.
-pub fn watched(descriptor: RawFd, watched: Option<Watched>) {
+pub fn watched(descriptor: RawFd, watched: Option<EpollRegistration>) {
     if let Some(socket) = sockets().get_mut(&descriptor) {
         socket.watched = watched;
     }
 }
 
 /// Makes all later transfers on a socket fail with this error.
-pub fn breaks(descriptor: RawFd, error: c_int) {
+pub fn record_error(descriptor: RawFd, error: c_int) {
     if let Some(socket) = sockets().get_mut(&descriptor) {
         socket.broken = Some(error);
     }
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -77,7 +77,7 @@
     skip: u64,
     count: u64,
     ports: Vec<u16>,
-    seen: AtomicU64,
+    calls: AtomicU64,
     affected: AtomicU64,
 }
 
@@ -102,11 +102,11 @@
         Some(plan)
     }
 
-    fn next(&self, port: Option<u16>) -> Option<Fault> {
+    fn next_fault(&self, port: Option<u16>) -> Option<Fault> {
         if !self.ports.is_empty() && !port.is_some_and(|port| self.ports.contains(&port)) {
             return None;
         }
-        let number = self.seen.fetch_add(1, Ordering::Relaxed);
+        let number = self.calls.fetch_add(1, Ordering::Relaxed);
         if number < self.skip || !mix(SEED ^ number).is_multiple_of(self.every) {
             return None;
         }
@@ -159,17 +159,17 @@
 }
 
 /// Counts a call and returns the fault to inject into it, if any. `port` is the port that its socket connects to.
-pub fn next(call: Call, port: Option<u16>) -> Option<Fault> {
-    plans()[call as usize].as_ref()?.next(port)
+pub fn next_fault(call: Call, port: Option<u16>) -> Option<Fault> {
+    plans()[call as usize].as_ref()?.next_fault(port)
 }
 
 /// Counts a call on an existing socket and returns the fault to inject into it; `None` if the descriptor is not a TCP
 /// socket.
-pub fn next_on(call: Call, descriptor: RawFd) -> Option<Fault> {
+pub fn next_fault_on(call: Call, descriptor: RawFd) -> Option<Fault> {
     // The descriptor is checked before the variables are parsed, because the message about a value that cannot be
     // parsed is itself written through this function.
     let socket = descriptors::find(descriptor)?;
-    next(call, socket.port)
+    next_fault(call, socket.port)
 }
 
 /// Logs that a call transferred fewer bytes than requested.
--- a/crates/fault-injection/src/wrappers.rs
+++ b/crates/fault-injection/src/wrappers.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::clock;
-use crate::descriptors::{self, Watched};
+use crate::descriptors::{self, EpollRegistration};
 use crate::faults::{self, Call, Fault, log_short};
 
 /// Returns the address of the C library function of this name.
@@ -47,9 +47,9 @@
 
 /// Triggers a new edge for a descriptor after a shortened call, because the runtime takes the descriptor to be not
 /// ready after a transfer of fewer bytes than requested.
-fn bring_edge(descriptor: c_int) {
+fn trigger_edge(descriptor: c_int) {
     let watched = descriptors::find(descriptor).and_then(|socket| socket.watched);
-    if let Some(Watched { epoll, events, data }) = watched {
+    if let Some(EpollRegistration { epoll, events, data }) = watched {
         let mut event = epoll_event { events, u64: data };
         real!(epoll_ctl(
             epoll => c_int, libc::EPOLL_CTL_MOD => c_int, descriptor => c_int, &raw mut event => *mut epoll_event
@@ -57,29 +57,29 @@
     }
 }
 
-/// Performs a transfer of `length` bytes with the fault that applies to it, if any. `make` calls the C library for the
-/// given number of bytes.
-fn transfer(call: Call, descriptor: c_int, length: usize, make: impl Fn(usize) -> ssize_t) -> ssize_t {
+/// Performs a transfer of `length` bytes with the fault that applies to it, if any. `call_real` calls the C library
+/// for the given number of bytes.
+fn transfer(call: Call, descriptor: c_int, length: usize, call_real: impl Fn(usize) -> ssize_t) -> ssize_t {
     if let Some(error) = descriptors::find(descriptor).and_then(|socket| socket.broken) {
         return fail(error) as ssize_t;
     }
-    let (most, error) = match faults::next_on(call, descriptor) {
+    let (limit, error) = match faults::next_fault_on(call, descriptor) {
         Some(Fault::Fails(error)) => return fail(error) as ssize_t,
-        Some(Fault::Short(most, error)) if most < length || most == length && error.is_some() => {
-            (most, error)
+        Some(Fault::Short(limit, error)) if limit < length || limit == length && error.is_some() => {
+            (limit, error)
         }
-        _ => return make(length),
+        _ => return call_real(length),
     };
-    let done = make(most);
+    let returned = call_real(limit);
     // A call that transferred even fewer bytes found that the socket was not ready any more, so no edge is missing.
-    if done == most.cast_signed() {
+    if returned == limit.cast_signed() {
         log_short(call);
         if let Some(error) = error {
-            descriptors::breaks(descriptor, error);
+            descriptors::record_error(descriptor, error);
         }
-        bring_edge(descriptor);
+        trigger_edge(descriptor);
     }
-    done
+    returned
 }
 
 /// Returns the error with which a call other than a transfer is to fail.
@@ -99,12 +99,12 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let internet = domain == libc::AF_INET || domain == libc::AF_INET6;
-    if internet && let Some(error) = error_of(faults::next(Call::Socket, None)) {
+    if internet && let Some(error) = error_of(faults::next_fault(Call::Socket, None)) {
         return fail(error);
     }
     let descriptor = real!(socket(domain => c_int, kind => c_int, protocol => c_int) -> c_int);
     if internet && descriptor >= 0 {
-        descriptors::opened(descriptor);
+        descriptors::record_opened(descriptor);
     }
     descriptor
 }
@@ -120,14 +120,14 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = error_of(faults::next_on(Call::Accept, listener)) {
+    if let Some(error) = error_of(faults::next_fault_on(Call::Accept, listener)) {
         return fail(error);
     }
     let descriptor = real!(accept4(
         listener => c_int, address => *mut sockaddr, length => *mut socklen_t, flags => c_int
     ) -> c_int);
     if descriptor >= 0 && descriptors::find(listener).is_some() {
-        descriptors::opened(descriptor);
+        descriptors::record_opened(descriptor);
     }
     descriptor
 }
@@ -156,8 +156,8 @@
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
     // SAFETY: the caller passes an address of this length.
     if let Some(port) = unsafe { port_of(address) } {
-        descriptors::connects(descriptor, port);
-        if let Some(error) = error_of(faults::next_on(Call::Connect, descriptor)) {
+        descriptors::record_port(descriptor, port);
+        if let Some(error) = error_of(faults::next_fault_on(Call::Connect, descriptor)) {
             return fail(error);
         }
     }
@@ -170,7 +170,7 @@
 /// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    descriptors::closed(descriptor);
+    descriptors::record_closed(descriptor);
     real!(close(descriptor => c_int) -> c_int)
 }
 
@@ -186,17 +186,17 @@
     value: *mut c_void,
     length: *mut socklen_t,
 ) -> c_int {
-    let done = real!(getsockopt(
+    let returned = real!(getsockopt(
         descriptor => c_int, level => c_int, name => c_int, value => *mut c_void, length => *mut socklen_t
     ) -> c_int);
-    if done == 0
+    if returned == 0
         && (level, name) == (libc::SOL_SOCKET, libc::SO_ERROR)
-        && let Some(error) = error_of(faults::next_on(Call::SoError, descriptor))
+        && let Some(error) = error_of(faults::next_fault_on(Call::SoError, descriptor))
     {
         // SAFETY: the value of this option is a C integer, which the call has just written there.
         unsafe { *value.cast::<c_int>() = error };
     }
-    done
+    returned
 }
 
 /// `setsockopt(2)`.
@@ -211,7 +211,7 @@
     value: *const c_void,
     length: socklen_t,
 ) -> c_int {
-    if let Some(error) = error_of(faults::next_on(Call::SetSockOpt, descriptor)) {
+    if let Some(error) = error_of(faults::next_fault_on(Call::SetSockOpt, descriptor)) {
         return fail(error);
     }
     real!(setsockopt(
@@ -246,15 +246,15 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    let make = |length| {
+    let call_real = |length| {
         real!(recv(
             descriptor => c_int, buffer => *mut c_void, length => size_t, flags => c_int
         ) -> ssize_t)
     };
     if flags & libc::MSG_PEEK != 0 {
-        return make(length);
+        return call_real(length);
     }
-    transfer(Call::Read, descriptor, length, make)
+    transfer(Call::Read, descriptor, length, call_real)
 }
 
 /// `recvfrom(2)`.
@@ -270,16 +270,16 @@
     address: *mut sockaddr,
     address_length: *mut socklen_t,
 ) -> ssize_t {
-    let make = |length| {
+    let call_real = |length| {
         real!(recvfrom(
             descriptor => c_int, buffer => *mut c_void, length => size_t, flags => c_int,
             address => *mut sockaddr, address_length => *mut socklen_t
         ) -> ssize_t)
     };
     if flags & libc::MSG_PEEK != 0 {
-        return make(length);
+        return call_real(length);
     }
-    transfer(Call::Read, descriptor, length, make)
+    transfer(Call::Read, descriptor, length, call_real)
 }
 
 // --- Writes ---
@@ -337,16 +337,16 @@
     })
 }
 
-/// Returns the total length of the buffers, and a copy of them that is truncated to `most` bytes in all.
+/// Returns the total length of the buffers, and a copy of them that is truncated to `limit` bytes in all.
 ///
 /// # Safety
 /// `parts` points to `count` buffers.
-unsafe fn first_of(parts: *const iovec, count: usize, most: usize) -> (usize, Vec<iovec>) {
+unsafe fn truncated(parts: *const iovec, count: usize, limit: usize) -> (usize, Vec<iovec>) {
     let (mut length, mut first) = (0, Vec::new());
     for place in 0..count {
         // SAFETY: `parts` points to `count` buffers, and `place` is less than that.
         let mut part = unsafe { *parts.add(place) };
-        let left = most.saturating_sub(length);
+        let left = limit.saturating_sub(length);
         length += part.iov_len;
         part.iov_len = part.iov_len.min(left);
         first.push(part);
@@ -362,10 +362,10 @@
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     let number = usize::try_from(count).unwrap_or(0);
     // SAFETY: the caller passes an array of `count` buffers.
-    let (length, _) = unsafe { first_of(parts, number, 0) };
-    transfer(Call::Write, descriptor, length, |most| {
+    let (length, _) = unsafe { truncated(parts, number, 0) };
+    transfer(Call::Write, descriptor, length, |limit| {
         // SAFETY: the buffers are still those of the caller.
-        let (_, first) = unsafe { first_of(parts, number, most) };
+        let (_, first) = unsafe { truncated(parts, number, limit) };
         real!(writev(descriptor => c_int, first.as_ptr() => *const iovec, count => c_int) -> ssize_t)
     })
 }
@@ -377,11 +377,12 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn sendmsg(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
     // SAFETY: the caller passes a valid message with as many buffers as it states.
-    let (whole, (length, _)) = unsafe { (*message, first_of((*message).msg_iov, (*message).msg_iovlen, 0)) };
-    transfer(Call::Write, descriptor, length, |most| {
+    let (original, (length, _)) =
+        unsafe { (*message, truncated((*message).msg_iov, (*message).msg_iovlen, 0)) };
+    transfer(Call::Write, descriptor, length, |limit| {
         // SAFETY: the buffers are still those of the caller.
-        let (_, mut first) = unsafe { first_of(whole.msg_iov, whole.msg_iovlen, most) };
-        let message = msghdr { msg_iov: first.as_mut_ptr(), ..whole };
+        let (_, mut first) = unsafe { truncated(original.msg_iov, original.msg_iovlen, limit) };
+        let message = msghdr { msg_iov: first.as_mut_ptr(), ..original };
         real!(sendmsg(descriptor => c_int, &raw const message => *const msghdr, flags => c_int) -> ssize_t)
     })
 }
@@ -399,19 +400,19 @@
     descriptor: c_int,
     event: *mut epoll_event,
 ) -> c_int {
-    let done = real!(epoll_ctl(
+    let returned = real!(epoll_ctl(
         epoll => c_int, operation => c_int, descriptor => c_int, event => *mut epoll_event
     ) -> c_int);
-    if done == 0 {
+    if returned == 0 {
         let watched = (operation != libc::EPOLL_CTL_DEL).then(|| {
             // SAFETY: the call has succeeded and every operation but a removal requires a valid event, which may be
             // unaligned.
             let event = unsafe { ptr::read_unaligned(event) };
-            Watched { epoll, events: event.events, data: event.u64 }
+            EpollRegistration { epoll, events: event.events, data: event.u64 }
         });
         descriptors::watched(descriptor, watched);
     }
-    done
+    returned
 }
 
 /// `epoll_wait(2)`.
@@ -422,14 +423,14 @@
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    limit: c_int,
     timeout_ms: c_int,
 ) -> c_int {
-    if let Some(error) = error_of(faults::next(Call::Wait, None)) {
+    if let Some(error) = error_of(faults::next_fault(Call::Wait, None)) {
         return fail(error);
     }
     real!(epoll_wait(
-        epoll => c_int, events => *mut epoll_event, most => c_int, timeout_ms => c_int
+        epoll => c_int, events => *mut epoll_event, limit => c_int, timeout_ms => c_int
     ) -> c_int)
 }
 
@@ -441,10 +442,10 @@
 /// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let done = real!(clock_gettime(clock => clockid_t, time => *mut timespec) -> c_int);
-    if done == 0 && clock == libc::CLOCK_REALTIME {
+    let returned = real!(clock_gettime(clock => clockid_t, time => *mut timespec) -> c_int);
+    if returned == 0 && clock == libc::CLOCK_REALTIME {
         // SAFETY: the call has just written the time there.
         unsafe { *time = clock::shifted(*time) };
     }
-    done
+    returned
 }
