--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -1,4 +1,4 @@
-//! Clients that write requests byte by byte and read what comes.
+//! Clients that write the bytes of requests themselves and read the answers.
 
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -6,7 +6,7 @@
 
 use super::{LONG, Message, all_of, read_message};
 
-/// The text of a request as clients write it.
+/// Returns the text of a request of this class with this body, as a client writes it.
 fn request(class: &str, body: &str) -> String {
     let (method, key) = if class == "read" { ("GET", "") } else { ("POST", "Idempotency-Key: k-1\r\n") };
     format!(
@@ -16,61 +16,64 @@
     )
 }
 
-/// A client's request with these bytes behind it.
+/// Returns the bytes of a request of the class `order`, followed by `extra`.
 pub fn order_with(extra: &[u8]) -> Vec<u8> {
     let head = "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\
                 Content-Length: 3\r\n\r\none";
     [head.as_bytes(), extra].concat()
 }
 
-/// A client's connection.
+/// A client with one connection.
 pub struct Client(pub TcpStream);
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Self {
-        Self::new(TcpStream::connect(address).expect("accepted"))
+        Self::new(TcpStream::connect(address).expect("the connection is accepted"))
     }
 
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(LONG)).expect("the read time-out is set");
         Self(stream)
     }
 
-    /// Asks for the balancer's health, as the front does; `None` if the connection ends before the answer.
+    /// Sends a health check, as the front does, and returns the status of the answer; `None` if the connection ends
+    /// before the answer.
     pub fn health(&mut self) -> Option<u16> {
         self.raw(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n");
         self.answer().map(|answer| answer.status())
     }
 
-    /// Asks on a connection that may be closed by now.
+    /// Sends a request and returns its answer; `None` if the connection is closed before the answer is complete.
     pub fn try_ask(&mut self, class: &str, body: &str) -> Option<Message> {
         self.0.write_all(request(class, body).as_bytes()).ok()?;
         self.answer()
     }
 
+    /// Sends a request without reading its answer.
     pub fn send(&mut self, class: &str, body: &str) {
         self.raw(request(class, body).as_bytes());
     }
 
     pub fn raw(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).expect("written");
+        self.0.write_all(bytes).expect("the bytes are written");
     }
 
-    /// The answer, if one comes before the connection ends.
+    /// Reads the next answer; `None` if the connection ends before the answer is complete.
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
 
+    /// Sends a request and returns its answer.
     pub fn ask(&mut self, class: &str, body: &str) -> Message {
         self.send(class, body);
-        self.answer().expect("an answer")
+        self.answer().expect("an answer before the connection ends")
     }
 }
 
-/// An answer must have arrived this long after its request's time at the latest.
+/// How long after the deadline of its request an answer may arrive at the latest.
 pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-/// A request whose client has so many seconds left.
+/// Returns the bytes of a request with this body and a deadline of this many seconds.
 pub fn timed(class: &str, body: &str, seconds: f64) -> Vec<u8> {
     let (method, key) = if class == "read" {
         ("GET", String::new())
@@ -85,8 +88,9 @@
     .into_bytes()
 }
 
-/// Whether the connection ends with nothing more on it: each request has had its one answer.
+/// Closes the sending side and returns whether the connection ends without further data, that is, whether no request
+/// was answered twice.
 pub fn ends_empty(client: Client) -> bool {
-    client.0.shutdown(Shutdown::Write).expect("open");
+    client.0.shutdown(Shutdown::Write).expect("the connection is open");
     all_of(client.0).is_empty()
 }
--- a/crates/proxy/tests/common/discovery.rs
+++ b/crates/proxy/tests/common/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for discovery.
+//! A simulated discovery server.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::mpsc::{self, Receiver};
@@ -8,10 +8,10 @@
 use super::watch::serve_watch;
 use super::{LONG, Watch, read_message};
 
-/// A discovery whose watches say what the test hands over.
+/// A discovery server that sends on its watches what the test passes to it.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// The request lines of the watches, in order, each with what feeds it.
+    /// The watches that have been opened, in order, each with its request line.
     watches: Receiver<(String, Watch)>,
 }
 
@@ -20,14 +20,14 @@
         Self::beating(Duration::from_millis(500))
     }
 
-    /// One whose watches say so every `beat` that nothing has changed.
+    /// Starts a discovery server that sends a heartbeat on a watch when it has sent nothing for `beat`.
     pub fn beating(beat: Duration) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), beat)
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port is available"), beat)
     }
 
-    /// The same on a listener of the test's.
+    /// Starts a discovery server on this listener, with a heartbeat after `beat` without data.
     pub fn on(listener: TcpListener, beat: Duration) -> Self {
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the socket has a local address");
         let (opened, watches) = mpsc::channel();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
@@ -41,7 +41,7 @@
         Self { address, watches }
     }
 
-    /// The next watch that the balancer opens.
+    /// Waits for the next watch that the balancer opens, and returns it with its request line.
     pub fn watch(&self) -> (String, Watch) {
         self.watches.recv_timeout(LONG).expect("the balancer opens a watch")
     }
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop without a listener: a test hands it requests itself.
+//! An event loop without a listener, to which tests pass requests directly.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,21 +16,22 @@
 
 use super::parsed;
 
-/// Runs a test on a runtime of its own, with an event loop of this configuration.
+/// Runs a test on a new runtime with an event loop that has this configuration.
 pub fn drive(configuration: &str, test: impl AsyncFnOnce(&Rc<EventLoop>)) {
     let config = parsed(configuration);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime starts");
     LocalSet::new().block_on(&runtime, async {
-        let event_loop = EventLoop::start(config).expect("sound settings");
+        let event_loop = EventLoop::start(config).expect("valid settings");
         test(&event_loop).await;
     });
 }
 
-/// What is sent to an upstream for a request of this class.
+/// Creates the part of a request of this class that is forwarded to upstreams.
 pub fn call(class: &str, body: Bytes) -> Call {
     Call {
         method: if class == "read" { Method::GET } else { Method::POST },
-        uri: format!("/{class}").parse::<Uri>().expect("a path"),
+        uri: format!("/{class}").parse::<Uri>().expect("a valid URI"),
         host: HeaderValue::from_static("origin.svc"),
         id: HeaderValue::from_static("r-1"),
         key: (class == "pay").then(|| HeaderValue::from_static("k-1")),
@@ -39,7 +40,7 @@
     }
 }
 
-/// A request with that call, of the client at the other end of `near`.
+/// Creates a request that forwards `call`, from the client that is connected to the socket `near`.
 pub fn accepted_request(
     class: ClassId,
     tenant: Option<TenantId>,
@@ -59,7 +60,7 @@
     }
 }
 
-/// Hands the event loop a request of this class with this body, and gives what receives its answer.
+/// Passes a request of this class with this body to the event loop, and returns the receiver of its answer.
 pub fn accept(
     event_loop: &Rc<EventLoop>,
     class: &str,
@@ -68,22 +69,23 @@
     deadline: Instant,
 ) -> oneshot::Receiver<Answer> {
     let name_registry = event_loop.name_registry();
-    let class_id = name_registry.class(class).expect("it is offered").id;
+    let class_id = name_registry.class(class).expect("the settings have the class").id;
     let tenant = name_registry.tenant("acme");
     event_loop.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
 }
 
-/// Waits until a connection that has just carried an answer may carry the next request.
+/// Waits until a connection that has just received an answer is idle and can carry the next request.
 pub async fn wait_for_rest() {
     tokio::time::sleep(Duration::from_millis(30)).await;
 }
 
-/// A client's connection, and the balancer's side of it.
+/// Creates a client connection, and returns the client's side and the balancer's side of it.
 pub fn connected_pair() -> (std::net::TcpStream, Socket) {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let client = std::net::TcpStream::connect(listener.local_addr().expect("bound")).expect("accepted");
-    let (near, _) = listener.accept().expect("a connection");
-    near.set_nonblocking(true).expect("set");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let client = std::net::TcpStream::connect(listener.local_addr().expect("the socket has a local address"))
+        .expect("the connection is accepted");
+    let (near, _) = listener.accept().expect("a connection is accepted");
+    near.set_nonblocking(true).expect("non-blocking mode is set");
     let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
     (client, Socket::new(near))
 }
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -1,5 +1,5 @@
-//! The program with the library of `crates/fault-injection` loaded before the C library, clients that load it, and how
-//! their requests ended.
+//! The program with the library of `crates/fault-injection` preloaded, clients that generate load, and the outcomes of
+//! their requests.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Read};
@@ -12,42 +12,47 @@
 
 use super::*;
 
-/// Clients at a time.
+/// Number of concurrent clients.
 pub const CLIENTS: usize = 8;
-/// Requests of each.
+/// Number of requests that each client sends.
 pub const REQUESTS: usize = 150;
-/// Upstreams.
+/// Number of upstreams.
 pub const UPSTREAMS: usize = 4;
-/// An attempt waits so long for a connection at the most.
+/// Default connect time-out in seconds.
 pub const USUAL_DIAL_S: f64 = 5.0;
-/// The classes of a client's requests, in turn.
+/// Classes of the requests, which each client uses in turn.
 pub const CLASSES: [&str; 3] = ["read", "pay", "order"];
 
-/// Where the library is: cargo builds it beside the tests, as their package names it.
+/// Returns the path of the fault-injection library. Cargo builds it next to the test executables, because it is a
+/// dev-dependency of their package.
 pub fn library() -> PathBuf {
-    let tests = std::env::current_exe().expect("a test");
+    let tests = std::env::current_exe().expect("the path of the test executable");
     let library = tests.with_file_name("libfault_injection.so");
-    assert!(library.exists(), "not built: {}", library.display());
+    assert!(library.exists(), "expected the fault-injection library at {}", library.display());
     library
 }
 
-/// The program with faults, and the world around it.
+/// The program with injected faults, its upstreams and its discovery server.
 pub struct Site {
     pub upstreams: Vec<Upstream>,
     pub discovery: Discovery,
     program: Child,
+    /// Address that the program listens on.
     pub address: SocketAddr,
+    /// Lines that the program has logged.
     pub log: Arc<Mutex<Vec<String>>>,
+    /// File in which the library logs each fault.
     faults: PathBuf,
 }
 
 impl Site {
-    /// Starts the program with these variables of the library, which get the ports of the upstreams.
+    /// Starts the program with the variables of the library that `variables` returns. It is called with the ports of
+    /// the upstreams, separated by `+`.
     pub fn start(variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
         Self::start_with(USUAL_DIAL_S, variables)
     }
 
-    /// The same where an attempt waits so long for a connection at the most.
+    /// Starts the program like [`Self::start`], with a connect time-out of `dial_timeout` seconds.
     pub fn start_with(dial_timeout: f64, variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
         let upstreams: Vec<Upstream> =
             (0..UPSTREAMS).map(|_| Upstream::start(|_, request| ok(&echo(request)))).collect();
@@ -68,32 +73,34 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("starts");
+            .expect("the process starts");
         let (address, reader) = address(&mut program);
         let log = Arc::new(Mutex::new(Vec::new()));
         keep_lines(reader, Arc::clone(&log));
         Self { upstreams, discovery, program, address, log, faults }
     }
 
-    /// How many calls of that name were affected so, or at all.
+    /// Returns how many calls of the kind `call` were affected. If `what` is given, an error name or `short`, only
+    /// calls with that fault count.
     pub fn faults(&self, call: &str, what: Option<&str>) -> usize {
         let text = fs::read_to_string(&self.faults).unwrap_or_default();
         let affected = text.lines().filter_map(|line| line.split_once(' '));
         affected.filter(|(name, how)| *name == call && what.is_none_or(|what| what == *how)).count()
     }
 
-    /// How often the upstreams together had a request with this body.
+    /// Returns how many requests with this body all upstreams together have received.
     pub fn runs(&self, body: &str) -> usize {
         self.upstreams.iter().map(|upstream| upstream.count_of(body)).sum()
     }
 
-    /// Has all clients ask, and checks what holds under any fault: an answer on each connection that was not closed
-    /// before it, with the upstream's own text if served, nothing behind the last, and nothing unsafe run twice.
+    /// Runs all clients on persistent connections, and checks what holds under any fault: each request is answered or
+    /// its connection closed, a served answer has the text of the upstream, and nothing follows the last answer.
+    /// Returns the outcomes of the requests.
     pub fn ask_all(&self) -> Tally {
         self.ask_all_on(false)
     }
 
-    /// The same, on a `fresh` connection for each request.
+    /// Runs all clients like [`Self::ask_all`], with a new connection for each request if `fresh` is set.
     pub fn ask_all_on(&self, fresh: bool) -> Tally {
         let tally = Tally::default();
         thread::scope(|scope| {
@@ -105,21 +112,21 @@
         tally
     }
 
-    /// Checks that no request that must not be sent again was.
+    /// Asserts that no request of the class `order`, which must not be repeated, ran more than once.
     pub fn check_runs(&self) {
         for client in 0..CLIENTS {
             for request in (0..REQUESTS).filter(|request| CLASSES[request % CLASSES.len()] == "order") {
                 let body = format!("{client}-{request}");
                 let runs = self.runs(&body);
-                assert!(runs <= 1, "{body} ran {runs} times");
+                assert!(runs <= 1, "request {body}: expected at most 1 run, got {runs}");
             }
         }
     }
 
-    /// The counts of the program's next line that counts `accepted` requests or more since the start.
+    /// Waits until the program's counts add up to at least `accepted` requests since its start, and returns the counts.
     pub fn log_counts(&self, accepted: u64) -> LogCounts {
-        wait_for("a line of counts", || {
-            let log = self.log.lock().expect("no panic");
+        wait_for("the logged counts include all requests", || {
+            let log = self.log.lock().expect("the lock is not poisoned");
             let lines = log.iter().filter(|line| line.contains("requests: "));
             let log_counts = lines.fold(LogCounts::default(), |log_counts, line| log_counts.with(line));
             (log_counts.accepted >= accepted).then_some(log_counts)
@@ -137,7 +144,7 @@
     }
 }
 
-/// Asks one after the other, on one connection as long as it stands.
+/// Sends the requests of one client in turn, on one connection while it stays open, or each on a new one if `fresh`.
 fn ask_in_turn(address: SocketAddr, number: usize, fresh: bool, tally: &Tally) {
     let mut client = None;
     for request in 0..REQUESTS {
@@ -153,23 +160,25 @@
         }
     }
     if let Some(Client(stream)) = client {
-        assert_eq!(rest_of(stream), b"", "behind the last answer");
+        assert_eq!(rest_of(stream), b"", "expected no bytes after the last answer");
     }
 }
 
-/// What an upstream answers.
+/// Returns the body with which an upstream answers a request.
 fn echo(request: &Message) -> String {
     format!("{} served", String::from_utf8_lossy(&request.body))
 }
 
+/// Appends the lines of a log to `lines` on a separate thread.
 fn keep_lines(log: BufReader<ChildStderr>, lines: Arc<Mutex<Vec<String>>>) {
     thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
-            lines.lock().expect("no panic").push(line);
+            lines.lock().expect("the lock is not poisoned").push(line);
         }
     });
 }
 
+/// Closes the sending side of a connection, and returns what is received on it until it ends.
 fn rest_of(mut stream: TcpStream) -> Vec<u8> {
     let _ = stream.shutdown(Shutdown::Write);
     let mut rest = Vec::new();
@@ -177,13 +186,16 @@
     rest
 }
 
-/// How requests ended for their clients.
+/// Outcomes of requests as their clients saw them.
 #[derive(Debug, Default)]
 pub struct Tally {
+    /// Number of requests that were answered with 200.
     served: AtomicUsize,
+    /// Number of requests that were answered with 503.
     refused: AtomicUsize,
+    /// Number of requests that were answered with 502 or 504.
     failed: AtomicUsize,
-    /// The connection was closed with no answer.
+    /// Number of requests whose connection was closed without an answer.
     closed: AtomicUsize,
 }
 
@@ -192,6 +204,7 @@
         count.fetch_add(1, Ordering::Relaxed);
     }
 
+    /// Counts the outcome of the request with this body, and checks the body of a served answer.
     fn take(&self, answer: &Message, body: &str) {
         match answer.status() {
             200 => {
@@ -200,26 +213,31 @@
             }
             503 => self.add(&self.refused),
             502 | 504 => self.add(&self.failed),
-            _ => panic!("{body} was answered {}", answer.line),
+            _ => panic!("request {body}: expected status 200, 502, 503 or 504, got {}", answer.line),
         }
     }
 
-    /// Served, refused, failed, closed.
+    /// Returns the numbers of served, refused and failed requests and of closed connections, in this order.
     pub fn counts(&self) -> [usize; 4] {
         [&self.served, &self.refused, &self.failed, &self.closed].map(|count| count.load(Ordering::Relaxed))
     }
 }
 
-/// What lines of counts tell together.
+/// Counts of the program's log lines that begin with `requests: `, added up or reduced to their extremes.
 #[derive(Debug, Default)]
 pub struct LogCounts {
+    /// Sum of the numbers of accepted requests (`taken`).
     pub accepted: u64,
+    /// Sum of the numbers of attempts whose upstream was unreachable (`unreached`).
     pub unreachable: u64,
+    /// Sum of the numbers of attempts that were not connected in time.
     pub late: u64,
+    /// Sum of the numbers of attempts that were not sent (`unsent`).
     pub unsent: u64,
-    /// The least part of the tier that the program took itself to have.
+    /// Smallest fraction of the tier's capacity that the program took to be available (`had`); `None` before the first
+    /// line.
     pub had: Option<f64>,
-    /// The most that it took for congestion.
+    /// Largest congestion level that the program measured (`crowding`).
     pub congestion: f64,
 }
 
@@ -236,17 +254,17 @@
     }
 }
 
-/// The number before a word of a line.
+/// Returns the number before `word` in a line.
 fn before(line: &str, word: &str) -> u64 {
-    let (text, _) = line.split_once(word).unwrap_or_else(|| panic!("no{word} in {line}"));
+    let (text, _) = line.split_once(word).unwrap_or_else(|| panic!("expected `{word}` in the line: {line}"));
     text.rsplit(' ').next().and_then(|text| text.parse().ok()).expect("a number")
 }
 
-/// The number behind a word of a line.
+/// Returns the number after `word` in a line.
 fn behind(line: &str, word: &str) -> f64 {
-    let (_, text) = line.split_once(word).unwrap_or_else(|| panic!("no {word} in {line}"));
+    let (_, text) = line.split_once(word).unwrap_or_else(|| panic!("expected `{word}` in the line: {line}"));
     text.split([',', ' ']).next().and_then(|text| text.parse().ok()).expect("a number")
 }
 
-/// All requests there are.
+/// Number of requests that all clients send.
 pub const ALL: usize = CLIENTS * REQUESTS;
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams to which connections do not come up until the test says so.
+//! Upstreams to which no connection is established until the test allows it.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc;
@@ -8,22 +8,24 @@
 
 use super::{LONG, Message, Reply, SOON, Upstream, all_of, wait_for};
 
-/// A socket with a port of its own, to which nobody can connect yet. Its address is of this process alone: what still
-/// looks for a peer of another's that has gone must not find this one.
+/// Creates a socket that is bound to a free port but does not listen yet. Its IP address is derived from the process
+/// ID, so that a program that still tries to connect to an upstream of an earlier test process cannot reach it.
 pub fn bound() -> (Socket, SocketAddr) {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket is created");
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     let any = SocketAddr::from(([127, high + 1, middle, low], 0));
-    socket.bind(&any.into()).expect("a free port");
-    let address = socket.local_addr().expect("bound").as_socket().expect("of IPv4");
+    socket.bind(&any.into()).expect("a free port is available");
+    let address =
+        socket.local_addr().expect("the socket has a local address").as_socket().expect("an IPv4 address");
     (socket, address)
 }
 
-/// The local ports of the connects to an address that are under way.
+/// Returns the local ports of all pending connects to an address.
 pub fn connecting(address: SocketAddr) -> Vec<u16> {
     let mut ports = listed_connecting(address);
     loop {
-        // While other sockets come and go the system lists some twice, and may pass over others.
+        // While sockets are opened and closed the system may list some of them twice and omit others, so the list is
+        // read until two readings agree.
         let before = std::mem::replace(&mut ports, listed_connecting(address));
         if ports == before {
             return ports;
@@ -31,14 +33,15 @@
     }
 }
 
+/// Reads the local ports of the pending connects to an address from the system's list of sockets once.
 fn listed_connecting(address: SocketAddr) -> Vec<u16> {
-    let SocketAddr::V4(address) = address else { panic!("of IPv4") };
+    let SocketAddr::V4(address) = address else { panic!("expected an IPv4 address, got {address}") };
     let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system lists its sockets");
     let mut ports = Vec::new();
     for line in sockets.lines().skip(1) {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        // A SYN is out.
+        // State 02 is SYN_SENT.
         if fields[2] == remote && fields[3] == "02" {
             let port = fields[1].rsplit(':').next().expect("an address");
             ports.push(u16::from_str_radix(port, 16).expect("a port"));
@@ -49,11 +52,12 @@
     ports
 }
 
-/// An upstream to which connections do not come up until [`LateUpstream::open`]: the system takes no more than its queue
-/// holds, and tries again a second later.
+/// An upstream to which no connection is established until [`LateUpstream::open`] or [`LateUpstream::serve`]. Its
+/// accept queue is full, so the system drops each SYN, and the balancer's system sends it again a second later.
 pub struct LateUpstream {
     listener: Socket,
     pub address: SocketAddr,
+    /// The test's own connections, which fill the accept queue.
     queue: Vec<TcpStream>,
 }
 
@@ -64,42 +68,45 @@
         late
     }
 
-    /// One that takes a connection as long as none waits to be accepted.
+    /// Starts an upstream whose accept queue holds one connection, and is empty.
     pub fn with_room_for_one() -> Self {
         let (listener, address) = bound();
-        // A queue of no length holds one.
-        listener.listen(0).expect("listens");
-        listener.set_read_timeout(Some(LONG)).expect("set");
+        // With a backlog of 0 the accept queue holds one connection.
+        listener.listen(0).expect("the socket listens");
+        listener.set_read_timeout(Some(LONG)).expect("the read time-out is set");
         Self { listener, address, queue: Vec::new() }
     }
 
-    /// The next connection, which leaves its place in the queue.
+    /// Accepts the next connection, which frees its place in the accept queue.
     pub fn accept(&self) -> TcpStream {
-        self.listener.accept().expect("a connection").0.into()
+        self.listener.accept().expect("a connection is accepted").0.into()
     }
 
-    /// From here on no connection comes up.
+    /// Fills the accept queue with a connection of the test, so that no further connection is established.
     pub fn close_up(&mut self) {
-        self.queue.push(TcpStream::connect(self.address).expect("the queue takes it"));
+        self.queue
+            .push(TcpStream::connect(self.address).expect("the accept queue has room for one connection"));
     }
 
-    /// Waits until the balancer has asked for so many connections.
+    /// Waits until at least `count` connects to this upstream are pending.
     pub fn wait_connecting(&self, count: usize) {
-        wait_for("connects are under way", || (connecting(self.address).len() >= count).then_some(()));
+        wait_for("enough connects are pending", || (connecting(self.address).len() >= count).then_some(()));
     }
 
-    /// Waits until so many connects are left under way.
+    /// Waits until at most `count` connects to this upstream are pending.
     pub fn wait_connecting_falls(&self, count: usize) {
-        wait_for("connects are let go of", || (connecting(self.address).len() <= count).then_some(()));
+        wait_for("connects are abandoned", || (connecting(self.address).len() <= count).then_some(()));
     }
 
-    /// Lets connections come up, and gives those of the balancer as they come.
+    /// Lets connections be established, and returns a receiver of those that the balancer opens.
     pub fn open(self) -> mpsc::Receiver<TcpStream> {
         let (report, came) = mpsc::channel();
         let (listener, own) = self.lift();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if !own.contains(&stream.peer_addr().expect("up")) && report.send(stream).is_err() {
+                if !own.contains(&stream.peer_addr().expect("the connection has a remote address"))
+                    && report.send(stream).is_err()
+                {
                     return;
                 }
             }
@@ -107,32 +114,33 @@
         came
     }
 
-    /// Lets connections come up, and serves them.
+    /// Lets connections be established, and answers requests on them as the script determines.
     pub fn serve(self, script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Upstream {
         let (listener, own) = self.lift();
         Upstream::on(listener, own, move |number, message, _| script(number, message))
     }
 
-    /// The listener with capacity for connections, and where the test's own ones come from.
+    /// Enlarges the accept queue, and returns the listener and the local addresses of the test's own connections.
     fn lift(self) -> (TcpListener, Vec<SocketAddr>) {
-        let own = self.queue.iter().map(|own| own.local_addr().expect("up")).collect();
-        // Capacity for all of them: one that finds none would be left half open.
-        self.listener.listen(1024).expect("listens");
-        self.listener.set_read_timeout(None).expect("set");
+        let own =
+            self.queue.iter().map(|own| own.local_addr().expect("the socket has a local address")).collect();
+        // The backlog has room for all connections. One that found the queue full would stay half open.
+        self.listener.listen(1024).expect("the socket listens");
+        self.listener.set_read_timeout(None).expect("the read time-out is set");
         (self.listener.into(), own)
     }
 }
 
-/// For so long an attempt may wait for a connection where the test says when it comes up: the decisions do not end the
-/// wait, also where they want to hear of it after a sixteenth.
+/// Connect time-out in seconds for tests that decide when a connection is established. It is so long that the policy
+/// does not end the wait during the test, even where it reviews a pending connect after a sixteenth of the time-out.
 pub const PATIENT_S: f64 = 80.0;
 
-/// The connections that came up, once no more do.
+/// Returns all received connections, once no further one has arrived for [`SOON`].
 pub fn all_that_came(came: &mpsc::Receiver<TcpStream>) -> Vec<TcpStream> {
     std::iter::from_fn(|| came.recv_timeout(SOON).ok()).collect()
 }
 
-/// Whether nothing was sent on any of these connections up to its end.
+/// Reads each connection until it ends, and returns whether none of them carried any data.
 pub fn nothing_came(streams: Vec<TcpStream>) -> bool {
     streams.into_iter().all(|stream| all_of(stream).is_empty())
 }
--- a/crates/proxy/tests/common/load.rs
+++ b/crates/proxy/tests/common/load.rs
@@ -1,4 +1,4 @@
-//! A load of orders from several clients, counted, and the check that none of them ran twice.
+//! Load of requests of the class `order` from several clients, and a check that none of them ran twice.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,15 +10,18 @@
 
 use super::{Client, Message, Upstream, timed};
 
-/// The clients of a load: how many orders each sent, and how many were answered with 200.
+/// Clients that send requests of the class `order` until they are stopped.
 pub struct Load {
+    /// Threads of the clients. Each returns how many requests it sent and how many were answered with 200.
     clients: Vec<thread::JoinHandle<(usize, usize)>>,
+    /// Set to stop the clients.
     over: Arc<AtomicBool>,
 }
 
 impl Load {
-    /// Starts clients that send orders, each with a body of its own, on a persistent connection until that closes, and
-    /// then one more on a new connection, as the front opens none later in a drain; or until the load is over.
+    /// Starts clients that send requests with unique bodies, each on one persistent connection. When its connection
+    /// closes, a client sends one more request on a new connection and ends, because the front opens no connections
+    /// later in a drain.
     pub fn start(address: SocketAddr, clients: usize) -> Self {
         let over = Arc::new(AtomicBool::new(false));
         let clients = (0..clients)
@@ -30,12 +33,14 @@
         Self { clients, over }
     }
 
+    /// Runs one client, and returns how many requests it sent and how many were answered with 200.
     fn send(address: SocketAddr, number: usize, over: &AtomicBool) -> (usize, usize) {
         let (mut sent, mut served) = (0, 0);
         let mut client = Client::connect(address);
         while !over.load(Ordering::Relaxed) {
             let Some(answer) = Self::ask(&mut client, &format!("{number}-{sent}")) else {
-                // It crossed the end of its connection, and counts as not sent.
+                // The request was sent while the balancer closed the connection. It does not count as sent, because the
+                // client sends another one instead.
                 return Self::ask_anew(address, number, sent, served);
             };
             sent += 1;
@@ -48,6 +53,7 @@
         (sent, served)
     }
 
+    /// Sends one request on a new connection, and returns the counts of the client with that request included.
     fn ask_anew(address: SocketAddr, number: usize, sent: usize, served: usize) -> (usize, usize) {
         let answer = Self::ask(&mut Client::connect(address), &format!("{number}-anew"));
         (sent + 1, served + usize::from(answer.is_some_and(|answer| answer.status() == 200)))
@@ -58,19 +64,19 @@
         client.answer()
     }
 
-    /// Ends it: orders answered at all, and those served.
+    /// Stops the clients, and returns how many requests they sent and how many were answered with 200.
     pub fn end(self) -> (usize, usize) {
         self.over.store(true, Ordering::Relaxed);
-        let each = self.clients.into_iter().map(|client| client.join().expect("no panic"));
+        let each = self.clients.into_iter().map(|client| client.join().expect("the thread does not panic"));
         each.fold((0, 0), |(sent, served), one| (sent + one.0, served + one.1))
     }
 }
 
-/// Checks that no body came to these upstreams twice.
+/// Asserts that no two requests with the same body arrived at these upstreams.
 pub fn assert_nothing_ran_twice(upstreams: &[&Upstream]) {
     let mut ran: BTreeMap<Vec<u8>, usize> = BTreeMap::new();
     for (_, request) in upstreams.iter().flat_map(|upstream| upstream.requests()) {
         *ran.entry(request.body).or_default() += 1;
     }
-    assert!(ran.values().all(|&times| times == 1), "something ran twice");
+    assert!(ran.values().all(|&times| times == 1), "expected each request to run once, ran: {ran:?}");
 }
--- a/crates/proxy/tests/common/message.rs
+++ b/crates/proxy/tests/common/message.rs
@@ -1,17 +1,18 @@
-//! HTTP messages as they come on a connection, and what else comes up to its end.
+//! Reading of HTTP messages from a connection, and of all bytes up to its end.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
 use super::LONG;
 
-/// A message as it came: first line, headers in small letters, body.
+/// An HTTP message as it was received. Header names are in lower case.
 #[derive(Debug, Clone)]
 pub struct Message {
+    /// Request line or status line.
     pub line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Bytes in all.
+    /// Size of the head and the body in bytes.
     pub size: usize,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// Reads a message; `None` if the connection ends before one is whole.
+/// Reads a message; `None` if the connection ends before the message is complete.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut bytes = Vec::new();
     let mut byte = [0];
@@ -33,31 +34,31 @@
         match stream.read(&mut byte) {
             Ok(1) => bytes.push(byte[0]),
             Ok(_) => return None,
-            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("nothing came for too long"),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("no byte within {LONG:?}"),
             Err(_) => return None,
         }
     }
-    let head = String::from_utf8(bytes).expect("text");
+    let head = String::from_utf8(bytes).expect("a head in UTF-8");
     let mut lines = head.split("\r\n");
-    let line = lines.next().expect("a first line").to_owned();
+    let line = lines.next().expect("a start line").to_owned();
     let headers: Vec<(String, String)> = lines
         .filter_map(|line| line.split_once(": "))
         .map(|(name, value)| (name.to_ascii_lowercase(), value.to_owned()))
         .collect();
     let length = headers.iter().find(|(name, _)| name == "content-length");
-    let length = length.map_or(0, |(_, value)| value.parse().expect("a length"));
+    let length = length.map_or(0, |(_, value)| value.parse().expect("a content length in digits"));
     let mut body = vec![0; length];
     stream.read_exact(&mut body).ok()?;
     Some(Message { line, headers, body, size: head.len() + length })
 }
 
-/// What comes on a connection up to its end.
+/// Reads all bytes from a connection until it ends or is reset.
 pub fn all_of(mut stream: TcpStream) -> Vec<u8> {
-    stream.set_read_timeout(Some(LONG)).expect("set");
+    stream.set_read_timeout(Some(LONG)).expect("the read time-out is set");
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
         Ok(_) => bytes,
         Err(error) if error.kind() == ErrorKind::ConnectionReset => bytes,
-        Err(error) => panic!("never closed: {error}"),
+        Err(error) => panic!("expected the connection to be closed within {LONG:?}: {error}"),
     }
 }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! What the tests of the proxy share: stand-ins on loopback sockets for all that is around a balancer, and the balancer
-//! itself, on a thread or as a process. Everything listens on port 0; tests wait for what must happen, with limits that
-//! only a hang meets.
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of it")]
+//! Shared code of the proxy's tests: simulated peers of a balancer on loopback sockets, and the balancer itself, on a
+//! thread or as a process. All listeners use port 0. Tests wait for each expected event, with time-outs that are only
+//! reached when something hangs.
+#![allow(dead_code, unused_imports, reason = "each test file uses only a part of the shared code")]
 
 mod balancer;
 mod client;
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -1,4 +1,4 @@
-//! The program as a process of its own: its start, its signals and its log.
+//! The balancer program as a separate process: starting it, sending it signals and reading its log.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -7,58 +7,59 @@
 
 use super::wait_for;
 
+/// Starts the program with this configuration and a limit of 1024 open files.
 pub fn program(configuration: &str) -> Child {
     program_within(1024, configuration)
 }
 
-/// Writes the configuration file of the test that runs on this thread.
+/// Writes the configuration file of the test that runs on the current thread, and returns its path.
 pub fn write_configuration(configuration: &str) -> PathBuf {
     let mut file = std::env::temp_dir();
     file.push(format!("balancer-proxy-{}-{:?}.json", std::process::id(), std::thread::current().id()));
     std::fs::File::create(&file)
         .and_then(|mut file| file.write_all(configuration.as_bytes()))
-        .expect("written");
+        .expect("the configuration file is written");
     file
 }
 
 pub fn signal(child: &Child, name: &str) {
-    let sent = Command::new("kill").args([name, &child.id().to_string()]).status().expect("sent");
-    assert!(sent.success());
+    let sent = Command::new("kill").args([name, &child.id().to_string()]).status().expect("kill is started");
+    assert!(sent.success(), "sending {name} failed: {sent}");
 }
 
-/// Starts the program where descriptors really run out.
+/// Starts the program with this configuration and a limit of `descriptors` open files, so that they really run out.
 pub fn program_within(descriptors: usize, configuration: &str) -> Child {
     program_on(descriptors, &write_configuration(configuration))
 }
 
-/// The same on a file that is there.
+/// Starts the program with an existing configuration file and a limit of `descriptors` open files.
 pub fn program_on(descriptors: usize, file: &Path) -> Child {
     Command::new("/bin/sh")
         .args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), env!("CARGO_BIN_EXE_balancer-proxy")])
         .env_clear()
         .env("PROXY_CONFIG", file)
-        // A failed test leaves it behind, which must not keep the test's own output open.
+        // A failed test leaves the program running, which must not keep the test's own output open.
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts")
+        .expect("the process starts")
 }
 
-/// Where the program says that it listens; its log stays open with the reader.
+/// Reads from the first log line the address that the program listens on, and returns it with the reader of the log.
 pub fn address(child: &mut Child) -> (SocketAddr, BufReader<ChildStderr>) {
-    let mut log = BufReader::new(child.stderr.take().expect("piped"));
+    let mut log = BufReader::new(child.stderr.take().expect("the stream is piped"));
     let mut line = String::new();
-    log.read_line(&mut line).expect("a line");
+    log.read_line(&mut line).expect("the log is readable");
     let address = line.trim().rsplit(' ').next().and_then(|text| text.parse().ok()).expect("an address");
     (address, log)
 }
 
-/// Waits for a line of the log that holds `part`.
+/// Waits for a log line that contains `part`.
 pub fn wait_line(log: &mut BufReader<ChildStderr>, part: &str) {
     let mut line = String::new();
     wait_for(part, || {
         line.clear();
-        log.read_line(&mut line).expect("a line");
+        log.read_line(&mut line).expect("the log is readable");
         line.contains(part).then_some(())
     });
 }
--- a/crates/proxy/tests/common/settings.rs
+++ b/crates/proxy/tests/common/settings.rs
@@ -1,4 +1,4 @@
-//! The configurations and settings that the tests run on.
+//! Configurations and settings for the tests.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,14 @@
 
 use super::Upstream;
 
-/// The entry of an upstream in a list.
+/// Creates the entry of an endpoint in a list of discovery.
 pub fn endpoint(name: &str, address: SocketAddr, group: u32, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "north", "type": "std", "group": group,
            "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// The entries `s-0`, `s-1` and so on of these upstreams, all ready and each in a group of its own.
+/// Creates the entries `s-0`, `s-1` and so on of these upstreams, all with the status `ready` and each in its own
+/// group.
 pub fn each_in_a_group(upstreams: &[Upstream]) -> Vec<Value> {
     (0..)
         .zip(upstreams)
@@ -21,7 +22,7 @@
         .collect()
 }
 
-/// The settings of the tests: three classes, answers wanted within `latency_objective` seconds.
+/// Creates settings with three classes, which all have a latency objective of `latency_objective` seconds.
 pub fn settings(latency_objective: f64) -> Value {
     json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": "north", "zones": ["north"], "kinds": ["std"],
@@ -37,7 +38,7 @@
                   "drainGraceS": 1.0, "fallMultiple": 3.0, "overloadForS": 2.0}})
 }
 
-/// The text of a configuration whose list in hand is `known`.
+/// Creates the text of a configuration with `known` as its initial list of endpoints and a limit of `sockets` sockets.
 pub fn configuration(
     discovery: SocketAddr,
     known: &[Value],
@@ -50,14 +51,14 @@
     .to_string()
 }
 
-/// The same where an attempt waits so long for a connection at the most.
+/// Replaces the connect time-out in a configuration.
 pub fn with_dial_timeout(configuration: &str, seconds: f64) -> String {
     let usual = "\"dialTimeoutS\":5.0";
-    assert!(configuration.contains(usual));
+    assert!(configuration.contains(usual), "expected {usual} in {configuration}");
     configuration.replace(usual, &format!("\"dialTimeoutS\":{seconds:?}"))
 }
 
-/// The configuration that this text gives.
+/// Parses the text of a configuration.
 pub fn parsed(configuration: &str) -> Config {
-    Config::parse(configuration, |_| None).expect("a sound configuration")
+    Config::parse(configuration, |_| None).expect("a valid configuration")
 }
--- a/crates/proxy/tests/common/upstream.rs
+++ b/crates/proxy/tests/common/upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer as a script of the test says, and note what came to them.
+//! Upstreams that answer according to a script of the test, and record the connections and requests they receive.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,11 +10,11 @@
 /// What an upstream does with a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Writes these bytes and goes on.
+    /// Writes these bytes and reads the next request.
     Bytes(Vec<u8>),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     Last(Vec<u8>),
-    /// Says nothing until the balancer closes.
+    /// Writes nothing, and reads until the balancer closes the connection.
     Silence,
 }
 
@@ -26,49 +26,51 @@
     Reply::Bytes(format!("HTTP/1.1 {line}\r\nContent-Length: 0\r\n\r\n").into_bytes())
 }
 
-/// A connection as its upstream saw it.
+/// State of a connection as its upstream sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct Link {
-    /// Where it came from.
+    /// Remote address of the connection.
     pub peer: SocketAddr,
-    /// A byte has come on it.
+    /// Whether a byte has been received on the connection.
     pub spoken: bool,
-    /// The balancer has closed it.
+    /// Whether the balancer has closed the connection.
     pub closed: bool,
 }
 
 #[derive(Debug, Default)]
 struct Seen {
+    /// The received requests in order, each with the number of its connection, counted from 1.
     requests: Vec<(usize, Message)>,
-    /// In the order in which they came up.
+    /// The connections in the order in which they were accepted.
     links: Vec<Link>,
 }
 
+/// A simulated upstream on a loopback socket.
 pub struct Upstream {
     pub address: SocketAddr,
     seen: Arc<Mutex<Seen>>,
 }
 
 impl Upstream {
-    /// Starts one that answers by `script`, which gets the number of the request.
+    /// Starts an upstream that answers with what `script` returns for the number of a request, from 0, and the request.
     pub fn start(script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Self {
         Self::scripted(move |number, message, _| script(number, message))
     }
 
-    /// The same with the connection in the script's hands.
+    /// Starts an upstream whose script also gets the connection that the request arrived on.
     pub fn scripted(
         script: impl Fn(usize, &Message, &mut TcpStream) -> Reply + Send + Sync + 'static,
     ) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), Vec::new(), script)
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port is available"), Vec::new(), script)
     }
 
-    /// The same on a listener of the test's, which itself has the connections from `own`.
+    /// Starts an upstream on this listener. Connections from the addresses in `own` belong to the test and are ignored.
     pub fn on(
         listener: TcpListener,
         own: Vec<SocketAddr>,
         script: impl Fn(usize, &Message, &mut TcpStream) -> Reply + Send + Sync + 'static,
     ) -> Self {
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the socket has a local address");
         let seen = Arc::new(Mutex::new(Seen::default()));
         let (shared, script) = (Arc::clone(&seen), Arc::new(script));
         thread::spawn(move || {
@@ -78,7 +80,7 @@
                 }
                 let (seen, script) = (Arc::clone(&shared), Arc::clone(&script));
                 let connection = {
-                    let mut seen = seen.lock().expect("no panic");
+                    let mut seen = seen.lock().expect("the lock is not poisoned");
                     seen.links.push(Link { peer, spoken: false, closed: false });
                     seen.links.len()
                 };
@@ -88,59 +90,68 @@
         Self { address, seen }
     }
 
+    /// Returns the received requests in order, each with the number of its connection, counted from 1.
     pub fn requests(&self) -> Vec<(usize, Message)> {
-        self.seen.lock().expect("no panic").requests.clone()
+        self.seen.lock().expect("the lock is not poisoned").requests.clone()
     }
 
+    /// Returns the number of accepted connections.
     pub fn connections(&self) -> usize {
         self.links().len()
     }
 
+    /// Returns the accepted connections in order.
     pub fn links(&self) -> Vec<Link> {
-        self.seen.lock().expect("no panic").links.clone()
+        self.seen.lock().expect("the lock is not poisoned").links.clone()
     }
 
-    /// All connections that came before this call, also those that have not been seen yet.
+    /// Returns all connections that were established before this call, including those that had not been accepted yet.
     pub fn all_links(&self) -> Vec<Link> {
-        // They are taken in the order of their coming, so that one of the test's comes last.
-        let last = TcpStream::connect(self.address).expect("accepted");
-        let own = last.local_addr().expect("up");
-        wait_for("the last connection is seen", || {
+        // Connections are accepted in the order in which they are established, so a new connection of the test is
+        // accepted after all of them.
+        let last = TcpStream::connect(self.address).expect("the connection is accepted");
+        let own = last.local_addr().expect("the socket has a local address");
+        wait_for("the upstream accepts the test's connection", || {
             let links = self.links();
             let place = links.iter().position(|link| link.peer == own)?;
             Some(links[..place].to_vec())
         })
     }
 
-    /// How many requests came with this body.
+    /// Returns the number of received requests with this body.
     pub fn count_of(&self, body: &str) -> usize {
         self.requests().iter().filter(|(_, request)| request.body == body.as_bytes()).count()
     }
 
+    /// Waits until at least `count` requests have been received.
     pub fn wait_requests(&self, count: usize) {
         wait_for("requests at the upstream", || (self.requests().len() >= count).then_some(()));
     }
 
+    /// Waits until the balancer has closed at least `count` connections.
     pub fn wait_closed(&self, count: usize) {
-        wait_for("the balancer closes", || {
+        wait_for("connections are closed", || {
             (self.links().iter().filter(|link| link.closed).count() >= count).then_some(())
         });
     }
 }
 
+/// Reads requests from a connection, records them and answers them as the script determines. `connection` is the number
+/// of the connection, counted from 1.
 fn serve_upstream(
     mut stream: TcpStream,
     connection: usize,
     seen: &Mutex<Seen>,
     script: &(dyn Fn(usize, &Message, &mut TcpStream) -> Reply + Send + Sync),
 ) {
-    let change = |change: fn(&mut Link)| change(&mut seen.lock().expect("no panic").links[connection - 1]);
+    let change =
+        |change: fn(&mut Link)| change(&mut seen.lock().expect("not poisoned").links[connection - 1]);
     if matches!(stream.peek(&mut [0]), Ok(1)) {
         change(|link| link.spoken = true);
     }
     while let Some(message) = read_message(&mut stream) {
         let number = {
-            let mut seen = seen.lock().expect("no panic");
+            let mut seen = seen.lock().expect("the lock is not poisoned");
             seen.requests.push((connection, message.clone()));
             seen.requests.len() - 1
         };
@@ -158,7 +169,9 @@
     change(|link| link.closed = true);
 }
 
-/// An address where nothing listens.
+/// Returns an address on which nothing listens.
 pub fn dead_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a free port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("a free port is available")
 }
--- a/crates/proxy/tests/common/wait.rs
+++ b/crates/proxy/tests/common/wait.rs
@@ -1,21 +1,22 @@
-//! Waiting for what must happen.
+//! Waiting for conditions, and time-outs.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longer than anything takes that works.
+/// Time-out after which an expected event counts as missing. Anything that works takes less time.
 pub const LONG: Duration = Duration::from_secs(30);
-/// Long enough for a close that is on its way, short beside any time-out of these tests.
+/// Time within which a connection that is being closed is closed. It is short compared to the time-outs that the tests
+/// configure.
 pub const SOON: Duration = Duration::from_secs(3);
 
-/// Waits until `happened` gives something.
+/// Waits until `happened` returns a value, and returns that. `what` describes the condition in the panic message.
 pub fn wait_for<T>(what: &str, mut happened: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
         if let Some(value) = happened() {
             return value;
         }
-        assert!(start.elapsed() < LONG, "never happened: {what}");
+        assert!(start.elapsed() < LONG, "not met within {LONG:?}: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/proxy/tests/common/watch.rs
+++ b/crates/proxy/tests/common/watch.rs
@@ -1,4 +1,4 @@
-//! A watch that the balancer opened, and that says what the test hands over.
+//! The server's side of a watch that the balancer has opened, which sends what the test passes to it.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -8,34 +8,37 @@
 use config_distribution::document::{Document, Update};
 use serde_json::{Value, json};
 
-/// What feeds a watch; it ends when this is dropped.
+/// Handle that sends data on a watch. The watch ends when the handle is dropped.
 pub struct Watch(Sender<Option<Vec<u8>>>);
 
 impl Watch {
+    /// Sends bytes on the watch.
     pub fn bytes(&self, bytes: &[u8]) {
-        self.0.send(Some(bytes.to_vec())).expect("the watch stands");
+        self.0.send(Some(bytes.to_vec())).expect("the watch is open");
     }
 
-    /// The same on a watch that the balancer may have given up; tells whether it still takes bytes.
+    /// Sends bytes on a watch that the balancer may have closed. Returns whether the watch was still open.
     pub fn try_bytes(&self, bytes: &[u8]) -> bool {
         self.0.send(Some(bytes.to_vec())).is_ok()
     }
 
+    /// Sends a list of endpoints at this index, as a snapshot if `whole` is set and as a delta otherwise.
     pub fn says(&self, index: u64, whole: bool, endpoints: &[Value]) {
         let line = json!({"index": index, "snapshot": whole, "endpoints": endpoints});
         self.bytes(format!("{line}\n").as_bytes());
     }
 
+    /// Ends the watch.
     pub fn end(&self) {
-        self.0.send(None).expect("the watch stands");
+        self.0.send(None).expect("the watch is open");
     }
 
-    /// All documents there are, at this index.
+    /// Sends a snapshot of all documents at this index.
     pub fn holds(&self, index: u64, documents: Vec<Document>) {
         self.updates(&Update { index, snapshot: true, after: 0, stale_s: 0, documents });
     }
 
-    /// A document of this version on top of the index before.
+    /// Sends a delta with one document, whose version is the index of the delta and follows the previous index.
     pub fn publishes(&self, document: Document) {
         let index = document.version;
         let update =
@@ -43,29 +46,31 @@
         self.updates(&update);
     }
 
+    /// Sends an update of documents.
     pub fn updates(&self, update: &Update) {
-        let line = serde_json::to_string(update).expect("JSON");
+        let line = serde_json::to_string(update).expect("valid JSON");
         self.bytes(format!("{line}\n").as_bytes());
     }
 }
 
-/// Serves a watch that the balancer opens with this request line, and hands the test what feeds it. It says every
-/// `beat` that nothing has changed.
+/// Serves a watch that the balancer opened with the request line `line`, and passes its handle to the test through
+/// `opened`. A heartbeat is sent whenever nothing was sent for `beat`.
 pub fn serve_watch(mut stream: TcpStream, line: String, opened: &Sender<(String, Watch)>, beat: Duration) {
     let (feed, food) = mpsc::channel();
-    // A watch that is closed by now ends at its first line.
+    // If the balancer has closed the watch already, the next write fails and ends it.
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     if opened.send((line, Watch(feed))).is_ok() {
         feed_watch(stream, &food, beat);
     }
 }
 
+/// Writes the data from `food` to a watch as chunks, and a heartbeat whenever nothing was sent for `beat`.
 fn feed_watch(mut stream: TcpStream, food: &Receiver<Option<Vec<u8>>>, beat: Duration) {
     loop {
         let bytes = match food.recv_timeout(beat) {
             Ok(Some(bytes)) => bytes,
             Err(RecvTimeoutError::Timeout) => b"\n".to_vec(),
-            // Ends with no last chunk, as when discovery goes down.
+            // The watch ends without a last chunk, as when the server fails.
             Ok(None) | Err(RecvTimeoutError::Disconnected) => return,
         };
         let chunk = [format!("{:x}\r\n", bytes.len()).as_bytes(), &bytes, b"\r\n"].concat();
