--- a/crates/proxy/tests/drain_schedule.rs
+++ b/crates/proxy/tests/drain_schedule.rs
@@ -1,4 +1,4 @@
-//! The phases of the drain: they fit before the earliest SIGKILL, whatever the longest deadline is.
+//! The phases of the drain, which end before the earliest SIGKILL for any longest deadline.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
     Duration::from_millis(count)
 }
 
-/// Guards the spans of usual deadlines, and that one over 3 s counts as 3 s.
+/// Guards the phases for usual deadlines: a longest deadline of more than 3 s counts as 3 s.
 #[test]
 fn long_deadlines_leave_connections_open_for_nearly_three_seconds() {
     for longest in [3, 4, 60] {
@@ -19,7 +19,8 @@
     }
 }
 
-/// Guards the front's 0.4 s after SIGTERM where deadlines are short: connections stay open for 0.5 s all the same.
+/// Guards the requests that the front sends for 0.4 s after SIGTERM: connections stay open for 0.5 s even if all
+/// deadlines are short.
 #[test]
 fn short_deadlines_leave_connections_open_while_the_front_sends() {
     for (longest, answer_by) in [(0, 350), (200, 550), (600, 950)] {
@@ -29,8 +30,8 @@
     }
 }
 
-/// Guards the program against the kill, and answers against the end: the phases come in their order, and the last of
-/// them ends before.
+/// Guards against a program that is killed before it has ended, or that ends before all requests have their answers:
+/// each phase ends before the earliest kill, and the program does not give up before connections start to close.
 #[test]
 fn every_phase_ends_before_the_earliest_kill() {
     for longest in (0..10_000).step_by(10).map(ms) {
--- a/crates/proxy/tests/idle_trust.rs
+++ b/crates/proxy/tests/idle_trust.rs
@@ -1,12 +1,13 @@
-//! How long a connection may have stood idle and still carry a request that must not run twice.
+//! The trusted idle time: how long a connection may have been idle to carry a request that must not run twice.
 
 use std::time::Duration;
 
 use balancer_proxy::upstream::idle_trust::{ANSWERS_BEFORE_DOUBLING, IdleTrust, MIN_TRUSTED_IDLE};
 
-/// Guards both ways: one reset is enough to distrust, and trust comes back in steps, up to where it was.
+/// Guards against a trusted idle time that stays too long or too short: one reset is enough to reduce it to half the
+/// idle time of the reset connection, and runs of answers double it step by step up to its initial value.
 #[test]
-fn trust_falls_at_once_and_returns_with_answers() {
+fn a_reset_reduces_the_trusted_idle_time_and_answers_restore_it() {
     let most = Duration::from_secs(21);
     let mut trust = IdleTrust::new(most);
     trust.record_answer(Duration::from_secs(20));
--- a/crates/proxy/tests/reloads.rs
+++ b/crates/proxy/tests/reloads.rs
@@ -6,10 +6,11 @@
 
 use common::*;
 
-/// Guards reloads in quick succession under load: each SIGHUP names another discovery, the last one's list is in force
-/// within 4 s, words of the earlier ones are not heard any more, and no request is lost.
+/// Guards against lost requests and outdated lists when reloads follow each other quickly under load. Each reload names
+/// another discovery server. The list of the last server is in force within 4 s, updates of the earlier servers are
+/// ignored, and no request is lost.
 #[test]
-fn of_reloads_in_quick_succession_the_last_counts() {
+fn the_last_of_several_quick_reloads_takes_effect() {
     const RELOADS: usize = 8;
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let places: Vec<Discovery> = (0..RELOADS).map(|_| Discovery::start()).collect();
@@ -23,7 +24,8 @@
     for (number, place) in places.iter().enumerate() {
         write_configuration(&configuration(place.address, &known, 5.0, 1024));
         signal(&child, "-HUP");
-        // Every other one follows before the one before it can have been applied.
+        // After every second reload the test waits for the watch. The other reloads are followed by the next one before
+        // they can have been applied.
         if number % 2 == 1 && number + 1 < RELOADS {
             earlier = place.watch().1;
         }
@@ -33,19 +35,19 @@
     let gone = endpoint("s-1", old.address, 0, "gone");
     last.says(20, true, &[gone, endpoint("s-2", new.address, 1, "ready")]);
     new.wait_requests(1);
-    assert!(announced.elapsed() < Duration::from_secs(4), "{:?}", announced.elapsed());
+    assert!(announced.elapsed() < Duration::from_secs(4), "the last list took {:?}", announced.elapsed());
     let before = old.requests().len();
-    // A word of before, with a later index.
+    // An update of an earlier discovery server, with a higher index.
     earlier.try_bytes(
         format!("{}\n", serde_json::json!({"index": 30, "snapshot": true, "endpoints": known})).as_bytes(),
     );
     let now = new.requests().len();
     new.wait_requests(now + 200);
     let (sent, served) = load.end();
-    println!("{sent} orders under {RELOADS} reloads, {served} served");
-    assert_eq!(sent, served, "an order was lost");
-    assert_eq!(old.requests().len(), before, "sent to what is gone");
+    println!("{sent} requests sent during {RELOADS} reloads, {served} served");
+    assert_eq!(sent, served, "expected each request to be served");
+    assert_eq!(old.requests().len(), before, "expected no request to the removed upstream");
     assert_nothing_ran_twice(&[&old, &new]);
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    child.kill().expect("the program is killed");
+    child.wait().expect("the process ends");
 }
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Processes that start while discovery is down. `docs/CROSSINGS.md` lists what is promised.
+//! Processes that start while discovery is unavailable. `docs/CROSSINGS.md` lists the guarantees.
 
 mod common;
 
@@ -9,19 +9,25 @@
 
 use common::*;
 
-/// Guards restarts of a fleet: hundreds of processes that start at once while discovery is down, takes calls and says
-/// nothing, or drips, serve within 10 s on the list they have.
+/// Guards against a fleet of over a hundred processes that cannot restart without discovery. A third of the processes
+/// have a discovery server that is down, a third one that accepts connections but never answers, and a third one that
+/// sends single bytes and never a complete list. At least nine in ten processes are ready within 10 s, and serve with
+/// the endpoints of their configuration.
 #[test]
-fn a_fleet_is_ready_without_discovery() {
+fn a_fleet_becomes_ready_without_discovery() {
     const EACH: usize = 40;
     let upstream = Upstream::start(|_, _| ok("served"));
     let mut known: Vec<_> = (0..300)
         .map(|number| endpoint(&format!("gone-{number}"), dead_address(), number, "draining"))
         .collect();
     known.push(endpoint("s-1", upstream.address, 0, "ready"));
-    let mute = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let drips = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let places = [dead_address(), mute.local_addr().expect("bound"), drips.local_addr().expect("bound")];
+    let mute = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let drips = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let places = [
+        dead_address(),
+        mute.local_addr().expect("the socket has a local address"),
+        drips.local_addr().expect("the socket has a local address"),
+    ];
     thread::spawn(move || {
         for mut stream in drips.incoming().flatten() {
             thread::spawn(move || {
@@ -49,7 +55,7 @@
                         .filter_map(|child| {
                             let (address, log) = address(child);
                             logs.push(log);
-                            wait_for("it says that it is ready", || {
+                            wait_for("the health check succeeds", || {
                                 (Client::connect(address).health()? == 200).then_some(())
                             });
                             let in_time = began.elapsed() < Duration::from_secs(10);
@@ -58,14 +64,18 @@
                         })
                         .count();
                     for child in &mut fleet {
-                        child.kill().expect("it runs");
-                        child.wait().expect("ends");
+                        child.kill().expect("the program is killed");
+                        child.wait().expect("the process ends");
                     }
                     ready
                 })
             })
             .collect();
-        fleets.into_iter().map(|fleet| fleet.join().expect("no panic")).sum()
+        fleets.into_iter().map(|fleet| fleet.join().expect("the thread does not panic")).sum()
     });
-    assert!(ready * 10 >= places.len() * EACH * 9, "{ready} of {} in time", places.len() * EACH);
+    assert!(
+        ready * 10 >= places.len() * EACH * 9,
+        "expected 9 in 10 ready in time, got {ready} of {}",
+        places.len() * EACH
+    );
 }
