--- a/crates/proxy/tests/reloads.rs
+++ b/crates/proxy/tests/reloads.rs
@@ -13,7 +13,7 @@
 fn the_last_of_several_quick_reloads_takes_effect() {
     const RELOADS: usize = 8;
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-    let places: Vec<Discovery> = (0..RELOADS).map(|_| Discovery::start()).collect();
+    let servers: Vec<Discovery> = (0..RELOADS).map(|_| Discovery::start()).collect();
     let known = [endpoint("s-1", old.address, 0, "ready")];
     let first = Discovery::start();
     let mut child = program(&configuration(first.address, &known, 5.0, 1024));
@@ -21,21 +21,21 @@
     let (_, mut earlier) = first.watch();
     let load = Load::start(address, 4);
     old.wait_requests(20);
-    for (number, place) in places.iter().enumerate() {
-        write_configuration(&configuration(place.address, &known, 5.0, 1024));
+    for (number, server) in servers.iter().enumerate() {
+        write_configuration(&configuration(server.address, &known, 5.0, 1024));
         signal(&child, "-HUP");
         // After every second reload the test waits for the watch. The other reloads are followed by the next one before
         // they can have been applied.
         if number % 2 == 1 && number + 1 < RELOADS {
-            earlier = place.watch().1;
+            earlier = server.watch().1;
         }
     }
-    let announced = Instant::now();
-    let (_, last) = places[RELOADS - 1].watch();
+    let reloaded = Instant::now();
+    let (_, last) = servers[RELOADS - 1].watch();
     let gone = endpoint("s-1", old.address, 0, "gone");
     last.says(20, true, &[gone, endpoint("s-2", new.address, 1, "ready")]);
     new.wait_requests(1);
-    assert!(announced.elapsed() < Duration::from_secs(4), "the last list took {:?}", announced.elapsed());
+    assert!(reloaded.elapsed() < Duration::from_secs(4), "the last list took {:?}", reloaded.elapsed());
     let before = old.requests().len();
     // An update of an earlier discovery server, with a higher index.
     earlier.try_bytes(
--- a/crates/proxy/tests/request_table.rs
+++ b/crates/proxy/tests/request_table.rs
@@ -16,7 +16,7 @@
 const UPSTREAM: EndpointId = EndpointId(7);
 
 /// A request table with one request, whose client is connected.
-struct World {
+struct Fixture {
     table: RequestTable,
     /// ID of the request in the table.
     request: RequestId,
@@ -26,15 +26,15 @@
     _client: (Socket, TcpStream),
 }
 
-impl World {
+impl Fixture {
     fn new() -> Self {
-        let (far, near) = connected_pair();
+        let (client, server_side) = connected_pair();
         let deadline = Instant::now() + Duration::from_secs(1);
-        let accepted = accepted_request(ClassId(0), None, call("read", Bytes::new()), &near, deadline);
+        let accepted = accepted_request(ClassId(0), None, call("read", Bytes::new()), &server_side, deadline);
         let (sender, answer) = oneshot::channel();
         let mut table = RequestTable::default();
         let request = table.insert(accepted, sender);
-        Self { table, request, answer, _client: (near, far) }
+        Self { table, request, answer, _client: (server_side, client) }
     }
 
     /// Starts an attempt, and returns its number and a receiver that resolves when the attempt is cancelled.
@@ -63,16 +63,16 @@
 #[test]
 fn a_cancelled_attempt_stays_in_progress_until_it_ends() {
     run(async {
-        let mut world = World::new();
-        let (number, mut cancelled) = world.start_attempt();
-        world.table.cancel(world.request, number);
+        let mut fixture = Fixture::new();
+        let (number, mut cancelled) = fixture.start_attempt();
+        fixture.table.cancel(fixture.request, number);
         assert_eq!(cancelled.try_recv(), Ok(()));
-        assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![UPSTREAM], 1));
-        let result = world.table.end_attempt(world.request, number, None);
+        assert_eq!((fixture.upstreams(), fixture.table.attempts_out()), (vec![UPSTREAM], 1));
+        let result = fixture.table.end_attempt(fixture.request, number, None);
         assert_eq!(result, Some(AttemptResult { served: false, request_finished: false }));
-        assert_eq!((world.upstreams(), world.table.attempts_out()), (vec![], 0));
+        assert_eq!((fixture.upstreams(), fixture.table.attempts_out()), (vec![], 0));
         assert!(
-            world.table.is_client_waiting(world.request),
+            fixture.table.is_client_waiting(fixture.request),
             "expected the client to wait for its answer still"
         );
     });
@@ -83,18 +83,18 @@
 #[test]
 fn an_answered_request_stays_while_an_attempt_is_in_progress() {
     run(async {
-        let mut world = World::new();
-        let (first, _withdrawn) = world.start_attempt();
-        let (second, _withdrawn) = world.start_attempt();
-        let result = world.table.end_attempt(world.request, first, Some(Bytes::from_static(b"ok")));
+        let mut fixture = Fixture::new();
+        let (first, _cancelled) = fixture.start_attempt();
+        let (second, _cancelled) = fixture.start_attempt();
+        let result = fixture.table.end_attempt(fixture.request, first, Some(Bytes::from_static(b"ok")));
         assert_eq!(result, Some(AttemptResult { served: true, request_finished: true }));
-        assert_eq!(world.answer.try_recv(), Ok(Answer::Served(Bytes::from_static(b"ok"))));
-        assert!(!world.table.needs_answer(world.request));
-        assert_eq!((world.upstreams(), world.table.len()), (vec![UPSTREAM], 1));
-        assert_eq!(world.table.answer(world.request, Answer::Failed), None, "expected no second answer");
-        let result = world.table.end_attempt(world.request, second, Some(Bytes::new()));
+        assert_eq!(fixture.answer.try_recv(), Ok(Answer::Served(Bytes::from_static(b"ok"))));
+        assert!(!fixture.table.needs_answer(fixture.request));
+        assert_eq!((fixture.upstreams(), fixture.table.len()), (vec![UPSTREAM], 1));
+        assert_eq!(fixture.table.answer(fixture.request, Answer::Failed), None, "expected no second answer");
+        let result = fixture.table.end_attempt(fixture.request, second, Some(Bytes::new()));
         assert_eq!(result, Some(AttemptResult { served: false, request_finished: true }));
-        assert!(world.table.is_empty());
+        assert!(fixture.table.is_empty());
     });
 }
 
@@ -102,10 +102,10 @@
 #[test]
 fn an_abandoned_request_without_an_attempt_is_removed_at_once() {
     run(async {
-        let mut world = World::new();
-        world.table.get_mut(world.request).expect("the request is in flight").skip_attempt();
-        assert!(world.table.abandon(world.request));
-        assert!(world.table.is_empty());
-        assert!(!world.table.abandon(world.request), "expected a request to be abandoned only once");
+        let mut fixture = Fixture::new();
+        fixture.table.get_mut(fixture.request).expect("the request is in flight").skip_attempt();
+        assert!(fixture.table.abandon(fixture.request));
+        assert!(fixture.table.is_empty());
+        assert!(!fixture.table.abandon(fixture.request), "expected a request to be abandoned only once");
     });
 }
--- a/crates/proxy/tests/startup.rs
+++ b/crates/proxy/tests/startup.rs
@@ -15,21 +15,21 @@
 /// the endpoints of their configuration.
 #[test]
 fn a_fleet_becomes_ready_without_discovery() {
-    const EACH: usize = 40;
+    const PROCESSES_EACH: usize = 40;
     let upstream = Upstream::start(|_, _| ok("served"));
     let mut known: Vec<_> = (0..300)
         .map(|number| endpoint(&format!("gone-{number}"), dead_address(), number, "draining"))
         .collect();
     known.push(endpoint("s-1", upstream.address, 0, "ready"));
-    let mute = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
-    let drips = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
-    let places = [
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let dripping = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
+    let discovery_addresses = [
         dead_address(),
-        mute.local_addr().expect("the socket has a local address"),
-        drips.local_addr().expect("the socket has a local address"),
+        silent.local_addr().expect("the socket has a local address"),
+        dripping.local_addr().expect("the socket has a local address"),
     ];
     thread::spawn(move || {
-        for mut stream in drips.incoming().flatten() {
+        for mut stream in dripping.incoming().flatten() {
             thread::spawn(move || {
                 let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let mut written = stream.write_all(head);
@@ -41,14 +41,14 @@
         }
     });
     let ready: usize = thread::scope(|scope| {
-        let fleets: Vec<_> = places
+        let fleets: Vec<_> = discovery_addresses
             .iter()
-            .map(|&place| {
+            .map(|&discovery_address| {
                 let known = &known;
                 scope.spawn(move || {
-                    let file = write_configuration(&configuration(place, known, 30.0, 1024));
-                    let began = Instant::now();
-                    let mut fleet: Vec<_> = (0..EACH).map(|_| program_on(1024, &file)).collect();
+                    let file = write_configuration(&configuration(discovery_address, known, 30.0, 1024));
+                    let started = Instant::now();
+                    let mut fleet: Vec<_> = (0..PROCESSES_EACH).map(|_| program_on(1024, &file)).collect();
                     let mut logs = Vec::new();
                     let ready = fleet
                         .iter_mut()
@@ -58,7 +58,7 @@
                             wait_for("the health check succeeds", || {
                                 (Client::connect(address).health()? == 200).then_some(())
                             });
-                            let in_time = began.elapsed() < Duration::from_secs(10);
+                            let in_time = started.elapsed() < Duration::from_secs(10);
                             assert_eq!(Client::connect(address).ask("read", "").body, b"served");
                             in_time.then_some(())
                         })
@@ -74,8 +74,8 @@
         fleets.into_iter().map(|fleet| fleet.join().expect("the thread does not panic")).sum()
     });
     assert!(
-        ready * 10 >= places.len() * EACH * 9,
+        ready * 10 >= discovery_addresses.len() * PROCESSES_EACH * 9,
         "expected 9 in 10 ready in time, got {ready} of {}",
-        places.len() * EACH
+        discovery_addresses.len() * PROCESSES_EACH
     );
 }
