--- a/crates/proxy/tests/common/configuration_parent.rs
+++ b/crates/proxy/tests/common/configuration_parent.rs
@@ -26,8 +26,8 @@
         Self::beating(Duration::from_millis(500))
     }
 
-    /// Starts a parent that sends a heartbeat on a watch when it has sent nothing for `beat`.
-    pub fn beating(beat: Duration) -> Self {
+    /// Starts a parent that sends a heartbeat on a watch when it has sent nothing for `heartbeat_interval`.
+    pub fn beating(heartbeat_interval: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
         let address = listener.local_addr().expect("the socket has a local address");
         let ((opened, watches), (report, reports)) = (mpsc::channel(), mpsc::channel());
@@ -42,7 +42,7 @@
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
                         return;
                     }
-                    serve_watch(stream, message.line, &opened, beat);
+                    serve_watch(stream, message.line, &opened, heartbeat_interval);
                 });
             }
         });
@@ -64,10 +64,8 @@
         let by = Instant::now() + LONG;
         loop {
             let left = by.saturating_duration_since(Instant::now());
-            let report = self
-                .reports
-                .recv_timeout(left)
-                .unwrap_or_else(|_| panic!("no report within {LONG:?}: {what}"));
+            let report =
+                self.reports.recv_timeout(left).unwrap_or_else(|_| panic!("timed out waiting for: {what}"));
             if fits(&report) {
                 return report;
             }
--- a/crates/proxy/tests/common/discovery.rs
+++ b/crates/proxy/tests/common/discovery.rs
@@ -20,13 +20,13 @@
         Self::beating(Duration::from_millis(500))
     }
 
-    /// Starts a discovery server that sends a heartbeat on a watch when it has sent nothing for `beat`.
-    pub fn beating(beat: Duration) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port is available"), beat)
+    /// Starts a discovery server that sends a heartbeat on a watch when it has sent nothing for `heartbeat_interval`.
+    pub fn beating(heartbeat_interval: Duration) -> Self {
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port is available"), heartbeat_interval)
     }
 
-    /// Starts a discovery server on this listener, with a heartbeat after `beat` without data.
-    pub fn on(listener: TcpListener, beat: Duration) -> Self {
+    /// Starts a discovery server on this listener, with a heartbeat after `heartbeat_interval` without data.
+    pub fn on(listener: TcpListener, heartbeat_interval: Duration) -> Self {
         let address = listener.local_addr().expect("the socket has a local address");
         let (opened, watches) = mpsc::channel();
         thread::spawn(move || {
@@ -34,7 +34,7 @@
                 let opened = opened.clone();
                 thread::spawn(move || {
                     let Some(message) = read_message(&mut stream) else { return };
-                    serve_watch(stream, message.line, &opened, beat);
+                    serve_watch(stream, message.line, &opened, heartbeat_interval);
                 });
             }
         });
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -40,12 +40,12 @@
     }
 }
 
-/// Creates a request that forwards `call`, from the client that is connected to the socket `near`.
+/// Creates a request that forwards `call`, from the client that is connected to the socket `server_side`.
 pub fn accepted_request(
     class: ClassId,
     tenant: Option<TenantId>,
     call: Call,
-    near: &Socket,
+    server_side: &Socket,
     deadline: Instant,
 ) -> AcceptedRequest {
     AcceptedRequest {
@@ -56,7 +56,7 @@
         is_client_retry: false,
         deadline,
         call: Rc::new(call),
-        client: near.downgrade(),
+        client: server_side.downgrade(),
     }
 }
 
@@ -65,13 +65,13 @@
     event_loop: &Rc<EventLoop>,
     class: &str,
     body: Bytes,
-    near: &Socket,
+    server_side: &Socket,
     deadline: Instant,
 ) -> oneshot::Receiver<Answer> {
     let name_registry = event_loop.name_registry();
     let class_id = name_registry.class(class).expect("the settings have the class").id;
     let tenant = name_registry.tenant("acme");
-    event_loop.accept(accepted_request(class_id, tenant, call(class, body), near, deadline)).answer
+    event_loop.accept(accepted_request(class_id, tenant, call(class, body), server_side, deadline)).answer
 }
 
 /// Waits until a connection that has just received an answer is idle and can carry the next request.
@@ -84,8 +84,8 @@
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port is available");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("the socket has a local address"))
         .expect("the connection is accepted");
-    let (near, _) = listener.accept().expect("a connection is accepted");
-    near.set_nonblocking(true).expect("non-blocking mode is set");
-    let near = tokio::net::TcpStream::from_std(near).expect("an open socket");
-    (client, Socket::new(near))
+    let (server_side, _) = listener.accept().expect("a connection is accepted");
+    server_side.set_nonblocking(true).expect("non-blocking mode is set");
+    let server_side = tokio::net::TcpStream::from_std(server_side).expect("an open socket");
+    (client, Socket::new(server_side))
 }
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -19,7 +19,7 @@
 /// Number of upstreams.
 pub const UPSTREAMS: usize = 4;
 /// Default connect time-out in seconds.
-pub const USUAL_DIAL_S: f64 = 5.0;
+pub const DEFAULT_DIAL_TIMEOUT_S: f64 = 5.0;
 /// Classes of the requests, which each client uses in turn.
 pub const CLASSES: [&str; 3] = ["read", "pay", "order"];
 
@@ -49,7 +49,7 @@
     /// Starts the program with the variables of the library that `variables` returns. It is called with the ports of
     /// the upstreams, separated by `+`.
     pub fn start(variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
-        Self::start_with(USUAL_DIAL_S, variables)
+        Self::start_with(DEFAULT_DIAL_TIMEOUT_S, variables)
     }
 
     /// Starts the program like [`Self::start`], with a connect time-out of `dial_timeout` seconds.
@@ -76,7 +76,7 @@
             .expect("the process starts");
         let (address, reader) = address(&mut program);
         let log = Arc::new(Mutex::new(Vec::new()));
-        keep_lines(reader, Arc::clone(&log));
+        collect_lines(reader, Arc::clone(&log));
         Self { upstreams, discovery, program, address, log, faults }
     }
 
@@ -100,13 +100,13 @@
         self.ask_all_on(false)
     }
 
-    /// Runs all clients like [`Self::ask_all`], with a new connection for each request if `fresh` is set.
-    pub fn ask_all_on(&self, fresh: bool) -> Tally {
+    /// Runs all clients like [`Self::ask_all`], with a new connection for each request if `new_connections` is set.
+    pub fn ask_all_on(&self, new_connections: bool) -> Tally {
         let tally = Tally::default();
         thread::scope(|scope| {
             for client in 0..CLIENTS {
                 let (address, tally) = (self.address, &tally);
-                scope.spawn(move || ask_in_turn(address, client, fresh, tally));
+                scope.spawn(move || ask_in_turn(address, client, new_connections, tally));
             }
         });
         tally
@@ -144,8 +144,9 @@
     }
 }
 
-/// Sends the requests of one client in turn, on one connection while it stays open, or each on a new one if `fresh`.
-fn ask_in_turn(address: SocketAddr, number: usize, fresh: bool, tally: &Tally) {
+/// Sends the requests of one client in turn, on one connection while it stays open, or each on a new connection if
+/// `new_connections` is set.
+fn ask_in_turn(address: SocketAddr, number: usize, new_connections: bool, tally: &Tally) {
     let mut client = None;
     for request in 0..REQUESTS {
         let (class, body) = (CLASSES[request % CLASSES.len()], format!("{number}-{request}"));
@@ -153,14 +154,14 @@
         match connection.try_ask(class, &body) {
             Some(answer) => {
                 tally.take(&answer, &body);
-                let stays = !fresh && answer.header("connection") != Some("close");
-                client = stays.then_some(connection);
+                let is_reusable = !new_connections && answer.header("connection") != Some("close");
+                client = is_reusable.then_some(connection);
             }
             None => tally.add(&tally.closed),
         }
     }
     if let Some(Client(stream)) = client {
-        assert_eq!(rest_of(stream), b"", "expected no bytes after the last answer");
+        assert_eq!(read_rest(stream), b"", "expected no bytes after the last answer");
     }
 }
 
@@ -170,7 +171,7 @@
 }
 
 /// Appends the lines of a log to `lines` on a separate thread.
-fn keep_lines(log: BufReader<ChildStderr>, lines: Arc<Mutex<Vec<String>>>) {
+fn collect_lines(log: BufReader<ChildStderr>, lines: Arc<Mutex<Vec<String>>>) {
     thread::spawn(move || {
         for line in log.lines().map_while(Result::ok) {
             lines.lock().expect("the lock is not poisoned").push(line);
@@ -179,7 +180,7 @@
 }
 
 /// Closes the sending side of a connection, and returns what is received on it until it ends.
-fn rest_of(mut stream: TcpStream) -> Vec<u8> {
+fn read_rest(mut stream: TcpStream) -> Vec<u8> {
     let _ = stream.shutdown(Shutdown::Write);
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest);
@@ -243,25 +244,25 @@
 
 impl LogCounts {
     fn with(mut self, line: &str) -> Self {
-        self.accepted += before(line, " taken");
-        self.unreachable += before(line, " unreached");
-        self.late += before(line, " not connected in time");
-        self.unsent += before(line, " unsent");
-        let had: f64 = behind(line, "had ");
+        self.accepted += number_before(line, " taken");
+        self.unreachable += number_before(line, " unreached");
+        self.late += number_before(line, " not connected in time");
+        self.unsent += number_before(line, " unsent");
+        let had: f64 = number_after(line, "had ");
         self.had = Some(self.had.map_or(had, |least| least.min(had)));
-        self.congestion = self.congestion.max(behind(line, "crowding "));
+        self.congestion = self.congestion.max(number_after(line, "crowding "));
         self
     }
 }
 
 /// Returns the number before `word` in a line.
-fn before(line: &str, word: &str) -> u64 {
+fn number_before(line: &str, word: &str) -> u64 {
     let (text, _) = line.split_once(word).unwrap_or_else(|| panic!("expected `{word}` in the line: {line}"));
     text.rsplit(' ').next().and_then(|text| text.parse().ok()).expect("a number")
 }
 
 /// Returns the number after `word` in a line.
-fn behind(line: &str, word: &str) -> f64 {
+fn number_after(line: &str, word: &str) -> f64 {
     let (_, text) = line.split_once(word).unwrap_or_else(|| panic!("expected `{word}` in the line: {line}"));
     text.split([',', ' ']).next().and_then(|text| text.parse().ok()).expect("a number")
 }
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -100,8 +100,8 @@
 
     /// Lets connections be established, and returns a receiver of those that the balancer opens.
     pub fn open(self) -> mpsc::Receiver<TcpStream> {
-        let (report, came) = mpsc::channel();
-        let (listener, own) = self.lift();
+        let (report, accepted) = mpsc::channel();
+        let (listener, own) = self.enlarge_queue();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 if !own.contains(&stream.peer_addr().expect("the connection has a remote address"))
@@ -111,17 +111,17 @@
                 }
             }
         });
-        came
+        accepted
     }
 
     /// Lets connections be established, and answers requests on them as the script determines.
     pub fn serve(self, script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Upstream {
-        let (listener, own) = self.lift();
+        let (listener, own) = self.enlarge_queue();
         Upstream::on(listener, own, move |number, message, _| script(number, message))
     }
 
     /// Enlarges the accept queue, and returns the listener and the local addresses of the test's own connections.
-    fn lift(self) -> (TcpListener, Vec<SocketAddr>) {
+    fn enlarge_queue(self) -> (TcpListener, Vec<SocketAddr>) {
         let own =
             self.queue.iter().map(|own| own.local_addr().expect("the socket has a local address")).collect();
         // The backlog has room for all connections. One that found the queue full would stay half open.
@@ -136,8 +136,8 @@
 pub const PATIENT_S: f64 = 80.0;
 
 /// Returns all received connections, once no further one has arrived for [`SOON`].
-pub fn all_that_came(came: &mpsc::Receiver<TcpStream>) -> Vec<TcpStream> {
-    std::iter::from_fn(|| came.recv_timeout(SOON).ok()).collect()
+pub fn all_that_came(accepted: &mpsc::Receiver<TcpStream>) -> Vec<TcpStream> {
+    std::iter::from_fn(|| accepted.recv_timeout(SOON).ok()).collect()
 }
 
 /// Reads each connection until it ends, and returns whether none of them carried any data.
--- a/crates/proxy/tests/common/load.rs
+++ b/crates/proxy/tests/common/load.rs
@@ -15,7 +15,7 @@
     /// Threads of the clients. Each returns how many requests it sent and how many were answered with 200.
     clients: Vec<thread::JoinHandle<(usize, usize)>>,
     /// Set to stop the clients.
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Load {
@@ -23,30 +23,30 @@
     /// closes, a client sends one more request on a new connection and ends, because the front opens no connections
     /// later in a drain.
     pub fn start(address: SocketAddr, clients: usize) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let clients = (0..clients)
             .map(|client| {
-                let over = Arc::clone(&over);
-                thread::spawn(move || Self::send(address, client, &over))
+                let stopped = Arc::clone(&stopped);
+                thread::spawn(move || Self::send(address, client, &stopped))
             })
             .collect();
-        Self { clients, over }
+        Self { clients, stopped }
     }
 
     /// Runs one client, and returns how many requests it sent and how many were answered with 200.
-    fn send(address: SocketAddr, number: usize, over: &AtomicBool) -> (usize, usize) {
+    fn send(address: SocketAddr, number: usize, stopped: &AtomicBool) -> (usize, usize) {
         let (mut sent, mut served) = (0, 0);
         let mut client = Client::connect(address);
-        while !over.load(Ordering::Relaxed) {
+        while !stopped.load(Ordering::Relaxed) {
             let Some(answer) = Self::ask(&mut client, &format!("{number}-{sent}")) else {
                 // The request was sent while the balancer closed the connection. It does not count as sent, because the
                 // client sends another one instead.
-                return Self::ask_anew(address, number, sent, served);
+                return Self::ask_on_new_connection(address, number, sent, served);
             };
             sent += 1;
             served += usize::from(answer.status() == 200);
             if answer.header("connection") == Some("close") {
-                return Self::ask_anew(address, number, sent, served);
+                return Self::ask_on_new_connection(address, number, sent, served);
             }
             thread::sleep(Duration::from_millis(4));
         }
@@ -54,7 +54,12 @@
     }
 
     /// Sends one request on a new connection, and returns the counts of the client with that request included.
-    fn ask_anew(address: SocketAddr, number: usize, sent: usize, served: usize) -> (usize, usize) {
+    fn ask_on_new_connection(
+        address: SocketAddr,
+        number: usize,
+        sent: usize,
+        served: usize,
+    ) -> (usize, usize) {
         let answer = Self::ask(&mut Client::connect(address), &format!("{number}-anew"));
         (sent + 1, served + usize::from(answer.is_some_and(|answer| answer.status() == 200)))
     }
@@ -66,7 +71,7 @@
 
     /// Stops the clients, and returns how many requests they sent and how many were answered with 200.
     pub fn end(self) -> (usize, usize) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         let each = self.clients.into_iter().map(|client| client.join().expect("the thread does not panic"));
         each.fold((0, 0), |(sent, served), one| (sent + one.0, served + one.1))
     }
--- a/crates/proxy/tests/common/message.rs
+++ b/crates/proxy/tests/common/message.rs
@@ -34,7 +34,7 @@
         match stream.read(&mut byte) {
             Ok(1) => bytes.push(byte[0]),
             Ok(_) => return None,
-            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("no byte within {LONG:?}"),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => panic!("timed out waiting for a byte"),
             Err(_) => return None,
         }
     }
@@ -59,6 +59,6 @@
     match stream.read_to_end(&mut bytes) {
         Ok(_) => bytes,
         Err(error) if error.kind() == ErrorKind::ConnectionReset => bytes,
-        Err(error) => panic!("expected the connection to be closed within {LONG:?}: {error}"),
+        Err(error) => panic!("timed out waiting for the connection to close: {error}"),
     }
 }
--- a/crates/proxy/tests/common/settings.rs
+++ b/crates/proxy/tests/common/settings.rs
@@ -53,9 +53,9 @@
 
 /// Replaces the connect time-out in a configuration.
 pub fn with_dial_timeout(configuration: &str, seconds: f64) -> String {
-    let usual = "\"dialTimeoutS\":5.0";
-    assert!(configuration.contains(usual), "expected {usual} in {configuration}");
-    configuration.replace(usual, &format!("\"dialTimeoutS\":{seconds:?}"))
+    let default = "\"dialTimeoutS\":5.0";
+    assert!(configuration.contains(default), "expected {default} in {configuration}");
+    configuration.replace(default, &format!("\"dialTimeoutS\":{seconds:?}"))
 }
 
 /// Parses the text of a configuration.
--- a/crates/proxy/tests/common/upstream.rs
+++ b/crates/proxy/tests/common/upstream.rs
@@ -28,7 +28,7 @@
 
 /// State of a connection as its upstream sees it.
 #[derive(Debug, Clone, Copy)]
-pub struct Link {
+pub struct Connection {
     /// Remote address of the connection.
     pub peer: SocketAddr,
     /// Whether a byte has been received on the connection.
@@ -38,17 +38,17 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Received {
     /// The received requests in order, each with the number of its connection, counted from 1.
     requests: Vec<(usize, Message)>,
     /// The connections in the order in which they were accepted.
-    links: Vec<Link>,
+    links: Vec<Connection>,
 }
 
 /// A simulated upstream on a loopback socket.
 pub struct Upstream {
     pub address: SocketAddr,
-    seen: Arc<Mutex<Seen>>,
+    received: Arc<Mutex<Received>>,
 }
 
 impl Upstream {
@@ -71,28 +71,28 @@
         script: impl Fn(usize, &Message, &mut TcpStream) -> Reply + Send + Sync + 'static,
     ) -> Self {
         let address = listener.local_addr().expect("the socket has a local address");
-        let seen = Arc::new(Mutex::new(Seen::default()));
-        let (shared, script) = (Arc::clone(&seen), Arc::new(script));
+        let received = Arc::new(Mutex::new(Received::default()));
+        let (shared, script) = (Arc::clone(&received), Arc::new(script));
         thread::spawn(move || {
             for (stream, peer) in std::iter::repeat_with(|| listener.accept()).flatten() {
                 if own.contains(&peer) {
                     continue;
                 }
-                let (seen, script) = (Arc::clone(&shared), Arc::clone(&script));
+                let (received, script) = (Arc::clone(&shared), Arc::clone(&script));
                 let connection = {
-                    let mut seen = seen.lock().expect("the lock is not poisoned");
-                    seen.links.push(Link { peer, spoken: false, closed: false });
-                    seen.links.len()
+                    let mut received = received.lock().expect("the lock is not poisoned");
+                    received.links.push(Connection { peer, spoken: false, closed: false });
+                    received.links.len()
                 };
-                thread::spawn(move || serve_upstream(stream, connection, &seen, &*script));
+                thread::spawn(move || serve_upstream(stream, connection, &received, &*script));
             }
         });
-        Self { address, seen }
+        Self { address, received }
     }
 
     /// Returns the received requests in order, each with the number of its connection, counted from 1.
     pub fn requests(&self) -> Vec<(usize, Message)> {
-        self.seen.lock().expect("the lock is not poisoned").requests.clone()
+        self.received.lock().expect("the lock is not poisoned").requests.clone()
     }
 
     /// Returns the number of accepted connections.
@@ -101,20 +101,20 @@
     }
 
     /// Returns the accepted connections in order.
-    pub fn links(&self) -> Vec<Link> {
-        self.seen.lock().expect("the lock is not poisoned").links.clone()
+    pub fn links(&self) -> Vec<Connection> {
+        self.received.lock().expect("the lock is not poisoned").links.clone()
     }
 
     /// Returns all connections that were established before this call, including those that had not been accepted yet.
-    pub fn all_links(&self) -> Vec<Link> {
+    pub fn all_links(&self) -> Vec<Connection> {
         // Connections are accepted in the order in which they are established, so a new connection of the test is
         // accepted after all of them.
         let last = TcpStream::connect(self.address).expect("the connection is accepted");
         let own = last.local_addr().expect("the socket has a local address");
         wait_for("the upstream accepts the test's connection", || {
             let links = self.links();
-            let place = links.iter().position(|link| link.peer == own)?;
-            Some(links[..place].to_vec())
+            let end = links.iter().position(|link| link.peer == own)?;
+            Some(links[..end].to_vec())
         })
     }
 
@@ -141,19 +141,19 @@
 fn serve_upstream(
     mut stream: TcpStream,
     connection: usize,
-    seen: &Mutex<Seen>,
+    received: &Mutex<Received>,
     script: &(dyn Fn(usize, &Message, &mut TcpStream) -> Reply + Send + Sync),
 ) {
     let change =
-        |change: fn(&mut Link)| change(&mut seen.lock().expect("not poisoned").links[connection - 1]);
+        |change: fn(&mut Connection)| change(&mut received.lock().expect("no panic").links[connection - 1]);
     if matches!(stream.peek(&mut [0]), Ok(1)) {
         change(|link| link.spoken = true);
     }
     while let Some(message) = read_message(&mut stream) {
         let number = {
-            let mut seen = seen.lock().expect("the lock is not poisoned");
-            seen.requests.push((connection, message.clone()));
-            seen.requests.len() - 1
+            let mut received = received.lock().expect("the lock is not poisoned");
+            received.requests.push((connection, message.clone()));
+            received.requests.len() - 1
         };
         match script(number, &message, &mut stream) {
             Reply::Bytes(bytes) => {
--- a/crates/proxy/tests/common/wait.rs
+++ b/crates/proxy/tests/common/wait.rs
@@ -16,7 +16,7 @@
         if let Some(value) = happened() {
             return value;
         }
-        assert!(start.elapsed() < LONG, "not met within {LONG:?}: {what}");
+        assert!(start.elapsed() < LONG, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/proxy/tests/common/watch.rs
+++ b/crates/proxy/tests/common/watch.rs
@@ -22,9 +22,9 @@
         self.0.send(Some(bytes.to_vec())).is_ok()
     }
 
-    /// Sends a list of endpoints at this index, as a snapshot if `whole` is set and as a delta otherwise.
-    pub fn says(&self, index: u64, whole: bool, endpoints: &[Value]) {
-        let line = json!({"index": index, "snapshot": whole, "endpoints": endpoints});
+    /// Sends a list of endpoints at this index, as a snapshot if `is_snapshot` is set and as a delta otherwise.
+    pub fn says(&self, index: u64, is_snapshot: bool, endpoints: &[Value]) {
+        let line = json!({"index": index, "snapshot": is_snapshot, "endpoints": endpoints});
         self.bytes(format!("{line}\n").as_bytes());
     }
 
@@ -54,20 +54,26 @@
 }
 
 /// Serves a watch that the balancer opened with the request line `line`, and passes its handle to the test through
-/// `opened`. A heartbeat is sent whenever nothing was sent for `beat`.
-pub fn serve_watch(mut stream: TcpStream, line: String, opened: &Sender<(String, Watch)>, beat: Duration) {
-    let (feed, food) = mpsc::channel();
+/// `opened`. A heartbeat is sent whenever nothing was sent for `heartbeat_interval`.
+pub fn serve_watch(
+    mut stream: TcpStream,
+    line: String,
+    opened: &Sender<(String, Watch)>,
+    heartbeat_interval: Duration,
+) {
+    let (sender, data) = mpsc::channel();
     // If the balancer has closed the watch already, the next write fails and ends it.
     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-    if opened.send((line, Watch(feed))).is_ok() {
-        feed_watch(stream, &food, beat);
+    if opened.send((line, Watch(sender))).is_ok() {
+        write_watch(stream, &data, heartbeat_interval);
     }
 }
 
-/// Writes the data from `food` to a watch as chunks, and a heartbeat whenever nothing was sent for `beat`.
-fn feed_watch(mut stream: TcpStream, food: &Receiver<Option<Vec<u8>>>, beat: Duration) {
+/// Writes the data that it receives from `data` to a watch as chunks, and a heartbeat whenever nothing was sent for
+/// `heartbeat_interval`.
+fn write_watch(mut stream: TcpStream, data: &Receiver<Option<Vec<u8>>>, heartbeat_interval: Duration) {
     loop {
-        let bytes = match food.recv_timeout(beat) {
+        let bytes = match data.recv_timeout(heartbeat_interval) {
             Ok(Some(bytes)) => bytes,
             Err(RecvTimeoutError::Timeout) => b"\n".to_vec(),
             // The watch ends without a last chunk, as when the server fails.
