--- a/crates/proxy/tests/hold_ups.rs
+++ b/crates/proxy/tests/process_stalls.rs
@@ -1,4 +1,4 @@
-//! A balancer that is held up, between reading its clock and writing or at any other moment.
+//! A balancer whose process is suspended, between reading its clock and writing or at any other time.
 
 mod common;
 
@@ -19,21 +19,21 @@
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
-/// For how long a balancer may be held up.
+/// Longest time for which the process is suspended.
 const HOLD_UP: Duration = Duration::from_millis(150);
-/// How much later than its client left an attempt may begin.
+/// How long after its client has disconnected an attempt may still arrive at an upstream.
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
-/// How much more than a client has left may be passed on.
+/// How much the deadline forwarded to an upstream may exceed the client's remaining time, in seconds.
 const DEADLINE_SLACK: f64 = 0.15;
-/// How long after its time an answer is late and not lost.
+/// How long after the deadline of its request an answer may arrive.
 const LATE_MOST: Duration = Duration::from_millis(500);
 
-// --- Between the hand-over of a request and its writing ---
+// --- The process is suspended between passing a request to a connection and writing it ---
 
-/// Guards the deadline that is passed on: it is worked out when the bytes are written, however long the process was
-/// held up since the request was handed over.
+/// Guards against a forwarded deadline that exceeds the client's remaining time: the deadline must be calculated when
+/// the bytes are written, because the process may have been suspended since the request was passed to the connection.
 #[test]
-fn the_deadline_passed_on_counts_from_the_write() {
+fn the_forwarded_deadline_is_calculated_at_the_write() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let discovery = Discovery::start();
@@ -43,24 +43,28 @@
         assert!(accept(event_loop, "read", Bytes::new(), &near, deadline).await.is_ok());
         wait_for_rest().await;
         let answer = accept(event_loop, "read", Bytes::new(), &near, deadline);
-        // Runs after the attempt, and before the connection that the attempt wakes.
+        // This task runs after the task of the attempt and before the task of the connection, which the attempt wakes.
         let held_up = spawn_local(async move {
             thread::sleep(HOLD_UP);
             deadline.saturating_duration_since(tokio::time::Instant::now())
         });
         assert!(answer.await.is_ok());
-        let left = held_up.await.expect("no panic").as_secs_f64();
+        let left = held_up.await.expect("the task does not panic").as_secs_f64();
         let requests = upstream.requests();
         assert_eq!((requests.len(), upstream.connections()), (2, 1));
-        let passed_on: f64 =
-            requests[1].1.header("x-deadline").and_then(|text| text.parse().ok()).expect("a time");
-        assert!(passed_on <= left, "{passed_on} s passed on, {left} s left before it was written");
+        let passed_on: f64 = requests[1]
+            .1
+            .header("x-deadline")
+            .and_then(|text| text.parse().ok())
+            .expect("a deadline in seconds");
+        assert!(passed_on <= left, "{passed_on} s forwarded, {left} s remained before the write");
     });
 }
 
-/// Guards drains: one of which the balancer is notified between the hand-over and the writing holds.
+/// Guards against an attempt to an upstream that drains or is gone, when the update with that status arrives after the
+/// request was passed to the connection and before it is written.
 #[test]
-fn a_drain_notified_before_the_write_holds() {
+fn no_attempt_is_written_to_an_upstream_that_has_started_to_drain() {
     for status in ["draining", "gone"] {
         let upstream = Upstream::start(|_, _| ok("served"));
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -73,7 +77,7 @@
             let answer = accept(event_loop, "read", Bytes::new(), &near, deadline);
             let word = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
-            let word: Update = serde_json::from_value(word).expect("a word of discovery");
+            let word: Update = serde_json::from_value(word).expect("a valid update");
             let notified = Rc::clone(event_loop);
             spawn_local(async move { notified.apply_update(word) });
             assert!(!matches!(answer.await, Ok(Answer::Served(_))), "{status}");
@@ -82,25 +86,27 @@
     }
 }
 
-// --- The process stopped at random moments ---
+// --- The process is suspended at random times ---
 
-/// For how long clients go on before the program has to end.
+/// How long the load runs before SIGTERM.
 const SERVING: Duration = Duration::from_secs(5);
-/// The deadlines of clients.
+/// Deadlines of the clients' requests in seconds.
 const DEADLINES: [f64; 3] = [1.0, 0.2, 0.1];
-/// Clients that ask one request after another.
+/// Number of clients, each of which sends one request after another.
 const CLIENTS: u64 = 16;
-/// One in so many leaves.
+/// One in this number of requests is abandoned: its client disconnects.
 const LEAVES: u64 = 5;
-/// SIGKILL comes no sooner after SIGTERM: the longest deadline, and 0.7 s.
+/// Longest drain: SIGKILL follows SIGTERM no sooner than after the longest deadline plus 0.7 s.
 const DRAIN_MOST: Duration = Duration::from_millis(1700);
-/// New connections keep coming for so long after SIGTERM at the most; the program must be there for them.
+/// Time after SIGTERM during which the front may open new connections, so that the program must still run.
 const NEW_CONNECTIONS: Duration = Duration::from_millis(400);
 
+/// Seed of the random choices of the clients.
 const CLIENT_SEED: u64 = 71;
+/// Seed of the times at which the process is suspended.
 const STOP_SEED: u64 = 72;
 
-/// Numbers from a seed (SplitMix64).
+/// A random number generator with a seed (`SplitMix64`).
 struct Draw(u64);
 
 impl Draw {
@@ -111,39 +117,51 @@
         mixed ^ (mixed >> 31)
     }
 
+    /// Returns a random number from 0 to `bound`, exclusive.
     fn below(&mut self, bound: u64) -> u64 {
         self.next() % bound
     }
 
+    /// Returns a random duration in whole milliseconds, from `from` to `to`, inclusive.
     fn millis(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_millis(from + self.below(to - from + 1))
     }
 }
 
-/// An attempt as its upstream saw it.
+/// An attempt as recorded by its upstream.
 #[derive(Debug, Clone)]
 struct Attempt {
+    /// ID of the request that the attempt belongs to.
     id: String,
+    /// When the attempt arrived at the upstream.
     came: Instant,
+    /// Deadline that the balancer forwarded with the attempt, in seconds from its arrival.
     passed_on: f64,
+    /// Whether the upstream ran the request instead of rejecting it.
     ran: bool,
 }
 
-/// A request as its client saw it.
+/// A request as recorded by its client.
 #[derive(Debug)]
 struct Asked {
+    /// ID of the request.
     id: String,
+    /// Class of the request.
     class: &'static str,
+    /// Deadline of the request, in seconds from `sent`.
     deadline: f64,
+    /// When the client started to send the request.
     sent: Instant,
+    /// When the client disconnected without waiting for the answer; `None` if it waited.
     left: Option<Instant>,
-    /// When its answer was whole, and the status.
+    /// When the answer was completely received, and its status.
     answered: Option<(Instant, u16)>,
-    /// The client sent it once more.
+    /// Whether the client sent the request a second time, on a new connection.
     sent_again: bool,
 }
 
-/// What upstreams do, by the number of the request: serve, reject, close and hang.
+/// Returns the reply of an upstream to the request with this number, and whether the upstream runs the request.
+/// Depending on the number, a request is served or rejected, its connection is closed, or it gets no answer.
 fn reply(number: usize) -> (Reply, bool) {
     match number % 8 {
         1 | 5 => (status("503 Full\r\nX-Not-Run: 1"), false),
@@ -153,19 +171,21 @@
     }
 }
 
+/// Starts an upstream that records its attempts in `attempts`.
 fn start_upstream(attempts: &Arc<Mutex<Vec<Attempt>>>) -> Upstream {
     let attempts = Arc::clone(attempts);
     Upstream::start(move |number, message| {
         let came = Instant::now();
         let (reply, ran) = reply(number);
-        let id = message.header("x-request-id").expect("an id").to_owned();
-        let passed_on = message.header("x-deadline").and_then(|text| text.parse().ok()).expect("a time");
-        attempts.lock().expect("no panic").push(Attempt { id, came, passed_on, ran });
+        let id = message.header("x-request-id").expect("a request ID").to_owned();
+        let passed_on =
+            message.header("x-deadline").and_then(|text| text.parse().ok()).expect("a deadline in seconds");
+        attempts.lock().expect("the lock is not poisoned").push(Attempt { id, came, passed_on, ran });
         reply
     })
 }
 
-/// A shell that sends signals: a process started for each would take its time.
+/// A shell that sends signals to a process. Starting a new process for each signal would delay the signals.
 struct Signals {
     shell: Child,
     commands: ChildStdin,
@@ -173,24 +193,28 @@
 }
 
 impl Signals {
+    /// Starts a shell that sends signals to the process with this ID.
     fn to(process: u32) -> Self {
-        let mut shell = Command::new("/bin/sh").stdin(Stdio::piped()).spawn().expect("starts");
-        let commands = shell.stdin.take().expect("piped");
+        let mut shell = Command::new("/bin/sh").stdin(Stdio::piped()).spawn().expect("the process starts");
+        let commands = shell.stdin.take().expect("the stream is piped");
         Self { shell, commands, process }
     }
 
+    /// Sends the signal with this name, without the prefix `SIG`. A process that has ended is ignored.
     fn send(&mut self, name: &str) {
         writeln!(self.commands, "kill -{name} {} 2>/dev/null", self.process).expect("the shell runs");
     }
 
+    /// Ends the shell and waits for it.
     fn end(self) {
         let Self { mut shell, commands, .. } = self;
         drop(commands);
-        shell.wait().expect("ends");
+        shell.wait().expect("the process ends");
     }
 }
 
-/// Stops a process for up to [`HOLD_UP`] at random moments until `end` is set; the longest stop, seen from outside.
+/// Suspends a process for up to [`HOLD_UP`] at random times until `end` is set. Returns the longest suspension as
+/// measured from outside the process.
 fn hold_up(process: u32, seed: u64, end: &AtomicBool) -> Duration {
     let (mut draw, mut signals, mut longest) = (Draw(seed), Signals::to(process), Duration::ZERO);
     while !end.load(Ordering::Relaxed) {
@@ -205,20 +229,23 @@
     longest
 }
 
-/// Where clients open their connections.
+/// Opens the connections of the clients.
 struct Front {
+    /// Address of the program.
     address: SocketAddr,
-    /// The program has to end, and gets no new ones.
+    /// Whether no new connections are opened any more, because the program has received SIGTERM.
     settled: AtomicBool,
 }
 
 impl Front {
+    /// Opens a connection; `None` once no new connections are opened.
     fn connect(&self) -> Option<Client> {
         (!self.settled.load(Ordering::Relaxed)).then(|| Client::connect(self.address))
     }
 }
 
-/// Asks one request after another until its connection ends and no new ones are to be opened.
+/// Runs the client with this number: it sends one request after another until its connection has ended and no new one
+/// is opened. Returns its requests.
 fn ask_on(front: &Front, number: u64, seed: u64) -> Vec<Asked> {
     let (mut draw, mut all, mut idle) = (Draw(seed + number), Vec::new(), None);
     for request in 0.. {
@@ -242,8 +269,8 @@
     all
 }
 
-/// Asks, and leaves after so long or waits for the answer. A connection that ends under the request is answered with a
-/// new one, once.
+/// Sends a request and either disconnects after the time `leaves` or waits for the answer. If the connection ends
+/// before the answer, the request is sent once more on a new connection. Returns the answer, if there is one.
 fn ask_once(
     client: &mut Client,
     asked: &mut Asked,
@@ -270,6 +297,7 @@
     answer
 }
 
+/// Returns the text of a request as its client sends it.
 fn text_of(asked: &Asked) -> String {
     let Asked { id, class, deadline, .. } = asked;
     let (method, key) = match *class {
@@ -283,10 +311,11 @@
     )
 }
 
-/// Guards every rule at once, at the process: it is stopped for up to 0.15 s at random moments while upstreams reject,
-/// close and hang and a fifth of the clients leave, and it has to end while all of that goes on.
+/// Guards against lost, late or repeated requests when the process is suspended. It is suspended for up to 0.15 s at
+/// random times while upstreams reject requests, close connections and hang, and while the clients of a fifth of the
+/// requests disconnect. The process drains during all of that.
 #[test]
-fn nothing_is_lost_or_late_by_hold_ups() {
+fn suspensions_of_the_process_lose_or_delay_no_request() {
     let attempts: Arc<Mutex<Vec<Attempt>>> = Arc::default();
     let upstreams: Vec<Upstream> = (0..4).map(|_| start_upstream(&attempts)).collect();
     let known: Vec<Value> = (upstreams.iter().enumerate())
@@ -310,24 +339,31 @@
         let signalled = Instant::now();
         thread::sleep(NEW_CONNECTIONS - Duration::from_millis(100));
         front.settled.store(true, Ordering::Relaxed);
-        child.wait().expect("ends");
+        child.wait().expect("the process ends");
         let drain = signalled.elapsed();
         ended.store(true, Ordering::Relaxed);
-        let asked: Vec<Asked> =
-            clients.into_iter().flat_map(|client| client.join().expect("no panic")).collect();
-        (asked, stops.join().expect("no panic"), drain)
+        let asked: Vec<Asked> = clients
+            .into_iter()
+            .flat_map(|client| client.join().expect("the thread does not panic"))
+            .collect();
+        (asked, stops.join().expect("the thread does not panic"), drain)
     });
-    let _ = log.join().expect("no panic");
-    let attempts = attempts.lock().expect("no panic").clone();
+    let _ = log.join().expect("the thread does not panic");
+    let attempts = attempts.lock().expect("the lock is not poisoned").clone();
     judge(&asked, &attempts, longest);
-    println!("the drain took {drain:?}");
+    println!("drain: {drain:?}");
     let most = DRAIN_MOST + longest.saturating_sub(HOLD_UP);
-    assert!(drain >= NEW_CONNECTIONS && drain <= most, "a drain of {drain:?}");
+    assert!(
+        drain >= NEW_CONNECTIONS && drain <= most,
+        "expected a drain of {NEW_CONNECTIONS:?} to {most:?}, got {drain:?}"
+    );
 }
 
-/// Holds what clients and upstreams saw against the rules.
+/// Checks the records of the clients and upstreams: forwarded deadlines, attempts after a disconnect, repeated
+/// requests, and missing, late or unexpected answers. `longest` is the longest suspension of the process.
 fn judge(asked: &[Asked], attempts: &[Attempt], longest: Duration) {
-    // A stop that came out longer than was asked for is the machine's and no fault of the program's.
+    // A suspension that was longer than requested is caused by the machine and not by the program, so the bounds are
+    // extended by the excess.
     let overrun = longest.saturating_sub(HOLD_UP);
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in attempts {
@@ -342,40 +378,45 @@
             most_over = most_over.max(over);
             assert!(
                 over <= DEADLINE_SLACK + overrun.as_secs_f64(),
-                "{over} s too much: {request:?}, {attempt:?}"
+                "forwarded {over} s too much: {request:?}, {attempt:?}"
             );
             if let Some(left) = request.left {
                 let after = seconds_to(left, attempt.came);
                 most_after = most_after.max(after);
                 let slack = DEPARTURE_SLACK + overrun;
-                assert!(after <= slack.as_secs_f64(), "begun {after} s after: {request:?}, {attempt:?}");
+                assert!(after <= slack.as_secs_f64(), "attempt {after} s late: {request:?}, {attempt:?}");
             }
         }
         let ran = own.iter().filter(|attempt| attempt.ran).count();
-        assert!(request.class != "order" || ran <= 1, "run {ran} times: {request:?}, {own:?}");
+        assert!(request.class != "order" || ran <= 1, "ran {ran} times: {request:?}, {own:?}");
         match request.answered {
             Some((at, status)) => {
                 latest = latest.max(seconds_to(due, at));
-                assert!(at <= due + LATE_MOST + overrun, "late: {request:?}, {own:?}");
-                assert!(matches!(status, 200 | 429 | 502 | 503), "{request:?}");
+                assert!(at <= due + LATE_MOST + overrun, "late answer: {request:?}, {own:?}");
+                assert!(matches!(status, 200 | 429 | 502 | 503), "status: {request:?}");
             }
-            // One that the balancer never read may have crossed the end of its connection.
-            None => assert!(request.left.is_some() || own.is_empty(), "lost: {request:?}, {own:?}"),
+            // A request without any attempt may have been sent while the balancer closed the connection, and so never
+            // been read by it.
+            None => assert!(request.left.is_some() || own.is_empty(), "no answer: {request:?}, {own:?}"),
         }
     }
     let left = asked.iter().filter(|request| request.left.is_some()).count();
     let served =
         asked.iter().filter(|request| request.answered.is_some_and(|(_, status)| status == 200)).count();
     println!(
-        "{} requests, {left} left, {served} served; {} attempts; the longest stop {longest:?}; at most {most_over:.3} s \
-         passed on over what was left, {most_after:.3} s after a departure, {latest:.3} s after a deadline",
+        "{} requests, {left} abandoned, {served} served; {} attempts; longest suspension {longest:?}; at most: \
+         deadline forwarded {most_over:.3} s too long, attempt {most_after:.3} s after a disconnect, answer \
+         {latest:.3} s late",
         asked.len(),
         attempts.len()
     );
-    assert!(left > 0 && served > 0 && attempts.len() > served, "nothing was tried");
+    assert!(
+        left > 0 && served > 0 && attempts.len() > served,
+        "too few outcomes: {left} abandoned, {served} served"
+    );
 }
 
-/// Seconds from one moment to another, under zero if that is the earlier one.
+/// Returns the seconds from `from` to `to`, which are negative if `to` is earlier.
 fn seconds_to(from: Instant, to: Instant) -> f64 {
     to.saturating_duration_since(from).as_secs_f64() - from.saturating_duration_since(to).as_secs_f64()
 }
