--- a/crates/proxy/tests/process_stalls.rs
+++ b/crates/proxy/tests/process_stalls.rs
@@ -20,13 +20,13 @@
 use tokio::task::spawn_local;
 
 /// Longest time for which the process is suspended.
-const HOLD_UP: Duration = Duration::from_millis(150);
+const MAX_SUSPENSION: Duration = Duration::from_millis(150);
 /// How long after its client has disconnected an attempt may still arrive at an upstream.
 const DEPARTURE_SLACK: Duration = Duration::from_millis(100);
 /// How much the deadline forwarded to an upstream may exceed the client's remaining time, in seconds.
-const DEADLINE_SLACK: f64 = 0.15;
+const DEADLINE_SLACK_S: f64 = 0.15;
 /// How long after the deadline of its request an answer may arrive.
-const LATE_MOST: Duration = Duration::from_millis(500);
+const MAX_LATENESS: Duration = Duration::from_millis(500);
 
 // --- The process is suspended between passing a request to a connection and writing it ---
 
@@ -38,26 +38,29 @@
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let discovery = Discovery::start();
     drive(&configuration(discovery.address, &known, 50.0, 1024), async |event_loop| {
-        let (_client, near) = connected_pair();
+        let (_client, server_side) = connected_pair();
         let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-        assert!(accept(event_loop, "read", Bytes::new(), &near, deadline).await.is_ok());
+        assert!(accept(event_loop, "read", Bytes::new(), &server_side, deadline).await.is_ok());
         wait_for_rest().await;
-        let answer = accept(event_loop, "read", Bytes::new(), &near, deadline);
+        let answer = accept(event_loop, "read", Bytes::new(), &server_side, deadline);
         // This task runs after the task of the attempt and before the task of the connection, which the attempt wakes.
-        let held_up = spawn_local(async move {
-            thread::sleep(HOLD_UP);
+        let remaining = spawn_local(async move {
+            thread::sleep(MAX_SUSPENSION);
             deadline.saturating_duration_since(tokio::time::Instant::now())
         });
         assert!(answer.await.is_ok());
-        let left = held_up.await.expect("the task does not panic").as_secs_f64();
+        let left = remaining.await.expect("the task does not panic").as_secs_f64();
         let requests = upstream.requests();
         assert_eq!((requests.len(), upstream.connections()), (2, 1));
-        let passed_on: f64 = requests[1]
+        let forwarded_deadline: f64 = requests[1]
             .1
             .header("x-deadline")
             .and_then(|text| text.parse().ok())
             .expect("a deadline in seconds");
-        assert!(passed_on <= left, "{passed_on} s forwarded, {left} s remained before the write");
+        assert!(
+            forwarded_deadline <= left,
+            "{forwarded_deadline} s forwarded, {left} s remained before the write"
+        );
     });
 }
 
@@ -70,16 +73,16 @@
         let known = [endpoint("s-1", upstream.address, 0, "ready")];
         let discovery = Discovery::start();
         drive(&configuration(discovery.address, &known, 50.0, 1024), async |event_loop| {
-            let (_client, near) = connected_pair();
+            let (_client, server_side) = connected_pair();
             let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
-            assert!(accept(event_loop, "read", Bytes::new(), &near, deadline).await.is_ok());
+            assert!(accept(event_loop, "read", Bytes::new(), &server_side, deadline).await.is_ok());
             wait_for_rest().await;
-            let answer = accept(event_loop, "read", Bytes::new(), &near, deadline);
-            let word = json!({"index": 8, "snapshot": false,
+            let answer = accept(event_loop, "read", Bytes::new(), &server_side, deadline);
+            let update = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
-            let word: Update = serde_json::from_value(word).expect("a valid update");
+            let update: Update = serde_json::from_value(update).expect("a valid update");
             let notified = Rc::clone(event_loop);
-            spawn_local(async move { notified.apply_update(word) });
+            spawn_local(async move { notified.apply_update(update) });
             assert!(!matches!(answer.await, Ok(Answer::Served(_))), "{status}");
         });
         assert_eq!(upstream.requests().len(), 1, "{status}");
@@ -89,27 +92,27 @@
 // --- The process is suspended at random times ---
 
 /// How long the load runs before SIGTERM.
-const SERVING: Duration = Duration::from_secs(5);
+const LOAD_DURATION: Duration = Duration::from_secs(5);
 /// Deadlines of the clients' requests in seconds.
-const DEADLINES: [f64; 3] = [1.0, 0.2, 0.1];
+const DEADLINES_S: [f64; 3] = [1.0, 0.2, 0.1];
 /// Number of clients, each of which sends one request after another.
 const CLIENTS: u64 = 16;
 /// One in this number of requests is abandoned: its client disconnects.
-const LEAVES: u64 = 5;
+const DISCONNECT_ONE_IN: u64 = 5;
 /// Longest drain: SIGKILL follows SIGTERM no sooner than after the longest deadline plus 0.7 s.
-const DRAIN_MOST: Duration = Duration::from_millis(1700);
+const MAX_DRAIN: Duration = Duration::from_millis(1700);
 /// Time after SIGTERM during which the front may open new connections, so that the program must still run.
-const NEW_CONNECTIONS: Duration = Duration::from_millis(400);
+const NEW_CONNECTION_PERIOD: Duration = Duration::from_millis(400);
 
 /// Seed of the random choices of the clients.
 const CLIENT_SEED: u64 = 71;
 /// Seed of the times at which the process is suspended.
-const STOP_SEED: u64 = 72;
+const SUSPENSION_SEED: u64 = 72;
 
 /// A random number generator with a seed (`SplitMix64`).
-struct Draw(u64);
+struct Rng(u64);
 
-impl Draw {
+impl Rng {
     fn next(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -134,16 +137,16 @@
     /// ID of the request that the attempt belongs to.
     id: String,
     /// When the attempt arrived at the upstream.
-    came: Instant,
+    received_at: Instant,
     /// Deadline that the balancer forwarded with the attempt, in seconds from its arrival.
-    passed_on: f64,
+    forwarded_deadline: f64,
     /// Whether the upstream ran the request instead of rejecting it.
     ran: bool,
 }
 
 /// A request as recorded by its client.
 #[derive(Debug)]
-struct Asked {
+struct SentRequest {
     /// ID of the request.
     id: String,
     /// Class of the request.
@@ -175,24 +178,29 @@
 fn start_upstream(attempts: &Arc<Mutex<Vec<Attempt>>>) -> Upstream {
     let attempts = Arc::clone(attempts);
     Upstream::start(move |number, message| {
-        let came = Instant::now();
+        let received_at = Instant::now();
         let (reply, ran) = reply(number);
         let id = message.header("x-request-id").expect("a request ID").to_owned();
-        let passed_on =
+        let forwarded_deadline =
             message.header("x-deadline").and_then(|text| text.parse().ok()).expect("a deadline in seconds");
-        attempts.lock().expect("the lock is not poisoned").push(Attempt { id, came, passed_on, ran });
+        attempts.lock().expect("the lock is not poisoned").push(Attempt {
+            id,
+            received_at,
+            forwarded_deadline,
+            ran,
+        });
         reply
     })
 }
 
 /// A shell that sends signals to a process. Starting a new process for each signal would delay the signals.
-struct Signals {
+struct SignalSender {
     shell: Child,
     commands: ChildStdin,
     process: u32,
 }
 
-impl Signals {
+impl SignalSender {
     /// Starts a shell that sends signals to the process with this ID.
     fn to(process: u32) -> Self {
         let mut shell = Command::new("/bin/sh").stdin(Stdio::piped()).spawn().expect("the process starts");
@@ -213,17 +221,17 @@
     }
 }
 
-/// Suspends a process for up to [`HOLD_UP`] at random times until `end` is set. Returns the longest suspension as
-/// measured from outside the process.
-fn hold_up(process: u32, seed: u64, end: &AtomicBool) -> Duration {
-    let (mut draw, mut signals, mut longest) = (Draw(seed), Signals::to(process), Duration::ZERO);
+/// Suspends a process for up to [`MAX_SUSPENSION`] at random times until `end` is set. Returns the longest suspension
+/// as measured from outside the process.
+fn suspend_at_random(process: u32, seed: u64, end: &AtomicBool) -> Duration {
+    let (mut rng, mut signals, mut longest) = (Rng(seed), SignalSender::to(process), Duration::ZERO);
     while !end.load(Ordering::Relaxed) {
-        thread::sleep(draw.millis(10, 120));
-        let (stopped, hold_up) = (Instant::now(), draw.millis(20, 149));
+        thread::sleep(rng.millis(10, 120));
+        let (suspended_at, suspension) = (Instant::now(), rng.millis(20, 149));
         signals.send("STOP");
-        thread::sleep(hold_up.saturating_sub(stopped.elapsed()));
+        thread::sleep(suspension.saturating_sub(suspended_at.elapsed()));
         signals.send("CONT");
-        longest = longest.max(stopped.elapsed());
+        longest = longest.max(suspended_at.elapsed());
     }
     signals.end();
     longest
@@ -234,33 +242,33 @@
     /// Address of the program.
     address: SocketAddr,
     /// Whether no new connections are opened any more, because the program has received SIGTERM.
-    settled: AtomicBool,
+    is_draining: AtomicBool,
 }
 
 impl Front {
     /// Opens a connection; `None` once no new connections are opened.
     fn connect(&self) -> Option<Client> {
-        (!self.settled.load(Ordering::Relaxed)).then(|| Client::connect(self.address))
+        (!self.is_draining.load(Ordering::Relaxed)).then(|| Client::connect(self.address))
     }
 }
 
 /// Runs the client with this number: it sends one request after another until its connection has ended and no new one
 /// is opened. Returns its requests.
-fn ask_on(front: &Front, number: u64, seed: u64) -> Vec<Asked> {
-    let (mut draw, mut all, mut idle) = (Draw(seed + number), Vec::new(), None);
+fn run_client(front: &Front, number: u64, seed: u64) -> Vec<SentRequest> {
+    let (mut rng, mut all, mut idle) = (Rng(seed + number), Vec::new(), None);
     for request in 0.. {
         let Some(mut client) = idle.take().or_else(|| front.connect()) else { break };
-        let mut asked = Asked {
+        let mut asked = SentRequest {
             id: format!("{number}-{request}"),
-            class: ["read", "pay", "order"][draw.below(3) as usize],
-            deadline: DEADLINES[draw.below(3) as usize],
+            class: ["read", "pay", "order"][rng.below(3) as usize],
+            deadline: DEADLINES_S[rng.below(3) as usize],
             sent: Instant::now(),
             left: None,
             answered: None,
             sent_again: false,
         };
-        let leaves = draw.below(LEAVES) == 0;
-        let answer = ask_once(&mut client, &mut asked, leaves.then(|| draw.millis(0, 90)), front);
+        let disconnects = rng.below(DISCONNECT_ONE_IN) == 0;
+        let answer = send_request(&mut client, &mut asked, disconnects.then(|| rng.millis(0, 90)), front);
         if answer.as_ref().is_some_and(|answer| answer.header("connection") != Some("close")) {
             idle = Some(client);
         }
@@ -269,17 +277,17 @@
     all
 }
 
-/// Sends a request and either disconnects after the time `leaves` or waits for the answer. If the connection ends
-/// before the answer, the request is sent once more on a new connection. Returns the answer, if there is one.
-fn ask_once(
+/// Sends a request and either disconnects after the time in `disconnects` or waits for the answer. If the connection
+/// ends before the answer, the request is sent once more on a new connection. Returns the answer, if there is one.
+fn send_request(
     client: &mut Client,
-    asked: &mut Asked,
-    leaves: Option<Duration>,
+    asked: &mut SentRequest,
+    disconnects: Option<Duration>,
     front: &Front,
 ) -> Option<Message> {
-    let text = text_of(asked);
+    let text = request_text(asked);
     let written = client.0.write_all(text.as_bytes()).is_ok();
-    if let Some(after) = leaves {
+    if let Some(after) = disconnects {
         thread::sleep(after);
         asked.left = Some(Instant::now());
         let _ = client.0.shutdown(std::net::Shutdown::Both);
@@ -298,8 +306,8 @@
 }
 
 /// Returns the text of a request as its client sends it.
-fn text_of(asked: &Asked) -> String {
-    let Asked { id, class, deadline, .. } = asked;
+fn request_text(asked: &SentRequest) -> String {
+    let SentRequest { id, class, deadline, .. } = asked;
     let (method, key) = match *class {
         "read" => ("GET", String::new()),
         "pay" => ("POST", format!("Idempotency-Key: k-{id}\r\n")),
@@ -327,62 +335,62 @@
     let mut child = program(&text);
     let (address, log) = address(&mut child);
     let log = thread::spawn(move || std::io::read_to_string(log));
-    let front = Front { address, settled: AtomicBool::new(false) };
+    let front = Front { address, is_draining: AtomicBool::new(false) };
     let (process, ended) = (child.id(), AtomicBool::new(false));
     let (asked, longest, drain) = thread::scope(|scope| {
         let front = &front;
         let clients: Vec<_> =
-            (0..CLIENTS).map(|number| scope.spawn(move || ask_on(front, number, CLIENT_SEED))).collect();
-        let stops = scope.spawn(|| hold_up(process, STOP_SEED, &ended));
-        thread::sleep(SERVING);
+            (0..CLIENTS).map(|number| scope.spawn(move || run_client(front, number, CLIENT_SEED))).collect();
+        let suspender = scope.spawn(|| suspend_at_random(process, SUSPENSION_SEED, &ended));
+        thread::sleep(LOAD_DURATION);
         signal(&child, "-TERM");
         let signalled = Instant::now();
-        thread::sleep(NEW_CONNECTIONS - Duration::from_millis(100));
-        front.settled.store(true, Ordering::Relaxed);
+        thread::sleep(NEW_CONNECTION_PERIOD - Duration::from_millis(100));
+        front.is_draining.store(true, Ordering::Relaxed);
         child.wait().expect("the process ends");
         let drain = signalled.elapsed();
         ended.store(true, Ordering::Relaxed);
-        let asked: Vec<Asked> = clients
+        let asked: Vec<SentRequest> = clients
             .into_iter()
             .flat_map(|client| client.join().expect("the thread does not panic"))
             .collect();
-        (asked, stops.join().expect("the thread does not panic"), drain)
+        (asked, suspender.join().expect("the thread does not panic"), drain)
     });
     let _ = log.join().expect("the thread does not panic");
     let attempts = attempts.lock().expect("the lock is not poisoned").clone();
-    judge(&asked, &attempts, longest);
+    check_records(&asked, &attempts, longest);
     println!("drain: {drain:?}");
-    let most = DRAIN_MOST + longest.saturating_sub(HOLD_UP);
+    let longest_allowed = MAX_DRAIN + longest.saturating_sub(MAX_SUSPENSION);
     assert!(
-        drain >= NEW_CONNECTIONS && drain <= most,
-        "expected a drain of {NEW_CONNECTIONS:?} to {most:?}, got {drain:?}"
+        drain >= NEW_CONNECTION_PERIOD && drain <= longest_allowed,
+        "expected a drain of {NEW_CONNECTION_PERIOD:?} to {longest_allowed:?}, got {drain:?}"
     );
 }
 
 /// Checks the records of the clients and upstreams: forwarded deadlines, attempts after a disconnect, repeated
 /// requests, and missing, late or unexpected answers. `longest` is the longest suspension of the process.
-fn judge(asked: &[Asked], attempts: &[Attempt], longest: Duration) {
+fn check_records(asked: &[SentRequest], attempts: &[Attempt], longest: Duration) {
     // A suspension that was longer than requested is caused by the machine and not by the program, so the bounds are
     // extended by the excess.
-    let overrun = longest.saturating_sub(HOLD_UP);
+    let overrun = longest.saturating_sub(MAX_SUSPENSION);
     let mut by_id: HashMap<&str, Vec<&Attempt>> = HashMap::new();
     for attempt in attempts {
         by_id.entry(&attempt.id).or_default().push(attempt);
     }
-    let (mut latest, mut most_over, mut most_after) = (f64::MIN, f64::MIN, f64::MIN);
+    let (mut max_lateness, mut max_excess, mut max_after_disconnect) = (f64::MIN, f64::MIN, f64::MIN);
     for request in asked {
         let own = by_id.get(request.id.as_str()).map_or(&[][..], Vec::as_slice);
         let due = request.sent + Duration::from_secs_f64(request.deadline);
         for attempt in own {
-            let over = attempt.passed_on - seconds_to(attempt.came, due);
-            most_over = most_over.max(over);
+            let excess = attempt.forwarded_deadline - seconds_to(attempt.received_at, due);
+            max_excess = max_excess.max(excess);
             assert!(
-                over <= DEADLINE_SLACK + overrun.as_secs_f64(),
-                "forwarded {over} s too much: {request:?}, {attempt:?}"
+                excess <= DEADLINE_SLACK_S + overrun.as_secs_f64(),
+                "forwarded {excess} s too much: {request:?}, {attempt:?}"
             );
             if let Some(left) = request.left {
-                let after = seconds_to(left, attempt.came);
-                most_after = most_after.max(after);
+                let after = seconds_to(left, attempt.received_at);
+                max_after_disconnect = max_after_disconnect.max(after);
                 let slack = DEPARTURE_SLACK + overrun;
                 assert!(after <= slack.as_secs_f64(), "attempt {after} s late: {request:?}, {attempt:?}");
             }
@@ -391,8 +399,8 @@
         assert!(request.class != "order" || ran <= 1, "ran {ran} times: {request:?}, {own:?}");
         match request.answered {
             Some((at, status)) => {
-                latest = latest.max(seconds_to(due, at));
-                assert!(at <= due + LATE_MOST + overrun, "late answer: {request:?}, {own:?}");
+                max_lateness = max_lateness.max(seconds_to(due, at));
+                assert!(at <= due + MAX_LATENESS + overrun, "late answer: {request:?}, {own:?}");
                 assert!(matches!(status, 200 | 429 | 502 | 503), "status: {request:?}");
             }
             // A request without any attempt may have been sent while the balancer closed the connection, and so never
@@ -405,8 +413,8 @@
         asked.iter().filter(|request| request.answered.is_some_and(|(_, status)| status == 200)).count();
     println!(
         "{} requests, {left} abandoned, {served} served; {} attempts; longest suspension {longest:?}; at most: \
-         deadline forwarded {most_over:.3} s too long, attempt {most_after:.3} s after a disconnect, answer \
-         {latest:.3} s late",
+         deadline forwarded {max_excess:.3} s too long, attempt {max_after_disconnect:.3} s after a disconnect, answer \
+         {max_lateness:.3} s late",
         asked.len(),
         attempts.len()
     );
