--- a/crates/fault-injection/src/wrappers.rs
+++ b/crates/fault-injection/src/wrappers.rs
@@ -1,5 +1,5 @@
-//! The wrapped functions. Each has the signature and the contract of the C library's function of its name, which it
-//! calls with the same arguments, or with fewer bytes, unless the call is to fail.
+//! The wrapped functions. Each has the signature and the contract of the C library function of the same name. It calls
+//! that function with the same arguments, or with fewer bytes, unless the call is to fail.
 
 use std::ffi::CStr;
 use std::mem::transmute;
@@ -11,18 +11,18 @@
 };
 
 use crate::clock;
-use crate::descriptors::{self, Watched};
+use crate::descriptors::{self, EpollRegistration};
 use crate::faults::{self, Call, Fault, log_short};
 
-/// The address of the C library's own function of this name.
+/// Returns the address of the C library function of this name.
 fn address_of(name: &CStr) -> usize {
-    // SAFETY: the name is a C string; `RTLD_NEXT` needs nothing else.
+    // SAFETY: the name is a C string, and a call with `RTLD_NEXT` has no further requirement.
     let address = unsafe { libc::dlsym(libc::RTLD_NEXT, name.as_ptr()) };
-    assert!(!address.is_null(), "the C library has no {name:?}");
+    assert!(!address.is_null(), "function not found in the C library: {name:?}");
     address as usize
 }
 
-/// Calls the C library's own function: `real!(name(argument: type, ...) -> type)`.
+/// Calls the C library function of a name: `real!(name(argument => type, ...) -> type)`.
 macro_rules! real {
     ($name:ident($($argument:expr => $type:ty),*) -> $result:ty) => {{
         static ADDRESS: OnceLock<usize> = OnceLock::new();
@@ -30,24 +30,26 @@
             unreachable!("the name has no zero byte")
         };
         let address = *ADDRESS.get_or_init(|| address_of(name));
-        // SAFETY: the function of this name has this signature; what it asks of its arguments the caller of the
-        // wrapper, which has the same contract, has seen to.
+        // SAFETY: the function of this name has this signature. The wrapper has the same contract, so its caller has
+        // ensured that the arguments are valid.
         unsafe {
             transmute::<usize, unsafe extern "C" fn($($type),*) -> $result>(address)($($argument),*)
         }
     }};
 }
 
+/// Sets `errno` to this error and returns -1.
 fn fail(error: c_int) -> c_int {
-    // SAFETY: the location is this thread's own, and valid for as long as the thread lives.
+    // SAFETY: the location belongs to this thread and is valid for the lifetime of the thread.
     unsafe { *libc::__errno_location() = error };
     -1
 }
 
-/// Brings about the edge that a call which was cut short is taken to have used up.
-fn bring_edge(descriptor: c_int) {
+/// Triggers a new edge for a descriptor after a shortened call, because the runtime takes the descriptor to be not
+/// ready after a transfer of fewer bytes than requested.
+fn trigger_edge(descriptor: c_int) {
     let watched = descriptors::find(descriptor).and_then(|socket| socket.watched);
-    if let Some(Watched { epoll, events, data }) = watched {
+    if let Some(EpollRegistration { epoll, events, data }) = watched {
         let mut event = epoll_event { events, u64: data };
         real!(epoll_ctl(
             epoll => c_int, libc::EPOLL_CTL_MOD => c_int, descriptor => c_int, &raw mut event => *mut epoll_event
@@ -55,31 +57,32 @@
     }
 }
 
-/// Makes a call on `length` bytes by what is to happen to it; `make` makes it on so many of them.
-fn transfer(call: Call, descriptor: c_int, length: usize, make: impl Fn(usize) -> ssize_t) -> ssize_t {
+/// Performs a transfer of `length` bytes with the fault that applies to it, if any. `call_real` calls the C library
+/// for the given number of bytes.
+fn transfer(call: Call, descriptor: c_int, length: usize, call_real: impl Fn(usize) -> ssize_t) -> ssize_t {
     if let Some(error) = descriptors::find(descriptor).and_then(|socket| socket.broken) {
         return fail(error) as ssize_t;
     }
-    let (most, error) = match faults::next_on(call, descriptor) {
+    let (limit, error) = match faults::next_fault_on(call, descriptor) {
         Some(Fault::Fails(error)) => return fail(error) as ssize_t,
-        Some(Fault::Short(most, error)) if most < length || most == length && error.is_some() => {
-            (most, error)
+        Some(Fault::Short(limit, error)) if limit < length || limit == length && error.is_some() => {
+            (limit, error)
         }
-        _ => return make(length),
+        _ => return call_real(length),
     };
-    let done = make(most);
-    // One that did less by itself has used the socket up.
-    if done == most.cast_signed() {
+    let returned = call_real(limit);
+    // A call that transferred even fewer bytes found that the socket was not ready any more, so no edge is missing.
+    if returned == limit.cast_signed() {
         log_short(call);
         if let Some(error) = error {
-            descriptors::breaks(descriptor, error);
+            descriptors::record_error(descriptor, error);
         }
-        bring_edge(descriptor);
+        trigger_edge(descriptor);
     }
-    done
+    returned
 }
 
-/// The error with which a call other than a transfer is to fail.
+/// Returns the error with which a call other than a transfer is to fail.
 fn error_of(fault: Option<Fault>) -> Option<c_int> {
     match fault? {
         Fault::Fails(error) => Some(error),
@@ -92,16 +95,16 @@
 /// `socket(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     let internet = domain == libc::AF_INET || domain == libc::AF_INET6;
-    if internet && let Some(error) = error_of(faults::next(Call::Socket, None)) {
+    if internet && let Some(error) = error_of(faults::next_fault(Call::Socket, None)) {
         return fail(error);
     }
     let descriptor = real!(socket(domain => c_int, kind => c_int, protocol => c_int) -> c_int);
     if internet && descriptor >= 0 {
-        descriptors::opened(descriptor);
+        descriptors::record_opened(descriptor);
     }
     descriptor
 }
@@ -109,7 +112,7 @@
 /// `accept4(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
     listener: c_int,
@@ -117,25 +120,25 @@
     length: *mut socklen_t,
     flags: c_int,
 ) -> c_int {
-    if let Some(error) = error_of(faults::next_on(Call::Accept, listener)) {
+    if let Some(error) = error_of(faults::next_fault_on(Call::Accept, listener)) {
         return fail(error);
     }
     let descriptor = real!(accept4(
         listener => c_int, address => *mut sockaddr, length => *mut socklen_t, flags => c_int
     ) -> c_int);
     if descriptor >= 0 && descriptors::find(listener).is_some() {
-        descriptors::opened(descriptor);
+        descriptors::record_opened(descriptor);
     }
     descriptor
 }
 
-/// The port of an address; `None` if it is of no internet family.
+/// Returns the port of an address; `None` if it is neither an IPv4 nor an IPv6 address.
 ///
 /// # Safety
-/// `address` points to an address of its family's length.
-#[allow(clippy::cast_ptr_alignment, reason = "the program under test hands over a whole, aligned address")]
+/// `address` points to an address that has the length required by its family.
+#[allow(clippy::cast_ptr_alignment, reason = "the program under test passes a complete, aligned address")]
 unsafe fn port_of(address: *const sockaddr) -> Option<u16> {
-    // SAFETY: each address begins with its family; those of the internet families have the length of theirs.
+    // SAFETY: every address begins with its family, and the caller ensures that it has the length of that family.
     unsafe {
         match c_int::from((*address).sa_family) {
             libc::AF_INET => Some(u16::from_be((*address.cast::<libc::sockaddr_in>()).sin_port)),
@@ -148,13 +151,13 @@
 /// `connect(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(descriptor: c_int, address: *const sockaddr, length: socklen_t) -> c_int {
-    // SAFETY: the caller hands over an address of this length.
+    // SAFETY: the caller passes an address of this length.
     if let Some(port) = unsafe { port_of(address) } {
-        descriptors::connects(descriptor, port);
-        if let Some(error) = error_of(faults::next_on(Call::Connect, descriptor)) {
+        descriptors::record_port(descriptor, port);
+        if let Some(error) = error_of(faults::next_fault_on(Call::Connect, descriptor)) {
             return fail(error);
         }
     }
@@ -164,17 +167,17 @@
 /// `close(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn close(descriptor: c_int) -> c_int {
-    descriptors::closed(descriptor);
+    descriptors::record_closed(descriptor);
     real!(close(descriptor => c_int) -> c_int)
 }
 
 /// `getsockopt(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn getsockopt(
     descriptor: c_int,
@@ -183,23 +186,23 @@
     value: *mut c_void,
     length: *mut socklen_t,
 ) -> c_int {
-    let done = real!(getsockopt(
+    let returned = real!(getsockopt(
         descriptor => c_int, level => c_int, name => c_int, value => *mut c_void, length => *mut socklen_t
     ) -> c_int);
-    if done == 0
+    if returned == 0
         && (level, name) == (libc::SOL_SOCKET, libc::SO_ERROR)
-        && let Some(error) = error_of(faults::next_on(Call::SoError, descriptor))
+        && let Some(error) = error_of(faults::next_fault_on(Call::SoError, descriptor))
     {
-        // SAFETY: this option is a C integer, and the call has just written one there.
+        // SAFETY: the value of this option is a C integer, which the call has just written there.
         unsafe { *value.cast::<c_int>() = error };
     }
-    done
+    returned
 }
 
 /// `setsockopt(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn setsockopt(
     descriptor: c_int,
@@ -208,7 +211,7 @@
     value: *const c_void,
     length: socklen_t,
 ) -> c_int {
-    if let Some(error) = error_of(faults::next_on(Call::SetSockOpt, descriptor)) {
+    if let Some(error) = error_of(faults::next_fault_on(Call::SetSockOpt, descriptor)) {
         return fail(error);
     }
     real!(setsockopt(
@@ -221,7 +224,7 @@
 /// `read(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn read(descriptor: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
     transfer(
@@ -235,7 +238,7 @@
 /// `recv(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(
     descriptor: c_int,
@@ -243,21 +246,21 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    let make = |length| {
+    let call_real = |length| {
         real!(recv(
             descriptor => c_int, buffer => *mut c_void, length => size_t, flags => c_int
         ) -> ssize_t)
     };
     if flags & libc::MSG_PEEK != 0 {
-        return make(length);
+        return call_real(length);
     }
-    transfer(Call::Read, descriptor, length, make)
+    transfer(Call::Read, descriptor, length, call_real)
 }
 
 /// `recvfrom(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recvfrom(
     descriptor: c_int,
@@ -267,16 +270,16 @@
     address: *mut sockaddr,
     address_length: *mut socklen_t,
 ) -> ssize_t {
-    let make = |length| {
+    let call_real = |length| {
         real!(recvfrom(
             descriptor => c_int, buffer => *mut c_void, length => size_t, flags => c_int,
             address => *mut sockaddr, address_length => *mut socklen_t
         ) -> ssize_t)
     };
     if flags & libc::MSG_PEEK != 0 {
-        return make(length);
+        return call_real(length);
     }
-    transfer(Call::Read, descriptor, length, make)
+    transfer(Call::Read, descriptor, length, call_real)
 }
 
 // --- Writes ---
@@ -284,7 +287,7 @@
 /// `write(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn write(descriptor: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     transfer(
@@ -298,7 +301,7 @@
 /// `send(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
     descriptor: c_int,
@@ -316,7 +319,7 @@
 /// `sendto(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn sendto(
     descriptor: c_int,
@@ -334,16 +337,16 @@
     })
 }
 
-/// The bytes of some parts together, and the first `most` of them as parts.
+/// Returns the total length of the buffers, and a copy of them that is truncated to `limit` bytes in all.
 ///
 /// # Safety
-/// `parts` points to `count` of them.
-unsafe fn first_of(parts: *const iovec, count: usize, most: usize) -> (usize, Vec<iovec>) {
+/// `parts` points to `count` buffers.
+unsafe fn truncated(parts: *const iovec, count: usize, limit: usize) -> (usize, Vec<iovec>) {
     let (mut length, mut first) = (0, Vec::new());
     for place in 0..count {
-        // SAFETY: there are as many.
+        // SAFETY: `parts` points to `count` buffers, and `place` is less than that.
         let mut part = unsafe { *parts.add(place) };
-        let left = most.saturating_sub(length);
+        let left = limit.saturating_sub(length);
         length += part.iov_len;
         part.iov_len = part.iov_len.min(left);
         first.push(part);
@@ -354,15 +357,15 @@
 /// `writev(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(descriptor: c_int, parts: *const iovec, count: c_int) -> ssize_t {
     let number = usize::try_from(count).unwrap_or(0);
-    // SAFETY: the caller hands over as many parts.
-    let (length, _) = unsafe { first_of(parts, number, 0) };
-    transfer(Call::Write, descriptor, length, |most| {
-        // SAFETY: as above.
-        let (_, first) = unsafe { first_of(parts, number, most) };
+    // SAFETY: the caller passes an array of `count` buffers.
+    let (length, _) = unsafe { truncated(parts, number, 0) };
+    transfer(Call::Write, descriptor, length, |limit| {
+        // SAFETY: the buffers are still those of the caller.
+        let (_, first) = unsafe { truncated(parts, number, limit) };
         real!(writev(descriptor => c_int, first.as_ptr() => *const iovec, count => c_int) -> ssize_t)
     })
 }
@@ -370,15 +373,16 @@
 /// `sendmsg(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn sendmsg(descriptor: c_int, message: *const msghdr, flags: c_int) -> ssize_t {
-    // SAFETY: the caller hands over a message, and as many parts as it says.
-    let (whole, (length, _)) = unsafe { (*message, first_of((*message).msg_iov, (*message).msg_iovlen, 0)) };
-    transfer(Call::Write, descriptor, length, |most| {
-        // SAFETY: as above.
-        let (_, mut first) = unsafe { first_of(whole.msg_iov, whole.msg_iovlen, most) };
-        let message = msghdr { msg_iov: first.as_mut_ptr(), ..whole };
+    // SAFETY: the caller passes a valid message with as many buffers as it states.
+    let (original, (length, _)) =
+        unsafe { (*message, truncated((*message).msg_iov, (*message).msg_iovlen, 0)) };
+    transfer(Call::Write, descriptor, length, |limit| {
+        // SAFETY: the buffers are still those of the caller.
+        let (_, mut first) = unsafe { truncated(original.msg_iov, original.msg_iovlen, limit) };
+        let message = msghdr { msg_iov: first.as_mut_ptr(), ..original };
         real!(sendmsg(descriptor => c_int, &raw const message => *const msghdr, flags => c_int) -> ssize_t)
     })
 }
@@ -388,7 +392,7 @@
 /// `epoll_ctl(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_ctl(
     epoll: c_int,
@@ -396,36 +400,37 @@
     descriptor: c_int,
     event: *mut epoll_event,
 ) -> c_int {
-    let done = real!(epoll_ctl(
+    let returned = real!(epoll_ctl(
         epoll => c_int, operation => c_int, descriptor => c_int, event => *mut epoll_event
     ) -> c_int);
-    if done == 0 {
+    if returned == 0 {
         let watched = (operation != libc::EPOLL_CTL_DEL).then(|| {
-            // SAFETY: the call, which needs an event unless it ends the watch, has succeeded; it may lie unaligned.
+            // SAFETY: the call has succeeded and every operation but a removal requires a valid event, which may be
+            // unaligned.
             let event = unsafe { ptr::read_unaligned(event) };
-            Watched { epoll, events: event.events, data: event.u64 }
+            EpollRegistration { epoll, events: event.events, data: event.u64 }
         });
         descriptors::watched(descriptor, watched);
     }
-    done
+    returned
 }
 
 /// `epoll_wait(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn epoll_wait(
     epoll: c_int,
     events: *mut epoll_event,
-    most: c_int,
+    limit: c_int,
     timeout_ms: c_int,
 ) -> c_int {
-    if let Some(error) = error_of(faults::next(Call::Wait, None)) {
+    if let Some(error) = error_of(faults::next_fault(Call::Wait, None)) {
         return fail(error);
     }
     real!(epoll_wait(
-        epoll => c_int, events => *mut epoll_event, most => c_int, timeout_ms => c_int
+        epoll => c_int, events => *mut epoll_event, limit => c_int, timeout_ms => c_int
     ) -> c_int)
 }
 
@@ -434,13 +439,13 @@
 /// `clock_gettime(2)`.
 ///
 /// # Safety
-/// As the C library's.
+/// As for the C library function.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    let done = real!(clock_gettime(clock => clockid_t, time => *mut timespec) -> c_int);
-    if done == 0 && clock == libc::CLOCK_REALTIME {
-        // SAFETY: the call has just written it.
+    let returned = real!(clock_gettime(clock => clockid_t, time => *mut timespec) -> c_int);
+    if returned == 0 && clock == libc::CLOCK_REALTIME {
+        // SAFETY: the call has just written the time there.
         unsafe { *time = clock::shifted(*time) };
     }
-    done
+    returned
 }
