--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -1,4 +1,5 @@
-//! Requests that meet the end of their connection, whatever ends it: each one that was read has its one answer.
+//! Requests on client connections that the balancer closes, in a drain, at the socket limit or at a reload: each
+//! request that the balancer read gets exactly one answer.
 
 mod common;
 
@@ -9,7 +10,7 @@
 
 use common::*;
 
-/// A request of its own: its body is that of no other.
+/// Returns a request of class `order` with this body; tests give each request a unique body.
 fn order(body: &str) -> Vec<u8> {
     let head =
         "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n";
@@ -22,22 +23,24 @@
     client.answer()
 }
 
-/// What became of the requests of a client.
+/// Outcomes of the requests of one client.
 #[derive(Default)]
 struct Sent {
+    /// Body and status of each answered request.
     answered: Vec<(String, u16)>,
-    /// Closed without an answer.
+    /// Bodies of requests that the client sent on a reused connection that was closed without an answer; the client
+    /// sends the request again.
     crossed: Vec<String>,
-    /// Closed without an answer also on the new connection on which it went out once more.
+    /// Bodies of requests that the client sent on a new connection that was closed without an answer.
     lost: Vec<String>,
 }
 
-/// What clients may do.
+/// Flags with which the test controls its clients.
 #[derive(Default)]
 struct Orders {
-    /// They end between requests.
+    /// Clients stop before their next request.
     over: AtomicBool,
-    /// The front deals them no new connection to this balancer.
+    /// Clients open no new connections, as the front sends them to another balancer.
     dealt_elsewhere: AtomicBool,
 }
 
@@ -48,8 +51,8 @@
     }
 }
 
-/// A client that sends one request after the other on a connection, and takes a new one where that is closed; it ends
-/// where there is none, or when the test says so.
+/// Runs a client that sends its requests one after the other on one connection and opens a new connection when that one
+/// is closed. The client stops when it gets no new connection or when the test stops it.
 fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
     let mut sent = Sent::default();
     let mut idle: Option<Client> = None;
@@ -82,20 +85,24 @@
     sent
 }
 
-/// Each answer 200 is of one run; a request without an answer never ran.
+/// Checks that no request ran twice, that each request with status 200 ran once, and that requests without an answer
+/// never ran.
 fn check_runs(upstream: &Upstream, sent: &Sent) {
     for (body, status) in &sent.answered {
         let runs = upstream.count_of(body);
-        assert!(runs <= 1 && (*status != 200 || runs == 1), "{body}: {status}, run {runs} times");
+        assert!(
+            runs <= 1 && (*status != 200 || runs == 1),
+            "{body}: status {status}, but the upstream ran it {runs} times"
+        );
     }
     for body in sent.crossed.iter().chain(&sent.lost) {
-        assert_eq!(upstream.count_of(body), 0, "{body}: run, and not answered");
+        assert_eq!(upstream.count_of(body), 0, "{body}: the upstream ran it, but the client got no answer");
     }
 }
 
-/// Guards planned restarts where deadlines are short: with 0.2 s, SIGKILL may come 0.9 s after SIGTERM. Clients send on
-/// for as long as their connections stay open, and the front deals new ones for 0.4 s: each request has its one answer,
-/// and the program has ended by itself before.
+/// Guards against requests lost in a planned restart with short deadlines: with a longest deadline of 0.2 s, SIGKILL
+/// may come 0.9 s after SIGTERM. Clients send requests as long as their connections stay open, and the front opens new
+/// connections for 0.4 s. Each request must get exactly one answer, and the program must exit by itself before SIGKILL.
 #[test]
 fn a_drain_with_short_deadlines_ends_before_the_kill() {
     let upstream = Upstream::start(|_, _| {
@@ -117,21 +124,29 @@
         let signalled = Instant::now();
         thread::sleep(Duration::from_millis(400));
         orders.dealt_elsewhere.store(true, Ordering::Relaxed);
-        let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
+        let ended =
+            wait_for("the program exits", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
         let sent: Vec<Sent> = clients.into_iter().map(|client| client.join().expect("no panic")).collect();
         (sent, ended)
     });
-    assert!(ended < Duration::from_millis(900), "SIGKILL finds the program after {ended:?}");
+    assert!(
+        ended < Duration::from_millis(900),
+        "expected the program to exit within 0.9 s of SIGTERM, it exited after {ended:?}"
+    );
     assert!(child.wait().expect("ends").success());
     for sent in &sent {
         check_runs(&upstream, sent);
     }
     let answered: usize = sent.iter().map(|sent| sent.answered.len()).sum();
     let lost: Vec<&String> = sent.iter().flat_map(|sent| &sent.lost).collect();
-    assert!(lost.is_empty(), "{lost:?} lost beside {answered} answers");
+    assert!(
+        lost.is_empty(),
+        "requests without an answer on a new connection: {lost:?}; {answered} were answered"
+    );
 }
 
-/// Guards requests against a shortage of descriptors: connections that give way do so between requests.
+/// Guards against requests lost when the balancer closes client connections because it runs out of sockets: it must
+/// close them only between requests.
 #[test]
 fn connections_that_give_way_lose_no_request() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -148,7 +163,7 @@
             .collect();
         upstream.wait_requests(20);
         let mut many = Vec::new();
-        // Fewer than the system queues: beyond that it would ask again seconds later.
+        // Fewer than the listen backlog: a connect beyond it would be retried by the kernel only seconds later.
         for _ in 0..100 {
             many.push(balancer.client());
             thread::sleep(Duration::from_millis(2));
@@ -158,11 +173,12 @@
     });
     for sent in &sent {
         check_runs(&upstream, sent);
-        assert!(sent.lost.is_empty(), "{:?}", sent.lost);
+        assert!(sent.lost.is_empty(), "requests without an answer on a new connection: {:?}", sent.lost);
     }
 }
 
-/// Guards requests against new configurations in a row and a log that nobody reads.
+/// Guards against connections closed by reloads in quick succession, half of them of a malformed configuration, while
+/// the pipe of the log is full because nobody reads it.
 #[test]
 fn reloads_and_a_full_log_close_no_connection() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -171,7 +187,7 @@
     let text = configuration(discovery.address, &known, 30.0, 1024);
     let mut child = program(&text);
     let (address, _unread) = address(&mut child);
-    // Each entry has a line of the log; a pipe holds 64 KiB.
+    // Each entry causes a log line, and together they exceed the 64 KiB that a pipe holds.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
     discovery.watch().1.says(8, false, &odd);
     let orders = Orders::default();
@@ -192,7 +208,12 @@
     });
     for sent in &sent {
         check_runs(&upstream, sent);
-        assert!(sent.lost.is_empty() && sent.crossed.is_empty(), "{:?} {:?}", sent.lost, sent.crossed);
+        assert!(
+            sent.lost.is_empty() && sent.crossed.is_empty(),
+            "requests without an answer: {:?} on new connections, {:?} on reused ones",
+            sent.lost,
+            sent.crossed
+        );
     }
     child.kill().expect("it runs");
     child.wait().expect("ends");
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -1,4 +1,5 @@
-//! Names of endpoints: what is remembered of them is bounded, and a name that returns has its number again.
+//! Endpoint names in the endpoint table: the number of remembered names is bounded, and an endpoint that is listed
+//! again gets its previous id.
 
 mod common;
 
@@ -14,16 +15,17 @@
 use rustc_hash::FxHashSet;
 use serde_json::json;
 
-/// Far more names than are remembered.
+/// Number of names that a test lists and removes, many times the number that the table remembers.
 const MANY: usize = 10 * MIN_NAMES_TO_PRUNE;
-/// A start that no list has named before.
+/// Stamp, in Unix milliseconds, of a start that no list has named before.
 const NEW_START_MS: u64 = 1_700_000_000_000;
 
-/// A table that takes in patches, and what attempts are out.
+/// An endpoint table to which the test applies deltas, and the endpoints that have attempts in flight.
 struct World {
     table: EndpointTable,
     names: Names,
     now: Time,
+    /// Endpoints with attempts in flight; the table must keep their names.
     in_attempts: FxHashSet<EndpointId>,
 }
 
@@ -34,7 +36,7 @@
         Self { table, names, now: Duration::from_secs(3600), in_attempts: FxHashSet::default() }
     }
 
-    /// One entry of a patch; gives the endpoint's number and start time.
+    /// Applies a delta with one entry and returns the endpoint's id and start time.
     fn patch(&mut self, name: &str, status: &str, since_ms: u64) -> (EndpointId, Option<Time>) {
         let entry = json!({ "name": name, "address": "127.0.0.1:9", "status": status, "since_ms": since_ms });
         let update: Update = serde_json::from_value(json!({ "endpoints": [entry] })).expect("an update");
@@ -42,18 +44,24 @@
         let in_attempts = || self.in_attempts.clone();
         let applied =
             self.table.apply(self.now, &update.endpoints, ListSource::Delta, &self.names, in_attempts);
-        let ListUpdate::Delta(members) = applied.update else { panic!("no patch: {:?}", applied.update) };
+        let ListUpdate::Delta(members) = applied.update else {
+            panic!("expected a delta, got {:?}", applied.update)
+        };
         (members[0].id, members[0].started)
     }
 
-    /// Names that are listed and gone again, and never return.
+    /// Lists [`MANY`] names and removes each of them at once, and checks the number of remembered names after each.
     fn pass(&mut self, since_ms: u64) {
         for number in 0..MANY {
             let name = format!("passing-{since_ms}-{number}");
             self.patch(&name, "ready", since_ms);
             let needed = self.table.listed() + self.in_attempts.len() + MAX_PAST_STARTS;
             self.patch(&name, "gone", since_ms);
-            assert!(self.table.names() <= 2 * needed, "{} names, {needed} needed", self.table.names());
+            assert!(
+                self.table.names() <= 2 * needed,
+                "the table remembers {} names, expected at most twice the {needed} needed",
+                self.table.names()
+            );
         }
     }
 }
@@ -62,7 +70,7 @@
 fn names_that_never_repeat_are_forgotten() {
     let mut world = World::new();
     world.pass(0);
-    // Those whose starts are remembered stay longer.
+    // Names whose starts are remembered are kept longer.
     world.pass(NEW_START_MS);
 }
 
@@ -79,7 +87,8 @@
     assert_eq!(again, first);
 }
 
-/// `costarring` and `liquid` have the same hash.
+/// Ids are hashes of the names. `costarring` and `liquid` have the same hash, so the one listed later gets another id,
+/// which it must keep while it is listed or has an attempt in flight.
 #[test]
 fn of_two_names_that_meet_each_keeps_its_number_while_it_is_known() {
     let listed = |world: &mut World| {
@@ -90,7 +99,7 @@
     let later = listed(&mut world);
     world.patch("costarring", "gone", 0);
     world.pass(0);
-    assert_eq!(world.patch("liquid", "ready", 0).0, later, "listed");
+    assert_eq!(world.patch("liquid", "ready", 0).0, later, "the id changed while the endpoint was listed");
 
     let mut world = World::new();
     let later = listed(&mut world);
@@ -98,7 +107,7 @@
     world.patch("costarring", "gone", 0);
     world.patch("liquid", "gone", 0);
     world.pass(0);
-    assert_eq!(world.patch("liquid", "ready", 0).0, later, "an attempt is out to it");
+    assert_eq!(world.patch("liquid", "ready", 0).0, later, "the id changed while an attempt was in flight");
 }
 
 #[test]
@@ -112,7 +121,7 @@
             started
         })
         .collect();
-    // Without a stamp they leave no start behind that would drive those out.
+    // These endpoints have no stamp, so they add no remembered starts that would displace the ones above.
     world.pass(0);
     world.now += Duration::from_secs(60);
     for (number, before) in before.into_iter().enumerate() {
@@ -120,7 +129,7 @@
     }
 }
 
-/// Guards the bound: one that is listed is never forgotten, however many there are.
+/// Guards against a bound that removes names in use: a listed endpoint is never forgotten, however many are listed.
 #[test]
 fn more_names_than_the_bound_may_be_listed() {
     let mut world = World::new();
