--- a/crates/proxy/tests/failing_upstreams.rs
+++ b/crates/proxy/tests/failing_upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that close at once, drop requests with little time left, or answer without a length.
+//! Upstreams that close the connection at once, that never answer, or that answer without `Content-Length`.
 
 mod common;
 
@@ -8,8 +8,9 @@
 
 use common::*;
 
-/// Guards upstreams and clients against retries that fail at once: each request has its one answer at once, has no more
-/// attempts than are allowed, and all together have few more attempts than there are requests.
+/// Guards against retry storms when all upstreams close connections at once: each request gets exactly one answer
+/// within a second and no more attempts than the limit of 3, and all requests together have at most 1.5 attempts each
+/// on average.
 #[test]
 fn retries_that_fail_at_once_stay_few() {
     const REQUESTS: usize = 200;
@@ -21,21 +22,32 @@
         let began = Instant::now();
         client.raw(&timed("read", &format!("r-{number}"), 2.0));
         let status = client.answer().expect("an answer").status();
-        assert!(matches!(status, 502 | 503), "{number}: {status}");
-        assert!(began.elapsed() < Duration::from_secs(1), "{number}: {:?}", began.elapsed());
+        assert!(matches!(status, 502 | 503), "request {number}: expected 502 or 503, got {status}");
+        assert!(
+            began.elapsed() < Duration::from_secs(1),
+            "request {number}: expected an answer within 1 s, it took {:?}",
+            began.elapsed()
+        );
     }
-    assert!(ends_empty(client), "more than one answer");
+    assert!(ends_empty(client), "expected one answer for each request, got more");
     let attempts: Vec<usize> = (0..REQUESTS)
         .map(|number| upstreams.iter().map(|upstream| upstream.count_of(&format!("r-{number}"))).sum())
         .collect();
     let most = attempts.iter().max().expect("some");
-    println!("{} attempts for {REQUESTS} requests, {most} at most", attempts.iter().sum::<usize>());
-    assert!(*most <= 3, "{attempts:?}");
-    assert!(attempts.iter().sum::<usize>() <= REQUESTS * 3 / 2, "{attempts:?}");
+    println!(
+        "{} attempts for {REQUESTS} requests, at most {most} for one request",
+        attempts.iter().sum::<usize>()
+    );
+    assert!(*most <= 3, "expected at most 3 attempts for each request, got {attempts:?}");
+    assert!(
+        attempts.iter().sum::<usize>() <= REQUESTS * 3 / 2,
+        "expected at most 1.5 attempts on average, got {attempts:?}"
+    );
 }
 
-/// Guards requests with hardly any time left against upstreams that drop them without a word, close on them or say
-/// nothing: each has its one answer within its time and the slack, and what must not run twice does not.
+/// Guards against lost, late or doubled answers for requests with 1 to 50 ms left, sent to upstreams of which one never
+/// answers, one closes the connection and one serves. Each request gets exactly one answer within its deadline plus the
+/// slack, and no at-most-once request is sent twice.
 #[test]
 fn hardly_any_time_left_ends_in_one_answer() {
     const EACH: usize = 50;
@@ -53,11 +65,14 @@
             let began = Instant::now();
             client.raw(&timed(class, &format!("{class}-{milliseconds}"), time.as_secs_f64()));
             let status = client.answer().expect("an answer").status();
-            assert!(matches!(status, 200 | 502 | 503), "{class} with {time:?}: {status}");
+            assert!(
+                matches!(status, 200 | 502 | 503),
+                "{class} with {time:?} left: expected 200, 502 or 503, got {status}"
+            );
             let took = began.elapsed();
-            assert!(took < time + ANSWER_SLACK, "{class} with {time:?}: {took:?}");
+            assert!(took < time + ANSWER_SLACK, "{class} with {time:?} left: answered only after {took:?}");
         }
-        assert!(ends_empty(client), "{class}: more than one answer");
+        assert!(ends_empty(client), "{class}: expected one answer for each request, got more");
     };
     thread::scope(|scope| {
         for class in ["read", "pay", "order"] {
@@ -67,21 +82,24 @@
     for milliseconds in 1..=EACH {
         let body = format!("order-{milliseconds}");
         let ran: usize = upstreams.iter().map(|upstream| upstream.count_of(&body)).sum();
-        assert!(ran <= 1, "{body} was sent {ran} times");
+        assert!(ran <= 1, "{body}: expected at most one attempt, got {ran}");
     }
     for (_, request) in upstreams.iter().flat_map(Upstream::requests) {
         let left: f64 = request.header("x-deadline").expect("passed on").parse().expect("a number");
         let body = String::from_utf8(request.body.clone()).expect("text");
         let milliseconds: f64 = body.rsplit('-').next().and_then(|text| text.parse().ok()).expect("a number");
-        assert!(left <= milliseconds / 1000.0, "{body}: {left} s passed on");
+        assert!(
+            left <= milliseconds / 1000.0,
+            "{body}: the deadline passed on is {left} s, more than the request had left"
+        );
     }
-    wait_for("requests with time are served", || {
+    wait_for("a request with enough time is served", || {
         (balancer.client().ask("read", "").status() == 200).then_some(())
     });
 }
 
-/// Guards answers whose length nobody tells: those that come whole, and end with their connection, are forwarded, also
-/// where they come in pieces.
+/// Guards against dropping answers without `Content-Length`, which end with their connection: complete ones are
+/// forwarded, even if they arrive in pieces.
 #[test]
 fn answers_without_a_length_that_come_whole_are_forwarded() {
     const ANSWERS: usize = 40;
@@ -104,10 +122,13 @@
         forwarded += 1;
         assert!(
             answer.body.ends_with(b"end") && (answer.body.len() - 3) % 100 == 0,
-            "{asked}: {:?}",
+            "request {asked}: the forwarded body is incomplete: {:?}",
             answer.body
         );
     }
     println!("{forwarded} of {ANSWERS} forwarded");
-    assert!(forwarded * 2 >= ANSWERS, "{forwarded} of {ANSWERS} forwarded");
+    assert!(
+        forwarded * 2 >= ANSWERS,
+        "expected at least half of {ANSWERS} answers forwarded, got {forwarded}"
+    );
 }
--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! What one balancer needs in a usual fleet and in one sixteen times the size, under the same traffic.
+//! Resources that one balancer uses in a normal fleet and in a fleet sixteen times the size, under the same traffic.
 
 mod common;
 
@@ -12,28 +12,28 @@
 use common::*;
 use serde_json::{Value, json};
 
-/// Clients that each send one request after the other.
+/// Number of clients; each sends its requests one after the other.
 const CLIENTS: usize = 4;
-/// Requests of each client.
+/// Number of requests that each client sends.
 const REQUESTS: usize = 250;
-/// Between an answer and the client's next request.
+/// Time between an answer and the client's next request.
 const PAUSE: Duration = Duration::from_millis(6);
-/// Between two changes that discovery tells: some tens while the traffic lasts.
+/// Time between two updates from discovery; there are several tens of updates while the traffic lasts.
 const CHANGE_EVERY: Duration = Duration::from_millis(25);
-/// Changes on one watch before it breaks: the list must be resumed from the version in hand, as the whole one
-/// each time would be over the bound.
+/// Number of updates that a watch carries before it breaks. The balancer must resume from its current version, as a
+/// full snapshot on each watch would exceed the bound on bytes.
 const CHANGES_A_WATCH: u64 = 4;
-/// Watches that the balancer must have opened for the bound on bytes to tell anything: four whole lists of the large
-/// fleet are over it.
+/// Minimum number of watches that the balancer must have opened for the bound on bytes to be conclusive: four full
+/// snapshots of the large fleet exceed that bound.
 const LEAST_WATCHES: usize = 6;
-/// The version of the list in the configuration.
+/// Index of the list in the configuration.
 const FIRST_INDEX: u64 = 7;
-/// Clock ticks of `/proc/PID/stat`, which are of this length on Linux.
+/// Clock ticks per second in `/proc/PID/stat` on Linux.
 const TICKS_A_SECOND: f64 = 100.0;
-/// Descriptors the program may hold.
+/// Limit on the program's open file descriptors.
 const DESCRIPTORS: usize = 1024;
 
-/// Sizes of a fleet.
+/// Numbers of upstreams and balancer replicas in a fleet.
 #[derive(Debug, Clone, Copy)]
 struct Fleet {
     upstreams: u32,
@@ -43,7 +43,7 @@
 const USUAL: Fleet = Fleet { upstreams: 200, replicas: 56 };
 const LARGE: Fleet = Fleet { upstreams: 3200, replicas: 900 };
 
-/// What a balancer needed, and what it served.
+/// Resources that a balancer used, and the fraction of requests that it served.
 #[derive(Debug, Clone, Copy)]
 struct Usage {
     cpu_seconds: f64,
@@ -54,7 +54,8 @@
     share_served: f64,
 }
 
-/// Upstreams of all loopback addresses on one port, and how many connections came to them.
+/// Starts one listener that plays all upstreams, on one port of all loopback addresses. Returns the port and the
+/// counter of accepted connections.
 fn start_upstreams() -> (u16, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a free port");
     let port = listener.local_addr().expect("bound").port();
@@ -75,21 +76,21 @@
     (port, connections)
 }
 
-/// The entry of one upstream, on a loopback address of its own.
+/// Returns the list entry of one upstream, which has its own loopback address.
 fn entry(number: u32, port: u16) -> Value {
     let [_, _, high, low] = number.to_be_bytes();
     endpoint(&format!("s-{number}"), SocketAddr::from(([127, 1, high, low], port)), number / 8, "ready")
 }
 
-/// A discovery that tells changes as long as the traffic lasts.
+/// A stand-in for discovery that sends updates as long as the traffic lasts.
 struct ChangingDiscovery {
     fleet: Fleet,
     port: u16,
-    /// Bytes of lists written.
+    /// Number of bytes of list updates written.
     bytes: AtomicUsize,
-    /// Watches opened.
+    /// Number of watches that the balancer opened.
     watches: AtomicUsize,
-    /// The traffic is over.
+    /// Whether the traffic has ended, after which watches end.
     over: AtomicBool,
 }
 
@@ -115,7 +116,8 @@
         (address, discovery_stand_in)
     }
 
-    /// Tells the whole list where the version asked from is none of its own, then changes; then the watch breaks.
+    /// Serves one watch: a full snapshot if the balancer asks from an unknown version, then [`CHANGES_A_WATCH`]
+    /// updates, after which the watch breaks.
     fn serve_watch(&self, mut stream: TcpStream) {
         let Some(message) = read_message(&mut stream) else { return };
         let since = message.line.split_once("since=").and_then(|(_, rest)| rest.split_once(' '));
@@ -138,7 +140,7 @@
         }
     }
 
-    /// One upstream after the other changes its weight.
+    /// Returns an entry in which one upstream's weight changes; the upstream depends on the index.
     fn change(&self, index: u64) -> Value {
         let number = u32::try_from(index).expect("few changes") * 7 % self.fleet.upstreams;
         let mut changed = entry(number, self.port);
@@ -146,6 +148,7 @@
         changed
     }
 
+    /// Writes an update as one chunk; returns `false` if the connection is closed.
     fn say(&self, stream: &mut TcpStream, index: u64, whole: bool, endpoints: &[Value]) -> bool {
         let line = format!("{}\n", json!({"index": index, "snapshot": whole, "endpoints": endpoints}));
         self.bytes.fetch_add(line.len(), Ordering::Relaxed);
@@ -153,19 +156,19 @@
     }
 }
 
-/// The configuration of one of the fleet's balancers, with the whole list in hand.
+/// Returns the configuration of one balancer of the fleet, which starts with the complete list.
 fn configuration_in(fleet: Fleet, discovery: SocketAddr, port: u16) -> String {
     let known: Vec<Value> = (0..fleet.upstreams).map(|number| entry(number, port)).collect();
     let text = configuration(discovery, &known, 5.0, DESCRIPTORS);
     let mut configuration: Value = serde_json::from_str(&text).expect("JSON");
     configuration["settings"]["balancers"] = json!(fleet.replicas);
-    // A broken watch is opened anew without a wait.
+    // In this mode the balancer reopens a broken watch without a delay.
     configuration["settings"]["discovery"] = json!("automatic");
     configuration["settings"]["me"] = json!(fleet.replicas / 2);
     configuration.to_string()
 }
 
-/// What the system tells of the program.
+/// Resource usage of the program, by process id, as read from `/proc`.
 struct Process(u32);
 
 impl Process {
@@ -173,11 +176,11 @@
         std::fs::read_to_string(format!("/proc/{}/{file}", self.0)).expect("it runs")
     }
 
-    /// User and system time of all its threads.
+    /// Total user and system time of all threads.
     fn cpu_seconds(&self) -> f64 {
         let stat = self.read("stat");
-        // The name before may hold blanks.
-        let (_, fields) = stat.rsplit_once(") ").expect("a name");
+        // The name of the program, the field before these, may contain spaces.
+        let (_, fields) = stat.rsplit_once(") ").expect("stat has a process name");
         let fields: Vec<&str> = fields.split(' ').collect();
         let ticks = |place: usize| fields[place].parse::<f64>().expect("a number");
         (ticks(11) + ticks(12)) / TICKS_A_SECOND
@@ -194,7 +197,7 @@
     }
 }
 
-/// Sends one client's requests, one after the other, and tells how many were served.
+/// Sends one client's requests, one after the other, and returns how many were served.
 fn send_requests(address: SocketAddr) -> usize {
     let mut client = Client::connect(address);
     let mut served = 0;
@@ -205,7 +208,7 @@
     served
 }
 
-/// Plays the traffic against one balancer of a fleet.
+/// Runs the traffic against one balancer of a fleet and measures its resource usage.
 fn play(fleet: Fleet) -> Usage {
     let (port, connections) = start_upstreams();
     let (discovery, discovery_stand_in) = ChangingDiscovery::start(fleet, port);
@@ -232,13 +235,16 @@
     child.wait().expect("ends");
     let watches = discovery_stand_in.watches.load(Ordering::Relaxed);
     println!("{fleet:?}: {usage:?}, {watches} watches");
-    assert!(watches >= LEAST_WATCHES, "the watch broke and was resumed: {watches}");
+    assert!(
+        watches >= LEAST_WATCHES,
+        "expected at least {LEAST_WATCHES} watches, the balancer opened {watches}"
+    );
     usage
 }
 
-/// Guards what a balancer costs against the size of the fleet around it: its traffic stays the same, and so must its
-/// time, memory, descriptors and connections, up to a little for the longer list. Lists are sent as their changes, also
-/// after a watch has broken.
+/// Guards against a balancer whose cost grows with the size of the fleet: under the same traffic its CPU time, memory,
+/// descriptors and connections must stay nearly the same, apart from a small allowance for the longer list. List
+/// updates must be sent as deltas, also after a watch has broken.
 #[test]
 fn a_fleet_sixteen_times_the_size_costs_a_balancer_little_more() {
     let (usual, large) = (play(USUAL), play(LARGE));
@@ -251,8 +257,15 @@
         ("lists, KB", large.list_kb, 2.0 * usual.list_kb + 64.0 + 500.0 * thousands),
     ];
     for (what, needed, most) in bounds {
-        assert!(needed <= most, "{what}: {needed}, at most {most}; {usual:?}, {large:?}");
+        assert!(
+            needed <= most,
+            "{what}: expected at most {most}, got {needed}; usual fleet {usual:?}, large fleet {large:?}"
+        );
     }
-    assert!(usual.share_served > 0.99, "{usual:?}");
-    assert!(large.share_served >= 0.85 * usual.share_served, "{large:?}");
+    assert!(usual.share_served > 0.99, "expected over 99 % served in the usual fleet, got {usual:?}");
+    assert!(
+        large.share_served >= 0.85 * usual.share_served,
+        "expected at least 85 % of the share {} served in the usual fleet, got {large:?}",
+        usual.share_served
+    );
 }
