--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! SIGTERM at each step of a request, with every upstream hanging, and with upstreams that are replaced meanwhile.
+//! Graceful shutdown after SIGTERM: at each step of a request, with all upstreams hanging, and while upstreams are
+//! replaced.
 
 mod common;
 
@@ -10,9 +11,10 @@
 
 use common::*;
 
-/// A request, and what its client and its upstream do around SIGTERM.
+/// A balancer process that the test shuts down while a request is in progress.
 struct Ending {
     child: std::process::Child,
+    /// Standard error of the program, after the line with its address.
     log: std::io::BufReader<std::process::ChildStderr>,
     address: SocketAddr,
     discovery: Discovery,
@@ -26,21 +28,21 @@
         Self { child, log, address, discovery }
     }
 
-    /// SIGTERM, up to where the program has received it.
+    /// Sends SIGTERM and waits until the program has begun its graceful shutdown.
     fn terminate(&mut self) {
         signal(&self.child, "-TERM");
         wait_line(&mut self.log, "graceful shutdown, ");
     }
 
-    /// The client gets this answer, and the program its end.
+    /// Checks that the client gets status 200 with this body and that the program exits successfully.
     fn ends_with(mut self, mut client: Client, body: &str) {
-        let answer = client.answer().expect("what was accepted is answered");
+        let answer = client.answer().expect("an accepted request is answered");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, body.as_bytes()));
         assert!(self.child.wait().expect("ends").success());
     }
 }
 
-/// An upstream that answers in two parts, the second once the test says so.
+/// Starts an upstream that answers in two parts; it sends the second part when the test sends on the returned channel.
 fn in_two_parts(first: &'static str, then: Reply) -> (Upstream, mpsc::Sender<()>) {
     let (go, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
@@ -52,15 +54,16 @@
     (upstream, go)
 }
 
+/// A complete answer of an upstream.
 const WHOLE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
 
-/// Guards planned restarts at each step of a request: what was accepted before SIGTERM, or is half there, gets its
-/// answer, whatever comes between; a second SIGTERM and a SIGHUP change nothing of it.
+/// Guards against requests lost in a planned restart: a request that was accepted or partly received before SIGTERM
+/// gets its answer, at whichever step SIGTERM comes. A second SIGTERM and a SIGHUP do not change that.
 #[test]
 fn sigterm_meets_a_request_at_each_step() {
     let ready = |address| [endpoint("s-1", address, 0, "ready")];
     thread::scope(|scope| {
-        // Half of the request is there.
+        // Half of the request has been received.
         scope.spawn(|| {
             let upstream = Upstream::start(|_, _| ok("served"));
             let mut ending = Ending::start(&ready(upstream.address));
@@ -71,7 +74,7 @@
             client.raw(&tail);
             ending.ends_with(client, "served");
         });
-        // Its attempt connects.
+        // The attempt is connecting to its upstream.
         scope.spawn(|| {
             let late = LateUpstream::start();
             let mut ending = Ending::start(&ready(late.address));
@@ -84,7 +87,7 @@
             stream.write_all(WHOLE.as_bytes()).expect("open");
             ending.ends_with(client, "served");
         });
-        // It is out, and nothing has come back, or half an answer; signals come twice.
+        // The request has been sent and none or a part of the answer has been received; further signals follow.
         for half in [0, 20, WHOLE.len() - 2] {
             scope.spawn(move || {
                 let (upstream, go) =
@@ -100,7 +103,7 @@
                 ending.ends_with(client, "served");
             });
         }
-        // It is about to be repeated.
+        // The first attempt fails after SIGTERM, and the request is retried.
         scope.spawn(|| {
             let (go, wait) = mpsc::channel::<()>();
             let wait = std::sync::Mutex::new(wait);
@@ -118,7 +121,7 @@
             let second = Upstream::start(|_, _| ok("second"));
             let watch = ending.discovery.watch().1;
             watch.says(8, false, &[endpoint("s-2", second.address, 0, "ready")]);
-            wait_for("the second is known", || {
+            wait_for("the list with the second upstream is applied", || {
                 let answer = Client::connect(ending.address).try_ask("read", "")?;
                 (answer.body == b"second").then_some(())
             });
@@ -129,20 +132,21 @@
     });
 }
 
-/// The configuration with a longest deadline of 3 s, as after SIGTERM the platform waits for that and 0.7 s.
+/// Sets the longest deadline of the configuration to 3 s. After SIGTERM the platform waits for the longest deadline
+/// plus 0.7 s before it sends SIGKILL.
 fn with_short_deadlines(configuration: &str) -> String {
     let usual = "\"hardLimitS\":60.0";
     assert!(configuration.contains(usual));
     configuration.replace(usual, "\"hardLimitS\":3.0")
 }
 
-/// `drainGraceS` of the tests' settings.
+/// Value of `drainGraceS` in the tests' settings.
 const DRAIN_GRACE: Duration = Duration::from_secs(1);
-/// After SIGTERM the platform kills no sooner, with that longest deadline.
+/// Earliest time after SIGTERM at which the platform sends SIGKILL, with a longest deadline of 3 s.
 const EARLIEST_KILL: Duration = Duration::from_millis(3700);
 
-/// Guards a shutdown against upstreams that hang all through it: whatever was read before or after SIGTERM has its
-/// answer, and the program ends before it would be killed.
+/// Guards against a shutdown that upstreams delay by never answering: each request that was read before or after
+/// SIGTERM gets its answer, and the program exits before SIGKILL would come.
 #[test]
 fn a_drain_with_every_upstream_hanging_ends_in_time() {
     let upstreams: Vec<_> = (0..3).map(|_| Upstream::start(|_, _| Reply::Silence)).collect();
@@ -153,7 +157,7 @@
     let (address, mut log) = address(&mut child);
     let mut idle_clients: Vec<Client> = (0..6).map(|_| Client::connect(address)).collect();
     for client in &mut idle_clients {
-        // Ready or not yet: it is a request, after which the connection stays open.
+        // Both statuses are fine: the request only serves to leave an open, used connection.
         assert!(matches!(client.health(), Some(200 | 503)));
     }
     let classes = ["read", "pay", "order"];
@@ -163,20 +167,20 @@
         client.raw(&timed(classes[number % 3], &format!("before-{number}"), 3.0));
         clients.push(client);
     }
-    wait_for("requests hang", || {
+    wait_for("requests hang at the upstreams", || {
         (upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>() >= 6).then_some(())
     });
     let stopped = Instant::now();
     signal(&child, "-TERM");
     wait_line(&mut log, "graceful shutdown, ");
-    // Clients go on coming for as long as the front goes on sending.
+    // New clients connect until the front stops sending them to this balancer.
     while stopped.elapsed() < Duration::from_millis(400) {
         let mut client = Client::connect(address);
         client.raw(&timed(classes[clients.len() % 3], &format!("after-{}", clients.len()), 3.0));
         clients.push(client);
         thread::sleep(Duration::from_millis(20));
     }
-    // Clients go on using the connections they have; these have time past the earliest kill.
+    // Clients keep using their open connections; the deadlines of these requests are after the earliest SIGKILL.
     thread::sleep(Duration::from_millis(1500).saturating_sub(stopped.elapsed()));
     for mut client in idle_clients {
         client.raw(&timed(classes[clients.len() % 3], &format!("late-{}", clients.len()), 3.0));
@@ -184,17 +188,26 @@
     }
     for (number, mut client) in clients.into_iter().enumerate() {
         let answer = client.answer().unwrap_or_else(|| panic!("request {number} has no answer"));
-        assert!(matches!(answer.status(), 502 | 503), "{number}: {}", answer.line);
-        assert!(ends_empty(client), "{number}: more than one answer");
+        assert!(
+            matches!(answer.status(), 502 | 503),
+            "request {number}: expected 502 or 503, got {}",
+            answer.line
+        );
+        assert!(ends_empty(client), "request {number}: expected one answer, got more");
     }
     let answered = stopped.elapsed();
     assert!(child.wait().expect("ends").success());
     println!("answered {answered:?} after SIGTERM, ended {:?} after it", stopped.elapsed());
-    assert!(stopped.elapsed() < EARLIEST_KILL, "ended {:?} after SIGTERM", stopped.elapsed());
+    assert!(
+        stopped.elapsed() < EARLIEST_KILL,
+        "expected an exit before {EARLIEST_KILL:?} after SIGTERM, it took {:?}",
+        stopped.elapsed()
+    );
 }
 
-/// Guards a shutdown during which an upstream is replaced: what clients go on sending is served, by the new one once the
-/// old one drains, nothing goes to that past its grace, and nothing runs twice.
+/// Guards against requests lost when upstreams are replaced during a shutdown: all orders that clients send are served,
+/// by the replacement once the old upstreams drain. Draining upstreams get no request after the drain grace, and no
+/// order runs twice.
 #[test]
 fn an_upstream_replaced_while_the_balancer_drains_costs_no_request() {
     let (old, other) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("other")));
@@ -223,10 +236,18 @@
     thread::sleep(DRAIN_GRACE.saturating_sub(stopped.elapsed()));
     let before = old.requests().len() + other.requests().len();
     assert!(child.wait().expect("ends").success());
-    assert!(stopped.elapsed() < EARLIEST_KILL, "ended {:?} after SIGTERM", stopped.elapsed());
+    assert!(
+        stopped.elapsed() < EARLIEST_KILL,
+        "expected an exit before {EARLIEST_KILL:?} after SIGTERM, it took {:?}",
+        stopped.elapsed()
+    );
     let (sent, served) = load.end();
     println!("{sent} orders, {served} served, {} by the replacement", replacement.requests().len());
-    assert_eq!(old.requests().len() + other.requests().len(), before, "sent to what drains, past its grace");
-    assert_eq!(sent, served, "an order was not served");
+    assert_eq!(
+        old.requests().len() + other.requests().len(),
+        before,
+        "a draining upstream got requests after the drain grace"
+    );
+    assert_eq!(sent, served, "expected all orders to be served");
     assert_nothing_ran_twice(&[&old, &other, &replacement]);
 }
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -1,5 +1,5 @@
-//! The time of a request's head: it counts from the first byte, on a connection that has carried requests too, and
-//! neither rest nor another request's wait is part of it.
+//! The timeout for reading a request head. It counts from the first byte of the head, also on a connection that has
+//! carried requests before. Idle time and the time in which an earlier request is answered do not count.
 
 mod common;
 
@@ -10,25 +10,28 @@
 
 use common::*;
 
-/// A peer that does not send a whole request gets an error or a close within this time.
+/// Time within which a client that sends an incomplete request gets an error or its connection is closed.
 const OWED: Duration = Duration::from_secs(3);
-/// A head that comes whole within this time of its first byte is always read.
+/// A head that arrives completely within this time of its first byte is always read.
 const FAIR: Duration = Duration::from_millis(2200);
 
-/// A head that lacks its end.
+/// An incomplete request head.
 const HALF: &[u8] = b"POST /order HTTP/1.1\r\nHost: a\r\nX-Requ";
 
-/// Checks that nothing more comes, and that the connection is closed in its time: that of the head began somewhere
-/// between these two, as far as the test can tell.
+/// Checks that the balancer sends nothing more and closes the connection between [`FAIR`] and [`OWED`] after the head
+/// began. The test only knows that the head began between `earliest` and `latest`.
 fn assert_closed_in_time(case: &str, client: &mut Client, earliest: Instant, latest: Instant) {
     client.0.set_read_timeout(Some(Duration::from_secs(8))).expect("set");
     let end = client.0.read(&mut [0]).expect("closed within 8 s");
     let (longest, shortest) = (earliest.elapsed(), latest.elapsed());
-    assert_eq!(end, 0, "{case}: something came");
-    assert!(longest >= FAIR && shortest < OWED, "{case}: closed after {shortest:?} to {longest:?}");
+    assert_eq!(end, 0, "{case}: expected the connection to be closed, got data");
+    assert!(
+        longest >= FAIR && shortest < OWED,
+        "{case}: expected a close between {FAIR:?} and {OWED:?}, it came after {shortest:?} to {longest:?}"
+    );
 }
 
-/// Guards the sockets against clients that stop in the middle of a later request's head and stay.
+/// Guards against sockets held by clients that send earlier requests completely and then stop within the next head.
 #[test]
 fn a_later_head_that_stops_is_closed_in_time() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -49,7 +52,7 @@
                     for _ in 0..if *case == "after three" { 3 } else { 1 } {
                         assert_eq!(client.answer().expect("an answer").status(), 200, "{case}");
                     }
-                    // Rest is no part of the head's time.
+                    // Idle time before the first byte does not count towards the head's timeout.
                     thread::sleep(Duration::from_millis(600));
                     let begun = Instant::now();
                     client.raw(part);
@@ -58,12 +61,12 @@
             }
         }
     });
-    // None of them harmed the balancer, and nothing of them went on.
+    // The balancer still serves, and none of the incomplete requests reached the upstream.
     assert_eq!(balancer.client().ask("order", "one").status(), 200);
     assert_eq!(upstream.requests().len(), 16);
 }
 
-/// Guards the same where the half head comes with the request before it, in one piece.
+/// Guards against sockets held by clients whose incomplete head is sent in one write with the request before it.
 #[test]
 fn half_a_head_behind_a_request_is_closed_in_time() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -77,14 +80,15 @@
                 for _ in 0..count {
                     assert_eq!(client.answer().expect("an answer").status(), 200);
                 }
-                assert_closed_in_time(&format!("behind {count}"), &mut client, sent, Instant::now());
+                assert_closed_in_time(&format!("behind {count} requests"), &mut client, sent, Instant::now());
             });
         }
     });
 }
 
-/// Guards clients that write slowly against time that they do not have in hand: half a head that came while the
-/// request before it waited has its time from the answer, and is served if its rest comes then.
+/// Guards against closing connections of slow clients too early: if half a head arrives while the request before it
+/// waits for its upstream, the head's timeout counts from that request's answer. The request is served if the rest of
+/// the head arrives within that time.
 #[test]
 fn the_time_of_a_head_counts_from_the_answer_before_it() {
     let (release, release_signal) = mpsc::channel::<()>();
@@ -119,10 +123,11 @@
     thread::sleep(Duration::from_millis(500));
     finishes.raw(tail);
     assert_eq!(finishes.answer().expect("an answer").status(), 200);
-    assert_closed_in_time("in the wait", &mut stops, released, answered);
+    assert_closed_in_time("head begun during the wait", &mut stops, released, answered);
 }
 
-/// Guards clients that write slowly but steadily: a head within its time is read, one after the other.
+/// Guards against closing connections of clients that write slowly but steadily: each head that arrives within the
+/// timeout is read, also several on one connection.
 #[test]
 fn slow_heads_within_their_time_are_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -138,7 +143,8 @@
     }
 }
 
-/// Guards connections that rest: without a byte, and with the empty lines that some clients send between requests.
+/// Guards against closing idle connections by the head timeout, both without any bytes and with the empty lines that
+/// some clients send between requests.
 #[test]
 fn a_connection_without_a_begun_head_may_rest() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -151,11 +157,11 @@
     }
     thread::sleep(OWED + Duration::from_secs(1));
     for (client, lines) in clients.iter_mut().zip(lines) {
-        assert_eq!(client.ask("order", "two").status(), 200, "{lines:?}");
+        assert_eq!(client.ask("order", "two").status(), 200, "after the idle bytes {lines:?}");
     }
 }
 
-/// Guards a request that has begun to come against a shortage: connections that only rest give way first.
+/// Guards against losing a partly received request at the socket limit: the balancer closes idle connections first.
 #[test]
 fn a_begun_head_outlasts_resting_connections_in_a_shortage() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -178,8 +184,8 @@
     assert_eq!(begun.answer().expect("an answer").status(), 200);
 }
 
-/// Guards planned restarts against the same: where connections begin to close, a request that has begun to come on a
-/// used one is read and answered.
+/// Guards against losing a partly received request in a planned restart: when the drain begins to close connections, a
+/// request whose head has begun on a reused connection is read and answered.
 #[test]
 fn a_begun_head_outlasts_the_close_of_resting_connections_in_a_drain() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -192,12 +198,12 @@
     assert_eq!((begun.ask("order", "one").status(), resting.ask("order", "one").status()), (200, 200));
     signal(&child, "-TERM");
     wait_line(&mut log, "graceful shutdown, ");
-    // 0.9 s before the earliest kill, which is 3.7 s after the signal, connections begin to close.
+    // The drain begins to close connections 0.9 s before the earliest SIGKILL, which comes 3.7 s after SIGTERM.
     thread::sleep(Duration::from_millis(2300));
     let next = order_with(b"");
     let (head, tail) = next.split_at(40);
     begun.raw(head);
-    assert!(resting.answer().is_none(), "closed as the drain says");
+    assert!(resting.answer().is_none(), "expected the drain to close the idle connection");
     begun.raw(tail);
     let answer = begun.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
