--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -1,4 +1,5 @@
-//! Upstreams that forget connections which have been idle for a while, and reset them or say nothing on them.
+//! Upstreams, or middleboxes before them, that silently drop the state of idle connections: a request on such a
+//! connection meets a reset or no answer.
 
 mod common;
 
@@ -12,23 +13,25 @@
 use common::*;
 use socket2::SockRef;
 
-/// What an upstream does with a request on a connection that it has forgotten.
+/// Reaction of an upstream to a request on a connection that was dropped while idle.
 #[derive(Debug, Clone, Copy)]
 enum Forgets {
-    /// Resets it, as a host does that knows of no such connection.
+    /// The connection is reset, as by a host that does not know the connection.
     Reset,
-    /// Says nothing, as where a box on the way has dropped the connection.
+    /// Nothing is sent back, as when a middlebox has dropped the connection.
     Silence,
 }
 
-/// An upstream that forgets connections idle for longer than a while: where it listens, and the bodies that ran.
+/// An upstream that drops connections that were idle for longer than [`FORGOTTEN_AFTER`].
 struct Forgetful {
     address: SocketAddr,
+    /// Bodies of the requests that the upstream ran.
     ran: Arc<std::sync::Mutex<Vec<String>>>,
+    /// Number of requests that arrived on dropped connections.
     forgotten: Arc<AtomicUsize>,
 }
 
-/// Idle for longer than this, a connection is forgotten.
+/// Idle time after which the upstream drops a connection.
 const FORGOTTEN_AFTER: Duration = Duration::from_millis(80);
 
 impl Forgetful {
@@ -71,7 +74,8 @@
     }
 }
 
-/// Sends requests with pauses in which one of two upstreams forgets its connections: the statuses, in order.
+/// Sends requests with pauses, in each of which one of the two upstreams drops its idle connections, and returns the
+/// statuses in order.
 fn ask_with_pauses(balancer: &Balancer, class: &str, requests: u32) -> Vec<u16> {
     let mut client = balancer.client();
     let mut statuses = Vec::new();
@@ -81,16 +85,16 @@
         statuses.push(client.answer().expect("an answer").status());
         assert!(
             began.elapsed() < Duration::from_secs(2) + ANSWER_SLACK,
-            "{class} {number}: {:?}",
+            "{class} {number}: expected an answer within 2 s and the slack, it took {:?}",
             began.elapsed()
         );
         thread::sleep(FORGOTTEN_AFTER + Duration::from_millis(20));
     }
-    assert!(ends_empty(client), "{class}: more than one answer");
+    assert!(ends_empty(client), "{class}: expected one answer for each request, got more");
     statuses
 }
 
-/// A balancer with one upstream that forgets idle connections and one that does not.
+/// Starts a balancer with one upstream that drops idle connections and one that does not.
 fn with_one_forgetful(
     forgets: Forgets,
     latency_objective: f64,
@@ -102,37 +106,37 @@
     (balancer, discovery, forgetful, sound)
 }
 
-/// Checks that no order of [`ask_with_pauses`] ran twice.
+/// Checks that none of the orders that [`ask_with_pauses`] sent ran twice.
 fn assert_each_order_ran_once(requests: u32, forgetful: &Forgetful, sound: &Upstream) {
     for number in 0..requests {
         let body = format!("order-{number}");
         let ran = forgetful.ran.lock().expect("no panic").iter().filter(|ran| **ran == body).count();
-        assert!(ran + sound.count_of(&body) <= 1, "{body} ran twice");
+        assert!(ran + sound.count_of(&body) <= 1, "expected {body} to run at most once");
     }
 }
 
-/// Guards requests against upstreams that know nothing of idle connections any more and reset them on the next byte:
-/// what may run again does so elsewhere and is served; what must not run twice gets no connection that was idle for long
-/// once that is known, and is served too.
+/// Guards against requests that fail because an upstream resets connections that were idle. Reads are retried on
+/// another connection and served. Once the balancer has seen such resets, orders, which must not run twice, are not
+/// sent on connections that were idle for long, so they are served too.
 #[test]
 fn connections_reset_after_idling_cost_no_request() {
     let (balancer, _discovery, forgetful, sound) = with_one_forgetful(Forgets::Reset, 5.0);
     let reads = ask_with_pauses(&balancer, "read", 12);
     let found = forgetful.forgotten.load(Ordering::Relaxed);
-    assert!(found > 0, "no connection was forgotten");
-    assert!(reads.iter().all(|&status| status == 200), "{reads:?}");
+    assert!(found > 0, "expected requests on dropped connections, there were none");
+    assert!(reads.iter().all(|&status| status == 200), "expected all reads to be served, got {reads:?}");
     let orders = ask_with_pauses(&balancer, "order", 12);
     assert_eq!(
         forgetful.forgotten.load(Ordering::Relaxed),
         found,
-        "an order went out on a forgotten connection"
+        "an order was sent on a dropped connection"
     );
-    assert!(orders.iter().all(|&status| status == 200), "{orders:?}");
+    assert!(orders.iter().all(|&status| status == 200), "expected all orders to be served, got {orders:?}");
     assert_each_order_ran_once(12, &forgetful, &sound);
 }
 
-/// Guards requests against idle connections that nothing comes back on any more, nor any reset: such a connection costs
-/// one request and no second one, which has its one answer in time, and what must not run twice does not.
+/// Guards against repeated losses on idle connections on which neither answers nor resets arrive: each such connection
+/// costs at most one request, which still gets exactly one answer in time, and no order runs twice.
 #[test]
 fn connections_silent_after_idling_cost_one_request_each() {
     let (balancer, _discovery, forgetful, sound) = with_one_forgetful(Forgets::Silence, 0.2);
@@ -140,8 +144,11 @@
     statuses.extend(ask_with_pauses(&balancer, "order", 12));
     let forgotten = forgetful.forgotten.load(Ordering::Relaxed);
     let unserved = statuses.iter().filter(|&&status| status != 200).count();
-    println!("{unserved} of {} not served, {forgotten} connections forgotten", statuses.len());
-    assert!(forgotten > 0, "no connection was forgotten");
-    assert_eq!(unserved, forgotten, "{statuses:?}");
+    println!("{unserved} of {} requests not served, {forgotten} connections dropped", statuses.len());
+    assert!(forgotten > 0, "expected requests on dropped connections, there were none");
+    assert_eq!(
+        unserved, forgotten,
+        "expected one unserved request for each dropped connection: {statuses:?}"
+    );
     assert_each_order_ran_once(12, &forgetful, &sound);
 }
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -1,4 +1,4 @@
-//! Hours of quiet and of outages, which the decisions alone play in virtual time.
+//! Idle periods and outages that last for hours, run on the policy alone in virtual time.
 
 #[path = "../../policy/tests/common/mod.rs"]
 mod virtual_time;
@@ -12,7 +12,7 @@
 use balancer_policy::{Action, Settings};
 use virtual_time::{Bench, class, member, millis, sent};
 
-/// A replica of a fleet's first tier with eight upstreams, in a mode of having lists.
+/// Creates a test bench with one replica of the first tier and eight upstreams, in this discovery mode.
 fn replica(discovery: DiscoveryMode) -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = discovery;
@@ -20,8 +20,8 @@
     Bench::new(settings, 11, (0..8).map(member).collect())
 }
 
-/// Sends so many requests, one each 50 ms, to upstreams of which those named fail at once: how many were served, and
-/// how many attempts the failing ones got.
+/// Sends requests, one every 50 ms, while the upstreams in `failing` refuse each connection at once. Returns how many
+/// requests were served and how many attempts went to the failing upstreams.
 fn send(bench: &mut Bench, requests: u32, failing: &[u32]) -> (u32, u32) {
     let (mut served, mut failed) = (0, 0);
     for _ in 0..requests {
@@ -37,8 +37,8 @@
     (served, failed)
 }
 
-/// Guards what was learned against a long rest: after six quiet hours a fault is met as it is after busy minutes.
-/// Requests are served from the first one on, and upstreams that fail are ejected.
+/// Guards against policy state that a long idle period spoils: after six hours without traffic, failing upstreams are
+/// ejected as quickly as after minutes of traffic, and requests are served from the first one on.
 #[test]
 fn trouble_after_hours_of_quiet_is_met_as_any() {
     let mut bench = replica(DiscoveryMode::Push);
@@ -48,19 +48,23 @@
     assert_eq!(send(&mut bench, 200, &[]).0, 200);
     bench.pass(Duration::from_secs(6 * 3600));
     let (served, failed) = send(&mut bench, 200, &[2, 5]);
-    println!("{failed} attempts failed, {busy_failed} in busy times");
-    assert!(served >= 198 && busy_served >= 198, "{served} of 200 served, {busy_served} in busy times");
-    // A quarter of the tier fails: unheeded, it would get some 50 attempts and more.
+    println!("{failed} attempts failed after the idle period, {busy_failed} after traffic");
+    assert!(
+        served >= 198 && busy_served >= 198,
+        "expected at least 198 of 200 served, got {served} after the idle period and {busy_served} after traffic"
+    );
+    // A quarter of the tier fails; without ejection it would get some 50 attempts or more.
     assert!(
         failed <= 12 && failed <= busy_failed + 4,
-        "{failed} attempts failed, {busy_failed} in busy times"
+        "{failed} attempts failed after the idle period, expected at most 12 and 4 more than the {busy_failed} after traffic"
     );
-    // And the fault's end is seen.
+    // The policy uses the upstreams again after they have recovered.
     bench.pass(Duration::from_secs(60));
     assert_eq!(send(&mut bench, 200, &[]).0, 200);
 }
 
-/// Plays an outage of discovery's, in which each watch breaks as soon as it is asked for: when the replica asks.
+/// Simulates an outage of discovery in which each watch breaks as soon as it is opened. Returns the times at which the
+/// replica subscribes.
 fn outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
     let end = bench.now + length;
     let mut asked = Vec::new();
@@ -75,16 +79,17 @@
             asked.push(bench.now);
             bench.tell(Event::List(ListUpdate::Broken));
         }
-        bench.now += wake.expect("a sweep asks for the next");
+        bench.now += wake.expect("maintenance schedules its next run");
     }
     asked
 }
 
-/// Guards the list and discovery against an outage of hours: the replica goes on with the list in hand, asks as often as it
-/// owes and not without a pause, and holds a drain that it hears of with the first word after it.
+/// Guards against a replica that loses its list or overloads discovery in an outage of hours: it keeps using its
+/// current list, subscribes again at bounded intervals, and applies the drains in the first snapshot after the outage.
 #[test]
 fn an_outage_of_discovery_for_hours_is_outlived() {
-    // A service of many replicas is asked by each every some seconds, an agent of the replica's own sooner.
+    // A discovery service shared by many replicas gets a request from each every few seconds; the replica's own agent
+    // gets them at shorter intervals.
     let spaced = [
         (DiscoveryMode::Subscribe, millis(1500), millis(5000)),
         (DiscoveryMode::Agent, millis(100), millis(500)),
@@ -95,16 +100,23 @@
         let length = Duration::from_secs(3 * 3600);
         let asked = outage(&mut bench, length);
         let pauses: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
-        let longest = pauses.iter().max().expect("it asks");
-        println!("{mode:?}: {} asks in {length:?}, {longest:?} apart at the most", asked.len());
-        assert!(*longest <= widest, "{mode:?}: {longest:?} without an ask");
+        let longest = pauses.iter().max().expect("the replica subscribes again");
+        println!("{mode:?}: {} subscriptions in {length:?}, at most {longest:?} apart", asked.len());
+        assert!(
+            *longest <= widest,
+            "{mode:?}: expected subscriptions at most {widest:?} apart, got {longest:?}"
+        );
         assert!(
             asked.len() as u128 <= length.as_millis() / least.as_millis(),
-            "{mode:?}: {} asks",
+            "{mode:?}: expected subscriptions at least {least:?} apart on average, got {}",
             asked.len()
         );
-        assert_eq!(send(&mut bench, 100, &[]).0, 100, "{mode:?}: the list in hand serves");
-        // The first word tells that half of the tier has been replaced meanwhile.
+        assert_eq!(
+            send(&mut bench, 100, &[]).0,
+            100,
+            "{mode:?}: expected all requests served on the current list"
+        );
+        // The first snapshot after the outage says that half of the tier drains.
         let replaced = |id| Member {
             lifecycle: if id < 4 { Lifecycle::Draining } else { Lifecycle::Ready },
             ..member(id)
@@ -118,6 +130,9 @@
             bench.pass(millis(20));
             bench.end(id, 0, Outcome::Success, millis(20));
         }
-        assert!(seen.keys().all(|&upstream| upstream >= 4), "{mode:?}: sent to what drains: {seen:?}");
+        assert!(
+            seen.keys().all(|&upstream| upstream >= 4),
+            "{mode:?}: requests were sent to draining upstreams: {seen:?}"
+        );
     }
 }
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -1,20 +1,21 @@
-//! Connections to upstreams that do not come up or break, by system calls that fail so: each request has its answer,
-//! and what must not run twice is not sent again after its last byte.
+//! Connections to upstreams that cannot be established or that break, simulated by failing system calls. Each request
+//! gets its answer, and an at-most-once request is not sent again after its last byte was written.
 
 mod common;
 
 use common::faults::*;
 use common::*;
 
-/// What holds where connections to upstreams do not come up or break: each request has its answer, which says for one
-/// that never ran that trying again is harmless, and what must not be sent again is not.
+/// Checks that each request got an answer and that no at-most-once request was sent twice. The answer of a request that
+/// never ran says that a retry is harmless.
 fn check_answered(site: &Site, tally: &Tally) {
     let [served, refused, failed, closed] = tally.counts();
     assert_eq!((served + refused + failed, closed), (ALL, 0), "{tally:?}");
     site.check_runs();
 }
 
-/// Guards requests against connects that fail on the way to the upstream: none of them ever ran.
+/// Guards against failed requests when connects fail in the network: such a request never ran, so it is sent to another
+/// upstream.
 #[test]
 fn connects_that_fail_on_the_way_are_made_elsewhere() {
     let errors = "ENETUNREACH+EHOSTUNREACH+ECONNREFUSED+ETIMEDOUT";
@@ -25,7 +26,7 @@
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
 }
 
-/// Guards the same where the failure shows in `SO_ERROR`.
+/// Guards against failed requests when the error of a connect is reported later, by `SO_ERROR`.
 #[test]
 fn connects_whose_error_shows_late_are_made_elsewhere() {
     let errors = "ETIMEDOUT+EHOSTUNREACH";
@@ -36,8 +37,8 @@
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
 }
 
-/// Guards requests whose connection breaks before their last byte is written, with none or a part of them out: they
-/// never ran, so that each is sent again.
+/// Guards against failed requests when the connection breaks before the last byte is written, after none or a part of
+/// the request: the request never ran, so it is sent again.
 #[test]
 fn a_break_before_the_last_byte_is_sent_again() {
     for short in ["", ",short=60"] {
@@ -48,12 +49,16 @@
         let tally = site.ask_all();
         assert!(site.faults("WRITE", None) > REQUESTS / 2);
         check_answered(&site, &tally);
-        assert_eq!(tally.counts()[2], 0, "none failed{short}: {tally:?}");
+        assert_eq!(
+            tally.counts()[2],
+            0,
+            "expected no failed request with fault options {short:?}: {tally:?}"
+        );
     }
 }
 
-/// Guards requests whose connection breaks after their last byte is written, with none or a part of the answer in: what
-/// must not run twice is not sent again.
+/// Guards against running an at-most-once request twice when the connection breaks after its last byte was written and
+/// none or a part of the answer was read: it is not sent again.
 #[test]
 fn a_break_after_the_last_byte_is_not_sent_again() {
     for short in ["", ",short=20"] {
@@ -64,26 +69,31 @@
         let tally = site.ask_all();
         assert!(site.faults("READ", None) > REQUESTS / 2);
         check_answered(&site, &tally);
-        // Of those that may run again none is lost.
-        assert!(tally.counts()[2] <= ALL / CLASSES.len(), "{tally:?}");
+        // Requests that may run again do not fail.
+        assert!(tally.counts()[2] <= ALL / CLASSES.len(), "only orders may fail: {tally:?}");
     }
 }
 
-/// How an order ends whose first connection breaks with that many of its bytes written, and how often it ran.
+/// Sends an order whose first connection breaks after `bytes` bytes are written. Returns the status of the answer and
+/// how often the order ran.
 fn order_broken_after(bytes: usize) -> (u16, usize) {
     let site = Site::start(|ports| {
         vec![("FAULT_WRITE", format!("errno=ETIMEDOUT,short={bytes},count=1,ports={ports}"))]
     });
     let status = Client::connect(site.address).ask("order", "one").status();
-    assert_eq!(site.faults("WRITE", Some("ETIMEDOUT")), 1, "after {bytes} bytes");
-    // The last byte of a request that was answered as one that may have run may still be on its way.
+    assert_eq!(
+        site.faults("WRITE", Some("ETIMEDOUT")),
+        1,
+        "expected one broken connection after {bytes} bytes"
+    );
+    // Status 502 means that the order may have run; its last byte may not have reached the upstream yet.
     if status == 502 {
         wait_for("the order runs", || (site.runs("one") == 1).then_some(()));
     }
     (status, site.runs("one"))
 }
 
-/// Guards the line between what never ran and what may have: it is the last byte.
+/// Guards the boundary between requests that never ran and those that may have run: it is the write of the last byte.
 #[test]
 fn the_last_byte_decides_whether_an_order_is_sent_again() {
     let site = Site::start(|_| Vec::new());
