--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -265,7 +265,6 @@
     assert!(usual.share_served > 0.99, "expected over 99 % served in the usual fleet, got {usual:?}");
     assert!(
         large.share_served >= 0.85 * usual.share_served,
-        "expected at least 85 % of the share {} served in the usual fleet, got {large:?}",
-        usual.share_served
+        "expected at least 85 % of the share served in the usual fleet, got {large:?}; usual fleet {usual:?}"
     );
 }
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Floods of connections, descriptors that run out, a log and answers that nobody reads: the program goes on serving,
-//! and ends in time. `docs/CROSSINGS.md` lists what is promised for each.
+//! Floods of connections, exhausted file descriptors, and a log or answers that nobody reads: the program keeps serving
+//! and shuts down in time. `docs/CROSSINGS.md` lists the guarantees for each case.
 
 mod common;
 
@@ -13,8 +13,8 @@
 use common::*;
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// Connects again and again, and never waits: each connection is reset at once, and one that finds the queue full is
-/// given up.
+/// Opens connections in a loop without waiting while `on` is set. Each connection is reset at once, and one that finds
+/// the listen queue full is abandoned.
 fn flood(address: SocketAddr, on: &AtomicBool) {
     while on.load(Ordering::Relaxed) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -24,8 +24,8 @@
     }
 }
 
-/// Guards the end against a flood of new connections: an accept loop that always finds another one waiting must look at
-/// its clock all the same.
+/// Guards against a drain that a flood of new connections delays: an accept loop that always finds another connection
+/// must still check the time.
 #[test]
 fn a_flood_of_connections_does_not_hold_up_the_drain() {
     let discovery = Discovery::start();
@@ -43,27 +43,32 @@
     let signalled = Instant::now();
     wait_line(&mut log, "graceful shutdown, ");
     wait_line(&mut log, "graceful shutdown, ");
-    // Answers close their connections from 0.5 s on; the rest is for a machine with much else to do.
-    assert!(signalled.elapsed() < SOON, "{:?}", signalled.elapsed());
+    // Answers close their connections from 0.5 s after SIGTERM on; the rest of the bound allows for a busy machine.
+    assert!(
+        signalled.elapsed() < SOON,
+        "expected the second drain message within {SOON:?}, it took {:?}",
+        signalled.elapsed()
+    );
     drop(log);
-    // It ends the longest deadline and half a second after the signal.
-    let ended = wait_for("the end", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
+    // The program exits half a second plus the longest deadline after SIGTERM.
+    let ended =
+        wait_for("the program exits", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
     on.store(false, Ordering::Relaxed);
-    assert!(ended < SOON, "{ended:?}");
+    assert!(ended < SOON, "expected an exit within {SOON:?} of SIGTERM, it took {ended:?}");
     for flood in floods {
         flood.join().expect("no panic");
     }
 }
 
-/// Guards the list against clients that only stand by and take every descriptor there is while discovery is down: when
-/// it is back, its watch comes up and the balancer is notified of what it has within 6 s; the front, and a client with
-/// a request, get through meanwhile.
+/// Guards against idle clients that take all descriptors while discovery is down and so keep the balancer from opening
+/// its watch. Once discovery is back, the balancer must apply its list within 6 s. Meanwhile the health check of the
+/// front and a client's request must succeed.
 #[test]
 fn idle_clients_do_not_keep_the_list_away() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let known = [endpoint("s-1", old.address, 0, "ready")];
     for mode in ["subscribe", "automatic"] {
-        // Its port is its own, yet refuses connections.
+        // The port is bound but does not listen, so it refuses connections.
         let (down, place) = bound();
         let text = configuration(place, &known, 30.0, 64).replace("subscribe", mode);
         let mut child = program_within(64, &text);
@@ -87,7 +92,7 @@
                 })
             })
             .collect();
-        wait_for("the front gets the health", || {
+        wait_for("the health check succeeds", || {
             (Client::connect(address).health() == Some(200)).then_some(())
         });
         wait_for("a client is served", || {
@@ -104,7 +109,11 @@
             let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"new").then_some(())
         });
-        assert!(back.elapsed() < Duration::from_secs(6), "{mode}: {:?}", back.elapsed());
+        assert!(
+            back.elapsed() < Duration::from_secs(6),
+            "{mode}: expected the list applied within 6 s, it took {:?}",
+            back.elapsed()
+        );
         over.store(true, Ordering::Relaxed);
         child.kill().expect("it runs");
         child.wait().expect("ends");
@@ -112,11 +121,15 @@
             thread.join().expect("no panic");
         }
         let log = log.join().expect("no panic").expect("read");
-        assert!(!log.contains("could not be accepted"), "the last descriptor was used: {log}");
+        assert!(
+            !log.contains("could not be accepted"),
+            "expected accepts never to run out of descriptors, log: {log}"
+        );
     }
 }
 
-/// Guards the program against a log that somebody holds and nobody reads: it goes on serving.
+/// Guards against blocking on the log: if the pipe of standard error stays open but nobody reads it, the program keeps
+/// applying lists and serving, and shuts down.
 #[test]
 fn a_log_that_nobody_reads_stops_nothing() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -125,7 +138,7 @@
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     let (_, watch) = discovery.watch();
-    // Each entry has a line of the log; a pipe holds 64 KiB.
+    // Each entry causes a log line, and together they exceed the 64 KiB that a pipe holds.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
     watch.says(8, false, &odd);
     watch.says(9, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
@@ -142,8 +155,8 @@
     drop(log);
 }
 
-/// Guards the end against a client that never takes its answers: they fill the system's buffers, and its connection is
-/// let go.
+/// Guards against a drain that a client delays by never reading its answers: they fill the socket buffers, and the
+/// balancer must close the connection.
 #[test]
 fn a_client_that_never_reads_does_not_hold_up_the_drain() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(60_000)));
@@ -152,7 +165,7 @@
     SockRef::from(&client.0).set_recv_buffer_size(4096).expect("set");
     client.raw(&order_with(b"").repeat(100));
     let mut served = 0;
-    wait_for("nothing more is written", || {
+    wait_for("the buffers are full and requests stop reaching the upstream", || {
         let (before, now) = (served, upstream.requests().len());
         served = now;
         thread::sleep(Duration::from_millis(200));
@@ -161,6 +174,10 @@
     let stopped = Instant::now();
     balancer.stop();
     drop(balancer);
-    // The drain's 2.8 s, and what an answer may stand unread.
-    assert!(stopped.elapsed() < Duration::from_secs(8), "{:?}", stopped.elapsed());
+    // The drain takes 2.8 s, plus the time for which an answer may remain unread.
+    assert!(
+        stopped.elapsed() < Duration::from_secs(8),
+        "expected the drain to end within 8 s, it took {:?}",
+        stopped.elapsed()
+    );
 }
--- a/crates/proxy/tests/sending.rs
+++ b/crates/proxy/tests/sending.rs
@@ -1,4 +1,4 @@
-//! What goes out to an upstream, byte by byte, and when it is whole.
+//! Writing requests to upstreams: the exact bytes written, and when a request counts as completely written.
 
 use std::cell::Cell;
 use std::os::fd::OwnedFd;
@@ -18,6 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::task::LocalSet;
 
+/// Returns a request to an upstream with this method and body.
 fn call(method: Method, body: &'static [u8]) -> Call {
     Call {
         key: (method == Method::POST).then(|| HeaderValue::from_static("k-1")),
@@ -30,8 +31,8 @@
     }
 }
 
-/// Guards the line between 'never ran' and 'may have run': the size reckoned beforehand is what goes out,
-/// so that a request short of one byte is known to be.
+/// Guards the boundary between requests that never ran and those that may have run: the size computed in advance must
+/// equal the number of bytes written, so that a request with one byte missing is known to be incomplete.
 #[test]
 fn the_size_reckoned_is_what_is_written() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("starts");
@@ -41,11 +42,12 @@
         let size = size_on_wire(&request, call.body.len());
         let written = runtime.block_on(async {
             let (near, mut far) = duplex(1 << 16);
-            let (mut sender, connection) =
-                http1::handshake::<_, Full<Bytes>>(TokioIo::new(near)).await.expect("no bytes yet");
+            let (mut sender, connection) = http1::handshake::<_, Full<Bytes>>(TokioIo::new(near))
+                .await
+                .expect("the handshake writes no bytes");
             let upstream = async {
                 let mut bytes = vec![0; size as usize];
-                far.read_exact(&mut bytes).await.expect("so many bytes come");
+                far.read_exact(&mut bytes).await.expect("as many bytes as computed arrive");
                 far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     .await
                     .expect("read");
@@ -57,11 +59,12 @@
             answer.expect("an answer");
             written
         });
-        assert_eq!(written as u64, size, "{:?}", call.method);
+        assert_eq!(written as u64, size, "bytes written and computed size differ for {:?}", call.method);
     }
 }
 
-/// Guards the same line for an attempt that is given up half-way.
+/// Guards the boundary between requests that never ran and those that may have run for an attempt that is abandoned
+/// while its request is being written: the request is complete only with its last byte.
 #[test]
 fn a_request_is_whole_with_its_last_byte() {
     let progress = Progress::default();
@@ -75,8 +78,8 @@
     assert!(progress.is_complete());
 }
 
-/// Guards a socket that is up against an option that fails on it, as TCP's do on a Unix socket: it carries
-/// requests all the same.
+/// Guards against rejecting a connected socket because a socket option cannot be set, as TCP options cannot on a Unix
+/// socket: the connection must still carry requests.
 #[test]
 fn a_socket_that_refuses_an_option_carries_requests() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
@@ -86,7 +89,7 @@
         far.set_nonblocking(true).expect("an open socket");
         let near = TcpStream::from_std(OwnedFd::from(near).into()).expect("an open socket");
         let mut far = tokio::net::UnixStream::from_std(far).expect("an open socket");
-        assert!(near.set_nodelay(true).is_err(), "the option does not fail here");
+        assert!(near.set_nodelay(true).is_err(), "expected the option to fail on a Unix socket");
         let mut connection = handshake(near, Permit::of(&Rc::default())).await.expect("it is up");
         let upstream = async {
             let mut head = [0; 64];
@@ -99,7 +102,7 @@
     });
 }
 
-/// Says that an attempt has so long left, and then that the rest may follow.
+/// A write check that gives an attempt this much time left when writing begins and allows all further writes.
 struct Left(Duration);
 
 impl WriteCheck for Left {
@@ -112,8 +115,8 @@
     }
 }
 
-/// Guards the deadline that is passed on against what happens between the forming of a request and its writing: it is
-/// that of the write, in as many bytes as were reckoned.
+/// Guards against passing on a stale deadline when time passes between forming a request and writing it: `x-deadline`
+/// holds the time left at the write, in as many bytes as the computed size assumes.
 #[test]
 fn the_deadline_is_that_of_the_write() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
@@ -136,14 +139,17 @@
             connection.gate.set(Box::new(Left(written)));
             let upstream = async {
                 let mut bytes = vec![0; size as usize];
-                far.read_exact(&mut bytes).await.expect("so many bytes come");
+                far.read_exact(&mut bytes).await.expect("as many bytes as computed arrive");
                 far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("read");
                 String::from_utf8(bytes).expect("text")
             };
             let (answer, text) = tokio::join!(connection.sender.send_request(request), upstream);
             assert_eq!(answer.expect("it is answered").status(), StatusCode::OK);
-            assert!(text.contains(&format!("\r\nx-deadline: {passed_on}\r\n")), "{text}");
-            assert!(text.ends_with("\r\n\r\ninstalments"), "{text}");
+            assert!(
+                text.contains(&format!("\r\nx-deadline: {passed_on}\r\n")),
+                "expected x-deadline {passed_on} in: {text}"
+            );
+            assert!(text.ends_with("\r\n\r\ninstalments"), "expected the body at the end of: {text}");
             assert_eq!(connection.written.get(), size);
         });
     }
