--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! When upstreams started, whatever the wall clocks do: the table of start times in virtual time.
+//! Start times of upstreams while wall clocks are wrong or step: the table of start times, tested in virtual time.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,10 +9,12 @@
 
 /// Unix time in milliseconds at which the tests begin.
 const BEGIN_MS: u64 = 1_700_000_000_000;
-/// Time of the decisions at which the tests begin: an upstream may have started an hour before.
+/// Time on the policy's clock at which the tests begin. It is not zero, so that an upstream may have started an hour
+/// before.
 const BEGIN: Time = Duration::from_secs(3600);
+/// An hour in milliseconds.
 const HOUR_MS: i64 = 3_600_000;
-/// Steps of a wall clock.
+/// Offsets by which wall clocks are ahead or step in the tests, in milliseconds.
 const STEPS_MS: [i64; 7] = [0, 5_000, -5_000, 60_000, -60_000, HOUR_MS, -HOUR_MS];
 /// A second in milliseconds.
 const SECOND_MS: u64 = 1000;
@@ -27,57 +29,59 @@
     }
 }
 
-/// A balancer's start times, its clocks, and the clock of the machine that stamps, in virtual time.
+/// A table of start times with the balancer's clocks and the clock of the machine that stamps, in virtual time.
 struct World {
     starts: StartTimes,
     wall: SetClock,
     now: Time,
-    /// How far the wall clock of the balancer's machine, and that of the machine that stamps, is ahead of the time.
+    /// Offset by which the wall clock of the balancer's machine is ahead of true time.
     ahead_ms: i64,
+    /// Offset by which the wall clock of the machine that stamps is ahead of true time.
     stamps_ahead_ms: i64,
 }
 
 impl World {
-    /// A balancer whose wall clock is ahead by so much from before its start.
+    /// Creates a table on a machine whose wall clock was ahead by `ahead_ms` before the process started.
     fn new(ahead_ms: i64) -> Self {
         let wall = SetClock(Arc::new(AtomicU64::new(BEGIN_MS.saturating_add_signed(ahead_ms))));
         let starts = StartTimes::new(Box::new(wall.clone()));
         Self { starts, wall, now: BEGIN, ahead_ms, stamps_ahead_ms: 0 }
     }
 
-    /// The same with a list in hand of one upstream that started long ago, as discovery has said.
+    /// Creates a table as [`Self::new`] does and applies a list from discovery with one upstream that started long ago.
     fn with_list(ahead_ms: i64) -> Self {
         let mut world = Self::new(ahead_ms);
         world.hear(&[(0, 0)]);
         world
     }
 
+    /// Advances time by `span`; the wall clock follows.
     fn pass(&mut self, span: Duration) {
         self.now += span;
         let unix_ms = BEGIN_MS + (self.now - BEGIN).as_millis() as u64;
         self.wall.0.store(unix_ms.saturating_add_signed(self.ahead_ms), Ordering::Relaxed);
     }
 
-    /// The wall clock of the balancer's machine steps to so far ahead.
+    /// Makes the wall clock of the balancer's machine step, so that it is ahead by `ahead_ms`.
     fn step(&mut self, ahead_ms: i64) {
         self.ahead_ms = ahead_ms;
         self.pass(Duration::ZERO);
     }
 
-    /// The stamp of a start right now.
+    /// Returns the stamp of an upstream that starts now.
     fn stamp(&self) -> u64 {
         let unix_ms = BEGIN_MS + (self.now - BEGIN).as_millis() as u64;
         unix_ms.saturating_add_signed(self.stamps_ahead_ms)
     }
 
-    /// A list from discovery with these upstreams and stamps; gives their start times.
+    /// Applies a list from discovery with these upstreams and stamps, and returns their start times.
     fn hear(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let times = self.read(entries);
         self.starts.note_line(self.now);
         times
     }
 
-    /// A list from the configuration.
+    /// Applies a list from the configuration with these upstreams and stamps, and returns their start times.
     fn read(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let newest_ms = entries.iter().map(|entry| entry.1).max().unwrap_or(0);
         let list_time = self.starts.list_time(self.now, newest_ms);
@@ -87,6 +91,7 @@
             .collect()
     }
 
+    /// Applies a list from discovery with one upstream and returns its start time.
     fn hear_one(&mut self, id: u32, since_ms: u64) -> Option<Time> {
         self.hear(&[(id, since_ms)])[0]
     }
@@ -96,8 +101,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Guards slow start against a wall clock that was wrong before the process began: a start that a change names lies
-/// between the line before and the change.
+/// Guards slow start against a wall clock that was wrong before the process started: the start time of an upstream that
+/// an update adds lies between the previous line of discovery and that update.
 #[test]
 fn a_step_before_the_process_began_moves_no_start_out_of_its_bounds() {
     for ahead_ms in STEPS_MS {
@@ -110,7 +115,7 @@
     }
 }
 
-/// Guards the time that a right clock tells: it is taken for what it says.
+/// Guards against inexact start times when all clocks are right: the stamp's time is then used as it is.
 #[test]
 fn clocks_that_agree_tell_the_start_to_the_millisecond() {
     let mut world = World::with_list(0);
@@ -120,7 +125,7 @@
     assert_eq!(world.hear_one(1, since_ms), Some(start));
 }
 
-/// Guards slow start against a step between two lists.
+/// Guards slow start against a step of the balancer's wall clock between two lists.
 #[test]
 fn a_step_between_two_lists_moves_no_start_out_of_its_bounds() {
     for ahead_ms in STEPS_MS {
@@ -136,7 +141,8 @@
     }
 }
 
-/// Guards a slow start that is under way: another time would be another process to the decisions.
+/// Guards a slow start in progress against a step of the balancer's wall clock: the policy would take a changed start
+/// time as a new process.
 #[test]
 fn a_step_during_slow_start_moves_no_start() {
     for ahead_ms in STEPS_MS {
@@ -149,11 +155,11 @@
         world.step(ahead_ms);
         assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
         world.step(0);
-        assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}, and back");
+        assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}, after the step back");
     }
 }
 
-/// Guards slow start against the clock of the machine that stamps, before and between lists.
+/// Guards slow start against a wrong or stepping clock of the machine that stamps, before and between lists.
 #[test]
 fn a_step_of_the_stamping_machine_moves_no_start_out_of_its_bounds() {
     for stamps_ahead_ms in STEPS_MS {
@@ -166,7 +172,8 @@
             let started = world.hear_one(1, since_ms).expect("just now");
             let case = format!("stamped {stamps_ahead_ms}, read {ahead_ms}: {started:?}");
             assert!((BEGIN..=world.now).contains(&started), "{case}");
-            // It steps back to the right time during slow start, which has not happened to those that started.
+            // The stamping clock steps back to true time during slow start. The upstream did not restart, so its stamp
+            // stays.
             world.stamps_ahead_ms = 0;
             world.pass(seconds(1));
             assert_eq!(world.hear_one(1, since_ms), Some(started), "{case}");
@@ -174,7 +181,8 @@
     }
 }
 
-/// Guards the bound itself: an empty line says that nothing had changed by then.
+/// Guards the lower bound of start times: an empty line from discovery says that nothing had changed by then, so an
+/// upstream that a later line adds did not start before it.
 #[test]
 fn a_start_is_not_older_than_the_last_sign_of_life() {
     let mut world = World::with_list(HOUR_MS);
@@ -187,7 +195,8 @@
     assert_eq!(world.hear_one(1, since_ms), Some(alive));
 }
 
-/// Guards upstreams that started in an outage: some are warm by its end, and a right clock tells which.
+/// Guards the start times of upstreams that started during an outage of discovery. Some are past slow start at its end,
+/// and only a right clock shows which; a wrong one is limited by the last line before the outage and by the present.
 #[test]
 fn after_an_outage_the_last_line_before_it_is_the_bound() {
     let started_after = |ahead_ms| {
@@ -202,7 +211,7 @@
     assert_eq!(started_after(-HOUR_MS), Some(BEGIN + seconds(60)));
 }
 
-/// Guards slow start after an outage against one stamp that is ahead, which must not make the others old.
+/// Guards slow start after an outage against one stamp that is ahead: it must not make the other starts look older.
 #[test]
 fn a_stamp_ahead_moves_no_other_start_of_a_change() {
     let mut world = World::with_list(0);
@@ -213,7 +222,8 @@
     assert_eq!(world.hear(&[(1, ahead_ms), (2, since_ms)]), [Some(world.now), Some(start)]);
 }
 
-/// Guards old upstreams against a slow start.
+/// Guards upstreams that have been running for long against a needless slow start: one without a stamp started long
+/// ago.
 #[test]
 fn no_stamp_is_long_ago() {
     for ahead_ms in STEPS_MS {
@@ -225,7 +235,8 @@
     }
 }
 
-/// Guards slow start where the clock behind the stamps stepped back between two starts of one name.
+/// Guards slow start when the stamping clock steps, possibly back, between two starts of the same upstream: the second
+/// start is still a new one.
 #[test]
 fn a_restart_with_an_earlier_stamp_is_a_new_start() {
     for stamps_ahead_ms in STEPS_MS {
@@ -249,8 +260,8 @@
     }
 }
 
-/// Guards drains, which only a new start ends, against older lists: what names a start that was named before is old,
-/// whichever stamp is the later one.
+/// Guards drains, which only a new start ends, against older lists: a start that a list has named before is not new,
+/// whichever of the stamps is later.
 #[test]
 fn a_start_named_before_is_no_new_one() {
     for stamps_ahead_ms in STEPS_MS {
@@ -268,8 +279,9 @@
     }
 }
 
-/// Guards a new process, which an older list may name where discovery counts anew: a stamp that stepped back by less
-/// than the time since the first list is not taken for one of before that.
+/// Guards against mistaking a new process for an old one. Where discovery restarts its index, a list that seems older
+/// may name a new process. A stamp that stepped back by less than the time since the first list is a new start, not one
+/// from before the first list.
 #[test]
 fn an_earlier_stamp_after_the_first_list_is_a_new_start() {
     for step_ms in STEPS_MS.into_iter().filter(|&step_ms| step_ms < 0) {
@@ -284,7 +296,8 @@
     }
 }
 
-/// Guards drains against an older list that names the process before, which ended before this one had a list.
+/// Guards drains against an older list that names the previous process of an upstream, which ended before the balancer
+/// had its first list: that is not a new start.
 #[test]
 fn an_earlier_stamp_before_the_first_list_is_no_new_start() {
     for ahead_ms in STEPS_MS {
@@ -298,7 +311,8 @@
     }
 }
 
-/// Guards a first list, which bounds nothing: what it says is used as far as it can be true.
+/// Guards start times in the first list, for which there is no lower bound: its stamps are used. A start at or before
+/// the zero of the policy's clock gives no start time.
 #[test]
 fn a_first_list_names_starts_of_any_age() {
     let mut world = World::new(0);
@@ -309,8 +323,8 @@
     assert_eq!(times[3..], [None, None]);
 }
 
-/// Guards old upstreams against the wall clock of a process that is an hour behind: the stamps in its first list tell
-/// that it is later.
+/// Guards long-running upstreams against a needless slow start when the balancer's wall clock is behind: the newest
+/// stamp in the first list shows that the true time is later.
 #[test]
 fn a_process_that_is_behind_does_not_take_the_tier_for_just_started() {
     for ahead_ms in STEPS_MS.into_iter().filter(|&ahead_ms| ahead_ms <= 0) {
@@ -322,7 +336,7 @@
     }
 }
 
-/// Guards against starts in the future, which would stay cold for ever.
+/// Guards against start times in the future, with which upstreams would stay in slow start for ever.
 #[test]
 fn no_start_of_a_first_list_is_in_the_future() {
     for ahead_ms in STEPS_MS {
@@ -336,7 +350,8 @@
     }
 }
 
-/// Guards what the configuration's list began: discovery's first names the same processes, and is a first one itself.
+/// Guards start times in the first list of discovery: the list of the configuration sets no lower bound for them, and
+/// processes that it named keep their start times.
 #[test]
 fn the_list_of_the_configuration_bounds_nothing() {
     for ahead_ms in STEPS_MS {
@@ -353,7 +368,7 @@
     }
 }
 
-/// Guards a tier whose first list is still to come: signs of life before it say nothing of its age.
+/// Guards start times in the first list against empty lines of discovery that came before it: they set no lower bound.
 #[test]
 fn signs_of_life_before_any_list_bound_nothing() {
     let mut world = World::new(0);
@@ -362,7 +377,8 @@
     assert_eq!(world.hear_one(1, BEGIN_MS - 60 * SECOND_MS), Some(BEGIN - seconds(60)));
 }
 
-/// Guards warm upstreams that are out of the list for a while: by a word of its own, or absent from a whole list.
+/// Guards upstreams past slow start that leave the list for a while, removed by a delta or absent from a snapshot: they
+/// keep their start times when they return with the same stamp.
 #[test]
 fn a_return_with_the_same_stamp_keeps_its_start() {
     for ahead_ms in STEPS_MS {
@@ -380,7 +396,7 @@
     }
 }
 
-/// Guards the memory of a process that lives long: names come and go, and one goes and returns all the time.
+/// Guards the memory of a long-running balancer: upstreams come and go, and one leaves and returns repeatedly.
 #[test]
 fn memory_of_starts_is_bounded() {
     let mut world = World::with_list(0);
@@ -393,6 +409,6 @@
         world.starts.delist(EndpointId(id));
         world.starts.delist(EndpointId(0));
         assert!(world.starts.past_len() <= MAX_PAST_STARTS);
-        assert_eq!(world.hear_one(0, steady_ms), steady, "the latest are remembered");
+        assert_eq!(world.hear_one(0, steady_ms), steady, "expected the latest starts to be remembered");
     }
 }
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Slow start under wall clocks that are wrong or step, through the server on real sockets.
+//! Slow start while wall clocks are wrong or step, tested with the complete server on real sockets.
 
 mod common;
 
@@ -11,9 +11,10 @@
 use common::*;
 use serde_json::{Value, json};
 
+/// An hour in milliseconds.
 const HOUR_MS: i64 = 3_600_000;
 
-/// The machine's clock, ahead by as many milliseconds as the test says.
+/// The machine's wall clock plus an offset in milliseconds that the test sets.
 #[derive(Debug)]
 struct Ahead(Arc<AtomicI64>);
 
@@ -23,14 +24,14 @@
     }
 }
 
-/// A balancer whose wall clock the test sets.
+/// Starts a balancer whose wall clock is ahead by `ahead_ms`, which the test may change later.
 fn start_with_clock(configuration: &str, ahead_ms: &Arc<AtomicI64>) -> Balancer {
     let mut config = parsed(configuration);
     config.wall_clock = Box::new(Ahead(Arc::clone(ahead_ms)));
     Balancer::start_on(config, |listener| listener)
 }
 
-/// Upstreams of one sort, which are all listed with the same stamp.
+/// Two upstreams that are listed with the same start stamp.
 struct Group {
     upstreams: Vec<Upstream>,
     entries: Vec<Value>,
@@ -48,26 +49,27 @@
         Self { upstreams, entries }
     }
 
+    /// Number of requests that the group's upstreams got.
     fn requests(&self) -> usize {
         self.upstreams.iter().map(|upstream| upstream.requests().len()).sum()
     }
 }
 
-/// Two upstreams that started long ago, and two that a change says have started now.
+/// A balancer with two upstreams that started long ago and two that an update has added as just started.
 struct Joined {
     old: Group,
     new: Group,
     balancer: Balancer,
-    /// Goes on until this is dropped.
+    /// Keeps the watch of the balancer open until it is dropped.
     _watch: Watch,
 }
 
-/// Upstreams in slow start get this part of a warm one's.
+/// Fraction of a warm upstream's traffic that an upstream gets at the beginning of slow start.
 const SLOW_START_MIN_FRACTION: f64 = 0.05;
 
 impl Joined {
-    /// With a wall clock that is ahead by `from_ms` at the balancer's start, and by `to_ms` from the first list on; the
-    /// change comes so long after that.
+    /// Starts the balancer with a wall clock that is ahead by `from_ms`, and by `to_ms` after the first list. Slow
+    /// start lasts `cold_s` seconds. The update that adds the new upstreams comes `after` the first list.
     fn start(from_ms: i64, to_ms: i64, cold_s: f64, after: Duration) -> Self {
         let (old, discovery) = (Group::start("old", 0), Discovery::start());
         let mut text: Value =
@@ -83,21 +85,23 @@
         for _ in 0..20 {
             client.ask("read", "");
         }
-        wait_for("the list has grown old", || (listed.elapsed() >= after).then_some(()));
+        wait_for("the time until the update has passed", || (listed.elapsed() >= after).then_some(()));
         ahead_ms.store(to_ms, Ordering::Relaxed);
         let new = Group::start("new", SystemClock.unix_ms());
         let mut entries = new.entries.clone();
-        // Tells that the change has been applied.
+        // Answers of this upstream show that the update has been applied.
         let last = Upstream::start(|_, _| ok("last"));
         entries.push(endpoint("last", last.address, 0, "ready"));
         watch.says(9, false, &entries);
-        wait_for("the change is applied", || (client.ask("read", "").body == b"last").then_some(()));
+        wait_for("the update is applied", || (client.ask("read", "").body == b"last").then_some(()));
         watch.says(10, false, &[endpoint("last", last.address, 0, "gone")]);
-        wait_for("it has left", || (0..16).all(|_| client.ask("read", "").body != b"last").then_some(()));
+        wait_for("the removal of the last upstream is applied", || {
+            (0..16).all(|_| client.ask("read", "").body != b"last").then_some(())
+        });
         Self { old, new, balancer, _watch: watch }
     }
 
-    /// What the old and the new get of so many requests.
+    /// Sends requests and returns how many of them went to the old and to the new upstreams.
     fn parts(&self, requests: usize) -> (usize, usize) {
         let before = (self.old.requests(), self.new.requests());
         let mut client = self.balancer.client();
@@ -108,7 +112,8 @@
     }
 }
 
-/// Plays a case with wall clocks that are wrong from the start and that step after the first list, side by side.
+/// Runs `case` concurrently with a right wall clock, with clocks that are wrong from the start, and with clocks that
+/// step after the first list.
 fn under_each_clock(case: impl Fn(i64, i64) + Send + Sync) {
     let clocks = [(0, 0), (HOUR_MS, HOUR_MS), (-HOUR_MS, -HOUR_MS), (0, HOUR_MS), (0, -HOUR_MS)];
     thread::scope(|scope| {
@@ -119,36 +124,44 @@
     });
 }
 
-/// Guards upstreams that have just started, whose slow start here is longer than the test.
+/// Guards upstreams that have just started against full traffic when clocks are wrong. Their slow start is longer than
+/// the test, so they must get less than a third of the old upstreams' requests.
 #[test]
 fn slow_start_is_not_skipped_under_a_wrong_clock() {
     under_each_clock(|from_ms, to_ms| {
         let joined = Joined::start(from_ms, to_ms, 600.0, Duration::ZERO);
         let (old, new) = joined.parts(300);
-        assert!(new * 3 < old, "{from_ms} to {to_ms}: {new} beside {old}");
+        assert!(
+            new * 3 < old,
+            "clock ahead by {from_ms} ms, then {to_ms} ms: new upstreams got {new} requests, old ones {old}"
+        );
     });
 }
 
-/// Guards the part of upstreams that have been up for their slow start.
+/// Guards upstreams whose slow start is over against too little traffic when clocks are wrong.
 #[test]
 fn slow_start_ends_under_a_wrong_clock() {
     under_each_clock(|from_ms, to_ms| {
         let joined = Joined::start(from_ms, to_ms, 0.5, Duration::ZERO);
-        wait_for(&format!("{from_ms} to {to_ms}: the new ones are warm"), || {
+        wait_for(&format!("slow start ends with a clock ahead by {from_ms} ms, then {to_ms} ms"), || {
             let (old, new) = joined.parts(100);
             (new * 2 > old).then_some(())
         });
     });
 }
 
-/// Guards slow start after a long time without a change: the watch's empty lines, two a second here, say that nothing
-/// had started by then.
+/// Guards slow start of upstreams that are added long after the previous update: the watch's empty lines, two a second
+/// here, show that the new upstreams had not started by then.
 #[test]
 fn signs_of_life_bound_a_start_under_a_clock_that_is_ahead() {
     let slow_start_window = Duration::from_secs(10);
     let joined = Joined::start(HOUR_MS, HOUR_MS, slow_start_window.as_secs_f64(), slow_start_window);
     let changed = Instant::now();
     let (old, new) = joined.parts(300);
-    // On a machine too busy to ask in time they may be warm by then, which proves nothing.
-    assert!(new * 2 < old || changed.elapsed() > slow_start_window / 4, "{new} beside {old}");
+    // On a machine too busy to send the requests in time, slow start may have progressed; the test is then
+    // inconclusive.
+    assert!(
+        new * 2 < old || changed.elapsed() > slow_start_window / 4,
+        "expected slow start: new upstreams got {new} requests, old ones {old}"
+    );
 }
