--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -10,7 +10,11 @@
 /// never ran says that a retry is harmless.
 fn check_answered(site: &Site, tally: &Tally) {
     let [served, refused, failed, closed] = tally.counts();
-    assert_eq!((served + refused + failed, closed), (ALL, 0), "{tally:?}");
+    assert_eq!(
+        (served + refused + failed, closed),
+        (ALL, 0),
+        "expected an answer to each request, got {tally:?}"
+    );
     site.check_runs();
 }
 
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -1,5 +1,5 @@
-//! System calls that fail on the balancer's own machine, are interrupted, or do less than they were asked for: every
-//! request gets its one answer all the same, and no upstream is charged with it.
+//! System calls that fail on the balancer's own machine, are interrupted, or transfer fewer bytes than requested: each
+//! request still gets exactly one answer, and the policy counts no failure against an upstream.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use common::faults::*;
 use common::*;
 
-/// Guards requests against waits for events that are interrupted.
+/// Guards against lost requests when waits for events are interrupted by signals.
 #[test]
 fn interrupted_waits_lose_nothing() {
     let site = Site::start(|_| vec![("FAULT_WAIT", "errno=EINTR,every=2".into())]);
@@ -20,7 +20,7 @@
     site.check_runs();
 }
 
-/// Guards requests and answers against reads and writes that do a part of what they were asked for.
+/// Guards against lost or damaged requests and answers when reads and writes transfer fewer bytes than requested.
 #[test]
 fn short_reads_and_writes_lose_nothing() {
     let site = Site::start(|_| {
@@ -32,7 +32,7 @@
     site.check_runs();
 }
 
-/// Checks that no upstream was charged with anything, and that none passes for gone.
+/// Checks that the log counts no upstream as unreachable and no connect as late, and shows all upstreams as available.
 fn check_uncharged(log_counts: &LogCounts) {
     assert_eq!(
         (log_counts.unreachable, log_counts.late, log_counts.had),
@@ -41,54 +41,59 @@
     );
 }
 
-/// Guards upstreams and requests against connects for which the own machine has no port or no memory: each request is
-/// served, and no upstream is charged.
+/// Guards against failed requests and ejected upstreams when connects fail on the balancer's own machine, for example
+/// for lack of ports or memory: each request is served, and no failure is counted against an upstream.
 #[test]
 fn connects_that_fail_on_the_own_machine_are_not_charged() {
     let errors = "EADDRNOTAVAIL+EADDRINUSE+ENOBUFS+ENOMEM+EMFILE+ENFILE+EAGAIN+EINTR";
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
     for error in errors.split('+') {
-        assert!(site.faults("CONNECT", Some(error)) > 0, "{error}");
+        assert!(site.faults("CONNECT", Some(error)) > 0, "no connect failed with {error}");
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
     check_uncharged(&site.log_counts(ALL as u64));
 }
 
-/// Guards the same against a lack of sockets.
+/// Guards against failed requests and ejected upstreams when sockets cannot be created: each request is served, and no
+/// failure is counted against an upstream.
 #[test]
 fn sockets_that_are_not_had_are_not_charged() {
     let errors = "EMFILE+ENFILE+ENOBUFS+ENOMEM";
-    // The first is the listener's.
+    // The first socket is the listener's.
     let site = Site::start(|_| vec![("FAULT_SOCKET", format!("errno={errors},every=3,skip=1"))]);
     let tally = site.ask_all();
     for error in errors.split('+') {
-        assert!(site.faults("SOCKET", Some(error)) > 0, "{error}");
+        assert!(site.faults("SOCKET", Some(error)) > 0, "no socket call failed with {error}");
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
     check_uncharged(&site.log_counts(ALL as u64));
 }
 
-/// Guards clients against waiting for a port that does not come: within the time for a connect they are refused, which
-/// tells them that trying again is harmless, and no upstream is charged.
+/// Guards against clients that wait for their whole deadline while no local port is free: the balancer refuses the
+/// request within the connect timeout, which says that a retry is harmless, and counts no failure against an upstream.
 #[test]
 fn a_lasting_lack_of_ports_refuses() {
     let site =
         Site::start_with(0.5, |ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for class in CLASSES {
         let answer = Client::connect(site.address).ask(class, class);
-        assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}");
+        assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}: expected status 503 and no run");
     }
     let log_counts = site.log_counts(CLASSES.len() as u64);
     check_uncharged(&log_counts);
     assert_eq!(log_counts.unsent, CLASSES.len() as u64);
     let faults = site.faults("CONNECT", None);
-    assert!((2 * CLASSES.len()..40 * CLASSES.len()).contains(&faults), "{faults} connects");
+    assert!(
+        (2 * CLASSES.len()..40 * CLASSES.len()).contains(&faults),
+        "expected 2 to 40 failed connects for each request, got {faults} in total"
+    );
 }
 
-/// Guards the same where the client's time is over before that for a connect.
+/// Guards upstreams against being charged for a lack of local ports when the client's deadline passes before the
+/// connect timeout.
 #[test]
 fn a_lack_of_ports_past_the_deadline_is_not_charged() {
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
@@ -97,16 +102,16 @@
         let request = String::from_utf8(order_with(b"")).expect("text");
         client.raw(request.replace("X-Tenant", "X-Deadline: 0.4\r\nX-Tenant").as_bytes());
         let status = client.answer().expect("an answer").status();
-        assert!(matches!(status, 503 | 504), "{number}: {status}");
+        assert!(matches!(status, 503 | 504), "request {number}: expected 503 or 504, got {status}");
     }
     check_uncharged(&site.log_counts(5));
     assert_eq!(site.runs("one"), 0);
 }
 
-/// Guards requests against options that can't be set.
+/// Guards against lost requests when socket options cannot be set.
 #[test]
 fn options_that_are_not_set_lose_nothing() {
-    // The first is the listener's.
+    // The first call sets an option of the listener.
     let site = Site::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
     let tally = site.ask_all();
     assert!(site.faults("SETSOCKOPT", None) > CLIENTS);
@@ -114,21 +119,21 @@
     site.check_runs();
 }
 
-/// Guards clients against accepts that fail for a moment.
+/// Guards against lost clients when accepts fail temporarily.
 #[test]
 fn accepts_that_fail_lose_nobody() {
     let errors = "ECONNABORTED+EMFILE+ENFILE+ENOBUFS+ENOMEM+EPROTO+EINTR";
     let site = Site::start(|_| vec![("FAULT_ACCEPT", format!("errno={errors},every=3"))]);
     let tally = site.ask_all_on(true);
     for error in errors.split('+') {
-        assert!(site.faults("ACCEPT", Some(error)) > 0, "{error}");
+        assert!(site.faults("ACCEPT", Some(error)) > 0, "no accept failed with {error}");
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
 }
 
-/// Guards drains against reads of the watch that are short, waits that are interrupted, and connects to discovery that
-/// fail for a moment: the word comes through, and nothing new goes to what drains.
+/// Guards against a missed drain when reads of the watch are short, waits are interrupted and connects to discovery
+/// fail temporarily: the update is applied, and the draining upstream gets no new requests.
 #[test]
 fn a_drain_is_heard_in_spite_of_faults() {
     let site = Site::start(|_| {
@@ -139,9 +144,9 @@
         ]
     });
     let (_, watch) = site.discovery.watch();
-    let [drains, ..] = &site.upstreams[..] else { panic!("there are some") };
+    let [drains, ..] = &site.upstreams[..] else { panic!("the site has no upstreams") };
     watch.says(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
-    // A line of counts tells the index of the list in hand.
+    // The line of counts shows the index of the current list.
     wait_for("the list is applied", || {
         let log = site.log.lock().expect("no panic");
         log.iter().any(|line| line.contains("list 8;")).then_some(())
@@ -152,7 +157,8 @@
     site.check_runs();
 }
 
-/// Guards tests that move the wall clock: a program reads it as the file says, also after that has changed.
+/// Guards the fault injection itself: a program reads the wall clock with the offset in the file named by
+/// `FAULT_CLOCK`, also after the file has changed.
 #[test]
 fn the_wall_clock_is_off_as_the_file_says() {
     let file = std::env::temp_dir().join(format!("balancer-proxy-clock-{}", std::process::id()));
@@ -168,6 +174,9 @@
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
     for (offset_ms, expected) in [(-3_600_500, now - 3601), (7_200_000, now + 7200)] {
-        assert!(shown(offset_ms).abs_diff(expected) <= LONG.as_secs(), "off by {offset_ms} ms");
+        assert!(
+            shown(offset_ms).abs_diff(expected) <= LONG.as_secs(),
+            "expected a clock that is off by {offset_ms} ms"
+        );
     }
 }
