--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -125,15 +125,16 @@
         thread::sleep(Duration::from_millis(400));
         orders.dealt_elsewhere.store(true, Ordering::Relaxed);
         let ended =
-            wait_for("the program exits", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
-        let sent: Vec<Sent> = clients.into_iter().map(|client| client.join().expect("no panic")).collect();
+            wait_for("the program exits", || child.try_wait().expect("waited").map(|_| signalled.elapsed()));
+        let sent: Vec<Sent> =
+            clients.into_iter().map(|client| client.join().expect("the thread does not panic")).collect();
         (sent, ended)
     });
     assert!(
         ended < Duration::from_millis(900),
         "expected the program to exit within 0.9 s of SIGTERM, it exited after {ended:?}"
     );
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program exits").success());
     for sent in &sent {
         check_runs(&upstream, sent);
     }
@@ -169,7 +170,7 @@
             thread::sleep(Duration::from_millis(2));
         }
         orders.over.store(true, Ordering::Relaxed);
-        clients.into_iter().map(|client| client.join().expect("no panic")).collect()
+        clients.into_iter().map(|client| client.join().expect("the thread does not panic")).collect()
     });
     for sent in &sent {
         check_runs(&upstream, sent);
@@ -204,7 +205,7 @@
             signal(&child, "-HUP");
         }
         orders.over.store(true, Ordering::Relaxed);
-        clients.into_iter().map(|client| client.join().expect("no panic")).collect()
+        clients.into_iter().map(|client| client.join().expect("the thread does not panic")).collect()
     });
     for sent in &sent {
         check_runs(&upstream, sent);
@@ -215,6 +216,6 @@
             sent.crossed
         );
     }
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    child.kill().expect("the program is running");
+    child.wait().expect("the program exits");
 }
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -31,7 +31,7 @@
 
 impl World {
     fn new() -> Self {
-        let names = balancer_settings::read(&settings(50.0).to_string()).expect("sound settings").names;
+        let names = balancer_settings::read(&settings(50.0).to_string()).expect("valid settings").names;
         let table = EndpointTable::new(Box::new(SystemClock), 0);
         Self { table, names, now: Duration::from_secs(3600), in_attempts: FxHashSet::default() }
     }
@@ -39,7 +39,7 @@
     /// Applies a delta with one entry and returns the endpoint's id and start time.
     fn patch(&mut self, name: &str, status: &str, since_ms: u64) -> (EndpointId, Option<Time>) {
         let entry = json!({ "name": name, "address": "127.0.0.1:9", "status": status, "since_ms": since_ms });
-        let update: Update = serde_json::from_value(json!({ "endpoints": [entry] })).expect("an update");
+        let update: Update = serde_json::from_value(json!({ "endpoints": [entry] })).expect("a valid update");
         self.now += Duration::from_millis(1);
         let in_attempts = || self.in_attempts.clone();
         let applied =
--- a/crates/proxy/tests/failing_upstreams.rs
+++ b/crates/proxy/tests/failing_upstreams.rs
@@ -33,7 +33,7 @@
     let attempts: Vec<usize> = (0..REQUESTS)
         .map(|number| upstreams.iter().map(|upstream| upstream.count_of(&format!("r-{number}"))).sum())
         .collect();
-    let most = attempts.iter().max().expect("some");
+    let most = attempts.iter().max().expect("there are requests");
     println!(
         "{} attempts for {REQUESTS} requests, at most {most} for one request",
         attempts.iter().sum::<usize>()
@@ -85,8 +85,9 @@
         assert!(ran <= 1, "{body}: expected at most one attempt, got {ran}");
     }
     for (_, request) in upstreams.iter().flat_map(Upstream::requests) {
-        let left: f64 = request.header("x-deadline").expect("passed on").parse().expect("a number");
-        let body = String::from_utf8(request.body.clone()).expect("text");
+        let left: f64 =
+            request.header("x-deadline").expect("a deadline is passed on").parse().expect("a number");
+        let body = String::from_utf8(request.body.clone()).expect("valid UTF-8");
         let milliseconds: f64 = body.rsplit('-').next().and_then(|text| text.parse().ok()).expect("a number");
         assert!(
             left <= milliseconds / 1000.0,
--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -58,7 +58,7 @@
 /// counter of accepted connections.
 fn start_upstreams() -> (u16, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("0.0.0.0:0").expect("a free port");
-    let port = listener.local_addr().expect("bound").port();
+    let port = listener.local_addr().expect("the socket is bound").port();
     let connections = Arc::new(AtomicUsize::new(0));
     let counted = Arc::clone(&connections);
     thread::spawn(move || {
@@ -97,7 +97,7 @@
 impl ChangingDiscovery {
     fn start(fleet: Fleet, port: u16) -> (SocketAddr, Arc<Self>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let discovery_stand_in = Arc::new(Self {
             fleet,
             port,
@@ -142,7 +142,7 @@
 
     /// Returns an entry in which one upstream's weight changes; the upstream depends on the index.
     fn change(&self, index: u64) -> Value {
-        let number = u32::try_from(index).expect("few changes") * 7 % self.fleet.upstreams;
+        let number = u32::try_from(index).expect("the index fits") * 7 % self.fleet.upstreams;
         let mut changed = entry(number, self.port);
         changed["weight"] = json!(if index.is_multiple_of(2) { 1.0 } else { 1.1 });
         changed
@@ -173,7 +173,7 @@
 
 impl Process {
     fn read(&self, file: &str) -> String {
-        std::fs::read_to_string(format!("/proc/{}/{file}", self.0)).expect("it runs")
+        std::fs::read_to_string(format!("/proc/{}/{file}", self.0)).expect("the program is running")
     }
 
     /// Total user and system time of all threads.
@@ -193,7 +193,7 @@
     }
 
     fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.0)).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.0)).expect("the program is running").count()
     }
 }
 
@@ -221,7 +221,8 @@
         descriptors = descriptors.max(process.descriptors());
         thread::sleep(Duration::from_millis(20));
     }
-    let served: usize = clients.into_iter().map(|client| client.join().expect("no panic")).sum();
+    let served: usize =
+        clients.into_iter().map(|client| client.join().expect("the thread does not panic")).sum();
     discovery_stand_in.over.store(true, Ordering::Relaxed);
     let usage = Usage {
         cpu_seconds: process.cpu_seconds(),
@@ -231,8 +232,8 @@
         list_kb: discovery_stand_in.bytes.load(Ordering::Relaxed) as f64 / 1024.0,
         share_served: served as f64 / (CLIENTS * REQUESTS) as f64,
     };
-    child.kill().expect("it runs");
-    child.wait().expect("ends");
+    child.kill().expect("the program is running");
+    child.wait().expect("the program exits");
     let watches = discovery_stand_in.watches.load(Ordering::Relaxed);
     println!("{fleet:?}: {usage:?}, {watches} watches");
     assert!(
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -38,7 +38,7 @@
     fn ends_with(mut self, mut client: Client, body: &str) {
         let answer = client.answer().expect("an accepted request is answered");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, body.as_bytes()));
-        assert!(self.child.wait().expect("ends").success());
+        assert!(self.child.wait().expect("the program exits").success());
     }
 }
 
@@ -47,8 +47,8 @@
     let (go, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
     let upstream = Upstream::scripted(move |_, _, stream| {
-        stream.write_all(first.as_bytes()).expect("open");
-        let _ = wait.lock().expect("no panic").recv();
+        stream.write_all(first.as_bytes()).expect("the connection is open");
+        let _ = wait.lock().expect("lock not poisoned").recv();
         then.clone()
     });
     (upstream, go)
@@ -83,8 +83,8 @@
             late.wait_connecting(1);
             ending.terminate();
             let mut stream = late.open().recv_timeout(LONG).expect("the connection comes up");
-            read_message(&mut stream).expect("the request");
-            stream.write_all(WHOLE.as_bytes()).expect("open");
+            read_message(&mut stream).expect("the request arrives");
+            stream.write_all(WHOLE.as_bytes()).expect("the connection is open");
             ending.ends_with(client, "served");
         });
         // The request has been sent and none or a part of the answer has been received; further signals follow.
@@ -111,7 +111,7 @@
                 if number > 0 {
                     return ok("first");
                 }
-                let _ = wait.lock().expect("no panic").recv();
+                let _ = wait.lock().expect("lock not poisoned").recv();
                 Reply::Last(Vec::new())
             });
             let mut ending = Ending::start(&ready(first.address));
@@ -196,7 +196,7 @@
         assert!(ends_empty(client), "request {number}: expected one answer, got more");
     }
     let answered = stopped.elapsed();
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program exits").success());
     println!("answered {answered:?} after SIGTERM, ended {:?} after it", stopped.elapsed());
     assert!(
         stopped.elapsed() < EARLIEST_KILL,
@@ -235,7 +235,7 @@
     replacement.wait_requests(1);
     thread::sleep(DRAIN_GRACE.saturating_sub(stopped.elapsed()));
     let before = old.requests().len() + other.requests().len();
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program exits").success());
     assert!(
         stopped.elapsed() < EARLIEST_KILL,
         "expected an exit before {EARLIEST_KILL:?} after SIGTERM, it took {:?}",
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -21,7 +21,7 @@
 /// Checks that the balancer sends nothing more and closes the connection between [`FAIR`] and [`OWED`] after the head
 /// began. The test only knows that the head began between `earliest` and `latest`.
 fn assert_closed_in_time(case: &str, client: &mut Client, earliest: Instant, latest: Instant) {
-    client.0.set_read_timeout(Some(Duration::from_secs(8))).expect("set");
+    client.0.set_read_timeout(Some(Duration::from_secs(8))).expect("the socket option is set");
     let end = client.0.read(&mut [0]).expect("closed within 8 s");
     let (longest, shortest) = (earliest.elapsed(), latest.elapsed());
     assert_eq!(end, 0, "{case}: expected the connection to be closed, got data");
@@ -95,7 +95,7 @@
     let release_signal = Mutex::new(release_signal);
     let upstream = Upstream::start(move |number, _| {
         if number < 2 {
-            let _ = release_signal.lock().expect("no panic").recv();
+            let _ = release_signal.lock().expect("lock not poisoned").recv();
         }
         ok("served")
     });
@@ -207,5 +207,5 @@
     begun.raw(tail);
     let answer = begun.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program exits").success());
 }
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -37,7 +37,7 @@
 impl Forgetful {
     fn start(forgets: Forgets) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the socket is bound");
         let upstream = Self { address, ran: Arc::default(), forgotten: Arc::default() };
         let (ran, forgotten) = (Arc::clone(&upstream.ran), Arc::clone(&upstream.forgotten));
         thread::spawn(move || {
@@ -60,12 +60,16 @@
             if answered.is_some_and(|at| at.elapsed() > FORGOTTEN_AFTER) {
                 forgotten.fetch_add(1, Ordering::Relaxed);
                 match forgets {
-                    Forgets::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("set"),
+                    Forgets::Reset => SockRef::from(&stream)
+                        .set_linger(Some(Duration::ZERO))
+                        .expect("the socket option is set"),
                     Forgets::Silence => drop(stream.read(&mut [0])),
                 }
                 return;
             }
-            ran.lock().expect("no panic").push(String::from_utf8(message.body).expect("text"));
+            ran.lock()
+                .expect("lock not poisoned")
+                .push(String::from_utf8(message.body).expect("valid UTF-8"));
             if stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").is_err() {
                 return;
             }
@@ -110,7 +114,7 @@
 fn assert_each_order_ran_once(requests: u32, forgetful: &Forgetful, sound: &Upstream) {
     for number in 0..requests {
         let body = format!("order-{number}");
-        let ran = forgetful.ran.lock().expect("no panic").iter().filter(|ran| **ran == body).count();
+        let ran = forgetful.ran.lock().expect("lock not poisoned").iter().filter(|ran| **ran == body).count();
         assert!(ran + sound.count_of(&body) <= 1, "expected {body} to run at most once");
     }
 }
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -125,7 +125,7 @@
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
             let (id, actions) = bench.offer(None);
-            let upstream = sent(&actions).expect("four are ready");
+            let upstream = sent(&actions).expect("four upstreams are ready");
             *seen.entry(upstream.0).or_default() += 1;
             bench.pass(millis(20));
             bench.end(id, 0, Outcome::Success, millis(20));
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -103,7 +103,7 @@
     let site = Site::start(|_| Vec::new());
     assert_eq!(Client::connect(site.address).ask("order", "one").status(), 200);
     let size = site.upstreams.iter().find_map(|upstream| upstream.requests().first().cloned());
-    let size = size.expect("it ran").1.size;
+    let size = size.expect("the order ran").1.size;
     for bytes in [1, size / 2, size - 1] {
         assert_eq!(order_broken_after(bytes), (200, 1), "broken after {bytes} of {size} bytes");
     }
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -18,8 +18,8 @@
 fn flood(address: SocketAddr, on: &AtomicBool) {
     while on.load(Ordering::Relaxed) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_nonblocking(true).expect("set");
-        socket.set_linger(Some(Duration::ZERO)).expect("set");
+        socket.set_nonblocking(true).expect("the socket option is set");
+        socket.set_linger(Some(Duration::ZERO)).expect("the socket option is set");
         let _ = socket.connect(&address.into());
     }
 }
@@ -52,11 +52,11 @@
     drop(log);
     // The program exits half a second plus the longest deadline after SIGTERM.
     let ended =
-        wait_for("the program exits", || child.try_wait().expect("known").map(|_| signalled.elapsed()));
+        wait_for("the program exits", || child.try_wait().expect("waited").map(|_| signalled.elapsed()));
     on.store(false, Ordering::Relaxed);
     assert!(ended < SOON, "expected an exit within {SOON:?} of SIGTERM, it took {ended:?}");
     for flood in floods {
-        flood.join().expect("no panic");
+        flood.join().expect("the thread does not panic");
     }
 }
 
@@ -99,7 +99,7 @@
             let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"old").then_some(())
         });
-        down.listen(16).expect("listens");
+        down.listen(16).expect("the socket listens");
         let discovery = Discovery::on(down.into(), Duration::from_millis(500));
         let back = Instant::now();
         let (_, watch) = discovery.watch();
@@ -115,12 +115,12 @@
             back.elapsed()
         );
         over.store(true, Ordering::Relaxed);
-        child.kill().expect("it runs");
-        child.wait().expect("ends");
+        child.kill().expect("the program is running");
+        child.wait().expect("the program exits");
         for thread in idle {
-            thread.join().expect("no panic");
+            thread.join().expect("the thread does not panic");
         }
-        let log = log.join().expect("no panic").expect("read");
+        let log = log.join().expect("the thread does not panic").expect("the log is read");
         assert!(
             !log.contains("could not be accepted"),
             "expected accepts never to run out of descriptors, log: {log}"
@@ -146,12 +146,12 @@
     watch.says(10, false, &[endpoint("s-2", moved.address, 0, "ready")]);
     wait_for("the lists are applied", || {
         let mut client = Client::connect(address);
-        client.0.set_read_timeout(Some(SOON)).expect("set");
+        client.0.set_read_timeout(Some(SOON)).expect("the socket option is set");
         client.send("read", "");
         (client.answer().expect("an answer").body == b"moved").then_some(())
     });
     signal(&child, "-TERM");
-    assert!(child.wait().expect("ends").success());
+    assert!(child.wait().expect("the program exits").success());
     drop(log);
 }
 
@@ -162,7 +162,7 @@
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(60_000)));
     let (mut balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
-    SockRef::from(&client.0).set_recv_buffer_size(4096).expect("set");
+    SockRef::from(&client.0).set_recv_buffer_size(4096).expect("the socket option is set");
     client.raw(&order_with(b"").repeat(100));
     let mut served = 0;
     wait_for("the buffers are full and requests stop reaching the upstream", || {
--- a/crates/proxy/tests/sending.rs
+++ b/crates/proxy/tests/sending.rs
@@ -50,7 +50,7 @@
                 far.read_exact(&mut bytes).await.expect("as many bytes as computed arrive");
                 far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                     .await
-                    .expect("read");
+                    .expect("the request is written");
                 let mut more = Vec::new();
                 far.read_to_end(&mut more).await.expect("closed");
                 bytes.len() + more.len()
@@ -84,21 +84,24 @@
 fn a_socket_that_refuses_an_option_carries_requests() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     LocalSet::new().block_on(&runtime, async {
-        let (near, far) = UnixStream::pair().expect("a pair");
+        let (near, far) = UnixStream::pair().expect("a socket pair");
         near.set_nonblocking(true).expect("an open socket");
         far.set_nonblocking(true).expect("an open socket");
         let near = TcpStream::from_std(OwnedFd::from(near).into()).expect("an open socket");
         let mut far = tokio::net::UnixStream::from_std(far).expect("an open socket");
         assert!(near.set_nodelay(true).is_err(), "expected the option to fail on a Unix socket");
-        let mut connection = handshake(near, Permit::of(&Rc::default())).await.expect("it is up");
+        let mut connection =
+            handshake(near, Permit::of(&Rc::default())).await.expect("the connection is established");
         let upstream = async {
             let mut head = [0; 64];
-            assert!(far.read(&mut head).await.expect("open") > 0);
-            far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("read");
+            assert!(far.read(&mut head).await.expect("the connection is open") > 0);
+            far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                .await
+                .expect("the request is written");
         };
         let request = call(Method::GET, b"").request(Duration::from_millis(2500));
         let (answer, ()) = tokio::join!(connection.sender.send_request(request), upstream);
-        assert_eq!(answer.expect("it is answered").status(), StatusCode::OK);
+        assert_eq!(answer.expect("the request is answered").status(), StatusCode::OK);
     });
 }
 
@@ -130,9 +133,12 @@
     for (formed, written, passed_on) in cases {
         LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-            let near = TcpStream::connect(listener.local_addr().expect("bound")).await.expect("accepted");
+            let near = TcpStream::connect(listener.local_addr().expect("the socket is bound"))
+                .await
+                .expect("accepted");
             let (mut far, _) = listener.accept().await.expect("a connection");
-            let mut connection = handshake(near, Permit::of(&Rc::default())).await.expect("it is up");
+            let mut connection =
+                handshake(near, Permit::of(&Rc::default())).await.expect("the connection is established");
             let call = call(Method::POST, b"instalments");
             let request = call.request(formed);
             let size = size_on_wire(&request, call.body.len());
@@ -140,11 +146,13 @@
             let upstream = async {
                 let mut bytes = vec![0; size as usize];
                 far.read_exact(&mut bytes).await.expect("as many bytes as computed arrive");
-                far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.expect("read");
-                String::from_utf8(bytes).expect("text")
+                far.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    .await
+                    .expect("the request is written");
+                String::from_utf8(bytes).expect("valid UTF-8")
             };
             let (answer, text) = tokio::join!(connection.sender.send_request(request), upstream);
-            assert_eq!(answer.expect("it is answered").status(), StatusCode::OK);
+            assert_eq!(answer.expect("the request is answered").status(), StatusCode::OK);
             assert!(
                 text.contains(&format!("\r\nx-deadline: {passed_on}\r\n")),
                 "expected x-deadline {passed_on} in: {text}"
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -110,7 +110,7 @@
         world.pass(seconds(2));
         let since_ms = world.stamp();
         world.pass(seconds(1));
-        let started = world.hear_one(1, since_ms).expect("just now");
+        let started = world.hear_one(1, since_ms).expect("the start is recent");
         assert!((BEGIN..=world.now).contains(&started), "{ahead_ms}: {started:?}");
     }
 }
@@ -135,7 +135,7 @@
             let since_ms = world.stamp();
             world.step(ahead_ms);
             world.pass(seconds(1));
-            let started = world.hear_one(1, since_ms).expect("just now");
+            let started = world.hear_one(1, since_ms).expect("the start is recent");
             assert!((BEGIN..=world.now).contains(&started), "{from_ms} to {ahead_ms}: {started:?}");
         }
     }
@@ -169,7 +169,7 @@
             world.stamps_ahead_ms = stamps_ahead_ms;
             let since_ms = world.stamp();
             world.pass(seconds(1));
-            let started = world.hear_one(1, since_ms).expect("just now");
+            let started = world.hear_one(1, since_ms).expect("the start is recent");
             let case = format!("stamped {stamps_ahead_ms}, read {ahead_ms}: {started:?}");
             assert!((BEGIN..=world.now).contains(&started), "{case}");
             // The stamping clock steps back to true time during slow start. The upstream did not restart, so its stamp
@@ -254,7 +254,7 @@
         let second = world.hear_one(1, second_ms);
         assert!(second > first, "{stamps_ahead_ms}");
         assert!(
-            (last_line..=world.now).contains(&second.expect("just now")),
+            (last_line..=world.now).contains(&second.expect("the start is recent")),
             "{stamps_ahead_ms}: {second:?}"
         );
     }
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -99,7 +99,7 @@
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for number in 0..5 {
         let mut client = Client::connect(site.address);
-        let request = String::from_utf8(order_with(b"")).expect("text");
+        let request = String::from_utf8(order_with(b"")).expect("valid UTF-8");
         client.raw(request.replace("X-Tenant", "X-Deadline: 0.4\r\nX-Tenant").as_bytes());
         let status = client.answer().expect("an answer").status();
         assert!(matches!(status, 503 | 504), "request {number}: expected 503 or 504, got {status}");
@@ -148,7 +148,7 @@
     watch.says(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
     // The line of counts shows the index of the current list.
     wait_for("the list is applied", || {
-        let log = site.log.lock().expect("no panic");
+        let log = site.log.lock().expect("lock not poisoned");
         log.iter().any(|line| line.contains("list 8;")).then_some(())
     });
     assert_eq!(site.ask_all().counts(), [ALL, 0, 0, 0]);
@@ -169,7 +169,7 @@
             .env("LD_PRELOAD", library())
             .env("FAULT_CLOCK", &file)
             .output()
-            .expect("runs");
+            .expect("date runs");
         String::from_utf8_lossy(&program.stdout).trim().parse::<u64>().expect("seconds")
     };
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
