--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/ending.rs
@@ -10,64 +10,64 @@
 
 use common::*;
 
-/// Returns a request of class `order` with this body; tests give each request a unique body.
-fn order(body: &str) -> Vec<u8> {
+/// Returns a request of class `order_request` with this body; tests give each request a unique body.
+fn order_request(body: &str) -> Vec<u8> {
     let head =
         "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n";
     format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn try_order(client: &mut Client, body: &str) -> Option<Message> {
+fn try_order_request(client: &mut Client, body: &str) -> Option<Message> {
     use std::io::Write;
-    client.0.write_all(&order(body)).ok()?;
+    client.0.write_all(&order_request(body)).ok()?;
     client.answer()
 }
 
 /// Outcomes of the requests of one client.
 #[derive(Default)]
-struct Sent {
+struct ClientOutcome {
     /// Body and status of each answered request.
     answered: Vec<(String, u16)>,
     /// Bodies of requests that the client sent on a reused connection that was closed without an answer; the client
     /// sends the request again.
-    crossed: Vec<String>,
+    closed_unanswered: Vec<String>,
     /// Bodies of requests that the client sent on a new connection that was closed without an answer.
     lost: Vec<String>,
 }
 
 /// Flags with which the test controls its clients.
 #[derive(Default)]
-struct Orders {
+struct ClientControl {
     /// Clients stop before their next request.
-    over: AtomicBool,
+    stopped: AtomicBool,
     /// Clients open no new connections, as the front sends them to another balancer.
-    dealt_elsewhere: AtomicBool,
+    no_new_connections: AtomicBool,
 }
 
-impl Orders {
+impl ClientControl {
     fn connect(&self, address: SocketAddr) -> Option<Client> {
-        let here = !self.dealt_elsewhere.load(Ordering::Relaxed);
+        let here = !self.no_new_connections.load(Ordering::Relaxed);
         here.then(|| TcpStream::connect(address).ok().map(Client::new)).flatten()
     }
 }
 
 /// Runs a client that sends its requests one after the other on one connection and opens a new connection when that one
 /// is closed. The client stops when it gets no new connection or when the test stops it.
-fn send_on(address: SocketAddr, name: usize, orders: &Orders) -> Sent {
-    let mut sent = Sent::default();
+fn send_requests(address: SocketAddr, name: usize, control: &ClientControl) -> ClientOutcome {
+    let mut sent = ClientOutcome::default();
     let mut idle: Option<Client> = None;
     for number in 0.. {
-        if orders.over.load(Ordering::Relaxed) {
+        if control.stopped.load(Ordering::Relaxed) {
             break;
         }
         let mut resent = false;
         loop {
             let body = format!("{name}-{number}-{resent}");
             let is_new = idle.is_none();
-            let Some(mut client) = idle.take().or_else(|| orders.connect(address)) else {
+            let Some(mut client) = idle.take().or_else(|| control.connect(address)) else {
                 return sent;
             };
-            match try_order(&mut client, &body) {
+            match try_order_request(&mut client, &body) {
                 Some(answer) => {
                     sent.answered.push((body, answer.status()));
                     idle = (answer.header("connection") != Some("close")).then_some(client);
@@ -77,7 +77,7 @@
                     sent.lost.push(body);
                     break;
                 }
-                None => sent.crossed.push(body),
+                None => sent.closed_unanswered.push(body),
             }
             resent = true;
         }
@@ -87,7 +87,7 @@
 
 /// Checks that no request ran twice, that each request with status 200 ran once, and that requests without an answer
 /// never ran.
-fn check_runs(upstream: &Upstream, sent: &Sent) {
+fn assert_no_duplicate_runs(upstream: &Upstream, sent: &ClientOutcome) {
     for (body, status) in &sent.answered {
         let runs = upstream.count_of(body);
         assert!(
@@ -95,7 +95,7 @@
             "{body}: status {status}, but the upstream ran it {runs} times"
         );
     }
-    for body in sent.crossed.iter().chain(&sent.lost) {
+    for body in sent.closed_unanswered.iter().chain(&sent.lost) {
         assert_eq!(upstream.count_of(body), 0, "{body}: the upstream ran it, but the client got no answer");
     }
 }
@@ -114,19 +114,19 @@
     let text = configuration(discovery.address, &known, 0.2, 1024).replace("60.0", "0.2");
     let mut child = program(&text);
     let (address, _log) = address(&mut child);
-    let orders = Orders::default();
+    let control = ClientControl::default();
     let (sent, ended) = thread::scope(|scope| {
-        let orders = &orders;
+        let control = &control;
         let clients: Vec<_> =
-            (0..8).map(|name| scope.spawn(move || send_on(address, name, orders))).collect();
+            (0..8).map(|name| scope.spawn(move || send_requests(address, name, control))).collect();
         upstream.wait_requests(50);
         signal(&child, "-TERM");
         let signalled = Instant::now();
         thread::sleep(Duration::from_millis(400));
-        orders.dealt_elsewhere.store(true, Ordering::Relaxed);
+        control.no_new_connections.store(true, Ordering::Relaxed);
         let ended =
             wait_for("the program exits", || child.try_wait().expect("waited").map(|_| signalled.elapsed()));
-        let sent: Vec<Sent> =
+        let sent: Vec<ClientOutcome> =
             clients.into_iter().map(|client| client.join().expect("the thread does not panic")).collect();
         (sent, ended)
     });
@@ -136,7 +136,7 @@
     );
     assert!(child.wait().expect("the program exits").success());
     for sent in &sent {
-        check_runs(&upstream, sent);
+        assert_no_duplicate_runs(&upstream, sent);
     }
     let answered: usize = sent.iter().map(|sent| sent.answered.len()).sum();
     let lost: Vec<&String> = sent.iter().flat_map(|sent| &sent.lost).collect();
@@ -154,12 +154,12 @@
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let balancer = Balancer::start(&configuration(discovery.address, &known, 30.0, 64));
-    let orders = Orders::default();
-    let sent: Vec<Sent> = thread::scope(|scope| {
+    let control = ClientControl::default();
+    let sent: Vec<ClientOutcome> = thread::scope(|scope| {
         let clients: Vec<_> = (0..6)
             .map(|name| {
-                let (orders, address) = (&orders, balancer.address);
-                scope.spawn(move || send_on(address, name, orders))
+                let (control, address) = (&control, balancer.address);
+                scope.spawn(move || send_requests(address, name, control))
             })
             .collect();
         upstream.wait_requests(20);
@@ -169,11 +169,11 @@
             many.push(balancer.client());
             thread::sleep(Duration::from_millis(2));
         }
-        orders.over.store(true, Ordering::Relaxed);
+        control.stopped.store(true, Ordering::Relaxed);
         clients.into_iter().map(|client| client.join().expect("the thread does not panic")).collect()
     });
     for sent in &sent {
-        check_runs(&upstream, sent);
+        assert_no_duplicate_runs(&upstream, sent);
         assert!(sent.lost.is_empty(), "requests without an answer on a new connection: {:?}", sent.lost);
     }
 }
@@ -191,12 +191,12 @@
     // Each entry causes a log line, and together they exceed the 64 KiB that a pipe holds.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
     discovery.watch().1.says(8, false, &odd);
-    let orders = Orders::default();
-    let sent: Vec<Sent> = thread::scope(|scope| {
+    let control = ClientControl::default();
+    let sent: Vec<ClientOutcome> = thread::scope(|scope| {
         let clients: Vec<_> = (0..4)
             .map(|name| {
-                let orders = &orders;
-                scope.spawn(move || send_on(address, name, orders))
+                let control = &control;
+                scope.spawn(move || send_requests(address, name, control))
             })
             .collect();
         upstream.wait_requests(20);
@@ -204,16 +204,16 @@
             write_configuration(if turn % 2 == 0 { "{" } else { &text });
             signal(&child, "-HUP");
         }
-        orders.over.store(true, Ordering::Relaxed);
+        control.stopped.store(true, Ordering::Relaxed);
         clients.into_iter().map(|client| client.join().expect("the thread does not panic")).collect()
     });
     for sent in &sent {
-        check_runs(&upstream, sent);
+        assert_no_duplicate_runs(&upstream, sent);
         assert!(
-            sent.lost.is_empty() && sent.crossed.is_empty(),
+            sent.lost.is_empty() && sent.closed_unanswered.is_empty(),
             "requests without an answer: {:?} on new connections, {:?} on reused ones",
             sent.lost,
-            sent.crossed
+            sent.closed_unanswered
         );
     }
     child.kill().expect("the program is running");
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -16,12 +16,12 @@
 use serde_json::json;
 
 /// Number of names that a test lists and removes, many times the number that the table remembers.
-const MANY: usize = 10 * MIN_NAMES_TO_PRUNE;
+const MANY_NAMES: usize = 10 * MIN_NAMES_TO_PRUNE;
 /// Stamp, in Unix milliseconds, of a start that no list has named before.
 const NEW_START_MS: u64 = 1_700_000_000_000;
 
 /// An endpoint table to which the test applies deltas, and the endpoints that have attempts in flight.
-struct World {
+struct TestTable {
     table: EndpointTable,
     names: Names,
     now: Time,
@@ -29,7 +29,7 @@
     in_attempts: FxHashSet<EndpointId>,
 }
 
-impl World {
+impl TestTable {
     fn new() -> Self {
         let names = balancer_settings::read(&settings(50.0).to_string()).expect("valid settings").names;
         let table = EndpointTable::new(Box::new(SystemClock), 0);
@@ -37,7 +37,7 @@
     }
 
     /// Applies a delta with one entry and returns the endpoint's id and start time.
-    fn patch(&mut self, name: &str, status: &str, since_ms: u64) -> (EndpointId, Option<Time>) {
+    fn apply_delta(&mut self, name: &str, status: &str, since_ms: u64) -> (EndpointId, Option<Time>) {
         let entry = json!({ "name": name, "address": "127.0.0.1:9", "status": status, "since_ms": since_ms });
         let update: Update = serde_json::from_value(json!({ "endpoints": [entry] })).expect("a valid update");
         self.now += Duration::from_millis(1);
@@ -50,13 +50,13 @@
         (members[0].id, members[0].started)
     }
 
-    /// Lists [`MANY`] names and removes each of them at once, and checks the number of remembered names after each.
-    fn pass(&mut self, since_ms: u64) {
-        for number in 0..MANY {
+    /// Lists [`MANY_NAMES`] names and removes each of them at once, and checks the number of remembered names after each.
+    fn list_and_remove_many(&mut self, since_ms: u64) {
+        for number in 0..MANY_NAMES {
             let name = format!("passing-{since_ms}-{number}");
-            self.patch(&name, "ready", since_ms);
+            self.apply_delta(&name, "ready", since_ms);
             let needed = self.table.listed() + self.in_attempts.len() + MAX_PAST_STARTS;
-            self.patch(&name, "gone", since_ms);
+            self.apply_delta(&name, "gone", since_ms);
             assert!(
                 self.table.names() <= 2 * needed,
                 "the table remembers {} names, expected at most twice the {needed} needed",
@@ -68,22 +68,24 @@
 
 #[test]
 fn names_that_never_repeat_are_forgotten() {
-    let mut world = World::new();
-    world.pass(0);
+    let mut test_table = TestTable::new();
+    test_table.list_and_remove_many(0);
     // Names whose starts are remembered are kept longer.
-    world.pass(NEW_START_MS);
+    test_table.list_and_remove_many(NEW_START_MS);
 }
 
 #[test]
 fn a_name_that_returns_has_its_number_again() {
-    let mut world = World::new();
+    let mut test_table = TestTable::new();
     let names: Vec<String> = (0..100).map(|number| format!("s-{number}")).collect();
-    let first: Vec<EndpointId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
+    let first: Vec<EndpointId> =
+        names.iter().map(|name| test_table.apply_delta(name, "ready", 0).0).collect();
     for name in &names {
-        world.patch(name, "gone", 0);
+        test_table.apply_delta(name, "gone", 0);
     }
-    world.pass(0);
-    let again: Vec<EndpointId> = names.iter().map(|name| world.patch(name, "ready", 0).0).collect();
+    test_table.list_and_remove_many(0);
+    let again: Vec<EndpointId> =
+        names.iter().map(|name| test_table.apply_delta(name, "ready", 0).0).collect();
     assert_eq!(again, first);
 }
 
@@ -91,50 +93,59 @@
 /// which it must keep while it is listed or has an attempt in flight.
 #[test]
 fn of_two_names_that_meet_each_keeps_its_number_while_it_is_known() {
-    let listed = |world: &mut World| {
-        world.patch("costarring", "ready", 0);
-        world.patch("liquid", "ready", 0).0
+    let listed = |test_table: &mut TestTable| {
+        test_table.apply_delta("costarring", "ready", 0);
+        test_table.apply_delta("liquid", "ready", 0).0
     };
-    let mut world = World::new();
-    let later = listed(&mut world);
-    world.patch("costarring", "gone", 0);
-    world.pass(0);
-    assert_eq!(world.patch("liquid", "ready", 0).0, later, "the id changed while the endpoint was listed");
+    let mut test_table = TestTable::new();
+    let later = listed(&mut test_table);
+    test_table.apply_delta("costarring", "gone", 0);
+    test_table.list_and_remove_many(0);
+    assert_eq!(
+        test_table.apply_delta("liquid", "ready", 0).0,
+        later,
+        "the id changed while the endpoint was listed"
+    );
 
-    let mut world = World::new();
-    let later = listed(&mut world);
-    world.in_attempts.insert(later);
-    world.patch("costarring", "gone", 0);
-    world.patch("liquid", "gone", 0);
-    world.pass(0);
-    assert_eq!(world.patch("liquid", "ready", 0).0, later, "the id changed while an attempt was in flight");
+    let mut test_table = TestTable::new();
+    let later = listed(&mut test_table);
+    test_table.in_attempts.insert(later);
+    test_table.apply_delta("costarring", "gone", 0);
+    test_table.apply_delta("liquid", "gone", 0);
+    test_table.list_and_remove_many(0);
+    assert_eq!(
+        test_table.apply_delta("liquid", "ready", 0).0,
+        later,
+        "the id changed while an attempt was in flight"
+    );
 }
 
 #[test]
 fn the_names_of_past_starts_are_remembered() {
-    let mut world = World::new();
-    world.patch("older", "ready", 0);
+    let mut test_table = TestTable::new();
+    test_table.apply_delta("older", "ready", 0);
     let before: Vec<_> = (0..MAX_PAST_STARTS)
         .map(|number| {
-            let started = world.patch(&format!("s-{number}"), "ready", NEW_START_MS);
-            world.patch(&format!("s-{number}"), "gone", NEW_START_MS);
+            let started = test_table.apply_delta(&format!("s-{number}"), "ready", NEW_START_MS);
+            test_table.apply_delta(&format!("s-{number}"), "gone", NEW_START_MS);
             started
         })
         .collect();
     // These endpoints have no stamp, so they add no remembered starts that would displace the ones above.
-    world.pass(0);
-    world.now += Duration::from_secs(60);
+    test_table.list_and_remove_many(0);
+    test_table.now += Duration::from_secs(60);
     for (number, before) in before.into_iter().enumerate() {
-        assert_eq!(world.patch(&format!("s-{number}"), "ready", NEW_START_MS), before);
+        assert_eq!(test_table.apply_delta(&format!("s-{number}"), "ready", NEW_START_MS), before);
     }
 }
 
 /// Guards against a bound that removes names in use: a listed endpoint is never forgotten, however many are listed.
 #[test]
 fn more_names_than_the_bound_may_be_listed() {
-    let mut world = World::new();
-    let ids: HashSet<EndpointId> =
-        (0..2 * MIN_NAMES_TO_PRUNE).map(|number| world.patch(&format!("s-{number}"), "ready", 0).0).collect();
+    let mut test_table = TestTable::new();
+    let ids: HashSet<EndpointId> = (0..2 * MIN_NAMES_TO_PRUNE)
+        .map(|number| test_table.apply_delta(&format!("s-{number}"), "ready", 0).0)
+        .collect();
     assert_eq!(ids.len(), 2 * MIN_NAMES_TO_PRUNE);
-    assert_eq!(world.table.names(), 2 * MIN_NAMES_TO_PRUNE);
+    assert_eq!(test_table.table.names(), 2 * MIN_NAMES_TO_PRUNE);
 }
--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -17,19 +17,19 @@
 /// Number of requests that each client sends.
 const REQUESTS: usize = 250;
 /// Time between an answer and the client's next request.
-const PAUSE: Duration = Duration::from_millis(6);
+const REQUEST_PAUSE: Duration = Duration::from_millis(6);
 /// Time between two updates from discovery; there are several tens of updates while the traffic lasts.
-const CHANGE_EVERY: Duration = Duration::from_millis(25);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(25);
 /// Number of updates that a watch carries before it breaks. The balancer must resume from its current version, as a
 /// full snapshot on each watch would exceed the bound on bytes.
-const CHANGES_A_WATCH: u64 = 4;
+const UPDATES_PER_WATCH: u64 = 4;
 /// Minimum number of watches that the balancer must have opened for the bound on bytes to be conclusive: four full
 /// snapshots of the large fleet exceed that bound.
-const LEAST_WATCHES: usize = 6;
+const MIN_WATCHES: usize = 6;
 /// Index of the list in the configuration.
 const FIRST_INDEX: u64 = 7;
 /// Clock ticks per second in `/proc/PID/stat` on Linux.
-const TICKS_A_SECOND: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 /// Limit on the program's open file descriptors.
 const DESCRIPTORS: usize = 1024;
 
@@ -51,7 +51,7 @@
     descriptors: f64,
     connections: f64,
     list_kb: f64,
-    share_served: f64,
+    served_fraction: f64,
 }
 
 /// Starts one listener that plays all upstreams, on one port of all loopback addresses. Returns the port and the
@@ -91,32 +91,32 @@
     /// Number of watches that the balancer opened.
     watches: AtomicUsize,
     /// Whether the traffic has ended, after which watches end.
-    over: AtomicBool,
+    traffic_ended: AtomicBool,
 }
 
 impl ChangingDiscovery {
     fn start(fleet: Fleet, port: u16) -> (SocketAddr, Arc<Self>) {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("the socket is bound");
-        let discovery_stand_in = Arc::new(Self {
+        let discovery_server = Arc::new(Self {
             fleet,
             port,
             bytes: AtomicUsize::new(0),
             watches: AtomicUsize::new(0),
-            over: AtomicBool::new(false),
+            traffic_ended: AtomicBool::new(false),
         });
-        let shared = Arc::clone(&discovery_stand_in);
+        let shared = Arc::clone(&discovery_server);
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 shared.watches.fetch_add(1, Ordering::Relaxed);
-                let discovery_stand_in = Arc::clone(&shared);
-                thread::spawn(move || discovery_stand_in.serve_watch(stream));
+                let discovery_server = Arc::clone(&shared);
+                thread::spawn(move || discovery_server.serve_watch(stream));
             }
         });
-        (address, discovery_stand_in)
+        (address, discovery_server)
     }
 
-    /// Serves one watch: a full snapshot if the balancer asks from an unknown version, then [`CHANGES_A_WATCH`]
+    /// Serves one watch: a full snapshot if the balancer asks from an unknown version, then [`UPDATES_PER_WATCH`]
     /// updates, after which the watch breaks.
     fn serve_watch(&self, mut stream: TcpStream) {
         let Some(message) = read_message(&mut stream) else { return };
@@ -127,13 +127,13 @@
         }
         if since < FIRST_INDEX {
             let whole = (0..self.fleet.upstreams).map(|number| entry(number, self.port)).collect::<Vec<_>>();
-            self.say(&mut stream, FIRST_INDEX, true, &whole);
+            self.write_update(&mut stream, FIRST_INDEX, true, &whole);
         }
         let first = since.max(FIRST_INDEX) + 1;
-        for index in first..first + CHANGES_A_WATCH {
-            thread::sleep(CHANGE_EVERY);
-            if self.over.load(Ordering::Relaxed)
-                || !self.say(&mut stream, index, false, &[self.change(index)])
+        for index in first..first + UPDATES_PER_WATCH {
+            thread::sleep(UPDATE_INTERVAL);
+            if self.traffic_ended.load(Ordering::Relaxed)
+                || !self.write_update(&mut stream, index, false, &[self.change(index)])
             {
                 return;
             }
@@ -149,7 +149,7 @@
     }
 
     /// Writes an update as one chunk; returns `false` if the connection is closed.
-    fn say(&self, stream: &mut TcpStream, index: u64, whole: bool, endpoints: &[Value]) -> bool {
+    fn write_update(&self, stream: &mut TcpStream, index: u64, whole: bool, endpoints: &[Value]) -> bool {
         let line = format!("{}\n", json!({"index": index, "snapshot": whole, "endpoints": endpoints}));
         self.bytes.fetch_add(line.len(), Ordering::Relaxed);
         stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).is_ok()
@@ -183,7 +183,7 @@
         let (_, fields) = stat.rsplit_once(") ").expect("stat has a process name");
         let fields: Vec<&str> = fields.split(' ').collect();
         let ticks = |place: usize| fields[place].parse::<f64>().expect("a number");
-        (ticks(11) + ticks(12)) / TICKS_A_SECOND
+        (ticks(11) + ticks(12)) / CLOCK_TICKS_PER_S
     }
 
     fn peak_memory_mb(&self) -> f64 {
@@ -203,15 +203,15 @@
     let mut served = 0;
     for _ in 0..REQUESTS {
         served += usize::from(client.ask("read", "").status() == 200);
-        thread::sleep(PAUSE);
+        thread::sleep(REQUEST_PAUSE);
     }
     served
 }
 
 /// Runs the traffic against one balancer of a fleet and measures its resource usage.
-fn play(fleet: Fleet) -> Usage {
+fn measure_usage(fleet: Fleet) -> Usage {
     let (port, connections) = start_upstreams();
-    let (discovery, discovery_stand_in) = ChangingDiscovery::start(fleet, port);
+    let (discovery, discovery_server) = ChangingDiscovery::start(fleet, port);
     let mut child = program_within(DESCRIPTORS, &configuration_in(fleet, discovery, port));
     let (address, _log) = address(&mut child);
     let process = Process(child.id());
@@ -223,23 +223,20 @@
     }
     let served: usize =
         clients.into_iter().map(|client| client.join().expect("the thread does not panic")).sum();
-    discovery_stand_in.over.store(true, Ordering::Relaxed);
+    discovery_server.traffic_ended.store(true, Ordering::Relaxed);
     let usage = Usage {
         cpu_seconds: process.cpu_seconds(),
         peak_memory_mb: process.peak_memory_mb(),
         descriptors: descriptors as f64,
         connections: connections.load(Ordering::Relaxed) as f64,
-        list_kb: discovery_stand_in.bytes.load(Ordering::Relaxed) as f64 / 1024.0,
-        share_served: served as f64 / (CLIENTS * REQUESTS) as f64,
+        list_kb: discovery_server.bytes.load(Ordering::Relaxed) as f64 / 1024.0,
+        served_fraction: served as f64 / (CLIENTS * REQUESTS) as f64,
     };
     child.kill().expect("the program is running");
     child.wait().expect("the program exits");
-    let watches = discovery_stand_in.watches.load(Ordering::Relaxed);
+    let watches = discovery_server.watches.load(Ordering::Relaxed);
     println!("{fleet:?}: {usage:?}, {watches} watches");
-    assert!(
-        watches >= LEAST_WATCHES,
-        "expected at least {LEAST_WATCHES} watches, the balancer opened {watches}"
-    );
+    assert!(watches >= MIN_WATCHES, "expected at least {MIN_WATCHES} watches, the balancer opened {watches}");
     usage
 }
 
@@ -248,7 +245,7 @@
 /// updates must be sent as deltas, also after a watch has broken.
 #[test]
 fn a_fleet_sixteen_times_the_size_costs_a_balancer_little_more() {
-    let (usual, large) = (play(USUAL), play(LARGE));
+    let (usual, large) = (measure_usage(USUAL), measure_usage(LARGE));
     let thousands = f64::from(LARGE.upstreams) / 1000.0;
     let bounds = [
         ("CPU seconds", large.cpu_seconds, 1.4 * usual.cpu_seconds + 0.02 + 0.03 * thousands),
@@ -263,9 +260,9 @@
             "{what}: expected at most {most}, got {needed}; usual fleet {usual:?}, large fleet {large:?}"
         );
     }
-    assert!(usual.share_served > 0.99, "expected over 99 % served in the usual fleet, got {usual:?}");
+    assert!(usual.served_fraction > 0.99, "expected over 99 % served in the usual fleet, got {usual:?}");
     assert!(
-        large.share_served >= 0.85 * usual.share_served,
+        large.served_fraction >= 0.85 * usual.served_fraction,
         "expected at least 85 % of the share served in the usual fleet, got {large:?}; usual fleet {usual:?}"
     );
 }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -12,7 +12,7 @@
 use common::*;
 
 /// A balancer process that the test shuts down while a request is in progress.
-struct Ending {
+struct ShutdownTest {
     child: std::process::Child,
     /// Standard error of the program, after the line with its address.
     log: std::io::BufReader<std::process::ChildStderr>,
@@ -20,7 +20,7 @@
     discovery: Discovery,
 }
 
-impl Ending {
+impl ShutdownTest {
     fn start(known: &[serde_json::Value]) -> Self {
         let discovery = Discovery::start();
         let mut child = program(&configuration(discovery.address, known, 30.0, 1024));
@@ -35,7 +35,7 @@
     }
 
     /// Checks that the client gets status 200 with this body and that the program exits successfully.
-    fn ends_with(mut self, mut client: Client, body: &str) {
+    fn assert_answered_and_exited(mut self, mut client: Client, body: &str) {
         let answer = client.answer().expect("an accepted request is answered");
         assert_eq!((answer.status(), answer.body.as_slice()), (200, body.as_bytes()));
         assert!(self.child.wait().expect("the program exits").success());
@@ -43,7 +43,7 @@
 }
 
 /// Starts an upstream that answers in two parts; it sends the second part when the test sends on the returned channel.
-fn in_two_parts(first: &'static str, then: Reply) -> (Upstream, mpsc::Sender<()>) {
+fn upstream_answering_in_two_parts(first: &'static str, then: Reply) -> (Upstream, mpsc::Sender<()>) {
     let (go, wait) = mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
     let upstream = Upstream::scripted(move |_, _, stream| {
@@ -55,7 +55,7 @@
 }
 
 /// A complete answer of an upstream.
-const WHOLE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
+const COMPLETE_ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved";
 
 /// Guards against requests lost in a planned restart: a request that was accepted or partly received before SIGTERM
 /// gets its answer, at whichever step SIGTERM comes. A second SIGTERM and a SIGHUP do not change that.
@@ -66,41 +66,43 @@
         // Half of the request has been received.
         scope.spawn(|| {
             let upstream = Upstream::start(|_, _| ok("served"));
-            let mut ending = Ending::start(&ready(upstream.address));
-            let mut client = Client::connect(ending.address);
+            let mut shutdown = ShutdownTest::start(&ready(upstream.address));
+            let mut client = Client::connect(shutdown.address);
             let (head, tail) = (order_with(b"")[..40].to_vec(), order_with(b"")[40..].to_vec());
             client.raw(&head);
-            ending.terminate();
+            shutdown.terminate();
             client.raw(&tail);
-            ending.ends_with(client, "served");
+            shutdown.assert_answered_and_exited(client, "served");
         });
         // The attempt is connecting to its upstream.
         scope.spawn(|| {
             let late = LateUpstream::start();
-            let mut ending = Ending::start(&ready(late.address));
-            let mut client = Client::connect(ending.address);
+            let mut shutdown = ShutdownTest::start(&ready(late.address));
+            let mut client = Client::connect(shutdown.address);
             client.raw(&order_with(b""));
             late.wait_connecting(1);
-            ending.terminate();
+            shutdown.terminate();
             let mut stream = late.open().recv_timeout(LONG).expect("the connection comes up");
             read_message(&mut stream).expect("the request arrives");
-            stream.write_all(WHOLE.as_bytes()).expect("the connection is open");
-            ending.ends_with(client, "served");
+            stream.write_all(COMPLETE_ANSWER.as_bytes()).expect("the connection is open");
+            shutdown.assert_answered_and_exited(client, "served");
         });
         // The request has been sent and none or a part of the answer has been received; further signals follow.
-        for half in [0, 20, WHOLE.len() - 2] {
+        for half in [0, 20, COMPLETE_ANSWER.len() - 2] {
             scope.spawn(move || {
-                let (upstream, go) =
-                    in_two_parts(&WHOLE[..half], Reply::Bytes(WHOLE.as_bytes()[half..].to_vec()));
-                let mut ending = Ending::start(&ready(upstream.address));
-                let mut client = Client::connect(ending.address);
+                let (upstream, go) = upstream_answering_in_two_parts(
+                    &COMPLETE_ANSWER[..half],
+                    Reply::Bytes(COMPLETE_ANSWER.as_bytes()[half..].to_vec()),
+                );
+                let mut shutdown = ShutdownTest::start(&ready(upstream.address));
+                let mut client = Client::connect(shutdown.address);
                 client.raw(&order_with(b""));
                 upstream.wait_requests(1);
-                ending.terminate();
-                signal(&ending.child, "-TERM");
-                signal(&ending.child, "-HUP");
+                shutdown.terminate();
+                signal(&shutdown.child, "-TERM");
+                signal(&shutdown.child, "-HUP");
                 go.send(()).expect("the upstream waits");
-                ending.ends_with(client, "served");
+                shutdown.assert_answered_and_exited(client, "served");
             });
         }
         // The first attempt fails after SIGTERM, and the request is retried.
@@ -114,20 +116,20 @@
                 let _ = wait.lock().expect("lock not poisoned").recv();
                 Reply::Last(Vec::new())
             });
-            let mut ending = Ending::start(&ready(first.address));
-            let mut client = Client::connect(ending.address);
+            let mut shutdown = ShutdownTest::start(&ready(first.address));
+            let mut client = Client::connect(shutdown.address);
             client.send("read", "");
             first.wait_requests(1);
             let second = Upstream::start(|_, _| ok("second"));
-            let watch = ending.discovery.watch().1;
+            let watch = shutdown.discovery.watch().1;
             watch.says(8, false, &[endpoint("s-2", second.address, 0, "ready")]);
             wait_for("the list with the second upstream is applied", || {
-                let answer = Client::connect(ending.address).try_ask("read", "")?;
+                let answer = Client::connect(shutdown.address).try_ask("read", "")?;
                 (answer.body == b"second").then_some(())
             });
-            ending.terminate();
+            shutdown.terminate();
             go.send(()).expect("the upstream waits");
-            ending.ends_with(client, "second");
+            shutdown.assert_answered_and_exited(client, "second");
         });
     });
 }
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/heads.rs
@@ -11,14 +11,14 @@
 use common::*;
 
 /// Time within which a client that sends an incomplete request gets an error or its connection is closed.
-const OWED: Duration = Duration::from_secs(3);
+const MAX_TIME_TO_CLOSE: Duration = Duration::from_secs(3);
 /// A head that arrives completely within this time of its first byte is always read.
-const FAIR: Duration = Duration::from_millis(2200);
+const MIN_HEAD_TIME: Duration = Duration::from_millis(2200);
 
 /// An incomplete request head.
-const HALF: &[u8] = b"POST /order HTTP/1.1\r\nHost: a\r\nX-Requ";
+const PARTIAL_HEAD: &[u8] = b"POST /order HTTP/1.1\r\nHost: a\r\nX-Requ";
 
-/// Checks that the balancer sends nothing more and closes the connection between [`FAIR`] and [`OWED`] after the head
+/// Checks that the balancer sends nothing more and closes the connection between [`MIN_HEAD_TIME`] and [`MAX_TIME_TO_CLOSE`] after the head
 /// began. The test only knows that the head began between `earliest` and `latest`.
 fn assert_closed_in_time(case: &str, client: &mut Client, earliest: Instant, latest: Instant) {
     client.0.set_read_timeout(Some(Duration::from_secs(8))).expect("the socket option is set");
@@ -26,8 +26,8 @@
     let (longest, shortest) = (earliest.elapsed(), latest.elapsed());
     assert_eq!(end, 0, "{case}: expected the connection to be closed, got data");
     assert!(
-        longest >= FAIR && shortest < OWED,
-        "{case}: expected a close between {FAIR:?} and {OWED:?}, it came after {shortest:?} to {longest:?}"
+        longest >= MIN_HEAD_TIME && shortest < MAX_TIME_TO_CLOSE,
+        "{case}: expected a close between {MIN_HEAD_TIME:?} and {MAX_TIME_TO_CLOSE:?}, it came after {shortest:?} to {longest:?}"
     );
 }
 
@@ -38,24 +38,24 @@
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let chunked = b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\
                     Transfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n";
-    let befores: [(&str, Vec<u8>); 3] = [
+    let earlier_requests: [(&str, Vec<u8>); 3] = [
         ("after one request", order_with(b"")),
         ("after three", order_with(b"").repeat(3)),
         ("after a chunked one", chunked.to_vec()),
     ];
     thread::scope(|scope| {
-        for (case, before) in &befores {
-            for part in [&HALF[..1], HALF, b"\r\n\r\nP"] {
+        for (case, earlier) in &earlier_requests {
+            for partial in [&PARTIAL_HEAD[..1], PARTIAL_HEAD, b"\r\n\r\nP"] {
                 let mut client = balancer.client();
                 scope.spawn(move || {
-                    client.raw(before);
+                    client.raw(earlier);
                     for _ in 0..if *case == "after three" { 3 } else { 1 } {
                         assert_eq!(client.answer().expect("an answer").status(), 200, "{case}");
                     }
                     // Idle time before the first byte does not count towards the head's timeout.
                     thread::sleep(Duration::from_millis(600));
                     let begun = Instant::now();
-                    client.raw(part);
+                    client.raw(partial);
                     assert_closed_in_time(case, &mut client, begun, begun);
                 });
             }
@@ -76,7 +76,7 @@
             let mut client = balancer.client();
             scope.spawn(move || {
                 let sent = Instant::now();
-                client.raw(&[order_with(b"").repeat(count), HALF.to_vec()].concat());
+                client.raw(&[order_with(b"").repeat(count), PARTIAL_HEAD.to_vec()].concat());
                 for _ in 0..count {
                     assert_eq!(client.answer().expect("an answer").status(), 200);
                 }
@@ -110,7 +110,7 @@
     for client in &mut clients {
         client.raw(head);
     }
-    thread::sleep(OWED);
+    thread::sleep(MAX_TIME_TO_CLOSE);
     let released = Instant::now();
     for _ in &clients {
         release.send(()).expect("the upstream waits");
@@ -155,7 +155,7 @@
         assert_eq!(client.ask("order", "one").status(), 200);
         client.raw(lines);
     }
-    thread::sleep(OWED + Duration::from_secs(1));
+    thread::sleep(MAX_TIME_TO_CLOSE + Duration::from_secs(1));
     for (client, lines) in clients.iter_mut().zip(lines) {
         assert_eq!(client.ask("order", "two").status(), 200, "after the idle bytes {lines:?}");
     }
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -15,35 +15,36 @@
 
 /// Reaction of an upstream to a request on a connection that was dropped while idle.
 #[derive(Debug, Clone, Copy)]
-enum Forgets {
+enum DropBehavior {
     /// The connection is reset, as by a host that does not know the connection.
     Reset,
     /// Nothing is sent back, as when a middlebox has dropped the connection.
     Silence,
 }
 
-/// An upstream that drops connections that were idle for longer than [`FORGOTTEN_AFTER`].
-struct Forgetful {
+/// An upstream that drops connections that were idle for longer than [`UPSTREAM_IDLE_TIMEOUT`].
+struct IdleDroppingUpstream {
     address: SocketAddr,
     /// Bodies of the requests that the upstream ran.
     ran: Arc<std::sync::Mutex<Vec<String>>>,
     /// Number of requests that arrived on dropped connections.
-    forgotten: Arc<AtomicUsize>,
+    requests_on_dropped: Arc<AtomicUsize>,
 }
 
 /// Idle time after which the upstream drops a connection.
-const FORGOTTEN_AFTER: Duration = Duration::from_millis(80);
+const UPSTREAM_IDLE_TIMEOUT: Duration = Duration::from_millis(80);
 
-impl Forgetful {
-    fn start(forgets: Forgets) -> Self {
+impl IdleDroppingUpstream {
+    fn start(drop_behavior: DropBehavior) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("the socket is bound");
-        let upstream = Self { address, ran: Arc::default(), forgotten: Arc::default() };
-        let (ran, forgotten) = (Arc::clone(&upstream.ran), Arc::clone(&upstream.forgotten));
+        let upstream = Self { address, ran: Arc::default(), requests_on_dropped: Arc::default() };
+        let (ran, requests_on_dropped) =
+            (Arc::clone(&upstream.ran), Arc::clone(&upstream.requests_on_dropped));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (ran, forgotten) = (Arc::clone(&ran), Arc::clone(&forgotten));
-                thread::spawn(move || Self::serve(stream, forgets, &ran, &forgotten));
+                let (ran, requests_on_dropped) = (Arc::clone(&ran), Arc::clone(&requests_on_dropped));
+                thread::spawn(move || Self::serve(stream, drop_behavior, &ran, &requests_on_dropped));
             }
         });
         upstream
@@ -51,19 +52,19 @@
 
     fn serve(
         mut stream: TcpStream,
-        forgets: Forgets,
+        drop_behavior: DropBehavior,
         ran: &std::sync::Mutex<Vec<String>>,
-        forgotten: &AtomicUsize,
+        requests_on_dropped: &AtomicUsize,
     ) {
         let mut answered: Option<Instant> = None;
         while let Some(message) = read_message(&mut stream) {
-            if answered.is_some_and(|at| at.elapsed() > FORGOTTEN_AFTER) {
-                forgotten.fetch_add(1, Ordering::Relaxed);
-                match forgets {
-                    Forgets::Reset => SockRef::from(&stream)
+            if answered.is_some_and(|at| at.elapsed() > UPSTREAM_IDLE_TIMEOUT) {
+                requests_on_dropped.fetch_add(1, Ordering::Relaxed);
+                match drop_behavior {
+                    DropBehavior::Reset => SockRef::from(&stream)
                         .set_linger(Some(Duration::ZERO))
                         .expect("the socket option is set"),
-                    Forgets::Silence => drop(stream.read(&mut [0])),
+                    DropBehavior::Silence => drop(stream.read(&mut [0])),
                 }
                 return;
             }
@@ -92,30 +93,43 @@
             "{class} {number}: expected an answer within 2 s and the slack, it took {:?}",
             began.elapsed()
         );
-        thread::sleep(FORGOTTEN_AFTER + Duration::from_millis(20));
+        thread::sleep(UPSTREAM_IDLE_TIMEOUT + Duration::from_millis(20));
     }
     assert!(ends_empty(client), "{class}: expected one answer for each request, got more");
     statuses
 }
 
 /// Starts a balancer with one upstream that drops idle connections and one that does not.
-fn with_one_forgetful(
-    forgets: Forgets,
+fn with_one_dropping_upstream(
+    drop_behavior: DropBehavior,
     latency_objective: f64,
-) -> (Balancer, Discovery, Forgetful, Upstream) {
-    let forgetful = Forgetful::start(forgets);
-    let sound = Upstream::start(|_, _| ok("ok"));
-    let known = [endpoint("s-1", forgetful.address, 0, "ready"), endpoint("s-2", sound.address, 1, "ready")];
+) -> (Balancer, Discovery, IdleDroppingUpstream, Upstream) {
+    let dropping_upstream = IdleDroppingUpstream::start(drop_behavior);
+    let healthy_upstream = Upstream::start(|_, _| ok("ok"));
+    let known = [
+        endpoint("s-1", dropping_upstream.address, 0, "ready"),
+        endpoint("s-2", healthy_upstream.address, 1, "ready"),
+    ];
     let (balancer, discovery) = Balancer::with(&known, latency_objective);
-    (balancer, discovery, forgetful, sound)
+    (balancer, discovery, dropping_upstream, healthy_upstream)
 }
 
 /// Checks that none of the orders that [`ask_with_pauses`] sent ran twice.
-fn assert_each_order_ran_once(requests: u32, forgetful: &Forgetful, sound: &Upstream) {
+fn assert_each_order_ran_once(
+    requests: u32,
+    dropping_upstream: &IdleDroppingUpstream,
+    healthy_upstream: &Upstream,
+) {
     for number in 0..requests {
         let body = format!("order-{number}");
-        let ran = forgetful.ran.lock().expect("lock not poisoned").iter().filter(|ran| **ran == body).count();
-        assert!(ran + sound.count_of(&body) <= 1, "expected {body} to run at most once");
+        let ran = dropping_upstream
+            .ran
+            .lock()
+            .expect("lock not poisoned")
+            .iter()
+            .filter(|ran| **ran == body)
+            .count();
+        assert!(ran + healthy_upstream.count_of(&body) <= 1, "expected {body} to run at most once");
     }
 }
 
@@ -124,35 +138,40 @@
 /// sent on connections that were idle for long, so they are served too.
 #[test]
 fn connections_reset_after_idling_cost_no_request() {
-    let (balancer, _discovery, forgetful, sound) = with_one_forgetful(Forgets::Reset, 5.0);
+    let (balancer, _discovery, dropping_upstream, healthy_upstream) =
+        with_one_dropping_upstream(DropBehavior::Reset, 5.0);
     let reads = ask_with_pauses(&balancer, "read", 12);
-    let found = forgetful.forgotten.load(Ordering::Relaxed);
-    assert!(found > 0, "expected requests on dropped connections, there were none");
+    let dropped_before = dropping_upstream.requests_on_dropped.load(Ordering::Relaxed);
+    assert!(dropped_before > 0, "expected requests on dropped connections, there were none");
     assert!(reads.iter().all(|&status| status == 200), "expected all reads to be served, got {reads:?}");
     let orders = ask_with_pauses(&balancer, "order", 12);
     assert_eq!(
-        forgetful.forgotten.load(Ordering::Relaxed),
-        found,
+        dropping_upstream.requests_on_dropped.load(Ordering::Relaxed),
+        dropped_before,
         "an order was sent on a dropped connection"
     );
     assert!(orders.iter().all(|&status| status == 200), "expected all orders to be served, got {orders:?}");
-    assert_each_order_ran_once(12, &forgetful, &sound);
+    assert_each_order_ran_once(12, &dropping_upstream, &healthy_upstream);
 }
 
 /// Guards against repeated losses on idle connections on which neither answers nor resets arrive: each such connection
 /// costs at most one request, which still gets exactly one answer in time, and no order runs twice.
 #[test]
 fn connections_silent_after_idling_cost_one_request_each() {
-    let (balancer, _discovery, forgetful, sound) = with_one_forgetful(Forgets::Silence, 0.2);
+    let (balancer, _discovery, dropping_upstream, healthy_upstream) =
+        with_one_dropping_upstream(DropBehavior::Silence, 0.2);
     let mut statuses = ask_with_pauses(&balancer, "read", 12);
     statuses.extend(ask_with_pauses(&balancer, "order", 12));
-    let forgotten = forgetful.forgotten.load(Ordering::Relaxed);
+    let requests_on_dropped = dropping_upstream.requests_on_dropped.load(Ordering::Relaxed);
     let unserved = statuses.iter().filter(|&&status| status != 200).count();
-    println!("{unserved} of {} requests not served, {forgotten} connections dropped", statuses.len());
-    assert!(forgotten > 0, "expected requests on dropped connections, there were none");
+    println!(
+        "{unserved} of {} requests not served, {requests_on_dropped} connections dropped",
+        statuses.len()
+    );
+    assert!(requests_on_dropped > 0, "expected requests on dropped connections, there were none");
     assert_eq!(
-        unserved, forgotten,
+        unserved, requests_on_dropped,
         "expected one unserved request for each dropped connection: {statuses:?}"
     );
-    assert_each_order_ran_once(12, &forgetful, &sound);
+    assert_each_order_ran_once(12, &dropping_upstream, &healthy_upstream);
 }
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -22,7 +22,7 @@
 
 /// Sends requests, one every 50 ms, while the upstreams in `failing` refuse each connection at once. Returns how many
 /// requests were served and how many attempts went to the failing upstreams.
-fn send(bench: &mut Bench, requests: u32, failing: &[u32]) -> (u32, u32) {
+fn send_requests(bench: &mut Bench, requests: u32, failing: &[u32]) -> (u32, u32) {
     let (mut served, mut failed) = (0, 0);
     for _ in 0..requests {
         let meets = |upstream: EndpointId| match failing.contains(&upstream.0) {
@@ -42,12 +42,12 @@
 #[test]
 fn trouble_after_hours_of_quiet_is_met_as_any() {
     let mut bench = replica(DiscoveryMode::Push);
-    assert_eq!(send(&mut bench, 200, &[]), (200, 0));
-    let (busy_served, busy_failed) = send(&mut bench, 200, &[2, 5]);
+    assert_eq!(send_requests(&mut bench, 200, &[]), (200, 0));
+    let (busy_served, busy_failed) = send_requests(&mut bench, 200, &[2, 5]);
     bench.pass(Duration::from_secs(60));
-    assert_eq!(send(&mut bench, 200, &[]).0, 200);
+    assert_eq!(send_requests(&mut bench, 200, &[]).0, 200);
     bench.pass(Duration::from_secs(6 * 3600));
-    let (served, failed) = send(&mut bench, 200, &[2, 5]);
+    let (served, failed) = send_requests(&mut bench, 200, &[2, 5]);
     println!("{failed} attempts failed after the idle period, {busy_failed} after traffic");
     assert!(
         served >= 198 && busy_served >= 198,
@@ -60,14 +60,14 @@
     );
     // The policy uses the upstreams again after they have recovered.
     bench.pass(Duration::from_secs(60));
-    assert_eq!(send(&mut bench, 200, &[]).0, 200);
+    assert_eq!(send_requests(&mut bench, 200, &[]).0, 200);
 }
 
 /// Simulates an outage of discovery in which each watch breaks as soon as it is opened. Returns the times at which the
 /// replica subscribes.
-fn outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
+fn simulate_discovery_outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
     let end = bench.now + length;
-    let mut asked = Vec::new();
+    let mut subscribed_at = Vec::new();
     bench.tell(Event::List(ListUpdate::Broken));
     while bench.now < end {
         let actions = bench.tell(Event::MaintenanceDue);
@@ -76,12 +76,12 @@
             _ => None,
         });
         if actions.contains(&Action::Subscribe) {
-            asked.push(bench.now);
+            subscribed_at.push(bench.now);
             bench.tell(Event::List(ListUpdate::Broken));
         }
         bench.now += wake.expect("maintenance schedules its next run");
     }
-    asked
+    subscribed_at
 }
 
 /// Guards against a replica that loses its list or overloads discovery in an outage of hours: it keeps using its
@@ -90,29 +90,29 @@
 fn an_outage_of_discovery_for_hours_is_outlived() {
     // A discovery service shared by many replicas gets a request from each every few seconds; the replica's own agent
     // gets them at shorter intervals.
-    let spaced = [
+    let retry_intervals = [
         (DiscoveryMode::Subscribe, millis(1500), millis(5000)),
         (DiscoveryMode::Agent, millis(100), millis(500)),
     ];
-    for (mode, least, widest) in spaced {
+    for (mode, least, widest) in retry_intervals {
         let mut bench = replica(mode);
-        assert_eq!(send(&mut bench, 100, &[]).0, 100);
+        assert_eq!(send_requests(&mut bench, 100, &[]).0, 100);
         let length = Duration::from_secs(3 * 3600);
-        let asked = outage(&mut bench, length);
-        let pauses: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
+        let subscribed_at = simulate_discovery_outage(&mut bench, length);
+        let pauses: Vec<Duration> = subscribed_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
         let longest = pauses.iter().max().expect("the replica subscribes again");
-        println!("{mode:?}: {} subscriptions in {length:?}, at most {longest:?} apart", asked.len());
+        println!("{mode:?}: {} subscriptions in {length:?}, at most {longest:?} apart", subscribed_at.len());
         assert!(
             *longest <= widest,
             "{mode:?}: expected subscriptions at most {widest:?} apart, got {longest:?}"
         );
         assert!(
-            asked.len() as u128 <= length.as_millis() / least.as_millis(),
+            subscribed_at.len() as u128 <= length.as_millis() / least.as_millis(),
             "{mode:?}: expected subscriptions at least {least:?} apart on average, got {}",
-            asked.len()
+            subscribed_at.len()
         );
         assert_eq!(
-            send(&mut bench, 100, &[]).0,
+            send_requests(&mut bench, 100, &[]).0,
             100,
             "{mode:?}: expected all requests served on the current list"
         );
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -8,7 +8,7 @@
 
 /// Checks that each request got an answer and that no at-most-once request was sent twice. The answer of a request that
 /// never ran says that a retry is harmless.
-fn check_answered(site: &Site, tally: &Tally) {
+fn assert_answered(site: &Site, tally: &Tally) {
     let [served, refused, failed, closed] = tally.counts();
     assert_eq!(
         (served + refused + failed, closed),
@@ -26,7 +26,7 @@
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
     assert!(site.faults("CONNECT", None) > 0);
-    check_answered(&site, &tally);
+    assert_answered(&site, &tally);
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
 }
 
@@ -37,7 +37,7 @@
     let site = Site::start(|ports| vec![("FAULT_SO_ERROR", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
     assert!(site.faults("SO_ERROR", None) > 0);
-    check_answered(&site, &tally);
+    assert_answered(&site, &tally);
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
 }
 
@@ -52,7 +52,7 @@
         });
         let tally = site.ask_all();
         assert!(site.faults("WRITE", None) > REQUESTS / 2);
-        check_answered(&site, &tally);
+        assert_answered(&site, &tally);
         assert_eq!(
             tally.counts()[2],
             0,
@@ -72,7 +72,7 @@
         });
         let tally = site.ask_all();
         assert!(site.faults("READ", None) > REQUESTS / 2);
-        check_answered(&site, &tally);
+        assert_answered(&site, &tally);
         // Requests that may run again do not fail.
         assert!(tally.counts()[2] <= ALL / CLASSES.len(), "only orders may fail: {tally:?}");
     }
@@ -80,7 +80,7 @@
 
 /// Sends an order whose first connection breaks after `bytes` bytes are written. Returns the status of the answer and
 /// how often the order ran.
-fn order_broken_after(bytes: usize) -> (u16, usize) {
+fn send_order_broken_after(bytes: usize) -> (u16, usize) {
     let site = Site::start(|ports| {
         vec![("FAULT_WRITE", format!("errno=ETIMEDOUT,short={bytes},count=1,ports={ports}"))]
     });
@@ -105,7 +105,7 @@
     let size = site.upstreams.iter().find_map(|upstream| upstream.requests().first().cloned());
     let size = size.expect("the order ran").1.size;
     for bytes in [1, size / 2, size - 1] {
-        assert_eq!(order_broken_after(bytes), (200, 1), "broken after {bytes} of {size} bytes");
+        assert_eq!(send_order_broken_after(bytes), (200, 1), "broken after {bytes} of {size} bytes");
     }
-    assert_eq!(order_broken_after(size), (502, 1), "broken after the last byte");
+    assert_eq!(send_order_broken_after(size), (502, 1), "broken after the last byte");
 }
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -13,10 +13,10 @@
 use common::*;
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// Opens connections in a loop without waiting while `on` is set. Each connection is reset at once, and one that finds
+/// Opens connections in a loop without waiting while `running` is set. Each connection is reset at once, and one that finds
 /// the listen queue full is abandoned.
-fn flood(address: SocketAddr, on: &AtomicBool) {
-    while on.load(Ordering::Relaxed) {
+fn flood(address: SocketAddr, running: &AtomicBool) {
+    while running.load(Ordering::Relaxed) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         socket.set_nonblocking(true).expect("the socket option is set");
         socket.set_linger(Some(Duration::ZERO)).expect("the socket option is set");
@@ -32,11 +32,11 @@
     let text = configuration(discovery.address, &[], 0.2, 1024).replace("60.0", "0.5");
     let mut child = program(&text);
     let (address, mut log) = address(&mut child);
-    let on = Arc::new(AtomicBool::new(true));
+    let running = Arc::new(AtomicBool::new(true));
     let floods: Vec<_> = (0..6)
         .map(|_| {
-            let on = Arc::clone(&on);
-            thread::spawn(move || flood(address, &on))
+            let running = Arc::clone(&running);
+            thread::spawn(move || flood(address, &running))
         })
         .collect();
     signal(&child, "-TERM");
@@ -53,7 +53,7 @@
     // The program exits half a second plus the longest deadline after SIGTERM.
     let ended =
         wait_for("the program exits", || child.try_wait().expect("waited").map(|_| signalled.elapsed()));
-    on.store(false, Ordering::Relaxed);
+    running.store(false, Ordering::Relaxed);
     assert!(ended < SOON, "expected an exit within {SOON:?} of SIGTERM, it took {ended:?}");
     for flood in floods {
         flood.join().expect("the thread does not panic");
@@ -77,13 +77,13 @@
             let mut text = String::new();
             log.read_to_string(&mut text).map(|_| text)
         });
-        let over = Arc::new(AtomicBool::new(false));
+        let done = Arc::new(AtomicBool::new(false));
         let idle: Vec<_> = (0..4)
             .map(|_| {
-                let over = Arc::clone(&over);
+                let done = Arc::clone(&done);
                 thread::spawn(move || {
                     let mut open_connections = std::collections::VecDeque::new();
-                    while !over.load(Ordering::Relaxed) {
+                    while !done.load(Ordering::Relaxed) {
                         open_connections.extend(TcpStream::connect_timeout(&address, SOON));
                         if open_connections.len() > 100 {
                             open_connections.pop_front();
@@ -114,7 +114,7 @@
             "{mode}: expected the list applied within 6 s, it took {:?}",
             back.elapsed()
         );
-        over.store(true, Ordering::Relaxed);
+        done.store(true, Ordering::Relaxed);
         child.kill().expect("the program is running");
         child.wait().expect("the program exits");
         for thread in idle {
--- a/crates/proxy/tests/sending.rs
+++ b/crates/proxy/tests/sending.rs
@@ -106,9 +106,9 @@
 }
 
 /// A write check that gives an attempt this much time left when writing begins and allows all further writes.
-struct Left(Duration);
+struct FixedTimeLeft(Duration);
 
-impl WriteCheck for Left {
+impl WriteCheck for FixedTimeLeft {
     fn time_left_to_begin(&self) -> Option<Duration> {
         Some(self.0)
     }
@@ -130,7 +130,7 @@
         (millis(100), millis(0), "0.000"),
         (millis(1000), Duration::from_micros(999_999), "0.999"),
     ];
-    for (formed, written, passed_on) in cases {
+    for (formed, written, sent_deadline) in cases {
         LocalSet::new().block_on(&runtime, async {
             let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             let near = TcpStream::connect(listener.local_addr().expect("the socket is bound"))
@@ -142,7 +142,7 @@
             let call = call(Method::POST, b"instalments");
             let request = call.request(formed);
             let size = size_on_wire(&request, call.body.len());
-            connection.gate.set(Box::new(Left(written)));
+            connection.gate.set(Box::new(FixedTimeLeft(written)));
             let upstream = async {
                 let mut bytes = vec![0; size as usize];
                 far.read_exact(&mut bytes).await.expect("as many bytes as computed arrive");
@@ -154,8 +154,8 @@
             let (answer, text) = tokio::join!(connection.sender.send_request(request), upstream);
             assert_eq!(answer.expect("the request is answered").status(), StatusCode::OK);
             assert!(
-                text.contains(&format!("\r\nx-deadline: {passed_on}\r\n")),
-                "expected x-deadline {passed_on} in: {text}"
+                text.contains(&format!("\r\nx-deadline: {sent_deadline}\r\n")),
+                "expected x-deadline {sent_deadline} in: {text}"
             );
             assert!(text.ends_with("\r\n\r\ninstalments"), "expected the body at the end of: {text}");
             assert_eq!(connection.written.get(), size);
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -21,18 +21,18 @@
 
 /// A wall clock that the test sets.
 #[derive(Debug, Clone)]
-struct SetClock(Arc<AtomicU64>);
+struct ManualClock(Arc<AtomicU64>);
 
-impl WallClock for SetClock {
+impl WallClock for ManualClock {
     fn unix_ms(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 /// A table of start times with the balancer's clocks and the clock of the machine that stamps, in virtual time.
-struct World {
+struct TestTable {
     starts: StartTimes,
-    wall: SetClock,
+    wall: ManualClock,
     now: Time,
     /// Offset by which the wall clock of the balancer's machine is ahead of true time.
     ahead_ms: i64,
@@ -40,32 +40,32 @@
     stamps_ahead_ms: i64,
 }
 
-impl World {
+impl TestTable {
     /// Creates a table on a machine whose wall clock was ahead by `ahead_ms` before the process started.
     fn new(ahead_ms: i64) -> Self {
-        let wall = SetClock(Arc::new(AtomicU64::new(BEGIN_MS.saturating_add_signed(ahead_ms))));
+        let wall = ManualClock(Arc::new(AtomicU64::new(BEGIN_MS.saturating_add_signed(ahead_ms))));
         let starts = StartTimes::new(Box::new(wall.clone()));
         Self { starts, wall, now: BEGIN, ahead_ms, stamps_ahead_ms: 0 }
     }
 
     /// Creates a table as [`Self::new`] does and applies a list from discovery with one upstream that started long ago.
     fn with_list(ahead_ms: i64) -> Self {
-        let mut world = Self::new(ahead_ms);
-        world.hear(&[(0, 0)]);
-        world
+        let mut table = Self::new(ahead_ms);
+        table.apply_discovery_list(&[(0, 0)]);
+        table
     }
 
     /// Advances time by `span`; the wall clock follows.
-    fn pass(&mut self, span: Duration) {
+    fn advance(&mut self, span: Duration) {
         self.now += span;
         let unix_ms = BEGIN_MS + (self.now - BEGIN).as_millis() as u64;
         self.wall.0.store(unix_ms.saturating_add_signed(self.ahead_ms), Ordering::Relaxed);
     }
 
     /// Makes the wall clock of the balancer's machine step, so that it is ahead by `ahead_ms`.
-    fn step(&mut self, ahead_ms: i64) {
+    fn set_wall_offset(&mut self, ahead_ms: i64) {
         self.ahead_ms = ahead_ms;
-        self.pass(Duration::ZERO);
+        self.advance(Duration::ZERO);
     }
 
     /// Returns the stamp of an upstream that starts now.
@@ -75,14 +75,14 @@
     }
 
     /// Applies a list from discovery with these upstreams and stamps, and returns their start times.
-    fn hear(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
-        let times = self.read(entries);
+    fn apply_discovery_list(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
+        let times = self.apply_configuration_list(entries);
         self.starts.note_line(self.now);
         times
     }
 
     /// Applies a list from the configuration with these upstreams and stamps, and returns their start times.
-    fn read(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
+    fn apply_configuration_list(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let newest_ms = entries.iter().map(|entry| entry.1).max().unwrap_or(0);
         let list_time = self.starts.list_time(self.now, newest_ms);
         entries
@@ -92,8 +92,8 @@
     }
 
     /// Applies a list from discovery with one upstream and returns its start time.
-    fn hear_one(&mut self, id: u32, since_ms: u64) -> Option<Time> {
-        self.hear(&[(id, since_ms)])[0]
+    fn apply_discovery_entry(&mut self, id: u32, since_ms: u64) -> Option<Time> {
+        self.apply_discovery_list(&[(id, since_ms)])[0]
     }
 }
 
@@ -106,23 +106,23 @@
 #[test]
 fn a_step_before_the_process_began_moves_no_start_out_of_its_bounds() {
     for ahead_ms in STEPS_MS {
-        let mut world = World::with_list(ahead_ms);
-        world.pass(seconds(2));
-        let since_ms = world.stamp();
-        world.pass(seconds(1));
-        let started = world.hear_one(1, since_ms).expect("the start is recent");
-        assert!((BEGIN..=world.now).contains(&started), "{ahead_ms}: {started:?}");
+        let mut table = TestTable::with_list(ahead_ms);
+        table.advance(seconds(2));
+        let since_ms = table.stamp();
+        table.advance(seconds(1));
+        let started = table.apply_discovery_entry(1, since_ms).expect("the start is recent");
+        assert!((BEGIN..=table.now).contains(&started), "{ahead_ms}: {started:?}");
     }
 }
 
 /// Guards against inexact start times when all clocks are right: the stamp's time is then used as it is.
 #[test]
 fn clocks_that_agree_tell_the_start_to_the_millisecond() {
-    let mut world = World::with_list(0);
-    world.pass(seconds(2));
-    let (since_ms, start) = (world.stamp(), world.now);
-    world.pass(Duration::from_millis(1700));
-    assert_eq!(world.hear_one(1, since_ms), Some(start));
+    let mut table = TestTable::with_list(0);
+    table.advance(seconds(2));
+    let (since_ms, start) = (table.stamp(), table.now);
+    table.advance(Duration::from_millis(1700));
+    assert_eq!(table.apply_discovery_entry(1, since_ms), Some(start));
 }
 
 /// Guards slow start against a step of the balancer's wall clock between two lists.
@@ -130,13 +130,13 @@
 fn a_step_between_two_lists_moves_no_start_out_of_its_bounds() {
     for ahead_ms in STEPS_MS {
         for from_ms in STEPS_MS {
-            let mut world = World::with_list(from_ms);
-            world.pass(seconds(2));
-            let since_ms = world.stamp();
-            world.step(ahead_ms);
-            world.pass(seconds(1));
-            let started = world.hear_one(1, since_ms).expect("the start is recent");
-            assert!((BEGIN..=world.now).contains(&started), "{from_ms} to {ahead_ms}: {started:?}");
+            let mut table = TestTable::with_list(from_ms);
+            table.advance(seconds(2));
+            let since_ms = table.stamp();
+            table.set_wall_offset(ahead_ms);
+            table.advance(seconds(1));
+            let started = table.apply_discovery_entry(1, since_ms).expect("the start is recent");
+            assert!((BEGIN..=table.now).contains(&started), "{from_ms} to {ahead_ms}: {started:?}");
         }
     }
 }
@@ -146,16 +146,16 @@
 #[test]
 fn a_step_during_slow_start_moves_no_start() {
     for ahead_ms in STEPS_MS {
-        let mut world = World::with_list(0);
-        world.pass(seconds(2));
-        let since_ms = world.stamp();
-        world.pass(seconds(1));
-        let started = world.hear_one(1, since_ms);
-        world.pass(seconds(3));
-        world.step(ahead_ms);
-        assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
-        world.step(0);
-        assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}, after the step back");
+        let mut table = TestTable::with_list(0);
+        table.advance(seconds(2));
+        let since_ms = table.stamp();
+        table.advance(seconds(1));
+        let started = table.apply_discovery_entry(1, since_ms);
+        table.advance(seconds(3));
+        table.set_wall_offset(ahead_ms);
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}");
+        table.set_wall_offset(0);
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}, after the step back");
     }
 }
 
@@ -164,19 +164,19 @@
 fn a_step_of_the_stamping_machine_moves_no_start_out_of_its_bounds() {
     for stamps_ahead_ms in STEPS_MS {
         for ahead_ms in STEPS_MS {
-            let mut world = World::with_list(ahead_ms);
-            world.pass(seconds(2));
-            world.stamps_ahead_ms = stamps_ahead_ms;
-            let since_ms = world.stamp();
-            world.pass(seconds(1));
-            let started = world.hear_one(1, since_ms).expect("the start is recent");
+            let mut table = TestTable::with_list(ahead_ms);
+            table.advance(seconds(2));
+            table.stamps_ahead_ms = stamps_ahead_ms;
+            let since_ms = table.stamp();
+            table.advance(seconds(1));
+            let started = table.apply_discovery_entry(1, since_ms).expect("the start is recent");
             let case = format!("stamped {stamps_ahead_ms}, read {ahead_ms}: {started:?}");
-            assert!((BEGIN..=world.now).contains(&started), "{case}");
+            assert!((BEGIN..=table.now).contains(&started), "{case}");
             // The stamping clock steps back to true time during slow start. The upstream did not restart, so its stamp
             // stays.
-            world.stamps_ahead_ms = 0;
-            world.pass(seconds(1));
-            assert_eq!(world.hear_one(1, since_ms), Some(started), "{case}");
+            table.stamps_ahead_ms = 0;
+            table.advance(seconds(1));
+            assert_eq!(table.apply_discovery_entry(1, since_ms), Some(started), "{case}");
         }
     }
 }
@@ -185,14 +185,14 @@
 /// upstream that a later line adds did not start before it.
 #[test]
 fn a_start_is_not_older_than_the_last_sign_of_life() {
-    let mut world = World::with_list(HOUR_MS);
-    world.pass(seconds(20));
-    world.starts.note_line(world.now);
-    let alive = world.now;
-    world.pass(seconds(1));
-    let since_ms = world.stamp();
-    world.pass(seconds(1));
-    assert_eq!(world.hear_one(1, since_ms), Some(alive));
+    let mut table = TestTable::with_list(HOUR_MS);
+    table.advance(seconds(20));
+    table.starts.note_line(table.now);
+    let alive = table.now;
+    table.advance(seconds(1));
+    let since_ms = table.stamp();
+    table.advance(seconds(1));
+    assert_eq!(table.apply_discovery_entry(1, since_ms), Some(alive));
 }
 
 /// Guards the start times of upstreams that started during an outage of discovery. Some are past slow start at its end,
@@ -200,11 +200,11 @@
 #[test]
 fn after_an_outage_the_last_line_before_it_is_the_bound() {
     let started_after = |ahead_ms| {
-        let mut world = World::with_list(ahead_ms);
-        world.pass(seconds(30));
-        let since_ms = world.stamp();
-        world.pass(seconds(30));
-        world.hear_one(1, since_ms)
+        let mut table = TestTable::with_list(ahead_ms);
+        table.advance(seconds(30));
+        let since_ms = table.stamp();
+        table.advance(seconds(30));
+        table.apply_discovery_entry(1, since_ms)
     };
     assert_eq!(started_after(0), Some(BEGIN + seconds(30)));
     assert_eq!(started_after(HOUR_MS), Some(BEGIN));
@@ -214,12 +214,12 @@
 /// Guards slow start after an outage against one stamp that is ahead: it must not make the other starts look older.
 #[test]
 fn a_stamp_ahead_moves_no_other_start_of_a_change() {
-    let mut world = World::with_list(0);
-    world.pass(seconds(30));
-    let ahead_ms = world.stamp().saturating_add_signed(HOUR_MS);
-    let (since_ms, start) = (world.stamp(), world.now);
-    world.pass(seconds(1));
-    assert_eq!(world.hear(&[(1, ahead_ms), (2, since_ms)]), [Some(world.now), Some(start)]);
+    let mut table = TestTable::with_list(0);
+    table.advance(seconds(30));
+    let ahead_ms = table.stamp().saturating_add_signed(HOUR_MS);
+    let (since_ms, start) = (table.stamp(), table.now);
+    table.advance(seconds(1));
+    assert_eq!(table.apply_discovery_list(&[(1, ahead_ms), (2, since_ms)]), [Some(table.now), Some(start)]);
 }
 
 /// Guards upstreams that have been running for long against a needless slow start: one without a stamp started long
@@ -227,11 +227,11 @@
 #[test]
 fn no_stamp_is_long_ago() {
     for ahead_ms in STEPS_MS {
-        let mut world = World::new(ahead_ms);
-        assert_eq!(world.read(&[(0, 0)]), [None]);
-        assert_eq!(world.hear(&[(0, 0), (1, 0)]), [None, None]);
-        world.pass(seconds(1));
-        assert_eq!(world.hear_one(2, 0), None);
+        let mut table = TestTable::new(ahead_ms);
+        assert_eq!(table.apply_configuration_list(&[(0, 0)]), [None]);
+        assert_eq!(table.apply_discovery_list(&[(0, 0), (1, 0)]), [None, None]);
+        table.advance(seconds(1));
+        assert_eq!(table.apply_discovery_entry(2, 0), None);
     }
 }
 
@@ -240,21 +240,21 @@
 #[test]
 fn a_restart_with_an_earlier_stamp_is_a_new_start() {
     for stamps_ahead_ms in STEPS_MS {
-        let mut world = World::with_list(0);
-        world.pass(seconds(2));
-        let first_ms = world.stamp();
-        let first = world.hear_one(1, first_ms);
-        world.pass(seconds(60));
-        world.starts.note_line(world.now);
-        let last_line = world.now;
-        world.pass(seconds(1));
-        world.stamps_ahead_ms = stamps_ahead_ms;
-        let second_ms = world.stamp();
-        world.pass(seconds(1));
-        let second = world.hear_one(1, second_ms);
+        let mut table = TestTable::with_list(0);
+        table.advance(seconds(2));
+        let first_ms = table.stamp();
+        let first = table.apply_discovery_entry(1, first_ms);
+        table.advance(seconds(60));
+        table.starts.note_line(table.now);
+        let last_line = table.now;
+        table.advance(seconds(1));
+        table.stamps_ahead_ms = stamps_ahead_ms;
+        let second_ms = table.stamp();
+        table.advance(seconds(1));
+        let second = table.apply_discovery_entry(1, second_ms);
         assert!(second > first, "{stamps_ahead_ms}");
         assert!(
-            (last_line..=world.now).contains(&second.expect("the start is recent")),
+            (last_line..=table.now).contains(&second.expect("the start is recent")),
             "{stamps_ahead_ms}: {second:?}"
         );
     }
@@ -265,16 +265,16 @@
 #[test]
 fn a_start_named_before_is_no_new_one() {
     for stamps_ahead_ms in STEPS_MS {
-        let mut world = World::with_list(0);
-        world.pass(seconds(2));
-        let first_ms = world.stamp();
-        world.hear_one(1, first_ms);
-        world.pass(seconds(60));
-        world.stamps_ahead_ms = stamps_ahead_ms;
-        let second_ms = world.stamp();
-        world.hear_one(1, second_ms);
+        let mut table = TestTable::with_list(0);
+        table.advance(seconds(2));
+        let first_ms = table.stamp();
+        table.apply_discovery_entry(1, first_ms);
+        table.advance(seconds(60));
+        table.stamps_ahead_ms = stamps_ahead_ms;
+        let second_ms = table.stamp();
+        table.apply_discovery_entry(1, second_ms);
         for since_ms in [0, first_ms, second_ms] {
-            assert!(!world.starts.is_new_start(world.now, EndpointId(1), since_ms), "{stamps_ahead_ms}");
+            assert!(!table.starts.is_new_start(table.now, EndpointId(1), since_ms), "{stamps_ahead_ms}");
         }
     }
 }
@@ -285,14 +285,14 @@
 #[test]
 fn an_earlier_stamp_after_the_first_list_is_a_new_start() {
     for step_ms in STEPS_MS.into_iter().filter(|&step_ms| step_ms < 0) {
-        let mut world = World::with_list(0);
-        world.pass(Duration::from_millis(step_ms.unsigned_abs()) + seconds(5));
-        let first_ms = world.stamp();
-        world.hear_one(1, first_ms);
-        world.pass(seconds(1));
-        world.stamps_ahead_ms = step_ms;
-        let second_ms = world.stamp();
-        assert!(world.starts.is_new_start(world.now, EndpointId(1), second_ms), "{step_ms}");
+        let mut table = TestTable::with_list(0);
+        table.advance(Duration::from_millis(step_ms.unsigned_abs()) + seconds(5));
+        let first_ms = table.stamp();
+        table.apply_discovery_entry(1, first_ms);
+        table.advance(seconds(1));
+        table.stamps_ahead_ms = step_ms;
+        let second_ms = table.stamp();
+        assert!(table.starts.is_new_start(table.now, EndpointId(1), second_ms), "{step_ms}");
     }
 }
 
@@ -301,13 +301,13 @@
 #[test]
 fn an_earlier_stamp_before_the_first_list_is_no_new_start() {
     for ahead_ms in STEPS_MS {
-        let mut world = World::new(ahead_ms);
-        let since_ms = world.stamp();
-        world.hear_one(1, since_ms);
-        world.pass(seconds(10));
+        let mut table = TestTable::new(ahead_ms);
+        let since_ms = table.stamp();
+        table.apply_discovery_entry(1, since_ms);
+        table.advance(seconds(10));
         let before_ms = since_ms - 20 * SECOND_MS;
-        assert!(!world.starts.is_new_start(world.now, EndpointId(1), before_ms), "{ahead_ms}");
-        assert!(world.starts.is_new_start(world.now, EndpointId(1), since_ms + SECOND_MS), "{ahead_ms}");
+        assert!(!table.starts.is_new_start(table.now, EndpointId(1), before_ms), "{ahead_ms}");
+        assert!(table.starts.is_new_start(table.now, EndpointId(1), since_ms + SECOND_MS), "{ahead_ms}");
     }
 }
 
@@ -315,10 +315,10 @@
 /// the zero of the policy's clock gives no start time.
 #[test]
 fn a_first_list_names_starts_of_any_age() {
-    let mut world = World::new(0);
+    let mut table = TestTable::new(0);
     let ages_s = [0, 5, 3599, 3600, 7200];
     let entries = ages_s.map(|age_s| (age_s as u32, BEGIN_MS - age_s * SECOND_MS));
-    let times = world.hear(&entries);
+    let times = table.apply_discovery_list(&entries);
     assert_eq!(times[..3], [Some(BEGIN), Some(BEGIN - seconds(5)), Some(seconds(1))]);
     assert_eq!(times[3..], [None, None]);
 }
@@ -328,9 +328,9 @@
 #[test]
 fn a_process_that_is_behind_does_not_take_the_tier_for_just_started() {
     for ahead_ms in STEPS_MS.into_iter().filter(|&ahead_ms| ahead_ms <= 0) {
-        let mut world = World::new(ahead_ms);
+        let mut table = TestTable::new(ahead_ms);
         let entries = [600, 60, 0].map(|age_s| (age_s as u32, BEGIN_MS - age_s * SECOND_MS));
-        let times = world.hear(&entries);
+        let times = table.apply_discovery_list(&entries);
         let right = [600, 60, 0].map(|age_s| Some(BEGIN - seconds(age_s)));
         assert_eq!(times, right, "{ahead_ms}");
     }
@@ -341,11 +341,11 @@
 fn no_start_of_a_first_list_is_in_the_future() {
     for ahead_ms in STEPS_MS {
         for stamps_ahead_ms in STEPS_MS {
-            let mut world = World::new(ahead_ms);
-            world.stamps_ahead_ms = stamps_ahead_ms;
-            let since_ms = world.stamp();
-            let started = world.hear(&[(1, since_ms), (2, since_ms - 10 * SECOND_MS)]);
-            assert!(started.iter().flatten().all(|&started| started <= world.now), "{started:?}");
+            let mut table = TestTable::new(ahead_ms);
+            table.stamps_ahead_ms = stamps_ahead_ms;
+            let since_ms = table.stamp();
+            let started = table.apply_discovery_list(&[(1, since_ms), (2, since_ms - 10 * SECOND_MS)]);
+            assert!(started.iter().flatten().all(|&started| started <= table.now), "{started:?}");
         }
     }
 }
@@ -355,12 +355,12 @@
 #[test]
 fn the_list_of_the_configuration_bounds_nothing() {
     for ahead_ms in STEPS_MS {
-        let mut world = World::new(0);
+        let mut table = TestTable::new(0);
         let known_ms = BEGIN_MS - 60 * SECOND_MS;
-        assert_eq!(world.read(&[(1, known_ms)]), [Some(BEGIN - seconds(60))]);
-        world.step(ahead_ms);
-        world.pass(seconds(1));
-        let times = world.hear(&[(1, known_ms), (2, known_ms - 20 * SECOND_MS)]);
+        assert_eq!(table.apply_configuration_list(&[(1, known_ms)]), [Some(BEGIN - seconds(60))]);
+        table.set_wall_offset(ahead_ms);
+        table.advance(seconds(1));
+        let times = table.apply_discovery_list(&[(1, known_ms), (2, known_ms - 20 * SECOND_MS)]);
         assert_eq!(times[0], Some(BEGIN - seconds(60)), "{ahead_ms}");
         if ahead_ms == 0 {
             assert_eq!(times[1], Some(BEGIN - seconds(80)));
@@ -371,10 +371,10 @@
 /// Guards start times in the first list against empty lines of discovery that came before it: they set no lower bound.
 #[test]
 fn signs_of_life_before_any_list_bound_nothing() {
-    let mut world = World::new(0);
-    world.starts.note_line(world.now);
-    world.pass(seconds(2));
-    assert_eq!(world.hear_one(1, BEGIN_MS - 60 * SECOND_MS), Some(BEGIN - seconds(60)));
+    let mut table = TestTable::new(0);
+    table.starts.note_line(table.now);
+    table.advance(seconds(2));
+    assert_eq!(table.apply_discovery_entry(1, BEGIN_MS - 60 * SECOND_MS), Some(BEGIN - seconds(60)));
 }
 
 /// Guards upstreams past slow start that leave the list for a while, removed by a delta or absent from a snapshot: they
@@ -382,33 +382,37 @@
 #[test]
 fn a_return_with_the_same_stamp_keeps_its_start() {
     for ahead_ms in STEPS_MS {
-        let mut world = World::with_list(0);
-        world.pass(seconds(2));
-        let since_ms = world.stamp();
-        let started = world.hear_one(1, since_ms);
-        world.starts.delist(EndpointId(1));
-        world.pass(seconds(60));
-        world.step(ahead_ms);
-        assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
-        world.starts.retain(&[EndpointId(0)].into_iter().collect());
-        world.pass(seconds(60));
-        assert_eq!(world.hear_one(1, since_ms), started, "{ahead_ms}");
+        let mut table = TestTable::with_list(0);
+        table.advance(seconds(2));
+        let since_ms = table.stamp();
+        let started = table.apply_discovery_entry(1, since_ms);
+        table.starts.delist(EndpointId(1));
+        table.advance(seconds(60));
+        table.set_wall_offset(ahead_ms);
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}");
+        table.starts.retain(&[EndpointId(0)].into_iter().collect());
+        table.advance(seconds(60));
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}");
     }
 }
 
 /// Guards the memory of a long-running balancer: upstreams come and go, and one leaves and returns repeatedly.
 #[test]
 fn memory_of_starts_is_bounded() {
-    let mut world = World::with_list(0);
-    let steady_ms = world.stamp();
-    let steady = world.hear_one(0, steady_ms);
+    let mut table = TestTable::with_list(0);
+    let steady_ms = table.stamp();
+    let steady = table.apply_discovery_entry(0, steady_ms);
     for id in 1..=3 * MAX_PAST_STARTS as u32 {
-        world.pass(Duration::from_millis(20));
-        let since_ms = world.stamp();
-        world.hear_one(id, since_ms);
-        world.starts.delist(EndpointId(id));
-        world.starts.delist(EndpointId(0));
-        assert!(world.starts.past_len() <= MAX_PAST_STARTS);
-        assert_eq!(world.hear_one(0, steady_ms), steady, "expected the latest starts to be remembered");
+        table.advance(Duration::from_millis(20));
+        let since_ms = table.stamp();
+        table.apply_discovery_entry(id, since_ms);
+        table.starts.delist(EndpointId(id));
+        table.starts.delist(EndpointId(0));
+        assert!(table.starts.past_len() <= MAX_PAST_STARTS);
+        assert_eq!(
+            table.apply_discovery_entry(0, steady_ms),
+            steady,
+            "expected the latest starts to be remembered"
+        );
     }
 }
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -33,7 +33,7 @@
 }
 
 /// Checks that the log counts no upstream as unreachable and no connect as late, and shows all upstreams as available.
-fn check_uncharged(log_counts: &LogCounts) {
+fn assert_upstreams_not_charged(log_counts: &LogCounts) {
     assert_eq!(
         (log_counts.unreachable, log_counts.late, log_counts.had),
         (0, 0, Some(1.0)),
@@ -53,7 +53,7 @@
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
-    check_uncharged(&site.log_counts(ALL as u64));
+    assert_upstreams_not_charged(&site.log_counts(ALL as u64));
 }
 
 /// Guards against failed requests and ejected upstreams when sockets cannot be created: each request is served, and no
@@ -69,7 +69,7 @@
     }
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
-    check_uncharged(&site.log_counts(ALL as u64));
+    assert_upstreams_not_charged(&site.log_counts(ALL as u64));
 }
 
 /// Guards against clients that wait for their whole deadline while no local port is free: the balancer refuses the
@@ -83,7 +83,7 @@
         assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}: expected status 503 and no run");
     }
     let log_counts = site.log_counts(CLASSES.len() as u64);
-    check_uncharged(&log_counts);
+    assert_upstreams_not_charged(&log_counts);
     assert_eq!(log_counts.unsent, CLASSES.len() as u64);
     let faults = site.faults("CONNECT", None);
     assert!(
@@ -104,7 +104,7 @@
         let status = client.answer().expect("an answer").status();
         assert!(matches!(status, 503 | 504), "request {number}: expected 503 or 504, got {status}");
     }
-    check_uncharged(&site.log_counts(5));
+    assert_upstreams_not_charged(&site.log_counts(5));
     assert_eq!(site.runs("one"), 0);
 }
 
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -16,9 +16,9 @@
 
 /// The machine's wall clock plus an offset in milliseconds that the test sets.
 #[derive(Debug)]
-struct Ahead(Arc<AtomicI64>);
+struct OffsetClock(Arc<AtomicI64>);
 
-impl WallClock for Ahead {
+impl WallClock for OffsetClock {
     fn unix_ms(&self) -> u64 {
         SystemClock.unix_ms().saturating_add_signed(self.0.load(Ordering::Relaxed))
     }
@@ -27,7 +27,7 @@
 /// Starts a balancer whose wall clock is ahead by `ahead_ms`, which the test may change later.
 fn start_with_clock(configuration: &str, ahead_ms: &Arc<AtomicI64>) -> Balancer {
     let mut config = parsed(configuration);
-    config.wall_clock = Box::new(Ahead(Arc::clone(ahead_ms)));
+    config.wall_clock = Box::new(OffsetClock(Arc::clone(ahead_ms)));
     Balancer::start_on(config, |listener| listener)
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// A balancer with two upstreams that started long ago and two that an update has added as just started.
-struct Joined {
+struct ScaledUpTier {
     old: Group,
     new: Group,
     balancer: Balancer,
@@ -67,14 +67,14 @@
 /// Fraction of a warm upstream's traffic that an upstream gets at the beginning of slow start.
 const SLOW_START_MIN_FRACTION: f64 = 0.05;
 
-impl Joined {
+impl ScaledUpTier {
     /// Starts the balancer with a wall clock that is ahead by `from_ms`, and by `to_ms` after the first list. Slow
-    /// start lasts `cold_s` seconds. The update that adds the new upstreams comes `after` the first list.
-    fn start(from_ms: i64, to_ms: i64, cold_s: f64, after: Duration) -> Self {
+    /// start lasts `slow_start_s` seconds. The update that adds the new upstreams comes `after` the first list.
+    fn start(from_ms: i64, to_ms: i64, slow_start_s: f64, after: Duration) -> Self {
         let (old, discovery) = (Group::start("old", 0), Discovery::start());
         let mut text: Value =
             serde_json::from_str(&configuration(discovery.address, &old.entries, 30.0, 1024)).expect("JSON");
-        text["settings"]["rules"]["coldS"] = json!(cold_s);
+        text["settings"]["rules"]["coldS"] = json!(slow_start_s);
         text["settings"]["rules"]["coldShare"] = json!(SLOW_START_MIN_FRACTION);
         let ahead_ms = Arc::new(AtomicI64::new(from_ms));
         let balancer = start_with_clock(&text.to_string(), &ahead_ms);
@@ -100,7 +100,7 @@
     }
 
     /// Sends requests and returns how many of them went to the old and to the new upstreams.
-    fn parts(&self, requests: usize) -> (usize, usize) {
+    fn request_counts(&self, requests: usize) -> (usize, usize) {
         let before = (self.old.requests(), self.new.requests());
         let mut client = self.balancer.client();
         for _ in 0..requests {
@@ -112,7 +112,7 @@
 
 /// Runs `case` concurrently with a right wall clock, with clocks that are wrong from the start, and with clocks that
 /// step after the first list.
-fn under_each_clock(case: impl Fn(i64, i64) + Send + Sync) {
+fn for_each_clock(case: impl Fn(i64, i64) + Send + Sync) {
     let clocks = [(0, 0), (HOUR_MS, HOUR_MS), (-HOUR_MS, -HOUR_MS), (0, HOUR_MS), (0, -HOUR_MS)];
     thread::scope(|scope| {
         for (from_ms, to_ms) in clocks {
@@ -126,9 +126,9 @@
 /// the test, so they must get less than a third of the old upstreams' requests.
 #[test]
 fn slow_start_is_not_skipped_under_a_wrong_clock() {
-    under_each_clock(|from_ms, to_ms| {
-        let joined = Joined::start(from_ms, to_ms, 600.0, Duration::ZERO);
-        let (old, new) = joined.parts(300);
+    for_each_clock(|from_ms, to_ms| {
+        let tier = ScaledUpTier::start(from_ms, to_ms, 600.0, Duration::ZERO);
+        let (old, new) = tier.request_counts(300);
         assert!(
             new * 3 < old,
             "clock ahead by {from_ms} ms, then {to_ms} ms: new upstreams got {new} requests, old ones {old}"
@@ -139,10 +139,10 @@
 /// Guards upstreams whose slow start is over against too little traffic when clocks are wrong.
 #[test]
 fn slow_start_ends_under_a_wrong_clock() {
-    under_each_clock(|from_ms, to_ms| {
-        let joined = Joined::start(from_ms, to_ms, 0.5, Duration::ZERO);
+    for_each_clock(|from_ms, to_ms| {
+        let tier = ScaledUpTier::start(from_ms, to_ms, 0.5, Duration::ZERO);
         wait_for(&format!("slow start ends with a clock ahead by {from_ms} ms, then {to_ms} ms"), || {
-            let (old, new) = joined.parts(100);
+            let (old, new) = tier.request_counts(100);
             (new * 2 > old).then_some(())
         });
     });
@@ -153,9 +153,9 @@
 #[test]
 fn signs_of_life_bound_a_start_under_a_clock_that_is_ahead() {
     let slow_start_window = Duration::from_secs(10);
-    let joined = Joined::start(HOUR_MS, HOUR_MS, slow_start_window.as_secs_f64(), slow_start_window);
+    let tier = ScaledUpTier::start(HOUR_MS, HOUR_MS, slow_start_window.as_secs_f64(), slow_start_window);
     let changed = Instant::now();
-    let (old, new) = joined.parts(300);
+    let (old, new) = tier.request_counts(300);
     // On a machine too busy to send the requests in time, slow start may have progressed; the test is then
     // inconclusive.
     assert!(
