--- a/crates/proxy/tests/ending.rs
+++ b/crates/proxy/tests/closed_connections.rs
@@ -104,7 +104,7 @@
 /// may come 0.9 s after SIGTERM. Clients send requests as long as their connections stay open, and the front opens new
 /// connections for 0.4 s. Each request must get exactly one answer, and the program must exit by itself before SIGKILL.
 #[test]
-fn a_drain_with_short_deadlines_ends_before_the_kill() {
+fn a_drain_with_short_deadlines_ends_before_sigkill() {
     let upstream = Upstream::start(|_, _| {
         thread::sleep(Duration::from_millis(10));
         ok("served")
@@ -149,7 +149,7 @@
 /// Guards against requests lost when the balancer closes client connections because it runs out of sockets: it must
 /// close them only between requests.
 #[test]
-fn connections_that_give_way_lose_no_request() {
+fn closing_connections_at_the_socket_limit_loses_no_request() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_name_that_returns_has_its_number_again() {
+fn a_name_that_is_listed_again_gets_its_previous_id() {
     let mut test_table = TestTable::new();
     let names: Vec<String> = (0..100).map(|number| format!("s-{number}")).collect();
     let first: Vec<EndpointId> =
@@ -92,7 +92,7 @@
 /// Ids are hashes of the names. `costarring` and `liquid` have the same hash, so the one listed later gets another id,
 /// which it must keep while it is listed or has an attempt in flight.
 #[test]
-fn of_two_names_that_meet_each_keeps_its_number_while_it_is_known() {
+fn names_with_the_same_hash_keep_their_ids_while_in_use() {
     let listed = |test_table: &mut TestTable| {
         test_table.apply_delta("costarring", "ready", 0);
         test_table.apply_delta("liquid", "ready", 0).0
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn the_names_of_past_starts_are_remembered() {
+fn names_with_remembered_starts_keep_their_ids_and_starts() {
     let mut test_table = TestTable::new();
     test_table.apply_delta("older", "ready", 0);
     let before: Vec<_> = (0..MAX_PAST_STARTS)
@@ -141,7 +141,7 @@
 
 /// Guards against a bound that removes names in use: a listed endpoint is never forgotten, however many are listed.
 #[test]
-fn more_names_than_the_bound_may_be_listed() {
+fn listed_names_are_kept_beyond_the_bound() {
     let mut test_table = TestTable::new();
     let ids: HashSet<EndpointId> = (0..2 * MIN_NAMES_TO_PRUNE)
         .map(|number| test_table.apply_delta(&format!("s-{number}"), "ready", 0).0)
--- a/crates/proxy/tests/failing_upstreams.rs
+++ b/crates/proxy/tests/failing_upstreams.rs
@@ -12,7 +12,7 @@
 /// within a second and no more attempts than the limit of 3, and all requests together have at most 1.5 attempts each
 /// on average.
 #[test]
-fn retries_that_fail_at_once_stay_few() {
+fn retries_are_limited_when_attempts_fail_at_once() {
     const REQUESTS: usize = 200;
     let upstreams: Vec<_> = (0..4).map(|_| Upstream::start(|_, _| Reply::Last(Vec::new()))).collect();
     let known = each_in_a_group(&upstreams);
@@ -49,7 +49,7 @@
 /// answers, one closes the connection and one serves. Each request gets exactly one answer within its deadline plus the
 /// slack, and no at-most-once request is sent twice.
 #[test]
-fn hardly_any_time_left_ends_in_one_answer() {
+fn a_request_with_little_time_left_gets_one_answer_in_time() {
     const EACH: usize = 50;
     let upstreams = [
         Upstream::start(|_, _| Reply::Silence),
@@ -102,7 +102,7 @@
 /// Guards against dropping answers without `Content-Length`, which end with their connection: complete ones are
 /// forwarded, even if they arrive in pieces.
 #[test]
-fn answers_without_a_length_that_come_whole_are_forwarded() {
+fn complete_answers_without_a_length_are_forwarded() {
     const ANSWERS: usize = 40;
     let upstream = Upstream::scripted(|number, _, stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\n\r\n");
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -60,7 +60,7 @@
 /// Guards against requests lost in a planned restart: a request that was accepted or partly received before SIGTERM
 /// gets its answer, at whichever step SIGTERM comes. A second SIGTERM and a SIGHUP do not change that.
 #[test]
-fn sigterm_meets_a_request_at_each_step() {
+fn a_request_is_answered_at_whichever_step_sigterm_comes() {
     let ready = |address| [endpoint("s-1", address, 0, "ready")];
     thread::scope(|scope| {
         // Half of the request has been received.
--- a/crates/proxy/tests/idle_connections.rs
+++ b/crates/proxy/tests/idle_connections.rs
@@ -137,7 +137,7 @@
 /// another connection and served. Once the balancer has seen such resets, orders, which must not run twice, are not
 /// sent on connections that were idle for long, so they are served too.
 #[test]
-fn connections_reset_after_idling_cost_no_request() {
+fn resets_of_idle_connections_fail_no_request() {
     let (balancer, _discovery, dropping_upstream, healthy_upstream) =
         with_one_dropping_upstream(DropBehavior::Reset, 5.0);
     let reads = ask_with_pauses(&balancer, "read", 12);
@@ -157,7 +157,7 @@
 /// Guards against repeated losses on idle connections on which neither answers nor resets arrive: each such connection
 /// costs at most one request, which still gets exactly one answer in time, and no order runs twice.
 #[test]
-fn connections_silent_after_idling_cost_one_request_each() {
+fn each_silently_dropped_connection_fails_at_most_one_request() {
     let (balancer, _discovery, dropping_upstream, healthy_upstream) =
         with_one_dropping_upstream(DropBehavior::Silence, 0.2);
     let mut statuses = ask_with_pauses(&balancer, "read", 12);
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -40,7 +40,7 @@
 /// Guards against policy state that a long idle period spoils: after six hours without traffic, failing upstreams are
 /// ejected as quickly as after minutes of traffic, and requests are served from the first one on.
 #[test]
-fn trouble_after_hours_of_quiet_is_met_as_any() {
+fn faults_after_hours_without_traffic_are_detected_as_quickly() {
     let mut bench = replica(DiscoveryMode::Push);
     assert_eq!(send_requests(&mut bench, 200, &[]), (200, 0));
     let (busy_served, busy_failed) = send_requests(&mut bench, 200, &[2, 5]);
@@ -87,7 +87,7 @@
 /// Guards against a replica that loses its list or overloads discovery in an outage of hours: it keeps using its
 /// current list, subscribes again at bounded intervals, and applies the drains in the first snapshot after the outage.
 #[test]
-fn an_outage_of_discovery_for_hours_is_outlived() {
+fn an_outage_of_discovery_for_hours_keeps_the_list_in_use() {
     // A discovery service shared by many replicas gets a request from each every few seconds; the replica's own agent
     // gets them at shorter intervals.
     let retry_intervals = [
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -21,7 +21,7 @@
 /// Guards against failed requests when connects fail in the network: such a request never ran, so it is sent to another
 /// upstream.
 #[test]
-fn connects_that_fail_on_the_way_are_made_elsewhere() {
+fn requests_are_served_when_connects_fail_in_the_network() {
     let errors = "ENETUNREACH+EHOSTUNREACH+ECONNREFUSED+ETIMEDOUT";
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
@@ -32,7 +32,7 @@
 
 /// Guards against failed requests when the error of a connect is reported later, by `SO_ERROR`.
 #[test]
-fn connects_whose_error_shows_late_are_made_elsewhere() {
+fn requests_are_served_when_connects_fail_with_so_error() {
     let errors = "ETIMEDOUT+EHOSTUNREACH";
     let site = Site::start(|ports| vec![("FAULT_SO_ERROR", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
@@ -44,7 +44,7 @@
 /// Guards against failed requests when the connection breaks before the last byte is written, after none or a part of
 /// the request: the request never ran, so it is sent again.
 #[test]
-fn a_break_before_the_last_byte_is_sent_again() {
+fn a_request_broken_before_its_last_byte_is_sent_again() {
     for short in ["", ",short=60"] {
         let site = Site::start(|ports| {
             let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET+EPIPE";
@@ -64,7 +64,7 @@
 /// Guards against running an at-most-once request twice when the connection breaks after its last byte was written and
 /// none or a part of the answer was read: it is not sent again.
 #[test]
-fn a_break_after_the_last_byte_is_not_sent_again() {
+fn an_order_broken_after_its_last_byte_is_not_sent_again() {
     for short in ["", ",short=20"] {
         let site = Site::start(|ports| {
             let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET";
--- a/crates/proxy/tests/heads.rs
+++ b/crates/proxy/tests/request_head_timeout.rs
@@ -18,8 +18,8 @@
 /// An incomplete request head.
 const PARTIAL_HEAD: &[u8] = b"POST /order HTTP/1.1\r\nHost: a\r\nX-Requ";
 
-/// Checks that the balancer sends nothing more and closes the connection between [`MIN_HEAD_TIME`] and [`MAX_TIME_TO_CLOSE`] after the head
-/// began. The test only knows that the head began between `earliest` and `latest`.
+/// Checks that the balancer sends nothing more and closes the connection between [`MIN_HEAD_TIME`] and
+/// [`MAX_TIME_TO_CLOSE`] after the head began. The test only knows that the head began between `earliest` and `latest`.
 fn assert_closed_in_time(case: &str, client: &mut Client, earliest: Instant, latest: Instant) {
     client.0.set_read_timeout(Some(Duration::from_secs(8))).expect("the socket option is set");
     let end = client.0.read(&mut [0]).expect("closed within 8 s");
@@ -33,7 +33,7 @@
 
 /// Guards against sockets held by clients that send earlier requests completely and then stop within the next head.
 #[test]
-fn a_later_head_that_stops_is_closed_in_time() {
+fn an_incomplete_later_head_is_closed_in_time() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let chunked = b"POST /order HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\n\
@@ -68,7 +68,7 @@
 
 /// Guards against sockets held by clients whose incomplete head is sent in one write with the request before it.
 #[test]
-fn half_a_head_behind_a_request_is_closed_in_time() {
+fn an_incomplete_head_written_with_a_request_is_closed_in_time() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     thread::scope(|scope| {
@@ -90,7 +90,7 @@
 /// waits for its upstream, the head's timeout counts from that request's answer. The request is served if the rest of
 /// the head arrives within that time.
 #[test]
-fn the_time_of_a_head_counts_from_the_answer_before_it() {
+fn the_head_timeout_counts_from_the_previous_answer() {
     let (release, release_signal) = mpsc::channel::<()>();
     let release_signal = Mutex::new(release_signal);
     let upstream = Upstream::start(move |number, _| {
@@ -129,7 +129,7 @@
 /// Guards against closing connections of clients that write slowly but steadily: each head that arrives within the
 /// timeout is read, also several on one connection.
 #[test]
-fn slow_heads_within_their_time_are_served() {
+fn slow_heads_within_the_timeout_are_served() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
@@ -146,7 +146,7 @@
 /// Guards against closing idle connections by the head timeout, both without any bytes and with the empty lines that
 /// some clients send between requests.
 #[test]
-fn a_connection_without_a_begun_head_may_rest() {
+fn the_head_timeout_does_not_close_idle_connections() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let lines: [&[u8]; 3] = [b"", b"\r\n", b"\r\n\n\r\n"];
@@ -163,7 +163,7 @@
 
 /// Guards against losing a partly received request at the socket limit: the balancer closes idle connections first.
 #[test]
-fn a_begun_head_outlasts_resting_connections_in_a_shortage() {
+fn idle_connections_are_closed_before_partial_heads_at_the_socket_limit() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -173,7 +173,7 @@
     let next = order_with(b"");
     let (head, tail) = next.split_at(40);
     begun.raw(head);
-    let _resting: Vec<Client> = (0..60)
+    let _idle: Vec<Client> = (0..60)
         .map(|_| {
             let mut client = balancer.client();
             assert_eq!(client.ask("order", "one").status(), 200);
@@ -187,15 +187,15 @@
 /// Guards against losing a partly received request in a planned restart: when the drain begins to close connections, a
 /// request whose head has begun on a reused connection is read and answered.
 #[test]
-fn a_begun_head_outlasts_the_close_of_resting_connections_in_a_drain() {
+fn a_partial_head_is_served_while_a_drain_closes_idle_connections() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let mut child = program(&configuration(discovery.address, &known, 30.0, 1024));
     let (address, mut log) = address(&mut child);
     let mut begun = Client::connect(address);
-    let mut resting = Client::connect(address);
-    assert_eq!((begun.ask("order", "one").status(), resting.ask("order", "one").status()), (200, 200));
+    let mut idle = Client::connect(address);
+    assert_eq!((begun.ask("order", "one").status(), idle.ask("order", "one").status()), (200, 200));
     signal(&child, "-TERM");
     wait_line(&mut log, "graceful shutdown, ");
     // The drain begins to close connections 0.9 s before the earliest SIGKILL, which comes 3.7 s after SIGTERM.
@@ -203,7 +203,7 @@
     let next = order_with(b"");
     let (head, tail) = next.split_at(40);
     begun.raw(head);
-    assert!(resting.answer().is_none(), "expected the drain to close the idle connection");
+    assert!(idle.answer().is_none(), "expected the drain to close the idle connection");
     begun.raw(tail);
     let answer = begun.answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
--- a/crates/proxy/tests/sending.rs
+++ b/crates/proxy/tests/request_writing.rs
@@ -34,7 +34,7 @@
 /// Guards the boundary between requests that never ran and those that may have run: the size computed in advance must
 /// equal the number of bytes written, so that a request with one byte missing is known to be incomplete.
 #[test]
-fn the_size_reckoned_is_what_is_written() {
+fn the_computed_size_equals_the_bytes_written() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("starts");
     let calls = [call(Method::GET, b""), call(Method::POST, b""), call(Method::POST, b"instalments")];
     for call in calls {
@@ -66,7 +66,7 @@
 /// Guards the boundary between requests that never ran and those that may have run for an attempt that is abandoned
 /// while its request is being written: the request is complete only with its last byte.
 #[test]
-fn a_request_is_whole_with_its_last_byte() {
+fn a_request_is_complete_only_with_its_last_byte() {
     let progress = Progress::default();
     assert!(!progress.is_complete() && !progress.has_begun());
     let written = Rc::new(Cell::new(0));
@@ -81,7 +81,7 @@
 /// Guards against rejecting a connected socket because a socket option cannot be set, as TCP options cannot on a Unix
 /// socket: the connection must still carry requests.
 #[test]
-fn a_socket_that_refuses_an_option_carries_requests() {
+fn a_socket_whose_options_cannot_be_set_carries_requests() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     LocalSet::new().block_on(&runtime, async {
         let (near, far) = UnixStream::pair().expect("a socket pair");
@@ -121,7 +121,7 @@
 /// Guards against passing on a stale deadline when time passes between forming a request and writing it: `x-deadline`
 /// holds the time left at the write, in as many bytes as the computed size assumes.
 #[test]
-fn the_deadline_is_that_of_the_write() {
+fn the_deadline_passed_on_is_the_time_left_at_the_write() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("starts");
     let millis = Duration::from_millis;
     let cases = [
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -13,8 +13,8 @@
 use common::*;
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// Opens connections in a loop without waiting while `running` is set. Each connection is reset at once, and one that finds
-/// the listen queue full is abandoned.
+/// Opens connections in a loop without waiting while `running` is set. Each connection is reset at once, and one that
+/// finds the listen queue full is abandoned.
 fn flood(address: SocketAddr, running: &AtomicBool) {
     while running.load(Ordering::Relaxed) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
@@ -27,7 +27,7 @@
 /// Guards against a drain that a flood of new connections delays: an accept loop that always finds another connection
 /// must still check the time.
 #[test]
-fn a_flood_of_connections_does_not_hold_up_the_drain() {
+fn a_flood_of_connections_does_not_delay_the_drain() {
     let discovery = Discovery::start();
     let text = configuration(discovery.address, &[], 0.2, 1024).replace("60.0", "0.5");
     let mut child = program(&text);
@@ -64,7 +64,7 @@
 /// its watch. Once discovery is back, the balancer must apply its list within 6 s. Meanwhile the health check of the
 /// front and a client's request must succeed.
 #[test]
-fn idle_clients_do_not_keep_the_list_away() {
+fn idle_clients_do_not_block_the_watch_of_discovery() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
     let known = [endpoint("s-1", old.address, 0, "ready")];
     for mode in ["subscribe", "automatic"] {
@@ -131,7 +131,7 @@
 /// Guards against blocking on the log: if the pipe of standard error stays open but nobody reads it, the program keeps
 /// applying lists and serving, and shuts down.
 #[test]
-fn a_log_that_nobody_reads_stops_nothing() {
+fn a_full_log_pipe_does_not_stop_the_program() {
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
@@ -158,7 +158,7 @@
 /// Guards against a drain that a client delays by never reading its answers: they fill the socket buffers, and the
 /// balancer must close the connection.
 #[test]
-fn a_client_that_never_reads_does_not_hold_up_the_drain() {
+fn a_client_that_never_reads_does_not_delay_the_drain() {
     let upstream = Upstream::start(|_, _| ok(&"x".repeat(60_000)));
     let (mut balancer, _discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let mut client = balancer.client();
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -104,7 +104,7 @@
 /// Guards slow start against a wall clock that was wrong before the process started: the start time of an upstream that
 /// an update adds lies between the previous line of discovery and that update.
 #[test]
-fn a_step_before_the_process_began_moves_no_start_out_of_its_bounds() {
+fn a_clock_wrong_before_the_process_started_keeps_starts_in_bounds() {
     for ahead_ms in STEPS_MS {
         let mut table = TestTable::with_list(ahead_ms);
         table.advance(seconds(2));
@@ -117,7 +117,7 @@
 
 /// Guards against inexact start times when all clocks are right: the stamp's time is then used as it is.
 #[test]
-fn clocks_that_agree_tell_the_start_to_the_millisecond() {
+fn clocks_that_agree_give_the_start_to_the_millisecond() {
     let mut table = TestTable::with_list(0);
     table.advance(seconds(2));
     let (since_ms, start) = (table.stamp(), table.now);
@@ -127,7 +127,7 @@
 
 /// Guards slow start against a step of the balancer's wall clock between two lists.
 #[test]
-fn a_step_between_two_lists_moves_no_start_out_of_its_bounds() {
+fn a_clock_step_between_two_lists_keeps_starts_in_bounds() {
     for ahead_ms in STEPS_MS {
         for from_ms in STEPS_MS {
             let mut table = TestTable::with_list(from_ms);
@@ -144,7 +144,7 @@
 /// Guards a slow start in progress against a step of the balancer's wall clock: the policy would take a changed start
 /// time as a new process.
 #[test]
-fn a_step_during_slow_start_moves_no_start() {
+fn a_clock_step_during_slow_start_changes_no_start() {
     for ahead_ms in STEPS_MS {
         let mut table = TestTable::with_list(0);
         table.advance(seconds(2));
@@ -161,7 +161,7 @@
 
 /// Guards slow start against a wrong or stepping clock of the machine that stamps, before and between lists.
 #[test]
-fn a_step_of_the_stamping_machine_moves_no_start_out_of_its_bounds() {
+fn a_step_of_the_stamping_clock_keeps_starts_in_bounds() {
     for stamps_ahead_ms in STEPS_MS {
         for ahead_ms in STEPS_MS {
             let mut table = TestTable::with_list(ahead_ms);
@@ -184,7 +184,7 @@
 /// Guards the lower bound of start times: an empty line from discovery says that nothing had changed by then, so an
 /// upstream that a later line adds did not start before it.
 #[test]
-fn a_start_is_not_older_than_the_last_sign_of_life() {
+fn a_start_is_not_before_the_last_line_of_discovery() {
     let mut table = TestTable::with_list(HOUR_MS);
     table.advance(seconds(20));
     table.starts.note_line(table.now);
@@ -198,7 +198,7 @@
 /// Guards the start times of upstreams that started during an outage of discovery. Some are past slow start at its end,
 /// and only a right clock shows which; a wrong one is limited by the last line before the outage and by the present.
 #[test]
-fn after_an_outage_the_last_line_before_it_is_the_bound() {
+fn after_an_outage_starts_are_bounded_by_the_last_line_before_it() {
     let started_after = |ahead_ms| {
         let mut table = TestTable::with_list(ahead_ms);
         table.advance(seconds(30));
@@ -213,7 +213,7 @@
 
 /// Guards slow start after an outage against one stamp that is ahead: it must not make the other starts look older.
 #[test]
-fn a_stamp_ahead_moves_no_other_start_of_a_change() {
+fn a_stamp_ahead_changes_no_other_start_of_the_update() {
     let mut table = TestTable::with_list(0);
     table.advance(seconds(30));
     let ahead_ms = table.stamp().saturating_add_signed(HOUR_MS);
@@ -225,7 +225,7 @@
 /// Guards upstreams that have been running for long against a needless slow start: one without a stamp started long
 /// ago.
 #[test]
-fn no_stamp_is_long_ago() {
+fn an_upstream_without_a_stamp_started_long_ago() {
     for ahead_ms in STEPS_MS {
         let mut table = TestTable::new(ahead_ms);
         assert_eq!(table.apply_configuration_list(&[(0, 0)]), [None]);
@@ -263,7 +263,7 @@
 /// Guards drains, which only a new start ends, against older lists: a start that a list has named before is not new,
 /// whichever of the stamps is later.
 #[test]
-fn a_start_named_before_is_no_new_one() {
+fn a_start_named_before_is_not_new() {
     for stamps_ahead_ms in STEPS_MS {
         let mut table = TestTable::with_list(0);
         table.advance(seconds(2));
@@ -299,7 +299,7 @@
 /// Guards drains against an older list that names the previous process of an upstream, which ended before the balancer
 /// had its first list: that is not a new start.
 #[test]
-fn an_earlier_stamp_before_the_first_list_is_no_new_start() {
+fn an_earlier_stamp_before_the_first_list_is_not_a_new_start() {
     for ahead_ms in STEPS_MS {
         let mut table = TestTable::new(ahead_ms);
         let since_ms = table.stamp();
@@ -314,7 +314,7 @@
 /// Guards start times in the first list, for which there is no lower bound: its stamps are used. A start at or before
 /// the zero of the policy's clock gives no start time.
 #[test]
-fn a_first_list_names_starts_of_any_age() {
+fn the_first_list_may_name_starts_of_any_age() {
     let mut table = TestTable::new(0);
     let ages_s = [0, 5, 3599, 3600, 7200];
     let entries = ages_s.map(|age_s| (age_s as u32, BEGIN_MS - age_s * SECOND_MS));
@@ -326,7 +326,7 @@
 /// Guards long-running upstreams against a needless slow start when the balancer's wall clock is behind: the newest
 /// stamp in the first list shows that the true time is later.
 #[test]
-fn a_process_that_is_behind_does_not_take_the_tier_for_just_started() {
+fn a_clock_that_is_behind_does_not_make_the_tier_look_just_started() {
     for ahead_ms in STEPS_MS.into_iter().filter(|&ahead_ms| ahead_ms <= 0) {
         let mut table = TestTable::new(ahead_ms);
         let entries = [600, 60, 0].map(|age_s| (age_s as u32, BEGIN_MS - age_s * SECOND_MS));
@@ -338,7 +338,7 @@
 
 /// Guards against start times in the future, with which upstreams would stay in slow start for ever.
 #[test]
-fn no_start_of_a_first_list_is_in_the_future() {
+fn no_start_in_the_first_list_is_in_the_future() {
     for ahead_ms in STEPS_MS {
         for stamps_ahead_ms in STEPS_MS {
             let mut table = TestTable::new(ahead_ms);
@@ -353,7 +353,7 @@
 /// Guards start times in the first list of discovery: the list of the configuration sets no lower bound for them, and
 /// processes that it named keep their start times.
 #[test]
-fn the_list_of_the_configuration_bounds_nothing() {
+fn the_list_of_the_configuration_bounds_no_start() {
     for ahead_ms in STEPS_MS {
         let mut table = TestTable::new(0);
         let known_ms = BEGIN_MS - 60 * SECOND_MS;
@@ -370,7 +370,7 @@
 
 /// Guards start times in the first list against empty lines of discovery that came before it: they set no lower bound.
 #[test]
-fn signs_of_life_before_any_list_bound_nothing() {
+fn empty_lines_before_the_first_list_bound_no_start() {
     let mut table = TestTable::new(0);
     table.starts.note_line(table.now);
     table.advance(seconds(2));
@@ -380,7 +380,7 @@
 /// Guards upstreams past slow start that leave the list for a while, removed by a delta or absent from a snapshot: they
 /// keep their start times when they return with the same stamp.
 #[test]
-fn a_return_with_the_same_stamp_keeps_its_start() {
+fn an_upstream_that_returns_with_its_stamp_keeps_its_start() {
     for ahead_ms in STEPS_MS {
         let mut table = TestTable::with_list(0);
         table.advance(seconds(2));
@@ -398,7 +398,7 @@
 
 /// Guards the memory of a long-running balancer: upstreams come and go, and one leaves and returns repeatedly.
 #[test]
-fn memory_of_starts_is_bounded() {
+fn the_number_of_remembered_starts_is_bounded() {
     let mut table = TestTable::with_list(0);
     let steady_ms = table.stamp();
     let steady = table.apply_discovery_entry(0, steady_ms);
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -12,7 +12,7 @@
 
 /// Guards against lost requests when waits for events are interrupted by signals.
 #[test]
-fn interrupted_waits_lose_nothing() {
+fn interrupted_waits_lose_no_request() {
     let site = Site::start(|_| vec![("FAULT_WAIT", "errno=EINTR,every=2".into())]);
     let tally = site.ask_all();
     assert!(site.faults("WAIT", Some("EINTR")) > REQUESTS);
@@ -22,7 +22,7 @@
 
 /// Guards against lost or damaged requests and answers when reads and writes transfer fewer bytes than requested.
 #[test]
-fn short_reads_and_writes_lose_nothing() {
+fn short_reads_and_writes_lose_no_request() {
     let site = Site::start(|_| {
         vec![("FAULT_READ", "short=7,every=2".into()), ("FAULT_WRITE", "short=11,every=2".into())]
     });
@@ -44,7 +44,7 @@
 /// Guards against failed requests and ejected upstreams when connects fail on the balancer's own machine, for example
 /// for lack of ports or memory: each request is served, and no failure is counted against an upstream.
 #[test]
-fn connects_that_fail_on_the_own_machine_are_not_charged() {
+fn local_connect_failures_are_not_charged_to_upstreams() {
     let errors = "EADDRNOTAVAIL+EADDRINUSE+ENOBUFS+ENOMEM+EMFILE+ENFILE+EAGAIN+EINTR";
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
@@ -59,7 +59,7 @@
 /// Guards against failed requests and ejected upstreams when sockets cannot be created: each request is served, and no
 /// failure is counted against an upstream.
 #[test]
-fn sockets_that_are_not_had_are_not_charged() {
+fn failures_to_create_sockets_are_not_charged_to_upstreams() {
     let errors = "EMFILE+ENFILE+ENOBUFS+ENOMEM";
     // The first socket is the listener's.
     let site = Site::start(|_| vec![("FAULT_SOCKET", format!("errno={errors},every=3,skip=1"))]);
@@ -75,7 +75,7 @@
 /// Guards against clients that wait for their whole deadline while no local port is free: the balancer refuses the
 /// request within the connect timeout, which says that a retry is harmless, and counts no failure against an upstream.
 #[test]
-fn a_lasting_lack_of_ports_refuses() {
+fn a_lasting_lack_of_ports_refuses_requests() {
     let site =
         Site::start_with(0.5, |ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for class in CLASSES {
@@ -95,7 +95,7 @@
 /// Guards upstreams against being charged for a lack of local ports when the client's deadline passes before the
 /// connect timeout.
 #[test]
-fn a_lack_of_ports_past_the_deadline_is_not_charged() {
+fn a_lack_of_ports_past_the_deadline_is_not_charged_to_upstreams() {
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for number in 0..5 {
         let mut client = Client::connect(site.address);
@@ -110,7 +110,7 @@
 
 /// Guards against lost requests when socket options cannot be set.
 #[test]
-fn options_that_are_not_set_lose_nothing() {
+fn socket_options_that_cannot_be_set_lose_no_request() {
     // The first call sets an option of the listener.
     let site = Site::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
     let tally = site.ask_all();
@@ -121,7 +121,7 @@
 
 /// Guards against lost clients when accepts fail temporarily.
 #[test]
-fn accepts_that_fail_lose_nobody() {
+fn failing_accepts_lose_no_client() {
     let errors = "ECONNABORTED+EMFILE+ENFILE+ENOBUFS+ENOMEM+EPROTO+EINTR";
     let site = Site::start(|_| vec![("FAULT_ACCEPT", format!("errno={errors},every=3"))]);
     let tally = site.ask_all_on(true);
@@ -135,7 +135,7 @@
 /// Guards against a missed drain when reads of the watch are short, waits are interrupted and connects to discovery
 /// fail temporarily: the update is applied, and the draining upstream gets no new requests.
 #[test]
-fn a_drain_is_heard_in_spite_of_faults() {
+fn a_drain_of_an_upstream_is_applied_in_spite_of_faults() {
     let site = Site::start(|_| {
         vec![
             ("FAULT_READ", "short=5,every=2".into()),
@@ -160,7 +160,7 @@
 /// Guards the fault injection itself: a program reads the wall clock with the offset in the file named by
 /// `FAULT_CLOCK`, also after the file has changed.
 #[test]
-fn the_wall_clock_is_off_as_the_file_says() {
+fn fault_injection_offsets_the_wall_clock_as_the_file_says() {
     let file = std::env::temp_dir().join(format!("balancer-proxy-clock-{}", std::process::id()));
     let shown = |offset_ms: i64| {
         fs::write(&file, offset_ms.to_string()).expect("written");
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -151,7 +151,7 @@
 /// Guards slow start of upstreams that are added long after the previous update: the watch's empty lines, two a second
 /// here, show that the new upstreams had not started by then.
 #[test]
-fn signs_of_life_bound_a_start_under_a_clock_that_is_ahead() {
+fn empty_lines_of_the_watch_bound_a_start_when_the_clock_is_ahead() {
     let slow_start_window = Duration::from_secs(10);
     let tier = ScaledUpTier::start(HOUR_MS, HOUR_MS, slow_start_window.as_secs_f64(), slow_start_window);
     let changed = Instant::now();
