--- a/crates/proxy/tests/closed_connections.rs
+++ b/crates/proxy/tests/closed_connections.rs
@@ -10,7 +10,7 @@
 
 use common::*;
 
-/// Returns a request of class `order_request` with this body; tests give each request a unique body.
+/// Returns a request of class `order` with this body; tests give each request a unique body.
 fn order_request(body: &str) -> Vec<u8> {
     let head =
         "POST /order?k=7f HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Tenant: acme\r\nX-Deadline: 0.2\r\n";
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -56,7 +56,7 @@
     // A quarter of the tier fails; without ejection it would get some 50 attempts or more.
     assert!(
         failed <= 12 && failed <= busy_failed + 4,
-        "{failed} attempts failed after the idle period, expected at most 12 and 4 more than the {busy_failed} after traffic"
+        "expected at most 12 failed attempts and at most {busy_failed} + 4 as after traffic, got {failed}"
     );
     // The policy uses the upstreams again after they have recovered.
     bench.pass(Duration::from_secs(60));
--- a/crates/proxy/tests/request_head_timeout.rs
+++ b/crates/proxy/tests/request_head_timeout.rs
@@ -27,7 +27,7 @@
     assert_eq!(end, 0, "{case}: expected the connection to be closed, got data");
     assert!(
         longest >= MIN_HEAD_TIME && shortest < MAX_TIME_TO_CLOSE,
-        "{case}: expected a close between {MIN_HEAD_TIME:?} and {MAX_TIME_TO_CLOSE:?}, it came after {shortest:?} to {longest:?}"
+        "{case}: expected a close within {MIN_HEAD_TIME:?} to {MAX_TIME_TO_CLOSE:?}, got {shortest:?} to {longest:?}"
     );
 }
 
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -81,7 +81,8 @@
         times
     }
 
-    /// Applies a list from the configuration with these upstreams and stamps, and returns their start times.
+    /// Applies a list with these upstreams and stamps as if it came from the configuration, that is without a line from
+    /// discovery, and returns their start times.
     fn apply_configuration_list(&mut self, entries: &[(u32, u64)]) -> Vec<Option<Time>> {
         let newest_ms = entries.iter().map(|entry| entry.1).max().unwrap_or(0);
         let list_time = self.starts.list_time(self.now, newest_ms);
@@ -111,7 +112,7 @@
         let since_ms = table.stamp();
         table.advance(seconds(1));
         let started = table.apply_discovery_entry(1, since_ms).expect("the start is recent");
-        assert!((BEGIN..=table.now).contains(&started), "{ahead_ms}: {started:?}");
+        assert!((BEGIN..=table.now).contains(&started), "clock ahead by {ahead_ms} ms: start at {started:?}");
     }
 }
 
@@ -136,7 +137,10 @@
             table.set_wall_offset(ahead_ms);
             table.advance(seconds(1));
             let started = table.apply_discovery_entry(1, since_ms).expect("the start is recent");
-            assert!((BEGIN..=table.now).contains(&started), "{from_ms} to {ahead_ms}: {started:?}");
+            assert!(
+                (BEGIN..=table.now).contains(&started),
+                "clock ahead by {from_ms} ms, then {ahead_ms} ms: start at {started:?}"
+            );
         }
     }
 }
@@ -153,9 +157,13 @@
         let started = table.apply_discovery_entry(1, since_ms);
         table.advance(seconds(3));
         table.set_wall_offset(ahead_ms);
-        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}");
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "clock ahead by {ahead_ms} ms");
         table.set_wall_offset(0);
-        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}, after the step back");
+        assert_eq!(
+            table.apply_discovery_entry(1, since_ms),
+            started,
+            "after the step back from {ahead_ms} ms ahead"
+        );
     }
 }
 
@@ -170,7 +178,9 @@
             let since_ms = table.stamp();
             table.advance(seconds(1));
             let started = table.apply_discovery_entry(1, since_ms).expect("the start is recent");
-            let case = format!("stamped {stamps_ahead_ms}, read {ahead_ms}: {started:?}");
+            let case = format!(
+                "stamping clock ahead by {stamps_ahead_ms} ms, own by {ahead_ms} ms: start at {started:?}"
+            );
             assert!((BEGIN..=table.now).contains(&started), "{case}");
             // The stamping clock steps back to true time during slow start. The upstream did not restart, so its stamp
             // stays.
@@ -252,10 +262,10 @@
         let second_ms = table.stamp();
         table.advance(seconds(1));
         let second = table.apply_discovery_entry(1, second_ms);
-        assert!(second > first, "{stamps_ahead_ms}");
+        assert!(second > first, "stamping clock ahead by {stamps_ahead_ms} ms");
         assert!(
             (last_line..=table.now).contains(&second.expect("the start is recent")),
-            "{stamps_ahead_ms}: {second:?}"
+            "stamping clock ahead by {stamps_ahead_ms} ms: second start at {second:?}"
         );
     }
 }
@@ -274,7 +284,10 @@
         let second_ms = table.stamp();
         table.apply_discovery_entry(1, second_ms);
         for since_ms in [0, first_ms, second_ms] {
-            assert!(!table.starts.is_new_start(table.now, EndpointId(1), since_ms), "{stamps_ahead_ms}");
+            assert!(
+                !table.starts.is_new_start(table.now, EndpointId(1), since_ms),
+                "stamping clock ahead by {stamps_ahead_ms} ms"
+            );
         }
     }
 }
@@ -292,7 +305,10 @@
         table.advance(seconds(1));
         table.stamps_ahead_ms = step_ms;
         let second_ms = table.stamp();
-        assert!(table.starts.is_new_start(table.now, EndpointId(1), second_ms), "{step_ms}");
+        assert!(
+            table.starts.is_new_start(table.now, EndpointId(1), second_ms),
+            "stamping clock stepped by {step_ms} ms"
+        );
     }
 }
 
@@ -306,8 +322,14 @@
         table.apply_discovery_entry(1, since_ms);
         table.advance(seconds(10));
         let before_ms = since_ms - 20 * SECOND_MS;
-        assert!(!table.starts.is_new_start(table.now, EndpointId(1), before_ms), "{ahead_ms}");
-        assert!(table.starts.is_new_start(table.now, EndpointId(1), since_ms + SECOND_MS), "{ahead_ms}");
+        assert!(
+            !table.starts.is_new_start(table.now, EndpointId(1), before_ms),
+            "clock ahead by {ahead_ms} ms"
+        );
+        assert!(
+            table.starts.is_new_start(table.now, EndpointId(1), since_ms + SECOND_MS),
+            "clock ahead by {ahead_ms} ms"
+        );
     }
 }
 
@@ -332,7 +354,7 @@
         let entries = [600, 60, 0].map(|age_s| (age_s as u32, BEGIN_MS - age_s * SECOND_MS));
         let times = table.apply_discovery_list(&entries);
         let right = [600, 60, 0].map(|age_s| Some(BEGIN - seconds(age_s)));
-        assert_eq!(times, right, "{ahead_ms}");
+        assert_eq!(times, right, "clock ahead by {ahead_ms} ms");
     }
 }
 
@@ -345,7 +367,10 @@
             table.stamps_ahead_ms = stamps_ahead_ms;
             let since_ms = table.stamp();
             let started = table.apply_discovery_list(&[(1, since_ms), (2, since_ms - 10 * SECOND_MS)]);
-            assert!(started.iter().flatten().all(|&started| started <= table.now), "{started:?}");
+            assert!(
+                started.iter().flatten().all(|&started| started <= table.now),
+                "expected no start after the present, got {started:?}"
+            );
         }
     }
 }
@@ -361,7 +386,7 @@
         table.set_wall_offset(ahead_ms);
         table.advance(seconds(1));
         let times = table.apply_discovery_list(&[(1, known_ms), (2, known_ms - 20 * SECOND_MS)]);
-        assert_eq!(times[0], Some(BEGIN - seconds(60)), "{ahead_ms}");
+        assert_eq!(times[0], Some(BEGIN - seconds(60)), "clock ahead by {ahead_ms} ms");
         if ahead_ms == 0 {
             assert_eq!(times[1], Some(BEGIN - seconds(80)));
         }
@@ -389,10 +414,10 @@
         table.starts.delist(EndpointId(1));
         table.advance(seconds(60));
         table.set_wall_offset(ahead_ms);
-        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}");
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "clock ahead by {ahead_ms} ms");
         table.starts.retain(&[EndpointId(0)].into_iter().collect());
         table.advance(seconds(60));
-        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "{ahead_ms}");
+        assert_eq!(table.apply_discovery_entry(1, since_ms), started, "clock ahead by {ahead_ms} ms");
     }
 }
 
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -95,7 +95,7 @@
         watch.says(9, false, &entries);
         wait_for("the update is applied", || (client.ask("read", "").body == b"last").then_some(()));
         watch.says(10, false, &[endpoint("last", last.address, 0, "gone")]);
-        wait_for("it is removed", || (0..16).all(|_| client.ask("read", "").body != b"last").then_some(()));
+        wait_for("last is removed", || (0..16).all(|_| client.ask("read", "").body != b"last").then_some(()));
         Self { old, new, balancer, _watch: watch }
     }
 
