--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -50,7 +50,8 @@
         (members[0].id, members[0].started)
     }
 
-    /// Lists [`MANY_NAMES`] names and removes each of them at once, and checks the number of remembered names after each.
+    /// Lists [`MANY_NAMES`] names and removes each of them at once, and checks the number of remembered names after
+    /// each.
     fn list_and_remove_many(&mut self, since_ms: u64) {
         for number in 0..MANY_NAMES {
             let name = format!("passing-{since_ms}-{number}");
