--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -1,4 +1,4 @@
-//! Hours of quiet and of outages, which the decisions alone play in virtual time.
+//! Idle periods and outages that last for hours, run on the policy alone in virtual time.
 
 #[path = "../../policy/tests/common/mod.rs"]
 mod virtual_time;
@@ -12,7 +12,7 @@
 use balancer_policy::{Action, Settings};
 use virtual_time::{Bench, class, member, millis, sent};
 
-/// A replica of a fleet's first tier with eight upstreams, in a mode of having lists.
+/// Creates a test bench with one replica of the first tier and eight upstreams, in this discovery mode.
 fn replica(discovery: DiscoveryMode) -> Bench {
     let mut settings = Settings::single_zone(vec![class(Idempotency::Idempotent)]);
     settings.discovery = discovery;
@@ -20,9 +20,9 @@
     Bench::new(settings, 11, (0..8).map(member).collect())
 }
 
-/// Sends so many requests, one each 50 ms, to upstreams of which those named fail at once: how many were served, and
-/// how many attempts the failing ones got.
-fn send(bench: &mut Bench, requests: u32, failing: &[u32]) -> (u32, u32) {
+/// Sends requests, one every 50 ms, while the upstreams in `failing` refuse each connection at once. Returns how many
+/// requests were served and how many attempts went to the failing upstreams.
+fn send_requests(bench: &mut Bench, requests: u32, failing: &[u32]) -> (u32, u32) {
     let (mut served, mut failed) = (0, 0);
     for _ in 0..requests {
         let meets = |upstream: EndpointId| match failing.contains(&upstream.0) {
@@ -37,33 +37,37 @@
     (served, failed)
 }
 
-/// Guards what was learned against a long rest: after six quiet hours a fault is met as it is after busy minutes.
-/// Requests are served from the first one on, and upstreams that fail are ejected.
+/// Guards against policy state that a long idle period spoils: after six hours without traffic, failing upstreams are
+/// ejected as quickly as after minutes of traffic, and requests are served from the first one on.
 #[test]
-fn trouble_after_hours_of_quiet_is_met_as_any() {
+fn faults_after_hours_without_traffic_are_detected_as_quickly() {
     let mut bench = replica(DiscoveryMode::Push);
-    assert_eq!(send(&mut bench, 200, &[]), (200, 0));
-    let (busy_served, busy_failed) = send(&mut bench, 200, &[2, 5]);
+    assert_eq!(send_requests(&mut bench, 200, &[]), (200, 0));
+    let (busy_served, busy_failed) = send_requests(&mut bench, 200, &[2, 5]);
     bench.pass(Duration::from_secs(60));
-    assert_eq!(send(&mut bench, 200, &[]).0, 200);
+    assert_eq!(send_requests(&mut bench, 200, &[]).0, 200);
     bench.pass(Duration::from_secs(6 * 3600));
-    let (served, failed) = send(&mut bench, 200, &[2, 5]);
-    println!("{failed} attempts failed, {busy_failed} in busy times");
-    assert!(served >= 198 && busy_served >= 198, "{served} of 200 served, {busy_served} in busy times");
-    // A quarter of the tier fails: unheeded, it would get some 50 attempts and more.
+    let (served, failed) = send_requests(&mut bench, 200, &[2, 5]);
+    println!("{failed} attempts failed after the idle period, {busy_failed} after traffic");
+    assert!(
+        served >= 198 && busy_served >= 198,
+        "expected at least 198 of 200 served, got {served} after the idle period and {busy_served} after traffic"
+    );
+    // A quarter of the tier fails; without ejection it would get some 50 attempts or more.
     assert!(
         failed <= 12 && failed <= busy_failed + 4,
-        "{failed} attempts failed, {busy_failed} in busy times"
+        "expected at most 12 failed attempts and at most {busy_failed} + 4 as after traffic, got {failed}"
     );
-    // And the fault's end is seen.
+    // The policy uses the upstreams again after they have recovered.
     bench.pass(Duration::from_secs(60));
-    assert_eq!(send(&mut bench, 200, &[]).0, 200);
+    assert_eq!(send_requests(&mut bench, 200, &[]).0, 200);
 }
 
-/// Plays an outage of discovery's, in which each watch breaks as soon as it is asked for: when the replica asks.
-fn outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
+/// Simulates an outage of discovery in which each watch breaks as soon as it is opened. Returns the times at which the
+/// replica subscribes.
+fn simulate_discovery_outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
     let end = bench.now + length;
-    let mut asked = Vec::new();
+    let mut subscribed_at = Vec::new();
     bench.tell(Event::List(ListUpdate::Broken));
     while bench.now < end {
         let actions = bench.tell(Event::MaintenanceDue);
@@ -72,39 +76,47 @@
             _ => None,
         });
         if actions.contains(&Action::Subscribe) {
-            asked.push(bench.now);
+            subscribed_at.push(bench.now);
             bench.tell(Event::List(ListUpdate::Broken));
         }
-        bench.now += wake.expect("a sweep asks for the next");
+        bench.now += wake.expect("maintenance schedules its next run");
     }
-    asked
+    subscribed_at
 }
 
-/// Guards the list and discovery against an outage of hours: the replica goes on with the list in hand, asks as often as it
-/// owes and not without a pause, and holds a drain that it hears of with the first word after it.
+/// Guards against a replica that loses its list or overloads discovery in an outage of hours: it keeps using its
+/// current list, subscribes again at bounded intervals, and applies the drains in the first snapshot after the outage.
 #[test]
-fn an_outage_of_discovery_for_hours_is_outlived() {
-    // A service of many replicas is asked by each every some seconds, an agent of the replica's own sooner.
-    let spaced = [
+fn an_outage_of_discovery_for_hours_keeps_the_list_in_use() {
+    // A discovery service shared by many replicas gets a request from each every few seconds; the replica's own agent
+    // gets them at shorter intervals.
+    let retry_intervals = [
         (DiscoveryMode::Subscribe, millis(1500), millis(5000)),
         (DiscoveryMode::Agent, millis(100), millis(500)),
     ];
-    for (mode, least, widest) in spaced {
+    for (mode, least, widest) in retry_intervals {
         let mut bench = replica(mode);
-        assert_eq!(send(&mut bench, 100, &[]).0, 100);
+        assert_eq!(send_requests(&mut bench, 100, &[]).0, 100);
         let length = Duration::from_secs(3 * 3600);
-        let asked = outage(&mut bench, length);
-        let pauses: Vec<Duration> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
-        let longest = pauses.iter().max().expect("it asks");
-        println!("{mode:?}: {} asks in {length:?}, {longest:?} apart at the most", asked.len());
-        assert!(*longest <= widest, "{mode:?}: {longest:?} without an ask");
+        let subscribed_at = simulate_discovery_outage(&mut bench, length);
+        let pauses: Vec<Duration> = subscribed_at.windows(2).map(|pair| pair[1] - pair[0]).collect();
+        let longest = pauses.iter().max().expect("the replica subscribes again");
+        println!("{mode:?}: {} subscriptions in {length:?}, at most {longest:?} apart", subscribed_at.len());
+        assert!(
+            *longest <= widest,
+            "{mode:?}: expected subscriptions at most {widest:?} apart, got {longest:?}"
+        );
         assert!(
-            asked.len() as u128 <= length.as_millis() / least.as_millis(),
-            "{mode:?}: {} asks",
-            asked.len()
+            subscribed_at.len() as u128 <= length.as_millis() / least.as_millis(),
+            "{mode:?}: expected subscriptions at least {least:?} apart on average, got {}",
+            subscribed_at.len()
         );
-        assert_eq!(send(&mut bench, 100, &[]).0, 100, "{mode:?}: the list in hand serves");
-        // The first word tells that half of the tier has been replaced meanwhile.
+        assert_eq!(
+            send_requests(&mut bench, 100, &[]).0,
+            100,
+            "{mode:?}: expected all requests served on the current list"
+        );
+        // The first snapshot after the outage says that half of the tier drains.
         let replaced = |id| Member {
             lifecycle: if id < 4 { Lifecycle::Draining } else { Lifecycle::Ready },
             ..member(id)
@@ -113,11 +125,14 @@
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
             let (id, actions) = bench.offer(None);
-            let upstream = sent(&actions).expect("four are ready");
+            let upstream = sent(&actions).expect("four upstreams are ready");
             *seen.entry(upstream.0).or_default() += 1;
             bench.pass(millis(20));
             bench.end(id, 0, Outcome::Success, millis(20));
         }
-        assert!(seen.keys().all(|&upstream| upstream >= 4), "{mode:?}: sent to what drains: {seen:?}");
+        assert!(
+            seen.keys().all(|&upstream| upstream >= 4),
+            "{mode:?}: requests were sent to draining upstreams: {seen:?}"
+        );
     }
 }
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -1,45 +1,50 @@
-//! Connections to upstreams that do not come up or break, by system calls that fail so: each request has its answer,
-//! and what must not run twice is not sent again after its last byte.
+//! Connections to upstreams that cannot be established or that break, simulated by failing system calls. Each request
+//! gets its answer, and an at-most-once request is not sent again after its last byte was written.
 
 mod common;
 
 use common::faults::*;
 use common::*;
 
-/// What holds where connections to upstreams do not come up or break: each request has its answer, which says for one
-/// that never ran that trying again is harmless, and what must not be sent again is not.
-fn check_answered(site: &Site, tally: &Tally) {
+/// Checks that each request got an answer and that no at-most-once request was sent twice. The answer of a request that
+/// never ran says that a retry is harmless.
+fn assert_answered(site: &Site, tally: &Tally) {
     let [served, refused, failed, closed] = tally.counts();
-    assert_eq!((served + refused + failed, closed), (ALL, 0), "{tally:?}");
+    assert_eq!(
+        (served + refused + failed, closed),
+        (ALL, 0),
+        "expected an answer to each request, got {tally:?}"
+    );
     site.check_runs();
 }
 
-/// Guards requests against connects that fail on the way to the upstream: none of them ever ran.
+/// Guards against failed requests when connects fail in the network: such a request never ran, so it is sent to another
+/// upstream.
 #[test]
-fn connects_that_fail_on_the_way_are_made_elsewhere() {
+fn requests_are_served_when_connects_fail_in_the_network() {
     let errors = "ENETUNREACH+EHOSTUNREACH+ECONNREFUSED+ETIMEDOUT";
     let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
     assert!(site.faults("CONNECT", None) > 0);
-    check_answered(&site, &tally);
+    assert_answered(&site, &tally);
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
 }
 
-/// Guards the same where the failure shows in `SO_ERROR`.
+/// Guards against failed requests when the error of a connect is reported later, by `SO_ERROR`.
 #[test]
-fn connects_whose_error_shows_late_are_made_elsewhere() {
+fn requests_are_served_when_connects_fail_with_so_error() {
     let errors = "ETIMEDOUT+EHOSTUNREACH";
     let site = Site::start(|ports| vec![("FAULT_SO_ERROR", format!("errno={errors},every=3,ports={ports}"))]);
     let tally = site.ask_all();
     assert!(site.faults("SO_ERROR", None) > 0);
-    check_answered(&site, &tally);
+    assert_answered(&site, &tally);
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
 }
 
-/// Guards requests whose connection breaks before their last byte is written, with none or a part of them out: they
-/// never ran, so that each is sent again.
+/// Guards against failed requests when the connection breaks before the last byte is written, after none or a part of
+/// the request: the request never ran, so it is sent again.
 #[test]
-fn a_break_before_the_last_byte_is_sent_again() {
+fn a_request_broken_before_its_last_byte_is_sent_again() {
     for short in ["", ",short=60"] {
         let site = Site::start(|ports| {
             let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET+EPIPE";
@@ -47,15 +52,19 @@
         });
         let tally = site.ask_all();
         assert!(site.faults("WRITE", None) > REQUESTS / 2);
-        check_answered(&site, &tally);
-        assert_eq!(tally.counts()[2], 0, "none failed{short}: {tally:?}");
+        assert_answered(&site, &tally);
+        assert_eq!(
+            tally.counts()[2],
+            0,
+            "expected no failed request with fault options {short:?}: {tally:?}"
+        );
     }
 }
 
-/// Guards requests whose connection breaks after their last byte is written, with none or a part of the answer in: what
-/// must not run twice is not sent again.
+/// Guards against running an at-most-once request twice when the connection breaks after its last byte was written and
+/// none or a part of the answer was read: it is not sent again.
 #[test]
-fn a_break_after_the_last_byte_is_not_sent_again() {
+fn an_order_broken_after_its_last_byte_is_not_sent_again() {
     for short in ["", ",short=20"] {
         let site = Site::start(|ports| {
             let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET";
@@ -63,35 +72,40 @@
         });
         let tally = site.ask_all();
         assert!(site.faults("READ", None) > REQUESTS / 2);
-        check_answered(&site, &tally);
-        // Of those that may run again none is lost.
-        assert!(tally.counts()[2] <= ALL / CLASSES.len(), "{tally:?}");
+        assert_answered(&site, &tally);
+        // Requests that may run again do not fail.
+        assert!(tally.counts()[2] <= ALL / CLASSES.len(), "only orders may fail: {tally:?}");
     }
 }
 
-/// How an order ends whose first connection breaks with that many of its bytes written, and how often it ran.
-fn order_broken_after(bytes: usize) -> (u16, usize) {
+/// Sends an order whose first connection breaks after `bytes` bytes are written. Returns the status of the answer and
+/// how often the order ran.
+fn send_order_broken_after(bytes: usize) -> (u16, usize) {
     let site = Site::start(|ports| {
         vec![("FAULT_WRITE", format!("errno=ETIMEDOUT,short={bytes},count=1,ports={ports}"))]
     });
     let status = Client::connect(site.address).ask("order", "one").status();
-    assert_eq!(site.faults("WRITE", Some("ETIMEDOUT")), 1, "after {bytes} bytes");
-    // The last byte of a request that was answered as one that may have run may still be on its way.
+    assert_eq!(
+        site.faults("WRITE", Some("ETIMEDOUT")),
+        1,
+        "expected one broken connection after {bytes} bytes"
+    );
+    // Status 502 means that the order may have run; its last byte may not have reached the upstream yet.
     if status == 502 {
         wait_for("the order runs", || (site.runs("one") == 1).then_some(()));
     }
     (status, site.runs("one"))
 }
 
-/// Guards the line between what never ran and what may have: it is the last byte.
+/// Guards the boundary between requests that never ran and those that may have run: it is the write of the last byte.
 #[test]
 fn the_last_byte_decides_whether_an_order_is_sent_again() {
     let site = Site::start(|_| Vec::new());
     assert_eq!(Client::connect(site.address).ask("order", "one").status(), 200);
     let size = site.upstreams.iter().find_map(|upstream| upstream.requests().first().cloned());
-    let size = size.expect("it ran").1.size;
+    let size = size.expect("the order ran").1.size;
     for bytes in [1, size / 2, size - 1] {
-        assert_eq!(order_broken_after(bytes), (200, 1), "broken after {bytes} of {size} bytes");
+        assert_eq!(send_order_broken_after(bytes), (200, 1), "broken after {bytes} of {size} bytes");
     }
-    assert_eq!(order_broken_after(size), (502, 1), "broken after the last byte");
+    assert_eq!(send_order_broken_after(size), (502, 1), "broken after the last byte");
 }
