--- a/crates/proxy/tests/attempt_races.rs
+++ b/crates/proxy/tests/attempt_races.rs
@@ -27,7 +27,7 @@
         configuration(discovery.address, &known, 50.0, 1024).replace("\"windowS\":10.0", "\"windowS\":0.3");
     // The first upstream of a request is chosen at random. For at least one client it must be the failing one, so that
     // the other one would get the retry.
-    let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
+    let balancer = Balancer::start(&with_dial_timeout(&text, LONG_DIAL_TIMEOUT_S));
     let mut clients: Vec<Client> = (0..4).map(|_| balancer.client()).collect();
     for client in &mut clients {
         client.send("pay", "instalments");
@@ -39,7 +39,7 @@
     // Requests whose first attempt goes to the late upstream may be sent there.
     let max_expected = clients.len() - failing.requests().len();
     let mut received = 0;
-    while let Ok(stream) = connections.recv_timeout(SOON) {
+    while let Ok(stream) = connections.recv_timeout(SHORT_TIMEOUT) {
         stream.set_read_timeout(Some(Duration::from_millis(200))).expect("the socket option can be set");
         let mut byte = [0];
         received += usize::from(matches!((&stream).read(&mut byte), Ok(1)));
@@ -61,19 +61,19 @@
         let known = [endpoint("s-1", late.address, 0, "ready")];
         let discovery = Discovery::start();
         let text = configuration(discovery.address, &known, 50.0, 1024);
-        let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
+        let balancer = Balancer::start(&with_dial_timeout(&text, LONG_DIAL_TIMEOUT_S));
         let mut client = balancer.client();
         client.send("order", "one");
         late.wait_connecting(1);
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", late.address, 0, status);
-        watch.says(8, false, &[drained, endpoint("s-2", other.address, 1, "ready")]);
+        watch.send_endpoints(8, false, &[drained, endpoint("s-2", other.address, 1, "ready")]);
         wait_for("the drain is applied", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
         // The connections to the drained upstream end while the balancer is still running.
         assert!(
-            nothing_came(all_that_came(&late.open())),
+            all_without_data(collect_connections(&late.open())),
             "{status}: a request was sent to the drained upstream"
         );
         assert_eq!(
--- a/crates/proxy/tests/client_connections.rs
+++ b/crates/proxy/tests/client_connections.rs
@@ -32,7 +32,7 @@
             client.0.shutdown(shutdown_mode).expect("the connection is open");
             upstream.wait_closed(request_count);
             assert!(
-                disconnected_at.elapsed() < SOON,
+                disconnected_at.elapsed() < SHORT_TIMEOUT,
                 "{} extra bytes, {shutdown_mode:?}: the attempt was cancelled only after {:?}",
                 extra.len(),
                 disconnected_at.elapsed()
@@ -53,7 +53,7 @@
         let known = [endpoint("s-1", late.address, 0, "ready")];
         let text = configuration(discovery.address, &known, 50.0, 1024)
             .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
-        let balancer = Balancer::start(&with_dial_timeout(&text, PATIENT_S));
+        let balancer = Balancer::start(&with_dial_timeout(&text, LONG_DIAL_TIMEOUT_S));
         let clients: Vec<Client> = (0..clients)
             .map(|_| {
                 let mut client = balancer.client();
@@ -66,10 +66,10 @@
         // Leaves the balancer time to notice the disconnects. From here on no attempt may begin.
         thread::sleep(Duration::from_millis(100));
         // The pool keeps one connection for the next attempt and closes it when the balancer ends, if not before.
-        let streams = all_that_came(&late.open());
+        let streams = collect_connections(&late.open());
         assert!(!streams.is_empty(), "cancel: {cancel}: expected a connection, got none");
         drop(balancer);
-        assert!(nothing_came(streams), "cancel: {cancel}: a request was sent for a disconnected client");
+        assert!(all_without_data(streams), "cancel: {cancel}: a request was sent for a disconnected client");
     };
     thread::scope(|scope| {
         for cancel in [true, false] {
--- a/crates/proxy/tests/client_disconnects.rs
+++ b/crates/proxy/tests/client_disconnects.rs
@@ -67,12 +67,12 @@
 fn drive_with(known: &[Value], test: impl AsyncFnOnce(&Rc<EventLoop>)) {
     let discovery = Discovery::start();
     let text = configuration(discovery.address, known, 50.0, 1024);
-    drive(&with_dial_timeout(&text, LONG.as_secs_f64()), test);
+    drive(&with_dial_timeout(&text, HANG_TIMEOUT.as_secs_f64()), test);
 }
 
 /// Passes a request of this class to the event loop, from the client at the other end of `socket`.
 fn accept_from(event_loop: &Rc<EventLoop>, class: &str, socket: &Socket) -> oneshot::Receiver<Answer> {
-    accept(event_loop, class, Bytes::new(), socket, Instant::now() + LONG)
+    accept(event_loop, class, Bytes::new(), socket, Instant::now() + HANG_TIMEOUT)
 }
 
 /// Disconnects a client, and waits until the kernel reports the disconnect on the balancer's end.
@@ -157,7 +157,7 @@
         drive_with(&[endpoint("s-1", upstream.address, 0, "ready")], async |event_loop| {
             let (client, socket) = Client::connect();
             assert!(accept_from(event_loop, "read", &socket).await.is_ok());
-            wait_for_rest().await;
+            wait_until_connection_idle().await;
             let answer = accept_from(event_loop, "read", &socket);
             // This task runs after the attempt, and before the connection task that the attempt wakes.
             spawn_local(async move { disconnect_and_wait(&client, &socket, kind) });
@@ -248,7 +248,7 @@
         let (client, socket) = Client::connect();
         let body = Bytes::from(vec![b'x'; 8 << 20]);
         let size = body.len();
-        let answer = accept(event_loop, "order", body, &socket, Instant::now() + LONG);
+        let answer = accept(event_loop, "order", body, &socket, Instant::now() + HANG_TIMEOUT);
         let accepted = tokio::task::spawn_blocking(move || {
             let (mut stream, _) = listener.accept().expect("the balancer connects");
             stream.read_exact(&mut [0; 64]).expect("the request has begun");
@@ -256,7 +256,7 @@
         });
         let stream = accepted.await.expect("the thread does not panic");
         disconnect_and_wait(&client, &socket, Disconnect::Close);
-        let read = tokio::task::spawn_blocking(move || all_of(stream).len());
+        let read = tokio::task::spawn_blocking(move || read_until_closed(stream).len());
         assert!(answer.await.is_err());
         assert!(
             read.await.expect("the thread does not panic") + 64 < size,
--- a/crates/proxy/tests/clients.rs
+++ b/crates/proxy/tests/clients.rs
@@ -112,7 +112,7 @@
             .set_read_timeout(Some(std::time::Duration::from_millis(200)))
             .expect("the socket option can be set");
         let answered = client.0.peek(&mut [0]).is_ok();
-        client.0.set_read_timeout(Some(LONG)).expect("the socket option can be set");
+        client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("the socket option can be set");
         if answered {
             return client.answer();
         }
@@ -134,7 +134,7 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let discovery = Discovery::start();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
-    let mut child = program_within(32, &configuration(discovery.address, &known, 30.0, 1024));
+    let mut child = program_with_descriptor_limit(32, &configuration(discovery.address, &known, 30.0, 1024));
     let (address, log) = address(&mut child);
     drop(log);
     let other_clients: Vec<Client> = (0..80).map(|_| Client::connect(address)).collect();
@@ -357,7 +357,7 @@
     let (address, mut log) = address(&mut child);
     let (_, watch) = before.watch();
     let moved = Upstream::start(|_, _| ok("moved"));
-    watch.says(9, false, &[endpoint("s-1", moved.address, 0, "ready")]);
+    watch.send_endpoints(9, false, &[endpoint("s-1", moved.address, 0, "ready")]);
     let mut client = Client::connect(address);
     wait_for("the change is applied", || (client.ask("order", "one").body == b"moved").then_some(()));
     write_configuration("{");
@@ -371,7 +371,7 @@
     signal(&child, "-HUP");
     let (line, watch) = after.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
-    watch.says(10, true, &[endpoint("s-2", new.address, 0, "ready")]);
+    watch.send_endpoints(10, true, &[endpoint("s-2", new.address, 0, "ready")]);
     wait_for("the new list is applied", || (client.ask("order", "two").body == b"new").then_some(()));
     child.kill().expect("the program is running");
     child.wait().expect("the program ends");
--- a/crates/proxy/tests/closed_connections.rs
+++ b/crates/proxy/tests/closed_connections.rs
@@ -190,7 +190,7 @@
     let (address, _unread) = address(&mut child);
     // Each entry causes a log line, and together they exceed the 64 KiB that a pipe holds.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
-    discovery.watch().1.says(8, false, &odd);
+    discovery.watch().1.send_endpoints(8, false, &odd);
     let control = ClientControl::default();
     let sent: Vec<ClientOutcome> = thread::scope(|scope| {
         let clients: Vec<_> = (0..4)
--- a/crates/proxy/tests/common/client.rs
+++ b/crates/proxy/tests/common/client.rs
@@ -4,7 +4,7 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-use super::{LONG, Message, all_of, read_message};
+use super::{HANG_TIMEOUT, Message, read_message, read_until_closed};
 
 /// Returns the text of a request of this class with this body, as a client writes it.
 fn request(class: &str, body: &str) -> String {
@@ -32,7 +32,7 @@
     }
 
     pub fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(LONG)).expect("the read time-out is set");
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the read time-out is set");
         Self(stream)
     }
 
@@ -74,7 +74,7 @@
 pub const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
 /// Returns the bytes of a request with this body and a deadline of this many seconds.
-pub fn timed(class: &str, body: &str, seconds: f64) -> Vec<u8> {
+pub fn request_with_deadline(class: &str, body: &str, seconds: f64) -> Vec<u8> {
     let (method, key) = if class == "read" {
         ("GET", String::new())
     } else {
@@ -90,7 +90,7 @@
 
 /// Closes the sending side and returns whether the connection ends without further data, that is, whether no request
 /// was answered twice.
-pub fn ends_empty(client: Client) -> bool {
+pub fn closes_without_data(client: Client) -> bool {
     client.0.shutdown(Shutdown::Write).expect("the connection is open");
-    all_of(client.0).is_empty()
+    read_until_closed(client.0).is_empty()
 }
--- a/crates/proxy/tests/common/configuration_parent.rs
+++ b/crates/proxy/tests/common/configuration_parent.rs
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 
 use super::watch::serve_watch;
-use super::{LONG, Watch, read_message};
+use super::{HANG_TIMEOUT, Watch, read_message};
 
 /// A parent that sends on its watches what the test passes to it, and receives reports.
 pub struct Parent {
@@ -23,11 +23,11 @@
 
 impl Parent {
     pub fn start() -> Self {
-        Self::beating(Duration::from_millis(500))
+        Self::with_heartbeat(Duration::from_millis(500))
     }
 
     /// Starts a parent that sends a heartbeat on a watch when it has sent nothing for `heartbeat_interval`.
-    pub fn beating(heartbeat_interval: Duration) -> Self {
+    pub fn with_heartbeat(heartbeat_interval: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port is available");
         let address = listener.local_addr().expect("the socket has a local address");
         let ((opened, watches), (report, reports)) = (mpsc::channel(), mpsc::channel());
@@ -51,7 +51,7 @@
 
     /// Waits for the next watch that the balancer opens, and returns it with its request line.
     pub fn watch(&self) -> (String, Watch) {
-        self.watches.recv_timeout(LONG).expect("the balancer opens a watch")
+        self.watches.recv_timeout(HANG_TIMEOUT).expect("the balancer opens a watch")
     }
 
     /// Returns the next watch and its request line, if the balancer has opened one.
@@ -61,7 +61,7 @@
 
     /// Waits for a report that satisfies `fits`, and returns it. `what` describes it in the panic message.
     pub fn wait_report(&self, what: &str, fits: impl Fn(&Value) -> bool) -> Value {
-        let by = Instant::now() + LONG;
+        let by = Instant::now() + HANG_TIMEOUT;
         loop {
             let left = by.saturating_duration_since(Instant::now());
             let report =
--- a/crates/proxy/tests/common/discovery.rs
+++ b/crates/proxy/tests/common/discovery.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::watch::serve_watch;
-use super::{LONG, Watch, read_message};
+use super::{HANG_TIMEOUT, Watch, read_message};
 
 /// A discovery server that sends on its watches what the test passes to it.
 pub struct Discovery {
@@ -17,11 +17,11 @@
 
 impl Discovery {
     pub fn start() -> Self {
-        Self::beating(Duration::from_millis(500))
+        Self::with_heartbeat(Duration::from_millis(500))
     }
 
     /// Starts a discovery server that sends a heartbeat on a watch when it has sent nothing for `heartbeat_interval`.
-    pub fn beating(heartbeat_interval: Duration) -> Self {
+    pub fn with_heartbeat(heartbeat_interval: Duration) -> Self {
         Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port is available"), heartbeat_interval)
     }
 
@@ -43,6 +43,6 @@
 
     /// Waits for the next watch that the balancer opens, and returns it with its request line.
     pub fn watch(&self) -> (String, Watch) {
-        self.watches.recv_timeout(LONG).expect("the balancer opens a watch")
+        self.watches.recv_timeout(HANG_TIMEOUT).expect("the balancer opens a watch")
     }
 }
--- a/crates/proxy/tests/common/event_loop.rs
+++ b/crates/proxy/tests/common/event_loop.rs
@@ -75,7 +75,7 @@
 }
 
 /// Waits until a connection that has just received an answer is idle and can carry the next request.
-pub async fn wait_for_rest() {
+pub async fn wait_until_connection_idle() {
     tokio::time::sleep(Duration::from_millis(30)).await;
 }
 
--- a/crates/proxy/tests/common/faults.rs
+++ b/crates/proxy/tests/common/faults.rs
@@ -33,7 +33,7 @@
 }
 
 /// The program with injected faults, its upstreams and its discovery server.
-pub struct Site {
+pub struct ProxyWithFaults {
     pub upstreams: Vec<Upstream>,
     pub discovery: Discovery,
     program: Child,
@@ -45,7 +45,7 @@
     faults: PathBuf,
 }
 
-impl Site {
+impl ProxyWithFaults {
     /// Starts the program with the variables of the library that `variables` returns. It is called with the ports of
     /// the upstreams, separated by `+`.
     pub fn start(variables: impl Fn(&str) -> Vec<(&'static str, String)>) -> Self {
@@ -96,12 +96,12 @@
     /// Runs all clients on persistent connections, and checks what holds under any fault: each request is answered or
     /// its connection closed, a served answer has the text of the upstream, and nothing follows the last answer.
     /// Returns the outcomes of the requests.
-    pub fn ask_all(&self) -> Tally {
-        self.ask_all_on(false)
+    pub fn run_clients(&self) -> Tally {
+        self.run_clients_on(false)
     }
 
-    /// Runs all clients like [`Self::ask_all`], with a new connection for each request if `new_connections` is set.
-    pub fn ask_all_on(&self, new_connections: bool) -> Tally {
+    /// Runs all clients like [`Self::run_clients`], with a new connection for each request if `new_connections` is set.
+    pub fn run_clients_on(&self, new_connections: bool) -> Tally {
         let tally = Tally::default();
         thread::scope(|scope| {
             for client in 0..CLIENTS {
@@ -134,7 +134,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for ProxyWithFaults {
     fn drop(&mut self) {
         if thread::panicking() {
             eprintln!("{:#?}", self.log.lock().map(|log| log.clone()));
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -6,7 +6,7 @@
 
 use socket2::{Domain, Socket, Type};
 
-use super::{LONG, Message, Reply, SOON, Upstream, all_of, wait_for};
+use super::{HANG_TIMEOUT, Message, Reply, SHORT_TIMEOUT, Upstream, read_until_closed, wait_for};
 
 /// Creates a socket that is bound to a free port but does not listen yet. Its IP address is derived from the process
 /// ID, so that a program that still tries to connect to an upstream of an earlier test process cannot reach it.
@@ -73,7 +73,7 @@
         let (listener, address) = bound();
         // With a backlog of 0 the accept queue holds one connection.
         listener.listen(0).expect("the socket listens");
-        listener.set_read_timeout(Some(LONG)).expect("the read time-out is set");
+        listener.set_read_timeout(Some(HANG_TIMEOUT)).expect("the read time-out is set");
         Self { listener, address, queue: Vec::new() }
     }
 
@@ -133,14 +133,14 @@
 
 /// Connect time-out in seconds for tests that decide when a connection is established. It is so long that the policy
 /// does not end the wait during the test, even where it reviews a pending connect after a sixteenth of the time-out.
-pub const PATIENT_S: f64 = 80.0;
+pub const LONG_DIAL_TIMEOUT_S: f64 = 80.0;
 
-/// Returns all received connections, once no further one has arrived for [`SOON`].
-pub fn all_that_came(accepted: &mpsc::Receiver<TcpStream>) -> Vec<TcpStream> {
-    std::iter::from_fn(|| accepted.recv_timeout(SOON).ok()).collect()
+/// Returns all received connections, once no further one has arrived for [`SHORT_TIMEOUT`].
+pub fn collect_connections(accepted: &mpsc::Receiver<TcpStream>) -> Vec<TcpStream> {
+    std::iter::from_fn(|| accepted.recv_timeout(SHORT_TIMEOUT).ok()).collect()
 }
 
 /// Reads each connection until it ends, and returns whether none of them carried any data.
-pub fn nothing_came(streams: Vec<TcpStream>) -> bool {
-    streams.into_iter().all(|stream| all_of(stream).is_empty())
+pub fn all_without_data(streams: Vec<TcpStream>) -> bool {
+    streams.into_iter().all(|stream| read_until_closed(stream).is_empty())
 }
--- a/crates/proxy/tests/common/load.rs
+++ b/crates/proxy/tests/common/load.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use super::{Client, Message, Upstream, timed};
+use super::{Client, Message, Upstream, request_with_deadline};
 
 /// Clients that send requests of the class `order` until they are stopped.
 pub struct Load {
@@ -65,7 +65,7 @@
     }
 
     fn ask(client: &mut Client, body: &str) -> Option<Message> {
-        client.0.write_all(&timed("order", body, 2.0)).ok()?;
+        client.0.write_all(&request_with_deadline("order", body, 2.0)).ok()?;
         client.answer()
     }
 
--- a/crates/proxy/tests/common/message.rs
+++ b/crates/proxy/tests/common/message.rs
@@ -3,7 +3,7 @@
 use std::io::{ErrorKind, Read};
 use std::net::TcpStream;
 
-use super::LONG;
+use super::HANG_TIMEOUT;
 
 /// An HTTP message as it was received. Header names are in lower case.
 #[derive(Debug, Clone)]
@@ -53,8 +53,8 @@
 }
 
 /// Reads all bytes from a connection until it ends or is reset.
-pub fn all_of(mut stream: TcpStream) -> Vec<u8> {
-    stream.set_read_timeout(Some(LONG)).expect("the read time-out is set");
+pub fn read_until_closed(mut stream: TcpStream) -> Vec<u8> {
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the read time-out is set");
     let mut bytes = Vec::new();
     match stream.read_to_end(&mut bytes) {
         Ok(_) => bytes,
--- a/crates/proxy/tests/common/process.rs
+++ b/crates/proxy/tests/common/process.rs
@@ -9,7 +9,7 @@
 
 /// Starts the program with this configuration and a limit of 1024 open files.
 pub fn program(configuration: &str) -> Child {
-    program_within(1024, configuration)
+    program_with_descriptor_limit(1024, configuration)
 }
 
 /// Writes the configuration file of the test that runs on the current thread, and returns its path.
@@ -28,7 +28,7 @@
 }
 
 /// Starts the program with this configuration and a limit of `descriptors` open files, so that they really run out.
-pub fn program_within(descriptors: usize, configuration: &str) -> Child {
+pub fn program_with_descriptor_limit(descriptors: usize, configuration: &str) -> Child {
     program_on(descriptors, &write_configuration(configuration))
 }
 
--- a/crates/proxy/tests/common/upstream.rs
+++ b/crates/proxy/tests/common/upstream.rs
@@ -32,7 +32,7 @@
     /// Remote address of the connection.
     pub peer: SocketAddr,
     /// Whether a byte has been received on the connection.
-    pub spoken: bool,
+    pub has_received_data: bool,
     /// Whether the balancer has closed the connection.
     pub closed: bool,
 }
@@ -81,7 +81,7 @@
                 let (received, script) = (Arc::clone(&shared), Arc::clone(&script));
                 let connection = {
                     let mut received = received.lock().expect("the lock is not poisoned");
-                    received.links.push(Connection { peer, spoken: false, closed: false });
+                    received.links.push(Connection { peer, has_received_data: false, closed: false });
                     received.links.len()
                 };
                 thread::spawn(move || serve_upstream(stream, connection, &received, &*script));
@@ -147,7 +147,7 @@
     let change =
         |change: fn(&mut Connection)| change(&mut received.lock().expect("no panic").links[connection - 1]);
     if matches!(stream.peek(&mut [0]), Ok(1)) {
-        change(|link| link.spoken = true);
+        change(|link| link.has_received_data = true);
     }
     while let Some(message) = read_message(&mut stream) {
         let number = {
--- a/crates/proxy/tests/common/wait.rs
+++ b/crates/proxy/tests/common/wait.rs
@@ -4,10 +4,10 @@
 use std::time::{Duration, Instant};
 
 /// Time-out after which an expected event counts as missing. Anything that works takes less time.
-pub const LONG: Duration = Duration::from_secs(30);
+pub const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time within which a connection that is being closed is closed. It is short compared to the time-outs that the tests
 /// configure.
-pub const SOON: Duration = Duration::from_secs(3);
+pub const SHORT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Waits until `happened` returns a value, and returns that. `what` describes the condition in the panic message.
 pub fn wait_for<T>(what: &str, mut happened: impl FnMut() -> Option<T>) -> T {
@@ -16,7 +16,7 @@
         if let Some(value) = happened() {
             return value;
         }
-        assert!(start.elapsed() < LONG, "timed out waiting for: {what}");
+        assert!(start.elapsed() < HANG_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
--- a/crates/proxy/tests/common/watch.rs
+++ b/crates/proxy/tests/common/watch.rs
@@ -23,7 +23,7 @@
     }
 
     /// Sends a list of endpoints at this index, as a snapshot if `is_snapshot` is set and as a delta otherwise.
-    pub fn says(&self, index: u64, is_snapshot: bool, endpoints: &[Value]) {
+    pub fn send_endpoints(&self, index: u64, is_snapshot: bool, endpoints: &[Value]) {
         let line = json!({"index": index, "snapshot": is_snapshot, "endpoints": endpoints});
         self.bytes(format!("{line}\n").as_bytes());
     }
@@ -39,7 +39,7 @@
     }
 
     /// Sends a delta with one document, whose version is the index of the delta and follows the previous index.
-    pub fn publishes(&self, document: Document) {
+    pub fn send_delta(&self, document: Document) {
         let index = document.version;
         let update =
             Update { index, snapshot: false, after: index - 1, stale_s: 0, documents: vec![document] };
--- a/crates/proxy/tests/configuration.rs
+++ b/crates/proxy/tests/configuration.rs
@@ -98,9 +98,9 @@
             "lanes": classes(objective, &names), "projects": [tenant, {"name": "acme"}], "balancers": 1 + version % 3,
             "caps": {"tryLimit": 1 + version % 4, "keepaliveS": 5 + version % 7, "dialTimeoutS": 4.0},
             "prices": {"crossZone": 0.01 * version as f64}, "rules": {"coldS": version}});
-        watch.publishes(document(scope, version, &change));
+        watch.send_delta(document(scope, version, &change));
     }
-    watch.publishes(document("service/api", 61, &json!({"lanes": classes(30.0, &[new_class("last")])})));
+    watch.send_delta(document("service/api", 61, &json!({"lanes": classes(30.0, &[new_class("last")])})));
     parent.wait_version("service/api", 61);
     assert_eq!(balancer.client().ask("last", "the last").body, b"the last");
     finished.store(true, Ordering::Relaxed);
@@ -152,7 +152,7 @@
     let mut classes = classes(30.0, &[]);
     classes[2] = json!({"name": "order", "onTimeS": 30.0, "hardLimitS": 60.0, "effect": "deduplicated",
                       "dedupScope": "all", "windowS": 60.0});
-    watch.publishes(document("fleet", 1, &json!({"lanes": classes})));
+    watch.send_delta(document("fleet", 1, &json!({"lanes": classes})));
     parent.wait_version("fleet", 1);
     released.store(true, Ordering::Relaxed);
     assert_eq!(client.answer().expect("the balancer answers").status(), 502);
@@ -176,12 +176,12 @@
         classes[1]["windowS"] = seconds.into();
         json!({"lanes": classes})
     };
-    watch.publishes(document("fleet", 1, &with_window(window.as_secs_f64())));
+    watch.send_delta(document("fleet", 1, &with_window(window.as_secs_f64())));
     parent.wait_version("fleet", 1);
     let mut client = balancer.client();
     client.send("pay", "one");
     wait_for("the request runs", || (runs() == 1).then_some(()));
-    watch.publishes(document("fleet", 2, &with_window(60.0)));
+    watch.send_delta(document("fleet", 2, &with_window(60.0)));
     parent.wait_version("fleet", 2);
     released.store(true, Ordering::Relaxed);
     assert_eq!(client.answer().expect("the balancer answers").status(), 502);
@@ -197,13 +197,13 @@
     let upstream = start_echo_upstream();
     let (balancer, _discovery, parent, watch) = start_under_parent(&[&upstream]);
     let mut client = balancer.client();
-    watch.publishes(document("fleet", 1, &json!({"lanes": classes(30.0, &[new_class("good")])})));
+    watch.send_delta(document("fleet", 1, &json!({"lanes": classes(30.0, &[new_class("good")])})));
     parent.wait_version("fleet", 1);
     assert_eq!(client.ask("good", "one").body, b"one");
     let mut classes = classes(30.0, &[new_class("worse")]);
     classes[0]["onTimeS"] = json!(-1);
     classes[3]["effect"] = json!("none");
-    watch.publishes(document("fleet", 2, &json!({"lanes": classes})));
+    watch.send_delta(document("fleet", 2, &json!({"lanes": classes})));
     let report = parent.wait_report("a rejected document", |report| !report["refused"].is_null());
     let reason = report["refused"]["why"].as_str().expect("the report has a reason");
     assert!(
@@ -215,16 +215,16 @@
     assert_eq!(report["versions"], json!({"fleet": 1, "region/north": 0, "service/api": 0}));
     assert_eq!(client.ask("good", "two").body, b"two");
     // A document whose settings are invalid and a valid document are applied independently.
-    watch.publishes(document("region/north", 3, &json!({"zone": "south"})));
+    watch.send_delta(document("region/north", 3, &json!({"zone": "south"})));
     let report =
         parent.wait_report("the document of the third version", |report| report["refused"]["version"] == 3);
     assert_eq!(report["refused"]["scope"], "region/north");
-    watch.publishes(document("service/api", 4, &json!({"projects": [{"name": "acme"}, {"name": "new"}]})));
+    watch.send_delta(document("service/api", 4, &json!({"projects": [{"name": "acme"}, {"name": "new"}]})));
     let report = parent.wait_version("service/api", 4);
     assert_eq!(report["versions"], json!({"fleet": 1, "region/north": 0, "service/api": 4}));
     assert_eq!(report["refused"]["version"], 3, "version of the rejected document that is still reported");
-    watch.publishes(document("fleet", 5, &json!({"lanes": self::classes(30.0, &[new_class("better")])})));
-    watch.publishes(document("region/north", 6, &json!({"overShareWorth": 0.2})));
+    watch.send_delta(document("fleet", 5, &json!({"lanes": self::classes(30.0, &[new_class("better")])})));
+    watch.send_delta(document("region/north", 6, &json!({"overShareWorth": 0.2})));
     let report = parent.wait_version("region/north", 6);
     assert_eq!(report["versions"], json!({"fleet": 5, "region/north": 6, "service/api": 4}));
     assert_eq!(report.get("refused"), None);
@@ -244,14 +244,14 @@
     for documents in [[wide(1), narrow(2)], [narrow(1), wide(2)]] {
         let (balancer, _discovery, parent, watch) = start_under_parent(&[&upstream]);
         for document in documents.clone() {
-            watch.publishes(document);
+            watch.send_delta(document);
         }
         parent.wait_report("documents of both scopes", |report| {
             report["versions"]["fleet"] != 0 && report["versions"]["service/api"] != 0
         });
         assert_eq!(balancer.client().ask("narrow", "one").status(), 200);
         assert_eq!(balancer.client().ask("wide", "one").status(), 400);
-        watch.publishes(document("service/api", 3, &Value::Null));
+        watch.send_delta(document("service/api", 3, &Value::Null));
         parent.wait_version("service/api", 0);
         assert_eq!(balancer.client().ask("narrow", "two").status(), 400);
         assert_eq!(balancer.client().ask("wide", "two").status(), 200);
@@ -276,11 +276,11 @@
 fn a_parent_that_never_sends_a_state_is_replaced() {
     let upstream = start_echo_upstream();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
-    let (silent, other) = (Parent::beating(LONG), Parent::beating(LONG));
+    let (silent, other) = (Parent::with_heartbeat(HANG_TIMEOUT), Parent::with_heartbeat(HANG_TIMEOUT));
     let started = Instant::now();
     let (balancer, discovery) = start_with_parents(&known, &[silent.address, other.address]);
     let (_, discovery_watch) = discovery.watch();
-    discovery_watch.says(8, false, &[]);
+    discovery_watch.send_endpoints(8, false, &[]);
     // On a machine that is too busy to check the health in time, the check is skipped.
     let in_time = || started.elapsed() < Duration::from_millis(500);
     assert!(balancer.health() == 503 || !in_time());
@@ -301,12 +301,12 @@
 #[test]
 fn health_waits_for_the_first_state() {
     let upstream = start_echo_upstream();
-    let parent = Parent::beating(LONG);
+    let parent = Parent::with_heartbeat(HANG_TIMEOUT);
     let started = Instant::now();
     let known = [endpoint("s-1", upstream.address, 0, "ready")];
     let (balancer, discovery) = start_with_parents(&known, &[parent.address]);
     let (_, discovery_watch) = discovery.watch();
-    discovery_watch.says(8, false, &[]);
+    discovery_watch.send_endpoints(8, false, &[]);
     let in_time = || started.elapsed() < Duration::from_millis(500);
     assert!(balancer.health() == 503 || !in_time());
     let (_, watch) = parent.watch();
@@ -347,7 +347,7 @@
     let text = with_parents(&configuration(new_discovery.address, &known, 30.0, 1024), &[dead_address()]);
     std::fs::write(&file, text).expect("the file can be written");
     for version in 2..30 {
-        watch.publishes(document("fleet", version, &json!({"lanes": classes(30.0, &[new_class("one")])})));
+        watch.send_delta(document("fleet", version, &json!({"lanes": classes(30.0, &[new_class("one")])})));
         if version == 15 {
             signal(&child, "-HUP");
             wait_line(&mut log, "discovery address changed to");
@@ -391,7 +391,7 @@
             .take(2 + version as usize % 2)
             .cloned()
             .collect();
-        watch.publishes(document("fleet", version, &json!({"lanes": classes})));
+        watch.send_delta(document("fleet", version, &json!({"lanes": classes})));
         if version == 20 {
             signal(&child, "-TERM");
             wait_line(&mut log, "graceful shutdown, ");
--- a/crates/proxy/tests/connecting.rs
+++ b/crates/proxy/tests/connecting.rs
@@ -81,7 +81,7 @@
     let upstream = late.serve(|_, _| ok("late"));
     wait_connected(&balancer, &upstream);
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &[endpoint("s-2", other.address, 1, "gone")]);
+    watch.send_endpoints(8, false, &[endpoint("s-2", other.address, 1, "gone")]);
     wait_for("late upstream serves", || (balancer.client().ask("read", "").body == b"late").then_some(()));
     let connections: Vec<usize> = upstream.requests().iter().map(|(connection, _)| *connection).collect();
     drop(balancer);
@@ -108,7 +108,7 @@
     });
     let late = LateUpstream::start();
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &[endpoint("s-1", late.address, 0, "ready")]);
+    watch.send_endpoints(8, false, &[endpoint("s-1", late.address, 0, "ready")]);
     let mut request_number = 0;
     // Sends one request at a time, some of which may be refused, until one waits for a connection.
     let mut client = wait_for("an attempt is sent to the late upstream", || {
@@ -120,7 +120,7 @@
             let is_connecting = !connecting(late.address).is_empty();
             (is_connecting || client.0.peek(&mut [0]).is_ok()).then_some(is_connecting)
         });
-        client.0.set_read_timeout(Some(LONG)).expect("the socket option can be set");
+        client.0.set_read_timeout(Some(HANG_TIMEOUT)).expect("the socket option can be set");
         is_connecting.then_some(client)
     });
     let upstream = late.serve(|_, _| ok("late"));
@@ -144,7 +144,7 @@
     let (mut first, mut second) = (balancer.client(), balancer.client());
     first.send("read", "");
     let mut stream = late.accept();
-    stream.set_read_timeout(Some(LONG)).expect("the socket option can be set");
+    stream.set_read_timeout(Some(HANG_TIMEOUT)).expect("the socket option can be set");
     read_message(&mut stream).expect("the first request arrives");
     late.close_up();
     second.send("read", "");
@@ -229,7 +229,7 @@
     wait_connected(&balancer, &upstream);
     drop(balancer);
     let links = upstream.all_links();
-    assert!(links.len() == 1 && !links[0].spoken, "expected one unused connection, got {links:?}");
+    assert!(links.len() == 1 && !links[0].has_received_data, "expected one unused connection, got {links:?}");
 }
 
 /// Guards descriptors against a connect that never succeeds: it is given up, whether or not requests are sent to the
@@ -272,7 +272,7 @@
     // The balancer may have given up the connect before it succeeded; then there is no connection to check.
     for (number, link) in upstream.all_links().iter().enumerate() {
         wait_for("the balancer closes it", || upstream.links()[number].closed.then_some(()));
-        assert!(!upstream.links()[number].spoken, "a request was sent on {link:?}");
+        assert!(!upstream.links()[number].has_received_data, "a request was sent on {link:?}");
     }
     let mut client = balancer.client();
     client.send("read", "");
@@ -306,7 +306,7 @@
             changed["since_ms"] = json!(1);
         }
         let (_, watch) = discovery.watch();
-        watch.says(8, false, &[changed, endpoint("s-2", other.address, 1, "ready")]);
+        watch.send_endpoints(8, false, &[changed, endpoint("s-2", other.address, 1, "ready")]);
         wait_for("the update is applied", || {
             (balancer.client().ask("read", "").body == b"other").then_some(())
         });
@@ -322,13 +322,13 @@
         }
         if let Some(number) = upstream.all_links().iter().position(|link| link.peer.port() == old_ports[0]) {
             wait_for("the balancer closes it", || upstream.links()[number].closed.then_some(()));
-            assert!(!upstream.links()[number].spoken, "{change}: sent on the old connection");
+            assert!(!upstream.links()[number].has_received_data, "{change}: sent on the old connection");
         }
         drop(balancer);
         // After a restart the new process gets requests, on new connections.
         if change != "restarted" {
             assert!(
-                upstream.all_links().iter().all(|link| !link.spoken),
+                upstream.all_links().iter().all(|link| !link.has_received_data),
                 "{change}: sent to the old address"
             );
         }
@@ -386,7 +386,7 @@
     let mut list = entries(0.0);
     list.extend((0..40).map(|number| endpoint(&format!("s-{number}"), answering.address, 1, "ready")));
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &list);
+    watch.send_endpoints(8, false, &list);
     wait_for("the list is applied", || {
         let mut client = balancer.client();
         client.raw(
@@ -440,7 +440,7 @@
         );
         // The program ends at the latest half a second plus the longest deadline after the signal.
         assert!(
-            signalled_at.elapsed() < SOON,
+            signalled_at.elapsed() < SHORT_TIMEOUT,
             "the program ended {:?} after the signal",
             signalled_at.elapsed()
         );
--- a/crates/proxy/tests/discovery.rs
+++ b/crates/proxy/tests/discovery.rs
@@ -23,7 +23,7 @@
         // The drain is applied even if the address in its entry is invalid.
         let mut drained = endpoint("s-1", old.address, 0, status);
         drained["address"] = "".into();
-        watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+        watch.send_endpoints(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         old.wait_closed(1);
         for _ in 0..5 {
             assert_eq!(client.ask("order", "two").body, b"new");
@@ -63,7 +63,7 @@
     let upstream = Upstream::start(|_, _| ok("served"));
     let (balancer, discovery) = Balancer::with(&[endpoint("s-1", upstream.address, 0, "ready")], 30.0);
     let (_, watch) = discovery.watch();
-    watch.says(11, false, &[]);
+    watch.send_endpoints(11, false, &[]);
     watch.end();
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=11 HTTP/1.1");
@@ -78,10 +78,10 @@
 /// opens a new watch, because it must learn of the changes that the silent watch does not send.
 #[test]
 fn a_silent_watch_is_reopened() {
-    let discovery = Discovery::beating(LONG);
+    let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
     let _balancer = Balancer::start(&configuration(discovery.address, &[], 30.0, 1024));
     let (_, watch) = discovery.watch();
-    watch.says(9, true, &[]);
+    watch.send_endpoints(9, true, &[]);
     let (line, _watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=9 HTTP/1.1");
 }
@@ -94,7 +94,7 @@
     let mut client = balancer.client();
     assert_eq!(client.ask("order", "one").body, b"old");
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &[endpoint("s-1", new.address, 0, "ready")]);
+    watch.send_endpoints(8, false, &[endpoint("s-1", new.address, 0, "ready")]);
     old.wait_closed(1);
     assert_eq!(client.ask("order", "two").body, b"new");
 }
@@ -106,7 +106,7 @@
     let (balancer, discovery) = Balancer::with(&[], 30.0);
     assert_eq!(balancer.health(), 503);
     let (_, watch) = discovery.watch();
-    watch.says(8, true, &[endpoint("s-1", upstream.address, 0, "ready")]);
+    watch.send_endpoints(8, true, &[endpoint("s-1", upstream.address, 0, "ready")]);
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
 }
 
@@ -122,7 +122,7 @@
 #[test]
 fn a_new_process_waits_for_the_list_of_discovery() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-    let discovery = Discovery::beating(LONG);
+    let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
     let known = [endpoint("s-1", old.address, 0, "ready")];
     let started = Instant::now();
     let balancer = start_with_pushed_lists(&discovery, &known);
@@ -131,14 +131,14 @@
     assert!(balancer.health() == 503 || !in_time());
     let (_, watch) = discovery.watch();
     let drained = endpoint("s-1", old.address, 0, "draining");
-    watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+    watch.send_endpoints(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     if in_time() {
         assert_eq!(balancer.client().ask("order", "one").body, b"new");
         assert!(old.requests().is_empty());
     }
     // If discovery is down, the balancer serves with the list of its configuration.
-    let down = configuration(Discovery::beating(LONG).address, &known, 30.0, 1024);
+    let down = configuration(Discovery::with_heartbeat(HANG_TIMEOUT).address, &known, 30.0, 1024);
     let balancer = Balancer::start(&down);
     wait_for("the balancer can serve", || (balancer.health() == 200).then_some(()));
     assert_eq!(balancer.client().ask("order", "one").body, b"old");
@@ -150,16 +150,16 @@
 #[test]
 fn a_drain_missed_in_an_outage_is_applied_within_six_seconds() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-    let discovery = Discovery::beating(LONG);
+    let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
     let known = [endpoint("s-1", old.address, 0, "ready")];
     let balancer = start_with_pushed_lists(&discovery, &known);
     let (_, watch) = discovery.watch();
-    watch.says(8, false, &[endpoint("s-2", new.address, 1, "ready")]);
+    watch.send_endpoints(8, false, &[endpoint("s-2", new.address, 1, "ready")]);
     let silent_since = Instant::now();
     let (_, _never_speaks) = discovery.watch();
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=8 HTTP/1.1");
-    watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining")]);
+    watch.send_endpoints(9, false, &[endpoint("s-1", old.address, 0, "draining")]);
     let asked = |body| balancer.client().ask("order", body).body;
     wait_for("the drain is applied", || (0..8).all(|_| asked("one") == b"new").then_some(()));
     assert!(silent_since.elapsed() < Duration::from_secs(6), "the drain took {:?}", silent_since.elapsed());
@@ -175,7 +175,7 @@
     let balancer = start_with_pushed_lists(&discovery, &known);
     let (line, watch) = discovery.watch();
     assert_eq!(line, "GET /catalog/members?follow=1&since=7 HTTP/1.1");
-    watch.says(
+    watch.send_endpoints(
         8,
         false,
         &[endpoint("s-1", old.address, 0, "draining"), endpoint("s-2", new.address, 1, "ready")],
@@ -233,7 +233,7 @@
                     let discovery = Discovery::on(listener, Duration::from_millis(500));
                     let (_, watch) = discovery.watch();
                     let drained = endpoint("s-1", old.address, 0, "draining");
-                    watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+                    watch.send_endpoints(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
                     let mut client = balancer.client();
                     wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
                     assert!(
@@ -252,20 +252,20 @@
 fn a_line_that_never_ends_is_no_heartbeat() {
     in_each_mode(|mode| {
         let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-        let discovery = Discovery::beating(LONG);
+        let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
         let balancer = start_in_mode(mode, discovery.address, &[endpoint("s-1", old.address, 0, "ready")]);
         let (_, watch) = discovery.watch();
-        watch.says(8, false, &[]);
+        watch.send_endpoints(8, false, &[]);
         let started_at = Instant::now();
         let writer = thread::spawn(move || {
             // The balancer gives up the watch while this thread writes to it.
-            while started_at.elapsed() < LONG && watch.try_bytes(b" ") {
+            while started_at.elapsed() < HANG_TIMEOUT && watch.try_bytes(b" ") {
                 thread::sleep(Duration::from_millis(100));
             }
         });
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
-        watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+        watch.send_endpoints(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = balancer.client();
         wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
         assert!(
@@ -286,15 +286,15 @@
     let (_, watch) = discovery.watch();
     let ready = endpoint("s-1", old.address, 0, "ready");
     let other = endpoint("s-2", new.address, 1, "ready");
-    watch.says(9, false, &[endpoint("s-1", old.address, 0, "draining"), other.clone()]);
+    watch.send_endpoints(9, false, &[endpoint("s-1", old.address, 0, "draining"), other.clone()]);
     let mut client = balancer.client();
     wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
     let requests_before = old.requests().len();
-    watch.says(8, false, std::slice::from_ref(&ready));
-    watch.says(7, true, &[ready, other.clone()]);
+    watch.send_endpoints(8, false, std::slice::from_ref(&ready));
+    watch.send_endpoints(7, true, &[ready, other.clone()]);
     // Updates are applied in the order in which they arrive, so the last one shows that all are applied.
     let third = Upstream::start(|_, _| ok("third"));
-    watch.says(8, false, &[endpoint("s-3", third.address, 2, "ready")]);
+    watch.send_endpoints(8, false, &[endpoint("s-3", third.address, 2, "ready")]);
     wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
@@ -307,7 +307,7 @@
     // A new start ends the drain.
     let mut restarted = endpoint("s-1", old.address, 0, "ready");
     restarted["since_ms"] = 1_000.into();
-    watch.says(9, false, &[restarted]);
+    watch.send_endpoints(9, false, &[restarted]);
     wait_for("the new start is applied", || (client.ask("read", "").body == b"old").then_some(()));
 }
 
@@ -333,16 +333,16 @@
     wait_for("twice the step has passed", || (first_list.elapsed().as_millis() > 2 * step_ms).then_some(()));
     let now =
         SystemTime::now().duration_since(UNIX_EPOCH).expect("the clock is after 1970").as_millis() as u64;
-    watch.says(9, false, &[endpoint_started_at("s-1", restarted.address, "ready", now)]);
+    watch.send_endpoints(9, false, &[endpoint_started_at("s-1", restarted.address, "ready", now)]);
     let mut client = balancer.client();
     wait_for("the endpoint is listed", || (client.ask("read", "").body == b"restarted").then_some(()));
-    watch.says(10, false, &[endpoint_started_at("s-1", restarted.address, "draining", now)]);
+    watch.send_endpoints(10, false, &[endpoint_started_at("s-1", restarted.address, "draining", now)]);
     wait_for("the drain is applied", || {
         (0..16).all(|_| client.ask("read", "").body == b"other").then_some(())
     });
     let restart = endpoint_started_at("s-1", restarted.address, "ready", now - step_ms as u64);
     // From here on the list contains only the new start of the endpoint.
-    watch.says(3, true, &[restart]);
+    watch.send_endpoints(3, true, &[restart]);
     wait_for("the new start is applied", || (client.ask("read", "").body == b"restarted").then_some(()));
 }
 
@@ -361,7 +361,7 @@
     let balancer = Balancer::start(&text.replace(usual, short));
     let (_, watch) = discovery.watch();
     let other_entry = endpoint("s-2", other.address, 0, "ready");
-    watch.says(
+    watch.send_endpoints(
         9,
         false,
         &[endpoint_started_at("s-1", drained.address, "draining", 5_000), other_entry.clone()],
@@ -370,9 +370,13 @@
     wait_for("the drain is applied", || (client.ask("read", "").body == b"other").then_some(()));
     let requests_before = drained.requests().len();
     let third = Upstream::start(|_, _| ok("third"));
-    watch.says(3, true, &[endpoint_started_at("s-1", drained.address, "ready", 2_000), other_entry]);
+    watch.send_endpoints(
+        3,
+        true,
+        &[endpoint_started_at("s-1", drained.address, "ready", 2_000), other_entry],
+    );
     // Updates are applied in the order in which they arrive, so the last one shows that all are applied.
-    watch.says(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
+    watch.send_endpoints(4, false, &[endpoint("s-3", third.address, 2, "ready")]);
     wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
@@ -393,8 +397,8 @@
     let (balancer, discovery) = Balancer::with(&known, 30.0);
     let (_, watch) = discovery.watch();
     let other_entry = endpoint("s-2", other.address, 0, "ready");
-    watch.says(8, false, &[endpoint_started_at("s-1", drained.address, "ready", 2_000)]);
-    watch.says(
+    watch.send_endpoints(8, false, &[endpoint_started_at("s-1", drained.address, "ready", 2_000)]);
+    watch.send_endpoints(
         9,
         false,
         &[endpoint_started_at("s-1", drained.address, "draining", 2_000), other_entry.clone()],
@@ -405,9 +409,17 @@
     // Updates are applied in the order in which they arrive, so the last one shows that all are applied. The older
     // lists before it name the start of the previous process again, and the one of the current process.
     let third = Upstream::start(|_, _| ok("third"));
-    watch.says(7, true, &[endpoint_started_at("s-1", drained.address, "ready", 5_000), other_entry.clone()]);
-    watch.says(6, true, &[endpoint_started_at("s-1", drained.address, "ready", 2_000), other_entry]);
-    watch.says(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
+    watch.send_endpoints(
+        7,
+        true,
+        &[endpoint_started_at("s-1", drained.address, "ready", 5_000), other_entry.clone()],
+    );
+    watch.send_endpoints(
+        6,
+        true,
+        &[endpoint_started_at("s-1", drained.address, "ready", 2_000), other_entry],
+    );
+    watch.send_endpoints(7, false, &[endpoint("s-3", third.address, 2, "ready")]);
     wait_for("the last update is applied", || (client.ask("read", "").body == b"third").then_some(()));
     for _ in 0..20 {
         client.ask("read", "");
@@ -423,14 +435,14 @@
 #[test]
 fn updates_on_an_abandoned_watch_are_ignored() {
     let (old, new) = (Upstream::start(|_, _| ok("old")), Upstream::start(|_, _| ok("new")));
-    let discovery = Discovery::beating(LONG);
+    let discovery = Discovery::with_heartbeat(HANG_TIMEOUT);
     let balancer = start_with_pushed_lists(&discovery, &[endpoint("s-1", old.address, 0, "ready")]);
     let (_, old_watch) = discovery.watch();
-    old_watch.says(8, false, &[]);
+    old_watch.send_endpoints(8, false, &[]);
     // The first watch falls silent, and the next one sends an update.
     let (_, new_watch) = discovery.watch();
     let drained = endpoint("s-1", old.address, 0, "draining");
-    new_watch.says(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+    new_watch.send_endpoints(9, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
     let mut client = balancer.client();
     wait_for("the drain is applied", || (client.ask("read", "").body == b"new").then_some(()));
     let requests_before = old.requests().len();
@@ -471,7 +483,7 @@
         signal(&child, "-HUP");
         let (_, watch) = last.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
-        watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+        watch.send_endpoints(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         let mut client = Client::connect(address);
         wait_for("the list is applied", || (client.ask("read", "").body == b"new").then_some(()));
         assert!(
--- a/crates/proxy/tests/failing_upstreams.rs
+++ b/crates/proxy/tests/failing_upstreams.rs
@@ -20,7 +20,7 @@
     let mut client = balancer.client();
     for number in 0..REQUESTS {
         let began = Instant::now();
-        client.raw(&timed("read", &format!("r-{number}"), 2.0));
+        client.raw(&request_with_deadline("read", &format!("r-{number}"), 2.0));
         let status = client.answer().expect("an answer").status();
         assert!(matches!(status, 502 | 503), "request {number}: expected 502 or 503, got {status}");
         assert!(
@@ -29,7 +29,7 @@
             began.elapsed()
         );
     }
-    assert!(ends_empty(client), "expected one answer for each request, got more");
+    assert!(closes_without_data(client), "expected one answer for each request, got more");
     let attempts: Vec<usize> = (0..REQUESTS)
         .map(|number| upstreams.iter().map(|upstream| upstream.count_of(&format!("r-{number}"))).sum())
         .collect();
@@ -63,7 +63,7 @@
         for milliseconds in 1..=EACH {
             let time = Duration::from_millis(milliseconds as u64);
             let began = Instant::now();
-            client.raw(&timed(class, &format!("{class}-{milliseconds}"), time.as_secs_f64()));
+            client.raw(&request_with_deadline(class, &format!("{class}-{milliseconds}"), time.as_secs_f64()));
             let status = client.answer().expect("an answer").status();
             assert!(
                 matches!(status, 200 | 502 | 503),
@@ -72,7 +72,7 @@
             let took = began.elapsed();
             assert!(took < time + ANSWER_SLACK, "{class} with {time:?} left: answered only after {took:?}");
         }
-        assert!(ends_empty(client), "{class}: expected one answer for each request, got more");
+        assert!(closes_without_data(client), "{class}: expected one answer for each request, got more");
     };
     thread::scope(|scope| {
         for class in ["read", "pay", "order"] {
--- a/crates/proxy/tests/fleet_size.rs
+++ b/crates/proxy/tests/fleet_size.rs
@@ -212,7 +212,7 @@
 fn measure_usage(fleet: Fleet) -> Usage {
     let (port, connections) = start_upstreams();
     let (discovery, discovery_server) = ChangingDiscovery::start(fleet, port);
-    let mut child = program_within(DESCRIPTORS, &configuration_in(fleet, discovery, port));
+    let mut child = program_with_descriptor_limit(DESCRIPTORS, &configuration_in(fleet, discovery, port));
     let (address, _log) = address(&mut child);
     let process = Process(child.id());
     let clients: Vec<_> = (0..CLIENTS).map(|_| thread::spawn(move || send_requests(address))).collect();
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -82,7 +82,7 @@
             client.raw(&order_with(b""));
             late.wait_connecting(1);
             shutdown.terminate();
-            let mut stream = late.open().recv_timeout(LONG).expect("the connection comes up");
+            let mut stream = late.open().recv_timeout(HANG_TIMEOUT).expect("the connection comes up");
             read_message(&mut stream).expect("the request arrives");
             stream.write_all(COMPLETE_ANSWER.as_bytes()).expect("the connection is open");
             shutdown.assert_answered_and_exited(client, "served");
@@ -122,7 +122,7 @@
             first.wait_requests(1);
             let second = Upstream::start(|_, _| ok("second"));
             let watch = shutdown.discovery.watch().1;
-            watch.says(8, false, &[endpoint("s-2", second.address, 0, "ready")]);
+            watch.send_endpoints(8, false, &[endpoint("s-2", second.address, 0, "ready")]);
             wait_for("the list with the second upstream is applied", || {
                 let answer = Client::connect(shutdown.address).try_ask("read", "")?;
                 (answer.body == b"second").then_some(())
@@ -166,7 +166,7 @@
     let mut clients: Vec<Client> = Vec::new();
     for number in 0..12 {
         let mut client = Client::connect(address);
-        client.raw(&timed(classes[number % 3], &format!("before-{number}"), 3.0));
+        client.raw(&request_with_deadline(classes[number % 3], &format!("before-{number}"), 3.0));
         clients.push(client);
     }
     wait_for("requests hang at the upstreams", || {
@@ -178,14 +178,22 @@
     // New clients connect until the front stops sending them to this balancer.
     while stopped.elapsed() < Duration::from_millis(400) {
         let mut client = Client::connect(address);
-        client.raw(&timed(classes[clients.len() % 3], &format!("after-{}", clients.len()), 3.0));
+        client.raw(&request_with_deadline(
+            classes[clients.len() % 3],
+            &format!("after-{}", clients.len()),
+            3.0,
+        ));
         clients.push(client);
         thread::sleep(Duration::from_millis(20));
     }
     // Clients keep using their open connections; the deadlines of these requests are after the earliest SIGKILL.
     thread::sleep(Duration::from_millis(1500).saturating_sub(stopped.elapsed()));
     for mut client in idle_clients {
-        client.raw(&timed(classes[clients.len() % 3], &format!("late-{}", clients.len()), 3.0));
+        client.raw(&request_with_deadline(
+            classes[clients.len() % 3],
+            &format!("late-{}", clients.len()),
+            3.0,
+        ));
         clients.push(client);
     }
     for (number, mut client) in clients.into_iter().enumerate() {
@@ -195,7 +203,7 @@
             "request {number}: expected 502 or 503, got {}",
             answer.line
         );
-        assert!(ends_empty(client), "request {number}: expected one answer, got more");
+        assert!(closes_without_data(client), "request {number}: expected one answer, got more");
     }
     let answered = stopped.elapsed();
     assert!(child.wait().expect("the program exits").success());
@@ -225,7 +233,7 @@
     let stopped = Instant::now();
     signal(&child, "-TERM");
     wait_line(&mut log, "graceful shutdown, ");
-    watch.says(
+    watch.send_endpoints(
         8,
         false,
         &[
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -32,7 +32,7 @@
         let tried = bench.run(meets);
         served += u32::from(tried.last().is_some_and(|upstream| !failing.contains(&upstream.0)));
         failed += tried.iter().filter(|upstream| failing.contains(&upstream.0)).count() as u32;
-        bench.pass(millis(30));
+        bench.advance(millis(30));
     }
     (served, failed)
 }
@@ -44,9 +44,9 @@
     let mut bench = replica(DiscoveryMode::Push);
     assert_eq!(send_requests(&mut bench, 200, &[]), (200, 0));
     let (busy_served, busy_failed) = send_requests(&mut bench, 200, &[2, 5]);
-    bench.pass(Duration::from_secs(60));
+    bench.advance(Duration::from_secs(60));
     assert_eq!(send_requests(&mut bench, 200, &[]).0, 200);
-    bench.pass(Duration::from_secs(6 * 3600));
+    bench.advance(Duration::from_secs(6 * 3600));
     let (served, failed) = send_requests(&mut bench, 200, &[2, 5]);
     println!("{failed} attempts failed after the idle period, {busy_failed} after traffic");
     assert!(
@@ -59,7 +59,7 @@
         "expected at most 12 failed attempts and at most {busy_failed} + 4 as after traffic, got {failed}"
     );
     // The policy uses the upstreams again after they have recovered.
-    bench.pass(Duration::from_secs(60));
+    bench.advance(Duration::from_secs(60));
     assert_eq!(send_requests(&mut bench, 200, &[]).0, 200);
 }
 
@@ -68,16 +68,16 @@
 fn simulate_discovery_outage(bench: &mut Bench, length: Duration) -> Vec<Duration> {
     let end = bench.now + length;
     let mut subscribed_at = Vec::new();
-    bench.tell(Event::List(ListUpdate::Broken));
+    bench.report(Event::List(ListUpdate::Broken));
     while bench.now < end {
-        let actions = bench.tell(Event::MaintenanceDue);
+        let actions = bench.report(Event::MaintenanceDue);
         let wake = actions.iter().find_map(|action| match action {
             Action::ScheduleMaintenance(span) => Some(*span),
             _ => None,
         });
         if actions.contains(&Action::Subscribe) {
             subscribed_at.push(bench.now);
-            bench.tell(Event::List(ListUpdate::Broken));
+            bench.report(Event::List(ListUpdate::Broken));
         }
         bench.now += wake.expect("maintenance schedules its next run");
     }
@@ -121,13 +121,13 @@
             lifecycle: if id < 4 { Lifecycle::Draining } else { Lifecycle::Ready },
             ..member(id)
         };
-        bench.tell(Event::List(ListUpdate::Snapshot((0..8).map(replaced).collect())));
+        bench.report(Event::List(ListUpdate::Snapshot((0..8).map(replaced).collect())));
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
             let (id, actions) = bench.offer(None);
             let upstream = sent(&actions).expect("four upstreams are ready");
             *seen.entry(upstream.0).or_default() += 1;
-            bench.pass(millis(20));
+            bench.advance(millis(20));
             bench.end(id, 0, Outcome::Success, millis(20));
         }
         assert!(
--- a/crates/proxy/tests/network_faults.rs
+++ b/crates/proxy/tests/network_faults.rs
@@ -8,7 +8,7 @@
 
 /// Checks that each request got an answer and that no at-most-once request was sent twice. The answer of a request that
 /// never ran says that a retry is harmless.
-fn assert_answered(site: &Site, tally: &Tally) {
+fn assert_answered(site: &ProxyWithFaults, tally: &Tally) {
     let [served, refused, failed, closed] = tally.counts();
     assert_eq!(
         (served + refused + failed, closed),
@@ -23,8 +23,10 @@
 #[test]
 fn requests_are_served_when_connects_fail_in_the_network() {
     let errors = "ENETUNREACH+EHOSTUNREACH+ECONNREFUSED+ETIMEDOUT";
-    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
-    let tally = site.ask_all();
+    let site = ProxyWithFaults::start(|ports| {
+        vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]
+    });
+    let tally = site.run_clients();
     assert!(site.faults("CONNECT", None) > 0);
     assert_answered(&site, &tally);
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
@@ -34,8 +36,10 @@
 #[test]
 fn requests_are_served_when_connects_fail_with_so_error() {
     let errors = "ETIMEDOUT+EHOSTUNREACH";
-    let site = Site::start(|ports| vec![("FAULT_SO_ERROR", format!("errno={errors},every=3,ports={ports}"))]);
-    let tally = site.ask_all();
+    let site = ProxyWithFaults::start(|ports| {
+        vec![("FAULT_SO_ERROR", format!("errno={errors},every=3,ports={ports}"))]
+    });
+    let tally = site.run_clients();
     assert!(site.faults("SO_ERROR", None) > 0);
     assert_answered(&site, &tally);
     assert_eq!(tally.counts()[2], 0, "{tally:?}");
@@ -46,11 +50,11 @@
 #[test]
 fn a_request_broken_before_its_last_byte_is_sent_again() {
     for short in ["", ",short=60"] {
-        let site = Site::start(|ports| {
+        let site = ProxyWithFaults::start(|ports| {
             let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET+EPIPE";
             vec![("FAULT_WRITE", format!("errno={errors},every=9,ports={ports}{short}"))]
         });
-        let tally = site.ask_all();
+        let tally = site.run_clients();
         assert!(site.faults("WRITE", None) > REQUESTS / 2);
         assert_answered(&site, &tally);
         assert_eq!(
@@ -66,11 +70,11 @@
 #[test]
 fn an_order_broken_after_its_last_byte_is_not_sent_again() {
     for short in ["", ",short=20"] {
-        let site = Site::start(|ports| {
+        let site = ProxyWithFaults::start(|ports| {
             let errors = "ETIMEDOUT+EHOSTUNREACH+ECONNRESET";
             vec![("FAULT_READ", format!("errno={errors},every=9,ports={ports}{short}"))]
         });
-        let tally = site.ask_all();
+        let tally = site.run_clients();
         assert!(site.faults("READ", None) > REQUESTS / 2);
         assert_answered(&site, &tally);
         // Requests that may run again do not fail.
@@ -81,7 +85,7 @@
 /// Sends an order whose first connection breaks after `bytes` bytes are written. Returns the status of the answer and
 /// how often the order ran.
 fn send_order_broken_after(bytes: usize) -> (u16, usize) {
-    let site = Site::start(|ports| {
+    let site = ProxyWithFaults::start(|ports| {
         vec![("FAULT_WRITE", format!("errno=ETIMEDOUT,short={bytes},count=1,ports={ports}"))]
     });
     let status = Client::connect(site.address).ask("order", "one").status();
@@ -100,7 +104,7 @@
 /// Guards the boundary between requests that never ran and those that may have run: it is the write of the last byte.
 #[test]
 fn the_last_byte_decides_whether_an_order_is_sent_again() {
-    let site = Site::start(|_| Vec::new());
+    let site = ProxyWithFaults::start(|_| Vec::new());
     assert_eq!(Client::connect(site.address).ask("order", "one").status(), 200);
     let size = site.upstreams.iter().find_map(|upstream| upstream.requests().first().cloned());
     let size = size.expect("the order ran").1.size;
--- a/crates/proxy/tests/process_stalls.rs
+++ b/crates/proxy/tests/process_stalls.rs
@@ -41,7 +41,7 @@
         let (_client, server_side) = connected_pair();
         let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
         assert!(accept(event_loop, "read", Bytes::new(), &server_side, deadline).await.is_ok());
-        wait_for_rest().await;
+        wait_until_connection_idle().await;
         let answer = accept(event_loop, "read", Bytes::new(), &server_side, deadline);
         // This task runs after the task of the attempt and before the task of the connection, which the attempt wakes.
         let remaining = spawn_local(async move {
@@ -76,7 +76,7 @@
             let (_client, server_side) = connected_pair();
             let deadline = tokio::time::Instant::now() + Duration::from_secs(20);
             assert!(accept(event_loop, "read", Bytes::new(), &server_side, deadline).await.is_ok());
-            wait_for_rest().await;
+            wait_until_connection_idle().await;
             let answer = accept(event_loop, "read", Bytes::new(), &server_side, deadline);
             let update = json!({"index": 8, "snapshot": false,
                               "endpoints": [endpoint("s-1", upstream.address, 0, status)]});
--- a/crates/proxy/tests/reloads.rs
+++ b/crates/proxy/tests/reloads.rs
@@ -33,7 +33,7 @@
     let reloaded = Instant::now();
     let (_, last) = servers[RELOADS - 1].watch();
     let gone = endpoint("s-1", old.address, 0, "gone");
-    last.says(20, true, &[gone, endpoint("s-2", new.address, 1, "ready")]);
+    last.send_endpoints(20, true, &[gone, endpoint("s-2", new.address, 1, "ready")]);
     new.wait_requests(1);
     assert!(reloaded.elapsed() < Duration::from_secs(4), "the last list took {:?}", reloaded.elapsed());
     let before = old.requests().len();
--- a/crates/proxy/tests/resource_exhaustion.rs
+++ b/crates/proxy/tests/resource_exhaustion.rs
@@ -45,8 +45,8 @@
     wait_line(&mut log, "graceful shutdown, ");
     // Answers close their connections from 0.5 s after SIGTERM on; the rest of the bound allows for a busy machine.
     assert!(
-        signalled.elapsed() < SOON,
-        "expected the second drain message within {SOON:?}, it took {:?}",
+        signalled.elapsed() < SHORT_TIMEOUT,
+        "expected the second drain message within {SHORT_TIMEOUT:?}, it took {:?}",
         signalled.elapsed()
     );
     drop(log);
@@ -54,7 +54,7 @@
     let ended =
         wait_for("the program exits", || child.try_wait().expect("waited").map(|_| signalled.elapsed()));
     running.store(false, Ordering::Relaxed);
-    assert!(ended < SOON, "expected an exit within {SOON:?} of SIGTERM, it took {ended:?}");
+    assert!(ended < SHORT_TIMEOUT, "expected an exit within {SHORT_TIMEOUT:?} of SIGTERM, it took {ended:?}");
     for flood in floods {
         flood.join().expect("the thread does not panic");
     }
@@ -71,7 +71,7 @@
         // The port is bound but does not listen, so it refuses connections.
         let (down, place) = bound();
         let text = configuration(place, &known, 30.0, 64).replace("subscribe", mode);
-        let mut child = program_within(64, &text);
+        let mut child = program_with_descriptor_limit(64, &text);
         let (address, mut log) = address(&mut child);
         let log = thread::spawn(move || {
             let mut text = String::new();
@@ -84,7 +84,7 @@
                 thread::spawn(move || {
                     let mut open_connections = std::collections::VecDeque::new();
                     while !done.load(Ordering::Relaxed) {
-                        open_connections.extend(TcpStream::connect_timeout(&address, SOON));
+                        open_connections.extend(TcpStream::connect_timeout(&address, SHORT_TIMEOUT));
                         if open_connections.len() > 100 {
                             open_connections.pop_front();
                         }
@@ -104,7 +104,7 @@
         let back = Instant::now();
         let (_, watch) = discovery.watch();
         let drained = endpoint("s-1", old.address, 0, "draining");
-        watch.says(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
+        watch.send_endpoints(8, false, &[drained, endpoint("s-2", new.address, 1, "ready")]);
         wait_for("the list is applied", || {
             let answer = Client::connect(address).try_ask("read", "")?;
             (answer.body == b"new").then_some(())
@@ -140,13 +140,13 @@
     let (_, watch) = discovery.watch();
     // Each entry causes a log line, and together they exceed the 64 KiB that a pipe holds.
     let odd: Vec<_> = (0..4000).map(|number| endpoint(&format!("odd-{number}"), address, 0, "odd")).collect();
-    watch.says(8, false, &odd);
-    watch.says(9, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
+    watch.send_endpoints(8, false, &odd);
+    watch.send_endpoints(9, false, &[endpoint("s-1", upstream.address, 0, "draining")]);
     let moved = Upstream::start(|_, _| ok("moved"));
-    watch.says(10, false, &[endpoint("s-2", moved.address, 0, "ready")]);
+    watch.send_endpoints(10, false, &[endpoint("s-2", moved.address, 0, "ready")]);
     wait_for("the lists are applied", || {
         let mut client = Client::connect(address);
-        client.0.set_read_timeout(Some(SOON)).expect("the socket option is set");
+        client.0.set_read_timeout(Some(SHORT_TIMEOUT)).expect("the socket option is set");
         client.send("read", "");
         (client.answer().expect("an answer").body == b"moved").then_some(())
     });
--- a/crates/proxy/tests/system_call_faults.rs
+++ b/crates/proxy/tests/system_call_faults.rs
@@ -13,8 +13,8 @@
 /// Guards against lost requests when waits for events are interrupted by signals.
 #[test]
 fn interrupted_waits_lose_no_request() {
-    let site = Site::start(|_| vec![("FAULT_WAIT", "errno=EINTR,every=2".into())]);
-    let tally = site.ask_all();
+    let site = ProxyWithFaults::start(|_| vec![("FAULT_WAIT", "errno=EINTR,every=2".into())]);
+    let tally = site.run_clients();
     assert!(site.faults("WAIT", Some("EINTR")) > REQUESTS);
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
@@ -23,10 +23,10 @@
 /// Guards against lost or damaged requests and answers when reads and writes transfer fewer bytes than requested.
 #[test]
 fn short_reads_and_writes_lose_no_request() {
-    let site = Site::start(|_| {
+    let site = ProxyWithFaults::start(|_| {
         vec![("FAULT_READ", "short=7,every=2".into()), ("FAULT_WRITE", "short=11,every=2".into())]
     });
-    let tally = site.ask_all();
+    let tally = site.run_clients();
     assert!(site.faults("READ", None) > REQUESTS && site.faults("WRITE", None) > REQUESTS);
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
@@ -46,8 +46,10 @@
 #[test]
 fn local_connect_failures_are_not_charged_to_upstreams() {
     let errors = "EADDRNOTAVAIL+EADDRINUSE+ENOBUFS+ENOMEM+EMFILE+ENFILE+EAGAIN+EINTR";
-    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]);
-    let tally = site.ask_all();
+    let site = ProxyWithFaults::start(|ports| {
+        vec![("FAULT_CONNECT", format!("errno={errors},every=3,ports={ports}"))]
+    });
+    let tally = site.run_clients();
     for error in errors.split('+') {
         assert!(site.faults("CONNECT", Some(error)) > 0, "no connect failed with {error}");
     }
@@ -62,8 +64,8 @@
 fn failures_to_create_sockets_are_not_charged_to_upstreams() {
     let errors = "EMFILE+ENFILE+ENOBUFS+ENOMEM";
     // The first socket is the listener's.
-    let site = Site::start(|_| vec![("FAULT_SOCKET", format!("errno={errors},every=3,skip=1"))]);
-    let tally = site.ask_all();
+    let site = ProxyWithFaults::start(|_| vec![("FAULT_SOCKET", format!("errno={errors},every=3,skip=1"))]);
+    let tally = site.run_clients();
     for error in errors.split('+') {
         assert!(site.faults("SOCKET", Some(error)) > 0, "no socket call failed with {error}");
     }
@@ -76,8 +78,9 @@
 /// request within the connect timeout, which says that a retry is harmless, and counts no failure against an upstream.
 #[test]
 fn a_lasting_lack_of_ports_refuses_requests() {
-    let site =
-        Site::start_with(0.5, |ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
+    let site = ProxyWithFaults::start_with(0.5, |ports| {
+        vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]
+    });
     for class in CLASSES {
         let answer = Client::connect(site.address).ask(class, class);
         assert_eq!((answer.status(), site.runs(class)), (503, 0), "{class}: expected status 503 and no run");
@@ -96,7 +99,8 @@
 /// connect timeout.
 #[test]
 fn a_lack_of_ports_past_the_deadline_is_not_charged_to_upstreams() {
-    let site = Site::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
+    let site =
+        ProxyWithFaults::start(|ports| vec![("FAULT_CONNECT", format!("errno=EADDRNOTAVAIL,ports={ports}"))]);
     for number in 0..5 {
         let mut client = Client::connect(site.address);
         let request = String::from_utf8(order_with(b"")).expect("valid UTF-8");
@@ -112,8 +116,9 @@
 #[test]
 fn socket_options_that_cannot_be_set_lose_no_request() {
     // The first call sets an option of the listener.
-    let site = Site::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
-    let tally = site.ask_all();
+    let site =
+        ProxyWithFaults::start(|_| vec![("FAULT_SETSOCKOPT", "errno=ENOBUFS+ENOMEM+EINVAL,skip=1".into())]);
+    let tally = site.run_clients();
     assert!(site.faults("SETSOCKOPT", None) > CLIENTS);
     assert_eq!(tally.counts(), [ALL, 0, 0, 0]);
     site.check_runs();
@@ -123,8 +128,8 @@
 #[test]
 fn failing_accepts_lose_no_client() {
     let errors = "ECONNABORTED+EMFILE+ENFILE+ENOBUFS+ENOMEM+EPROTO+EINTR";
-    let site = Site::start(|_| vec![("FAULT_ACCEPT", format!("errno={errors},every=3"))]);
-    let tally = site.ask_all_on(true);
+    let site = ProxyWithFaults::start(|_| vec![("FAULT_ACCEPT", format!("errno={errors},every=3"))]);
+    let tally = site.run_clients_on(true);
     for error in errors.split('+') {
         assert!(site.faults("ACCEPT", Some(error)) > 0, "no accept failed with {error}");
     }
@@ -136,7 +141,7 @@
 /// fail temporarily: the update is applied, and the draining upstream gets no new requests.
 #[test]
 fn a_drain_of_an_upstream_is_applied_in_spite_of_faults() {
-    let site = Site::start(|_| {
+    let site = ProxyWithFaults::start(|_| {
         vec![
             ("FAULT_READ", "short=5,every=2".into()),
             ("FAULT_WAIT", "errno=EINTR,every=2".into()),
@@ -145,13 +150,13 @@
     });
     let (_, watch) = site.discovery.watch();
     let [drains, ..] = &site.upstreams[..] else { panic!("the site has no upstreams") };
-    watch.says(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
+    watch.send_endpoints(8, false, &[endpoint("s-0", drains.address, 0, "draining")]);
     // The line of counts shows the index of the current list.
     wait_for("the list is applied", || {
         let log = site.log.lock().expect("lock not poisoned");
         log.iter().any(|line| line.contains("list 8;")).then_some(())
     });
-    assert_eq!(site.ask_all().counts(), [ALL, 0, 0, 0]);
+    assert_eq!(site.run_clients().counts(), [ALL, 0, 0, 0]);
     assert_eq!(drains.requests().len(), 0);
     assert!(site.faults("READ", None) > REQUESTS);
     site.check_runs();
@@ -175,7 +180,7 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs();
     for (offset_ms, expected) in [(-3_600_500, now - 3601), (7_200_000, now + 7200)] {
         assert!(
-            shown(offset_ms).abs_diff(expected) <= LONG.as_secs(),
+            shown(offset_ms).abs_diff(expected) <= HANG_TIMEOUT.as_secs(),
             "expected a clock that is off by {offset_ms} ms"
         );
     }
--- a/crates/proxy/tests/wall_clock.rs
+++ b/crates/proxy/tests/wall_clock.rs
@@ -79,7 +79,7 @@
         let ahead_ms = Arc::new(AtomicI64::new(from_ms));
         let balancer = start_with_clock(&text.to_string(), &ahead_ms);
         let (_, watch) = discovery.watch();
-        watch.says(8, true, &old.entries);
+        watch.send_endpoints(8, true, &old.entries);
         let mut client = balancer.client();
         let listed = Instant::now();
         for _ in 0..20 {
@@ -92,9 +92,9 @@
         // Answers of this upstream show that the update has been applied.
         let last = Upstream::start(|_, _| ok("last"));
         entries.push(endpoint("last", last.address, 0, "ready"));
-        watch.says(9, false, &entries);
+        watch.send_endpoints(9, false, &entries);
         wait_for("the update is applied", || (client.ask("read", "").body == b"last").then_some(()));
-        watch.says(10, false, &[endpoint("last", last.address, 0, "gone")]);
+        watch.send_endpoints(10, false, &[endpoint("last", last.address, 0, "gone")]);
         wait_for("last is removed", || (0..16).all(|_| client.ask("read", "").body != b"last").then_some(()));
         Self { old, new, balancer, _watch: watch }
     }
