--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -78,7 +78,8 @@
     AlreadyAccepted(u64),
 }
 
-/// Reason for refusing a publication. A refused publication changes nothing.
+/// Reason for refusing a publication. A refused publication changes nothing. The texts are sent to publishers in HTTP
+/// responses and are part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PublishError {
     /// The publication has these faults.
@@ -91,10 +92,10 @@
         have: u64,
     },
     /// The request id was already used for a different change.
-    #[error("the request id was already used for a different change; use a new one")]
+    #[error("the request id has been used for something else")]
     RequestIdReused,
     /// The body is larger than [`Bounds::max_body_bytes`].
-    #[error("the document has {bytes} bytes; at most {most} are allowed")]
+    #[error("{bytes} bytes: at most {most}")]
     TooLarge {
         /// Size of the body in bytes.
         bytes: usize,
@@ -102,13 +103,13 @@
         most: usize,
     },
     /// There are already [`Bounds::max_documents`] documents.
-    #[error("there are already {most} documents, the maximum; withdraw one first")]
+    #[error("at most {most} documents")]
     TooMany {
         /// Maximum number of documents.
         most: usize,
     },
     /// All bodies together would be larger than [`Bounds::max_total_bytes`].
-    #[error("all documents together would have {bytes} bytes; at most {most} are allowed")]
+    #[error("{bytes} bytes of documents together: at most {most}")]
     Full {
         /// Total size of the bodies in bytes that the publication would lead to.
         bytes: usize,
@@ -116,7 +117,7 @@
         most: usize,
     },
     /// An earlier change is still being written; the publisher has to retry later.
-    #[error("another change is being written; try again later")]
+    #[error("another change is being written")]
     Busy,
 }
 
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -106,14 +106,14 @@
     }
 }
 
-/// Why a change is not acknowledged.
+/// Why a change is not acknowledged. The texts are sent to publishers in HTTP responses and are part of the protocol.
 #[derive(Debug, Error)]
 enum ChangeError {
     /// The document's body is not valid UTF-8.
-    #[error("the body is not valid UTF-8")]
+    #[error("the body is no UTF-8")]
     NotUtf8,
     /// The queue of publications is full.
-    #[error("too many publications are queued: repeat the request later")]
+    #[error("too many publications wait")]
     QueueFull,
     /// The core rejected the publication.
     #[error("{0}")]
@@ -123,17 +123,18 @@
     Write(#[from] WriteError),
 }
 
-/// Why a change is not known to be on disk.
+/// Why a change is not known to be on disk. The texts are sent to publishers in HTTP responses and are part of the
+/// protocol.
 #[derive(Debug, Error)]
 enum WriteError {
     /// The thread that wrote the change panicked.
-    #[error("the write was aborted: repeat the request with the same id")]
+    #[error("the write came to no end: ask again")]
     Aborted,
     /// The change is not on disk: the store read the file again after the failure.
     #[error("not written: {0}")]
     NotWritten(StoreError),
     /// The store could not find out whether the change is on disk.
-    #[error("whether the change is on disk is unknown: {0}; no change is accepted until it is known")]
+    #[error("whether it is written is unknown: {0}; nothing is accepted until it is known")]
     Unknown(StoreError),
 }
 
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -104,10 +104,7 @@
     }
 
     async fn change(self: Rc<Self>, _: Change) -> Response<ResponseBody> {
-        error_response(
-            StatusCode::METHOD_NOT_ALLOWED,
-            "a relay does not accept publications: publish at the origin",
-        )
+        error_response(StatusCode::METHOD_NOT_ALLOWED, "a relay takes no publication: publish at the origin")
     }
 }
 
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -31,7 +31,7 @@
 /// instead of a connection reset.
 const MAX_EXCESS_BYTES: usize = 4 << 20;
 
-/// Why a request is rejected.
+/// Why a request is rejected. The texts are sent to clients in HTTP responses and are part of the protocol.
 #[derive(Debug, Error)]
 pub(super) enum RequestError {
     /// The path is unknown.
@@ -47,22 +47,22 @@
     #[error("{0}")]
     Scope(#[from] ScopeError),
     /// A publication has no request id.
-    #[error("X-Request-Id: expected an id, by which a repeated request is recognized")]
+    #[error("X-Request-Id: expected an id, so that a repeat is known")]
     NoRequestId,
     /// The `If-Match` header of a publication is not a version.
     #[error("If-Match: expected a version, got {0:?}")]
     IfMatch(String),
     /// The body of a report is neither a balancer's report nor a relay's sums.
-    #[error("expected a balancer's report or a relay's sums: {0}")]
+    #[error("expected a report or sums: {0}")]
     Report(serde_json::Error),
     /// The connection failed before the whole body arrived.
-    #[error("the request body is incomplete")]
+    #[error("the body broke off")]
     BodyCutOff,
     /// The body is larger than `max` bytes.
-    #[error("the request body exceeds {max} bytes")]
+    #[error("over the bound of {max} bytes")]
     BodyTooLarge { max: usize },
     /// This relay has not received a state from a parent or from disk yet.
-    #[error("no configuration received yet")]
+    #[error("nothing has come from above yet")]
     NoStateYet,
     /// The server is shutting down.
     #[error("ending")]
@@ -71,7 +71,7 @@
     #[error("too many readers")]
     TooManyWatches,
     /// The task that carried out the change panicked.
-    #[error("the change was aborted: repeat the request with the same id")]
+    #[error("it came to no end")]
     ChangeAborted,
 }
 
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -31,14 +31,14 @@
 /// Size of the file's cache in memory, in bytes; small because the records are only read once, at the start.
 const CACHE_BYTES: usize = 4 << 20;
 
-/// Error of the store.
+/// Error of the store. The origin sends the texts to publishers in HTTP responses, so they are part of the protocol.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The file system or redb reported an error.
     #[error("{0}")]
     Database(Box<redb::Error>),
     /// A record cannot be decoded from JSON, or encoded as JSON.
-    #[error("record {index} cannot be decoded or encoded: {error}")]
+    #[error("record {index}: {error}")]
     Record {
         /// Index of the record.
         index: u64,
@@ -47,7 +47,7 @@
     },
     /// The content of the file is inconsistent: redb panicked with this message, or a document does not match its
     /// digest.
-    #[error("the store's file is damaged: {0}")]
+    #[error("the file is damaged: {0}")]
     Damaged(String),
 }
 
@@ -304,5 +304,5 @@
 /// Returns the message of a panic.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<String>().map(String::as_str);
-    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic without a message")
+    text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("no reason told")
 }
