--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -162,30 +162,31 @@
     pub costs: Costs,
 }
 
-/// Why [`Settings`] are rejected.
+/// Why [`Settings`] are rejected. Hosts send the texts to their parents in reports, so the texts are part of the
+/// protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The list of classes is empty.
     #[error("there is no class of requests")]
     NoClass,
     /// The index of the replica's own zone is not below the number of zones.
-    #[error("the zone of this replica is not among the zones")]
+    #[error("the zone of this copy is not among the zones")]
     UnknownZone,
     /// The number of replicas is 0.
     #[error("the number of copies is 0")]
     NoReplicas,
     /// The largest number of attempts of a request is 0.
-    #[error("the largest number of attempts of a request is 0")]
+    #[error("no attempt is allowed")]
     NoAttempts,
     /// The class with this index has a latency objective of 0 or one above its deadline.
-    #[error("class {0}: the latency objective must be above 0 and at most the deadline")]
+    #[error("class {0}: the aim and the deadline must be above 0, the aim not past the deadline")]
     ClassTimes(usize),
     /// There are fewer classes or tenants than in the current settings. The indexes of classes and tenants must keep
     /// their meaning, so none may be removed from the list.
     #[error("there are fewer classes or tenants than before")]
     PositionsRemoved,
     /// The replica index, tier, zone, number of zones or number of kinds of machine differs from the current settings.
-    #[error("the index, tier, zone, number of zones or number of kinds of a running replica cannot change")]
+    #[error("they are those of another place: its number, tier, zone, zones and kinds stay for life")]
     IdentityChanged,
     /// The named number is outside its valid range.
     #[error("{0} is out of range")]
--- a/crates/proxy/src/name_registry.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -15,11 +15,12 @@
 /// Maximum number of tenant names since the start of the process, removed ones included.
 const MAX_TENANTS: usize = 20_000;
 
-/// New settings would raise the number of class or tenant names since the start of the process above its limit.
+/// New settings would raise the number of class or tenant names since the start of the process above its limit. The
+/// text is sent to the parent in reports and is part of the protocol.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error(
-    "settings: too many names since the start of the process, removed ones included: {classes} in `lanes` (limit \
-     {MAX_CLASSES}), {tenants} in `projects` (limit {MAX_TENANTS}); restart the balancer to forget removed names"
+    "settings: {classes} names of lanes and {tenants} of projects since the start, {MAX_CLASSES} and {MAX_TENANTS} \
+     at most: a restart forgets those that went"
 )]
 pub struct TooManyNames {
     /// Number of class names since the start, including those of the refused settings.
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -181,7 +181,7 @@
             if let Some(name) = object.get(key::NAME).and_then(Value::as_str)
                 && !names.insert(name)
             {
-                self.fault(&format!("{path}.{}", key::NAME), "a unique name", object.get(key::NAME));
+                self.fault(&format!("{path}.{}", key::NAME), "a name of its own", object.get(key::NAME));
             }
             self.check_class_durations(&path, object);
             self.check_class_dedup_scope(&path, object);
@@ -199,7 +199,7 @@
             && latency_objective > deadline
         {
             let path = format!("{path}.{}", key::LATENCY_OBJECTIVE);
-            let expected = format!("no more than {} ({deadline})", key::DEADLINE);
+            let expected = format!("no more than {}, {deadline}", key::DEADLINE);
             self.fault(&path, &expected, class.get(key::LATENCY_OBJECTIVE));
         }
     }
@@ -210,7 +210,7 @@
         let scope = class.get(key::DEDUP_SCOPE).filter(|scope| !scope.is_null());
         if deduplicated && scope.is_none() {
             let path = format!("{path}.{}", key::DEDUP_SCOPE);
-            self.fault(&path, "all, zone or cell for a class with effect deduplicated", None);
+            self.fault(&path, "all, zone or cell where repeats are dropped", None);
         }
     }
 
--- a/crates/settings/src/check/field.rs
+++ b/crates/settings/src/check/field.rs
@@ -55,7 +55,7 @@
 }
 
 impl ValueKind {
-    /// Description of the valid values, for the `expected` part of a fault.
+    /// Description of the valid values, for the `expected` part of a fault. The text is part of the protocol.
     pub fn expected(&self) -> String {
         match self {
             Self::Bool => "true or false".to_owned(),
@@ -63,12 +63,10 @@
             Self::Number(range) => format!("a number from {} to {}", range.start(), range.end()),
             Self::PositiveNumber { max } => format!("a number above 0, up to {max}"),
             Self::OneOf(words) => format!("one of {}", words.join(", ")),
-            Self::NonEmptyString => "a non-empty string".to_owned(),
-            Self::StringList => "a list of strings".to_owned(),
+            Self::NonEmptyString => "a text that is not empty".to_owned(),
+            Self::StringList => "a list of texts".to_owned(),
             Self::Object(_) => "an object".to_owned(),
-            Self::NamedObjects { count, .. } => {
-                format!("a list of {} to {} objects", count.start(), count.end())
-            }
+            Self::NamedObjects { count, .. } => format!("a list of {} to {}", count.start(), count.end()),
         }
     }
 }
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -13,7 +13,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::read::{LoadedSettings, Names, ReadSettingsError};
-use crate::schema::{Caps, Discovery, EffectName, Lane, PriceSettings, Project, RuleSettings, Setup};
+use crate::schema::{Caps, Discovery, EffectName, Lane, PriceFigures, Project, RuleFigures, Setup};
 
 /// Converts the complete settings object.
 pub fn into_loaded(setup: Setup) -> Result<LoadedSettings, ReadSettingsError> {
@@ -121,7 +121,7 @@
     duration("caps.maxRetryAfterS", capabilities.max_retry_after_s).map(Some)
 }
 
-fn rules(rules: &RuleSettings) -> Result<Rules, ReadSettingsError> {
+fn rules(rules: &RuleFigures) -> Result<Rules, ReadSettingsError> {
     Ok(Rules {
         answer_slack: duration("rules.answerSlackS", rules.answer_slack_s)?,
         drain_grace: duration("rules.drainGraceS", rules.drain_grace_s)?,
@@ -136,7 +136,7 @@
     })
 }
 
-fn costs(prices: &PriceSettings) -> Costs {
+fn costs(prices: &PriceFigures) -> Costs {
     Costs {
         cross_zone: prices.cross_zone,
         wasted_work: prices.wasted_work,
--- a/crates/settings/src/fault.rs
+++ b/crates/settings/src/fault.rs
@@ -1,8 +1,8 @@
 //! Faults that a check of settings reports: each has a path, the expected value and the value found.
 //!
 //! Operators who publish a document read these messages in a terminal, and the configuration distribution
-//! includes them in its responses. They are therefore short, limited in number and size, and state which value
-//! is expected.
+//! includes them in its responses and in the reports of balancers. They are therefore short, limited in number and
+//! size, and state which value is expected; their texts are part of the protocol.
 
 use std::error::Error;
 use std::fmt::{self, Display, Formatter};
@@ -42,7 +42,7 @@
         let Self { path, expected, found } = self;
         match found {
             Found::Missing => write!(formatter, "{path}: missing, expected {expected}"),
-            Found::UnknownKey => write!(formatter, "{path}: unknown key, expected {expected}"),
+            Found::UnknownKey => write!(formatter, "{path}: not known, expected {expected}"),
             Found::Value(value) => write!(formatter, "{path}: expected {expected}, found {value}"),
         }
     }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -12,14 +12,15 @@
 use crate::convert;
 use crate::schema::Setup;
 
-/// Error that prevents a settings object from being read.
+/// Error that prevents a settings object from being read. Hosts send the texts to their parents in reports, so the
+/// texts are part of the protocol.
 #[derive(Debug, Error)]
 pub enum ReadSettingsError {
     /// The text is not valid JSON, a required key is missing, or a value has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// A value has the right type but is not valid for its key.
-    #[error("{name} has an invalid value: {value:?}")]
+    #[error("{name} makes no sense: {value:?}")]
     Value {
         /// Key of the invalid value, prefixed with its section where that is needed to locate it.
         name: &'static str,
--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -3,7 +3,8 @@
 //! The platform defines the keys; they are older than the terms that the code uses.
 //!
 //! Types are named after the sections of the JSON, because deserialization errors show these names ("expected
-//! struct Lane"). Fields use the terms of the code, and a `rename` attribute gives the JSON key.
+//! struct Lane") and the errors are sent to peers in reports; the names must not change. Fields use the terms of the
+//! code, and a `rename` attribute gives the JSON key.
 
 use serde::Deserialize;
 
@@ -40,9 +41,9 @@
     pub family: FamilyInfo,
     #[serde(rename = "caps")]
     pub capabilities: Caps,
-    pub rules: RuleSettings,
+    pub rules: RuleFigures,
     #[serde(default)]
-    pub prices: PriceSettings,
+    pub prices: PriceFigures,
     #[serde(rename = "loadInfo", default)]
     pub load_reports: LoadInfo,
 }
@@ -128,7 +129,7 @@
 
 /// Parameters of the rules by which a balancer is evaluated.
 #[derive(Deserialize)]
-pub struct RuleSettings {
+pub struct RuleFigures {
     #[serde(rename = "answerSlackS", default)]
     pub answer_slack_s: f64,
     #[serde(rename = "drainGraceS", default)]
@@ -148,7 +149,7 @@
 /// Costs of balancing decisions, in units of one request of full priority weight.
 #[derive(Deserialize, Default)]
 #[serde(default)]
-pub struct PriceSettings {
+pub struct PriceFigures {
     #[serde(rename = "crossZone")]
     pub cross_zone: f64,
     #[serde(rename = "waste")]
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -32,7 +32,7 @@
     let faults = check_document(&json!({"balancers": 0, "strange": 1})).expect_err("two faults");
     assert_eq!(
         faults.to_string(),
-        "settings.balancers: expected a whole number from 1 to 4294967295, found 0; settings.strange: unknown key, \
+        "settings.balancers: expected a whole number from 1 to 4294967295, found 0; settings.strange: not known, \
          expected one of lanes, projects, overShareWorth, caps, rules, prices, balancers"
     );
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -100,7 +100,7 @@
         (
             "/lanes/2/onTimeS",
             json!(4),
-            "settings.lanes[2].onTimeS: expected no more than hardLimitS (3), found 4",
+            "settings.lanes[2].onTimeS: expected no more than hardLimitS, 3, found 4",
         ),
         ("/lanes/0/onTimeS", json!("1"), "settings.lanes[0].onTimeS: expected a number from 0.000001"),
         ("/lanes/0/hardLimitS", json!(1e18), "settings.lanes[0].hardLimitS: expected"),
@@ -120,13 +120,17 @@
             "settings.lanes[1].dedupScope: expected one of all, zone, cell",
         ),
         ("/lanes/1/windowS", json!(-2), "settings.lanes[1].windowS: expected"),
-        ("/lanes/1/name", json!("read"), "settings.lanes[1].name: expected a unique name, found \"read\""),
-        ("/lanes/1/name", json!(""), "settings.lanes[1].name: expected a non-empty string"),
+        (
+            "/lanes/1/name",
+            json!("read"),
+            "settings.lanes[1].name: expected a name of its own, found \"read\"",
+        ),
+        ("/lanes/1/name", json!(""), "settings.lanes[1].name: expected a text that is not empty"),
         ("/lanes/1", json!(7), "settings.lanes[1]: expected an object, found 7"),
         ("/lanes", json!([]), "settings.lanes: expected a list of 1 to 1000"),
         ("/lanes", json!({"0": 1}), "settings.lanes: expected a list"),
         ("/lanes/0/lateWorth", json!(1.5), "settings.lanes[0].lateWorth: expected a number from 0 to 1"),
-        ("/projects/1/name", json!("acme"), "settings.projects[1].name: expected a unique name"),
+        ("/projects/1/name", json!("acme"), "settings.projects[1].name: expected a name of its own"),
         ("/projects/0/quotaPerS", json!(-3), "settings.projects[0].quotaPerS: expected"),
         ("/projects/0/quotaPerS", json!("many"), "settings.projects[0].quotaPerS: expected"),
         ("/overShareWorth", json!(1.1), "settings.overShareWorth: expected"),
@@ -179,14 +183,14 @@
 #[test]
 fn document_settings_with_unknown_keys_are_refused() {
     for (path, reported) in [
-        ("/zone", "settings.zone: unknown key, expected one of lanes, projects, overShareWorth, caps"),
-        ("/me", "settings.me: unknown key"),
-        ("/discovery", "settings.discovery: unknown key"),
-        ("/lanes/0/onTimes", "settings.lanes[0].onTimes: unknown key, expected one of name, onTimeS"),
-        ("/projects/1/portion", "settings.projects[1].portion: unknown key"),
-        ("/caps/trylimit", "settings.caps.trylimit: unknown key"),
-        ("/rules/cold", "settings.rules.cold: unknown key"),
-        ("/prices/x", "settings.prices.x: unknown key"),
+        ("/zone", "settings.zone: not known, expected one of lanes, projects, overShareWorth, caps"),
+        ("/me", "settings.me: not known"),
+        ("/discovery", "settings.discovery: not known"),
+        ("/lanes/0/onTimes", "settings.lanes[0].onTimes: not known, expected one of name, onTimeS"),
+        ("/projects/1/portion", "settings.projects[1].portion: not known"),
+        ("/caps/trylimit", "settings.caps.trylimit: not known"),
+        ("/rules/cold", "settings.rules.cold: not known"),
+        ("/prices/x", "settings.prices.x: not known"),
     ] {
         let faults = check_document(&with_value(document_settings(), path, Some(json!(1))));
         assert_eq!(faults.len(), 1, "{path}: {faults:?}");
--- a/crates/simulator-adapter/tests/transcripts.rs
+++ b/crates/simulator-adapter/tests/transcripts.rs
@@ -246,10 +246,10 @@
 fn invalid_settings_are_named_in_the_error() {
     for (from, to, cause) in [
         ("\"balancers\":3", "\"balancers\":0", "the number of copies is 0"),
-        ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone has an invalid value: \"west\""),
+        ("\"zone\":\"north\"", "\"zone\":\"west\"", "zone makes no sense: \"west\""),
         ("\"onTimeS\":1", "\"onTimeS\":9", "class 0"),
-        ("\"onTimeS\":1", "\"onTimeS\":-1", "onTimeS has an invalid value"),
-        ("\"cell\"", "\"street\"", "dedupScope has an invalid value"),
+        ("\"onTimeS\":1", "\"onTimeS\":-1", "onTimeS makes no sense"),
+        ("\"cell\"", "\"street\"", "dedupScope makes no sense"),
         ("\"coldShare\":0.2", "\"coldShare\":0", "cold share is out of range"),
     ] {
         let result = run(first_batch().replace(from, to).as_bytes());
