--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails as it is told, under the store of a test.
+//! An in-memory disk with injected faults, as the backend of the store under test.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,33 +8,38 @@
 use config_distribution::origin::Record;
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 
-/// A disk that fails as it is told. What was not synced is lost with its power.
+/// An in-memory disk with injected faults. Writes that were not synced are lost in a simulated power failure.
 #[derive(Debug, Default, Clone)]
 pub struct Disk {
+    /// Content that survives a power failure.
     pub synced: Vec<u8>,
-    /// As readers see it.
+    /// Content as reads return it, including writes that are not synced.
     pub seen: Vec<u8>,
-    /// Since the last sync, in order.
+    /// Writes since the last sync, in order.
     pub writes: Vec<Write>,
-    /// Syncs that fail from now on.
+    /// Number of next syncs that fail.
     pub failing_syncs: u32,
-    /// Openings that fail from now on.
+    /// Number of next attempts to open the database that fail.
     pub failing_openings: u32,
-    /// Whether each second call fails, with `ENOSPC` and `EIO` in turn.
+    /// Whether every second call fails, with `ENOSPC` and `EIO` in turn.
     pub failing_each_second: bool,
-    /// Calls while that holds.
+    /// Number of calls since every second call fails.
     calls: usize,
-    /// Bytes that it takes.
+    /// Maximum size of the disk in bytes; `None` is unlimited.
     pub room: Option<usize>,
 }
 
+/// A change of the disk's content.
 #[derive(Debug, Clone)]
 pub enum Write {
+    /// Sets the length of the file, in bytes.
     Length(usize),
+    /// Writes these bytes at an offset.
     Bytes(usize, Vec<u8>),
 }
 
 impl Write {
+    /// Applies the change to an image of the disk.
     pub fn apply(&self, image: &mut Vec<u8>) {
         match self {
             Self::Length(length) => image.resize(*length, 0),
@@ -43,15 +48,17 @@
     }
 }
 
+/// A handle of a [`Disk`]; clones refer to the same disk.
 #[derive(Debug, Default, Clone)]
 pub struct Shared(Arc<Mutex<Disk>>);
 
-/// The fault of every second call.
+/// Error codes (errno) of successive calls while every second call fails, in a cycle; 0 is success.
 const FAULTS: [i32; 4] = [0, ENOSPC, 0, EIO];
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
 impl Disk {
+    /// Counts a call and returns the error injected into it, if any.
     fn call(&mut self) -> io::Result<()> {
         if !self.failing_each_second {
             return Ok(());
@@ -77,23 +84,25 @@
         Builder::new().create_with_backend(self.clone())
     }
 
+    /// Opens a store on this disk.
     pub fn store(&self) -> (Store, Found) {
         let disk = self.clone();
-        Store::over(move || disk.open()).expect("it opens")
+        Store::over(move || disk.open()).expect("open the store on the in-memory disk")
     }
 
+    /// A disk without faults whose content is `image`, all of it synced.
     pub fn with(image: Vec<u8>) -> Self {
         Self(Arc::new(Mutex::new(Disk { synced: image.clone(), seen: image, ..Disk::default() })))
     }
 
-    /// After a loss of power.
+    /// A new disk without faults with the content that survives a power failure.
     pub fn rebooted(&self) -> Self {
         Self::with(self.disk().synced.clone())
     }
 }
 
 pub fn offset(value: u64) -> usize {
-    usize::try_from(value).expect("it fits")
+    usize::try_from(value).expect("the value fits into usize")
 }
 
 impl StorageBackend for Shared {
@@ -130,7 +139,7 @@
         }
         if disk.failing_syncs > 0 {
             disk.failing_syncs -= 1;
-            // What readers see is not on disk, and is not tried again.
+            // The unsynced writes stay visible to reads but never reach the disk, because later syncs do not retry them.
             disk.writes.clear();
             return Err(io::Error::other("the sync failed"));
         }
@@ -153,6 +162,7 @@
     }
 }
 
+/// A record of scope `service/api` with this index and body, and a request id made from the index.
 pub fn record(index: u64, body: &str) -> Record {
     let scope = "service/api".parse().unwrap();
     Record { index, document: Document::new(scope, index, body.into()), request: format!("r{index}").into() }
@@ -162,10 +172,11 @@
     found.records.iter().map(|record| record.index).collect()
 }
 
-/// Notes each write of a disk.
+/// A storage backend that records each write before it passes it on to the disk.
 #[derive(Debug, Clone)]
 pub struct Catching {
     pub disk: Shared,
+    /// The recorded writes, in order.
     pub log: Arc<Mutex<Vec<Write>>>,
 }
 
--- a/crates/config-distribution/tests/hosts_common/in_process.rs
+++ b/crates/config-distribution/tests/hosts_common/in_process.rs
@@ -1,4 +1,4 @@
-//! Hosts in the test's own process, over disks in memory.
+//! Hosts that run in the test's process, on in-memory disks.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -12,20 +12,20 @@
 use super::address;
 use super::disk::Shared;
 
-/// An origin over a disk, which finds no fault in the settings of a document.
+/// An origin whose store is on `disk` and whose check accepts the settings of every document.
 pub fn origin_host(disk: &Shared, bounds: Bounds) -> OriginHost {
     let check = Box::new(|_: &_, _: &str| Vec::new());
-    OriginHost::new(disk.store(), bounds, Limits::default(), 0, check, 1).expect("it begins")
+    OriginHost::new(disk.store(), bounds, Limits::default(), 0, check, 1).expect("create the origin")
 }
 
-/// A listener at an address of this test's own.
+/// A listener on an address that no other test uses, and the address.
 pub async fn listening() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind(address()).await.expect("it is free");
-    let own = listener.local_addr().expect("it has an address");
+    let listener = TcpListener::bind(address()).await.expect("bind the listener");
+    let own = listener.local_addr().expect("the address of the listener");
     (listener, own)
 }
 
-/// An origin over a disk, and its task.
+/// Starts an origin whose store is on `disk`; returns its address and its task.
 pub async fn origin_over(disk: &Shared, bounds: Bounds) -> (SocketAddr, JoinHandle<()>) {
     let host = origin_host(disk, bounds);
     let (listener, own) = listening().await;
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -1,5 +1,5 @@
-//! Real processes and children on loopback, for the tests of the hosts.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Processes of the binary, and children in the test process, on loopback, for the tests of the hosts.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod disk;
 pub mod in_process;
@@ -29,31 +29,32 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// What must happen has so long; nothing is proven by its passing.
+/// Time limit of each wait for an expected event. It only bounds a failing test: no check relies on its length.
 pub const WITHIN: Duration = Duration::from_secs(25);
 
-/// Runs a test to its end, on one thread.
+/// Runs a test on a single-threaded runtime.
 pub fn play<T>(test: impl Future<Output = T>) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build the runtime");
     LocalSet::new().block_on(&runtime, test)
 }
 
-/// Waits for what must happen.
+/// Waits for an expected event; panics with `what` after the time limit.
 pub async fn within<T>(what: &str, happens: impl Future<Output = T>) -> T {
-    timeout(WITHIN, happens).await.unwrap_or_else(|_| panic!("did not happen: {what}"))
+    timeout(WITHIN, happens).await.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
 }
 
-/// An address of this test's own, so that a process that is started again finds its port free.
+/// A loopback address that no other test uses, so that a restarted process can bind it again.
 pub fn address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
-    let octet = |value: u32| u8::try_from(value & 0xff).expect("eight bits");
+    let octet = |value: u32| u8::try_from(value & 0xff).expect("a value of eight bits");
     let ip = Ipv4Addr::new(127, 64 | octet(pid >> 8) & 63, octet(pid), octet(next));
     SocketAddr::new(IpAddr::V4(ip), 9100)
 }
 
-/// A directory of this test's own.
+/// A temporary directory that no other test uses; deleted on drop.
 pub struct Directory(PathBuf);
 
 impl Directory {
@@ -61,7 +62,7 @@
         let path =
             Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("hosts-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
-        fs::create_dir_all(&path).expect("a directory");
+        fs::create_dir_all(&path).expect("create the directory");
         Self(path)
     }
 
@@ -76,18 +77,21 @@
     }
 }
 
+/// A command that runs the `config-distribution` binary.
 pub fn binary() -> Command {
     Command::new(env!("CARGO_BIN_EXE_config-distribution"))
 }
 
-/// A process of the binary, which ends with the test.
+/// A process of the `config-distribution` binary; killed on drop.
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
+    /// What the process has written to stderr.
     log: Arc<Mutex<String>>,
 }
 
 impl Process {
+    /// Starts a process that listens on `address` and waits until it has printed that it does.
     pub fn start(arguments: &[&str], address: SocketAddr) -> Self {
         let mut child = binary()
             .args(arguments)
@@ -95,22 +99,30 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the binary starts");
+            .expect("start the binary");
         let log = Arc::new(Mutex::new(String::new()));
-        let errors = child.stderr.take().expect("a pipe");
+        let errors = child.stderr.take().expect("a pipe for stderr");
         let into = Arc::clone(&log);
         std::thread::spawn(move || collect(errors, &into));
         let mut line = String::new();
-        BufReader::new(child.stdout.take().expect("a pipe")).read_line(&mut line).expect("a line");
+        BufReader::new(child.stdout.take().expect("a pipe for stdout"))
+            .read_line(&mut line)
+            .expect("read a line of stdout");
         let mut process = Self { child, address, log };
-        assert!(line.starts_with("listening on "), "{line:?}, {}", process.ended_badly());
+        assert!(
+            line.starts_with("listening on "),
+            "expected the listen address, got {line:?}; {}",
+            process.ended_badly()
+        );
         process
     }
 
+    /// Starts an origin with its store in `directory`.
     pub fn origin(directory: &Directory, address: SocketAddr) -> Self {
         Self::start(&["origin", "--dir", directory.path().to_str().expect("UTF-8")], address)
     }
 
+    /// Starts a relay without a directory.
     pub fn relay(level: u32, parents: &[SocketAddr], address: SocketAddr) -> Self {
         let mut arguments = vec!["relay".to_owned(), "--level".to_owned(), level.to_string()];
         arguments.extend(parents.iter().flat_map(|parent| ["--parent".to_owned(), parent.to_string()]));
@@ -118,21 +130,23 @@
         Self::start(&arguments, address)
     }
 
+    /// Sends the process a signal, named as for `kill`, such as `TERM`.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill").args([&format!("-{name}"), &self.child.id().to_string()]).status();
-        assert!(sent.expect("kill runs").success(), "signal {name}");
+        assert!(sent.expect("run kill").success(), "sending SIG{name} failed");
     }
 
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
-        self.child.kill().expect("it can be killed");
-        self.child.wait().expect("it ends");
+        self.child.kill().expect("kill the process");
+        self.child.wait().expect("wait for the process");
     }
 
-    /// Its end, which must come by itself.
+    /// Waits until the process exits by itself; returns its exit status.
     pub async fn end(&mut self) -> ExitStatus {
-        within("the process ends", async {
+        within("the exit of the process", async {
             loop {
-                if let Some(status) = self.child.try_wait().expect("it can be waited for") {
+                if let Some(status) = self.child.try_wait().expect("poll the exit status") {
                     return status;
                 }
                 sleep(Duration::from_millis(5)).await;
@@ -141,11 +155,12 @@
         .await
     }
 
+    /// Everything that the process has logged to stderr so far.
     pub fn log(&self) -> String {
         self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Waits for a text in its log.
+    /// Waits until the log of the process contains `text`.
     pub async fn says(&self, text: &str) {
         let said = async {
             while !self.log().contains(text) {
@@ -153,10 +168,11 @@
             }
         };
         if timeout(WITHIN, said).await.is_err() {
-            panic!("it did not say {text:?}: {}", self.log());
+            panic!("{text:?} not found in the log: {}", self.log());
         }
     }
 
+    /// Kills the process and describes its exit status and log, for the message of a failed start.
     fn ended_badly(&mut self) -> String {
         let _ = self.child.kill();
         let status = self.child.wait();
@@ -172,6 +188,7 @@
     }
 }
 
+/// Appends each line of a child process's stderr to `into` until stderr closes.
 fn collect(errors: ChildStderr, into: &Mutex<String>) {
     for line in BufReader::new(errors).lines().map_while(Result::ok) {
         let mut log = into.lock().unwrap_or_else(PoisonError::into_inner);
@@ -180,13 +197,14 @@
     }
 }
 
-/// A seed by which a child with so many parents begins with this one.
+/// Finds a seed with which a child that has `count` parents follows the parent at position `first` first.
 pub fn beginning_with(first: usize, count: usize) -> u64 {
     let begins = |seed: &u64| Parents::new(count, *seed).next(Duration::ZERO) == Step::Follow(first);
-    (0..).find(begins).expect("a seed")
+    (0..).find(begins).expect("a seed exists")
 }
 
-/// Asks for a change; `None` withdraws.
+/// Requests a change of a document and returns the status and body of the answer. A `body` of `None` withdraws the
+/// document; `if_version` is sent as `If-Match`.
 pub async fn change(
     to: SocketAddr,
     scope: &str,
@@ -208,38 +226,39 @@
     Ok((status, serde_json::from_slice(&text).unwrap_or(Value::Null)))
 }
 
-/// A document that says a number.
+/// A valid document whose `crossZone` setting is `number`.
 pub fn document(number: u64) -> String {
     json!({ "settings": { "prices": { "crossZone": number } } }).to_string()
 }
 
-/// A document with so many bytes of nothing in it.
+/// A valid document padded with `bytes` spaces.
 pub fn big_document(bytes: usize) -> String {
     padded(1, bytes)
 }
 
-/// A document that says a number, with so many bytes of nothing in it.
+/// A valid document whose `crossZone` setting is `number`, padded with `bytes` spaces.
 pub fn padded(number: u64, bytes: usize) -> String {
     let document = document(number);
     format!("{}{}}}", &document[..document.len() - 1], " ".repeat(bytes))
 }
 
-/// Publishes; it must be accepted.
+/// Publishes a document, asserts that it is accepted, and returns its index.
 pub async fn publish(to: SocketAddr, scope: &str, body: &str, id: &str) -> u64 {
     let (status, answer) = change(to, scope, Some(body), id, None).await.expect("an answer");
-    assert_eq!(status, StatusCode::OK, "{answer}");
-    answer["index"].as_u64().expect("an index")
+    assert_eq!(status, StatusCode::OK, "publication not accepted: {answer}");
+    answer["index"].as_u64().expect("an index in the answer")
 }
 
+/// Sends a GET request and returns the status and JSON body of the answer.
 pub async fn get(to: SocketAddr, path: &str) -> Result<(StatusCode, Value), CallError> {
     let asked = Call { method: Method::GET, host: to.to_string(), path, headers: &[], body: Bytes::new() };
     let (status, text) = connect_and_call(to, Duration::from_secs(10), asked).await?;
     Ok((status, serde_json::from_slice(&text).unwrap_or(Value::Null)))
 }
 
-/// Waits until a process tells an index, so that a child that begins with it stays.
+/// Waits until a process serves an index, so that a child that starts with this parent does not leave it.
 pub async fn told(to: SocketAddr, index: u64) {
-    within(&format!("{to} tells index {index}"), async {
+    within(&format!("{to} to serve index {index}"), async {
         loop {
             if let Ok((StatusCode::OK, whole)) = get(to, "/configuration").await
                 && whole["index"].as_u64() >= Some(index)
@@ -252,7 +271,7 @@
     .await;
 }
 
-/// Asks for what is in force below until it is as it must be.
+/// Polls the summed report of a process until `fits` accepts it; panics with `what` after the time limit.
 pub async fn status_until(to: SocketAddr, what: &str, fits: impl Fn(&Value) -> bool) {
     let mut last = Value::Null;
     let asked = async {
@@ -267,24 +286,28 @@
         }
     };
     if timeout(WITHIN, asked).await.is_err() {
-        panic!("did not happen: {what}; {last}");
+        panic!("timed out waiting for: {what}; last report: {last}");
     }
 }
 
-/// A child: the balancer's side, in this process.
+/// A child (the balancer's client side) that runs in the test process.
 pub struct Follower {
+    /// States that the child has taken in, not yet read by the test.
     states: mpsc::UnboundedReceiver<State>,
+    /// Addresses that the child has opened connections to, not yet read by the test.
     connects: mpsc::UnboundedReceiver<SocketAddr>,
+    /// The last state that the test has read.
     pub state: State,
     task: JoinHandle<()>,
 }
 
 impl Follower {
+    /// Starts a child that follows one of `parents` for `scopes`.
     pub fn start(name: &str, parents: &[SocketAddr], scopes: &[&str], seed: u64) -> Self {
         Self::over(name, parents, scopes, seed, TcpStream::connect::<SocketAddr>)
     }
 
-    /// One whose connections are opened by `connect`.
+    /// Starts a child whose connections are opened by `connect`.
     pub fn over<I, C>(
         name: &str,
         parents: &[SocketAddr],
@@ -296,7 +319,7 @@
         C: Future<Output = std::io::Result<I>> + 'static,
         I: AsyncRead + AsyncWrite + Unpin + 'static,
     {
-        let wanted = scopes.iter().map(|scope| scope.parse().expect("a scope")).collect();
+        let wanted = scopes.iter().map(|scope| scope.parse().expect("a valid scope")).collect();
         let client = Client { name: name.to_owned(), parents: parents.to_vec(), wanted, seed };
         let (sender, states) = mpsc::unbounded_channel();
         let (called, connects) = mpsc::unbounded_channel();
@@ -319,41 +342,51 @@
         Self { states, connects, state: State::default(), task }
     }
 
-    /// Waits for a state that is as it must be; each one on the way is whole and no older than the one before.
+    /// Waits for a state that `fits` accepts; asserts that in each state up to it all digests match and that the index
+    /// never goes back.
     pub async fn until(&mut self, what: &str, fits: impl Fn(&State) -> bool) {
         let followed = async {
             while !fits(&self.state) {
                 let next = self.states.recv().await.expect("the child goes on");
-                assert!(next.index() >= self.state.index(), "the index went back");
+                assert!(
+                    next.index() >= self.state.index(),
+                    "index went back from {} to {}",
+                    self.state.index(),
+                    next.index()
+                );
                 assert!(
                     next.documents().all(|document| document.has_valid_digest()),
-                    "a document is damaged"
+                    "a document does not match its digest"
                 );
                 self.state = next;
             }
         };
         if timeout(WITHIN, followed).await.is_err() {
-            panic!("did not happen: {what}; {:?}", self.state);
+            panic!("timed out waiting for: {what}; last state: {:?}", self.state);
         }
     }
 
+    /// Waits for a state with at least this index.
     pub async fn until_index(&mut self, index: u64) {
         self.until(&format!("index {index}"), |state| state.index() >= index).await;
     }
 
-    /// Whether it has taken nothing in since the last wait.
+    /// Whether the child has taken in no state that the test has not read.
     pub fn has_taken_nothing(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// Waits until it calls a parent.
+    /// Waits until the child opens a connection to `parent`.
     pub async fn calls(&mut self, parent: SocketAddr) {
-        within("a call", async { while self.connects.recv().await.expect("the child goes on") != parent {} })
-            .await;
+        within("a connection to the parent", async {
+            while self.connects.recv().await.expect("the child goes on") != parent {}
+        })
+        .await;
     }
 
+    /// Body of the document of a scope in the last state that was read.
     pub fn body(&self, scope: &str) -> Option<String> {
-        self.state.get(&scope.parse().expect("a scope")).map(|document| document.body.to_string())
+        self.state.get(&scope.parse().expect("a valid scope")).map(|document| document.body.to_string())
     }
 }
 
