--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -1,5 +1,5 @@
-//! A process killed in the middle of a write, and a file that is cut off or torn: what was acknowledged is there, and
-//! half a file is never taken for a whole one.
+//! Kills an origin in the middle of writes, and truncates the store's file: acknowledged records must survive a kill,
+//! and a truncated file must be refused.
 
 mod hosts_common;
 
@@ -16,12 +16,14 @@
 use tokio::time::sleep;
 
 const FILE: &str = "configuration.redb";
-/// Of the file from its start, and before its end, every length is played; in between one in `STEP`.
+/// Number of bytes at the start and at the end of the file in which every length is tested; between them only
+/// multiples of `STEP` are.
 const EVERY: usize = 8 << 10;
-/// No power of two, so that pages are cut at all their places.
+/// Distance in bytes between tested lengths in the middle of the file. It is not a power of two, so that pages are
+/// truncated at varying offsets.
 const STEP: usize = 4093;
 
-/// A file of a store with three records, as a process that ended in order left it.
+/// Content of a store file with three records after the store was closed normally.
 fn file_of_three(directory: &Directory) -> Vec<u8> {
     let (mut store, _) = Store::at(directory.path()).unwrap();
     for index in 1..=3 {
@@ -32,11 +34,12 @@
     fs::read(directory.path().join(FILE)).unwrap()
 }
 
+/// Lengths to which a file of `whole` bytes is truncated, in ascending order.
 fn lengths(whole: usize) -> impl DoubleEndedIterator<Item = usize> {
     (0..whole).filter(move |length| *length < EVERY || *length + EVERY >= whole || length % STEP == 0)
 }
 
-/// Leaves out of the log that redb's assertions failed, which each file that is cut off leads to.
+/// Suppresses the panic messages of redb's assertions, which truncated files cause in large numbers.
 fn hush_assertions_of_redb() {
     let hook = panic::take_hook();
     panic::set_hook(Box::new(move |panic| {
@@ -57,15 +60,19 @@
     assert_eq!(found.unwrap(), [1, 2, 3]);
     fs::write(&path, &whole).unwrap();
     let file = OpenOptions::new().write(true).open(&path).unwrap();
-    // Shorter and shorter, since a refusal leaves the file as it is.
+    // Truncates the same file further and further; a refused open does not change it.
     for length in lengths(whole.len()).rev() {
         file.set_len(length as u64).unwrap();
         let found = Store::at(cut.path()).ok().map(|(_, found)| found);
-        assert!(found.is_none(), "cut off at {length} of {}: {found:?}", whole.len());
+        assert!(
+            found.is_none(),
+            "file truncated to {length} of {} bytes was accepted: {found:?}",
+            whole.len()
+        );
     }
 }
 
-/// Kills a process as soon as it has begun to write a file in its directory.
+/// Starts a process and kills it as soon as a file in its directory is not empty.
 fn kill_in_the_middle_of_the_first_start(arguments: &[&str], directory: &Path) {
     let mut child = binary()
         .args(arguments)
@@ -77,7 +84,7 @@
     let by = Instant::now() + hosts_common::WITHIN;
     let written = |path: PathBuf| fs::metadata(path).is_ok_and(|file| file.len() > 0);
     while !fs::read_dir(directory).unwrap().flatten().any(|entry| written(entry.path())) {
-        assert!(Instant::now() < by, "it wrote nothing");
+        assert!(Instant::now() < by, "the process wrote no file in time");
     }
     child.kill().unwrap();
     child.wait().unwrap();
@@ -107,8 +114,11 @@
             let mut origin = Process::origin(&directory, own);
             let whole = get(own, "/configuration").await.unwrap().1;
             let index = whole["index"].as_u64().unwrap();
-            assert!(index >= acknowledged, "round {round}: back to {index} after {acknowledged}");
-            // Publications one after another; the last one has no answer, since the process is killed under it.
+            assert!(
+                index >= acknowledged,
+                "round {round}: index {index} after a restart, {acknowledged} acknowledged before it"
+            );
+            // Publishes one change after another. The last one gets no answer, because the process is killed meanwhile.
             let publishing = spawn_local(async move {
                 let mut last = acknowledged;
                 loop {
@@ -118,7 +128,7 @@
                     match change(own, "service/api", Some(&body), &id, None).await {
                         Ok((status, answer)) if status.is_success() => {
                             let index = answer["index"].as_u64().unwrap();
-                            assert!(index > last, "{index} after {last}");
+                            assert!(index > last, "acknowledged index {index} after {last}");
                             last = index;
                         }
                         _ => return (last, number),
@@ -127,11 +137,15 @@
             });
             sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
             origin.kill();
-            (acknowledged, number) = within("the publisher hears of the end", publishing).await.unwrap();
+            (acknowledged, number) =
+                within("the publisher to see the failed connection", publishing).await.unwrap();
         }
-        assert!(acknowledged > 10, "only {acknowledged} were acknowledged");
+        assert!(acknowledged > 10, "expected more than 10 acknowledged publications, got {acknowledged}");
         let _origin = Process::origin(&directory, own);
         let whole = get(own, "/configuration").await.unwrap().1;
-        assert!(whole["index"].as_u64().unwrap() >= acknowledged, "{whole}");
+        assert!(
+            whole["index"].as_u64().unwrap() >= acknowledged,
+            "expected index {acknowledged} or later: {whole}"
+        );
     });
 }
--- a/crates/config-distribution/tests/hosts_stored_form.rs
+++ b/crates/config-distribution/tests/hosts_stored_form.rs
@@ -1,4 +1,4 @@
-//! Stores that an earlier program left open in this one: an upgrade loses nothing that was acknowledged.
+//! Opens store files written by an earlier version: an upgrade must not lose acknowledged publications.
 
 mod hosts_common;
 
@@ -9,25 +9,27 @@
 use hosts_common::{Directory, Process, address, get, play, publish};
 use serde_json::json;
 
-/// See `data/README.md`.
+/// Store file of an origin, run-length encoded; see `data/README.md`.
 const ORIGIN_STORE: &[u8] = include_bytes!("data/origin-store.redb.runs");
+/// Store file of a relay, run-length encoded; see `data/README.md`.
 const RELAY_STORE: &[u8] = include_bytes!("data/relay-store.redb.runs");
-/// Bytes of either file.
+/// Size of each decoded store file, in bytes.
 const FILE_BYTES: usize = 4_755_456;
 
-/// Takes a count off the front.
+/// Removes a little-endian 32-bit count from the front of `runs` and returns it.
 fn count(runs: &mut &[u8]) -> usize {
-    let (count, rest) = runs.split_first_chunk().expect("a count");
+    let (count, rest) = runs.split_first_chunk().expect("a count of four bytes");
     *runs = rest;
     u32::from_le_bytes(*count) as usize
 }
 
-/// The file that runs stand for.
+/// Decodes a run-length encoded file: each run is a count and the byte that it repeats, then a count of literal bytes
+/// and those bytes.
 fn file_of(mut runs: &[u8]) -> Vec<u8> {
     let mut file = Vec::new();
     while !runs.is_empty() {
         let repeats = count(&mut runs);
-        let (byte, rest) = runs.split_first().expect("a byte");
+        let (byte, rest) = runs.split_first().expect("the repeated byte");
         file.resize(file.len() + repeats, *byte);
         runs = rest;
         let literals = count(&mut runs);
@@ -38,7 +40,7 @@
     file
 }
 
-/// A directory as the earlier program left it.
+/// A directory with the store file that the earlier version left.
 fn directory_with(name: &str, runs: &[u8]) -> Directory {
     let file = file_of(runs);
     assert_eq!(file.len(), FILE_BYTES);
@@ -47,15 +49,18 @@
     directory
 }
 
+/// A document of this scope and version whose `crossZone` setting is `cross_zone`.
 fn document(scope: &str, version: u64, cross_zone: u64) -> Document {
     let body = format!("{{\"settings\": {{\"prices\": {{\"crossZone\": {cross_zone}}}}}}}");
     Document::new(scope.parse().unwrap(), version, body.into())
 }
 
+/// A withdrawn document of this scope and version.
 fn withdrawn(scope: &str, version: u64) -> Document {
     Document::new(scope.parse().unwrap(), version, "null".into())
 }
 
+/// Opens the store in a directory and returns its content.
 fn found_in(directory: &Directory) -> Found {
     Store::at(directory.path()).unwrap().1
 }
@@ -73,7 +78,7 @@
     let north = document("region/north", 4, 4);
     assert_eq!(documents(&found), [fleet, api, withdrawn("service/api", 3), north]);
     assert_eq!(requests, ["first", "second", "third", "fourth"]);
-    assert_eq!(found.index, 0, "an origin's index is that of its last record");
+    assert_eq!(found.index, 0, "an origin stores no index of its own");
 }
 
 #[test]
@@ -99,7 +104,7 @@
             .map(|each| each["scope"].as_str().unwrap())
             .collect();
         assert_eq!(scopes, ["fleet", "region/north"]);
-        // A request id of before is known still, and a new one gets the next index.
+        // A request id stored by the earlier version is still recognised, and a new one gets the next index.
         let repeated = r#"{"settings": {"prices": {"crossZone": 4}}}"#;
         assert_eq!(publish(origin.address, "region/north", repeated, "fourth").await, 4);
         assert_eq!(publish(origin.address, "region/north", repeated, "fifth").await, 5);
