--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -1,4 +1,5 @@
-//! The origin's disk: what it acknowledged is kept, whatever fails.
+//! Disk faults of the origin: every acknowledged publication must survive torn writes, failed syncs, a full disk,
+//! power failures and kills.
 
 mod hosts_common;
 
@@ -28,7 +29,7 @@
         let outcome = store.write(&[record(index, &document(index))], &[], None);
         assert!(matches!(outcome, Outcome::Written));
     }
-    // The sixth is on its way: its writes are caught before the sync.
+    // Records the individual writes of the sixth record, to tear them below.
     let before = disk.disk().synced.clone();
     disk.disk().failing_syncs = 0;
     let log = Arc::new(Mutex::new(Vec::new()));
@@ -43,11 +44,15 @@
     let opened = disk.disk().synced.clone();
     assert!(matches!(store.write(&[record(6, &big_document(20_000))], &[], None), Outcome::Written));
     let writes: Vec<Write> = log.lock().unwrap()[begun..].to_vec();
-    assert!(writes.len() > 2 && before.len() <= opened.len(), "{}", writes.len());
+    assert!(
+        writes.len() > 2 && before.len() <= opened.len(),
+        "expected several writes, got {}",
+        writes.len()
+    );
     let mut seen = BTreeSet::new();
     for torn in 0..writes.len() {
         for share in [0, 1, 2, 3] {
-            // All before it, and of this one a part.
+            // Applies all writes before the torn one, and a part of the torn one.
             let mut image = opened.clone();
             writes[..torn].iter().for_each(|write| write.apply(&mut image));
             if let Write::Bytes(at, bytes) = &writes[torn] {
@@ -55,20 +60,25 @@
             }
             let (mut store, found) = Shared::with(image).store();
             let kept = indexes(&found);
-            assert_eq!(kept[..5], [1, 2, 3, 4, 5], "torn at {torn} of {}", writes.len());
+            assert_eq!(
+                kept[..5],
+                [1, 2, 3, 4, 5],
+                "acknowledged records lost with write {torn} of {} torn",
+                writes.len()
+            );
             assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
             seen.insert(kept.len());
-            // It takes further ones.
+            // The store accepts further records.
             assert!(matches!(store.write(&[record(7, &document(7))], &[], None), Outcome::Written));
         }
     }
-    // A torn header counts as the one before it; one that is whole without the sync may stand.
-    assert!(seen.contains(&5), "{seen:?}");
+    // With a torn header the commit before it is used. A complete header that was not synced may be used.
+    assert!(seen.contains(&5), "no torn write led back to 5 records: {seen:?}");
 }
 
 #[test]
 fn what_was_written_outlasts_a_loss_of_power_and_what_was_not_does_not_come_back() {
-    // Each of the syncs of a write may be the one that fails.
+    // Covers failures of one, two and three successive syncs.
     for failing in 1..=3 {
         let disk = Shared::default();
         let (mut store, _) = disk.store();
@@ -86,7 +96,7 @@
                 assert_eq!(&*found.records[1].document.body, document(3));
             }
             Outcome::Unknown(_) => {
-                // Written again, it is known.
+                // Repeating the write settles it.
                 assert!(matches!(store.write(&[record(2, &document(2))], &[], None), Outcome::Written));
                 assert_eq!(indexes(&disk.rebooted().store().1), [1, 2]);
             }
@@ -94,7 +104,8 @@
     }
 }
 
-/// An origin over a disk with one document, and a child that has it.
+/// Starts an origin on `disk` with one document, and a child that has received it; returns the origin's address, its
+/// task and the child.
 async fn origin_and_child(disk: &Shared) -> (SocketAddr, JoinHandle<()>, Follower) {
     let (origin, running) = origin_over(disk, Bounds::default()).await;
     publish(origin, "service/api", &document(1), "1").await;
@@ -112,28 +123,31 @@
         disk.disk().room = Some(full);
         let big = big_document(250_000);
         let mut refused = 0;
-        // Until the file would have to grow.
+        // Publishes until the file would have to grow past the capacity.
         for number in 2..40 {
             let id = format!("big {number}");
             let (status, answer) =
                 change(origin, &format!("service/s{number}"), Some(&big), &id, None).await.unwrap();
             if status == StatusCode::INSUFFICIENT_STORAGE {
-                assert!(answer["error"].as_str().unwrap().starts_with("not written"), "{answer}");
+                assert!(
+                    answer["error"].as_str().unwrap().starts_with("not written"),
+                    "unexpected error: {answer}"
+                );
                 refused = number;
                 break;
             }
             assert_eq!(status, StatusCode::OK, "{answer}");
         }
-        assert!(refused > 0, "the disk did not fill up");
-        // Nothing of it is seen, and readers old and new are served.
+        assert!(refused > 0, "no publication was refused for a full disk");
+        // The refused document is not visible, and existing and new readers are served.
         let whole = get(origin, "/configuration").await.unwrap().1;
         let scope = format!("service/s{refused}");
         assert!(whole["documents"].as_array().unwrap().iter().all(|document| document["scope"] != scope));
         let index = whole["index"].as_u64().unwrap();
         let mut late = Follower::start("api-2", &[origin], &["service/api"], 2);
-        late.until("the document", |state| state.documents().count() == 1).await;
+        late.until("the first document", |state| state.documents().count() == 1).await;
         disk.disk().room = None;
-        // The same request again has its index now, the next one.
+        // The repeated request is accepted and gets the next index.
         assert_eq!(publish(origin, &scope, &big, &format!("big {refused}")).await, index + 1);
         assert_eq!(publish(origin, "service/api", &document(2), "2").await, index + 2);
         child.until_index(index + 2).await;
@@ -156,13 +170,13 @@
             let body = document(number);
             let (status, answer) = change(origin, "service/api", Some(&body), id, None).await.unwrap();
             assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{answer}");
-            assert!(answer["error"].as_str().unwrap().contains("is unknown"), "{answer}");
+            assert!(answer["error"].as_str().unwrap().contains("is unknown"), "unexpected error: {answer}");
         }
-        // Readers are served with what was there.
+        // Readers are served the state before the failed write.
         let mut late = Follower::start("api-2", &[origin], &["service/api"], 2);
         late.until_index(1).await;
         assert_eq!(late.body("service/api"), Some(document(1)));
-        // The disk is back: the open one is settled first, and its repeat has its answer.
+        // The disk works again: the write with the unknown outcome is settled first, and its repeated request gets its index.
         assert_eq!(publish(origin, "service/api", &document(3), "3").await, 3);
         assert_eq!(publish(origin, "service/api", &document(2), "2").await, 2);
         child.until_index(3).await;
@@ -183,7 +197,7 @@
         let body = document(2);
         let (status, answer) = change(origin, "service/api", Some(&body), "2", None).await.unwrap();
         let index = publish(origin, "service/api", &body, "2").await;
-        assert_eq!(index, 2, "{status} {answer}");
+        assert_eq!(index, 2, "first answer: {status} {answer}");
         assert_eq!(publish(origin, "service/api", &document(3), "3").await, 3);
         assert_eq!(indexes(&disk.rebooted().store().1), [1, 2, 3]);
     });
@@ -202,8 +216,12 @@
         running.abort();
         let found = disk.rebooted().store().1;
         let kept = indexes(&found);
-        // The newest of each scope, the remembered ones, and what the last write did not know of yet.
-        assert!(kept.len() <= 5 && kept.contains(&1) && kept.ends_with(&[18, 19, 20]), "{kept:?}");
+        // Kept are the newest record of each scope, the records of the remembered request ids, and those that became
+        // unneeded only with the last write.
+        assert!(
+            kept.len() <= 5 && kept.contains(&1) && kept.ends_with(&[18, 19, 20]),
+            "unexpected records kept: {kept:?}"
+        );
         let (again, _running) = origin_over(&disk.rebooted(), Bounds::default()).await;
         assert_eq!(publish(again, "service/api", &document(20), "20").await, 20);
         assert_eq!(publish(again, "service/api", &document(21), "21").await, 21);
@@ -239,7 +257,7 @@
         .args(["origin", "--listen", &address().to_string(), "--dir", directory.path().to_str().unwrap()])
         .output()
         .unwrap();
-    assert_eq!(output.status.code(), Some(2), "{}", String::from_utf8_lossy(&output.stderr));
+    assert_eq!(output.status.code(), Some(2), "stderr: {}", String::from_utf8_lossy(&output.stderr));
 }
 
 #[test]
@@ -248,7 +266,7 @@
         let directory = Directory::new("repeated");
         let mut origin = Process::origin(&directory, address());
         let body = document(1);
-        // The publisher goes before the answer comes.
+        // The publisher disconnects before it receives the answer.
         let mut stream = TcpStream::connect(origin.address).await.unwrap();
         let request = format!(
             "PUT /configuration/service/api HTTP/1.1\r\nhost: x\r\nx-request-id: one\r\ncontent-length: {}\r\n\r\n{body}",
@@ -291,7 +309,7 @@
             assert_eq!((answers[1].0, &answers[1].1["have"]), (StatusCode::CONFLICT, &json!(version + 1)));
             version += 1;
         }
-        // Without a condition both are accepted, one after the other.
+        // Without `If-Match` both publications are accepted, one after the other.
         let (left, right) = (document(1), document(2));
         let (left, right) = tokio::join!(
             publish(origin.address, "fleet", &left, "left"),
@@ -319,21 +337,24 @@
                 change(origin, "service/api", Some(&body), &number.to_string(), None).await.unwrap();
             if status == StatusCode::OK {
                 let index = answer["index"].as_u64().unwrap();
-                assert!(index > acknowledged, "{index} after {acknowledged}");
+                assert!(index > acknowledged, "acknowledged index {index} after {acknowledged}");
                 acknowledged = index;
             } else {
                 let told = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::INSUFFICIENT_STORAGE];
-                assert!(told.contains(&status), "{status} {answer}");
+                assert!(told.contains(&status), "unexpected answer: {status} {answer}");
                 refused += 1;
             }
-            // Readers are served on with what was acknowledged.
+            // Readers are still served everything that was acknowledged.
             let whole = get(origin, "/configuration").await.unwrap().1;
-            assert!(whole["index"].as_u64().unwrap() >= acknowledged, "{whole}");
+            assert!(
+                whole["index"].as_u64().unwrap() >= acknowledged,
+                "expected index {acknowledged} or later: {whole}"
+            );
         }
-        assert!(refused > 0, "the disk did not fail");
+        assert!(refused > 0, "no publication was refused");
         disk.disk().failing_each_second = false;
         let last = publish(origin, "service/api", &document(61), "61").await;
-        assert!(last > acknowledged, "{last} after {acknowledged}");
+        assert!(last > acknowledged, "index {last} after acknowledged index {acknowledged}");
         child.until_index(last).await;
         assert_eq!(child.body("service/api"), Some(document(61)));
         running.abort();
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -1,5 +1,5 @@
-//! A relay's directory: a relay is served by its memory, and by what its disk has whole. A disk that fails for a while, or
-//! a file that is damaged, ends no relay.
+//! Disk faults of a relay: a relay serves its in-memory state and recovers it from its disk at the start. A disk that
+//! fails for a while or a damaged file must not end the relay.
 
 mod hosts_common;
 
@@ -20,7 +20,7 @@
 
 const FILE: &str = "configuration.redb";
 
-/// A relay's file with one document, as a process that ended in order left it.
+/// Content of a relay's store file with one document after the store was closed normally.
 fn file_of_one(directory: &Directory) -> Vec<u8> {
     let (mut store, _) = Store::at(directory.path()).unwrap();
     assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
@@ -28,7 +28,7 @@
     fs::read(directory.path().join(FILE)).unwrap()
 }
 
-/// A relay on a directory whose file is this; nobody is above it.
+/// Starts a relay on a directory whose store file is `image`. No process listens at the address of its parent.
 fn relay_on(directory: &Directory, image: &[u8]) -> Process {
     fs::write(directory.path().join(FILE), image).unwrap();
     let (place, nobody) = (directory.path().to_str().unwrap(), address().to_string());
@@ -54,7 +54,7 @@
             drop(origin);
             let relay = Process::start(&arguments, kept);
             let told = get(relay.address, "/configuration").await.unwrap().1;
-            assert_eq!(told["index"], 1, "cut off at {length}");
+            assert_eq!(told["index"], 1, "store file truncated to {length} bytes");
         }
     });
 }
@@ -64,12 +64,12 @@
     play(async {
         let made = Directory::new("relay-sound");
         let mut image = file_of_one(&made);
-        // One letter of the newest document, in all copies of its page.
+        // Changes one digit of the document in every copy of its page.
         let told = document(3);
         let needle = told.as_bytes();
         let places: Vec<usize> =
             (0..image.len() - needle.len()).filter(|&at| image[at..].starts_with(needle)).collect();
-        assert!(!places.is_empty());
+        assert!(!places.is_empty(), "document not found in the store file");
         for place in places {
             let digit = place + told.find('3').unwrap();
             image[digit] = b'4';
@@ -81,7 +81,7 @@
     });
 }
 
-/// A relay in this process, over a disk that fails as it is told.
+/// Starts a relay in the test process, on a disk with injected faults; returns its address and its task.
 async fn relay_over(disk: &Shared, parent: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
     let options = RelayOptions {
         name: "relay".to_owned(),
@@ -96,14 +96,14 @@
         let disk = disk.clone();
         Store::over(move || disk.open())
     };
-    let host = RelayHost::over(options, opened).expect("a relay begins");
+    let host = RelayHost::over(options, opened).expect("create the relay");
     let (listener, own) = listening().await;
     (own, spawn_local(host.run(listener, std::future::pending())))
 }
 
-/// Waits until a document of this version is on a disk, synced.
+/// Waits until a document of this version is synced to the disk.
 async fn kept(disk: &Shared, version: u64) {
-    within("it is kept on disk", async {
+    within("the document to be synced to disk", async {
         while disk.rebooted().store().1.records.iter().all(|record| record.index != version) {
             sleep(Duration::from_millis(20)).await;
         }
@@ -132,7 +132,7 @@
         }
         disk.disk().failing_each_second = false;
         kept(&disk, 20).await;
-        // It begins again with the newest, and nobody above it.
+        // A restarted relay without a running parent serves the newest document.
         running.abort();
         origin.kill();
         let (relay, _running) = relay_over(&disk.rebooted(), origin.address).await;
@@ -171,8 +171,9 @@
     });
 }
 
-/// Of a write as long as a header every byte is played, of a longer one one in `STEP`, since each place opens a store.
+/// Size in bytes up to which a write is torn at every byte, at most that of a header.
 const HEADER: usize = 512;
+/// Distance in bytes between the places at which a longer write is torn; not every byte, since each place opens a store.
 const STEP: usize = 61;
 
 #[test]
@@ -196,15 +197,20 @@
                 let mut torn = image.clone();
                 Write::Bytes(*at, bytes[..length].to_vec()).apply(&mut torn);
                 let (_, found) = Shared::with(torn).store();
-                // Index and document are of the same write.
+                // The index and the document come from the same write.
                 assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
-                assert_eq!(indexes(&found), [found.index], "torn at {length} of {}", bytes.len());
+                assert_eq!(
+                    indexes(&found),
+                    [found.index],
+                    "index and records differ after a write torn at {length} of {} bytes",
+                    bytes.len()
+                );
                 played += 1;
             }
         }
         write.apply(&mut image);
     }
-    assert!(played > HEADER, "only {played} places");
+    assert!(played > HEADER, "expected more than {HEADER} torn writes, got {played}");
 }
 
 #[test]
@@ -230,11 +236,11 @@
             relay.says("stored index").await;
             sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
             relay.kill();
-            // Nobody above it tells it anything.
+            // No process listens at the address of its parent, so the relay serves what it stored.
             let alone = started(address());
             let whole = get(alone.address, "/configuration").await.unwrap().1;
             let index = whole["index"].as_u64().unwrap();
-            assert!(index > kept, "round {round}: {index} after {kept}");
+            assert!(index > kept, "round {round}: index {index} after {kept}");
             assert_eq!(whole["documents"][0]["version"], index);
             assert_eq!(whole["documents"][0]["body"]["settings"]["prices"]["crossZone"], index);
             kept = index;
