--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -1,4 +1,4 @@
-//! Relays and parents that fail, beside real processes on loopback.
+//! Failing relays and faulty parents, with real processes on loopback.
 
 mod hosts_common;
 
@@ -23,22 +23,26 @@
 
 const SCOPES: [&str; 3] = ["fleet", "region/north", "service/api"];
 
-/// A connection that is read up to a number of bytes, and further once it is let go.
+/// A connection whose reads stop after a number of bytes until its gate opens.
 struct Gated {
     stream: TcpStream,
     gate: Rc<Gate>,
+    /// Number of bytes that can still be read while the gate is closed.
     room: usize,
 }
 
+/// Controls when a [`Gated`] connection reads on.
 #[derive(Default)]
 struct Gate {
     open: Cell<bool>,
-    /// It holds a reader back.
+    /// Notified when the closed gate blocks a read.
     held: Notify,
+    /// Waker of the blocked read.
     waker: Cell<Option<std::task::Waker>>,
 }
 
 impl Gate {
+    /// Opens the gate and wakes the blocked read.
     fn let_go(&self) {
         self.open.set(true);
         self.waker.take().into_iter().for_each(std::task::Waker::wake);
@@ -87,7 +91,7 @@
     }
 }
 
-/// Connects with a small buffer, so that what is not read stays with the sender.
+/// Connects with a small receive buffer, so that unread data stays with the sender.
 async fn connect_narrow(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.set_recv_buffer_size(4096)?;
@@ -101,7 +105,7 @@
         let origin = Process::origin(&directory, address());
         let mut first = Process::relay(1, &[origin.address], address());
         let second = Process::relay(1, &[origin.address], address());
-        // Together more than the buffers between relay and child take.
+        // Together the documents are larger than the buffers between relay and child.
         let big = big_document(250 << 10);
         for scope in SCOPES {
             publish(origin.address, scope, &big, scope).await;
@@ -116,11 +120,11 @@
         };
         let mut child = Follower::over("slow", &parents, &SCOPES, beginning_with(0, 2), connect);
         child.calls(first.address).await;
-        within("the line is under way", gate.held.notified()).await;
+        within("the reader to block in the middle of an update", gate.held.notified()).await;
         first.kill();
         gate.let_go();
         child.calls(second.address).await;
-        assert!(child.has_taken_nothing(), "a part of a line was taken in");
+        assert!(child.has_taken_nothing(), "a partial update was taken in");
         child.until_index(3).await;
         for scope in SCOPES {
             assert_eq!(child.body(scope).as_ref(), Some(&big));
@@ -197,7 +201,7 @@
         for child in &mut children {
             child.until_index(2).await;
         }
-        status_until(origin.address, "all are in the sums", |status| {
+        status_until(origin.address, "all children in the summed report", |status| {
             status["children"] == 100 && status["holders"]["fleet"]["versions"] == json!({ "2": 100 })
         })
         .await;
@@ -223,7 +227,7 @@
         let mut reader = TcpStream::connect(parents[0]).await.unwrap();
         reader.write_all(b"GET /configuration?follow=1&since=0 HTTP/1.1\r\nhost: x\r\n\r\n").await.unwrap();
         let mut text = vec![0; 4096];
-        within("a line", async {
+        within("the first update", async {
             while !String::from_utf8_lossy(&text).contains("documents") {
                 assert_ne!(reader.read(&mut text).await.unwrap(), 0);
             }
@@ -231,10 +235,10 @@
         .await;
         relays[0].signal("TERM");
         let mut rest = Vec::new();
-        within("the end of the watch", reader.read_to_end(&mut rest)).await.unwrap();
-        // The last chunk of a body that ends in order.
-        assert!(rest.ends_with(b"0\r\n\r\n"), "{:?}", String::from_utf8_lossy(&rest));
-        assert!(relays[0].end().await.success(), "{}", relays[0].log());
+        within("the end of the watch stream", reader.read_to_end(&mut rest)).await.unwrap();
+        // A chunked body that is terminated properly ends with this chunk.
+        assert!(rest.ends_with(b"0\r\n\r\n"), "body not terminated: {:?}", String::from_utf8_lossy(&rest));
+        assert!(relays[0].end().await.success(), "log of the failed relay: {}", relays[0].log());
         publish(origin.address, "fleet", &document(2), "2").await;
         for child in &mut children {
             child.calls(parents[1]).await;
@@ -243,7 +247,7 @@
     });
 }
 
-/// A parent that answers a watch with these bytes and then says nothing.
+/// Starts a parent that answers each watch with the body bytes `said` and then keeps the connection open silently.
 async fn lying_parent(said: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind(address()).await.unwrap();
     let own = listener.local_addr().unwrap();
@@ -261,7 +265,7 @@
                     let _ = stream.write_all(&said).await;
                     let _ = stream.write_all(b"\r\n").await;
                 }
-                // Until the reader goes.
+                // Keeps the connection open until the reader closes it.
                 while stream.read(&mut request).await.is_ok_and(|read| read > 0) {}
             });
         }
@@ -269,8 +273,8 @@
     own
 }
 
-/// A child that begins with a parent that says this must leave it, take nothing from it, and have the truth from
-/// another.
+/// Asserts that a child whose first parent sends `said` leaves that parent, takes in nothing from it, and receives the
+/// configuration from another parent.
 async fn is_left(name: &str, said: Vec<u8>) {
     let directory = Directory::new(name);
     let origin = Process::origin(&directory, address());
@@ -280,13 +284,13 @@
     let mut child = Follower::start("api-1", &parents, &SCOPES, beginning_with(0, 2));
     child.calls(liar).await;
     child.calls(origin.address).await;
-    assert!(child.has_taken_nothing(), "something of it was taken in");
+    assert!(child.has_taken_nothing(), "an update of the faulty parent was taken in");
     child.until_index(1).await;
     assert_eq!(child.state.documents().count(), 1);
     assert_eq!(child.body("service/api"), Some(document(1)));
 }
 
-/// A line that tells one document, as a whole.
+/// Encodes a snapshot with one document as a line of a watch.
 fn line_of(scope: &str, index: u64, body: &str) -> Vec<u8> {
     let scope: Scope = scope.parse().unwrap();
     let documents = vec![Document::new(scope, index, body.into())];
@@ -379,7 +383,7 @@
         let mut late = Follower::start("api-2", &[own], &SCOPES, 1);
         late.until_index(2).await;
         assert_eq!(late.body("service/api"), Some(document(2)));
-        within("it says that it is stale", async {
+        within("the relay to report that it is stale", async {
             loop {
                 let path = "/configuration?since=2";
                 let (status, answer) = get(own, path).await.unwrap();
@@ -392,7 +396,7 @@
             }
         })
         .await;
-        // An origin on a copy of that directory goes on from there.
+        // An origin on a copy of the relay's directory continues from the stored index.
         let copy = Directory::new("cut-copy");
         for entry in std::fs::read_dir(kept.path()).unwrap() {
             let entry = entry.unwrap();
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -1,4 +1,4 @@
-//! System calls of sockets that fail for a moment: at the accept of a host, and at a child's connections.
+//! Transient errors of socket system calls: `accept` of a host, and connects, reads and writes of a child.
 
 mod hosts_common;
 
@@ -32,7 +32,7 @@
 const ETIMEDOUT: i32 = 110;
 const EHOSTUNREACH: i32 = 113;
 
-/// A listener whose next accepts fail with these codes.
+/// A listener whose next accepts fail with the error codes (errno) in `codes`.
 struct FailingListener {
     listener: TcpListener,
     codes: RefCell<VecDeque<i32>>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// An origin in this process whose first accepts fail with these codes.
+/// Starts an origin in the test process whose first accepts fail with these error codes (errno).
 async fn origin_failing(codes: impl IntoIterator<Item = i32>) -> SocketAddr {
     let host = origin_host(&Shared::default(), Bounds::default());
     let (listener, own) = listening().await;
@@ -65,7 +65,7 @@
         let began = Instant::now();
         assert_eq!(publish(origin, "fleet", &document(1), "1").await, 1);
         let took = began.elapsed();
-        assert!(took < Duration::from_secs(3), "it took {took:?}");
+        assert!(took < Duration::from_secs(3), "expected an answer within 3 s, took {took:?}");
     });
 }
 
@@ -79,13 +79,13 @@
     });
 }
 
-/// How long a connection stays that says this and no more, and what is answered.
+/// Sends bytes on a new connection and nothing more; returns the time until the host closes it, and its answer.
 async fn stays(to: SocketAddr, said: &[u8]) -> (Duration, String) {
     let mut stream = TcpStream::connect(to).await.unwrap();
     stream.write_all(said).await.unwrap();
     let began = Instant::now();
     let mut answer = Vec::new();
-    let _ = within("the connection ends", stream.read_to_end(&mut answer)).await;
+    let _ = within("the connection to close", stream.read_to_end(&mut answer)).await;
     (began.elapsed(), String::from_utf8_lossy(&answer).into_owned())
 }
 
@@ -99,13 +99,17 @@
         let second = format!("{whole}{half}");
         let (first, later) =
             tokio::join!(stays(origin.address, half.as_bytes()), stays(origin.address, second.as_bytes()));
-        assert!(first.0 < Duration::from_secs(3), "{first:?}");
-        assert!(later.0 < Duration::from_secs(3), "{later:?}");
+        assert!(first.0 < Duration::from_secs(3), "half a request head was not closed within 3 s: {first:?}");
+        assert!(
+            later.0 < Duration::from_secs(3),
+            "half a second request head was not closed within 3 s: {later:?}"
+        );
         assert_eq!((first.1.as_str(), later.1.matches("HTTP/1.1 200").count()), ("", 1));
     });
 }
 
-/// A connection that breaks with a code once it is told to, if it is a watch's and not a report's.
+/// A connection that passes on one byte per read and write. If it carries a watch (not a report), its next read fails
+/// with the error code set in `breaks`.
 struct Breaking {
     stream: TcpStream,
     is_watch: bool,
@@ -113,13 +117,17 @@
     breaks: Rc<Breaks>,
 }
 
+/// Injects an error into the connection of a watch.
 #[derive(Default)]
 struct Breaks {
+    /// Error code (errno) of the next read; `None` reads normally.
     code: Cell<Option<i32>>,
+    /// Waker of the last read.
     waker: Cell<Option<Waker>>,
 }
 
 impl Breaks {
+    /// Makes the next read of the watch fail with this error code (errno).
     fn with(&self, code: i32) {
         self.code.set(Some(code));
         self.waker.take().into_iter().for_each(Waker::wake);
@@ -138,7 +146,7 @@
             }
             self.breaks.waker.set(Some(context.waker().clone()));
         }
-        // Short: a byte at a time.
+        // Reads one byte at a time.
         let mut byte = [0];
         let mut buffer = ReadBuf::new(&mut byte);
         let read = Pin::new(&mut self.stream).poll_read(context, &mut buffer);
@@ -153,7 +161,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        // A report is a POST.
+        // A watch begins with a GET, a report with a POST.
         self.is_watch |= bytes.first() == Some(&b'G') && !self.has_written;
         self.has_written = true;
         let short = bytes.len().min(1);
@@ -192,7 +200,7 @@
             publish(parent, "fleet", &document(number), &number.to_string()).await;
             child.until_index(number).await;
             assert_eq!(child.body("fleet"), Some(document(number)));
-            assert_eq!(breaks.code.get(), None, "the watch did not break");
+            assert_eq!(breaks.code.get(), None, "no read of the watch failed with the injected error");
         }
     });
 }
@@ -217,8 +225,8 @@
         };
         let mut child = Follower::over("api-1", &[origin.address], &["fleet"], 1, connect);
         child.until_index(1).await;
-        assert!(left.borrow().is_empty());
-        // Its watch is told on, and its reports go up over connections of their own.
+        assert!(left.borrow().is_empty(), "connect errors not yet returned: {left:?}");
+        // The watch receives further updates, and reports use connections of their own.
         publish(origin.address, "fleet", &document(2), "2").await;
         child.until_index(2).await;
         let status = get(origin.address, "/configuration/report").await.unwrap().1;
