--- a/crates/config-distribution/tests/hosts_path.rs
+++ b/crates/config-distribution/tests/hosts_path.rs
@@ -1,4 +1,4 @@
-//! Origin, relays and children over sockets, without faults.
+//! Origin, relays, children and the command line over real sockets, without faults.
 
 mod hosts_common;
 
@@ -20,7 +20,7 @@
         let zone = Process::relay(2, &[region.address], address());
         let scopes = ["fleet", "region/north", "service/api"];
         let mut child = Follower::start("api-1", &[zone.address], &scopes, 5);
-        child.until("a first word", |state| state.index() == 0).await;
+        child.until("the first snapshot", |state| state.index() == 0).await;
         assert_eq!(publish(origin.address, "fleet", &document(1), "a").await, 1);
         assert_eq!(publish(origin.address, "service/api", &document(2), "b").await, 2);
         assert_eq!(publish(origin.address, "service/other", &document(3), "c").await, 3);
@@ -31,11 +31,11 @@
         assert_eq!((status, answer), (StatusCode::OK, json!({ "index": 4 })));
         child.until_index(4).await;
         assert_eq!(child.body("service/api"), None);
-        status_until(origin.address, "the child is in the sums", |status| {
+        status_until(origin.address, "the child in the summed report", |status| {
             status["children"] == 1 && status["holders"]["fleet"]["versions"] == json!({ "1": 1 })
         })
         .await;
-        // The whole, of a relay as of the origin.
+        // The relay serves the same snapshot as the origin.
         let whole = get(origin.address, "/configuration").await.unwrap();
         assert_eq!(whole.1["index"], 4);
         assert_eq!(whole.1["documents"].as_array().map(Vec::len), Some(2));
@@ -64,14 +64,18 @@
         };
         let publish = ["publish", "--to", &to, "service/api", "-", "--request", "one"];
         assert_eq!(run(publish.to_vec(), &document(1)), (Some(0), "1\n".to_owned(), String::new()));
-        // Said again, it is the same change.
+        // Repeating the request has no further effect and returns the same index.
         assert_eq!(run(publish.to_vec(), &document(1)).1, "1\n");
         let faulty = run(vec!["publish", "--to", &to, "fleet", "-"], r#"{"settings":{"zone":1},"more":2}"#);
         assert_eq!(faulty.0, Some(1));
-        assert!(faulty.2.contains("settings.zone") && faulty.2.contains("more"), "{}", faulty.2);
+        assert!(
+            faulty.2.contains("settings.zone") && faulty.2.contains("more"),
+            "faults not named: {}",
+            faulty.2
+        );
         let late = run(vec!["withdraw", "--to", &to, "service/api", "--if-version", "7"], "");
         assert_eq!(late.0, Some(1));
-        assert!(late.2.contains("version 1 stands"), "{}", late.2);
+        assert!(late.2.contains("version 1 stands"), "unexpected error: {}", late.2);
         assert_eq!(run(vec!["withdraw", "--to", &to, "service/api"], "").1, "2\n");
         let got = run(vec!["get", "--to", &to, "service/api"], "");
         assert_eq!(got.1, "{\"index\":2,\"snapshot\":true,\"after\":0,\"documents\":[]}\n");
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -1,4 +1,4 @@
-//! Requests and readers past their bounds.
+//! Invalid requests, and requests and readers that exceed the limits.
 
 mod hosts_common;
 
@@ -14,16 +14,17 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// What is answered to these bytes, until the connection ends.
+/// Sends bytes on a new connection and returns everything received until the connection closes.
 async fn said_to(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    // It may end before all of it has been taken.
+    // The host may close the connection before all bytes are sent.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = within("an answer", stream.read_to_end(&mut answer)).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
+/// Opens a connection and sends a watch request with this query.
 async fn watching(to: SocketAddr, query: &str) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let request = format!("GET /configuration?follow=1&{query} HTTP/1.1\r\nhost: x\r\n\r\n");
@@ -39,9 +40,9 @@
         let body = big_document(1 << 20);
         let (status, answer) = change(origin.address, "service/api", Some(&body), "1", None).await.unwrap();
         assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
-        assert!(answer["error"].as_str().unwrap().contains("262144"), "{answer}");
+        assert!(answer["error"].as_str().unwrap().contains("262144"), "limit not named: {answer}");
         assert_eq!(get(origin.address, "/configuration").await.unwrap().1["index"], 0);
-        // One at its bound goes to a child.
+        // A document of exactly the maximum size reaches a child.
         let empty = big_document(0).len();
         let body = big_document((256 << 10) - empty);
         let mut child = Follower::start("api-1", &[origin.address], &["service/api"], 1);
@@ -99,8 +100,11 @@
         ] {
             let answer = said_to(to, &request).await;
             let start = String::from_utf8_lossy(&request[..request.len().min(60)]).into_owned();
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{start:?}: {answer:?}");
-            assert!(answer.contains(reason), "{start:?}: {answer:?}");
+            assert!(
+                answer.starts_with(&format!("HTTP/1.1 {status}")),
+                "expected status {status} for {start:?}, got {answer:?}"
+            );
+            assert!(answer.contains(reason), "expected {reason:?} for {start:?}, got {answer:?}");
         }
         let whole = get(to, "/configuration").await.unwrap().1;
         assert_eq!(whole, json!({ "index": 0, "snapshot": true, "after": 0, "documents": [] }));
@@ -135,12 +139,12 @@
         for _ in 0..2 {
             let mut reader = watching(origin.address, "since=0").await;
             let mut text = [0; 1024];
-            assert_ne!(within("a first word", reader.read(&mut text)).await.unwrap(), 0);
+            assert_ne!(within("the first update", reader.read(&mut text)).await.unwrap(), 0);
             readers.push(reader);
         }
         let third = get(origin.address, "/configuration?follow=1&since=0").await.unwrap();
         assert_eq!(third, (StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "too many readers" })));
-        // One goes: there is room again.
+        // One reader disconnects, so another is accepted.
         readers.pop();
         let mut child = Follower::start("api-1", &[origin.address], &["fleet"], 1);
         publish(origin.address, "fleet", &document(1), "1").await;
@@ -157,7 +161,7 @@
         for number in 0..12 {
             publish(origin.address, &format!("service/s{number}"), &big, &number.to_string()).await;
         }
-        // It asks for all, which is more than the buffers take, and reads none of it.
+        // The reader requests all documents, which exceed the buffers, and reads nothing.
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         let mut stalled = socket.connect(origin.address).await.unwrap();
@@ -166,14 +170,18 @@
             .await
             .unwrap();
         let mut child = Follower::start("api-1", &[origin.address], &["service/s0"], 1);
-        child.until("the document", |state| state.documents().count() == 1).await;
+        child.until("the first document", |state| state.documents().count() == 1).await;
         publish(origin.address, "service/s0", &document(1), "last").await;
         child.until_index(13).await;
         origin.says("closed reader \"sleepy\"").await;
-        // What it gets after all breaks off.
+        // The stalled reader receives an incomplete body.
         let mut rest = Vec::new();
-        let _ = within("its end", stalled.read_to_end(&mut rest)).await;
-        assert!(rest.len() < 12 * big.len() && !rest.ends_with(b"\n\r\n"), "{}", rest.len());
+        let _ = within("the connection to close", stalled.read_to_end(&mut rest)).await;
+        assert!(
+            rest.len() < 12 * big.len() && !rest.ends_with(b"\n\r\n"),
+            "body complete or too long: {} bytes",
+            rest.len()
+        );
     });
 }
 
@@ -194,7 +202,7 @@
             assert_eq!(publish(origin.address, "fleet", &body, &number.to_string()).await, number);
         }
         let mut text = String::new();
-        within("the newest", async {
+        within("the newest version", async {
             let mut part = vec![0; 64 << 10];
             while !text.contains(&format!("\"version\":{changes},")) || !text.ends_with('\n') {
                 let read = slow.read(&mut part).await.unwrap();
@@ -204,7 +212,7 @@
         })
         .await;
         let told = text.matches("\"version\":").count();
-        assert!((1..20).contains(&told), "{told} of {changes}");
+        assert!((1..20).contains(&told), "expected 1 to 19 versions to be sent, got {told} of {changes}");
     });
 }
 
@@ -220,7 +228,7 @@
             let mut reader = watching(origin.address, "since=1").await;
             signs.push(tokio::task::spawn_local(async move {
                 let (mut text, mut part) = (Vec::new(), [0; 512]);
-                // The first word, and then the sign.
+                // The first empty line is the first answer, the second the heartbeat.
                 while text.windows(6).filter(|part| part == b"1\r\n\n\r\n").count() < 2 {
                     let read = reader.read(&mut part).await.unwrap();
                     assert_ne!(read, 0);
@@ -231,11 +239,11 @@
         }
         let mut times = Vec::new();
         for sign in signs {
-            times.push(within("a sign of life", sign).await.unwrap());
+            times.push(within("a heartbeat", sign).await.unwrap());
         }
         times.sort();
         let apart = times[19] - times[0];
-        assert!(apart.as_millis() > 500, "all at one moment: {times:?}");
+        assert!(apart.as_millis() > 500, "heartbeats not spread by more than 500 ms: {times:?}");
     });
 }
 
@@ -252,7 +260,7 @@
         let _children: Vec<Follower> = (0..6)
             .map(|number| start(number, if number < 2 { origin.address } else { relay.address }))
             .collect();
-        hosts_common::status_until(origin.address, "all six", |status| {
+        hosts_common::status_until(origin.address, "all six children in the summed report", |status| {
             let sums: Sums = serde_json::from_value(status.clone()).unwrap();
             sums.children == 6 && sums.holders.values().all(|holders| holders.versions[&1] == 6)
         })
