--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -23,7 +23,7 @@
     pub failing_openings: u32,
     /// Whether every second call fails, with `ENOSPC` and `EIO` in turn.
     pub failing_each_second: bool,
-    /// Number of calls since every second call fails.
+    /// Number of calls made while every second call fails.
     calls: usize,
     /// Maximum size of the disk in bytes; `None` is unlimited.
     pub room: Option<usize>,
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -347,13 +347,8 @@
     pub async fn until(&mut self, what: &str, fits: impl Fn(&State) -> bool) {
         let followed = async {
             while !fits(&self.state) {
-                let next = self.states.recv().await.expect("the child goes on");
-                assert!(
-                    next.index() >= self.state.index(),
-                    "index went back from {} to {}",
-                    self.state.index(),
-                    next.index()
-                );
+                let next = self.states.recv().await.expect("the child is running");
+                assert!(next.index() >= self.state.index(), "the index of the state went back");
                 assert!(
                     next.documents().all(|document| document.has_valid_digest()),
                     "a document does not match its digest"
@@ -379,7 +374,7 @@
     /// Waits until the child opens a connection to `parent`.
     pub async fn calls(&mut self, parent: SocketAddr) {
         within("a connection to the parent", async {
-            while self.connects.recv().await.expect("the child goes on") != parent {}
+            while self.connects.recv().await.expect("the child is running") != parent {}
         })
         .await;
     }
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -69,7 +69,7 @@
         let needle = told.as_bytes();
         let places: Vec<usize> =
             (0..image.len() - needle.len()).filter(|&at| image[at..].starts_with(needle)).collect();
-        assert!(!places.is_empty(), "document not found in the store file");
+        assert!(!places.is_empty());
         for place in places {
             let digit = place + told.find('3').unwrap();
             image[digit] = b'4';
@@ -171,7 +171,7 @@
     });
 }
 
-/// Size in bytes up to which a write is torn at every byte, at most that of a header.
+/// Size in bytes of the longest write that is torn at every byte; a write of a header is no longer.
 const HEADER: usize = 512;
 /// Distance in bytes between the places at which a longer write is torn; not every byte, since each place opens a store.
 const STEP: usize = 61;
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -225,7 +225,7 @@
         };
         let mut child = Follower::over("api-1", &[origin.address], &["fleet"], 1, connect);
         child.until_index(1).await;
-        assert!(left.borrow().is_empty(), "connect errors not yet returned: {left:?}");
+        assert!(left.borrow().is_empty());
         // The watch receives further updates, and reports use connections of their own.
         publish(origin.address, "fleet", &document(2), "2").await;
         child.until_index(2).await;
