--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -14,7 +14,7 @@
     /// Content that survives a power failure.
     pub synced: Vec<u8>,
     /// Content as reads return it, including writes that are not synced.
-    pub seen: Vec<u8>,
+    pub visible: Vec<u8>,
     /// Writes since the last sync, in order.
     pub writes: Vec<Write>,
     /// Number of next syncs that fail.
@@ -22,11 +22,11 @@
     /// Number of next attempts to open the database that fail.
     pub failing_openings: u32,
     /// Whether every second call fails, with `ENOSPC` and `EIO` in turn.
-    pub failing_each_second: bool,
+    pub failing_every_second_call: bool,
     /// Number of calls made while every second call fails.
     calls: usize,
     /// Maximum size of the disk in bytes; `None` is unlimited.
-    pub room: Option<usize>,
+    pub capacity_bytes: Option<usize>,
 }
 
 /// A change of the disk's content.
@@ -50,26 +50,26 @@
 
 /// A handle of a [`Disk`]; clones refer to the same disk.
 #[derive(Debug, Default, Clone)]
-pub struct Shared(Arc<Mutex<Disk>>);
+pub struct SharedDisk(Arc<Mutex<Disk>>);
 
 /// Error codes (errno) of successive calls while every second call fails, in a cycle; 0 is success.
-const FAULTS: [i32; 4] = [0, ENOSPC, 0, EIO];
+const FAULT_CYCLE: [i32; 4] = [0, ENOSPC, 0, EIO];
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
 impl Disk {
     /// Counts a call and returns the error injected into it, if any.
     fn call(&mut self) -> io::Result<()> {
-        if !self.failing_each_second {
+        if !self.failing_every_second_call {
             return Ok(());
         }
-        let fault = FAULTS[self.calls % FAULTS.len()];
+        let fault = FAULT_CYCLE[self.calls % FAULT_CYCLE.len()];
         self.calls += 1;
         if fault == 0 { Ok(()) } else { Err(io::Error::from_raw_os_error(fault)) }
     }
 }
 
-impl Shared {
+impl SharedDisk {
     pub fn disk(&self) -> MutexGuard<'_, Disk> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -91,13 +91,13 @@
     }
 
     /// A disk without faults whose content is `image`, all of it synced.
-    pub fn with(image: Vec<u8>) -> Self {
-        Self(Arc::new(Mutex::new(Disk { synced: image.clone(), seen: image, ..Disk::default() })))
+    pub fn with_image(image: Vec<u8>) -> Self {
+        Self(Arc::new(Mutex::new(Disk { synced: image.clone(), visible: image, ..Disk::default() })))
     }
 
     /// A new disk without faults with the content that survives a power failure.
-    pub fn rebooted(&self) -> Self {
-        Self::with(self.disk().synced.clone())
+    pub fn after_power_loss(&self) -> Self {
+        Self::with_image(self.disk().synced.clone())
     }
 }
 
@@ -105,28 +105,28 @@
     usize::try_from(value).expect("the value fits into usize")
 }
 
-impl StorageBackend for Shared {
+impl StorageBackend for SharedDisk {
     fn len(&self) -> io::Result<u64> {
         let mut disk = self.disk();
         disk.call()?;
-        Ok(disk.seen.len() as u64)
+        Ok(disk.visible.len() as u64)
     }
 
     fn read(&self, at: u64, length: usize) -> io::Result<Vec<u8>> {
         let at = offset(at);
         let mut disk = self.disk();
         disk.call()?;
-        let part = disk.seen.get(at..at + length).map(<[u8]>::to_vec);
+        let part = disk.visible.get(at..at + length).map(<[u8]>::to_vec);
         part.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
         let (mut disk, length) = (self.disk(), offset(length));
         disk.call()?;
-        if disk.room.is_some_and(|room| length > room) {
+        if disk.capacity_bytes.is_some_and(|capacity_bytes| length > capacity_bytes) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        disk.seen.resize(length, 0);
+        disk.visible.resize(length, 0);
         disk.writes.push(Write::Length(length));
         Ok(())
     }
@@ -153,10 +153,10 @@
     fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
         let (mut disk, at) = (self.disk(), offset(at));
         disk.call()?;
-        if at + bytes.len() > disk.seen.len() {
+        if at + bytes.len() > disk.visible.len() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        disk.seen[at..at + bytes.len()].copy_from_slice(bytes);
+        disk.visible[at..at + bytes.len()].copy_from_slice(bytes);
         disk.writes.push(Write::Bytes(at, bytes.to_vec()));
         Ok(())
     }
@@ -174,13 +174,13 @@
 
 /// A storage backend that records each write before it passes it on to the disk.
 #[derive(Debug, Clone)]
-pub struct Catching {
-    pub disk: Shared,
+pub struct RecordingBackend {
+    pub disk: SharedDisk,
     /// The recorded writes, in order.
-    pub log: Arc<Mutex<Vec<Write>>>,
+    pub recorded: Arc<Mutex<Vec<Write>>>,
 }
 
-impl StorageBackend for Catching {
+impl StorageBackend for RecordingBackend {
     fn len(&self) -> io::Result<u64> {
         self.disk.len()
     }
@@ -190,7 +190,7 @@
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.log.lock().unwrap().push(Write::Length(offset(length)));
+        self.recorded.lock().unwrap().push(Write::Length(offset(length)));
         self.disk.set_len(length)
     }
 
@@ -199,7 +199,7 @@
     }
 
     fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.log.lock().unwrap().push(Write::Bytes(offset(at), bytes.to_vec()));
+        self.recorded.lock().unwrap().push(Write::Bytes(offset(at), bytes.to_vec()));
         self.disk.write(at, bytes)
     }
 }
--- a/crates/config-distribution/tests/hosts_common/in_process.rs
+++ b/crates/config-distribution/tests/hosts_common/in_process.rs
@@ -10,24 +10,24 @@
 use tokio::task::{JoinHandle, spawn_local};
 
 use super::address;
-use super::disk::Shared;
+use super::disk::SharedDisk;
 
 /// An origin whose store is on `disk` and whose check accepts the settings of every document.
-pub fn origin_host(disk: &Shared, bounds: Bounds) -> OriginHost {
+pub fn origin_host(disk: &SharedDisk, bounds: Bounds) -> OriginHost {
     let check = Box::new(|_: &_, _: &str| Vec::new());
     OriginHost::new(disk.store(), bounds, Limits::default(), 0, check, 1).expect("create the origin")
 }
 
 /// A listener on an address that no other test uses, and the address.
-pub async fn listening() -> (TcpListener, SocketAddr) {
+pub async fn bind_listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind(address()).await.expect("bind the listener");
     let own = listener.local_addr().expect("the address of the listener");
     (listener, own)
 }
 
 /// Starts an origin whose store is on `disk`; returns its address and its task.
-pub async fn origin_over(disk: &Shared, bounds: Bounds) -> (SocketAddr, JoinHandle<()>) {
+pub async fn start_origin(disk: &SharedDisk, bounds: Bounds) -> (SocketAddr, JoinHandle<()>) {
     let host = origin_host(disk, bounds);
-    let (listener, own) = listening().await;
+    let (listener, own) = bind_listener().await;
     (own, spawn_local(host.run(listener, pending())))
 }
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -30,18 +30,18 @@
 use tokio::time::{sleep, timeout};
 
 /// Time limit of each wait for an expected event. It only bounds a failing test: no check relies on its length.
-pub const WITHIN: Duration = Duration::from_secs(25);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// Runs a test on a single-threaded runtime.
-pub fn play<T>(test: impl Future<Output = T>) -> T {
+pub fn run_test<T>(test: impl Future<Output = T>) -> T {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("build the runtime");
     LocalSet::new().block_on(&runtime, test)
 }
 
 /// Waits for an expected event; panics with `what` after the time limit.
-pub async fn within<T>(what: &str, happens: impl Future<Output = T>) -> T {
-    timeout(WITHIN, happens).await.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
+pub async fn wait_for<T>(what: &str, happens: impl Future<Output = T>) -> T {
+    timeout(WAIT_TIMEOUT, happens).await.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
 }
 
 /// A loopback address that no other test uses, so that a restarted process can bind it again.
@@ -103,7 +103,7 @@
         let log = Arc::new(Mutex::new(String::new()));
         let errors = child.stderr.take().expect("a pipe for stderr");
         let into = Arc::clone(&log);
-        std::thread::spawn(move || collect(errors, &into));
+        std::thread::spawn(move || collect_log(errors, &into));
         let mut line = String::new();
         BufReader::new(child.stdout.take().expect("a pipe for stdout"))
             .read_line(&mut line)
@@ -112,7 +112,7 @@
         assert!(
             line.starts_with("listening on "),
             "expected the listen address, got {line:?}; {}",
-            process.ended_badly()
+            process.kill_and_describe()
         );
         process
     }
@@ -143,8 +143,8 @@
     }
 
     /// Waits until the process exits by itself; returns its exit status.
-    pub async fn end(&mut self) -> ExitStatus {
-        within("the exit of the process", async {
+    pub async fn wait_for_exit(&mut self) -> ExitStatus {
+        wait_for("the exit of the process", async {
             loop {
                 if let Some(status) = self.child.try_wait().expect("poll the exit status") {
                     return status;
@@ -161,19 +161,19 @@
     }
 
     /// Waits until the log of the process contains `text`.
-    pub async fn says(&self, text: &str) {
-        let said = async {
+    pub async fn wait_for_log(&self, text: &str) {
+        let logged = async {
             while !self.log().contains(text) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        if timeout(WITHIN, said).await.is_err() {
+        if timeout(WAIT_TIMEOUT, logged).await.is_err() {
             panic!("{text:?} not found in the log: {}", self.log());
         }
     }
 
     /// Kills the process and describes its exit status and log, for the message of a failed start.
-    fn ended_badly(&mut self) -> String {
+    fn kill_and_describe(&mut self) -> String {
         let _ = self.child.kill();
         let status = self.child.wait();
         std::thread::sleep(Duration::from_millis(50));
@@ -189,7 +189,7 @@
 }
 
 /// Appends each line of a child process's stderr to `into` until stderr closes.
-fn collect(errors: ChildStderr, into: &Mutex<String>) {
+fn collect_log(errors: ChildStderr, into: &Mutex<String>) {
     for line in BufReader::new(errors).lines().map_while(Result::ok) {
         let mut log = into.lock().unwrap_or_else(PoisonError::into_inner);
         log.push_str(&line);
@@ -198,7 +198,7 @@
 }
 
 /// Finds a seed with which a child that has `count` parents follows the parent at position `first` first.
-pub fn beginning_with(first: usize, count: usize) -> u64 {
+pub fn seed_starting_with(first: usize, count: usize) -> u64 {
     let begins = |seed: &u64| Parents::new(count, *seed).next(Duration::ZERO) == Step::Follow(first);
     (0..).find(begins).expect("a seed exists")
 }
@@ -232,12 +232,12 @@
 }
 
 /// A valid document padded with `bytes` spaces.
-pub fn big_document(bytes: usize) -> String {
-    padded(1, bytes)
+pub fn large_document(bytes: usize) -> String {
+    padded_document(1, bytes)
 }
 
 /// A valid document whose `crossZone` setting is `number`, padded with `bytes` spaces.
-pub fn padded(number: u64, bytes: usize) -> String {
+pub fn padded_document(number: u64, bytes: usize) -> String {
     let document = document(number);
     format!("{}{}}}", &document[..document.len() - 1], " ".repeat(bytes))
 }
@@ -257,8 +257,8 @@
 }
 
 /// Waits until a process serves an index, so that a child that starts with this parent does not leave it.
-pub async fn told(to: SocketAddr, index: u64) {
-    within(&format!("{to} to serve index {index}"), async {
+pub async fn wait_until_served(to: SocketAddr, index: u64) {
+    wait_for(&format!("{to} to serve index {index}"), async {
         loop {
             if let Ok((StatusCode::OK, whole)) = get(to, "/configuration").await
                 && whole["index"].as_u64() >= Some(index)
@@ -271,13 +271,13 @@
     .await;
 }
 
-/// Polls the summed report of a process until `fits` accepts it; panics with `what` after the time limit.
-pub async fn status_until(to: SocketAddr, what: &str, fits: impl Fn(&Value) -> bool) {
+/// Polls the summed report of a process until `matches` accepts it; panics with `what` after the time limit.
+pub async fn wait_for_report(to: SocketAddr, what: &str, matches: impl Fn(&Value) -> bool) {
     let mut last = Value::Null;
     let asked = async {
         loop {
             if let Ok((StatusCode::OK, status)) = get(to, "/configuration/report").await {
-                if fits(&status) {
+                if matches(&status) {
                     return;
                 }
                 last = status;
@@ -285,7 +285,7 @@
             sleep(Duration::from_millis(20)).await;
         }
     };
-    if timeout(WITHIN, asked).await.is_err() {
+    if timeout(WAIT_TIMEOUT, asked).await.is_err() {
         panic!("timed out waiting for: {what}; last report: {last}");
     }
 }
@@ -322,31 +322,31 @@
         let wanted = scopes.iter().map(|scope| scope.parse().expect("a valid scope")).collect();
         let client = Client { name: name.to_owned(), parents: parents.to_vec(), wanted, seed };
         let (sender, states) = mpsc::unbounded_channel();
-        let (called, connects) = mpsc::unbounded_channel();
-        let who: Box<str> = name.into();
+        let (connect_sender, connects) = mpsc::unbounded_channel();
+        let child_name: Box<str> = name.into();
         let task = spawn_local(async move {
             let scopes = client.wanted.clone();
             let connect = |address| {
-                let _ = called.send(address);
+                let _ = connect_sender.send(address);
                 connect(address)
             };
-            let take = |state: &State, _: &[Scope]| {
+            let apply = |state: &State, _: &[Scope]| {
                 let _ = sender.send(state.clone());
                 let version =
                     |scope: &Scope| (scope.clone(), state.get(scope).map_or(0, |document| document.version));
                 let versions: BTreeMap<Scope, u64> = scopes.iter().map(version).collect();
-                InForce { who: who.clone(), versions, refused: None }
+                InForce { who: child_name.clone(), versions, refused: None }
             };
-            match client::run(client, connect, take).await {}
+            match client::run(client, connect, apply).await {}
         });
         Self { states, connects, state: State::default(), task }
     }
 
-    /// Waits for a state that `fits` accepts; asserts that in each state up to it all digests match and that the index
+    /// Waits for a state that `matches` accepts; asserts that in each state up to it all digests match and that the index
     /// never goes back.
-    pub async fn until(&mut self, what: &str, fits: impl Fn(&State) -> bool) {
-        let followed = async {
-            while !fits(&self.state) {
+    pub async fn wait_for_state(&mut self, what: &str, matches: impl Fn(&State) -> bool) {
+        let reached = async {
+            while !matches(&self.state) {
                 let next = self.states.recv().await.expect("the child is running");
                 assert!(next.index() >= self.state.index(), "the index of the state went back");
                 assert!(
@@ -356,24 +356,24 @@
                 self.state = next;
             }
         };
-        if timeout(WITHIN, followed).await.is_err() {
+        if timeout(WAIT_TIMEOUT, reached).await.is_err() {
             panic!("timed out waiting for: {what}; last state: {:?}", self.state);
         }
     }
 
     /// Waits for a state with at least this index.
-    pub async fn until_index(&mut self, index: u64) {
-        self.until(&format!("index {index}"), |state| state.index() >= index).await;
+    pub async fn wait_for_index(&mut self, index: u64) {
+        self.wait_for_state(&format!("index {index}"), |state| state.index() >= index).await;
     }
 
     /// Whether the child has taken in no state that the test has not read.
-    pub fn has_taken_nothing(&self) -> bool {
+    pub fn has_received_nothing(&self) -> bool {
         self.states.is_empty()
     }
 
     /// Waits until the child opens a connection to `parent`.
-    pub async fn calls(&mut self, parent: SocketAddr) {
-        within("a connection to the parent", async {
+    pub async fn wait_for_connect(&mut self, parent: SocketAddr) {
+        wait_for("a connection to the parent", async {
             while self.connects.recv().await.expect("the child is running") != parent {}
         })
         .await;
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -9,10 +9,10 @@
 
 use config_distribution::host::store::{Outcome, Store};
 use config_distribution::origin::Bounds;
-use hosts_common::disk::{Catching, Shared, Write, indexes, record};
-use hosts_common::in_process::origin_over;
+use hosts_common::disk::{RecordingBackend, SharedDisk, Write, indexes, record};
+use hosts_common::in_process::start_origin;
 use hosts_common::{
-    Directory, Follower, Process, address, big_document, change, document, get, play, publish, within,
+    Directory, Follower, Process, address, change, document, get, large_document, publish, run_test, wait_for,
 };
 use hyper::StatusCode;
 use redb::Builder;
@@ -23,7 +23,7 @@
 
 #[test]
 fn a_last_write_torn_anywhere_leaves_all_that_was_acknowledged() {
-    let disk = Shared::default();
+    let disk = SharedDisk::default();
     let (mut store, _) = disk.store();
     for index in 1..=5 {
         let outcome = store.write(&[record(index, &document(index))], &[], None);
@@ -32,18 +32,18 @@
     // Records the individual writes of the sixth record, to tear them below.
     let before = disk.disk().synced.clone();
     disk.disk().failing_syncs = 0;
-    let log = Arc::new(Mutex::new(Vec::new()));
-    let caught = Catching { disk: disk.clone(), log: Arc::clone(&log) };
+    let recorded = Arc::new(Mutex::new(Vec::new()));
+    let recording = RecordingBackend { disk: disk.clone(), recorded: Arc::clone(&recorded) };
     drop(store);
     let (mut store, found) = {
-        let caught = caught.clone();
-        Store::over(move || Builder::new().create_with_backend(caught.clone())).unwrap()
+        let recording = recording.clone();
+        Store::over(move || Builder::new().create_with_backend(recording.clone())).unwrap()
     };
     assert_eq!(indexes(&found), [1, 2, 3, 4, 5]);
-    let begun = log.lock().unwrap().len();
+    let recorded_before = recorded.lock().unwrap().len();
     let opened = disk.disk().synced.clone();
-    assert!(matches!(store.write(&[record(6, &big_document(20_000))], &[], None), Outcome::Written));
-    let writes: Vec<Write> = log.lock().unwrap()[begun..].to_vec();
+    assert!(matches!(store.write(&[record(6, &large_document(20_000))], &[], None), Outcome::Written));
+    let writes: Vec<Write> = recorded.lock().unwrap()[recorded_before..].to_vec();
     assert!(
         writes.len() > 2 && before.len() <= opened.len(),
         "expected several writes, got {}",
@@ -58,7 +58,7 @@
             if let Write::Bytes(at, bytes) = &writes[torn] {
                 Write::Bytes(*at, bytes[..bytes.len() * share / 4].to_vec()).apply(&mut image);
             }
-            let (mut store, found) = Shared::with(image).store();
+            let (mut store, found) = SharedDisk::with_image(image).store();
             let kept = indexes(&found);
             assert_eq!(
                 kept[..5],
@@ -80,25 +80,25 @@
 fn what_was_written_outlasts_a_loss_of_power_and_what_was_not_does_not_come_back() {
     // Covers failures of one, two and three successive syncs.
     for failing in 1..=3 {
-        let disk = Shared::default();
+        let disk = SharedDisk::default();
         let (mut store, _) = disk.store();
         assert!(matches!(store.write(&[record(1, &document(1))], &[], None), Outcome::Written));
         disk.disk().failing_syncs = failing;
         let outcome = store.write(&[record(2, &document(2))], &[], None);
         disk.disk().failing_syncs = 0;
-        let kept = indexes(&disk.rebooted().store().1);
+        let kept = indexes(&disk.after_power_loss().store().1);
         match outcome {
             Outcome::Written => assert_eq!(kept, [1, 2], "{failing} syncs failed"),
             Outcome::NotWritten(_) => {
                 assert_eq!(kept, [1], "{failing} syncs failed");
                 assert!(matches!(store.write(&[record(2, &document(3))], &[], None), Outcome::Written));
-                let found = disk.rebooted().store().1;
+                let found = disk.after_power_loss().store().1;
                 assert_eq!(&*found.records[1].document.body, document(3));
             }
             Outcome::Unknown(_) => {
                 // Repeating the write settles it.
                 assert!(matches!(store.write(&[record(2, &document(2))], &[], None), Outcome::Written));
-                assert_eq!(indexes(&disk.rebooted().store().1), [1, 2]);
+                assert_eq!(indexes(&disk.after_power_loss().store().1), [1, 2]);
             }
         }
     }
@@ -106,22 +106,22 @@
 
 /// Starts an origin on `disk` with one document, and a child that has received it; returns the origin's address, its
 /// task and the child.
-async fn origin_and_child(disk: &Shared) -> (SocketAddr, JoinHandle<()>, Follower) {
-    let (origin, running) = origin_over(disk, Bounds::default()).await;
+async fn origin_and_child(disk: &SharedDisk) -> (SocketAddr, JoinHandle<()>, Follower) {
+    let (origin, running) = start_origin(disk, Bounds::default()).await;
     publish(origin, "service/api", &document(1), "1").await;
     let mut child = Follower::start("api-1", &[origin], &["service/api"], 1);
-    child.until_index(1).await;
+    child.wait_for_index(1).await;
     (origin, running, child)
 }
 
 #[test]
 fn a_full_disk_is_told_and_readers_are_served_on() {
-    play(async {
-        let disk = Shared::default();
+    run_test(async {
+        let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
-        let full = disk.disk().seen.len();
-        disk.disk().room = Some(full);
-        let big = big_document(250_000);
+        let full = disk.disk().visible.len();
+        disk.disk().capacity_bytes = Some(full);
+        let big = large_document(250_000);
         let mut refused = 0;
         // Publishes until the file would have to grow past the capacity.
         for number in 2..40 {
@@ -145,22 +145,22 @@
         assert!(whole["documents"].as_array().unwrap().iter().all(|document| document["scope"] != scope));
         let index = whole["index"].as_u64().unwrap();
         let mut late = Follower::start("api-2", &[origin], &["service/api"], 2);
-        late.until("the first document", |state| state.documents().count() == 1).await;
-        disk.disk().room = None;
+        late.wait_for_state("the first document", |state| state.documents().count() == 1).await;
+        disk.disk().capacity_bytes = None;
         // The repeated request is accepted and gets the next index.
         assert_eq!(publish(origin, &scope, &big, &format!("big {refused}")).await, index + 1);
         assert_eq!(publish(origin, "service/api", &document(2), "2").await, index + 2);
-        child.until_index(index + 2).await;
+        child.wait_for_index(index + 2).await;
         running.abort();
-        let (again, _running) = origin_over(&disk.rebooted(), Bounds::default()).await;
+        let (again, _running) = start_origin(&disk.after_power_loss(), Bounds::default()).await;
         assert_eq!(get(again, "/configuration").await.unwrap().1["index"], index + 2);
     });
 }
 
 #[test]
 fn where_a_write_cannot_be_known_nothing_is_accepted_until_it_is() {
-    play(async {
-        let disk = Shared::default();
+    run_test(async {
+        let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
         {
             let mut disk = disk.disk();
@@ -174,24 +174,25 @@
         }
         // Readers are served the state before the failed write.
         let mut late = Follower::start("api-2", &[origin], &["service/api"], 2);
-        late.until_index(1).await;
+        late.wait_for_index(1).await;
         assert_eq!(late.body("service/api"), Some(document(1)));
-        // The disk works again: the write with the unknown outcome is settled first, and its repeated request gets its index.
+        // The disk works again: the write with the unknown outcome is settled first, and its repeated request gets its
+        // index.
         assert_eq!(publish(origin, "service/api", &document(3), "3").await, 3);
         assert_eq!(publish(origin, "service/api", &document(2), "2").await, 2);
-        child.until_index(3).await;
+        child.wait_for_index(3).await;
         assert_eq!(child.body("service/api"), Some(document(3)));
         running.abort();
-        let found = disk.rebooted().store().1;
+        let found = disk.after_power_loss().store().1;
         assert_eq!(indexes(&found), [1, 2, 3]);
     });
 }
 
 #[test]
 fn a_failed_sync_is_told_and_the_next_publication_goes_on() {
-    play(async {
-        let disk = Shared::default();
-        let (origin, _running) = origin_over(&disk, Bounds::default()).await;
+    run_test(async {
+        let disk = SharedDisk::default();
+        let (origin, _running) = start_origin(&disk, Bounds::default()).await;
         publish(origin, "service/api", &document(1), "1").await;
         disk.disk().failing_syncs = 1;
         let body = document(2);
@@ -199,22 +200,22 @@
         let index = publish(origin, "service/api", &body, "2").await;
         assert_eq!(index, 2, "first answer: {status} {answer}");
         assert_eq!(publish(origin, "service/api", &document(3), "3").await, 3);
-        assert_eq!(indexes(&disk.rebooted().store().1), [1, 2, 3]);
+        assert_eq!(indexes(&disk.after_power_loss().store().1), [1, 2, 3]);
     });
 }
 
 #[test]
 fn records_that_nothing_needs_are_deleted() {
-    play(async {
-        let disk = Shared::default();
+    run_test(async {
+        let disk = SharedDisk::default();
         let bounds = Bounds { max_request_ids: 3, ..Bounds::default() };
-        let (origin, running) = origin_over(&disk, bounds).await;
+        let (origin, running) = start_origin(&disk, bounds).await;
         publish(origin, "fleet", &document(1), "1").await;
         for number in 2..=20 {
             publish(origin, "service/api", &document(number), &number.to_string()).await;
         }
         running.abort();
-        let found = disk.rebooted().store().1;
+        let found = disk.after_power_loss().store().1;
         let kept = indexes(&found);
         // Kept are the newest record of each scope, the records of the remembered request ids, and those that became
         // unneeded only with the last write.
@@ -222,7 +223,7 @@
             kept.len() <= 5 && kept.contains(&1) && kept.ends_with(&[18, 19, 20]),
             "unexpected records kept: {kept:?}"
         );
-        let (again, _running) = origin_over(&disk.rebooted(), Bounds::default()).await;
+        let (again, _running) = start_origin(&disk.after_power_loss(), Bounds::default()).await;
         assert_eq!(publish(again, "service/api", &document(20), "20").await, 20);
         assert_eq!(publish(again, "service/api", &document(21), "21").await, 21);
     });
@@ -230,7 +231,7 @@
 
 #[test]
 fn an_origin_killed_right_after_an_acknowledgement() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("acknowledged");
         let mut origin = Process::origin(&directory, address());
         let mut child = Follower::start("api-1", &[origin.address], &["service/api"], 1);
@@ -245,7 +246,7 @@
             assert_eq!(whole["index"], number);
             assert_eq!(whole["documents"][0]["body"]["settings"]["prices"]["crossZone"], number);
         }
-        child.until_index(5).await;
+        child.wait_for_index(5).await;
     });
 }
 
@@ -262,7 +263,7 @@
 
 #[test]
 fn a_publication_repeated_after_a_lost_answer() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("repeated");
         let mut origin = Process::origin(&directory, address());
         let body = document(1);
@@ -291,7 +292,7 @@
 
 #[test]
 fn two_publishers_crossing() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("crossing");
         let origin = Process::origin(&directory, address());
         let mut version = publish(origin.address, "fleet", &document(0), "0").await;
@@ -319,17 +320,17 @@
         let mut rest = Vec::new();
         let mut stream = TcpStream::connect(origin.address).await.unwrap();
         stream.write_all(b"GET /configuration HTTP/1.1\r\nhost: x\r\n\r\n").await.unwrap();
-        within("an answer", stream.read_to_end(&mut rest)).await.unwrap();
+        wait_for("an answer", stream.read_to_end(&mut rest)).await.unwrap();
         assert!(rest.starts_with(b"HTTP/1.1 200"));
     });
 }
 
 #[test]
 fn an_origin_whose_disk_fails_for_a_while_refuses_meanwhile_and_goes_on_by_itself() {
-    play(async {
-        let disk = Shared::default();
+    run_test(async {
+        let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
-        disk.disk().failing_each_second = true;
+        disk.disk().failing_every_second_call = true;
         let (mut acknowledged, mut refused) = (1, 0);
         for number in 2..=60 {
             let body = document(number);
@@ -340,8 +341,8 @@
                 assert!(index > acknowledged, "acknowledged index {index} after {acknowledged}");
                 acknowledged = index;
             } else {
-                let told = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::INSUFFICIENT_STORAGE];
-                assert!(told.contains(&status), "unexpected answer: {status} {answer}");
+                let expected_statuses = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::INSUFFICIENT_STORAGE];
+                assert!(expected_statuses.contains(&status), "unexpected answer: {status} {answer}");
                 refused += 1;
             }
             // Readers are still served everything that was acknowledged.
@@ -352,13 +353,13 @@
             );
         }
         assert!(refused > 0, "no publication was refused");
-        disk.disk().failing_each_second = false;
+        disk.disk().failing_every_second_call = false;
         let last = publish(origin, "service/api", &document(61), "61").await;
         assert!(last > acknowledged, "index {last} after acknowledged index {acknowledged}");
-        child.until_index(last).await;
+        child.wait_for_index(last).await;
         assert_eq!(child.body("service/api"), Some(document(61)));
         running.abort();
-        let found = disk.rebooted().store().1;
+        let found = disk.after_power_loss().store().1;
         assert_eq!(indexes(&found).last(), Some(&last));
         assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
     });
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -11,8 +11,8 @@
 
 use config_distribution::document::{Digest, Document, Scope, Update};
 use hosts_common::{
-    Directory, Follower, Process, address, beginning_with, big_document, document, get, play, publish,
-    status_until, told, within,
+    Directory, Follower, Process, address, document, get, large_document, publish, run_test,
+    seed_starting_with, wait_for, wait_for_report, wait_until_served,
 };
 use hyper::StatusCode;
 use serde_json::json;
@@ -24,32 +24,32 @@
 const SCOPES: [&str; 3] = ["fleet", "region/north", "service/api"];
 
 /// A connection whose reads stop after a number of bytes until its gate opens.
-struct Gated {
+struct GatedConnection {
     stream: TcpStream,
     gate: Rc<Gate>,
     /// Number of bytes that can still be read while the gate is closed.
-    room: usize,
+    readable_bytes: usize,
 }
 
-/// Controls when a [`Gated`] connection reads on.
+/// Controls when a [`GatedConnection`] reads on.
 #[derive(Default)]
 struct Gate {
     open: Cell<bool>,
     /// Notified when the closed gate blocks a read.
-    held: Notify,
+    blocked: Notify,
     /// Waker of the blocked read.
     waker: Cell<Option<std::task::Waker>>,
 }
 
 impl Gate {
     /// Opens the gate and wakes the blocked read.
-    fn let_go(&self) {
+    fn release(&self) {
         self.open.set(true);
         self.waker.take().into_iter().for_each(std::task::Waker::wake);
     }
 }
 
-impl AsyncRead for Gated {
+impl AsyncRead for GatedConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -58,22 +58,22 @@
         if self.gate.open.get() {
             return Pin::new(&mut self.stream).poll_read(context, into);
         }
-        if self.room == 0 {
-            self.gate.held.notify_one();
+        if self.readable_bytes == 0 {
+            self.gate.blocked.notify_one();
             self.gate.waker.set(Some(context.waker().clone()));
             return Poll::Pending;
         }
         let mut part = [0; 1024];
-        let room = self.room.min(part.len()).min(into.remaining());
-        let mut buffer = ReadBuf::new(&mut part[..room]);
+        let readable_bytes = self.readable_bytes.min(part.len()).min(into.remaining());
+        let mut buffer = ReadBuf::new(&mut part[..readable_bytes]);
         let read = Pin::new(&mut self.stream).poll_read(context, &mut buffer);
-        self.room -= buffer.filled().len();
+        self.readable_bytes -= buffer.filled().len();
         into.put_slice(buffer.filled());
         read
     }
 }
 
-impl AsyncWrite for Gated {
+impl AsyncWrite for GatedConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -92,7 +92,7 @@
 }
 
 /// Connects with a small receive buffer, so that unread data stays with the sender.
-async fn connect_narrow(address: SocketAddr) -> io::Result<TcpStream> {
+async fn connect_with_small_buffer(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.set_recv_buffer_size(4096)?;
     socket.connect(address).await
@@ -100,32 +100,38 @@
 
 #[test]
 fn a_relay_killed_in_the_middle_of_a_document() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("middle");
         let origin = Process::origin(&directory, address());
         let mut first = Process::relay(1, &[origin.address], address());
         let second = Process::relay(1, &[origin.address], address());
         // Together the documents are larger than the buffers between relay and child.
-        let big = big_document(250 << 10);
+        let big = large_document(250 << 10);
         for scope in SCOPES {
             publish(origin.address, scope, &big, scope).await;
         }
-        told(first.address, 3).await;
-        told(second.address, 3).await;
+        wait_until_served(first.address, 3).await;
+        wait_until_served(second.address, 3).await;
         let gate = Rc::new(Gate::default());
         let (parents, made) = ([first.address, second.address], Rc::clone(&gate));
         let connect = move |address| {
             let gate = Rc::clone(&made);
-            async move { Ok(Gated { stream: connect_narrow(address).await?, gate, room: 64 << 10 }) }
+            async move {
+                Ok(GatedConnection {
+                    stream: connect_with_small_buffer(address).await?,
+                    gate,
+                    readable_bytes: 64 << 10,
+                })
+            }
         };
-        let mut child = Follower::over("slow", &parents, &SCOPES, beginning_with(0, 2), connect);
-        child.calls(first.address).await;
-        within("the reader to block in the middle of an update", gate.held.notified()).await;
+        let mut child = Follower::over("slow", &parents, &SCOPES, seed_starting_with(0, 2), connect);
+        child.wait_for_connect(first.address).await;
+        wait_for("the reader to block in the middle of an update", gate.blocked.notified()).await;
         first.kill();
-        gate.let_go();
-        child.calls(second.address).await;
-        assert!(child.has_taken_nothing(), "a partial update was taken in");
-        child.until_index(3).await;
+        gate.release();
+        child.wait_for_connect(second.address).await;
+        assert!(child.has_received_nothing(), "a partial update was taken in");
+        child.wait_for_index(3).await;
         for scope in SCOPES {
             assert_eq!(child.body(scope).as_ref(), Some(&big));
         }
@@ -134,26 +140,26 @@
 
 #[test]
 fn a_relay_paused_and_woken() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("paused");
         let origin = Process::origin(&directory, address());
         let relays = [1, 2].map(|_| Process::relay(1, &[origin.address], address()));
         let parents = [relays[0].address, relays[1].address];
         publish(origin.address, "fleet", &document(1), "1").await;
-        told(parents[0], 1).await;
-        told(parents[1], 1).await;
-        let mut child = Follower::start("api-1", &parents, &SCOPES, beginning_with(0, 2));
-        child.calls(parents[0]).await;
-        child.until_index(1).await;
+        wait_until_served(parents[0], 1).await;
+        wait_until_served(parents[1], 1).await;
+        let mut child = Follower::start("api-1", &parents, &SCOPES, seed_starting_with(0, 2));
+        child.wait_for_connect(parents[0]).await;
+        child.wait_for_index(1).await;
         relays[0].signal("STOP");
         publish(origin.address, "fleet", &document(2), "2").await;
-        child.calls(parents[1]).await;
-        child.until_index(2).await;
+        child.wait_for_connect(parents[1]).await;
+        child.wait_for_index(2).await;
         relays[0].signal("CONT");
         relays[1].signal("STOP");
         publish(origin.address, "fleet", &document(3), "3").await;
-        child.calls(parents[0]).await;
-        child.until_index(3).await;
+        child.wait_for_connect(parents[0]).await;
+        child.wait_for_index(3).await;
         assert_eq!(child.body("fleet"), Some(document(3)));
         relays[1].signal("CONT");
     });
@@ -161,7 +167,7 @@
 
 #[test]
 fn both_relays_of_a_zone_killed() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("zone");
         let origin = Process::origin(&directory, address());
         let region = Process::relay(1, &[origin.address], address());
@@ -171,12 +177,12 @@
         let mut children: Vec<Follower> = (0..10).map(start).collect();
         publish(origin.address, "fleet", &document(1), "1").await;
         for child in &mut children {
-            child.until_index(1).await;
+            child.wait_for_index(1).await;
         }
         zone.iter_mut().for_each(Process::kill);
         publish(origin.address, "region/north", &document(2), "2").await;
         for child in &mut children {
-            child.until_index(2).await;
+            child.wait_for_index(2).await;
             assert_eq!(child.body("region/north"), Some(document(2)));
         }
     });
@@ -184,7 +190,7 @@
 
 #[test]
 fn all_children_reconnecting_at_once() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("all");
         let origin = Process::origin(&directory, address());
         let mut relays = [1, 2].map(|_| Process::relay(1, &[origin.address], address()));
@@ -193,15 +199,15 @@
         let mut children: Vec<Follower> = (0..100).map(start).collect();
         publish(origin.address, "fleet", &document(1), "1").await;
         for child in &mut children {
-            child.until_index(1).await;
+            child.wait_for_index(1).await;
         }
         relays.iter_mut().for_each(Process::kill);
         relays[0] = Process::relay(1, &[origin.address], parents[0]);
         publish(origin.address, "fleet", &document(2), "2").await;
         for child in &mut children {
-            child.until_index(2).await;
+            child.wait_for_index(2).await;
         }
-        status_until(origin.address, "all children in the summed report", |status| {
+        wait_for_report(origin.address, "all children in the summed report", |status| {
             status["children"] == 100 && status["holders"]["fleet"]["versions"] == json!({ "2": 100 })
         })
         .await;
@@ -210,24 +216,26 @@
 
 #[test]
 fn sigterm_of_a_relay_under_readers() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("sigterm");
         let origin = Process::origin(&directory, address());
         let mut relays = [1, 2].map(|_| Process::relay(1, &[origin.address], address()));
         let parents = [relays[0].address, relays[1].address];
         publish(origin.address, "fleet", &document(1), "1").await;
-        told(parents[0], 1).await;
-        told(parents[1], 1).await;
+        wait_until_served(parents[0], 1).await;
+        wait_until_served(parents[1], 1).await;
         let mut children: Vec<Follower> = (0..20)
-            .map(|number| Follower::start(&format!("api-{number}"), &parents, &SCOPES, beginning_with(0, 2)))
+            .map(|number| {
+                Follower::start(&format!("api-{number}"), &parents, &SCOPES, seed_starting_with(0, 2))
+            })
             .collect();
         for child in &mut children {
-            child.until_index(1).await;
+            child.wait_for_index(1).await;
         }
         let mut reader = TcpStream::connect(parents[0]).await.unwrap();
         reader.write_all(b"GET /configuration?follow=1&since=0 HTTP/1.1\r\nhost: x\r\n\r\n").await.unwrap();
         let mut text = vec![0; 4096];
-        within("the first update", async {
+        wait_for("the first update", async {
             while !String::from_utf8_lossy(&text).contains("documents") {
                 assert_ne!(reader.read(&mut text).await.unwrap(), 0);
             }
@@ -235,34 +243,34 @@
         .await;
         relays[0].signal("TERM");
         let mut rest = Vec::new();
-        within("the end of the watch stream", reader.read_to_end(&mut rest)).await.unwrap();
+        wait_for("the end of the watch stream", reader.read_to_end(&mut rest)).await.unwrap();
         // A chunked body that is terminated properly ends with this chunk.
         assert!(rest.ends_with(b"0\r\n\r\n"), "body not terminated: {:?}", String::from_utf8_lossy(&rest));
-        assert!(relays[0].end().await.success(), "log of the failed relay: {}", relays[0].log());
+        assert!(relays[0].wait_for_exit().await.success(), "log of the failed relay: {}", relays[0].log());
         publish(origin.address, "fleet", &document(2), "2").await;
         for child in &mut children {
-            child.calls(parents[1]).await;
-            child.until_index(2).await;
+            child.wait_for_connect(parents[1]).await;
+            child.wait_for_index(2).await;
         }
     });
 }
 
-/// Starts a parent that answers each watch with the body bytes `said` and then keeps the connection open silently.
-async fn lying_parent(said: Vec<u8>) -> SocketAddr {
+/// Starts a parent that answers each watch with the bytes `response_body` and then keeps the connection open silently.
+async fn faulty_parent(response_body: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind(address()).await.unwrap();
     let own = listener.local_addr().unwrap();
     spawn_local(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            let said = said.clone();
+            let response_body = response_body.clone();
             spawn_local(async move {
                 let mut request = [0; 4096];
                 let _ = stream.read(&mut request).await;
                 let head = b"HTTP/1.1 200 OK\r\nx-level: 0\r\ntransfer-encoding: chunked\r\n\r\n";
                 let _ = stream.write_all(head).await;
-                if !said.is_empty() {
-                    let size = format!("{:x}\r\n", said.len());
+                if !response_body.is_empty() {
+                    let size = format!("{:x}\r\n", response_body.len());
                     let _ = stream.write_all(size.as_bytes()).await;
-                    let _ = stream.write_all(&said).await;
+                    let _ = stream.write_all(&response_body).await;
                     let _ = stream.write_all(b"\r\n").await;
                 }
                 // Keeps the connection open until the reader closes it.
@@ -273,25 +281,25 @@
     own
 }
 
-/// Asserts that a child whose first parent sends `said` leaves that parent, takes in nothing from it, and receives the
-/// configuration from another parent.
-async fn is_left(name: &str, said: Vec<u8>) {
+/// Asserts that a child whose first parent sends `response_body` leaves that parent, takes in nothing from it, and
+/// receives the configuration from another parent.
+async fn assert_child_leaves_parent(name: &str, response_body: Vec<u8>) {
     let directory = Directory::new(name);
     let origin = Process::origin(&directory, address());
     publish(origin.address, "service/api", &document(1), "1").await;
-    let liar = lying_parent(said).await;
-    let parents = [liar, origin.address];
-    let mut child = Follower::start("api-1", &parents, &SCOPES, beginning_with(0, 2));
-    child.calls(liar).await;
-    child.calls(origin.address).await;
-    assert!(child.has_taken_nothing(), "an update of the faulty parent was taken in");
-    child.until_index(1).await;
+    let faulty_address = faulty_parent(response_body).await;
+    let parents = [faulty_address, origin.address];
+    let mut child = Follower::start("api-1", &parents, &SCOPES, seed_starting_with(0, 2));
+    child.wait_for_connect(faulty_address).await;
+    child.wait_for_connect(origin.address).await;
+    assert!(child.has_received_nothing(), "an update of the faulty parent was taken in");
+    child.wait_for_index(1).await;
     assert_eq!(child.state.documents().count(), 1);
     assert_eq!(child.body("service/api"), Some(document(1)));
 }
 
 /// Encodes a snapshot with one document as a line of a watch.
-fn line_of(scope: &str, index: u64, body: &str) -> Vec<u8> {
+fn snapshot_line(scope: &str, index: u64, body: &str) -> Vec<u8> {
     let scope: Scope = scope.parse().unwrap();
     let documents = vec![Document::new(scope, index, body.into())];
     let update = Update { index, snapshot: true, after: 0, stale_s: 0, documents };
@@ -302,34 +310,34 @@
 
 #[test]
 fn a_parent_that_answers_and_never_speaks() {
-    play(is_left("speechless", Vec::new()));
+    run_test(assert_child_leaves_parent("speechless", Vec::new()));
 }
 
 #[test]
 fn a_parent_that_says_half_a_line() {
-    let mut line = line_of("service/api", 7, &document(7));
+    let mut line = snapshot_line("service/api", 7, &document(7));
     line.truncate(line.len() / 2);
-    play(is_left("half", line));
+    run_test(assert_child_leaves_parent("half", line));
 }
 
 #[test]
 fn a_parent_that_says_garbage() {
-    play(is_left("garbage", b"\x00\xff{]\n".to_vec()));
+    run_test(assert_child_leaves_parent("garbage", b"\x00\xff{]\n".to_vec()));
 }
 
 #[test]
 fn a_parent_that_says_a_document_of_one_mebibyte() {
-    play(is_left("large", line_of("service/api", 7, &big_document(1 << 20))));
+    run_test(assert_child_leaves_parent("large", snapshot_line("service/api", 7, &large_document(1 << 20))));
 }
 
 #[test]
 fn a_parent_that_says_a_line_without_end() {
-    play(is_left("endless", vec![b' '; 4 << 20]));
+    run_test(assert_child_leaves_parent("endless", vec![b' '; 4 << 20]));
 }
 
 #[test]
 fn a_parent_that_says_a_document_of_another_service() {
-    play(is_left("another", line_of("service/other", 7, &document(7))));
+    run_test(assert_child_leaves_parent("another", snapshot_line("service/other", 7, &document(7))));
 }
 
 #[test]
@@ -340,50 +348,50 @@
     let update = Update { index: 7, snapshot: true, after: 0, stale_s: 0, documents };
     let mut line = serde_json::to_vec(&update).unwrap();
     line.push(b'\n');
-    play(is_left("damaged", line));
+    run_test(assert_child_leaves_parent("damaged", line));
 }
 
 #[test]
 fn a_relay_without_a_word_from_above_tells_no_empty_whole() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("wordless");
-        let nobody = address();
-        let relay = Process::relay(1, &[nobody], address());
+        let unused_address = address();
+        let relay = Process::relay(1, &[unused_address], address());
         for path in ["/configuration", "/configuration?follow=1&since=0"] {
             let (status, answer) = get(relay.address, path).await.unwrap();
             assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{answer}");
         }
         let mut child = Follower::start("api-1", &[relay.address], &SCOPES, 1);
-        child.calls(relay.address).await;
-        child.calls(relay.address).await;
-        assert!(child.has_taken_nothing());
-        let origin = Process::origin(&directory, nobody);
+        child.wait_for_connect(relay.address).await;
+        child.wait_for_connect(relay.address).await;
+        assert!(child.has_received_nothing());
+        let origin = Process::origin(&directory, unused_address);
         publish(origin.address, "fleet", &document(1), "1").await;
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
     });
 }
 
 #[test]
 fn a_relay_cut_off_serves_what_its_directory_has_and_says_that_it_is_stale() {
-    play(async {
-        let (directory, kept) = (Directory::new("cut-origin"), Directory::new("cut-relay"));
+    run_test(async {
+        let (directory, relay_directory) = (Directory::new("cut-origin"), Directory::new("cut-relay"));
         let mut origin = Process::origin(&directory, address());
         publish(origin.address, "fleet", &document(1), "1").await;
         publish(origin.address, "service/api", &document(2), "2").await;
-        let (above, own) = (origin.address.to_string(), address());
-        let place = kept.path().to_str().unwrap();
-        let arguments = ["relay", "--level", "1", "--parent", &above, "--dir", place];
+        let (parent_address, own) = (origin.address.to_string(), address());
+        let directory_path = relay_directory.path().to_str().unwrap();
+        let arguments = ["relay", "--level", "1", "--parent", &parent_address, "--dir", directory_path];
         let mut relay = Process::start(&arguments, own);
         let mut child = Follower::start("api-1", &[own], &SCOPES, 1);
-        child.until_index(2).await;
-        relay.says("stored index 2").await;
+        child.wait_for_index(2).await;
+        relay.wait_for_log("stored index 2").await;
         origin.kill();
         relay.kill();
         let _relay = Process::start(&arguments, own);
         let mut late = Follower::start("api-2", &[own], &SCOPES, 1);
-        late.until_index(2).await;
+        late.wait_for_index(2).await;
         assert_eq!(late.body("service/api"), Some(document(2)));
-        within("the relay to report that it is stale", async {
+        wait_for("the relay to report that it is stale", async {
             loop {
                 let path = "/configuration?since=2";
                 let (status, answer) = get(own, path).await.unwrap();
@@ -398,13 +406,13 @@
         .await;
         // An origin on a copy of the relay's directory continues from the stored index.
         let copy = Directory::new("cut-copy");
-        for entry in std::fs::read_dir(kept.path()).unwrap() {
+        for entry in std::fs::read_dir(relay_directory.path()).unwrap() {
             let entry = entry.unwrap();
             std::fs::copy(entry.path(), copy.path().join(entry.file_name())).unwrap();
         }
         let origin = Process::origin(&copy, origin.address);
         assert_eq!(publish(origin.address, "fleet", &document(3), "3").await, 3);
-        late.until_index(3).await;
+        late.wait_for_index(3).await;
         assert_eq!(late.body("fleet"), Some(document(3)));
         assert_eq!(late.body("service/api"), Some(document(2)));
     });
@@ -412,7 +420,7 @@
 
 #[test]
 fn relays_that_name_each_other_as_parents_make_no_loop() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("loop");
         let origin = Process::origin(&directory, address());
         let (one, other) = (address(), address());
@@ -421,10 +429,10 @@
         publish(origin.address, "fleet", &document(1), "1").await;
         for relay in [&first, &second] {
             let mut child = Follower::start("api-1", &[relay.address], &SCOPES, 1);
-            child.until_index(1).await;
+            child.wait_for_index(1).await;
         }
         let alone = Process::relay(1, &[one], address());
-        alone.says("the parent's level is not below the level of this relay").await;
+        alone.wait_for_log("the parent's level is not below the level of this relay").await;
         let (status, _) = get(alone.address, "/configuration").await.unwrap();
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     });
--- a/crates/config-distribution/tests/hosts_path.rs
+++ b/crates/config-distribution/tests/hosts_path.rs
@@ -6,32 +6,32 @@
 use std::process::{Command, Stdio};
 
 use hosts_common::{
-    Directory, Follower, Process, address, binary, change, document, get, play, publish, status_until,
+    Directory, Follower, Process, address, binary, change, document, get, publish, run_test, wait_for_report,
 };
 use hyper::StatusCode;
 use serde_json::json;
 
 #[test]
 fn a_publication_reaches_a_child_over_two_relays_and_is_reported_back() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("path");
         let origin = Process::origin(&directory, address());
         let region = Process::relay(1, &[origin.address], address());
         let zone = Process::relay(2, &[region.address], address());
         let scopes = ["fleet", "region/north", "service/api"];
         let mut child = Follower::start("api-1", &[zone.address], &scopes, 5);
-        child.until("the first snapshot", |state| state.index() == 0).await;
+        child.wait_for_state("the first snapshot", |state| state.index() == 0).await;
         assert_eq!(publish(origin.address, "fleet", &document(1), "a").await, 1);
         assert_eq!(publish(origin.address, "service/api", &document(2), "b").await, 2);
         assert_eq!(publish(origin.address, "service/other", &document(3), "c").await, 3);
-        child.until_index(2).await;
+        child.wait_for_index(2).await;
         assert_eq!(child.body("fleet"), Some(document(1)));
         assert_eq!(child.body("service/api"), Some(document(2)));
         let (status, answer) = change(origin.address, "service/api", None, "d", Some(2)).await.unwrap();
         assert_eq!((status, answer), (StatusCode::OK, json!({ "index": 4 })));
-        child.until_index(4).await;
+        child.wait_for_index(4).await;
         assert_eq!(child.body("service/api"), None);
-        status_until(origin.address, "the child in the summed report", |status| {
+        wait_for_report(origin.address, "the child in the summed report", |status| {
             status["children"] == 1 && status["holders"]["fleet"]["versions"] == json!({ "1": 1 })
         })
         .await;
@@ -45,7 +45,7 @@
 
 #[test]
 fn the_commands_publish_and_tell_their_exit_status() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("commands");
         let origin = Process::origin(&directory, address());
         let to = origin.address.to_string();
@@ -66,23 +66,23 @@
         assert_eq!(run(publish.to_vec(), &document(1)), (Some(0), "1\n".to_owned(), String::new()));
         // Repeating the request has no further effect and returns the same index.
         assert_eq!(run(publish.to_vec(), &document(1)).1, "1\n");
-        let faulty = run(vec!["publish", "--to", &to, "fleet", "-"], r#"{"settings":{"zone":1},"more":2}"#);
-        assert_eq!(faulty.0, Some(1));
+        let invalid = run(vec!["publish", "--to", &to, "fleet", "-"], r#"{"settings":{"zone":1},"more":2}"#);
+        assert_eq!(invalid.0, Some(1));
         assert!(
-            faulty.2.contains("settings.zone") && faulty.2.contains("more"),
+            invalid.2.contains("settings.zone") && invalid.2.contains("more"),
             "faults not named: {}",
-            faulty.2
+            invalid.2
         );
-        let late = run(vec!["withdraw", "--to", &to, "service/api", "--if-version", "7"], "");
-        assert_eq!(late.0, Some(1));
-        assert!(late.2.contains("version 1 stands"), "unexpected error: {}", late.2);
+        let outdated = run(vec!["withdraw", "--to", &to, "service/api", "--if-version", "7"], "");
+        assert_eq!(outdated.0, Some(1));
+        assert!(outdated.2.contains("version 1 stands"), "unexpected error: {}", outdated.2);
         assert_eq!(run(vec!["withdraw", "--to", &to, "service/api"], "").1, "2\n");
         let got = run(vec!["get", "--to", &to, "service/api"], "");
         assert_eq!(got.1, "{\"index\":2,\"snapshot\":true,\"after\":0,\"documents\":[]}\n");
         assert_eq!(run(vec!["status", "--to", &to], "").0, Some(0));
         assert_eq!(run(vec!["publish", "--to", &to, "services/api", "-"], "").0, Some(2));
-        let nobody = address().to_string();
-        assert_eq!(run(vec!["status", "--to", &nobody], "").0, Some(3));
+        let unused_address = address().to_string();
+        assert_eq!(run(vec!["status", "--to", &unused_address], "").0, Some(3));
         let version = Command::new(env!("CARGO_BIN_EXE_config-distribution")).arg("--help").output();
         assert!(String::from_utf8(version.unwrap().stdout).unwrap().contains("EXIT STATUS"));
     });
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -11,67 +11,70 @@
 use config_distribution::host::relay::{RelayHost, RelayOptions};
 use config_distribution::host::server::Limits;
 use config_distribution::host::store::{Outcome, Store};
-use hosts_common::disk::{Catching, Shared, Write, indexes, record};
-use hosts_common::in_process::listening;
-use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
+use hosts_common::disk::{RecordingBackend, SharedDisk, Write, indexes, record};
+use hosts_common::in_process::bind_listener;
+use hosts_common::{Directory, Follower, Process, address, document, get, publish, run_test, wait_for};
 use redb::Builder;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-const FILE: &str = "configuration.redb";
+const FILE_NAME: &str = "configuration.redb";
 
 /// Content of a relay's store file with one document after the store was closed normally.
-fn file_of_one(directory: &Directory) -> Vec<u8> {
+fn store_file_with_one_record(directory: &Directory) -> Vec<u8> {
     let (mut store, _) = Store::at(directory.path()).unwrap();
     assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
     drop(store);
-    fs::read(directory.path().join(FILE)).unwrap()
+    fs::read(directory.path().join(FILE_NAME)).unwrap()
 }
 
 /// Starts a relay on a directory whose store file is `image`. No process listens at the address of its parent.
 fn relay_on(directory: &Directory, image: &[u8]) -> Process {
-    fs::write(directory.path().join(FILE), image).unwrap();
-    let (place, nobody) = (directory.path().to_str().unwrap(), address().to_string());
-    Process::start(&["relay", "--level", "1", "--parent", &nobody, "--dir", place], address())
+    fs::write(directory.path().join(FILE_NAME), image).unwrap();
+    let (directory_path, unused_address) = (directory.path().to_str().unwrap(), address().to_string());
+    Process::start(
+        &["relay", "--level", "1", "--parent", &unused_address, "--dir", directory_path],
+        address(),
+    )
 }
 
 #[test]
 fn a_relay_on_a_file_that_is_cut_off_begins_with_nothing_and_keeps_again() {
-    play(async {
-        let made = Directory::new("relay-whole");
-        let whole = file_of_one(&made);
+    run_test(async {
+        let source_directory = Directory::new("relay-whole");
+        let whole = store_file_with_one_record(&source_directory);
         for length in [0, 1, 9, 300, 4096, whole.len() / 2, whole.len() - 1] {
             let directory = Directory::new(&format!("relay-cut-{length}"));
             drop(relay_on(&directory, &whole[..length]));
-            let (above, kept) = (Directory::new("relay-cut-above"), address());
-            let origin = Process::origin(&above, address());
+            let (origin_directory, relay_address) = (Directory::new("relay-cut-above"), address());
+            let origin = Process::origin(&origin_directory, address());
             assert_eq!(publish(origin.address, "fleet", &document(7), "7").await, 1);
-            let (place, parent) = (directory.path().to_str().unwrap(), origin.address.to_string());
-            let arguments = ["relay", "--level", "1", "--parent", &parent, "--dir", place];
-            let mut relay = Process::start(&arguments, kept);
-            relay.says("stored index 1").await;
+            let (directory_path, parent) = (directory.path().to_str().unwrap(), origin.address.to_string());
+            let arguments = ["relay", "--level", "1", "--parent", &parent, "--dir", directory_path];
+            let mut relay = Process::start(&arguments, relay_address);
+            relay.wait_for_log("stored index 1").await;
             relay.kill();
             drop(origin);
-            let relay = Process::start(&arguments, kept);
-            let told = get(relay.address, "/configuration").await.unwrap().1;
-            assert_eq!(told["index"], 1, "store file truncated to {length} bytes");
+            let relay = Process::start(&arguments, relay_address);
+            let content = get(relay.address, "/configuration").await.unwrap().1;
+            assert_eq!(content["index"], 1, "store file truncated to {length} bytes");
         }
     });
 }
 
 #[test]
 fn a_relay_on_a_file_with_a_damaged_document_begins_with_nothing() {
-    play(async {
-        let made = Directory::new("relay-sound");
-        let mut image = file_of_one(&made);
+    run_test(async {
+        let source_directory = Directory::new("relay-sound");
+        let mut image = store_file_with_one_record(&source_directory);
         // Changes one digit of the document in every copy of its page.
-        let told = document(3);
-        let needle = told.as_bytes();
+        let content = document(3);
+        let needle = content.as_bytes();
         let places: Vec<usize> =
             (0..image.len() - needle.len()).filter(|&at| image[at..].starts_with(needle)).collect();
         assert!(!places.is_empty());
         for place in places {
-            let digit = place + told.find('3').unwrap();
+            let digit = place + content.find('3').unwrap();
             image[digit] = b'4';
         }
         let directory = Directory::new("relay-damaged");
@@ -82,7 +85,7 @@
 }
 
 /// Starts a relay in the test process, on a disk with injected faults; returns its address and its task.
-async fn relay_over(disk: &Shared, parent: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
+async fn start_relay(disk: &SharedDisk, parent: SocketAddr) -> (SocketAddr, JoinHandle<()>) {
     let options = RelayOptions {
         name: "relay".to_owned(),
         level: 1,
@@ -97,14 +100,14 @@
         Store::over(move || disk.open())
     };
     let host = RelayHost::over(options, opened).expect("create the relay");
-    let (listener, own) = listening().await;
+    let (listener, own) = bind_listener().await;
     (own, spawn_local(host.run(listener, std::future::pending())))
 }
 
 /// Waits until a document of this version is synced to the disk.
-async fn kept(disk: &Shared, version: u64) {
-    within("the document to be synced to disk", async {
-        while disk.rebooted().store().1.records.iter().all(|record| record.index != version) {
+async fn wait_until_stored(disk: &SharedDisk, version: u64) {
+    wait_for("the document to be synced to disk", async {
+        while disk.after_power_loss().store().1.records.iter().all(|record| record.index != version) {
             sleep(Duration::from_millis(20)).await;
         }
     })
@@ -113,90 +116,90 @@
 
 #[test]
 fn a_relay_whose_disk_fails_for_a_while_serves_on_and_keeps_again_by_itself() {
-    play(async {
-        let (above, disk) = (Directory::new("relay-failing"), Shared::default());
-        let mut origin = Process::origin(&above, address());
+    run_test(async {
+        let (origin_directory, disk) = (Directory::new("relay-failing"), SharedDisk::default());
+        let mut origin = Process::origin(&origin_directory, address());
         publish(origin.address, "service/api", &document(1), "1").await;
-        let (relay, running) = relay_over(&disk, origin.address).await;
+        let (relay, running) = start_relay(&disk, origin.address).await;
         let mut child = Follower::start("api-1", &[relay], &["service/api"], 1);
-        child.until_index(1).await;
-        kept(&disk, 1).await;
-        disk.disk().failing_each_second = true;
+        child.wait_for_index(1).await;
+        wait_until_stored(&disk, 1).await;
+        disk.disk().failing_every_second_call = true;
         for number in 2..=20 {
             assert_eq!(
                 publish(origin.address, "service/api", &document(number), &number.to_string()).await,
                 number
             );
-            child.until_index(number).await;
+            child.wait_for_index(number).await;
             assert_eq!(child.body("service/api"), Some(document(number)));
         }
-        disk.disk().failing_each_second = false;
-        kept(&disk, 20).await;
+        disk.disk().failing_every_second_call = false;
+        wait_until_stored(&disk, 20).await;
         // A restarted relay without a running parent serves the newest document.
         running.abort();
         origin.kill();
-        let (relay, _running) = relay_over(&disk.rebooted(), origin.address).await;
+        let (relay, _running) = start_relay(&disk.after_power_loss(), origin.address).await;
         let mut late = Follower::start("api-2", &[relay], &["service/api"], 1);
-        late.until_index(20).await;
+        late.wait_for_index(20).await;
         assert_eq!(late.body("service/api"), Some(document(20)));
     });
 }
 
 #[test]
 fn a_relay_that_begins_while_its_disk_fails_serves_what_comes_from_above_and_keeps_it_later() {
-    play(async {
-        let (above, disk) = (Directory::new("relay-begins"), Shared::default());
-        let origin = Process::origin(&above, address());
+    run_test(async {
+        let (origin_directory, disk) = (Directory::new("relay-begins"), SharedDisk::default());
+        let origin = Process::origin(&origin_directory, address());
         publish(origin.address, "fleet", &document(1), "1").await;
         disk.disk().failing_openings = 1;
-        let (relay, _running) = relay_over(&disk, origin.address).await;
+        let (relay, _running) = start_relay(&disk, origin.address).await;
         let mut child = Follower::start("api-1", &[relay], &["fleet"], 1);
-        child.until_index(1).await;
-        kept(&disk, 1).await;
+        child.wait_for_index(1).await;
+        wait_until_stored(&disk, 1).await;
     });
 }
 
 #[test]
 fn a_relay_takes_in_what_its_disk_holds_once_it_fails_no_more() {
-    play(async {
-        let (disk, nobody) = (Shared::default(), address());
+    run_test(async {
+        let (disk, unused_address) = (SharedDisk::default(), address());
         let (mut store, _) = disk.store();
         assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
         drop(store);
         disk.disk().failing_openings = 1;
-        let (relay, _running) = relay_over(&disk, nobody).await;
+        let (relay, _running) = start_relay(&disk, unused_address).await;
         let mut child = Follower::start("api-1", &[relay], &["service/api"], 1);
-        child.until_index(3).await;
+        child.wait_for_index(3).await;
         assert_eq!(child.body("service/api"), Some(document(3)));
     });
 }
 
-/// Size in bytes of the longest write that is torn at every byte; a write of a header is no longer.
-const HEADER: usize = 512;
+/// Size in bytes of the longest write that is torn at every byte; a write of a header is at most as long.
+const HEADER_BYTES: usize = 512;
 /// Distance in bytes between the places at which a longer write is torn; not every byte, since each place opens a store.
-const STEP: usize = 61;
+const STEP_BYTES: usize = 61;
 
 #[test]
 fn a_relays_write_torn_at_any_byte_leaves_the_one_before_it_or_itself() {
-    let disk = Shared::default();
+    let disk = SharedDisk::default();
     let (mut store, _) = disk.store();
     assert!(matches!(store.write(&[record(1, &document(1))], &[], Some(1)), Outcome::Written));
     drop(store);
-    let log = Arc::new(Mutex::new(Vec::new()));
-    let caught = Catching { disk: disk.clone(), log: Arc::clone(&log) };
-    let (mut store, _) = Store::over(move || Builder::new().create_with_backend(caught.clone())).unwrap();
-    let (begun, before) = (log.lock().unwrap().len(), disk.disk().seen.clone());
+    let recorded = Arc::new(Mutex::new(Vec::new()));
+    let recording = RecordingBackend { disk: disk.clone(), recorded: Arc::clone(&recorded) };
+    let (mut store, _) = Store::over(move || Builder::new().create_with_backend(recording.clone())).unwrap();
+    let (recorded_before, before) = (recorded.lock().unwrap().len(), disk.disk().visible.clone());
     assert!(matches!(store.write(&[record(2, &document(2))], &[1], Some(2)), Outcome::Written));
-    let writes: Vec<Write> = log.lock().unwrap()[begun..].to_vec();
+    let writes: Vec<Write> = recorded.lock().unwrap()[recorded_before..].to_vec();
     let mut image = before;
-    let mut played = 0;
+    let mut tested = 0;
     for write in &writes {
         if let Write::Bytes(at, bytes) = write {
-            let step = if bytes.len() <= HEADER { 1 } else { STEP };
+            let step = if bytes.len() <= HEADER_BYTES { 1 } else { STEP_BYTES };
             for length in (0..bytes.len()).step_by(step) {
                 let mut torn = image.clone();
                 Write::Bytes(*at, bytes[..length].to_vec()).apply(&mut torn);
-                let (_, found) = Shared::with(torn).store();
+                let (_, found) = SharedDisk::with_image(torn).store();
                 // The index and the document come from the same write.
                 assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
                 assert_eq!(
@@ -205,24 +208,28 @@
                     "index and records differ after a write torn at {length} of {} bytes",
                     bytes.len()
                 );
-                played += 1;
+                tested += 1;
             }
         }
         write.apply(&mut image);
     }
-    assert!(played > HEADER, "expected more than {HEADER} torn writes, got {played}");
+    assert!(tested > HEADER_BYTES, "expected more than {HEADER_BYTES} torn writes, got {tested}");
 }
 
 #[test]
 fn ten_kills_of_a_relay_under_changes_leave_a_whole_version_and_never_an_older_one() {
-    play(async {
-        let (above, directory) = (Directory::new("relay-kills-above"), Directory::new("relay-kills"));
-        let origin = Process::origin(&above, address());
+    run_test(async {
+        let (origin_directory, directory) =
+            (Directory::new("relay-kills-above"), Directory::new("relay-kills"));
+        let origin = Process::origin(&origin_directory, address());
         let to = origin.address;
-        let place = directory.path().to_str().unwrap().to_owned();
+        let directory_path = directory.path().to_str().unwrap().to_owned();
         let started = |parent: SocketAddr| {
             let parent = parent.to_string();
-            Process::start(&["relay", "--level", "1", "--parent", &parent, "--dir", &place], address())
+            Process::start(
+                &["relay", "--level", "1", "--parent", &parent, "--dir", &directory_path],
+                address(),
+            )
         };
         publish(to, "service/api", &document(1), "1").await;
         let publishing = spawn_local(async move {
@@ -230,20 +237,20 @@
                 assert_eq!(publish(to, "service/api", &document(number), &number.to_string()).await, number);
             }
         });
-        let mut kept = 0;
+        let mut stored_index = 0;
         for round in 0..10_u64 {
             let mut relay = started(to);
-            relay.says("stored index").await;
+            relay.wait_for_log("stored index").await;
             sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
             relay.kill();
             // No process listens at the address of its parent, so the relay serves what it stored.
-            let alone = started(address());
-            let whole = get(alone.address, "/configuration").await.unwrap().1;
+            let restarted = started(address());
+            let whole = get(restarted.address, "/configuration").await.unwrap().1;
             let index = whole["index"].as_u64().unwrap();
-            assert!(index > kept, "round {round}: index {index} after {kept}");
+            assert!(index > stored_index, "round {round}: index {index} after {stored_index}");
             assert_eq!(whole["documents"][0]["version"], index);
             assert_eq!(whole["documents"][0]["body"]["settings"]["prices"]["crossZone"], index);
-            kept = index;
+            stored_index = index;
         }
         publishing.abort();
     });
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -6,8 +6,8 @@
 
 use config_distribution::report::Sums;
 use hosts_common::{
-    Directory, Follower, Process, address, big_document, change, document, get, padded, play, publish, told,
-    within,
+    Directory, Follower, Process, address, change, document, get, large_document, padded_document, publish,
+    run_test, wait_for, wait_until_served,
 };
 use hyper::StatusCode;
 use serde_json::json;
@@ -15,17 +15,17 @@
 use tokio::net::{TcpSocket, TcpStream};
 
 /// Sends bytes on a new connection and returns everything received until the connection closes.
-async fn said_to(to: SocketAddr, bytes: &[u8]) -> String {
+async fn response_to(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
     // The host may close the connection before all bytes are sent.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
-    let _ = within("an answer", stream.read_to_end(&mut answer)).await;
+    let _ = wait_for("an answer", stream.read_to_end(&mut answer)).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
 /// Opens a connection and sends a watch request with this query.
-async fn watching(to: SocketAddr, query: &str) -> TcpStream {
+async fn open_watch(to: SocketAddr, query: &str) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let request = format!("GET /configuration?follow=1&{query} HTTP/1.1\r\nhost: x\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
@@ -34,27 +34,27 @@
 
 #[test]
 fn a_document_of_one_mebibyte() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("mebibyte");
         let origin = Process::origin(&directory, address());
-        let body = big_document(1 << 20);
+        let body = large_document(1 << 20);
         let (status, answer) = change(origin.address, "service/api", Some(&body), "1", None).await.unwrap();
         assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
         assert!(answer["error"].as_str().unwrap().contains("262144"), "limit not named: {answer}");
         assert_eq!(get(origin.address, "/configuration").await.unwrap().1["index"], 0);
         // A document of exactly the maximum size reaches a child.
-        let empty = big_document(0).len();
-        let body = big_document((256 << 10) - empty);
+        let empty = large_document(0).len();
+        let body = large_document((256 << 10) - empty);
         let mut child = Follower::start("api-1", &[origin.address], &["service/api"], 1);
         assert_eq!(publish(origin.address, "service/api", &body, "2").await, 1);
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
         assert_eq!(child.body("service/api"), Some(body));
     });
 }
 
 #[test]
 fn requests_that_make_no_sense_change_nothing() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("garbage");
         let origin = Process::origin(&directory, address());
         let to = origin.address;
@@ -98,7 +98,7 @@
             (format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(100_000)).into(), 4, ""),
             (format!("GET / HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(1000)).into(), 4, ""),
         ] {
-            let answer = said_to(to, &request).await;
+            let answer = response_to(to, &request).await;
             let start = String::from_utf8_lossy(&request[..request.len().min(60)]).into_owned();
             assert!(
                 answer.starts_with(&format!("HTTP/1.1 {status}")),
@@ -114,15 +114,15 @@
 
 #[test]
 fn a_sender_that_is_too_slow_is_closed() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("slow-sender");
         let origin = Process::origin(&directory, address());
         let head =
             b"PUT /configuration/fleet HTTP/1.1\r\nhost: x\r\nx-request-id: 1\r\ncontent-length: 9\r\n\r\n{";
         let (one, other, none) = tokio::join!(
-            said_to(origin.address, b"GET /configuration HT"),
-            said_to(origin.address, head),
-            said_to(origin.address, b""),
+            response_to(origin.address, b"GET /configuration HT"),
+            response_to(origin.address, head),
+            response_to(origin.address, b""),
         );
         assert_eq!((one.as_str(), other.as_str(), none.as_str()), ("", "", ""));
         assert_eq!(get(origin.address, "/configuration").await.unwrap().1["index"], 0);
@@ -131,15 +131,15 @@
 
 #[test]
 fn readers_past_the_bound_are_refused() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("readers");
-        let place = directory.path().to_str().unwrap();
-        let origin = Process::start(&["origin", "--dir", place, "--readers-most", "2"], address());
+        let directory_path = directory.path().to_str().unwrap();
+        let origin = Process::start(&["origin", "--dir", directory_path, "--readers-most", "2"], address());
         let mut readers = Vec::new();
         for _ in 0..2 {
-            let mut reader = watching(origin.address, "since=0").await;
+            let mut reader = open_watch(origin.address, "since=0").await;
             let mut text = [0; 1024];
-            assert_ne!(within("the first update", reader.read(&mut text)).await.unwrap(), 0);
+            assert_ne!(wait_for("the first update", reader.read(&mut text)).await.unwrap(), 0);
             readers.push(reader);
         }
         let third = get(origin.address, "/configuration?follow=1&since=0").await.unwrap();
@@ -148,16 +148,16 @@
         readers.pop();
         let mut child = Follower::start("api-1", &[origin.address], &["fleet"], 1);
         publish(origin.address, "fleet", &document(1), "1").await;
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
     });
 }
 
 #[test]
 fn a_reader_that_takes_nothing_is_closed_and_holds_nobody_up() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("stalled");
         let origin = Process::origin(&directory, address());
-        let big = big_document(250 << 10);
+        let big = large_document(250 << 10);
         for number in 0..12 {
             publish(origin.address, &format!("service/s{number}"), &big, &number.to_string()).await;
         }
@@ -170,13 +170,13 @@
             .await
             .unwrap();
         let mut child = Follower::start("api-1", &[origin.address], &["service/s0"], 1);
-        child.until("the first document", |state| state.documents().count() == 1).await;
+        child.wait_for_state("the first document", |state| state.documents().count() == 1).await;
         publish(origin.address, "service/s0", &document(1), "last").await;
-        child.until_index(13).await;
-        origin.says("closed reader \"sleepy\"").await;
+        child.wait_for_index(13).await;
+        origin.wait_for_log("closed reader \"sleepy\"").await;
         // The stalled reader receives an incomplete body.
         let mut rest = Vec::new();
-        let _ = within("the connection to close", stalled.read_to_end(&mut rest)).await;
+        let _ = wait_for("the connection to close", stalled.read_to_end(&mut rest)).await;
         assert!(
             rest.len() < 12 * big.len() && !rest.ends_with(b"\n\r\n"),
             "body complete or too long: {} bytes",
@@ -187,7 +187,7 @@
 
 #[test]
 fn a_slow_reader_is_told_the_newest_and_not_each() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("merged");
         let origin = Process::origin(&directory, address());
         let socket = TcpSocket::new_v4().unwrap();
@@ -198,11 +198,11 @@
             .unwrap();
         let changes = 40;
         for number in 1..=changes {
-            let body = padded(number, 100 << 10);
+            let body = padded_document(number, 100 << 10);
             assert_eq!(publish(origin.address, "fleet", &body, &number.to_string()).await, number);
         }
         let mut text = String::new();
-        within("the newest version", async {
+        wait_for("the newest version", async {
             let mut part = vec![0; 64 << 10];
             while !text.contains(&format!("\"version\":{changes},")) || !text.ends_with('\n') {
                 let read = slow.read(&mut part).await.unwrap();
@@ -211,22 +211,22 @@
             }
         })
         .await;
-        let told = text.matches("\"version\":").count();
-        assert!((1..20).contains(&told), "expected 1 to 19 versions to be sent, got {told} of {changes}");
+        let sent = text.matches("\"version\":").count();
+        assert!((1..20).contains(&sent), "expected 1 to 19 versions to be sent, got {sent} of {changes}");
     });
 }
 
 #[test]
 fn signs_of_life_come_within_the_silence_and_are_spread() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("signs");
         let origin = Process::origin(&directory, address());
         publish(origin.address, "fleet", &document(1), "1").await;
         let start = tokio::time::Instant::now();
-        let mut signs = Vec::new();
+        let mut heartbeats = Vec::new();
         for _ in 0..20 {
-            let mut reader = watching(origin.address, "since=1").await;
-            signs.push(tokio::task::spawn_local(async move {
+            let mut reader = open_watch(origin.address, "since=1").await;
+            heartbeats.push(tokio::task::spawn_local(async move {
                 let (mut text, mut part) = (Vec::new(), [0; 512]);
                 // The first empty line is the first answer, the second the heartbeat.
                 while text.windows(6).filter(|part| part == b"1\r\n\n\r\n").count() < 2 {
@@ -238,8 +238,8 @@
             }));
         }
         let mut times = Vec::new();
-        for sign in signs {
-            times.push(within("a heartbeat", sign).await.unwrap());
+        for heartbeat in heartbeats {
+            times.push(wait_for("a heartbeat", heartbeat).await.unwrap());
         }
         times.sort();
         let apart = times[19] - times[0];
@@ -249,18 +249,18 @@
 
 #[test]
 fn reports_of_children_and_relays_are_summed() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("reports");
         let origin = Process::origin(&directory, address());
         let relay = Process::relay(1, &[origin.address], address());
         publish(origin.address, "fleet", &document(1), "1").await;
-        told(relay.address, 1).await;
+        wait_until_served(relay.address, 1).await;
         let start =
             |number: u64, parent| Follower::start(&format!("api-{number}"), &[parent], &["fleet"], number);
         let _children: Vec<Follower> = (0..6)
             .map(|number| start(number, if number < 2 { origin.address } else { relay.address }))
             .collect();
-        hosts_common::status_until(origin.address, "all six children in the summed report", |status| {
+        hosts_common::wait_for_report(origin.address, "all six children in the summed report", |status| {
             let sums: Sums = serde_json::from_value(status.clone()).unwrap();
             sums.children == 6 && sums.holders.values().all(|holders| holders.versions[&1] == 6)
         })
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -13,9 +13,9 @@
 
 use config_distribution::host::accept::Listen;
 use config_distribution::origin::Bounds;
-use hosts_common::disk::Shared;
-use hosts_common::in_process::{listening, origin_host};
-use hosts_common::{Directory, Follower, Process, address, document, get, play, publish, within};
+use hosts_common::disk::SharedDisk;
+use hosts_common::in_process::{bind_listener, origin_host};
+use hosts_common::{Directory, Follower, Process, address, document, get, publish, run_test, wait_for};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
@@ -49,9 +49,9 @@
 }
 
 /// Starts an origin in the test process whose first accepts fail with these error codes (errno).
-async fn origin_failing(codes: impl IntoIterator<Item = i32>) -> SocketAddr {
-    let host = origin_host(&Shared::default(), Bounds::default());
-    let (listener, own) = listening().await;
+async fn origin_with_failing_accepts(codes: impl IntoIterator<Item = i32>) -> SocketAddr {
+    let host = origin_host(&SharedDisk::default(), Bounds::default());
+    let (listener, own) = bind_listener().await;
     let codes = RefCell::new(codes.into_iter().collect());
     spawn_local(host.run(FailingListener { listener, codes }, std::future::pending()));
     own
@@ -59,9 +59,9 @@
 
 #[test]
 fn accepts_that_fail_for_one_connection_hold_up_no_other() {
-    play(async {
+    run_test(async {
         let codes = [ECONNABORTED, EINTR, EPROTO, ENETUNREACH, EHOSTUNREACH];
-        let origin = origin_failing(codes.into_iter().cycle().take(100)).await;
+        let origin = origin_with_failing_accepts(codes.into_iter().cycle().take(100)).await;
         let began = Instant::now();
         assert_eq!(publish(origin, "fleet", &document(1), "1").await, 1);
         let took = began.elapsed();
@@ -71,34 +71,36 @@
 
 #[test]
 fn an_accept_short_of_descriptors_or_memory_is_made_again() {
-    play(async {
-        let origin = origin_failing([EMFILE, ENFILE, ENOBUFS, ENOMEM]).await;
+    run_test(async {
+        let origin = origin_with_failing_accepts([EMFILE, ENFILE, ENOBUFS, ENOMEM]).await;
         assert_eq!(publish(origin, "fleet", &document(1), "1").await, 1);
         let mut child = Follower::start("api-1", &[origin], &["fleet"], 1);
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
     });
 }
 
 /// Sends bytes on a new connection and nothing more; returns the time until the host closes it, and its answer.
-async fn stays(to: SocketAddr, said: &[u8]) -> (Duration, String) {
+async fn time_until_closed(to: SocketAddr, bytes_sent: &[u8]) -> (Duration, String) {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    stream.write_all(said).await.unwrap();
+    stream.write_all(bytes_sent).await.unwrap();
     let began = Instant::now();
     let mut answer = Vec::new();
-    let _ = within("the connection to close", stream.read_to_end(&mut answer)).await;
+    let _ = wait_for("the connection to close", stream.read_to_end(&mut answer)).await;
     (began.elapsed(), String::from_utf8_lossy(&answer).into_owned())
 }
 
 #[test]
 fn a_client_that_stops_in_the_middle_of_a_head_is_closed_within_three_seconds() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("half-head");
         let origin = Process::origin(&directory, address());
         let whole = "GET /configuration HTTP/1.1\r\nhost: x\r\n\r\n";
         let half = "GET /configuration HTTP/1.1\r\nho";
         let second = format!("{whole}{half}");
-        let (first, later) =
-            tokio::join!(stays(origin.address, half.as_bytes()), stays(origin.address, second.as_bytes()));
+        let (first, later) = tokio::join!(
+            time_until_closed(origin.address, half.as_bytes()),
+            time_until_closed(origin.address, second.as_bytes())
+        );
         assert!(first.0 < Duration::from_secs(3), "half a request head was not closed within 3 s: {first:?}");
         assert!(
             later.0 < Duration::from_secs(3),
@@ -109,42 +111,42 @@
 }
 
 /// A connection that passes on one byte per read and write. If it carries a watch (not a report), its next read fails
-/// with the error code set in `breaks`.
-struct Breaking {
+/// with the error code set in `injected`.
+struct FailingConnection {
     stream: TcpStream,
     is_watch: bool,
     has_written: bool,
-    breaks: Rc<Breaks>,
+    injected: Rc<InjectedError>,
 }
 
 /// Injects an error into the connection of a watch.
 #[derive(Default)]
-struct Breaks {
+struct InjectedError {
     /// Error code (errno) of the next read; `None` reads normally.
     code: Cell<Option<i32>>,
     /// Waker of the last read.
     waker: Cell<Option<Waker>>,
 }
 
-impl Breaks {
+impl InjectedError {
     /// Makes the next read of the watch fail with this error code (errno).
-    fn with(&self, code: i32) {
+    fn inject(&self, code: i32) {
         self.code.set(Some(code));
         self.waker.take().into_iter().for_each(Waker::wake);
     }
 }
 
-impl AsyncRead for Breaking {
+impl AsyncRead for FailingConnection {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         into: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if self.is_watch {
-            if let Some(code) = self.breaks.code.take() {
+            if let Some(code) = self.injected.code.take() {
                 return Poll::Ready(Err(io::Error::from_raw_os_error(code)));
             }
-            self.breaks.waker.set(Some(context.waker().clone()));
+            self.injected.waker.set(Some(context.waker().clone()));
         }
         // Reads one byte at a time.
         let mut byte = [0];
@@ -155,7 +157,7 @@
     }
 }
 
-impl AsyncWrite for Breaking {
+impl AsyncWrite for FailingConnection {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -179,35 +181,35 @@
 
 #[test]
 fn a_watch_that_breaks_is_opened_anew_and_goes_on_over_short_reads_and_writes() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("breaking");
         let origin = Process::origin(&directory, address());
-        let (parent, breaks) = (origin.address, Rc::new(Breaks::default()));
-        let made = Rc::clone(&breaks);
+        let (parent, injected) = (origin.address, Rc::new(InjectedError::default()));
+        let made = Rc::clone(&injected);
         let connect = move |address| {
-            let breaks = Rc::clone(&made);
+            let injected = Rc::clone(&made);
             async move {
                 let stream = TcpStream::connect(address).await?;
-                Ok(Breaking { stream, is_watch: false, has_written: false, breaks })
+                Ok(FailingConnection { stream, is_watch: false, has_written: false, injected })
             }
         };
         let mut child = Follower::over("api-1", &[parent], &["fleet"], 1, connect);
         publish(parent, "fleet", &document(1), "1").await;
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
         for (number, code) in (2..).zip([ETIMEDOUT, EHOSTUNREACH, ENETUNREACH]) {
-            breaks.with(code);
-            child.calls(parent).await;
+            injected.inject(code);
+            child.wait_for_connect(parent).await;
             publish(parent, "fleet", &document(number), &number.to_string()).await;
-            child.until_index(number).await;
+            child.wait_for_index(number).await;
             assert_eq!(child.body("fleet"), Some(document(number)));
-            assert_eq!(breaks.code.get(), None, "no read of the watch failed with the injected error");
+            assert_eq!(injected.code.get(), None, "no read of the watch failed with the injected error");
         }
     });
 }
 
 #[test]
 fn a_connect_that_fails_here_is_made_again() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("connecting");
         let origin = Process::origin(&directory, address());
         publish(origin.address, "fleet", &document(1), "1").await;
@@ -224,11 +226,11 @@
             }
         };
         let mut child = Follower::over("api-1", &[origin.address], &["fleet"], 1, connect);
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
         assert!(left.borrow().is_empty());
         // The watch receives further updates, and reports use connections of their own.
         publish(origin.address, "fleet", &document(2), "2").await;
-        child.until_index(2).await;
+        child.wait_for_index(2).await;
         let status = get(origin.address, "/configuration/report").await.unwrap().1;
         assert!(status.is_object(), "{status}");
     });
--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -11,36 +11,38 @@
 
 use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{indexes, record};
-use hosts_common::{Directory, Process, address, binary, change, document, get, play, publish, within};
+use hosts_common::{Directory, Process, address, binary, change, document, get, publish, run_test, wait_for};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-const FILE: &str = "configuration.redb";
+const FILE_NAME: &str = "configuration.redb";
 /// Number of bytes at the start and at the end of the file in which every length is tested; between them only
-/// multiples of `STEP` are.
-const EVERY: usize = 8 << 10;
+/// multiples of `STEP_BYTES` are.
+const EDGE_BYTES: usize = 8 << 10;
 /// Distance in bytes between tested lengths in the middle of the file. It is not a power of two, so that pages are
 /// truncated at varying offsets.
-const STEP: usize = 4093;
+const STEP_BYTES: usize = 4093;
 
 /// Content of a store file with three records after the store was closed normally.
-fn file_of_three(directory: &Directory) -> Vec<u8> {
+fn store_file_with_three_records(directory: &Directory) -> Vec<u8> {
     let (mut store, _) = Store::at(directory.path()).unwrap();
     for index in 1..=3 {
         let outcome = store.write(&[record(index, &document(index))], &[], Some(index));
         assert!(matches!(outcome, Outcome::Written));
     }
     drop(store);
-    fs::read(directory.path().join(FILE)).unwrap()
+    fs::read(directory.path().join(FILE_NAME)).unwrap()
 }
 
 /// Lengths to which a file of `whole` bytes is truncated, in ascending order.
-fn lengths(whole: usize) -> impl DoubleEndedIterator<Item = usize> {
-    (0..whole).filter(move |length| *length < EVERY || *length + EVERY >= whole || length % STEP == 0)
+fn truncated_lengths(whole: usize) -> impl DoubleEndedIterator<Item = usize> {
+    (0..whole).filter(move |length| {
+        *length < EDGE_BYTES || *length + EDGE_BYTES >= whole || length % STEP_BYTES == 0
+    })
 }
 
 /// Suppresses the panic messages of redb's assertions, which truncated files cause in large numbers.
-fn hush_assertions_of_redb() {
+fn silence_redb_assertions() {
     let hook = panic::take_hook();
     panic::set_hook(Box::new(move |panic| {
         if !panic.location().is_some_and(|place| place.file().contains("/redb-")) {
@@ -51,17 +53,17 @@
 
 #[test]
 fn a_file_cut_off_at_any_length_is_refused() {
-    hush_assertions_of_redb();
+    silence_redb_assertions();
     let (made, cut) = (Directory::new("whole"), Directory::new("cut"));
-    let whole = file_of_three(&made);
-    let path = cut.path().join(FILE);
+    let whole = store_file_with_three_records(&made);
+    let path = cut.path().join(FILE_NAME);
     fs::write(&path, &whole).unwrap();
     let found = Store::at(cut.path()).map(|(_, found)| indexes(&found));
     assert_eq!(found.unwrap(), [1, 2, 3]);
     fs::write(&path, &whole).unwrap();
     let file = OpenOptions::new().write(true).open(&path).unwrap();
     // Truncates the same file further and further; a refused open does not change it.
-    for length in lengths(whole.len()).rev() {
+    for length in truncated_lengths(whole.len()).rev() {
         file.set_len(length as u64).unwrap();
         let found = Store::at(cut.path()).ok().map(|(_, found)| found);
         assert!(
@@ -73,7 +75,7 @@
 }
 
 /// Starts a process and kills it as soon as a file in its directory is not empty.
-fn kill_in_the_middle_of_the_first_start(arguments: &[&str], directory: &Path) {
+fn kill_during_first_start(arguments: &[&str], directory: &Path) {
     let mut child = binary()
         .args(arguments)
         .args(["--listen", &address().to_string()])
@@ -81,10 +83,10 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    let by = Instant::now() + hosts_common::WITHIN;
+    let deadline = Instant::now() + hosts_common::WAIT_TIMEOUT;
     let written = |path: PathBuf| fs::metadata(path).is_ok_and(|file| file.len() > 0);
     while !fs::read_dir(directory).unwrap().flatten().any(|entry| written(entry.path())) {
-        assert!(Instant::now() < by, "the process wrote no file in time");
+        assert!(Instant::now() < deadline, "the process wrote no file in time");
     }
     child.kill().unwrap();
     child.wait().unwrap();
@@ -92,11 +94,11 @@
 
 #[test]
 fn an_origin_killed_in_the_middle_of_its_first_start_begins_again() {
-    play(async {
+    run_test(async {
         for round in 0..20 {
             let directory = Directory::new(&format!("first-{round}"));
-            let place = directory.path().to_str().unwrap();
-            kill_in_the_middle_of_the_first_start(&["origin", "--dir", place], directory.path());
+            let directory_path = directory.path().to_str().unwrap();
+            kill_during_first_start(&["origin", "--dir", directory_path], directory.path());
             let origin = Process::origin(&directory, address());
             assert_eq!(publish(origin.address, "fleet", &document(1), "1").await, 1);
         }
@@ -105,7 +107,7 @@
 
 #[test]
 fn ten_kills_in_the_middle_of_publications_lose_nothing_acknowledged() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("ten-kills");
         let own = address();
         let mut acknowledged = 0;
@@ -138,7 +140,7 @@
             sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
             origin.kill();
             (acknowledged, number) =
-                within("the publisher to see the failed connection", publishing).await.unwrap();
+                wait_for("the publisher to see the failed connection", publishing).await.unwrap();
         }
         assert!(acknowledged > 10, "expected more than 10 acknowledged publications, got {acknowledged}");
         let _origin = Process::origin(&directory, own);
--- a/crates/config-distribution/tests/hosts_stored_form.rs
+++ b/crates/config-distribution/tests/hosts_stored_form.rs
@@ -6,7 +6,7 @@
 
 use config_distribution::document::{Document, Scope};
 use config_distribution::host::store::{Found, Store};
-use hosts_common::{Directory, Process, address, get, play, publish};
+use hosts_common::{Directory, Process, address, get, publish, run_test};
 use serde_json::json;
 
 /// Store file of an origin, run-length encoded; see `data/README.md`.
@@ -17,7 +17,7 @@
 const FILE_BYTES: usize = 4_755_456;
 
 /// Removes a little-endian 32-bit count from the front of `runs` and returns it.
-fn count(runs: &mut &[u8]) -> usize {
+fn take_count(runs: &mut &[u8]) -> usize {
     let (count, rest) = runs.split_first_chunk().expect("a count of four bytes");
     *runs = rest;
     u32::from_le_bytes(*count) as usize
@@ -25,14 +25,14 @@
 
 /// Decodes a run-length encoded file: each run is a count and the byte that it repeats, then a count of literal bytes
 /// and those bytes.
-fn file_of(mut runs: &[u8]) -> Vec<u8> {
+fn decode_runs(mut runs: &[u8]) -> Vec<u8> {
     let mut file = Vec::new();
     while !runs.is_empty() {
-        let repeats = count(&mut runs);
+        let repeats = take_count(&mut runs);
         let (byte, rest) = runs.split_first().expect("the repeated byte");
         file.resize(file.len() + repeats, *byte);
         runs = rest;
-        let literals = count(&mut runs);
+        let literals = take_count(&mut runs);
         let (literal, rest) = runs.split_at(literals);
         file.extend_from_slice(literal);
         runs = rest;
@@ -42,7 +42,7 @@
 
 /// A directory with the store file that the earlier version left.
 fn directory_with(name: &str, runs: &[u8]) -> Directory {
-    let file = file_of(runs);
+    let file = decode_runs(runs);
     assert_eq!(file.len(), FILE_BYTES);
     let directory = Directory::new(name);
     fs::write(directory.path().join("configuration.redb"), file).unwrap();
@@ -92,7 +92,7 @@
 
 #[test]
 fn an_origin_goes_on_from_the_store_of_the_version_before() {
-    play(async {
+    run_test(async {
         let directory = directory_with("stored-origin-goes-on", ORIGIN_STORE);
         let origin = Process::origin(&directory, address());
         let snapshot = get(origin.address, "/configuration").await.unwrap().1;
@@ -104,7 +104,7 @@
             .map(|each| each["scope"].as_str().unwrap())
             .collect();
         assert_eq!(scopes, ["fleet", "region/north"]);
-        // A request id stored by the earlier version is still recognised, and a new one gets the next index.
+        // A request id stored by the earlier version is still recognized, and a new one gets the next index.
         let repeated = r#"{"settings": {"prices": {"crossZone": 4}}}"#;
         assert_eq!(publish(origin.address, "region/north", repeated, "fourth").await, 4);
         assert_eq!(publish(origin.address, "region/north", repeated, "fifth").await, 5);
@@ -113,10 +113,10 @@
 
 #[test]
 fn a_relay_serves_what_it_stored_in_the_version_before_while_it_is_cut_off() {
-    play(async {
+    run_test(async {
         let directory = directory_with("stored-relay-serves", RELAY_STORE);
-        let (place, nobody) = (directory.path().to_str().unwrap(), address().to_string());
-        let arguments = ["relay", "--level", "1", "--parent", &nobody, "--dir", place];
+        let (directory_path, unused_address) = (directory.path().to_str().unwrap(), address().to_string());
+        let arguments = ["relay", "--level", "1", "--parent", &unused_address, "--dir", directory_path];
         let relay = Process::start(&arguments, address());
         let snapshot = get(relay.address, "/configuration").await.unwrap().1;
         let fleet: Scope = "fleet".parse().unwrap();
