--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -139,7 +139,8 @@
         }
         if disk.failing_syncs > 0 {
             disk.failing_syncs -= 1;
-            // The unsynced writes stay visible to reads but never reach the disk, because later syncs do not retry them.
+            // The unsynced writes stay visible to reads but never reach the disk, because later syncs do not retry
+            // them.
             disk.writes.clear();
             return Err(io::Error::other("the sync failed"));
         }
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -40,8 +40,8 @@
 }
 
 /// Waits for an expected event; panics with `what` after the time limit.
-pub async fn wait_for<T>(what: &str, happens: impl Future<Output = T>) -> T {
-    timeout(WAIT_TIMEOUT, happens).await.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
+pub async fn wait_for<T>(what: &str, event: impl Future<Output = T>) -> T {
+    timeout(WAIT_TIMEOUT, event).await.unwrap_or_else(|_| panic!("timed out waiting for: {what}"))
 }
 
 /// A loopback address that no other test uses, so that a restarted process can bind it again.
@@ -342,8 +342,8 @@
         Self { states, connects, state: State::default(), task }
     }
 
-    /// Waits for a state that `matches` accepts; asserts that in each state up to it all digests match and that the index
-    /// never goes back.
+    /// Waits for a state that `matches` accepts; asserts that in each state up to it all digests match and that the
+    /// index never goes back.
     pub async fn wait_for_state(&mut self, what: &str, matches: impl Fn(&State) -> bool) {
         let reached = async {
             while !matches(&self.state) {
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -22,7 +22,7 @@
 use tokio::task::JoinHandle;
 
 #[test]
-fn a_last_write_torn_anywhere_leaves_all_that_was_acknowledged() {
+fn a_torn_last_write_leaves_all_acknowledged_records() {
     let disk = SharedDisk::default();
     let (mut store, _) = disk.store();
     for index in 1..=5 {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_was_written_outlasts_a_loss_of_power_and_what_was_not_does_not_come_back() {
+fn written_records_survive_a_power_failure_and_unwritten_ones_do_not_reappear() {
     // Covers failures of one, two and three successive syncs.
     for failing in 1..=3 {
         let disk = SharedDisk::default();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_full_disk_is_told_and_readers_are_served_on() {
+fn a_full_disk_is_reported_and_readers_are_still_served() {
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn where_a_write_cannot_be_known_nothing_is_accepted_until_it_is() {
+fn no_publication_is_accepted_while_the_outcome_of_a_write_is_unknown() {
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_failed_sync_is_told_and_the_next_publication_goes_on() {
+fn publications_continue_after_a_failed_sync() {
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, _running) = start_origin(&disk, Bounds::default()).await;
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn records_that_nothing_needs_are_deleted() {
+fn unneeded_records_are_deleted() {
     run_test(async {
         let disk = SharedDisk::default();
         let bounds = Bounds { max_request_ids: 3, ..Bounds::default() };
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn an_origin_killed_right_after_an_acknowledgement() {
+fn an_origin_killed_right_after_an_acknowledgement_keeps_the_publication() {
     run_test(async {
         let directory = Directory::new("acknowledged");
         let mut origin = Process::origin(&directory, address());
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn a_second_origin_on_the_same_directory_does_not_begin() {
+fn a_second_origin_on_the_same_directory_does_not_start() {
     let directory = Directory::new("second");
     let _origin = Process::origin(&directory, address());
     let output = hosts_common::binary()
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_publication_repeated_after_a_lost_answer() {
+fn a_publication_repeated_after_a_lost_answer_is_applied_once() {
     run_test(async {
         let directory = Directory::new("repeated");
         let mut origin = Process::origin(&directory, address());
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn two_publishers_crossing() {
+fn of_two_concurrent_conditional_publications_exactly_one_is_accepted() {
     run_test(async {
         let directory = Directory::new("crossing");
         let origin = Process::origin(&directory, address());
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn an_origin_whose_disk_fails_for_a_while_refuses_meanwhile_and_goes_on_by_itself() {
+fn an_origin_refuses_publications_while_its_disk_fails_and_recovers_by_itself() {
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_relay_killed_in_the_middle_of_a_document() {
+fn a_child_takes_in_no_partial_update_of_a_killed_relay() {
     run_test(async {
         let directory = Directory::new("middle");
         let origin = Process::origin(&directory, address());
@@ -113,9 +113,9 @@
         wait_until_served(first.address, 3).await;
         wait_until_served(second.address, 3).await;
         let gate = Rc::new(Gate::default());
-        let (parents, made) = ([first.address, second.address], Rc::clone(&gate));
+        let (parents, gate_of_connections) = ([first.address, second.address], Rc::clone(&gate));
         let connect = move |address| {
-            let gate = Rc::clone(&made);
+            let gate = Rc::clone(&gate_of_connections);
             async move {
                 Ok(GatedConnection {
                     stream: connect_with_small_buffer(address).await?,
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_relay_paused_and_woken() {
+fn a_child_leaves_a_paused_relay() {
     run_test(async {
         let directory = Directory::new("paused");
         let origin = Process::origin(&directory, address());
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn both_relays_of_a_zone_killed() {
+fn children_follow_the_region_relay_when_both_zone_relays_are_killed() {
     run_test(async {
         let directory = Directory::new("zone");
         let origin = Process::origin(&directory, address());
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn all_children_reconnecting_at_once() {
+fn all_children_can_reconnect_at_once() {
     run_test(async {
         let directory = Directory::new("all");
         let origin = Process::origin(&directory, address());
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn sigterm_of_a_relay_under_readers() {
+fn a_relay_ends_its_watches_properly_on_sigterm() {
     run_test(async {
         let directory = Directory::new("sigterm");
         let origin = Process::origin(&directory, address());
@@ -309,39 +309,39 @@
 }
 
 #[test]
-fn a_parent_that_answers_and_never_speaks() {
+fn a_parent_that_sends_no_update_is_left() {
     run_test(assert_child_leaves_parent("speechless", Vec::new()));
 }
 
 #[test]
-fn a_parent_that_says_half_a_line() {
+fn a_parent_that_sends_half_a_line_is_left() {
     let mut line = snapshot_line("service/api", 7, &document(7));
     line.truncate(line.len() / 2);
     run_test(assert_child_leaves_parent("half", line));
 }
 
 #[test]
-fn a_parent_that_says_garbage() {
+fn a_parent_that_sends_garbage_is_left() {
     run_test(assert_child_leaves_parent("garbage", b"\x00\xff{]\n".to_vec()));
 }
 
 #[test]
-fn a_parent_that_says_a_document_of_one_mebibyte() {
+fn a_parent_that_sends_a_document_of_one_mebibyte_is_left() {
     run_test(assert_child_leaves_parent("large", snapshot_line("service/api", 7, &large_document(1 << 20))));
 }
 
 #[test]
-fn a_parent_that_says_a_line_without_end() {
+fn a_parent_that_sends_an_endless_line_is_left() {
     run_test(assert_child_leaves_parent("endless", vec![b' '; 4 << 20]));
 }
 
 #[test]
-fn a_parent_that_says_a_document_of_another_service() {
+fn a_parent_that_sends_a_document_of_another_service_is_left() {
     run_test(assert_child_leaves_parent("another", snapshot_line("service/other", 7, &document(7))));
 }
 
 #[test]
-fn a_parent_that_says_a_damaged_document() {
+fn a_parent_that_sends_a_damaged_document_is_left() {
     let scope: Scope = "service/api".parse().unwrap();
     let digest = Digest::of(&scope, 7, &document(7));
     let documents = vec![Document { scope, version: 7, digest, body: document(8).into() }];
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn a_relay_without_a_word_from_above_tells_no_empty_whole() {
+fn a_relay_that_never_reached_a_parent_serves_no_empty_snapshot() {
     run_test(async {
         let directory = Directory::new("wordless");
         let unused_address = address();
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn a_relay_cut_off_serves_what_its_directory_has_and_says_that_it_is_stale() {
+fn a_relay_without_a_parent_serves_its_stored_state_and_reports_it_as_stale() {
     run_test(async {
         let (directory, relay_directory) = (Directory::new("cut-origin"), Directory::new("cut-relay"));
         let mut origin = Process::origin(&directory, address());
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn relays_that_name_each_other_as_parents_make_no_loop() {
+fn relays_that_are_each_others_parents_do_not_form_a_loop() {
     run_test(async {
         let directory = Directory::new("loop");
         let origin = Process::origin(&directory, address());
--- a/crates/config-distribution/tests/hosts_path.rs
+++ b/crates/config-distribution/tests/hosts_path.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_commands_publish_and_tell_their_exit_status() {
+fn commands_publish_withdraw_and_return_their_exit_status() {
     run_test(async {
         let directory = Directory::new("commands");
         let origin = Process::origin(&directory, address());
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_relay_on_a_file_that_is_cut_off_begins_with_nothing_and_keeps_again() {
+fn a_relay_with_a_truncated_store_file_starts_empty_and_stores_updates_again() {
     run_test(async {
         let source_directory = Directory::new("relay-whole");
         let whole = store_file_with_one_record(&source_directory);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_relay_on_a_file_with_a_damaged_document_begins_with_nothing() {
+fn a_relay_with_a_damaged_document_in_its_store_starts_empty() {
     run_test(async {
         let source_directory = Directory::new("relay-sound");
         let mut image = store_file_with_one_record(&source_directory);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_relay_whose_disk_fails_for_a_while_serves_on_and_keeps_again_by_itself() {
+fn a_relay_serves_updates_while_its_disk_fails_and_stores_them_afterwards() {
     run_test(async {
         let (origin_directory, disk) = (Directory::new("relay-failing"), SharedDisk::default());
         let mut origin = Process::origin(&origin_directory, address());
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_relay_that_begins_while_its_disk_fails_serves_what_comes_from_above_and_keeps_it_later() {
+fn a_relay_started_while_its_disk_fails_serves_its_parents_updates_and_stores_them_later() {
     run_test(async {
         let (origin_directory, disk) = (Directory::new("relay-begins"), SharedDisk::default());
         let origin = Process::origin(&origin_directory, address());
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_relay_takes_in_what_its_disk_holds_once_it_fails_no_more() {
+fn a_relay_loads_its_stored_state_once_its_disk_works_again() {
     run_test(async {
         let (disk, unused_address) = (SharedDisk::default(), address());
         let (mut store, _) = disk.store();
@@ -176,11 +176,12 @@
 
 /// Size in bytes of the longest write that is torn at every byte; a write of a header is at most as long.
 const HEADER_BYTES: usize = 512;
-/// Distance in bytes between the places at which a longer write is torn; not every byte, since each place opens a store.
+/// Distance in bytes between the places at which a longer write is torn; not every byte, since each place opens a
+/// store.
 const STEP_BYTES: usize = 61;
 
 #[test]
-fn a_relays_write_torn_at_any_byte_leaves_the_one_before_it_or_itself() {
+fn a_relays_torn_write_leaves_either_the_previous_or_the_new_state() {
     let disk = SharedDisk::default();
     let (mut store, _) = disk.store();
     assert!(matches!(store.write(&[record(1, &document(1))], &[], Some(1)), Outcome::Written));
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn ten_kills_of_a_relay_under_changes_leave_a_whole_version_and_never_an_older_one() {
+fn ten_kills_of_a_relay_during_updates_leave_a_complete_state_and_never_an_older_one() {
     run_test(async {
         let (origin_directory, directory) =
             (Directory::new("relay-kills-above"), Directory::new("relay-kills"));
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_document_of_one_mebibyte() {
+fn a_document_of_one_mebibyte_is_refused_and_one_of_the_maximum_size_accepted() {
     run_test(async {
         let directory = Directory::new("mebibyte");
         let origin = Process::origin(&directory, address());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn requests_that_make_no_sense_change_nothing() {
+fn invalid_requests_are_refused_and_change_nothing() {
     run_test(async {
         let directory = Directory::new("garbage");
         let origin = Process::origin(&directory, address());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_sender_that_is_too_slow_is_closed() {
+fn the_connection_of_a_sender_that_is_too_slow_is_closed() {
     run_test(async {
         let directory = Directory::new("slow-sender");
         let origin = Process::origin(&directory, address());
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn readers_past_the_bound_are_refused() {
+fn readers_beyond_the_limit_are_refused() {
     run_test(async {
         let directory = Directory::new("readers");
         let directory_path = directory.path().to_str().unwrap();
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_reader_that_takes_nothing_is_closed_and_holds_nobody_up() {
+fn a_stalled_reader_is_closed_and_delays_no_other_reader() {
     run_test(async {
         let directory = Directory::new("stalled");
         let origin = Process::origin(&directory, address());
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_slow_reader_is_told_the_newest_and_not_each() {
+fn a_slow_reader_receives_the_newest_version_but_not_every_one() {
     run_test(async {
         let directory = Directory::new("merged");
         let origin = Process::origin(&directory, address());
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn signs_of_life_come_within_the_silence_and_are_spread() {
+fn heartbeats_arrive_and_are_spread_over_time() {
     run_test(async {
         let directory = Directory::new("signs");
         let origin = Process::origin(&directory, address());
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn accepts_that_fail_for_one_connection_hold_up_no_other() {
+fn failed_accepts_of_single_connections_do_not_delay_others() {
     run_test(async {
         let codes = [ECONNABORTED, EINTR, EPROTO, ENETUNREACH, EHOSTUNREACH];
         let origin = origin_with_failing_accepts(codes.into_iter().cycle().take(100)).await;
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_accept_short_of_descriptors_or_memory_is_made_again() {
+fn an_accept_that_fails_for_lack_of_descriptors_or_memory_is_retried() {
     run_test(async {
         let origin = origin_with_failing_accepts([EMFILE, ENFILE, ENOBUFS, ENOMEM]).await;
         assert_eq!(publish(origin, "fleet", &document(1), "1").await, 1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_client_that_stops_in_the_middle_of_a_head_is_closed_within_three_seconds() {
+fn a_connection_with_an_incomplete_request_head_is_closed_within_three_seconds() {
     run_test(async {
         let directory = Directory::new("half-head");
         let origin = Process::origin(&directory, address());
@@ -180,14 +180,14 @@
 }
 
 #[test]
-fn a_watch_that_breaks_is_opened_anew_and_goes_on_over_short_reads_and_writes() {
+fn a_broken_watch_is_reopened_and_continues_over_short_reads_and_writes() {
     run_test(async {
         let directory = Directory::new("breaking");
         let origin = Process::origin(&directory, address());
         let (parent, injected) = (origin.address, Rc::new(InjectedError::default()));
-        let made = Rc::clone(&injected);
+        let injected_of_connections = Rc::clone(&injected);
         let connect = move |address| {
-            let injected = Rc::clone(&made);
+            let injected = Rc::clone(&injected_of_connections);
             async move {
                 let stream = TcpStream::connect(address).await?;
                 Ok(FailingConnection { stream, is_watch: false, has_written: false, injected })
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_connect_that_fails_here_is_made_again() {
+fn a_connect_that_fails_locally_is_retried() {
     run_test(async {
         let directory = Directory::new("connecting");
         let origin = Process::origin(&directory, address());
--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn a_file_cut_off_at_any_length_is_refused() {
+fn a_store_file_truncated_to_any_length_is_refused() {
     silence_redb_assertions();
-    let (made, cut) = (Directory::new("whole"), Directory::new("cut"));
-    let whole = store_file_with_three_records(&made);
+    let (source_directory, cut) = (Directory::new("whole"), Directory::new("cut"));
+    let whole = store_file_with_three_records(&source_directory);
     let path = cut.path().join(FILE_NAME);
     fs::write(&path, &whole).unwrap();
     let found = Store::at(cut.path()).map(|(_, found)| indexes(&found));
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_origin_killed_in_the_middle_of_its_first_start_begins_again() {
+fn an_origin_killed_during_its_first_start_can_be_started_again() {
     run_test(async {
         for round in 0..20 {
             let directory = Directory::new(&format!("first-{round}"));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn ten_kills_in_the_middle_of_publications_lose_nothing_acknowledged() {
+fn ten_kills_during_publications_lose_no_acknowledged_publication() {
     run_test(async {
         let directory = Directory::new("ten-kills");
         let own = address();
--- a/crates/config-distribution/tests/hosts_stored_form.rs
+++ b/crates/config-distribution/tests/hosts_stored_form.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_origins_store_of_the_version_before_has_all_its_records() {
+fn an_origin_store_of_an_earlier_version_has_all_its_records() {
     let found = found_in(&directory_with("stored-origin", ORIGIN_STORE));
     let requests: Vec<&str> = found.records.iter().map(|record| &*record.request).collect();
     let fleet = document("fleet", 1, 1);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_relays_store_of_the_version_before_has_its_documents_and_its_index() {
+fn a_relay_store_of_an_earlier_version_has_its_documents_and_its_index() {
     let found = found_in(&directory_with("stored-relay", RELAY_STORE));
     let fleet = document("fleet", 1, 1);
     let north = document("region/north", 4, 4);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_origin_goes_on_from_the_store_of_the_version_before() {
+fn an_origin_continues_from_the_store_of_an_earlier_version() {
     run_test(async {
         let directory = directory_with("stored-origin-goes-on", ORIGIN_STORE);
         let origin = Process::origin(&directory, address());
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_relay_serves_what_it_stored_in_the_version_before_while_it_is_cut_off() {
+fn a_relay_without_a_parent_serves_the_store_of_an_earlier_version() {
     run_test(async {
         let directory = directory_with("stored-relay-serves", RELAY_STORE);
         let (directory_path, unused_address) = (directory.path().to_str().unwrap(), address().to_string());
