--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that fails as it is told, under the store of a test.
+//! An in-memory disk with injected faults, as the backend of the store under test.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,33 +8,38 @@
 use config_distribution::origin::Record;
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 
-/// A disk that fails as it is told. What was not synced is lost with its power.
+/// An in-memory disk with injected faults. Writes that were not synced are lost in a simulated power failure.
 #[derive(Debug, Default, Clone)]
 pub struct Disk {
+    /// Content that survives a power failure.
     pub synced: Vec<u8>,
-    /// As readers see it.
-    pub seen: Vec<u8>,
-    /// Since the last sync, in order.
+    /// Content as reads return it, including writes that are not synced.
+    pub visible: Vec<u8>,
+    /// Writes since the last sync, in order.
     pub writes: Vec<Write>,
-    /// Syncs that fail from now on.
+    /// Number of next syncs that fail.
     pub failing_syncs: u32,
-    /// Openings that fail from now on.
+    /// Number of next attempts to open the database that fail.
     pub failing_openings: u32,
-    /// Whether each second call fails, with `ENOSPC` and `EIO` in turn.
-    pub failing_each_second: bool,
-    /// Calls while that holds.
+    /// Whether every second call fails, with `ENOSPC` and `EIO` in turn.
+    pub failing_every_second_call: bool,
+    /// Number of calls made while every second call fails.
     calls: usize,
-    /// Bytes that it takes.
-    pub room: Option<usize>,
+    /// Maximum size of the disk in bytes; `None` is unlimited.
+    pub capacity_bytes: Option<usize>,
 }
 
+/// A change of the disk's content.
 #[derive(Debug, Clone)]
 pub enum Write {
+    /// Sets the length of the file, in bytes.
     Length(usize),
+    /// Writes these bytes at an offset.
     Bytes(usize, Vec<u8>),
 }
 
 impl Write {
+    /// Applies the change to an image of the disk.
     pub fn apply(&self, image: &mut Vec<u8>) {
         match self {
             Self::Length(length) => image.resize(*length, 0),
@@ -43,26 +48,28 @@
     }
 }
 
+/// A handle of a [`Disk`]; clones refer to the same disk.
 #[derive(Debug, Default, Clone)]
-pub struct Shared(Arc<Mutex<Disk>>);
+pub struct SharedDisk(Arc<Mutex<Disk>>);
 
-/// The fault of every second call.
-const FAULTS: [i32; 4] = [0, ENOSPC, 0, EIO];
+/// Error codes (errno) of successive calls while every second call fails, in a cycle; 0 is success.
+const FAULT_CYCLE: [i32; 4] = [0, ENOSPC, 0, EIO];
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
 impl Disk {
+    /// Counts a call and returns the error injected into it, if any.
     fn call(&mut self) -> io::Result<()> {
-        if !self.failing_each_second {
+        if !self.failing_every_second_call {
             return Ok(());
         }
-        let fault = FAULTS[self.calls % FAULTS.len()];
+        let fault = FAULT_CYCLE[self.calls % FAULT_CYCLE.len()];
         self.calls += 1;
         if fault == 0 { Ok(()) } else { Err(io::Error::from_raw_os_error(fault)) }
     }
 }
 
-impl Shared {
+impl SharedDisk {
     pub fn disk(&self) -> MutexGuard<'_, Disk> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -77,47 +84,49 @@
         Builder::new().create_with_backend(self.clone())
     }
 
+    /// Opens a store on this disk.
     pub fn store(&self) -> (Store, Found) {
         let disk = self.clone();
-        Store::over(move || disk.open()).expect("it opens")
+        Store::over(move || disk.open()).expect("open the store on the in-memory disk")
     }
 
-    pub fn with(image: Vec<u8>) -> Self {
-        Self(Arc::new(Mutex::new(Disk { synced: image.clone(), seen: image, ..Disk::default() })))
+    /// A disk without faults whose content is `image`, all of it synced.
+    pub fn with_image(image: Vec<u8>) -> Self {
+        Self(Arc::new(Mutex::new(Disk { synced: image.clone(), visible: image, ..Disk::default() })))
     }
 
-    /// After a loss of power.
-    pub fn rebooted(&self) -> Self {
-        Self::with(self.disk().synced.clone())
+    /// A new disk without faults with the content that survives a power failure.
+    pub fn after_power_loss(&self) -> Self {
+        Self::with_image(self.disk().synced.clone())
     }
 }
 
 pub fn offset(value: u64) -> usize {
-    usize::try_from(value).expect("it fits")
+    usize::try_from(value).expect("the value fits into usize")
 }
 
-impl StorageBackend for Shared {
+impl StorageBackend for SharedDisk {
     fn len(&self) -> io::Result<u64> {
         let mut disk = self.disk();
         disk.call()?;
-        Ok(disk.seen.len() as u64)
+        Ok(disk.visible.len() as u64)
     }
 
     fn read(&self, at: u64, length: usize) -> io::Result<Vec<u8>> {
         let at = offset(at);
         let mut disk = self.disk();
         disk.call()?;
-        let part = disk.seen.get(at..at + length).map(<[u8]>::to_vec);
+        let part = disk.visible.get(at..at + length).map(<[u8]>::to_vec);
         part.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
         let (mut disk, length) = (self.disk(), offset(length));
         disk.call()?;
-        if disk.room.is_some_and(|room| length > room) {
+        if disk.capacity_bytes.is_some_and(|capacity_bytes| length > capacity_bytes) {
             return Err(io::ErrorKind::StorageFull.into());
         }
-        disk.seen.resize(length, 0);
+        disk.visible.resize(length, 0);
         disk.writes.push(Write::Length(length));
         Ok(())
     }
@@ -130,7 +139,8 @@
         }
         if disk.failing_syncs > 0 {
             disk.failing_syncs -= 1;
-            // What readers see is not on disk, and is not tried again.
+            // The unsynced writes stay visible to reads but never reach the disk, because later syncs do not retry
+            // them.
             disk.writes.clear();
             return Err(io::Error::other("the sync failed"));
         }
@@ -144,15 +154,16 @@
     fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
         let (mut disk, at) = (self.disk(), offset(at));
         disk.call()?;
-        if at + bytes.len() > disk.seen.len() {
+        if at + bytes.len() > disk.visible.len() {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        disk.seen[at..at + bytes.len()].copy_from_slice(bytes);
+        disk.visible[at..at + bytes.len()].copy_from_slice(bytes);
         disk.writes.push(Write::Bytes(at, bytes.to_vec()));
         Ok(())
     }
 }
 
+/// A record of scope `service/api` with this index and body, and a request id made from the index.
 pub fn record(index: u64, body: &str) -> Record {
     let scope = "service/api".parse().unwrap();
     Record { index, document: Document::new(scope, index, body.into()), request: format!("r{index}").into() }
@@ -162,14 +173,15 @@
     found.records.iter().map(|record| record.index).collect()
 }
 
-/// Notes each write of a disk.
+/// A storage backend that records each write before it passes it on to the disk.
 #[derive(Debug, Clone)]
-pub struct Catching {
-    pub disk: Shared,
-    pub log: Arc<Mutex<Vec<Write>>>,
+pub struct RecordingBackend {
+    pub disk: SharedDisk,
+    /// The recorded writes, in order.
+    pub recorded: Arc<Mutex<Vec<Write>>>,
 }
 
-impl StorageBackend for Catching {
+impl StorageBackend for RecordingBackend {
     fn len(&self) -> io::Result<u64> {
         self.disk.len()
     }
@@ -179,7 +191,7 @@
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        self.log.lock().unwrap().push(Write::Length(offset(length)));
+        self.recorded.lock().unwrap().push(Write::Length(offset(length)));
         self.disk.set_len(length)
     }
 
@@ -188,7 +200,7 @@
     }
 
     fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        self.log.lock().unwrap().push(Write::Bytes(offset(at), bytes.to_vec()));
+        self.recorded.lock().unwrap().push(Write::Bytes(offset(at), bytes.to_vec()));
         self.disk.write(at, bytes)
     }
 }
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -1,4 +1,4 @@
-//! Requests and readers past their bounds.
+//! Invalid requests, and requests and readers that exceed the limits.
 
 mod hosts_common;
 
@@ -6,25 +6,26 @@
 
 use config_distribution::report::Sums;
 use hosts_common::{
-    Directory, Follower, Process, address, big_document, change, document, get, padded, play, publish, told,
-    within,
+    Directory, Follower, Process, address, change, document, get, large_document, padded_document, publish,
+    run_test, wait_for, wait_until_served,
 };
 use hyper::StatusCode;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// What is answered to these bytes, until the connection ends.
-async fn said_to(to: SocketAddr, bytes: &[u8]) -> String {
+/// Sends bytes on a new connection and returns everything received until the connection closes.
+async fn response_to(to: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    // It may end before all of it has been taken.
+    // The host may close the connection before all bytes are sent.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
-    let _ = within("an answer", stream.read_to_end(&mut answer)).await;
+    let _ = wait_for("an answer", stream.read_to_end(&mut answer)).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-async fn watching(to: SocketAddr, query: &str) -> TcpStream {
+/// Opens a connection and sends a watch request with this query.
+async fn open_watch(to: SocketAddr, query: &str) -> TcpStream {
     let mut stream = TcpStream::connect(to).await.unwrap();
     let request = format!("GET /configuration?follow=1&{query} HTTP/1.1\r\nhost: x\r\n\r\n");
     stream.write_all(request.as_bytes()).await.unwrap();
@@ -32,28 +33,28 @@
 }
 
 #[test]
-fn a_document_of_one_mebibyte() {
-    play(async {
+fn a_document_of_one_mebibyte_is_refused_and_one_of_the_maximum_size_accepted() {
+    run_test(async {
         let directory = Directory::new("mebibyte");
         let origin = Process::origin(&directory, address());
-        let body = big_document(1 << 20);
+        let body = large_document(1 << 20);
         let (status, answer) = change(origin.address, "service/api", Some(&body), "1", None).await.unwrap();
         assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
-        assert!(answer["error"].as_str().unwrap().contains("262144"), "{answer}");
+        assert!(answer["error"].as_str().unwrap().contains("262144"), "limit not named: {answer}");
         assert_eq!(get(origin.address, "/configuration").await.unwrap().1["index"], 0);
-        // One at its bound goes to a child.
-        let empty = big_document(0).len();
-        let body = big_document((256 << 10) - empty);
+        // A document of exactly the maximum size reaches a child.
+        let empty = large_document(0).len();
+        let body = large_document((256 << 10) - empty);
         let mut child = Follower::start("api-1", &[origin.address], &["service/api"], 1);
         assert_eq!(publish(origin.address, "service/api", &body, "2").await, 1);
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
         assert_eq!(child.body("service/api"), Some(body));
     });
 }
 
 #[test]
-fn requests_that_make_no_sense_change_nothing() {
-    play(async {
+fn invalid_requests_are_refused_and_change_nothing() {
+    run_test(async {
         let directory = Directory::new("garbage");
         let origin = Process::origin(&directory, address());
         let to = origin.address;
@@ -97,10 +98,13 @@
             (format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(100_000)).into(), 4, ""),
             (format!("GET / HTTP/1.1\r\n{}\r\n", "x: y\r\n".repeat(1000)).into(), 4, ""),
         ] {
-            let answer = said_to(to, &request).await;
+            let answer = response_to(to, &request).await;
             let start = String::from_utf8_lossy(&request[..request.len().min(60)]).into_owned();
-            assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{start:?}: {answer:?}");
-            assert!(answer.contains(reason), "{start:?}: {answer:?}");
+            assert!(
+                answer.starts_with(&format!("HTTP/1.1 {status}")),
+                "expected status {status} for {start:?}, got {answer:?}"
+            );
+            assert!(answer.contains(reason), "expected {reason:?} for {start:?}, got {answer:?}");
         }
         let whole = get(to, "/configuration").await.unwrap().1;
         assert_eq!(whole, json!({ "index": 0, "snapshot": true, "after": 0, "documents": [] }));
@@ -109,16 +113,16 @@
 }
 
 #[test]
-fn a_sender_that_is_too_slow_is_closed() {
-    play(async {
+fn the_connection_of_a_sender_that_is_too_slow_is_closed() {
+    run_test(async {
         let directory = Directory::new("slow-sender");
         let origin = Process::origin(&directory, address());
         let head =
             b"PUT /configuration/fleet HTTP/1.1\r\nhost: x\r\nx-request-id: 1\r\ncontent-length: 9\r\n\r\n{";
         let (one, other, none) = tokio::join!(
-            said_to(origin.address, b"GET /configuration HT"),
-            said_to(origin.address, head),
-            said_to(origin.address, b""),
+            response_to(origin.address, b"GET /configuration HT"),
+            response_to(origin.address, head),
+            response_to(origin.address, b""),
         );
         assert_eq!((one.as_str(), other.as_str(), none.as_str()), ("", "", ""));
         assert_eq!(get(origin.address, "/configuration").await.unwrap().1["index"], 0);
@@ -126,38 +130,38 @@
 }
 
 #[test]
-fn readers_past_the_bound_are_refused() {
-    play(async {
+fn readers_beyond_the_limit_are_refused() {
+    run_test(async {
         let directory = Directory::new("readers");
-        let place = directory.path().to_str().unwrap();
-        let origin = Process::start(&["origin", "--dir", place, "--readers-most", "2"], address());
+        let directory_path = directory.path().to_str().unwrap();
+        let origin = Process::start(&["origin", "--dir", directory_path, "--readers-most", "2"], address());
         let mut readers = Vec::new();
         for _ in 0..2 {
-            let mut reader = watching(origin.address, "since=0").await;
+            let mut reader = open_watch(origin.address, "since=0").await;
             let mut text = [0; 1024];
-            assert_ne!(within("a first word", reader.read(&mut text)).await.unwrap(), 0);
+            assert_ne!(wait_for("the first update", reader.read(&mut text)).await.unwrap(), 0);
             readers.push(reader);
         }
         let third = get(origin.address, "/configuration?follow=1&since=0").await.unwrap();
         assert_eq!(third, (StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "too many readers" })));
-        // One goes: there is room again.
+        // One reader disconnects, so another is accepted.
         readers.pop();
         let mut child = Follower::start("api-1", &[origin.address], &["fleet"], 1);
         publish(origin.address, "fleet", &document(1), "1").await;
-        child.until_index(1).await;
+        child.wait_for_index(1).await;
     });
 }
 
 #[test]
-fn a_reader_that_takes_nothing_is_closed_and_holds_nobody_up() {
-    play(async {
+fn a_stalled_reader_is_closed_and_delays_no_other_reader() {
+    run_test(async {
         let directory = Directory::new("stalled");
         let origin = Process::origin(&directory, address());
-        let big = big_document(250 << 10);
+        let big = large_document(250 << 10);
         for number in 0..12 {
             publish(origin.address, &format!("service/s{number}"), &big, &number.to_string()).await;
         }
-        // It asks for all, which is more than the buffers take, and reads none of it.
+        // The reader requests all documents, which exceed the buffers, and reads nothing.
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         let mut stalled = socket.connect(origin.address).await.unwrap();
@@ -166,20 +170,24 @@
             .await
             .unwrap();
         let mut child = Follower::start("api-1", &[origin.address], &["service/s0"], 1);
-        child.until("the document", |state| state.documents().count() == 1).await;
+        child.wait_for_state("the first document", |state| state.documents().count() == 1).await;
         publish(origin.address, "service/s0", &document(1), "last").await;
-        child.until_index(13).await;
-        origin.says("closed reader \"sleepy\"").await;
-        // What it gets after all breaks off.
+        child.wait_for_index(13).await;
+        origin.wait_for_log("closed reader \"sleepy\"").await;
+        // The stalled reader receives an incomplete body.
         let mut rest = Vec::new();
-        let _ = within("its end", stalled.read_to_end(&mut rest)).await;
-        assert!(rest.len() < 12 * big.len() && !rest.ends_with(b"\n\r\n"), "{}", rest.len());
+        let _ = wait_for("the connection to close", stalled.read_to_end(&mut rest)).await;
+        assert!(
+            rest.len() < 12 * big.len() && !rest.ends_with(b"\n\r\n"),
+            "body complete or too long: {} bytes",
+            rest.len()
+        );
     });
 }
 
 #[test]
-fn a_slow_reader_is_told_the_newest_and_not_each() {
-    play(async {
+fn a_slow_reader_receives_the_newest_version_but_not_every_one() {
+    run_test(async {
         let directory = Directory::new("merged");
         let origin = Process::origin(&directory, address());
         let socket = TcpSocket::new_v4().unwrap();
@@ -190,11 +198,11 @@
             .unwrap();
         let changes = 40;
         for number in 1..=changes {
-            let body = padded(number, 100 << 10);
+            let body = padded_document(number, 100 << 10);
             assert_eq!(publish(origin.address, "fleet", &body, &number.to_string()).await, number);
         }
         let mut text = String::new();
-        within("the newest", async {
+        wait_for("the newest version", async {
             let mut part = vec![0; 64 << 10];
             while !text.contains(&format!("\"version\":{changes},")) || !text.ends_with('\n') {
                 let read = slow.read(&mut part).await.unwrap();
@@ -203,24 +211,24 @@
             }
         })
         .await;
-        let told = text.matches("\"version\":").count();
-        assert!((1..20).contains(&told), "{told} of {changes}");
+        let sent = text.matches("\"version\":").count();
+        assert!((1..20).contains(&sent), "expected 1 to 19 versions to be sent, got {sent} of {changes}");
     });
 }
 
 #[test]
-fn signs_of_life_come_within_the_silence_and_are_spread() {
-    play(async {
+fn heartbeats_arrive_and_are_spread_over_time() {
+    run_test(async {
         let directory = Directory::new("signs");
         let origin = Process::origin(&directory, address());
         publish(origin.address, "fleet", &document(1), "1").await;
         let start = tokio::time::Instant::now();
-        let mut signs = Vec::new();
+        let mut heartbeats = Vec::new();
         for _ in 0..20 {
-            let mut reader = watching(origin.address, "since=1").await;
-            signs.push(tokio::task::spawn_local(async move {
+            let mut reader = open_watch(origin.address, "since=1").await;
+            heartbeats.push(tokio::task::spawn_local(async move {
                 let (mut text, mut part) = (Vec::new(), [0; 512]);
-                // The first word, and then the sign.
+                // The first empty line is the first answer, the second the heartbeat.
                 while text.windows(6).filter(|part| part == b"1\r\n\n\r\n").count() < 2 {
                     let read = reader.read(&mut part).await.unwrap();
                     assert_ne!(read, 0);
@@ -230,29 +238,29 @@
             }));
         }
         let mut times = Vec::new();
-        for sign in signs {
-            times.push(within("a sign of life", sign).await.unwrap());
+        for heartbeat in heartbeats {
+            times.push(wait_for("a heartbeat", heartbeat).await.unwrap());
         }
         times.sort();
         let apart = times[19] - times[0];
-        assert!(apart.as_millis() > 500, "all at one moment: {times:?}");
+        assert!(apart.as_millis() > 500, "heartbeats not spread by more than 500 ms: {times:?}");
     });
 }
 
 #[test]
 fn reports_of_children_and_relays_are_summed() {
-    play(async {
+    run_test(async {
         let directory = Directory::new("reports");
         let origin = Process::origin(&directory, address());
         let relay = Process::relay(1, &[origin.address], address());
         publish(origin.address, "fleet", &document(1), "1").await;
-        told(relay.address, 1).await;
+        wait_until_served(relay.address, 1).await;
         let start =
             |number: u64, parent| Follower::start(&format!("api-{number}"), &[parent], &["fleet"], number);
         let _children: Vec<Follower> = (0..6)
             .map(|number| start(number, if number < 2 { origin.address } else { relay.address }))
             .collect();
-        hosts_common::status_until(origin.address, "all six", |status| {
+        hosts_common::wait_for_report(origin.address, "all six children in the summed report", |status| {
             let sums: Sums = serde_json::from_value(status.clone()).unwrap();
             sums.children == 6 && sums.holders.values().all(|holders| holders.versions[&1] == 6)
         })
