--- a/crates/config-distribution/tests/core_common/mod.rs
+++ b/crates/config-distribution/tests/core_common/mod.rs
@@ -30,7 +30,7 @@
     Document::new(scope(text), version, body(version))
 }
 
-pub fn change(after: u64, index: u64, documents: Vec<Document>) -> Update {
+pub fn delta(after: u64, index: u64, documents: Vec<Document>) -> Update {
     Update { index, snapshot: false, after, stale_s: 0, documents }
 }
 
--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -18,7 +18,7 @@
 use config_distribution::state::{Refusal, State, Wanted};
 use oorandom::Rand64;
 
-pub use self::faults::Act;
+pub use self::faults::Action;
 use super::{Model, live, ms, scope};
 
 pub const ORIGIN: usize = 0;
@@ -32,7 +32,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Up {
+enum ReportBody {
     Child(InForce),
     Relay(String, Sums),
 }
@@ -42,15 +42,15 @@
     Step(u64),
     Call { from: usize, watch: u64, since: u64 },
     Line { watch: u64, line: Line },
-    Taken(u64),
+    LineProcessed(u64),
     Closed(u64),
     Left(u64),
     Deadline(u64),
-    Beat(u64),
+    Heartbeat(u64),
     ReportDue(u64),
-    Report(Up),
-    Disk(u64),
-    Act(Act),
+    Report(ReportBody),
+    DiskWriteDone(u64),
+    Action(Action),
 }
 
 struct Reader {
@@ -67,20 +67,20 @@
     pub wanted: Wanted,
     pub state: State,
     pub parents: Parents,
-    pub above: Vec<usize>,
+    pub parent_nodes: Vec<usize>,
     pub up: bool,
     pub reports: Reports,
     pub muted: bool,
-    life: u64,
+    run_number: u64,
     paused_until: Duration,
     watch: Option<(u64, usize)>,
     deadline: Duration,
     readers: BTreeMap<u64, Reader>,
-    slow: Duration,
-    damage: bool,
-    repeat: bool,
-    swallow: bool,
-    seen: u64,
+    line_delay: Duration,
+    damage_next: bool,
+    repeat_next: bool,
+    drop_next: bool,
+    highest_index: u64,
 }
 
 impl Node {
@@ -99,19 +99,19 @@
     /// Calls: when, by whom, to whom.
     pub calls: Vec<(Duration, usize, usize)>,
     /// Lines with an update that were sent, by reader.
-    pub told: BTreeMap<usize, u64>,
-    pub draws: Rand64,
+    pub delivered: BTreeMap<usize, u64>,
+    pub rng: Rand64,
     queue: BTreeMap<(Duration, u64), (usize, Event)>,
     count: u64,
     last: BTreeMap<(u64, bool), Duration>,
-    cut: BTreeSet<usize>,
+    cut_regions: BTreeSet<usize>,
     cut_pairs: BTreeSet<(usize, usize)>,
-    held: Vec<(usize, usize, u64, Event)>,
-    waiting: Vec<(Scope, bool)>,
+    undelivered: Vec<(usize, usize, u64, Event)>,
+    publish_queue: Vec<(Scope, bool)>,
     published: u64,
     disk_full: bool,
     changed: bool,
-    acts: usize,
+    pending_actions: usize,
     seed: u64,
 }
 
@@ -139,19 +139,19 @@
             models: BTreeMap::from([(0, Model::new())]),
             refusals: Vec::new(),
             calls: Vec::new(),
-            told: BTreeMap::new(),
-            draws: Rand64::new(u128::from(seed)),
+            delivered: BTreeMap::new(),
+            rng: Rand64::new(u128::from(seed)),
             queue: BTreeMap::new(),
             count: 0,
             last: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_regions: BTreeSet::new(),
             cut_pairs: BTreeSet::new(),
-            held: Vec::new(),
-            waiting: Vec::new(),
+            undelivered: Vec::new(),
+            publish_queue: Vec::new(),
             published: 0,
             disk_full: false,
             changed: true,
-            acts: 0,
+            pending_actions: 0,
             seed,
         };
         network.add("origin".into(), None, Some(0), Wanted::All, vec![]);
@@ -161,8 +161,8 @@
         for zone in 0..ZONES {
             let region = zone % REGIONS;
             for which in 0..2 {
-                let above = vec![region_relay(region), region_relay((region + 1) % REGIONS)];
-                network.add(format!("zone {zone} {which}"), Some(region), Some(2), Wanted::All, above);
+                let parent_nodes = vec![region_relay(region), region_relay((region + 1) % REGIONS)];
+                network.add(format!("zone {zone} {which}"), Some(region), Some(2), Wanted::All, parent_nodes);
             }
         }
         for number in 0..balancers {
@@ -173,13 +173,13 @@
                 scope(&format!("region/r{region}")),
                 scope(&format!("service/s{}", number / ZONES % services)),
             ];
-            let above = vec![zone_relay(zone, 0), zone_relay(zone, 1), region_relay(region)];
+            let parent_nodes = vec![zone_relay(zone, 0), zone_relay(zone, 1), region_relay(region)];
             network.add(
                 format!("balancer {number}"),
                 Some(region),
                 None,
                 Wanted::These(wanted.to_vec()),
-                above,
+                parent_nodes,
             );
         }
         network
@@ -191,10 +191,10 @@
         region: Option<usize>,
         level: Option<u8>,
         wanted: Wanted,
-        above: Vec<usize>,
+        parent_nodes: Vec<usize>,
     ) -> usize {
         let node = self.nodes.len();
-        let parents = Parents::new(above.len(), self.seed * 10_000 + node as u64);
+        let parents = Parents::new(parent_nodes.len(), self.seed * 10_000 + node as u64);
         self.nodes.push(Node {
             name,
             region,
@@ -202,44 +202,44 @@
             wanted,
             state: State::default(),
             parents,
-            above,
+            parent_nodes,
             up: true,
             reports: Reports::new(),
             muted: false,
-            life: 0,
+            run_number: 0,
             paused_until: Duration::ZERO,
             watch: None,
             deadline: Duration::ZERO,
             readers: BTreeMap::new(),
-            slow: Duration::ZERO,
-            damage: false,
-            repeat: false,
-            swallow: false,
-            seen: 0,
+            line_delay: Duration::ZERO,
+            damage_next: false,
+            repeat_next: false,
+            drop_next: false,
+            highest_index: 0,
         });
-        self.begin(node);
+        self.schedule_timers(node);
         node
     }
 
-    fn begin(&mut self, node: usize) {
-        let life = self.nodes[node].life;
-        let beat = self.draw(HEARTBEAT_EVERY);
-        let report = self.draw(REPORT_EVERY);
-        if !self.nodes[node].above.is_empty() {
-            self.push(node, self.now, Event::Step(life));
-            self.push(node, self.now + report, Event::ReportDue(life));
+    fn schedule_timers(&mut self, node: usize) {
+        let run_number = self.nodes[node].run_number;
+        let heartbeat = self.random_duration(HEARTBEAT_EVERY);
+        let report = self.random_duration(REPORT_EVERY);
+        if !self.nodes[node].parent_nodes.is_empty() {
+            self.push(node, self.now, Event::Step(run_number));
+            self.push(node, self.now + report, Event::ReportDue(run_number));
         }
         if self.nodes[node].level.is_some() {
-            self.push(node, self.now + beat, Event::Beat(life));
+            self.push(node, self.now + heartbeat, Event::Heartbeat(run_number));
         }
     }
 
-    pub fn draw(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.draws.rand_float())
+    pub fn random_duration(&mut self, upper_bound: Duration) -> Duration {
+        upper_bound.mul_f64(self.rng.rand_float())
     }
 
-    pub fn pick(&mut self, below: usize) -> usize {
-        self.draws.rand_range(0..below as u64) as usize
+    pub fn random_below(&mut self, below: usize) -> usize {
+        self.rng.rand_range(0..below as u64) as usize
     }
 
     fn push(&mut self, node: usize, at: Duration, event: Event) {
@@ -247,9 +247,9 @@
         self.queue.insert((at, self.count), (node, event));
     }
 
-    pub fn act(&mut self, at: Duration, act: Act) {
-        self.acts += 1;
-        self.push(ORIGIN, at, Event::Act(act));
+    pub fn schedule(&mut self, at: Duration, action: Action) {
+        self.pending_actions += 1;
+        self.push(ORIGIN, at, Event::Action(action));
     }
 
     fn is_cut(&self, a: usize, b: usize) -> bool {
@@ -257,21 +257,22 @@
             return true;
         }
         let (a, b) = (self.nodes[a].region, self.nodes[b].region);
-        a != b && [a, b].into_iter().flatten().any(|region| self.cut.contains(&region))
+        a != b && [a, b].into_iter().flatten().any(|region| self.cut_regions.contains(&region))
     }
 
     /// A message on a connection: in order with those before it; one into a cut comes once it is healed.
     fn send(&mut self, from: usize, to: usize, watch: u64, event: Event) {
         if self.is_cut(from, to) {
-            self.held.push((from, to, watch, event));
+            self.undelivered.push((from, to, watch, event));
             return;
         }
-        let far = self.nodes[from].region != self.nodes[to].region;
-        let least = if far { ms(20) } else { Duration::from_micros(200) };
-        let more = self.draw(if far { ms(60) } else { ms(2) });
-        let slow = if matches!(event, Event::Line { .. }) { self.nodes[to].slow } else { Duration::ZERO };
+        let cross_region = self.nodes[from].region != self.nodes[to].region;
+        let min_delay = if cross_region { ms(20) } else { Duration::from_micros(200) };
+        let jitter = self.random_duration(if cross_region { ms(60) } else { ms(2) });
+        let line_delay =
+            if matches!(event, Event::Line { .. }) { self.nodes[to].line_delay } else { Duration::ZERO };
         let last = self.last.entry((watch, from < to)).or_default();
-        *last = (self.now + least + more + slow).max(*last + Duration::from_micros(1));
+        *last = (self.now + min_delay + jitter + line_delay).max(*last + Duration::from_micros(1));
         let at = *last;
         self.push(to, at, event);
     }
@@ -291,8 +292,8 @@
     pub fn run_until_converged(&mut self, by: Duration) -> Option<Duration> {
         self.changed = true;
         loop {
-            if self.acts == 0
-                && self.waiting.is_empty()
+            if self.pending_actions == 0
+                && self.publish_queue.is_empty()
                 && std::mem::take(&mut self.changed)
                 && self.lagging().is_empty()
             {
@@ -308,8 +309,8 @@
     pub fn step(&mut self) {
         let Some(((at, _), (node, event))) = self.queue.pop_first() else { return };
         self.now = at;
-        if let Event::Act(act) = event {
-            return self.do_act(act);
+        if let Event::Action(action) = event {
+            return self.perform(action);
         }
         let paused_until = self.nodes[node].paused_until;
         if paused_until > at {
@@ -327,17 +328,17 @@
     fn handle(&mut self, node: usize, event: Event) {
         let now = self.now;
         match event {
-            Event::Step(life) => {
-                if self.nodes[node].life == life && self.nodes[node].watch.is_none() {
+            Event::Step(run_number) => {
+                if self.nodes[node].run_number == run_number && self.nodes[node].watch.is_none() {
                     self.follow_next(node);
                 }
             }
-            Event::Call { from, watch, since } => self.called(node, from, watch, since),
+            Event::Call { from, watch, since } => self.accept_watch(node, from, watch, since),
             Event::Line { watch, line } => self.line(node, watch, line),
-            Event::Taken(watch) => {
+            Event::LineProcessed(watch) => {
                 if let Some(reader) = self.nodes[node].readers.get_mut(&watch) {
                     reader.busy_since = None;
-                    self.feed(node, watch, false);
+                    self.send_if_ready(node, watch, false);
                 }
             }
             Event::Closed(watch) => {
@@ -358,24 +359,24 @@
                     }
                 }
             }
-            Event::Beat(life) => {
-                if self.nodes[node].life == life {
-                    self.beat(node);
-                    self.push(node, now + HEARTBEAT_EVERY, Event::Beat(life));
+            Event::Heartbeat(run_number) => {
+                if self.nodes[node].run_number == run_number {
+                    self.heartbeat(node);
+                    self.push(node, now + HEARTBEAT_EVERY, Event::Heartbeat(run_number));
                 }
             }
-            Event::ReportDue(life) => {
-                if self.nodes[node].life == life {
+            Event::ReportDue(run_number) => {
+                if self.nodes[node].run_number == run_number {
                     self.report(node);
-                    self.push(node, now + REPORT_EVERY, Event::ReportDue(life));
+                    self.push(node, now + REPORT_EVERY, Event::ReportDue(run_number));
                 }
             }
             Event::Report(up) => match up {
-                Up::Child(in_force) => self.nodes[node].reports.record(now, in_force),
-                Up::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
+                ReportBody::Child(in_force) => self.nodes[node].reports.record(now, in_force),
+                ReportBody::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
             },
-            Event::Disk(index) => self.disk(index),
-            Event::Act(_) => unreachable!("done before"),
+            Event::DiskWriteDone(index) => self.disk_write_done(index),
+            Event::Action(_) => unreachable!("done before"),
         }
     }
 
@@ -390,11 +391,11 @@
     }
 
     pub fn publish(&mut self, at: Duration, text: &str) {
-        self.act(at, Act::Publish { scope: scope(text), withdraw: false });
+        self.schedule(at, Action::Publish { scope: scope(text), withdraw: false });
     }
 
     pub fn withdraw(&mut self, at: Duration, text: &str) {
-        self.act(at, Act::Publish { scope: scope(text), withdraw: true });
+        self.schedule(at, Action::Publish { scope: scope(text), withdraw: true });
     }
 
     /// Calls of a node since a time.
--- a/crates/config-distribution/tests/core_common/network/faults.rs
+++ b/crates/config-distribution/tests/core_common/network/faults.rs
@@ -10,7 +10,7 @@
 use super::{Event, Network};
 
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum Action {
     Publish {
         scope: Scope,
         withdraw: bool,
@@ -18,22 +18,22 @@
     Kill(usize),
     Start {
         node: usize,
-        disk: bool,
+        with_disk: bool,
     },
     Pause(usize, Duration),
-    Cut(usize),
-    Heal(usize),
+    CutRegion(usize),
+    HealRegion(usize),
     /// Two nodes lose each other.
     CutPair(usize, usize),
     HealPair(usize, usize),
     /// A connection to the parent is reset.
     Reset(usize),
     /// The next line that a node is told has a body that was changed on the way.
-    Damage(usize),
+    DamageUpdate(usize),
     /// The next line that a node is told is one that it has been told before.
-    Repeat(usize),
+    RepeatUpdate(usize),
     /// The next change that a node is told is swallowed: its parent lies.
-    Swallow(usize),
+    DropUpdate(usize),
     /// A parent takes calls and says nothing, from now on or no more.
     Mute(usize, bool),
     /// A node takes lines at this pace.
@@ -43,49 +43,49 @@
 }
 
 impl Network {
-    pub(super) fn do_act(&mut self, act: Act) {
-        self.acts -= 1;
-        match act {
-            Act::Publish { scope, withdraw } => {
-                self.waiting.push((scope, withdraw));
+    pub(super) fn perform(&mut self, action: Action) {
+        self.pending_actions -= 1;
+        match action {
+            Action::Publish { scope, withdraw } => {
+                self.publish_queue.push((scope, withdraw));
                 self.publish_next();
             }
-            Act::Kill(node) => self.kill(node),
-            Act::Start { node, disk } => self.start(node, disk),
-            Act::Pause(node, time) => {
+            Action::Kill(node) => self.kill(node),
+            Action::Start { node, with_disk } => self.start(node, with_disk),
+            Action::Pause(node, time) => {
                 let until = self.now + time;
                 let paused_until = &mut self.nodes[node].paused_until;
                 *paused_until = until.max(*paused_until);
             }
-            Act::Cut(region) => {
-                self.cut.insert(region);
+            Action::CutRegion(region) => {
+                self.cut_regions.insert(region);
             }
-            Act::Heal(region) => {
-                self.cut.remove(&region);
-                self.send_held();
+            Action::HealRegion(region) => {
+                self.cut_regions.remove(&region);
+                self.send_undelivered();
             }
-            Act::CutPair(a, b) => {
+            Action::CutPair(a, b) => {
                 self.cut_pairs.insert((a.min(b), a.max(b)));
             }
-            Act::HealPair(a, b) => {
+            Action::HealPair(a, b) => {
                 self.cut_pairs.remove(&(a.min(b), a.max(b)));
-                self.send_held();
+                self.send_undelivered();
             }
-            Act::Reset(node) => {
+            Action::Reset(node) => {
                 if let Some((watch, parent)) = self.nodes[node].watch {
                     self.send(node, parent, watch, Event::Left(watch));
                     self.send(parent, node, watch, Event::Closed(watch));
                 }
             }
-            Act::Damage(node) => self.nodes[node].damage = true,
-            Act::Repeat(node) => self.nodes[node].repeat = true,
-            Act::Swallow(node) => self.nodes[node].swallow = true,
-            Act::Mute(node, muted) => self.nodes[node].muted = muted,
-            Act::Slow(node, slow) => {
-                self.nodes[node].slow = slow;
-                self.nodes[node].deadline += slow;
+            Action::DamageUpdate(node) => self.nodes[node].damage_next = true,
+            Action::RepeatUpdate(node) => self.nodes[node].repeat_next = true,
+            Action::DropUpdate(node) => self.nodes[node].drop_next = true,
+            Action::Mute(node, muted) => self.nodes[node].muted = muted,
+            Action::Slow(node, line_delay) => {
+                self.nodes[node].line_delay = line_delay;
+                self.nodes[node].deadline += line_delay;
             }
-            Act::DiskFull => self.disk_full = true,
+            Action::DiskFull => self.disk_full = true,
         }
     }
 
@@ -94,7 +94,7 @@
             return;
         }
         self.changed = true;
-        self.nodes[node].life += 1;
+        self.nodes[node].run_number += 1;
         self.nodes[node].paused_until = Duration::ZERO;
         for (watch, reader) in std::mem::take(&mut self.nodes[node].readers) {
             self.send(node, reader.child, watch, Event::Closed(watch));
@@ -104,29 +104,29 @@
         }
     }
 
-    fn start(&mut self, node: usize, disk: bool) {
+    fn start(&mut self, node: usize, with_disk: bool) {
         if self.nodes[node].up {
             return;
         }
         self.changed = true;
-        let seed = self.draws.rand_u64();
-        let own = &mut self.nodes[node];
-        own.up = true;
-        own.parents = Parents::new(own.above.len(), seed);
-        own.reports = Reports::new();
-        let before = std::mem::take(&mut own.state);
-        if disk {
+        let seed = self.rng.rand_u64();
+        let process = &mut self.nodes[node];
+        process.up = true;
+        process.parents = Parents::new(process.parent_nodes.len(), seed);
+        process.reports = Reports::new();
+        let before = std::mem::take(&mut process.state);
+        if with_disk {
             let whole = before.since(0, &Wanted::All).expect("the whole");
-            own.state.apply(whole, &own.wanted).expect("its own");
+            process.state.apply(whole, &process.wanted).expect("its own");
         } else {
-            own.seen = 0;
+            process.highest_index = 0;
         }
-        self.begin(node);
+        self.schedule_timers(node);
     }
 
-    fn send_held(&mut self) {
-        let held = std::mem::take(&mut self.held);
-        for (from, to, watch, event) in held {
+    fn send_undelivered(&mut self) {
+        let undelivered = std::mem::take(&mut self.undelivered);
+        for (from, to, watch, event) in undelivered {
             self.send(from, to, watch, event);
         }
     }
--- a/crates/config-distribution/tests/core_common/network/publish.rs
+++ b/crates/config-distribution/tests/core_common/network/publish.rs
@@ -7,14 +7,14 @@
 
 impl Network {
     pub(super) fn publish_next(&mut self) {
-        while let Some((scope, withdraw)) = self.waiting.first().cloned() {
+        while let Some((scope, withdraw)) = self.publish_queue.first().cloned() {
             let request = format!("request {}", self.published).into();
             let body = (!withdraw).then(|| body(self.published));
             let publication = Publication { scope, body, request, if_version: None };
             match self.origin.publish(publication, |_, _| Vec::new()) {
                 Ok(Accepted::Write(record)) => {
-                    let sync = ms(2) + self.draw(ms(30));
-                    self.push(ORIGIN, self.now + sync, Event::Disk(record.index));
+                    let sync = ms(2) + self.random_duration(ms(30));
+                    self.push(ORIGIN, self.now + sync, Event::DiskWriteDone(record.index));
                     return;
                 }
                 // What was never there cannot be withdrawn.
@@ -22,11 +22,11 @@
                 Err(PublishError::Busy) => return,
                 other => panic!("{other:?}"),
             }
-            self.waiting.remove(0);
+            self.publish_queue.remove(0);
         }
     }
 
-    pub(super) fn disk(&mut self, index: u64) {
+    pub(super) fn disk_write_done(&mut self, index: u64) {
         if std::mem::take(&mut self.disk_full) {
             let before = self.origin.state().clone();
             self.origin.not_written(index);
@@ -38,7 +38,7 @@
         let before = self.origin.state().index();
         self.records.push(record.clone());
         self.origin.written(index);
-        self.waiting.remove(0);
+        self.publish_queue.remove(0);
         self.published += 1;
         assert_eq!(self.origin.state().index(), before + 1);
         let mut model = self.models[&before].clone();
@@ -49,7 +49,7 @@
         }
         self.models.insert(index, model);
         self.nodes[ORIGIN].state = self.origin.state().clone();
-        self.taken(ORIGIN, true);
+        self.check_applied(ORIGIN, true);
         self.publish_next();
     }
 }
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -7,25 +7,25 @@
 use config_distribution::report::InForce;
 use config_distribution::state::Wanted;
 
-use super::{Event, Line, Network, Node, Reader, Up};
+use super::{Event, Line, Network, Node, Reader, ReportBody};
 use crate::core_common::{Model, body, live};
 
 /// A reader that takes no line for longer is closed.
-const STALLED: Duration = Duration::from_secs(10);
+const STALLED_READER_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Network {
     pub(super) fn follow_next(&mut self, node: usize) {
         match self.nodes[node].parents.next(self.now) {
             Step::Wait(wait) => {
-                let life = self.nodes[node].life;
-                self.push(node, self.now + wait, Event::Step(life));
+                let run_number = self.nodes[node].run_number;
+                self.push(node, self.now + wait, Event::Step(run_number));
             }
             Step::Follow(number) => {
-                let parent = self.nodes[node].above[number];
+                let parent = self.nodes[node].parent_nodes[number];
                 self.count += 1;
                 let watch = self.count;
                 self.calls.push((self.now, node, parent));
-                let deadline = self.now + FIRST_LINE_TIMEOUT + self.nodes[node].slow;
+                let deadline = self.now + FIRST_LINE_TIMEOUT + self.nodes[node].line_delay;
                 self.nodes[node].watch = Some((watch, parent));
                 self.nodes[node].deadline = deadline;
                 self.push(node, deadline, Event::Deadline(watch));
@@ -35,9 +35,9 @@
         }
     }
 
-    pub(super) fn watch_ended(&mut self, node: usize, tell: bool) {
+    pub(super) fn watch_ended(&mut self, node: usize, notify_parent: bool) {
         let Some((watch, parent)) = self.nodes[node].watch.take() else { return };
-        if tell {
+        if notify_parent {
             self.send(node, parent, watch, Event::Left(watch));
         }
         let now = self.now;
@@ -45,21 +45,21 @@
         self.follow_next(node);
     }
 
-    pub(super) fn called(&mut self, node: usize, from: usize, watch: u64, since: u64) {
+    pub(super) fn accept_watch(&mut self, node: usize, from: usize, watch: u64, since: u64) {
         let level = self.nodes[node].level.expect("a balancer is no parent");
         if !may_serve(level, self.nodes[from].level) {
             return self.send(node, from, watch, Event::Closed(watch));
         }
         let reader = Reader { child: from, index: since, busy_since: None, last: None };
         self.nodes[node].readers.insert(watch, reader);
-        self.feed(node, watch, true);
+        self.send_if_ready(node, watch, true);
     }
 
     /// Tells a reader what is new, if it is ready; `always` also where nothing is.
-    pub(super) fn feed(&mut self, node: usize, watch: u64, always: bool) {
+    pub(super) fn send_if_ready(&mut self, node: usize, watch: u64, always: bool) {
         let now = self.now;
-        let Node { state, parents, readers, above, muted, .. } = &mut self.nodes[node];
-        let stale_s = if above.is_empty() { 0 } else { parents.stale_s(now) };
+        let Node { state, parents, readers, parent_nodes, muted, .. } = &mut self.nodes[node];
+        let stale_s = if parent_nodes.is_empty() { 0 } else { parents.stale_s(now) };
         let (state, muted) = (state.clone(), *muted);
         let Some(reader) = readers.get_mut(&watch) else { return };
         if reader.busy_since.is_some() || muted {
@@ -84,10 +84,10 @@
             }
         };
         reader.busy_since = Some(now);
-        let line = self.spoil(child, node, watch, line);
+        let line = self.inject_fault(child, node, watch, line);
         if let Some(line) = line {
             if matches!(line, Line::Update(_)) {
-                *self.told.entry(child).or_default() += 1;
+                *self.delivered.entry(child).or_default() += 1;
             }
             self.send(node, child, watch, Event::Line { watch, line });
         } else if let Some(reader) = self.nodes[node].readers.get_mut(&watch) {
@@ -96,7 +96,7 @@
     }
 
     /// What a line becomes on the way where a fault was asked for.
-    fn spoil(&mut self, child: usize, node: usize, watch: u64, line: Line) -> Option<Line> {
+    fn inject_fault(&mut self, child: usize, node: usize, watch: u64, line: Line) -> Option<Line> {
         let before = self.nodes[node].readers.get_mut(&watch).and_then(|reader| {
             let before = reader.last.clone();
             if let Line::Update(update) = &line {
@@ -107,33 +107,33 @@
         let number = child;
         let child = &mut self.nodes[child];
         let Line::Update(mut update) = line else { return Some(line) };
-        if child.damage && !update.documents.is_empty() {
-            child.damage = false;
+        if child.damage_next && !update.documents.is_empty() {
+            child.damage_next = false;
             update.documents[0].body = body(999_999_999);
-        } else if child.repeat
+        } else if child.repeat_next
             && let Some(before) = before
         {
-            child.repeat = false;
+            child.repeat_next = false;
             // It comes before the one that is due.
             let line = Line::Update(before);
             self.send(node, number, watch, Event::Line { watch, line });
-        } else if child.swallow && !update.documents.is_empty() {
-            child.swallow = false;
+        } else if child.drop_next && !update.documents.is_empty() {
+            child.drop_next = false;
             return None;
         }
         Some(Line::Update(update))
     }
 
-    pub(super) fn beat(&mut self, node: usize) {
+    pub(super) fn heartbeat(&mut self, node: usize) {
         let watches: Vec<u64> = self.nodes[node].readers.keys().copied().collect();
         for watch in watches {
             let reader = &self.nodes[node].readers[&watch];
             let child = reader.child;
-            if reader.busy_since.is_some_and(|since| self.now - since > STALLED) {
+            if reader.busy_since.is_some_and(|since| self.now - since > STALLED_READER_TIMEOUT) {
                 self.nodes[node].readers.remove(&watch);
                 self.send(node, child, watch, Event::Closed(watch));
             } else {
-                self.feed(node, watch, true);
+                self.send_if_ready(node, watch, true);
             }
         }
     }
@@ -149,25 +149,29 @@
             stale_s = update.stale_s;
             let Node { state, wanted, .. } = &mut self.nodes[node];
             match state.apply(update, wanted) {
-                Ok(changed) => self.taken(node, !changed.is_empty()),
+                Ok(changed) => self.check_applied(node, !changed.is_empty()),
                 Err(refusal) => {
                     self.refusals.push((node, refusal));
                     return self.watch_ended(node, true);
                 }
             }
         }
-        self.nodes[node].deadline = now + PARENT_SILENCE_TIMEOUT + self.nodes[node].slow;
-        self.send(node, parent, watch, Event::Taken(watch));
+        self.nodes[node].deadline = now + PARENT_SILENCE_TIMEOUT + self.nodes[node].line_delay;
+        self.send(node, parent, watch, Event::LineProcessed(watch));
         if self.nodes[node].parents.line(now, stale_s) == Verdict::Leave {
             self.watch_ended(node, true);
         }
     }
 
     /// After each update: whole, published, and never back.
-    pub(super) fn taken(&mut self, node: usize, changed: bool) {
-        let Node { state, wanted, name, seen, .. } = &mut self.nodes[node];
-        assert!(state.index() >= *seen, "{name} went back from {seen} to {}", state.index());
-        *seen = state.index();
+    pub(super) fn check_applied(&mut self, node: usize, changed: bool) {
+        let Node { state, wanted, name, highest_index, .. } = &mut self.nodes[node];
+        assert!(
+            state.index() >= *highest_index,
+            "{name}: expected no index below {highest_index}, got {}",
+            state.index()
+        );
+        *highest_index = state.index();
         let model = self
             .models
             .get(&state.index())
@@ -175,19 +179,19 @@
         let model: Model = model
             .iter()
             .filter(|(scope, _)| wanted.has(scope))
-            .map(|(scope, held)| (scope.clone(), held.clone()))
+            .map(|(scope, content)| (scope.clone(), content.clone()))
             .collect();
         assert_eq!(live(state, wanted), model, "{name} at {} holds something else", state.index());
         self.changed |= changed;
         if self.nodes[node].level.is_some() {
-            self.feed_all(node);
+            self.send_to_ready_readers(node);
         }
     }
 
-    fn feed_all(&mut self, node: usize) {
+    fn send_to_ready_readers(&mut self, node: usize) {
         let watches: Vec<u64> = self.nodes[node].readers.keys().copied().collect();
         for watch in watches {
-            self.feed(node, watch, false);
+            self.send_if_ready(node, watch, false);
         }
     }
 
@@ -195,10 +199,10 @@
         let Some((watch, parent)) = self.nodes[node].watch else { return };
         let child = &self.nodes[node];
         let up = match &child.wanted {
-            Wanted::All => Up::Relay(child.name.clone(), child.reports.sums(self.now, &child.state)),
+            Wanted::All => ReportBody::Relay(child.name.clone(), child.reports.sums(self.now, &child.state)),
             Wanted::These(scopes) => {
                 let version = |scope: &Scope| child.state.get(scope).map_or(0, |document| document.version);
-                Up::Child(InForce {
+                ReportBody::Child(InForce {
                     who: child.name.as_str().into(),
                     versions: scopes.iter().map(|scope| (scope.clone(), version(scope))).collect(),
                     refused: None,
--- a/crates/config-distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_examples_of_rfc_7396_hold() {
+fn rfc_7396_examples_hold() {
     // Appendix A, less the patches that are null as a whole: below a key those take the key away.
     let examples = json!([
         [{"a":"b"}, {"a":"c"}, {"a":"c"}],
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_narrower_goes_before_the_wider() {
+fn narrower_scopes_override_wider_ones() {
     let own = json!({ "zone": "a", "rules": {"x": 0, "y": 0, "z": 0, "own": 0} });
     let fleet = document("fleet", &json!({ "rules": {"x": 1, "y": 1, "z": 1} }));
     let region = document("region/north", &json!({ "rules": {"y": 2, "z": 2}, "balancers": 3 }));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn every_fault_of_every_document_is_told_with_its_place() {
+fn all_faults_of_all_documents_are_reported_with_their_path() {
     let own = json!({ "zone": "a", "me": 1 });
     let fleet = document("fleet", &json!({ "zone": "b", "me": null, "caps": {} }));
     let region =
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_body_that_is_too_deep_is_a_fault() {
+fn too_deeply_nested_body_is_a_fault() {
     let deep = format!("{{\"settings\":{{\"caps\":{}{}}}}}", "[".repeat(5000), "]".repeat(5000));
     let document = Document::new(Scope::Fleet, 1, deep.into());
     assert!(effective(&json!({}), [Some(&document), None, None]).is_err());
--- a/crates/config-distribution/tests/core_fault.rs
+++ b/crates/config-distribution/tests/core_fault.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn faults_of_the_form_name_the_document_and_the_place() {
+fn form_faults_name_the_document_and_the_path() {
     let texts = [
         ("[]", "fleet: expected an object"),
         ("{", "fleet: EOF while parsing an object at line 1 column 1"),
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn faults_of_a_publication_have_the_same_text_for_ever() {
+fn publication_faults_have_fixed_texts() {
     assert_eq!(Fault::RequestId { bytes: 0 }.to_string(), "request id: expected 1 to 128 bytes, got 0");
     let scope = "service/api".parse().expect("a scope");
     let nothing = Fault::NothingToWithdraw { scope };
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn faults_of_the_settings_have_the_text_of_the_check_and_a_count_of_those_not_listed() {
+fn settings_faults_have_the_texts_of_the_check_and_count_unlisted_ones() {
     let lanes: Vec<Value> = (0..200).map(|number| json!({ "name": number })).collect();
     let faults = balancer_settings::check_document(&json!({ "lanes": lanes })).expect_err("faults");
     assert!(faults.unlisted() > 0);
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -16,14 +16,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestCaseError};
 
-fn sound(_: &Scope, _: &str) -> Vec<Fault> {
+fn no_faults(_: &Scope, _: &str) -> Vec<Fault> {
     Vec::new()
 }
 
 /// The one fault that a check finds in every document, and its text.
 const FAULT_TEXT: &str = "settings.caps: expected an object, found 7";
 
-fn faulty(_: &Scope, _: &str) -> Vec<Fault> {
+fn one_fault(_: &Scope, _: &str) -> Vec<Fault> {
     let (path, expected) = ("settings.caps".to_owned(), "an object".to_owned());
     vec![Fault::Settings(balancer_settings::Fault { path, expected, found: Found::Value("7".to_owned()) })]
 }
@@ -41,7 +41,7 @@
 }
 
 fn write(origin: &mut Origin, publication: Publication) -> Record {
-    match origin.publish(publication, sound) {
+    match origin.publish(publication, no_faults) {
         Ok(Accepted::Write(record)) => {
             origin.written(record.index);
             record
@@ -51,9 +51,11 @@
 }
 
 #[test]
-fn nothing_is_visible_before_it_is_written() {
+fn documents_are_visible_only_once_written() {
     let mut origin = restored(&[]);
-    let Ok(Accepted::Write(record)) = origin.publish(publication("fleet", 1, "a"), sound) else { panic!() };
+    let Ok(Accepted::Write(record)) = origin.publish(publication("fleet", 1, "a"), no_faults) else {
+        panic!()
+    };
     assert_eq!(origin.state(), &State::default());
     origin.written(7);
     assert_eq!(origin.state(), &State::default(), "another record than the one asked for");
@@ -65,35 +67,35 @@
 }
 
 #[test]
-fn one_change_is_written_at_a_time() {
+fn only_one_change_is_written_at_a_time() {
     let mut origin = restored(&[]);
     let first = publication("fleet", 1, "a");
-    assert!(matches!(origin.publish(first.clone(), sound), Ok(Accepted::Write(_))));
-    assert_eq!(origin.publish(publication("service/api", 2, "b"), sound), Err(PublishError::Busy));
-    assert_eq!(origin.publish(first.clone(), sound), Err(PublishError::Busy), "not acknowledged yet");
+    assert!(matches!(origin.publish(first.clone(), no_faults), Ok(Accepted::Write(_))));
+    assert_eq!(origin.publish(publication("service/api", 2, "b"), no_faults), Err(PublishError::Busy));
+    assert_eq!(origin.publish(first.clone(), no_faults), Err(PublishError::Busy), "not acknowledged yet");
     origin.written(1);
-    assert_eq!(origin.publish(first, sound), Ok(Accepted::AlreadyAccepted(1)));
+    assert_eq!(origin.publish(first, no_faults), Ok(Accepted::AlreadyAccepted(1)));
     assert_eq!(write(&mut origin, publication("service/api", 2, "b")).index, 2);
 }
 
 #[test]
-fn a_record_that_is_not_written_leaves_nothing() {
+fn failed_write_leaves_no_trace() {
     let mut origin = restored(&[]);
     write(&mut origin, publication("fleet", 1, "a"));
     let before = origin.state().clone();
     let second = publication("fleet", 2, "b");
-    assert!(matches!(origin.publish(second.clone(), sound), Ok(Accepted::Write(_))));
+    assert!(matches!(origin.publish(second.clone(), no_faults), Ok(Accepted::Write(_))));
     origin.not_written(2);
     assert_eq!(origin.state(), &before);
     origin.written(2);
     assert_eq!(origin.state(), &before);
     // The id is free for another content, and the index is given again.
     assert_eq!(write(&mut origin, publication("service/api", 3, "b")).index, 2);
-    assert_eq!(origin.publish(second, sound), Err(PublishError::RequestIdReused));
+    assert_eq!(origin.publish(second, no_faults), Err(PublishError::RequestIdReused));
 }
 
 #[test]
-fn a_publication_repeated_after_a_lost_answer_gets_the_answer_of_before() {
+fn repeated_publication_gets_the_original_answer() {
     let mut origin = restored(&[]);
     let mut records = vec![write(&mut origin, publication("fleet", 1, "a"))];
     let condition = Publication { if_version: Some(1), ..publication("fleet", 2, "b") };
@@ -102,41 +104,44 @@
     records.push(write(&mut origin, publication("service/api", 4, "d")));
     // Also after a restart, also where the condition no longer holds, and without being checked again.
     for mut origin in [restored(&records), origin] {
-        assert_eq!(origin.publish(condition.clone(), faulty), Ok(Accepted::AlreadyAccepted(2)));
-        assert_eq!(origin.publish(withdrawal("fleet", "c"), sound), Ok(Accepted::AlreadyAccepted(3)));
+        assert_eq!(origin.publish(condition.clone(), one_fault), Ok(Accepted::AlreadyAccepted(2)));
+        assert_eq!(origin.publish(withdrawal("fleet", "c"), no_faults), Ok(Accepted::AlreadyAccepted(3)));
         assert_eq!(origin.state().index(), 4);
         assert_eq!(
-            origin.publish(publication("service/api", 5, "d"), sound),
+            origin.publish(publication("service/api", 5, "d"), no_faults),
+            Err(PublishError::RequestIdReused)
+        );
+        assert_eq!(
+            origin.publish(publication("fleet", 4, "d"), no_faults),
             Err(PublishError::RequestIdReused)
         );
-        assert_eq!(origin.publish(publication("fleet", 4, "d"), sound), Err(PublishError::RequestIdReused));
-        assert_eq!(origin.publish(withdrawal("fleet", "a"), sound), Err(PublishError::RequestIdReused));
+        assert_eq!(origin.publish(withdrawal("fleet", "a"), no_faults), Err(PublishError::RequestIdReused));
     }
 }
 
 #[test]
-fn a_condition_on_the_version_is_held() {
+fn condition_on_the_version_is_enforced() {
     let mut origin = restored(&[]);
-    let on = |version, number: u64| Publication {
+    let with_if_version = |version, number: u64| Publication {
         if_version: Some(version),
         ..publication("fleet", number, &format!("request {number}"))
     };
-    assert_eq!(origin.publish(on(1, 1), sound), Err(PublishError::Conflict { have: 0 }));
-    assert_eq!(write(&mut origin, on(0, 2)).index, 1);
-    assert_eq!(origin.publish(on(0, 3), sound), Err(PublishError::Conflict { have: 1 }));
+    assert_eq!(origin.publish(with_if_version(1, 1), no_faults), Err(PublishError::Conflict { have: 0 }));
+    assert_eq!(write(&mut origin, with_if_version(0, 2)).index, 1);
+    assert_eq!(origin.publish(with_if_version(0, 3), no_faults), Err(PublishError::Conflict { have: 1 }));
     write(&mut origin, publication("service/api", 4, "other"));
-    assert_eq!(write(&mut origin, on(1, 5)).index, 3);
+    assert_eq!(write(&mut origin, with_if_version(1, 5)).index, 3);
     write(&mut origin, withdrawal("fleet", "gone"));
-    assert_eq!(origin.publish(on(4, 6), sound), Err(PublishError::Conflict { have: 0 }));
-    assert_eq!(write(&mut origin, on(0, 7)).index, 5);
+    assert_eq!(origin.publish(with_if_version(4, 6), no_faults), Err(PublishError::Conflict { have: 0 }));
+    assert_eq!(write(&mut origin, with_if_version(0, 7)).index, 5);
 }
 
 #[test]
-fn every_fault_is_told_and_nothing_remains_of_it() {
+fn all_faults_are_reported_and_a_refused_publication_leaves_no_trace() {
     let mut origin = restored(&[]);
     let with_body =
         |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
-    let mut faults = |text: &str| match origin.publish(with_body(text), faulty) {
+    let mut faults = |text: &str| match origin.publish(with_body(text), one_fault) {
         Err(PublishError::Faults(faults)) => faults.iter().map(Fault::to_string).collect::<Vec<_>>(),
         other => panic!("{other:?}"),
     };
@@ -149,16 +154,16 @@
     assert!(several.iter().any(|fault| fault.starts_with("service/api: settings.zone: ")));
     assert_eq!(faults("{\"settings\":{}}"), [FAULT_TEXT]);
     for request in ["", &"x".repeat(129)] {
-        let refused = origin.publish(publication("fleet", 1, request), sound);
+        let refused = origin.publish(publication("fleet", 1, request), no_faults);
         assert!(matches!(refused, Err(PublishError::Faults(_))));
     }
-    assert!(matches!(origin.publish(withdrawal("fleet", "b"), sound), Err(PublishError::Faults(_))));
+    assert!(matches!(origin.publish(withdrawal("fleet", "b"), no_faults), Err(PublishError::Faults(_))));
     assert_eq!(origin.state(), &State::default());
     assert_eq!(write(&mut origin, publication("service/api", 1, "a")).index, 1);
 }
 
 #[test]
-fn everything_has_its_bound() {
+fn documents_bytes_and_request_ids_are_bounded() {
     let bounds = Bounds { max_body_bytes: 100, max_documents: 3, max_request_ids: 2, max_total_bytes: 150 };
     let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
     let sized = |text: &str, bytes: usize, request: &str| Publication {
@@ -166,27 +171,33 @@
         ..publication(text, 0, request)
     };
     let mebibyte = sized("fleet", 1 << 20, "a");
-    assert_eq!(origin.publish(mebibyte, sound), Err(PublishError::TooLarge { bytes: 1 << 20, most: 100 }));
+    assert_eq!(
+        origin.publish(mebibyte, no_faults),
+        Err(PublishError::TooLarge { bytes: 1 << 20, most: 100 })
+    );
     write(&mut origin, sized("fleet", 100, "a"));
     assert_eq!(
-        origin.publish(sized("service/a", 51, "b"), sound),
+        origin.publish(sized("service/a", 51, "b"), no_faults),
         Err(PublishError::Full { bytes: 151, most: 150 })
     );
     write(&mut origin, sized("service/a", 30, "b"));
     write(&mut origin, sized("service/b", 20, "c"));
-    assert_eq!(origin.publish(sized("service/c", 15, "d"), sound), Err(PublishError::TooMany { most: 3 }));
+    assert_eq!(
+        origin.publish(sized("service/c", 15, "d"), no_faults),
+        Err(PublishError::TooMany { most: 3 })
+    );
     // What stands may be replaced, and one that is withdrawn makes room.
     write(&mut origin, sized("fleet", 99, "d"));
     write(&mut origin, withdrawal("service/b", "e"));
     write(&mut origin, sized("service/c", 15, "f"));
     // The two newest ids are remembered.
-    assert_eq!(origin.publish(sized("service/c", 15, "f"), sound), Ok(Accepted::AlreadyAccepted(6)));
-    assert_eq!(origin.publish(withdrawal("service/b", "e"), sound), Ok(Accepted::AlreadyAccepted(5)));
+    assert_eq!(origin.publish(sized("service/c", 15, "f"), no_faults), Ok(Accepted::AlreadyAccepted(6)));
+    assert_eq!(origin.publish(withdrawal("service/b", "e"), no_faults), Ok(Accepted::AlreadyAccepted(5)));
     assert_eq!(write(&mut origin, sized("fleet", 99, "d")).index, 7);
 }
 
 #[test]
-fn a_body_goes_out_on_one_line_and_whole() {
+fn body_is_sent_unchanged_on_one_line() {
     let mut origin = restored(&[]);
     let text = "\n {\r\n \"settings\": {\"caps\": {\"a\": \"x\\ny\"}}\n}\n\n";
     let record = write(&mut origin, Publication { body: Some(text.into()), ..publication("fleet", 0, "a") });
@@ -196,14 +207,14 @@
     let mut reader = State::default();
     reader.apply(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
     assert_eq!(reader.get(&Scope::Fleet), Some(&record.document));
-    let kept: Record =
+    let decoded: Record =
         serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a record");
-    assert_eq!(kept, record);
-    assert!(kept.document.has_valid_digest());
+    assert_eq!(decoded, record);
+    assert!(decoded.document.has_valid_digest());
 }
 
 #[test]
-fn records_that_make_no_origin_are_named() {
+fn restore_names_the_invalid_record() {
     let record = |index| Record {
         index,
         document: Document::new(Scope::Fleet, index, body(index)),
@@ -218,8 +229,8 @@
     assert_eq!(refused(vec![Record { index: 3, ..record(2) }]), RestoreError::Damaged { index: 3 });
     assert_eq!(refused(vec![record(0)]), RestoreError::Damaged { index: 0 });
     assert_eq!(refused(vec![record(u64::MAX)]), RestoreError::TooHigh { index: u64::MAX });
-    let lifted = Origin::restore(Bounds::default(), [], u64::MAX).map(|_| ()).unwrap_err();
-    assert_eq!(lifted, RestoreError::TooHigh { index: u64::MAX });
+    let raised = Origin::restore(Bounds::default(), [], u64::MAX).map(|_| ()).unwrap_err();
+    assert_eq!(raised, RestoreError::TooHigh { index: u64::MAX });
     assert!(Origin::restore(Bounds::default(), [], MAX_INDEX).is_ok());
 }
 
@@ -231,7 +242,7 @@
 }
 
 #[test]
-fn an_origin_on_an_older_disk_is_refused_until_it_is_lifted_past_what_was_lost() {
+fn origin_on_an_older_disk_is_refused_until_its_index_is_raised() {
     let mut origin = restored(&[]);
     let mut records = vec![
         write(&mut origin, publication("fleet", 1, "a")),
@@ -244,40 +255,40 @@
     let child = reader(&origin);
 
     let older = restored(&records);
-    let mut refuses = child.clone();
-    let told = older.state().since(child.index(), &Wanted::All).expect("told");
-    assert_eq!(refuses.apply(told, &Wanted::All), Err(Refusal::IndexWentBack { index: 2, have: 5 }));
-    assert_eq!(refuses, child, "it keeps what it has");
-
-    let mut lifted = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
-    assert_eq!(lifted.state().index(), 2, "nothing is visible before it is written");
-    assert_eq!(lifted.publish(publication("fleet", 9, "z"), sound), Err(PublishError::Busy));
-    lifted.not_written(7);
-    let pending = lifted.pending().to_vec();
+    let mut refusing = child.clone();
+    let sent = older.state().since(child.index(), &Wanted::All).expect("told");
+    assert_eq!(refusing.apply(sent, &Wanted::All), Err(Refusal::IndexWentBack { index: 2, have: 5 }));
+    assert_eq!(refusing, child, "it keeps what it has");
+
+    let mut raised = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
+    assert_eq!(raised.state().index(), 2, "nothing is visible before it is written");
+    assert_eq!(raised.publish(publication("fleet", 9, "z"), no_faults), Err(PublishError::Busy));
+    raised.not_written(7);
+    let pending = raised.pending().to_vec();
     assert!(pending.iter().all(|record| record.index > 6 && record.request.is_empty()));
-    lifted.written(pending.last().expect("some").index);
+    raised.written(pending.last().expect("some").index);
     records.extend(pending);
     // Also after the next start, with or without the word.
     for at_least in [0, 5] {
         let again = Origin::restore(Bounds::default(), records.clone(), at_least).expect("sound records");
         assert_eq!(again.pending(), []);
-        assert_eq!(again.state(), lifted.state());
+        assert_eq!(again.state(), raised.state());
     }
     // All take it, also those that lag or begin, and the ids of before are known still.
     let behind = reader(&older);
     for mut child in [child, behind, State::default()] {
-        let told = lifted.state().since(child.index(), &Wanted::All).expect("told");
-        child.apply(told, &Wanted::All).expect("taken");
-        assert_eq!(live(&child, &Wanted::All), live(lifted.state(), &Wanted::All));
+        let sent = raised.state().since(child.index(), &Wanted::All).expect("told");
+        child.apply(sent, &Wanted::All).expect("taken");
+        assert_eq!(live(&child, &Wanted::All), live(raised.state(), &Wanted::All));
         assert_eq!(child.get(&Scope::Fleet).map(|document| Arc::clone(&document.body)), Some(body(1)));
         assert_eq!(child.get(&scope("service/new")), None);
     }
-    assert_eq!(lifted.publish(publication("fleet", 1, "a"), sound), Ok(Accepted::AlreadyAccepted(1)));
-    assert!(write(&mut lifted, publication("fleet", 9, "z")).index > records.last().expect("some").index);
+    assert_eq!(raised.publish(publication("fleet", 1, "a"), no_faults), Ok(Accepted::AlreadyAccepted(1)));
+    assert!(write(&mut raised, publication("fleet", 9, "z")).index > records.last().expect("some").index);
 }
 
 #[test]
-fn an_empty_origin_that_is_lifted_stays_so() {
+fn raised_index_of_an_empty_origin_survives_a_restart() {
     let mut origin = Origin::restore(Bounds::default(), [], 40).expect("nothing to restore");
     let pending = origin.pending().to_vec();
     origin.written(pending.last().expect("one").index);
@@ -287,7 +298,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Play {
+enum Operation {
     Publish {
         text: &'static str,
         number: Option<u64>,
@@ -297,42 +308,42 @@
     Written,
     NotWritten,
     /// One of the last publications is said again, its answer was lost.
-    Again(usize),
+    Repeat(usize),
     /// The process is killed, perhaps while a record is on its way: whether the disk has it shows afterwards.
     Restart {
-        has: bool,
+        on_disk: bool,
     },
     /// What is not needed is deleted from the disk.
     Clean,
 }
 
-fn play() -> impl Strategy<Value = Play> {
+fn operation() -> impl Strategy<Value = Operation> {
     let text = proptest::sample::select(vec!["fleet", "region/north", "service/api", "service/other"]);
     prop_oneof![
         6 => (text, proptest::option::weighted(0.7, 0..1000_u64), proptest::bool::weighted(0.2))
-            .prop_map(|(text, number, condition)| Play::Publish { text, number, condition }),
-        6 => Just(Play::Written),
-        1 => Just(Play::NotWritten),
-        2 => (0..5_usize).prop_map(Play::Again),
-        1 => any::<bool>().prop_map(|has| Play::Restart { has }),
-        1 => Just(Play::Clean),
+            .prop_map(|(text, number, condition)| Operation::Publish { text, number, condition }),
+        6 => Just(Operation::Written),
+        1 => Just(Operation::NotWritten),
+        2 => (0..5_usize).prop_map(Operation::Repeat),
+        1 => any::<bool>().prop_map(|on_disk| Operation::Restart { on_disk }),
+        1 => Just(Operation::Clean),
     ]
 }
 
-const REQUESTS_MOST: usize = 5;
+const MAX_REQUEST_IDS: usize = 5;
 
 /// An origin with its disk, and what a publisher has been answered.
-struct Played {
+struct Harness {
     origin: Origin,
     disk: BTreeMap<u64, Record>,
     pending: Option<(Publication, Record)>,
     acknowledged: Vec<(Publication, u64)>,
     /// What readers have seen.
     states: Vec<State>,
-    asked: usize,
+    request_count: usize,
 }
 
-impl Played {
+impl Harness {
     fn new() -> Self {
         Self {
             origin: Self::restored([]),
@@ -340,26 +351,26 @@
             pending: None,
             acknowledged: Vec::new(),
             states: vec![State::default()],
-            asked: 0,
+            request_count: 0,
         }
     }
 
     fn restored(records: impl IntoIterator<Item = Record>) -> Origin {
-        let bounds = Bounds { max_request_ids: REQUESTS_MOST, ..Bounds::default() };
+        let bounds = Bounds { max_request_ids: MAX_REQUEST_IDS, ..Bounds::default() };
         Origin::restore(bounds, records, 0).expect("its own records")
     }
 
-    fn play(&mut self, play: Play) -> Result<(), TestCaseError> {
-        match play {
-            Play::Publish { text, number, condition } => self.publish(text, number, condition),
-            Play::Written => {
+    fn operation(&mut self, operation: Operation) -> Result<(), TestCaseError> {
+        match operation {
+            Operation::Publish { text, number, condition } => self.publish(text, number, condition),
+            Operation::Written => {
                 self.written();
                 Ok(())
             }
-            Play::NotWritten => self.not_written(),
-            Play::Again(back) => self.repeat(back),
-            Play::Restart { has } => self.restart(has),
-            Play::Clean => {
+            Operation::NotWritten => self.not_written(),
+            Operation::Repeat(back) => self.repeat(back),
+            Operation::Restart { on_disk } => self.restart(on_disk),
+            Operation::Clean => {
                 self.disk.retain(|index, _| self.origin.needs(*index));
                 Ok(())
             }
@@ -368,15 +379,15 @@
 
     fn publish(&mut self, text: &str, number: Option<u64>, condition: bool) -> Result<(), TestCaseError> {
         let before = self.origin.state().clone();
-        self.asked += 1;
+        self.request_count += 1;
         let have = before.get(&scope(text)).map_or(0, |document| document.version);
         let publication = Publication {
             scope: scope(text),
             body: number.map(body),
-            request: format!("request {}", self.asked).into(),
+            request: format!("request {}", self.request_count).into(),
             if_version: condition.then_some(have),
         };
-        match self.origin.publish(publication.clone(), sound) {
+        match self.origin.publish(publication.clone(), no_faults) {
             Ok(Accepted::Write(record)) => {
                 prop_assert!(self.pending.is_none());
                 prop_assert_eq!(record.index, before.index() + 1);
@@ -409,15 +420,15 @@
     /// One of the last publications again.
     fn repeat(&mut self, back: usize) -> Result<(), TestCaseError> {
         let Some((publication, index)) = self.acknowledged.iter().rev().nth(back) else { return Ok(()) };
-        let known = self.origin.publish(publication.clone(), sound);
+        let known = self.origin.publish(publication.clone(), no_faults);
         prop_assert_eq!(known, Ok(Accepted::AlreadyAccepted(*index)));
         Ok(())
     }
 
-    fn restart(&mut self, has: bool) -> Result<(), TestCaseError> {
+    fn restart(&mut self, on_disk: bool) -> Result<(), TestCaseError> {
         let before = self.origin.state().index();
         if let Some((publication, record)) = self.pending.take()
-            && has
+            && on_disk
         {
             // It was not acknowledged, and stands all the same.
             self.acknowledged.push((publication, record.index));
@@ -453,11 +464,11 @@
     /// Against a list of what was acknowledged: the index is theirs, restarts change nothing, a repeat gets its answer,
     /// and readers that stood anywhere come to what stands.
     #[test]
-    fn what_is_acknowledged_stays(plays in proptest::collection::vec(play(), 1..120)) {
-        let mut played = Played::new();
-        for play in plays {
-            played.play(play)?;
-            played.check()?;
+    fn acknowledged_publications_are_durable(operations in proptest::collection::vec(operation(), 1..120)) {
+        let mut harness = Harness::new();
+        for operation in operations {
+            harness.operation(operation)?;
+            harness.check()?;
         }
     }
 }
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -30,9 +30,9 @@
 }
 
 /// A watch that stands for so long.
-fn stand(parents: &mut Parents, now: &mut Duration, long: Duration) {
+fn hold_watch(parents: &mut Parents, now: &mut Duration, length: Duration) {
     assert_eq!(parents.line(*now, 0), Verdict::Stay);
-    let until = *now + long;
+    let until = *now + length;
     while *now + HEARTBEAT_EVERY < until {
         *now += HEARTBEAT_EVERY;
         assert_eq!(parents.line(*now, 0), Verdict::Stay);
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn the_first_call_is_made_at_once_and_the_order_is_drawn() {
-    let mut firsts = [0; 3];
+fn first_call_is_immediate_and_the_order_is_random() {
+    let mut first_counts = [0; 3];
     for seed in 0..3000 {
         let mut parents = Parents::new(3, seed);
         let Step::Follow(first) = parents.next(START) else { panic!("waits") };
-        firsts[first] += 1;
+        first_counts[first] += 1;
         let mut now = START;
         parents.ended(now);
         let seen = BTreeSet::from([first, follow(&mut parents, &mut now), {
@@ -56,16 +56,16 @@
         }]);
         assert_eq!(seen.len(), 3, "each once before one comes again");
     }
-    assert!(firsts.iter().all(|count| (850..1150).contains(count)), "{firsts:?}");
+    assert!(first_counts.iter().all(|count| (850..1150).contains(count)), "{first_counts:?}");
 }
 
 #[test]
-fn after_a_watch_that_stood_the_next_is_called_at_once_and_spread() {
+fn next_parent_is_called_soon_after_an_established_watch_ends() {
     let mut waits = Vec::new();
     for seed in 0..1000 {
         let (mut parents, mut now) = (Parents::new(2, seed), START);
         let first = follow(&mut parents, &mut now);
-        stand(&mut parents, &mut now, ms(10_000));
+        hold_watch(&mut parents, &mut now, ms(10_000));
         let end = now;
         parents.ended(now);
         assert_ne!(follow(&mut parents, &mut now), first);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn calls_that_come_to_nothing_wait_longer_each_time_up_to_a_bound() {
+fn failed_calls_back_off_up_to_a_maximum() {
     let mut most = [Duration::ZERO; 8];
     for seed in 0..500 {
         let (mut parents, mut now) = (Parents::new(3, seed), START);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_parent_that_says_one_line_and_ends_does_not_reset_the_wait() {
+fn single_line_before_the_end_does_not_reset_the_backoff() {
     let mut total = Duration::ZERO;
     for seed in 0..200 {
         let (mut parents, mut now) = (Parents::new(1, seed), START);
@@ -118,12 +118,12 @@
 }
 
 #[test]
-fn a_stale_parent_is_left_after_a_drawn_time() {
+fn stale_parent_is_left_at_a_random_limit() {
     let mut left = Vec::new();
     for seed in 0..200 {
         let (mut parents, mut now) = (Parents::new(2, seed), START);
         let first = follow(&mut parents, &mut now);
-        stand(&mut parents, &mut now, ms(4000));
+        hold_watch(&mut parents, &mut now, ms(4000));
         let stale_s = (1..10).find(|stale_s| parents.line(now, *stale_s) == Verdict::Leave).expect("left");
         left.push(stale_s);
         parents.ended(now);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn where_all_are_stale_a_child_stays_long_and_looks_around_now_and_then() {
+fn child_with_only_stale_parents_rotates_slowly_among_them() {
     for count in 1..=5_usize {
         for seed in 0..20 {
             let (mut parents, mut now) = (Parents::new(count, seed), START);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_stale_parent_beside_a_dead_one_is_held_and_a_fresh_one_ends_that() {
+fn stale_parent_is_kept_while_the_other_is_unreachable() {
     for seed in 0..50 {
         let (mut parents, mut now) = (Parents::new(2, seed), START);
         let dead = follow(&mut parents, &mut now);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn staleness_is_told_on_and_adds_up() {
+fn staleness_is_passed_on_and_accumulates() {
     let (mut parents, mut now) = (Parents::new(1, 1), START);
     assert_eq!(parents.stale_s(now), 0);
     follow(&mut parents, &mut now);
@@ -209,13 +209,13 @@
 }
 
 #[test]
-fn levels_grow_away_from_the_origin() {
+fn only_lower_levels_may_serve_relays() {
     assert!(may_serve(0, Some(1)) && may_serve(1, Some(2)) && may_serve(2, None) && may_serve(0, None));
     assert!(!may_serve(1, Some(1)) && !may_serve(2, Some(1)) && !may_serve(0, Some(0)));
 }
 
 #[test]
-fn without_parents_it_waits() {
+fn child_without_parents_only_waits() {
     let mut parents = Parents::new(0, 1);
     assert!(matches!(parents.next(START), Step::Wait(wait) if wait > Duration::ZERO));
     parents.ended(START);
@@ -227,7 +227,7 @@
 
     /// Whatever comes: it names a parent that there is, never waits longer than the bound, and the same seed does the same.
     #[test]
-    fn any_events_are_borne(
+    fn any_sequence_of_events_is_handled_deterministically(
         count in 0..6_usize,
         seed in any::<u64>(),
         events in proptest::collection::vec((0..3_u8, 0..9000_u64, any::<u64>()), 0..200),
--- a/crates/config-distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -11,7 +11,7 @@
     REPORT_EVERY, Refused, Reports, SILENT_AFTER, Sums,
 };
 use config_distribution::state::{State, Wanted};
-use core_common::{change, document, scope, snapshot};
+use core_common::{delta, document, scope, snapshot};
 
 const START: Duration = Duration::from_secs(100);
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn sums_tell_who_holds_what_and_who_lags() {
+fn sums_count_versions_and_name_laggards() {
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record(START, report("b", 3, 0));
@@ -56,10 +56,10 @@
 }
 
 #[test]
-fn who_holds_a_withdrawn_document_lags() {
+fn holder_of_a_withdrawn_document_lags() {
     let mut state = state();
     let withdrawn = Document::new(scope("service/api"), 6, "null".into());
-    state.apply(change(5, 6, vec![withdrawn]), &Wanted::All).expect("taken");
+    state.apply(delta(5, 6, vec![withdrawn]), &Wanted::All).expect("taken");
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record(START, report("b", 3, 0));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_refused_document_is_told_with_its_reason() {
+fn refused_document_is_reported_with_its_reason() {
     let mut reports = Reports::new();
     let why = "ü".repeat(MAX_TEXT_BYTES);
     let refused = Refused { scope: Scope::Fleet, version: 3, why: why.as_str().into() };
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_silent_child_is_named_and_then_forgotten() {
+fn silent_child_is_named_and_later_forgotten() {
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record_sums(START, "relay", &Sums { children: 7, ..Sums::default() });
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_child_that_moves_is_not_counted_twice_for_long() {
+fn child_that_changes_parents_is_counted_twice_only_briefly() {
     // Two relays below an origin; the child moves from one to the other just after a report, and each reports every
     // REPORT_EVERY, at the worst moment.
     let (mut left, mut right, mut top) = (Reports::new(), Reports::new(), Reports::new());
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn sums_of_sums_are_as_of_all() {
+fn sums_through_relays_equal_direct_sums() {
     let (mut all, mut top) = (Reports::new(), Reports::new());
     for relay in 0..7 {
         let mut reports = Reports::new();
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_whatever_is_told() {
+fn memory_for_reports_is_bounded() {
     let mut reports = Reports::new();
     for number in 0..MAX_CHILDREN as u64 + 10 {
         let mut report = report(&format!("{number}{}", "x".repeat(1000)), number, 5);
@@ -171,9 +171,9 @@
     reports.record(later, report("late", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
 
-    let endless = Sums { children: u64::MAX, silent_names: vec!["x".repeat(9999).into(); 99], ..sums };
+    let oversized = Sums { children: u64::MAX, silent_names: vec!["x".repeat(9999).into(); 99], ..sums };
     for number in 0..2 * MAX_RELAYS {
-        reports.record_sums(later, &format!("relay {number}"), &endless);
+        reports.record_sums(later, &format!("relay {number}"), &oversized);
     }
     let sums = reports.sums(later, &state());
     assert_eq!(sums.children, u64::MAX);
--- a/crates/config-distribution/tests/core_state.rs
+++ b/crates/config-distribution/tests/core_state.rs
@@ -5,11 +5,11 @@
 use config_distribution::document::{Document, Scope, Update};
 use config_distribution::origin::{Accepted, Bounds, Origin, Publication};
 use config_distribution::state::{MAX_WITHDRAWN, Refusal, State, Wanted};
-use core_common::{Model, body, change, document, live, scope, snapshot};
+use core_common::{Model, body, delta, document, live, scope, snapshot};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn balancers() -> Wanted {
+fn balancer_scopes() -> Wanted {
     Wanted::These(vec![Scope::Fleet, scope("region/north"), scope("service/api")])
 }
 
@@ -29,23 +29,23 @@
     states
 }
 
-fn at_two() -> State {
+fn state_at_index_two() -> State {
     let mut state = State::default();
     let update = snapshot(2, vec![document("fleet", 1), document("service/api", 2)]);
-    assert_eq!(state.apply(update, &balancers()), Ok(vec![Scope::Fleet, scope("service/api")]));
+    assert_eq!(state.apply(update, &balancer_scopes()), Ok(vec![Scope::Fleet, scope("service/api")]));
     state
 }
 
 fn refused(update: Update) -> Refusal {
-    let mut state = at_two();
-    let refusal = state.apply(update, &balancers()).expect_err("refused");
-    assert_eq!(state, at_two(), "nothing of it was taken in");
+    let mut state = state_at_index_two();
+    let refusal = state.apply(update, &balancer_scopes()).expect_err("refused");
+    assert_eq!(state, state_at_index_two(), "nothing of it was taken in");
     refusal
 }
 
 #[test]
-fn an_index_that_goes_back_is_refused() {
-    assert_eq!(refused(change(0, 1, vec![])), Refusal::IndexWentBack { index: 1, have: 2 });
+fn lower_index_is_refused() {
+    assert_eq!(refused(delta(0, 1, vec![])), Refusal::IndexWentBack { index: 1, have: 2 });
     assert_eq!(
         refused(snapshot(1, vec![document("fleet", 1)])),
         Refusal::IndexWentBack { index: 1, have: 2 }
@@ -53,126 +53,126 @@
 }
 
 #[test]
-fn a_change_that_skips_is_refused_and_the_whole_is_not() {
+fn delta_with_a_gap_is_refused_and_a_snapshot_is_applied() {
     assert_eq!(
-        refused(change(3, 4, vec![document("fleet", 4)])),
+        refused(delta(3, 4, vec![document("fleet", 4)])),
         Refusal::MissingChanges { after: 3, have: 2 }
     );
-    let mut state = at_two();
+    let mut state = state_at_index_two();
     let update = snapshot(9, vec![document("fleet", 4), document("service/api", 2)]);
-    assert_eq!(state.apply(update, &balancers()), Ok(vec![Scope::Fleet]));
+    assert_eq!(state.apply(update, &balancer_scopes()), Ok(vec![Scope::Fleet]));
     assert_eq!(state.index(), 9);
 }
 
 #[test]
-fn an_update_that_comes_twice_changes_nothing() {
-    let mut state = at_two();
-    let update = change(2, 3, vec![document("region/north", 3)]);
-    assert_eq!(state.apply(update.clone(), &balancers()), Ok(vec![scope("region/north")]));
+fn repeated_update_changes_nothing() {
+    let mut state = state_at_index_two();
+    let update = delta(2, 3, vec![document("region/north", 3)]);
+    assert_eq!(state.apply(update.clone(), &balancer_scopes()), Ok(vec![scope("region/north")]));
     let before = state.clone();
-    assert_eq!(state.apply(update, &balancers()), Ok(vec![]));
+    assert_eq!(state.apply(update, &balancer_scopes()), Ok(vec![]));
     assert_eq!(state, before);
 }
 
 #[test]
-fn one_bad_document_refuses_the_whole_update() {
+fn one_invalid_document_refuses_the_whole_update() {
     let good = document("region/north", 3);
     let mut damaged = document("fleet", 4);
     damaged.body = body(5);
-    let update = change(2, 4, vec![good.clone(), damaged]);
+    let update = delta(2, 4, vec![good.clone(), damaged]);
     assert_eq!(refused(update), Refusal::Damaged { scope: Scope::Fleet, version: 4 });
     let mut renamed = document("fleet", 4);
     renamed.version = 3;
-    let update = change(2, 4, vec![good.clone(), renamed]);
+    let update = delta(2, 4, vec![good.clone(), renamed]);
     assert_eq!(refused(update), Refusal::Damaged { scope: Scope::Fleet, version: 3 });
-    let update = change(2, 4, vec![good.clone(), document("service/other", 4)]);
+    let update = delta(2, 4, vec![good.clone(), document("service/other", 4)]);
     assert_eq!(refused(update), Refusal::NotRequested { scope: scope("service/other") });
-    let update = change(2, 4, vec![good.clone(), document("fleet", 5)]);
+    let update = delta(2, 4, vec![good.clone(), document("fleet", 5)]);
     assert_eq!(refused(update), Refusal::VersionAboveIndex { scope: Scope::Fleet, version: 5, index: 4 });
-    let update = change(2, 4, vec![good.clone(), document("fleet", 4), document("fleet", 3)]);
+    let update = delta(2, 4, vec![good.clone(), document("fleet", 4), document("fleet", 3)]);
     assert_eq!(refused(update), Refusal::Conflict { scope: Scope::Fleet, version: 3, have: 1 });
-    let update = change(0, 4, vec![good, document("service/api", 1)]);
+    let update = delta(0, 4, vec![good, document("service/api", 1)]);
     assert_eq!(refused(update), Refusal::Conflict { scope: scope("service/api"), version: 1, have: 2 });
 }
 
 #[test]
-fn another_document_at_the_same_version_is_refused() {
+fn different_document_with_the_same_version_is_refused() {
     let other = Document::new(scope("service/api"), 2, body(77));
     let conflict = Refusal::Conflict { scope: scope("service/api"), version: 2, have: 2 };
-    assert_eq!(refused(change(0, 3, vec![other.clone()])), conflict);
+    assert_eq!(refused(delta(0, 3, vec![other.clone()])), conflict);
     assert_eq!(refused(snapshot(2, vec![document("fleet", 1), other])), conflict);
 }
 
 #[test]
-fn another_history_is_refused() {
+fn update_from_a_different_history_is_refused() {
     // Made at 1 or 2, it would have been seen.
     let conflict = Refusal::Conflict { scope: scope("region/north"), version: 2, have: 0 };
-    assert_eq!(refused(change(0, 3, vec![document("region/north", 2)])), conflict);
+    assert_eq!(refused(delta(0, 3, vec![document("region/north", 2)])), conflict);
     let conflict = Refusal::Conflict { scope: scope("region/north"), version: 0, have: 0 };
-    assert_eq!(refused(change(0, 3, vec![document("region/north", 0)])), conflict);
+    assert_eq!(refused(delta(0, 3, vec![document("region/north", 0)])), conflict);
     let withdrawn = Document::new(scope("service/api"), 1, "null".into());
     let conflict = Refusal::Conflict { scope: scope("service/api"), version: 1, have: 2 };
-    assert_eq!(refused(change(0, 3, vec![withdrawn])), conflict);
+    assert_eq!(refused(delta(0, 3, vec![withdrawn])), conflict);
     // The whole at the index that stands, and something held is not in it.
     let conflict = Refusal::Conflict { scope: scope("service/api"), version: 2, have: 2 };
     assert_eq!(refused(snapshot(2, vec![document("fleet", 1)])), conflict);
 }
 
 #[test]
-fn a_withdrawn_document_is_gone_and_told_as_such() {
-    let mut state = at_two();
+fn withdrawn_document_is_removed_and_sent_as_withdrawn() {
+    let mut state = state_at_index_two();
     let withdrawn = Document::new(scope("service/api"), 3, "null".into());
     assert_eq!(
-        state.apply(change(2, 3, vec![withdrawn.clone()]), &balancers()),
+        state.apply(delta(2, 3, vec![withdrawn.clone()]), &balancer_scopes()),
         Ok(vec![scope("service/api")])
     );
     assert_eq!(state.get(&scope("service/api")), None);
-    assert_eq!(state.since(2, &balancers()), Some(change(2, 3, vec![withdrawn])));
-    assert_eq!(state.since(0, &balancers()), Some(snapshot(3, vec![document("fleet", 1)])));
+    assert_eq!(state.since(2, &balancer_scopes()), Some(delta(2, 3, vec![withdrawn])));
+    assert_eq!(state.since(0, &balancer_scopes()), Some(snapshot(3, vec![document("fleet", 1)])));
 }
 
 #[test]
-fn a_reader_past_its_parent_is_told_so_and_refuses_to_go_back() {
-    let parent = at_two();
-    let told = parent.since(7, &balancers()).expect("told");
-    assert_eq!(told, change(2, 2, vec![]));
+fn reader_ahead_of_its_parent_refuses_the_lower_index() {
+    let parent = state_at_index_two();
+    let sent = parent.since(7, &balancer_scopes()).expect("told");
+    assert_eq!(sent, delta(2, 2, vec![]));
     let mut reader = State::default();
-    reader.apply(snapshot(7, vec![document("fleet", 7)]), &balancers()).expect("taken");
-    assert_eq!(reader.apply(told, &balancers()), Err(Refusal::IndexWentBack { index: 2, have: 7 }));
+    reader.apply(snapshot(7, vec![document("fleet", 7)]), &balancer_scopes()).expect("taken");
+    assert_eq!(reader.apply(sent, &balancer_scopes()), Err(Refusal::IndexWentBack { index: 2, have: 7 }));
 }
 
 #[test]
-fn a_reader_of_few_scopes_is_told_only_of_them() {
+fn reader_is_sent_only_its_scopes() {
     let texts = ["fleet", "service/other", "region/south", "service/api", "service/other"];
     let states = history(&texts.map(|text| (text.into(), false)));
-    assert_eq!(states[3].since(1, &balancers()), None);
-    let update = states[5].since(1, &balancers()).expect("told");
+    assert_eq!(states[3].since(1, &balancer_scopes()), None);
+    let update = states[5].since(1, &balancer_scopes()).expect("told");
     assert_eq!((update.index, update.after, update.documents.len()), (5, 1, 1));
-    assert_eq!(states[5].since(4, &balancers()), None);
+    assert_eq!(states[5].since(4, &balancer_scopes()), None);
     assert_eq!(states[5].since(4, &Wanted::All).expect("told").documents.len(), 1);
     // Where the parent is stale that is told, and the reader stands at its index with it.
-    let update = states[5].next_update(4, &balancers(), 9).expect("told");
+    let update = states[5].next_update(4, &balancer_scopes(), 9).expect("told");
     assert_eq!((update.index, update.after, update.stale_s, update.documents.len()), (5, 4, 9, 0));
-    assert_eq!(states[5].next_update(4, &balancers(), 0), None);
+    assert_eq!(states[5].next_update(4, &balancer_scopes(), 0), None);
 }
 
 #[test]
-fn a_relay_from_cold_tells_what_was_withdrawn_before_it_began() {
+fn relay_started_empty_passes_on_earlier_withdrawals() {
     let changes = [("fleet", false), ("service/api", false), ("service/api", true), ("fleet", false)];
     let states = history(&changes.map(|(text, withdraw)| (text.into(), withdraw)));
     let mut reader = State::default();
-    reader.apply(states[2].since(0, &balancers()).expect("told"), &balancers()).expect("taken");
+    reader.apply(states[2].since(0, &balancer_scopes()).expect("told"), &balancer_scopes()).expect("taken");
     assert!(reader.get(&scope("service/api")).is_some());
     let mut relay = State::default();
     relay.apply(states[4].since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
-    let update = relay.since(reader.index(), &balancers()).expect("told");
-    reader.apply(update, &balancers()).expect("taken");
+    let update = relay.since(reader.index(), &balancer_scopes()).expect("told");
+    reader.apply(update, &balancer_scopes()).expect("taken");
     assert_eq!(reader.get(&scope("service/api")), None);
-    assert_eq!(live(&reader, &balancers()), live(&states[4], &balancers()));
+    assert_eq!(live(&reader, &balancer_scopes()), live(&states[4], &balancer_scopes()));
 }
 
 #[test]
-fn withdrawn_documents_are_bounded_and_nothing_is_missed() {
+fn bounded_list_of_withdrawals_hides_no_withdrawal() {
     let scopes = MAX_WITHDRAWN + 100;
     let mut changes: Vec<(String, bool)> = vec![("fleet".into(), false)];
     changes.extend((0..scopes).map(|number| (format!("service/{number}"), false)));
@@ -190,24 +190,24 @@
 }
 
 #[derive(Debug, Clone)]
-enum Play {
+enum Operation {
     /// Reader, parent, and how far back the origin's state is that the parent stands for.
-    Ask(usize, usize, usize),
+    Read(usize, usize, usize),
     /// An update that was told once is told again, perhaps to another that asked for the same scopes.
-    Again(usize, usize),
+    Resend(usize, usize),
     /// With one bit of it changed.
     Damaged(usize, usize),
-    Cold(usize),
-    FromDisk(usize),
+    StartEmpty(usize),
+    RestartFromDisk(usize),
 }
 
-fn play() -> impl Strategy<Value = Play> {
+fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        6 => (0..5_usize, 0..4_usize, 0..12_usize).prop_map(|(reader, parent, back)| Play::Ask(reader, parent, back)),
-        3 => (0..5_usize, any::<usize>()).prop_map(|(reader, update)| Play::Again(reader, update)),
-        1 => (0..5_usize, any::<usize>()).prop_map(|(reader, update)| Play::Damaged(reader, update)),
-        1 => (0..5_usize).prop_map(Play::Cold),
-        1 => (0..5_usize).prop_map(Play::FromDisk),
+        6 => (0..5_usize, 0..4_usize, 0..12_usize).prop_map(|(reader, parent, back)| Operation::Read(reader, parent, back)),
+        3 => (0..5_usize, any::<usize>()).prop_map(|(reader, update)| Operation::Resend(reader, update)),
+        1 => (0..5_usize, any::<usize>()).prop_map(|(reader, update)| Operation::Damaged(reader, update)),
+        1 => (0..5_usize).prop_map(Operation::StartEmpty),
+        1 => (0..5_usize).prop_map(Operation::RestartFromDisk),
     ]
 }
 
@@ -225,41 +225,41 @@
     /// Three relays and two balancers, told by the origin at any time or by one another, in any order, twice or damaged:
     /// whoever stands at an index holds what was published up to it, and nobody goes back.
     #[test]
-    fn whoever_stands_at_an_index_holds_what_was_published(
+    fn state_at_an_index_equals_what_was_published(
         changes in changes(),
-        plays in proptest::collection::vec(play(), 1..80),
+        operations in proptest::collection::vec(operation(), 1..80),
     ) {
         let states = history(&changes);
-        let wanted: Vec<Wanted> = (0..5).map(|reader| if reader < 3 { Wanted::All } else { balancers() }).collect();
+        let wanted: Vec<Wanted> = (0..5).map(|reader| if reader < 3 { Wanted::All } else { balancer_scopes() }).collect();
         let mut readers = vec![State::default(); 5];
-        let mut told: Vec<(bool, Update)> = Vec::new();
+        let mut sent: Vec<(bool, Update)> = Vec::new();
         let mut newest = 0;
-        for play in plays {
-            let (reader, update, damaged) = match play {
-                Play::Ask(reader, parent, back) => {
+        for operation in operations {
+            let (reader, update, damaged) = match operation {
+                Operation::Read(reader, parent, back) => {
                     // The origin goes on as it is asked.
                     newest = (newest + 1).min(states.len() - 1);
                     let parent = if parent == 3 { &states[newest.saturating_sub(back)] } else { &readers[parent] };
                     let Some(update) = parent.since(readers[reader].index(), &wanted[reader]) else { continue };
-                    told.push((reader < 3, update.clone()));
+                    sent.push((reader < 3, update.clone()));
                     (reader, update, false)
                 }
-                Play::Again(reader, update) | Play::Damaged(reader, update) => {
-                    let told: Vec<&Update> =
-                        told.iter().filter(|(all, _)| *all == (reader < 3)).map(|(_, update)| update).collect();
-                    if told.is_empty() { continue }
-                    let mut update = told[update % told.len()].clone();
-                    let damaged = matches!(play, Play::Damaged(..)) && !update.documents.is_empty();
+                Operation::Resend(reader, update) | Operation::Damaged(reader, update) => {
+                    let sent: Vec<&Update> =
+                        sent.iter().filter(|(all, _)| *all == (reader < 3)).map(|(_, update)| update).collect();
+                    if sent.is_empty() { continue }
+                    let mut update = sent[update % sent.len()].clone();
+                    let damaged = matches!(operation, Operation::Damaged(..)) && !update.documents.is_empty();
                     if damaged {
                         update.documents[0].body = format!("{} ", update.documents[0].body).into();
                     }
                     (reader, update, damaged)
                 }
-                Play::Cold(reader) => {
+                Operation::StartEmpty(reader) => {
                     readers[reader] = State::default();
                     continue;
                 }
-                Play::FromDisk(reader) => {
+                Operation::RestartFromDisk(reader) => {
                     let whole = readers[reader].since(0, &wanted[reader]).expect("the whole");
                     let mut state = State::default();
                     state.apply(whole, &wanted[reader]).expect("its own");
@@ -268,10 +268,10 @@
                 }
             };
             let before = readers[reader].clone();
-            let taken = readers[reader].apply(update, &wanted[reader]);
-            prop_assert!(!(damaged && taken.is_ok()));
+            let applied = readers[reader].apply(update, &wanted[reader]);
+            prop_assert!(!(damaged && applied.is_ok()));
             let state = &readers[reader];
-            if let Ok(changed) = &taken {
+            if let Ok(changed) = &applied {
                 let differs = |scope: &Scope| state.get(scope) != before.get(scope);
                 prop_assert!(changed.iter().all(differs), "{changed:?}");
             } else {
