--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -1,8 +1,9 @@
-//! A network in virtual time: an origin, relays of regions and zones, balancers. Every message has a delay drawn from the
-//! seed, connections keep their order, and at every step each process is compared with what was published.
+//! Simulated network in virtual time: an origin, relays of regions and zones, and balancers. Each message is delayed by
+//! a random time that depends on the seed, and messages on one connection arrive in the order they were sent. After
+//! every update that a process applies, its documents are compared with what was published.
 //!
-//! Here: the processes, the queue of events, and what a test asks of them. [`watch`] has what readers and their parents
-//! do, [`publish`] the origin and its disk, [`faults`] what a test lets go wrong.
+//! This module holds the processes, the event queue and the interface for tests. [`watch`] simulates watches between
+//! children and parents, [`publish`] the origin and its disk, and [`faults`] the actions that a test schedules.
 
 mod faults;
 mod publish;
@@ -21,120 +22,192 @@
 pub use self::faults::Action;
 use super::{Model, live, ms, scope};
 
+/// Number of the origin in [`Network::nodes`].
 pub const ORIGIN: usize = 0;
+/// Number of regions; each has one region relay.
 pub const REGIONS: usize = 3;
+/// Number of zones; each has two zone relays.
 pub const ZONES: usize = 7;
 
+/// One line that a parent sends on a watch.
 #[derive(Debug, Clone)]
 enum Line {
+    /// Heartbeat without an update.
     Empty,
+    /// Update for the child.
     Update(Update),
 }
 
+/// Report that a child sends to its parent.
 #[derive(Debug, Clone)]
 enum ReportBody {
+    /// Versions that a balancer has in force.
     Child(InForce),
+    /// Name of a relay, and the sums over the balancers below it.
     Relay(String, Sums),
 }
 
+/// Event in the queue, for one node. A run number in an event is compared with [`Node::run_number`], so that timers set
+/// before a kill have no effect afterwards.
 #[derive(Debug, Clone)]
 enum Event {
+    /// Time to choose the next parent, if no watch is open. Holds the run number.
     Step(u64),
+    /// Call from a child that opens a watch with this id; `since` is the index of the child.
     Call { from: usize, watch: u64, since: u64 },
+    /// Line from the parent on this watch.
     Line { watch: u64, line: Line },
+    /// The child has processed the last line of this watch and is ready for the next.
     LineProcessed(u64),
+    /// The parent has closed this watch, or its process is down.
     Closed(u64),
+    /// The child has left this watch.
     Left(u64),
+    /// Possible time-out of this watch; the current deadline is in [`Node::deadline`].
     Deadline(u64),
+    /// Time for a heartbeat to all readers. Holds the run number.
     Heartbeat(u64),
+    /// Time to send a report to the parent. Holds the run number.
     ReportDue(u64),
+    /// Report from a child.
     Report(ReportBody),
+    /// The disk of the origin has finished writing the record with this index, or has failed to.
     DiskWriteDone(u64),
+    /// Action that a test has scheduled.
     Action(Action),
 }
 
+/// Open watch, as its parent sees it.
 struct Reader {
+    /// Number of the node that reads.
     child: usize,
+    /// Index of the last update sent on this watch; before the first, the index that the child stated in its call.
     index: u64,
+    /// Time when a line was sent that the child has not processed yet.
     busy_since: Option<Duration>,
+    /// Last update sent on this watch, for [`Action::RepeatUpdate`].
     last: Option<Update>,
 }
 
+/// Simulated process: the origin, a relay or a balancer.
 pub struct Node {
+    /// Name of the process in reports and test failures.
     pub name: String,
+    /// Region of the process; the origin has none.
     pub region: Option<usize>,
+    /// Level of the origin or relay; a balancer has none.
     pub level: Option<u8>,
+    /// Scopes that the process reads.
     pub wanted: Wanted,
+    /// Documents that the process holds.
     pub state: State,
+    /// Choice of the parent to follow.
     pub parents: Parents,
+    /// Node numbers of the possible parents, in the numbering of `parents`.
     pub parent_nodes: Vec<usize>,
+    /// Whether the process is running.
     pub up: bool,
+    /// Reports received from children.
     pub reports: Reports,
+    /// Whether the process accepts watches but sends nothing on them.
     pub muted: bool,
+    /// Number of times the process was killed; identifies the run that set a timer.
     run_number: u64,
+    /// End of a pause; events that arrive earlier are postponed to this time.
     paused_until: Duration,
+    /// Id of the open watch and node number of its parent.
     watch: Option<(u64, usize)>,
+    /// Time when the open watch ends if no line has arrived by then.
     deadline: Duration,
+    /// Watches that children have opened at this process, by id.
     readers: BTreeMap<u64, Reader>,
+    /// Additional delay of each line that this process reads.
     line_delay: Duration,
+    /// Whether the next update with documents for this process is damaged on the way.
     damage_next: bool,
+    /// Whether the previous update on the watch is sent again before the next one.
     repeat_next: bool,
+    /// Whether the next update with documents for this process is lost.
     drop_next: bool,
+    /// Highest index that this process has had; starts at 0 again when it starts without its disk.
     highest_index: u64,
 }
 
 impl Node {
+    /// Node number of the parent at which this process has a watch open.
     pub fn follows(&self) -> Option<usize> {
         self.watch.map(|(_, parent)| parent)
     }
 }
 
+/// All simulated processes with the connections between them.
 pub struct Network {
+    /// Current virtual time.
     pub now: Duration,
+    /// All processes: the origin, region relays, zone relays, balancers, then those that a test has added.
     pub nodes: Vec<Node>,
+    /// Publishing logic of the origin.
     pub origin: Origin,
+    /// Records written to the disk of the origin.
     pub records: Vec<Record>,
+    /// Documents that are published and not withdrawn, by the index of the origin.
     pub models: BTreeMap<u64, Model>,
+    /// Updates that were refused: node number of the child, and the reason.
     pub refusals: Vec<(usize, Refusal)>,
-    /// Calls: when, by whom, to whom.
+    /// Calls that open a watch: time, node number of the child, node number of the parent.
     pub calls: Vec<(Duration, usize, usize)>,
-    /// Lines with an update that were sent, by reader.
+    /// Number of lines with an update sent to each child, by its node number.
     pub delivered: BTreeMap<usize, u64>,
+    /// Random numbers of the simulation.
     pub rng: Rand64,
+    /// Events by time, and by order of scheduling at the same time, with the node number of the receiver.
     queue: BTreeMap<(Duration, u64), (usize, Event)>,
+    /// Last number given out, to an event or as id of a watch.
     count: u64,
+    /// Arrival time of the last message in each direction of a watch, so that messages keep their order.
     last: BTreeMap<(u64, bool), Duration>,
+    /// Regions that are cut off from everything outside them.
     cut_regions: BTreeSet<usize>,
+    /// Pairs of nodes that cannot reach each other, lower number first.
     cut_pairs: BTreeSet<(usize, usize)>,
+    /// Messages held back by a cut: sender, receiver, id of the watch, event.
     undelivered: Vec<(usize, usize, u64, Event)>,
+    /// Publications that are not written yet: scope, and whether its document is withdrawn.
     publish_queue: Vec<(Scope, bool)>,
+    /// Number of publications written.
     published: u64,
+    /// Whether the next write of the origin fails.
     disk_full: bool,
+    /// Whether anything has changed since it was last checked which processes lag.
     changed: bool,
+    /// Number of scheduled actions that have not been performed yet.
     pending_actions: usize,
+    /// Seed of the whole simulation.
     seed: u64,
 }
 
+/// Node number of the relay of a region.
 pub fn region_relay(region: usize) -> usize {
     1 + region
 }
 
-/// Two relays a zone; zone `z` is in region `z % REGIONS`.
+/// Node number of one of the two relays of a zone (`which` is 0 or 1). Zone `z` is in region `z % REGIONS`.
 pub fn zone_relay(zone: usize, which: usize) -> usize {
     1 + REGIONS + 2 * zone + which
 }
 
+/// Node number of a balancer; balancer `n` is in zone `n % ZONES`.
 pub fn balancer(number: usize) -> usize {
     1 + REGIONS + 2 * ZONES + number
 }
 
 impl Network {
-    /// All up, nothing published, `balancers` of them in `services`.
+    /// Creates a network in which all processes run and nothing is published, with this many balancers and services.
     pub fn new(seed: u64, balancers: usize, services: usize) -> Self {
         let mut network = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
-            origin: Origin::restore(Bounds::default(), [], 0).expect("nothing to restore"),
+            origin: Origin::restore(Bounds::default(), [], 0).expect("restoring without records succeeds"),
             records: Vec::new(),
             models: BTreeMap::from([(0, Model::new())]),
             refusals: Vec::new(),
@@ -185,6 +258,7 @@
         network
     }
 
+    /// Adds a running process and returns its node number. Its seed depends on that number.
     pub fn add(
         &mut self,
         name: String,
@@ -221,6 +295,7 @@
         node
     }
 
+    /// Starts the timers of a process that begins to run.
     fn schedule_timers(&mut self, node: usize) {
         let run_number = self.nodes[node].run_number;
         let heartbeat = self.random_duration(HEARTBEAT_EVERY);
@@ -234,24 +309,29 @@
         }
     }
 
+    /// Random time below `upper_bound`.
     pub fn random_duration(&mut self, upper_bound: Duration) -> Duration {
         upper_bound.mul_f64(self.rng.rand_float())
     }
 
+    /// Random number below `below`.
     pub fn random_below(&mut self, below: usize) -> usize {
         self.rng.rand_range(0..below as u64) as usize
     }
 
+    /// Adds an event to the queue.
     fn push(&mut self, node: usize, at: Duration, event: Event) {
         self.count += 1;
         self.queue.insert((at, self.count), (node, event));
     }
 
+    /// Schedules an action of the test.
     pub fn schedule(&mut self, at: Duration, action: Action) {
         self.pending_actions += 1;
         self.push(ORIGIN, at, Event::Action(action));
     }
 
+    /// Whether a cut separates two nodes.
     fn is_cut(&self, a: usize, b: usize) -> bool {
         if self.cut_pairs.contains(&(a.min(b), a.max(b))) {
             return true;
@@ -260,7 +340,8 @@
         a != b && [a, b].into_iter().flatten().any(|region| self.cut_regions.contains(&region))
     }
 
-    /// A message on a connection: in order with those before it; one into a cut comes once it is healed.
+    /// Sends a message on the connection of a watch, where it arrives after all earlier ones. While a cut separates the
+    /// two nodes the message is held back.
     fn send(&mut self, from: usize, to: usize, watch: u64, event: Event) {
         if self.is_cut(from, to) {
             self.undelivered.push((from, to, watch, event));
@@ -277,7 +358,7 @@
         self.push(to, at, event);
     }
 
-    /// Plays up to a time.
+    /// Handles all events up to a time.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(entry) = self.queue.first_entry()
             && entry.key().0 <= until
@@ -287,8 +368,8 @@
         self.now = until;
     }
 
-    /// Plays until all that was asked for is done and everyone that runs holds the newest, at most up to a time; tells when
-    /// it came to that.
+    /// Handles events until all scheduled actions and publications are done and every running process holds the newest
+    /// documents. Returns the time of that, or `None` if it is not reached by `by`.
     pub fn run_until_converged(&mut self, by: Duration) -> Option<Duration> {
         self.changed = true;
         loop {
@@ -306,6 +387,8 @@
         }
     }
 
+    /// Handles the next event: performs an action, postpones an event for a paused process, closes a call to a process
+    /// that is down.
     pub fn step(&mut self) {
         let Some(((at, _), (node, event))) = self.queue.pop_first() else { return };
         self.now = at;
@@ -325,6 +408,7 @@
         self.handle(node, event);
     }
 
+    /// Handles an event for a process that is running.
     fn handle(&mut self, node: usize, event: Event) {
         let now = self.now;
         match event {
@@ -376,11 +460,11 @@
                 ReportBody::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
             },
             Event::DiskWriteDone(index) => self.disk_write_done(index),
-            Event::Action(_) => unreachable!("done before"),
+            Event::Action(_) => unreachable!("step performs actions itself"),
         }
     }
 
-    /// Who runs and does not hold the newest.
+    /// Names of the running processes that do not hold the newest documents.
     pub fn lagging(&self) -> Vec<String> {
         let Some((_, newest)) = self.models.last_key_value() else { return Vec::new() };
         let lags = |node: &&Node| {
@@ -390,20 +474,23 @@
         self.nodes.iter().filter(lags).map(|node| node.name.clone()).collect()
     }
 
+    /// Schedules the publication of a new document for a scope.
     pub fn publish(&mut self, at: Duration, text: &str) {
         self.schedule(at, Action::Publish { scope: scope(text), withdraw: false });
     }
 
+    /// Schedules the withdrawal of the document of a scope.
     pub fn withdraw(&mut self, at: Duration, text: &str) {
         self.schedule(at, Action::Publish { scope: scope(text), withdraw: true });
     }
 
-    /// Calls of a node since a time.
+    /// Number of calls that a node has made since a time.
     pub fn calls_of(&self, node: usize, since: Duration) -> usize {
         self.calls.iter().filter(|(at, from, _)| *from == node && *at >= since).count()
     }
 
-    /// Everyone up, fresh and at the newest of a few documents, at 20 s.
+    /// Creates a network and runs it to 20 s, when all processes hold the documents of the fleet, of each region and of
+    /// each service. Calls and refusals up to then are forgotten.
     pub fn settled(seed: u64, balancers: usize, services: usize) -> Self {
         let mut network = Self::new(seed, balancers, services);
         network.publish(ms(1), "fleet");
--- a/crates/config-distribution/tests/core_common/network/faults.rs
+++ b/crates/config-distribution/tests/core_common/network/faults.rs
@@ -1,4 +1,4 @@
-//! What a test lets happen: publications, and faults of processes, connections and the origin's disk.
+//! Actions that a test schedules: publications, and faults of processes, connections and the origin's disk.
 
 use std::time::Duration;
 
@@ -9,40 +9,43 @@
 
 use super::{Event, Network};
 
+/// Action that a test schedules. Processes are given by node number.
 #[derive(Debug, Clone)]
 pub enum Action {
-    Publish {
-        scope: Scope,
-        withdraw: bool,
-    },
+    /// Publishes a new document for a scope, or withdraws its document.
+    Publish { scope: Scope, withdraw: bool },
+    /// Kills a process; its connections are closed.
     Kill(usize),
-    Start {
-        node: usize,
-        with_disk: bool,
-    },
+    /// Starts a killed process, with the documents on its disk or without any.
+    Start { node: usize, with_disk: bool },
+    /// Pauses a process for this long; its connections stay open.
     Pause(usize, Duration),
+    /// Cuts a region off from everything outside it.
     CutRegion(usize),
+    /// Ends the cut of a region.
     HealRegion(usize),
-    /// Two nodes lose each other.
+    /// Cuts the connection between two processes.
     CutPair(usize, usize),
+    /// Ends the cut between two processes.
     HealPair(usize, usize),
-    /// A connection to the parent is reset.
+    /// Resets the connection of a process to its parent.
     Reset(usize),
-    /// The next line that a node is told has a body that was changed on the way.
+    /// Changes a body in the next update with documents that is sent to a process.
     DamageUpdate(usize),
-    /// The next line that a node is told is one that it has been told before.
+    /// Sends the previous update on the watch of a process again before its next one.
     RepeatUpdate(usize),
-    /// The next change that a node is told is swallowed: its parent lies.
+    /// Loses the next update with documents that is sent to a process, although its parent counts it as sent.
     DropUpdate(usize),
-    /// A parent takes calls and says nothing, from now on or no more.
+    /// Whether a parent accepts watches but sends nothing on them.
     Mute(usize, bool),
-    /// A node takes lines at this pace.
+    /// Delays each line that a process reads by this time; zero ends that.
     Slow(usize, Duration),
-    /// The disk refuses the next record.
+    /// Makes the next write to the origin's disk fail.
     DiskFull,
 }
 
 impl Network {
+    /// Performs a scheduled action.
     pub(super) fn perform(&mut self, action: Action) {
         self.pending_actions -= 1;
         match action {
@@ -89,6 +92,7 @@
         }
     }
 
+    /// Kills a process and tells its children and its parent that the connections are closed.
     fn kill(&mut self, node: usize) {
         if !std::mem::take(&mut self.nodes[node].up) {
             return;
@@ -104,6 +108,7 @@
         }
     }
 
+    /// Starts a process that is down.
     fn start(&mut self, node: usize, with_disk: bool) {
         if self.nodes[node].up {
             return;
@@ -116,14 +121,15 @@
         process.reports = Reports::new();
         let before = std::mem::take(&mut process.state);
         if with_disk {
-            let whole = before.since(0, &Wanted::All).expect("the whole");
-            process.state.apply(whole, &process.wanted).expect("its own");
+            let whole = before.since(0, &Wanted::All).expect("a snapshot of the state before the kill");
+            process.state.apply(whole, &process.wanted).expect("the process accepts its own documents");
         } else {
             process.highest_index = 0;
         }
         self.schedule_timers(node);
     }
 
+    /// Sends the messages held back by cuts; those that another cut still stops are held back again.
     fn send_undelivered(&mut self) {
         let undelivered = std::mem::take(&mut self.undelivered);
         for (from, to, watch, event) in undelivered {
--- a/crates/config-distribution/tests/core_common/network/publish.rs
+++ b/crates/config-distribution/tests/core_common/network/publish.rs
@@ -1,4 +1,4 @@
-//! The origin: publications in turn, and its disk.
+//! Simulated origin: publishes one document at a time and writes it to a simulated disk.
 
 use config_distribution::origin::{Accepted, Publication, PublishError};
 
@@ -6,6 +6,8 @@
 use crate::core_common::{body, ms};
 
 impl Network {
+    /// Starts to write the first publication in the queue, unless a write is in progress. A withdrawal without a
+    /// document is dropped from the queue.
     pub(super) fn publish_next(&mut self) {
         while let Some((scope, withdraw)) = self.publish_queue.first().cloned() {
             let request = format!("request {}", self.published).into();
@@ -17,21 +19,22 @@
                     self.push(ORIGIN, self.now + sync, Event::DiskWriteDone(record.index));
                     return;
                 }
-                // What was never there cannot be withdrawn.
+                // There is no document to withdraw.
                 Err(PublishError::Faults(_)) => {}
                 Err(PublishError::Busy) => return,
-                other => panic!("{other:?}"),
+                other => panic!("publish: expected a write, a fault or Busy, got {other:?}"),
             }
             self.publish_queue.remove(0);
         }
     }
 
+    /// Completes a write, or fails it if the disk is full, and continues with the queue.
     pub(super) fn disk_write_done(&mut self, index: u64) {
         if std::mem::take(&mut self.disk_full) {
             let before = self.origin.state().clone();
             self.origin.not_written(index);
             assert_eq!(*self.origin.state(), before);
-            // The publisher asks again.
+            // The publisher repeats the publication.
             return self.publish_next();
         }
         let record = self.origin.pending()[0].clone();
@@ -49,7 +52,7 @@
         }
         self.models.insert(index, model);
         self.nodes[ORIGIN].state = self.origin.state().clone();
-        self.check_applied(ORIGIN, true);
+        self.update_applied(ORIGIN, true);
         self.publish_next();
     }
 }
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -1,4 +1,4 @@
-//! What readers and their parents do: calls, lines on watches, heartbeats and reports.
+//! Watches between children and parents in the simulated network: calls, lines, heartbeats and reports.
 
 use std::time::Duration;
 
@@ -10,10 +10,12 @@
 use super::{Event, Line, Network, Node, Reader, ReportBody};
 use crate::core_common::{Model, body, live};
 
-/// A reader that takes no line for longer is closed.
+/// A parent closes a watch whose child has not processed a line for longer than this.
 const STALLED_READER_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl Network {
+    /// Opens a watch at the next parent, or waits as long as [`Parents`](config_distribution::parents::Parents)
+    /// demands.
     pub(super) fn follow_next(&mut self, node: usize) {
         match self.nodes[node].parents.next(self.now) {
             Step::Wait(wait) => {
@@ -35,6 +37,7 @@
         }
     }
 
+    /// Handles the end of the open watch of a child, and has the parent notified if the child ends it.
     pub(super) fn watch_ended(&mut self, node: usize, notify_parent: bool) {
         let Some((watch, parent)) = self.nodes[node].watch.take() else { return };
         if notify_parent {
@@ -45,8 +48,10 @@
         self.follow_next(node);
     }
 
+    /// Handles a call: accepts the watch, or closes it if the level of the caller does not permit it.
     pub(super) fn accept_watch(&mut self, node: usize, from: usize, watch: u64, since: u64) {
-        let level = self.nodes[node].level.expect("a balancer is no parent");
+        let level =
+            self.nodes[node].level.expect("only the origin and relays, which have a level, are called");
         if !may_serve(level, self.nodes[from].level) {
             return self.send(node, from, watch, Event::Closed(watch));
         }
@@ -55,7 +60,8 @@
         self.send_if_ready(node, watch, true);
     }
 
-    /// Tells a reader what is new, if it is ready; `always` also where nothing is.
+    /// Sends a reader its next update if it is ready for a line. With `always`, an empty line is sent if there is no
+    /// update.
     pub(super) fn send_if_ready(&mut self, node: usize, watch: u64, always: bool) {
         let now = self.now;
         let Node { state, parents, readers, parent_nodes, muted, .. } = &mut self.nodes[node];
@@ -95,7 +101,7 @@
         }
     }
 
-    /// What a line becomes on the way where a fault was asked for.
+    /// Applies a fault that the test has requested for this child. Returns the line to send, or `None` if it is lost.
     fn inject_fault(&mut self, child: usize, node: usize, watch: u64, line: Line) -> Option<Line> {
         let before = self.nodes[node].readers.get_mut(&watch).and_then(|reader| {
             let before = reader.last.clone();
@@ -114,7 +120,7 @@
             && let Some(before) = before
         {
             child.repeat_next = false;
-            // It comes before the one that is due.
+            // The repeated update arrives before the new one.
             let line = Line::Update(before);
             self.send(node, number, watch, Event::Line { watch, line });
         } else if child.drop_next && !update.documents.is_empty() {
@@ -124,6 +130,7 @@
         Some(Line::Update(update))
     }
 
+    /// Sends a line to each reader that is ready for one, and closes watches whose child has stalled.
     pub(super) fn heartbeat(&mut self, node: usize) {
         let watches: Vec<u64> = self.nodes[node].readers.keys().copied().collect();
         for watch in watches {
@@ -138,6 +145,7 @@
         }
     }
 
+    /// Handles a line that a child receives on a watch.
     pub(super) fn line(&mut self, node: usize, watch: u64, line: Line) {
         let Some((own, parent)) = self.nodes[node].watch else { return };
         if own != watch {
@@ -149,7 +157,7 @@
             stale_s = update.stale_s;
             let Node { state, wanted, .. } = &mut self.nodes[node];
             match state.apply(update, wanted) {
-                Ok(changed) => self.check_applied(node, !changed.is_empty()),
+                Ok(changed) => self.update_applied(node, !changed.is_empty()),
                 Err(refusal) => {
                     self.refusals.push((node, refusal));
                     return self.watch_ended(node, true);
@@ -163,8 +171,9 @@
         }
     }
 
-    /// After each update: whole, published, and never back.
-    pub(super) fn check_applied(&mut self, node: usize, changed: bool) {
+    /// Checks a process that has applied an update: its index has not gone back and is one that was published, and it
+    /// holds exactly the documents published up to that index. Then sends the change on to its readers.
+    pub(super) fn update_applied(&mut self, node: usize, changed: bool) {
         let Node { state, wanted, name, highest_index, .. } = &mut self.nodes[node];
         assert!(
             state.index() >= *highest_index,
@@ -172,22 +181,27 @@
             state.index()
         );
         *highest_index = state.index();
-        let model = self
-            .models
-            .get(&state.index())
-            .unwrap_or_else(|| panic!("{name} at {} before it was written", state.index()));
+        let model = self.models.get(&state.index()).unwrap_or_else(|| {
+            panic!("{name}: has index {}, which the origin has not written yet", state.index())
+        });
         let model: Model = model
             .iter()
             .filter(|(scope, _)| wanted.has(scope))
             .map(|(scope, content)| (scope.clone(), content.clone()))
             .collect();
-        assert_eq!(live(state, wanted), model, "{name} at {} holds something else", state.index());
+        assert_eq!(
+            live(state, wanted),
+            model,
+            "{name}: documents differ from those published at index {}",
+            state.index()
+        );
         self.changed |= changed;
         if self.nodes[node].level.is_some() {
             self.send_to_ready_readers(node);
         }
     }
 
+    /// Sends new updates to all readers that are ready for a line.
     fn send_to_ready_readers(&mut self, node: usize) {
         let watches: Vec<u64> = self.nodes[node].readers.keys().copied().collect();
         for watch in watches {
@@ -195,6 +209,7 @@
         }
     }
 
+    /// Sends a report to the parent of the open watch.
     pub(super) fn report(&mut self, node: usize) {
         let Some((watch, parent)) = self.nodes[node].watch else { return };
         let child = &self.nodes[node];
