--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -181,9 +181,10 @@
             state.index()
         );
         *highest_index = state.index();
-        let model = self.models.get(&state.index()).unwrap_or_else(|| {
-            panic!("{name}: has index {}, which the origin has not written yet", state.index())
-        });
+        let model = self
+            .models
+            .get(&state.index())
+            .unwrap_or_else(|| panic!("{name}: index {} is not written yet", state.index()));
         let model: Model = model
             .iter()
             .filter(|(scope, _)| wanted.has(scope))
--- a/crates/config-distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -1,4 +1,5 @@
-//! The settings in force: JSON merge patch over a process's own, the narrower last, and every fault with its place.
+//! Effective settings: documents are applied as JSON merge patches over a process's own settings, the narrowest scope
+//! last, and every fault is reported with its scope and path.
 
 use config_distribution::document::{Document, Scope};
 use config_distribution::effective::effective;
@@ -11,7 +12,7 @@
 
 #[test]
 fn rfc_7396_examples_hold() {
-    // Appendix A, less the patches that are null as a whole: below a key those take the key away.
+    // Examples of appendix A without those whose whole patch is null: below a key such a patch removes the key.
     let examples = json!([
         [{"a":"b"}, {"a":"c"}, {"a":"c"}],
         [{"a":"b"}, {"b":"c"}, {"a":"b", "b":"c"}],
@@ -32,7 +33,7 @@
         let own = json!({ "caps": example[0], "zone": "a" });
         let document = document("fleet", &json!({ "caps": example[1] }));
         let expected = json!({ "caps": example[2], "zone": "a" });
-        assert_eq!(effective(&own, [Some(&document), None, None]), Ok(expected), "{example}");
+        assert_eq!(effective(&own, [Some(&document), None, None]), Ok(expected), "example {example}");
     }
     let gone = document("fleet", &json!({ "caps": null }));
     assert_eq!(
@@ -70,10 +71,10 @@
         "region/north: settings: ",
         "service/api: ",
     ];
-    assert_eq!(faults.len(), starts.len(), "{faults:?}");
+    assert_eq!(faults.len(), starts.len(), "unexpected number of faults: {faults:?}");
     assert!(
         starts.iter().all(|start| faults.iter().any(|fault| fault.to_string().starts_with(start))),
-        "{faults:?}"
+        "expected one fault that starts with each of {starts:?}, got {faults:?}"
     );
 }
 
--- a/crates/config-distribution/tests/core_fault.rs
+++ b/crates/config-distribution/tests/core_fault.rs
@@ -1,4 +1,5 @@
-//! The text of each fault, which publishers read in answers and operators in logs: it is part of the wire.
+//! Texts of faults. Publishers receive them in responses and operators read them in logs, so they are part of the wire
+//! format and must not change.
 
 use config_distribution::document::Scope;
 use config_distribution::effective::part;
@@ -27,7 +28,7 @@
         ),
     ];
     for (body, text) in texts {
-        assert_eq!(join(&form_faults(body)), text, "{body}");
+        assert_eq!(join(&form_faults(body)), text, "body {body}");
     }
 }
 
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -1,5 +1,6 @@
-//! The core in a simulated network, in virtual time: whatever is lost, cut, killed or paused, nobody goes back, nobody
-//! holds anything else than what was published, and everyone holds the newest soon after the faults end.
+//! The sans-IO core in a simulated network with virtual time. Whatever is lost, cut off, killed or paused, no process
+//! goes back to a lower index or holds documents other than those published, and all processes hold the newest
+//! documents soon after the faults end.
 
 mod core_common;
 
@@ -13,10 +14,14 @@
 use core_common::network::{Action, Network, ORIGIN, REGIONS, ZONES, balancer, region_relay, zone_relay};
 use core_common::{Model, live, ms, scope};
 
+/// Time within which a change must reach all processes that can be reached.
 const CONVERGENCE_LIMIT: Duration = Duration::from_secs(13);
+/// Number of balancers in most tests.
 const BALANCERS: usize = 280;
+/// Number of services, which the balancers are divided among.
 const SERVICES: usize = 10;
 
+/// Random scope: the fleet, a region or a service.
 fn random_scope(network: &mut Network) -> String {
     match network.random_below(10) {
         0 | 1 => "fleet".into(),
@@ -25,7 +30,8 @@
     }
 }
 
-/// Faults of all kinds for a minute and a half, with changes all along; all ends at a time that is told.
+/// Schedules faults of all kinds and publications at random times in the next 90 s. Returns the time when all faults
+/// have ended.
 fn schedule_random_faults(network: &mut Network) -> Duration {
     let from = network.now;
     let all = network.nodes.len();
@@ -87,25 +93,26 @@
         let end = schedule_random_faults(&mut network);
         network.run_until(end);
         let at = network.run_until_converged(end + CONVERGENCE_LIMIT);
-        let at = at.unwrap_or_else(|| panic!("seed {seed}: {:?} lag", network.lagging()));
+        let at = at.unwrap_or_else(|| panic!("seed {seed}: not converged: {:?}", network.lagging()));
         slowest = slowest.max(at - end);
-        // And it stays so.
+        // No process lags later, either.
         network.run_until(end + ms(40_000));
-        assert_eq!(network.lagging(), Vec::<String>::new(), "seed {seed}");
+        assert_eq!(network.lagging(), Vec::<String>::new(), "seed {seed}: processes lag after convergence");
         let sums = network.nodes[ORIGIN].reports.sums(network.now, network.origin.state());
-        assert_eq!(sums.children, BALANCERS as u64, "seed {seed}");
+        assert_eq!(sums.children, BALANCERS as u64, "seed {seed}: balancers in the sums of the origin");
         for number in 0..SERVICES {
             assert_eq!(sums.lagging(network.origin.state(), &scope(&format!("service/s{number}"))), 0);
         }
     }
-    println!("slowest {slowest:?} after the end of the faults");
+    println!("slowest convergence: {slowest:?} after the end of the faults");
 }
 
+/// Documents that a node holds and that are not withdrawn.
 fn live_documents(network: &Network, node: usize) -> Model {
     live(&network.nodes[node].state, &Wanted::All)
 }
 
-/// The most calls that fall into any such span.
+/// Largest number of calls within any interval of this length that starts at a call after `since`.
 fn max_calls_within(network: &Network, since: Duration, span: Duration) -> usize {
     let times: Vec<Duration> = network.calls.iter().map(|(at, _, _)| *at).filter(|at| *at >= since).collect();
     let within = |from: &Duration| times.iter().filter(|at| *at >= from && **at < *from + span).count();
@@ -125,7 +132,7 @@
             network.publish(at + ms(20), &format!("service/s{minute}"));
             network.withdraw(at + ms(90), "region/r0");
         }
-        // Changes on both sides of the return.
+        // Publications just before and just after the cut ends.
         for before in [10, 1, 0] {
             network.publish(heal - ms(before), "fleet");
         }
@@ -141,17 +148,26 @@
         let lagging = network.lagging();
         let inside =
             |name: &String| network.nodes.iter().any(|node| node.region == Some(1) && node.name == *name);
-        assert!(!lagging.is_empty() && lagging.iter().all(inside), "{lagging:?}");
+        assert!(
+            !lagging.is_empty() && lagging.iter().all(inside),
+            "expected only processes in region 1 to lag, got {lagging:?}"
+        );
         network.run_until(heal - ms(1));
         assert!(region.iter().zip(&before).all(|(node, before)| live_documents(&network, *node) == *before));
-        // While all its parents are stale a child looks around, and not often: at most once a parent in each hold.
-        let max_calls = region.iter().map(|node| network.calls_of(*node, cut)).max().expect("some");
+        // A child whose parents are all stale still tries the others, but at most once per parent in each grace time.
+        let max_calls =
+            region.iter().map(|node| network.calls_of(*node, cut)).max().expect("the region has balancers");
         let mean = region.iter().map(|node| network.calls_of(*node, cut)).sum::<usize>() as f64
             / region.len() as f64;
-        assert!(max_calls <= 300 / MIN_STALE_GRACE.as_secs() as usize * 2, "{max_calls} calls in the cut");
-        let at = network.run_until_converged(heal + ms(1000) + CONVERGENCE_LIMIT).expect("in force");
+        assert!(
+            max_calls <= 300 / MIN_STALE_GRACE.as_secs() as usize * 2,
+            "a balancer made {max_calls} calls during the cut"
+        );
+        let at = network
+            .run_until_converged(heal + ms(1000) + CONVERGENCE_LIMIT)
+            .expect("convergence after the cut");
         println!(
-            "seed {seed}: in force {:?} after the return; {mean:.0} calls a balancer in the cut, {max_calls} at most",
+            "seed {seed}: converged {:?} after the cut; calls per balancer: mean {mean:.0}, maximum {max_calls}",
             at - heal
         );
     }
@@ -168,18 +184,21 @@
     let delivered = network.delivered.clone();
     network.run_until(at + ms(1000));
     let calls = network.calls.iter().filter(|(when, _, _)| *when >= at).count();
-    assert!(calls >= network.nodes.len() - 1, "{calls}");
-    // Over a quarter of a second, so in 25 ms a tenth; twice that is let pass.
+    assert!(
+        calls >= network.nodes.len() - 1,
+        "expected a call from each node but the origin, got {calls} calls"
+    );
+    // The calls are spread over 250 ms, so about a tenth falls into 25 ms. Twice as many are accepted.
     assert!(
         max_calls_within(&network, at, ms(25)) <= calls / 5,
-        "{}",
+        "calls within 25 ms: {}",
         max_calls_within(&network, at, ms(25))
     );
-    assert!(network.run_until_converged(at + ms(3000)).is_some(), "{:?}", network.lagging());
-    // Nobody was told the whole again: the one change, once, or twice over two parents.
+    assert!(network.run_until_converged(at + ms(3000)).is_some(), "not converged: {:?}", network.lagging());
+    // No balancer is sent a snapshot again, only the one change: once, or twice from two parents.
     for number in 0..BALANCERS {
         let delivered = network.delivered[&balancer(number)] - delivered[&balancer(number)];
-        assert!((1..=2).contains(&delivered), "{delivered}");
+        assert!((1..=2).contains(&delivered), "expected 1 or 2 updates for a balancer, got {delivered}");
     }
     assert_eq!(network.refusals, []);
 }
@@ -196,24 +215,28 @@
         .filter(|node| network.nodes[*node].up)
         .filter(|node| network.nodes[*node].follows().is_some_and(|parent| !network.nodes[parent].up))
         .collect();
-    assert!(orphans.len() > 60, "{}", orphans.len());
+    assert!(orphans.len() > 60, "expected more than 60 children of killed relays, got {}", orphans.len());
     network.run_until(at + ms(260));
     assert!(orphans.iter().all(|node| network.calls_of(*node, at) >= 1));
     assert!(max_calls_within(&network, at, ms(25)) <= orphans.len() / 3);
-    // Those of zone 0 have no parent left, and keep what they have; once there is one, they follow.
+    // The balancers of zone 0 have no parent left and keep their documents. They follow a parent once one runs again.
     let orphan =
         (0..BALANCERS).map(balancer).find(|node| network.nodes[*node].parent_nodes[0] == zone_relay(0, 0));
-    let orphan = orphan.expect("one in zone 0");
+    let orphan = orphan.expect("zone 0 has balancers");
     let before = network.nodes[orphan].state.clone();
     network.publish(at + ms(1000), "fleet");
     network.run_until(at + ms(60_000));
     assert_eq!(network.nodes[orphan].state, before);
-    // Full jitter up to the most: on average two calls in that time.
-    assert!(network.calls_of(orphan, at) < 200, "{}", network.calls_of(orphan, at));
+    // Waits have full jitter below MAX_BACKOFF, so a child makes on average two calls in that time.
+    assert!(
+        network.calls_of(orphan, at) < 200,
+        "calls of a balancer without parents: {}",
+        network.calls_of(orphan, at)
+    );
     network.schedule(at + ms(60_000), Action::Start { node: zone_relay(0, 1), with_disk: false });
     assert!(
         network.run_until_converged(at + ms(60_000) + CONVERGENCE_LIMIT).is_some(),
-        "{:?}",
+        "not converged: {:?}",
         network.lagging()
     );
 }
@@ -232,11 +255,15 @@
     network.run_until(ms(81_000));
     let delivered = |node: usize| network.delivered[&node] - delivered[&node];
     assert_eq!(delivered(fast), 60);
-    assert!(delivered(slow) <= 60 / 5 + 1, "{}", delivered(slow));
-    assert!(delivered(slow) >= 10, "{}", delivered(slow));
-    assert!(network.run_until_converged(ms(81_000) + CONVERGENCE_LIMIT).is_some(), "{:?}", network.lagging());
+    assert!(delivered(slow) <= 60 / 5 + 1, "updates sent to the slow balancer: {}", delivered(slow));
+    assert!(delivered(slow) >= 10, "updates sent to the slow balancer: {}", delivered(slow));
+    assert!(
+        network.run_until_converged(ms(81_000) + CONVERGENCE_LIMIT).is_some(),
+        "not converged: {:?}",
+        network.lagging()
+    );
     assert_eq!(network.refusals, []);
-    assert_eq!(network.calls_of(slow, ms(20_000)), 0, "being slow is no silence");
+    assert_eq!(network.calls_of(slow, ms(20_000)), 0, "a slow balancer must not treat its parent as silent");
 }
 
 #[test]
@@ -251,14 +278,15 @@
     assert_eq!(network.lagging(), [network.nodes[skips].name.clone()]);
     assert_eq!(network.refusals, []);
     network.publish(ms(25_000), "fleet");
-    assert!(network.run_until_converged(ms(26_000)).is_some(), "{:?}", network.lagging());
+    assert!(network.run_until_converged(ms(26_000)).is_some(), "not converged: {:?}", network.lagging());
     assert!(matches!(network.refusals[..], [(node, Refusal::MissingChanges { .. })] if node == skips));
 }
 
 #[test]
 fn overlapping_changes_converge_to_the_same_state() {
     let mut network = Network::settled(9, BALANCERS, SERVICES);
-    // One is on its way over a slow connection while the next is published; the other parent is faster.
+    // The first publication is still on its way to one relay of each zone when the next is published; the other relay
+    // of the zone is faster.
     for zone in 0..ZONES {
         network.schedule(ms(20_500), Action::Slow(zone_relay(zone, 0), ms(2500)));
     }
@@ -268,8 +296,12 @@
         network.schedule(ms(21_050), Action::Reset(balancer(number)));
     }
     network.publish(ms(21_060), "fleet");
-    assert!(network.run_until_converged(ms(21_060) + CONVERGENCE_LIMIT).is_some(), "{:?}", network.lagging());
-    // Those that had the newest and came to a parent that stood before it were told so, and refused to go back.
+    assert!(
+        network.run_until_converged(ms(21_060) + CONVERGENCE_LIMIT).is_some(),
+        "not converged: {:?}",
+        network.lagging()
+    );
+    // Balancers that had the newest index and moved to a parent with a lower one were sent that index and refused it.
     assert!(network.refusals.iter().all(|(_, refusal)| matches!(refusal, Refusal::IndexWentBack { .. })));
     assert!(!network.refusals.is_empty());
 }
@@ -281,7 +313,7 @@
         network.schedule(ms(20_500), Action::DamageUpdate(balancer(number)));
     }
     network.publish(ms(21_000), "fleet");
-    assert!(network.run_until_converged(ms(22_000)).is_some(), "{:?}", network.lagging());
+    assert!(network.run_until_converged(ms(22_000)).is_some(), "not converged: {:?}", network.lagging());
     assert_eq!(network.refusals.len(), 30);
     assert!(network.refusals.iter().all(|(_, refusal)| matches!(refusal, Refusal::Damaged { .. })));
 }
@@ -307,7 +339,7 @@
     network.schedule(ms(21_000), Action::CutPair(ORIGIN, stale));
     network.publish(ms(21_001), "fleet");
     network.run_until(ms(21_000) + CONVERGENCE_LIMIT);
-    // It has no other parent itself; all others have the change.
+    // The stale relay has no other parent and lags; all other processes have the change.
     assert_eq!(network.lagging(), [network.nodes[stale].name.clone()]);
     assert_eq!(followers(&network), 0);
     network.schedule(ms(90_000), Action::HealPair(ORIGIN, stale));
@@ -321,7 +353,7 @@
     for seed in 1..=40 {
         let mut network = Network::settled(seed, BALANCERS / 4, 1);
         let (stale, better) = (zone_relay(0, 0), zone_relay(0, 1));
-        // For good: the region's relay says nothing, and one relay of the zone hears nothing.
+        // Until the end of the test the relay of the region sends nothing and one relay of the zone receives nothing.
         network.schedule(ms(21_000), Action::Mute(region_relay(0), true));
         for relay in [stale, better] {
             network.schedule(ms(21_000), Action::CutPair(relay, region_relay(1)));
@@ -342,8 +374,8 @@
         }
         slowest = slowest.max(network.now - heal);
     }
-    println!("found {slowest:?} after it was fresh");
-    assert!(slowest < CONVERGENCE_LIMIT, "{slowest:?}");
+    println!("recovered parent found after {slowest:?} at most");
+    assert!(slowest < CONVERGENCE_LIMIT, "recovered parent found only after {slowest:?}");
 }
 
 #[test]
@@ -359,8 +391,11 @@
     }
     network.run_until(ms(30_000) + SILENT_AFTER);
     let twice = counted(&network);
-    assert!(twice > BALANCERS, "they are with two parents each for a while: {twice}");
-    // Two levels of sums below the origin.
+    assert!(
+        twice > BALANCERS,
+        "expected moved balancers to be counted at both parents for a while, got {twice} of {BALANCERS}"
+    );
+    // Sums pass two levels of relays on the way to the origin.
     network.run_until(ms(30_500) + SILENT_AFTER + 2 * REPORT_EVERY);
     for _ in 0..60 {
         assert_eq!(counted(&network), BALANCERS);
@@ -391,13 +426,16 @@
     assert!((0..network.nodes.len()).all(|node| live_documents(&network, node) == before[node]));
     for number in 0..BALANCERS {
         let calls = network.calls_of(balancer(number), ms(21_000));
-        assert!(calls <= 600 / MIN_STALE_GRACE.as_secs() as usize * 2, "{calls}");
+        assert!(
+            calls <= 600 / MIN_STALE_GRACE.as_secs() as usize * 2,
+            "a balancer made {calls} calls during the outage"
+        );
     }
     network.schedule(ms(621_000), Action::Start { node: ORIGIN, with_disk: true });
     network.publish(ms(621_100), "fleet");
     assert!(
         network.run_until_converged(ms(621_100) + CONVERGENCE_LIMIT).is_some(),
-        "{:?}",
+        "not converged: {:?}",
         network.lagging()
     );
 }
@@ -405,7 +443,7 @@
 #[test]
 fn relays_of_the_same_level_do_not_form_a_loop() {
     let mut network = Network::settled(14, 0, 1);
-    // Each would follow the other and think it fresh for ever.
+    // Without levels each of these two could follow the other and consider it up to date for ever.
     let first = network.nodes.len();
     let one = network.add("one".into(), Some(0), Some(2), Wanted::All, vec![first + 1, region_relay(0)]);
     let other = network.add("other".into(), Some(0), Some(2), Wanted::All, vec![one, region_relay(0)]);
@@ -414,7 +452,7 @@
     network.run_until(ms(40_000));
     let follows = |node: usize| network.nodes[node].follows();
     assert_eq!([follows(one), follows(other)], [Some(region_relay(0)); 2]);
-    // Those that only name each other hear nothing, and say so.
+    // The two relays that have only each other as parents get no documents, and report growing staleness.
     assert_eq!([network.nodes[alone].state.index(), network.nodes[inverted].state.index()], [0, 0]);
     assert!(network.nodes[alone].parents.stale_s(network.now) >= 15);
 }
@@ -428,8 +466,8 @@
     }
     network.run_until(ms(25_000));
     let at = network.run_until_converged(ms(25_000) + CONVERGENCE_LIMIT);
-    println!("from cold: {:?}", at.map(|at| at - ms(25_000)));
-    assert!(at.is_some(), "{:?}", network.lagging());
+    println!("convergence after a restart without disks: {:?}", at.map(|at| at - ms(25_000)));
+    assert!(at.is_some(), "not converged: {:?}", network.lagging());
 }
 
 #[test]
@@ -437,7 +475,10 @@
     let mut network = Network::settled(16, BALANCERS, SERVICES);
     network.schedule(ms(21_000), Action::CutRegion(2));
     network.publish(ms(22_000), "fleet");
-    let node = (0..BALANCERS).map(balancer).find(|node| network.nodes[*node].region == Some(2)).expect("one");
+    let node = (0..BALANCERS)
+        .map(balancer)
+        .find(|node| network.nodes[*node].region == Some(2))
+        .expect("region 2 has balancers");
     let before = network.nodes[node].state.clone();
     network.schedule(ms(60_000), Action::Kill(node));
     network.schedule(ms(61_000), Action::Start { node, with_disk: false });
@@ -445,11 +486,18 @@
     assert!(before.documents().eq(network.nodes[node].state.documents()));
     network.schedule(ms(90_000), Action::HealRegion(2));
     network.run_until(ms(90_000));
-    assert!(network.run_until_converged(ms(90_000) + CONVERGENCE_LIMIT).is_some(), "{:?}", network.lagging());
+    assert!(
+        network.run_until_converged(ms(90_000) + CONVERGENCE_LIMIT).is_some(),
+        "not converged: {:?}",
+        network.lagging()
+    );
 }
 
-/// The worst schedule known: the relay of the region falls silent as a change comes, and the relay of the zone just
-/// before it would pass on what it has from elsewhere. Tells how long the change took to the balancer below.
+/// Worst schedule known for a change: the relay of the region falls silent just as the change is published, and the
+/// relay of the zone falls silent just before it would pass on the change, which it has from another parent. Returns
+/// the times that the change takes to the relay of the zone and to the balancer below it. With `churn`, the watches of
+/// the balancer and of both relays of its zone are reset repeatedly before, so that their backoffs have grown.
+/// `pause_at` is the time after the publication at which the relay of the zone falls silent, if it does.
 fn measure_with_two_silent_levels(
     seed: u64,
     churn: bool,
@@ -460,7 +508,7 @@
     let relays = [zone_relay(0, 0), zone_relay(0, 1)];
     let mut at = ms(20_000) + network.random_duration(ms(4000));
     if churn {
-        // Watches that never stand: the waits have grown to their most.
+        // Watches end before they are established, so the backoffs grow to their maximum.
         for _ in 0..6 {
             at += ms(1000) + network.random_duration(ms(900));
             for node in [victim, relays[0], relays[1]] {
@@ -478,7 +526,7 @@
         network.schedule(at + pause_at, Action::Pause(parent, ms(60_000)));
     }
     let newest = network.origin.state().index();
-    assert_eq!(*network.models.last_key_value().expect("some").0, newest);
+    assert_eq!(*network.models.last_key_value().expect("documents are published").0, newest);
     let mut delivered = [None; 2];
     while delivered.contains(&None) {
         network.step();
@@ -496,8 +544,9 @@
 
 #[test]
 fn change_arrives_within_thirteen_seconds_when_both_relay_levels_fall_silent() {
-    // The relay of a zone hears from its other parent after a silence and a wait, and is silent itself just then; the
-    // balancer has a silence, and a wait before each of its two others, of which the first says nothing.
+    // The relay of the zone reaches its other parent after a silence time-out and a backoff, and falls silent itself
+    // just then. The balancer then has a silence time-out, a backoff before each of its two other parents, and a
+    // first-line time-out at the first of them, which sends nothing.
     let delays = 6 * ms(80);
     assert!(
         (PARENT_SILENCE_TIMEOUT + MAX_BACKOFF)
@@ -518,7 +567,7 @@
             }
         }
         all.sort();
-        println!("churn {churn}: worst {worst:?}, median {:?}", all[all.len() / 2]);
-        assert!(worst.0 < CONVERGENCE_LIMIT, "churn {churn}: {worst:?}");
+        println!("churn {churn}: slowest time and its seed {worst:?}, median time {:?}", all[all.len() / 2]);
+        assert!(worst.0 < CONVERGENCE_LIMIT, "churn {churn}: slowest time and its seed: {worst:?}");
     }
 }
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -1,4 +1,5 @@
-//! The origin: one index that never goes back, nothing visible before it is on disk, and a publication said again.
+//! The origin: its index never goes back, nothing is visible before it is written to disk, and a repeated publication
+//! gets its original answer.
 
 mod core_common;
 
@@ -16,37 +17,43 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestCaseError};
 
+/// Check of a publication that accepts every document.
 fn no_faults(_: &Scope, _: &str) -> Vec<Fault> {
     Vec::new()
 }
 
-/// The one fault that a check finds in every document, and its text.
+/// Text of the fault that [`one_fault`] reports.
 const FAULT_TEXT: &str = "settings.caps: expected an object, found 7";
 
+/// Check of a publication that reports the same fault for every document.
 fn one_fault(_: &Scope, _: &str) -> Vec<Fault> {
     let (path, expected) = ("settings.caps".to_owned(), "an object".to_owned());
     vec![Fault::Settings(balancer_settings::Fault { path, expected, found: Found::Value("7".to_owned()) })]
 }
 
+/// Publication of a valid document, which depends on `number`, without a condition on the version.
 fn publication(text: &str, number: u64, request: &str) -> Publication {
     Publication { scope: scope(text), body: Some(body(number)), request: request.into(), if_version: None }
 }
 
+/// Withdrawal of the document of a scope, without a condition on the version.
 fn withdrawal(text: &str, request: &str) -> Publication {
     Publication { scope: scope(text), body: None, request: request.into(), if_version: None }
 }
 
+/// Origin restored from records that are valid.
 fn restored(records: &[Record]) -> Origin {
-    Origin::restore(Bounds::default(), records.to_vec(), 0).expect("sound records")
+    Origin::restore(Bounds::default(), records.to_vec(), 0).expect("valid records")
 }
 
+/// Publishes and reports the record as written; panics unless the publication is accepted.
 fn write(origin: &mut Origin, publication: Publication) -> Record {
     match origin.publish(publication, no_faults) {
         Ok(Accepted::Write(record)) => {
             origin.written(record.index);
             record
         }
-        other => panic!("{other:?}"),
+        other => panic!("publish: expected a record to write, got {other:?}"),
     }
 }
 
@@ -54,11 +61,11 @@
 fn documents_are_visible_only_once_written() {
     let mut origin = restored(&[]);
     let Ok(Accepted::Write(record)) = origin.publish(publication("fleet", 1, "a"), no_faults) else {
-        panic!()
+        panic!("publish: expected a record to write")
     };
     assert_eq!(origin.state(), &State::default());
     origin.written(7);
-    assert_eq!(origin.state(), &State::default(), "another record than the one asked for");
+    assert_eq!(origin.state(), &State::default(), "written() must ignore an index that is not pending");
     origin.written(record.index);
     assert_eq!(origin.state().get(&Scope::Fleet), Some(&record.document));
     assert_eq!((record.index, origin.state().index()), (1, 1));
@@ -72,7 +79,11 @@
     let first = publication("fleet", 1, "a");
     assert!(matches!(origin.publish(first.clone(), no_faults), Ok(Accepted::Write(_))));
     assert_eq!(origin.publish(publication("service/api", 2, "b"), no_faults), Err(PublishError::Busy));
-    assert_eq!(origin.publish(first.clone(), no_faults), Err(PublishError::Busy), "not acknowledged yet");
+    assert_eq!(
+        origin.publish(first.clone(), no_faults),
+        Err(PublishError::Busy),
+        "the first publication is not written yet"
+    );
     origin.written(1);
     assert_eq!(origin.publish(first, no_faults), Ok(Accepted::AlreadyAccepted(1)));
     assert_eq!(write(&mut origin, publication("service/api", 2, "b")).index, 2);
@@ -89,7 +100,7 @@
     assert_eq!(origin.state(), &before);
     origin.written(2);
     assert_eq!(origin.state(), &before);
-    // The id is free for another content, and the index is given again.
+    // The request id may be used for other content, and the index is assigned again.
     assert_eq!(write(&mut origin, publication("service/api", 3, "b")).index, 2);
     assert_eq!(origin.publish(second, no_faults), Err(PublishError::RequestIdReused));
 }
@@ -102,7 +113,7 @@
     records.push(write(&mut origin, condition.clone()));
     records.push(write(&mut origin, withdrawal("fleet", "c")));
     records.push(write(&mut origin, publication("service/api", 4, "d")));
-    // Also after a restart, also where the condition no longer holds, and without being checked again.
+    // This also holds after a restart and if the condition is no longer met. The documents are not checked again.
     for mut origin in [restored(&records), origin] {
         assert_eq!(origin.publish(condition.clone(), one_fault), Ok(Accepted::AlreadyAccepted(2)));
         assert_eq!(origin.publish(withdrawal("fleet", "c"), no_faults), Ok(Accepted::AlreadyAccepted(3)));
@@ -143,14 +154,14 @@
         |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
     let mut faults = |text: &str| match origin.publish(with_body(text), one_fault) {
         Err(PublishError::Faults(faults)) => faults.iter().map(Fault::to_string).collect::<Vec<_>>(),
-        other => panic!("{other:?}"),
+        other => panic!("publish: expected faults, got {other:?}"),
     };
     assert_eq!(faults("[]"), ["service/api: expected an object"]);
     assert_eq!(faults("null"), ["service/api: expected an object"]);
     assert_eq!(faults("{}"), ["service/api: settings: missing"]);
     assert!(faults("{\"settings\":").first().is_some_and(|fault| fault.contains("line 1 column")));
     let several = faults("{\"more\":1,\"settings\":{\"zone\":\"a\",\"caps\":{},\"me\":1}}");
-    assert_eq!(several.len(), 3, "{several:?}");
+    assert_eq!(several.len(), 3, "expected three faults, got {several:?}");
     assert!(several.iter().any(|fault| fault.starts_with("service/api: settings.zone: ")));
     assert_eq!(faults("{\"settings\":{}}"), [FAULT_TEXT]);
     for request in ["", &"x".repeat(129)] {
@@ -165,7 +176,7 @@
 #[test]
 fn documents_bytes_and_request_ids_are_bounded() {
     let bounds = Bounds { max_body_bytes: 100, max_documents: 3, max_request_ids: 2, max_total_bytes: 150 };
-    let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
+    let mut origin = Origin::restore(bounds, [], 0).expect("restoring without records succeeds");
     let sized = |text: &str, bytes: usize, request: &str| Publication {
         body: Some(format!("{{\"settings\":{{{}}}}}", " ".repeat(bytes - 15)).into()),
         ..publication(text, 0, request)
@@ -186,11 +197,11 @@
         origin.publish(sized("service/c", 15, "d"), no_faults),
         Err(PublishError::TooMany { most: 3 })
     );
-    // What stands may be replaced, and one that is withdrawn makes room.
+    // Published documents may be replaced, and a withdrawal makes room for another document.
     write(&mut origin, sized("fleet", 99, "d"));
     write(&mut origin, withdrawal("service/b", "e"));
     write(&mut origin, sized("service/c", 15, "f"));
-    // The two newest ids are remembered.
+    // Only the two newest request ids are remembered.
     assert_eq!(origin.publish(sized("service/c", 15, "f"), no_faults), Ok(Accepted::AlreadyAccepted(6)));
     assert_eq!(origin.publish(withdrawal("service/b", "e"), no_faults), Ok(Accepted::AlreadyAccepted(5)));
     assert_eq!(write(&mut origin, sized("fleet", 99, "d")).index, 7);
@@ -205,10 +216,10 @@
     let line = serde_json::to_string(&origin.state().since(0, &Wanted::All)).expect("JSON");
     assert!(!line.contains('\n'));
     let mut reader = State::default();
-    reader.apply(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
+    reader.apply(serde_json::from_str(&line).expect("a valid update"), &Wanted::All).expect("accepted");
     assert_eq!(reader.get(&Scope::Fleet), Some(&record.document));
     let decoded: Record =
-        serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a record");
+        serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a valid record");
     assert_eq!(decoded, record);
     assert!(decoded.document.has_valid_digest());
 }
@@ -234,10 +245,10 @@
     assert!(Origin::restore(Bounds::default(), [], MAX_INDEX).is_ok());
 }
 
-/// A reader that has followed an origin to the end.
+/// State of a reader that has applied everything the origin has published.
 fn reader(of: &Origin) -> State {
     let mut state = State::default();
-    state.apply(of.state().since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
+    state.apply(of.state().since(0, &Wanted::All).expect("an update"), &Wanted::All).expect("accepted");
     state
 }
 
@@ -248,7 +259,7 @@
         write(&mut origin, publication("fleet", 1, "a")),
         write(&mut origin, publication("service/api", 2, "b")),
     ];
-    // These will be lost: a document replaced, one new, one withdrawn.
+    // These changes are missing on the older disk: a replaced, a new and a withdrawn document.
     write(&mut origin, publication("fleet", 3, "c"));
     write(&mut origin, publication("service/new", 4, "d"));
     write(&mut origin, withdrawal("service/api", "e"));
@@ -256,42 +267,42 @@
 
     let older = restored(&records);
     let mut refusing = child.clone();
-    let sent = older.state().since(child.index(), &Wanted::All).expect("told");
+    let sent = older.state().since(child.index(), &Wanted::All).expect("an update");
     assert_eq!(refusing.apply(sent, &Wanted::All), Err(Refusal::IndexWentBack { index: 2, have: 5 }));
-    assert_eq!(refusing, child, "it keeps what it has");
+    assert_eq!(refusing, child, "a child keeps its documents when it refuses an update");
 
-    let mut raised = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
-    assert_eq!(raised.state().index(), 2, "nothing is visible before it is written");
+    let mut raised = Origin::restore(Bounds::default(), records.clone(), 5).expect("valid records");
+    assert_eq!(raised.state().index(), 2, "the raised index must not be visible before it is written");
     assert_eq!(raised.publish(publication("fleet", 9, "z"), no_faults), Err(PublishError::Busy));
     raised.not_written(7);
     let pending = raised.pending().to_vec();
     assert!(pending.iter().all(|record| record.index > 6 && record.request.is_empty()));
-    raised.written(pending.last().expect("some").index);
+    raised.written(pending.last().expect("a pending record").index);
     records.extend(pending);
-    // Also after the next start, with or without the word.
+    // The index stays raised after the next start, whether or not that start asks for a minimum index.
     for at_least in [0, 5] {
-        let again = Origin::restore(Bounds::default(), records.clone(), at_least).expect("sound records");
+        let again = Origin::restore(Bounds::default(), records.clone(), at_least).expect("valid records");
         assert_eq!(again.pending(), []);
         assert_eq!(again.state(), raised.state());
     }
-    // All take it, also those that lag or begin, and the ids of before are known still.
+    // All children accept the update, including those that lag or are empty, and earlier request ids are still known.
     let behind = reader(&older);
     for mut child in [child, behind, State::default()] {
-        let sent = raised.state().since(child.index(), &Wanted::All).expect("told");
-        child.apply(sent, &Wanted::All).expect("taken");
+        let sent = raised.state().since(child.index(), &Wanted::All).expect("an update");
+        child.apply(sent, &Wanted::All).expect("accepted");
         assert_eq!(live(&child, &Wanted::All), live(raised.state(), &Wanted::All));
         assert_eq!(child.get(&Scope::Fleet).map(|document| Arc::clone(&document.body)), Some(body(1)));
         assert_eq!(child.get(&scope("service/new")), None);
     }
     assert_eq!(raised.publish(publication("fleet", 1, "a"), no_faults), Ok(Accepted::AlreadyAccepted(1)));
-    assert!(write(&mut raised, publication("fleet", 9, "z")).index > records.last().expect("some").index);
+    assert!(write(&mut raised, publication("fleet", 9, "z")).index > records.last().expect("a record").index);
 }
 
 #[test]
 fn raised_index_of_an_empty_origin_survives_a_restart() {
-    let mut origin = Origin::restore(Bounds::default(), [], 40).expect("nothing to restore");
+    let mut origin = Origin::restore(Bounds::default(), [], 40).expect("restoring without records succeeds");
     let pending = origin.pending().to_vec();
-    origin.written(pending.last().expect("one").index);
+    origin.written(pending.last().expect("a pending record").index);
     assert!(origin.state().index() > 40);
     assert_eq!(restored(&pending).state().index(), origin.state().index());
     assert_eq!(origin.state().get(&Scope::Fleet), None);
@@ -299,24 +310,21 @@
 
 #[derive(Debug, Clone)]
 enum Operation {
-    Publish {
-        text: &'static str,
-        number: Option<u64>,
-        condition: bool,
-    },
-    /// The disk takes what is pending.
+    /// Publishes a document, or withdraws it if there is no number; `condition` demands the present version.
+    Publish { text: &'static str, number: Option<u64>, condition: bool },
+    /// The disk has written the pending record.
     Written,
+    /// The disk has failed to write the pending record.
     NotWritten,
-    /// One of the last publications is said again, its answer was lost.
+    /// The publisher repeats the publication that is this far back among those acknowledged.
     Repeat(usize),
-    /// The process is killed, perhaps while a record is on its way: whether the disk has it shows afterwards.
-    Restart {
-        on_disk: bool,
-    },
-    /// What is not needed is deleted from the disk.
+    /// The process is restarted, perhaps during a write; `on_disk` states whether the disk has that record.
+    Restart { on_disk: bool },
+    /// Records that the origin does not need are deleted from the disk.
     Clean,
 }
 
+/// Random operation.
 fn operation() -> impl Strategy<Value = Operation> {
     let text = proptest::sample::select(vec!["fleet", "region/north", "service/api", "service/other"]);
     prop_oneof![
@@ -330,16 +338,21 @@
     ]
 }
 
+/// Number of request ids that the origin under test remembers.
 const MAX_REQUEST_IDS: usize = 5;
 
-/// An origin with its disk, and what a publisher has been answered.
+/// Origin under test with its disk, and the answers that publishers have received.
 struct Harness {
     origin: Origin,
+    /// Records on the disk by index.
     disk: BTreeMap<u64, Record>,
+    /// Publication that is being written, and its record.
     pending: Option<(Publication, Record)>,
+    /// Publications that are on disk, with their index.
     acknowledged: Vec<(Publication, u64)>,
-    /// What readers have seen.
+    /// All states that readers may have seen.
     states: Vec<State>,
+    /// Number of publications attempted, for unique request ids.
     request_count: usize,
 }
 
@@ -355,11 +368,13 @@
         }
     }
 
+    /// Origin restored from records that it has written.
     fn restored(records: impl IntoIterator<Item = Record>) -> Origin {
         let bounds = Bounds { max_request_ids: MAX_REQUEST_IDS, ..Bounds::default() };
-        Origin::restore(bounds, records, 0).expect("its own records")
+        Origin::restore(bounds, records, 0).expect("the origin accepts its own records")
     }
 
+    /// Performs one operation and checks its result.
     fn operation(&mut self, operation: Operation) -> Result<(), TestCaseError> {
         match operation {
             Operation::Publish { text, number, condition } => self.publish(text, number, condition),
@@ -377,6 +392,7 @@
         }
     }
 
+    /// Publishes or withdraws a document; the state stays as it is until the record is written.
     fn publish(&mut self, text: &str, number: Option<u64>, condition: bool) -> Result<(), TestCaseError> {
         let before = self.origin.state().clone();
         self.request_count += 1;
@@ -395,12 +411,13 @@
             }
             Err(PublishError::Busy) => prop_assert!(self.pending.is_some()),
             Err(PublishError::Faults(_)) => prop_assert!(number.is_none() && have == 0),
-            other => prop_assert!(false, "{other:?}"),
+            other => prop_assert!(false, "unexpected result of publish: {other:?}"),
         }
         prop_assert_eq!(self.origin.state(), &before);
         Ok(())
     }
 
+    /// Completes the pending write, if there is one.
     fn written(&mut self) {
         let Some((publication, record)) = self.pending.take() else { return };
         self.origin.written(record.index);
@@ -409,6 +426,7 @@
         self.states.push(self.origin.state().clone());
     }
 
+    /// Fails the pending write, if there is one.
     fn not_written(&mut self) -> Result<(), TestCaseError> {
         let Some((_, record)) = self.pending.take() else { return Ok(()) };
         let before = self.origin.state().clone();
@@ -417,7 +435,7 @@
         Ok(())
     }
 
-    /// One of the last publications again.
+    /// Repeats an acknowledged publication, which must get its original answer.
     fn repeat(&mut self, back: usize) -> Result<(), TestCaseError> {
         let Some((publication, index)) = self.acknowledged.iter().rev().nth(back) else { return Ok(()) };
         let known = self.origin.publish(publication.clone(), no_faults);
@@ -425,12 +443,13 @@
         Ok(())
     }
 
+    /// Restores the origin from its disk; its index must not go back.
     fn restart(&mut self, on_disk: bool) -> Result<(), TestCaseError> {
         let before = self.origin.state().index();
         if let Some((publication, record)) = self.pending.take()
             && on_disk
         {
-            // It was not acknowledged, and stands all the same.
+            // The publication is in force although the publisher got no answer.
             self.acknowledged.push((publication, record.index));
             self.disk.insert(record.index, record);
         }
@@ -442,7 +461,8 @@
         Ok(())
     }
 
-    /// The index is that of the last change acknowledged, and readers that stood anywhere come to what stands.
+    /// Checks that the index is that of the last acknowledged publication, and that a reader in any earlier state gets
+    /// the present documents.
     fn check(&self) -> Result<(), TestCaseError> {
         let state = self.origin.state();
         prop_assert_eq!(state.index(), self.acknowledged.last().map_or(0, |(_, index)| *index));
@@ -450,7 +470,7 @@
         for before in &self.states {
             let mut reader = before.clone();
             if let Some(update) = state.since(before.index(), &Wanted::All) {
-                reader.apply(update, &Wanted::All).expect("taken");
+                reader.apply(update, &Wanted::All).expect("accepted");
             }
             prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
         }
@@ -461,8 +481,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::default() })]
 
-    /// Against a list of what was acknowledged: the index is theirs, restarts change nothing, a repeat gets its answer,
-    /// and readers that stood anywhere come to what stands.
+    /// After random operations the index is that of the last acknowledged publication, restarts lose nothing, a
+    /// repeated publication gets its original answer, and readers in any earlier state get the present documents.
     #[test]
     fn acknowledged_publications_are_durable(operations in proptest::collection::vec(operation(), 1..120)) {
         let mut harness = Harness::new();
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -1,4 +1,4 @@
-//! Which parent to follow, and when.
+//! Choice of the parent that a child follows, and the waits between calls.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Virtual time at which the tests begin.
 const START: Duration = Duration::from_secs(50);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Waits for the next parent; tells which and when.
+/// Advances `now` to the next call and returns the number of the parent to follow.
 fn follow(parents: &mut Parents, now: &mut Duration) -> usize {
     loop {
         match parents.next(*now) {
@@ -29,7 +30,7 @@
     }
 }
 
-/// A watch that stands for so long.
+/// Keeps a watch at an up-to-date parent open for this long, with regular heartbeats.
 fn hold_watch(parents: &mut Parents, now: &mut Duration, length: Duration) {
     assert_eq!(parents.line(*now, 0), Verdict::Stay);
     let until = *now + length;
@@ -46,7 +47,9 @@
     let mut first_counts = [0; 3];
     for seed in 0..3000 {
         let mut parents = Parents::new(3, seed);
-        let Step::Follow(first) = parents.next(START) else { panic!("waits") };
+        let Step::Follow(first) = parents.next(START) else {
+            panic!("expected the first call at once, got a wait")
+        };
         first_counts[first] += 1;
         let mut now = START;
         parents.ended(now);
@@ -54,9 +57,12 @@
             parents.ended(now);
             follow(&mut parents, &mut now)
         }]);
-        assert_eq!(seen.len(), 3, "each once before one comes again");
+        assert_eq!(seen.len(), 3, "expected each parent once before any repeats");
     }
-    assert!(first_counts.iter().all(|count| (850..1150).contains(count)), "{first_counts:?}");
+    assert!(
+        first_counts.iter().all(|count| (850..1150).contains(count)),
+        "first parents are not evenly distributed: {first_counts:?}"
+    );
 }
 
 #[test]
@@ -72,12 +78,12 @@
         waits.push(now - end);
     }
     waits.sort();
-    assert!(*waits.last().expect("some") <= INITIAL_BACKOFF);
-    // Evenly: a tenth in each tenth of the time.
+    assert!(*waits.last().expect("waits") <= INITIAL_BACKOFF);
+    // Waits are evenly distributed: about a tenth of them falls into each tenth of the interval.
     for tenth in 0..10 {
         let (from, to) = (INITIAL_BACKOFF * tenth / 10, INITIAL_BACKOFF * (tenth + 1) / 10);
         let count = waits.iter().filter(|wait| (from..to).contains(wait)).count();
-        assert!((60..140).contains(&count), "{count} of 1000 in tenth {tenth}");
+        assert!((60..140).contains(&count), "expected about 100 of 1000 waits in tenth {tenth}, got {count}");
     }
 }
 
@@ -95,9 +101,12 @@
         }
     }
     let bounds = [1, 2, 4, 4, 4, 4, 4, 4].map(|times| INITIAL_BACKOFF * times);
-    assert_eq!(*bounds.last().expect("some"), MAX_BACKOFF);
+    assert_eq!(*bounds.last().expect("bounds"), MAX_BACKOFF);
     for (most, bound) in most.iter().zip(bounds) {
-        assert!(*most <= bound && *most > bound * 9 / 10, "{most:?} of {bound:?}");
+        assert!(
+            *most <= bound && *most > bound * 9 / 10,
+            "longest wait {most:?}, expected close to the bound {bound:?}"
+        );
     }
 }
 
@@ -113,8 +122,8 @@
         }
         total += now - START;
     }
-    // On average half of the bound, once that is reached.
-    assert!(total / 200 > ms(7000), "{:?}", total / 200);
+    // Once the backoff is at its maximum, waits average half of it.
+    assert!(total / 200 > ms(7000), "average time of 20 calls: {:?}", total / 200);
 }
 
 #[test]
@@ -124,7 +133,9 @@
         let (mut parents, mut now) = (Parents::new(2, seed), START);
         let first = follow(&mut parents, &mut now);
         hold_watch(&mut parents, &mut now, ms(4000));
-        let stale_s = (1..10).find(|stale_s| parents.line(now, *stale_s) == Verdict::Leave).expect("left");
+        let stale_s = (1..10)
+            .find(|stale_s| parents.line(now, *stale_s) == Verdict::Leave)
+            .expect("the parent is left below 10 s of staleness");
         left.push(stale_s);
         parents.ended(now);
         assert_ne!(follow(&mut parents, &mut now), first);
@@ -133,7 +144,7 @@
     let longest = 2 * MIN_STALE_LIMIT.as_secs();
     assert!(
         left.iter().all(|stale_s| (MIN_STALE_LIMIT.as_secs() + 1..=longest).contains(stale_s)),
-        "{left:?}"
+        "staleness at which parents were left: {left:?}"
     );
     assert!(left.contains(&3) && left.contains(&4));
 }
@@ -151,9 +162,9 @@
                 calls += 1;
                 seen.insert(parent);
                 if seen.len() == count {
-                    // A parent that came to be fresh is found within a hold and a round of calls.
+                    // A parent that becomes up to date is found within one grace time and one round of calls.
                     let most = 2 * MIN_STALE_GRACE + HEARTBEAT_EVERY + count as u32 * MAX_BACKOFF;
-                    assert!(now - since <= most, "{:?}", now - since);
+                    assert!(now - since <= most, "time between two calls of each parent: {:?}", now - since);
                     seen = BTreeSet::from([parent]);
                     since = now;
                 }
@@ -175,12 +186,12 @@
         let dead = follow(&mut parents, &mut now);
         parents.ended(now);
         assert_ne!(follow(&mut parents, &mut now), dead);
-        // It is stale, and the other was not to be had: it stays for a while.
+        // The parent is stale, but the other one could not be reached, so the child stays for the grace time.
         for _ in 0..2 {
             assert_eq!(parents.line(now, 30), Verdict::Stay);
             now += ms(1900);
         }
-        // Fresh again, it is as any other, and left as soon as it is stale again.
+        // Once the parent is up to date again, the grace time ends, and it is left as soon as it becomes stale.
         assert_eq!(parents.line(now, 0), Verdict::Stay);
         assert_eq!(parents.line(now, 30), Verdict::Leave);
     }
@@ -192,12 +203,12 @@
     assert_eq!(parents.stale_s(now), 0);
     follow(&mut parents, &mut now);
     assert_eq!(parents.stale_s(now + PARENT_SILENCE_TIMEOUT), 0);
-    assert_eq!(parents.stale_s(now + ms(7999)), 7, "nothing was ever heard");
+    assert_eq!(parents.stale_s(now + ms(7999)), 7, "without any line, staleness counts from the first call");
     parents.line(now, 0);
     now += HEARTBEAT_EVERY;
     assert_eq!(parents.stale_s(now), 0);
     parents.line(now, 5);
-    // The word of before is newer than what the parent has heard last.
+    // The earlier line proves a later up-to-date time than this one, which states 5 s of staleness.
     assert_eq!(parents.stale_s(now + ms(1000)), 0);
     assert_eq!(parents.stale_s(now + ms(2000)), 4);
     now += ms(20_000);
@@ -225,7 +236,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(13), ..ProptestConfig::default() })]
 
-    /// Whatever comes: it names a parent that there is, never waits longer than the bound, and the same seed does the same.
+    /// For any sequence of events the number of the parent is valid, no wait exceeds the bound, and the same seed gives
+    /// the same result.
     #[test]
     fn any_sequence_of_events_is_handled_deterministically(
         count in 0..6_usize,
--- a/crates/config-distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -1,4 +1,4 @@
-//! What is in force below: sums over children and relays, who lags, who refuses, who is silent.
+//! Reports about the versions in force: sums over children and relays, and which balancers lag, refuse or are silent.
 
 mod core_common;
 
@@ -13,20 +13,24 @@
 use config_distribution::state::{State, Wanted};
 use core_common::{delta, document, scope, snapshot};
 
+/// Virtual time at which the tests begin.
 const START: Duration = Duration::from_secs(100);
 
+/// State of a parent at index 5, with the fleet document at version 3 and that of `service/api` at version 5.
 fn state() -> State {
     let mut state = State::default();
     let update = snapshot(5, vec![document("fleet", 3), document("service/api", 5)]);
-    state.apply(update, &Wanted::All).expect("taken");
+    state.apply(update, &Wanted::All).expect("accepted");
     state
 }
 
+/// Report of a balancer that has these versions of the two documents in force.
 fn report(who: &str, fleet: u64, api: u64) -> InForce {
     let versions = BTreeMap::from([(Scope::Fleet, fleet), (scope("service/api"), api)]);
     InForce { who: who.into(), versions, refused: None }
 }
 
+/// Number of balancers by the version that they hold of the document of a scope.
 fn holders(sums: &Sums, text: &str) -> Vec<(u64, u64)> {
     sums.holders.get(&scope(text)).map_or(vec![], |holders| holders.versions.clone().into_iter().collect())
 }
@@ -37,7 +41,7 @@
     reports.record(START, report("a", 3, 5));
     reports.record(START, report("b", 3, 0));
     reports.record(START, report("c", 1, 5));
-    // Ahead of its parent it does not lag.
+    // A child that is ahead of its parent does not lag.
     reports.record(START, report("d", 6, 5));
     let sums = reports.sums(START, &state());
     assert_eq!(sums.children, 4);
@@ -50,7 +54,7 @@
         [sums.lagging(&state(), &Scope::Fleet), sums.lagging(&state(), &scope("service/api"))],
         [1, 1]
     );
-    // The newest report of a child counts.
+    // A new report of a child replaces the earlier one.
     reports.record(START, report("b", 3, 5));
     assert_eq!(holders(&reports.sums(START, &state()), "service/api"), [(5, 4)]);
 }
@@ -59,7 +63,7 @@
 fn holder_of_a_withdrawn_document_lags() {
     let mut state = state();
     let withdrawn = Document::new(scope("service/api"), 6, "null".into());
-    state.apply(delta(5, 6, vec![withdrawn]), &Wanted::All).expect("taken");
+    state.apply(delta(5, 6, vec![withdrawn]), &Wanted::All).expect("accepted");
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record(START, report("b", 3, 0));
@@ -93,15 +97,15 @@
     assert_eq!(holders(&sums, "fleet"), []);
     let later = START + FORGOTTEN_AFTER + Duration::from_millis(1);
     assert_eq!(reports.sums(later, &state()), Sums::default());
-    // A child that comes back counts again.
+    // A child that reports again is counted again.
     reports.record(later, report("a", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
 }
 
 #[test]
 fn child_that_changes_parents_is_counted_twice_only_briefly() {
-    // Two relays below an origin; the child moves from one to the other just after a report, and each reports every
-    // REPORT_EVERY, at the worst moment.
+    // The child moves from one of two relays below the origin to the other, just after it has reported to the first.
+    // Both relays report every REPORT_EVERY, at the worst moment.
     let (mut left, mut right, mut top) = (Reports::new(), Reports::new(), Reports::new());
     left.record(START, report("a", 3, 5));
     right.record(START, report("a", 3, 5));
@@ -110,7 +114,7 @@
     let mut twice_until = START;
     let mut at = START;
     while at < START + Duration::from_secs(60) {
-        // The one it went to has it anew again and again; the other tells its sums just before it would drop the child.
+        // The child keeps reporting to its new relay. The old relay sends its sums just before it would drop the child.
         right.record(at, report("a", 3, 5));
         top.record_sums(at, "left", &left.sums(at, &state()));
         top.record_sums(at, "right", &right.sums(at, &state()));
@@ -123,8 +127,12 @@
         at += REPORT_EVERY;
     }
     assert_eq!(counted(&top, at), 1);
-    assert!(twice_until - START <= SILENT_AFTER + REPORT_EVERY, "{:?}", twice_until - START);
-    // Where it moved back it is counted once by that one.
+    assert!(
+        twice_until - START <= SILENT_AFTER + REPORT_EVERY,
+        "time counted twice: {:?}",
+        twice_until - START
+    );
+    // If the child moves back, its old relay counts it once.
     left.record(at, report("a", 3, 5));
     left.record(at + ms(1), report("a", 3, 5));
     assert_eq!(left.sums(at + ms(1), &state()).children, 1);
@@ -166,7 +174,7 @@
     assert_eq!(fleet.older + fleet.versions.values().sum::<u64>(), MAX_CHILDREN as u64);
     assert_eq!(sums.laggards.len(), MAX_NAMED);
     assert!(sums.laggards.iter().all(|laggard| laggard.who.len() == MAX_TEXT_BYTES));
-    // There is room again once some are silent.
+    // A new child is accepted once others are silent.
     let later = START + SILENT_AFTER + Duration::from_secs(1);
     reports.record(later, report("late", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
--- a/crates/config-distribution/tests/core_state.rs
+++ b/crates/config-distribution/tests/core_state.rs
@@ -1,4 +1,5 @@
-//! What a process holds: an update whole or not at all, an index that never goes back, and nothing missed on any way.
+//! Documents that a process holds: an update is applied completely or not at all, the index never goes back, and no
+//! change is missed whichever parent sends it.
 
 mod core_common;
 
@@ -9,13 +10,15 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
+/// Scopes that a balancer reads in these tests.
 fn balancer_scopes() -> Wanted {
     Wanted::These(vec![Scope::Fleet, scope("region/north"), scope("service/api")])
 }
 
-/// An origin's state after each change; withdrawals of what is not there are left out.
+/// States of an origin after each of the changes (scope, whether withdrawn). Withdrawals without a document are left
+/// out.
 fn history(changes: &[(String, bool)]) -> Vec<State> {
-    let mut origin = Origin::restore(Bounds::default(), [], 0).expect("nothing to restore");
+    let mut origin = Origin::restore(Bounds::default(), [], 0).expect("restoring without records succeeds");
     let mut states = vec![State::default()];
     for (number, (text, withdraw)) in changes.iter().enumerate() {
         let body = (!withdraw).then(|| body(number as u64));
@@ -29,6 +32,7 @@
     states
 }
 
+/// State at index 2, with documents of the fleet and of `service/api`.
 fn state_at_index_two() -> State {
     let mut state = State::default();
     let update = snapshot(2, vec![document("fleet", 1), document("service/api", 2)]);
@@ -36,10 +40,11 @@
     state
 }
 
+/// Refusal of an update by [`state_at_index_two`], which must stay unchanged.
 fn refused(update: Update) -> Refusal {
     let mut state = state_at_index_two();
     let refusal = state.apply(update, &balancer_scopes()).expect_err("refused");
-    assert_eq!(state, state_at_index_two(), "nothing of it was taken in");
+    assert_eq!(state, state_at_index_two(), "a refused update must not change the state");
     refusal
 }
 
@@ -105,7 +110,7 @@
 
 #[test]
 fn update_from_a_different_history_is_refused() {
-    // Made at 1 or 2, it would have been seen.
+    // A document with version 1 or 2 would already be in the state at index 2.
     let conflict = Refusal::Conflict { scope: scope("region/north"), version: 2, have: 0 };
     assert_eq!(refused(delta(0, 3, vec![document("region/north", 2)])), conflict);
     let conflict = Refusal::Conflict { scope: scope("region/north"), version: 0, have: 0 };
@@ -113,7 +118,7 @@
     let withdrawn = Document::new(scope("service/api"), 1, "null".into());
     let conflict = Refusal::Conflict { scope: scope("service/api"), version: 1, have: 2 };
     assert_eq!(refused(delta(0, 3, vec![withdrawn])), conflict);
-    // The whole at the index that stands, and something held is not in it.
+    // A snapshot at the present index lacks a document that the state holds.
     let conflict = Refusal::Conflict { scope: scope("service/api"), version: 2, have: 2 };
     assert_eq!(refused(snapshot(2, vec![document("fleet", 1)])), conflict);
 }
@@ -134,10 +139,10 @@
 #[test]
 fn reader_ahead_of_its_parent_refuses_the_lower_index() {
     let parent = state_at_index_two();
-    let sent = parent.since(7, &balancer_scopes()).expect("told");
+    let sent = parent.since(7, &balancer_scopes()).expect("an update");
     assert_eq!(sent, delta(2, 2, vec![]));
     let mut reader = State::default();
-    reader.apply(snapshot(7, vec![document("fleet", 7)]), &balancer_scopes()).expect("taken");
+    reader.apply(snapshot(7, vec![document("fleet", 7)]), &balancer_scopes()).expect("accepted");
     assert_eq!(reader.apply(sent, &balancer_scopes()), Err(Refusal::IndexWentBack { index: 2, have: 7 }));
 }
 
@@ -146,12 +151,12 @@
     let texts = ["fleet", "service/other", "region/south", "service/api", "service/other"];
     let states = history(&texts.map(|text| (text.into(), false)));
     assert_eq!(states[3].since(1, &balancer_scopes()), None);
-    let update = states[5].since(1, &balancer_scopes()).expect("told");
+    let update = states[5].since(1, &balancer_scopes()).expect("an update");
     assert_eq!((update.index, update.after, update.documents.len()), (5, 1, 1));
     assert_eq!(states[5].since(4, &balancer_scopes()), None);
-    assert_eq!(states[5].since(4, &Wanted::All).expect("told").documents.len(), 1);
-    // Where the parent is stale that is told, and the reader stands at its index with it.
-    let update = states[5].next_update(4, &balancer_scopes(), 9).expect("told");
+    assert_eq!(states[5].since(4, &Wanted::All).expect("an update").documents.len(), 1);
+    // A stale parent sends an update that states its staleness and moves the reader to its index.
+    let update = states[5].next_update(4, &balancer_scopes(), 9).expect("an update");
     assert_eq!((update.index, update.after, update.stale_s, update.documents.len()), (5, 4, 9, 0));
     assert_eq!(states[5].next_update(4, &balancer_scopes(), 0), None);
 }
@@ -161,12 +166,14 @@
     let changes = [("fleet", false), ("service/api", false), ("service/api", true), ("fleet", false)];
     let states = history(&changes.map(|(text, withdraw)| (text.into(), withdraw)));
     let mut reader = State::default();
-    reader.apply(states[2].since(0, &balancer_scopes()).expect("told"), &balancer_scopes()).expect("taken");
+    reader
+        .apply(states[2].since(0, &balancer_scopes()).expect("an update"), &balancer_scopes())
+        .expect("accepted");
     assert!(reader.get(&scope("service/api")).is_some());
     let mut relay = State::default();
-    relay.apply(states[4].since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
-    let update = relay.since(reader.index(), &balancer_scopes()).expect("told");
-    reader.apply(update, &balancer_scopes()).expect("taken");
+    relay.apply(states[4].since(0, &Wanted::All).expect("an update"), &Wanted::All).expect("accepted");
+    let update = relay.since(reader.index(), &balancer_scopes()).expect("an update");
+    reader.apply(update, &balancer_scopes()).expect("accepted");
     assert_eq!(reader.get(&scope("service/api")), None);
     assert_eq!(live(&reader, &balancer_scopes()), live(&states[4], &balancer_scopes()));
 }
@@ -178,29 +185,32 @@
     changes.extend((0..scopes).map(|number| (format!("service/{number}"), false)));
     changes.extend((0..scopes).map(|number| (format!("service/{number}"), true)));
     let states = history(&changes);
-    let last = states.last().expect("some");
+    let last = states.last().expect("states");
     assert_eq!(last.documents().count(), MAX_WITHDRAWN + 1);
     for since in [1, scopes + 1, scopes + 50, scopes + 101, scopes + 102, 2 * scopes] {
         let mut reader = states[since].clone();
-        let update = last.since(since as u64, &Wanted::All).expect("told");
-        assert_eq!(update.snapshot, since <= scopes + 100, "{since}");
-        reader.apply(update, &Wanted::All).expect("taken");
+        let update = last.since(since as u64, &Wanted::All).expect("an update");
+        assert_eq!(update.snapshot, since <= scopes + 100, "reader at index {since}");
+        reader.apply(update, &Wanted::All).expect("accepted");
         assert_eq!(live(&reader, &Wanted::All), live(last, &Wanted::All));
     }
 }
 
 #[derive(Debug, Clone)]
 enum Operation {
-    /// Reader, parent, and how far back the origin's state is that the parent stands for.
+    /// Reader, parent, and how far back the state of the origin is if the parent is the origin (number 3).
     Read(usize, usize, usize),
-    /// An update that was told once is told again, perhaps to another that asked for the same scopes.
+    /// Sends an earlier update to this reader again, perhaps one for another reader of the same scopes.
     Resend(usize, usize),
-    /// With one bit of it changed.
+    /// Like `Resend`, but with one byte added to the first body.
     Damaged(usize, usize),
+    /// Restarts this reader without documents.
     StartEmpty(usize),
+    /// Restarts this reader from the documents on its disk.
     RestartFromDisk(usize),
 }
 
+/// Random operation.
 fn operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         6 => (0..5_usize, 0..4_usize, 0..12_usize).prop_map(|(reader, parent, back)| Operation::Read(reader, parent, back)),
@@ -211,6 +221,7 @@
     ]
 }
 
+/// Random changes: scope, and whether its document is withdrawn.
 fn changes() -> impl Strategy<Value = Vec<(String, bool)>> {
     let texts = ["fleet", "region/north", "region/south", "service/api", "service/other"];
     proptest::collection::vec(
@@ -222,8 +233,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Three relays and two balancers, told by the origin at any time or by one another, in any order, twice or damaged:
-    /// whoever stands at an index holds what was published up to it, and nobody goes back.
+    /// Three relays and two balancers get updates from the origin or from one another in any order, repeated or
+    /// damaged. Each holds exactly what was published up to its index, and no index goes back.
     #[test]
     fn state_at_an_index_equals_what_was_published(
         changes in changes(),
@@ -237,7 +248,7 @@
         for operation in operations {
             let (reader, update, damaged) = match operation {
                 Operation::Read(reader, parent, back) => {
-                    // The origin goes on as it is asked.
+                    // The origin advances with each read.
                     newest = (newest + 1).min(states.len() - 1);
                     let parent = if parent == 3 { &states[newest.saturating_sub(back)] } else { &readers[parent] };
                     let Some(update) = parent.since(readers[reader].index(), &wanted[reader]) else { continue };
@@ -260,9 +271,9 @@
                     continue;
                 }
                 Operation::RestartFromDisk(reader) => {
-                    let whole = readers[reader].since(0, &wanted[reader]).expect("the whole");
+                    let whole = readers[reader].since(0, &wanted[reader]).expect("a snapshot");
                     let mut state = State::default();
-                    state.apply(whole, &wanted[reader]).expect("its own");
+                    state.apply(whole, &wanted[reader]).expect("the reader accepts its own documents");
                     readers[reader] = state;
                     continue;
                 }
@@ -273,7 +284,7 @@
             let state = &readers[reader];
             if let Ok(changed) = &applied {
                 let differs = |scope: &Scope| state.get(scope) != before.get(scope);
-                prop_assert!(changed.iter().all(differs), "{changed:?}");
+                prop_assert!(changed.iter().all(differs), "unchanged scope reported as changed: {changed:?}");
             } else {
                 prop_assert_eq!(state, &before);
             }
