--- a/crates/config-distribution/tests/core_common/mod.rs
+++ b/crates/config-distribution/tests/core_common/mod.rs
@@ -20,7 +20,7 @@
 }
 
 pub fn scope(text: &str) -> Scope {
-    text.parse().expect("a scope")
+    text.parse().expect("a valid scope")
 }
 
 /// Valid document body whose content depends on `number`.
--- a/crates/config-distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -7,7 +7,7 @@
 
 fn document(scope: &str, settings: &Value) -> Document {
     let body = json!({ "settings": settings }).to_string();
-    Document::new(scope.parse().expect("a scope"), 1, body.into())
+    Document::new(scope.parse().expect("a valid scope"), 1, body.into())
 }
 
 #[test]
@@ -29,7 +29,7 @@
         [[1,2], {"a":"b", "c":null}, {"a":"b"}],
         [{}, {"a":{"bb":{"ccc":null}}}, {"a":{"bb":{}}}]
     ]);
-    for example in examples.as_array().expect("a list") {
+    for example in examples.as_array().expect("an array") {
         let own = json!({ "caps": example[0], "zone": "a" });
         let document = document("fleet", &json!({ "caps": example[1] }));
         let expected = json!({ "caps": example[2], "zone": "a" });
@@ -60,9 +60,12 @@
 fn all_faults_of_all_documents_are_reported_with_their_path() {
     let own = json!({ "zone": "a", "me": 1 });
     let fleet = document("fleet", &json!({ "zone": "b", "me": null, "caps": {} }));
-    let region =
-        Document::new("region/north".parse().expect("a scope"), 1, "{\"more\":1,\"settings\":[]}".into());
-    let service = Document::new("service/api".parse().expect("a scope"), 1, "{\"settings\":".into());
+    let region = Document::new(
+        "region/north".parse().expect("a valid scope"),
+        1,
+        "{\"more\":1,\"settings\":[]}".into(),
+    );
+    let service = Document::new("service/api".parse().expect("a valid scope"), 1, "{\"settings\":".into());
     let faults = effective(&own, [Some(&fleet), Some(&region), Some(&service)]).expect_err("faults");
     let starts = [
         "fleet: settings.me: ",
--- a/crates/config-distribution/tests/core_fault.rs
+++ b/crates/config-distribution/tests/core_fault.rs
@@ -35,10 +35,10 @@
 #[test]
 fn publication_faults_have_fixed_texts() {
     assert_eq!(Fault::RequestId { bytes: 0 }.to_string(), "request id: expected 1 to 128 bytes, got 0");
-    let scope = "service/api".parse().expect("a scope");
+    let scope = "service/api".parse().expect("a valid scope");
     let nothing = Fault::NothingToWithdraw { scope };
     assert_eq!(nothing.to_string(), "service/api: there is no document to withdraw");
-    let error = serde_json::from_str::<Value>("[1,").expect_err("no JSON");
+    let error = serde_json::from_str::<Value>("[1,").expect_err("invalid JSON");
     let text = error.to_string();
     let error = JsonError::from(error);
     assert_eq!((error.line, error.column), (1, 3));
