--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -1,8 +1,9 @@
-//! A network in virtual time: an origin, relays of regions and zones, balancers. Every message has a delay drawn from the
-//! seed, connections keep their order, and at every step each process is compared with what was published.
+//! Simulated network in virtual time: an origin, relays of regions and zones, and balancers. Each message is delayed by
+//! a random time that depends on the seed, and messages on one connection arrive in the order they were sent. After
+//! every update that a process applies, its documents are compared with what was published.
 //!
-//! Here: the processes, the queue of events, and what a test asks of them. [`watch`] has what readers and their parents
-//! do, [`publish`] the origin and its disk, [`faults`] what a test lets go wrong.
+//! This module holds the processes, the event queue and the interface for tests. [`watch`] simulates watches between
+//! children and parents, [`publish`] the origin and its disk, and [`faults`] the actions that a test schedules.
 
 mod faults;
 mod publish;
@@ -18,140 +19,212 @@
 use config_distribution::state::{Refusal, State, Wanted};
 use oorandom::Rand64;
 
-pub use self::faults::Act;
+pub use self::faults::Action;
 use super::{Model, live, ms, scope};
 
+/// Number of the origin in [`Network::nodes`].
 pub const ORIGIN: usize = 0;
+/// Number of regions; each has one region relay.
 pub const REGIONS: usize = 3;
+/// Number of zones; each has two zone relays.
 pub const ZONES: usize = 7;
 
+/// One line that a parent sends on a watch.
 #[derive(Debug, Clone)]
 enum Line {
+    /// Heartbeat without an update.
     Empty,
+    /// Update for the child.
     Update(Update),
 }
 
+/// Report that a child sends to its parent.
 #[derive(Debug, Clone)]
-enum Up {
+enum ReportBody {
+    /// Versions that a balancer has in force.
     Child(InForce),
+    /// Name of a relay, and the sums over the balancers below it.
     Relay(String, Sums),
 }
 
+/// Event in the queue, for one node. A run number in an event is compared with [`Node::run_number`], so that timers set
+/// before a kill have no effect afterwards.
 #[derive(Debug, Clone)]
 enum Event {
+    /// Time to choose the next parent, if no watch is open. Holds the run number.
     Step(u64),
+    /// Call from a child that opens a watch with this id; `since` is the index of the child.
     Call { from: usize, watch: u64, since: u64 },
+    /// Line from the parent on this watch.
     Line { watch: u64, line: Line },
-    Taken(u64),
+    /// The child has processed the last line of this watch and is ready for the next.
+    LineProcessed(u64),
+    /// The parent has closed this watch, or its process is down.
     Closed(u64),
+    /// The child has left this watch.
     Left(u64),
+    /// Possible time-out of this watch; the current deadline is in [`Node::deadline`].
     Deadline(u64),
-    Beat(u64),
+    /// Time for a heartbeat to all readers. Holds the run number.
+    Heartbeat(u64),
+    /// Time to send a report to the parent. Holds the run number.
     ReportDue(u64),
-    Report(Up),
-    Disk(u64),
-    Act(Act),
+    /// Report from a child.
+    Report(ReportBody),
+    /// The disk of the origin has finished writing the record with this index, or has failed to.
+    DiskWriteDone(u64),
+    /// Action that a test has scheduled.
+    Action(Action),
 }
 
+/// Open watch, as its parent sees it.
 struct Reader {
+    /// Number of the node that reads.
     child: usize,
+    /// Index of the last update sent on this watch; before the first, the index that the child stated in its call.
     index: u64,
+    /// Time when a line was sent that the child has not processed yet.
     busy_since: Option<Duration>,
+    /// Last update sent on this watch, for [`Action::RepeatUpdate`].
     last: Option<Update>,
 }
 
+/// Simulated process: the origin, a relay or a balancer.
 pub struct Node {
+    /// Name of the process in reports and test failures.
     pub name: String,
+    /// Region of the process; the origin has none.
     pub region: Option<usize>,
+    /// Level of the origin or relay; a balancer has none.
     pub level: Option<u8>,
+    /// Scopes that the process reads.
     pub wanted: Wanted,
+    /// Documents that the process holds.
     pub state: State,
+    /// Choice of the parent to follow.
     pub parents: Parents,
-    pub above: Vec<usize>,
+    /// Node numbers of the possible parents, in the numbering of `parents`.
+    pub parent_nodes: Vec<usize>,
+    /// Whether the process is running.
     pub up: bool,
+    /// Reports received from children.
     pub reports: Reports,
+    /// Whether the process accepts watches but sends nothing on them.
     pub muted: bool,
-    life: u64,
+    /// Number of times the process was killed; identifies the run that set a timer.
+    run_number: u64,
+    /// End of a pause; events that arrive earlier are postponed to this time.
     paused_until: Duration,
+    /// Id of the open watch and node number of its parent.
     watch: Option<(u64, usize)>,
+    /// Time when the open watch ends if no line has arrived by then.
     deadline: Duration,
+    /// Watches that children have opened at this process, by id.
     readers: BTreeMap<u64, Reader>,
-    slow: Duration,
-    damage: bool,
-    repeat: bool,
-    swallow: bool,
-    seen: u64,
+    /// Additional delay of each line that this process reads.
+    line_delay: Duration,
+    /// Whether the next update with documents for this process is damaged on the way.
+    damage_next: bool,
+    /// Whether the previous update on the watch is sent again before the next one.
+    repeat_next: bool,
+    /// Whether the next update with documents for this process is lost.
+    drop_next: bool,
+    /// Highest index that this process has had; starts at 0 again when it starts without its disk.
+    highest_index: u64,
 }
 
 impl Node {
+    /// Node number of the parent at which this process has a watch open.
     pub fn follows(&self) -> Option<usize> {
         self.watch.map(|(_, parent)| parent)
     }
 }
 
+/// All simulated processes with the connections between them.
 pub struct Network {
+    /// Current virtual time.
     pub now: Duration,
+    /// All processes: the origin, region relays, zone relays, balancers, then those that a test has added.
     pub nodes: Vec<Node>,
+    /// Publishing logic of the origin.
     pub origin: Origin,
+    /// Records written to the disk of the origin.
     pub records: Vec<Record>,
+    /// Documents that are published and not withdrawn, by the index of the origin.
     pub models: BTreeMap<u64, Model>,
+    /// Updates that were refused: node number of the child, and the reason.
     pub refusals: Vec<(usize, Refusal)>,
-    /// Calls: when, by whom, to whom.
+    /// Calls that open a watch: time, node number of the child, node number of the parent.
     pub calls: Vec<(Duration, usize, usize)>,
-    /// Lines with an update that were sent, by reader.
-    pub told: BTreeMap<usize, u64>,
-    pub draws: Rand64,
+    /// Number of lines with an update sent to each child, by its node number.
+    pub delivered: BTreeMap<usize, u64>,
+    /// Random numbers of the simulation.
+    pub rng: Rand64,
+    /// Events by time, and by order of scheduling at the same time, with the node number of the receiver.
     queue: BTreeMap<(Duration, u64), (usize, Event)>,
+    /// Last number given out, to an event or as id of a watch.
     count: u64,
+    /// Arrival time of the last message in each direction of a watch, so that messages keep their order.
     last: BTreeMap<(u64, bool), Duration>,
-    cut: BTreeSet<usize>,
+    /// Regions that are cut off from everything outside them.
+    cut_regions: BTreeSet<usize>,
+    /// Pairs of nodes that cannot reach each other, lower number first.
     cut_pairs: BTreeSet<(usize, usize)>,
-    held: Vec<(usize, usize, u64, Event)>,
-    waiting: Vec<(Scope, bool)>,
+    /// Messages held back by a cut: sender, receiver, id of the watch, event.
+    undelivered: Vec<(usize, usize, u64, Event)>,
+    /// Publications that are not written yet: scope, and whether its document is withdrawn.
+    publish_queue: Vec<(Scope, bool)>,
+    /// Number of publications written.
     published: u64,
+    /// Whether the next write of the origin fails.
     disk_full: bool,
+    /// Whether anything has changed since it was last checked which processes lag.
     changed: bool,
-    acts: usize,
+    /// Number of scheduled actions that have not been performed yet.
+    pending_actions: usize,
+    /// Seed of the whole simulation.
     seed: u64,
 }
 
+/// Node number of the relay of a region.
 pub fn region_relay(region: usize) -> usize {
     1 + region
 }
 
-/// Two relays a zone; zone `z` is in region `z % REGIONS`.
+/// Node number of one of the two relays of a zone (`which` is 0 or 1). Zone `z` is in region `z % REGIONS`.
 pub fn zone_relay(zone: usize, which: usize) -> usize {
     1 + REGIONS + 2 * zone + which
 }
 
+/// Node number of a balancer; balancer `n` is in zone `n % ZONES`.
 pub fn balancer(number: usize) -> usize {
     1 + REGIONS + 2 * ZONES + number
 }
 
 impl Network {
-    /// All up, nothing published, `balancers` of them in `services`.
+    /// Creates a network in which all processes run and nothing is published, with this many balancers and services.
     pub fn new(seed: u64, balancers: usize, services: usize) -> Self {
         let mut network = Self {
             now: Duration::ZERO,
             nodes: Vec::new(),
-            origin: Origin::restore(Bounds::default(), [], 0).expect("nothing to restore"),
+            origin: Origin::restore(Bounds::default(), [], 0).expect("restoring without records succeeds"),
             records: Vec::new(),
             models: BTreeMap::from([(0, Model::new())]),
             refusals: Vec::new(),
             calls: Vec::new(),
-            told: BTreeMap::new(),
-            draws: Rand64::new(u128::from(seed)),
+            delivered: BTreeMap::new(),
+            rng: Rand64::new(u128::from(seed)),
             queue: BTreeMap::new(),
             count: 0,
             last: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_regions: BTreeSet::new(),
             cut_pairs: BTreeSet::new(),
-            held: Vec::new(),
-            waiting: Vec::new(),
+            undelivered: Vec::new(),
+            publish_queue: Vec::new(),
             published: 0,
             disk_full: false,
             changed: true,
-            acts: 0,
+            pending_actions: 0,
             seed,
         };
         network.add("origin".into(), None, Some(0), Wanted::All, vec![]);
@@ -161,8 +234,8 @@
         for zone in 0..ZONES {
             let region = zone % REGIONS;
             for which in 0..2 {
-                let above = vec![region_relay(region), region_relay((region + 1) % REGIONS)];
-                network.add(format!("zone {zone} {which}"), Some(region), Some(2), Wanted::All, above);
+                let parent_nodes = vec![region_relay(region), region_relay((region + 1) % REGIONS)];
+                network.add(format!("zone {zone} {which}"), Some(region), Some(2), Wanted::All, parent_nodes);
             }
         }
         for number in 0..balancers {
@@ -173,28 +246,29 @@
                 scope(&format!("region/r{region}")),
                 scope(&format!("service/s{}", number / ZONES % services)),
             ];
-            let above = vec![zone_relay(zone, 0), zone_relay(zone, 1), region_relay(region)];
+            let parent_nodes = vec![zone_relay(zone, 0), zone_relay(zone, 1), region_relay(region)];
             network.add(
                 format!("balancer {number}"),
                 Some(region),
                 None,
                 Wanted::These(wanted.to_vec()),
-                above,
+                parent_nodes,
             );
         }
         network
     }
 
+    /// Adds a running process and returns its node number. Its seed depends on that number.
     pub fn add(
         &mut self,
         name: String,
         region: Option<usize>,
         level: Option<u8>,
         wanted: Wanted,
-        above: Vec<usize>,
+        parent_nodes: Vec<usize>,
     ) -> usize {
         let node = self.nodes.len();
-        let parents = Parents::new(above.len(), self.seed * 10_000 + node as u64);
+        let parents = Parents::new(parent_nodes.len(), self.seed * 10_000 + node as u64);
         self.nodes.push(Node {
             name,
             region,
@@ -202,81 +276,89 @@
             wanted,
             state: State::default(),
             parents,
-            above,
+            parent_nodes,
             up: true,
             reports: Reports::new(),
             muted: false,
-            life: 0,
+            run_number: 0,
             paused_until: Duration::ZERO,
             watch: None,
             deadline: Duration::ZERO,
             readers: BTreeMap::new(),
-            slow: Duration::ZERO,
-            damage: false,
-            repeat: false,
-            swallow: false,
-            seen: 0,
+            line_delay: Duration::ZERO,
+            damage_next: false,
+            repeat_next: false,
+            drop_next: false,
+            highest_index: 0,
         });
-        self.begin(node);
+        self.schedule_timers(node);
         node
     }
 
-    fn begin(&mut self, node: usize) {
-        let life = self.nodes[node].life;
-        let beat = self.draw(HEARTBEAT_EVERY);
-        let report = self.draw(REPORT_EVERY);
-        if !self.nodes[node].above.is_empty() {
-            self.push(node, self.now, Event::Step(life));
-            self.push(node, self.now + report, Event::ReportDue(life));
+    /// Starts the timers of a process that begins to run.
+    fn schedule_timers(&mut self, node: usize) {
+        let run_number = self.nodes[node].run_number;
+        let heartbeat = self.random_duration(HEARTBEAT_EVERY);
+        let report = self.random_duration(REPORT_EVERY);
+        if !self.nodes[node].parent_nodes.is_empty() {
+            self.push(node, self.now, Event::Step(run_number));
+            self.push(node, self.now + report, Event::ReportDue(run_number));
         }
         if self.nodes[node].level.is_some() {
-            self.push(node, self.now + beat, Event::Beat(life));
+            self.push(node, self.now + heartbeat, Event::Heartbeat(run_number));
         }
     }
 
-    pub fn draw(&mut self, most: Duration) -> Duration {
-        most.mul_f64(self.draws.rand_float())
+    /// Random time below `upper_bound`.
+    pub fn random_duration(&mut self, upper_bound: Duration) -> Duration {
+        upper_bound.mul_f64(self.rng.rand_float())
     }
 
-    pub fn pick(&mut self, below: usize) -> usize {
-        self.draws.rand_range(0..below as u64) as usize
+    /// Random number below `below`.
+    pub fn random_below(&mut self, below: usize) -> usize {
+        self.rng.rand_range(0..below as u64) as usize
     }
 
+    /// Adds an event to the queue.
     fn push(&mut self, node: usize, at: Duration, event: Event) {
         self.count += 1;
         self.queue.insert((at, self.count), (node, event));
     }
 
-    pub fn act(&mut self, at: Duration, act: Act) {
-        self.acts += 1;
-        self.push(ORIGIN, at, Event::Act(act));
+    /// Schedules an action of the test.
+    pub fn schedule(&mut self, at: Duration, action: Action) {
+        self.pending_actions += 1;
+        self.push(ORIGIN, at, Event::Action(action));
     }
 
+    /// Whether a cut separates two nodes.
     fn is_cut(&self, a: usize, b: usize) -> bool {
         if self.cut_pairs.contains(&(a.min(b), a.max(b))) {
             return true;
         }
         let (a, b) = (self.nodes[a].region, self.nodes[b].region);
-        a != b && [a, b].into_iter().flatten().any(|region| self.cut.contains(&region))
+        a != b && [a, b].into_iter().flatten().any(|region| self.cut_regions.contains(&region))
     }
 
-    /// A message on a connection: in order with those before it; one into a cut comes once it is healed.
+    /// Sends a message on the connection of a watch, where it arrives after all earlier ones. While a cut separates the
+    /// two nodes the message is held back.
     fn send(&mut self, from: usize, to: usize, watch: u64, event: Event) {
         if self.is_cut(from, to) {
-            self.held.push((from, to, watch, event));
+            self.undelivered.push((from, to, watch, event));
             return;
         }
-        let far = self.nodes[from].region != self.nodes[to].region;
-        let least = if far { ms(20) } else { Duration::from_micros(200) };
-        let more = self.draw(if far { ms(60) } else { ms(2) });
-        let slow = if matches!(event, Event::Line { .. }) { self.nodes[to].slow } else { Duration::ZERO };
+        let cross_region = self.nodes[from].region != self.nodes[to].region;
+        let min_delay = if cross_region { ms(20) } else { Duration::from_micros(200) };
+        let jitter = self.random_duration(if cross_region { ms(60) } else { ms(2) });
+        let line_delay =
+            if matches!(event, Event::Line { .. }) { self.nodes[to].line_delay } else { Duration::ZERO };
         let last = self.last.entry((watch, from < to)).or_default();
-        *last = (self.now + least + more + slow).max(*last + Duration::from_micros(1));
+        *last = (self.now + min_delay + jitter + line_delay).max(*last + Duration::from_micros(1));
         let at = *last;
         self.push(to, at, event);
     }
 
-    /// Plays up to a time.
+    /// Handles all events up to a time.
     pub fn run_until(&mut self, until: Duration) {
         while let Some(entry) = self.queue.first_entry()
             && entry.key().0 <= until
@@ -286,13 +368,13 @@
         self.now = until;
     }
 
-    /// Plays until all that was asked for is done and everyone that runs holds the newest, at most up to a time; tells when
-    /// it came to that.
+    /// Handles events until all scheduled actions and publications are done and every running process holds the newest
+    /// documents. Returns the time of that, or `None` if it is not reached by `by`.
     pub fn run_until_converged(&mut self, by: Duration) -> Option<Duration> {
         self.changed = true;
         loop {
-            if self.acts == 0
-                && self.waiting.is_empty()
+            if self.pending_actions == 0
+                && self.publish_queue.is_empty()
                 && std::mem::take(&mut self.changed)
                 && self.lagging().is_empty()
             {
@@ -305,11 +387,13 @@
         }
     }
 
+    /// Handles the next event: performs an action, postpones an event for a paused process, closes a call to a process
+    /// that is down.
     pub fn step(&mut self) {
         let Some(((at, _), (node, event))) = self.queue.pop_first() else { return };
         self.now = at;
-        if let Event::Act(act) = event {
-            return self.do_act(act);
+        if let Event::Action(action) = event {
+            return self.perform(action);
         }
         let paused_until = self.nodes[node].paused_until;
         if paused_until > at {
@@ -324,20 +408,21 @@
         self.handle(node, event);
     }
 
+    /// Handles an event for a process that is running.
     fn handle(&mut self, node: usize, event: Event) {
         let now = self.now;
         match event {
-            Event::Step(life) => {
-                if self.nodes[node].life == life && self.nodes[node].watch.is_none() {
+            Event::Step(run_number) => {
+                if self.nodes[node].run_number == run_number && self.nodes[node].watch.is_none() {
                     self.follow_next(node);
                 }
             }
-            Event::Call { from, watch, since } => self.called(node, from, watch, since),
+            Event::Call { from, watch, since } => self.accept_watch(node, from, watch, since),
             Event::Line { watch, line } => self.line(node, watch, line),
-            Event::Taken(watch) => {
+            Event::LineProcessed(watch) => {
                 if let Some(reader) = self.nodes[node].readers.get_mut(&watch) {
                     reader.busy_since = None;
-                    self.feed(node, watch, false);
+                    self.send_if_ready(node, watch, false);
                 }
             }
             Event::Closed(watch) => {
@@ -358,28 +443,28 @@
                     }
                 }
             }
-            Event::Beat(life) => {
-                if self.nodes[node].life == life {
-                    self.beat(node);
-                    self.push(node, now + HEARTBEAT_EVERY, Event::Beat(life));
+            Event::Heartbeat(run_number) => {
+                if self.nodes[node].run_number == run_number {
+                    self.heartbeat(node);
+                    self.push(node, now + HEARTBEAT_EVERY, Event::Heartbeat(run_number));
                 }
             }
-            Event::ReportDue(life) => {
-                if self.nodes[node].life == life {
+            Event::ReportDue(run_number) => {
+                if self.nodes[node].run_number == run_number {
                     self.report(node);
-                    self.push(node, now + REPORT_EVERY, Event::ReportDue(life));
+                    self.push(node, now + REPORT_EVERY, Event::ReportDue(run_number));
                 }
             }
             Event::Report(up) => match up {
-                Up::Child(in_force) => self.nodes[node].reports.record(now, in_force),
-                Up::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
+                ReportBody::Child(in_force) => self.nodes[node].reports.record(now, in_force),
+                ReportBody::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
             },
-            Event::Disk(index) => self.disk(index),
-            Event::Act(_) => unreachable!("done before"),
+            Event::DiskWriteDone(index) => self.disk_write_done(index),
+            Event::Action(_) => unreachable!("step performs actions itself"),
         }
     }
 
-    /// Who runs and does not hold the newest.
+    /// Names of the running processes that do not hold the newest documents.
     pub fn lagging(&self) -> Vec<String> {
         let Some((_, newest)) = self.models.last_key_value() else { return Vec::new() };
         let lags = |node: &&Node| {
@@ -389,20 +474,23 @@
         self.nodes.iter().filter(lags).map(|node| node.name.clone()).collect()
     }
 
+    /// Schedules the publication of a new document for a scope.
     pub fn publish(&mut self, at: Duration, text: &str) {
-        self.act(at, Act::Publish { scope: scope(text), withdraw: false });
+        self.schedule(at, Action::Publish { scope: scope(text), withdraw: false });
     }
 
+    /// Schedules the withdrawal of the document of a scope.
     pub fn withdraw(&mut self, at: Duration, text: &str) {
-        self.act(at, Act::Publish { scope: scope(text), withdraw: true });
+        self.schedule(at, Action::Publish { scope: scope(text), withdraw: true });
     }
 
-    /// Calls of a node since a time.
+    /// Number of calls that a node has made since a time.
     pub fn calls_of(&self, node: usize, since: Duration) -> usize {
         self.calls.iter().filter(|(at, from, _)| *from == node && *at >= since).count()
     }
 
-    /// Everyone up, fresh and at the newest of a few documents, at 20 s.
+    /// Creates a network and runs it to 20 s, when all processes hold the documents of the fleet, of each region and of
+    /// each service. Calls and refusals up to then are forgotten.
     pub fn settled(seed: u64, balancers: usize, services: usize) -> Self {
         let mut network = Self::new(seed, balancers, services);
         network.publish(ms(1), "fleet");
--- a/crates/config-distribution/tests/core_common/network/faults.rs
+++ b/crates/config-distribution/tests/core_common/network/faults.rs
@@ -1,4 +1,4 @@
-//! What a test lets happen: publications, and faults of processes, connections and the origin's disk.
+//! Actions that a test schedules: publications, and faults of processes, connections and the origin's disk.
 
 use std::time::Duration;
 
@@ -9,92 +9,96 @@
 
 use super::{Event, Network};
 
+/// Action that a test schedules. Processes are given by node number.
 #[derive(Debug, Clone)]
-pub enum Act {
-    Publish {
-        scope: Scope,
-        withdraw: bool,
-    },
+pub enum Action {
+    /// Publishes a new document for a scope, or withdraws its document.
+    Publish { scope: Scope, withdraw: bool },
+    /// Kills a process; its connections are closed.
     Kill(usize),
-    Start {
-        node: usize,
-        disk: bool,
-    },
+    /// Starts a killed process, with the documents on its disk or without any.
+    Start { node: usize, with_disk: bool },
+    /// Pauses a process for this long; its connections stay open.
     Pause(usize, Duration),
-    Cut(usize),
-    Heal(usize),
-    /// Two nodes lose each other.
+    /// Cuts a region off from everything outside it.
+    CutRegion(usize),
+    /// Ends the cut of a region.
+    HealRegion(usize),
+    /// Cuts the connection between two processes.
     CutPair(usize, usize),
+    /// Ends the cut between two processes.
     HealPair(usize, usize),
-    /// A connection to the parent is reset.
+    /// Resets the connection of a process to its parent.
     Reset(usize),
-    /// The next line that a node is told has a body that was changed on the way.
-    Damage(usize),
-    /// The next line that a node is told is one that it has been told before.
-    Repeat(usize),
-    /// The next change that a node is told is swallowed: its parent lies.
-    Swallow(usize),
-    /// A parent takes calls and says nothing, from now on or no more.
+    /// Changes a body in the next update with documents that is sent to a process.
+    DamageUpdate(usize),
+    /// Sends the previous update on the watch of a process again before its next one.
+    RepeatUpdate(usize),
+    /// Loses the next update with documents that is sent to a process, although its parent counts it as sent.
+    DropUpdate(usize),
+    /// Whether a parent accepts watches but sends nothing on them.
     Mute(usize, bool),
-    /// A node takes lines at this pace.
+    /// Delays each line that a process reads by this time; zero ends that.
     Slow(usize, Duration),
-    /// The disk refuses the next record.
+    /// Makes the next write to the origin's disk fail.
     DiskFull,
 }
 
 impl Network {
-    pub(super) fn do_act(&mut self, act: Act) {
-        self.acts -= 1;
-        match act {
-            Act::Publish { scope, withdraw } => {
-                self.waiting.push((scope, withdraw));
+    /// Performs a scheduled action.
+    pub(super) fn perform(&mut self, action: Action) {
+        self.pending_actions -= 1;
+        match action {
+            Action::Publish { scope, withdraw } => {
+                self.publish_queue.push((scope, withdraw));
                 self.publish_next();
             }
-            Act::Kill(node) => self.kill(node),
-            Act::Start { node, disk } => self.start(node, disk),
-            Act::Pause(node, time) => {
+            Action::Kill(node) => self.kill(node),
+            Action::Start { node, with_disk } => self.start(node, with_disk),
+            Action::Pause(node, time) => {
                 let until = self.now + time;
                 let paused_until = &mut self.nodes[node].paused_until;
                 *paused_until = until.max(*paused_until);
             }
-            Act::Cut(region) => {
-                self.cut.insert(region);
+            Action::CutRegion(region) => {
+                self.cut_regions.insert(region);
             }
-            Act::Heal(region) => {
-                self.cut.remove(&region);
-                self.send_held();
+            Action::HealRegion(region) => {
+                self.cut_regions.remove(&region);
+                self.send_undelivered();
             }
-            Act::CutPair(a, b) => {
+            Action::CutPair(a, b) => {
                 self.cut_pairs.insert((a.min(b), a.max(b)));
             }
-            Act::HealPair(a, b) => {
+            Action::HealPair(a, b) => {
                 self.cut_pairs.remove(&(a.min(b), a.max(b)));
-                self.send_held();
+                self.send_undelivered();
             }
-            Act::Reset(node) => {
+            Action::Reset(node) => {
                 if let Some((watch, parent)) = self.nodes[node].watch {
                     self.send(node, parent, watch, Event::Left(watch));
                     self.send(parent, node, watch, Event::Closed(watch));
                 }
             }
-            Act::Damage(node) => self.nodes[node].damage = true,
-            Act::Repeat(node) => self.nodes[node].repeat = true,
-            Act::Swallow(node) => self.nodes[node].swallow = true,
-            Act::Mute(node, muted) => self.nodes[node].muted = muted,
-            Act::Slow(node, slow) => {
-                self.nodes[node].slow = slow;
-                self.nodes[node].deadline += slow;
+            Action::DamageUpdate(node) => self.nodes[node].damage_next = true,
+            Action::RepeatUpdate(node) => self.nodes[node].repeat_next = true,
+            Action::DropUpdate(node) => self.nodes[node].drop_next = true,
+            Action::Mute(node, muted) => self.nodes[node].muted = muted,
+            Action::Slow(node, line_delay) => {
+                self.nodes[node].line_delay = line_delay;
+                self.nodes[node].deadline += line_delay;
             }
-            Act::DiskFull => self.disk_full = true,
+            Action::DiskFull => self.disk_full = true,
         }
     }
 
+    /// Kills a process and tells its children and its parent that the connections are closed.
     fn kill(&mut self, node: usize) {
         if !std::mem::take(&mut self.nodes[node].up) {
             return;
         }
         self.changed = true;
-        self.nodes[node].life += 1;
+        self.nodes[node].run_number += 1;
         self.nodes[node].paused_until = Duration::ZERO;
         for (watch, reader) in std::mem::take(&mut self.nodes[node].readers) {
             self.send(node, reader.child, watch, Event::Closed(watch));
@@ -104,29 +108,31 @@
         }
     }
 
-    fn start(&mut self, node: usize, disk: bool) {
+    /// Starts a process that is down.
+    fn start(&mut self, node: usize, with_disk: bool) {
         if self.nodes[node].up {
             return;
         }
         self.changed = true;
-        let seed = self.draws.rand_u64();
-        let own = &mut self.nodes[node];
-        own.up = true;
-        own.parents = Parents::new(own.above.len(), seed);
-        own.reports = Reports::new();
-        let before = std::mem::take(&mut own.state);
-        if disk {
-            let whole = before.since(0, &Wanted::All).expect("the whole");
-            own.state.apply(whole, &own.wanted).expect("its own");
+        let seed = self.rng.rand_u64();
+        let process = &mut self.nodes[node];
+        process.up = true;
+        process.parents = Parents::new(process.parent_nodes.len(), seed);
+        process.reports = Reports::new();
+        let before = std::mem::take(&mut process.state);
+        if with_disk {
+            let whole = before.since(0, &Wanted::All).expect("a snapshot of the state before the kill");
+            process.state.apply(whole, &process.wanted).expect("the process accepts its own documents");
         } else {
-            own.seen = 0;
+            process.highest_index = 0;
         }
-        self.begin(node);
+        self.schedule_timers(node);
     }
 
-    fn send_held(&mut self) {
-        let held = std::mem::take(&mut self.held);
-        for (from, to, watch, event) in held {
+    /// Sends the messages held back by cuts; those that another cut still stops are held back again.
+    fn send_undelivered(&mut self) {
+        let undelivered = std::mem::take(&mut self.undelivered);
+        for (from, to, watch, event) in undelivered {
             self.send(from, to, watch, event);
         }
     }
--- a/crates/config-distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -1,4 +1,5 @@
-//! The settings in force: JSON merge patch over a process's own, the narrower last, and every fault with its place.
+//! Effective settings: documents are applied as JSON merge patches over a process's own settings, the narrowest scope
+//! last, and every fault is reported with its scope and path.
 
 use config_distribution::document::{Document, Scope};
 use config_distribution::effective::effective;
@@ -6,12 +7,12 @@
 
 fn document(scope: &str, settings: &Value) -> Document {
     let body = json!({ "settings": settings }).to_string();
-    Document::new(scope.parse().expect("a scope"), 1, body.into())
+    Document::new(scope.parse().expect("a valid scope"), 1, body.into())
 }
 
 #[test]
-fn the_examples_of_rfc_7396_hold() {
-    // Appendix A, less the patches that are null as a whole: below a key those take the key away.
+fn rfc_7396_examples_hold() {
+    // Examples of appendix A without those whose whole patch is null: below a key such a patch removes the key.
     let examples = json!([
         [{"a":"b"}, {"a":"c"}, {"a":"c"}],
         [{"a":"b"}, {"b":"c"}, {"a":"b", "b":"c"}],
@@ -28,11 +29,11 @@
         [[1,2], {"a":"b", "c":null}, {"a":"b"}],
         [{}, {"a":{"bb":{"ccc":null}}}, {"a":{"bb":{}}}]
     ]);
-    for example in examples.as_array().expect("a list") {
+    for example in examples.as_array().expect("an array") {
         let own = json!({ "caps": example[0], "zone": "a" });
         let document = document("fleet", &json!({ "caps": example[1] }));
         let expected = json!({ "caps": example[2], "zone": "a" });
-        assert_eq!(effective(&own, [Some(&document), None, None]), Ok(expected), "{example}");
+        assert_eq!(effective(&own, [Some(&document), None, None]), Ok(expected), "example {example}");
     }
     let gone = document("fleet", &json!({ "caps": null }));
     assert_eq!(
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn the_narrower_goes_before_the_wider() {
+fn narrower_scopes_override_wider_ones() {
     let own = json!({ "zone": "a", "rules": {"x": 0, "y": 0, "z": 0, "own": 0} });
     let fleet = document("fleet", &json!({ "rules": {"x": 1, "y": 1, "z": 1} }));
     let region = document("region/north", &json!({ "rules": {"y": 2, "z": 2}, "balancers": 3 }));
@@ -56,12 +57,15 @@
 }
 
 #[test]
-fn every_fault_of_every_document_is_told_with_its_place() {
+fn all_faults_of_all_documents_are_reported_with_their_path() {
     let own = json!({ "zone": "a", "me": 1 });
     let fleet = document("fleet", &json!({ "zone": "b", "me": null, "caps": {} }));
-    let region =
-        Document::new("region/north".parse().expect("a scope"), 1, "{\"more\":1,\"settings\":[]}".into());
-    let service = Document::new("service/api".parse().expect("a scope"), 1, "{\"settings\":".into());
+    let region = Document::new(
+        "region/north".parse().expect("a valid scope"),
+        1,
+        "{\"more\":1,\"settings\":[]}".into(),
+    );
+    let service = Document::new("service/api".parse().expect("a valid scope"), 1, "{\"settings\":".into());
     let faults = effective(&own, [Some(&fleet), Some(&region), Some(&service)]).expect_err("faults");
     let starts = [
         "fleet: settings.me: ",
@@ -70,15 +74,15 @@
         "region/north: settings: ",
         "service/api: ",
     ];
-    assert_eq!(faults.len(), starts.len(), "{faults:?}");
+    assert_eq!(faults.len(), starts.len(), "unexpected number of faults: {faults:?}");
     assert!(
         starts.iter().all(|start| faults.iter().any(|fault| fault.to_string().starts_with(start))),
-        "{faults:?}"
+        "expected one fault that starts with each of {starts:?}, got {faults:?}"
     );
 }
 
 #[test]
-fn a_body_that_is_too_deep_is_a_fault() {
+fn too_deeply_nested_body_is_a_fault() {
     let deep = format!("{{\"settings\":{{\"caps\":{}{}}}}}", "[".repeat(5000), "]".repeat(5000));
     let document = Document::new(Scope::Fleet, 1, deep.into());
     assert!(effective(&json!({}), [Some(&document), None, None]).is_err());
--- a/crates/config-distribution/tests/core_fault.rs
+++ b/crates/config-distribution/tests/core_fault.rs
@@ -1,4 +1,5 @@
-//! The text of each fault, which publishers read in answers and operators in logs: it is part of the wire.
+//! Texts of faults. Publishers receive them in responses and operators read them in logs, so they are part of the wire
+//! format and must not change.
 
 use config_distribution::document::Scope;
 use config_distribution::effective::part;
@@ -10,7 +11,7 @@
 }
 
 #[test]
-fn faults_of_the_form_name_the_document_and_the_place() {
+fn form_faults_name_the_document_and_the_path() {
     let texts = [
         ("[]", "fleet: expected an object"),
         ("{", "fleet: EOF while parsing an object at line 1 column 1"),
@@ -27,17 +28,17 @@
         ),
     ];
     for (body, text) in texts {
-        assert_eq!(join(&form_faults(body)), text, "{body}");
+        assert_eq!(join(&form_faults(body)), text, "body {body}");
     }
 }
 
 #[test]
-fn faults_of_a_publication_have_the_same_text_for_ever() {
+fn publication_faults_have_fixed_texts() {
     assert_eq!(Fault::RequestId { bytes: 0 }.to_string(), "request id: expected 1 to 128 bytes, got 0");
-    let scope = "service/api".parse().expect("a scope");
+    let scope = "service/api".parse().expect("a valid scope");
     let nothing = Fault::NothingToWithdraw { scope };
     assert_eq!(nothing.to_string(), "service/api: there is no document to withdraw");
-    let error = serde_json::from_str::<Value>("[1,").expect_err("no JSON");
+    let error = serde_json::from_str::<Value>("[1,").expect_err("invalid JSON");
     let text = error.to_string();
     let error = JsonError::from(error);
     assert_eq!((error.line, error.column), (1, 3));
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn faults_of_the_settings_have_the_text_of_the_check_and_a_count_of_those_not_listed() {
+fn settings_faults_have_the_texts_of_the_check_and_count_unlisted_ones() {
     let lanes: Vec<Value> = (0..200).map(|number| json!({ "name": number })).collect();
     let faults = balancer_settings::check_document(&json!({ "lanes": lanes })).expect_err("faults");
     assert!(faults.unlisted() > 0);
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -1,4 +1,5 @@
-//! The origin: one index that never goes back, nothing visible before it is on disk, and a publication said again.
+//! The origin: its index never goes back, nothing is visible before it is written to disk, and a repeated publication
+//! gets its original answer.
 
 mod core_common;
 
@@ -16,47 +17,55 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestCaseError};
 
-fn sound(_: &Scope, _: &str) -> Vec<Fault> {
+/// Check of a publication that accepts every document.
+fn no_faults(_: &Scope, _: &str) -> Vec<Fault> {
     Vec::new()
 }
 
-/// The one fault that a check finds in every document, and its text.
+/// Text of the fault that [`one_fault`] reports.
 const FAULT_TEXT: &str = "settings.caps: expected an object, found 7";
 
-fn faulty(_: &Scope, _: &str) -> Vec<Fault> {
+/// Check of a publication that reports the same fault for every document.
+fn one_fault(_: &Scope, _: &str) -> Vec<Fault> {
     let (path, expected) = ("settings.caps".to_owned(), "an object".to_owned());
     vec![Fault::Settings(balancer_settings::Fault { path, expected, found: Found::Value("7".to_owned()) })]
 }
 
+/// Publication of a valid document, which depends on `number`, without a condition on the version.
 fn publication(text: &str, number: u64, request: &str) -> Publication {
     Publication { scope: scope(text), body: Some(body(number)), request: request.into(), if_version: None }
 }
 
+/// Withdrawal of the document of a scope, without a condition on the version.
 fn withdrawal(text: &str, request: &str) -> Publication {
     Publication { scope: scope(text), body: None, request: request.into(), if_version: None }
 }
 
+/// Origin restored from records that are valid.
 fn restored(records: &[Record]) -> Origin {
-    Origin::restore(Bounds::default(), records.to_vec(), 0).expect("sound records")
+    Origin::restore(Bounds::default(), records.to_vec(), 0).expect("valid records")
 }
 
+/// Publishes and reports the record as written; panics unless the publication is accepted.
 fn write(origin: &mut Origin, publication: Publication) -> Record {
-    match origin.publish(publication, sound) {
+    match origin.publish(publication, no_faults) {
         Ok(Accepted::Write(record)) => {
             origin.written(record.index);
             record
         }
-        other => panic!("{other:?}"),
+        other => panic!("publish: expected a record to write, got {other:?}"),
     }
 }
 
 #[test]
-fn nothing_is_visible_before_it_is_written() {
+fn documents_are_visible_only_once_written() {
     let mut origin = restored(&[]);
-    let Ok(Accepted::Write(record)) = origin.publish(publication("fleet", 1, "a"), sound) else { panic!() };
+    let Ok(Accepted::Write(record)) = origin.publish(publication("fleet", 1, "a"), no_faults) else {
+        panic!("publish: expected a record to write")
+    };
     assert_eq!(origin.state(), &State::default());
     origin.written(7);
-    assert_eq!(origin.state(), &State::default(), "another record than the one asked for");
+    assert_eq!(origin.state(), &State::default(), "written() must ignore an index that is not pending");
     origin.written(record.index);
     assert_eq!(origin.state().get(&Scope::Fleet), Some(&record.document));
     assert_eq!((record.index, origin.state().index()), (1, 1));
@@ -65,128 +74,141 @@
 }
 
 #[test]
-fn one_change_is_written_at_a_time() {
+fn only_one_change_is_written_at_a_time() {
     let mut origin = restored(&[]);
     let first = publication("fleet", 1, "a");
-    assert!(matches!(origin.publish(first.clone(), sound), Ok(Accepted::Write(_))));
-    assert_eq!(origin.publish(publication("service/api", 2, "b"), sound), Err(PublishError::Busy));
-    assert_eq!(origin.publish(first.clone(), sound), Err(PublishError::Busy), "not acknowledged yet");
+    assert!(matches!(origin.publish(first.clone(), no_faults), Ok(Accepted::Write(_))));
+    assert_eq!(origin.publish(publication("service/api", 2, "b"), no_faults), Err(PublishError::Busy));
+    assert_eq!(
+        origin.publish(first.clone(), no_faults),
+        Err(PublishError::Busy),
+        "the first publication is not written yet"
+    );
     origin.written(1);
-    assert_eq!(origin.publish(first, sound), Ok(Accepted::AlreadyAccepted(1)));
+    assert_eq!(origin.publish(first, no_faults), Ok(Accepted::AlreadyAccepted(1)));
     assert_eq!(write(&mut origin, publication("service/api", 2, "b")).index, 2);
 }
 
 #[test]
-fn a_record_that_is_not_written_leaves_nothing() {
+fn failed_write_leaves_no_trace() {
     let mut origin = restored(&[]);
     write(&mut origin, publication("fleet", 1, "a"));
     let before = origin.state().clone();
     let second = publication("fleet", 2, "b");
-    assert!(matches!(origin.publish(second.clone(), sound), Ok(Accepted::Write(_))));
+    assert!(matches!(origin.publish(second.clone(), no_faults), Ok(Accepted::Write(_))));
     origin.not_written(2);
     assert_eq!(origin.state(), &before);
     origin.written(2);
     assert_eq!(origin.state(), &before);
-    // The id is free for another content, and the index is given again.
+    // The request id may be used for other content, and the index is assigned again.
     assert_eq!(write(&mut origin, publication("service/api", 3, "b")).index, 2);
-    assert_eq!(origin.publish(second, sound), Err(PublishError::RequestIdReused));
+    assert_eq!(origin.publish(second, no_faults), Err(PublishError::RequestIdReused));
 }
 
 #[test]
-fn a_publication_repeated_after_a_lost_answer_gets_the_answer_of_before() {
+fn repeated_publication_gets_the_original_answer() {
     let mut origin = restored(&[]);
     let mut records = vec![write(&mut origin, publication("fleet", 1, "a"))];
     let condition = Publication { if_version: Some(1), ..publication("fleet", 2, "b") };
     records.push(write(&mut origin, condition.clone()));
     records.push(write(&mut origin, withdrawal("fleet", "c")));
     records.push(write(&mut origin, publication("service/api", 4, "d")));
-    // Also after a restart, also where the condition no longer holds, and without being checked again.
+    // This also holds after a restart and if the condition is no longer met. The documents are not checked again.
     for mut origin in [restored(&records), origin] {
-        assert_eq!(origin.publish(condition.clone(), faulty), Ok(Accepted::AlreadyAccepted(2)));
-        assert_eq!(origin.publish(withdrawal("fleet", "c"), sound), Ok(Accepted::AlreadyAccepted(3)));
+        assert_eq!(origin.publish(condition.clone(), one_fault), Ok(Accepted::AlreadyAccepted(2)));
+        assert_eq!(origin.publish(withdrawal("fleet", "c"), no_faults), Ok(Accepted::AlreadyAccepted(3)));
         assert_eq!(origin.state().index(), 4);
         assert_eq!(
-            origin.publish(publication("service/api", 5, "d"), sound),
+            origin.publish(publication("service/api", 5, "d"), no_faults),
+            Err(PublishError::RequestIdReused)
+        );
+        assert_eq!(
+            origin.publish(publication("fleet", 4, "d"), no_faults),
             Err(PublishError::RequestIdReused)
         );
-        assert_eq!(origin.publish(publication("fleet", 4, "d"), sound), Err(PublishError::RequestIdReused));
-        assert_eq!(origin.publish(withdrawal("fleet", "a"), sound), Err(PublishError::RequestIdReused));
+        assert_eq!(origin.publish(withdrawal("fleet", "a"), no_faults), Err(PublishError::RequestIdReused));
     }
 }
 
 #[test]
-fn a_condition_on_the_version_is_held() {
+fn condition_on_the_version_is_enforced() {
     let mut origin = restored(&[]);
-    let on = |version, number: u64| Publication {
+    let with_if_version = |version, number: u64| Publication {
         if_version: Some(version),
         ..publication("fleet", number, &format!("request {number}"))
     };
-    assert_eq!(origin.publish(on(1, 1), sound), Err(PublishError::Conflict { have: 0 }));
-    assert_eq!(write(&mut origin, on(0, 2)).index, 1);
-    assert_eq!(origin.publish(on(0, 3), sound), Err(PublishError::Conflict { have: 1 }));
+    assert_eq!(origin.publish(with_if_version(1, 1), no_faults), Err(PublishError::Conflict { have: 0 }));
+    assert_eq!(write(&mut origin, with_if_version(0, 2)).index, 1);
+    assert_eq!(origin.publish(with_if_version(0, 3), no_faults), Err(PublishError::Conflict { have: 1 }));
     write(&mut origin, publication("service/api", 4, "other"));
-    assert_eq!(write(&mut origin, on(1, 5)).index, 3);
+    assert_eq!(write(&mut origin, with_if_version(1, 5)).index, 3);
     write(&mut origin, withdrawal("fleet", "gone"));
-    assert_eq!(origin.publish(on(4, 6), sound), Err(PublishError::Conflict { have: 0 }));
-    assert_eq!(write(&mut origin, on(0, 7)).index, 5);
+    assert_eq!(origin.publish(with_if_version(4, 6), no_faults), Err(PublishError::Conflict { have: 0 }));
+    assert_eq!(write(&mut origin, with_if_version(0, 7)).index, 5);
 }
 
 #[test]
-fn every_fault_is_told_and_nothing_remains_of_it() {
+fn all_faults_are_reported_and_a_refused_publication_leaves_no_trace() {
     let mut origin = restored(&[]);
     let with_body =
         |text: &str| Publication { body: Some(text.into()), ..publication("service/api", 1, "a") };
-    let mut faults = |text: &str| match origin.publish(with_body(text), faulty) {
+    let mut faults = |text: &str| match origin.publish(with_body(text), one_fault) {
         Err(PublishError::Faults(faults)) => faults.iter().map(Fault::to_string).collect::<Vec<_>>(),
-        other => panic!("{other:?}"),
+        other => panic!("publish: expected faults, got {other:?}"),
     };
     assert_eq!(faults("[]"), ["service/api: expected an object"]);
     assert_eq!(faults("null"), ["service/api: expected an object"]);
     assert_eq!(faults("{}"), ["service/api: settings: missing"]);
     assert!(faults("{\"settings\":").first().is_some_and(|fault| fault.contains("line 1 column")));
     let several = faults("{\"more\":1,\"settings\":{\"zone\":\"a\",\"caps\":{},\"me\":1}}");
-    assert_eq!(several.len(), 3, "{several:?}");
+    assert_eq!(several.len(), 3, "expected three faults, got {several:?}");
     assert!(several.iter().any(|fault| fault.starts_with("service/api: settings.zone: ")));
     assert_eq!(faults("{\"settings\":{}}"), [FAULT_TEXT]);
     for request in ["", &"x".repeat(129)] {
-        let refused = origin.publish(publication("fleet", 1, request), sound);
+        let refused = origin.publish(publication("fleet", 1, request), no_faults);
         assert!(matches!(refused, Err(PublishError::Faults(_))));
     }
-    assert!(matches!(origin.publish(withdrawal("fleet", "b"), sound), Err(PublishError::Faults(_))));
+    assert!(matches!(origin.publish(withdrawal("fleet", "b"), no_faults), Err(PublishError::Faults(_))));
     assert_eq!(origin.state(), &State::default());
     assert_eq!(write(&mut origin, publication("service/api", 1, "a")).index, 1);
 }
 
 #[test]
-fn everything_has_its_bound() {
+fn documents_bytes_and_request_ids_are_bounded() {
     let bounds = Bounds { max_body_bytes: 100, max_documents: 3, max_request_ids: 2, max_total_bytes: 150 };
-    let mut origin = Origin::restore(bounds, [], 0).expect("nothing to restore");
+    let mut origin = Origin::restore(bounds, [], 0).expect("restoring without records succeeds");
     let sized = |text: &str, bytes: usize, request: &str| Publication {
         body: Some(format!("{{\"settings\":{{{}}}}}", " ".repeat(bytes - 15)).into()),
         ..publication(text, 0, request)
     };
     let mebibyte = sized("fleet", 1 << 20, "a");
-    assert_eq!(origin.publish(mebibyte, sound), Err(PublishError::TooLarge { bytes: 1 << 20, most: 100 }));
+    assert_eq!(
+        origin.publish(mebibyte, no_faults),
+        Err(PublishError::TooLarge { bytes: 1 << 20, most: 100 })
+    );
     write(&mut origin, sized("fleet", 100, "a"));
     assert_eq!(
-        origin.publish(sized("service/a", 51, "b"), sound),
+        origin.publish(sized("service/a", 51, "b"), no_faults),
         Err(PublishError::Full { bytes: 151, most: 150 })
     );
     write(&mut origin, sized("service/a", 30, "b"));
     write(&mut origin, sized("service/b", 20, "c"));
-    assert_eq!(origin.publish(sized("service/c", 15, "d"), sound), Err(PublishError::TooMany { most: 3 }));
-    // What stands may be replaced, and one that is withdrawn makes room.
+    assert_eq!(
+        origin.publish(sized("service/c", 15, "d"), no_faults),
+        Err(PublishError::TooMany { most: 3 })
+    );
+    // Published documents may be replaced, and a withdrawal makes room for another document.
     write(&mut origin, sized("fleet", 99, "d"));
     write(&mut origin, withdrawal("service/b", "e"));
     write(&mut origin, sized("service/c", 15, "f"));
-    // The two newest ids are remembered.
-    assert_eq!(origin.publish(sized("service/c", 15, "f"), sound), Ok(Accepted::AlreadyAccepted(6)));
-    assert_eq!(origin.publish(withdrawal("service/b", "e"), sound), Ok(Accepted::AlreadyAccepted(5)));
+    // Only the two newest request ids are remembered.
+    assert_eq!(origin.publish(sized("service/c", 15, "f"), no_faults), Ok(Accepted::AlreadyAccepted(6)));
+    assert_eq!(origin.publish(withdrawal("service/b", "e"), no_faults), Ok(Accepted::AlreadyAccepted(5)));
     assert_eq!(write(&mut origin, sized("fleet", 99, "d")).index, 7);
 }
 
 #[test]
-fn a_body_goes_out_on_one_line_and_whole() {
+fn body_is_sent_unchanged_on_one_line() {
     let mut origin = restored(&[]);
     let text = "\n {\r\n \"settings\": {\"caps\": {\"a\": \"x\\ny\"}}\n}\n\n";
     let record = write(&mut origin, Publication { body: Some(text.into()), ..publication("fleet", 0, "a") });
@@ -194,16 +216,16 @@
     let line = serde_json::to_string(&origin.state().since(0, &Wanted::All)).expect("JSON");
     assert!(!line.contains('\n'));
     let mut reader = State::default();
-    reader.apply(serde_json::from_str(&line).expect("an update"), &Wanted::All).expect("whole");
+    reader.apply(serde_json::from_str(&line).expect("a valid update"), &Wanted::All).expect("accepted");
     assert_eq!(reader.get(&Scope::Fleet), Some(&record.document));
-    let kept: Record =
-        serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a record");
-    assert_eq!(kept, record);
-    assert!(kept.document.has_valid_digest());
+    let decoded: Record =
+        serde_json::from_str(&serde_json::to_string(&record).expect("JSON")).expect("a valid record");
+    assert_eq!(decoded, record);
+    assert!(decoded.document.has_valid_digest());
 }
 
 #[test]
-fn records_that_make_no_origin_are_named() {
+fn restore_names_the_invalid_record() {
     let record = |index| Record {
         index,
         document: Document::new(Scope::Fleet, index, body(index)),
@@ -218,121 +240,123 @@
     assert_eq!(refused(vec![Record { index: 3, ..record(2) }]), RestoreError::Damaged { index: 3 });
     assert_eq!(refused(vec![record(0)]), RestoreError::Damaged { index: 0 });
     assert_eq!(refused(vec![record(u64::MAX)]), RestoreError::TooHigh { index: u64::MAX });
-    let lifted = Origin::restore(Bounds::default(), [], u64::MAX).map(|_| ()).unwrap_err();
-    assert_eq!(lifted, RestoreError::TooHigh { index: u64::MAX });
+    let raised = Origin::restore(Bounds::default(), [], u64::MAX).map(|_| ()).unwrap_err();
+    assert_eq!(raised, RestoreError::TooHigh { index: u64::MAX });
     assert!(Origin::restore(Bounds::default(), [], MAX_INDEX).is_ok());
 }
 
-/// A reader that has followed an origin to the end.
+/// State of a reader that has applied everything the origin has published.
 fn reader(of: &Origin) -> State {
     let mut state = State::default();
-    state.apply(of.state().since(0, &Wanted::All).expect("told"), &Wanted::All).expect("taken");
+    state.apply(of.state().since(0, &Wanted::All).expect("an update"), &Wanted::All).expect("accepted");
     state
 }
 
 #[test]
-fn an_origin_on_an_older_disk_is_refused_until_it_is_lifted_past_what_was_lost() {
+fn origin_on_an_older_disk_is_refused_until_its_index_is_raised() {
     let mut origin = restored(&[]);
     let mut records = vec![
         write(&mut origin, publication("fleet", 1, "a")),
         write(&mut origin, publication("service/api", 2, "b")),
     ];
-    // These will be lost: a document replaced, one new, one withdrawn.
+    // These changes are missing on the older disk: a replaced, a new and a withdrawn document.
     write(&mut origin, publication("fleet", 3, "c"));
     write(&mut origin, publication("service/new", 4, "d"));
     write(&mut origin, withdrawal("service/api", "e"));
     let child = reader(&origin);
 
     let older = restored(&records);
-    let mut refuses = child.clone();
-    let told = older.state().since(child.index(), &Wanted::All).expect("told");
-    assert_eq!(refuses.apply(told, &Wanted::All), Err(Refusal::IndexWentBack { index: 2, have: 5 }));
-    assert_eq!(refuses, child, "it keeps what it has");
-
-    let mut lifted = Origin::restore(Bounds::default(), records.clone(), 5).expect("sound records");
-    assert_eq!(lifted.state().index(), 2, "nothing is visible before it is written");
-    assert_eq!(lifted.publish(publication("fleet", 9, "z"), sound), Err(PublishError::Busy));
-    lifted.not_written(7);
-    let pending = lifted.pending().to_vec();
+    let mut refusing = child.clone();
+    let sent = older.state().since(child.index(), &Wanted::All).expect("an update");
+    assert_eq!(refusing.apply(sent, &Wanted::All), Err(Refusal::IndexWentBack { index: 2, have: 5 }));
+    assert_eq!(refusing, child, "a child keeps its documents when it refuses an update");
+
+    let mut raised = Origin::restore(Bounds::default(), records.clone(), 5).expect("valid records");
+    assert_eq!(raised.state().index(), 2, "the raised index must not be visible before it is written");
+    assert_eq!(raised.publish(publication("fleet", 9, "z"), no_faults), Err(PublishError::Busy));
+    raised.not_written(7);
+    let pending = raised.pending().to_vec();
     assert!(pending.iter().all(|record| record.index > 6 && record.request.is_empty()));
-    lifted.written(pending.last().expect("some").index);
+    raised.written(pending.last().expect("a pending record").index);
     records.extend(pending);
-    // Also after the next start, with or without the word.
+    // The index stays raised after the next start, whether or not that start asks for a minimum index.
     for at_least in [0, 5] {
-        let again = Origin::restore(Bounds::default(), records.clone(), at_least).expect("sound records");
+        let again = Origin::restore(Bounds::default(), records.clone(), at_least).expect("valid records");
         assert_eq!(again.pending(), []);
-        assert_eq!(again.state(), lifted.state());
+        assert_eq!(again.state(), raised.state());
     }
-    // All take it, also those that lag or begin, and the ids of before are known still.
+    // All children accept the update, including those that lag or are empty, and earlier request ids are still known.
     let behind = reader(&older);
     for mut child in [child, behind, State::default()] {
-        let told = lifted.state().since(child.index(), &Wanted::All).expect("told");
-        child.apply(told, &Wanted::All).expect("taken");
-        assert_eq!(live(&child, &Wanted::All), live(lifted.state(), &Wanted::All));
+        let sent = raised.state().since(child.index(), &Wanted::All).expect("an update");
+        child.apply(sent, &Wanted::All).expect("accepted");
+        assert_eq!(live(&child, &Wanted::All), live(raised.state(), &Wanted::All));
         assert_eq!(child.get(&Scope::Fleet).map(|document| Arc::clone(&document.body)), Some(body(1)));
         assert_eq!(child.get(&scope("service/new")), None);
     }
-    assert_eq!(lifted.publish(publication("fleet", 1, "a"), sound), Ok(Accepted::AlreadyAccepted(1)));
-    assert!(write(&mut lifted, publication("fleet", 9, "z")).index > records.last().expect("some").index);
+    assert_eq!(raised.publish(publication("fleet", 1, "a"), no_faults), Ok(Accepted::AlreadyAccepted(1)));
+    assert!(write(&mut raised, publication("fleet", 9, "z")).index > records.last().expect("a record").index);
 }
 
 #[test]
-fn an_empty_origin_that_is_lifted_stays_so() {
-    let mut origin = Origin::restore(Bounds::default(), [], 40).expect("nothing to restore");
+fn raised_index_of_an_empty_origin_survives_a_restart() {
+    let mut origin = Origin::restore(Bounds::default(), [], 40).expect("restoring without records succeeds");
     let pending = origin.pending().to_vec();
-    origin.written(pending.last().expect("one").index);
+    origin.written(pending.last().expect("a pending record").index);
     assert!(origin.state().index() > 40);
     assert_eq!(restored(&pending).state().index(), origin.state().index());
     assert_eq!(origin.state().get(&Scope::Fleet), None);
 }
 
 #[derive(Debug, Clone)]
-enum Play {
-    Publish {
-        text: &'static str,
-        number: Option<u64>,
-        condition: bool,
-    },
-    /// The disk takes what is pending.
+enum Operation {
+    /// Publishes a document, or withdraws it if there is no number; `condition` demands the present version.
+    Publish { text: &'static str, number: Option<u64>, condition: bool },
+    /// The disk has written the pending record.
     Written,
+    /// The disk has failed to write the pending record.
     NotWritten,
-    /// One of the last publications is said again, its answer was lost.
-    Again(usize),
-    /// The process is killed, perhaps while a record is on its way: whether the disk has it shows afterwards.
-    Restart {
-        has: bool,
-    },
-    /// What is not needed is deleted from the disk.
+    /// The publisher repeats the publication that is this far back among those acknowledged.
+    Repeat(usize),
+    /// The process is restarted, perhaps during a write; `on_disk` states whether the disk has that record.
+    Restart { on_disk: bool },
+    /// Records that the origin does not need are deleted from the disk.
     Clean,
 }
 
-fn play() -> impl Strategy<Value = Play> {
+/// Random operation.
+fn operation() -> impl Strategy<Value = Operation> {
     let text = proptest::sample::select(vec!["fleet", "region/north", "service/api", "service/other"]);
     prop_oneof![
         6 => (text, proptest::option::weighted(0.7, 0..1000_u64), proptest::bool::weighted(0.2))
-            .prop_map(|(text, number, condition)| Play::Publish { text, number, condition }),
-        6 => Just(Play::Written),
-        1 => Just(Play::NotWritten),
-        2 => (0..5_usize).prop_map(Play::Again),
-        1 => any::<bool>().prop_map(|has| Play::Restart { has }),
-        1 => Just(Play::Clean),
+            .prop_map(|(text, number, condition)| Operation::Publish { text, number, condition }),
+        6 => Just(Operation::Written),
+        1 => Just(Operation::NotWritten),
+        2 => (0..5_usize).prop_map(Operation::Repeat),
+        1 => any::<bool>().prop_map(|on_disk| Operation::Restart { on_disk }),
+        1 => Just(Operation::Clean),
     ]
 }
 
-const REQUESTS_MOST: usize = 5;
+/// Number of request ids that the origin under test remembers.
+const MAX_REQUEST_IDS: usize = 5;
 
-/// An origin with its disk, and what a publisher has been answered.
-struct Played {
+/// Origin under test with its disk, and the answers that publishers have received.
+struct Harness {
     origin: Origin,
+    /// Records on the disk by index.
     disk: BTreeMap<u64, Record>,
+    /// Publication that is being written, and its record.
     pending: Option<(Publication, Record)>,
+    /// Publications that are on disk, with their index.
     acknowledged: Vec<(Publication, u64)>,
-    /// What readers have seen.
+    /// All states that readers may have seen.
     states: Vec<State>,
-    asked: usize,
+    /// Number of publications attempted, for unique request ids.
+    request_count: usize,
 }
 
-impl Played {
+impl Harness {
     fn new() -> Self {
         Self {
             origin: Self::restored([]),
@@ -340,43 +364,46 @@
             pending: None,
             acknowledged: Vec::new(),
             states: vec![State::default()],
-            asked: 0,
+            request_count: 0,
         }
     }
 
+    /// Origin restored from records that it has written.
     fn restored(records: impl IntoIterator<Item = Record>) -> Origin {
-        let bounds = Bounds { max_request_ids: REQUESTS_MOST, ..Bounds::default() };
-        Origin::restore(bounds, records, 0).expect("its own records")
+        let bounds = Bounds { max_request_ids: MAX_REQUEST_IDS, ..Bounds::default() };
+        Origin::restore(bounds, records, 0).expect("the origin accepts its own records")
     }
 
-    fn play(&mut self, play: Play) -> Result<(), TestCaseError> {
-        match play {
-            Play::Publish { text, number, condition } => self.publish(text, number, condition),
-            Play::Written => {
+    /// Performs one operation and checks its result.
+    fn operation(&mut self, operation: Operation) -> Result<(), TestCaseError> {
+        match operation {
+            Operation::Publish { text, number, condition } => self.publish(text, number, condition),
+            Operation::Written => {
                 self.written();
                 Ok(())
             }
-            Play::NotWritten => self.not_written(),
-            Play::Again(back) => self.repeat(back),
-            Play::Restart { has } => self.restart(has),
-            Play::Clean => {
+            Operation::NotWritten => self.not_written(),
+            Operation::Repeat(back) => self.repeat(back),
+            Operation::Restart { on_disk } => self.restart(on_disk),
+            Operation::Clean => {
                 self.disk.retain(|index, _| self.origin.needs(*index));
                 Ok(())
             }
         }
     }
 
+    /// Publishes or withdraws a document; the state stays as it is until the record is written.
     fn publish(&mut self, text: &str, number: Option<u64>, condition: bool) -> Result<(), TestCaseError> {
         let before = self.origin.state().clone();
-        self.asked += 1;
+        self.request_count += 1;
         let have = before.get(&scope(text)).map_or(0, |document| document.version);
         let publication = Publication {
             scope: scope(text),
             body: number.map(body),
-            request: format!("request {}", self.asked).into(),
+            request: format!("request {}", self.request_count).into(),
             if_version: condition.then_some(have),
         };
-        match self.origin.publish(publication.clone(), sound) {
+        match self.origin.publish(publication.clone(), no_faults) {
             Ok(Accepted::Write(record)) => {
                 prop_assert!(self.pending.is_none());
                 prop_assert_eq!(record.index, before.index() + 1);
@@ -384,12 +411,13 @@
             }
             Err(PublishError::Busy) => prop_assert!(self.pending.is_some()),
             Err(PublishError::Faults(_)) => prop_assert!(number.is_none() && have == 0),
-            other => prop_assert!(false, "{other:?}"),
+            other => prop_assert!(false, "unexpected result of publish: {other:?}"),
         }
         prop_assert_eq!(self.origin.state(), &before);
         Ok(())
     }
 
+    /// Completes the pending write, if there is one.
     fn written(&mut self) {
         let Some((publication, record)) = self.pending.take() else { return };
         self.origin.written(record.index);
@@ -398,6 +426,7 @@
         self.states.push(self.origin.state().clone());
     }
 
+    /// Fails the pending write, if there is one.
     fn not_written(&mut self) -> Result<(), TestCaseError> {
         let Some((_, record)) = self.pending.take() else { return Ok(()) };
         let before = self.origin.state().clone();
@@ -406,20 +435,21 @@
         Ok(())
     }
 
-    /// One of the last publications again.
+    /// Repeats an acknowledged publication, which must get its original answer.
     fn repeat(&mut self, back: usize) -> Result<(), TestCaseError> {
         let Some((publication, index)) = self.acknowledged.iter().rev().nth(back) else { return Ok(()) };
-        let known = self.origin.publish(publication.clone(), sound);
+        let known = self.origin.publish(publication.clone(), no_faults);
         prop_assert_eq!(known, Ok(Accepted::AlreadyAccepted(*index)));
         Ok(())
     }
 
-    fn restart(&mut self, has: bool) -> Result<(), TestCaseError> {
+    /// Restores the origin from its disk; its index must not go back.
+    fn restart(&mut self, on_disk: bool) -> Result<(), TestCaseError> {
         let before = self.origin.state().index();
         if let Some((publication, record)) = self.pending.take()
-            && has
+            && on_disk
         {
-            // It was not acknowledged, and stands all the same.
+            // The publication is in force although the publisher got no answer.
             self.acknowledged.push((publication, record.index));
             self.disk.insert(record.index, record);
         }
@@ -431,7 +461,8 @@
         Ok(())
     }
 
-    /// The index is that of the last change acknowledged, and readers that stood anywhere come to what stands.
+    /// Checks that the index is that of the last acknowledged publication, and that a reader in any earlier state gets
+    /// the present documents.
     fn check(&self) -> Result<(), TestCaseError> {
         let state = self.origin.state();
         prop_assert_eq!(state.index(), self.acknowledged.last().map_or(0, |(_, index)| *index));
@@ -439,7 +470,7 @@
         for before in &self.states {
             let mut reader = before.clone();
             if let Some(update) = state.since(before.index(), &Wanted::All) {
-                reader.apply(update, &Wanted::All).expect("taken");
+                reader.apply(update, &Wanted::All).expect("accepted");
             }
             prop_assert_eq!(live(&reader, &Wanted::All), live(state, &Wanted::All));
         }
@@ -450,14 +481,14 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::default() })]
 
-    /// Against a list of what was acknowledged: the index is theirs, restarts change nothing, a repeat gets its answer,
-    /// and readers that stood anywhere come to what stands.
+    /// After random operations the index is that of the last acknowledged publication, restarts lose nothing, a
+    /// repeated publication gets its original answer, and readers in any earlier state get the present documents.
     #[test]
-    fn what_is_acknowledged_stays(plays in proptest::collection::vec(play(), 1..120)) {
-        let mut played = Played::new();
-        for play in plays {
-            played.play(play)?;
-            played.check()?;
+    fn acknowledged_publications_are_durable(operations in proptest::collection::vec(operation(), 1..120)) {
+        let mut harness = Harness::new();
+        for operation in operations {
+            harness.operation(operation)?;
+            harness.check()?;
         }
     }
 }
--- a/crates/config-distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -1,4 +1,4 @@
-//! What is in force below: sums over children and relays, who lags, who refuses, who is silent.
+//! Reports about the versions in force: sums over children and relays, and which balancers lag, refuse or are silent.
 
 mod core_common;
 
@@ -11,33 +11,37 @@
     REPORT_EVERY, Refused, Reports, SILENT_AFTER, Sums,
 };
 use config_distribution::state::{State, Wanted};
-use core_common::{change, document, scope, snapshot};
+use core_common::{delta, document, scope, snapshot};
 
+/// Virtual time at which the tests begin.
 const START: Duration = Duration::from_secs(100);
 
+/// State of a parent at index 5, with the fleet document at version 3 and that of `service/api` at version 5.
 fn state() -> State {
     let mut state = State::default();
     let update = snapshot(5, vec![document("fleet", 3), document("service/api", 5)]);
-    state.apply(update, &Wanted::All).expect("taken");
+    state.apply(update, &Wanted::All).expect("accepted");
     state
 }
 
+/// Report of a balancer that has these versions of the two documents in force.
 fn report(who: &str, fleet: u64, api: u64) -> InForce {
     let versions = BTreeMap::from([(Scope::Fleet, fleet), (scope("service/api"), api)]);
     InForce { who: who.into(), versions, refused: None }
 }
 
+/// Number of balancers by the version that they hold of the document of a scope.
 fn holders(sums: &Sums, text: &str) -> Vec<(u64, u64)> {
     sums.holders.get(&scope(text)).map_or(vec![], |holders| holders.versions.clone().into_iter().collect())
 }
 
 #[test]
-fn sums_tell_who_holds_what_and_who_lags() {
+fn sums_count_versions_and_name_laggards() {
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record(START, report("b", 3, 0));
     reports.record(START, report("c", 1, 5));
-    // Ahead of its parent it does not lag.
+    // A child that is ahead of its parent does not lag.
     reports.record(START, report("d", 6, 5));
     let sums = reports.sums(START, &state());
     assert_eq!(sums.children, 4);
@@ -50,16 +54,16 @@
         [sums.lagging(&state(), &Scope::Fleet), sums.lagging(&state(), &scope("service/api"))],
         [1, 1]
     );
-    // The newest report of a child counts.
+    // A new report of a child replaces the earlier one.
     reports.record(START, report("b", 3, 5));
     assert_eq!(holders(&reports.sums(START, &state()), "service/api"), [(5, 4)]);
 }
 
 #[test]
-fn who_holds_a_withdrawn_document_lags() {
+fn holder_of_a_withdrawn_document_lags() {
     let mut state = state();
     let withdrawn = Document::new(scope("service/api"), 6, "null".into());
-    state.apply(change(5, 6, vec![withdrawn]), &Wanted::All).expect("taken");
+    state.apply(delta(5, 6, vec![withdrawn]), &Wanted::All).expect("accepted");
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record(START, report("b", 3, 0));
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn a_refused_document_is_told_with_its_reason() {
+fn refused_document_is_reported_with_its_reason() {
     let mut reports = Reports::new();
     let why = "ü".repeat(MAX_TEXT_BYTES);
     let refused = Refused { scope: Scope::Fleet, version: 3, why: why.as_str().into() };
@@ -82,7 +86,7 @@
 }
 
 #[test]
-fn a_silent_child_is_named_and_then_forgotten() {
+fn silent_child_is_named_and_later_forgotten() {
     let mut reports = Reports::new();
     reports.record(START, report("a", 3, 5));
     reports.record_sums(START, "relay", &Sums { children: 7, ..Sums::default() });
@@ -93,15 +97,15 @@
     assert_eq!(holders(&sums, "fleet"), []);
     let later = START + FORGOTTEN_AFTER + Duration::from_millis(1);
     assert_eq!(reports.sums(later, &state()), Sums::default());
-    // A child that comes back counts again.
+    // A child that reports again is counted again.
     reports.record(later, report("a", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
 }
 
 #[test]
-fn a_child_that_moves_is_not_counted_twice_for_long() {
-    // Two relays below an origin; the child moves from one to the other just after a report, and each reports every
-    // REPORT_EVERY, at the worst moment.
+fn child_that_changes_parents_is_counted_twice_only_briefly() {
+    // The child moves from one of two relays below the origin to the other, just after it has reported to the first.
+    // Both relays report every REPORT_EVERY, at the worst moment.
     let (mut left, mut right, mut top) = (Reports::new(), Reports::new(), Reports::new());
     left.record(START, report("a", 3, 5));
     right.record(START, report("a", 3, 5));
@@ -110,7 +114,7 @@
     let mut twice_until = START;
     let mut at = START;
     while at < START + Duration::from_secs(60) {
-        // The one it went to has it anew again and again; the other tells its sums just before it would drop the child.
+        // The child keeps reporting to its new relay. The old relay sends its sums just before it would drop the child.
         right.record(at, report("a", 3, 5));
         top.record_sums(at, "left", &left.sums(at, &state()));
         top.record_sums(at, "right", &right.sums(at, &state()));
@@ -123,15 +127,19 @@
         at += REPORT_EVERY;
     }
     assert_eq!(counted(&top, at), 1);
-    assert!(twice_until - START <= SILENT_AFTER + REPORT_EVERY, "{:?}", twice_until - START);
-    // Where it moved back it is counted once by that one.
+    assert!(
+        twice_until - START <= SILENT_AFTER + REPORT_EVERY,
+        "time counted twice: {:?}",
+        twice_until - START
+    );
+    // If the child moves back, its old relay counts it once.
     left.record(at, report("a", 3, 5));
     left.record(at + ms(1), report("a", 3, 5));
     assert_eq!(left.sums(at + ms(1), &state()).children, 1);
 }
 
 #[test]
-fn sums_of_sums_are_as_of_all() {
+fn sums_through_relays_equal_direct_sums() {
     let (mut all, mut top) = (Reports::new(), Reports::new());
     for relay in 0..7 {
         let mut reports = Reports::new();
@@ -151,7 +159,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_whatever_is_told() {
+fn memory_for_reports_is_bounded() {
     let mut reports = Reports::new();
     for number in 0..MAX_CHILDREN as u64 + 10 {
         let mut report = report(&format!("{number}{}", "x".repeat(1000)), number, 5);
@@ -166,14 +174,14 @@
     assert_eq!(fleet.older + fleet.versions.values().sum::<u64>(), MAX_CHILDREN as u64);
     assert_eq!(sums.laggards.len(), MAX_NAMED);
     assert!(sums.laggards.iter().all(|laggard| laggard.who.len() == MAX_TEXT_BYTES));
-    // There is room again once some are silent.
+    // A new child is accepted once others are silent.
     let later = START + SILENT_AFTER + Duration::from_secs(1);
     reports.record(later, report("late", 3, 5));
     assert_eq!(reports.sums(later, &state()).children, 1);
 
-    let endless = Sums { children: u64::MAX, silent_names: vec!["x".repeat(9999).into(); 99], ..sums };
+    let oversized = Sums { children: u64::MAX, silent_names: vec!["x".repeat(9999).into(); 99], ..sums };
     for number in 0..2 * MAX_RELAYS {
-        reports.record_sums(later, &format!("relay {number}"), &endless);
+        reports.record_sums(later, &format!("relay {number}"), &oversized);
     }
     let sums = reports.sums(later, &state());
     assert_eq!(sums.children, u64::MAX);
