--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,5 @@
 //! Capacity planning: the plan of the fleet, measured costs of the programs, simulated fleets, and the page that compares
-//! needs with budgets. It is a tool of the repository; the balancer contains nothing of it.
+//! needs with budgets. The crate is a development tool of this repository; the balancer does not depend on it.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -23,7 +23,7 @@
 pub mod sockets;
 pub mod world;
 
-/// Faults of a plan, each on a line of its own and indented after the first.
+/// Joins faults of a plan into one text, one fault per line, with every line but the first indented by two spaces.
 fn lines(faults: &[PlanFault]) -> String {
     faults.iter().map(PlanFault::to_string).collect::<Vec<_>>().join("\n  ")
 }
@@ -31,55 +31,55 @@
 /// Errors that end a run of the tool.
 #[derive(Debug, Error)]
 pub enum CapacityError {
-    /// A text that cannot be parsed.
+    /// A text could not be parsed; the field is the parser's message.
     #[error("{0}")]
     Text(String),
-    /// A file that cannot be read, written or parsed.
+    /// A file could not be read, written or parsed.
     #[error("{path}: {cause}")]
     File {
-        /// The path of the file.
+        /// Path of the file.
         path: String,
-        /// The cause.
+        /// Message of the underlying error.
         cause: String,
     },
-    /// The plan contradicts itself.
+    /// Figures of the plan contradict each other or are out of range; all faults are listed.
     #[error("the plan contradicts itself:\n  {}", lines(.0))]
     Plan(Vec<PlanFault>),
-    /// An argument outside its range.
+    /// A command-line argument is outside its range.
     #[error("--{name}: {expected}")]
     Argument {
-        /// The name of the argument, without its dashes.
+        /// Name of the argument, without its leading dashes.
         name: &'static str,
-        /// The values that are accepted.
+        /// Description of the values that the argument accepts.
         expected: String,
     },
-    /// The run exceeded its memory limit.
-    #[error("{place}: the run uses {used_mb} MB, over its bound of {bound_mb} MB")]
+    /// A run exceeded its memory limit.
+    #[error("{place}: the run uses {used_mb} MB, over its limit of {bound_mb} MB")]
     Memory {
-        /// The play that was running.
+        /// Name of the scenario run that was in progress.
         place: String,
-        /// Resident memory of the run, in MB.
+        /// Resident memory of the tool's process, in MB.
         used_mb: u64,
-        /// The memory limit, in MB.
+        /// Memory limit of the run, in MB.
         bound_mb: u64,
     },
-    /// A step of the run failed.
+    /// A step of a run failed.
     #[error("{place}: {cause}")]
     Run {
-        /// The step.
+        /// Name of the step that failed.
         place: String,
-        /// The cause.
+        /// Message of the underlying error.
         cause: String,
     },
 }
 
 impl CapacityError {
-    /// A failure to read, write or parse `path`.
+    /// Returns the error for a failure to read, write or parse the file at `path`.
     pub fn file(path: &Path, cause: impl Display) -> Self {
         Self::File { path: path.display().to_string(), cause: cause.to_string() }
     }
 
-    /// A failure of the step that `place` names.
+    /// Returns the error for a failure of the step that `place` names.
     pub fn run(place: impl Into<String>, cause: impl Display) -> Self {
         Self::Run { place: place.into(), cause: cause.to_string() }
     }
--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the capacity tool.
+//! Command line of the capacity tool.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,13 +7,13 @@
 use capacity::{CapacityError, control, decisions, depth, hollow, latency, page, process, real, sockets};
 use clap::{Parser, Subcommand};
 
-/// Plays and measures the fleet to come, and writes its capacity page.
+/// Simulates and measures the planned fleet, and generates its capacity page.
 ///
-/// Exit codes: 0 done; 1 the run failed, with the place in the last line; 2 bad arguments.
+/// Exit codes: 0 success; 1 the run failed, and the last line on standard error names the step; 2 invalid arguments.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// The plan of the fleet.
+    /// Path of the plan file (TOML).
     #[arg(long, global = true, default_value = "crates/capacity/plan.toml")]
     plan: PathBuf,
     #[command(subcommand)]
@@ -22,7 +22,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Checks the plan and prints what follows from it.
+    /// Checks the plan, and prints its figures and the values derived from them.
     Plan,
     Decisions(decisions::Arguments),
     Hollow(hollow::Arguments),
