--- a/crates/capacity/src/main.rs
+++ b/crates/capacity/src/main.rs
@@ -39,7 +39,7 @@
     match run(&Arguments::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("scale: {error}");
+            eprintln!("capacity: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of the fleet to come: figures with where they are from, checked as a whole, and what follows from them.
+//! Plan of the future fleet: its figures with their sources, read from a TOML file and validated together, and the values
+//! derived from them.
 
 use std::fmt::Debug;
 use std::fs;
@@ -12,43 +13,43 @@
 
 pub use checks::PlanFault;
 
-/// Where a figure is from.
+/// Source of a figure of the plan.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
-    /// It was asked for.
+    /// The figure is a requirement.
     Given,
-    /// It is ours, and may be wrong.
+    /// The figure is an estimate of this project and may be wrong.
     Assumed,
 }
 
-/// A figure of the plan.
+/// A figure of the plan as it is read from the file.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Figure<T> {
-    /// Its value.
+    /// Value of the figure.
     pub value: T,
-    /// Where it is from.
+    /// Source of the figure.
     pub from: Source,
-    /// What it counts.
+    /// Unit of the value, with what it counts.
     pub unit: String,
-    /// Why this much.
+    /// Reason for the value; empty where the file gives none.
     #[serde(default)]
     pub why: String,
 }
 
-/// A figure of the plan as text, for the page and the command line.
+/// A figure of the plan as text, for the generated page and the command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PrintedFigure {
-    /// Its place in the file.
+    /// Key of the figure in the plan file, as `section.name`.
     pub place: String,
-    /// Its value.
+    /// Value of the figure, without a trailing `.0`.
     pub value: String,
-    /// Where it is from.
+    /// Source of the figure.
     pub from: Source,
-    /// What it counts.
+    /// Unit of the value, with what it counts.
     pub unit: String,
-    /// Why this much.
+    /// Reason for the value; empty where the file gives none.
     pub why: String,
 }
 
@@ -65,6 +66,7 @@
     }
 }
 
+/// Defines a section of the plan file as a struct of figures, with a method that prints them in field order.
 macro_rules! section {
     ($(#[$about:meta])* $name:ident { $($(#[$doc:meta])* $field:ident: $type:ty),+ $(,)? }) => {
         $(#[$about])*
@@ -83,225 +85,226 @@
 }
 
 section! {
-    /// How many there are, and where.
+    /// Size of the fleet, and its distribution over regions, zones and racks.
     Fleet {
-        /// Upstreams, each with its balancer.
+        /// Number of upstream processes, each with its own balancer.
         upstreams: usize,
-        /// Services.
+        /// Number of services.
         services: usize,
-        /// Regions.
+        /// Number of regions.
         regions: usize,
-        /// Zones in all.
+        /// Number of zones in all regions together.
         zones: usize,
-        /// Zones of each region.
+        /// Number of zones in each region.
         zones_by_region: Vec<usize>,
-        /// Part of the upstreams in each region.
+        /// Fraction of the upstreams in each region, 0 to 1.
         region_shares: Vec<f64>,
-        /// Exponent by which services shrink with their rank.
+        /// Exponent of the service sizes: the service of rank r has a size in proportion to `r.powf(-size_skew)`.
         size_skew: f64,
-        /// Upstreams that fail with one rack.
+        /// Number of upstreams that fail when one rack fails.
         machines_per_rack: usize,
     }
 }
 
 section! {
-    /// Who calls whom.
+    /// Call graph of the services.
     Graph {
-        /// Calls in a chain at most.
+        /// Maximum number of calls in a chain, which is also the number of tiers.
         depth: usize,
-        /// Services that one service calls, on average.
+        /// Mean number of services that one service calls.
         destinations_mean: f64,
-        /// The same at most.
+        /// Maximum number of services that one service calls.
         destinations_most: usize,
-        /// Part of the services at each depth, the front first.
+        /// Fraction of the services at each depth of the call graph, 0 to 1; the front comes first.
         services_by_depth: Vec<f64>,
-        /// Calls in all for one at the front, where the rate is read as over all hops.
+        /// Calls over all hops that one call at the front causes; used where `traffic.calls_per_s` counts all hops.
         hops_per_call: f64,
     }
 }
 
 section! {
-    /// What they carry.
+    /// Traffic of the fleet, and the limits on its latency and retries.
     Traffic {
-        /// Calls a second, read in two ways.
+        /// Calls per second, counted at the front or over all hops (see [`Reading`]).
         calls_per_s: f64,
-        /// The busiest balancer over the mean.
+        /// Call rate of the busiest balancer as a multiple of the mean rate.
         busiest_over_mean: f64,
-        /// Work of one call, in ms of a core.
+        /// Processor time of one call in ms, without the calls that it makes in turn.
         work_ms: f64,
-        /// How long a client waits, in seconds.
+        /// Time that a client at the front waits for an answer, in seconds.
         deadline_s: f64,
-        /// The latency objective, in seconds: an answer after it counts as late.
+        /// Latency objective at the front, in seconds: a later answer counts as late.
         aim_s: f64,
-        /// Tenants at the front.
+        /// Number of tenants at the front.
         tenants: usize,
-        /// Repeats by a client at most.
+        /// Maximum number of times that a client repeats a failed call.
         client_repeats: u32,
-        /// Attempts by a balancer at most.
+        /// Maximum number of attempts that a balancer makes for one call.
         attempts: u32,
-        /// Time added to a call at most, in ms...
+        /// Maximum time that a balancer may add to a call, in ms, at the quantile `added_quantile`.
         added_ms: f64,
-        /// ...for this part of the calls.
+        /// Quantile of the calls for which `added_ms` must hold.
         added_quantile: f64,
-        /// What a service can carry, in its usual load.
+        /// Load that a service can carry, as a multiple of its usual load.
         headroom: f64,
     }
 }
 
 section! {
-    /// Delays one way, in ms.
+    /// One-way network delays, in ms.
     Network {
-        /// Within a zone.
+        /// One-way delay within a zone, in ms.
         zone_ms: f64,
-        /// Between zones of a region.
+        /// One-way delay between zones of a region, in ms.
         region_ms: f64,
-        /// Between regions.
+        /// One-way delay between regions, in ms.
         far_ms: f64,
     }
 }
 
 section! {
-    /// The list of upstreams on the wire.
+    /// The upstream list as it is sent to balancers.
     List {
-        /// Bytes of an entry.
+        /// Bytes of one upstream's entry in the list.
         entry_bytes: usize,
-        /// Seconds between signs of life.
+        /// Interval between the heartbeats (empty lines) of a watch, in seconds.
         beat_s: f64,
-        /// Lines that the replacement of an upstream makes.
+        /// Number of list updates (lines) that the replacement of an upstream causes.
         lines_per_replacement: f64,
-        /// Lines that the failure of an upstream makes, with its return.
+        /// Number of list updates (lines) that the failure of an upstream and its return cause.
         lines_per_failure: f64,
-        /// Seconds between renewals by a registrant.
+        /// Interval between the renewals of a registrant's entry, in seconds.
         renew_s: f64,
     }
 }
 
 section! {
-    /// Configuration and how it changes.
+    /// Configuration documents, and how they change.
     Configuration {
-        /// Changes a day.
+        /// Number of configuration changes per day.
         changes_per_day: f64,
-        /// Seconds until a change is in force everywhere.
+        /// Time within which a change must be in force everywhere, in seconds.
         in_force_s: f64,
-        /// Changes in the busiest minute.
+        /// Number of changes in the busiest minute.
         peak_per_minute: f64,
-        /// Part of the changes that are for the fleet, a region, a service.
+        /// Fractions of the changes that concern the whole fleet, one region and one service, in this order.
         scope_shares: Vec<f64>,
-        /// Changes that come together, on average.
+        /// Mean number of changes that are published together.
         bunch: f64,
-        /// Bytes of the fleet's document.
+        /// Bytes of the document for the whole fleet.
         fleet_bytes: usize,
-        /// Bytes of a region's document.
+        /// Bytes of the document of one region.
         region_bytes: usize,
-        /// Bytes of a service's document.
+        /// Bytes of the document of one service.
         service_bytes: usize,
     }
 }
 
 section! {
-    /// What control may cost.
+    /// Resource budgets of the control traffic: upstream lists and configuration.
     Budget {
-        /// Part of a core, a balancer.
+        /// Fraction of a core that control may use in one balancer.
         core_share: f64,
-        /// MB, a balancer.
+        /// Memory that control may use in one balancer, in MB.
         memory_mb: f64,
-        /// Bytes a second, a balancer.
+        /// Bytes per second that control may send and receive in one balancer.
         bytes_per_s: f64,
-        /// Machines reserved for control.
+        /// Number of machines reserved for control.
         control_machines: usize,
-        /// Cores of each.
+        /// Cores of one control machine.
         machine_cores: f64,
-        /// MB of each.
+        /// Memory of one control machine, in MB.
         machine_memory_mb: f64,
-        /// Bytes a second of each.
+        /// Network capacity of one control machine, in bytes per second.
         machine_bytes_per_s: f64,
     }
 }
 
 section! {
-    /// How the control machines are dealt.
+    /// Number of control machines in each role.
     Deal {
-        /// Those that accept publications.
+        /// Number of origins, which accept publications.
         origins: usize,
-        /// Replicas of the origin that can take over.
+        /// Number of standbys: replicas of the origin that can take over from it.
         standbys: usize,
-        /// One a region.
+        /// Number of relays that serve a region, in all regions together.
         region_relays: usize,
-        /// Those that serve the balancers of a zone.
+        /// Number of relays that serve the balancers of a zone, in all zones together.
         zone_relays: usize,
     }
 }
 
 section! {
-    /// What fails, and how often.
+    /// Failures that are planned for, and how often they happen.
     Failures {
-        /// Machines that fail on an ordinary day.
+        /// Number of machines that fail on an ordinary day.
         machines_per_day: f64,
-        /// Machines restarted or replaced on an ordinary day.
+        /// Number of planned restarts or replacements of machines on an ordinary day.
         replaced_per_day: f64,
-        /// Racks a year.
+        /// Number of rack failures per year.
         racks_per_year: f64,
-        /// Zones a year.
+        /// Number of zone failures per year.
         zones_per_year: f64,
-        /// Cuts between regions a year.
+        /// Number of network partitions between regions per year.
         region_cuts_per_year: f64,
-        /// Seconds of the cut that is planned for.
+        /// Duration of the network partition of a region that is planned for, in seconds.
         region_cut_s: f64,
-        /// Seconds in which everything is replaced.
+        /// Time in which a rolling replacement replaces every upstream, in seconds.
         replace_all_s: f64,
     }
 }
 
-/// The whole plan.
+/// The plan file with all its sections.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// How many there are, and where.
+    /// Size of the fleet, and its distribution over regions, zones and racks.
     pub fleet: Fleet,
-    /// Who calls whom.
+    /// Call graph of the services.
     pub graph: Graph,
-    /// What they carry.
+    /// Traffic of the fleet, and the limits on its latency and retries.
     pub traffic: Traffic,
-    /// Delays.
+    /// One-way network delays.
     pub network: Network,
-    /// The list on the wire.
+    /// The upstream list as it is sent to balancers.
     pub list: List,
-    /// Configuration and how it changes.
+    /// Configuration documents, and how they change.
     pub configuration: Configuration,
-    /// What control may cost.
+    /// Resource budgets of the control traffic.
     pub budget: Budget,
-    /// How the control machines are dealt.
+    /// Number of control machines in each role.
     pub deal: Deal,
-    /// What fails.
+    /// Failures that are planned for, and how often they happen.
     pub failures: Failures,
 }
 
-/// Upstreams of a plan at most, so that a mistyped figure does not use up the memory.
+/// Maximum number of upstreams in a plan, so that a mistyped figure cannot exhaust memory.
 const UPSTREAMS_MOST: usize = 1_000_000;
 
-/// How "calls a second" is read.
+/// Interpretation of `traffic.calls_per_s`, which the requirement leaves open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
-    /// Calls at the front, each then `depth` calls in all.
+    /// The rate counts calls at the front; each of them causes `graph.depth` calls over all hops.
     Front,
-    /// Calls over all hops.
+    /// The rate counts the calls over all hops.
     Hops,
 }
 
-/// What of a change of configuration concerns one balancer, on average.
+/// Share of one configuration change that falls on one balancer, on average.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct OwnChange {
-    /// Part of the changes that concern it, 0 to 1.
+    /// Fraction of the changes that concern the balancer, 0 to 1.
     pub part: f64,
-    /// Bytes of documents that it is sent for one change.
+    /// Mean bytes of documents that the balancer receives per change, counting changes that do not concern it as 0.
     pub bytes: f64,
 }
 
 impl Plan {
-    /// Reads and checks the plan.
+    /// Reads and validates the plan file at `path`.
     ///
     /// # Errors
-    /// The file cannot be read or is malformed, or the plan contradicts itself: all faults at once, each with its place.
+    /// The file cannot be read or is malformed, or its figures contradict each other. In the last case the error lists all
+    /// faults, each with the key of its figure.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         let text = fs::read_to_string(path).map_err(|cause| CapacityError::file(path, cause))?;
         Self::parse(&text).map_err(|error| match error {
@@ -310,17 +313,17 @@
         })
     }
 
-    /// The same from its text.
+    /// Parses and validates the text of a plan file.
     ///
     /// # Errors
-    /// As for [`Self::read`].
+    /// The text is malformed, or its figures contradict each other, as for [`Self::read`].
     pub fn parse(text: &str) -> Result<Self, CapacityError> {
         let plan: Self = toml::from_str(text).map_err(|cause| CapacityError::Text(cause.to_string()))?;
         let faults = plan.faults();
         if faults.is_empty() { Ok(plan) } else { Err(CapacityError::Plan(faults)) }
     }
 
-    /// All its figures as text, in the order of the file.
+    /// Returns all figures of the plan as text, in the order of the sections and fields of this module.
     #[must_use]
     pub fn printed(&self) -> Vec<PrintedFigure> {
         let mut printed = Vec::new();
@@ -336,7 +339,7 @@
         printed
     }
 
-    /// Calls a second over all hops.
+    /// Returns the calls per second over all hops.
     #[must_use]
     pub fn hops_per_s(&self, reading: Reading) -> f64 {
         match reading {
@@ -345,7 +348,7 @@
         }
     }
 
-    /// Calls a second at the front.
+    /// Returns the calls per second at the front.
     #[must_use]
     pub fn front_per_s(&self, reading: Reading) -> f64 {
         match reading {
@@ -354,20 +357,20 @@
         }
     }
 
-    /// Calls a second that a balancer carries at the mean.
+    /// Returns the calls per second of a balancer, as the mean over all balancers.
     #[must_use]
     pub fn mean_rate(&self, reading: Reading) -> f64 {
         self.hops_per_s(reading) / self.fleet.upstreams.value as f64
     }
 
-    /// Calls a second that the busiest balancer carries.
+    /// Returns the calls per second of the busiest balancer.
     #[must_use]
     pub fn busiest_rate(&self, reading: Reading) -> f64 {
         self.mean_rate(reading) * self.traffic.busiest_over_mean.value
     }
 
-    /// What an upstream of a tier carries, in the mean of all: of each tier where all calls go to the full depth, then of
-    /// the front where the rate is over all hops.
+    /// Returns the load of an upstream of each tier as a multiple of the mean load over all upstreams: first for each
+    /// tier if all calls go to the full depth, and then for the front if the rate is counted over all hops.
     fn tiers_over_mean(&self) -> Vec<f64> {
         let Graph { depth, services_by_depth, hops_per_call, .. } = &self.graph;
         let deep = services_by_depth.value.iter().map(|share| 1.0 / (depth.value as f64 * share.max(1e-9)));
@@ -376,20 +379,20 @@
         deep.chain(front).collect()
     }
 
-    /// Upstreams of the services at the front.
+    /// Returns the number of upstreams of the services at the front, at least 1.
     #[must_use]
     pub fn fronts(&self) -> f64 {
         let share = self.graph.services_by_depth.value.first().copied().unwrap_or(1.0);
         (self.fleet.upstreams.value as f64 * share).max(1.0)
     }
 
-    /// Upstreams of the largest region.
+    /// Returns the number of upstreams of the largest region.
     #[must_use]
     pub fn largest_region(&self) -> f64 {
         self.fleet.upstreams.value as f64 * self.fleet.region_shares.value.iter().copied().fold(0.0, f64::max)
     }
 
-    /// Upstreams of the largest zone: zones of a region are alike.
+    /// Returns the number of upstreams of the largest zone. All zones of a region are taken to be of the same size.
     #[must_use]
     pub fn largest_zone(&self) -> f64 {
         let regions = self.fleet.region_shares.value.iter().zip(&self.fleet.zones_by_region.value);
@@ -397,7 +400,7 @@
         self.fleet.upstreams.value as f64 * shares.fold(0.0, f64::max)
     }
 
-    /// Bytes of all documents: the fleet's, each region's, each service's.
+    /// Returns the bytes of all documents together: the fleet's, each region's and each service's.
     #[must_use]
     pub fn documents_bytes(&self) -> f64 {
         let Configuration { fleet_bytes, region_bytes, service_bytes, .. } = &self.configuration;
@@ -406,14 +409,14 @@
             + self.fleet.services.value * service_bytes.value) as f64
     }
 
-    /// Bytes of the documents that one balancer uses.
+    /// Returns the bytes of the documents that one balancer uses: the fleet's, its region's and its service's.
     #[must_use]
     pub fn own_documents_bytes(&self) -> f64 {
         let Configuration { fleet_bytes, region_bytes, service_bytes, .. } = &self.configuration;
         (fleet_bytes.value + region_bytes.value + service_bytes.value) as f64
     }
 
-    /// Bytes of the document of a change, on average.
+    /// Returns the mean bytes of the document that a change replaces.
     #[must_use]
     pub fn change_bytes(&self) -> f64 {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
@@ -422,7 +425,8 @@
         scope_shares.value.iter().zip(bytes).map(|(share, bytes)| share * bytes as f64).sum()
     }
 
-    /// What of a change concerns one balancer, on average: regions and services change alike.
+    /// Returns the share of one change that falls on one balancer, on average. All regions are taken to change equally
+    /// often, and so are all services.
     #[must_use]
     pub fn own_change(&self) -> OwnChange {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
@@ -434,21 +438,22 @@
         OwnChange { part: parts.sum(), bytes: lengths.sum() }
     }
 
-    /// Balancers that a change of configuration concerns, on average.
+    /// Returns the mean number of balancers that a configuration change concerns.
     #[must_use]
     pub fn balancers_per_change(&self) -> f64 {
         self.own_change().part * self.fleet.upstreams.value as f64
     }
 
-    /// How long a call is in flight where no service is in trouble, in seconds: all tiers work, and each has its way there
-    /// and back.
+    /// Returns the time that a call at the front is in flight while no service is faulty, in seconds: the sum over all
+    /// tiers of the processor time and of the network delay to the tier and back.
     #[must_use]
     pub fn call_in_flight_s(&self) -> f64 {
         self.graph.depth.value as f64 * (self.traffic.work_ms.value + 2.0 * self.network.region_ms.value)
             / 1000.0
     }
 
-    /// Upstreams of each service, the largest first: skewed, one at least each, and all of them in sum.
+    /// Returns the number of upstreams of each service, the largest service first. Sizes follow `fleet.size_skew`, each
+    /// service has at least one upstream, and the sum is `fleet.upstreams`.
     #[must_use]
     pub fn service_sizes(&self) -> Vec<usize> {
         let (services, upstreams) = (self.fleet.services.value, self.fleet.upstreams.value);
@@ -456,7 +461,7 @@
             (1..=services).map(|rank| (rank as f64).powf(-self.fleet.size_skew.value)).collect();
         let spare = (upstreams - services) as f64;
         let all: f64 = weights.iter().sum();
-        // Cut where the running sum passes whole numbers, so that the parts make the whole.
+        // The running sum of the exact sizes is rounded down, so that the whole-numbered sizes add up to the total.
         let (mut sum, mut before) = (0.0, 0);
         weights
             .iter()
@@ -470,7 +475,7 @@
             .collect()
     }
 
-    /// Bytes of the whole list of the fleet.
+    /// Returns the bytes of the complete upstream list of the fleet.
     #[must_use]
     pub fn whole_list_bytes(&self) -> usize {
         self.fleet.upstreams.value * self.list.entry_bytes.value
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -1,27 +1,28 @@
-//! What the figures of a plan must satisfy together. A plan that contradicts itself would give figures that look sound, so
-//! that all its faults are named at once, each with its place, before anything is played.
+//! Validation of a plan. A plan whose figures contradict each other would give results that look sound, so a plan is
+//! validated before any simulation or measurement, and all faults are reported together, each with the key of its figure.
 
 use thiserror::Error;
 
 use super::{Deal, Plan, UPSTREAMS_MOST};
 
-/// Difference from 1 up to which shares count as a whole: decimal fractions do not sum up exactly.
+/// Tolerance for the sum of fractions that must be 1: decimal fractions do not add up exactly in binary floating point.
 const WHOLE_WITHIN: f64 = 1e-6;
 
-/// A figure of a plan that contradicts another one, or is out of its range.
+/// A fault of a plan: a figure that contradicts another one or is out of its range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{place}: {expected}")]
 pub struct PlanFault {
-    /// The figure's place in the plan's file, as `section.name`.
+    /// Key of the figure in the plan file, as `section.name`; `deal` for the sum of that section.
     pub place: &'static str,
-    /// What is expected there.
+    /// Description of the values that the figure may have.
     pub expected: &'static str,
 }
 
-/// The faults found so far.
+/// Collects the faults that the checks of a plan find.
 struct Faults(Vec<PlanFault>);
 
 impl Faults {
+    /// Records a fault at `place` unless the condition `holds`.
     fn want(&mut self, holds: bool, place: &'static str, expected: &'static str) {
         if !holds {
             self.0.push(PlanFault { place, expected });
@@ -29,13 +30,14 @@
     }
 }
 
+/// Returns whether `shares` are fractions of 0 to 1 whose sum is 1.
 fn is_whole(shares: &[f64]) -> bool {
     shares.iter().all(|share| (0.0..=1.0).contains(share))
         && (shares.iter().sum::<f64>() - 1.0).abs() < WHOLE_WITHIN
 }
 
 impl Plan {
-    /// All faults of the plan, in the order of its sections; figures that must be positive come last.
+    /// Returns all faults of the plan: first those of each section, then figures that must be positive and are not.
     pub(super) fn faults(&self) -> Vec<PlanFault> {
         let mut faults = Faults(Vec::new());
         self.check_fleet(&mut faults);
@@ -168,7 +170,7 @@
         );
     }
 
-    /// The figures that must be positive, with their places.
+    /// Returns the figures that must be positive, each with its key in the plan file.
     fn positive(&self) -> [(&'static str, f64); 30] {
         let Self { traffic, network, list, configuration, budget, failures, .. } = self;
         [
