--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -1,4 +1,5 @@
-//! What each role needs at the size of the plan: from the plan's figures and the measured slopes, against its budget.
+//! Resource needs of each role (balancer, control machine, operator and so on) at the size of the plan, calculated from
+//! the plan's figures and the measured slopes, and compared with the role's budget.
 
 use std::path::Path;
 
@@ -20,10 +21,11 @@
 mod operator;
 mod role;
 
-/// Memory is measured in KiB, and budgets are in MB.
+/// Converts memory from KiB, the unit of the measurements, to MB, the unit of the budgets.
 const MB_PER_KIB: f64 = 1.024e-3;
 
-/// All needs on one occasion, always in the same order.
+/// Returns the needs of all roles in the load scenario `on`. The order of the rows is the same for every scenario.
+/// `tree` is the checkout in which mechanisms are looked up.
 #[must_use]
 pub fn needs(plan: &Plan, on: &Occasion, tree: &Path) -> Vec<Need> {
     let mut rows = Vec::new();
--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -1,4 +1,5 @@
-//! Needs of control: what lists and configuration cost a balancer, the machines that spread them, and a registrant.
+//! Needs of the control traffic: the cost of upstream lists and configuration for a balancer, for the control machines
+//! that distribute them, and for a registrant.
 
 use super::MB_PER_KIB;
 use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, Mechanism, ORIGIN, RELAY};
@@ -7,18 +8,25 @@
 use super::role::Role;
 use crate::plan::Plan;
 
-/// Bytes of an empty line of a watch as one chunk of HTTP/1.1.
+/// Bytes of a watch's heartbeat, which is an empty line sent as one chunk of HTTP/1.1.
 const BEAT_BYTES: f64 = 6.0;
 
-/// What lists and configuration cost on the wire on an occasion, for so many balancers, in bytes a second.
+/// Network traffic of upstream lists and configuration for a number of watchers in a load scenario, in bytes per second
+/// unless a field says otherwise.
 struct Traffic {
+    /// Measured parts of the list traffic: idle watches, updates and whole lists.
     list: [Term; 3],
+    /// Estimate of the list traffic from the plan alone, used while a slope of `list` is missing.
     list_reckoned: f64,
+    /// Measured parts of the configuration traffic: idle watches and changes.
     configuration: [Term; 2],
-    /// What is by the plan in either case: documents caught up with, and those longer than the measured one.
+    /// Configuration traffic that always follows from the plan: documents sent to catch up, and the difference in
+    /// length between the changed documents and the measured one.
     configuration_plain: f64,
+    /// Estimate of all configuration traffic from the plan alone, used while a slope of `configuration` is missing.
     configuration_reckoned: f64,
-    /// Changes a second that they receive, with those that they catch up with.
+    /// Configuration changes per second that the watchers receive. A watcher that catches up receives one more within
+    /// `configuration.in_force_s`.
     changes_received: f64,
 }
 
@@ -28,7 +36,7 @@
         let within = plan.configuration.in_force_s.value;
         let beat = BEAT_BYTES / plan.list.beat_s.value;
         let whole = plan.whole_list_bytes() as f64;
-        // The measured change is one of the fleet's document.
+        // The slope was measured with changes of the fleet's document, so longer documents add their difference.
         let longer = on.changes * (on.own_bytes - on.own * plan.configuration.fleet_bytes.value as f64);
         let caught_up = on.caught_up / within;
         let lines = on.lines * plan.list.entry_bytes.value as f64;
@@ -56,10 +64,13 @@
     }
 }
 
-/// What the control of a balancer, or a control machine, may use: bytes a second, cores and MB, as rows take them.
+/// Budget of a balancer's control traffic or of a control machine.
 struct Budget {
+    /// Network budget, in bytes per second.
     bytes: Option<f64>,
+    /// Processor budget, in cores.
     core: Option<f64>,
+    /// Memory budget, in MB.
     memory: Option<f64>,
 }
 
@@ -83,21 +94,28 @@
     }
 }
 
-/// What the control of one balancer costs on an occasion: the parts of which the rows of its clients, and of both
-/// together, are made.
+/// Costs of the control traffic of one balancer in a load scenario. The rows of its list client, of its configuration
+/// client and of both together are made from these parts.
 struct BalancerControl {
+    /// Network traffic of the balancer's two clients.
     traffic: Traffic,
-    /// Bytes of the whole list.
+    /// Bytes of the complete upstream list.
     whole: f64,
-    /// Bytes of the documents that it uses.
+    /// Bytes of the documents that the balancer uses.
     own_documents: f64,
+    /// Processor time of the list client, in cores.
     list_core: [Term; 3],
+    /// Processor time of the configuration client, in cores.
     configuration_core: [Term; 2],
+    /// Memory of the process with the complete upstream list, in MB.
     list_memory: [Term; 1],
+    /// Memory of the configuration client, in MB.
     configuration_memory: [Term; 1],
+    /// Budget of the balancer's control traffic.
     budget: Budget,
 }
 
+/// Adds the rows for the control traffic of one balancer.
 pub(super) fn balancer_control(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
     let control = BalancerControl::of(plan, on);
     control.list_client(rows);
@@ -139,6 +157,7 @@
         }
     }
 
+    /// Adds the rows of the list client.
     fn list_client(&self, rows: &mut Vec<Need>) {
         let mut role = Role {
             name: "balancer, its list client",
@@ -174,6 +193,7 @@
         );
     }
 
+    /// Adds the rows of the configuration client.
     fn configuration_client(&self, rows: &mut Vec<Need>) {
         let mut role = Role {
             name: "balancer, its configuration",
@@ -210,6 +230,7 @@
         .instead = Some(3.0 * self.own_documents / 1e6);
     }
 
+    /// Adds the rows of both clients together.
     fn both(&self, rows: &mut Vec<Need>) {
         let mut role = Role {
             name: "balancer, all its control",
@@ -241,9 +262,10 @@
     }
 }
 
+/// Adds the rows of the control machines: origin, standby, relays and the list service.
 pub(super) fn control_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
     let documents = plan.documents_bytes();
-    // A relay asks for all scopes and catches up with all documents at worst, a balancer for its own.
+    // A relay watches all scopes and at worst catches up with all documents; a balancer, only with those of its scopes.
     let for_relays = Occasion {
         own: 1.0,
         own_bytes: plan.change_bytes().max(on.own_bytes),
@@ -278,19 +300,22 @@
     list_machines(plan, on, rows);
 }
 
-/// A machine that spreads the configuration.
+/// A control machine that distributes the configuration.
 struct ConfigurationMachine {
+    /// Name of the machine's role.
     name: &'static str,
+    /// Program that provides the role.
     mechanism: Mechanism,
-    /// What goes between it and relays, the one above among them.
+    /// Traffic between the machine and relays, including the machine's own parent.
     to_relays: Traffic,
-    /// What goes between it and balancers.
+    /// Traffic between the machine and balancers.
     to_balancers: Traffic,
-    /// Relays and balancers that watch it.
+    /// Number of relays and balancers that watch the machine.
     children: f64,
 }
 
 impl ConfigurationMachine {
+    /// Adds the rows of the machine.
     fn rows(&self, plan: &Plan, rows: &mut Vec<Need>) {
         let Budget { bytes, core, memory } = Budget::of_machine(plan);
         let &Self { name, mechanism, ref to_relays, ref to_balancers, children } = self;
@@ -331,7 +356,7 @@
     }
 }
 
-/// The service that hands out lists, on the machines of the zone relays.
+/// Adds the rows of the service that distributes upstream lists, which runs on the machines of the zone relays.
 fn list_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
     let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let mut role = Role {
@@ -373,6 +398,7 @@
     );
 }
 
+/// Adds the rows of a registrant, which keeps one entry of the upstream list registered.
 pub(super) fn registrant(plan: &Plan, rows: &mut Vec<Need>) {
     let entry = plan.list.entry_bytes.value as f64;
     let mut role =
--- a/crates/capacity/src/arithmetic/data_path.rs
+++ b/crates/capacity/src/arithmetic/data_path.rs
@@ -1,4 +1,4 @@
-//! Needs of the data path: a balancer and a front at their rates, and one call over all tiers.
+//! Needs of the data path: a balancer and a front at their call rates, and one call over all tiers.
 
 use super::MB_PER_KIB;
 use super::mechanism::DECISIONS;
@@ -7,6 +7,7 @@
 use super::role::Role;
 use crate::plan::{Plan, Reading};
 
+/// Adds the rows of the balancer role `name`, which carries `rate` calls per second on an ordinary day.
 pub(super) fn data_path(
     plan: &Plan,
     on: &Occasion,
@@ -66,6 +67,7 @@
     );
 }
 
+/// Adds the rows of one call that passes through all tiers.
 pub(super) fn all_tiers(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
     let mut role = Role {
         name: "one call, over all tiers",
--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -1,4 +1,4 @@
-//! All that has been measured: slopes and tables of results, read from their folders, and looked up by name and size.
+//! Store of the measured slopes and result tables: reads them from their folders, and looks costs up by name and size.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -8,37 +8,37 @@
 use crate::CapacityError;
 use crate::slope::{Results, Slope};
 
-/// All that has been measured, by name.
+/// The measured slopes and result tables.
 #[derive(Debug, Default)]
 pub struct Measured {
-    /// Slopes.
+    /// Measured slopes by name.
     pub slopes: BTreeMap<String, Slope>,
-    /// Tables of what was played.
+    /// Result tables of scenario runs by name.
     pub results: BTreeMap<String, Results>,
 }
 
-/// The cost that a slope gives at a size.
+/// Cost of a slope at a size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostAt {
-    /// The cost, in the slope's unit.
+    /// Cost in the slope's `y_unit`.
     pub cost: f64,
-    /// How many times past the largest size played the size lies; 1 within.
+    /// Ratio of the size to the largest measured size; 1 where the size is not beyond the largest.
     pub times_past: f64,
 }
 
-/// The worst of the plays of a figure.
+/// Largest value of a figure over all runs of a scenario.
 pub(super) struct Worst {
-    /// The figure, in the unit of the need.
+    /// Value of the figure in the unit of the need.
     pub(super) value: f64,
-    /// How many plays there are.
+    /// Number of runs that the value is the largest of.
     pub(super) plays: usize,
 }
 
 impl Measured {
-    /// Reads the folders `slopes` and `results` of a folder; nothing where they are missing.
+    /// Reads the subfolders `slopes` and `results` of `folder`. A missing subfolder counts as empty.
     ///
     /// # Errors
-    /// A file makes no sense, or is of another name than what it holds.
+    /// A file cannot be read or parsed, or its name differs from the name of the slope or table in it.
     pub fn read(folder: &Path) -> Result<Self, CapacityError> {
         let (slopes, results) = (folder.join("slopes"), folder.join("results"));
         Ok(Self {
@@ -47,8 +47,9 @@
         })
     }
 
-    /// The cost at a size: measured where the size lies between two that were played, by the fit otherwise. `None` where
-    /// it is not measured or has no fit there.
+    /// Returns the cost of the slope `name` at the size `x`. The cost is the measured one at a measured size, is
+    /// interpolated between two measured sizes, and comes from the linear fit otherwise. Returns `None` if there is no
+    /// such slope, or if the size is outside the measured range and the slope has no fit.
     #[must_use]
     pub fn at(&self, name: &str, x: f64) -> Option<CostAt> {
         let slope = self.slopes.get(name)?;
@@ -67,7 +68,7 @@
         slope.fit.map(|fit| CostAt { cost: fit.at(x).max(0.0), times_past })
     }
 
-    /// The worst of a figure's plays; `None` where there are none.
+    /// Returns the largest value of a figure over the runs in its result table, or `None` if the table has no such run.
     pub(super) fn worst(&self, played: Played) -> Option<Worst> {
         let table = self.results.get(played.results)?;
         let at = table.columns.iter().position(|column| column == played.column)?;
@@ -77,7 +78,7 @@
         Some(Worst { value: worst * played.times, plays: figures.len() })
     }
 
-    /// The cost that a slope gives, read in this way.
+    /// Returns the cost that the slope `name` gives when it is read in the way of `read`.
     pub(super) fn read_as(&self, name: &str, read: Read) -> Option<CostAt> {
         match read {
             Read::At(x) => self.at(name, x),
@@ -93,7 +94,8 @@
         }
     }
 
-    /// What to say of a slope that gave no figure.
+    /// Describes why the slope `name` gave no cost: its name alone if it is not measured, or else its largest measured
+    /// size and the missing fit.
     pub(super) fn gap(&self, name: &str) -> String {
         match self.slopes.get(name) {
             None => name.to_owned(),
@@ -102,6 +104,7 @@
     }
 }
 
+/// Reads all JSON files of `folder` into a map by name, and checks that each file's name is the name of its content.
 fn named<T>(
     folder: &Path,
     read: fn(&Path, &str) -> Result<T, CapacityError>,
--- a/crates/capacity/src/arithmetic/mechanism.rs
+++ b/crates/capacity/src/arithmetic/mechanism.rs
@@ -1,22 +1,22 @@
-//! What carries a need. A claim that a mechanism is there holds only while its code is: each of ours is known by a line of
-//! its file.
+//! Mechanisms that provide for a need. A mechanism of this repository counts as present only while its code is there,
+//! which is recognized by a line in its source file.
 
 use std::fs;
 use std::path::Path;
 
-/// What carries a need: ours, known by what its file says, or the platform's.
+/// Mechanism that provides for a need: code of this repository, or a service of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// A type or function of this repository.
     Ours {
-        /// Crate and type.
+        /// Crate and item, as the page names them.
         what: &'static str,
-        /// Its file.
+        /// Path of the source file that defines the item, relative to the root of the checkout.
         file: &'static str,
-        /// What stands in the file if it is there.
+        /// Text that the source file contains if the item is present.
         sign: &'static str,
     },
-    /// Not of this repository.
+    /// A service of the platform outside this repository; the field is its name on the page.
     Platform(&'static str),
 }
 
@@ -54,7 +54,8 @@
 pub(super) const LIST_SERVICE: Mechanism = Mechanism::Platform("the platform's discovery, none of ours");
 
 impl Mechanism {
-    /// Its name, where it is there; `None` where nothing carries the need today.
+    /// Returns the name of the mechanism if it is present in the checkout `tree`, and `None` if nothing provides for
+    /// the need today. Services of the platform always count as present.
     #[must_use]
     pub fn carried(self, tree: &Path) -> Option<&'static str> {
         match self {
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -1,31 +1,32 @@
-//! What a role needs of something, how the figure is made from the plan and the measured slopes, and on which basis.
+//! Needs of the roles: how the figure of a need is calculated from the plan and the measured slopes, and on which basis
+//! it rests.
 
 use super::measured::{CostAt, Measured, Worst};
 use super::mechanism::Mechanism;
 
-/// What a row counts.
+/// Kind of cost that a row counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cost {
     /// Bytes or entries that have to be stored.
     State,
-    /// What goes over its connections.
+    /// Data or calls that go over the role's connections.
     Messages,
-    /// Processor time.
+    /// Processor time, in cores.
     Processor,
-    /// Memory.
+    /// Memory, in MB.
     Memory,
-    /// Time until something holds, or that is added to a call.
+    /// Time until a state is reached, time added to a call, or time left of its deadline.
     Time,
-    /// Attempts that one call becomes.
+    /// Attempts that one call at the front causes at the deepest tier.
     Repeats,
     /// Calls that are refused or fail.
     Refusals,
-    /// Processes started anew.
+    /// Process restarts.
     Restarts,
 }
 
 impl Cost {
-    /// As the page says it.
+    /// Returns the name of the kind of cost on the generated page.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -41,25 +42,25 @@
     }
 }
 
-/// What is asked for, over the roles.
+/// Requirement on the fleet. The needs of several roles can belong to one requirement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Requirement {
-    /// A change of configuration comes to be in force.
+    /// A configuration change is in force everywhere in time and without a restart.
     Configuration,
-    /// Lists reach every balancer.
+    /// Upstream lists reach every balancer, also all balancers at once.
     Lists,
-    /// Repeats stay bounded.
+    /// Repeated attempts stay bounded over all tiers.
     Repeats,
-    /// Time added to a call.
+    /// The time that a balancer adds to a call stays within its limit.
     Added,
-    /// A process carries its calls.
+    /// One process carries its rate of calls.
     Calls,
-    /// Control of one balancer stays in its budget.
+    /// The control traffic of one balancer stays within its budget.
     Control,
 }
 
 impl Requirement {
-    /// As the page says it.
+    /// Returns the description of the requirement on the generated page.
     #[must_use]
     pub fn text(self) -> &'static str {
         match self {
@@ -75,105 +76,106 @@
     }
 }
 
-/// How a slope is read.
+/// Way of reading a cost from a slope.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Read {
-    /// The cost at a size.
+    /// The cost at this size.
     At(f64),
-    /// The cost at a size, less that at the smallest size played.
+    /// The cost at this size, minus the cost at the smallest measured size.
     Beyond(f64),
-    /// The cost of one more, by the fit.
+    /// The cost of one additional unit of size, which is the gradient of the linear fit.
     OneMore,
 }
 
-/// A measured part of a need.
+/// Part of a need that is calculated from a measured slope.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Term {
-    /// The slope's name.
+    /// Name of the slope.
     pub slope: &'static str,
-    /// How it is read.
+    /// Way of reading the cost from the slope.
     pub read: Read,
-    /// How often it counts, with the units changed.
+    /// Factor on the cost, including the conversion from the slope's unit to the unit of the need.
     pub times: f64,
 }
 
 impl Term {
-    /// A term of a slope, read in this way and counted so often.
+    /// Creates the term that reads `slope` in the way of `read` and multiplies the cost by `times`.
     pub(super) const fn of(slope: &'static str, read: Read, times: f64) -> Self {
         Self { slope, read, times }
     }
 }
 
-/// A figure of a table of results: the worst of its plays.
+/// Reference to a figure of a result table. The figure is the largest value over the runs in the matching rows.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Played {
-    /// The table's name.
+    /// Name of the result table.
     pub results: &'static str,
-    /// What stands in the first cell of its rows.
+    /// Text of the first cell of the matching rows.
     pub row: &'static str,
-    /// The head of its column.
+    /// Heading of the column that holds the figure.
     pub column: &'static str,
-    /// How often it counts, with the units changed.
+    /// Factor on the figure, including the conversion from the table's unit to the unit of the need.
     pub times: f64,
 }
 
-/// What a role needs of something.
+/// Need of a role for one kind of cost: a row of the page.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Need {
-    /// Whose.
+    /// Name of the role that has the need.
     pub role: &'static str,
-    /// Of what.
+    /// Kind of cost that the role needs.
     pub cost: Cost,
-    /// How the figure is made.
+    /// Description of how the figure is calculated, as the page shows it.
     pub formula: &'static str,
-    /// Where it was played as such, which goes before its slopes.
+    /// Result of scenario runs that measured the figure directly; if present, it takes precedence over `terms`.
     pub played: Option<Played>,
-    /// Of the figure.
+    /// Unit of the figure.
     pub unit: &'static str,
-    /// What follows from the plan alone.
+    /// Part of the figure that follows from the plan alone.
     pub plain: f64,
-    /// What has to be measured.
+    /// Parts of the figure that are calculated from measured slopes.
     pub terms: Vec<Term>,
-    /// How many times past what was played it lies in another way than by its slopes' sizes, such as by rate; 1 within.
+    /// Extrapolation factor in a dimension other than the sizes of the slopes, such as the call rate: the ratio of the
+    /// need's value to the measured one, 1 where it is not beyond.
     pub past: f64,
-    /// What arithmetic on the plan gives instead, where a slope is missing.
+    /// Estimate of the figure from the plan alone, used where a slope is missing.
     pub instead: Option<f64>,
-    /// What it may be; `None` where nobody gave one.
+    /// Budget of the figure in its unit; `None` where no budget is set.
     pub budget: Option<f64>,
-    /// What carries it.
+    /// Mechanism that provides for the need.
     pub mechanism: Mechanism,
-    /// What it is part of.
+    /// Requirement that the need belongs to.
     pub requirement: Requirement,
 }
 
-/// What a figure rests on.
+/// Basis of a figure.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Basis {
-    /// From the plan by arithmetic, in place of these slopes if any is missing.
+    /// Calculated from the plan alone; the field describes the missing slopes in whose place it was calculated, if any.
     Reckoned(Vec<String>),
-    /// Played as such: the worst of so many plays.
+    /// Measured directly in scenario runs; the field is the number of runs, of which the figure is the largest value.
     Played(usize),
-    /// Between measured sizes.
+    /// Calculated from slopes, without extrapolation beyond the measured sizes.
     Measured,
-    /// By fits, this many times past the largest size played.
+    /// Extrapolated with linear fits; the field is the ratio to the largest measured size.
     Extrapolated(f64),
-    /// These slopes are missing.
+    /// Not calculated, because slopes are missing; the field describes them.
     NotMeasured(Vec<String>),
 }
 
-/// A figure with its basis.
+/// Calculated figure of a need, with its basis.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Figure {
-    /// The figure, unless it is not measured.
+    /// Value of the figure in the unit of the need; `None` if it is not measured.
     pub value: Option<f64>,
-    /// In parts of the budget.
+    /// Ratio of the value to the budget; `None` without a value or a budget.
     pub ratio: Option<f64>,
-    /// What it rests on.
+    /// Basis of the value.
     pub basis: Basis,
 }
 
 impl Need {
-    /// What would break the figure.
+    /// Describes the circumstances in which the figure would no longer hold.
     #[must_use]
     pub fn breaks(&self) -> &'static str {
         let of = |start: &str| self.terms.iter().any(|term| term.slope.starts_with(start));
@@ -202,7 +204,7 @@
         }
     }
 
-    /// The figure that the measurements give.
+    /// Calculates the figure of the need from the measurements.
     #[must_use]
     pub fn figure(&self, measured: &Measured) -> Figure {
         if let Some(Worst { value, plays }) = self.played.and_then(|played| measured.worst(played)) {
--- a/crates/capacity/src/arithmetic/occasion.rs
+++ b/crates/capacity/src/arithmetic/occasion.rs
@@ -1,57 +1,58 @@
-//! The ordinary day and the peaks. A control plane that is sized for the mean fails when a zone comes back or a peak of
-//! changes comes, so that each need is reckoned on every one of these.
+//! Load scenarios: the ordinary day and the peaks. A control plane that is sized for the mean load fails when a zone
+//! recovers or at a peak of changes, so each need is calculated for every scenario.
 
 use crate::plan::{OwnChange, Plan};
 
-/// The plan gives figures of an ordinary day by the day; rates here are by the second.
+/// Seconds of a day: the plan gives the figures of an ordinary day per day, and rates here are per second.
 const DAY_S: f64 = 86400.0;
 
-/// When: the ordinary day or a peak. Figures a second are over the window.
+/// Load scenario for which needs are calculated: the ordinary day or a peak. Rates are means over its duration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Occasion {
-    /// Its name.
+    /// Name of the scenario.
     pub name: &'static str,
-    /// What it is, with the plan's figures.
+    /// Description of the scenario, with figures of the plan.
     pub what: String,
-    /// Lines of the list that a balancer receives, a second.
+    /// Updates (lines) of the upstream list per second that a balancer receives.
     pub lines: f64,
-    /// Whole lists that a balancer receives in the time that a change has.
+    /// Whole lists that a balancer receives within `configuration.in_force_s`; less than 1 if only some of the entries
+    /// are sent as a list.
     pub wholes: f64,
-    /// Changes of configuration a second.
+    /// Configuration changes per second in the whole fleet.
     pub changes: f64,
-    /// How long changes come at this pace, in seconds.
+    /// Duration for which configuration changes come at this rate, in seconds.
     pub lasts_s: f64,
-    /// Part of a change that concerns one balancer.
+    /// Fraction of the configuration changes that concern one balancer, 0 to 1.
     pub own: f64,
-    /// Bytes of a change for one balancer.
+    /// Mean bytes that one balancer receives per configuration change, counting changes that do not concern it as 0.
     pub own_bytes: f64,
-    /// Bytes of documents that a balancer catches up with in the time that a change has.
+    /// Bytes of documents that a balancer catches up with within `configuration.in_force_s`.
     pub caught_up: f64,
-    /// Calls of a balancer, in those of the ordinary day.
+    /// Call rate of a balancer as a multiple of its rate on the ordinary day.
     pub rate: f64,
-    /// How long a call is in flight at a balancer, in seconds.
+    /// Time that a call is in flight at a balancer, in seconds.
     pub call_in_flight_s: f64,
-    /// Balancers behind one relay of a zone.
+    /// Number of balancers that watch one relay of a zone.
     pub zone_children: f64,
-    /// Children of one relay of a region.
+    /// Number of relays and balancers that watch one relay of a region.
     pub region_children: f64,
-    /// Children of the origin.
+    /// Number of relays and standbys that watch the origin.
     pub origin_children: f64,
-    /// Whether a tier is in trouble, so that calls are repeated.
+    /// Whether a tier is faulty, so that calls are repeated.
     pub trouble: bool,
 }
 
-/// Relays of one zone.
+/// Returns the number of relays in one zone.
 fn relays_of_zone(plan: &Plan) -> f64 {
     plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64
 }
 
 impl Occasion {
-    /// The ordinary day and the peaks.
+    /// Returns all scenarios: the ordinary day first, then the peaks.
     #[must_use]
     pub fn all(plan: &Plan) -> Vec<Self> {
         let day = Self::ordinary_day(plan);
-        // Balancers that come back ask for a whole list and their documents.
+        // Balancers that reconnect request a whole list and their documents.
         let back = Self { wholes: 1.0, caught_up: plan.own_documents_bytes(), ..day.clone() };
         vec![
             day.clone(),
--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -1,4 +1,4 @@
-//! Needs of the operator who publishes a change, up to the time until it is in force.
+//! Needs of the operator who publishes a configuration change, including the time until the change is in force.
 
 use std::path::Path;
 
@@ -8,6 +8,7 @@
 use super::role::Role;
 use crate::plan::Plan;
 
+/// Adds the rows of the operator who publishes configuration changes.
 pub(super) fn operator(plan: &Plan, on: &Occasion, tree: &Path, rows: &mut Vec<Need>) {
     let changes = &plan.configuration;
     let mut role = Role {
@@ -45,7 +46,8 @@
     restarts(plan, on, tree, &mut role);
 }
 
-/// The time until a change is in force everywhere, played as such where a scenario over sockets is this occasion.
+/// Adds the row of the time until a change is in force everywhere. The figure was measured directly if the load
+/// scenario `on` is one of those that the `sockets` command runs.
 fn time_in_force(plan: &Plan, on: &Occasion, role: &mut Role) {
     role.row(
         Cost::Time,
@@ -69,9 +71,10 @@
     });
 }
 
-/// The restarts that changes would cost, were there no balancer that takes them in.
+/// Adds the row of the restarts that configuration changes would require if balancers could not apply a configuration
+/// while they run.
 fn restarts(plan: &Plan, on: &Occasion, tree: &Path, role: &mut Role) {
-    // A balancer that takes in a configuration while it serves is what spares the restarts.
+    // No restart is needed if balancers can apply a configuration while they serve calls.
     let carried = CONFIGURATION_CLIENT.carried(tree).is_some();
     role.mechanism = CONFIGURATION_CLIENT;
     role.row(
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,5 +1,5 @@
-//! Capacity planning: the plan of the fleet, measured costs of the programs, simulated fleets, and the page that compares
-//! needs with budgets. The crate is a development tool of this repository; the balancer does not depend on it.
+//! Capacity planning: the plan of the fleet, measured costs of the programs, simulated fleets, and the page that
+//! compares needs with budgets. The crate is a development tool of this repository; the balancer does not depend on it.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -58,7 +58,7 @@
     Memory {
         /// Name of the scenario run that was in progress.
         place: String,
-        /// Resident memory of the tool's process, in MB.
+        /// Resident memory of the tool and of the processes that the run started, in MB.
         used_mb: u64,
         /// Memory limit of the run, in MB.
         bound_mb: u64,
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -1,5 +1,5 @@
-//! Plan of the future fleet: its figures with their sources, read from a TOML file and validated together, and the values
-//! derived from them.
+//! Plan of the future fleet: its figures with their sources, read from a TOML file and validated together, and the
+//! values derived from them.
 
 use std::fmt::Debug;
 use std::fs;
@@ -303,8 +303,8 @@
     /// Reads and validates the plan file at `path`.
     ///
     /// # Errors
-    /// The file cannot be read or is malformed, or its figures contradict each other. In the last case the error lists all
-    /// faults, each with the key of its figure.
+    /// The file cannot be read or is malformed, or its figures contradict each other. In the last case the error lists
+    /// all faults, each with the key of its figure.
     pub fn read(path: &Path) -> Result<Self, CapacityError> {
         let text = fs::read_to_string(path).map_err(|cause| CapacityError::file(path, cause))?;
         Self::parse(&text).map_err(|error| match error {
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -1,5 +1,5 @@
 //! Validation of a plan. A plan whose figures contradict each other would give results that look sound, so a plan is
-//! validated before any simulation or measurement, and all faults are reported together, each with the key of its figure.
+//! validated before any simulation or measurement. All faults are reported together, each with the key of its figure.
 
 use thiserror::Error;
 
