--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -43,7 +43,7 @@
         cause: String,
     },
     /// Figures of the plan contradict each other or are out of range; all faults are listed.
-    #[error("the plan contradicts itself:\n  {}", lines(.0))]
+    #[error("the plan is invalid:\n  {}", lines(.0))]
     Plan(Vec<PlanFault>),
     /// A command-line argument is outside its range.
     #[error("--{name}: {expected}")]
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -10,7 +10,7 @@
 
 /// A fault of a plan: a figure that contradicts another one or is out of its range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("{place}: {expected}")]
+#[error("{place}: expected {expected}")]
 pub struct PlanFault {
     /// Key of the figure in the plan file, as `section.name`; `deal` for the sum of that section.
     pub place: &'static str,
@@ -46,20 +46,20 @@
         self.check_configuration(&mut faults);
         self.check_deal(&mut faults);
         for (place, value) in self.positive() {
-            faults.want(value.is_finite() && value > 0.0, place, "above 0");
+            faults.want(value.is_finite() && value > 0.0, place, "greater than 0");
         }
         faults.0
     }
 
     fn check_fleet(&self, faults: &mut Faults) {
         let Self { fleet, .. } = self;
-        faults.want(fleet.services.value >= 1, "fleet.services", "one at least");
+        faults.want(fleet.services.value >= 1, "fleet.services", "at least 1");
         faults.want(
             fleet.upstreams.value >= fleet.services.value,
             "fleet.upstreams",
-            "one for each service at least",
+            "at least fleet.services, one for each service",
         );
-        faults.want(fleet.regions.value >= 1, "fleet.regions", "one at least");
+        faults.want(fleet.regions.value >= 1, "fleet.regions", "at least 1");
         faults.want(
             fleet.zones_by_region.value.len() == fleet.regions.value,
             "fleet.zones_by_region",
@@ -69,12 +69,12 @@
             fleet.zones_by_region.value.iter().all(|&zones| zones > 0)
                 && fleet.zones_by_region.value.iter().sum::<usize>() == fleet.zones.value,
             "fleet.zones_by_region",
-            "one at least in each, and fleet.zones in all",
+            "at least 1 in each entry, with the sum fleet.zones",
         );
         faults.want(
             fleet.region_shares.value.len() == fleet.regions.value && is_whole(&fleet.region_shares.value),
             "fleet.region_shares",
-            "as many entries as fleet.regions, 1 in all",
+            "as many entries as fleet.regions, each 0 to 1, with the sum 1",
         );
         faults.want((0.0..=3.0).contains(&fleet.size_skew.value), "fleet.size_skew", "0 to 3");
         faults.want(
@@ -82,22 +82,22 @@
             "fleet.machines_per_rack",
             "1 to fleet.upstreams",
         );
-        faults.want(fleet.upstreams.value <= UPSTREAMS_MOST, "fleet.upstreams", "1000000 at most");
+        faults.want(fleet.upstreams.value <= UPSTREAMS_MOST, "fleet.upstreams", "at most 1000000");
     }
 
     fn check_graph(&self, faults: &mut Faults) {
         let Self { fleet, graph, .. } = self;
-        faults.want(graph.depth.value >= 1, "graph.depth", "one at least");
+        faults.want(graph.depth.value >= 1, "graph.depth", "at least 1");
         faults.want(
             graph.services_by_depth.value.len() == graph.depth.value
                 && is_whole(&graph.services_by_depth.value),
             "graph.services_by_depth",
-            "as many entries as graph.depth, 1 in all",
+            "as many entries as graph.depth, each 0 to 1, with the sum 1",
         );
         faults.want(
             graph.destinations_most.value < fleet.services.value.max(2),
             "graph.destinations_most",
-            "under fleet.services",
+            "less than fleet.services",
         );
         faults.want(
             (1.0..=graph.destinations_most.value as f64).contains(&graph.destinations_mean.value),
@@ -116,20 +116,20 @@
         faults.want(
             (0.0..1.0).contains(&traffic.added_quantile.value),
             "traffic.added_quantile",
-            "0 to under 1",
+            "at least 0 and less than 1",
         );
         faults.want(
             traffic.aim_s.value <= traffic.deadline_s.value,
             "traffic.aim_s",
-            "not over traffic.deadline_s",
+            "at most traffic.deadline_s",
         );
-        faults.want(traffic.attempts.value >= 1, "traffic.attempts", "one at least");
-        faults.want(traffic.tenants.value >= 1, "traffic.tenants", "one at least");
-        faults.want(traffic.headroom.value >= 1.0, "traffic.headroom", "not under 1");
+        faults.want(traffic.attempts.value >= 1, "traffic.attempts", "at least 1");
+        faults.want(traffic.tenants.value >= 1, "traffic.tenants", "at least 1");
+        faults.want(traffic.headroom.value >= 1.0, "traffic.headroom", "at least 1");
         faults.want(
             self.tiers_over_mean().into_iter().all(|tier| tier <= traffic.busiest_over_mean.value),
             "traffic.busiest_over_mean",
-            "not under the mean of a tier, by graph.services_by_depth and the calls that it gets",
+            "at least the load of each tier over the mean, by graph.services_by_depth and the calls per tier",
         );
     }
 
@@ -138,35 +138,35 @@
         faults.want(
             configuration.peak_per_minute.value >= configuration.changes_per_day.value / 1440.0,
             "configuration.peak_per_minute",
-            "not under the mean minute of configuration.changes_per_day",
+            "at least the mean number of changes per minute, configuration.changes_per_day / 1440",
         );
-        faults.want(list.entry_bytes.value >= 1, "list.entry_bytes", "one at least");
+        faults.want(list.entry_bytes.value >= 1, "list.entry_bytes", "at least 1");
         faults.want(
             configuration.scope_shares.value.len() == 3 && is_whole(&configuration.scope_shares.value),
             "configuration.scope_shares",
-            "three entries, 1 in all",
+            "three entries, each 0 to 1, with the sum 1",
         );
     }
 
     fn check_deal(&self, faults: &mut Faults) {
         let Self { fleet, budget, deal, .. } = self;
         let Deal { origins, standbys, region_relays, zone_relays } = deal;
-        faults.want(origins.value >= 1, "deal.origins", "one at least");
+        faults.want(origins.value >= 1, "deal.origins", "at least 1");
         faults.want(
             origins.value + standbys.value + region_relays.value + zone_relays.value
                 == budget.control_machines.value,
             "deal",
-            "budget.control_machines in all",
+            "a sum of machines equal to budget.control_machines",
         );
         faults.want(
             region_relays.value.is_multiple_of(fleet.regions.value.max(1)) && region_relays.value > 0,
             "deal.region_relays",
-            "the same number in each of fleet.regions",
+            "a positive multiple of fleet.regions, for the same number in each region",
         );
         faults.want(
             zone_relays.value.is_multiple_of(fleet.zones.value.max(1)) && zone_relays.value > 0,
             "deal.zone_relays",
-            "the same number in each of fleet.zones",
+            "a positive multiple of fleet.zones, for the same number in each zone",
         );
     }
 
