--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -2,53 +2,59 @@
 //! that distribute them, and for a registrant.
 
 use super::MB_PER_KIB;
+use super::load_scenario::Occasion;
 use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, Mechanism, ORIGIN, RELAY};
 use super::need::{Cost, Need, Read, Requirement, Term};
-use super::occasion::Occasion;
 use super::role::Role;
 use crate::plan::Plan;
 
 /// Bytes of a watch's heartbeat, which is an empty line sent as one chunk of HTTP/1.1.
-const BEAT_BYTES: f64 = 6.0;
+const HEARTBEAT_BYTES: f64 = 6.0;
 
 /// Network traffic of upstream lists and configuration for a number of watchers in a load scenario, in bytes per second
 /// unless a field says otherwise.
-struct Traffic {
+struct ControlTraffic {
     /// Measured parts of the list traffic: idle watches, updates and whole lists.
     list: [Term; 3],
     /// Estimate of the list traffic from the plan alone, used while a slope of `list` is missing.
-    list_reckoned: f64,
+    list_estimate: f64,
     /// Measured parts of the configuration traffic: idle watches and changes.
     configuration: [Term; 2],
     /// Configuration traffic that always follows from the plan: documents sent to catch up, and the difference in
     /// length between the changed documents and the measured one.
-    configuration_plain: f64,
+    configuration_from_plan: f64,
     /// Estimate of all configuration traffic from the plan alone, used while a slope of `configuration` is missing.
-    configuration_reckoned: f64,
+    configuration_estimate: f64,
     /// Configuration changes per second that the watchers receive. A watcher that catches up receives one more within
     /// `configuration.in_force_s`.
     changes_received: f64,
 }
 
-impl Traffic {
-    fn of(plan: &Plan, on: &Occasion, balancers: f64) -> Self {
+impl ControlTraffic {
+    fn of(plan: &Plan, scenario: &Occasion, balancers: f64) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
-        let within = plan.configuration.in_force_s.value;
-        let beat = BEAT_BYTES / plan.list.beat_s.value;
-        let whole = plan.whole_list_bytes() as f64;
+        let time_limit_s = plan.configuration.in_force_s.value;
+        let heartbeats = HEARTBEAT_BYTES / plan.list.beat_s.value;
+        let list_bytes = plan.whole_list_bytes() as f64;
         // The slope was measured with changes of the fleet's document, so longer documents add their difference.
-        let longer = on.changes * (on.own_bytes - on.own * plan.configuration.fleet_bytes.value as f64);
-        let caught_up = on.caught_up / within;
-        let lines = on.lines * plan.list.entry_bytes.value as f64;
-        let wholes = on.wholes / within;
-        let changes = on.changes * on.own;
+        let extra_bytes = scenario.changes
+            * (scenario.bytes_per_balancer
+                - scenario.concerned_fraction * plan.configuration.fleet_bytes.value as f64);
+        let catch_up_bytes = scenario.catch_up_bytes / time_limit_s;
+        let lines = scenario.lines * plan.list.entry_bytes.value as f64;
+        let whole_lists = scenario.whole_lists / time_limit_s;
+        let changes = scenario.changes * scenario.concerned_fraction;
         Self {
             list: [
                 Term::of("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
-                Term::of("control.list_change_bytes_by_changes", Read::OneMore, balancers * on.lines),
-                Term::of("control.list_whole_bytes_by_upstreams", Read::At(upstreams), balancers * wholes),
+                Term::of("control.list_change_bytes_by_changes", Read::OneMore, balancers * scenario.lines),
+                Term::of(
+                    "control.list_whole_bytes_by_upstreams",
+                    Read::At(upstreams),
+                    balancers * whole_lists,
+                ),
             ],
-            list_reckoned: balancers * (beat + lines + wholes * whole),
+            list_estimate: balancers * (heartbeats + lines + whole_lists * list_bytes),
             configuration: [
                 Term::of("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
                 Term::of(
@@ -57,9 +63,11 @@
                     balancers * changes,
                 ),
             ],
-            configuration_plain: balancers * (longer + caught_up),
-            configuration_reckoned: balancers * (beat + on.changes * on.own_bytes + caught_up),
-            changes_received: balancers * (changes + if on.caught_up > 0.0 { 1.0 / within } else { 0.0 }),
+            configuration_from_plan: balancers * (extra_bytes + catch_up_bytes),
+            configuration_estimate: balancers
+                * (heartbeats + scenario.changes * scenario.bytes_per_balancer + catch_up_bytes),
+            changes_received: balancers
+                * (changes + if scenario.catch_up_bytes > 0.0 { 1.0 / time_limit_s } else { 0.0 }),
         }
     }
 }
@@ -98,9 +106,9 @@
 /// client and of both together are made from these parts.
 struct BalancerControl {
     /// Network traffic of the balancer's two clients.
-    traffic: Traffic,
+    traffic: ControlTraffic,
     /// Bytes of the complete upstream list.
-    whole: f64,
+    list_bytes: f64,
     /// Bytes of the documents that the balancer uses.
     own_documents: f64,
     /// Processor time of the list client, in cores.
@@ -116,22 +124,26 @@
 }
 
 /// Adds the rows for the control traffic of one balancer.
-pub(super) fn balancer_control(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
-    let control = BalancerControl::of(plan, on);
+pub(super) fn balancer_control(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
+    let control = BalancerControl::of(plan, scenario);
     control.list_client(rows);
     control.configuration_client(rows);
-    control.both(rows);
+    control.combined(rows);
 }
 
 impl BalancerControl {
-    fn of(plan: &Plan, on: &Occasion) -> Self {
+    fn of(plan: &Plan, scenario: &Occasion) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
-        let within = plan.configuration.in_force_s.value;
-        let traffic = Traffic::of(plan, on, 1.0);
+        let time_limit_s = plan.configuration.in_force_s.value;
+        let traffic = ControlTraffic::of(plan, scenario, 1.0);
         let list_core: [Term; 3] = [
             Term::of("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
-            Term::of("control.list_client_us_by_upstreams", Read::At(upstreams), on.wholes / within / 1e6),
-            Term::of("control.list_client_change_us_by_upstreams", Read::At(upstreams), on.lines / 1e6),
+            Term::of(
+                "control.list_client_us_by_upstreams",
+                Read::At(upstreams),
+                scenario.whole_lists / time_limit_s / 1e6,
+            ),
+            Term::of("control.list_client_change_us_by_upstreams", Read::At(upstreams), scenario.lines / 1e6),
         ];
         let configuration_core: [Term; 2] = [
             Term::of("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
@@ -147,7 +159,7 @@
             [Term::of("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
         Self {
             traffic,
-            whole: plan.whole_list_bytes() as f64,
+            list_bytes: plan.whole_list_bytes() as f64,
             own_documents: plan.own_documents_bytes(),
             list_core,
             configuration_core,
@@ -165,7 +177,7 @@
             requirement: Requirement::Lists,
             rows,
         };
-        role.row(Cost::State, "upstreams x bytes of an entry", "bytes", self.whole, &[], None);
+        role.row(Cost::State, "upstreams x bytes of an entry", "bytes", self.list_bytes, &[], None);
         role.row(
             Cost::Messages,
             "beats + lines/s x bytes of one + whole lists x their bytes / time that a change has",
@@ -174,7 +186,7 @@
             &self.traffic.list,
             self.budget.bytes,
         )
-        .instead = Some(self.traffic.list_reckoned);
+        .estimate = Some(self.traffic.list_estimate);
         role.row(
             Cost::Processor,
             "a process at rest + whole lists and lines/s taken in and decided on, at all upstreams",
@@ -206,11 +218,11 @@
             Cost::Messages,
             "beats and reports + changes/s for it x bytes of one + documents caught up with / time that a change has",
             "bytes/s",
-            self.traffic.configuration_plain,
+            self.traffic.configuration_from_plan,
             &self.traffic.configuration,
             self.budget.bytes,
         )
-        .instead = Some(self.traffic.configuration_reckoned);
+        .estimate = Some(self.traffic.configuration_estimate);
         role.row(
             Cost::Processor,
             "a client at rest + changes/s for it x time to take one in and report it",
@@ -227,77 +239,77 @@
             &self.configuration_memory,
             self.budget.memory,
         )
-        .instead = Some(3.0 * self.own_documents / 1e6);
+        .estimate = Some(3.0 * self.own_documents / 1e6);
     }
 
     /// Adds the rows of both clients together.
-    fn both(&self, rows: &mut Vec<Need>) {
+    fn combined(&self, rows: &mut Vec<Need>) {
         let mut role = Role {
             name: "balancer, all its control",
             mechanism: LIST_CLIENT,
             requirement: Requirement::Control,
             rows,
         };
-        role.row(Cost::State, "list + documents", "bytes", self.whole + self.own_documents, &[], None);
+        role.row(Cost::State, "list + documents", "bytes", self.list_bytes + self.own_documents, &[], None);
         role.row(
             Cost::Messages,
             "list + configuration",
             "bytes/s",
-            self.traffic.configuration_plain,
+            self.traffic.configuration_from_plan,
             &[&self.traffic.list[..], &self.traffic.configuration].concat(),
             self.budget.bytes,
         )
-        .instead = Some(self.traffic.list_reckoned + self.traffic.configuration_reckoned);
-        let both = [&self.list_core[..], &self.configuration_core].concat();
-        role.row(Cost::Processor, "list + configuration", "cores", 0.0, &both, self.budget.core);
-        let both = [&self.list_memory[..], &self.configuration_memory].concat();
+        .estimate = Some(self.traffic.list_estimate + self.traffic.configuration_estimate);
+        let combined = [&self.list_core[..], &self.configuration_core].concat();
+        role.row(Cost::Processor, "list + configuration", "cores", 0.0, &combined, self.budget.core);
+        let combined = [&self.list_memory[..], &self.configuration_memory].concat();
         role.row(
             Cost::Memory,
             "process + one more client of the configuration",
             "MB",
             0.0,
-            &both,
+            &combined,
             self.budget.memory,
         );
     }
 }
 
 /// Adds the rows of the control machines: origin, standby, relays and the list service.
-pub(super) fn control_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
+pub(super) fn control_machines(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
     let documents = plan.documents_bytes();
     // A relay watches all scopes and at worst catches up with all documents; a balancer, only with those of its scopes.
-    let for_relays = Occasion {
-        own: 1.0,
-        own_bytes: plan.change_bytes().max(on.own_bytes),
-        caught_up: if on.caught_up > 0.0 { documents } else { 0.0 },
-        ..on.clone()
+    let relay_scenario = Occasion {
+        concerned_fraction: 1.0,
+        bytes_per_balancer: plan.change_bytes().max(scenario.bytes_per_balancer),
+        catch_up_bytes: if scenario.catch_up_bytes > 0.0 { documents } else { 0.0 },
+        ..scenario.clone()
     };
     let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
     let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
-    let below_region = on.region_children.min(relays * zones);
+    let child_relays = scenario.region_children.min(relays * zones);
     let machine = |name, mechanism, relays: f64, balancers: f64, children: f64| ConfigurationMachine {
         name,
         mechanism,
-        to_relays: Traffic::of(plan, &for_relays, relays),
-        to_balancers: Traffic::of(plan, on, balancers),
+        to_relays: ControlTraffic::of(plan, &relay_scenario, relays),
+        to_balancers: ControlTraffic::of(plan, scenario, balancers),
         children,
     };
-    let in_region = on.region_children;
+    let in_region = scenario.region_children;
     for machine in [
-        machine("control: origin", ORIGIN, on.origin_children, 0.0, on.origin_children),
+        machine("control: origin", ORIGIN, scenario.origin_children, 0.0, scenario.origin_children),
         machine("control: standby of the origin", RELAY, 1.0, 0.0, 0.0),
         machine(
             "control: relay of a region",
             RELAY,
-            1.0 + below_region,
-            in_region - below_region,
-            below_region + (in_region - below_region),
+            1.0 + child_relays,
+            in_region - child_relays,
+            child_relays + (in_region - child_relays),
         ),
-        machine("control: relay of a zone", RELAY, 1.0, on.zone_children, on.zone_children),
+        machine("control: relay of a zone", RELAY, 1.0, scenario.zone_children, scenario.zone_children),
     ] {
         machine.rows(plan, rows);
     }
-    list_machines(plan, on, rows);
+    list_machines(plan, scenario, rows);
 }
 
 /// A control machine that distributes the configuration.
@@ -307,9 +319,9 @@
     /// Program that provides the role.
     mechanism: Mechanism,
     /// Traffic between the machine and relays, including the machine's own parent.
-    to_relays: Traffic,
+    to_relays: ControlTraffic,
     /// Traffic between the machine and balancers.
-    to_balancers: Traffic,
+    to_balancers: ControlTraffic,
     /// Number of relays and balancers that watch the machine.
     children: f64,
 }
@@ -325,11 +337,11 @@
             Cost::Messages,
             "its watches, above and below, x what each is told and reports",
             "bytes/s",
-            to_relays.configuration_plain + to_balancers.configuration_plain,
+            to_relays.configuration_from_plan + to_balancers.configuration_from_plan,
             &[to_relays.configuration, to_balancers.configuration].concat(),
             bytes,
         )
-        .instead = Some(to_relays.configuration_reckoned + to_balancers.configuration_reckoned);
+        .estimate = Some(to_relays.configuration_estimate + to_balancers.configuration_estimate);
         role.row(
             Cost::Processor,
             "its children's watches at rest + changes/s told, above and below, x time for one more told",
@@ -357,7 +369,7 @@
 }
 
 /// Adds the rows of the service that distributes upstream lists, which runs on the machines of the zone relays.
-fn list_machines(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
+fn list_machines(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
     let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let mut role = Role {
         name: "control: lists, on the zone relays' machines",
@@ -365,8 +377,8 @@
         requirement: Requirement::Lists,
         rows,
     };
-    let readers = on.zone_children.max(on.region_children);
-    let traffic = Traffic::of(plan, on, readers);
+    let readers = scenario.zone_children.max(scenario.region_children);
+    let traffic = ControlTraffic::of(plan, scenario, readers);
     role.row(Cost::State, "the whole list", "bytes", plan.whole_list_bytes() as f64, &[], None);
     role.row(
         Cost::Messages,
@@ -376,7 +388,7 @@
         &traffic.list,
         bytes,
     )
-    .instead = Some(traffic.list_reckoned);
+    .estimate = Some(traffic.list_estimate);
     role.row(
         Cost::Processor,
         "its readers' watches at rest, at a stand-in, + lines/s told",
@@ -384,7 +396,11 @@
         0.0,
         &[
             Term::of("control.list_server_core_by_watchers", Read::At(readers), 1.0),
-            Term::of("control.list_change_server_us_by_watchers", Read::OneMore, readers * on.lines / 1e6),
+            Term::of(
+                "control.list_change_server_us_by_watchers",
+                Read::OneMore,
+                readers * scenario.lines / 1e6,
+            ),
         ],
         core,
     );
@@ -412,8 +428,8 @@
         &[],
         Some(plan.budget.bytes_per_s.value),
     );
-    let unknown: [Term; 1] =
+    let renewal_core: [Term; 1] =
         [Term::of("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
-    role.row(Cost::Processor, "renewals", "cores", 0.0, &unknown, Some(plan.budget.core_share.value));
+    role.row(Cost::Processor, "renewals", "cores", 0.0, &renewal_core, Some(plan.budget.core_share.value));
     role.row(Cost::Memory, "its own entry", "MB", entry / 1e6, &[], Some(plan.budget.memory_mb.value));
 }
--- a/crates/capacity/src/arithmetic/data_path.rs
+++ b/crates/capacity/src/arithmetic/data_path.rs
@@ -1,24 +1,24 @@
 //! Needs of the data path: a balancer and a front at their call rates, and one call over all tiers.
 
 use super::MB_PER_KIB;
+use super::load_scenario::Occasion;
 use super::mechanism::DECISIONS;
 use super::need::{Cost, Need, Read, Requirement, Term};
-use super::occasion::Occasion;
 use super::role::Role;
 use crate::plan::{Plan, Reading};
 
 /// Adds the rows of the balancer role `name`, which carries `rate` calls per second on an ordinary day.
 pub(super) fn data_path(
     plan: &Plan,
-    on: &Occasion,
+    scenario: &Occasion,
     rows: &mut Vec<Need>,
     name: &'static str,
     rate: f64,
     tenants: f64,
     upstreams: f64,
 ) {
-    let rate = rate * on.rate;
-    let in_flight = rate * on.call_in_flight_s;
+    let rate = rate * scenario.rate;
+    let in_flight = rate * scenario.call_in_flight_s;
     let memory = plan.budget.memory_mb.value;
     let mut role = Role { name, mechanism: DECISIONS, requirement: Requirement::Calls, rows };
     role.row(
@@ -38,7 +38,7 @@
         &[Term::of("process.request_us_by_upstreams", Read::At(upstreams), rate / 1e6)],
         Some(1.0),
     )
-    .past = (rate / plan.mean_rate(Reading::Front)).max(1.0);
+    .extrapolation_ratio = (rate / plan.mean_rate(Reading::Front)).max(1.0);
     role.row(
         Cost::Memory,
         "process at all upstreams + tenants + calls held; budget: that of control, as none is given",
@@ -52,7 +52,7 @@
         Some(memory),
     );
     role.requirement = Requirement::Added;
-    let slope = match on.name {
+    let slope = match scenario.name {
         "the busiest minute of changes" => "latency.added_p99_us_by_rate_configuration",
         "ordinary day" => "latency.added_p99_us_by_rate",
         _ => "latency.added_p99_us_by_rate_list",
@@ -68,7 +68,7 @@
 }
 
 /// Adds the rows of one call that passes through all tiers.
-pub(super) fn all_tiers(plan: &Plan, on: &Occasion, rows: &mut Vec<Need>) {
+pub(super) fn all_tiers(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
     let mut role = Role {
         name: "one call, over all tiers",
         mechanism: DECISIONS,
@@ -78,9 +78,9 @@
     let depth = plan.graph.depth.value as f64;
     let headroom = Some(plan.traffic.headroom.value);
     let formula = "attempts at the deepest tier for one call at the front, while that tier fails all; reckoned: attempts to the power of depth";
-    if on.trouble {
+    if scenario.tier_faulty {
         let slope = Term::of("depth.attempts_by_depth", Read::At(depth), 1.0);
-        role.row(Cost::Repeats, formula, "attempts", 0.0, &[slope], headroom).instead =
+        role.row(Cost::Repeats, formula, "attempts", 0.0, &[slope], headroom).estimate =
             Some(f64::from(plan.traffic.attempts.value).powf(depth));
         role.row(
             Cost::Refusals,
--- a/crates/capacity/src/arithmetic/occasion.rs
+++ b/crates/capacity/src/arithmetic/load_scenario.rs
@@ -1,7 +1,7 @@
 //! Load scenarios: the ordinary day and the peaks. A control plane that is sized for the mean load fails when a zone
 //! recovers or at a peak of changes, so each need is calculated for every scenario.
 
-use crate::plan::{OwnChange, Plan};
+use crate::plan::{ChangePerBalancer, Plan};
 
 /// Seconds of a day: the plan gives the figures of an ordinary day per day, and rates here are per second.
 const DAY_S: f64 = 86400.0;
@@ -17,17 +17,17 @@
     pub lines: f64,
     /// Whole lists that a balancer receives within `configuration.in_force_s`; less than 1 if only some of the entries
     /// are sent as a list.
-    pub wholes: f64,
+    pub whole_lists: f64,
     /// Configuration changes per second in the whole fleet.
     pub changes: f64,
     /// Duration for which configuration changes come at this rate, in seconds.
-    pub lasts_s: f64,
+    pub duration_s: f64,
     /// Fraction of the configuration changes that concern one balancer, 0 to 1.
-    pub own: f64,
+    pub concerned_fraction: f64,
     /// Mean bytes that one balancer receives per configuration change, counting changes that do not concern it as 0.
-    pub own_bytes: f64,
+    pub bytes_per_balancer: f64,
     /// Bytes of documents that a balancer catches up with within `configuration.in_force_s`.
-    pub caught_up: f64,
+    pub catch_up_bytes: f64,
     /// Call rate of a balancer as a multiple of its rate on the ordinary day.
     pub rate: f64,
     /// Time that a call is in flight at a balancer, in seconds.
@@ -39,7 +39,7 @@
     /// Number of relays and standbys that watch the origin.
     pub origin_children: f64,
     /// Whether a tier is faulty, so that calls are repeated.
-    pub trouble: bool,
+    pub tier_faulty: bool,
 }
 
 /// Returns the number of relays in one zone.
@@ -53,23 +53,24 @@
     pub fn all(plan: &Plan) -> Vec<Self> {
         let day = Self::ordinary_day(plan);
         // Balancers that reconnect request a whole list and their documents.
-        let back = Self { wholes: 1.0, caught_up: plan.own_documents_bytes(), ..day.clone() };
+        let resync = Self { whole_lists: 1.0, catch_up_bytes: plan.own_documents_bytes(), ..day.clone() };
         vec![
             day.clone(),
             Self::rolling_replacement(plan, &day),
             Self::rack_lost(plan, &day),
-            Self::zone_lost(plan, &back),
-            Self::region_cut(plan, &back),
-            Self::control_machine_lost(plan, &back),
-            Self::control_zone_lost(plan, &back),
-            Self::reconnecting(plan, &back),
+            Self::zone_lost(plan, &resync),
+            Self::region_partition(plan, &resync),
+            Self::control_machine_lost(plan, &resync),
+            Self::control_zone_lost(plan, &resync),
+            Self::reconnecting(plan, &resync),
             Self::busiest_minute(plan, &day),
-            Self::cold(plan, &back),
+            Self::cold_start(plan, &resync),
         ]
     }
 
     fn ordinary_day(plan: &Plan) -> Self {
-        let OwnChange { part: own, bytes: own_bytes } = plan.own_change();
+        let ChangePerBalancer { fraction: concerned_fraction, bytes: bytes_per_balancer } =
+            plan.change_per_balancer();
         let zone = plan.largest_zone();
         let failures = &plan.failures;
         let list = &plan.list;
@@ -87,18 +88,18 @@
             lines: (failures.replaced_per_day.value * list.lines_per_replacement.value
                 + failures.machines_per_day.value * list.lines_per_failure.value)
                 / DAY_S,
-            wholes: 0.0,
+            whole_lists: 0.0,
             changes: plan.configuration.changes_per_day.value / DAY_S,
-            lasts_s: DAY_S,
-            own,
-            own_bytes,
-            caught_up: 0.0,
+            duration_s: DAY_S,
+            concerned_fraction,
+            bytes_per_balancer,
+            catch_up_bytes: 0.0,
             rate: 1.0,
             call_in_flight_s: plan.call_in_flight_s(),
             zone_children: zone / relays,
             region_children: zones * relays,
             origin_children: regions + plan.deal.standbys.value as f64,
-            trouble: false,
+            tier_faulty: false,
         }
     }
 
@@ -124,12 +125,12 @@
             lines: plan.fleet.machines_per_rack.value as f64 / within,
             rate: upstreams / (upstreams - plan.fleet.machines_per_rack.value as f64).max(1.0),
             call_in_flight_s: deadline,
-            trouble: true,
+            tier_faulty: true,
             ..day.clone()
         }
     }
 
-    fn zone_lost(plan: &Plan, back: &Self) -> Self {
+    fn zone_lost(plan: &Plan, resync: &Self) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let zone = plan.largest_zone();
         let within = plan.configuration.in_force_s.value;
@@ -140,15 +141,15 @@
                 "{zone:.0} upstreams gone at once; back, they ask for everything, and each entry is told once, listed or as a line"
             ),
             lines: zone / within,
-            wholes: 1.0 - zone / upstreams,
+            whole_lists: 1.0 - zone / upstreams,
             rate: upstreams / (upstreams - zone).max(1.0),
             call_in_flight_s: deadline,
-            trouble: true,
-            ..back.clone()
+            tier_faulty: true,
+            ..resync.clone()
         }
     }
 
-    fn region_cut(plan: &Plan, back: &Self) -> Self {
+    fn region_partition(plan: &Plan, resync: &Self) -> Self {
         let region = plan.largest_region();
         let deadline = plan.traffic.deadline_s.value;
         let cut = plan.failures.region_cut_s.value;
@@ -158,40 +159,40 @@
                 "{region:.0} upstreams cut off for {cut} s; back, each asks for a whole list and for the documents that changed, at most all it uses"
             ),
             call_in_flight_s: deadline,
-            trouble: true,
-            ..back.clone()
+            tier_faulty: true,
+            ..resync.clone()
         }
     }
 
-    fn control_machine_lost(plan: &Plan, back: &Self) -> Self {
+    fn control_machine_lost(plan: &Plan, resync: &Self) -> Self {
         let relays = relays_of_zone(plan);
         Self {
             name: "one control machine lost",
             what: "a relay of the largest zone; its readers go to the other, with a whole list each"
                 .to_owned(),
-            zone_children: if relays > 1.0 { back.zone_children * relays / (relays - 1.0) } else { 0.0 },
-            ..back.clone()
+            zone_children: if relays > 1.0 { resync.zone_children * relays / (relays - 1.0) } else { 0.0 },
+            ..resync.clone()
         }
     }
 
-    fn control_zone_lost(plan: &Plan, back: &Self) -> Self {
+    fn control_zone_lost(plan: &Plan, resync: &Self) -> Self {
         let zone = plan.largest_zone();
         let relays = relays_of_zone(plan);
         Self {
             name: "a zone of control machines lost",
             what: "both relays of the largest zone; its readers go to the region's, with a whole list each"
                 .to_owned(),
-            region_children: back.region_children - relays + zone,
-            ..back.clone()
+            region_children: resync.region_children - relays + zone,
+            ..resync.clone()
         }
     }
 
-    fn reconnecting(plan: &Plan, back: &Self) -> Self {
+    fn reconnecting(plan: &Plan, resync: &Self) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         Self {
             name: "all balancers reconnecting",
             what: format!("all {upstreams} at once, each for a whole list and its documents"),
-            ..back.clone()
+            ..resync.clone()
         }
     }
 
@@ -204,14 +205,14 @@
                 plan.configuration.peak_per_minute.value
             ),
             changes: minute,
-            lasts_s: 60.0,
-            own: 1.0,
-            own_bytes: plan.configuration.fleet_bytes.value as f64,
+            duration_s: 60.0,
+            concerned_fraction: 1.0,
+            bytes_per_balancer: plan.configuration.fleet_bytes.value as f64,
             ..day.clone()
         }
     }
 
-    fn cold(plan: &Plan, back: &Self) -> Self {
+    fn cold_start(plan: &Plan, resync: &Self) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let within = plan.configuration.in_force_s.value;
         let deadline = plan.traffic.deadline_s.value;
@@ -221,10 +222,10 @@
                 "all {upstreams} processes start, are listed and ask for everything within {within} s; half of the entries are there by then, half come as lines"
             ),
             lines: upstreams / within / 2.0,
-            wholes: 0.5,
+            whole_lists: 0.5,
             call_in_flight_s: deadline,
-            trouble: true,
-            ..back.clone()
+            tier_faulty: true,
+            ..resync.clone()
         }
     }
 }
--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -27,11 +27,11 @@
 }
 
 /// Largest value of a figure over all runs of a scenario.
-pub(super) struct Worst {
+pub(super) struct WorstRun {
     /// Value of the figure in the unit of the need.
     pub(super) value: f64,
     /// Number of runs that the value is the largest of.
-    pub(super) plays: usize,
+    pub(super) runs: usize,
 }
 
 impl Measured {
@@ -42,8 +42,8 @@
     pub fn read(folder: &Path) -> Result<Self, CapacityError> {
         let (slopes, results) = (folder.join("slopes"), folder.join("results"));
         Ok(Self {
-            slopes: named(&slopes, Slope::read, |slope| &slope.name)?,
-            results: named(&results, Results::read, |results| &results.name)?,
+            slopes: read_by_name(&slopes, Slope::read, |slope| &slope.name)?,
+            results: read_by_name(&results, Results::read, |results| &results.name)?,
         })
     }
 
@@ -69,24 +69,24 @@
     }
 
     /// Returns the largest value of a figure over the runs in its result table, or `None` if the table has no such run.
-    pub(super) fn worst(&self, played: Played) -> Option<Worst> {
+    pub(super) fn worst(&self, played: Played) -> Option<WorstRun> {
         let table = self.results.get(played.results)?;
         let at = table.columns.iter().position(|column| column == played.column)?;
         let rows = table.rows.iter().filter(|row| row.first().is_some_and(|first| first == played.row));
         let figures: Vec<f64> = rows.filter_map(|row| row.get(at)?.parse().ok()).collect();
         let worst = figures.iter().copied().reduce(f64::max)?;
-        Some(Worst { value: worst * played.times, plays: figures.len() })
+        Some(WorstRun { value: worst * played.times, runs: figures.len() })
     }
 
     /// Returns the cost that the slope `name` gives when it is read in the way of `read`.
-    pub(super) fn read_as(&self, name: &str, read: Read) -> Option<CostAt> {
+    pub(super) fn cost_of(&self, name: &str, read: Read) -> Option<CostAt> {
         match read {
             Read::At(x) => self.at(name, x),
             Read::Beyond(x) => {
                 let smallest =
                     self.slopes.get(name)?.points.iter().map(|point| point.x).fold(f64::MAX, f64::min);
-                let least = self.at(name, smallest)?.cost;
-                self.at(name, x.max(smallest)).map(|at| CostAt { cost: at.cost - least, ..at })
+                let base_cost = self.at(name, smallest)?.cost;
+                self.at(name, x.max(smallest)).map(|at| CostAt { cost: at.cost - base_cost, ..at })
             }
             Read::OneMore => {
                 Some(CostAt { cost: self.slopes.get(name)?.fit?.each.max(0.0), times_past: 1.0 })
@@ -96,7 +96,7 @@
 
     /// Describes why the slope `name` gave no cost: its name alone if it is not measured, or else its largest measured
     /// size and the missing fit.
-    pub(super) fn gap(&self, name: &str) -> String {
+    pub(super) fn missing_slope(&self, name: &str) -> String {
         match self.slopes.get(name) {
             None => name.to_owned(),
             Some(slope) => format!("{name} (played up to {}, and no straight line fits it)", slope.largest()),
@@ -105,7 +105,7 @@
 }
 
 /// Reads all JSON files of `folder` into a map by name, and checks that each file's name is the name of its content.
-fn named<T>(
+fn read_by_name<T>(
     folder: &Path,
     read: fn(&Path, &str) -> Result<T, CapacityError>,
     name_of: fn(&T) -> &str,
--- a/crates/capacity/src/arithmetic/mechanism.rs
+++ b/crates/capacity/src/arithmetic/mechanism.rs
@@ -8,48 +8,51 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
     /// A type or function of this repository.
-    Ours {
+    InRepository {
         /// Crate and item, as the page names them.
         what: &'static str,
         /// Path of the source file that defines the item, relative to the root of the checkout.
         file: &'static str,
         /// Text that the source file contains if the item is present.
-        sign: &'static str,
+        marker: &'static str,
     },
     /// A service of the platform outside this repository; the field is its name on the page.
     Platform(&'static str),
 }
 
-const fn ours(what: &'static str, file: &'static str, sign: &'static str) -> Mechanism {
-    Mechanism::Ours { what, file, sign }
+const fn in_repository(what: &'static str, file: &'static str, marker: &'static str) -> Mechanism {
+    Mechanism::InRepository { what, file, marker }
 }
 
 pub(super) const DECISIONS: Mechanism =
-    ours("`balancer-policy` `Balancer`", "crates/policy/src/balancer.rs", "pub struct Balancer");
+    in_repository("`balancer-policy` `Balancer`", "crates/policy/src/balancer.rs", "pub struct Balancer");
 
-pub(super) const LIST_CLIENT: Mechanism =
-    ours("`balancer-proxy` `discovery::watch`", "crates/proxy/src/discovery/watch.rs", "pub async fn watch(");
+pub(super) const LIST_CLIENT: Mechanism = in_repository(
+    "`balancer-proxy` `discovery::watch`",
+    "crates/proxy/src/discovery/watch.rs",
+    "pub async fn watch(",
+);
 
-pub(super) const CONFIGURATION_CLIENT: Mechanism = ours(
+pub(super) const CONFIGURATION_CLIENT: Mechanism = in_repository(
     "`balancer-proxy` `configuration`, `balancer-policy` `Event::Reconfigured`",
     "crates/proxy/src/reconfiguration.rs",
     "pub fn follow(",
 );
 
-pub(super) const ORIGIN: Mechanism = ours(
+pub(super) const ORIGIN: Mechanism = in_repository(
     "`config-distribution` `Origin`",
     "crates/config-distribution/src/core/origin.rs",
     "pub struct Origin",
 );
 
-pub(super) const RELAY: Mechanism = ours(
+pub(super) const RELAY: Mechanism = in_repository(
     "`config-distribution` `RelayHost`",
     "crates/config-distribution/src/host/relay.rs",
     "pub struct RelayHost",
 );
 
 pub(super) const PUBLISHER: Mechanism =
-    ours("`config-distribution publish`", "crates/config-distribution/src/command.rs", "Publish {");
+    in_repository("`config-distribution publish`", "crates/config-distribution/src/command.rs", "Publish {");
 
 pub(super) const LIST_SERVICE: Mechanism = Mechanism::Platform("the platform's discovery, none of ours");
 
@@ -60,8 +63,8 @@
     pub fn carried(self, tree: &Path) -> Option<&'static str> {
         match self {
             Self::Platform(what) => Some(what),
-            Self::Ours { what, file, sign } => {
-                fs::read_to_string(tree.join(file)).is_ok_and(|text| text.contains(sign)).then_some(what)
+            Self::InRepository { what, file, marker } => {
+                fs::read_to_string(tree.join(file)).is_ok_and(|text| text.contains(marker)).then_some(what)
             }
         }
     }
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -1,7 +1,7 @@
 //! Needs of the roles: how the figure of a need is calculated from the plan and the measured slopes, and on which basis
 //! it rests.
 
-use super::measured::{CostAt, Measured, Worst};
+use super::measured::{CostAt, Measured, WorstRun};
 use super::mechanism::Mechanism;
 
 /// Kind of cost that a row counts.
@@ -137,9 +137,9 @@
     pub terms: Vec<Term>,
     /// Extrapolation factor in a dimension other than the sizes of the slopes, such as the call rate: the ratio of the
     /// need's value to the measured one, 1 where it is not beyond.
-    pub past: f64,
+    pub extrapolation_ratio: f64,
     /// Estimate of the figure from the plan alone, used where a slope is missing.
-    pub instead: Option<f64>,
+    pub estimate: Option<f64>,
     /// Budget of the figure in its unit; `None` where no budget is set.
     pub budget: Option<f64>,
     /// Mechanism that provides for the need.
@@ -207,32 +207,32 @@
     /// Calculates the figure of the need from the measurements.
     #[must_use]
     pub fn figure(&self, measured: &Measured) -> Figure {
-        if let Some(Worst { value, plays }) = self.played.and_then(|played| measured.worst(played)) {
+        if let Some(WorstRun { value, runs }) = self.played.and_then(|played| measured.worst(played)) {
             let ratio = self.budget.map(|budget| value / budget);
-            return Figure { value: Some(value), ratio, basis: Basis::Played(plays) };
+            return Figure { value: Some(value), ratio, basis: Basis::Played(runs) };
         }
         let mut value = self.plain;
-        let mut past = self.past;
+        let mut extrapolation_ratio = self.extrapolation_ratio;
         let mut missing: Vec<String> = Vec::new();
         for &Term { slope, read, times } in &self.terms {
-            match measured.read_as(slope, read) {
+            match measured.cost_of(slope, read) {
                 Some(CostAt { cost, times_past }) => {
                     value += cost * times;
-                    past = past.max(times_past);
+                    extrapolation_ratio = extrapolation_ratio.max(times_past);
                 }
                 None => {
-                    let gap = measured.gap(slope);
-                    if !missing.contains(&gap) {
-                        missing.push(gap);
+                    let missing_slope = measured.missing_slope(slope);
+                    if !missing.contains(&missing_slope) {
+                        missing.push(missing_slope);
                     }
                 }
             }
         }
-        let (value, basis) = match (missing.is_empty(), self.instead) {
+        let (value, basis) = match (missing.is_empty(), self.estimate) {
             (true, _) if self.terms.is_empty() => (Some(value), Basis::Reckoned(Vec::new())),
-            (true, _) if past > 1.0 => (Some(value), Basis::Extrapolated(past)),
+            (true, _) if extrapolation_ratio > 1.0 => (Some(value), Basis::Extrapolated(extrapolation_ratio)),
             (true, _) => (Some(value), Basis::Measured),
-            (false, Some(instead)) => (Some(instead), Basis::Reckoned(missing)),
+            (false, Some(estimate)) => (Some(estimate), Basis::Reckoned(missing)),
             (false, None) => (None, Basis::NotMeasured(missing)),
         };
         let ratio = value.zip(self.budget).map(|(value, budget)| value / budget);
--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -2,14 +2,14 @@
 
 use std::path::Path;
 
+use super::load_scenario::Occasion;
 use super::mechanism::{CONFIGURATION_CLIENT, PUBLISHER};
 use super::need::{Cost, Need, Played, Read, Requirement, Term};
-use super::occasion::Occasion;
 use super::role::Role;
 use crate::plan::Plan;
 
 /// Adds the rows of the operator who publishes configuration changes.
-pub(super) fn operator(plan: &Plan, on: &Occasion, tree: &Path, rows: &mut Vec<Need>) {
+pub(super) fn operator(plan: &Plan, scenario: &Occasion, tree: &Path, rows: &mut Vec<Need>) {
     let changes = &plan.configuration;
     let mut role = Role {
         name: "operator who publishes",
@@ -29,7 +29,7 @@
         Cost::Messages,
         "changes/s x bytes of a document, to the origin",
         "bytes/s",
-        on.changes * plan.change_bytes(),
+        scenario.changes * plan.change_bytes(),
         &[],
         Some(plan.budget.machine_bytes_per_s.value),
     );
@@ -38,17 +38,17 @@
         "changes/s x time of the origin to check, keep and answer",
         "cores",
         0.0,
-        &[Term::of("control.publish_us_by_bytes", Read::At(plan.change_bytes()), on.changes / 1e6)],
+        &[Term::of("control.publish_us_by_bytes", Read::At(plan.change_bytes()), scenario.changes / 1e6)],
         Some(plan.budget.machine_cores.value),
     );
     role.row(Cost::Memory, "a document at a time", "MB", changes.service_bytes.value as f64 / 1e6, &[], None);
-    time_in_force(plan, on, &mut role);
-    restarts(plan, on, tree, &mut role);
+    time_in_force(plan, scenario, &mut role);
+    restarts(plan, scenario, tree, &mut role);
 }
 
 /// Adds the row of the time until a change is in force everywhere. The figure was measured directly if the load
-/// scenario `on` is one of those that the `sockets` command runs.
-fn time_in_force(plan: &Plan, on: &Occasion, role: &mut Role) {
+/// scenario `scenario` is one of those that the `sockets` command runs.
+fn time_in_force(plan: &Plan, scenario: &Occasion, role: &mut Role) {
     role.row(
         Cost::Time,
         "from a change's acknowledgement to the last balancer, as played; else from its sending, one relay for all",
@@ -59,7 +59,7 @@
     )
     .played = Some(Played {
         results: "sockets",
-        row: match on.name {
+        row: match scenario.name {
             "a region cut off and back" => "cut",
             "one control machine lost" => "relay",
             "a zone of control machines lost" => "zone",
@@ -73,7 +73,7 @@
 
 /// Adds the row of the restarts that configuration changes would require if balancers could not apply a configuration
 /// while they run.
-fn restarts(plan: &Plan, on: &Occasion, tree: &Path, role: &mut Role) {
+fn restarts(plan: &Plan, scenario: &Occasion, tree: &Path, role: &mut Role) {
     // No restart is needed if balancers can apply a configuration while they serve calls.
     let carried = CONFIGURATION_CLIENT.carried(tree).is_some();
     role.mechanism = CONFIGURATION_CLIENT;
@@ -81,7 +81,14 @@
         Cost::Restarts,
         "changes x balancers that each concerns, were a restart the only way; budget: those planned for a day",
         "restarts",
-        if carried { 0.0 } else { on.changes * on.lasts_s * on.own * plan.fleet.upstreams.value as f64 },
+        if carried {
+            0.0
+        } else {
+            scenario.changes
+                * scenario.duration_s
+                * scenario.concerned_fraction
+                * plan.fleet.upstreams.value as f64
+        },
         &[],
         Some(plan.failures.replaced_per_day.value),
     );
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod world;
 
 /// Joins faults of a plan into one text, one fault per line, with every line but the first indented by two spaces.
-fn lines(faults: &[PlanFault]) -> String {
+fn join_faults(faults: &[PlanFault]) -> String {
     faults.iter().map(PlanFault::to_string).collect::<Vec<_>>().join("\n  ")
 }
 
@@ -43,7 +43,7 @@
         cause: String,
     },
     /// Figures of the plan contradict each other or are out of range; all faults are listed.
-    #[error("the plan is invalid:\n  {}", lines(.0))]
+    #[error("the plan is invalid:\n  {}", join_faults(.0))]
     Plan(Vec<PlanFault>),
     /// A command-line argument is outside its range.
     #[error("--{name}: {expected}")]
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -279,7 +279,7 @@
 }
 
 /// Maximum number of upstreams in a plan, so that a mistyped figure cannot exhaust memory.
-const UPSTREAMS_MOST: usize = 1_000_000;
+const MAX_UPSTREAMS: usize = 1_000_000;
 
 /// Interpretation of `traffic.calls_per_s`, which the requirement leaves open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -292,9 +292,9 @@
 
 /// Share of one configuration change that falls on one balancer, on average.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct OwnChange {
+pub struct ChangePerBalancer {
     /// Fraction of the changes that concern the balancer, 0 to 1.
-    pub part: f64,
+    pub fraction: f64,
     /// Mean bytes of documents that the balancer receives per change, counting changes that do not concern it as 0.
     pub bytes: f64,
 }
@@ -371,7 +371,7 @@
 
     /// Returns the load of an upstream of each tier as a multiple of the mean load over all upstreams: first for each
     /// tier if all calls go to the full depth, and then for the front if the rate is counted over all hops.
-    fn tiers_over_mean(&self) -> Vec<f64> {
+    fn tier_loads_over_mean(&self) -> Vec<f64> {
         let Graph { depth, services_by_depth, hops_per_call, .. } = &self.graph;
         let deep = services_by_depth.value.iter().map(|share| 1.0 / (depth.value as f64 * share.max(1e-9)));
         let front =
@@ -428,20 +428,20 @@
     /// Returns the share of one change that falls on one balancer, on average. All regions are taken to change equally
     /// often, and so are all services.
     #[must_use]
-    pub fn own_change(&self) -> OwnChange {
+    pub fn change_per_balancer(&self) -> ChangePerBalancer {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
             &self.configuration;
-        let one_of = [1.0, self.fleet.regions.value as f64, self.fleet.services.value as f64];
+        let scope_counts = [1.0, self.fleet.regions.value as f64, self.fleet.services.value as f64];
         let bytes = [fleet_bytes.value, region_bytes.value, service_bytes.value];
-        let parts = scope_shares.value.iter().zip(one_of).map(|(share, all)| share / all);
-        let lengths = parts.clone().zip(bytes).map(|(part, bytes)| part * bytes as f64);
-        OwnChange { part: parts.sum(), bytes: lengths.sum() }
+        let fractions = scope_shares.value.iter().zip(scope_counts).map(|(share, all)| share / all);
+        let lengths = fractions.clone().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64);
+        ChangePerBalancer { fraction: fractions.sum(), bytes: lengths.sum() }
     }
 
     /// Returns the mean number of balancers that a configuration change concerns.
     #[must_use]
     pub fn balancers_per_change(&self) -> f64 {
-        self.own_change().part * self.fleet.upstreams.value as f64
+        self.change_per_balancer().fraction * self.fleet.upstreams.value as f64
     }
 
     /// Returns the time that a call at the front is in flight while no service is faulty, in seconds: the sum over all
@@ -462,14 +462,14 @@
         let spare = (upstreams - services) as f64;
         let all: f64 = weights.iter().sum();
         // The running sum of the exact sizes is rounded down, so that the whole-numbered sizes add up to the total.
-        let (mut sum, mut before) = (0.0, 0);
+        let (mut sum, mut assigned) = (0.0, 0);
         weights
             .iter()
             .map(|weight| {
                 sum += weight / all * spare;
-                let until = (sum + 1e-6).floor() as usize;
-                let size = 1 + until - before;
-                before = until;
+                let assigned_now = (sum + 1e-6).floor() as usize;
+                let size = 1 + assigned_now - assigned;
+                assigned = assigned_now;
                 size
             })
             .collect()
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -3,10 +3,10 @@
 
 use thiserror::Error;
 
-use super::{Deal, Plan, UPSTREAMS_MOST};
+use super::{Deal, MAX_UPSTREAMS, Plan};
 
 /// Tolerance for the sum of fractions that must be 1: decimal fractions do not add up exactly in binary floating point.
-const WHOLE_WITHIN: f64 = 1e-6;
+const SHARE_SUM_TOLERANCE: f64 = 1e-6;
 
 /// A fault of a plan: a figure that contradicts another one or is out of its range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -23,7 +23,7 @@
 
 impl Faults {
     /// Records a fault at `place` unless the condition `holds`.
-    fn want(&mut self, holds: bool, place: &'static str, expected: &'static str) {
+    fn require(&mut self, holds: bool, place: &'static str, expected: &'static str) {
         if !holds {
             self.0.push(PlanFault { place, expected });
         }
@@ -31,9 +31,9 @@
 }
 
 /// Returns whether `shares` are fractions of 0 to 1 whose sum is 1.
-fn is_whole(shares: &[f64]) -> bool {
+fn sums_to_one(shares: &[f64]) -> bool {
     shares.iter().all(|share| (0.0..=1.0).contains(share))
-        && (shares.iter().sum::<f64>() - 1.0).abs() < WHOLE_WITHIN
+        && (shares.iter().sum::<f64>() - 1.0).abs() < SHARE_SUM_TOLERANCE
 }
 
 impl Plan {
@@ -44,67 +44,67 @@
         self.check_graph(&mut faults);
         self.check_traffic(&mut faults);
         self.check_configuration(&mut faults);
-        self.check_deal(&mut faults);
-        for (place, value) in self.positive() {
-            faults.want(value.is_finite() && value > 0.0, place, "greater than 0");
+        self.check_control_machines(&mut faults);
+        for (place, value) in self.positive_figures() {
+            faults.require(value.is_finite() && value > 0.0, place, "greater than 0");
         }
         faults.0
     }
 
     fn check_fleet(&self, faults: &mut Faults) {
         let Self { fleet, .. } = self;
-        faults.want(fleet.services.value >= 1, "fleet.services", "at least 1");
-        faults.want(
+        faults.require(fleet.services.value >= 1, "fleet.services", "at least 1");
+        faults.require(
             fleet.upstreams.value >= fleet.services.value,
             "fleet.upstreams",
             "at least fleet.services, one for each service",
         );
-        faults.want(fleet.regions.value >= 1, "fleet.regions", "at least 1");
-        faults.want(
+        faults.require(fleet.regions.value >= 1, "fleet.regions", "at least 1");
+        faults.require(
             fleet.zones_by_region.value.len() == fleet.regions.value,
             "fleet.zones_by_region",
             "as many entries as fleet.regions",
         );
-        faults.want(
+        faults.require(
             fleet.zones_by_region.value.iter().all(|&zones| zones > 0)
                 && fleet.zones_by_region.value.iter().sum::<usize>() == fleet.zones.value,
             "fleet.zones_by_region",
             "at least 1 in each entry, with the sum fleet.zones",
         );
-        faults.want(
-            fleet.region_shares.value.len() == fleet.regions.value && is_whole(&fleet.region_shares.value),
+        faults.require(
+            fleet.region_shares.value.len() == fleet.regions.value && sums_to_one(&fleet.region_shares.value),
             "fleet.region_shares",
             "as many entries as fleet.regions, each 0 to 1, with the sum 1",
         );
-        faults.want((0.0..=3.0).contains(&fleet.size_skew.value), "fleet.size_skew", "0 to 3");
-        faults.want(
+        faults.require((0.0..=3.0).contains(&fleet.size_skew.value), "fleet.size_skew", "0 to 3");
+        faults.require(
             (1..=fleet.upstreams.value).contains(&fleet.machines_per_rack.value),
             "fleet.machines_per_rack",
             "1 to fleet.upstreams",
         );
-        faults.want(fleet.upstreams.value <= UPSTREAMS_MOST, "fleet.upstreams", "at most 1000000");
+        faults.require(fleet.upstreams.value <= MAX_UPSTREAMS, "fleet.upstreams", "at most 1000000");
     }
 
     fn check_graph(&self, faults: &mut Faults) {
         let Self { fleet, graph, .. } = self;
-        faults.want(graph.depth.value >= 1, "graph.depth", "at least 1");
-        faults.want(
+        faults.require(graph.depth.value >= 1, "graph.depth", "at least 1");
+        faults.require(
             graph.services_by_depth.value.len() == graph.depth.value
-                && is_whole(&graph.services_by_depth.value),
+                && sums_to_one(&graph.services_by_depth.value),
             "graph.services_by_depth",
             "as many entries as graph.depth, each 0 to 1, with the sum 1",
         );
-        faults.want(
+        faults.require(
             graph.destinations_most.value < fleet.services.value.max(2),
             "graph.destinations_most",
             "less than fleet.services",
         );
-        faults.want(
+        faults.require(
             (1.0..=graph.destinations_most.value as f64).contains(&graph.destinations_mean.value),
             "graph.destinations_mean",
             "1 to graph.destinations_most",
         );
-        faults.want(
+        faults.require(
             (1.0..=graph.depth.value as f64).contains(&graph.hops_per_call.value),
             "graph.hops_per_call",
             "1 to graph.depth",
@@ -113,21 +113,21 @@
 
     fn check_traffic(&self, faults: &mut Faults) {
         let Self { traffic, .. } = self;
-        faults.want(
+        faults.require(
             (0.0..1.0).contains(&traffic.added_quantile.value),
             "traffic.added_quantile",
             "at least 0 and less than 1",
         );
-        faults.want(
+        faults.require(
             traffic.aim_s.value <= traffic.deadline_s.value,
             "traffic.aim_s",
             "at most traffic.deadline_s",
         );
-        faults.want(traffic.attempts.value >= 1, "traffic.attempts", "at least 1");
-        faults.want(traffic.tenants.value >= 1, "traffic.tenants", "at least 1");
-        faults.want(traffic.headroom.value >= 1.0, "traffic.headroom", "at least 1");
-        faults.want(
-            self.tiers_over_mean().into_iter().all(|tier| tier <= traffic.busiest_over_mean.value),
+        faults.require(traffic.attempts.value >= 1, "traffic.attempts", "at least 1");
+        faults.require(traffic.tenants.value >= 1, "traffic.tenants", "at least 1");
+        faults.require(traffic.headroom.value >= 1.0, "traffic.headroom", "at least 1");
+        faults.require(
+            self.tier_loads_over_mean().into_iter().all(|tier| tier <= traffic.busiest_over_mean.value),
             "traffic.busiest_over_mean",
             "at least the load of each tier over the mean, by graph.services_by_depth and the calls per tier",
         );
@@ -135,35 +135,35 @@
 
     fn check_configuration(&self, faults: &mut Faults) {
         let Self { list, configuration, .. } = self;
-        faults.want(
+        faults.require(
             configuration.peak_per_minute.value >= configuration.changes_per_day.value / 1440.0,
             "configuration.peak_per_minute",
             "at least the mean number of changes per minute, configuration.changes_per_day / 1440",
         );
-        faults.want(list.entry_bytes.value >= 1, "list.entry_bytes", "at least 1");
-        faults.want(
-            configuration.scope_shares.value.len() == 3 && is_whole(&configuration.scope_shares.value),
+        faults.require(list.entry_bytes.value >= 1, "list.entry_bytes", "at least 1");
+        faults.require(
+            configuration.scope_shares.value.len() == 3 && sums_to_one(&configuration.scope_shares.value),
             "configuration.scope_shares",
             "three entries, each 0 to 1, with the sum 1",
         );
     }
 
-    fn check_deal(&self, faults: &mut Faults) {
+    fn check_control_machines(&self, faults: &mut Faults) {
         let Self { fleet, budget, deal, .. } = self;
         let Deal { origins, standbys, region_relays, zone_relays } = deal;
-        faults.want(origins.value >= 1, "deal.origins", "at least 1");
-        faults.want(
+        faults.require(origins.value >= 1, "deal.origins", "at least 1");
+        faults.require(
             origins.value + standbys.value + region_relays.value + zone_relays.value
                 == budget.control_machines.value,
             "deal",
             "a sum of machines equal to budget.control_machines",
         );
-        faults.want(
+        faults.require(
             region_relays.value.is_multiple_of(fleet.regions.value.max(1)) && region_relays.value > 0,
             "deal.region_relays",
             "a positive multiple of fleet.regions, for the same number in each region",
         );
-        faults.want(
+        faults.require(
             zone_relays.value.is_multiple_of(fleet.zones.value.max(1)) && zone_relays.value > 0,
             "deal.zone_relays",
             "a positive multiple of fleet.zones, for the same number in each zone",
@@ -171,7 +171,7 @@
     }
 
     /// Returns the figures that must be positive, each with its key in the plan file.
-    fn positive(&self) -> [(&'static str, f64); 30] {
+    fn positive_figures(&self) -> [(&'static str, f64); 30] {
         let Self { traffic, network, list, configuration, budget, failures, .. } = self;
         [
             ("traffic.calls_per_s", traffic.calls_per_s.value),
