--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -24,7 +24,7 @@
 /// Converts memory from KiB, the unit of the measurements, to MB, the unit of the budgets.
 const MB_PER_KIB: f64 = 1.024e-3;
 
-/// Returns the needs of all roles in the load scenario `scenario`. The order of the rows is the same for every scenario.
+/// Returns the needs of all roles in a load scenario. The order of the rows is the same for every scenario.
 /// `tree` is the checkout in which mechanisms are looked up.
 #[must_use]
 pub fn needs(plan: &Plan, scenario: &Occasion, tree: &Path) -> Vec<Need> {
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -83,7 +83,7 @@
     At(f64),
     /// The cost at this size, minus the cost at the smallest measured size.
     Beyond(f64),
-    /// The cost of one additional unit of size, which is the gradient of the linear fit.
+    /// The cost of one additional unit of size: the gradient of the linear fit, or 0 if it is negative.
     OneMore,
 }
 
@@ -157,7 +157,7 @@
     Played(usize),
     /// Calculated from slopes, without extrapolation beyond the measured sizes.
     Measured,
-    /// Extrapolated with linear fits; the field is the ratio to the largest measured size.
+    /// Extrapolated with linear fits; the field is the largest ratio to a measured size or rate.
     Extrapolated(f64),
     /// Not calculated, because slopes are missing; the field describes them.
     NotMeasured(Vec<String>),
--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -47,7 +47,7 @@
 }
 
 /// Adds the row of the time until a change is in force everywhere. The figure was measured directly if the load
-/// scenario `scenario` is one of those that the `sockets` command runs.
+/// scenario is one of those that the `sockets` command runs.
 fn time_in_force(plan: &Plan, scenario: &Occasion, role: &mut Role) {
     role.row(
         Cost::Time,
