--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -1,4 +1,5 @@
-//! The `sockets` command: simulated ("hollow") balancers on real sockets, connected to real control processes.
+//! The `sockets` command: hollow balancers (simulated balancers without real traffic) on real sockets, connected to
+//! real control processes.
 
 use std::path::PathBuf;
 
@@ -26,20 +27,20 @@
 use self::play::{play, return_window};
 use self::size::Size;
 
-/// What happens in a play.
+/// The fault that a run injects while configuration changes are published.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// Nothing but changes.
+    /// No fault: only configuration changes.
     None,
-    /// A zone's relay is killed.
+    /// Kills one relay of a zone.
     Relay,
-    /// A region's relay is killed.
+    /// Kills the relays of one region.
     RegionRelay,
-    /// All relays of a zone are killed.
+    /// Kills all relays of a zone.
     Zone,
-    /// A region is cut off from the others, and comes back.
+    /// Partitions one region from the others, and ends the partition after a while.
     Cut,
-    /// All control processes are killed and started, and all watches of the list are ended.
+    /// Kills and restarts all control processes, and closes all watches of the endpoint list.
     Reconnect,
 }
 
@@ -49,51 +50,52 @@
     }
 }
 
-/// Plays hollow balancers on real sockets against real control processes, and times changes to the last of them.
+/// Runs hollow balancers on real sockets against real control processes, and measures how long configuration changes
+/// take to reach the last balancer.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// What happens: one of the scenarios; all of them, where none is named.
+    /// Scenario to run; may be repeated. All scenarios run if none is given.
     #[arg(long, value_enum)]
     scenario: Vec<Scenario>,
-    /// Of the draws, the first of `--seeds`.
+    /// Seed of the first run of each scenario; each further run uses the next seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Plays of each scenario, each with the next seed.
+    /// Number of runs of each scenario, each with the next seed.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Changes of configuration in a play.
+    /// Number of configuration changes in a run.
     #[arg(long, default_value_t = 200)]
     changes: usize,
-    /// Balancers; by default the plan's upstreams.
+    /// Number of hollow balancers; by default the number of upstreams in the plan.
     #[arg(long)]
     balancers: Option<usize>,
-    /// Balancers to a process.
+    /// Number of hollow balancers in each process.
     #[arg(long, default_value_t = 100)]
     per_process: usize,
-    /// Entries of each balancer's list; by default one for each balancer.
+    /// Number of entries in the endpoint list that each balancer watches; by default one for each balancer.
     #[arg(long)]
     list: Option<usize>,
-    /// Seconds over which the changes come.
+    /// Time over which the configuration changes are published, in seconds.
     #[arg(long, default_value_t = 24.0)]
     seconds: f64,
-    /// A quick play for tests: few balancers and changes.
+    /// Run with few balancers and few changes, for tests.
     #[arg(long)]
     small: bool,
-    /// Keep the rows of other scenarios and seeds that the results already have.
+    /// Keep the rows of other scenarios and seeds that the results file already has.
     #[arg(long)]
     add: bool,
-    /// Where `results` is written.
+    /// Directory in which the `results` directory is created.
     #[arg(long, default_value = "crates/capacity")]
     out: PathBuf,
-    /// Plays the balancers of a job on standard input: for the rig's own use.
+    /// Run the hollow balancers of the job on standard input; used internally for the child processes.
     #[arg(long, hide = true)]
     hollow_balancers: bool,
 }
 
-/// Runs the command: plays the scenarios and writes the table of results.
+/// Runs the scenarios and writes the table of results.
 ///
 /// # Errors
-/// An argument is out of range, a play fails, or a play does not meet what the plan promises.
+/// An argument is out of range, a run fails, or a run does not meet the objectives of the plan.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if arguments.hollow_balancers {
         return hollow::run();
@@ -121,7 +123,7 @@
     if missed.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", missed.join("; "))) }
 }
 
-/// The new rows together with the earlier rows of other scenarios and seeds, sorted by scenario and seed.
+/// Merges the new rows with the earlier rows of other scenarios and seeds, sorted by scenario and seed.
 fn merged(earlier: Vec<Vec<String>>, new: Vec<Vec<String>>) -> Vec<Vec<String>> {
     let key = |row: &Vec<String>| row[..2].to_vec();
     let mut rows = earlier;
--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -1,5 +1,5 @@
-//! Child processes: each reads its commands from standard input, exits when that closes, and is killed when its guard
-//! is dropped.
+//! Child processes, which read commands from standard input and exit when it closes. A child is killed when its
+//! [`Child`] guard is dropped.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{self, ChildStdin, Command, Stdio};
@@ -11,10 +11,10 @@
 
 use crate::CapacityError;
 
-/// A line, or the end, of a child process's standard output.
+/// A line, or the end, of the standard output of a child process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Output {
-    /// The number of the process, as passed to [`Child::start`].
+    /// Number of the child process, as passed to [`Child::start`].
     pub process: usize,
     /// The line without its line feed; `None` at the end of the output.
     pub line: Option<String>,
@@ -22,8 +22,8 @@
 
 static INTERRUPTED: AtomicBool = AtomicBool::new(false);
 
-/// Installs handlers of SIGTERM and SIGINT that end the run in order, so that the guards of the child processes still
-/// run.
+/// Installs handlers for SIGTERM and SIGINT that let the run end in order, so that the guards of the child processes
+/// are dropped.
 ///
 /// # Errors
 /// The handlers cannot be installed.
@@ -44,10 +44,10 @@
     Ok(())
 }
 
-/// Checks that no signal has asked the run to end.
+/// Checks that neither SIGTERM nor SIGINT has been received.
 ///
 /// # Errors
-/// A signal has.
+/// One of these signals has been received.
 pub fn check_interrupted() -> Result<(), CapacityError> {
     if INTERRUPTED.load(Ordering::Acquire) {
         Err(CapacityError::run("signals", "asked to end"))
@@ -56,7 +56,7 @@
     }
 }
 
-/// A child process that is killed when this is dropped.
+/// A child process, which is killed when this guard is dropped.
 #[derive(Debug)]
 pub struct Child {
     name: String,
@@ -65,8 +65,8 @@
 }
 
 impl Child {
-    /// Starts the process. The lines of its standard output are sent to `lines` with the number given; without
-    /// `lines` its output is discarded.
+    /// Starts the process. The lines of its standard output are sent to `lines` with the given number; without `lines`,
+    /// the output is discarded.
     ///
     /// # Errors
     /// The program cannot be started.
@@ -87,7 +87,7 @@
                         return;
                     }
                 }
-                // The reader may have gone first.
+                // Sending fails if the receiver has been dropped, in which case nobody needs the end of the output.
                 let _ = lines.send(Output { process: number, line: None });
             });
         }
@@ -95,13 +95,12 @@
         Ok(Self { name: name.to_owned(), process, input })
     }
 
-    /// The process id.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    /// Writes a line to its standard input.
+    /// Writes a line to the standard input of the process.
     ///
     /// # Errors
     /// The process has exited.
@@ -117,7 +116,7 @@
 
 impl Drop for Child {
     fn drop(&mut self) {
-        // One that has ended by itself is only waited for.
+        // Killing fails if the process has already exited; it is then only reaped.
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -1,39 +1,39 @@
-//! The cost of a span of a play, as the difference of the totals at its two ends.
+//! The resources used in a span of a run, computed from the totals at its start and its end.
 
 use std::time::Instant;
 
 use super::machine;
 use super::plane::{Machine, Role};
 
-/// Totals of all processes at one moment.
+/// Totals of all processes at one moment of a run.
 pub(super) struct Mark {
     pub(super) at: Instant,
     pub(super) balancers: machine::Usage,
     pub(super) configuration_bytes: u64,
     pub(super) list_bytes: u64,
     pub(super) most_in_window: u64,
-    /// The control processes, by place.
+    /// Usage of each control process, by its index.
     pub(super) control: Vec<ControlUsage>,
 }
 
-/// Resources that a control process has used until a moment.
+/// Resources that a control process has used since its start.
 pub(super) struct ControlUsage {
     pub(super) process: machine::Usage,
-    /// Bytes of its connections with other control processes and with balancers, both ways.
+    /// Bytes in both directions on the connections of this process to other control processes and to balancers.
     pub(super) bytes: u64,
 }
 
-/// The largest figure of a kind among the control processes, and the role of that process.
+/// The largest value of a measure among the control processes, and the role of the process that has it.
 pub(super) struct Busiest {
     pub(super) figure: f64,
     pub(super) role: Role,
 }
 
-/// The cost of the span between two marks, each a second.
+/// The resources used per second in the span between two [`Mark`]s.
 pub(super) struct Cost {
     pub(super) bytes_per_s: f64,
     pub(super) core: f64,
-    /// The busiest control process.
+    /// Cores used by the control process that used the most processor time.
     pub(super) control_core: Busiest,
     pub(super) control_bytes_per_s: Busiest,
 }
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -1,4 +1,4 @@
-//! The balancers of the plan, with their services, regions and zones.
+//! Placement of the plan's balancers on services, regions and zones.
 
 use std::net::SocketAddr;
 
@@ -6,26 +6,27 @@
 use super::plane;
 use crate::plan::Plan;
 
-/// The fractional part of the golden ratio: steps by it fill the shares of the zones evenly, also within a service.
+/// Fractional part of the golden ratio. Steps of this size modulo 1 spread the balancers evenly over the shares of the
+/// zones, also within one service.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// The service and the zone of a balancer.
+/// The service and the zone that a balancer belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Placement {
-    /// The number of its service.
+    /// Number of the balancer's service.
     pub service: usize,
-    /// The number of its zone.
+    /// Number of the balancer's zone.
     pub zone: usize,
 }
 
-/// The names of the zones.
+/// Returns the names of the plan's zones, by number.
 #[must_use]
 pub fn zone_names(plan: &Plan) -> Vec<String> {
     (0..plan.fleet.zones.value).map(|zone| format!("zone-{zone}")).collect()
 }
 
-/// The placements of `balancers` balancers, by the plan: those of a service are spread over regions and zones by their
-/// shares. Where these are only a part of the fleet, they are each n-th balancer of it.
+/// Places `balancers` balancers as the plan defines: those of a service are spread over regions and zones by the shares
+/// of these. If `balancers` is smaller than the fleet, the balancers are taken from it at equal distances.
 #[must_use]
 pub fn fleet(plan: &Plan, balancers: usize) -> Vec<Placement> {
     let sizes = plan.service_sizes();
@@ -50,7 +51,8 @@
         .collect()
 }
 
-/// The hollow balancers at these placements; `parents` gives those of a region and a zone.
+/// Creates the hollow balancers for these placements; `parents` returns the addresses of the parents for a region and a
+/// zone.
 #[must_use]
 pub fn hollow_balancers(
     plan: &Plan,
@@ -72,13 +74,13 @@
     placements.iter().enumerate().map(balancer).collect()
 }
 
-/// The name of a service.
+/// Returns the name of the service with this number.
 #[must_use]
 pub fn service_name(service: usize) -> String {
     format!("service-{service:03}")
 }
 
-/// The name of a region.
+/// Returns the name of the region with this number.
 #[must_use]
 pub fn region_name(region: usize) -> String {
     format!("region-{region}")
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow balancers, many to a process: the balancer's own endpoint list client with its decisions, and the real
-//! configuration client, without a listener and without clients.
+//! Hollow balancers, many in one process. Each runs the balancer's own endpoint list client with the balancer's
+//! decisions, and the real configuration client, but has no listener and no clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,42 +29,43 @@
 use super::machine;
 use crate::CapacityError;
 
-/// Seconds of the window in which the busiest balancer's bytes are counted: the time in which a change must be in
-/// force.
+/// Length in seconds of the window in which the bytes of the busiest balancer are counted: the time within which a
+/// change must be in force.
 pub const WINDOW_S: usize = 13;
 
-/// What a process of hollow balancers plays: the first line of its standard input, as JSON.
+/// The job of a process of hollow balancers: the first line of its standard input, as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Job {
-    /// The address of the list server; `None` where the balancers do not watch a list.
+    /// Address of the list server; `None` if the balancers do not watch an endpoint list.
     pub list: Option<SocketAddr>,
-    /// The names of the fleet's zones.
+    /// Names of the fleet's zones.
     pub zones: Vec<String>,
-    /// Time between the starts of two balancers, in ms.
+    /// Delay between the starts of two balancers of the process, in ms.
     pub apart_ms: u64,
-    /// The balancers.
+    /// Hollow balancers to run.
     pub balancers: Vec<Hollow>,
 }
 
-/// One hollow balancer.
+/// Identity and parents of one hollow balancer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hollow {
-    /// Its number in the fleet.
+    /// Number of the balancer in the fleet.
     pub number: usize,
-    /// The name of its service.
+    /// Name of the balancer's service.
     pub service: String,
-    /// The name of its region.
+    /// Name of the balancer's region.
     pub region: String,
-    /// The number of its zone.
+    /// Number of the balancer's zone.
     pub zone: usize,
-    /// The relays that it gets its configuration from; without any it has no configuration client.
+    /// Addresses of the relays that the balancer gets its configuration from; if empty, it runs no configuration
+    /// client.
     pub parents: Vec<SocketAddr>,
-    /// The seed of its random numbers.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
 }
 
 impl Hollow {
-    /// The scopes that it subscribes to.
+    /// Returns the scopes whose documents the balancer subscribes to.
     #[must_use]
     pub fn wanted(&self) -> [Scope; 3] {
         [
@@ -75,49 +76,50 @@
     }
 }
 
-/// What a process of hollow balancers reports, as a JSON object on a line.
+/// A message from a process of hollow balancers, as a JSON object on one line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The balancer of this number has received its endpoint list.
+    /// The balancer with this number has received its endpoint list.
     Listed(usize),
-    /// A balancer has a document in force.
+    /// A balancer has a version of a document in force.
     InForce {
-        /// Its number.
+        /// Number of the balancer that has the document in force.
         balancer: usize,
-        /// The document's scope.
+        /// Scope of the document.
         scope: Scope,
-        /// Its version.
+        /// Version of the document.
         version: u64,
-        /// When, on [`machine::now_ns`]'s clock.
+        /// Time at which the document came into force, in nanoseconds on the clock of [`machine::now_ns`].
         at_ns: u64,
     },
-    /// A balancer's index decreased.
+    /// The index of a balancer's configuration decreased.
     Back {
-        /// Its number.
+        /// Number of the balancer whose index decreased.
         balancer: usize,
-        /// The index before.
+        /// Index before the decrease.
         from: u64,
-        /// The index after.
+        /// Index after the decrease.
         to: u64,
     },
-    /// The answer to the command `figures`.
+    /// Response to the command `figures`.
     Figures(Figures),
-    /// The process cannot continue, for this reason.
+    /// The process cannot continue, for the given reason.
     Failed(String),
 }
 
-/// Traffic of a process's configuration connections since its start.
+/// Traffic of the configuration connections of a process since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Bytes received.
+    /// Bytes received by all balancers of the process.
     pub read: u64,
-    /// Bytes sent.
+    /// Bytes sent by all balancers of the process.
     pub written: u64,
-    /// Connections opened.
+    /// Connections opened by all balancers of the process.
     pub opened: u64,
-    /// Bytes of both ways, by the parent's address.
+    /// Bytes in both directions, by the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// The most bytes of one balancer within [`WINDOW_S`] seconds since the previous figures.
+    /// Largest number of bytes that one balancer exchanged within [`WINDOW_S`] seconds, since the previous response to
+    /// `figures`.
     pub most_in_window: u64,
 }
 
@@ -129,7 +131,7 @@
     by_parent: RefCell<BTreeMap<SocketAddr, u64>>,
 }
 
-/// A connection whose bytes are counted.
+/// A connection to a parent whose bytes are counted.
 struct Counted {
     stream: TcpStream,
     parent: SocketAddr,
@@ -177,13 +179,13 @@
 
 fn send_event(event: &Event) {
     let Ok(line) = serde_json::to_string(event) else { return };
-    // Nobody listens any more: there is nothing left to do.
+    // A failed write means that the parent process has closed the pipe, so there is nothing left to do.
     if writeln!(io::stdout().lock(), "{line}").is_err() {
         process::exit(0);
     }
 }
 
-/// Plays the balancers of the [`Job`] on standard input, and exits the process when standard input closes.
+/// Runs the balancers of the [`Job`] on standard input, and exits the process when standard input closes.
 ///
 /// # Errors
 /// The job cannot be parsed, or the runtime cannot be started.
@@ -202,7 +204,7 @@
                 break;
             }
         }
-        // Whoever started this has gone.
+        // Standard input closes when the parent process has ended or has dropped this child.
         process::exit(0);
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -229,7 +231,7 @@
         }
         sleep(Duration::from_millis(job.apart_ms)).await;
     }
-    // By balancer: its bytes at the last WINDOW_S seconds.
+    // For each balancer, its total bytes at each of the last WINDOW_S seconds.
     let mut seconds: Vec<Vec<u64>> = vec![vec![0; WINDOW_S]; all.len()];
     let (mut turn, mut most) = (0, 0);
     let mut each_second = interval(Duration::from_secs(1));
@@ -246,7 +248,7 @@
                 for (counts, seconds) in all.iter().zip(&mut seconds) {
                     let now = counts.read.get() + counts.written.get();
                     let Some(then) = seconds.get_mut(turn % WINDOW_S) else { continue };
-                    // The first window lies in the start, where it holds the whole.
+                    // Until WINDOW_S seconds have passed, the window covers all bytes since the start.
                     most = most.max(now - *then);
                     *then = now;
                 }
@@ -269,7 +271,8 @@
     sum
 }
 
-/// Starts a balancer's event loop, with its endpoint list client and its decisions, as the balancer itself does.
+/// Starts a balancer's event loop with its endpoint list client and its decisions, in the same way as the balancer
+/// itself does.
 ///
 /// # Errors
 /// The settings are invalid, or the event loop cannot be started.
@@ -294,7 +297,7 @@
         sleep(Duration::from_millis(10)).await;
     }
     send_event(&Event::Listed(number));
-    // The driver holds itself; this keeps the intent plain.
+    // Keeps a reference to the event loop explicitly, although the event loop also holds one to itself.
     std::future::pending::<()>().await;
 }
 
@@ -334,10 +337,10 @@
     match client::run(client, connect, take).await {}
 }
 
-/// Waits until `done`, for a minute at most.
+/// Waits until `done` returns true, for one minute at most.
 ///
 /// # Errors
-/// It is not done within the minute.
+/// `done` has not returned true within the minute.
 pub async fn wait_until(place: &str, mut done: impl FnMut() -> bool) -> Result<(), CapacityError> {
     let until = Instant::now() + Duration::from_secs(60);
     while !done() {
--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the platform's list service, with the same wire form. Its own cost says nothing of that of the real
-//! one.
+//! A stand-in for the platform's endpoint list service, with the same wire format. Its own resource usage says nothing
+//! about that of the real service.
 
 use std::collections::HashMap;
 use std::fmt::Write;
@@ -19,7 +19,7 @@
 use super::machine;
 use crate::CapacityError;
 
-/// The longest request head that is accepted, in bytes.
+/// Maximum length of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8192;
 
 struct Entry {
@@ -31,14 +31,15 @@
 struct Lines {
     index: u64,
     entries: Vec<Entry>,
-    /// A watch at an index before this gets a snapshot.
+    /// A watch at an index below this gets a snapshot.
     whole_before: u64,
-    /// Lines for the current index, by the index that the watch is at: each line is formatted once for all watches.
+    /// Cached lines that bring a watch to the current index, by the index that the watch is at. Each line is formatted
+    /// once for all watches.
     ready: HashMap<u64, Bytes>,
 }
 
 impl Lines {
-    /// The line for a watch at the index `since`, as an HTTP chunk.
+    /// Returns the line, as an HTTP chunk, that brings a watch from the index `since` to the current one.
     fn after(&mut self, since: u64) -> Bytes {
         let whole = since == 0 || since > self.index || since < self.whole_before;
         let Self { index, entries, ready, .. } = self;
@@ -61,7 +62,7 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into()
 }
 
-/// The JSON of an upstream's entry, padded to `bytes` together with the comma after it.
+/// Formats the list entry of an upstream as JSON, padded so that it and the comma after it have `bytes` bytes.
 fn entry(number: usize, turn: u64, zones: usize, bytes: usize) -> String {
     let mut text = format!(
         "{{\"name\":\"u{number:04}\",\"address\":\"127.0.0.1:{}\",\"zone\":\"zone-{}\",\"type\":\"std\",\
@@ -85,14 +86,14 @@
     cpu_ns: AtomicU64,
 }
 
-/// Traffic and processor time of the server so far.
+/// Traffic and processor time of the server since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Carried {
-    /// Bytes received.
+    /// Bytes received on all connections.
     pub read: u64,
-    /// Bytes sent.
+    /// Bytes sent on all connections.
     pub written: u64,
-    /// Open watches.
+    /// Number of open connections.
     pub connections: usize,
     /// Processor time of the server's thread, in nanoseconds.
     pub cpu_ns: u64,
@@ -101,18 +102,18 @@
 struct Shared {
     lines: Mutex<Lines>,
     counts: Counts,
-    /// The index that each watch so far asked to continue from, in order of arrival.
+    /// The index that each watch asked to continue from, in order of arrival.
     asked: Mutex<Vec<u64>>,
     beat: Duration,
 }
 
-/// The list server, which runs on a thread of its own until this is dropped.
+/// An endpoint list server, which runs on a thread of its own until this is dropped.
 pub struct ListServer {
-    /// The address that it listens on.
+    /// Address that the server listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     index: watch::Sender<u64>,
-    /// Incremented to close all connections.
+    /// Counter that is incremented to close all connections.
     closed: watch::Sender<u64>,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -126,8 +127,8 @@
 }
 
 impl ListServer {
-    /// Starts a server whose list has `upstreams` entries of `entry_bytes` bytes each, in `zones` zones, at index 1.
-    /// It sends an empty line to each watch that has had nothing for the duration `beat`.
+    /// Starts a server whose list has `upstreams` entries of `entry_bytes` bytes each, in `zones` zones, at index 1. It
+    /// sends an empty line as a heartbeat to each watch that has received nothing for the duration `beat`.
     ///
     /// # Errors
     /// No port is free, or the runtime cannot be started.
@@ -172,13 +173,14 @@
         })
     }
 
-    /// The current index of the list.
+    /// Returns the current index of the list.
     #[must_use]
     pub fn index(&self) -> u64 {
         *self.index.borrow()
     }
 
-    /// Changes the next `count` entries in turn, at one index each; watches are notified once, after the last.
+    /// Changes the next `count` entries in list order, starting again at the first after the last. Each change
+    /// increments the index; the watches are notified once, after the last change.
     pub fn change(&self, count: usize) {
         let mut lines = lock(&self.shared.lines);
         for _ in 0..count {
@@ -209,7 +211,7 @@
         self.closed.send_modify(|count| *count += 1);
     }
 
-    /// Traffic and processor time of the server so far.
+    /// Returns the traffic and the processor time of the server since its start.
     #[must_use]
     pub fn carried(&self) -> Carried {
         let Counts { read, written, connections, cpu_ns } = &self.shared.counts;
@@ -221,7 +223,7 @@
         }
     }
 
-    /// The index that each watch so far asked to continue from, in order of arrival.
+    /// Returns the index that each watch asked to continue from, in order of arrival.
     #[must_use]
     pub fn asked(&self) -> Vec<u64> {
         lock(&self.shared.asked).clone()
@@ -231,11 +233,11 @@
 impl Drop for ListServer {
     fn drop(&mut self) {
         if let Some(stop) = self.stop.take() {
-            // The thread may have ended.
+            // Sending fails if the thread has already ended.
             let _ = stop.send(());
         }
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has nothing left to clean up.
+            // The result is an error if the thread panicked; there is nothing left to clean up then.
             let _ = thread.join();
         }
     }
@@ -257,13 +259,13 @@
     });
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        // Several watches may be notified in one turn, each by one write.
+        // Disables Nagle's algorithm: several watches may be notified in one turn of the event loop, each by one write.
         let _ = stream.set_nodelay(true);
         let (shared, indices, mut closes) = (Arc::clone(&shared), indices.clone(), closes.clone());
         spawn_local(async move {
             closes.mark_unchanged();
             shared.counts.connections.fetch_add(1, Ordering::AcqRel);
-            // However it ends, the connection is closed with it.
+            // The connection closes when `serve` returns, whether with an error or not.
             let _ = serve(stream, &shared, indices, closes).await;
             shared.counts.connections.fetch_sub(1, Ordering::AcqRel);
         });
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a play, as a row of the results.
+//! The outcome of a run, as a row of the results table.
 
 use super::Scenario;
 use super::cost::{Busiest, Cost};
@@ -6,7 +6,7 @@
 use super::swarm::Times;
 use crate::plan::Plan;
 
-/// The headings of the columns.
+/// Column headings of the results table.
 pub(super) const COLUMNS: [&str; 24] = [
     "scenario",
     "seed",
@@ -89,8 +89,8 @@
         COLUMNS.iter().zip(self.row()).map(|(head, value)| format!("{head}: {value}\n")).collect()
     }
 
-    /// The promises of the plan that the play did not meet; times are checked only where `timed`, as a play that
-    /// shares the machine has no sound times.
+    /// Lists the objectives of the plan that the run did not meet. The delay of changes is checked only if `timed` is
+    /// set, because a run that shares the machine with other work has no meaningful times.
     pub(super) fn faults(&self, plan: &Plan, timed: bool) -> Vec<String> {
         let place = format!("{} {}", self.scenario.name(), self.seed);
         let within = plan.configuration.in_force_s.value;
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -1,5 +1,5 @@
-//! The control processes: an origin, a standby, relays of regions and of zones, each edge between them through a
-//! forwarder that counts bytes and can be cut.
+//! The control processes: an origin, a standby, and relays of regions and of zones. Each connection between them goes
+//! through a forwarder, which counts its bytes and can partition it.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -24,18 +24,19 @@
 use self::forwarder::{Forwarder, Forwarders, forward_all};
 pub use self::publication::{Change, Response, body, publish, request};
 
-/// The program of the control processes.
+/// Name of the control processes' program.
 const PROGRAM: &str = "config-distribution";
-/// The first port of the processes: below the kernel's ephemeral ports, so that no client's connection takes one.
+/// First port of the control processes. It is below the kernel's ephemeral ports, so that no outgoing connection takes
+/// a port of theirs.
 const FIRST_PORT: u16 = 7100;
-/// How long a process may take until it listens, and a publication until it is accepted.
+/// Maximum time until a process listens, and until a publication is accepted.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Running {
     machine: Machine,
     address: SocketAddr,
     child: Option<Child>,
-    /// Processor time of its earlier processes, in nanoseconds.
+    /// Processor time used by earlier, killed processes at this place, in nanoseconds.
     before: u64,
     last_kb: u64,
 }
@@ -47,7 +48,7 @@
     bytes: Arc<AtomicU64>,
 }
 
-/// The running control processes; they are killed when this is dropped.
+/// The running control processes, which are killed when this is dropped.
 pub struct Plane {
     running: Vec<Running>,
     edges: Vec<Edge>,
@@ -57,19 +58,19 @@
     forwarders: Option<Forwarders>,
 }
 
-/// How many control planes this process has started, so that each has ports and a directory of its own.
+/// Number of control planes that this process has started, which gives each of them its own ports and directory.
 static PLANES: AtomicUsize = AtomicUsize::new(0);
 
 impl Plane {
-    /// Starts all processes and waits until each listens.
+    /// Starts all processes and waits until each of them listens.
     ///
     /// # Errors
-    /// The program is missing, or a process does not start to listen in time.
+    /// The program is missing, or a process does not listen within the time-out.
     pub fn start(machines: Vec<Machine>) -> Result<Self, CapacityError> {
         let program = program()?;
         let turn = PLANES.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
-        // An address of this run's own, so that no other run has its ports.
+        // A loopback address derived from the process id, so that the ports do not collide with those of another run.
         let [_, high, middle, low] = pid.to_be_bytes();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 64 + high % 64, middle, low));
         let port = |place: usize| FIRST_PORT + ((turn % 64) * 128 + place) as u16;
@@ -111,7 +112,7 @@
         Ok(plane)
     }
 
-    /// Starts the process at `place`, which must not be running.
+    /// Starts the control process with the index `place`, which must not be running.
     ///
     /// # Errors
     /// The process cannot be started.
@@ -141,7 +142,7 @@
     /// Waits until all running processes accept connections.
     ///
     /// # Errors
-    /// A process does not in time.
+    /// A process does not accept connections within the time-out, or a signal has asked the run to end.
     pub fn wait_listening(&self) -> Result<(), CapacityError> {
         let until = Instant::now() + TIMEOUT;
         for running in self.running.iter().filter(|running| running.child.is_some()) {
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    /// Kills the process at `place`, as when its machine is lost.
+    /// Kills the control process with the index `place`, as if its machine were lost.
     pub fn kill(&mut self, place: usize) {
         let used = self.usage(place);
         let running = &mut self.running[place];
@@ -166,23 +167,23 @@
         }
     }
 
-    /// The control processes of the plan, by place.
+    /// Iterates over the control processes of the plan, in the order of their indices.
     pub fn machines(&self) -> impl Iterator<Item = &Machine> {
         self.running.iter().map(|running| &running.machine)
     }
 
-    /// The process ids of the running processes.
+    /// Iterates over the process ids of the running control processes.
     pub fn pids(&self) -> impl Iterator<Item = u32> {
         self.running.iter().filter_map(|running| Some(running.child.as_ref()?.pid()))
     }
 
-    /// The address that the process at `place` listens on.
+    /// Returns the address that the control process with the index `place` listens on.
     #[must_use]
     pub fn address(&self, place: usize) -> SocketAddr {
         self.running[place].address
     }
 
-    /// The parents of a balancer: the relays of its zone and of its region.
+    /// Returns the addresses of the parents of a balancer: the relays of its zone and of its region.
     #[must_use]
     pub fn parents_of(&self, region: usize, zone: usize) -> Vec<SocketAddr> {
         let is_parent = |machine: &Machine| {
@@ -192,7 +193,8 @@
         parents.map(|running| running.address).collect()
     }
 
-    /// Resources that the process at `place` has used, over its restarts.
+    /// Returns the resources that the control process with the index `place` has used, including those before its
+    /// restarts. Memory is the largest value of any call.
     pub fn usage(&mut self, place: usize) -> Usage {
         let running = &mut self.running[place];
         let now = running.child.as_ref().and_then(|child| machine::usage(child.pid()));
@@ -201,15 +203,16 @@
         Usage { cpu_ns: running.before + cpu_ns, resident_kb: running.last_kb }
     }
 
-    /// Bytes between the process at `place` and the other control processes so far, both ways.
+    /// Returns the bytes exchanged so far between the control process with the index `place` and the other control
+    /// processes, in both directions.
     #[must_use]
     pub fn bytes(&self, place: usize) -> u64 {
         let edges = self.edges.iter().filter(|edge| edge.child == place || edge.parent == place);
         edges.map(|edge| edge.bytes.load(Ordering::Relaxed)).sum()
     }
 
-    /// Cuts a region off from the others, or ends the cut: the connections over the region's border stay open, but no
-    /// bytes pass.
+    /// Partitions a region from the others, or ends the partition if `region` is `None`. Connections across the
+    /// region's border stay open, but no bytes pass.
     pub fn cut(&self, region: Option<usize>) {
         self.cut.send_replace(region);
     }
@@ -219,19 +222,19 @@
     fn drop(&mut self) {
         self.running.clear();
         if let Some((stop, thread)) = self.forwarders.take() {
-            // The thread may have ended.
+            // Sending fails if the thread has already ended.
             let _ = stop.send(());
             let _ = thread.join();
         }
-        // What is left of it lies among temporary files.
+        // If removing fails, the files stay in the directory for temporary files, where they do no harm.
         let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
-/// Finds the program beside this one.
+/// Finds the control processes' program in the directory of this executable or in that directory's parent.
 fn program() -> Result<PathBuf, CapacityError> {
     let own = std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
-    // Tests lie one folder further down.
+    // The executables of tests are one directory further down.
     let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM));
     beside.into_iter().find(|path| path.is_file()).ok_or_else(|| {
         let wanted = own.with_file_name(PROGRAM);
@@ -239,10 +242,10 @@
     })
 }
 
-/// Creates the folder `part` below `out`, where results go.
+/// Creates the directory `part` below `out`, for results or slopes, and returns its path.
 ///
 /// # Errors
-/// The folder cannot be created.
+/// The directory cannot be created.
 pub fn folder(out: &Path, part: &str) -> Result<PathBuf, CapacityError> {
     let folder = out.join(part);
     fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
--- a/crates/capacity/src/sockets/plane/deal.rs
+++ b/crates/capacity/src/sockets/plane/deal.rs
@@ -1,25 +1,25 @@
-//! The control processes of the plan: their roles, places and parents.
+//! The control processes of the plan, with their roles, locations and parents.
 
 use crate::plan::Plan;
 
-/// The role of a control process.
+/// Role of a control process. The order of the variants is from the origin down to the zone relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Accepts publications.
     Origin,
-    /// Follows the origin, to replace it.
+    /// Follows the origin, and can replace it.
     Standby,
-    /// Relays for a region.
+    /// Relays documents to a region.
     Region,
-    /// Relays for a zone.
+    /// Relays documents to a zone.
     Zone,
 }
 
 impl Role {
-    /// All roles.
+    /// All roles, from the origin down.
     pub const ALL: [Self; 4] = [Self::Origin, Self::Standby, Self::Region, Self::Zone];
 
-    /// The name of the role in results and messages.
+    /// Returns the name of the role, as used in results and messages.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -35,21 +35,21 @@
     }
 }
 
-/// A control process of the plan.
+/// A control process of the plan, with its location and its parents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Machine {
-    /// Its role.
+    /// Role of the process.
     pub role: Role,
-    /// The number of its region.
+    /// Number of the region that the process runs in.
     pub region: usize,
-    /// The number of its zone; only a zone relay has one.
+    /// Number of the zone that the process serves; only a zone relay has one.
     pub zone: Option<usize>,
-    /// The places of the processes that it follows.
+    /// Indices of the processes that this process follows.
     pub parents: Vec<usize>,
 }
 
-/// The control processes of the plan: the origin in the first region, the standby in the next, relays of regions that
-/// follow both, and relays of zones that follow those of their region and the standby.
+/// Lists the control processes of the plan: the origin in the first region, the standby in the next, the region relays,
+/// which follow both, and the zone relays, which follow the relays of their region and the standby.
 #[must_use]
 pub fn deal(plan: &Plan) -> Vec<Machine> {
     let regions = plan.fleet.regions.value;
@@ -78,7 +78,7 @@
     machines
 }
 
-/// The region of a zone; zones are numbered region after region.
+/// Returns the region of a zone; zones are numbered region by region.
 #[must_use]
 pub fn region_of(plan: &Plan, zone: usize) -> usize {
     let mut until = 0;
--- a/crates/capacity/src/sockets/plane/forwarder.rs
+++ b/crates/capacity/src/sockets/plane/forwarder.rs
@@ -1,4 +1,5 @@
-//! The forwarders between control processes, which count bytes and can be cut.
+//! Forwarders of the connections between control processes. They count bytes and can partition a region from the
+//! others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 pub(super) struct Forwarder {
     pub(super) listener: std::net::TcpListener,
     pub(super) to: SocketAddr,
-    /// The regions of its ends.
+    /// Regions of the two processes that the forwarder connects.
     pub(super) ends: [usize; 2],
     pub(super) bytes: Arc<AtomicU64>,
 }
@@ -33,7 +34,7 @@
             for forwarder in forwarders {
                 spawn_local(forward(forwarder, cuts.clone()));
             }
-            // Its other end may have gone.
+            // The sender may have been dropped instead of used; both end the forwarders.
             let _ = stopped.await;
         });
     });
@@ -49,22 +50,23 @@
         spawn_local(async move {
             open(&mut cuts, ends).await;
             let Ok(far) = tokio::net::TcpStream::connect(to).await else { return };
-            // Each chunk is sent as it arrives; without this the connection still works, only slower.
+            // Disables Nagle's algorithm so that each chunk is sent as it arrives. If this fails, the connection still
+            // works, only more slowly.
             let _ = (near.set_nodelay(true), far.set_nodelay(true));
             let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
             let mut back_cuts = cuts.clone();
             let there = pass(near_read, far_write, &mut cuts, ends, &bytes);
             let back = pass(far_read, near_write, &mut back_cuts, ends, &bytes);
-            // Either end closes both.
+            // When one direction ends, both connections are closed.
             tokio::select! { _ = there => {}, _ = back => {} }
         });
     }
 }
 
-/// Waits while there is a cut between the regions.
+/// Waits while the two regions are partitioned from each other.
 async fn open(cuts: &mut watch::Receiver<Option<usize>>, ends: [usize; 2]) {
     let open = |cut: &Option<usize>| ends[0] == ends[1] || cut.is_none_or(|region| !ends.contains(&region));
-    // The sender lives as long as the forwarders.
+    // Waiting fails only if the sender is dropped, and it lives as long as the forwarders.
     let _ = cuts.wait_for(open).await;
 }
 
--- a/crates/capacity/src/sockets/plane/publication.rs
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -1,4 +1,4 @@
-//! Publications of documents to the origin.
+//! Publication of documents to the origin over HTTP.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,16 +12,16 @@
 use crate::CapacityError;
 use crate::sockets::machine;
 
-/// A published change.
+/// A change of a document that the origin has accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The scope of the document.
+    /// Scope of the document.
     pub scope: Scope,
-    /// The version that the origin gave it.
+    /// Version that the origin assigned to the document.
     pub version: u64,
-    /// When it was first sent, in nanoseconds on [`machine::now_ns`]'s clock.
+    /// Time at which the publication was first sent, in nanoseconds on the clock of [`machine::now_ns`].
     pub sent_ns: u64,
-    /// When it was acknowledged, in nanoseconds on the same clock.
+    /// Time at which the origin acknowledged the publication, in nanoseconds on the clock of [`machine::now_ns`].
     pub acknowledged_ns: u64,
 }
 
@@ -30,10 +30,10 @@
     index: u64,
 }
 
-/// Publishes a document, and repeats it under the same id while the origin is unavailable.
+/// Publishes a document, and repeats the request under the same id while the origin is unavailable.
 ///
 /// # Errors
-/// The origin rejects it, or is unavailable for half a minute.
+/// The origin rejects the document, or is unavailable for 30 s.
 pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
     let sent_ns = machine::now_ns();
     let until = Instant::now() + TIMEOUT;
@@ -63,18 +63,18 @@
     }
 }
 
-/// A response of HTTP/1.1.
+/// An HTTP/1.1 response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
-    /// The status code.
+    /// Status code of the response.
     pub status: u16,
-    /// The body.
+    /// Body of the response.
     pub body: String,
-    /// Bytes of request and response together.
+    /// Length of request and response together, in bytes.
     pub bytes: usize,
 }
 
-/// Sends a request of HTTP/1.1 on a connection of its own.
+/// Sends an HTTP/1.1 request on a new connection.
 ///
 /// # Errors
 /// The connection fails, or the response cannot be parsed.
@@ -95,7 +95,7 @@
     Ok(Response { status, body: body.to_owned(), bytes })
 }
 
-/// A document's body of at most `bytes` bytes, which differs with each `turn`.
+/// Returns a document body of at most `bytes` bytes; its content differs for each `turn`.
 #[must_use]
 pub fn body(bytes: usize, turn: u64) -> String {
     let mut text =
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -1,4 +1,4 @@
-//! One play, from the start of its processes to its outcome.
+//! One run of a scenario, from the start of its processes to its outcome.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,22 +23,23 @@
 
 use self::fault::{ChangesAndFault, Cut, Played, Target};
 
-/// Part of the machine's memory at most.
+/// Maximum fraction of the machine's memory that all processes of a run may use.
 const MEMORY_PART: f64 = 0.5;
-/// How long the last change may take before the play is given up.
+/// Maximum time to wait for the start, for the last change and for the reconnected watches. After it the run fails or
+/// counts the balancers that are behind.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// Part of a play's changes, at its end, in which the return from a fault is looked at.
+/// Length of the recovery window after a fault, as a fraction of the time over which the changes are published.
 const RETURN_PART: f64 = 0.35;
-/// Between the starts of two balancers of a process, in ms; a small play, whose processes have fewer balancers, has
-/// none.
+/// Delay between the starts of two balancers of a process, in ms. A small run, whose processes have fewer balancers,
+/// has none.
 const START_INTERVAL_MS: u64 = 20;
-/// Balancers of a process of a small play.
+/// Number of balancers in each process of a small run.
 const PER_PROCESS_SMALL: usize = 20;
 
-/// Plays one scenario with one seed.
+/// Runs one scenario with one seed.
 ///
 /// # Errors
-/// A process does not start or ends early, or the play needs more memory than it may.
+/// A process does not start or ends early, or the run needs more memory than [`MEMORY_PART`] allows.
 pub(super) fn play(
     scenario: Scenario,
     seed: u64,
@@ -75,12 +76,12 @@
     })
 }
 
-/// For how long the return is looked at.
+/// Returns the length of the recovery window, in which the cost of the recovery from a fault is measured.
 pub(super) fn return_window(seconds: f64) -> Duration {
     Duration::from_secs_f64((seconds * RETURN_PART).min(super::hollow::WINDOW_S as f64))
 }
 
-/// The memory of the largest control process, in MB, and what that process is.
+/// Returns the memory of the largest control process, in MiB, and the role of that process.
 fn largest_control_mb(end: &Mark, machines: &[Machine]) -> Busiest {
     let sizes = end.control.iter().map(|one| one.process.resident_kb);
     let largest = sizes.zip(machines.iter().map(|machine| machine.role)).max();
@@ -88,31 +89,31 @@
     Busiest { figure: largest_kb as f64 / 1024.0, role }
 }
 
-/// The running processes of a play.
+/// The running processes of a run.
 struct Play<'a> {
     scenario: Scenario,
     seed: u64,
     size: &'a Size,
     plan: &'a Plan,
-    /// By balancer.
+    /// Service and zone of each balancer, by its number.
     placements: Vec<Placement>,
     plane: Plane,
     swarm: Swarm,
     list: ListServer,
-    /// The newest version of each scope.
+    /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
     memory_bound_kb: u64,
     place: String,
 }
 
-/// Times of all changes until they were in force, over all balancers.
+/// Delays until the changes were in force, for all changes and balancers.
 struct ChangeTimes {
     from_acknowledgement: Times,
     from_sending: Times,
 }
 
 impl<'a> Play<'a> {
-    /// Starts all processes; all documents are published before the balancers start.
+    /// Starts all processes. The first document of each scope is published before the balancers start.
     fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
         let placements = fleet(plan, size.balancers);
         let plane = Plane::start(plane::deal(plan))?;
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Waits until all balancers have their list and their documents.
+    /// Waits until all balancers have received their endpoint list and their documents.
     fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
         let newest = &self.newest;
         let is_ready = |swarm: &Swarm| swarm.all_listed() && swarm.missing(newest) == 0;
@@ -156,16 +157,16 @@
         Err(CapacityError::run(self.place.clone(), cause))
     }
 
-    /// The sums before and after a span in which nothing changes.
+    /// Measures the totals at the start and the end of a span in which no configuration changes.
     fn rest(&mut self) -> Result<(Mark, Mark), CapacityError> {
-        // Lists and documents of the start are behind them.
+        // The lists and documents of the start have been processed after this pause.
         self.swarm.receive_for(self.size.rest / 2)?;
         let from = self.mark()?;
         self.swarm.receive_for(self.size.rest)?;
         Ok((from, self.mark()?))
     }
 
-    /// Waits until all balancers have the last change of each scope; gives how many do not.
+    /// Waits until all balancers have the last change of each scope; returns the number of balancers that do not.
     fn wait_for_last_changes(&mut self, played: &Played) -> Result<usize, CapacityError> {
         for change in &played.changes {
             self.newest.insert(change.scope.clone(), change.version);
@@ -175,8 +176,8 @@
         Ok(self.swarm.missing(newest))
     }
 
-    /// Closes all watches of the list, which then reconnect; returns how many continue from another index than the
-    /// current one.
+    /// Closes all watches of the endpoint list, which then reconnect; returns how many do not continue from the current
+    /// index.
     fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
         let (list, balancers) = (&self.list, self.size.balancers);
         let (asked_before, index) = (list.asked().len(), list.index());
@@ -194,7 +195,8 @@
                 let Some(at_ns) = at_ns else { continue };
                 let zone = self.placements[balancer].zone;
                 let is_cut_off = plane::region_of(self.plan, zone) == target.far_region;
-                // What was published within the cut could reach these balancers from its end on.
+                // A change published during the partition can reach these balancers only after its end, so the delay
+                // counts from there.
                 let cut = played.cut.filter(|cut| is_cut_off && cut.contains(change.acknowledged_ns));
                 let floor = cut.map_or(0, |Cut { end_ns, .. }| end_ns);
                 times.from_acknowledgement.add(at_ns.saturating_sub(change.acknowledged_ns.max(floor)));
@@ -204,10 +206,10 @@
         Ok(times)
     }
 
-    /// The sums of now.
+    /// Measures the current totals of all processes.
     ///
     /// # Errors
-    /// The processes use more memory than they may.
+    /// The processes use more memory than the limit allows.
     fn mark(&mut self) -> Result<Mark, CapacityError> {
         let carried = self.swarm.carried()?;
         let places = self.plane.machines().count();
@@ -256,14 +258,14 @@
     }
 }
 
-/// The services that are played.
+/// Lists the services that have balancers in the run.
 fn services(placements: &[Placement]) -> Vec<usize> {
     let mut services: Vec<usize> = placements.iter().map(|placement| placement.service).collect();
     services.dedup();
     services
 }
 
-/// Publishes the first document of each scope; gives their versions.
+/// Publishes the first document of each scope; returns the versions of the documents.
 fn publish_first(
     origin: SocketAddr,
     plan: &Plan,
--- a/crates/capacity/src/sockets/play/fault.rs
+++ b/crates/capacity/src/sockets/play/fault.rs
@@ -1,4 +1,4 @@
-//! The changes of a play and the fault in the middle of them.
+//! The configuration changes of a run and the fault that is injected among them.
 
 use std::sync::mpsc::{Receiver, TryRecvError};
 use std::time::{Duration, Instant};
@@ -13,20 +13,20 @@
 use crate::sockets::schedule::publish_all;
 use crate::sockets::{Scenario, machine};
 
-/// Part of the changes' seconds after which the fault comes.
+/// Time of the fault, as a fraction of the time over which the changes are published.
 const FAULT_PART: f64 = 0.25;
-/// Part of the changes' seconds after which a cut ends.
+/// Time at which a partition ends, as a fraction of the time over which the changes are published.
 const CUT_END_PART: f64 = 0.65;
-/// Between two changes of the list.
+/// Interval between two changes of the endpoint list.
 const LIST_CHANGE_INTERVAL: Duration = Duration::from_secs(2);
-/// How often it is looked whether something is due.
+/// Interval between two checks for due actions.
 const STEP: Duration = Duration::from_millis(10);
 
-/// What is drawn for a play's fault.
+/// The randomly chosen target of a run's fault.
 pub(super) struct Target {
     zone: usize,
     region: usize,
-    /// Not the origin's.
+    /// Region that is partitioned from the others; not the origin's region.
     pub(super) far_region: usize,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// From its begin to its end, on [`machine::now_ns`]'s clock.
+/// Span of a network partition, in nanoseconds on the clock of [`machine::now_ns`].
 #[derive(Clone, Copy)]
 pub(super) struct Cut {
     begin_ns: u64,
@@ -55,7 +55,7 @@
     }
 }
 
-/// What was published, and what the fault was.
+/// The published changes, and the spans of the partition and of the recovery.
 pub(super) struct Played {
     pub(super) changes: Vec<Change>,
     pub(super) cut: Option<Cut>,
@@ -63,18 +63,18 @@
     pub(super) return_to: Mark,
 }
 
-/// The changes of a play and its fault, as far as they have come.
+/// State of the publication of a run's changes and of its fault.
 pub(super) struct ChangesAndFault<'p, 'a> {
     play: &'p mut Play<'a>,
     target: &'p Target,
     published: Receiver<Result<Change, CapacityError>>,
-    /// Changes to come in all.
+    /// Number of changes that are published in total.
     change_count: usize,
     changes: Vec<Change>,
     start: Instant,
-    /// From the start.
+    /// Time of the next change of the endpoint list, from the start.
     next_list_change: Duration,
-    /// On [`machine::now_ns`]'s clock, once the fault has come.
+    /// Time at which the fault began, in nanoseconds on the clock of [`machine::now_ns`]; `None` before the fault.
     fault_begin_ns: Option<u64>,
     cut: Option<Cut>,
     return_from: Option<Mark>,
@@ -82,7 +82,7 @@
 }
 
 impl<'p, 'a> ChangesAndFault<'p, 'a> {
-    /// Starts the publisher of the changes.
+    /// Starts publishing the changes.
     pub(super) fn start(play: &'p mut Play<'a>, target: &'p Target) -> Self {
         let planned = schedule(play.plan, play.seed, play.size, &services(&play.placements));
         let change_count = planned.len();
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Goes on until all changes are published and the return has been looked at.
+    /// Runs until all changes are published and the recovery window is over.
     pub(super) fn run(mut self) -> Result<Played, CapacityError> {
         while self.changes.len() < self.change_count || self.return_to.is_none() {
             self.receive_published()?;
@@ -148,7 +148,7 @@
         Ok(())
     }
 
-    /// From the start to this part of the changes' seconds.
+    /// Returns the time from the start to this fraction of the time over which the changes are published.
     fn after(&self, part: f64) -> Duration {
         Duration::from_secs_f64(self.play.size.seconds * part)
     }
@@ -157,7 +157,7 @@
         self.play.scenario == Scenario::Cut
     }
 
-    /// From the start to the return: the fault, or the end of a cut.
+    /// Returns the time from the start to the start of the recovery: the fault, or the end of a partition.
     fn return_begin(&self) -> Duration {
         self.after(if self.is_cut() { CUT_END_PART } else { FAULT_PART })
     }
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Kills and starts all control processes, and ends all watches of the list.
+    /// Kills and restarts all control processes, and closes all watches of the endpoint list.
     fn restart_control(&mut self) -> Result<(), CapacityError> {
         self.play.kill(|_| true);
         self.play.list.close_all();
--- a/crates/capacity/src/sockets/schedule.rs
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -1,4 +1,4 @@
-//! The configuration changes of a play: when each is due, and their publication.
+//! The configuration changes of a run: when each is due, and their publication.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::{Receiver, channel};
@@ -14,15 +14,15 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// A change to be published.
+/// A change that is to be published.
 pub(super) struct Planned {
     at: Duration,
     scope: Scope,
     bytes: usize,
 }
 
-/// The changes of a play in order: bursts at random moments, with scopes by the plan's shares; services are drawn from
-/// those that are played.
+/// Draws the changes of a run, sorted by time: bursts at random moments, with scopes by the plan's shares. Services are
+/// drawn from those that have balancers in the run.
 pub(super) fn schedule(plan: &Plan, seed: u64, size: &Size, services: &[usize]) -> Vec<Planned> {
     let mut draws = Rand64::new(u128::from(seed) << 8);
     let configuration = &plan.configuration;
@@ -51,7 +51,8 @@
     planned
 }
 
-/// Publishes the changes when they are due, on a thread of its own.
+/// Publishes each change when it is due, on a thread of its own. Stops at the first error, which is sent as the last
+/// item.
 pub(super) fn publish_all(
     origin: SocketAddr,
     planned: Vec<Planned>,
--- a/crates/capacity/src/sockets/size.rs
+++ b/crates/capacity/src/sockets/size.rs
@@ -1,4 +1,4 @@
-//! The size of a play.
+//! The size of a run, from the command line and the plan.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// The most processes that a play may start.
+/// Maximum number of processes that a run may start.
 const MAX_PROCESSES: usize = 200;
 
-/// The size of a play.
+/// Number of balancers, processes, changes and list entries of a run, and the length of its phases.
 pub(super) struct Size {
     pub(super) balancers: usize,
     pub(super) per_process: usize,
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -15,59 +15,60 @@
 use super::plane::Change;
 use crate::CapacityError;
 
-/// The longest time that the histogram can record, in microseconds.
+/// Longest time that the histogram can record, in microseconds.
 const MAX_TIME_US: u64 = 600_000_000;
 
-/// How often it is checked whether a signal has asked the run to end.
+/// Interval of the check whether a signal has asked the run to end.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes of hollow balancers; they are killed when this is dropped.
+/// Processes of hollow balancers, which are killed when this is dropped.
 pub struct Swarm {
     children: Vec<Child>,
     output: Receiver<Output>,
-    /// By balancer.
+    /// Whether each balancer has received its endpoint list, by the balancer's number.
     listed: Vec<bool>,
-    /// By balancer and scope: the versions that came in force, in their order.
+    /// Versions of each scope that came into force at each balancer, in their order, by the balancer's number.
     in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
     wanted: Vec<[Scope; 3]>,
     figures: Vec<Option<Figures>>,
-    /// How many times a balancer's index decreased, which must never happen.
+    /// How often the index of a balancer decreased, which must never happen.
     pub index_regressions: usize,
 }
 
-/// A version of a document that came in force at a balancer.
+/// A version of a document that came into force at a balancer.
 #[derive(Debug, Clone, Copy)]
 struct VersionInForce {
     version: u64,
-    /// On [`machine::now_ns`]'s clock.
+    /// Time at which the version came into force, in nanoseconds on the clock of [`machine::now_ns`].
     at_ns: u64,
 }
 
-/// When a balancer had a change, or a newer one of its scope, in force.
+/// The time at which a balancer had a change, or a newer one of the same scope, in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
-    /// The number of the balancer.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// In nanoseconds on [`machine::now_ns`]'s clock; `None` where it never had.
+    /// Time at which the change was in force, in nanoseconds on the clock of [`machine::now_ns`]; `None` if it never
+    /// was.
     pub at_ns: Option<u64>,
 }
 
-/// Traffic of the balancers' configuration connections.
+/// Traffic of the configuration connections of all balancers.
 #[derive(Debug, Clone, Default)]
 pub struct Carried {
-    /// Bytes of all connections, both ways.
+    /// Bytes on all connections, in both directions.
     pub bytes: u64,
-    /// Connections opened.
+    /// Number of connections opened.
     pub opened: u64,
-    /// Bytes of both ways, by the parent's address.
+    /// Bytes in both directions, by the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
     /// Bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since the previous
-    /// call.
+    /// call of [`Swarm::carried`].
     pub most_in_window: u64,
 }
 
 impl Swarm {
-    /// Starts processes that play `balancers`, with `per_process` of them each.
+    /// Starts processes that run `balancers`, `per_process` of them in each.
     ///
     /// # Errors
     /// A process cannot be started.
@@ -84,7 +85,7 @@
         for (number, part) in balancers.chunks(per_process.max(1)).enumerate() {
             let name = format!("hollow balancers, process {number}");
             let mut command = Command::new(&own);
-            // The plan is the rig's; a child needs none, but the command line reads it first.
+            // The child processes do not use the plan, but the command line reads it before the command runs.
             command.args(std::env::args_os().skip_while(|arg| arg != "--plan").take(2));
             command.args(["sockets", "--hollow-balancers"]);
             let mut child = Child::start(&name, &mut command, Some((number, sender.clone())))?;
@@ -105,7 +106,7 @@
         })
     }
 
-    /// The process ids.
+    /// Iterates over the process ids of the child processes.
     pub fn pids(&self) -> impl Iterator<Item = u32> {
         self.children.iter().map(Child::pid)
     }
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Receives events until `done`, which is checked every few milliseconds, or until `most` has passed; returns
-    /// whether it was done in time.
+    /// Receives events until `done`, which is checked every 5 ms, returns true, or until the duration `most` has
+    /// passed; returns whether `done` returned true in time.
     ///
     /// # Errors
     /// A process has exited or has failed, or a signal has asked the run to end.
@@ -167,13 +168,13 @@
         Ok(())
     }
 
-    /// Whether all balancers have received their endpoint list.
+    /// Returns whether all balancers have received their endpoint list.
     #[must_use]
     pub fn all_listed(&self) -> bool {
         self.listed.iter().all(|listed| *listed)
     }
 
-    /// How many balancers lack the newest version of a scope that they subscribe to.
+    /// Returns the number of balancers that lack the newest version of a scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
         let has = |balancer: usize, scope: &Scope| {
@@ -189,7 +190,7 @@
         self.in_force[balancer].get(scope)?.last().copied()
     }
 
-    /// When each balancer that subscribes to the change's scope had it, or a newer one, in force.
+    /// Returns, for each balancer that subscribes to the change's scope, when the change or a newer one was in force.
     pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
@@ -200,10 +201,10 @@
         )
     }
 
-    /// Traffic of their configuration connections so far.
+    /// Returns the traffic of the balancers' configuration connections since the start.
     ///
     /// # Errors
-    /// A process does not answer.
+    /// A process does not respond within 20 s, has exited or has failed, or a signal has asked the run to end.
     pub fn carried(&mut self) -> Result<Carried, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
@@ -225,7 +226,7 @@
         Ok(sum)
     }
 
-    /// Resources that all processes have used together.
+    /// Returns the sum of the resources that the child processes have used.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let each = self.pids().filter_map(machine::usage);
@@ -236,26 +237,26 @@
     }
 }
 
-/// A histogram of the times until changes were in force.
+/// A histogram of the delays until changes were in force.
 #[derive(Debug, Clone)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// An empty histogram.
+    /// Creates an empty histogram.
     ///
     /// # Errors
-    /// Never, as the bounds of the histogram are valid.
+    /// None, because the bounds of the histogram are valid.
     pub fn new() -> Result<Self, CapacityError> {
         let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, 3);
         histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
-    /// Records a time in nanoseconds.
+    /// Records a time given in nanoseconds.
     pub fn add(&mut self, ns: u64) {
         self.0.saturating_record((ns / 1000).max(1));
     }
 
-    /// The time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
+    /// Returns the time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if quantile >= 1.0 {
@@ -265,7 +266,7 @@
         }
     }
 
-    /// How many times are recorded.
+    /// Returns the number of recorded times.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
