--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -109,7 +109,7 @@
         match written {
             Some(Ok(())) => Ok(()),
             Some(Err(cause)) => Err(CapacityError::run(&self.name, cause)),
-            None => Err(CapacityError::run(&self.name, "has been ended")),
+            None => Err(CapacityError::run(&self.name, "standard input is closed")),
         }
     }
 }
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -345,7 +345,7 @@
     let until = Instant::now() + Duration::from_secs(60);
     while !done() {
         if Instant::now() > until {
-            return Err(CapacityError::run(place, "not within a minute"));
+            return Err(CapacityError::run(place, "timed out after 60 s"));
         }
         sleep(Duration::from_millis(1)).await;
     }
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -100,11 +100,23 @@
                 faults.push(format!("{place}: {what}"));
             }
         };
-        want(self.index_regressions == 0, format!("{} indices went back", self.index_regressions));
-        want(self.missing == 0, format!("{} balancers miss the last change", self.missing));
-        want(self.elsewhere == 0, format!("{} watches of the list stand elsewhere", self.elsewhere));
+        want(
+            self.index_regressions == 0,
+            format!("the index of a balancer decreased {} times", self.index_regressions),
+        );
+        want(self.missing == 0, format!("{} balancers lack the last change of a scope", self.missing));
+        want(
+            self.elsewhere == 0,
+            format!(
+                "{} watches of the endpoint list did not continue from the current index",
+                self.elsewhere
+            ),
+        );
         let last_s = self.times.quantile_ms(1.0) / 1000.0;
-        want(!timed || last_s < within, format!("the last change took {last_s:.1} s, over {within} s"));
+        want(
+            !timed || last_s < within,
+            format!("the last change was in force after {last_s:.1} s, over the objective of {within} s"),
+        );
         faults
     }
 }
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -233,7 +233,8 @@
 
 /// Finds the control processes' program in the directory of this executable or in that directory's parent.
 fn program() -> Result<PathBuf, CapacityError> {
-    let own = std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
+    let own =
+        std::env::current_exe().map_err(|cause| CapacityError::run("path of this executable", cause))?;
     // The executables of tests are one directory further down.
     let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM));
     beside.into_iter().find(|path| path.is_file()).ok_or_else(|| {
--- a/crates/capacity/src/sockets/plane/publication.rs
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -51,7 +51,7 @@
             Ok(Response { status, body: text, .. }) => {
                 return Err(CapacityError::run(
                     format!("publication of {scope}"),
-                    format!("answered {status}: {text}"),
+                    format!("the origin responded with status {status}: {text}"),
                 ));
             }
             Err(cause) => cause.to_string(),
@@ -89,7 +89,7 @@
     stream.read_to_end(&mut response)?;
     let bytes = text.len() + response.len();
     let response = String::from_utf8_lossy(&response);
-    let wrong = || std::io::Error::new(ErrorKind::InvalidData, "no answer of HTTP/1.1");
+    let wrong = || std::io::Error::new(ErrorKind::InvalidData, "malformed HTTP/1.1 response");
     let (head, body) = response.split_once("\r\n\r\n").ok_or_else(wrong)?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(wrong)?;
     Ok(Response { status, body: body.to_owned(), bytes })
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/play.rs
@@ -153,7 +153,7 @@
             return Ok(());
         }
         let missing = self.swarm.missing(newest);
-        let cause = format!("{missing} balancers have no configuration at the start");
+        let cause = format!("timed out at the start: {missing} balancers lack the current configuration");
         Err(CapacityError::run(self.place.clone(), cause))
     }
 
--- a/crates/capacity/src/sockets/play/fault.rs
+++ b/crates/capacity/src/sockets/play/fault.rs
@@ -109,7 +109,8 @@
             self.do_what_is_due(self.start.elapsed())?;
             self.play.swarm.receive_for(STEP)?;
         }
-        let missing = || CapacityError::run(&self.play.place, "the play ended before its fault");
+        let missing =
+            || CapacityError::run(&self.play.place, "the run ended before its recovery window was measured");
         Ok(Played {
             changes: self.changes,
             cut: self.cut,
@@ -124,7 +125,10 @@
                 Ok(change) => self.changes.push(change?),
                 Err(TryRecvError::Empty) => return Ok(()),
                 Err(TryRecvError::Disconnected) if self.changes.len() < self.change_count => {
-                    return Err(CapacityError::run(&self.play.place, "the publisher has ended early"));
+                    return Err(CapacityError::run(
+                        &self.play.place,
+                        "the publisher ended before all changes were published",
+                    ));
                 }
                 Err(TryRecvError::Disconnected) => return Ok(()),
             }
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -74,7 +74,7 @@
     /// A process cannot be started.
     pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
         let own =
-            std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
+            std::env::current_exe().map_err(|cause| CapacityError::run("path of this executable", cause))?;
         let (sender, output): (Sender<_>, _) = channel();
         let most = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
         let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; most];
@@ -125,7 +125,7 @@
                 Err(RecvTimeoutError::Timeout) if left <= SIGNAL_CHECK_INTERVAL => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
-                    return Err(CapacityError::run("hollow balancers", "all have ended"));
+                    return Err(CapacityError::run("hollow balancers", "all processes have exited"));
                 }
             }
         }
@@ -155,7 +155,7 @@
 
     fn apply(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
         let place = || format!("hollow balancers, process {process}");
-        let Some(line) = line else { return Err(CapacityError::run(place(), "has ended")) };
+        let Some(line) = line else { return Err(CapacityError::run(place(), "the process has exited")) };
         match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
             Event::Listed(balancer) => self.listed[balancer] = true,
             Event::InForce { balancer, scope, version, at_ns } => {
@@ -212,7 +212,10 @@
         }
         let all = |swarm: &Self| swarm.figures.iter().all(Option::is_some);
         if !self.receive_until(Duration::from_secs(20), all)? {
-            return Err(CapacityError::run("hollow balancers", "no figures within 20 s"));
+            return Err(CapacityError::run(
+                "hollow balancers",
+                "a process did not report its traffic within 20 s",
+            ));
         }
         let mut sum = Carried::default();
         for figures in self.figures.iter().flatten() {
