--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -17,14 +17,14 @@
 pub mod machine;
 mod outcome;
 pub mod plane;
-mod play;
+mod run_scenario;
 mod schedule;
 mod size;
 pub mod swarm;
 
 pub use self::fleet::{Placement, fleet, hollow_balancers, region_name, service_name, zone_names};
 use self::outcome::COLUMNS;
-use self::play::{play, return_window};
+use self::run_scenario::{recovery_window, run_scenario};
 use self::size::Size;
 
 /// The fault that a run injects while configuration changes are published.
@@ -39,7 +39,8 @@
     /// Kills all relays of a zone.
     Zone,
     /// Partitions one region from the others, and ends the partition after a while.
-    Cut,
+    #[value(name = "cut")]
+    Partition,
     /// Kills and restarts all control processes, and closes all watches of the endpoint list.
     Reconnect,
 }
@@ -108,36 +109,36 @@
         named => named,
     };
     let mut rows = Vec::new();
-    let mut missed = Vec::new();
+    let mut failures = Vec::new();
     for &scenario in scenarios {
         for seed in arguments.seed..arguments.seed + arguments.seeds {
-            let outcome = play(scenario, seed, &size, plan)?;
+            let outcome = run_scenario(scenario, seed, &size, plan)?;
             println!("{}", outcome.text());
-            missed.extend(outcome.faults(plan, !arguments.small));
+            failures.extend(outcome.unmet_objectives(plan, !arguments.small));
             rows.push(outcome.row());
         }
     }
-    let before = if arguments.add { Results::read(&folder, "sockets").ok() } else { None };
-    let earlier = before.map(|before| before.rows).unwrap_or_default();
-    results(merged(earlier, rows), &size, plan).write(&folder)?;
-    if missed.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", missed.join("; "))) }
+    let previous = if arguments.add { Results::read(&folder, "sockets").ok() } else { None };
+    let earlier = previous.map(|previous| previous.rows).unwrap_or_default();
+    results_table(merge_rows(earlier, rows), &size, plan).write(&folder)?;
+    if failures.is_empty() { Ok(()) } else { Err(CapacityError::run("sockets", failures.join("; "))) }
 }
 
 /// Merges the new rows with the earlier rows of other scenarios and seeds, sorted by scenario and seed.
-fn merged(earlier: Vec<Vec<String>>, new: Vec<Vec<String>>) -> Vec<Vec<String>> {
+fn merge_rows(earlier: Vec<Vec<String>>, new: Vec<Vec<String>>) -> Vec<Vec<String>> {
     let key = |row: &Vec<String>| row[..2].to_vec();
     let mut rows = earlier;
     rows.retain(|row| new.iter().all(|new| key(new) != key(row)));
     rows.extend(new);
-    rows.sort_by_key(|row| (scenario_place(&row[0]), row[1].parse().unwrap_or(0)));
+    rows.sort_by_key(|row| (scenario_position(&row[0]), row[1].parse().unwrap_or(0)));
     rows
 }
 
-fn scenario_place(name: &str) -> usize {
+fn scenario_position(name: &str) -> usize {
     Scenario::value_variants().iter().position(|scenario| scenario.name() == name).unwrap_or(usize::MAX)
 }
 
-fn results(rows: Vec<Vec<String>>, size: &Size, plan: &Plan) -> Results {
+fn results_table(rows: Vec<Vec<String>>, size: &Size, plan: &Plan) -> Results {
     let Size { balancers, changes, list, .. } = size;
     let changes_per_minute = *changes as f64 / size.seconds * 60.0;
     Results {
@@ -162,7 +163,7 @@
                 "{:.0} times the plan's peak",
                 changes_per_minute / plan.configuration.peak_per_minute.value
             ),
-            return_window(size.seconds).as_secs_f64(),
+            recovery_window(size.seconds).as_secs_f64(),
         ),
     }
 }
--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -28,12 +28,12 @@
 /// # Errors
 /// The handlers cannot be installed.
 pub fn handle_signals() -> Result<(), CapacityError> {
-    let wrong = |cause| CapacityError::run("signals", cause);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
+    let to_error = |cause| CapacityError::run("signals", cause);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(to_error)?;
     let (mut terminate, mut interrupt) = {
         let _within = runtime.enter();
-        let ask = |kind| signal(kind).map_err(wrong);
-        (ask(SignalKind::terminate())?, ask(SignalKind::interrupt())?)
+        let install = |kind| signal(kind).map_err(to_error);
+        (install(SignalKind::terminate())?, install(SignalKind::interrupt())?)
     };
     thread::spawn(move || {
         runtime.block_on(async {
--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -6,7 +6,7 @@
 use super::plane::{Machine, Role};
 
 /// Totals of all processes at one moment of a run.
-pub(super) struct Mark {
+pub(super) struct Totals {
     pub(super) at: Instant,
     pub(super) balancers: machine::Usage,
     pub(super) configuration_bytes: u64,
@@ -29,35 +29,40 @@
     pub(super) role: Role,
 }
 
-/// The resources used per second in the span between two [`Mark`]s.
+/// The resources used per second in the span between two [`Totals`]s.
 pub(super) struct Cost {
     pub(super) bytes_per_s: f64,
-    pub(super) core: f64,
+    pub(super) cpu_cores: f64,
     /// Cores used by the control process that used the most processor time.
-    pub(super) control_core: Busiest,
+    pub(super) control_cpu_cores: Busiest,
     pub(super) control_bytes_per_s: Busiest,
 }
 
 impl Cost {
-    pub(super) fn between(from: &Mark, to: &Mark, balancers: usize, machines: &[Machine]) -> Self {
+    pub(super) fn between(from: &Totals, to: &Totals, balancers: usize, machines: &[Machine]) -> Self {
         let seconds = (to.at - from.at).as_secs_f64();
-        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
+        let per_second = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let busiest = |cost: &dyn Fn(usize) -> f64| {
-            let costs = machines.iter().enumerate().map(|(place, machine)| (cost(place), machine.role));
-            let most = costs.max_by(|one, other| one.0.total_cmp(&other.0));
-            let (figure, role) = most.unwrap_or((0.0, Role::Origin));
+            let costs = machines
+                .iter()
+                .enumerate()
+                .map(|(process_index, machine)| (cost(process_index), machine.role));
+            let largest = costs.max_by(|one, other| one.0.total_cmp(&other.0));
+            let (figure, role) = largest.unwrap_or((0.0, Role::Origin));
             Busiest { figure, role }
         };
         let (before, after) = (&from.control, &to.control);
         Self {
-            bytes_per_s: (each(from.configuration_bytes, to.configuration_bytes)
-                + each(from.list_bytes, to.list_bytes))
+            bytes_per_s: (per_second(from.configuration_bytes, to.configuration_bytes)
+                + per_second(from.list_bytes, to.list_bytes))
                 / balancers as f64,
-            core: each(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
-            control_core: busiest(&|place| {
-                each(before[place].process.cpu_ns, after[place].process.cpu_ns) / 1e9
+            cpu_cores: per_second(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
+            control_cpu_cores: busiest(&|process_index| {
+                per_second(before[process_index].process.cpu_ns, after[process_index].process.cpu_ns) / 1e9
+            }),
+            control_bytes_per_s: busiest(&|process_index| {
+                per_second(before[process_index].bytes, after[process_index].bytes)
             }),
-            control_bytes_per_s: busiest(&|place| each(before[place].bytes, after[place].bytes)),
         }
     }
 }
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -40,13 +40,13 @@
         .collect();
     (0..balancers)
         .map(|number| {
-            let place = number * services.len() / balancers;
-            let mut at = (place as f64 * GOLDEN_RATIO).fract();
+            let fleet_index = number * services.len() / balancers;
+            let mut offset = (fleet_index as f64 * GOLDEN_RATIO).fract();
             let zone = fractions.iter().position(|fraction| {
-                at -= fraction;
-                at < 0.0
+                offset -= fraction;
+                offset < 0.0
             });
-            Placement { service: services[place], zone: zone.unwrap_or(fractions.len() - 1) }
+            Placement { service: services[fleet_index], zone: zone.unwrap_or(fractions.len() - 1) }
         })
         .collect()
 }
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -132,13 +132,13 @@
 }
 
 /// A connection to a parent whose bytes are counted.
-struct Counted {
+struct CountingStream {
     stream: TcpStream,
     parent: SocketAddr,
     counts: Rc<Counts>,
 }
 
-impl Counted {
+impl CountingStream {
     fn count(&self, read: usize, written: usize) {
         self.counts.read.set(self.counts.read.get() + read as u64);
         self.counts.written.set(self.counts.written.get() + written as u64);
@@ -146,7 +146,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -159,7 +159,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = done {
@@ -190,13 +190,13 @@
 /// # Errors
 /// The job cannot be parsed, or the runtime cannot be started.
 pub fn run() -> Result<(), CapacityError> {
-    let mut first = String::new();
+    let mut job_line = String::new();
     io::stdin()
         .lock()
-        .read_line(&mut first)
+        .read_line(&mut job_line)
+        .map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
+    let job: Job = serde_json::from_str(&job_line)
         .map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
-    let job: Job =
-        serde_json::from_str(&first).map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
     let (sender, commands) = mpsc::channel(16);
     thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
@@ -211,56 +211,56 @@
         .enable_all()
         .build()
         .map_err(|cause| CapacityError::run("hollow balancers", cause))?;
-    LocalSet::new().block_on(&runtime, play(job, commands));
+    LocalSet::new().block_on(&runtime, run_balancers(job, commands));
     Ok(())
 }
 
-async fn play(job: Job, mut commands: mpsc::Receiver<String>) {
-    let mut all: Vec<Rc<Counts>> = Vec::new();
+async fn run_balancers(job: Job, mut commands: mpsc::Receiver<String>) {
+    let mut all_counts: Vec<Rc<Counts>> = Vec::new();
     for hollow in &job.balancers {
         let counts = Rc::new(Counts::default());
-        all.push(Rc::clone(&counts));
+        all_counts.push(Rc::clone(&counts));
         if let Some(list) = job.list {
             match driver(list, hollow, &job.zones) {
-                Ok(driver) => drop(spawn_local(listed(driver, hollow.number))),
+                Ok(driver) => drop(spawn_local(report_list_received(driver, hollow.number))),
                 Err(cause) => send_event(&Event::Failed(cause)),
             }
         }
         if !hollow.parents.is_empty() {
-            spawn_local(configured(hollow.clone(), counts));
+            spawn_local(run_configuration_client(hollow.clone(), counts));
         }
         sleep(Duration::from_millis(job.apart_ms)).await;
     }
     // For each balancer, its total bytes at each of the last WINDOW_S seconds.
-    let mut seconds: Vec<Vec<u64>> = vec![vec![0; WINDOW_S]; all.len()];
-    let (mut turn, mut most) = (0, 0);
-    let mut each_second = interval(Duration::from_secs(1));
+    let mut totals_by_second: Vec<Vec<u64>> = vec![vec![0; WINDOW_S]; all_counts.len()];
+    let (mut ticks, mut busiest_bytes) = (0, 0);
+    let mut second_ticks = interval(Duration::from_secs(1));
     loop {
         tokio::select! {
             command = commands.recv() => match command.as_deref() {
                 Some("figures") => {
-                    send_event(&Event::Figures(figures(&all, most)));
-                    most = 0;
+                    send_event(&Event::Figures(sum_counts(&all_counts, busiest_bytes)));
+                    busiest_bytes = 0;
                 }
                 _ => return,
             },
-            _ = each_second.tick() => {
-                for (counts, seconds) in all.iter().zip(&mut seconds) {
+            _ = second_ticks.tick() => {
+                for (counts, totals_by_second) in all_counts.iter().zip(&mut totals_by_second) {
                     let now = counts.read.get() + counts.written.get();
-                    let Some(then) = seconds.get_mut(turn % WINDOW_S) else { continue };
+                    let Some(oldest) = totals_by_second.get_mut(ticks % WINDOW_S) else { continue };
                     // Until WINDOW_S seconds have passed, the window covers all bytes since the start.
-                    most = most.max(now - *then);
-                    *then = now;
+                    busiest_bytes = busiest_bytes.max(now - *oldest);
+                    *oldest = now;
                 }
-                turn += 1;
+                ticks += 1;
             }
         }
     }
 }
 
-fn figures(all: &[Rc<Counts>], most_in_window: u64) -> Figures {
+fn sum_counts(all_counts: &[Rc<Counts>], most_in_window: u64) -> Figures {
     let mut sum = Figures { most_in_window, ..Figures::default() };
-    for counts in all {
+    for counts in all_counts {
         sum.read += counts.read.get();
         sum.written += counts.written.get();
         sum.opened += counts.opened.get();
@@ -292,7 +292,7 @@
     EventLoop::start(config).map_err(|cause| cause.to_string())
 }
 
-async fn listed(driver: Rc<EventLoop>, number: usize) {
+async fn report_list_received(driver: Rc<EventLoop>, number: usize) {
     while !driver.can_serve() {
         sleep(Duration::from_millis(10)).await;
     }
@@ -301,7 +301,7 @@
     std::future::pending::<()>().await;
 }
 
-async fn configured(hollow: Hollow, counts: Rc<Counts>) {
+async fn run_configuration_client(hollow: Hollow, counts: Rc<Counts>) {
     let who: Box<str> = format!("balancer-{}", hollow.number).into();
     let client = Client {
         name: who.to_string(),
@@ -314,11 +314,11 @@
         async move {
             let stream = TcpStream::connect(parent).await?;
             counts.opened.set(counts.opened.get() + 1);
-            Ok(Counted { stream, parent, counts })
+            Ok(CountingStream { stream, parent, counts })
         }
     };
     let mut index = 0;
-    let take = |state: &State, changed: &[Scope]| {
+    let apply_update = |state: &State, changed: &[Scope]| {
         let at_ns = machine::now_ns();
         if state.index() < index {
             send_event(&Event::Back { balancer: hollow.number, from: index, to: state.index() });
@@ -334,7 +334,7 @@
         let versions = versions.filter_map(|scope| Some((scope.clone(), state.get(&scope)?.version)));
         InForce { who: who.clone(), versions: versions.collect(), refused: None }
     };
-    match client::run(client, connect, take).await {}
+    match client::run(client, connect, apply_update).await {}
 }
 
 /// Waits until `done` returns true, for one minute at most.
@@ -342,9 +342,9 @@
 /// # Errors
 /// `done` has not returned true within the minute.
 pub async fn wait_until(place: &str, mut done: impl FnMut() -> bool) -> Result<(), CapacityError> {
-    let until = Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     while !done() {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             return Err(CapacityError::run(place, "timed out after 60 s"));
         }
         sleep(Duration::from_millis(1)).await;
--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -28,31 +28,33 @@
 }
 
 #[derive(Default)]
-struct Lines {
+struct ListState {
     index: u64,
     entries: Vec<Entry>,
     /// A watch at an index below this gets a snapshot.
-    whole_before: u64,
+    snapshot_before: u64,
     /// Cached lines that bring a watch to the current index, by the index that the watch is at. Each line is formatted
     /// once for all watches.
-    ready: HashMap<u64, Bytes>,
+    line_cache: HashMap<u64, Bytes>,
 }
 
-impl Lines {
+impl ListState {
     /// Returns the line, as an HTTP chunk, that brings a watch from the index `since` to the current one.
-    fn after(&mut self, since: u64) -> Bytes {
-        let whole = since == 0 || since > self.index || since < self.whole_before;
-        let Self { index, entries, ready, .. } = self;
-        ready
-            .entry(if whole { 0 } else { since })
+    fn line_since(&mut self, since: u64) -> Bytes {
+        let is_snapshot = since == 0 || since > self.index || since < self.snapshot_before;
+        let Self { index, entries, line_cache, .. } = self;
+        line_cache
+            .entry(if is_snapshot { 0 } else { since })
             .or_insert_with(|| {
                 if since == *index {
                     return chunk("\n");
                 }
-                let changed = entries.iter().filter(|entry| whole || entry.changed > since);
+                let changed = entries.iter().filter(|entry| is_snapshot || entry.changed > since);
                 let changed: Vec<&str> = changed.map(|entry| entry.text.as_str()).collect();
                 let changed = changed.join(",");
-                chunk(&format!("{{\"index\":{index},\"snapshot\":{whole},\"endpoints\":[{changed}]}}\n"))
+                chunk(&format!(
+                    "{{\"index\":{index},\"snapshot\":{is_snapshot},\"endpoints\":[{changed}]}}\n"
+                ))
             })
             .clone()
     }
@@ -63,17 +65,17 @@
 }
 
 /// Formats the list entry of an upstream as JSON, padded so that it and the comma after it have `bytes` bytes.
-fn entry(number: usize, turn: u64, zones: usize, bytes: usize) -> String {
+fn entry(number: usize, revision: u64, zones: usize, bytes: usize) -> String {
     let mut text = format!(
         "{{\"name\":\"u{number:04}\",\"address\":\"127.0.0.1:{}\",\"zone\":\"zone-{}\",\"type\":\"std\",\
          \"group\":0,\"status\":\"ready\",\"weight\":1.0,\"since_ms\":{}",
         20_000 + number,
         number % zones.max(1),
-        1_700_000_000_000 + turn,
+        1_700_000_000_000 + revision,
     );
-    let fill = bytes.saturating_sub(text.len() + ",\"note\":\"\"},".len());
+    let padding = bytes.saturating_sub(text.len() + ",\"note\":\"\"},".len());
     // Writing to a string cannot fail.
-    let _ = write!(text, ",\"note\":\"{:x<fill$}\"}}", "");
+    let _ = write!(text, ",\"note\":\"{:x<padding$}\"}}", "");
     text
 }
 
@@ -100,11 +102,11 @@
 }
 
 struct Shared {
-    lines: Mutex<Lines>,
+    state: Mutex<ListState>,
     counts: Counts,
     /// The index that each watch asked to continue from, in order of arrival.
     asked: Mutex<Vec<u64>>,
-    beat: Duration,
+    heartbeat: Duration,
 }
 
 /// An endpoint list server, which runs on a thread of its own until this is dropped.
@@ -114,12 +116,12 @@
     shared: Arc<Shared>,
     index: watch::Sender<u64>,
     /// Counter that is incremented to close all connections.
-    closed: watch::Sender<u64>,
+    close_count: watch::Sender<u64>,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
     zones: usize,
     entry_bytes: usize,
-    turn: AtomicU64,
+    revision: AtomicU64,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -128,7 +130,7 @@
 
 impl ListServer {
     /// Starts a server whose list has `upstreams` entries of `entry_bytes` bytes each, in `zones` zones, at index 1. It
-    /// sends an empty line as a heartbeat to each watch that has received nothing for the duration `beat`.
+    /// sends an empty line as a heartbeat to each watch that has received nothing for the duration `heartbeat`.
     ///
     /// # Errors
     /// No port is free, or the runtime cannot be started.
@@ -136,40 +138,41 @@
         upstreams: usize,
         entry_bytes: usize,
         zones: usize,
-        beat: Duration,
+        heartbeat: Duration,
     ) -> Result<Self, CapacityError> {
-        let wrong = |cause| CapacityError::run("the stand-in list server", cause);
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(wrong)?;
-        listener.set_nonblocking(true).map_err(wrong)?;
-        let address = listener.local_addr().map_err(wrong)?;
+        let to_error = |cause| CapacityError::run("the stand-in list server", cause);
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").map_err(to_error)?;
+        listener.set_nonblocking(true).map_err(to_error)?;
+        let address = listener.local_addr().map_err(to_error)?;
         let entries = (0..upstreams)
             .map(|number| Entry { text: entry(number, 0, zones, entry_bytes), changed: 1 })
             .collect();
-        let lines = Mutex::new(Lines { index: 1, entries, whole_before: 1, ready: HashMap::new() });
+        let state =
+            Mutex::new(ListState { index: 1, entries, snapshot_before: 1, line_cache: HashMap::new() });
         let shared =
-            Arc::new(Shared { lines, counts: Counts::default(), asked: Mutex::new(Vec::new()), beat });
+            Arc::new(Shared { state, counts: Counts::default(), asked: Mutex::new(Vec::new()), heartbeat });
         let (index, indices) = watch::channel(1);
-        let (closed, closes) = watch::channel(0);
+        let (close_count, close_signals) = watch::channel(0);
         let (stop, stopped) = tokio::sync::oneshot::channel();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
-        let served = Arc::clone(&shared);
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(to_error)?;
+        let server_state = Arc::clone(&shared);
         let thread = thread::spawn(move || {
             LocalSet::new().block_on(&runtime, async {
-                let listen = listen(listener, served, indices, closes);
-                tokio::select! { () = listen => {}, _ = stopped => {} }
+                let accept_watches = accept_watches(listener, server_state, indices, close_signals);
+                tokio::select! { () = accept_watches => {}, _ = stopped => {} }
             });
         });
-        let turn = AtomicU64::new(0);
+        let revision = AtomicU64::new(0);
         Ok(Self {
             address,
             shared,
             index,
-            closed,
+            close_count,
             stop: Some(stop),
             thread: Some(thread),
             zones,
             entry_bytes,
-            turn,
+            revision,
         })
     }
 
@@ -182,33 +185,33 @@
     /// Changes the next `count` entries in list order, starting again at the first after the last. Each change
     /// increments the index; the watches are notified once, after the last change.
     pub fn change(&self, count: usize) {
-        let mut lines = lock(&self.shared.lines);
+        let mut state = lock(&self.shared.state);
         for _ in 0..count {
-            let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-            let number = turn as usize % lines.entries.len().max(1);
-            lines.index += 1;
-            let changed = lines.index;
-            let text = entry(number, turn + 1, self.zones, self.entry_bytes);
-            if let Some(entry) = lines.entries.get_mut(number) {
+            let revision = self.revision.fetch_add(1, Ordering::Relaxed);
+            let number = revision as usize % state.entries.len().max(1);
+            state.index += 1;
+            let changed = state.index;
+            let text = entry(number, revision + 1, self.zones, self.entry_bytes);
+            if let Some(entry) = state.entries.get_mut(number) {
                 *entry = Entry { text, changed };
             }
         }
-        lines.ready.clear();
-        self.index.send_replace(lines.index);
+        state.line_cache.clear();
+        self.index.send_replace(state.index);
     }
 
     /// Sends a snapshot of the list to all watches, at the next index.
     pub fn send_snapshot(&self) {
-        let mut lines = lock(&self.shared.lines);
-        lines.index += 1;
-        lines.whole_before = lines.index;
-        lines.ready.clear();
-        self.index.send_replace(lines.index);
+        let mut state = lock(&self.shared.state);
+        state.index += 1;
+        state.snapshot_before = state.index;
+        state.line_cache.clear();
+        self.index.send_replace(state.index);
     }
 
     /// Closes all connections at once.
     pub fn close_all(&self) {
-        self.closed.send_modify(|count| *count += 1);
+        self.close_count.send_modify(|count| *count += 1);
     }
 
     /// Returns the traffic and the processor time of the server since its start.
@@ -243,11 +246,11 @@
     }
 }
 
-async fn listen(
+async fn accept_watches(
     listener: std::net::TcpListener,
     shared: Arc<Shared>,
     indices: watch::Receiver<u64>,
-    closes: watch::Receiver<u64>,
+    close_signals: watch::Receiver<u64>,
 ) {
     let Ok(listener) = TcpListener::from_std(listener) else { return };
     let timer = Arc::clone(&shared);
@@ -261,22 +264,23 @@
         let Ok((stream, _)) = listener.accept().await else { continue };
         // Disables Nagle's algorithm: several watches may be notified in one turn of the event loop, each by one write.
         let _ = stream.set_nodelay(true);
-        let (shared, indices, mut closes) = (Arc::clone(&shared), indices.clone(), closes.clone());
+        let (shared, indices, mut close_signals) =
+            (Arc::clone(&shared), indices.clone(), close_signals.clone());
         spawn_local(async move {
-            closes.mark_unchanged();
+            close_signals.mark_unchanged();
             shared.counts.connections.fetch_add(1, Ordering::AcqRel);
-            // The connection closes when `serve` returns, whether with an error or not.
-            let _ = serve(stream, &shared, indices, closes).await;
+            // The connection closes when `serve_watch` returns, whether with an error or not.
+            let _ = serve_watch(stream, &shared, indices, close_signals).await;
             shared.counts.connections.fetch_sub(1, Ordering::AcqRel);
         });
     }
 }
 
-async fn serve(
+async fn serve_watch(
     mut stream: TcpStream,
     shared: &Shared,
     mut indices: watch::Receiver<u64>,
-    mut closes: watch::Receiver<u64>,
+    mut close_signals: watch::Receiver<u64>,
 ) -> std::io::Result<()> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") && head.len() < MAX_HEAD_BYTES {
@@ -291,26 +295,27 @@
         return stream.write_all(b"HTTP/1.1 404 Not Found\r\ncontent-length: 0\r\n\r\n").await;
     };
     lock(&shared.asked).push(since);
-    let answer = b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n";
-    stream.write_all(answer).await?;
-    shared.counts.written.fetch_add(answer.len() as u64, Ordering::AcqRel);
-    let mut at = since;
-    let mut gone = [0];
+    let response_head =
+        b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ntransfer-encoding: chunked\r\n\r\n";
+    stream.write_all(response_head).await?;
+    shared.counts.written.fetch_add(response_head.len() as u64, Ordering::AcqRel);
+    let mut sent_index = since;
+    let mut ignored = [0];
     loop {
         indices.mark_unchanged();
         let line = {
-            let mut lines = lock(&shared.lines);
-            let line = lines.after(at);
-            at = lines.index;
+            let mut state = lock(&shared.state);
+            let line = state.line_since(sent_index);
+            sent_index = state.index;
             line
         };
         stream.write_all(&line).await?;
         shared.counts.written.fetch_add(line.len() as u64, Ordering::AcqRel);
         tokio::select! {
             changed = indices.changed() => if changed.is_err() { return Ok(()) },
-            _ = closes.changed() => return Ok(()),
-            read = stream.read(&mut gone) => if read? == 0 { return Ok(()) },
-            () = sleep(shared.beat) => {}
+            _ = close_signals.changed() => return Ok(()),
+            read = stream.read(&mut ignored) => if read? == 0 { return Ok(()) },
+            () = sleep(shared.heartbeat) => {}
         }
     }
 }
--- a/crates/capacity/src/sockets/machine.rs
+++ b/crates/capacity/src/sockets/machine.rs
@@ -40,22 +40,22 @@
     let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
     // `schedstat` has a finer resolution than the ticks in `stat`, but does not include threads that have ended.
     let threads = fs::read_dir(format!("/proc/{pid}/task")).ok()?;
-    let fine: u64 = threads
+    let schedstat_ns: u64 = threads
         .flatten()
         .filter_map(|thread| fs::read_to_string(thread.path().join("schedstat")).ok())
         .filter_map(|text| text.split_ascii_whitespace().next()?.parse::<u64>().ok())
         .sum();
     let status = fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    Some(Usage { cpu_ns: fine.max(ticks * TICK_NS), resident_kb: kilobytes(&status, "VmRSS:")? })
+    Some(Usage { cpu_ns: schedstat_ns.max(ticks * TICK_NS), resident_kb: kb_field(&status, "VmRSS:")? })
 }
 
 /// Returns the total memory of the machine in KiB; `None` if the kernel does not report it.
 #[must_use]
 pub fn memory_kb() -> Option<u64> {
-    kilobytes(&fs::read_to_string("/proc/meminfo").ok()?, "MemTotal:")
+    kb_field(&fs::read_to_string("/proc/meminfo").ok()?, "MemTotal:")
 }
 
-fn kilobytes(text: &str, name: &str) -> Option<u64> {
+fn kb_field(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
     line.trim().trim_end_matches(" kB").parse().ok()
 }
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -43,10 +43,10 @@
     pub(super) from_sending: Times,
     pub(super) index_regressions: usize,
     pub(super) missing: usize,
-    pub(super) elsewhere: usize,
-    pub(super) rest: Cost,
-    pub(super) play: Cost,
-    pub(super) return_cost: Cost,
+    pub(super) watches_at_wrong_index: usize,
+    pub(super) idle: Cost,
+    pub(super) during_changes: Cost,
+    pub(super) recovery: Cost,
     pub(super) most_in_window: u64,
     pub(super) balancer_mb: f64,
     pub(super) control_mb: Busiest,
@@ -54,7 +54,7 @@
 
 impl Outcome {
     pub(super) fn row(&self) -> Vec<String> {
-        let named = |Busiest { figure, role }: &Busiest, digits: usize| {
+        let with_role = |Busiest { figure, role }: &Busiest, digits: usize| {
             format!("{figure:.digits$} ({})", role.name())
         };
         vec![
@@ -69,19 +69,19 @@
             format!("{:.1}", self.from_sending.quantile_ms(1.0)),
             self.index_regressions.to_string(),
             self.missing.to_string(),
-            self.elsewhere.to_string(),
-            format!("{:.0}", self.rest.bytes_per_s),
-            format!("{:.0}", self.play.bytes_per_s),
-            format!("{:.0}", self.return_cost.bytes_per_s),
+            self.watches_at_wrong_index.to_string(),
+            format!("{:.0}", self.idle.bytes_per_s),
+            format!("{:.0}", self.during_changes.bytes_per_s),
+            format!("{:.0}", self.recovery.bytes_per_s),
             format!("{:.0}", self.most_in_window as f64 / WINDOW_S as f64),
-            format!("{:.5}", self.rest.core),
-            format!("{:.5}", self.play.core),
-            format!("{:.5}", self.return_cost.core),
+            format!("{:.5}", self.idle.cpu_cores),
+            format!("{:.5}", self.during_changes.cpu_cores),
+            format!("{:.5}", self.recovery.cpu_cores),
             format!("{:.2}", self.balancer_mb),
-            named(&self.rest.control_core, 4),
-            named(&self.return_cost.control_core, 4),
-            named(&self.return_cost.control_bytes_per_s, 0),
-            named(&self.control_mb, 1),
+            with_role(&self.idle.control_cpu_cores, 4),
+            with_role(&self.recovery.control_cpu_cores, 4),
+            with_role(&self.recovery.control_bytes_per_s, 0),
+            with_role(&self.control_mb, 1),
         ]
     }
 
@@ -91,32 +91,32 @@
 
     /// Lists the objectives of the plan that the run did not meet. The delay of changes is checked only if `timed` is
     /// set, because a run that shares the machine with other work has no meaningful times.
-    pub(super) fn faults(&self, plan: &Plan, timed: bool) -> Vec<String> {
+    pub(super) fn unmet_objectives(&self, plan: &Plan, timed: bool) -> Vec<String> {
         let place = format!("{} {}", self.scenario.name(), self.seed);
-        let within = plan.configuration.in_force_s.value;
-        let mut faults = Vec::new();
-        let mut want = |holds: bool, what: String| {
+        let limit_s = plan.configuration.in_force_s.value;
+        let mut unmet_objectives = Vec::new();
+        let mut require = |holds: bool, what: String| {
             if !holds {
-                faults.push(format!("{place}: {what}"));
+                unmet_objectives.push(format!("{place}: {what}"));
             }
         };
-        want(
+        require(
             self.index_regressions == 0,
             format!("the index of a balancer decreased {} times", self.index_regressions),
         );
-        want(self.missing == 0, format!("{} balancers lack the last change of a scope", self.missing));
-        want(
-            self.elsewhere == 0,
+        require(self.missing == 0, format!("{} balancers lack the last change of a scope", self.missing));
+        require(
+            self.watches_at_wrong_index == 0,
             format!(
                 "{} watches of the endpoint list did not continue from the current index",
-                self.elsewhere
+                self.watches_at_wrong_index
             ),
         );
         let last_s = self.times.quantile_ms(1.0) / 1000.0;
-        want(
-            !timed || last_s < within,
-            format!("the last change was in force after {last_s:.1} s, over the objective of {within} s"),
+        require(
+            !timed || last_s < limit_s,
+            format!("the last change was in force after {last_s:.1} s, over the objective of {limit_s} s"),
         );
-        faults
+        unmet_objectives
     }
 }
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -37,8 +37,8 @@
     address: SocketAddr,
     child: Option<Child>,
     /// Processor time used by earlier, killed processes at this place, in nanoseconds.
-    before: u64,
-    last_kb: u64,
+    earlier_cpu_ns: u64,
+    max_resident_kb: u64,
 }
 
 struct Edge {
@@ -52,14 +52,14 @@
 pub struct Plane {
     running: Vec<Running>,
     edges: Vec<Edge>,
-    cut: watch::Sender<Option<usize>>,
+    partition: watch::Sender<Option<usize>>,
     program: PathBuf,
     directory: PathBuf,
     forwarders: Option<Forwarders>,
 }
 
 /// Number of control planes that this process has started, which gives each of them its own ports and directory.
-static PLANES: AtomicUsize = AtomicUsize::new(0);
+static PLANE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 impl Plane {
     /// Starts all processes and waits until each of them listens.
@@ -68,65 +68,65 @@
     /// The program is missing, or a process does not listen within the time-out.
     pub fn start(machines: Vec<Machine>) -> Result<Self, CapacityError> {
         let program = program()?;
-        let turn = PLANES.fetch_add(1, Ordering::Relaxed);
+        let plane_number = PLANE_COUNT.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
         // A loopback address derived from the process id, so that the ports do not collide with those of another run.
         let [_, high, middle, low] = pid.to_be_bytes();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 64 + high % 64, middle, low));
-        let port = |place: usize| FIRST_PORT + ((turn % 64) * 128 + place) as u16;
-        let directory = std::env::temp_dir().join(format!("capacity-{pid}-{turn}"));
+        let port = |process_index: usize| FIRST_PORT + ((plane_number % 64) * 128 + process_index) as u16;
+        let directory = std::env::temp_dir().join(format!("capacity-{pid}-{plane_number}"));
         fs::create_dir_all(&directory).map_err(|cause| CapacityError::file(&directory, cause))?;
-        let (cut, cuts) = watch::channel(None);
+        let (partition, partitions) = watch::channel(None);
         let mut edges = Vec::new();
         let mut forwarders = Vec::new();
         for (child, machine) in machines.iter().enumerate() {
             for &parent in &machine.parents {
-                let wrong = |cause| CapacityError::run("a forwarder between control processes", cause);
-                let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(wrong)?;
-                listener.set_nonblocking(true).map_err(wrong)?;
-                let address = listener.local_addr().map_err(wrong)?;
+                let to_error = |cause| CapacityError::run("a forwarder between control processes", cause);
+                let listener = std::net::TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(to_error)?;
+                listener.set_nonblocking(true).map_err(to_error)?;
+                let address = listener.local_addr().map_err(to_error)?;
                 let bytes = Arc::new(AtomicU64::new(0));
-                let ends = [machine.region, machines[parent].region];
-                let to = SocketAddr::new(ip, port(parent));
-                forwarders.push(Forwarder { listener, to, ends, bytes: Arc::clone(&bytes) });
+                let regions = [machine.region, machines[parent].region];
+                let target = SocketAddr::new(ip, port(parent));
+                forwarders.push(Forwarder { listener, target, regions, bytes: Arc::clone(&bytes) });
                 edges.push(Edge { child, parent, address, bytes });
             }
         }
         let running = machines
             .into_iter()
             .enumerate()
-            .map(|(place, machine)| Running {
+            .map(|(process_index, machine)| Running {
                 machine,
-                address: SocketAddr::new(ip, port(place)),
+                address: SocketAddr::new(ip, port(process_index)),
                 child: None,
-                before: 0,
-                last_kb: 0,
+                earlier_cpu_ns: 0,
+                max_resident_kb: 0,
             })
             .collect::<Vec<_>>();
-        let forwarders = Some(forward_all(forwarders, cuts)?);
-        let mut plane = Self { running, edges, cut, program, directory, forwarders };
-        for place in 0..plane.running.len() {
-            plane.launch(place)?;
+        let forwarders = Some(forward_all(forwarders, partitions)?);
+        let mut plane = Self { running, edges, partition, program, directory, forwarders };
+        for process_index in 0..plane.running.len() {
+            plane.launch(process_index)?;
         }
         plane.wait_listening()?;
         Ok(plane)
     }
 
-    /// Starts the control process with the index `place`, which must not be running.
+    /// Starts the control process with the index `process_index`, which must not be running.
     ///
     /// # Errors
     /// The process cannot be started.
-    pub fn launch(&mut self, place: usize) -> Result<(), CapacityError> {
-        let running = &self.running[place];
+    pub fn launch(&mut self, process_index: usize) -> Result<(), CapacityError> {
+        let running = &self.running[process_index];
         let role = running.machine.role;
-        let name = format!("{} {place}", role.name());
+        let name = format!("{} {process_index}", role.name());
         let mut command = Command::new(&self.program);
-        let directory = self.directory.join(place.to_string());
+        let directory = self.directory.join(process_index.to_string());
         if role == Role::Origin {
             command.arg("origin");
         } else {
             command.args(["relay", "--level", &role.level().to_string()]);
-            for edge in self.edges.iter().filter(|edge| edge.child == place) {
+            for edge in self.edges.iter().filter(|edge| edge.child == process_index) {
                 command.args(["--parent", &edge.address.to_string()]);
             }
         }
@@ -135,7 +135,7 @@
             command.arg("--dir").arg(&directory);
         }
         let child = Child::start(&name, &mut command, None)?;
-        self.running[place].child = Some(child);
+        self.running[process_index].child = Some(child);
         Ok(())
     }
 
@@ -144,13 +144,13 @@
     /// # Errors
     /// A process does not accept connections within the time-out, or a signal has asked the run to end.
     pub fn wait_listening(&self) -> Result<(), CapacityError> {
-        let until = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + TIMEOUT;
         for running in self.running.iter().filter(|running| running.child.is_some()) {
             while let Err(cause) = TcpStream::connect(running.address) {
                 child::check_interrupted()?;
-                if Instant::now() > until {
-                    let place = format!("{} at {}", running.machine.role.name(), running.address);
-                    return Err(CapacityError::run(place, cause));
+                if Instant::now() > deadline {
+                    let label = format!("{} at {}", running.machine.role.name(), running.address);
+                    return Err(CapacityError::run(label, cause));
                 }
                 thread::sleep(Duration::from_millis(5));
             }
@@ -158,12 +158,12 @@
         Ok(())
     }
 
-    /// Kills the control process with the index `place`, as if its machine were lost.
-    pub fn kill(&mut self, place: usize) {
-        let used = self.usage(place);
-        let running = &mut self.running[place];
+    /// Kills the control process with the index `process_index`, as if its machine were lost.
+    pub fn kill(&mut self, process_index: usize) {
+        let used = self.usage(process_index);
+        let running = &mut self.running[process_index];
         if running.child.take().is_some() {
-            running.before = used.cpu_ns;
+            running.earlier_cpu_ns = used.cpu_ns;
         }
     }
 
@@ -177,10 +177,10 @@
         self.running.iter().filter_map(|running| Some(running.child.as_ref()?.pid()))
     }
 
-    /// Returns the address that the control process with the index `place` listens on.
+    /// Returns the address that the control process with the index `process_index` listens on.
     #[must_use]
-    pub fn address(&self, place: usize) -> SocketAddr {
-        self.running[place].address
+    pub fn address(&self, process_index: usize) -> SocketAddr {
+        self.running[process_index].address
     }
 
     /// Returns the addresses of the parents of a balancer: the relays of its zone and of its region.
@@ -193,28 +193,29 @@
         parents.map(|running| running.address).collect()
     }
 
-    /// Returns the resources that the control process with the index `place` has used, including those before its
+    /// Returns the resources that the control process with the index `process_index` has used, including those before its
     /// restarts. Memory is the largest value of any call.
-    pub fn usage(&mut self, place: usize) -> Usage {
-        let running = &mut self.running[place];
+    pub fn usage(&mut self, process_index: usize) -> Usage {
+        let running = &mut self.running[process_index];
         let now = running.child.as_ref().and_then(|child| machine::usage(child.pid()));
         let Usage { cpu_ns, resident_kb } = now.unwrap_or_default();
-        running.last_kb = running.last_kb.max(resident_kb);
-        Usage { cpu_ns: running.before + cpu_ns, resident_kb: running.last_kb }
+        running.max_resident_kb = running.max_resident_kb.max(resident_kb);
+        Usage { cpu_ns: running.earlier_cpu_ns + cpu_ns, resident_kb: running.max_resident_kb }
     }
 
-    /// Returns the bytes exchanged so far between the control process with the index `place` and the other control
+    /// Returns the bytes exchanged so far between the control process with the index `process_index` and the other control
     /// processes, in both directions.
     #[must_use]
-    pub fn bytes(&self, place: usize) -> u64 {
-        let edges = self.edges.iter().filter(|edge| edge.child == place || edge.parent == place);
+    pub fn bytes(&self, process_index: usize) -> u64 {
+        let edges =
+            self.edges.iter().filter(|edge| edge.child == process_index || edge.parent == process_index);
         edges.map(|edge| edge.bytes.load(Ordering::Relaxed)).sum()
     }
 
     /// Partitions a region from the others, or ends the partition if `region` is `None`. Connections across the
     /// region's border stay open, but no bytes pass.
-    pub fn cut(&self, region: Option<usize>) {
-        self.cut.send_replace(region);
+    pub fn partition(&self, region: Option<usize>) {
+        self.partition.send_replace(region);
     }
 }
 
@@ -233,13 +234,16 @@
 
 /// Finds the control processes' program in the directory of this executable or in that directory's parent.
 fn program() -> Result<PathBuf, CapacityError> {
-    let own =
+    let executable =
         std::env::current_exe().map_err(|cause| CapacityError::run("path of this executable", cause))?;
     // The executables of tests are one directory further down.
-    let beside = own.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM));
-    beside.into_iter().find(|path| path.is_file()).ok_or_else(|| {
-        let wanted = own.with_file_name(PROGRAM);
-        CapacityError::file(&wanted, "missing: build the whole workspace (cargo build --release --locked)")
+    let candidates = executable.ancestors().skip(1).take(2).map(|folder| folder.join(PROGRAM));
+    candidates.into_iter().find(|path| path.is_file()).ok_or_else(|| {
+        let expected_path = executable.with_file_name(PROGRAM);
+        CapacityError::file(
+            &expected_path,
+            "missing: build the whole workspace (cargo build --release --locked)",
+        )
     })
 }
 
--- a/crates/capacity/src/sockets/plane/deal.rs
+++ b/crates/capacity/src/sockets/plane/deal.rs
@@ -60,18 +60,19 @@
     for _ in 0..plan.deal.standbys.value {
         machines.push(machine(Role::Standby, 1 % regions, None, origins.clone()));
     }
-    let heads: Vec<usize> = (0..machines.len()).collect();
-    let standbys = &heads[origins.len()..];
+    let origins_and_standbys: Vec<usize> = (0..machines.len()).collect();
+    let standbys = &origins_and_standbys[origins.len()..];
     for number in 0..plan.deal.region_relays.value {
-        machines.push(machine(Role::Region, number % regions, None, heads.clone()));
+        machines.push(machine(Role::Region, number % regions, None, origins_and_standbys.clone()));
     }
-    let each = plan.deal.zone_relays.value / plan.fleet.zones.value.max(1);
+    let per_zone = plan.deal.zone_relays.value / plan.fleet.zones.value.max(1);
     for zone in 0..plan.fleet.zones.value {
         let region = region_of(plan, zone);
-        let above = (0..machines.len())
-            .filter(|&place| machines[place].role == Role::Region && machines[place].region == region);
-        let parents: Vec<usize> = above.chain(standbys.iter().copied()).collect();
-        for _ in 0..each {
+        let region_parents = (0..machines.len()).filter(|&process_index| {
+            machines[process_index].role == Role::Region && machines[process_index].region == region
+        });
+        let parents: Vec<usize> = region_parents.chain(standbys.iter().copied()).collect();
+        for _ in 0..per_zone {
             machines.push(machine(Role::Zone, region, Some(zone), parents.clone()));
         }
     }
@@ -81,13 +82,13 @@
 /// Returns the region of a zone; zones are numbered region by region.
 #[must_use]
 pub fn region_of(plan: &Plan, zone: usize) -> usize {
-    let mut until = 0;
+    let mut end = 0;
     let zones = &plan.fleet.zones_by_region.value;
     zones
         .iter()
         .position(|&zones| {
-            until += zones;
-            zone < until
+            end += zones;
+            zone < end
         })
         .unwrap_or(0)
 }
--- a/crates/capacity/src/sockets/plane/forwarder.rs
+++ b/crates/capacity/src/sockets/plane/forwarder.rs
@@ -14,9 +14,9 @@
 
 pub(super) struct Forwarder {
     pub(super) listener: std::net::TcpListener,
-    pub(super) to: SocketAddr,
+    pub(super) target: SocketAddr,
     /// Regions of the two processes that the forwarder connects.
-    pub(super) ends: [usize; 2],
+    pub(super) regions: [usize; 2],
     pub(super) bytes: Arc<AtomicU64>,
 }
 
@@ -24,15 +24,15 @@
 
 pub(super) fn forward_all(
     forwarders: Vec<Forwarder>,
-    cuts: watch::Receiver<Option<usize>>,
+    partitions: watch::Receiver<Option<usize>>,
 ) -> Result<Forwarders, CapacityError> {
-    let wrong = |cause| CapacityError::run("the forwarders between control processes", cause);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(wrong)?;
+    let to_error = |cause| CapacityError::run("the forwarders between control processes", cause);
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(to_error)?;
     let (stop, stopped) = oneshot::channel();
     let thread = thread::spawn(move || {
         LocalSet::new().block_on(&runtime, async {
             for forwarder in forwarders {
-                spawn_local(forward(forwarder, cuts.clone()));
+                spawn_local(forward(forwarder, partitions.clone()));
             }
             // The sender may have been dropped instead of used; both end the forwarders.
             let _ = stopped.await;
@@ -41,51 +41,54 @@
     Ok((stop, thread))
 }
 
-async fn forward(forwarder: Forwarder, cuts: watch::Receiver<Option<usize>>) {
-    let Forwarder { listener, to, ends, bytes } = forwarder;
+async fn forward(forwarder: Forwarder, partitions: watch::Receiver<Option<usize>>) {
+    let Forwarder { listener, target, regions, bytes } = forwarder;
     let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        let (mut cuts, bytes) = (cuts.clone(), Arc::clone(&bytes));
+        let Ok((child, _)) = listener.accept().await else { continue };
+        let (mut partitions, bytes) = (partitions.clone(), Arc::clone(&bytes));
         spawn_local(async move {
-            open(&mut cuts, ends).await;
-            let Ok(far) = tokio::net::TcpStream::connect(to).await else { return };
+            wait_until_open(&mut partitions, regions).await;
+            let Ok(parent) = tokio::net::TcpStream::connect(target).await else { return };
             // Disables Nagle's algorithm so that each chunk is sent as it arrives. If this fails, the connection still
             // works, only more slowly.
-            let _ = (near.set_nodelay(true), far.set_nodelay(true));
-            let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
-            let mut back_cuts = cuts.clone();
-            let there = pass(near_read, far_write, &mut cuts, ends, &bytes);
-            let back = pass(far_read, near_write, &mut back_cuts, ends, &bytes);
+            let _ = (child.set_nodelay(true), parent.set_nodelay(true));
+            let ((child_read, child_write), (parent_read, parent_write)) =
+                (child.into_split(), parent.into_split());
+            let mut to_child_partitions = partitions.clone();
+            let to_parent = forward_bytes(child_read, parent_write, &mut partitions, regions, &bytes);
+            let to_child = forward_bytes(parent_read, child_write, &mut to_child_partitions, regions, &bytes);
             // When one direction ends, both connections are closed.
-            tokio::select! { _ = there => {}, _ = back => {} }
+            tokio::select! { _ = to_parent => {}, _ = to_child => {} }
         });
     }
 }
 
 /// Waits while the two regions are partitioned from each other.
-async fn open(cuts: &mut watch::Receiver<Option<usize>>, ends: [usize; 2]) {
-    let open = |cut: &Option<usize>| ends[0] == ends[1] || cut.is_none_or(|region| !ends.contains(&region));
+async fn wait_until_open(partitions: &mut watch::Receiver<Option<usize>>, regions: [usize; 2]) {
+    let is_open = |partition: &Option<usize>| {
+        regions[0] == regions[1] || partition.is_none_or(|region| !regions.contains(&region))
+    };
     // Waiting fails only if the sender is dropped, and it lives as long as the forwarders.
-    let _ = cuts.wait_for(open).await;
+    let _ = partitions.wait_for(is_open).await;
 }
 
-async fn pass(
+async fn forward_bytes(
     mut from: impl tokio::io::AsyncRead + Unpin,
-    mut to: impl tokio::io::AsyncWrite + Unpin,
-    cuts: &mut watch::Receiver<Option<usize>>,
-    ends: [usize; 2],
+    mut target: impl tokio::io::AsyncWrite + Unpin,
+    partitions: &mut watch::Receiver<Option<usize>>,
+    regions: [usize; 2],
     bytes: &AtomicU64,
 ) -> std::io::Result<()> {
     let mut buffer = vec![0; 64 << 10];
     loop {
-        open(cuts, ends).await;
+        wait_until_open(partitions, regions).await;
         let read = from.read(&mut buffer).await?;
-        open(cuts, ends).await;
+        wait_until_open(partitions, regions).await;
         if read == 0 {
             return Ok(());
         }
-        to.write_all(&buffer[..read]).await?;
+        target.write_all(&buffer[..read]).await?;
         bytes.fetch_add(read as u64, Ordering::Relaxed);
     }
 }
--- a/crates/capacity/src/sockets/plane/publication.rs
+++ b/crates/capacity/src/sockets/plane/publication.rs
@@ -36,10 +36,10 @@
 /// The origin rejects the document, or is unavailable for 30 s.
 pub fn publish(origin: SocketAddr, scope: &Scope, body: &str, id: &str) -> Result<Change, CapacityError> {
     let sent_ns = machine::now_ns();
-    let until = Instant::now() + TIMEOUT;
+    let deadline = Instant::now() + TIMEOUT;
     let head = format!("PUT /configuration/{scope} HTTP/1.1\r\nX-Request-Id: {id}\r\n");
     loop {
-        let failed = match request(origin, &head, body) {
+        let last_error = match request(origin, &head, body) {
             Ok(Response { status: 200, body: text, .. }) => {
                 let acknowledged_ns = machine::now_ns();
                 let Acknowledged { index } = serde_json::from_str(&text).map_err(|cause| {
@@ -56,8 +56,8 @@
             }
             Err(cause) => cause.to_string(),
         };
-        if Instant::now() > until {
-            return Err(CapacityError::run(format!("publication of {scope}"), failed));
+        if Instant::now() > deadline {
+            return Err(CapacityError::run(format!("publication of {scope}"), last_error));
         }
         thread::sleep(Duration::from_millis(50));
     }
@@ -89,24 +89,26 @@
     stream.read_to_end(&mut response)?;
     let bytes = text.len() + response.len();
     let response = String::from_utf8_lossy(&response);
-    let wrong = || std::io::Error::new(ErrorKind::InvalidData, "malformed HTTP/1.1 response");
-    let (head, body) = response.split_once("\r\n\r\n").ok_or_else(wrong)?;
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(wrong)?;
+    let malformed = || std::io::Error::new(ErrorKind::InvalidData, "malformed HTTP/1.1 response");
+    let (head, body) = response.split_once("\r\n\r\n").ok_or_else(malformed)?;
+    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or_else(malformed)?;
     Ok(Response { status, body: body.to_owned(), bytes })
 }
 
-/// Returns a document body of at most `bytes` bytes; its content differs for each `turn`.
+/// Returns a document body of at most `bytes` bytes; its content differs for each `revision`.
 #[must_use]
-pub fn body(bytes: usize, turn: u64) -> String {
-    let mut text =
-        format!("{{\"settings\":{{\"projects\":[{{\"name\":\"tenant-0\",\"quotaPerS\":{}.0}}", 1000 + turn);
+pub fn body(bytes: usize, revision: u64) -> String {
+    let mut text = format!(
+        "{{\"settings\":{{\"projects\":[{{\"name\":\"tenant-0\",\"quotaPerS\":{}.0}}",
+        1000 + revision
+    );
     let mut number = 1;
     loop {
-        let more = format!(",{{\"name\":\"tenant-{number}\",\"quotaPerS\":250.0}}");
-        if text.len() + more.len() + "]}}".len() > bytes {
+        let entry = format!(",{{\"name\":\"tenant-{number}\",\"quotaPerS\":250.0}}");
+        if text.len() + entry.len() + "]}}".len() > bytes {
             return text + "]}}";
         }
-        text += &more;
+        text += &entry;
         number += 1;
     }
 }
--- a/crates/capacity/src/sockets/play.rs
+++ b/crates/capacity/src/sockets/run_scenario.rs
@@ -6,7 +6,7 @@
 
 use config_distribution::document::Scope;
 
-use super::cost::{Busiest, ControlUsage, Cost, Mark};
+use super::cost::{Busiest, ControlUsage, Cost, Totals};
 use super::fleet::{Placement, hollow_balancers};
 use super::hollow::Job;
 use super::list::ListServer;
@@ -21,15 +21,15 @@
 
 mod fault;
 
-use self::fault::{ChangesAndFault, Cut, Played, Target};
+use self::fault::{ChangesAndFault, FaultTarget, Partition, RunRecord};
 
 /// Maximum fraction of the machine's memory that all processes of a run may use.
-const MEMORY_PART: f64 = 0.5;
+const MAX_MEMORY_FRACTION: f64 = 0.5;
 /// Maximum time to wait for the start, for the last change and for the reconnected watches. After it the run fails or
 /// counts the balancers that are behind.
 const TIMEOUT: Duration = Duration::from_secs(40);
 /// Length of the recovery window after a fault, as a fraction of the time over which the changes are published.
-const RETURN_PART: f64 = 0.35;
+const RECOVERY_FRACTION: f64 = 0.35;
 /// Delay between the starts of two balancers of a process, in ms. A small run, whose processes have fewer balancers,
 /// has none.
 const START_INTERVAL_MS: u64 = 20;
@@ -39,50 +39,50 @@
 /// Runs one scenario with one seed.
 ///
 /// # Errors
-/// A process does not start or ends early, or the run needs more memory than [`MEMORY_PART`] allows.
-pub(super) fn play(
+/// A process does not start or ends early, or the run needs more memory than [`MAX_MEMORY_FRACTION`] allows.
+pub(super) fn run_scenario(
     scenario: Scenario,
     seed: u64,
     size: &Size,
     plan: &Plan,
 ) -> Result<Outcome, CapacityError> {
-    let target = Target::draw(plan, seed);
-    let mut play = Play::start(scenario, seed, size, plan)?;
-    play.wait_until_ready()?;
-    let (rest_from, rest_to) = play.rest()?;
-    let played = ChangesAndFault::start(&mut play, &target).run()?;
-    let missing = play.wait_for_last_changes(&played)?;
-    let end = play.mark()?;
-    let elsewhere = play.reconnect_list_watches()?;
-    let times = play.change_times(&played, &target)?;
-    let machines: Vec<Machine> = play.plane.machines().cloned().collect();
+    let target = FaultTarget::draw(plan, seed);
+    let mut scenario_run = ScenarioRun::start(scenario, seed, size, plan)?;
+    scenario_run.wait_until_ready()?;
+    let (idle_start, idle_end) = scenario_run.idle()?;
+    let record = ChangesAndFault::start(&mut scenario_run, &target).run()?;
+    let missing = scenario_run.wait_for_last_changes(&record)?;
+    let end = scenario_run.totals()?;
+    let watches_at_wrong_index = scenario_run.reconnect_list_watches()?;
+    let times = scenario_run.change_times(&record, &target)?;
+    let machines: Vec<Machine> = scenario_run.plane.machines().cloned().collect();
     let cost = |from, to| Cost::between(from, to, size.balancers, &machines);
     Ok(Outcome {
         scenario,
         seed,
         balancers: size.balancers,
-        changes: played.changes.len(),
+        changes: record.changes.len(),
         times: times.from_acknowledgement,
         from_sending: times.from_sending,
-        index_regressions: play.swarm.index_regressions,
+        index_regressions: scenario_run.swarm.index_regressions,
         missing,
-        elsewhere,
-        rest: cost(&rest_from, &rest_to),
-        play: cost(&rest_to, &end),
-        return_cost: cost(&played.return_from, &played.return_to),
-        most_in_window: played.return_to.most_in_window,
+        watches_at_wrong_index,
+        idle: cost(&idle_start, &idle_end),
+        during_changes: cost(&idle_end, &end),
+        recovery: cost(&record.recovery_start, &record.recovery_end),
+        most_in_window: record.recovery_end.most_in_window,
         balancer_mb: end.balancers.resident_kb as f64 / 1024.0 / size.balancers as f64,
         control_mb: largest_control_mb(&end, &machines),
     })
 }
 
 /// Returns the length of the recovery window, in which the cost of the recovery from a fault is measured.
-pub(super) fn return_window(seconds: f64) -> Duration {
-    Duration::from_secs_f64((seconds * RETURN_PART).min(super::hollow::WINDOW_S as f64))
+pub(super) fn recovery_window(seconds: f64) -> Duration {
+    Duration::from_secs_f64((seconds * RECOVERY_FRACTION).min(super::hollow::WINDOW_S as f64))
 }
 
 /// Returns the memory of the largest control process, in MiB, and the role of that process.
-fn largest_control_mb(end: &Mark, machines: &[Machine]) -> Busiest {
+fn largest_control_mb(end: &Totals, machines: &[Machine]) -> Busiest {
     let sizes = end.control.iter().map(|one| one.process.resident_kb);
     let largest = sizes.zip(machines.iter().map(|machine| machine.role)).max();
     let (largest_kb, role) = largest.unwrap_or((0, Role::Origin));
@@ -90,7 +90,7 @@
 }
 
 /// The running processes of a run.
-struct Play<'a> {
+struct ScenarioRun<'a> {
     scenario: Scenario,
     seed: u64,
     size: &'a Size,
@@ -103,7 +103,7 @@
     /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
     memory_bound_kb: u64,
-    place: String,
+    label: String,
 }
 
 /// Delays until the changes were in force, for all changes and balancers.
@@ -112,7 +112,7 @@
     from_sending: Times,
 }
 
-impl<'a> Play<'a> {
+impl<'a> ScenarioRun<'a> {
     /// Starts all processes. The first document of each scope is published before the balancers start.
     fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
         let placements = fleet(plan, size.balancers);
@@ -128,8 +128,8 @@
             balancers: Vec::new(),
         };
         let swarm = Swarm::start(&balancers, size.per_process, &job)?;
-        let memory_bound_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MEMORY_PART) as u64;
-        let place = format!("sockets {} {seed}", scenario.name());
+        let memory_bound_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MAX_MEMORY_FRACTION) as u64;
+        let label = format!("sockets {} {seed}", scenario.name());
         Ok(Self {
             scenario,
             seed,
@@ -141,7 +141,7 @@
             list,
             newest,
             memory_bound_kb,
-            place,
+            label,
         })
     }
 
@@ -154,21 +154,21 @@
         }
         let missing = self.swarm.missing(newest);
         let cause = format!("timed out at the start: {missing} balancers lack the current configuration");
-        Err(CapacityError::run(self.place.clone(), cause))
+        Err(CapacityError::run(self.label.clone(), cause))
     }
 
     /// Measures the totals at the start and the end of a span in which no configuration changes.
-    fn rest(&mut self) -> Result<(Mark, Mark), CapacityError> {
+    fn idle(&mut self) -> Result<(Totals, Totals), CapacityError> {
         // The lists and documents of the start have been processed after this pause.
-        self.swarm.receive_for(self.size.rest / 2)?;
-        let from = self.mark()?;
-        self.swarm.receive_for(self.size.rest)?;
-        Ok((from, self.mark()?))
+        self.swarm.receive_for(self.size.idle / 2)?;
+        let from = self.totals()?;
+        self.swarm.receive_for(self.size.idle)?;
+        Ok((from, self.totals()?))
     }
 
     /// Waits until all balancers have the last change of each scope; returns the number of balancers that do not.
-    fn wait_for_last_changes(&mut self, played: &Played) -> Result<usize, CapacityError> {
-        for change in &played.changes {
+    fn wait_for_last_changes(&mut self, record: &RunRecord) -> Result<usize, CapacityError> {
+        for change in &record.changes {
             self.newest.insert(change.scope.clone(), change.version);
         }
         let newest = &self.newest;
@@ -180,27 +180,29 @@
     /// index.
     fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
         let (list, balancers) = (&self.list, self.size.balancers);
-        let (asked_before, index) = (list.asked().len(), list.index());
+        let (requests_before, index) = (list.asked().len(), list.index());
         list.close_all();
-        let again = || list.asked().len().saturating_sub(asked_before);
-        self.swarm.receive_until(TIMEOUT, |_| again() >= balancers)?;
+        let reconnected = || list.asked().len().saturating_sub(requests_before);
+        self.swarm.receive_until(TIMEOUT, |_| reconnected() >= balancers)?;
         let asked = list.asked();
-        Ok(balancers.abs_diff(asked[asked_before..].iter().filter(|&&since| since == index).count()))
+        Ok(balancers.abs_diff(asked[requests_before..].iter().filter(|&&since| since == index).count()))
     }
 
-    fn change_times(&self, played: &Played, target: &Target) -> Result<ChangeTimes, CapacityError> {
+    fn change_times(&self, record: &RunRecord, target: &FaultTarget) -> Result<ChangeTimes, CapacityError> {
         let mut times = ChangeTimes { from_acknowledgement: Times::new()?, from_sending: Times::new()? };
-        for change in &played.changes {
+        for change in &record.changes {
             for Arrival { balancer, at_ns } in self.swarm.times(change) {
                 let Some(at_ns) = at_ns else { continue };
                 let zone = self.placements[balancer].zone;
-                let is_cut_off = plane::region_of(self.plan, zone) == target.far_region;
+                let is_partitioned = plane::region_of(self.plan, zone) == target.partitioned_region;
                 // A change published during the partition can reach these balancers only after its end, so the delay
                 // counts from there.
-                let cut = played.cut.filter(|cut| is_cut_off && cut.contains(change.acknowledged_ns));
-                let floor = cut.map_or(0, |Cut { end_ns, .. }| end_ns);
-                times.from_acknowledgement.add(at_ns.saturating_sub(change.acknowledged_ns.max(floor)));
-                times.from_sending.add(at_ns.saturating_sub(change.sent_ns.max(floor)));
+                let partition = record
+                    .partition
+                    .filter(|partition| is_partitioned && partition.contains(change.acknowledged_ns));
+                let earliest_ns = partition.map_or(0, |Partition { end_ns, .. }| end_ns);
+                times.from_acknowledgement.add(at_ns.saturating_sub(change.acknowledged_ns.max(earliest_ns)));
+                times.from_sending.add(at_ns.saturating_sub(change.sent_ns.max(earliest_ns)));
             }
         }
         Ok(times)
@@ -210,18 +212,18 @@
     ///
     /// # Errors
     /// The processes use more memory than the limit allows.
-    fn mark(&mut self) -> Result<Mark, CapacityError> {
+    fn totals(&mut self) -> Result<Totals, CapacityError> {
         let carried = self.swarm.carried()?;
-        let places = self.plane.machines().count();
-        let control = (0..places)
-            .map(|place| {
-                let used = self.plane.usage(place);
-                let below = carried.by_parent.get(&self.plane.address(place)).copied().unwrap_or(0);
-                ControlUsage { process: used, bytes: self.plane.bytes(place) + below }
+        let process_count = self.plane.machines().count();
+        let control = (0..process_count)
+            .map(|process_index| {
+                let used = self.plane.usage(process_index);
+                let below = carried.by_parent.get(&self.plane.address(process_index)).copied().unwrap_or(0);
+                ControlUsage { process: used, bytes: self.plane.bytes(process_index) + below }
             })
             .collect();
         let list = self.list.carried();
-        let mark = Mark {
+        let totals = Totals {
             at: Instant::now(),
             balancers: self.swarm.usage(),
             configuration_bytes: carried.bytes,
@@ -229,19 +231,19 @@
             most_in_window: carried.most_in_window,
             control,
         };
-        self.check_memory(&mark)?;
-        Ok(mark)
+        self.check_memory(&totals)?;
+        Ok(totals)
     }
 
-    fn check_memory(&self, mark: &Mark) -> Result<(), CapacityError> {
+    fn check_memory(&self, totals: &Totals) -> Result<(), CapacityError> {
         let own = machine::usage(std::process::id()).unwrap_or_default().resident_kb;
-        let control: u64 = mark.control.iter().map(|one| one.process.resident_kb).sum();
-        let used = own + mark.balancers.resident_kb + control;
+        let control: u64 = totals.control.iter().map(|one| one.process.resident_kb).sum();
+        let used = own + totals.balancers.resident_kb + control;
         if used <= self.memory_bound_kb {
             return Ok(());
         }
         Err(CapacityError::Memory {
-            place: self.place.clone(),
+            place: self.label.clone(),
             used_mb: used / 1024,
             bound_mb: self.memory_bound_kb / 1024,
         })
@@ -250,10 +252,11 @@
     /// Kills the control processes that match.
     fn kill(&mut self, matches: impl Fn(&Machine) -> bool) {
         let machines = self.plane.machines().enumerate();
-        let places: Vec<usize> =
-            machines.filter_map(|(place, machine)| matches(machine).then_some(place)).collect();
-        for place in places {
-            self.plane.kill(place);
+        let process_indices: Vec<usize> = machines
+            .filter_map(|(process_index, machine)| matches(machine).then_some(process_index))
+            .collect();
+        for process_index in process_indices {
+            self.plane.kill(process_index);
         }
     }
 }
--- a/crates/capacity/src/sockets/schedule.rs
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -15,7 +15,7 @@
 use crate::plan::Plan;
 
 /// A change that is to be published.
-pub(super) struct Planned {
+pub(super) struct PlannedChange {
     at: Duration,
     scope: Scope,
     bytes: usize,
@@ -23,26 +23,26 @@
 
 /// Draws the changes of a run, sorted by time: bursts at random moments, with scopes by the plan's shares. Services are
 /// drawn from those that have balancers in the run.
-pub(super) fn schedule(plan: &Plan, seed: u64, size: &Size, services: &[usize]) -> Vec<Planned> {
-    let mut draws = Rand64::new(u128::from(seed) << 8);
+pub(super) fn schedule(plan: &Plan, seed: u64, size: &Size, services: &[usize]) -> Vec<PlannedChange> {
+    let mut rng = Rand64::new(u128::from(seed) << 8);
     let configuration = &plan.configuration;
     let [fleet, region, _] = configuration.scope_shares.value[..] else { return Vec::new() };
     let mut planned = Vec::new();
     while planned.len() < size.changes {
-        let at = Duration::from_secs_f64(draws.rand_float() * size.seconds);
+        let at = Duration::from_secs_f64(rng.rand_float() * size.seconds);
         loop {
-            let kind = draws.rand_float();
-            let (scope, bytes) = if kind < fleet {
+            let draw = rng.rand_float();
+            let (scope, bytes) = if draw < fleet {
                 (Scope::Fleet, configuration.fleet_bytes.value)
-            } else if kind < fleet + region {
-                let region = draws.rand_range(0..plan.fleet.regions.value as u64) as usize;
+            } else if draw < fleet + region {
+                let region = rng.rand_range(0..plan.fleet.regions.value as u64) as usize;
                 (Scope::Region(region_name(region).into()), configuration.region_bytes.value)
             } else {
-                let service = services[draws.rand_range(0..services.len() as u64) as usize];
+                let service = services[rng.rand_range(0..services.len() as u64) as usize];
                 (Scope::Service(service_name(service).into()), configuration.service_bytes.value)
             };
-            planned.push(Planned { at, scope, bytes });
-            if planned.len() == size.changes || draws.rand_float() < 1.0 / configuration.bunch.value {
+            planned.push(PlannedChange { at, scope, bytes });
+            if planned.len() == size.changes || rng.rand_float() < 1.0 / configuration.bunch.value {
                 break;
             }
         }
@@ -55,12 +55,12 @@
 /// item.
 pub(super) fn publish_all(
     origin: SocketAddr,
-    planned: Vec<Planned>,
+    planned: Vec<PlannedChange>,
 ) -> Receiver<Result<Change, CapacityError>> {
     let (sender, changes) = channel();
     thread::spawn(move || {
         let start = Instant::now();
-        for (number, Planned { at, scope, bytes }) in planned.into_iter().enumerate() {
+        for (number, PlannedChange { at, scope, bytes }) in planned.into_iter().enumerate() {
             thread::sleep(at.saturating_sub(start.elapsed()));
             let body = plane::body(bytes, 1 + number as u64);
             let change = plane::publish(origin, &scope, &body, &format!("change-{number}"));
--- a/crates/capacity/src/sockets/size.rs
+++ b/crates/capacity/src/sockets/size.rs
@@ -16,43 +16,46 @@
     pub(super) changes: usize,
     pub(super) list: usize,
     pub(super) seconds: f64,
-    pub(super) rest: Duration,
+    pub(super) idle: Duration,
 }
 
 impl Size {
     pub(super) fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
-        let fault = |name, expected: String| Err(CapacityError::Argument { name, expected });
+        let argument_error = |name, expected: String| Err(CapacityError::Argument { name, expected });
         let balancers = match arguments.balancers {
             None if arguments.small => 60,
             None => plan.fleet.upstreams.value,
             Some(balancers) => balancers,
         };
         if !(1..=plan.fleet.upstreams.value).contains(&balancers) {
-            return fault("balancers", format!("1 to {}, the plan's upstreams", plan.fleet.upstreams.value));
+            return argument_error(
+                "balancers",
+                format!("1 to {}, the plan's upstreams", plan.fleet.upstreams.value),
+            );
         }
         let per_process = if arguments.small { 20 } else { arguments.per_process };
         if per_process == 0 {
-            return fault("per-process", "1 at least".to_owned());
+            return argument_error("per-process", "1 at least".to_owned());
         }
         let processes = balancers.div_ceil(per_process) + plan.budget.control_machines.value + 1;
         if processes > MAX_PROCESSES {
-            return fault(
+            return argument_error(
                 "per-process",
                 format!("so many that {MAX_PROCESSES} processes do, not {processes}"),
             );
         }
         if arguments.changes == 0 {
-            return fault("changes", "1 at least".to_owned());
+            return argument_error("changes", "1 at least".to_owned());
         }
         if !(1.0..=600.0).contains(&arguments.seconds) {
-            return fault("seconds", "1 to 600".to_owned());
+            return argument_error("seconds", "1 to 600".to_owned());
         }
         if arguments.seeds == 0 || arguments.seeds > 100 {
-            return fault("seeds", "1 to 100".to_owned());
+            return argument_error("seeds", "1 to 100".to_owned());
         }
         let list = arguments.list.unwrap_or(balancers);
         if list == 0 || list > 10_000 {
-            return fault("list", "1 to 10000".to_owned());
+            return argument_error("list", "1 to 10000".to_owned());
         }
         Ok(Self {
             balancers,
@@ -60,7 +63,7 @@
             changes: if arguments.small { arguments.changes.min(24) } else { arguments.changes },
             list,
             seconds: if arguments.small { arguments.seconds.min(2.0) } else { arguments.seconds },
-            rest: Duration::from_millis(if arguments.small { 200 } else { 5000 }),
+            idle: Duration::from_millis(if arguments.small { 200 } else { 5000 }),
         })
     }
 }
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -73,23 +73,23 @@
     /// # Errors
     /// A process cannot be started.
     pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
-        let own =
+        let executable =
             std::env::current_exe().map_err(|cause| CapacityError::run("path of this executable", cause))?;
         let (sender, output): (Sender<_>, _) = channel();
-        let most = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
-        let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; most];
+        let balancer_count = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
+        let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; balancer_count];
         for balancer in balancers {
             wanted[balancer.number] = balancer.wanted();
         }
         let mut children = Vec::new();
-        for (number, part) in balancers.chunks(per_process.max(1)).enumerate() {
+        for (number, chunk) in balancers.chunks(per_process.max(1)).enumerate() {
             let name = format!("hollow balancers, process {number}");
-            let mut command = Command::new(&own);
+            let mut command = Command::new(&executable);
             // The child processes do not use the plan, but the command line reads it before the command runs.
             command.args(std::env::args_os().skip_while(|arg| arg != "--plan").take(2));
             command.args(["sockets", "--hollow-balancers"]);
             let mut child = Child::start(&name, &mut command, Some((number, sender.clone())))?;
-            let job = Job { balancers: part.to_vec(), ..job.clone() };
+            let job = Job { balancers: chunk.to_vec(), ..job.clone() };
             let job = serde_json::to_string(&job).map_err(|cause| CapacityError::run(&name, cause))?;
             child.send_line(&job)?;
             children.push(child);
@@ -98,8 +98,8 @@
         Ok(Self {
             children,
             output,
-            listed: vec![false; most],
-            in_force: vec![HashMap::new(); most],
+            listed: vec![false; balancer_count],
+            in_force: vec![HashMap::new(); balancer_count],
             wanted,
             figures,
             index_regressions: 0,
@@ -116,13 +116,13 @@
     /// # Errors
     /// A process has exited or has failed, or a signal has asked the run to end.
     pub fn receive_for(&mut self, span: Duration) -> Result<(), CapacityError> {
-        let until = Instant::now() + span;
+        let deadline = Instant::now() + span;
         loop {
             child::check_interrupted()?;
-            let left = until.saturating_duration_since(Instant::now());
-            match self.output.recv_timeout(left.min(SIGNAL_CHECK_INTERVAL)) {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.output.recv_timeout(remaining.min(SIGNAL_CHECK_INTERVAL)) {
                 Ok(Output { process, line }) => self.apply(process, line)?,
-                Err(RecvTimeoutError::Timeout) if left <= SIGNAL_CHECK_INTERVAL => return Ok(()),
+                Err(RecvTimeoutError::Timeout) if remaining <= SIGNAL_CHECK_INTERVAL => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(CapacityError::run("hollow balancers", "all processes have exited"));
@@ -131,22 +131,22 @@
         }
     }
 
-    /// Receives events until `done`, which is checked every 5 ms, returns true, or until the duration `most` has
+    /// Receives events until `done`, which is checked every 5 ms, returns true, or until the duration `timeout` has
     /// passed; returns whether `done` returned true in time.
     ///
     /// # Errors
     /// A process has exited or has failed, or a signal has asked the run to end.
     pub fn receive_until(
         &mut self,
-        most: Duration,
+        timeout: Duration,
         mut done: impl FnMut(&Self) -> bool,
     ) -> Result<bool, CapacityError> {
-        let until = Instant::now() + most;
+        let deadline = Instant::now() + timeout;
         loop {
             if done(self) {
                 return Ok(true);
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Ok(false);
             }
             self.receive_for(Duration::from_millis(5))?;
@@ -154,16 +154,18 @@
     }
 
     fn apply(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
-        let place = || format!("hollow balancers, process {process}");
-        let Some(line) = line else { return Err(CapacityError::run(place(), "the process has exited")) };
-        match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
+        let process_name = || format!("hollow balancers, process {process}");
+        let Some(line) = line else {
+            return Err(CapacityError::run(process_name(), "the process has exited"));
+        };
+        match serde_json::from_str(&line).map_err(|cause| CapacityError::run(process_name(), cause))? {
             Event::Listed(balancer) => self.listed[balancer] = true,
             Event::InForce { balancer, scope, version, at_ns } => {
                 self.in_force[balancer].entry(scope).or_default().push(VersionInForce { version, at_ns });
             }
             Event::Back { .. } => self.index_regressions += 1,
             Event::Figures(figures) => self.figures[process] = Some(figures),
-            Event::Failed(cause) => return Err(CapacityError::run(place(), cause)),
+            Event::Failed(cause) => return Err(CapacityError::run(process_name(), cause)),
         }
         Ok(())
     }
@@ -177,12 +179,12 @@
     /// Returns the number of balancers that lack the newest version of a scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
-        let has = |balancer: usize, scope: &Scope| {
+        let is_current = |balancer: usize, scope: &Scope| {
             let Some(&version) = newest.get(scope) else { return true };
             self.last(balancer, scope).is_some_and(|last| last.version >= version)
         };
         (0..self.wanted.len())
-            .filter(|&balancer| !self.wanted[balancer].iter().all(|scope| has(balancer, scope)))
+            .filter(|&balancer| !self.wanted[balancer].iter().all(|scope| is_current(balancer, scope)))
             .count()
     }
 
@@ -194,8 +196,10 @@
     pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
-                let had = self.in_force[balancer].get(&change.scope);
-                let at = had.and_then(|had| had.iter().find(|had| had.version >= change.version));
+                let versions = self.in_force[balancer].get(&change.scope);
+                let at = versions.and_then(|versions| {
+                    versions.iter().find(|candidate| candidate.version >= change.version)
+                });
                 Arrival { balancer, at_ns: at.map(|version| version.at_ns) }
             },
         )
