--- a/crates/capacity/src/sockets/child.rs
+++ b/crates/capacity/src/sockets/child.rs
@@ -95,6 +95,7 @@
         Ok(Self { name: name.to_owned(), process, input })
     }
 
+    /// Returns the process id of the child process.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.process.id()
