--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -43,10 +43,7 @@
         let seconds = (to.at - from.at).as_secs_f64();
         let per_second = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let busiest = |cost: &dyn Fn(usize) -> f64| {
-            let costs = machines
-                .iter()
-                .enumerate()
-                .map(|(process_index, machine)| (cost(process_index), machine.role));
+            let costs = machines.iter().enumerate().map(|(index, machine)| (cost(index), machine.role));
             let largest = costs.max_by(|one, other| one.0.total_cmp(&other.0));
             let (figure, role) = largest.unwrap_or((0.0, Role::Origin));
             Busiest { figure, role }
@@ -57,12 +54,10 @@
                 + per_second(from.list_bytes, to.list_bytes))
                 / balancers as f64,
             cpu_cores: per_second(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
-            control_cpu_cores: busiest(&|process_index| {
-                per_second(before[process_index].process.cpu_ns, after[process_index].process.cpu_ns) / 1e9
-            }),
-            control_bytes_per_s: busiest(&|process_index| {
-                per_second(before[process_index].bytes, after[process_index].bytes)
+            control_cpu_cores: busiest(&|index| {
+                per_second(before[index].process.cpu_ns, after[index].process.cpu_ns) / 1e9
             }),
+            control_bytes_per_s: busiest(&|index| per_second(before[index].bytes, after[index].bytes)),
         }
     }
 }
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -36,7 +36,7 @@
     machine: Machine,
     address: SocketAddr,
     child: Option<Child>,
-    /// Processor time used by earlier, killed processes at this place, in nanoseconds.
+    /// Processor time used by earlier, killed processes of this entry, in nanoseconds.
     earlier_cpu_ns: u64,
     max_resident_kb: u64,
 }
--- a/crates/capacity/src/sockets/plane/deal.rs
+++ b/crates/capacity/src/sockets/plane/deal.rs
@@ -68,9 +68,8 @@
     let per_zone = plan.deal.zone_relays.value / plan.fleet.zones.value.max(1);
     for zone in 0..plan.fleet.zones.value {
         let region = region_of(plan, zone);
-        let region_parents = (0..machines.len()).filter(|&process_index| {
-            machines[process_index].role == Role::Region && machines[process_index].region == region
-        });
+        let region_parents = (0..machines.len())
+            .filter(|&index| machines[index].role == Role::Region && machines[index].region == region);
         let parents: Vec<usize> = region_parents.chain(standbys.iter().copied()).collect();
         for _ in 0..per_zone {
             machines.push(machine(Role::Zone, region, Some(zone), parents.clone()));
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -179,12 +179,12 @@
     /// Returns the number of balancers that lack the newest version of a scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
-        let is_current = |balancer: usize, scope: &Scope| {
+        let has = |balancer: usize, scope: &Scope| {
             let Some(&version) = newest.get(scope) else { return true };
             self.last(balancer, scope).is_some_and(|last| last.version >= version)
         };
         (0..self.wanted.len())
-            .filter(|&balancer| !self.wanted[balancer].iter().all(|scope| is_current(balancer, scope)))
+            .filter(|&balancer| !self.wanted[balancer].iter().all(|scope| has(balancer, scope)))
             .count()
     }
 
