--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -7,10 +7,15 @@
 
 /// Totals of all processes at one moment of a run.
 pub(super) struct Totals {
+    /// Time at which the totals were taken.
     pub(super) at: Instant,
+    /// Sum of the usage of all processes of hollow balancers.
     pub(super) balancers: machine::Usage,
+    /// Bytes on the configuration connections of all balancers, in both directions.
     pub(super) configuration_bytes: u64,
+    /// Bytes on all connections of the list server, in both directions.
     pub(super) list_bytes: u64,
+    /// Bytes of the busiest balancer in its busiest window since the previous totals.
     pub(super) most_in_window: u64,
     /// Usage of each control process, by its index.
     pub(super) control: Vec<ControlUsage>,
@@ -18,6 +23,7 @@
 
 /// Resources that a control process has used since its start.
 pub(super) struct ControlUsage {
+    /// Processor time and memory of the process.
     pub(super) process: machine::Usage,
     /// Bytes in both directions on the connections of this process to other control processes and to balancers.
     pub(super) bytes: u64,
@@ -31,10 +37,13 @@
 
 /// The resources used per second in the span between two [`Totals`]s.
 pub(super) struct Cost {
+    /// Bytes per second on the connections of one balancer, on average.
     pub(super) bytes_per_s: f64,
+    /// Cores used by one balancer, on average.
     pub(super) cpu_cores: f64,
     /// Cores used by the control process that used the most processor time.
     pub(super) control_cpu_cores: Busiest,
+    /// Bytes per second of the control process with the most bytes.
     pub(super) control_bytes_per_s: Busiest,
 }
 
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -39,16 +39,27 @@
     pub(super) seed: u64,
     pub(super) balancers: usize,
     pub(super) changes: usize,
+    /// Delays from the acknowledgement of a change, or the end of a partition if that is later, until it was in force.
     pub(super) times: Times,
+    /// Delays from the first sending of a change, or the end of a partition if that is later, until it was in force.
     pub(super) from_sending: Times,
+    /// How often the index of a balancer decreased.
     pub(super) index_regressions: usize,
+    /// Number of balancers without the last change of each scope at the end.
     pub(super) missing: usize,
+    /// Number of list watches that did not continue from the current index when they reconnected at the end.
     pub(super) watches_at_wrong_index: usize,
+    /// Cost in a span without configuration changes.
     pub(super) idle: Cost,
+    /// Cost from the end of the idle span until all balancers have the last changes.
     pub(super) during_changes: Cost,
+    /// Cost in the recovery window after the fault.
     pub(super) recovery: Cost,
+    /// Configuration bytes of the busiest balancer in its busiest window of the recovery.
     pub(super) most_in_window: u64,
+    /// Average memory of a balancer, in MiB.
     pub(super) balancer_mb: f64,
+    /// Memory of the largest control process, in MiB.
     pub(super) control_mb: Busiest,
 }
 
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -112,7 +112,7 @@
         Ok(plane)
     }
 
-    /// Starts the control process with the index `process_index`, which must not be running.
+    /// Starts the control process `process_index`, which must not be running.
     ///
     /// # Errors
     /// The process cannot be started.
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// Kills the control process with the index `process_index`, as if its machine were lost.
+    /// Kills the control process `process_index`, as if its machine were lost.
     pub fn kill(&mut self, process_index: usize) {
         let used = self.usage(process_index);
         let running = &mut self.running[process_index];
@@ -177,7 +177,7 @@
         self.running.iter().filter_map(|running| Some(running.child.as_ref()?.pid()))
     }
 
-    /// Returns the address that the control process with the index `process_index` listens on.
+    /// Returns the address that the control process `process_index` listens on.
     #[must_use]
     pub fn address(&self, process_index: usize) -> SocketAddr {
         self.running[process_index].address
@@ -193,7 +193,7 @@
         parents.map(|running| running.address).collect()
     }
 
-    /// Returns the resources that the control process with the index `process_index` has used, including those before its
+    /// Returns the resources that the control process `process_index` has used, including those before its
     /// restarts. Memory is the largest value of any call.
     pub fn usage(&mut self, process_index: usize) -> Usage {
         let running = &mut self.running[process_index];
@@ -203,7 +203,7 @@
         Usage { cpu_ns: running.earlier_cpu_ns + cpu_ns, resident_kb: running.max_resident_kb }
     }
 
-    /// Returns the bytes exchanged so far between the control process with the index `process_index` and the other control
+    /// Returns the bytes exchanged so far between the control process `process_index` and the other control
     /// processes, in both directions.
     #[must_use]
     pub fn bytes(&self, process_index: usize) -> u64 {
--- a/crates/capacity/src/sockets/size.rs
+++ b/crates/capacity/src/sockets/size.rs
@@ -11,11 +11,17 @@
 
 /// Number of balancers, processes, changes and list entries of a run, and the length of its phases.
 pub(super) struct Size {
+    /// Number of hollow balancers.
     pub(super) balancers: usize,
+    /// Number of hollow balancers in each process.
     pub(super) per_process: usize,
+    /// Number of configuration changes.
     pub(super) changes: usize,
+    /// Number of entries in the endpoint list.
     pub(super) list: usize,
+    /// Time over which the changes are published, in seconds.
     pub(super) seconds: f64,
+    /// Length of the span without configuration changes in which the idle cost is measured.
     pub(super) idle: Duration,
 }
 
