--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -1,63 +1,72 @@
-//! The cost of a span of a play, as the difference of the totals at its two ends.
+//! The resources used in a span of a run, computed from the totals at its start and its end.
 
 use std::time::Instant;
 
 use super::machine;
 use super::plane::{Machine, Role};
 
-/// Totals of all processes at one moment.
-pub(super) struct Mark {
+/// Totals of all processes at one moment of a run.
+pub(super) struct Totals {
+    /// Time at which the totals were taken.
     pub(super) at: Instant,
+    /// Sum of the usage of all processes of hollow balancers.
     pub(super) balancers: machine::Usage,
+    /// Bytes on the configuration connections of all balancers, in both directions.
     pub(super) configuration_bytes: u64,
+    /// Bytes on all connections of the list server, in both directions.
     pub(super) list_bytes: u64,
+    /// Bytes of the busiest balancer in its busiest window since the previous totals.
     pub(super) most_in_window: u64,
-    /// The control processes, by place.
+    /// Usage of each control process, by its index.
     pub(super) control: Vec<ControlUsage>,
 }
 
-/// Resources that a control process has used until a moment.
+/// Resources that a control process has used since its start.
 pub(super) struct ControlUsage {
+    /// Processor time and memory of the process.
     pub(super) process: machine::Usage,
-    /// Bytes of its connections with other control processes and with balancers, both ways.
+    /// Bytes in both directions on the connections of this process to other control processes and to balancers.
     pub(super) bytes: u64,
 }
 
-/// The largest figure of a kind among the control processes, and the role of that process.
+/// The largest value of a measure among the control processes, and the role of the process that has it.
 pub(super) struct Busiest {
     pub(super) figure: f64,
     pub(super) role: Role,
 }
 
-/// The cost of the span between two marks, each a second.
+/// The resources used per second in the span between two [`Totals`]s.
 pub(super) struct Cost {
+    /// Bytes per second on the connections of one balancer, on average.
     pub(super) bytes_per_s: f64,
-    pub(super) core: f64,
-    /// The busiest control process.
-    pub(super) control_core: Busiest,
+    /// Cores used by one balancer, on average.
+    pub(super) cpu_cores: f64,
+    /// Cores used by the control process that used the most processor time.
+    pub(super) control_cpu_cores: Busiest,
+    /// Bytes per second of the control process with the most bytes.
     pub(super) control_bytes_per_s: Busiest,
 }
 
 impl Cost {
-    pub(super) fn between(from: &Mark, to: &Mark, balancers: usize, machines: &[Machine]) -> Self {
+    pub(super) fn between(from: &Totals, to: &Totals, balancers: usize, machines: &[Machine]) -> Self {
         let seconds = (to.at - from.at).as_secs_f64();
-        let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
+        let per_second = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let busiest = |cost: &dyn Fn(usize) -> f64| {
-            let costs = machines.iter().enumerate().map(|(place, machine)| (cost(place), machine.role));
-            let most = costs.max_by(|one, other| one.0.total_cmp(&other.0));
-            let (figure, role) = most.unwrap_or((0.0, Role::Origin));
+            let costs = machines.iter().enumerate().map(|(index, machine)| (cost(index), machine.role));
+            let largest = costs.max_by(|one, other| one.0.total_cmp(&other.0));
+            let (figure, role) = largest.unwrap_or((0.0, Role::Origin));
             Busiest { figure, role }
         };
         let (before, after) = (&from.control, &to.control);
         Self {
-            bytes_per_s: (each(from.configuration_bytes, to.configuration_bytes)
-                + each(from.list_bytes, to.list_bytes))
+            bytes_per_s: (per_second(from.configuration_bytes, to.configuration_bytes)
+                + per_second(from.list_bytes, to.list_bytes))
                 / balancers as f64,
-            core: each(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
-            control_core: busiest(&|place| {
-                each(before[place].process.cpu_ns, after[place].process.cpu_ns) / 1e9
+            cpu_cores: per_second(from.balancers.cpu_ns, to.balancers.cpu_ns) / 1e9 / balancers as f64,
+            control_cpu_cores: busiest(&|index| {
+                per_second(before[index].process.cpu_ns, after[index].process.cpu_ns) / 1e9
             }),
-            control_bytes_per_s: busiest(&|place| each(before[place].bytes, after[place].bytes)),
+            control_bytes_per_s: busiest(&|index| per_second(before[index].bytes, after[index].bytes)),
         }
     }
 }
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -1,5 +1,5 @@
-//! Hollow balancers, many to a process: the balancer's own endpoint list client with its decisions, and the real
-//! configuration client, without a listener and without clients.
+//! Hollow balancers, many in one process. Each runs the balancer's own endpoint list client with the balancer's
+//! decisions, and the real configuration client, but has no listener and no clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -29,42 +29,43 @@
 use super::machine;
 use crate::CapacityError;
 
-/// Seconds of the window in which the busiest balancer's bytes are counted: the time in which a change must be in
-/// force.
+/// Length in seconds of the window in which the bytes of the busiest balancer are counted: the time within which a
+/// change must be in force.
 pub const WINDOW_S: usize = 13;
 
-/// What a process of hollow balancers plays: the first line of its standard input, as JSON.
+/// The job of a process of hollow balancers: the first line of its standard input, as JSON.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Job {
-    /// The address of the list server; `None` where the balancers do not watch a list.
+    /// Address of the list server; `None` if the balancers do not watch an endpoint list.
     pub list: Option<SocketAddr>,
-    /// The names of the fleet's zones.
+    /// Names of the fleet's zones.
     pub zones: Vec<String>,
-    /// Time between the starts of two balancers, in ms.
+    /// Delay between the starts of two balancers of the process, in ms.
     pub apart_ms: u64,
-    /// The balancers.
+    /// Hollow balancers to run.
     pub balancers: Vec<Hollow>,
 }
 
-/// One hollow balancer.
+/// Identity and parents of one hollow balancer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Hollow {
-    /// Its number in the fleet.
+    /// Number of the balancer in the fleet.
     pub number: usize,
-    /// The name of its service.
+    /// Name of the balancer's service.
     pub service: String,
-    /// The name of its region.
+    /// Name of the balancer's region.
     pub region: String,
-    /// The number of its zone.
+    /// Number of the balancer's zone.
     pub zone: usize,
-    /// The relays that it gets its configuration from; without any it has no configuration client.
+    /// Addresses of the relays that the balancer gets its configuration from; if empty, it runs no configuration
+    /// client.
     pub parents: Vec<SocketAddr>,
-    /// The seed of its random numbers.
+    /// Seed of the balancer's random number generator.
     pub seed: u64,
 }
 
 impl Hollow {
-    /// The scopes that it subscribes to.
+    /// Returns the scopes whose documents the balancer subscribes to.
     #[must_use]
     pub fn wanted(&self) -> [Scope; 3] {
         [
@@ -75,49 +76,50 @@
     }
 }
 
-/// What a process of hollow balancers reports, as a JSON object on a line.
+/// A message from a process of hollow balancers, as a JSON object on one line.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Event {
-    /// The balancer of this number has received its endpoint list.
+    /// The balancer with this number has received its endpoint list.
     Listed(usize),
-    /// A balancer has a document in force.
+    /// A balancer has a version of a document in force.
     InForce {
-        /// Its number.
+        /// Number of the balancer that has the document in force.
         balancer: usize,
-        /// The document's scope.
+        /// Scope of the document.
         scope: Scope,
-        /// Its version.
+        /// Version of the document.
         version: u64,
-        /// When, on [`machine::now_ns`]'s clock.
+        /// Time at which the document came into force, in nanoseconds on the clock of [`machine::now_ns`].
         at_ns: u64,
     },
-    /// A balancer's index decreased.
+    /// The index of a balancer's configuration decreased.
     Back {
-        /// Its number.
+        /// Number of the balancer whose index decreased.
         balancer: usize,
-        /// The index before.
+        /// Index before the decrease.
         from: u64,
-        /// The index after.
+        /// Index after the decrease.
         to: u64,
     },
-    /// The answer to the command `figures`.
+    /// Response to the command `figures`.
     Figures(Figures),
-    /// The process cannot continue, for this reason.
+    /// The process cannot continue, for the given reason.
     Failed(String),
 }
 
-/// Traffic of a process's configuration connections since its start.
+/// Traffic of the configuration connections of a process since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Bytes received.
+    /// Bytes received by all balancers of the process.
     pub read: u64,
-    /// Bytes sent.
+    /// Bytes sent by all balancers of the process.
     pub written: u64,
-    /// Connections opened.
+    /// Connections opened by all balancers of the process.
     pub opened: u64,
-    /// Bytes of both ways, by the parent's address.
+    /// Bytes in both directions, by the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// The most bytes of one balancer within [`WINDOW_S`] seconds since the previous figures.
+    /// Largest number of bytes that one balancer exchanged within [`WINDOW_S`] seconds, since the previous response to
+    /// `figures`.
     pub most_in_window: u64,
 }
 
@@ -129,14 +131,14 @@
     by_parent: RefCell<BTreeMap<SocketAddr, u64>>,
 }
 
-/// A connection whose bytes are counted.
-struct Counted {
+/// A connection to a parent whose bytes are counted.
+struct CountingStream {
     stream: TcpStream,
     parent: SocketAddr,
     counts: Rc<Counts>,
 }
 
-impl Counted {
+impl CountingStream {
     fn count(&self, read: usize, written: usize) {
         self.counts.read.set(self.counts.read.get() + read as u64);
         self.counts.written.set(self.counts.written.get() + written as u64);
@@ -144,7 +146,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -157,7 +159,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut self.stream).poll_write(cx, bytes);
         if let Poll::Ready(Ok(written)) = done {
@@ -177,24 +179,24 @@
 
 fn send_event(event: &Event) {
     let Ok(line) = serde_json::to_string(event) else { return };
-    // Nobody listens any more: there is nothing left to do.
+    // A failed write means that the parent process has closed the pipe, so there is nothing left to do.
     if writeln!(io::stdout().lock(), "{line}").is_err() {
         process::exit(0);
     }
 }
 
-/// Plays the balancers of the [`Job`] on standard input, and exits the process when standard input closes.
+/// Runs the balancers of the [`Job`] on standard input, and exits the process when standard input closes.
 ///
 /// # Errors
 /// The job cannot be parsed, or the runtime cannot be started.
 pub fn run() -> Result<(), CapacityError> {
-    let mut first = String::new();
+    let mut job_line = String::new();
     io::stdin()
         .lock()
-        .read_line(&mut first)
+        .read_line(&mut job_line)
+        .map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
+    let job: Job = serde_json::from_str(&job_line)
         .map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
-    let job: Job =
-        serde_json::from_str(&first).map_err(|cause| CapacityError::run("hollow balancers: job", cause))?;
     let (sender, commands) = mpsc::channel(16);
     thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
@@ -202,63 +204,63 @@
                 break;
             }
         }
-        // Whoever started this has gone.
+        // Standard input closes when the parent process has ended or has dropped this child.
         process::exit(0);
     });
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|cause| CapacityError::run("hollow balancers", cause))?;
-    LocalSet::new().block_on(&runtime, play(job, commands));
+    LocalSet::new().block_on(&runtime, run_balancers(job, commands));
     Ok(())
 }
 
-async fn play(job: Job, mut commands: mpsc::Receiver<String>) {
-    let mut all: Vec<Rc<Counts>> = Vec::new();
+async fn run_balancers(job: Job, mut commands: mpsc::Receiver<String>) {
+    let mut all_counts: Vec<Rc<Counts>> = Vec::new();
     for hollow in &job.balancers {
         let counts = Rc::new(Counts::default());
-        all.push(Rc::clone(&counts));
+        all_counts.push(Rc::clone(&counts));
         if let Some(list) = job.list {
             match driver(list, hollow, &job.zones) {
-                Ok(driver) => drop(spawn_local(listed(driver, hollow.number))),
+                Ok(driver) => drop(spawn_local(report_list_received(driver, hollow.number))),
                 Err(cause) => send_event(&Event::Failed(cause)),
             }
         }
         if !hollow.parents.is_empty() {
-            spawn_local(configured(hollow.clone(), counts));
+            spawn_local(run_configuration_client(hollow.clone(), counts));
         }
         sleep(Duration::from_millis(job.apart_ms)).await;
     }
-    // By balancer: its bytes at the last WINDOW_S seconds.
-    let mut seconds: Vec<Vec<u64>> = vec![vec![0; WINDOW_S]; all.len()];
-    let (mut turn, mut most) = (0, 0);
-    let mut each_second = interval(Duration::from_secs(1));
+    // For each balancer, its total bytes at each of the last WINDOW_S seconds.
+    let mut totals_by_second: Vec<Vec<u64>> = vec![vec![0; WINDOW_S]; all_counts.len()];
+    let (mut ticks, mut busiest_bytes) = (0, 0);
+    let mut second_ticks = interval(Duration::from_secs(1));
     loop {
         tokio::select! {
             command = commands.recv() => match command.as_deref() {
                 Some("figures") => {
-                    send_event(&Event::Figures(figures(&all, most)));
-                    most = 0;
+                    send_event(&Event::Figures(sum_counts(&all_counts, busiest_bytes)));
+                    busiest_bytes = 0;
                 }
                 _ => return,
             },
-            _ = each_second.tick() => {
-                for (counts, seconds) in all.iter().zip(&mut seconds) {
+            _ = second_ticks.tick() => {
+                for (counts, totals_by_second) in all_counts.iter().zip(&mut totals_by_second) {
                     let now = counts.read.get() + counts.written.get();
-                    let Some(then) = seconds.get_mut(turn % WINDOW_S) else { continue };
-                    // The first window lies in the start, where it holds the whole.
-                    most = most.max(now - *then);
-                    *then = now;
+                    let Some(oldest) = totals_by_second.get_mut(ticks % WINDOW_S) else { continue };
+                    // Until WINDOW_S seconds have passed, the window covers all bytes since the start.
+                    busiest_bytes = busiest_bytes.max(now - *oldest);
+                    *oldest = now;
                 }
-                turn += 1;
+                ticks += 1;
             }
         }
     }
 }
 
-fn figures(all: &[Rc<Counts>], most_in_window: u64) -> Figures {
+fn sum_counts(all_counts: &[Rc<Counts>], most_in_window: u64) -> Figures {
     let mut sum = Figures { most_in_window, ..Figures::default() };
-    for counts in all {
+    for counts in all_counts {
         sum.read += counts.read.get();
         sum.written += counts.written.get();
         sum.opened += counts.opened.get();
@@ -269,7 +271,8 @@
     sum
 }
 
-/// Starts a balancer's event loop, with its endpoint list client and its decisions, as the balancer itself does.
+/// Starts a balancer's event loop with its endpoint list client and its decisions, in the same way as the balancer
+/// itself does.
 ///
 /// # Errors
 /// The settings are invalid, or the event loop cannot be started.
@@ -289,16 +292,16 @@
     EventLoop::start(config).map_err(|cause| cause.to_string())
 }
 
-async fn listed(driver: Rc<EventLoop>, number: usize) {
+async fn report_list_received(driver: Rc<EventLoop>, number: usize) {
     while !driver.can_serve() {
         sleep(Duration::from_millis(10)).await;
     }
     send_event(&Event::Listed(number));
-    // The driver holds itself; this keeps the intent plain.
+    // Keeps a reference to the event loop explicitly, although the event loop also holds one to itself.
     std::future::pending::<()>().await;
 }
 
-async fn configured(hollow: Hollow, counts: Rc<Counts>) {
+async fn run_configuration_client(hollow: Hollow, counts: Rc<Counts>) {
     let who: Box<str> = format!("balancer-{}", hollow.number).into();
     let client = Client {
         name: who.to_string(),
@@ -311,11 +314,11 @@
         async move {
             let stream = TcpStream::connect(parent).await?;
             counts.opened.set(counts.opened.get() + 1);
-            Ok(Counted { stream, parent, counts })
+            Ok(CountingStream { stream, parent, counts })
         }
     };
     let mut index = 0;
-    let take = |state: &State, changed: &[Scope]| {
+    let apply_update = |state: &State, changed: &[Scope]| {
         let at_ns = machine::now_ns();
         if state.index() < index {
             send_event(&Event::Back { balancer: hollow.number, from: index, to: state.index() });
@@ -331,18 +334,18 @@
         let versions = versions.filter_map(|scope| Some((scope.clone(), state.get(&scope)?.version)));
         InForce { who: who.clone(), versions: versions.collect(), refused: None }
     };
-    match client::run(client, connect, take).await {}
+    match client::run(client, connect, apply_update).await {}
 }
 
-/// Waits until `done`, for a minute at most.
+/// Waits until `done` returns true, for one minute at most.
 ///
 /// # Errors
-/// It is not done within the minute.
+/// `done` has not returned true within the minute.
 pub async fn wait_until(place: &str, mut done: impl FnMut() -> bool) -> Result<(), CapacityError> {
-    let until = Instant::now() + Duration::from_secs(60);
+    let deadline = Instant::now() + Duration::from_secs(60);
     while !done() {
-        if Instant::now() > until {
-            return Err(CapacityError::run(place, "not within a minute"));
+        if Instant::now() > deadline {
+            return Err(CapacityError::run(place, "timed out after 60 s"));
         }
         sleep(Duration::from_millis(1)).await;
     }
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a play, as a row of the results.
+//! The outcome of a run, as a row of the results table.
 
 use super::Scenario;
 use super::cost::{Busiest, Cost};
@@ -6,7 +6,7 @@
 use super::swarm::Times;
 use crate::plan::Plan;
 
-/// The headings of the columns.
+/// Column headings of the results table.
 pub(super) const COLUMNS: [&str; 24] = [
     "scenario",
     "seed",
@@ -39,22 +39,33 @@
     pub(super) seed: u64,
     pub(super) balancers: usize,
     pub(super) changes: usize,
+    /// Delays from the acknowledgement of a change, or the end of a partition if that is later, until it was in force.
     pub(super) times: Times,
+    /// Delays from the first sending of a change, or the end of a partition if that is later, until it was in force.
     pub(super) from_sending: Times,
+    /// How often the index of a balancer decreased.
     pub(super) index_regressions: usize,
+    /// Number of balancers without the last change of each scope at the end.
     pub(super) missing: usize,
-    pub(super) elsewhere: usize,
-    pub(super) rest: Cost,
-    pub(super) play: Cost,
-    pub(super) return_cost: Cost,
+    /// Number of list watches that did not continue from the current index when they reconnected at the end.
+    pub(super) watches_at_wrong_index: usize,
+    /// Cost in a span without configuration changes.
+    pub(super) idle: Cost,
+    /// Cost from the end of the idle span until all balancers have the last changes.
+    pub(super) during_changes: Cost,
+    /// Cost in the recovery window after the fault.
+    pub(super) recovery: Cost,
+    /// Configuration bytes of the busiest balancer in its busiest window of the recovery.
     pub(super) most_in_window: u64,
+    /// Average memory of a balancer, in MiB.
     pub(super) balancer_mb: f64,
+    /// Memory of the largest control process, in MiB.
     pub(super) control_mb: Busiest,
 }
 
 impl Outcome {
     pub(super) fn row(&self) -> Vec<String> {
-        let named = |Busiest { figure, role }: &Busiest, digits: usize| {
+        let with_role = |Busiest { figure, role }: &Busiest, digits: usize| {
             format!("{figure:.digits$} ({})", role.name())
         };
         vec![
@@ -69,19 +80,19 @@
             format!("{:.1}", self.from_sending.quantile_ms(1.0)),
             self.index_regressions.to_string(),
             self.missing.to_string(),
-            self.elsewhere.to_string(),
-            format!("{:.0}", self.rest.bytes_per_s),
-            format!("{:.0}", self.play.bytes_per_s),
-            format!("{:.0}", self.return_cost.bytes_per_s),
+            self.watches_at_wrong_index.to_string(),
+            format!("{:.0}", self.idle.bytes_per_s),
+            format!("{:.0}", self.during_changes.bytes_per_s),
+            format!("{:.0}", self.recovery.bytes_per_s),
             format!("{:.0}", self.most_in_window as f64 / WINDOW_S as f64),
-            format!("{:.5}", self.rest.core),
-            format!("{:.5}", self.play.core),
-            format!("{:.5}", self.return_cost.core),
+            format!("{:.5}", self.idle.cpu_cores),
+            format!("{:.5}", self.during_changes.cpu_cores),
+            format!("{:.5}", self.recovery.cpu_cores),
             format!("{:.2}", self.balancer_mb),
-            named(&self.rest.control_core, 4),
-            named(&self.return_cost.control_core, 4),
-            named(&self.return_cost.control_bytes_per_s, 0),
-            named(&self.control_mb, 1),
+            with_role(&self.idle.control_cpu_cores, 4),
+            with_role(&self.recovery.control_cpu_cores, 4),
+            with_role(&self.recovery.control_bytes_per_s, 0),
+            with_role(&self.control_mb, 1),
         ]
     }
 
@@ -89,22 +100,34 @@
         COLUMNS.iter().zip(self.row()).map(|(head, value)| format!("{head}: {value}\n")).collect()
     }
 
-    /// The promises of the plan that the play did not meet; times are checked only where `timed`, as a play that
-    /// shares the machine has no sound times.
-    pub(super) fn faults(&self, plan: &Plan, timed: bool) -> Vec<String> {
+    /// Lists the objectives of the plan that the run did not meet. The delay of changes is checked only if `timed` is
+    /// set, because a run that shares the machine with other work has no meaningful times.
+    pub(super) fn unmet_objectives(&self, plan: &Plan, timed: bool) -> Vec<String> {
         let place = format!("{} {}", self.scenario.name(), self.seed);
-        let within = plan.configuration.in_force_s.value;
-        let mut faults = Vec::new();
-        let mut want = |holds: bool, what: String| {
+        let limit_s = plan.configuration.in_force_s.value;
+        let mut unmet_objectives = Vec::new();
+        let mut require = |holds: bool, what: String| {
             if !holds {
-                faults.push(format!("{place}: {what}"));
+                unmet_objectives.push(format!("{place}: {what}"));
             }
         };
-        want(self.index_regressions == 0, format!("{} indices went back", self.index_regressions));
-        want(self.missing == 0, format!("{} balancers miss the last change", self.missing));
-        want(self.elsewhere == 0, format!("{} watches of the list stand elsewhere", self.elsewhere));
+        require(
+            self.index_regressions == 0,
+            format!("the index of a balancer decreased {} times", self.index_regressions),
+        );
+        require(self.missing == 0, format!("{} balancers lack the last change of a scope", self.missing));
+        require(
+            self.watches_at_wrong_index == 0,
+            format!(
+                "{} watches of the endpoint list did not continue from the current index",
+                self.watches_at_wrong_index
+            ),
+        );
         let last_s = self.times.quantile_ms(1.0) / 1000.0;
-        want(!timed || last_s < within, format!("the last change took {last_s:.1} s, over {within} s"));
-        faults
+        require(
+            !timed || last_s < limit_s,
+            format!("the last change was in force after {last_s:.1} s, over the objective of {limit_s} s"),
+        );
+        unmet_objectives
     }
 }
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -15,80 +15,81 @@
 use super::plane::Change;
 use crate::CapacityError;
 
-/// The longest time that the histogram can record, in microseconds.
+/// Longest time that the histogram can record, in microseconds.
 const MAX_TIME_US: u64 = 600_000_000;
 
-/// How often it is checked whether a signal has asked the run to end.
+/// Interval of the check whether a signal has asked the run to end.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes of hollow balancers; they are killed when this is dropped.
+/// Processes of hollow balancers, which are killed when this is dropped.
 pub struct Swarm {
     children: Vec<Child>,
     output: Receiver<Output>,
-    /// By balancer.
+    /// Whether each balancer has received its endpoint list, by the balancer's number.
     listed: Vec<bool>,
-    /// By balancer and scope: the versions that came in force, in their order.
+    /// Versions of each scope that came into force at each balancer, in their order, by the balancer's number.
     in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
     wanted: Vec<[Scope; 3]>,
     figures: Vec<Option<Figures>>,
-    /// How many times a balancer's index decreased, which must never happen.
+    /// How often the index of a balancer decreased, which must never happen.
     pub index_regressions: usize,
 }
 
-/// A version of a document that came in force at a balancer.
+/// A version of a document that came into force at a balancer.
 #[derive(Debug, Clone, Copy)]
 struct VersionInForce {
     version: u64,
-    /// On [`machine::now_ns`]'s clock.
+    /// Time at which the version came into force, in nanoseconds on the clock of [`machine::now_ns`].
     at_ns: u64,
 }
 
-/// When a balancer had a change, or a newer one of its scope, in force.
+/// The time at which a balancer had a change, or a newer one of the same scope, in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
-    /// The number of the balancer.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// In nanoseconds on [`machine::now_ns`]'s clock; `None` where it never had.
+    /// Time at which the change was in force, in nanoseconds on the clock of [`machine::now_ns`]; `None` if it never
+    /// was.
     pub at_ns: Option<u64>,
 }
 
-/// Traffic of the balancers' configuration connections.
+/// Traffic of the configuration connections of all balancers.
 #[derive(Debug, Clone, Default)]
 pub struct Carried {
-    /// Bytes of all connections, both ways.
+    /// Bytes on all connections, in both directions.
     pub bytes: u64,
-    /// Connections opened.
+    /// Number of connections opened.
     pub opened: u64,
-    /// Bytes of both ways, by the parent's address.
+    /// Bytes in both directions, by the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
     /// Bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since the previous
-    /// call.
+    /// call of [`Swarm::carried`].
     pub most_in_window: u64,
 }
 
 impl Swarm {
-    /// Starts processes that play `balancers`, with `per_process` of them each.
+    /// Starts processes that run `balancers`, `per_process` of them in each.
     ///
     /// # Errors
     /// A process cannot be started.
     pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
-        let own =
-            std::env::current_exe().map_err(|cause| CapacityError::run("this program's place", cause))?;
+        let executable =
+            std::env::current_exe().map_err(|cause| CapacityError::run("path of this executable", cause))?;
         let (sender, output): (Sender<_>, _) = channel();
-        let most = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
-        let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; most];
+        let balancer_count = balancers.iter().map(|balancer| balancer.number + 1).max().unwrap_or(0);
+        let mut wanted = vec![[Scope::Fleet, Scope::Fleet, Scope::Fleet]; balancer_count];
         for balancer in balancers {
             wanted[balancer.number] = balancer.wanted();
         }
         let mut children = Vec::new();
-        for (number, part) in balancers.chunks(per_process.max(1)).enumerate() {
+        for (number, chunk) in balancers.chunks(per_process.max(1)).enumerate() {
             let name = format!("hollow balancers, process {number}");
-            let mut command = Command::new(&own);
-            // The plan is the rig's; a child needs none, but the command line reads it first.
+            let mut command = Command::new(&executable);
+            // The child processes do not use the plan, but the command line reads it before the command runs.
             command.args(std::env::args_os().skip_while(|arg| arg != "--plan").take(2));
             command.args(["sockets", "--hollow-balancers"]);
             let mut child = Child::start(&name, &mut command, Some((number, sender.clone())))?;
-            let job = Job { balancers: part.to_vec(), ..job.clone() };
+            let job = Job { balancers: chunk.to_vec(), ..job.clone() };
             let job = serde_json::to_string(&job).map_err(|cause| CapacityError::run(&name, cause))?;
             child.send_line(&job)?;
             children.push(child);
@@ -97,15 +98,15 @@
         Ok(Self {
             children,
             output,
-            listed: vec![false; most],
-            in_force: vec![HashMap::new(); most],
+            listed: vec![false; balancer_count],
+            in_force: vec![HashMap::new(); balancer_count],
             wanted,
             figures,
             index_regressions: 0,
         })
     }
 
-    /// The process ids.
+    /// Iterates over the process ids of the child processes.
     pub fn pids(&self) -> impl Iterator<Item = u32> {
         self.children.iter().map(Child::pid)
     }
@@ -115,37 +116,37 @@
     /// # Errors
     /// A process has exited or has failed, or a signal has asked the run to end.
     pub fn receive_for(&mut self, span: Duration) -> Result<(), CapacityError> {
-        let until = Instant::now() + span;
+        let deadline = Instant::now() + span;
         loop {
             child::check_interrupted()?;
-            let left = until.saturating_duration_since(Instant::now());
-            match self.output.recv_timeout(left.min(SIGNAL_CHECK_INTERVAL)) {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.output.recv_timeout(remaining.min(SIGNAL_CHECK_INTERVAL)) {
                 Ok(Output { process, line }) => self.apply(process, line)?,
-                Err(RecvTimeoutError::Timeout) if left <= SIGNAL_CHECK_INTERVAL => return Ok(()),
+                Err(RecvTimeoutError::Timeout) if remaining <= SIGNAL_CHECK_INTERVAL => return Ok(()),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
-                    return Err(CapacityError::run("hollow balancers", "all have ended"));
+                    return Err(CapacityError::run("hollow balancers", "all processes have exited"));
                 }
             }
         }
     }
 
-    /// Receives events until `done`, which is checked every few milliseconds, or until `most` has passed; returns
-    /// whether it was done in time.
+    /// Receives events until `done`, which is checked every 5 ms, returns true, or until the duration `timeout` has
+    /// passed; returns whether `done` returned true in time.
     ///
     /// # Errors
     /// A process has exited or has failed, or a signal has asked the run to end.
     pub fn receive_until(
         &mut self,
-        most: Duration,
+        timeout: Duration,
         mut done: impl FnMut(&Self) -> bool,
     ) -> Result<bool, CapacityError> {
-        let until = Instant::now() + most;
+        let deadline = Instant::now() + timeout;
         loop {
             if done(self) {
                 return Ok(true);
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 return Ok(false);
             }
             self.receive_for(Duration::from_millis(5))?;
@@ -153,27 +154,29 @@
     }
 
     fn apply(&mut self, process: usize, line: Option<String>) -> Result<(), CapacityError> {
-        let place = || format!("hollow balancers, process {process}");
-        let Some(line) = line else { return Err(CapacityError::run(place(), "has ended")) };
-        match serde_json::from_str(&line).map_err(|cause| CapacityError::run(place(), cause))? {
+        let process_name = || format!("hollow balancers, process {process}");
+        let Some(line) = line else {
+            return Err(CapacityError::run(process_name(), "the process has exited"));
+        };
+        match serde_json::from_str(&line).map_err(|cause| CapacityError::run(process_name(), cause))? {
             Event::Listed(balancer) => self.listed[balancer] = true,
             Event::InForce { balancer, scope, version, at_ns } => {
                 self.in_force[balancer].entry(scope).or_default().push(VersionInForce { version, at_ns });
             }
             Event::Back { .. } => self.index_regressions += 1,
             Event::Figures(figures) => self.figures[process] = Some(figures),
-            Event::Failed(cause) => return Err(CapacityError::run(place(), cause)),
+            Event::Failed(cause) => return Err(CapacityError::run(process_name(), cause)),
         }
         Ok(())
     }
 
-    /// Whether all balancers have received their endpoint list.
+    /// Returns whether all balancers have received their endpoint list.
     #[must_use]
     pub fn all_listed(&self) -> bool {
         self.listed.iter().all(|listed| *listed)
     }
 
-    /// How many balancers lack the newest version of a scope that they subscribe to.
+    /// Returns the number of balancers that lack the newest version of a scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
         let has = |balancer: usize, scope: &Scope| {
@@ -189,21 +192,23 @@
         self.in_force[balancer].get(scope)?.last().copied()
     }
 
-    /// When each balancer that subscribes to the change's scope had it, or a newer one, in force.
+    /// Returns, for each balancer that subscribes to the change's scope, when the change or a newer one was in force.
     pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
-                let had = self.in_force[balancer].get(&change.scope);
-                let at = had.and_then(|had| had.iter().find(|had| had.version >= change.version));
+                let versions = self.in_force[balancer].get(&change.scope);
+                let at = versions.and_then(|versions| {
+                    versions.iter().find(|candidate| candidate.version >= change.version)
+                });
                 Arrival { balancer, at_ns: at.map(|version| version.at_ns) }
             },
         )
     }
 
-    /// Traffic of their configuration connections so far.
+    /// Returns the traffic of the balancers' configuration connections since the start.
     ///
     /// # Errors
-    /// A process does not answer.
+    /// A process does not respond within 20 s, has exited or has failed, or a signal has asked the run to end.
     pub fn carried(&mut self) -> Result<Carried, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
@@ -211,7 +216,10 @@
         }
         let all = |swarm: &Self| swarm.figures.iter().all(Option::is_some);
         if !self.receive_until(Duration::from_secs(20), all)? {
-            return Err(CapacityError::run("hollow balancers", "no figures within 20 s"));
+            return Err(CapacityError::run(
+                "hollow balancers",
+                "a process did not report its traffic within 20 s",
+            ));
         }
         let mut sum = Carried::default();
         for figures in self.figures.iter().flatten() {
@@ -225,7 +233,7 @@
         Ok(sum)
     }
 
-    /// Resources that all processes have used together.
+    /// Returns the sum of the resources that the child processes have used.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let each = self.pids().filter_map(machine::usage);
@@ -236,26 +244,26 @@
     }
 }
 
-/// A histogram of the times until changes were in force.
+/// A histogram of the delays until changes were in force.
 #[derive(Debug, Clone)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// An empty histogram.
+    /// Creates an empty histogram.
     ///
     /// # Errors
-    /// Never, as the bounds of the histogram are valid.
+    /// None, because the bounds of the histogram are valid.
     pub fn new() -> Result<Self, CapacityError> {
         let histogram = Histogram::new_with_bounds(1, MAX_TIME_US, 3);
         histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
-    /// Records a time in nanoseconds.
+    /// Records a time given in nanoseconds.
     pub fn add(&mut self, ns: u64) {
         self.0.saturating_record((ns / 1000).max(1));
     }
 
-    /// The time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
+    /// Returns the time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if quantile >= 1.0 {
@@ -265,7 +273,7 @@
         }
     }
 
-    /// How many times are recorded.
+    /// Returns the number of recorded times.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
