--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -1,8 +1,9 @@
-//! The hollow fleet: a discrete-event simulation with the real decision cores of all balancers in one process.
+//! The hollow fleet: a discrete-event simulation that runs the real decision cores of all balancers of a fleet in one
+//! process. The fleet is hollow because its processes carry no real traffic.
 //!
-//! Each upstream of the plan has one `balancer_policy::Balancer` for each service that it calls, and each front one for each
-//! service that clients come to. All else is modelled: servers, queues, cold starts, links, lists, clients. The same
-//! seed gives the same run, to the byte.
+//! Each upstream of the plan has one `balancer_policy::Balancer` for each service that it calls, and each front has one
+//! for each service that clients call directly. Everything else is modelled: servers, queues, cold starts, links,
+//! service discovery and clients. Two runs with the same seed give identical results.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -25,17 +26,19 @@
 use topology::Topology;
 use world::{Play, Report, Second, Step, World};
 
-/// Upstreams of a quick version.
+/// Number of upstreams in a `--small` run.
 const SMALL: usize = 120;
-/// Part of the usual seconds that the front's reading is played for, as it has twelve times the calls.
+/// Fraction of a scenario's usual duration that is simulated when the rate counts calls at the front, because that
+/// reading has twelve times the calls.
 const FRONT_PART: f64 = 0.2;
 
-/// How "calls a second" is read.
+/// How the plan's "calls a second" is interpreted; the command-line form of [`Reading`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum ReadAs {
-    /// Calls at the front, each then as many as a chain is deep: played for fewer seconds.
+    /// The rate counts calls at the front; each of them causes one call at every depth of its chain. The run is
+    /// simulated for fewer seconds.
     Front,
-    /// Calls over all hops, at their full rate.
+    /// The rate counts the calls of all hops together; the run is simulated for its full duration.
     Hops,
 }
 
@@ -48,85 +51,86 @@
     }
 }
 
-/// The hollow fleet: the real decision cores of all balancers in one process, in virtual time.
+/// Simulates a fleet of balancers in virtual time, with the real decision cores of all balancers in one process.
 #[derive(Debug, Clone, Args)]
 pub struct Arguments {
-    /// What happens to the fleet; each in turn if not told.
+    /// Scenario to simulate; all scenarios, one after another, if omitted.
     #[arg(long, value_enum)]
     pub scenario: Option<Scenario>,
-    /// The first seed.
+    /// Seed of the first run.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Seeds that are played, one after another from the first.
+    /// Number of consecutive seeds to run, starting with the first.
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
-    /// How "calls a second" is read.
+    /// How the plan's "calls a second" is interpreted.
     #[arg(long, value_enum, default_value = "hops")]
     pub reading: ReadAs,
-    /// Upstreams, with services and calls in proportion; those of the plan if not told.
+    /// Number of upstreams, with services and calls scaled in proportion; the plan's number if omitted.
     #[arg(long)]
     pub upstreams: Option<usize>,
-    /// Virtual seconds in which clients come; each scenario has its own.
+    /// Virtual seconds during which clients send calls; the scenario's own duration if omitted.
     #[arg(long)]
     pub seconds: Option<f64>,
-    /// MB that a run may use.
+    /// Memory limit of a run, in MB.
     #[arg(long, default_value_t = 8192)]
     pub memory_mb: u64,
-    /// Runs at a time, each in a process of its own.
+    /// Number of runs at a time, each in its own process.
     #[arg(long, default_value_t = 1)]
     pub jobs: usize,
-    /// A quick version: a small fleet.
+    /// Run a quick version with a small fleet.
     #[arg(long)]
     pub small: bool,
-    /// Where the folder `results` is.
+    /// Folder that contains the folder `results`.
     #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
-    /// Plays one run and prints its row.
+    /// Simulate one run in this process and print its row of the table as JSON.
     #[arg(long, hide = true)]
     pub row: bool,
 }
 
-/// One run: a scenario with a seed.
+/// Parameters of one simulation run: a scenario with a seed.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// What happens.
+    /// Scenario to simulate.
     pub scenario: Scenario,
-    /// How the rate is read.
+    /// How the plan's "calls a second" is interpreted.
     pub reading: Reading,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Virtual seconds in which clients come.
+    /// Virtual seconds during which clients send calls.
     pub seconds: f64,
-    /// MB that the process may use.
+    /// Memory limit of the process, in MB.
     pub memory_mb: u64,
 }
 
 impl Run {
-    /// Its name for errors.
+    /// Describes the run in error messages.
     fn place(&self) -> String {
         format!("hollow fleet, {} with seed {}", self.scenario.name(), self.seed)
     }
 }
 
-/// What a run gave, with what it was played on.
+/// Result of a simulation run, with the properties of the fleet that it was run on.
 #[derive(Debug, Clone)]
 pub struct Played {
-    /// What it gave.
+    /// Figures that the simulation collected.
     pub report: Report,
-    /// From when to when the trouble lasted.
+    /// Time span during which the scenario's fault lasted.
     pub trouble: Span,
-    /// Upstreams.
+    /// Number of upstreams in the fleet.
     pub upstreams: usize,
-    /// Calls a second of the busiest upstream over those of the mean one, as drawn.
+    /// Calls a second of the busiest upstream divided by the mean over all upstreams, in the drawn topology.
     pub busiest_over_mean: f64,
-    /// The part of the calls that find an upstream at each step in the trouble, if some part of the fleet is lost whole.
+    /// Fraction of the calls that find an upstream at each step of their chain during the fault; `None` if the scenario
+    /// does not make a whole zone or region unreachable.
     pub reachable: Option<f64>,
 }
 
-/// The plan with so many upstreams, and all that grows with them in proportion.
+/// Returns the plan scaled to a number of upstreams: services, calls, failures and replacements change in proportion.
 ///
 /// # Errors
-/// The number is too small for the chains of the plan, or too large.
+/// The number of upstreams is below twice the plan's chain depth, or above 100000.
 pub fn scaled(plan: &Plan, upstreams: usize) -> Result<Plan, CapacityError> {
     let least = plan.graph.depth.value * 2;
     if !(least..=100_000).contains(&upstreams) {
@@ -143,10 +147,11 @@
     Ok(plan)
 }
 
-/// Plays one run.
+/// Simulates one run in this process.
 ///
 /// # Errors
-/// The seconds are out of range, the plan's figures make no settings, or the memory bound is passed.
+/// The duration is out of range, the plan has fewer services than depths, its figures give no valid settings, or the
+/// memory limit is exceeded.
 pub fn play(plan: &Plan, run: &Run) -> Result<Played, CapacityError> {
     let Run { scenario, reading, seed, seconds, memory_mb } = *run;
     if !(5.0..=3600.0).contains(&seconds) {
@@ -155,7 +160,7 @@
     if plan.fleet.services.value < plan.graph.depth.value {
         return Err(CapacityError::Plan(vec![PlanFault {
             place: "fleet.services",
-            expected: "as many services as graph.depth at least, one for each depth",
+            expected: "at least as many services as graph.depth, one for each depth",
         }]));
     }
     let topology = Topology::draw(plan, reading, seed);
@@ -177,13 +182,13 @@
     Ok(Played { report, trouble, upstreams, busiest_over_mean: topology.busiest_over_mean(), reachable })
 }
 
-/// The part of the calls that find an upstream at each step after a part of the fleet is lost whole, where the step
-/// loses one.
+/// Fraction of the calls that find an upstream at each step of their chain after a scenario step that loses a zone or
+/// cuts off a region; `None` for other steps.
 fn reachable_during(step: Step, topology: &Topology) -> Option<f64> {
     match step {
         Step::LoseZone(lost) => Some(topology.reachable(|zone| zone != lost)),
         Step::Cut(region) => {
-            // Clients on each side have what is on their side.
+            // Clients on each side of the network partition reach only the upstreams on their own side.
             let inside = |zone: usize| topology.region_of[zone] == region;
             let mut before = 0.0;
             let here: f64 = (0..).zip(&topology.clients).fold(0.0, |sum, (zone, until)| {
@@ -196,16 +201,16 @@
     }
 }
 
-/// Plays the scenarios and seeds that are asked for, each in a process of its own, and adds their rows to the table.
+/// Simulates the requested scenarios and seeds, each in its own process, and adds their rows to the results table.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// An argument is out of range, a run fails, or the results file cannot be written; the error names which.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let upstreams = arguments.upstreams.or(arguments.small.then_some(SMALL));
     let scaled_plan = upstreams.map(|upstreams| scaled(plan, upstreams)).transpose()?;
     let plan = scaled_plan.as_ref().unwrap_or(plan);
     if arguments.seeds == 0 {
-        return Err(CapacityError::Argument { name: "seeds", expected: "1 at least".to_owned() });
+        return Err(CapacityError::Argument { name: "seeds", expected: "at least 1".to_owned() });
     }
     let runs = runs(arguments);
     if arguments.row {
@@ -215,7 +220,7 @@
     write_rows(arguments, rows)
 }
 
-/// The runs that the arguments ask for, by scenario and then by seed.
+/// The runs that the arguments ask for, ordered by scenario and then by seed.
 fn runs(arguments: &Arguments) -> Vec<Run> {
     let seeds = || arguments.seed..arguments.seed.saturating_add(arguments.seeds);
     arguments
@@ -232,7 +237,7 @@
         .collect()
 }
 
-/// Plays a single run in this process and prints its row for the process that started this one.
+/// Simulates a single run in this process and prints its table row as JSON for the parent process to read.
 fn print_row(plan: &Plan, runs: &[Run]) -> Result<(), CapacityError> {
     let [run] = runs else {
         return Err(CapacityError::Argument { name: "row", expected: "one scenario and seed".to_owned() });
@@ -245,7 +250,8 @@
     Ok(())
 }
 
-/// Plays each run in a process of its own, so that its memory is its own, and prints the rows as they come.
+/// Simulates each run in its own process, so that the memory measured is that of one run, and prints each row in the
+/// order of the runs.
 fn play_in_processes(
     arguments: &Arguments,
     runs: &[Run],
@@ -273,7 +279,7 @@
     }
 }
 
-/// Waits for a run's process and prints the row that it gave.
+/// Waits for the process of a run to exit, then parses and prints its table row.
 fn finish(run: &Run, child: Child) -> Result<Vec<String>, CapacityError> {
     let place = run.place();
     let done = child.wait_with_output().map_err(|cause| CapacityError::run(&place, cause))?;
@@ -289,17 +295,17 @@
     Ok(row)
 }
 
-/// Ends the processes of runs that would play on for nobody.
+/// Kills the processes of runs whose results are no longer needed because another run failed.
 fn end_all(out: Vec<(&Run, Child)>) {
     for (_, mut child) in out {
-        // The command has failed already; a process that can't be ended has ended by itself.
+        // Errors are ignored: the command has already failed, and a process that cannot be killed has already exited.
         let _ = child.kill();
         let _ = child.wait();
     }
 }
 
-/// Adds rows to the table: those of other scenarios, seeds and readings stay, as a full table takes longer than one
-/// sitting at the machine.
+/// Adds rows to the results table. Rows of other scenarios, seeds and readings are kept, so that a full table can be
+/// built up over several invocations, as it takes longer than one session.
 fn write_rows(arguments: &Arguments, rows: Vec<Vec<String>>) -> Result<(), CapacityError> {
     let folder = arguments.out.join("results");
     std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
@@ -329,11 +335,11 @@
     .write(&folder)
 }
 
-/// Starts a run in a process of its own.
+/// Starts the process that simulates one run.
 fn start(arguments: &Arguments, run: &Run, upstreams: Option<usize>) -> Result<Child, CapacityError> {
     let place = run.place();
     let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
-    // The plan may be named on the command line, which the child must be told too.
+    // A plan given on the command line is passed on to the child process.
     let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
     let reading = if arguments.reading == ReadAs::Front { "front" } else { "hops" };
     let mut command = Command::new(program);
@@ -351,7 +357,7 @@
     command.spawn().map_err(|cause| CapacityError::run(place, cause))
 }
 
-/// The sum over the seconds from one time until another.
+/// Sums the per-second counts of the seconds whose midpoint lies from `from` until before `until`, in virtual seconds.
 #[must_use]
 pub fn sum(seconds: &[Second], from: f64, until: f64) -> Second {
     let mut all = Second::default();
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -1,14 +1,15 @@
-//! The table of the runs: a row for each, its columns, and the note that stands below.
+//! The results table of the hollow fleet: its columns, the note below it, and the conversion of a run's report to a
+//! row.
 
 use super::scenario::{CALM_S, Scenario, Span};
 use super::world::{Depth, Faults, Report, Second, Signals};
 use super::{Played, Run, sum};
 use crate::plan::Reading;
 
-/// Columns that tell one run from another.
+/// Number of leading columns that identify a run.
 pub(super) const KEY: usize = 4;
 
-/// The heads of the table.
+/// Column headings of the table.
 pub(super) const COLUMNS: [&str; 33] = [
     "scenario",
     "calls a second read as",
@@ -45,6 +46,7 @@
     "wall s / MB / events / digest",
 ];
 
+/// Explanation of the model and of the columns, written below the table.
 pub(super) const NOTE: &str = "Virtual time: the decisions are the real ones, the servers, links, lists and clients are modelled. \
     A chain goes on with the same chance at each depth, so that the mean is that of the plan (hops) or the whole depth \
     (front). Services have cores for their calls at 60% use after the loss of their largest zone. Cold: 0.3 of the \
@@ -60,17 +62,17 @@
     if all == 0 { "-".to_owned() } else { format!("{:.2}", 100.0 * part as f64 / all as f64) }
 }
 
-/// The part of the calls that was served in time; not a number where there were none.
+/// Fraction of the calls that were served within the latency objective; NaN if there were no calls.
 fn served_share(second: &Second) -> f64 {
     second.served as f64 / second.calls as f64
 }
 
-/// A count for one call, or for so many calls.
+/// A count divided by the number of calls, scaled to `times` calls.
 fn per_call(part: u64, calls: u64, times: f64) -> f64 {
     part as f64 * times / calls.max(1) as f64
 }
 
-/// Served in time before, in and after the trouble.
+/// Percentages of the calls that were served in time before, during and after the fault.
 fn phases(report: &Report, from: f64, trouble: Span) -> String {
     let phases = [(from, trouble.from_s), (trouble.from_s, trouble.until_s), (trouble.until_s, f64::MAX)];
     phases
@@ -81,7 +83,7 @@
         .join(" / ")
 }
 
-/// The second in which the least part of the calls was served in time.
+/// The second with the smallest fraction of calls served in time, with that percentage.
 fn worst_second(report: &Report, from: f64) -> String {
     let worst = (0..)
         .zip(&report.seconds)
@@ -90,12 +92,13 @@
     worst.map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)))
 }
 
-/// Seconds with under half of the calls served in time.
+/// Number of seconds in which less than half of the calls were served in time.
 fn seconds_under_half(report: &Report) -> usize {
     report.seconds.iter().filter(|second| second.calls > 0 && 2 * second.served < second.calls).count()
 }
 
-/// Seconds after the trouble from which on no second falls under 99 % of what was served before the trouble.
+/// Recovery time: seconds from the end of the fault until the last second in which the fraction of calls served in time
+/// is below 99 % of that before the fault.
 fn recovery(run: &Run, report: &Report, from: f64, trouble: Span) -> String {
     if trouble.until_s >= run.seconds {
         return "-".to_owned();
@@ -111,12 +114,12 @@
     format!("{:.0}", (last - trouble.until_s).max(0.0))
 }
 
-/// A figure of each depth that calls reached.
+/// Formats one figure for each depth that calls reached, separated by spaces.
 fn by_depth(report: &Report, figure: impl Fn(&Depth) -> String) -> String {
     report.depths.iter().filter(|depth| depth.calls > 0).map(figure).collect::<Vec<_>>().join(" ")
 }
 
-/// Attempts over all depths, by how they ended.
+/// Numbers of attempts over all depths, by outcome, in the order of [`Depth::ends`].
 fn ends(report: &Report) -> String {
     let mut ends = [0; 6];
     for depth in &report.depths {
@@ -127,7 +130,8 @@
     ends.map(|count| count.to_string()).join(" / ")
 }
 
-/// When a signal was seen, and on how many balancers at most.
+/// The maximum number of balancers that reported a signal at the same time, when that was, and the first and last
+/// second with the signal.
 fn signal(report: &Report, from: f64, figure: impl Fn(&Signals) -> usize) -> String {
     let seen = || report.signals.iter().filter(|signals| signals.at_s as f64 >= from && figure(signals) > 0);
     let Some(most) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
@@ -154,7 +158,7 @@
     )
 }
 
-/// The row of a run, in the order of [`COLUMNS`]; `wall_s` are the seconds that it took.
+/// The table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in seconds.
 pub(super) fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
     let &Played { ref report, trouble, upstreams, busiest_over_mean, reachable } = played;
     let from = if run.scenario == Scenario::Cold { 0.0 } else { CALM_S };
