--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet in each scenario.
+//! The scenarios of the hollow fleet: which replacements, failures and network partitions each one contains, and when.
 
 use clap::ValueEnum;
 use oorandom::Rand64;
@@ -7,56 +7,56 @@
 use super::world::{DRAIN_S, Step, TimedStep};
 use crate::plan::Plan;
 
-/// Seconds before anything happens, in which the balancers learn.
+/// Virtual seconds before the first step of a scenario, in which the balancers learn the normal state.
 pub const CALM_S: f64 = 3.0;
-/// Steps in which everything is replaced: each takes one upstream of eight.
+/// Number of steps in which the whole fleet is replaced; each step replaces one upstream in eight.
 const STEPS: usize = 8;
-/// Seconds between planned replacements within a service, at least.
+/// Minimum virtual seconds between two planned replacements within a service.
 const APART_S: f64 = 12.0;
 
-/// What happens to the fleet.
+/// A scenario: the sequence of events that the fleet goes through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// Nothing, to hold the others against.
+    /// No failures or replacements; the baseline for the other scenarios.
     Calm,
-    /// A day's failures and replacements in less than a minute.
+    /// A normal day's failures and replacements, compressed into less than a minute.
     Ordinary,
-    /// Everything is replaced, one upstream of eight at a time.
+    /// The whole fleet is replaced, one upstream in eight at a time.
     Replacement,
-    /// A rack is lost.
+    /// A rack fails.
     Rack,
-    /// A zone is lost whole and comes back cold.
+    /// A whole zone fails, and later restarts with cold processes.
     Zone,
-    /// A region is cut off from the others and comes back.
+    /// A network partition separates a region from the others, and later heals.
     Region,
-    /// The whole fleet has just started.
+    /// All processes of the fleet have just started.
     Cold,
 }
 
-/// Virtual seconds from the start, from when to when something lasts.
+/// A span of time, in virtual seconds from the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Span {
-    /// The first second.
+    /// Start of the span, in virtual seconds.
     pub from_s: f64,
-    /// The second at which it is over.
+    /// End of the span, exclusive, in virtual seconds.
     pub until_s: f64,
 }
 
-/// What a scenario does to the fleet.
+/// The timed steps that a scenario applies to the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Script {
-    /// The steps, in the order of time.
+    /// Steps of the scenario, ordered by time.
     pub steps: Vec<TimedStep>,
-    /// From when to when the trouble lasts.
+    /// Time span during which the scenario's fault lasts.
     pub trouble: Span,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios, in the order in which they run and in which the table lists them.
     pub const ALL: [Self; 7] =
         [Self::Calm, Self::Ordinary, Self::Replacement, Self::Rack, Self::Zone, Self::Region, Self::Cold];
 
-    /// Its name on the command line.
+    /// Name of the scenario on the command line and in the table.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Virtual seconds of a full run.
+    /// Duration of a full run of the scenario, in virtual seconds.
     #[must_use]
     pub fn seconds(self) -> f64 {
         match self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What happens, in the order of time, and from when to when the trouble lasts.
+    /// Draws the steps of the scenario for a run of `seconds` virtual seconds, and the time span of its fault.
     #[must_use]
     pub fn script(self, plan: &Plan, topology: &Topology, seconds: f64, seed: u64) -> Script {
         let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
@@ -103,16 +103,16 @@
     }
 }
 
-/// Draws the script of a scenario. Each scenario adds its steps and gives from when to when its trouble lasts.
+/// Builder of a scenario's script. The method of each scenario adds its steps and returns the time span of its fault.
 struct ScriptWriter<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
-    /// Virtual seconds of the run.
+    /// Duration of the run, in virtual seconds.
     seconds: f64,
     rng: Rand64,
-    /// The zone of each slot.
+    /// Zone of each slot.
     zones: Vec<usize>,
-    /// The service of each slot.
+    /// Service of each slot.
     services: Vec<usize>,
     script: Vec<TimedStep>,
 }
@@ -138,7 +138,7 @@
         self.script.push(TimedStep { at_s, step });
     }
 
-    /// A draw from 0 to under `count`.
+    /// Draws a random number from 0 to `count` - 1.
     fn draw(&mut self, count: usize) -> usize {
         self.rng.rand_range(0..count.max(1) as u64) as usize
     }
@@ -155,13 +155,13 @@
         Span { from_s: from, until_s: until }
     }
 
-    /// A day's planned replacements, evenly over the time.
+    /// Adds a day's planned replacements, spread evenly over the time from `from` to `until`.
     fn planned_replacements(&mut self, from: f64, until: f64) {
         let replaced = self.plan.failures.replaced_per_day.value.round() as usize;
         let mut latest = vec![f64::MIN; self.topology.services.len()];
         for number in 0..replaced {
             let at = from + (until - from) * number as f64 / replaced as f64;
-            // Who replaces takes one of a service after another.
+            // A rolling replacement takes the upstreams of a service one after another.
             let free = (0..50).find_map(|_| {
                 let slot = self.draw(self.zones.len());
                 (at - latest[self.services[slot]] >= APART_S).then_some(slot)
@@ -180,7 +180,7 @@
             let service = self.services[slot];
             let step = (before[service] + service) % STEPS;
             before[service] += 1;
-            // Within a step they go one after another over a second.
+            // Within a step, the replacements are spread over one second.
             let at = CALM_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
             self.add(at, Step::Replace(slot));
         }
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -1,60 +1,63 @@
-//! The topology of a simulated fleet: zones of upstreams and calls between services, drawn from the plan and a seed.
+//! The topology of a simulated fleet: the zones of all upstreams and the calls between services, drawn at random from
+//! the plan and a seed.
 
 use oorandom::Rand64;
 
 use crate::plan::{Plan, Reading};
 
-/// Part of its capacity to which a service is used after the loss of its largest zone: what it was sized for.
+/// Utilization that each service is sized for, as a fraction of the capacity left after the loss of its largest zone.
 const BUSY: f64 = 0.6;
-/// Fronts in each zone.
+/// Number of fronts in each zone.
 const FRONTS: usize = 3;
-/// Rounds in which the parts of the calls are fitted to the sizes of the services.
+/// Number of iterations that fit the traffic split between services to the sizes of the services.
 const FITS: usize = 20;
 
-/// A service that calls go to, with its share among its siblings as a running sum.
+/// A destination service with its entry in the cumulative traffic split over all destinations of the same caller.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Destination {
-    /// Its number in the topology.
+    /// Index of the destination in [`Topology::services`].
     pub service: usize,
-    /// The part of the calls, 0 to 1, that go to it or to one before it.
+    /// Cumulative fraction of the calls, 0 to 1, that go to this destination or one listed before it.
     pub until: f64,
 }
 
-/// A service.
+/// A service of the simulated fleet.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its place in a chain, 1 for those that clients come to.
+    /// Position of the service in a call chain; 1 for services that clients call directly.
     pub depth: usize,
-    /// The zone of each of its upstreams.
+    /// Zone of each upstream of the service.
     pub zones: Vec<usize>,
-    /// Cores of each of its upstreams.
+    /// Number of CPU cores of each upstream of the service.
     pub cores: usize,
-    /// Services that it calls.
+    /// Services that this service calls.
     pub calls: Vec<Destination>,
-    /// Calls a second that it is sized for.
+    /// Calls a second that the service is sized for.
     pub rate: f64,
 }
 
-/// The fleet as it is drawn.
+/// A randomly drawn fleet.
 #[derive(Debug, Clone)]
 pub struct Topology {
     /// The services, those of depth 1 first.
     pub services: Vec<Service>,
-    /// Services that clients come to.
+    /// Services that clients call directly.
     pub entries: Vec<Destination>,
-    /// The region of each zone.
+    /// Region of each zone, indexed by zone.
     pub region_of: Vec<usize>,
-    /// The part of the clients in each zone or one before.
+    /// Cumulative fraction of the clients by zone: those in each zone or in a zone before it.
     pub clients: Vec<f64>,
-    /// The zone of each front.
+    /// Zone of each front.
     pub fronts: Vec<usize>,
-    /// The part of the calls with chains up to 1, 2 ... long.
+    /// Cumulative distribution of the chain lengths: fraction of the calls whose chain is at most 1, 2, ... services
+    /// long.
     pub lengths: Vec<f64>,
-    /// Calls a second from clients.
+    /// Total calls a second from clients.
     pub front_per_s: f64,
 }
 
-/// Where a draw from 0 to 1 falls among running sums.
+/// Samples from a cumulative distribution: the index of the first of the cumulative `sums` above `draw` (0 to 1), or
+/// the last index if there is none.
 pub fn place(sums: impl IntoIterator<Item = f64>, draw: f64) -> usize {
     let mut last = 0;
     for (place, sum) in sums.into_iter().enumerate() {
@@ -66,7 +69,7 @@
     last
 }
 
-/// Running sums of parts, made to end at 1.
+/// Converts weights to a cumulative distribution that ends at 1.
 fn running(parts: &[f64]) -> Vec<f64> {
     let all: f64 = parts.iter().sum();
     let mut sum = 0.0;
@@ -79,13 +82,13 @@
         .collect()
 }
 
-/// Services with their parts of the calls.
+/// Builds the list of destinations from services and the weights of the calls to each.
 fn destinations(services: &[usize], parts: &[f64]) -> Vec<Destination> {
     services.iter().zip(running(parts)).map(|(&service, until)| Destination { service, until }).collect()
 }
 
-/// The part of the calls that goes on for at least 1, 2 ... services: each goes on with the same chance, so that the
-/// mean is the wanted one.
+/// Fraction of the calls whose chain is at least 1, 2, ... services long, up to `depth`. Chain lengths follow a
+/// truncated geometric distribution with the ratio that gives the requested `mean` length.
 fn reaching(depth: usize, mean: f64) -> Vec<f64> {
     let parts = |ratio: f64| -> Vec<f64> { (0..depth).map(|at| ratio.powi(at as i32)).collect() };
     let mean_of = |parts: &[f64]| {
@@ -106,7 +109,7 @@
     (0..depth).map(|at| parts[at..].iter().sum::<f64>() / all).collect()
 }
 
-/// Whole numbers in the proportions of `shares`, one at least each, `count` in all.
+/// Splits `count` into whole numbers proportional to `shares`, each of them at least 1.
 fn shared_out(shares: &[f64], count: usize) -> Vec<usize> {
     let mut numbers: Vec<usize> =
         shares.iter().map(|share| ((share * count as f64).floor() as usize).max(1)).collect();
@@ -126,7 +129,7 @@
 }
 
 impl Topology {
-    /// Draws a fleet. The plan has at least as many services as its chains are deep.
+    /// Draws a fleet at random. The plan must have at least as many services as its chains are deep.
     #[must_use]
     pub fn draw(plan: &Plan, reading: Reading, seed: u64) -> Self {
         let mut rng = Rand64::new(u128::from(seed) << 8 | 1);
@@ -137,7 +140,8 @@
         };
         let reaching = reaching(depth, mean);
         let front_per_s = plan.front_per_s(reading);
-        // Sizes go where most calls are short of upstreams, so that no depth is all small services.
+        // Each service size is assigned to the depth with the fewest upstreams for its share of the calls, so that no
+        // depth consists only of small services.
         let numbers = shared_out(&plan.graph.services_by_depth.value, plan.fleet.services.value);
         let mut sizes: Vec<Vec<usize>> = vec![Vec::new(); depth];
         for size in plan.service_sizes() {
@@ -181,7 +185,7 @@
         topology
     }
 
-    /// One service after another, all of one size, in a single zone.
+    /// Builds a chain of `depth` services with `size` upstreams each, all in a single zone.
     #[must_use]
     pub fn chain(plan: &Plan, depth: usize, size: usize, front_per_s: f64) -> Self {
         let services = (0..depth)
@@ -212,7 +216,7 @@
         topology
     }
 
-    /// Rates of the services from the front down, and cores for them.
+    /// Calculates the call rate of each service from the front down, and the CPU cores that its upstreams need for it.
     fn size(&mut self, reaching: &[f64], work_s: f64) {
         for service in &mut self.services {
             service.rate = 0.0;
@@ -239,7 +243,8 @@
         }
     }
 
-    /// The part of the calls that find an upstream at each step of their chain, where only those of some zones are up.
+    /// Fraction of the calls that find an upstream at each step of their chain when only the zones for which `up`
+    /// returns true are available.
     #[must_use]
     pub fn reachable(&self, up: impl Fn(usize) -> bool) -> f64 {
         let longer = |than: usize| 1.0 - than.checked_sub(1).map_or(0.0, |at| self.lengths[at]);
@@ -261,7 +266,8 @@
         parted(&self.entries, &found)
     }
 
-    /// Calls a second of the busiest upstream over those of the mean one, as it is sized.
+    /// Calls a second of the busiest upstream divided by the mean over all upstreams, from the rates that the services
+    /// are sized for.
     #[must_use]
     pub fn busiest_over_mean(&self) -> f64 {
         let upstreams: usize = self.services.iter().map(|service| service.zones.len()).sum();
@@ -272,7 +278,7 @@
     }
 }
 
-/// The region of each zone, and each zone's part of the fleet.
+/// The region of each zone, and the fraction of the fleet in each zone.
 fn zones(plan: &Plan) -> (Vec<usize>, Vec<f64>) {
     let mut region_of = Vec::new();
     let mut shares = Vec::new();
@@ -284,7 +290,8 @@
     (region_of, shares)
 }
 
-/// Zones of a service's upstreams: as even as the shares allow, from a drawn start.
+/// Assigns each upstream of a service to a zone, as close to the `shares` of the zones as possible, from a random
+/// start.
 fn spread(size: usize, shares: &[f64], rng: &mut Rand64) -> Vec<usize> {
     let mut had: Vec<f64> = shares.iter().map(|_| rng.rand_float()).collect();
     (0..size)
@@ -297,11 +304,13 @@
         .collect()
 }
 
-/// Draws which services of a depth call which of the next.
+/// Draws which services of one depth (`upper`) call which services of the next depth (`lower`), and the traffic split
+/// between them.
 fn join(services: &mut [Service], upper: &[usize], lower: &[usize], plan: &Plan, rng: &mut Rand64) {
     let mean = plan.graph.destinations_mean.value;
     let most = plan.graph.destinations_most.value.min(lower.len());
-    // Few services have many destinations, the largest ones: one, and each further one with the same chance.
+    // The number of destinations is geometrically distributed: one, and each further one with the same probability. The
+    // largest services get the most destinations.
     let mut counts: Vec<usize> =
         upper.iter().map(|_| 1 + (1..most).take_while(|_| rng.rand_float() * mean >= 1.0).count()).collect();
     counts.sort_unstable();
@@ -318,15 +327,15 @@
             }
         }
     }
-    // Each has a caller.
+    // Every lower service gets at least one caller.
     let uppers = running(&upper.iter().map(|&above| size(above)).collect::<Vec<f64>>());
     for &below in lower {
         if !called.iter().any(|called| called.contains(&below)) {
             called[place(uppers.iter().copied(), rng.rand_float())].push(below);
         }
     }
-    // Larger services are called more. Some callers have few to choose from, so the parts are fitted until each service
-    // has about the calls that its size is for.
+    // Larger services get more calls. As some callers have few destinations, the traffic split is fitted iteratively
+    // until each service gets about the number of calls that matches its size.
     let wanted: Vec<f64> =
         lower.iter().map(|&below| services[below].zones.len() as f64 * (0.5 + rng.rand_float())).collect();
     let mut parts: Vec<Vec<f64>> = called.iter().map(|called| vec![1.0; called.len()]).collect();
