--- a/crates/capacity/src/hollow/wheel.rs
+++ b/crates/capacity/src/hollow/wheel.rs
@@ -1,14 +1,16 @@
-//! The queue of a run's events: a wheel of short slots, as a heap of millions of timers would be the slowest part.
+//! The event queue of a simulation run: a timer wheel with short slots. A single heap with millions of timers would be
+//! the slowest part of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::mem;
 
-/// Width of a slot: 2 to this many ns, about 65 us.
+/// Base-2 logarithm of the width of a slot in ns: a slot is 2^16 ns, about 65 us, wide.
 const SLOT_BITS: u32 = 16;
-/// Slots, for about 4.3 s; what is due later waits in a heap.
+/// Number of slots; together they cover about 4.3 s. Events that are due later are held in a heap.
 const SLOTS: u64 = 1 << 16;
 
+/// An event in the queue, ordered by its time and then by the order of insertion.
 #[derive(Debug)]
 struct Entry<T> {
     at: u64,
@@ -36,15 +38,20 @@
     }
 }
 
-/// Events by their times in ns; those of one time come in the order in which they were put in.
+/// A timer wheel: returns events in the order of their times in ns, and events with equal times in the order of
+/// insertion.
 #[derive(Debug)]
 pub struct Wheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// Those of the slot at hand.
+    /// Entries of the current slot, and those inserted with an earlier time.
     now: BinaryHeap<Reverse<Entry<T>>>,
+    /// Entries that are due after the last slot of the wheel.
     far: BinaryHeap<Reverse<Entry<T>>>,
+    /// Number of the current slot, counted from time 0.
     at: u64,
+    /// Number of entries inserted so far; the sequence number of the latest one.
     number: u64,
+    /// Number of entries in the queue.
     waiting: usize,
 }
 
@@ -62,7 +69,8 @@
 }
 
 impl<T> Wheel<T> {
-    /// Puts an event in, to come at a time in ns; one that should have come already comes next.
+    /// Inserts an event that is due at the time `at`, in ns. An event whose time has already passed is returned as soon
+    /// as possible.
     pub fn push(&mut self, at: u64, due: T) {
         self.number += 1;
         self.waiting += 1;
@@ -77,7 +85,7 @@
         }
     }
 
-    /// Takes the next event out; `None` when there is none.
+    /// Removes and returns the next event with its time in ns, or `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         if self.waiting == 0 {
             return None;
@@ -89,7 +97,7 @@
                 let Some(Reverse(entry)) = self.far.pop() else { break };
                 self.slots[((entry.at >> SLOT_BITS) % SLOTS) as usize].push(entry);
             }
-            // Its room is given back: kept, each slot would hold that of the busiest time.
+            // The slot's memory is released; otherwise each slot would keep the capacity of its busiest time.
             let slot = mem::take(&mut self.slots[(self.at % SLOTS) as usize]);
             self.now.extend(slot.into_iter().map(Reverse));
         }
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -1,5 +1,6 @@
-//! The fleet at work in virtual time: upstreams with servers, queues and cold starts, links with delays and cuts, lists
-//! that come late, clients that repeat, and between them all the real decision cores.
+//! The simulation of a fleet in virtual time. It models upstreams with servers, queues and cold starts, links with
+//! delays and network partitions, service discovery with propagation delays, and clients that retry; all balancers run
+//! the real decision cores.
 
 use balancer_policy::interface::{Member, Outcome};
 use balancer_policy::{Action, Event};
@@ -30,123 +31,137 @@
 mod state;
 mod upstreams;
 
-/// Virtual seconds between looks at the memory in use: short, so that a run ends soon after it passes its bound.
+/// Virtual seconds between checks of the memory in use: short, so that a run ends soon after it exceeds its limit.
 const MEMORY_LOOK_S: f64 = 0.25;
-/// Virtual seconds between looks at the signals of the balancers: the seconds of the report.
+/// Virtual seconds between samples of the balancers' signals; one sample for each second of the report.
 const SIGNAL_LOOK_S: f64 = 1.0;
 
+/// Converts seconds to ns.
 fn ns(seconds: f64) -> u64 {
     (seconds * 1e9) as u64
 }
 
+/// Converts ns to seconds.
 fn seconds(ns: u64) -> f64 {
     ns as f64 / 1e9
 }
 
-/// What a service does in place of its work.
+/// A fault of a service that lasts for the whole run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trouble {
-    /// It answers with an error at once.
+    /// The service answers every request with an error at once.
     Failing,
-    /// It never answers.
+    /// The service accepts requests and never answers.
     Silent,
-    /// Half of its upstreams are lost, and no list says so.
+    /// Half of the service's upstreams are unreachable, and service discovery still lists them.
     Halved,
 }
 
-/// Parts of the calls, 0 to 1, by how they may be repeated; the rest never may.
+/// Fractions of the calls, 0 to 1, by idempotency class; the remaining calls must not be retried.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Effects {
-    /// Those that may be repeated freely.
+    /// Fraction of idempotent calls, which may be retried freely.
     pub free: f64,
-    /// Those that may be repeated with an idempotency key.
+    /// Fraction of calls that may be retried with an idempotency key.
     pub keyed: f64,
 }
 
-/// A service that does not do its work.
+/// A service with a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TroubledService {
-    /// Its number in the topology.
+    /// Index of the service in [`Topology::services`].
     pub service: usize,
-    /// What it does in place of its work.
+    /// Fault of the service.
     pub trouble: Trouble,
 }
 
-/// A step of a scenario with its time.
+/// A step of a scenario, with the time at which it happens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TimedStep {
-    /// Virtual seconds from the start.
+    /// Time of the step, in virtual seconds from the start of the run.
     pub at_s: f64,
-    /// What happens.
+    /// The change to the fleet.
     pub step: Step,
 }
 
-/// What is played.
+/// Parameters of a simulation run.
 #[derive(Debug, Clone)]
 pub struct Play {
-    /// Its name, for errors.
+    /// Name of the run in error messages.
     pub name: String,
-    /// Seconds in which clients come.
+    /// Virtual seconds during which clients send calls.
     pub seconds: f64,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// MB that the process may use.
+    /// Memory limit of the process, in MB.
     pub memory_mb: u64,
-    /// What happens, in the order of time.
+    /// Steps of the scenario, ordered by time.
     pub script: Vec<TimedStep>,
-    /// All processes have just started.
+    /// Whether all processes have just started and are still warming up.
     pub cold: bool,
-    /// A service that does not do its work.
+    /// The service with a fault, if any.
     pub trouble: Option<TroubledService>,
-    /// Repeats by a client at most.
+    /// Maximum number of retries by a client.
     pub repeats: u32,
-    /// Parts of the calls by how they may be repeated; `None` for the usual parts.
+    /// Fractions of the calls by idempotency class; `None` for the default fractions.
     pub effects: Option<Effects>,
 }
 
-/// The fleet at work.
+/// State of a simulated fleet during a run.
 #[derive(Debug)]
 pub struct World<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
     play: &'a Play,
     rng: Rand64,
+    /// Current virtual time, in ns.
     now: u64,
+    /// Queue of the events to come.
     due: Wheel<Due>,
     slots: Vec<Slot>,
+    /// All processes that have been started in the run, the ended ones among them.
     processes: Vec<Process>,
-    /// Processes that discovery lists, by service.
+    /// Processes in the service discovery list of each service.
     listed: Vec<Vec<u32>>,
+    /// All decision cores that have been started in the run, the ended ones among them.
     cores: Vec<Core>,
-    /// When the list of a service last changed.
+    /// Virtual time of the latest change to the list of each service, in ns; `None` before the first change.
     changed: Vec<Option<u64>>,
-    /// Cores that watch the list of a service.
+    /// Cores that watch the list of each service.
     watchers: Vec<Vec<u32>>,
-    /// Balancers that call a service, in all.
+    /// Number of balancers that call each service.
     replicas: Vec<u32>,
-    /// Cores of each front, by the place among the entries.
+    /// Cores of each front, in the order of [`Topology::entries`].
     fronts: Vec<Vec<u32>>,
+    /// Whether each front is running.
     front_up: Vec<bool>,
+    /// Changed list members of each list change, indexed by the number in [`Due::List`].
     changes: Vec<Vec<Member>>,
     hops: Slab<Hop>,
     works: Slab<Work>,
+    /// Calls of clients; an entry is reused once its call has ended.
     clients: Vec<Client>,
+    /// Indices of the unused entries of `clients`.
     clients_free: Vec<u32>,
-    /// Shares of the tenants, as running sums.
+    /// Cumulative fractions of the calls by tenant.
     tenants: Vec<f64>,
+    /// Region that a network partition separates from the others, if any.
     cut: Option<usize>,
+    /// Zone that has failed, if any.
     zone_lost: Option<usize>,
+    /// Buffer for the actions of a decision core, reused between events.
     actions: Vec<Action>,
     report: Report,
 }
 
+/// Multiplier of the digest's hash function.
 const SPAN: u64 = 0x517c_c1b7_2722_0a95;
 
 impl<'a> World<'a> {
-    /// The fleet before its first event.
+    /// Sets up the fleet before its first event.
     ///
     /// # Errors
-    /// The plan's figures make no settings.
+    /// The plan's figures give no valid settings for a balancer.
     pub fn new(plan: &'a Plan, topology: &'a Topology, play: &'a Play) -> Result<Self, CapacityError> {
         let services = topology.services.len();
         let mut world = Self {
@@ -187,7 +202,7 @@
         Ok(world)
     }
 
-    /// Shares of the tenants, of which the one of rank n has 1 over the root of n.
+    /// Calculates the tenants' shares of the calls: the tenant of rank n has a weight of 1 / sqrt(n).
     fn draw_tenants(&mut self) {
         let mut sum = 0.0;
         let parts: Vec<f64> =
@@ -199,7 +214,8 @@
         }
     }
 
-    /// The slots of all services, and the number of each of their balancers among those that call the same service.
+    /// Adds the slots of all services, and assigns each of their balancers its replica index among the balancers that
+    /// call the same service.
     fn add_slots(&mut self) {
         let topology = self.topology;
         for entry in &topology.entries {
@@ -220,7 +236,8 @@
         }
     }
 
-    /// A process in each slot and all fronts. Balancers come after all processes, so that their first lists are whole.
+    /// Starts a process in each slot, and all fronts. The balancers are added after all processes, so that their first
+    /// lists are complete.
     fn add_first_processes(&mut self) -> Result<(), CapacityError> {
         let halved = self.play.trouble.filter(|troubled| troubled.trouble == Trouble::Halved);
         let halved = halved.map(|troubled| troubled.service);
@@ -252,13 +269,13 @@
         }
     }
 
-    /// Plays it to its end: until all calls have been answered.
+    /// Runs the simulation to its end, when all calls have been answered or are past their deadline.
     ///
     /// # Errors
-    /// The memory bound is passed, or a process that is to start gets no settings.
+    /// The memory limit is exceeded, or a process cannot start because the plan's figures give no valid settings.
     pub fn run(mut self) -> Result<Report, CapacityError> {
         let last = ns(self.play.seconds);
-        // Then no client comes, and each call ends by its deadline.
+        // No client sends a call after `last`, and each call ends by its deadline.
         let end = last + ns(self.plan.traffic.deadline_s.value * 1.5 + 0.5);
         while let Some((at, due)) = self.due.pop() {
             if at > end {
@@ -281,10 +298,12 @@
         Ok(self.report)
     }
 
+    /// Adds a word to the digest of the run.
     fn mix(&mut self, word: u64) {
         self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(SPAN);
     }
 
+    /// Handles one event; `last` is the time after which clients send no calls, in ns.
     fn happen(&mut self, due: Due, last: u64) -> Result<(), CapacityError> {
         match due {
             Due::Client => self.next_client(last),
@@ -306,7 +325,7 @@
         Ok(())
     }
 
-    /// Notes the memory in use, and ends the run where it passes its bound.
+    /// Records the memory in use, and ends the run with an error if it exceeds the limit.
     fn look_at_memory(&mut self) -> Result<(), CapacityError> {
         self.due.push(self.now + ns(MEMORY_LOOK_S), Due::Look);
         let used_mb = resident_bytes()? >> 20;
--- a/crates/capacity/src/hollow/world/event.rs
+++ b/crates/capacity/src/hollow/world/event.rs
@@ -1,29 +1,45 @@
-//! The events of a run of the fleet. The wheel orders these by time, and the digest of a run is taken over
-//! them, so that two runs can be compared to the byte.
+//! The events of a simulation run. The timer wheel orders them by time, and the digest of a run is calculated over
+//! them, so that two runs can be compared exactly.
 
 use balancer_policy::interface::Outcome;
 
+/// An event that is scheduled for a point in virtual time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Due {
+    /// A new client sends a call.
     Client,
+    /// The client with this index retries its call.
     Again(u32),
+    /// The maintenance timer of this core fires.
     Wake(u32),
+    /// The request of an attempt reaches its upstream.
     Reach { hop: u64, attempt: u8 },
+    /// A work item has finished its local processing.
     Done { work: u64 },
+    /// The outcome of an attempt reaches the balancer that sent it.
     Reply { hop: u64, attempt: u8, outcome: Outcome },
+    /// The timeout of an attempt expires.
     Timeout { hop: u64, attempt: u8 },
+    /// A list change, by its index, reaches a core as a delta.
     List { core: u32, change: u32 },
+    /// A snapshot of a full list reaches this core.
     Whole(u32),
+    /// The scenario step with this index is applied.
     Script(u32),
+    /// This process ends after draining.
     Stop(u32),
+    /// A new process starts in this slot.
     Start(u32),
+    /// Service discovery removes this process from its list.
     Unlist(u32),
+    /// The memory in use is checked.
     Look,
+    /// The signals of the balancers are sampled.
     LookAtSignals,
 }
 
 impl Due {
-    /// For the digest.
+    /// The event encoded as two words for the digest.
     pub(super) fn words(&self) -> [u64; 2] {
         let tag = |tag: u64, rest: u64| tag << 56 ^ rest;
         match *self {
--- a/crates/capacity/src/hollow/world/report.rs
+++ b/crates/capacity/src/hollow/world/report.rs
@@ -1,105 +1,108 @@
-//! What a run of the fleet gives: counts by second and by depth, what balancers signalled, and violations of what must
-//! always hold.
+//! The report of a simulation run: counts by second and by depth, the signals of the balancers, and violations of
+//! invariants.
 
-/// Clients' calls that came in one second, by how they ended.
+/// Counts of the client calls that arrived in one second, by how they ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Second {
-    /// Calls.
+    /// All client calls that arrived in this second.
     pub calls: u64,
-    /// Served within the latency objective.
+    /// Calls served within the latency objective.
     pub served: u64,
-    /// Served within the deadline.
+    /// Calls served after the latency objective but within the deadline.
     pub late: u64,
-    /// Refused in the end.
+    /// Calls that were refused, after all retries.
     pub refused: u64,
-    /// Failed in the end.
+    /// Calls that failed, after all retries.
     pub failed: u64,
 }
 
-/// What happened at one depth.
+/// Counts of the calls and attempts to the services at one depth.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Depth {
-    /// Calls that came to the balancers in front of it.
+    /// Calls that arrived at the balancers that call this depth.
     pub calls: u64,
-    /// Attempts that they sent.
+    /// Attempts that these balancers sent.
     pub attempts: u64,
-    /// Attempts that reached a service there.
+    /// Attempts that reached a running upstream of this depth.
     pub reached: u64,
-    /// Calls that they refused.
+    /// Calls that the balancers refused.
     pub refused: u64,
-    /// Of these, those without an attempt.
+    /// Refused calls for which no attempt was sent.
     pub denied: u64,
-    /// Calls that they ended as failed.
+    /// Calls that the balancers ended as failed.
     pub failed: u64,
-    /// Time that the calls had left, in seconds, as a sum.
+    /// Sum over all calls of the time left until the deadline on arrival, in seconds.
     pub left_s: f64,
-    /// Attempts by how they ended: good, error, refused, timed out, not connected, broken.
+    /// Attempts by outcome: success, error, refused by the upstream, timed out, not connected, connection reset.
     pub ends: [u64; 6],
 }
 
-/// How many balancers signalled what, at one second.
+/// Number of balancers that reported each signal, in one sample.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Signals {
-    /// The second.
+    /// Time of the sample, in virtual seconds.
     pub at_s: u64,
-    /// Balancers.
+    /// Number of running balancers.
     pub cores: usize,
-    /// Those with a limit cut.
+    /// Number of balancers that have reduced their limit on all calls together.
     pub limited: usize,
-    /// Those that have ejected an upstream of theirs.
+    /// Number of balancers that have ejected at least one upstream.
     pub ejected: usize,
-    /// Those with a congested upstream.
+    /// Number of balancers with a congested upstream.
     pub congested: usize,
 }
 
-/// What must never be.
+/// Counts of violated invariants; every count is 0 in a correct run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Calls that got no answer although their balancer lived.
+    /// Calls that got no answer although their balancer was running.
     pub unanswered: u64,
-    /// Calls that got more than one.
+    /// Calls that got more than one answer.
     pub doubled: u64,
-    /// Calls that must not run twice and did.
+    /// Non-idempotent calls that were executed more than once.
     pub run_twice: u64,
-    /// Attempts to an upstream whose balancer had been told for longer than the grace that it drains or is gone.
+    /// Attempts to an upstream sent after the drain grace period, counted from when the balancer was notified that the
+    /// upstream is draining or removed.
     pub after_grace: u64,
 }
 
-/// What a run gave.
+/// Figures collected during a simulation run.
 #[derive(Debug, Clone, Default)]
 pub struct Report {
-    /// Clients' calls by the second in which they came.
+    /// Counts of client calls, by the second in which they arrived.
     pub seconds: Vec<Second>,
-    /// By depth, the front first.
+    /// Counts by depth, starting with the services that clients call directly.
     pub depths: Vec<Depth>,
-    /// Cold processes that fell over.
+    /// Number of processes that crashed from overload while they were warming up.
     pub pushed_over: u64,
-    /// Processes that started cold.
+    /// Number of processes that started cold.
     pub cold_starts: u64,
-    /// List events that balancers took in.
+    /// Number of list updates that balancers received.
     pub lists: u64,
-    /// By the second.
+    /// Samples of the balancers' signals, one a second.
     pub signals: Vec<Signals>,
-    /// Of what must never be.
+    /// Counts of violated invariants.
     pub faults: Faults,
     /// Attempts that crossed zones within a region.
     pub crossed_zones: u64,
     /// Attempts that crossed regions.
     pub crossed_regions: u64,
-    /// Times from a client's call to its good answer, in us, by power of two and eighths.
+    /// Histogram of the times from a client's call to its successful answer, in us. The buckets are logarithmic, with
+    /// eight buckets to a power of two.
     pub times: Vec<u64>,
-    /// Decision cores at the start.
+    /// Number of decision cores at the start.
     pub cores: usize,
-    /// Events of the run.
+    /// Number of events processed in the run.
     pub events: u64,
-    /// Over all events and actions.
+    /// Hash over all events and actions; equal for two runs that made the same decisions.
     pub digest: u64,
-    /// Resident memory at most, in MB.
+    /// Maximum resident memory, in MB.
     pub memory_mb: u64,
 }
 
 impl Report {
-    /// The time within which a part of the good answers came, in seconds.
+    /// The latency quantile `part` (0 to 1) of the successful calls, in seconds: the upper bound of its histogram
+    /// bucket.
     #[must_use]
     pub fn time(&self, part: f64) -> f64 {
         let all: u64 = self.times.iter().sum();
--- a/crates/capacity/src/hollow/world/script.rs
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -1,4 +1,5 @@
-//! The steps of a scenario: planned replacements, failures of machines and zones, and cuts between regions.
+//! The steps of a scenario: planned replacements, failures of machines and zones, and network partitions between
+//! regions.
 
 use std::mem;
 
@@ -10,29 +11,30 @@
 use super::{World, ns};
 use crate::CapacityError;
 
-/// From a machine's failure to its next start.
+/// Virtual seconds from a machine's failure until a new process starts in its slot.
 const REPAIR_S: f64 = 6.0;
-/// From a planned stop to the end of the process, and then the next one starts.
+/// Virtual seconds that a process drains in a planned replacement; then it ends and the next process starts.
 pub const DRAIN_S: f64 = 2.0;
 
-/// What happens to the fleet, by plan of the scenario.
+/// A change that a scenario makes to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// A planned stop of an upstream's process; another one follows it.
+    /// Planned replacement of the process in a slot: it drains, ends, and a new process starts.
     Replace(usize),
-    /// A machine fails, and comes back later.
+    /// Failure of the machine of a slot; a new process starts there after the repair time.
     Fail(usize),
-    /// A zone is lost whole, with its fronts and clients.
+    /// Failure of a whole zone, with its upstreams and fronts; its clients call the fronts of the next zone.
     LoseZone(usize),
-    /// It comes back cold.
+    /// Return of a failed zone, with cold processes.
     ReturnZone(usize),
-    /// A region is cut off from the others, and from where lists come from.
+    /// Network partition that separates a region from the other regions and from service discovery.
     Cut(usize),
-    /// It is back.
+    /// End of the network partition of a region.
     Heal(usize),
 }
 
 impl World<'_> {
+    /// Applies the step `number` of the script.
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
         match self.play.script[number].step {
             Step::Replace(slot) => self.replace(slot),
@@ -48,7 +50,7 @@
         Ok(())
     }
 
-    /// Drains the process of a slot for a planned stop, unless it is about to end already.
+    /// Drains the process of a slot and schedules its replacement, unless the process is already draining or down.
     fn replace(&mut self, slot: usize) {
         let Some(process) = self.slots[slot].process else { return };
         if self.processes[process].lifecycle != Lifecycle::Ready || self.processes[process].state != State::Up
@@ -95,7 +97,7 @@
 
     fn heal(&mut self, region: usize) {
         self.cut = None;
-        // Its watches open anew and ask for whole lists.
+        // The balancers of the region that missed list updates reopen their watches and ask for a full snapshot.
         for core in 0..self.cores.len() {
             if self.topology.region_of[self.cores[core].zone] == region
                 && mem::take(&mut self.cores[core].missed)
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a modelled balancer: the figures of the plan, and what the plan leaves open.
+//! Settings of a simulated balancer: the plan's figures, and constants for the settings that the plan does not define.
 
 use std::mem;
 use std::time::Duration;
@@ -11,12 +11,14 @@
 use super::World;
 use super::upstreams::{OVERLOAD_MULTIPLE, OVERLOAD_S, SLOW_START_MIN_FRACTION, SLOW_START_WINDOW_S};
 
-/// Time in which sends to a draining or gone upstream must end.
+/// Grace period after the notification that an upstream is draining or removed, in seconds; after it, a balancer must
+/// send no further attempts to the upstream.
 pub(super) const GRACE_S: f64 = 1.0;
-/// Quotas of all tenants over the calls that come.
+/// Sum of the quotas of all tenants divided by the rate of calls.
 pub(super) const QUOTAS: f64 = 1.5;
 
 impl World<'_> {
+    /// Settings of the balancer with the replica index `index` that calls `service` from `zone`.
     pub(super) fn settings(&self, service: usize, zone: usize, index: u32) -> Settings {
         let traffic = &self.plan.traffic;
         let tier = self.topology.services[service].depth - 1;
