--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -1,4 +1,5 @@
-//! Attempts on the modelled network: connections, delays, cuts and timeouts between a balancer and an upstream.
+//! Attempts on the simulated network: connections, delays, network partitions and timeouts between a balancer and an
+//! upstream.
 
 use std::time::Duration;
 
@@ -10,18 +11,19 @@
 use super::state::{Attempt, End, State};
 use super::{World, ns};
 
-/// Seconds that a balancer waits for a connection, where another attempt may follow.
+/// Connect timeout of a balancer in seconds, if another attempt may follow.
 const CONNECT_WAIT_S: f64 = 1.0 / 16.0;
-/// Seconds that it waits at its last attempt.
+/// Connect timeout of a balancer in seconds for the last attempt of a call.
 const LAST_CONNECT_WAIT_S: f64 = 1.0;
 
 impl World<'_> {
+    /// Whether a network partition separates two zones.
     pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
         let [from, to] = [from, to].map(|zone| self.topology.region_of[zone]);
         from != to && self.cut.is_some_and(|region| region == from || region == to)
     }
 
-    /// One way, with up to a tenth of noise.
+    /// One-way network delay between two zones, in ns, with up to 10 % of random jitter added.
     pub(super) fn delay(&mut self, from: usize, to: usize) -> u64 {
         let network = &self.plan.network;
         let regions = &self.topology.region_of;
@@ -35,6 +37,8 @@
         ns(ms / 1e3 * (1.0 + 0.1 * self.rng.rand_float()))
     }
 
+    /// Sends an attempt of the call `id` to a process: opens a connection if needed, and schedules the arrival of the
+    /// request or the attempt's failure, and its timeout.
     pub(super) fn send(
         &mut self,
         core: u32,
@@ -82,7 +86,7 @@
             (now + 3 * one, Due::Reach { hop: id, attempt }, 2 * one)
         };
         if connected && (cut || state == State::Lost) {
-            // What is out on it ends in time; the next attempt opens a connection anew.
+            // Attempts in flight on the connection end by their timeouts; the next attempt opens a new connection.
             self.cores[core as usize].connected.remove(&process);
         }
         if let Some(hop) = self.hops.get(id) {
@@ -94,7 +98,8 @@
         }
     }
 
-    /// An attempt is over at its balancer.
+    /// Handles the end of an attempt at its balancer: reports the outcome to the decision core, and answers the call if
+    /// the attempt succeeded.
     pub(super) fn attempt_over(&mut self, id: u64, number: u8, outcome: Outcome) {
         let now = self.now;
         let Some(hop) = self.hops.get(id) else { return };
--- a/crates/capacity/src/hollow/world/calls.rs
+++ b/crates/capacity/src/hollow/world/calls.rs
@@ -1,5 +1,5 @@
-//! A call at the balancer that carries it: from its request to the decision core, through the actions of the core, to
-//! the answer.
+//! The handling of a call by its balancer: from the request event to the decision core, through the actions of the
+//! core, to the answer.
 
 use std::mem;
 use std::time::Duration;
@@ -12,6 +12,7 @@
 use super::{World, seconds};
 
 impl World<'_> {
+    /// Starts a call at a core: records it and passes its request to the decision core.
     pub(super) fn open(&mut self, core: u32, parent: Parent, class: u8, left: u8, deadline: u64) {
         let attempts = Vec::with_capacity(1);
         let hop = Hop { core, parent, class, left, answered: false, ran: 0, deadline, attempts };
@@ -39,11 +40,12 @@
         self.drive(core, Event::Request(request));
     }
 
+    /// Index of the depth that a core calls, 0 for the services that clients call directly.
     pub(super) fn depth_of(&self, core: u32) -> usize {
         self.topology.services[self.cores[core as usize].service].depth - 1
     }
 
-    /// An event for a core, and what it asks for.
+    /// Passes an event to a decision core and carries out the actions that it returns.
     pub(super) fn drive(&mut self, core: u32, event: Event) {
         let Some(balancer) = &mut self.cores[core as usize].balancer else { return };
         let mut actions = mem::take(&mut self.actions);
@@ -86,7 +88,7 @@
         self.actions = actions;
     }
 
-    /// The answer to a call goes to who called.
+    /// Sends the answer of a call to its caller, a client or an upstream's work item.
     pub(super) fn answer(&mut self, id: u64, end: End) {
         let Some(hop) = self.hops.get(id) else { return };
         if hop.answered {
@@ -108,7 +110,8 @@
         self.forget(id);
     }
 
-    /// Forgets a call once it is over; one of a balancer that has ended is over with its attempts.
+    /// Removes the record of a call once all its attempts are over and it has been answered. A call of a balancer that
+    /// has ended is removed without an answer, and fails for its client.
     pub(super) fn forget(&mut self, id: u64) {
         let Some(hop) = self.hops.get(id) else { return };
         if hop.attempts.iter().any(|attempt| !attempt.over) {
--- a/crates/capacity/src/hollow/world/clients.rs
+++ b/crates/capacity/src/hollow/world/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: where their calls come in, how they repeat, and how each call is counted at its end.
+//! The model of clients: the fronts that their calls arrive at, their retries, and how each call is counted at its end.
 
 use super::event::Due;
 use super::report::Second;
@@ -6,13 +6,14 @@
 use super::{Effects, World, ns};
 use crate::hollow::topology::place;
 
-/// The usual parts of the calls by how they may be repeated.
+/// Default fractions of the calls by idempotency class.
 const EFFECTS: Effects = Effects { free: 0.7, keyed: 0.15 };
-/// A client waits this long, and up to as much again, before it comes again.
+/// Minimum pause of a client before a retry, in seconds; the pause is drawn between this and twice as long.
 const AGAIN_S: f64 = 0.1;
 
 impl World<'_> {
-    /// A client comes now, and the next one after a gap of a Poisson process unless that is at `last` or later.
+    /// Starts a client call, and schedules the next one after an exponentially distributed gap (a Poisson process)
+    /// unless that is at `last` (ns) or later.
     pub(super) fn next_client(&mut self, last: u64) {
         let gap = -(1.0 - self.rng.rand_float()).ln() / self.topology.front_per_s;
         let next = self.now + ns(gap).max(1);
@@ -22,10 +23,11 @@
         self.client_comes();
     }
 
+    /// Draws the properties of a new client call and sends it.
     fn client_comes(&mut self) {
         let topology = self.topology;
         let mut zone = place(topology.clients.iter().copied(), self.rng.rand_float());
-        // Clients of a lost zone come to the next one.
+        // Clients of a failed zone call the fronts of the next zone.
         if self.zone_lost == Some(zone) {
             zone = (zone + 1) % topology.region_of.len();
         }
@@ -63,7 +65,7 @@
         self.call(number);
     }
 
-    /// A client calls, the first time or again.
+    /// Sends the first attempt or a retry of a client's call to its front.
     pub(super) fn call(&mut self, number: u32) {
         let client = &mut self.clients[number as usize];
         client.tries += 1;
@@ -76,6 +78,7 @@
         self.open(core, Parent::Client(number), class, left, deadline);
     }
 
+    /// Handles the answer to a client: schedules a retry, or counts the call as ended.
     pub(super) fn client_answered(&mut self, number: u32, end: End) {
         let now = self.now;
         let client = &mut self.clients[number as usize];
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -1,5 +1,6 @@
-//! Service discovery: the list of each service, and its changes on their way to the balancers that watch it, each late
-//! by its own time. A region that is cut off misses them and asks for whole lists after.
+//! Service discovery: the list of each service, and the propagation of its changes to the balancers that watch it, with
+//! a random delay for each balancer. A region cut off by a network partition misses the changes and asks for full
+//! snapshots afterwards.
 
 use std::mem;
 use std::time::Duration;
@@ -11,12 +12,14 @@
 use super::state::Process;
 use super::{World, ns};
 
-/// Seconds that a list takes to each balancer at least.
+/// Minimum delay of a list update on its way to a balancer, in seconds.
 pub(super) const LIST_DELAY_MIN_S: f64 = 0.2;
-/// Seconds that it takes longer at most, drawn for each balancer, as watches are not served all at once.
+/// Maximum additional delay of a list update, in seconds. It is drawn for each balancer, because watches are not all
+/// served at the same time.
 pub(super) const LIST_DELAY_SPREAD_S: f64 = 0.3;
 
 impl World<'_> {
+    /// The list entry of a process, with its current lifecycle state.
     pub(super) fn member(&self, process: u32) -> Member {
         let Process { slot, lifecycle, started, .. } = self.processes[process as usize];
         Member {
@@ -30,21 +33,24 @@
         }
     }
 
+    /// The current list of a service.
     pub(super) fn members(&self, service: usize) -> Vec<Member> {
         self.listed[service].iter().map(|&process| self.member(process)).collect()
     }
 
+    /// Delivers a list change to a core as a delta; `change` is its index in `changes`.
     pub(super) fn changed_list_arrives(&mut self, core: u32, change: u32) {
         let members = self.changes[change as usize].clone();
         self.tell(core, ListUpdate::Delta(members));
     }
 
+    /// Delivers the current list to a core as a snapshot.
     pub(super) fn whole_list_arrives(&mut self, core: u32) {
         let members = self.members(self.cores[core as usize].service);
         self.tell(core, ListUpdate::Snapshot(members));
     }
 
-    /// A core takes in a list.
+    /// Passes a list update to a core, and records when the core was notified of draining and removed members.
     pub(super) fn tell(&mut self, core: u32, update: ListUpdate) {
         let core_state = &mut self.cores[core as usize];
         if core_state.balancer.is_none() {
@@ -59,7 +65,7 @@
         self.drive(core, Event::List(update));
     }
 
-    /// Sends changed entries to all that watch the list.
+    /// Sends changed list members to all cores that watch the service, except those in a region that is cut off.
     pub(super) fn spread(&mut self, service: usize, members: Vec<Member>) {
         self.changed[service] = Some(self.now);
         let change = self.changes.len() as u32;
@@ -80,6 +86,7 @@
         self.watchers[service] = watchers;
     }
 
+    /// Removes a process from the list of its service and notifies the watchers.
     pub(super) fn unlist(&mut self, process: usize) {
         let service = self.slots[self.processes[process].slot].service;
         let listed = &mut self.listed[service];
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -1,4 +1,5 @@
-//! The life of processes and of the balancers within them: start, loss, end and the replacement in the same slot.
+//! The lifecycle of processes and the balancers within them: start, machine failure, end, and replacement in the same
+//! slot.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -12,11 +13,12 @@
 use super::{World, ns};
 use crate::CapacityError;
 
-/// Until the platform takes a silent machine out of the lists.
+/// Virtual seconds from a machine's failure until service discovery removes its process from the list.
 const DETECT_S: f64 = 1.5;
 
 impl World<'_> {
-    /// A process in a slot, without its balancers.
+    /// Adds a process in a slot and to the list of its service, without its balancers. `started` is the time of a cold
+    /// start in ns, `None` for a process at full capacity.
     pub(super) fn add_process(&mut self, slot: usize, started: Option<u64>) -> usize {
         let process = self.processes.len();
         self.processes.push(Process {
@@ -36,7 +38,7 @@
         process
     }
 
-    /// The balancers of a process, each with the list as it is.
+    /// Adds the balancers of a process, each with the current list of the service that it calls.
     pub(super) fn add_cores(&mut self, process: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         let slot = self.processes[process].slot;
@@ -49,6 +51,7 @@
         Ok(())
     }
 
+    /// Starts a front: adds one balancer for each service that clients call directly.
     pub(super) fn add_front(&mut self, front: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         self.fronts[front].clear();
@@ -60,6 +63,8 @@
         Ok(())
     }
 
+    /// Adds a decision core that calls `service` from `zone` with the replica index `index`, and passes it its first
+    /// list.
     pub(super) fn add_core(
         &mut self,
         front: bool,
@@ -90,6 +95,7 @@
         Ok(core)
     }
 
+    /// Fails the machine of a slot; service discovery removes the process from its list after [`DETECT_S`].
     pub(super) fn lose(&mut self, slot: usize) {
         if let Some(process) = self.slots[slot].process.take()
             && self.processes[process].state == State::Up
@@ -99,7 +105,8 @@
         }
     }
 
-    /// A process ends: what it held is lost, and its balancers with it.
+    /// Ends a running process with its balancers and drops its work items. `state` is its state afterwards: an ended
+    /// process resets its connections and leaves the list at once, a lost one does neither.
     pub(super) fn stop(&mut self, number: usize, state: State) {
         if self.processes[number].state != State::Up {
             return;
@@ -118,7 +125,7 @@
             self.slots[slot].process = None;
         }
         let zone = self.slots[slot].zone;
-        // In the order of their numbers.
+        // Work items are handled in the order of their slab entries.
         let in_flight: Vec<u64> = (0..)
             .zip(&self.works.entries)
             .filter(|(_, entry)| entry.occupied && entry.value.process as usize == number)
@@ -137,6 +144,7 @@
         }
     }
 
+    /// Starts a new, cold process in a slot, unless the slot is occupied or its zone has failed.
     pub(super) fn start(&mut self, slot: usize) -> Result<(), CapacityError> {
         if self.slots[slot].process.is_some() || self.zone_lost == Some(self.slots[slot].zone) {
             return Ok(());
--- a/crates/capacity/src/hollow/world/signals.rs
+++ b/crates/capacity/src/hollow/world/signals.rs
@@ -1,4 +1,5 @@
-//! Once a second: how many balancers have limits cut, ejected upstreams, or congested ones.
+//! Sampling of the balancers' signals: once a second, the number of balancers with a reduced limit, ejected upstreams
+//! or congested upstreams.
 
 use balancer_policy::interface::Lifecycle;
 
@@ -10,10 +11,12 @@
 use super::{SIGNAL_LOOK_S, World, ns};
 
 impl World<'_> {
+    /// Takes one sample of the signals from the stats snapshots of all running balancers.
     pub(super) fn look_at_signals(&mut self) {
         self.due.push(self.now + ns(SIGNAL_LOOK_S), Due::LookAtSignals);
         let mut signals = Signals { at_s: (self.now + 500_000_000) / 1_000_000_000, ..Signals::default() };
-        // While a list changes or one of it is cold, the figure that falls with those set aside falls with these.
+        // The figure `had` drops not only when upstreams are ejected, but also while a list is changing or one of its
+        // members is warming up. Ejections of such services are not counted.
         let late = ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S);
         let unclear: Vec<bool> = (0..self.listed.len())
             .map(|service| {
@@ -35,7 +38,7 @@
                 rest.split([' ', ',']).find_map(|word| word.parse().ok()).unwrap_or(0.0)
             };
             signals.congested += usize::from(figure("crowding ") > 0.2);
-            // The last of the limits is that of all calls together; where it is none it reads 1000000.
+            // The last of the limits is the limit on all calls together; it is 1000000 if there is none.
             let limits = stats_snapshot.split_once("limits ").map_or("", |(_, rest)| rest);
             let limits = limits.split_once(", usual").map_or("", |(limits, _)| limits);
             let all = limits.split(' ').filter_map(|word| word.parse::<f64>().ok()).next_back();
--- a/crates/capacity/src/hollow/world/slab.rs
+++ b/crates/capacity/src/hollow/world/slab.rs
@@ -1,19 +1,20 @@
-//! Storage for calls and works. Millions of them come and go in a run: their places are used again, and a generation in
-//! the identifier tells a new entry from an old one at the same place.
+//! Slab storage for calls and work items. As a run creates millions of them, entries are reused, and a generation
+//! number in the identifier distinguishes a new value from an earlier one in the same entry.
 
-/// Things with numbers that are used again under another one.
+/// A slab with generational identifiers: the generation in the upper 32 bits, the entry's index in the lower 32 bits.
 #[derive(Debug)]
 pub(super) struct Slab<T> {
     pub(super) entries: Vec<Entry<T>>,
+    /// Indices of the unoccupied entries.
     pub(super) free: Vec<u32>,
 }
 
-/// A place, with the latest value that stood there.
+/// An entry of the slab, with the latest value stored in it.
 #[derive(Debug)]
 pub(super) struct Entry<T> {
-    /// How often the place was given up.
+    /// Number of values that have been removed from the entry, wrapping around.
     pub(super) generation: u32,
-    /// Whether the value still stands.
+    /// Whether the value is in use; false after its removal.
     pub(super) occupied: bool,
     pub(super) value: T,
 }
@@ -25,6 +26,7 @@
 }
 
 impl<T> Slab<T> {
+    /// Stores a value and returns its identifier.
     pub(super) fn insert(&mut self, value: T) -> u64 {
         if let Some(place) = self.free.pop() {
             let entry = &mut self.entries[place as usize];
@@ -35,11 +37,13 @@
         self.entries.len() as u64 - 1
     }
 
+    /// The value with the identifier `id`, or `None` if it has been removed.
     pub(super) fn get(&mut self, id: u64) -> Option<&mut T> {
         let entry = self.entries.get_mut(id as u32 as usize)?;
         (entry.occupied && u64::from(entry.generation) == id >> 32).then_some(&mut entry.value)
     }
 
+    /// Removes the value with the identifier `id`, if it is still stored.
     pub(super) fn remove(&mut self, id: u64) {
         if self.get(id).is_some() {
             let entry = &mut self.entries[id as u32 as usize];
--- a/crates/capacity/src/hollow/world/upstreams.rs
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -1,5 +1,5 @@
-//! The servers of an upstream: cores, a queue, a slow start after a cold one, and the fall of a process that is sent too
-//! much while it is cold.
+//! The model of an upstream's server: CPU cores, a queue, reduced capacity while warming up, and the crash of a process
+//! that is overloaded while it is warming up.
 
 use balancer_policy::interface::Outcome;
 
@@ -8,27 +8,30 @@
 use super::{Trouble, TroubledService, World, ns, seconds};
 use crate::hollow::topology::place;
 
-/// Part of its capacity with which a process starts, 0 to 1.
+/// Fraction of its full capacity, 0 to 1, with which a process starts.
 pub(super) const SLOW_START_MIN_FRACTION: f64 = 0.3;
-/// Seconds from its start until a process has all of its capacity.
+/// Seconds from its start until a process has its full capacity.
 pub(super) const SLOW_START_WINDOW_S: f64 = 8.0;
-/// A cold process falls over when it is sent more than this many times what it can do...
+/// A process that is warming up crashes when it receives more than this multiple of its capacity within [`OVERLOAD_S`].
 pub(super) const OVERLOAD_MULTIPLE: f64 = 2.8;
-/// ...in a window of this many seconds.
+/// Length of the window in which the overload of a process that is warming up is measured, in seconds.
 pub(super) const OVERLOAD_S: f64 = 1.6;
-/// A process that fell over is started again after this.
+/// Seconds from the crash of an overloaded process until a new one starts in its slot.
 const FALLEN_S: f64 = 2.0;
-/// Requests waiting for each core before more are turned away unseen.
+/// Maximum queue length of an upstream for each of its CPU cores; further requests are refused without being processed.
 const QUEUE: usize = 16;
-/// Requests held for each core, those that wait for other services among them.
+/// Maximum number of requests in flight at an upstream for each of its CPU cores, including requests that wait for
+/// other services.
 const PLACES: usize = 400;
 
+/// Fraction of its full capacity, 0 to 1, that a process has at an age of `age_s` seconds.
 pub(super) fn warmth(age_s: f64) -> f64 {
     (SLOW_START_MIN_FRACTION + (1.0 - SLOW_START_MIN_FRACTION) * age_s / SLOW_START_WINDOW_S).min(1.0)
 }
 
 impl World<'_> {
-    /// An attempt's request reaches its upstream.
+    /// The request of an attempt reaches its upstream: it is processed, queued or refused, or lost with a failed
+    /// process or a network partition.
     pub(super) fn reach(&mut self, id: u64, number: u8) {
         let now = self.now;
         let Some(hop) = self.hops.get(id) else { return };
@@ -81,7 +84,8 @@
         }
     }
 
-    /// Whether a cold process has been sent more in the window than it can bear, by the sum over all balancers.
+    /// Counts an arrival and returns whether it overloads a process that is warming up: whether the process has
+    /// received more requests from all balancers together than its limit allows for the window.
     pub(super) fn falls_over(&mut self, number: usize) -> bool {
         let now = self.now;
         let cold = ns(SLOW_START_WINDOW_S);
@@ -103,6 +107,7 @@
         sent > budget + 2.0 * budget.sqrt() + 2.0
     }
 
+    /// Counts the execution of an attempt for its call, and for the client's call if it is the first hop.
     pub(super) fn begins(&mut self, hop: u64) {
         let Some(hop) = self.hops.get(hop) else { return };
         hop.ran += 1;
@@ -111,7 +116,7 @@
         }
     }
 
-    /// A work gets a core, unless its caller has gone.
+    /// Starts a work item on a CPU core, or drops it if its attempt is over or its deadline has passed.
     pub(super) fn begin(&mut self, id: u64) {
         let now = self.now;
         let Some(work) = self.works.get(id) else { return };
@@ -136,14 +141,14 @@
         self.due.push(now + ns(work_s), Due::Done { work: id });
     }
 
-    /// The next of a process's queue gets a core.
+    /// Starts the next work item in the queue of a process.
     pub(super) fn next(&mut self, process: usize) {
         if let Some(work) = self.processes[process].queue.pop_front() {
             self.begin(work);
         }
     }
 
-    /// A work's own part is done: the next service is called, or the answer goes back.
+    /// Handles the end of a work item's local processing: calls the next service in the chain, or answers.
     pub(super) fn work_done(&mut self, id: u64) {
         let Some(work) = self.works.get(id) else { return };
         let Work { process, class, left, deadline, .. } = *work;
@@ -164,7 +169,7 @@
         }
     }
 
-    /// A work is over: its upstream answers.
+    /// Ends a work item: its upstream answers with the outcome.
     pub(super) fn work_over(&mut self, id: u64, outcome: Outcome) {
         let Some(work) = self.works.get(id) else { return };
         let Work { process, hop, attempt, .. } = *work;
@@ -174,7 +179,8 @@
         self.reply(zone, hop, attempt, outcome);
     }
 
-    /// An answer goes from an upstream to the balancer that sent the attempt; a cut swallows it.
+    /// Sends an answer from an upstream in `zone` to the balancer that sent the attempt; it is lost if a network
+    /// partition separates the two.
     pub(super) fn reply(&mut self, zone: usize, hop: u64, attempt: u8, outcome: Outcome) {
         let Some(core) = self.hops.get(hop).map(|hop| hop.core) else { return };
         let to = self.cores[core as usize].zone;
