--- a/crates/capacity/src/hollow/wheel.rs
+++ b/crates/capacity/src/hollow/wheel.rs
@@ -14,13 +14,13 @@
 #[derive(Debug)]
 struct Entry<T> {
     at: u64,
-    number: u64,
-    due: T,
+    sequence: u64,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -34,7 +34,7 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
@@ -44,26 +44,26 @@
 pub struct Wheel<T> {
     slots: Vec<Vec<Entry<T>>>,
     /// Entries of the current slot, and those inserted with an earlier time.
-    now: BinaryHeap<Reverse<Entry<T>>>,
+    current: BinaryHeap<Reverse<Entry<T>>>,
     /// Entries that are due after the last slot of the wheel.
-    far: BinaryHeap<Reverse<Entry<T>>>,
+    overflow: BinaryHeap<Reverse<Entry<T>>>,
     /// Number of the current slot, counted from time 0.
     at: u64,
     /// Number of entries inserted so far; the sequence number of the latest one.
-    number: u64,
+    sequence: u64,
     /// Number of entries in the queue.
-    waiting: usize,
+    len: usize,
 }
 
 impl<T> Default for Wheel<T> {
     fn default() -> Self {
         Self {
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
-            now: BinaryHeap::new(),
-            far: BinaryHeap::new(),
+            current: BinaryHeap::new(),
+            overflow: BinaryHeap::new(),
             at: 0,
-            number: 0,
-            waiting: 0,
+            sequence: 0,
+            len: 0,
         }
     }
 }
@@ -71,37 +71,37 @@
 impl<T> Wheel<T> {
     /// Inserts an event that is due at the time `at`, in ns. An event whose time has already passed is returned as soon
     /// as possible.
-    pub fn push(&mut self, at: u64, due: T) {
-        self.number += 1;
-        self.waiting += 1;
-        let entry = Entry { at, number: self.number, due };
+    pub fn push(&mut self, at: u64, event: T) {
+        self.sequence += 1;
+        self.len += 1;
+        let entry = Entry { at, sequence: self.sequence, event };
         let slot = at >> SLOT_BITS;
         if slot <= self.at {
-            self.now.push(Reverse(entry));
+            self.current.push(Reverse(entry));
         } else if slot < self.at + SLOTS {
             self.slots[(slot % SLOTS) as usize].push(entry);
         } else {
-            self.far.push(Reverse(entry));
+            self.overflow.push(Reverse(entry));
         }
     }
 
     /// Removes and returns the next event with its time in ns, or `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<(u64, T)> {
-        if self.waiting == 0 {
+        if self.len == 0 {
             return None;
         }
-        while self.now.is_empty() {
+        while self.current.is_empty() {
             self.at += 1;
-            let near = self.at + SLOTS;
-            while self.far.peek().is_some_and(|Reverse(entry)| entry.at >> SLOT_BITS < near) {
-                let Some(Reverse(entry)) = self.far.pop() else { break };
+            let horizon = self.at + SLOTS;
+            while self.overflow.peek().is_some_and(|Reverse(entry)| entry.at >> SLOT_BITS < horizon) {
+                let Some(Reverse(entry)) = self.overflow.pop() else { break };
                 self.slots[((entry.at >> SLOT_BITS) % SLOTS) as usize].push(entry);
             }
             // The slot's memory is released; otherwise each slot would keep the capacity of its busiest time.
             let slot = mem::take(&mut self.slots[(self.at % SLOTS) as usize]);
-            self.now.extend(slot.into_iter().map(Reverse));
+            self.current.extend(slot.into_iter().map(Reverse));
         }
-        self.waiting -= 1;
-        self.now.pop().map(|Reverse(entry)| (entry.at, entry.due))
+        self.len -= 1;
+        self.current.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
