--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -22,19 +22,19 @@
 pub mod world;
 
 use scenario::{Scenario, Script, Span};
-use table::{COLUMNS, KEY, NOTE, row};
+use table::{COLUMNS, KEY_COLUMNS, NOTE, row};
 use topology::Topology;
 use world::{Play, Report, Second, Step, World};
 
 /// Number of upstreams in a `--small` run.
-const SMALL: usize = 120;
+const SMALL_UPSTREAMS: usize = 120;
 /// Fraction of a scenario's usual duration that is simulated when the rate counts calls at the front, because that
 /// reading has twelve times the calls.
-const FRONT_PART: f64 = 0.2;
+const FRONT_DURATION_FRACTION: f64 = 0.2;
 
 /// How the plan's "calls a second" is interpreted; the command-line form of [`Reading`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum ReadAs {
+pub enum ReadingArgument {
     /// The rate counts calls at the front; each of them causes one call at every depth of its chain. The run is
     /// simulated for fewer seconds.
     Front,
@@ -42,11 +42,11 @@
     Hops,
 }
 
-impl From<ReadAs> for Reading {
-    fn from(read: ReadAs) -> Self {
+impl From<ReadingArgument> for Reading {
+    fn from(read: ReadingArgument) -> Self {
         match read {
-            ReadAs::Front => Self::Front,
-            ReadAs::Hops => Self::Hops,
+            ReadingArgument::Front => Self::Front,
+            ReadingArgument::Hops => Self::Hops,
         }
     }
 }
@@ -65,7 +65,7 @@
     pub seeds: u64,
     /// How the plan's "calls a second" is interpreted.
     #[arg(long, value_enum, default_value = "hops")]
-    pub reading: ReadAs,
+    pub reading: ReadingArgument,
     /// Number of upstreams, with services and calls scaled in proportion; the plan's number if omitted.
     #[arg(long)]
     pub upstreams: Option<usize>,
@@ -132,18 +132,21 @@
 /// # Errors
 /// The number of upstreams is below twice the plan's chain depth, or above 100000.
 pub fn scaled(plan: &Plan, upstreams: usize) -> Result<Plan, CapacityError> {
-    let least = plan.graph.depth.value * 2;
-    if !(least..=100_000).contains(&upstreams) {
-        return Err(CapacityError::Argument { name: "upstreams", expected: format!("{least} to 100000") });
+    let upstreams_min = plan.graph.depth.value * 2;
+    if !(upstreams_min..=100_000).contains(&upstreams) {
+        return Err(CapacityError::Argument {
+            name: "upstreams",
+            expected: format!("{upstreams_min} to 100000"),
+        });
     }
-    let part = upstreams as f64 / plan.fleet.upstreams.value as f64;
+    let fraction = upstreams as f64 / plan.fleet.upstreams.value as f64;
     let mut plan = plan.clone();
-    let services = (plan.fleet.services.value as f64 * part).round() as usize;
+    let services = (plan.fleet.services.value as f64 * fraction).round() as usize;
     plan.fleet.services.value = services.clamp(plan.graph.depth.value, upstreams);
     plan.fleet.upstreams.value = upstreams;
-    plan.traffic.calls_per_s.value *= part;
-    plan.failures.machines_per_day.value *= part;
-    plan.failures.replaced_per_day.value *= part;
+    plan.traffic.calls_per_s.value *= fraction;
+    plan.failures.machines_per_day.value *= fraction;
+    plan.failures.replaced_per_day.value *= fraction;
     Ok(plan)
 }
 
@@ -165,7 +168,7 @@
     }
     let topology = Topology::draw(plan, reading, seed);
     let Script { steps, trouble } = scenario.script(plan, &topology, seconds, seed);
-    let reachable = steps.iter().find_map(|timed| reachable_during(timed.step, &topology));
+    let reachable = steps.iter().find_map(|timed| reachable_after(timed.step, &topology));
     let play = Play {
         name: scenario.name().to_owned(),
         seconds,
@@ -184,18 +187,21 @@
 
 /// Fraction of the calls that find an upstream at each step of their chain after a scenario step that loses a zone or
 /// cuts off a region; `None` for other steps.
-fn reachable_during(step: Step, topology: &Topology) -> Option<f64> {
+fn reachable_after(step: Step, topology: &Topology) -> Option<f64> {
     match step {
-        Step::LoseZone(lost) => Some(topology.reachable(|zone| zone != lost)),
-        Step::Cut(region) => {
+        Step::FailZone(lost) => Some(topology.reachable(|zone| zone != lost)),
+        Step::PartitionRegion(region) => {
             // Clients on each side of the network partition reach only the upstreams on their own side.
             let inside = |zone: usize| topology.region_of[zone] == region;
             let mut before = 0.0;
-            let here: f64 = (0..).zip(&topology.clients).fold(0.0, |sum, (zone, until)| {
-                let part = until - std::mem::replace(&mut before, *until);
-                if inside(zone) { sum + part } else { sum }
+            let inside_fraction: f64 = (0..).zip(&topology.clients).fold(0.0, |sum, (zone, until)| {
+                let fraction = until - std::mem::replace(&mut before, *until);
+                if inside(zone) { sum + fraction } else { sum }
             });
-            Some(here * topology.reachable(inside) + (1.0 - here) * topology.reachable(|zone| !inside(zone)))
+            Some(
+                inside_fraction * topology.reachable(inside)
+                    + (1.0 - inside_fraction) * topology.reachable(|zone| !inside(zone)),
+            )
         }
         _ => None,
     }
@@ -206,7 +212,7 @@
 /// # Errors
 /// An argument is out of range, a run fails, or the results file cannot be written; the error names which.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
-    let upstreams = arguments.upstreams.or(arguments.small.then_some(SMALL));
+    let upstreams = arguments.upstreams.or(arguments.small.then_some(SMALL_UPSTREAMS));
     let scaled_plan = upstreams.map(|upstreams| scaled(plan, upstreams)).transpose()?;
     let plan = scaled_plan.as_ref().unwrap_or(plan);
     if arguments.seeds == 0 {
@@ -216,7 +222,7 @@
     if arguments.row {
         return print_row(plan, &runs);
     }
-    let rows = play_in_processes(arguments, &runs, upstreams)?;
+    let rows = run_in_processes(arguments, &runs, upstreams)?;
     write_rows(arguments, rows)
 }
 
@@ -229,9 +235,10 @@
         .into_iter()
         .flat_map(|scenario| seeds().map(move |seed| (scenario, seed)))
         .map(|(scenario, seed)| {
-            let part = if arguments.reading == ReadAs::Front { FRONT_PART } else { 1.0 };
+            let fraction =
+                if arguments.reading == ReadingArgument::Front { FRONT_DURATION_FRACTION } else { 1.0 };
             let usual = if arguments.small { scenario.seconds() / 2.0 } else { scenario.seconds() };
-            let seconds = arguments.seconds.unwrap_or(usual * part);
+            let seconds = arguments.seconds.unwrap_or(usual * fraction);
             Run { scenario, reading: arguments.reading.into(), seed, seconds, memory_mb: arguments.memory_mb }
         })
         .collect()
@@ -252,7 +259,7 @@
 
 /// Simulates each run in its own process, so that the memory measured is that of one run, and prints each row in the
 /// order of the runs.
-fn play_in_processes(
+fn run_in_processes(
     arguments: &Arguments,
     runs: &[Run],
     upstreams: Option<usize>,
@@ -272,7 +279,7 @@
         match finish(run, child) {
             Ok(row) => rows.push(row),
             Err(error) => {
-                end_all(out);
+                kill_all(out);
                 return Err(error);
             }
         }
@@ -296,7 +303,7 @@
 }
 
 /// Kills the processes of runs whose results are no longer needed because another run failed.
-fn end_all(out: Vec<(&Run, Child)>) {
+fn kill_all(out: Vec<(&Run, Child)>) {
     for (_, mut child) in out {
         // Errors are ignored: the command has already failed, and a process that cannot be killed has already exited.
         let _ = child.kill();
@@ -310,7 +317,7 @@
     let folder = arguments.out.join("results");
     std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
     let mut all = Results::read(&folder, "hollow").map_or_else(|_| Vec::new(), |before| before.rows);
-    let key = |row: &Vec<String>| row.iter().take(KEY).cloned().collect::<Vec<String>>();
+    let key = |row: &Vec<String>| row.iter().take(KEY_COLUMNS).cloned().collect::<Vec<String>>();
     all.retain(|old| old.len() == COLUMNS.len() && !rows.iter().any(|new| key(new) == key(old)));
     all.extend(rows);
     let order = |row: &Vec<String>| {
@@ -341,7 +348,7 @@
     let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
     // A plan given on the command line is passed on to the child process.
     let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
-    let reading = if arguments.reading == ReadAs::Front { "front" } else { "hops" };
+    let reading = if arguments.reading == ReadingArgument::Front { "front" } else { "hops" };
     let mut command = Command::new(program);
     command
         .args(named)
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -8,11 +8,11 @@
 use crate::plan::Plan;
 
 /// Virtual seconds before the first step of a scenario, in which the balancers learn the normal state.
-pub const CALM_S: f64 = 3.0;
+pub const LEARNING_S: f64 = 3.0;
 /// Number of steps in which the whole fleet is replaced; each step replaces one upstream in eight.
-const STEPS: usize = 8;
+const REPLACEMENT_STEPS: usize = 8;
 /// Minimum virtual seconds between two planned replacements within a service.
-const APART_S: f64 = 12.0;
+const REPLACEMENT_GAP_MIN_S: f64 = 12.0;
 
 /// A scenario: the sequence of events that the fleet goes through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -144,13 +144,13 @@
     }
 
     fn ordinary(&mut self) -> Span {
-        let (from, until) = (CALM_S, self.seconds * 0.85);
+        let (from, until) = (LEARNING_S, self.seconds * 0.85);
         self.planned_replacements(from, until);
         let failed = (self.plan.failures.machines_per_day.value.round() as usize).max(1);
         for _ in 0..failed {
             let at = from + (until - from) * self.draw(1000) as f64 / 1000.0;
             let slot = self.draw(self.zones.len());
-            self.add(at, Step::Fail(slot));
+            self.add(at, Step::FailMachine(slot));
         }
         Span { from_s: from, until_s: until }
     }
@@ -162,11 +162,11 @@
         for number in 0..replaced {
             let at = from + (until - from) * number as f64 / replaced as f64;
             // A rolling replacement takes the upstreams of a service one after another.
-            let free = (0..50).find_map(|_| {
+            let eligible = (0..50).find_map(|_| {
                 let slot = self.draw(self.zones.len());
-                (at - latest[self.services[slot]] >= APART_S).then_some(slot)
+                (at - latest[self.services[slot]] >= REPLACEMENT_GAP_MIN_S).then_some(slot)
             });
-            if let Some(slot) = free {
+            if let Some(slot) = eligible {
                 latest[self.services[slot]] = at;
                 self.add(at, Step::Replace(slot));
             }
@@ -174,26 +174,27 @@
     }
 
     fn replacement(&mut self) -> Span {
-        let each = (self.seconds - CALM_S - DRAIN_S) / STEPS as f64;
+        let each = (self.seconds - LEARNING_S - DRAIN_S) / REPLACEMENT_STEPS as f64;
         let mut before = vec![0; self.topology.services.len()];
         for slot in 0..self.services.len() {
             let service = self.services[slot];
-            let step = (before[service] + service) % STEPS;
+            let step = (before[service] + service) % REPLACEMENT_STEPS;
             before[service] += 1;
             // Within a step, the replacements are spread over one second.
-            let at = CALM_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
+            let at = LEARNING_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
             self.add(at, Step::Replace(slot));
         }
-        Span { from_s: CALM_S, until_s: self.seconds }
+        Span { from_s: LEARNING_S, until_s: self.seconds }
     }
 
     fn rack(&mut self) -> Span {
         let at = self.seconds * 0.2;
         let zone = self.draw(self.topology.region_of.len());
-        let mut here: Vec<usize> = (0..self.zones.len()).filter(|&slot| self.zones[slot] == zone).collect();
-        for _ in 0..self.plan.fleet.machines_per_rack.value.min(here.len()) {
-            let slot = here.swap_remove(self.draw(here.len()));
-            self.add(at, Step::Fail(slot));
+        let mut slots_in_zone: Vec<usize> =
+            (0..self.zones.len()).filter(|&slot| self.zones[slot] == zone).collect();
+        for _ in 0..self.plan.fleet.machines_per_rack.value.min(slots_in_zone.len()) {
+            let slot = slots_in_zone.swap_remove(self.draw(slots_in_zone.len()));
+            self.add(at, Step::FailMachine(slot));
         }
         Span { from_s: at, until_s: self.seconds * 0.7 }
     }
@@ -201,8 +202,8 @@
     fn zone(&mut self) -> Span {
         let zone = self.draw(self.topology.region_of.len());
         let (from, until) = (self.seconds * 0.2, self.seconds * 0.55);
-        self.add(from, Step::LoseZone(zone));
-        self.add(until, Step::ReturnZone(zone));
+        self.add(from, Step::FailZone(zone));
+        self.add(until, Step::RestoreZone(zone));
         Span { from_s: from, until_s: until }
     }
 
@@ -210,8 +211,8 @@
         let regions = self.topology.region_of.iter().max().map_or(1, |last| last + 1);
         let region = self.draw(regions);
         let (from, until) = (self.seconds * 0.15, self.seconds * 0.45);
-        self.add(from, Step::Cut(region));
-        self.add(until, Step::Heal(region));
+        self.add(from, Step::PartitionRegion(region));
+        self.add(until, Step::HealRegion(region));
         Span { from_s: from, until_s: until }
     }
 }
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -1,13 +1,13 @@
 //! The results table of the hollow fleet: its columns, the note below it, and the conversion of a run's report to a
 //! row.
 
-use super::scenario::{CALM_S, Scenario, Span};
+use super::scenario::{LEARNING_S, Scenario, Span};
 use super::world::{Depth, Faults, Report, Second, Signals};
 use super::{Played, Run, sum};
 use crate::plan::Reading;
 
 /// Number of leading columns that identify a run.
-pub(super) const KEY: usize = 4;
+pub(super) const KEY_COLUMNS: usize = 4;
 
 /// Column headings of the table.
 pub(super) const COLUMNS: [&str; 33] = [
@@ -63,7 +63,7 @@
 }
 
 /// Fraction of the calls that were served within the latency objective; NaN if there were no calls.
-fn served_share(second: &Second) -> f64 {
+fn served_fraction(second: &Second) -> f64 {
     second.served as f64 / second.calls as f64
 }
 
@@ -88,7 +88,7 @@
     let worst = (0..)
         .zip(&report.seconds)
         .filter(|&(at, second): &(u32, _)| f64::from(at) >= from && second.calls > 0)
-        .min_by(|a, b| served_share(a.1).total_cmp(&served_share(b.1)));
+        .min_by(|a, b| served_fraction(a.1).total_cmp(&served_fraction(b.1)));
     worst.map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)))
 }
 
@@ -103,11 +103,15 @@
     if trouble.until_s >= run.seconds {
         return "-".to_owned();
     }
-    let calm = served_share(&sum(&report.seconds, from, trouble.from_s));
-    let wanted = 0.99 * if calm.is_nan() { 1.0 } else { calm };
-    let low = |(_, second): &(u32, &Second)| second.calls > 0 && served_share(second) < wanted;
-    let last =
-        (0..).zip(&report.seconds).filter(low).map(|(at, _)| f64::from(at) + 1.0).last().unwrap_or(0.0);
+    let before_fault = served_fraction(&sum(&report.seconds, from, trouble.from_s));
+    let target = 0.99 * if before_fault.is_nan() { 1.0 } else { before_fault };
+    let below_target = |(_, second): &(u32, &Second)| second.calls > 0 && served_fraction(second) < target;
+    let last = (0..)
+        .zip(&report.seconds)
+        .filter(below_target)
+        .map(|(at, _)| f64::from(at) + 1.0)
+        .last()
+        .unwrap_or(0.0);
     if last >= report.seconds.len() as f64 {
         return "not in the run".to_owned();
     }
@@ -149,19 +153,19 @@
 }
 
 fn faults_text(faults: Faults) -> String {
-    let Faults { unanswered, doubled, run_twice, after_grace } = faults;
+    let Faults { unanswered, answered_twice, run_twice, after_grace } = faults;
     if faults == Faults::default() {
         return "none".to_owned();
     }
     format!(
-        "{unanswered} unanswered, {doubled} answered twice, {run_twice} run twice, {after_grace} after the grace"
+        "{unanswered} unanswered, {answered_twice} answered twice, {run_twice} run twice, {after_grace} after the grace"
     )
 }
 
 /// The table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in seconds.
 pub(super) fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
     let &Played { ref report, trouble, upstreams, busiest_over_mean, reachable } = played;
-    let from = if run.scenario == Scenario::Cold { 0.0 } else { CALM_S };
+    let from = if run.scenario == Scenario::Cold { 0.0 } else { LEARNING_S };
     let all = sum(&report.seconds, from, f64::MAX);
     let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
     let calls_at_front: u64 = report.seconds.iter().map(|second| second.calls).sum();
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -6,11 +6,11 @@
 use crate::plan::{Plan, Reading};
 
 /// Utilization that each service is sized for, as a fraction of the capacity left after the loss of its largest zone.
-const BUSY: f64 = 0.6;
+const TARGET_UTILIZATION: f64 = 0.6;
 /// Number of fronts in each zone.
-const FRONTS: usize = 3;
+const FRONTS_PER_ZONE: usize = 3;
 /// Number of iterations that fit the traffic split between services to the sizes of the services.
-const FITS: usize = 20;
+const FIT_ITERATIONS: usize = 20;
 
 /// A destination service with its entry in the cumulative traffic split over all destinations of the same caller.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -51,7 +51,7 @@
     pub fronts: Vec<usize>,
     /// Cumulative distribution of the chain lengths: fraction of the calls whose chain is at most 1, 2, ... services
     /// long.
-    pub lengths: Vec<f64>,
+    pub chain_lengths: Vec<f64>,
     /// Total calls a second from clients.
     pub front_per_s: f64,
 }
@@ -70,47 +70,47 @@
 }
 
 /// Converts weights to a cumulative distribution that ends at 1.
-fn running(parts: &[f64]) -> Vec<f64> {
-    let all: f64 = parts.iter().sum();
+fn cumulative(weights: &[f64]) -> Vec<f64> {
+    let all: f64 = weights.iter().sum();
     let mut sum = 0.0;
-    parts
+    weights
         .iter()
-        .map(|part| {
-            sum += part / all;
+        .map(|weight| {
+            sum += weight / all;
             sum
         })
         .collect()
 }
 
 /// Builds the list of destinations from services and the weights of the calls to each.
-fn destinations(services: &[usize], parts: &[f64]) -> Vec<Destination> {
-    services.iter().zip(running(parts)).map(|(&service, until)| Destination { service, until }).collect()
+fn destinations(services: &[usize], weights: &[f64]) -> Vec<Destination> {
+    services.iter().zip(cumulative(weights)).map(|(&service, until)| Destination { service, until }).collect()
 }
 
 /// Fraction of the calls whose chain is at least 1, 2, ... services long, up to `depth`. Chain lengths follow a
 /// truncated geometric distribution with the ratio that gives the requested `mean` length.
-fn reaching(depth: usize, mean: f64) -> Vec<f64> {
-    let parts = |ratio: f64| -> Vec<f64> { (0..depth).map(|at| ratio.powi(at as i32)).collect() };
-    let mean_of = |parts: &[f64]| {
-        let all: f64 = parts.iter().sum();
-        parts.iter().zip(1..).map(|(part, length)| part * f64::from(length)).sum::<f64>() / all
+fn reach_fractions(depth: usize, mean: f64) -> Vec<f64> {
+    let weights = |ratio: f64| -> Vec<f64> { (0..depth).map(|at| ratio.powi(at as i32)).collect() };
+    let mean_of = |weights: &[f64]| {
+        let all: f64 = weights.iter().sum();
+        weights.iter().zip(1..).map(|(weight, length)| weight * f64::from(length)).sum::<f64>() / all
     };
     let (mut low, mut high) = (1e-3, 1e3);
     for _ in 0..100 {
         let middle = f64::sqrt(low * high);
-        if mean_of(&parts(middle)) < mean { low = middle } else { high = middle }
+        if mean_of(&weights(middle)) < mean { low = middle } else { high = middle }
     }
-    let parts = if mean >= depth as f64 - 1e-6 {
+    let weights = if mean >= depth as f64 - 1e-6 {
         (1..=depth).map(|length| f64::from(u8::from(length == depth))).collect()
     } else {
-        parts(high)
+        weights(high)
     };
-    let all: f64 = parts.iter().sum();
-    (0..depth).map(|at| parts[at..].iter().sum::<f64>() / all).collect()
+    let all: f64 = weights.iter().sum();
+    (0..depth).map(|at| weights[at..].iter().sum::<f64>() / all).collect()
 }
 
 /// Splits `count` into whole numbers proportional to `shares`, each of them at least 1.
-fn shared_out(shares: &[f64], count: usize) -> Vec<usize> {
+fn apportion(shares: &[f64], count: usize) -> Vec<usize> {
     let mut numbers: Vec<usize> =
         shares.iter().map(|share| ((share * count as f64).floor() as usize).max(1)).collect();
     while numbers.iter().sum::<usize>() != count {
@@ -138,23 +138,24 @@
             Reading::Front => depth as f64,
             Reading::Hops => plan.graph.hops_per_call.value,
         };
-        let reaching = reaching(depth, mean);
+        let reach_fractions = reach_fractions(depth, mean);
         let front_per_s = plan.front_per_s(reading);
         // Each service size is assigned to the depth with the fewest upstreams for its share of the calls, so that no
         // depth consists only of small services.
-        let numbers = shared_out(&plan.graph.services_by_depth.value, plan.fleet.services.value);
+        let numbers = apportion(&plan.graph.services_by_depth.value, plan.fleet.services.value);
         let mut sizes: Vec<Vec<usize>> = vec![Vec::new(); depth];
         for size in plan.service_sizes() {
-            let had = |at: usize| {
-                (sizes[at].iter().sum::<usize>() as f64 + 1.0) / reaching[at] * (0.8 + 0.4 * rng.rand_float())
+            let assigned = |at: usize| {
+                (sizes[at].iter().sum::<usize>() as f64 + 1.0) / reach_fractions[at]
+                    * (0.8 + 0.4 * rng.rand_float())
             };
-            let mut had = (0..depth).map(had).collect::<Vec<f64>>();
+            let mut assigned = (0..depth).map(assigned).collect::<Vec<f64>>();
             for at in 0..depth {
                 if sizes[at].len() >= numbers[at] {
-                    had[at] = f64::INFINITY;
+                    assigned[at] = f64::INFINITY;
                 }
             }
-            if let Some(at) = (0..depth).min_by(|&a, &b| had[a].total_cmp(&had[b])) {
+            if let Some(at) = (0..depth).min_by(|&a, &b| assigned[a].total_cmp(&assigned[b])) {
                 sizes[at].push(size);
             }
         }
@@ -164,24 +165,25 @@
         for (at, sizes) in sizes.iter().enumerate() {
             levels.push((services.len()..services.len() + sizes.len()).collect());
             for &size in sizes {
-                let zones = spread(size, &zone_shares, &mut rng);
+                let zones = assign_zones(size, &zone_shares, &mut rng);
                 services.push(Service { depth: at + 1, zones, cores: 1, calls: Vec::new(), rate: 0.0 });
             }
         }
-        let parts: Vec<f64> = levels[0].iter().map(|&service| services[service].zones.len() as f64).collect();
-        let entries = destinations(&levels[0], &parts);
-        for (&entry, part) in levels[0].iter().zip(parts) {
-            services[entry].rate = part;
+        let weights: Vec<f64> =
+            levels[0].iter().map(|&service| services[service].zones.len() as f64).collect();
+        let entries = destinations(&levels[0], &weights);
+        for (&entry, weight) in levels[0].iter().zip(weights) {
+            services[entry].rate = weight;
         }
         for level in levels.windows(2) {
-            join(&mut services, &level[0], &level[1], plan, &mut rng);
+            connect_depths(&mut services, &level[0], &level[1], plan, &mut rng);
         }
-        let fronts = (0..region_of.len()).flat_map(|zone| [zone; FRONTS]).collect();
-        let lengths: Vec<f64> =
-            (0..depth).map(|at| 1.0 - reaching.get(at + 1).copied().unwrap_or(0.0)).collect();
-        let clients = running(&zone_shares);
-        let mut topology = Self { services, entries, region_of, clients, fronts, lengths, front_per_s };
-        topology.size(&reaching, plan.traffic.work_ms.value / 1e3);
+        let fronts = (0..region_of.len()).flat_map(|zone| [zone; FRONTS_PER_ZONE]).collect();
+        let chain_lengths: Vec<f64> =
+            (0..depth).map(|at| 1.0 - reach_fractions.get(at + 1).copied().unwrap_or(0.0)).collect();
+        let clients = cumulative(&zone_shares);
+        let mut topology = Self { services, entries, region_of, clients, fronts, chain_lengths, front_per_s };
+        topology.size(&reach_fractions, plan.traffic.work_ms.value / 1e3);
         topology
     }
 
@@ -201,15 +203,15 @@
                 rate: 0.0,
             })
             .collect();
-        let mut lengths = vec![0.0; depth];
-        lengths[depth - 1] = 1.0;
+        let mut chain_lengths = vec![0.0; depth];
+        chain_lengths[depth - 1] = 1.0;
         let mut topology = Self {
             services,
             entries: vec![Destination { service: 0, until: 1.0 }],
             region_of: vec![0],
             clients: vec![1.0],
-            fronts: vec![0; FRONTS],
-            lengths,
+            fronts: vec![0; FRONTS_PER_ZONE],
+            chain_lengths,
             front_per_s,
         };
         topology.size(&vec![1.0; depth], plan.traffic.work_ms.value / 1e3);
@@ -217,7 +219,7 @@
     }
 
     /// Calculates the call rate of each service from the front down, and the CPU cores that its upstreams need for it.
-    fn size(&mut self, reaching: &[f64], work_s: f64) {
+    fn size(&mut self, reach_fractions: &[f64], work_s: f64) {
         for service in &mut self.services {
             service.rate = 0.0;
         }
@@ -228,10 +230,11 @@
         }
         for service in 0..self.services.len() {
             let Service { depth, rate, ref calls, .. } = self.services[service];
-            let on = reaching.get(depth).map_or(0.0, |below| below / reaching[depth - 1]);
+            let continuing =
+                reach_fractions.get(depth).map_or(0.0, |below| below / reach_fractions[depth - 1]);
             let mut before = 0.0;
             for Destination { service: called, until } in calls.clone() {
-                self.services[called].rate += rate * on * (until - before);
+                self.services[called].rate += rate * continuing * (until - before);
                 before = until;
             }
         }
@@ -239,7 +242,8 @@
             let in_zone = |zone: usize| service.zones.iter().filter(|&&other| other == zone).count();
             let largest = (0..self.region_of.len()).map(in_zone).max().unwrap_or(0);
             let left = (service.zones.len() - largest).max(service.zones.len().div_ceil(2));
-            service.cores = ((service.rate * work_s / BUSY / left as f64).ceil() as usize).max(1);
+            service.cores =
+                ((service.rate * work_s / TARGET_UTILIZATION / left as f64).ceil() as usize).max(1);
         }
     }
 
@@ -247,23 +251,25 @@
     /// returns true are available.
     #[must_use]
     pub fn reachable(&self, up: impl Fn(usize) -> bool) -> f64 {
-        let longer = |than: usize| 1.0 - than.checked_sub(1).map_or(0.0, |at| self.lengths[at]);
-        let parted = |calls: &[Destination], found: &[f64]| {
+        let fraction_longer =
+            |than: usize| 1.0 - than.checked_sub(1).map_or(0.0, |at| self.chain_lengths[at]);
+        let weighted_mean = |calls: &[Destination], found: &[f64]| {
             let mut before = 0.0;
             calls.iter().fold(0.0, |sum, &Destination { service: called, until }| {
-                let part = until - before;
+                let weight = until - before;
                 before = until;
-                sum + part * found[called]
+                sum + weight * found[called]
             })
         };
         let mut found = vec![0.0; self.services.len()];
         for (number, service) in self.services.iter().enumerate().rev() {
             if service.zones.iter().any(|&zone| up(zone)) {
-                let on = longer(service.depth) / longer(service.depth - 1).max(1e-12);
-                found[number] = 1.0 - on + on * parted(&service.calls, &found);
+                let continuing =
+                    fraction_longer(service.depth) / fraction_longer(service.depth - 1).max(1e-12);
+                found[number] = 1.0 - continuing + continuing * weighted_mean(&service.calls, &found);
             }
         }
-        parted(&self.entries, &found)
+        weighted_mean(&self.entries, &found)
     }
 
     /// Calls a second of the busiest upstream divided by the mean over all upstreams, from the rates that the services
@@ -292,13 +298,13 @@
 
 /// Assigns each upstream of a service to a zone, as close to the `shares` of the zones as possible, from a random
 /// start.
-fn spread(size: usize, shares: &[f64], rng: &mut Rand64) -> Vec<usize> {
-    let mut had: Vec<f64> = shares.iter().map(|_| rng.rand_float()).collect();
+fn assign_zones(size: usize, shares: &[f64], rng: &mut Rand64) -> Vec<usize> {
+    let mut assigned: Vec<f64> = shares.iter().map(|_| rng.rand_float()).collect();
     (0..size)
         .map(|_| {
-            let over = |zone: &usize| had[*zone] / shares[*zone].max(1e-9);
+            let over = |zone: &usize| assigned[*zone] / shares[*zone].max(1e-9);
             let zone = (0..shares.len()).min_by(|a, b| over(a).total_cmp(&over(b))).unwrap_or(0);
-            had[zone] += 1.0;
+            assigned[zone] += 1.0;
             zone
         })
         .collect()
@@ -306,7 +312,7 @@
 
 /// Draws which services of one depth (`upper`) call which services of the next depth (`lower`), and the traffic split
 /// between them.
-fn join(services: &mut [Service], upper: &[usize], lower: &[usize], plan: &Plan, rng: &mut Rand64) {
+fn connect_depths(services: &mut [Service], upper: &[usize], lower: &[usize], plan: &Plan, rng: &mut Rand64) {
     let mean = plan.graph.destinations_mean.value;
     let most = plan.graph.destinations_most.value.min(lower.len());
     // The number of destinations is geometrically distributed: one, and each further one with the same probability. The
@@ -317,10 +323,10 @@
     let mut order: Vec<usize> = (0..upper.len()).collect();
     order.sort_by_key(|&at| services[upper[at]].zones.len());
     let size = |service: usize| services[service].zones.len() as f64;
-    let sums = running(&lower.iter().map(|&below| size(below)).collect::<Vec<f64>>());
+    let sums = cumulative(&lower.iter().map(|&below| size(below)).collect::<Vec<f64>>());
     let mut called: Vec<Vec<usize>> = vec![Vec::new(); upper.len()];
-    for (at, wanted) in order.into_iter().zip(counts) {
-        while called[at].len() < wanted {
+    for (at, target) in order.into_iter().zip(counts) {
+        while called[at].len() < target {
             let below = lower[place(sums.iter().copied(), rng.rand_float())];
             if !called[at].contains(&below) {
                 called[at].push(below);
@@ -328,41 +334,41 @@
         }
     }
     // Every lower service gets at least one caller.
-    let uppers = running(&upper.iter().map(|&above| size(above)).collect::<Vec<f64>>());
+    let upper_sums = cumulative(&upper.iter().map(|&above| size(above)).collect::<Vec<f64>>());
     for &below in lower {
         if !called.iter().any(|called| called.contains(&below)) {
-            called[place(uppers.iter().copied(), rng.rand_float())].push(below);
+            called[place(upper_sums.iter().copied(), rng.rand_float())].push(below);
         }
     }
     // Larger services get more calls. As some callers have few destinations, the traffic split is fitted iteratively
     // until each service gets about the number of calls that matches its size.
-    let wanted: Vec<f64> =
+    let target: Vec<f64> =
         lower.iter().map(|&below| services[below].zones.len() as f64 * (0.5 + rng.rand_float())).collect();
-    let mut parts: Vec<Vec<f64>> = called.iter().map(|called| vec![1.0; called.len()]).collect();
+    let mut weights: Vec<Vec<f64>> = called.iter().map(|called| vec![1.0; called.len()]).collect();
     let rates: Vec<f64> = upper.iter().map(|&above| services[above].rate).collect();
-    let got = |parts: &[Vec<f64>]| {
-        let mut got = vec![0.0; lower.len()];
-        for ((called, parts), rate) in called.iter().zip(parts).zip(&rates) {
-            let all: f64 = parts.iter().sum();
-            for (below, part) in called.iter().zip(parts) {
-                got[below - lower[0]] += rate * part / all;
+    let received = |weights: &[Vec<f64>]| {
+        let mut received = vec![0.0; lower.len()];
+        for ((called, weights), rate) in called.iter().zip(weights).zip(&rates) {
+            let all: f64 = weights.iter().sum();
+            for (below, weight) in called.iter().zip(weights) {
+                received[below - lower[0]] += rate * weight / all;
             }
         }
-        got
+        received
     };
-    for _ in 0..FITS {
-        let got = got(&parts);
-        for (called, parts) in called.iter().zip(&mut parts) {
-            for (below, part) in called.iter().zip(parts) {
+    for _ in 0..FIT_ITERATIONS {
+        let received = received(&weights);
+        for (called, weights) in called.iter().zip(&mut weights) {
+            for (below, weight) in called.iter().zip(weights) {
                 let place = below - lower[0];
-                *part = (*part * wanted[place] / got[place].max(1e-9)).clamp(1e-3, 1e3);
+                *weight = (*weight * target[place] / received[place].max(1e-9)).clamp(1e-3, 1e3);
             }
         }
     }
-    for (&below, rate) in lower.iter().zip(got(&parts)) {
+    for (&below, rate) in lower.iter().zip(received(&weights)) {
         services[below].rate = rate;
     }
-    for ((&above, called), parts) in upper.iter().zip(called).zip(parts) {
-        services[above].calls = destinations(&called, &parts);
+    for ((&above, called), weights) in upper.iter().zip(called).zip(weights) {
+        services[above].calls = destinations(&called, &weights);
     }
 }
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -6,11 +6,11 @@
 use balancer_policy::{Action, Event};
 use oorandom::Rand64;
 
-use self::event::Due;
+use self::event::ScheduledEvent;
 pub use self::report::{Depth, Faults, Report, Second, Signals};
 pub use self::script::{DRAIN_S, Step};
 use self::slab::Slab;
-use self::state::{Client, Core, Hop, Process, Slot, State, Work};
+use self::state::{Client, Core, Hop, Process, Slot, State, WorkItem};
 use super::topology::Topology;
 use super::wheel::Wheel;
 use crate::CapacityError;
@@ -32,9 +32,9 @@
 mod upstreams;
 
 /// Virtual seconds between checks of the memory in use: short, so that a run ends soon after it exceeds its limit.
-const MEMORY_LOOK_S: f64 = 0.25;
+const MEMORY_CHECK_INTERVAL_S: f64 = 0.25;
 /// Virtual seconds between samples of the balancers' signals; one sample for each second of the report.
-const SIGNAL_LOOK_S: f64 = 1.0;
+const SIGNAL_SAMPLE_INTERVAL_S: f64 = 1.0;
 
 /// Converts seconds to ns.
 fn ns(seconds: f64) -> u64 {
@@ -117,7 +117,7 @@
     /// Current virtual time, in ns.
     now: u64,
     /// Queue of the events to come.
-    due: Wheel<Due>,
+    scheduled: Wheel<ScheduledEvent>,
     slots: Vec<Slot>,
     /// All processes that have been started in the run, the ended ones among them.
     processes: Vec<Process>,
@@ -126,7 +126,7 @@
     /// All decision cores that have been started in the run, the ended ones among them.
     cores: Vec<Core>,
     /// Virtual time of the latest change to the list of each service, in ns; `None` before the first change.
-    changed: Vec<Option<u64>>,
+    list_changed_at: Vec<Option<u64>>,
     /// Cores that watch the list of each service.
     watchers: Vec<Vec<u32>>,
     /// Number of balancers that call each service.
@@ -135,10 +135,10 @@
     fronts: Vec<Vec<u32>>,
     /// Whether each front is running.
     front_up: Vec<bool>,
-    /// Changed list members of each list change, indexed by the number in [`Due::List`].
-    changes: Vec<Vec<Member>>,
+    /// Changed list members of each list change, indexed by the number in [`ScheduledEvent::List`].
+    list_changes: Vec<Vec<Member>>,
     hops: Slab<Hop>,
-    works: Slab<Work>,
+    work_items: Slab<WorkItem>,
     /// Calls of clients; an entry is reused once its call has ended.
     clients: Vec<Client>,
     /// Indices of the unused entries of `clients`.
@@ -146,16 +146,16 @@
     /// Cumulative fractions of the calls by tenant.
     tenants: Vec<f64>,
     /// Region that a network partition separates from the others, if any.
-    cut: Option<usize>,
+    partition: Option<usize>,
     /// Zone that has failed, if any.
-    zone_lost: Option<usize>,
+    failed_zone: Option<usize>,
     /// Buffer for the actions of a decision core, reused between events.
     actions: Vec<Action>,
     report: Report,
 }
 
 /// Multiplier of the digest's hash function.
-const SPAN: u64 = 0x517c_c1b7_2722_0a95;
+const DIGEST_MULTIPLIER: u64 = 0x517c_c1b7_2722_0a95;
 
 impl<'a> World<'a> {
     /// Sets up the fleet before its first event.
@@ -170,24 +170,24 @@
             play,
             rng: Rand64::new(u128::from(play.seed) << 8 | 2),
             now: 0,
-            due: Wheel::default(),
+            scheduled: Wheel::default(),
             slots: Vec::new(),
             processes: Vec::new(),
             listed: vec![Vec::new(); services],
             cores: Vec::new(),
-            changed: vec![None; services],
+            list_changed_at: vec![None; services],
             watchers: vec![Vec::new(); services],
             replicas: vec![0; services],
             fronts: vec![Vec::new(); topology.fronts.len()],
             front_up: vec![true; topology.fronts.len()],
-            changes: Vec::new(),
+            list_changes: Vec::new(),
             hops: Slab::default(),
-            works: Slab::default(),
+            work_items: Slab::default(),
             clients: Vec::new(),
             clients_free: Vec::new(),
             tenants: Vec::new(),
-            cut: None,
-            zone_lost: None,
+            partition: None,
+            failed_zone: None,
             actions: Vec::new(),
             report: Report {
                 depths: vec![Depth::default(); plan.graph.depth.value],
@@ -205,11 +205,11 @@
     /// Calculates the tenants' shares of the calls: the tenant of rank n has a weight of 1 / sqrt(n).
     fn draw_tenants(&mut self) {
         let mut sum = 0.0;
-        let parts: Vec<f64> =
+        let weights: Vec<f64> =
             (1..=self.plan.traffic.tenants.value).map(|rank| (rank as f64).powf(-0.5)).collect();
-        let all: f64 = parts.iter().sum();
-        for part in parts {
-            sum += part / all;
+        let all: f64 = weights.iter().sum();
+        for weight in weights {
+            sum += weight / all;
             self.tenants.push(sum);
         }
     }
@@ -239,8 +239,8 @@
     /// Starts a process in each slot, and all fronts. The balancers are added after all processes, so that their first
     /// lists are complete.
     fn add_first_processes(&mut self) -> Result<(), CapacityError> {
-        let halved = self.play.trouble.filter(|troubled| troubled.trouble == Trouble::Halved);
-        let halved = halved.map(|troubled| troubled.service);
+        let halved = self.play.trouble.filter(|faulty| faulty.trouble == Trouble::Halved);
+        let halved = halved.map(|faulty| faulty.service);
         let mut seen = vec![0; self.topology.services.len()];
         for slot in 0..self.slots.len() {
             let process = self.add_process(slot, self.play.cold.then_some(0));
@@ -261,11 +261,11 @@
     }
 
     fn schedule_first_events(&mut self) {
-        self.due.push(0, Due::Client);
-        self.due.push(ns(MEMORY_LOOK_S), Due::Look);
-        self.due.push(ns(SIGNAL_LOOK_S), Due::LookAtSignals);
+        self.scheduled.push(0, ScheduledEvent::Client);
+        self.scheduled.push(ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
+        self.scheduled.push(ns(SIGNAL_SAMPLE_INTERVAL_S), ScheduledEvent::SignalSample);
         for (number, timed) in self.play.script.iter().enumerate() {
-            self.due.push(ns(timed.at_s), Due::Script(number as u32));
+            self.scheduled.push(ns(timed.at_s), ScheduledEvent::Script(number as u32));
         }
     }
 
@@ -277,21 +277,22 @@
         let last = ns(self.play.seconds);
         // No client sends a call after `last`, and each call ends by its deadline.
         let end = last + ns(self.plan.traffic.deadline_s.value * 1.5 + 0.5);
-        while let Some((at, due)) = self.due.pop() {
+        while let Some((at, scheduled)) = self.scheduled.pop() {
             if at > end {
                 break;
             }
             self.now = at;
             self.report.events += 1;
-            let [a, b] = due.words();
-            self.mix(at);
-            self.mix(a);
-            self.mix(b);
-            self.happen(due, last)?;
+            let [a, b] = scheduled.words();
+            self.update_digest(at);
+            self.update_digest(a);
+            self.update_digest(b);
+            self.handle_event(scheduled, last)?;
         }
-        let owed = |hop: &Hop, cores: &[Core]| !hop.answered && cores[hop.core as usize].balancer.is_some();
+        let is_unanswered =
+            |hop: &Hop, cores: &[Core]| !hop.answered && cores[hop.core as usize].balancer.is_some();
         for entry in &self.hops.entries {
-            if entry.occupied && owed(&entry.value, &self.cores) {
+            if entry.occupied && is_unanswered(&entry.value, &self.cores) {
                 self.report.faults.unanswered += 1;
             }
         }
@@ -299,35 +300,35 @@
     }
 
     /// Adds a word to the digest of the run.
-    fn mix(&mut self, word: u64) {
-        self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(SPAN);
+    fn update_digest(&mut self, word: u64) {
+        self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(DIGEST_MULTIPLIER);
     }
 
     /// Handles one event; `last` is the time after which clients send no calls, in ns.
-    fn happen(&mut self, due: Due, last: u64) -> Result<(), CapacityError> {
-        match due {
-            Due::Client => self.next_client(last),
-            Due::Again(client) => self.call(client),
-            Due::Wake(core) => self.drive(core, Event::MaintenanceDue),
-            Due::Reach { hop, attempt } => self.reach(hop, attempt),
-            Due::Done { work } => self.work_done(work),
-            Due::Reply { hop, attempt, outcome } => self.attempt_over(hop, attempt, outcome),
-            Due::Timeout { hop, attempt } => self.attempt_over(hop, attempt, Outcome::TimedOut),
-            Due::List { core, change } => self.changed_list_arrives(core, change),
-            Due::Whole(core) => self.whole_list_arrives(core),
-            Due::Script(step) => self.step(step as usize)?,
-            Due::Stop(process) => self.stop(process as usize, State::Ended),
-            Due::Start(slot) => self.start(slot as usize)?,
-            Due::Unlist(process) => self.unlist(process as usize),
-            Due::Look => self.look_at_memory()?,
-            Due::LookAtSignals => self.look_at_signals(),
+    fn handle_event(&mut self, scheduled: ScheduledEvent, last: u64) -> Result<(), CapacityError> {
+        match scheduled {
+            ScheduledEvent::Client => self.next_client(last),
+            ScheduledEvent::ClientRetry(client) => self.call(client),
+            ScheduledEvent::MaintenanceTimer(core) => self.drive(core, Event::MaintenanceDue),
+            ScheduledEvent::RequestArrival { hop, attempt } => self.request_arrives(hop, attempt),
+            ScheduledEvent::WorkDone { work } => self.work_done(work),
+            ScheduledEvent::Reply { hop, attempt, outcome } => self.attempt_over(hop, attempt, outcome),
+            ScheduledEvent::Timeout { hop, attempt } => self.attempt_over(hop, attempt, Outcome::TimedOut),
+            ScheduledEvent::List { core, change } => self.deliver_list_change(core, change),
+            ScheduledEvent::FullList(core) => self.deliver_full_list(core),
+            ScheduledEvent::Script(step) => self.step(step as usize)?,
+            ScheduledEvent::Stop(process) => self.stop(process as usize, State::Ended),
+            ScheduledEvent::Start(slot) => self.start(slot as usize)?,
+            ScheduledEvent::Unlist(process) => self.unlist(process as usize),
+            ScheduledEvent::MemoryCheck => self.check_memory()?,
+            ScheduledEvent::SignalSample => self.sample_signals(),
         }
         Ok(())
     }
 
     /// Records the memory in use, and ends the run with an error if it exceeds the limit.
-    fn look_at_memory(&mut self) -> Result<(), CapacityError> {
-        self.due.push(self.now + ns(MEMORY_LOOK_S), Due::Look);
+    fn check_memory(&mut self) -> Result<(), CapacityError> {
+        self.scheduled.push(self.now + ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
         let used_mb = resident_bytes()? >> 20;
         self.report.memory_mb = self.report.memory_mb.max(used_mb);
         if used_mb > self.play.memory_mb {
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -6,8 +6,8 @@
 use balancer_policy::Event;
 use balancer_policy::interface::{AttemptNumber, Outcome, RequestId};
 
-use super::event::Due;
-use super::settings::GRACE_S;
+use super::event::ScheduledEvent;
+use super::settings::DRAIN_GRACE_S;
 use super::state::{Attempt, End, State};
 use super::{World, ns};
 
@@ -18,9 +18,9 @@
 
 impl World<'_> {
     /// Whether a network partition separates two zones.
-    pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
+    pub(super) fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let [from, to] = [from, to].map(|zone| self.topology.region_of[zone]);
-        from != to && self.cut.is_some_and(|region| region == from || region == to)
+        from != to && self.partition.is_some_and(|region| region == from || region == to)
     }
 
     /// One-way network delay between two zones, in ns, with up to 10 % of random jitter added.
@@ -52,7 +52,7 @@
         let core_state = &self.cores[core as usize];
         let from = core_state.zone;
         let to = self.slots[self.processes[process as usize].slot].zone;
-        if core_state.notified.get(&process).is_some_and(|&notified| now > notified + ns(GRACE_S)) {
+        if core_state.notified.get(&process).is_some_and(|&notified| now > notified + ns(DRAIN_GRACE_S)) {
             self.report.faults.after_grace += 1;
         }
         let depth = self.depth_of(core);
@@ -61,40 +61,40 @@
         self.report.crossed_zones += u64::from(from != to && regions[from] == regions[to]);
         self.report.crossed_regions += u64::from(regions[from] != regions[to]);
         let state = self.processes[process as usize].state;
-        let cut = self.is_cut(from, to);
-        let one = self.delay(from, to);
+        let partition = self.is_partitioned(from, to);
+        let one_way = self.delay(from, to);
         let Some(hop) = self.hops.get(id) else { return };
         let attempt = hop.attempts.len() as u8;
         let wait = timeout
             .map_or(hop.deadline.saturating_sub(now), |span| span.as_nanos() as u64)
             .min(hop.deadline.saturating_sub(now));
         let connected = self.cores[core as usize].connected.contains(&process) && state != State::Ended;
-        let reply = |outcome| Due::Reply { hop: id, attempt, outcome };
-        let (at, due, connect_wait) = if connected && !cut {
-            (now + one, Due::Reach { hop: id, attempt }, 0)
+        let reply = |outcome| ScheduledEvent::Reply { hop: id, attempt, outcome };
+        let (at, scheduled, connect_wait) = if connected && !partition {
+            (now + one_way, ScheduledEvent::RequestArrival { hop: id, attempt }, 0)
         } else if connected {
             (now + wait, reply(Outcome::TimedOut), 0)
-        } else if cut || state == State::Lost {
+        } else if partition || state == State::Lost {
             let wait = wait.min(ns(if is_last_attempt { LAST_CONNECT_WAIT_S } else { CONNECT_WAIT_S }));
             (now + wait, reply(Outcome::ConnectTimedOut), wait)
         } else if state == State::Ended {
-            (now + 2 * one, reply(Outcome::ConnectFailed), 2 * one)
-        } else if first_byte_deadline.is_some_and(|span| span.as_nanos() < u128::from(2 * one)) {
-            (now + 2 * one, reply(Outcome::NotSent), 2 * one)
+            (now + 2 * one_way, reply(Outcome::ConnectFailed), 2 * one_way)
+        } else if first_byte_deadline.is_some_and(|span| span.as_nanos() < u128::from(2 * one_way)) {
+            (now + 2 * one_way, reply(Outcome::NotSent), 2 * one_way)
         } else {
             self.cores[core as usize].connected.insert(process);
-            (now + 3 * one, Due::Reach { hop: id, attempt }, 2 * one)
+            (now + 3 * one_way, ScheduledEvent::RequestArrival { hop: id, attempt }, 2 * one_way)
         };
-        if connected && (cut || state == State::Lost) {
+        if connected && (partition || state == State::Lost) {
             // Attempts in flight on the connection end by their timeouts; the next attempt opens a new connection.
             self.cores[core as usize].connected.remove(&process);
         }
         if let Some(hop) = self.hops.get(id) {
-            hop.attempts.push(Attempt { process, sent: now, connect_wait, over: false });
+            hop.attempts.push(Attempt { process, sent: now, connect_wait, is_over: false });
         }
-        self.due.push(at, due);
-        if matches!(due, Due::Reach { .. }) {
-            self.due.push(now + wait, Due::Timeout { hop: id, attempt });
+        self.scheduled.push(at, scheduled);
+        if matches!(scheduled, ScheduledEvent::RequestArrival { .. }) {
+            self.scheduled.push(now + wait, ScheduledEvent::Timeout { hop: id, attempt });
         }
     }
 
@@ -104,10 +104,11 @@
         let now = self.now;
         let Some(hop) = self.hops.get(id) else { return };
         let core = hop.core;
-        let Some(attempt) = hop.attempts.get_mut(usize::from(number)).filter(|attempt| !attempt.over) else {
+        let Some(attempt) = hop.attempts.get_mut(usize::from(number)).filter(|attempt| !attempt.is_over)
+        else {
             return;
         };
-        attempt.over = true;
+        attempt.is_over = true;
         let Attempt { sent, connect_wait, process, .. } = *attempt;
         let good = outcome == Outcome::Success;
         let depth = self.depth_of(core);
@@ -134,9 +135,9 @@
             load: None,
         };
         if good {
-            self.answer(id, End::Good);
+            self.answer_call(id, End::Good);
         }
         self.drive(core, ended);
-        self.forget(id);
+        self.remove_if_over(id);
     }
 }
--- a/crates/capacity/src/hollow/world/calls.rs
+++ b/crates/capacity/src/hollow/world/calls.rs
@@ -7,26 +7,26 @@
 use balancer_policy::interface::{ClassId, Outcome, Request, RequestId, TenantId};
 use balancer_policy::{Action, Event};
 
-use super::event::Due;
-use super::state::{End, Hop, Parent};
+use super::event::ScheduledEvent;
+use super::state::{Caller, End, Hop};
 use super::{World, seconds};
 
 impl World<'_> {
     /// Starts a call at a core: records it and passes its request to the decision core.
-    pub(super) fn open(&mut self, core: u32, parent: Parent, class: u8, left: u8, deadline: u64) {
+    pub(super) fn start_call(&mut self, core: u32, caller: Caller, class: u8, hops_left: u8, deadline: u64) {
         let attempts = Vec::with_capacity(1);
-        let hop = Hop { core, parent, class, left, answered: false, ran: 0, deadline, attempts };
+        let hop = Hop { core, caller, class, hops_left, answered: false, executions: 0, deadline, attempts };
         let id = self.hops.insert(hop);
         let depth = self.depth_of(core);
         let time_left = deadline.saturating_sub(self.now);
         self.report.depths[depth].calls += 1;
         self.report.depths[depth].left_s += seconds(time_left);
-        let (tenant, is_client_retry) = match parent {
-            Parent::Client(client) => {
+        let (tenant, is_client_retry) = match caller {
+            Caller::Client(client) => {
                 let client = &self.clients[client as usize];
                 (Some(TenantId(client.tenant as usize)), client.tries > 1)
             }
-            Parent::Work(_) => (None, false),
+            Caller::WorkItem(_) => (None, false),
         };
         let request = Request {
             id: RequestId(id),
@@ -53,31 +53,36 @@
         for action in actions.drain(..) {
             match action {
                 Action::Send { request, upstream, timeout, first_byte_deadline, is_last_attempt } => {
-                    self.mix(request.0 ^ u64::from(upstream.0) << 40);
+                    self.update_digest(request.0 ^ u64::from(upstream.0) << 40);
                     self.send(core, request.0, upstream.0, timeout, first_byte_deadline, is_last_attempt);
                 }
                 Action::CancelAttempt { request, attempt } => {
-                    self.due.push(
+                    self.scheduled.push(
                         self.now,
-                        Due::Reply { hop: request.0, attempt: attempt.0 as u8, outcome: Outcome::Cancelled },
+                        ScheduledEvent::Reply {
+                            hop: request.0,
+                            attempt: attempt.0 as u8,
+                            outcome: Outcome::Cancelled,
+                        },
                     );
                 }
                 Action::Refuse { request, .. } => {
-                    self.mix(request.0 ^ 1 << 61);
+                    self.update_digest(request.0 ^ 1 << 61);
                     let depth = self.depth_of(core);
                     self.report.depths[depth].refused += 1;
-                    let bare = self.hops.get(request.0).is_some_and(|hop| hop.attempts.is_empty());
-                    self.report.depths[depth].denied += u64::from(bare);
-                    self.answer(request.0, End::Refused);
+                    let without_attempt = self.hops.get(request.0).is_some_and(|hop| hop.attempts.is_empty());
+                    self.report.depths[depth].denied += u64::from(without_attempt);
+                    self.answer_call(request.0, End::Refused);
                 }
                 Action::Fail { request } => {
-                    self.mix(request.0 ^ 1 << 62);
+                    self.update_digest(request.0 ^ 1 << 62);
                     let depth = self.depth_of(core);
                     self.report.depths[depth].failed += 1;
-                    self.answer(request.0, End::Failed);
+                    self.answer_call(request.0, End::Failed);
                 }
                 Action::ScheduleMaintenance(span) => {
-                    self.due.push(self.now + span.as_nanos() as u64, Due::Wake(core));
+                    self.scheduled
+                        .push(self.now + span.as_nanos() as u64, ScheduledEvent::MaintenanceTimer(core));
                 }
                 Action::Subscribe
                 | Action::HealthCheck { .. }
@@ -89,40 +94,40 @@
     }
 
     /// Sends the answer of a call to its caller, a client or an upstream's work item.
-    pub(super) fn answer(&mut self, id: u64, end: End) {
+    pub(super) fn answer_call(&mut self, id: u64, end: End) {
         let Some(hop) = self.hops.get(id) else { return };
         if hop.answered {
-            self.report.faults.doubled += 1;
+            self.report.faults.answered_twice += 1;
             return;
         }
         hop.answered = true;
-        let (parent, ran, class) = (hop.parent, hop.ran, hop.class);
-        if class == 2 && ran > 1 {
+        let (caller, executions, class) = (hop.caller, hop.executions, hop.class);
+        if class == 2 && executions > 1 {
             self.report.faults.run_twice += 1;
         }
-        match parent {
-            Parent::Client(client) => self.client_answered(client, end),
-            Parent::Work(work) => {
+        match caller {
+            Caller::Client(client) => self.client_answered(client, end),
+            Caller::WorkItem(work) => {
                 let outcome = if end == End::Good { Outcome::Success } else { Outcome::Error };
-                self.work_over(work, outcome);
+                self.finish_work(work, outcome);
             }
         }
-        self.forget(id);
+        self.remove_if_over(id);
     }
 
     /// Removes the record of a call once all its attempts are over and it has been answered. A call of a balancer that
     /// has ended is removed without an answer, and fails for its client.
-    pub(super) fn forget(&mut self, id: u64) {
+    pub(super) fn remove_if_over(&mut self, id: u64) {
         let Some(hop) = self.hops.get(id) else { return };
-        if hop.attempts.iter().any(|attempt| !attempt.over) {
+        if hop.attempts.iter().any(|attempt| !attempt.is_over) {
             return;
         }
-        let (answered, parent, core) = (hop.answered, hop.parent, hop.core);
+        let (answered, caller, core) = (hop.answered, hop.caller, hop.core);
         if answered {
             self.hops.remove(id);
         } else if self.cores[core as usize].balancer.is_none() {
             self.hops.remove(id);
-            if let Parent::Client(client) = parent {
+            if let Caller::Client(client) = caller {
                 self.client_answered(client, End::Failed);
             }
         }
--- a/crates/capacity/src/hollow/world/clients.rs
+++ b/crates/capacity/src/hollow/world/clients.rs
@@ -1,15 +1,15 @@
 //! The model of clients: the fronts that their calls arrive at, their retries, and how each call is counted at its end.
 
-use super::event::Due;
+use super::event::ScheduledEvent;
 use super::report::Second;
-use super::state::{Client, End, Parent};
+use super::state::{Caller, Client, End};
 use super::{Effects, World, ns};
 use crate::hollow::topology::place;
 
 /// Default fractions of the calls by idempotency class.
-const EFFECTS: Effects = Effects { free: 0.7, keyed: 0.15 };
+const DEFAULT_EFFECTS: Effects = Effects { free: 0.7, keyed: 0.15 };
 /// Minimum pause of a client before a retry, in seconds; the pause is drawn between this and twice as long.
-const AGAIN_S: f64 = 0.1;
+const RETRY_PAUSE_MIN_S: f64 = 0.1;
 
 impl World<'_> {
     /// Starts a client call, and schedules the next one after an exponentially distributed gap (a Poisson process)
@@ -18,36 +18,36 @@
         let gap = -(1.0 - self.rng.rand_float()).ln() / self.topology.front_per_s;
         let next = self.now + ns(gap).max(1);
         if next < last {
-            self.due.push(next, Due::Client);
+            self.scheduled.push(next, ScheduledEvent::Client);
         }
-        self.client_comes();
+        self.start_client_call();
     }
 
     /// Draws the properties of a new client call and sends it.
-    fn client_comes(&mut self) {
+    fn start_client_call(&mut self) {
         let topology = self.topology;
         let mut zone = place(topology.clients.iter().copied(), self.rng.rand_float());
         // Clients of a failed zone call the fronts of the next zone.
-        if self.zone_lost == Some(zone) {
+        if self.failed_zone == Some(zone) {
             zone = (zone + 1) % topology.region_of.len();
         }
         let here: Vec<usize> =
             (0..topology.fronts.len()).filter(|&front| topology.fronts[front] == zone).collect();
         let front = here[self.rng.rand_range(0..here.len() as u64) as usize];
         let entry = place(topology.entries.iter().map(|entry| entry.until), self.rng.rand_float());
-        let left = 1 + place(topology.lengths.iter().copied(), self.rng.rand_float());
+        let hops_left = 1 + place(topology.chain_lengths.iter().copied(), self.rng.rand_float());
         let draw = self.rng.rand_float();
-        let Effects { free, keyed } = self.play.effects.unwrap_or(EFFECTS);
+        let Effects { free, keyed } = self.play.effects.unwrap_or(DEFAULT_EFFECTS);
         let class = u8::from(draw >= free) + u8::from(draw >= free + keyed);
         let client = Client {
-            came: self.now,
+            first_sent: self.now,
             front: front as u32,
             entry: entry as u32,
             tenant: place(self.tenants.iter().copied(), self.rng.rand_float()) as u32,
             class,
-            left: left as u8,
+            hops_left: hops_left as u8,
             tries: 0,
-            ran: 0,
+            executions: 0,
             answered: false,
         };
         let second = (self.now / 1_000_000_000) as usize;
@@ -69,13 +69,13 @@
     pub(super) fn call(&mut self, number: u32) {
         let client = &mut self.clients[number as usize];
         client.tries += 1;
-        let Client { came, front, entry, class, left, .. } = *client;
-        let deadline = came + ns(self.plan.traffic.deadline_s.value);
+        let Client { first_sent, front, entry, class, hops_left, .. } = *client;
+        let deadline = first_sent + ns(self.plan.traffic.deadline_s.value);
         if !self.front_up[front as usize] {
             return self.client_answered(number, End::Failed);
         }
         let core = self.fronts[front as usize][entry as usize];
-        self.open(core, Parent::Client(number), class, left, deadline);
+        self.start_call(core, Caller::Client(number), class, hops_left, deadline);
     }
 
     /// Handles the answer to a client: schedules a retry, or counts the call as ended.
@@ -83,22 +83,22 @@
         let now = self.now;
         let client = &mut self.clients[number as usize];
         if client.answered {
-            self.report.faults.doubled += 1;
+            self.report.faults.answered_twice += 1;
             return;
         }
-        let pause = ns(AGAIN_S * (1.0 + self.rng.rand_float()));
-        let Client { came, class, tries, .. } = *client;
-        let deadline = came + ns(self.plan.traffic.deadline_s.value);
-        let may = end == End::Refused || (end == End::Failed && class < 2);
-        if may && tries <= self.play.repeats && now + pause < deadline {
-            return self.due.push(now + pause, Due::Again(number));
+        let pause = ns(RETRY_PAUSE_MIN_S * (1.0 + self.rng.rand_float()));
+        let Client { first_sent, class, tries, .. } = *client;
+        let deadline = first_sent + ns(self.plan.traffic.deadline_s.value);
+        let may_retry = end == End::Refused || (end == End::Failed && class < 2);
+        if may_retry && tries <= self.play.repeats && now + pause < deadline {
+            return self.scheduled.push(now + pause, ScheduledEvent::ClientRetry(number));
         }
         client.answered = true;
-        if class == 2 && client.ran > 1 {
+        if class == 2 && client.executions > 1 {
             self.report.faults.run_twice += 1;
         }
-        let took = now - came;
-        let second = &mut self.report.seconds[(came / 1_000_000_000) as usize];
+        let took = now - first_sent;
+        let second = &mut self.report.seconds[(first_sent / 1_000_000_000) as usize];
         match end {
             End::Good if took <= ns(self.plan.traffic.aim_s.value) => second.served += 1,
             End::Good => second.late += 1,
--- a/crates/capacity/src/hollow/world/event.rs
+++ b/crates/capacity/src/hollow/world/event.rs
@@ -5,17 +5,17 @@
 
 /// An event that is scheduled for a point in virtual time.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Due {
+pub(super) enum ScheduledEvent {
     /// A new client sends a call.
     Client,
     /// The client with this index retries its call.
-    Again(u32),
+    ClientRetry(u32),
     /// The maintenance timer of this core fires.
-    Wake(u32),
+    MaintenanceTimer(u32),
     /// The request of an attempt reaches its upstream.
-    Reach { hop: u64, attempt: u8 },
+    RequestArrival { hop: u64, attempt: u8 },
     /// A work item has finished its local processing.
-    Done { work: u64 },
+    WorkDone { work: u64 },
     /// The outcome of an attempt reaches the balancer that sent it.
     Reply { hop: u64, attempt: u8, outcome: Outcome },
     /// The timeout of an attempt expires.
@@ -23,7 +23,7 @@
     /// A list change, by its index, reaches a core as a delta.
     List { core: u32, change: u32 },
     /// A snapshot of a full list reaches this core.
-    Whole(u32),
+    FullList(u32),
     /// The scenario step with this index is applied.
     Script(u32),
     /// This process ends after draining.
@@ -33,31 +33,31 @@
     /// Service discovery removes this process from its list.
     Unlist(u32),
     /// The memory in use is checked.
-    Look,
+    MemoryCheck,
     /// The signals of the balancers are sampled.
-    LookAtSignals,
+    SignalSample,
 }
 
-impl Due {
+impl ScheduledEvent {
     /// The event encoded as two words for the digest.
     pub(super) fn words(&self) -> [u64; 2] {
         let tag = |tag: u64, rest: u64| tag << 56 ^ rest;
         match *self {
             Self::Client => [tag(1, 0), 0],
-            Self::Again(client) => [tag(2, 0), client.into()],
-            Self::Wake(core) => [tag(3, 0), core.into()],
-            Self::Reach { hop, attempt } => [tag(4, attempt.into()), hop],
-            Self::Done { work } => [tag(5, 0), work],
+            Self::ClientRetry(client) => [tag(2, 0), client.into()],
+            Self::MaintenanceTimer(core) => [tag(3, 0), core.into()],
+            Self::RequestArrival { hop, attempt } => [tag(4, attempt.into()), hop],
+            Self::WorkDone { work } => [tag(5, 0), work],
             Self::Reply { hop, attempt, outcome } => [tag(6, u64::from(attempt) << 8 | outcome as u64), hop],
             Self::Timeout { hop, attempt } => [tag(7, attempt.into()), hop],
             Self::List { core, change } => [tag(8, change.into()), core.into()],
-            Self::Whole(core) => [tag(9, 0), core.into()],
+            Self::FullList(core) => [tag(9, 0), core.into()],
             Self::Script(step) => [tag(10, 0), step.into()],
             Self::Stop(process) => [tag(11, 0), process.into()],
             Self::Start(slot) => [tag(12, 0), slot.into()],
             Self::Unlist(process) => [tag(13, 0), process.into()],
-            Self::Look => [tag(14, 0), 0],
-            Self::LookAtSignals => [tag(15, 0), 0],
+            Self::MemoryCheck => [tag(14, 0), 0],
+            Self::SignalSample => [tag(15, 0), 0],
         }
     }
 }
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -8,7 +8,7 @@
 use balancer_policy::Event;
 use balancer_policy::interface::{EndpointId, Lifecycle, ListUpdate, Member, ZoneId};
 
-use super::event::Due;
+use super::event::ScheduledEvent;
 use super::state::Process;
 use super::{World, ns};
 
@@ -38,20 +38,20 @@
         self.listed[service].iter().map(|&process| self.member(process)).collect()
     }
 
-    /// Delivers a list change to a core as a delta; `change` is its index in `changes`.
-    pub(super) fn changed_list_arrives(&mut self, core: u32, change: u32) {
-        let members = self.changes[change as usize].clone();
-        self.tell(core, ListUpdate::Delta(members));
+    /// Delivers a list change to a core as a delta; `change` is its index in `list_changes`.
+    pub(super) fn deliver_list_change(&mut self, core: u32, change: u32) {
+        let members = self.list_changes[change as usize].clone();
+        self.deliver_list(core, ListUpdate::Delta(members));
     }
 
     /// Delivers the current list to a core as a snapshot.
-    pub(super) fn whole_list_arrives(&mut self, core: u32) {
+    pub(super) fn deliver_full_list(&mut self, core: u32) {
         let members = self.members(self.cores[core as usize].service);
-        self.tell(core, ListUpdate::Snapshot(members));
+        self.deliver_list(core, ListUpdate::Snapshot(members));
     }
 
     /// Passes a list update to a core, and records when the core was notified of draining and removed members.
-    pub(super) fn tell(&mut self, core: u32, update: ListUpdate) {
+    pub(super) fn deliver_list(&mut self, core: u32, update: ListUpdate) {
         let core_state = &mut self.cores[core as usize];
         if core_state.balancer.is_none() {
             return;
@@ -66,22 +66,22 @@
     }
 
     /// Sends changed list members to all cores that watch the service, except those in a region that is cut off.
-    pub(super) fn spread(&mut self, service: usize, members: Vec<Member>) {
-        self.changed[service] = Some(self.now);
-        let change = self.changes.len() as u32;
-        self.changes.push(members);
+    pub(super) fn publish_list_change(&mut self, service: usize, members: Vec<Member>) {
+        self.list_changed_at[service] = Some(self.now);
+        let change = self.list_changes.len() as u32;
+        self.list_changes.push(members);
         let mut watchers = mem::take(&mut self.watchers[service]);
         watchers.retain(|&core| self.cores[core as usize].balancer.is_some());
         for &core in &watchers {
             let region = self.topology.region_of[self.cores[core as usize].zone];
-            if self.cut == Some(region) {
-                self.cores[core as usize].missed = true;
+            if self.partition == Some(region) {
+                self.cores[core as usize].missed_updates = true;
                 continue;
             }
             let at = self.now + ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S * self.rng.rand_float());
-            let at = at.max(self.cores[core as usize].listed_at);
-            self.cores[core as usize].listed_at = at;
-            self.due.push(at, Due::List { core, change });
+            let at = at.max(self.cores[core as usize].list_arrives_at);
+            self.cores[core as usize].list_arrives_at = at;
+            self.scheduled.push(at, ScheduledEvent::List { core, change });
         }
         self.watchers[service] = watchers;
     }
@@ -94,7 +94,7 @@
         listed.retain(|&other| other as usize != process);
         if listed.len() < before {
             self.processes[process].lifecycle = Lifecycle::Removed;
-            self.spread(service, vec![self.member(process as u32)]);
+            self.publish_list_change(service, vec![self.member(process as u32)]);
         }
     }
 }
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -8,13 +8,13 @@
 use balancer_policy::{Balancer, Event};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::event::Due;
+use super::event::ScheduledEvent;
 use super::state::{Core, Process, Slot, State};
 use super::{World, ns};
 use crate::CapacityError;
 
 /// Virtual seconds from a machine's failure until service discovery removes its process from the list.
-const DETECT_S: f64 = 1.5;
+const FAILURE_DETECTION_S: f64 = 1.5;
 
 impl World<'_> {
     /// Adds a process in a slot and to the list of its service, without its balancers. `started` is the time of a cold
@@ -30,7 +30,7 @@
             queue: VecDeque::new(),
             in_flight: 0,
             cores: Vec::new(),
-            window: VecDeque::new(),
+            arrivals: VecDeque::new(),
         });
         self.report.cold_starts += u64::from(started.is_some());
         self.slots[slot].process = Some(process);
@@ -73,9 +73,9 @@
         index: u32,
     ) -> Result<u32, CapacityError> {
         let settings = self.settings(service, zone, index);
-        let wrong =
+        let settings_error =
             |cause| CapacityError::run(format!("hollow fleet, a balancer for service {service}"), cause);
-        let balancer = Balancer::new(settings, self.rng.rand_u64()).map_err(wrong)?;
+        let balancer = Balancer::new(settings, self.rng.rand_u64()).map_err(settings_error)?;
         let core = self.cores.len() as u32;
         let members = self.members(service);
         self.cores.push(Core {
@@ -85,23 +85,23 @@
             service,
             connected: FxHashSet::default(),
             notified: FxHashMap::default(),
-            listed_at: self.now,
-            missed: false,
-            first: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
+            list_arrives_at: self.now,
+            missed_updates: false,
+            initial_ready: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
         });
         self.watchers[service].push(core);
         self.drive(core, Event::Started);
-        self.tell(core, ListUpdate::Snapshot(members));
+        self.deliver_list(core, ListUpdate::Snapshot(members));
         Ok(core)
     }
 
-    /// Fails the machine of a slot; service discovery removes the process from its list after [`DETECT_S`].
-    pub(super) fn lose(&mut self, slot: usize) {
+    /// Fails the machine of a slot; service discovery removes the process from its list after [`FAILURE_DETECTION_S`].
+    pub(super) fn fail_slot(&mut self, slot: usize) {
         if let Some(process) = self.slots[slot].process.take()
             && self.processes[process].state == State::Up
         {
             self.stop(process, State::Lost);
-            self.due.push(self.now + ns(DETECT_S), Due::Unlist(process as u32));
+            self.scheduled.push(self.now + ns(FAILURE_DETECTION_S), ScheduledEvent::Unlist(process as u32));
         }
     }
 
@@ -127,14 +127,14 @@
         let zone = self.slots[slot].zone;
         // Work items are handled in the order of their slab entries.
         let in_flight: Vec<u64> = (0..)
-            .zip(&self.works.entries)
+            .zip(&self.work_items.entries)
             .filter(|(_, entry)| entry.occupied && entry.value.process as usize == number)
             .map(|(place, entry)| u64::from(entry.generation) << 32 | place)
             .collect();
         for id in in_flight {
-            let Some(work) = self.works.get(id) else { continue };
+            let Some(work) = self.work_items.get(id) else { continue };
             let (hop, attempt) = (work.hop, work.attempt);
-            self.works.remove(id);
+            self.work_items.remove(id);
             if state == State::Ended {
                 self.reply(zone, hop, attempt, Outcome::Reset);
             }
@@ -146,11 +146,11 @@
 
     /// Starts a new, cold process in a slot, unless the slot is occupied or its zone has failed.
     pub(super) fn start(&mut self, slot: usize) -> Result<(), CapacityError> {
-        if self.slots[slot].process.is_some() || self.zone_lost == Some(self.slots[slot].zone) {
+        if self.slots[slot].process.is_some() || self.failed_zone == Some(self.slots[slot].zone) {
             return Ok(());
         }
         let process = self.add_process(slot, Some(self.now));
-        self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
+        self.publish_list_change(self.slots[slot].service, vec![self.member(process as u32)]);
         self.add_cores(process)
     }
 }
--- a/crates/capacity/src/hollow/world/report.rs
+++ b/crates/capacity/src/hollow/world/report.rs
@@ -58,7 +58,7 @@
     /// Calls that got no answer although their balancer was running.
     pub unanswered: u64,
     /// Calls that got more than one answer.
-    pub doubled: u64,
+    pub answered_twice: u64,
     /// Non-idempotent calls that were executed more than once.
     pub run_twice: u64,
     /// Attempts to an upstream sent after the drain grace period, counted from when the balancer was notified that the
@@ -101,15 +101,15 @@
 }
 
 impl Report {
-    /// The latency quantile `part` (0 to 1) of the successful calls, in seconds: the upper bound of its histogram
+    /// The latency of the successful calls at `quantile` (0 to 1), in seconds: the upper bound of its histogram
     /// bucket.
     #[must_use]
-    pub fn time(&self, part: f64) -> f64 {
+    pub fn time(&self, quantile: f64) -> f64 {
         let all: u64 = self.times.iter().sum();
         let mut sum = 0;
         for (place, count) in self.times.iter().enumerate() {
             sum += count;
-            if sum as f64 >= part * all as f64 {
+            if sum as f64 >= quantile * all as f64 {
                 return 2f64.powf((place as f64 + 1.0) / 8.0) / 1e6;
             }
         }
--- a/crates/capacity/src/hollow/world/script.rs
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -5,7 +5,7 @@
 
 use balancer_policy::interface::Lifecycle;
 
-use super::event::Due;
+use super::event::ScheduledEvent;
 use super::lists::{LIST_DELAY_MIN_S, LIST_DELAY_SPREAD_S};
 use super::state::State;
 use super::{World, ns};
@@ -22,15 +22,15 @@
     /// Planned replacement of the process in a slot: it drains, ends, and a new process starts.
     Replace(usize),
     /// Failure of the machine of a slot; a new process starts there after the repair time.
-    Fail(usize),
+    FailMachine(usize),
     /// Failure of a whole zone, with its upstreams and fronts; its clients call the fronts of the next zone.
-    LoseZone(usize),
+    FailZone(usize),
     /// Return of a failed zone, with cold processes.
-    ReturnZone(usize),
+    RestoreZone(usize),
     /// Network partition that separates a region from the other regions and from service discovery.
-    Cut(usize),
+    PartitionRegion(usize),
     /// End of the network partition of a region.
-    Heal(usize),
+    HealRegion(usize),
 }
 
 impl World<'_> {
@@ -38,14 +38,14 @@
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
         match self.play.script[number].step {
             Step::Replace(slot) => self.replace(slot),
-            Step::Fail(slot) => {
-                self.lose(slot);
-                self.due.push(self.now + ns(REPAIR_S), Due::Start(slot as u32));
+            Step::FailMachine(slot) => {
+                self.fail_slot(slot);
+                self.scheduled.push(self.now + ns(REPAIR_S), ScheduledEvent::Start(slot as u32));
             }
-            Step::LoseZone(zone) => self.lose_zone(zone),
-            Step::ReturnZone(zone) => self.return_zone(zone)?,
-            Step::Cut(region) => self.cut = Some(region),
-            Step::Heal(region) => self.heal(region),
+            Step::FailZone(zone) => self.fail_zone(zone),
+            Step::RestoreZone(zone) => self.restore_zone(zone)?,
+            Step::PartitionRegion(region) => self.partition = Some(region),
+            Step::HealRegion(region) => self.heal_region(region),
         }
         Ok(())
     }
@@ -58,19 +58,19 @@
             return;
         }
         self.processes[process].lifecycle = Lifecycle::Draining;
-        self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
-        self.due.push(self.now + ns(DRAIN_S), Due::Stop(process as u32));
-        self.due.push(self.now + ns(DRAIN_S) + 1, Due::Start(slot as u32));
+        self.publish_list_change(self.slots[slot].service, vec![self.member(process as u32)]);
+        self.scheduled.push(self.now + ns(DRAIN_S), ScheduledEvent::Stop(process as u32));
+        self.scheduled.push(self.now + ns(DRAIN_S) + 1, ScheduledEvent::Start(slot as u32));
     }
 
     fn slots_in(&self, zone: usize) -> Vec<usize> {
         (0..self.slots.len()).filter(|&slot| self.slots[slot].zone == zone).collect()
     }
 
-    fn lose_zone(&mut self, zone: usize) {
-        self.zone_lost = Some(zone);
+    fn fail_zone(&mut self, zone: usize) {
+        self.failed_zone = Some(zone);
         for slot in self.slots_in(zone) {
-            self.lose(slot);
+            self.fail_slot(slot);
         }
         for front in 0..self.fronts.len() {
             if self.topology.fronts[front] == zone {
@@ -82,8 +82,8 @@
         }
     }
 
-    fn return_zone(&mut self, zone: usize) -> Result<(), CapacityError> {
-        self.zone_lost = None;
+    fn restore_zone(&mut self, zone: usize) -> Result<(), CapacityError> {
+        self.failed_zone = None;
         for slot in self.slots_in(zone) {
             self.start(slot)?;
         }
@@ -95,16 +95,16 @@
         Ok(())
     }
 
-    fn heal(&mut self, region: usize) {
-        self.cut = None;
+    fn heal_region(&mut self, region: usize) {
+        self.partition = None;
         // The balancers of the region that missed list updates reopen their watches and ask for a full snapshot.
         for core in 0..self.cores.len() {
             if self.topology.region_of[self.cores[core].zone] == region
-                && mem::take(&mut self.cores[core].missed)
+                && mem::take(&mut self.cores[core].missed_updates)
             {
                 let at = self.now + ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S * self.rng.rand_float());
-                self.cores[core].listed_at = at;
-                self.due.push(at, Due::Whole(core as u32));
+                self.cores[core].list_arrives_at = at;
+                self.scheduled.push(at, ScheduledEvent::FullList(core as u32));
             }
         }
     }
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -9,13 +9,13 @@
 };
 
 use super::World;
-use super::upstreams::{OVERLOAD_MULTIPLE, OVERLOAD_S, SLOW_START_MIN_FRACTION, SLOW_START_WINDOW_S};
+use super::upstreams::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S, SLOW_START_MIN_FRACTION, SLOW_START_WINDOW_S};
 
 /// Grace period after the notification that an upstream is draining or removed, in seconds; after it, a balancer must
 /// send no further attempts to the upstream.
-pub(super) const GRACE_S: f64 = 1.0;
+pub(super) const DRAIN_GRACE_S: f64 = 1.0;
 /// Sum of the quotas of all tenants divided by the rate of calls.
-pub(super) const QUOTAS: f64 = 1.5;
+pub(super) const QUOTA_MULTIPLE: f64 = 1.5;
 
 impl World<'_> {
     /// Settings of the balancer with the replica index `index` that calls `service` from `zone`.
@@ -32,8 +32,8 @@
             Idempotency::IdempotencyKey { scope: DeduplicationScope::All, window: Duration::from_secs(10) };
         let mut before = 0.0;
         let quota = |&until: &f64| {
-            let part = until - mem::replace(&mut before, until);
-            Tenant { quota: Some(part * QUOTAS * self.topology.services[service].rate) }
+            let fraction = until - mem::replace(&mut before, until);
+            Tenant { quota: Some(fraction * QUOTA_MULTIPLE * self.topology.services[service].rate) }
         };
         Settings {
             replica_index: index,
@@ -59,12 +59,12 @@
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
-                drain_grace: Duration::from_secs_f64(GRACE_S),
+                drain_grace: Duration::from_secs_f64(DRAIN_GRACE_S),
                 poll_interval_max: None,
                 slow_start_min_fraction: SLOW_START_MIN_FRACTION,
                 slow_start_window: Duration::from_secs_f64(SLOW_START_WINDOW_S),
                 overload_multiple: OVERLOAD_MULTIPLE,
-                overload_window: Duration::from_secs_f64(OVERLOAD_S),
+                overload_window: Duration::from_secs_f64(OVERLOAD_WINDOW_S),
             },
             costs: Costs {
                 cross_zone: 0.02,
--- a/crates/capacity/src/hollow/world/slab.rs
+++ b/crates/capacity/src/hollow/world/slab.rs
@@ -28,10 +28,10 @@
 impl<T> Slab<T> {
     /// Stores a value and returns its identifier.
     pub(super) fn insert(&mut self, value: T) -> u64 {
-        if let Some(place) = self.free.pop() {
-            let entry = &mut self.entries[place as usize];
+        if let Some(index) = self.free.pop() {
+            let entry = &mut self.entries[index as usize];
             (entry.occupied, entry.value) = (true, value);
-            return u64::from(entry.generation) << 32 | u64::from(place);
+            return u64::from(entry.generation) << 32 | u64::from(index);
         }
         self.entries.push(Entry { generation: 0, occupied: true, value });
         self.entries.len() as u64 - 1
--- a/crates/capacity/src/hollow/world/state.rs
+++ b/crates/capacity/src/hollow/world/state.rs
@@ -23,11 +23,11 @@
     /// Time at which the core was first notified that a process is draining or removed, in ns, by process.
     pub(super) notified: FxHashMap<u32, u64>,
     /// Arrival time of the latest list update sent to the core, in ns; later updates do not arrive before it.
-    pub(super) listed_at: u64,
+    pub(super) list_arrives_at: u64,
     /// Whether the core missed list updates because of a network partition.
-    pub(super) missed: bool,
+    pub(super) missed_updates: bool,
     /// Number of ready upstreams in the first list that the core received.
-    pub(super) first: usize,
+    pub(super) initial_ready: usize,
 }
 
 /// Whether a process runs, and how its machine reacts to connections if it does not.
@@ -62,7 +62,7 @@
     /// Decision cores of the process, in the order of the destinations of its service.
     pub(super) cores: Vec<u32>,
     /// Arrival times in the overload window, in ns, while the process is warming up.
-    pub(super) window: VecDeque<u64>,
+    pub(super) arrivals: VecDeque<u64>,
 }
 
 /// A place on a machine that runs one process of a service at a time.
@@ -79,11 +79,11 @@
 
 /// The caller that a call is answered to.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Parent {
+pub(super) enum Caller {
     /// A client, by its index in the clients of the simulation.
     Client(u32),
     /// A work item of an upstream, by its identifier.
-    Work(u64),
+    WorkItem(u64),
 }
 
 /// An attempt of a call, at the balancer that sent it.
@@ -96,21 +96,21 @@
     /// Time that the attempt waits for a connection, in ns.
     pub(super) connect_wait: u64,
     /// Whether the attempt has ended.
-    pub(super) over: bool,
+    pub(super) is_over: bool,
 }
 
 /// A call from a client or from one service to another, at the decision core that handles it.
 #[derive(Debug)]
 pub(super) struct Hop {
     pub(super) core: u32,
-    pub(super) parent: Parent,
+    pub(super) caller: Caller,
     /// Idempotency class: 0 idempotent, 1 with an idempotency key, 2 not idempotent.
     pub(super) class: u8,
     /// Number of services still to be called in the chain, including the one that this call goes to.
-    pub(super) left: u8,
+    pub(super) hops_left: u8,
     pub(super) answered: bool,
     /// Number of attempts of the call that an upstream has started to execute.
-    pub(super) ran: u8,
+    pub(super) executions: u8,
     /// Deadline of the call, in ns.
     pub(super) deadline: u64,
     pub(super) attempts: Vec<Attempt>,
@@ -118,14 +118,14 @@
 
 /// A work item: an attempt's request, at the upstream that received it.
 #[derive(Debug)]
-pub(super) struct Work {
+pub(super) struct WorkItem {
     pub(super) process: u32,
     pub(super) hop: u64,
     /// Number of the attempt within its call.
     pub(super) attempt: u8,
     pub(super) class: u8,
     /// Number of services still to be called in the chain, including this one.
-    pub(super) left: u8,
+    pub(super) hops_left: u8,
     /// Whether the work item has left the queue: it is running or waiting for another service.
     pub(super) begun: bool,
     /// Deadline of the call, in ns.
@@ -136,18 +136,18 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Client {
     /// Time at which the client first sent the call, in ns.
-    pub(super) came: u64,
+    pub(super) first_sent: u64,
     pub(super) front: u32,
     /// Index of the called service in the topology's entries.
     pub(super) entry: u32,
     pub(super) tenant: u32,
     pub(super) class: u8,
     /// Number of services in the chain of the call.
-    pub(super) left: u8,
+    pub(super) hops_left: u8,
     /// Number of times that the client has sent the call.
     pub(super) tries: u32,
     /// Number of attempts of the call that an upstream has started to execute, over all retries.
-    pub(super) ran: u32,
+    pub(super) executions: u32,
     pub(super) answered: bool,
 }
 
