--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet in each scenario.
+//! The scenarios of the hollow fleet: which replacements, failures and network partitions each one contains, and when.
 
 use clap::ValueEnum;
 use oorandom::Rand64;
@@ -7,56 +7,56 @@
 use super::world::{DRAIN_S, Step, TimedStep};
 use crate::plan::Plan;
 
-/// Seconds before anything happens, in which the balancers learn.
-pub const CALM_S: f64 = 3.0;
-/// Steps in which everything is replaced: each takes one upstream of eight.
-const STEPS: usize = 8;
-/// Seconds between planned replacements within a service, at least.
-const APART_S: f64 = 12.0;
+/// Virtual seconds before the first step of a scenario, in which the balancers learn the normal state.
+pub const LEARNING_S: f64 = 3.0;
+/// Number of steps in which the whole fleet is replaced; each step replaces one upstream in eight.
+const REPLACEMENT_STEPS: usize = 8;
+/// Minimum virtual seconds between two planned replacements within a service.
+const REPLACEMENT_GAP_MIN_S: f64 = 12.0;
 
-/// What happens to the fleet.
+/// A scenario: the sequence of events that the fleet goes through.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Scenario {
-    /// Nothing, to hold the others against.
+    /// No failures or replacements; the baseline for the other scenarios.
     Calm,
-    /// A day's failures and replacements in less than a minute.
+    /// A normal day's failures and replacements, compressed into less than a minute.
     Ordinary,
-    /// Everything is replaced, one upstream of eight at a time.
+    /// The whole fleet is replaced, one upstream in eight at a time.
     Replacement,
-    /// A rack is lost.
+    /// A rack fails.
     Rack,
-    /// A zone is lost whole and comes back cold.
+    /// A whole zone fails, and later restarts with cold processes.
     Zone,
-    /// A region is cut off from the others and comes back.
+    /// A network partition separates a region from the others, and later heals.
     Region,
-    /// The whole fleet has just started.
+    /// All processes of the fleet have just started.
     Cold,
 }
 
-/// Virtual seconds from the start, from when to when something lasts.
+/// A span of time, in virtual seconds from the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Span {
-    /// The first second.
+    /// Start of the span, in virtual seconds.
     pub from_s: f64,
-    /// The second at which it is over.
+    /// End of the span, exclusive, in virtual seconds.
     pub until_s: f64,
 }
 
-/// What a scenario does to the fleet.
+/// The timed steps that a scenario applies to the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Script {
-    /// The steps, in the order of time.
+    /// Steps of the scenario, ordered by time.
     pub steps: Vec<TimedStep>,
-    /// From when to when the trouble lasts.
+    /// Time span during which the scenario's fault lasts.
     pub trouble: Span,
 }
 
 impl Scenario {
-    /// All of them.
+    /// All scenarios, in the order in which they run and in which the table lists them.
     pub const ALL: [Self; 7] =
         [Self::Calm, Self::Ordinary, Self::Replacement, Self::Rack, Self::Zone, Self::Region, Self::Cold];
 
-    /// Its name on the command line.
+    /// Name of the scenario on the command line and in the table.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Virtual seconds of a full run.
+    /// Duration of a full run of the scenario, in virtual seconds.
     #[must_use]
     pub fn seconds(self) -> f64 {
         match self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// What happens, in the order of time, and from when to when the trouble lasts.
+    /// Draws the steps of the scenario for a run of `seconds` virtual seconds, and the time span of its fault.
     #[must_use]
     pub fn script(self, plan: &Plan, topology: &Topology, seconds: f64, seed: u64) -> Script {
         let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
@@ -103,16 +103,16 @@
     }
 }
 
-/// Draws the script of a scenario. Each scenario adds its steps and gives from when to when its trouble lasts.
+/// Builder of a scenario's script. The method of each scenario adds its steps and returns the time span of its fault.
 struct ScriptWriter<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
-    /// Virtual seconds of the run.
+    /// Duration of the run, in virtual seconds.
     seconds: f64,
     rng: Rand64,
-    /// The zone of each slot.
+    /// Zone of each slot.
     zones: Vec<usize>,
-    /// The service of each slot.
+    /// Service of each slot.
     services: Vec<usize>,
     script: Vec<TimedStep>,
 }
@@ -138,35 +138,35 @@
         self.script.push(TimedStep { at_s, step });
     }
 
-    /// A draw from 0 to under `count`.
+    /// Draws a random number from 0 to `count` - 1.
     fn draw(&mut self, count: usize) -> usize {
         self.rng.rand_range(0..count.max(1) as u64) as usize
     }
 
     fn ordinary(&mut self) -> Span {
-        let (from, until) = (CALM_S, self.seconds * 0.85);
+        let (from, until) = (LEARNING_S, self.seconds * 0.85);
         self.planned_replacements(from, until);
         let failed = (self.plan.failures.machines_per_day.value.round() as usize).max(1);
         for _ in 0..failed {
             let at = from + (until - from) * self.draw(1000) as f64 / 1000.0;
             let slot = self.draw(self.zones.len());
-            self.add(at, Step::Fail(slot));
+            self.add(at, Step::FailMachine(slot));
         }
         Span { from_s: from, until_s: until }
     }
 
-    /// A day's planned replacements, evenly over the time.
+    /// Adds a day's planned replacements, spread evenly over the time from `from` to `until`.
     fn planned_replacements(&mut self, from: f64, until: f64) {
         let replaced = self.plan.failures.replaced_per_day.value.round() as usize;
         let mut latest = vec![f64::MIN; self.topology.services.len()];
         for number in 0..replaced {
             let at = from + (until - from) * number as f64 / replaced as f64;
-            // Who replaces takes one of a service after another.
-            let free = (0..50).find_map(|_| {
+            // A rolling replacement takes the upstreams of a service one after another.
+            let eligible = (0..50).find_map(|_| {
                 let slot = self.draw(self.zones.len());
-                (at - latest[self.services[slot]] >= APART_S).then_some(slot)
+                (at - latest[self.services[slot]] >= REPLACEMENT_GAP_MIN_S).then_some(slot)
             });
-            if let Some(slot) = free {
+            if let Some(slot) = eligible {
                 latest[self.services[slot]] = at;
                 self.add(at, Step::Replace(slot));
             }
@@ -174,26 +174,27 @@
     }
 
     fn replacement(&mut self) -> Span {
-        let each = (self.seconds - CALM_S - DRAIN_S) / STEPS as f64;
+        let each = (self.seconds - LEARNING_S - DRAIN_S) / REPLACEMENT_STEPS as f64;
         let mut before = vec![0; self.topology.services.len()];
         for slot in 0..self.services.len() {
             let service = self.services[slot];
-            let step = (before[service] + service) % STEPS;
+            let step = (before[service] + service) % REPLACEMENT_STEPS;
             before[service] += 1;
-            // Within a step they go one after another over a second.
-            let at = CALM_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
+            // Within a step, the replacements are spread over one second.
+            let at = LEARNING_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
             self.add(at, Step::Replace(slot));
         }
-        Span { from_s: CALM_S, until_s: self.seconds }
+        Span { from_s: LEARNING_S, until_s: self.seconds }
     }
 
     fn rack(&mut self) -> Span {
         let at = self.seconds * 0.2;
         let zone = self.draw(self.topology.region_of.len());
-        let mut here: Vec<usize> = (0..self.zones.len()).filter(|&slot| self.zones[slot] == zone).collect();
-        for _ in 0..self.plan.fleet.machines_per_rack.value.min(here.len()) {
-            let slot = here.swap_remove(self.draw(here.len()));
-            self.add(at, Step::Fail(slot));
+        let mut slots_in_zone: Vec<usize> =
+            (0..self.zones.len()).filter(|&slot| self.zones[slot] == zone).collect();
+        for _ in 0..self.plan.fleet.machines_per_rack.value.min(slots_in_zone.len()) {
+            let slot = slots_in_zone.swap_remove(self.draw(slots_in_zone.len()));
+            self.add(at, Step::FailMachine(slot));
         }
         Span { from_s: at, until_s: self.seconds * 0.7 }
     }
@@ -201,8 +202,8 @@
     fn zone(&mut self) -> Span {
         let zone = self.draw(self.topology.region_of.len());
         let (from, until) = (self.seconds * 0.2, self.seconds * 0.55);
-        self.add(from, Step::LoseZone(zone));
-        self.add(until, Step::ReturnZone(zone));
+        self.add(from, Step::FailZone(zone));
+        self.add(until, Step::RestoreZone(zone));
         Span { from_s: from, until_s: until }
     }
 
@@ -210,8 +211,8 @@
         let regions = self.topology.region_of.iter().max().map_or(1, |last| last + 1);
         let region = self.draw(regions);
         let (from, until) = (self.seconds * 0.15, self.seconds * 0.45);
-        self.add(from, Step::Cut(region));
-        self.add(until, Step::Heal(region));
+        self.add(from, Step::PartitionRegion(region));
+        self.add(until, Step::HealRegion(region));
         Span { from_s: from, until_s: until }
     }
 }
--- a/crates/capacity/src/hollow/wheel.rs
+++ b/crates/capacity/src/hollow/wheel.rs
@@ -1,24 +1,26 @@
-//! The queue of a run's events: a wheel of short slots, as a heap of millions of timers would be the slowest part.
+//! The event queue of a simulation run: a timer wheel with short slots. A single heap with millions of timers would be
+//! the slowest part of the simulation.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::mem;
 
-/// Width of a slot: 2 to this many ns, about 65 us.
+/// Base-2 logarithm of the width of a slot in ns: a slot is 2^16 ns, about 65 us, wide.
 const SLOT_BITS: u32 = 16;
-/// Slots, for about 4.3 s; what is due later waits in a heap.
+/// Number of slots; together they cover about 4.3 s. Events that are due later are held in a heap.
 const SLOTS: u64 = 1 << 16;
 
+/// An event in the queue, ordered by its time and then by the order of insertion.
 #[derive(Debug)]
 struct Entry<T> {
     at: u64,
-    number: u64,
-    due: T,
+    sequence: u64,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -32,68 +34,74 @@
 
 impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// Events by their times in ns; those of one time come in the order in which they were put in.
+/// A timer wheel: returns events in the order of their times in ns, and events with equal times in the order of
+/// insertion.
 #[derive(Debug)]
 pub struct Wheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// Those of the slot at hand.
-    now: BinaryHeap<Reverse<Entry<T>>>,
-    far: BinaryHeap<Reverse<Entry<T>>>,
+    /// Entries of the current slot, and those inserted with an earlier time.
+    current: BinaryHeap<Reverse<Entry<T>>>,
+    /// Entries that are due after the last slot of the wheel.
+    overflow: BinaryHeap<Reverse<Entry<T>>>,
+    /// Number of the current slot, counted from time 0.
     at: u64,
-    number: u64,
-    waiting: usize,
+    /// Number of entries inserted so far; the sequence number of the latest one.
+    sequence: u64,
+    /// Number of entries in the queue.
+    len: usize,
 }
 
 impl<T> Default for Wheel<T> {
     fn default() -> Self {
         Self {
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
-            now: BinaryHeap::new(),
-            far: BinaryHeap::new(),
+            current: BinaryHeap::new(),
+            overflow: BinaryHeap::new(),
             at: 0,
-            number: 0,
-            waiting: 0,
+            sequence: 0,
+            len: 0,
         }
     }
 }
 
 impl<T> Wheel<T> {
-    /// Puts an event in, to come at a time in ns; one that should have come already comes next.
-    pub fn push(&mut self, at: u64, due: T) {
-        self.number += 1;
-        self.waiting += 1;
-        let entry = Entry { at, number: self.number, due };
+    /// Inserts an event that is due at the time `at`, in ns. An event whose time has already passed is returned as soon
+    /// as possible.
+    pub fn push(&mut self, at: u64, event: T) {
+        self.sequence += 1;
+        self.len += 1;
+        let entry = Entry { at, sequence: self.sequence, event };
         let slot = at >> SLOT_BITS;
         if slot <= self.at {
-            self.now.push(Reverse(entry));
+            self.current.push(Reverse(entry));
         } else if slot < self.at + SLOTS {
             self.slots[(slot % SLOTS) as usize].push(entry);
         } else {
-            self.far.push(Reverse(entry));
+            self.overflow.push(Reverse(entry));
         }
     }
 
-    /// Takes the next event out; `None` when there is none.
+    /// Removes and returns the next event with its time in ns, or `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<(u64, T)> {
-        if self.waiting == 0 {
+        if self.len == 0 {
             return None;
         }
-        while self.now.is_empty() {
+        while self.current.is_empty() {
             self.at += 1;
-            let near = self.at + SLOTS;
-            while self.far.peek().is_some_and(|Reverse(entry)| entry.at >> SLOT_BITS < near) {
-                let Some(Reverse(entry)) = self.far.pop() else { break };
+            let horizon = self.at + SLOTS;
+            while self.overflow.peek().is_some_and(|Reverse(entry)| entry.at >> SLOT_BITS < horizon) {
+                let Some(Reverse(entry)) = self.overflow.pop() else { break };
                 self.slots[((entry.at >> SLOT_BITS) % SLOTS) as usize].push(entry);
             }
-            // Its room is given back: kept, each slot would hold that of the busiest time.
+            // The slot's memory is released; otherwise each slot would keep the capacity of its busiest time.
             let slot = mem::take(&mut self.slots[(self.at % SLOTS) as usize]);
-            self.now.extend(slot.into_iter().map(Reverse));
+            self.current.extend(slot.into_iter().map(Reverse));
         }
-        self.waiting -= 1;
-        self.now.pop().map(|Reverse(entry)| (entry.at, entry.due))
+        self.len -= 1;
+        self.current.pop().map(|Reverse(entry)| (entry.at, entry.event))
     }
 }
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -1,15 +1,16 @@
-//! The fleet at work in virtual time: upstreams with servers, queues and cold starts, links with delays and cuts, lists
-//! that come late, clients that repeat, and between them all the real decision cores.
+//! The simulation of a fleet in virtual time. It models upstreams with servers, queues and cold starts, links with
+//! delays and network partitions, service discovery with propagation delays, and clients that retry; all balancers run
+//! the real decision cores.
 
 use balancer_policy::interface::{Member, Outcome};
 use balancer_policy::{Action, Event};
 use oorandom::Rand64;
 
-use self::event::Due;
+use self::event::ScheduledEvent;
 pub use self::report::{Depth, Faults, Report, Second, Signals};
 pub use self::script::{DRAIN_S, Step};
 use self::slab::Slab;
-use self::state::{Client, Core, Hop, Process, Slot, State, Work};
+use self::state::{Client, Core, Hop, Process, Slot, State, WorkItem};
 use super::topology::Topology;
 use super::wheel::Wheel;
 use crate::CapacityError;
@@ -30,123 +31,137 @@
 mod state;
 mod upstreams;
 
-/// Virtual seconds between looks at the memory in use: short, so that a run ends soon after it passes its bound.
-const MEMORY_LOOK_S: f64 = 0.25;
-/// Virtual seconds between looks at the signals of the balancers: the seconds of the report.
-const SIGNAL_LOOK_S: f64 = 1.0;
+/// Virtual seconds between checks of the memory in use: short, so that a run ends soon after it exceeds its limit.
+const MEMORY_CHECK_INTERVAL_S: f64 = 0.25;
+/// Virtual seconds between samples of the balancers' signals; one sample for each second of the report.
+const SIGNAL_SAMPLE_INTERVAL_S: f64 = 1.0;
 
+/// Converts seconds to ns.
 fn ns(seconds: f64) -> u64 {
     (seconds * 1e9) as u64
 }
 
+/// Converts ns to seconds.
 fn seconds(ns: u64) -> f64 {
     ns as f64 / 1e9
 }
 
-/// What a service does in place of its work.
+/// A fault of a service that lasts for the whole run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trouble {
-    /// It answers with an error at once.
+    /// The service answers every request with an error at once.
     Failing,
-    /// It never answers.
+    /// The service accepts requests and never answers.
     Silent,
-    /// Half of its upstreams are lost, and no list says so.
+    /// Half of the service's upstreams are unreachable, and service discovery still lists them.
     Halved,
 }
 
-/// Parts of the calls, 0 to 1, by how they may be repeated; the rest never may.
+/// Fractions of the calls, 0 to 1, by idempotency class; the remaining calls must not be retried.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Effects {
-    /// Those that may be repeated freely.
+    /// Fraction of idempotent calls, which may be retried freely.
     pub free: f64,
-    /// Those that may be repeated with an idempotency key.
+    /// Fraction of calls that may be retried with an idempotency key.
     pub keyed: f64,
 }
 
-/// A service that does not do its work.
+/// A service with a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TroubledService {
-    /// Its number in the topology.
+    /// Index of the service in [`Topology::services`].
     pub service: usize,
-    /// What it does in place of its work.
+    /// Fault of the service.
     pub trouble: Trouble,
 }
 
-/// A step of a scenario with its time.
+/// A step of a scenario, with the time at which it happens.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TimedStep {
-    /// Virtual seconds from the start.
+    /// Time of the step, in virtual seconds from the start of the run.
     pub at_s: f64,
-    /// What happens.
+    /// The change to the fleet.
     pub step: Step,
 }
 
-/// What is played.
+/// Parameters of a simulation run.
 #[derive(Debug, Clone)]
 pub struct Play {
-    /// Its name, for errors.
+    /// Name of the run in error messages.
     pub name: String,
-    /// Seconds in which clients come.
+    /// Virtual seconds during which clients send calls.
     pub seconds: f64,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// MB that the process may use.
+    /// Memory limit of the process, in MB.
     pub memory_mb: u64,
-    /// What happens, in the order of time.
+    /// Steps of the scenario, ordered by time.
     pub script: Vec<TimedStep>,
-    /// All processes have just started.
+    /// Whether all processes have just started and are still warming up.
     pub cold: bool,
-    /// A service that does not do its work.
+    /// The service with a fault, if any.
     pub trouble: Option<TroubledService>,
-    /// Repeats by a client at most.
+    /// Maximum number of retries by a client.
     pub repeats: u32,
-    /// Parts of the calls by how they may be repeated; `None` for the usual parts.
+    /// Fractions of the calls by idempotency class; `None` for the default fractions.
     pub effects: Option<Effects>,
 }
 
-/// The fleet at work.
+/// State of a simulated fleet during a run.
 #[derive(Debug)]
 pub struct World<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
     play: &'a Play,
     rng: Rand64,
+    /// Current virtual time, in ns.
     now: u64,
-    due: Wheel<Due>,
+    /// Queue of the events to come.
+    scheduled: Wheel<ScheduledEvent>,
     slots: Vec<Slot>,
+    /// All processes that have been started in the run, the ended ones among them.
     processes: Vec<Process>,
-    /// Processes that discovery lists, by service.
+    /// Processes in the service discovery list of each service.
     listed: Vec<Vec<u32>>,
+    /// All decision cores that have been started in the run, the ended ones among them.
     cores: Vec<Core>,
-    /// When the list of a service last changed.
-    changed: Vec<Option<u64>>,
-    /// Cores that watch the list of a service.
+    /// Virtual time of the latest change to the list of each service, in ns; `None` before the first change.
+    list_changed_at: Vec<Option<u64>>,
+    /// Cores that watch the list of each service.
     watchers: Vec<Vec<u32>>,
-    /// Balancers that call a service, in all.
+    /// Number of balancers that call each service.
     replicas: Vec<u32>,
-    /// Cores of each front, by the place among the entries.
+    /// Cores of each front, in the order of [`Topology::entries`].
     fronts: Vec<Vec<u32>>,
+    /// Whether each front is running.
     front_up: Vec<bool>,
-    changes: Vec<Vec<Member>>,
+    /// Changed list members of each list change, indexed by the number in [`ScheduledEvent::List`].
+    list_changes: Vec<Vec<Member>>,
     hops: Slab<Hop>,
-    works: Slab<Work>,
+    work_items: Slab<WorkItem>,
+    /// Calls of clients; an entry is reused once its call has ended.
     clients: Vec<Client>,
+    /// Indices of the unused entries of `clients`.
     clients_free: Vec<u32>,
-    /// Shares of the tenants, as running sums.
+    /// Cumulative fractions of the calls by tenant.
     tenants: Vec<f64>,
-    cut: Option<usize>,
-    zone_lost: Option<usize>,
+    /// Region that a network partition separates from the others, if any.
+    partition: Option<usize>,
+    /// Zone that has failed, if any.
+    failed_zone: Option<usize>,
+    /// Buffer for the actions of a decision core, reused between events.
     actions: Vec<Action>,
     report: Report,
 }
 
-const SPAN: u64 = 0x517c_c1b7_2722_0a95;
+/// Multiplier of the digest's hash function.
+const DIGEST_MULTIPLIER: u64 = 0x517c_c1b7_2722_0a95;
 
 impl<'a> World<'a> {
-    /// The fleet before its first event.
+    /// Sets up the fleet before its first event.
     ///
     /// # Errors
-    /// The plan's figures make no settings.
+    /// The plan's figures give no valid settings for a balancer.
     pub fn new(plan: &'a Plan, topology: &'a Topology, play: &'a Play) -> Result<Self, CapacityError> {
         let services = topology.services.len();
         let mut world = Self {
@@ -155,24 +170,24 @@
             play,
             rng: Rand64::new(u128::from(play.seed) << 8 | 2),
             now: 0,
-            due: Wheel::default(),
+            scheduled: Wheel::default(),
             slots: Vec::new(),
             processes: Vec::new(),
             listed: vec![Vec::new(); services],
             cores: Vec::new(),
-            changed: vec![None; services],
+            list_changed_at: vec![None; services],
             watchers: vec![Vec::new(); services],
             replicas: vec![0; services],
             fronts: vec![Vec::new(); topology.fronts.len()],
             front_up: vec![true; topology.fronts.len()],
-            changes: Vec::new(),
+            list_changes: Vec::new(),
             hops: Slab::default(),
-            works: Slab::default(),
+            work_items: Slab::default(),
             clients: Vec::new(),
             clients_free: Vec::new(),
             tenants: Vec::new(),
-            cut: None,
-            zone_lost: None,
+            partition: None,
+            failed_zone: None,
             actions: Vec::new(),
             report: Report {
                 depths: vec![Depth::default(); plan.graph.depth.value],
@@ -187,19 +202,20 @@
         Ok(world)
     }
 
-    /// Shares of the tenants, of which the one of rank n has 1 over the root of n.
+    /// Calculates the tenants' shares of the calls: the tenant of rank n has a weight of 1 / sqrt(n).
     fn draw_tenants(&mut self) {
         let mut sum = 0.0;
-        let parts: Vec<f64> =
+        let weights: Vec<f64> =
             (1..=self.plan.traffic.tenants.value).map(|rank| (rank as f64).powf(-0.5)).collect();
-        let all: f64 = parts.iter().sum();
-        for part in parts {
-            sum += part / all;
+        let all: f64 = weights.iter().sum();
+        for weight in weights {
+            sum += weight / all;
             self.tenants.push(sum);
         }
     }
 
-    /// The slots of all services, and the number of each of their balancers among those that call the same service.
+    /// Adds the slots of all services, and assigns each of their balancers its replica index among the balancers that
+    /// call the same service.
     fn add_slots(&mut self) {
         let topology = self.topology;
         for entry in &topology.entries {
@@ -220,10 +236,11 @@
         }
     }
 
-    /// A process in each slot and all fronts. Balancers come after all processes, so that their first lists are whole.
+    /// Starts a process in each slot, and all fronts. The balancers are added after all processes, so that their first
+    /// lists are complete.
     fn add_first_processes(&mut self) -> Result<(), CapacityError> {
-        let halved = self.play.trouble.filter(|troubled| troubled.trouble == Trouble::Halved);
-        let halved = halved.map(|troubled| troubled.service);
+        let halved = self.play.trouble.filter(|faulty| faulty.trouble == Trouble::Halved);
+        let halved = halved.map(|faulty| faulty.service);
         let mut seen = vec![0; self.topology.services.len()];
         for slot in 0..self.slots.len() {
             let process = self.add_process(slot, self.play.cold.then_some(0));
@@ -244,71 +261,74 @@
     }
 
     fn schedule_first_events(&mut self) {
-        self.due.push(0, Due::Client);
-        self.due.push(ns(MEMORY_LOOK_S), Due::Look);
-        self.due.push(ns(SIGNAL_LOOK_S), Due::LookAtSignals);
+        self.scheduled.push(0, ScheduledEvent::Client);
+        self.scheduled.push(ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
+        self.scheduled.push(ns(SIGNAL_SAMPLE_INTERVAL_S), ScheduledEvent::SignalSample);
         for (number, timed) in self.play.script.iter().enumerate() {
-            self.due.push(ns(timed.at_s), Due::Script(number as u32));
+            self.scheduled.push(ns(timed.at_s), ScheduledEvent::Script(number as u32));
         }
     }
 
-    /// Plays it to its end: until all calls have been answered.
+    /// Runs the simulation to its end, when all calls have been answered or are past their deadline.
     ///
     /// # Errors
-    /// The memory bound is passed, or a process that is to start gets no settings.
+    /// The memory limit is exceeded, or a process cannot start because the plan's figures give no valid settings.
     pub fn run(mut self) -> Result<Report, CapacityError> {
         let last = ns(self.play.seconds);
-        // Then no client comes, and each call ends by its deadline.
+        // No client sends a call after `last`, and each call ends by its deadline.
         let end = last + ns(self.plan.traffic.deadline_s.value * 1.5 + 0.5);
-        while let Some((at, due)) = self.due.pop() {
+        while let Some((at, scheduled)) = self.scheduled.pop() {
             if at > end {
                 break;
             }
             self.now = at;
             self.report.events += 1;
-            let [a, b] = due.words();
-            self.mix(at);
-            self.mix(a);
-            self.mix(b);
-            self.happen(due, last)?;
+            let [a, b] = scheduled.words();
+            self.update_digest(at);
+            self.update_digest(a);
+            self.update_digest(b);
+            self.handle_event(scheduled, last)?;
         }
-        let owed = |hop: &Hop, cores: &[Core]| !hop.answered && cores[hop.core as usize].balancer.is_some();
+        let is_unanswered =
+            |hop: &Hop, cores: &[Core]| !hop.answered && cores[hop.core as usize].balancer.is_some();
         for entry in &self.hops.entries {
-            if entry.occupied && owed(&entry.value, &self.cores) {
+            if entry.occupied && is_unanswered(&entry.value, &self.cores) {
                 self.report.faults.unanswered += 1;
             }
         }
         Ok(self.report)
     }
 
-    fn mix(&mut self, word: u64) {
-        self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(SPAN);
+    /// Adds a word to the digest of the run.
+    fn update_digest(&mut self, word: u64) {
+        self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(DIGEST_MULTIPLIER);
     }
 
-    fn happen(&mut self, due: Due, last: u64) -> Result<(), CapacityError> {
-        match due {
-            Due::Client => self.next_client(last),
-            Due::Again(client) => self.call(client),
-            Due::Wake(core) => self.drive(core, Event::MaintenanceDue),
-            Due::Reach { hop, attempt } => self.reach(hop, attempt),
-            Due::Done { work } => self.work_done(work),
-            Due::Reply { hop, attempt, outcome } => self.attempt_over(hop, attempt, outcome),
-            Due::Timeout { hop, attempt } => self.attempt_over(hop, attempt, Outcome::TimedOut),
-            Due::List { core, change } => self.changed_list_arrives(core, change),
-            Due::Whole(core) => self.whole_list_arrives(core),
-            Due::Script(step) => self.step(step as usize)?,
-            Due::Stop(process) => self.stop(process as usize, State::Ended),
-            Due::Start(slot) => self.start(slot as usize)?,
-            Due::Unlist(process) => self.unlist(process as usize),
-            Due::Look => self.look_at_memory()?,
-            Due::LookAtSignals => self.look_at_signals(),
+    /// Handles one event; `last` is the time after which clients send no calls, in ns.
+    fn handle_event(&mut self, scheduled: ScheduledEvent, last: u64) -> Result<(), CapacityError> {
+        match scheduled {
+            ScheduledEvent::Client => self.next_client(last),
+            ScheduledEvent::ClientRetry(client) => self.call(client),
+            ScheduledEvent::MaintenanceTimer(core) => self.drive(core, Event::MaintenanceDue),
+            ScheduledEvent::RequestArrival { hop, attempt } => self.request_arrives(hop, attempt),
+            ScheduledEvent::WorkDone { work } => self.work_done(work),
+            ScheduledEvent::Reply { hop, attempt, outcome } => self.attempt_over(hop, attempt, outcome),
+            ScheduledEvent::Timeout { hop, attempt } => self.attempt_over(hop, attempt, Outcome::TimedOut),
+            ScheduledEvent::List { core, change } => self.deliver_list_change(core, change),
+            ScheduledEvent::FullList(core) => self.deliver_full_list(core),
+            ScheduledEvent::Script(step) => self.step(step as usize)?,
+            ScheduledEvent::Stop(process) => self.stop(process as usize, State::Ended),
+            ScheduledEvent::Start(slot) => self.start(slot as usize)?,
+            ScheduledEvent::Unlist(process) => self.unlist(process as usize),
+            ScheduledEvent::MemoryCheck => self.check_memory()?,
+            ScheduledEvent::SignalSample => self.sample_signals(),
         }
         Ok(())
     }
 
-    /// Notes the memory in use, and ends the run where it passes its bound.
-    fn look_at_memory(&mut self) -> Result<(), CapacityError> {
-        self.due.push(self.now + ns(MEMORY_LOOK_S), Due::Look);
+    /// Records the memory in use, and ends the run with an error if it exceeds the limit.
+    fn check_memory(&mut self) -> Result<(), CapacityError> {
+        self.scheduled.push(self.now + ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
         let used_mb = resident_bytes()? >> 20;
         self.report.memory_mb = self.report.memory_mb.max(used_mb);
         if used_mb > self.play.memory_mb {
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -1,4 +1,5 @@
-//! The life of processes and of the balancers within them: start, loss, end and the replacement in the same slot.
+//! The lifecycle of processes and the balancers within them: start, machine failure, end, and replacement in the same
+//! slot.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -7,16 +8,17 @@
 use balancer_policy::{Balancer, Event};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::event::Due;
+use super::event::ScheduledEvent;
 use super::state::{Core, Process, Slot, State};
 use super::{World, ns};
 use crate::CapacityError;
 
-/// Until the platform takes a silent machine out of the lists.
-const DETECT_S: f64 = 1.5;
+/// Virtual seconds from a machine's failure until service discovery removes its process from the list.
+const FAILURE_DETECTION_S: f64 = 1.5;
 
 impl World<'_> {
-    /// A process in a slot, without its balancers.
+    /// Adds a process in a slot and to the list of its service, without its balancers. `started` is the time of a cold
+    /// start in ns, `None` for a process at full capacity.
     pub(super) fn add_process(&mut self, slot: usize, started: Option<u64>) -> usize {
         let process = self.processes.len();
         self.processes.push(Process {
@@ -28,7 +30,7 @@
             queue: VecDeque::new(),
             in_flight: 0,
             cores: Vec::new(),
-            window: VecDeque::new(),
+            arrivals: VecDeque::new(),
         });
         self.report.cold_starts += u64::from(started.is_some());
         self.slots[slot].process = Some(process);
@@ -36,7 +38,7 @@
         process
     }
 
-    /// The balancers of a process, each with the list as it is.
+    /// Adds the balancers of a process, each with the current list of the service that it calls.
     pub(super) fn add_cores(&mut self, process: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         let slot = self.processes[process].slot;
@@ -49,6 +51,7 @@
         Ok(())
     }
 
+    /// Starts a front: adds one balancer for each service that clients call directly.
     pub(super) fn add_front(&mut self, front: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         self.fronts[front].clear();
@@ -60,6 +63,8 @@
         Ok(())
     }
 
+    /// Adds a decision core that calls `service` from `zone` with the replica index `index`, and passes it its first
+    /// list.
     pub(super) fn add_core(
         &mut self,
         front: bool,
@@ -68,9 +73,9 @@
         index: u32,
     ) -> Result<u32, CapacityError> {
         let settings = self.settings(service, zone, index);
-        let wrong =
+        let settings_error =
             |cause| CapacityError::run(format!("hollow fleet, a balancer for service {service}"), cause);
-        let balancer = Balancer::new(settings, self.rng.rand_u64()).map_err(wrong)?;
+        let balancer = Balancer::new(settings, self.rng.rand_u64()).map_err(settings_error)?;
         let core = self.cores.len() as u32;
         let members = self.members(service);
         self.cores.push(Core {
@@ -80,26 +85,28 @@
             service,
             connected: FxHashSet::default(),
             notified: FxHashMap::default(),
-            listed_at: self.now,
-            missed: false,
-            first: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
+            list_arrives_at: self.now,
+            missed_updates: false,
+            initial_ready: members.iter().filter(|member| member.lifecycle == Lifecycle::Ready).count(),
         });
         self.watchers[service].push(core);
         self.drive(core, Event::Started);
-        self.tell(core, ListUpdate::Snapshot(members));
+        self.deliver_list(core, ListUpdate::Snapshot(members));
         Ok(core)
     }
 
-    pub(super) fn lose(&mut self, slot: usize) {
+    /// Fails the machine of a slot; service discovery removes the process from its list after [`FAILURE_DETECTION_S`].
+    pub(super) fn fail_slot(&mut self, slot: usize) {
         if let Some(process) = self.slots[slot].process.take()
             && self.processes[process].state == State::Up
         {
             self.stop(process, State::Lost);
-            self.due.push(self.now + ns(DETECT_S), Due::Unlist(process as u32));
+            self.scheduled.push(self.now + ns(FAILURE_DETECTION_S), ScheduledEvent::Unlist(process as u32));
         }
     }
 
-    /// A process ends: what it held is lost, and its balancers with it.
+    /// Ends a running process with its balancers and drops its work items. `state` is its state afterwards: an ended
+    /// process resets its connections and leaves the list at once, a lost one does neither.
     pub(super) fn stop(&mut self, number: usize, state: State) {
         if self.processes[number].state != State::Up {
             return;
@@ -118,16 +125,16 @@
             self.slots[slot].process = None;
         }
         let zone = self.slots[slot].zone;
-        // In the order of their numbers.
+        // Work items are handled in the order of their slab entries.
         let in_flight: Vec<u64> = (0..)
-            .zip(&self.works.entries)
+            .zip(&self.work_items.entries)
             .filter(|(_, entry)| entry.occupied && entry.value.process as usize == number)
             .map(|(place, entry)| u64::from(entry.generation) << 32 | place)
             .collect();
         for id in in_flight {
-            let Some(work) = self.works.get(id) else { continue };
+            let Some(work) = self.work_items.get(id) else { continue };
             let (hop, attempt) = (work.hop, work.attempt);
-            self.works.remove(id);
+            self.work_items.remove(id);
             if state == State::Ended {
                 self.reply(zone, hop, attempt, Outcome::Reset);
             }
@@ -137,12 +144,13 @@
         }
     }
 
+    /// Starts a new, cold process in a slot, unless the slot is occupied or its zone has failed.
     pub(super) fn start(&mut self, slot: usize) -> Result<(), CapacityError> {
-        if self.slots[slot].process.is_some() || self.zone_lost == Some(self.slots[slot].zone) {
+        if self.slots[slot].process.is_some() || self.failed_zone == Some(self.slots[slot].zone) {
             return Ok(());
         }
         let process = self.add_process(slot, Some(self.now));
-        self.spread(self.slots[slot].service, vec![self.member(process as u32)]);
+        self.publish_list_change(self.slots[slot].service, vec![self.member(process as u32)]);
         self.add_cores(process)
     }
 }
