--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -1,7 +1,8 @@
-//! Slopes of the decisions: processor time and bytes against upstreams, tenants and calls in flight.
+//! The `decisions` command: measures how the cost of the decision core grows with the number of upstreams, tenants and
+//! requests in flight, and writes each relation as a slope.
 //!
-//! Time is the wall time of tight loops over the real core on a machine of its own. Bytes are the growth of a fresh
-//! process of this program over many cores built, as the system counts its pages.
+//! Processor time is the wall time of tight loops over the real decision core, on a machine without other load. Memory
+//! is the growth of the resident memory of a fresh process of this program while it builds many cores.
 
 use std::path::PathBuf;
 
@@ -23,24 +24,25 @@
 use memory::{bytes_in_child, bytes_of_core};
 use timing::{list_change_ns, request_ns, timer_ns};
 
-/// Slopes of the decisions: processor time and bytes against upstreams, tenants and calls held.
+/// Measures processor time and memory of the decision core by upstreams, tenants and requests in flight.
 #[derive(Debug, Clone, Args)]
 pub struct Arguments {
-    /// A quick version: fewer sizes and plays.
+    /// Measure fewer sizes, with fewer runs of each.
     #[arg(long)]
     pub small: bool,
-    /// Seed of every draw.
+    /// Seed of all random draws.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Where the folder `slopes` is.
+    /// Folder that contains the folder `slopes`.
     #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
-    /// Builds cores of UPSTREAMS,TENANTS,IN_FLIGHT,COPIES in this process and prints the bytes that each one took.
+    /// Build decision cores of the size UPSTREAMS,TENANTS,IN_FLIGHT in this process, COPIES of them, and print the
+    /// bytes of memory per core.
     #[arg(long, hide = true, value_delimiter = ',')]
     pub hold: Vec<usize>,
 }
 
-/// Upstreams, tenants and calls in flight of a core that is measured.
+/// Size of a decision core under measurement: its numbers of upstreams, tenants and requests in flight.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     upstreams: usize,
@@ -48,10 +50,10 @@
     in_flight: usize,
 }
 
-/// The sizes of a slope, each with what it counts.
+/// Core sizes that a slope is measured at, each with its x value: the count that the slope varies.
 type Sizes<'a> = &'a [(usize, Size)];
 
-/// What a slope shows, apart from its points.
+/// Texts of a slope: its name, the quantity that it shows, and the units of both axes.
 struct SlopeText<'a> {
     name: &'a str,
     what: &'a str,
@@ -59,38 +61,42 @@
     y_unit: &'a str,
 }
 
-/// A slope of processor time.
+/// Definition of a slope of processor time.
 struct TimeSlope<'a> {
     name: &'a str,
     what: &'a str,
     x_unit: &'a str,
     sizes: Sizes<'a>,
-    /// Nanoseconds that one play measures: of the plan, at a size, with a seed, in the quick version or not.
+    /// Measures one operation in nanoseconds, given the plan, the size of the core, the seed, and whether this is a
+    /// quick (`--small`) run.
     cost: fn(&Plan, Size, u64, bool) -> Result<f64, CapacityError>,
-    /// What is not varied, for the note.
+    /// Sentence for the slope's note that gives the counts that the slope does not vary.
     setting: &'a str,
 }
 
-/// A slope of memory.
+/// Definition of a slope of memory.
 struct MemorySlope<'a> {
     name: &'a str,
     x_unit: &'a str,
     sizes: Sizes<'a>,
-    /// Whether each core is measured with its calls in flight; without any otherwise.
+    /// Whether each core is measured with the requests in flight of its size; otherwise it has none in flight.
     in_flight: bool,
 }
 
-/// What a slope leaves alone: the upstreams of a large service, no tenants, the calls of a busy balancer.
+/// Size of a core in the counts that a slope does not vary: the upstreams of a large service, no tenants, and the
+/// requests in flight of a busy balancer.
 const USUAL: Size = Size { upstreams: 190, tenants: 0, in_flight: 32 };
-/// Bytes that the cores of one play should take in all, so that pages and the allocator's own count little...
+/// Approximate memory that the cores of one run take together: large enough that rounding to whole pages and the
+/// allocator's own memory matter little.
 const MEMORY_BYTES: usize = 96 << 20;
-/// ...and in a quick version.
+/// Approximate memory that the cores of one run take together in a quick (`--small`) measurement.
 const MEMORY_BYTES_SMALL: usize = 12 << 20;
 
-/// Measures every slope of the decisions and writes each to its file; with `--hold`, prints the bytes of one core.
+/// Runs the `decisions` command: measures all slopes of the decision core and writes each to its file. With `--hold`
+/// prints the memory of one core instead.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// `--hold` is malformed, a measurement fails, or a file cannot be written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !arguments.hold.is_empty() {
         return print_bytes_of_core(arguments, plan);
@@ -102,7 +108,7 @@
     session.write_memory_slopes()
 }
 
-/// Builds the cores that `--hold` names in this process and prints the bytes of each.
+/// Builds the decision cores that `--hold` describes in this process and prints the bytes of memory per core.
 fn print_bytes_of_core(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let &[upstreams, tenants, in_flight, count] = &arguments.hold[..] else {
         return Err(CapacityError::Argument {
@@ -115,7 +121,7 @@
     Ok(())
 }
 
-/// One run of the command: what is measured, and where its slopes go.
+/// State of one run of the `decisions` command: the sizes to measure and the folder for the slopes.
 struct Session<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
@@ -154,7 +160,8 @@
         Ok(())
     }
 
-    /// The slopes of processor time; `usual` and `tenants_usual` say what is not varied in each.
+    /// Definitions of the slopes of processor time. `usual` and `tenants_usual` are the sentences of their notes that
+    /// give the counts that are not varied; `tenants_usual` is for the slopes that vary the number of tenants.
     fn time_slopes<'b>(&'b self, usual: &'b str, tenants_usual: &'b str) -> [TimeSlope<'b>; 6] {
         let request = "processor time of the decisions for one request: taken, sent, and its attempt ended";
         let timer = "processor time of the decisions for one timer (five a second)";
@@ -247,7 +254,8 @@
         self.write_slope(&text, plays as usize, points, note)
     }
 
-    /// Prints a slope's points and writes it to its file, with a straight line where one holds.
+    /// Prints the points of a slope and writes the slope to its file, with a linear fit where the points are close to a
+    /// straight line.
     fn write_slope(
         &self,
         text: &SlopeText,
@@ -280,18 +288,20 @@
     }
 }
 
-/// The sizes of a slope that varies one count.
+/// Sizes of a slope that varies one count: each of `counts` with the size that `size_of` makes of it.
 fn varied(counts: &[usize], size_of: impl Fn(usize) -> Size) -> Vec<(usize, Size)> {
     counts.iter().map(|&count| (count, size_of(count))).collect()
 }
 
-/// Measures each size in so many plays: a point for each, with the middle and the spread.
+/// Measures each size `plays` times with `cost`, which is given the size and the number of the run. Returns a point for
+/// each size, with the median and the range of its costs.
 fn measure(
     sizes: &[(usize, Size)],
     plays: u64,
     mut cost: impl FnMut(Size, u64) -> Result<f64, CapacityError>,
 ) -> Result<Vec<Point>, CapacityError> {
-    // Round after round over all sizes, so that what the machine does in some seconds is not one size's alone.
+    // Each round measures all sizes once, so that a disturbance of some seconds on the machine affects all sizes and
+    // not only one.
     let mut costs: Vec<Vec<f64>> = vec![Vec::new(); sizes.len()];
     for play in 0..plays {
         for (costs, &(_, size)) in costs.iter_mut().zip(sizes) {
--- a/crates/capacity/src/decisions/line.rs
+++ b/crates/capacity/src/decisions/line.rs
@@ -1,11 +1,12 @@
-//! The straight line through the points of a slope, where one holds.
+//! Linear fit of the points of a slope, and a description of the relation where no straight line fits.
 
 use crate::slope::{Fit, Point};
 
-/// Residual over which a straight line is no answer.
+/// Largest relative residual at which a straight line is accepted as a fit.
 const STRAIGHT: f64 = 0.25;
 
-/// The straight line through the points where one holds; where none does the note says what does.
+/// Fits a straight line to the points and returns it if its residual is small enough. Otherwise appends to `note` how
+/// large the deviation is, a power law that fits the points, and the marginal cost between the two largest sizes.
 pub fn straight(points: &[Point], note: &mut String) -> Option<Fit> {
     let fit = Fit::through(points)?;
     if fit.residual <= STRAIGHT {
--- a/crates/capacity/src/decisions/loaded_core.rs
+++ b/crates/capacity/src/decisions/loaded_core.rs
@@ -1,4 +1,4 @@
-//! One decision core at work, with calls that come in evenly.
+//! A decision core under a load of evenly spaced requests, in virtual time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,22 +13,28 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// Virtual seconds that a call takes.
+/// Virtual time from the start of a request to its end, in seconds.
 pub(super) const CALL_S: f64 = 0.05;
-/// Balancers that send to the same tier.
+/// Number of balancers that send requests to the same tier.
 pub(super) const REPLICAS: u32 = 100;
 
-/// A core at work: calls come in evenly, each ends after [`CALL_S`].
+/// A decision core with its load: requests arrive evenly, and each ends after [`CALL_S`].
 pub(super) struct Played {
     pub(super) balancer: Balancer,
+    /// Virtual time, in seconds.
     pub(super) now: f64,
+    /// Virtual time of the next maintenance timer, in seconds.
     pub(super) wake: f64,
     pub(super) size: Size,
+    /// Number of requests so far, which is also the id of the latest.
     pub(super) number: u64,
+    /// Ids of the requests that the core sent and that have not ended, oldest first.
     pub(super) out: VecDeque<RequestId>,
+    /// Buffer for the actions of the core, cleared after each event.
     pub(super) actions: Vec<Action>,
 }
 
+/// List entry of the upstream with this number, a ready upstream in one of `zones` zones.
 pub(super) fn member(number: usize, zones: usize) -> Member {
     Member {
         id: EndpointId(number as u32 + 1),
@@ -48,7 +54,7 @@
         late_weight: 0.3,
         idempotency: Idempotency::Idempotent,
     };
-    // Quotas that no tenant reaches: what is measured is the way of a request that is served.
+    // The quotas are higher than any tenant's rate, so that the measured path is that of an admitted request.
     let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(REPLICAS);
     let tenants =
         (0..size.tenants).map(|_| Tenant { quota: Some(rate / size.tenants.max(1) as f64) }).collect();
@@ -79,6 +85,7 @@
         Duration::from_secs_f64(self.now)
     }
 
+    /// Starts a request at the core, and counts it as in flight if the core sends it.
     pub(super) fn take(&mut self) {
         self.number += 1;
         let id = RequestId(self.number);
@@ -100,6 +107,7 @@
         self.actions.clear();
     }
 
+    /// Ends the oldest request in flight with success.
     pub(super) fn end_oldest(&mut self) {
         let Some(request) = self.out.pop_front() else { return };
         let ended = Event::AttemptEnded {
@@ -115,7 +123,8 @@
         self.actions.clear();
     }
 
-    /// One call in and, once as many as wanted are out, one ended; the clock moves on.
+    /// Advances the clock by one interval between requests, starts a request, and ends the oldest ones beyond the
+    /// number that should be in flight.
     pub(super) fn step(&mut self) {
         self.now += CALL_S / self.size.in_flight.max(1) as f64;
         self.take();
@@ -124,6 +133,7 @@
         }
     }
 
+    /// Runs the maintenance timer of the core if its time has come, and schedules the next one 0.2 s later.
     pub(super) fn wake_when_due(&mut self) {
         if self.now >= self.wake {
             self.balancer.handle(self.time(), Event::MaintenanceDue, &mut self.actions);
@@ -132,7 +142,7 @@
         }
     }
 
-    /// Until windows and latencies have filled.
+    /// Applies load until the time windows and latency estimates of the core are filled.
     pub(super) fn settle(&mut self, small: bool) {
         let steps = self.size.in_flight.max(1) * if small { 4 } else { 20 } + 2000;
         for _ in 0..steps {
--- a/crates/capacity/src/decisions/memory.rs
+++ b/crates/capacity/src/decisions/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of the decisions: growth of a process over many cores built.
+//! Memory of a decision core, measured as the growth of a process that builds many cores.
 
 use std::path::Path;
 use std::process::Command;
@@ -8,19 +8,19 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// Resident bytes of this process.
+/// Resident memory of this process, in bytes.
 ///
 /// # Errors
-/// The system does not tell.
+/// `/proc/self/status` cannot be read or has no resident size.
 pub fn resident_bytes() -> Result<u64, CapacityError> {
     let path = Path::new("/proc/self/status");
     let text = std::fs::read_to_string(path).map_err(|cause| CapacityError::file(path, cause))?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kib = line.and_then(|rest| rest.split_whitespace().next()).and_then(|word| word.parse::<u64>().ok());
-    kib.map(|kib| kib * 1024).ok_or_else(|| CapacityError::file(path, "no line VmRSS in kB"))
+    kib.map(|kib| kib * 1024).ok_or_else(|| CapacityError::file(path, "no VmRSS line with a size in kB"))
 }
 
-/// Bytes of each of so many cores built here.
+/// Builds `count` decision cores in this process and returns their mean size in bytes.
 pub(super) fn bytes_of_core(plan: &Plan, size: Size, count: usize, seed: u64) -> Result<u64, CapacityError> {
     let mut cores = Vec::with_capacity(count);
     let mut build = |number: u64| -> Result<(), CapacityError> {
@@ -30,12 +30,16 @@
             played.take();
         }
         if played.out.len() != size.in_flight {
-            return Err(CapacityError::run(format!("decisions, {size:?}"), "some calls were not sent"));
+            return Err(CapacityError::run(
+                format!("decisions, {size:?}"),
+                "the core did not send all requests",
+            ));
         }
         cores.push(played.balancer);
         Ok(())
     };
-    // The first one brings in what is there once, such as the code.
+    // The first core is built before the measurement, as it also brings in memory that is needed only once, such as
+    // pages of code.
     build(0)?;
     let before = resident_bytes()?;
     for number in 1..=count as u64 {
@@ -46,14 +50,14 @@
     Ok(after.saturating_sub(before) / count.max(1) as u64)
 }
 
-/// The same in a fresh process, with as many cores as take about `most` bytes.
+/// Measures the bytes of a decision core in a fresh process, which builds as many cores as take about `most` bytes.
 pub(super) fn bytes_in_child(size: Size, most: usize, seed: u64) -> Result<f64, CapacityError> {
     let place = format!("decisions, bytes of {size:?}");
     let about = 2500 + size.upstreams * 250 + size.tenants * 400 + size.in_flight * 300;
     let count = (most / about).max(4);
     let Size { upstreams, tenants, in_flight } = size;
     let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
-    // The plan may be named on the command line, which the child must be told too.
+    // A `--plan` argument of this process is passed on to the child.
     let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
     let done = Command::new(program)
         .args(named)
@@ -65,5 +69,7 @@
         return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
     }
     let text = String::from_utf8_lossy(&done.stdout);
-    text.trim().parse().map_err(|_| CapacityError::run(place, format!("no number: {text}")))
+    text.trim()
+        .parse()
+        .map_err(|_| CapacityError::run(place, format!("the child process printed no number: {text}")))
 }
--- a/crates/capacity/src/decisions/timing.rs
+++ b/crates/capacity/src/decisions/timing.rs
@@ -1,4 +1,4 @@
-//! Processor time of the decisions: tight loops over one core.
+//! Processor time of the operations of a decision core, measured in tight loops over one core.
 
 use std::time::{Duration, Instant};
 
@@ -10,10 +10,12 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
+/// Mean time of one of `count` operations that began at `began`, in nanoseconds.
 fn per_each(began: Instant, count: u64) -> f64 {
     began.elapsed().as_nanos() as f64 / count as f64
 }
 
+/// Measures the time of one request, from its arrival to the end of its attempt, in nanoseconds.
 pub(super) fn request_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, CapacityError> {
     let mut played = Played::new(plan, size, seed)?;
     played.settle(small);
@@ -30,12 +32,16 @@
     }
     let wanted = size.in_flight.max(1);
     if played.out.len() != wanted {
-        let cause = format!("{} calls of {wanted} were out: some were not sent", played.out.len());
+        let cause = format!(
+            "only {} of {wanted} requests are in flight: the core did not send some",
+            played.out.len()
+        );
         return Err(CapacityError::run(format!("decisions, {size:?}"), cause));
     }
     Ok(spent.as_nanos() as f64 / (played.number - before) as f64)
 }
 
+/// Measures the time to apply a change of one entry of the endpoint list, in nanoseconds.
 pub(super) fn list_change_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, CapacityError> {
     let mut played = Played::new(plan, size, seed)?;
     played.settle(small);
@@ -43,7 +49,7 @@
     let zones = plan.fleet.zones.value;
     let patches: Vec<Event> = (0..count as usize)
         .map(|change| {
-            // Each of some upstreams leaves and comes back.
+            // The upstreams drain and become ready again, one after the other.
             let lifecycle = if change % 2 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
             let changed = Member { lifecycle, ..member(change / 2 % size.upstreams, zones) };
             Event::List(ListUpdate::Delta(vec![changed]))
@@ -57,6 +63,7 @@
     Ok(per_each(began, count))
 }
 
+/// Measures the time of one maintenance timer, in nanoseconds.
 pub(super) fn timer_ns(plan: &Plan, size: Size, seed: u64, small: bool) -> Result<f64, CapacityError> {
     let mut played = Played::new(plan, size, seed)?;
     played.settle(small);
