--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -1,7 +1,8 @@
-//! The `depth` command: attempts and refusals by the depth of a call, simulated on the hollow fleet.
+//! The `depth` command: attempts, refusals and remaining deadline by the depth of the call graph, simulated on the
+//! hollow fleet (balancers without real traffic).
 //!
-//! A chain of services with a fault in one of them: how many attempts reach the deepest tier for one call at the
-//! front, how many refusals come back, and how much of the deadline is left there.
+//! Simulates chains of services with a fault in one of them, and reports how many attempts reach the deepest service
+//! for each request at the front, how many requests are refused or fail, and how much of the deadline remains there.
 
 use std::path::{Path, PathBuf};
 
@@ -14,35 +15,35 @@
 use crate::plan::Plan;
 use crate::slope::{self, Point, Results, Slope};
 
-/// Attempts and refusals over the depth of a call, played on the hollow fleet.
+/// Simulates chains of services and measures attempts, refusals and remaining deadline by the depth of the chain.
 #[derive(Debug, Clone, Args)]
 pub struct Arguments {
-    /// A quick version: fewer depths and seeds.
+    /// Simulate fewer depths, for a shorter time and with one seed.
     #[arg(long)]
     pub small: bool,
-    /// Seed of every draw; each play takes the next.
+    /// Seed of the random draws of the first run; each further run uses the next seed.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// Where the folders `slopes` and `results` are.
+    /// Folder that contains the folders `slopes` and `results`.
     #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
 }
 
-/// Upstreams of each service.
+/// Number of upstreams of each service.
 const SIZE: usize = 8;
-/// Calls a second at the front.
+/// Requests per second at the front.
 const RATE: f64 = 400.0;
-/// Simulated seconds of a play.
+/// Simulated duration of a run, in seconds.
 const SECONDS: f64 = 20.0;
-/// Simulated seconds of a quick play.
+/// Simulated duration of a quick (`--small`) run, in seconds.
 const SECONDS_SMALL: f64 = 6.0;
-/// Memory that a play may use, in MB.
+/// Memory limit of a run, in MB.
 const MEMORY_MB: u64 = 4096;
 
-/// What is wrong with the service in trouble.
+/// Faults that the table has rows for.
 const KINDS: [Trouble; 3] = [Trouble::Failing, Trouble::Silent, Trouble::Halved];
 
-/// The headings of the table.
+/// Column headings of the results table.
 const COLUMNS: [&str; 10] = [
     "trouble",
     "of the service at depth",
@@ -56,37 +57,38 @@
     "served in time %",
 ];
 
-/// A chain with a service in trouble.
+/// A simulated chain of services, with a fault in at most one of them.
 #[derive(Debug, Clone, Copy)]
 pub struct Chain {
-    /// The number of services.
+    /// Number of services in the chain.
     pub depth: usize,
-    /// The service in trouble, from 1 at the front, and what is wrong with it.
+    /// Position of the faulty service, counted from 1 at the front, and its fault; `None` if all services are healthy.
     pub trouble: Option<(usize, Trouble)>,
-    /// The most retries by a client.
+    /// Largest number of retries by a client for one request.
     pub repeats: u32,
-    /// Whether all calls are idempotent; otherwise the plan's usual parts of them are.
+    /// Whether all requests are idempotent; otherwise the usual fractions of the hollow fleet apply.
     pub safe: bool,
-    /// Seed of all draws.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// Duration, in simulated seconds.
+    /// Duration of the run, in simulated seconds.
     pub seconds: f64,
 }
 
-/// The figures of one play.
+/// Figures of one run of a chain.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Figures {
-    /// Attempts sent to the service at the depth in question, for one call at the front.
+    /// Attempts sent to the service at the examined depth, per request at the front.
     pub attempts: f64,
-    /// Calls refused or failed by all balancers together, for one call at the front.
+    /// Requests that balancers of all depths ended as refused or failed, per request at the front.
     pub refusals: f64,
-    /// Of those the ones before the front's own.
+    /// Requests that the balancers before the first service ended as refused or failed, per request at the front.
     pub refusals_at_front: f64,
-    /// Time left of the deadline when a call reaches the deepest service that calls reach, in ms.
+    /// Mean time left of the deadline when a request arrives at the balancers before the deepest service that requests
+    /// reach, in ms.
     pub left_ms: f64,
-    /// Fraction of the calls at the front that were served in time, 0 to 1.
+    /// Fraction of the requests at the front that succeeded within the latency objective, 0 to 1.
     pub served: f64,
-    /// Attempts at all depths for one call at the front.
+    /// Attempts sent at all depths together, per request at the front.
     pub all_attempts: f64,
 }
 
@@ -98,7 +100,7 @@
     pub fn play(&self, plan: &Plan) -> Result<Report, CapacityError> {
         let mut plan = plan.clone();
         plan.graph.depth.value = self.depth;
-        // One tenant: the figures are of a call, not of the quotas of many tenants.
+        // A single tenant, so that the figures show the course of a request and not the quotas of many tenants.
         plan.traffic.tenants.value = 1;
         let topology = Topology::chain(&plan, self.depth, SIZE, RATE);
         let play = Play {
@@ -115,7 +117,7 @@
         World::new(&plan, &topology, &play)?.run()
     }
 
-    /// The figures of a report for the service at the depth `at`, counted from 1 at the front.
+    /// Figures of a report, with the attempts of the service at the depth `at`, counted from 1 at the front.
     #[must_use]
     pub fn figures(&self, report: &Report, at: usize) -> Figures {
         let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
@@ -134,43 +136,47 @@
     }
 }
 
-/// Runs the command: plays the chains and writes the slopes and the table.
+/// Runs the `depth` command: simulates the chains and writes the slopes and the results table.
 ///
 /// # Errors
-/// A play fails, or a file cannot be written.
+/// A run fails, or a file cannot be written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let session = Session::new(arguments, plan);
     session.write_slopes()?;
     session.write_table()
 }
 
-/// One run of the command: what is played, and what goes into each file that it writes.
+/// State of one run of the `depth` command: what is simulated, and the texts that its output files share.
 struct Session<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
+    /// Simulated duration of each run, in seconds.
     seconds: f64,
+    /// Number of runs for each point of a slope, each with its own seed.
     plays: u64,
+    /// Lengths of the chains for the slopes, and positions of the faulty service for the table.
     depths: Vec<usize>,
-    /// Services of the longest chain.
+    /// Number of services in the longest chain.
     longest: usize,
-    /// Repeats by a client at most, of the plan.
+    /// Largest number of retries by a client for one request, from the plan.
     repeats: u32,
-    /// The play's figures in words, for the notes.
+    /// Description of the simulated chains for the notes of the output files.
     setting: String,
+    /// Command line that repeats the measurement.
     command: String,
 }
 
-/// The points of the slopes, and the text of a note to them.
+/// Points of all slopes, with the attempts without client retries for a note.
 #[derive(Default)]
 struct Points {
     attempts: Vec<Point>,
     refusals: Vec<Point>,
     left_ms: Vec<Point>,
-    /// Attempts at the deepest service where clients do not repeat, as `depth: attempts`.
+    /// Attempts at the deepest service where clients do not retry, one text `depth: attempts` for each depth.
     without_repeats: Vec<String>,
 }
 
-/// What one slope shows, apart from its points.
+/// Texts of a slope: its name, the quantity that it shows, the unit of that quantity, and the note.
 struct SlopeText {
     name: &'static str,
     what: &'static str,
@@ -210,7 +216,7 @@
         }
     }
 
-    /// A chain of a depth in which nothing is in trouble and all calls may be repeated freely.
+    /// A chain of `depth` services without a fault, in which all requests are idempotent.
     fn calm(&self, depth: usize, play: u64) -> Chain {
         Chain {
             depth,
@@ -222,19 +228,19 @@
         }
     }
 
-    /// The same chain whose last service fails each call at once.
+    /// A chain of `depth` services whose last service fails each request at once; all requests are idempotent.
     fn failing(&self, depth: usize, play: u64) -> Chain {
         Chain { trouble: Some((depth, Trouble::Failing)), ..self.calm(depth, play) }
     }
 
-    /// The folder of that name below the one for output; it is made.
+    /// Creates the folder `name` below the output folder if it is missing, and returns its path.
     fn folder(&self, name: &str) -> Result<PathBuf, CapacityError> {
         let folder = self.arguments.out.join(name);
         std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
         Ok(folder)
     }
 
-    /// Plays each depth for the slopes.
+    /// Simulates chains of each depth and returns the points of the slopes.
     fn points(&self) -> Result<Points, CapacityError> {
         let mut points = Points::default();
         for &depth in &self.depths {
@@ -267,7 +273,8 @@
         self.write_slope(&folder, of_left, left_ms)
     }
 
-    /// Of attempts, refusals, and the time left.
+    /// Texts of the slopes of attempts, refusals and remaining deadline. `without_repeats` has the attempts without
+    /// client retries by depth.
     fn slope_texts(&self, without_repeats: &[String]) -> [SlopeText; 3] {
         let Self { setting, repeats: most, plan, .. } = self;
         let beside = without_repeats;
@@ -321,7 +328,7 @@
         .write(folder)
     }
 
-    /// The row of the longest chain with a service in trouble.
+    /// Simulates the longest chain with this fault in its service at `depth`, and returns its row of the results table.
     fn row(&self, trouble: Trouble, depth: usize, repeats: u32) -> Result<Vec<String>, CapacityError> {
         let longest = self.longest;
         let trouble_at = Some((depth, trouble));
@@ -372,6 +379,7 @@
     }
 }
 
+/// Name of a fault in the results table.
 fn kind(trouble: Trouble) -> &'static str {
     match trouble {
         Trouble::Failing => "failing",
