--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -1,4 +1,5 @@
-//! Slopes of a real process: memory, start, processor time against the list's length.
+//! The `process` command: measures memory, start time and processor time of a real balancer process by the length of
+//! its endpoint list, and writes each relation as a slope.
 
 use std::path::Path;
 use std::sync::atomic::AtomicUsize;
@@ -13,52 +14,53 @@
 use crate::slope::{Fit, Point, Slope, commit};
 use crate::world::{self, Balancer, Common, Counts, Discovery, Upstreams, Usage, Way};
 
-/// What is measured.
+/// Part of the measurements of the `process` command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Part {
-    /// Start and memory, of processes that serve nobody yet.
+    /// Start time and memory of processes that have not served a request.
     Start,
-    /// Processor time and memory of processes that serve calls.
+    /// Processor time and memory of processes that serve requests.
     Request,
-    /// The share of a core at rest.
+    /// Processor time of idle processes, as a fraction of a core.
     Idle,
-    /// All of it.
+    /// All measurements.
     All,
 }
 
-/// Slopes of a real process: memory, start, processor time against the list's length.
+/// Measures memory, start time and processor time of a real balancer process by the length of its list.
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
     common: Common,
-    /// What is measured.
+    /// Measurements to run.
     #[arg(long, value_enum, default_value_t = Part::All)]
     part: Part,
-    /// Lengths of the list, at least two.
+    /// Lengths of the endpoint list to measure, at least two.
     #[arg(long, value_delimiter = ',', default_values_t = [6, 60, 190, 600, 1900])]
     sizes: Vec<usize>,
-    /// Plays of each size.
+    /// Number of runs for each length.
     #[arg(long, default_value_t = 5)]
     plays: usize,
-    /// Calls a second; without it the mean of a balancer, where the plan's calls are those at the front.
+    /// Requests per second; by default the mean rate of a balancer, with the plan's requests taken as those at the
+    /// front.
     #[arg(long)]
     rate: Option<f64>,
 }
 
-/// Time between the lines of a watch at rest.
+/// Interval between heartbeats of an idle watch, from the plan.
 fn beat(plan: &Plan) -> Duration {
     Duration::from_secs_f64(plan.list.beat_s.value)
 }
 
-/// Lengths at most, so that ports and descriptors are enough.
+/// Largest length of the list: with more upstreams, ports and file descriptors could run out.
 const SIZE_MOST: usize = 4000;
-/// Calls a second at most.
+/// Largest request rate, in requests per second.
 const RATE_MOST: f64 = 10_000.0;
 
-/// Measures the parts that are asked for and writes their slopes.
+/// Runs the `process` command: takes the selected measurements, prints their slopes and writes them to files.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// An argument is invalid, a process does not start or serve, or a file cannot be written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
     let mut sizes = arguments.sizes.clone();
@@ -105,20 +107,25 @@
     Ok(())
 }
 
-/// What the plays of one run of the command have in common.
+/// Arguments and limits that all measurements of one run of the command share.
 struct Bench<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
+    /// Program of the balancer.
     program: &'a Path,
+    /// Lengths of the list to measure, in ascending order.
     sizes: Vec<usize>,
+    /// Number of runs for each length.
     plays: usize,
+    /// Request rate under load, in requests per second.
     rate: f64,
 }
 
-/// By size, what each play gave.
+/// Values measured for each length of the list, one value per run.
 type Plays = Vec<(usize, Vec<f64>)>;
 
 impl Bench<'_> {
+    /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement.
     fn slope(&self, part: &str, name: &str, what: &str, unit: &str, plays: Plays, note: &str) -> Slope {
         let points: Vec<Point> =
             plays.into_iter().filter_map(|(size, plays)| Point::of(size as f64, plays)).collect();
@@ -139,7 +146,7 @@
         }
     }
 
-    /// A balancer with so many upstreams in its list, from its configuration and from discovery alike.
+    /// Starts a balancer that gets the same list of upstreams from its configuration and from discovery.
     fn balancer(&self, upstreams: &Upstreams, discovery: &Discovery) -> Result<Balancer, CapacityError> {
         let entries = upstreams.entries();
         let settings = world::settings(self.plan, entries.len());
@@ -147,13 +154,15 @@
         Balancer::start(self.program, &configuration, None, |_| ())
     }
 
+    /// Starts the servers around a balancer: `size` stand-in upstreams, for at most `calls` requests, and a stand-in
+    /// discovery with their list.
     fn world(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
         let upstreams = Upstreams::start(size, 2, calls)?;
         let discovery = Discovery::start(upstreams.entries(), beat(self.plan))?;
         Ok((upstreams, discovery))
     }
 
-    /// One process after the other.
+    /// Measures start time and memory of processes that have not served a request, one process after the other.
     fn start(&self) -> Result<Vec<Slope>, CapacityError> {
         let (mut listens, mut serves, mut memory) = (Plays::new(), Plays::new(), Plays::new());
         for &size in &self.sizes {
@@ -161,7 +170,7 @@
             let mut of_size = [const { Vec::new() }; 3];
             for _ in 0..self.plays {
                 let balancer = self.balancer(&upstreams, &discovery)?;
-                // Until the list from discovery has been taken in too.
+                // Waits until the balancer has applied the list from discovery too.
                 thread::sleep(Duration::from_millis(300));
                 of_size[0].push(balancer.listens_after.as_secs_f64() * 1000.0);
                 of_size[1].push(balancer.serves_after.as_secs_f64() * 1000.0);
@@ -202,7 +211,8 @@
         ])
     }
 
-    /// All sizes at once: at rest they take next to nothing from each other.
+    /// Measures the processor time of idle processes. The processes of all lengths run at once, as idle processes
+    /// hardly affect each other.
     fn idle(&self) -> Result<Vec<Slope>, CapacityError> {
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
         let mut shares: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
@@ -236,11 +246,13 @@
         )])
     }
 
+    /// Resource usage so far of the balancer process of each environment.
     fn usages(&self, worlds: &[(Upstreams, Discovery, Balancer)]) -> Result<Vec<Usage>, CapacityError> {
         worlds.iter().map(|(_, _, balancer)| Usage::of(balancer.process.id())).collect()
     }
 
-    /// Processes that serve calls: one with each size in turn, a fresh one for each play.
+    /// Measures processor time and memory of processes that serve requests, one length after the other, with a new
+    /// process for each run.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
         let (warm_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
         let (mut request, mut memory, mut opened) = (Plays::new(), Plays::new(), Vec::new());
@@ -284,7 +296,8 @@
         ])
     }
 
-    /// One play: a fresh balancer serves calls, which count once the warm-up is over.
+    /// Starts a balancer and measures what it uses while it serves requests for `span_s` seconds, after a warm-up of
+    /// `warm_s` seconds under the same load.
     fn serve(
         &self,
         size: usize,
@@ -306,7 +319,8 @@
         })
     }
 
-    /// Sends calls through a balancer for a time, each of which must have its own answer: how many there were.
+    /// Sends requests through a balancer for the duration `span` and returns their number. Fails unless each request
+    /// gets its own response.
     fn call(
         &self,
         size: usize,
@@ -327,19 +341,19 @@
         let played = world::play(&calls, &ways, first, zero, &AtomicUsize::new(0))?;
         let counts = Counts::of(&calls, &played, &upstreams.seen, first);
         if counts.right < counts.calls {
-            let place = format!("calls with {size} upstreams");
+            let place = format!("sending requests to a balancer with {size} upstreams");
             return Err(CapacityError::run(place, format!("{counts:?}")));
         }
         Ok(calls.len())
     }
 }
 
-/// What a balancer used in one play of calls.
+/// Resources that a balancer used in one run under load.
 struct Served {
-    /// Processor time for one call, in microseconds.
+    /// Processor time per request, in microseconds.
     request_us: f64,
-    /// Resident memory at the end, in KiB.
+    /// Resident memory of the process at the end of the run, in KiB.
     memory_kb: f64,
-    /// Connections that it opened to upstreams.
+    /// Connections to upstreams that the balancer opened after the warm-up.
     new_connections: u64,
 }
