--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -12,16 +12,16 @@
 use crate::plan::Plan;
 use crate::slope::{self, Point, Slope};
 
-mod line;
+mod linear_fit;
 mod loaded_core;
 mod memory;
 mod timing;
 
-pub use line::straight;
+pub use linear_fit::straight;
 pub use memory::resident_bytes;
 
 use loaded_core::REPLICAS;
-use memory::{bytes_in_child, bytes_of_core};
+use memory::{core_bytes, core_bytes_in_child};
 use timing::{list_change_ns, request_ns, timer_ns};
 
 /// Measures processor time and memory of the decision core by upstreams, tenants and requests in flight.
@@ -71,7 +71,7 @@
     /// quick (`--small`) run.
     cost: fn(&Plan, Size, u64, bool) -> Result<f64, CapacityError>,
     /// Sentence for the slope's note that gives the counts that the slope does not vary.
-    setting: &'a str,
+    fixed_counts: &'a str,
 }
 
 /// Definition of a slope of memory.
@@ -85,12 +85,12 @@
 
 /// Size of a core in the counts that a slope does not vary: the upstreams of a large service, no tenants, and the
 /// requests in flight of a busy balancer.
-const USUAL: Size = Size { upstreams: 190, tenants: 0, in_flight: 32 };
+const DEFAULT_SIZE: Size = Size { upstreams: 190, tenants: 0, in_flight: 32 };
 /// Approximate memory that the cores of one run take together: large enough that rounding to whole pages and the
 /// allocator's own memory matter little.
-const MEMORY_BYTES: usize = 96 << 20;
+const RUN_MEMORY_BYTES: usize = 96 << 20;
 /// Approximate memory that the cores of one run take together in a quick (`--small`) measurement.
-const MEMORY_BYTES_SMALL: usize = 12 << 20;
+const SMALL_RUN_MEMORY_BYTES: usize = 12 << 20;
 
 /// Runs the `decisions` command: measures all slopes of the decision core and writes each to its file. With `--hold`
 /// prints the memory of one core instead.
@@ -99,7 +99,7 @@
 /// `--hold` is malformed, a measurement fails, or a file cannot be written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !arguments.hold.is_empty() {
-        return print_bytes_of_core(arguments, plan);
+        return print_core_bytes(arguments, plan);
     }
     let folder = arguments.out.join("slopes");
     std::fs::create_dir_all(&folder).map_err(|cause| CapacityError::file(&folder, cause))?;
@@ -109,7 +109,7 @@
 }
 
 /// Builds the decision cores that `--hold` describes in this process and prints the bytes of memory per core.
-fn print_bytes_of_core(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
+fn print_core_bytes(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let &[upstreams, tenants, in_flight, count] = &arguments.hold[..] else {
         return Err(CapacityError::Argument {
             name: "hold",
@@ -117,7 +117,7 @@
         });
     };
     let size = Size { upstreams, tenants, in_flight };
-    println!("{}", bytes_of_core(plan, size, count, arguments.seed)?);
+    println!("{}", core_bytes(plan, size, count, arguments.seed)?);
     Ok(())
 }
 
@@ -142,27 +142,32 @@
             arguments,
             plan,
             folder,
-            by_upstreams: varied(upstreams, |upstreams| Size { upstreams, ..USUAL }),
-            by_tenants: varied(tenants, |tenants| Size { tenants, ..USUAL }),
-            by_in_flight: varied(in_flight, |in_flight| Size { in_flight, ..USUAL }),
+            by_upstreams: sizes_by_count(upstreams, |upstreams| Size { upstreams, ..DEFAULT_SIZE }),
+            by_tenants: sizes_by_count(tenants, |tenants| Size { tenants, ..DEFAULT_SIZE }),
+            by_in_flight: sizes_by_count(in_flight, |in_flight| Size { in_flight, ..DEFAULT_SIZE }),
         }
     }
 
     fn write_time_slopes(&self) -> Result<(), CapacityError> {
-        let usual = format!(
+        let defaults_text = format!(
             "Where not varied: {} upstreams, no tenants, {} calls in flight; {REPLICAS} balancers send to the tier.",
-            USUAL.upstreams, USUAL.in_flight
+            DEFAULT_SIZE.upstreams, DEFAULT_SIZE.in_flight
         );
-        let tenants_usual = usual.replace("no tenants, ", "");
-        for slope in self.time_slopes(&usual, &tenants_usual) {
+        let defaults_text_by_tenants = defaults_text.replace("no tenants, ", "");
+        for slope in self.time_slopes(&defaults_text, &defaults_text_by_tenants) {
             self.write_time_slope(&slope)?;
         }
         Ok(())
     }
 
-    /// Definitions of the slopes of processor time. `usual` and `tenants_usual` are the sentences of their notes that
-    /// give the counts that are not varied; `tenants_usual` is for the slopes that vary the number of tenants.
-    fn time_slopes<'b>(&'b self, usual: &'b str, tenants_usual: &'b str) -> [TimeSlope<'b>; 6] {
+    /// Definitions of the slopes of processor time. `defaults_text` and `defaults_text_by_tenants` are the sentences of
+    /// their notes that give the counts that are not varied; `defaults_text_by_tenants` is for the slopes that vary the
+    /// number of tenants.
+    fn time_slopes<'b>(
+        &'b self,
+        defaults_text: &'b str,
+        defaults_text_by_tenants: &'b str,
+    ) -> [TimeSlope<'b>; 6] {
         let request = "processor time of the decisions for one request: taken, sent, and its attempt ended";
         let timer = "processor time of the decisions for one timer (five a second)";
         let list_change = "processor time of the decisions for one changed entry of the list, with the subset laid out anew";
@@ -172,7 +177,7 @@
             x_unit: "upstreams in the list",
             sizes: &self.by_upstreams,
             cost,
-            setting: usual,
+            fixed_counts: defaults_text,
         };
         let by_tenants = |name, what, cost| TimeSlope {
             name,
@@ -180,7 +185,7 @@
             x_unit: "tenants",
             sizes: &self.by_tenants,
             cost,
-            setting: tenants_usual,
+            fixed_counts: defaults_text_by_tenants,
         };
         [
             by_upstreams("decisions.request_ns_by_upstreams", request, request_ns),
@@ -194,17 +199,17 @@
                 x_unit: "calls in flight",
                 sizes: &self.by_in_flight,
                 cost: request_ns,
-                setting: usual,
+                fixed_counts: defaults_text,
             },
         ]
     }
 
     fn write_time_slope(&self, slope: &TimeSlope) -> Result<(), CapacityError> {
-        let &TimeSlope { name, what, x_unit, sizes, cost, setting } = slope;
+        let &TimeSlope { name, what, x_unit, sizes, cost, fixed_counts } = slope;
         let Arguments { small, seed, .. } = *self.arguments;
         let plays = if small { 2 } else { 5 };
         let points = measure(sizes, plays, |size, play| cost(self.plan, size, seed + play, small))?;
-        let note = format!("Wall time of tight loops with the machine alone. {setting}");
+        let note = format!("Wall time of tight loops with the machine alone. {fixed_counts}");
         let text = SlopeText { name, what, x_unit, y_unit: "ns" };
         self.write_slope(&text, plays as usize, points, note)
     }
@@ -237,18 +242,18 @@
         let &MemorySlope { name, x_unit, sizes, in_flight } = slope;
         let Arguments { small, seed, .. } = *self.arguments;
         let plays = if small { 1 } else { 3 };
-        let most = if small { MEMORY_BYTES_SMALL } else { MEMORY_BYTES };
+        let target_bytes = if small { SMALL_RUN_MEMORY_BYTES } else { RUN_MEMORY_BYTES };
         let points = measure(sizes, plays, |mut size, play| {
             if !in_flight {
                 size.in_flight = 0;
             }
-            bytes_in_child(size, most, seed + play)
+            core_bytes_in_child(size, target_bytes, seed + play)
         })?;
         let calls = if in_flight { "each call with one attempt out" } else { "no calls held" };
         let note = format!(
             "Growth of the resident pages of a fresh process over as many cores as take about {} MB, divided by their number; a core with {} upstreams where not varied, {calls}. Whole pages and the allocator's own are in it.",
-            most >> 20,
-            USUAL.upstreams
+            target_bytes >> 20,
+            DEFAULT_SIZE.upstreams
         );
         let text = SlopeText { name, what: "memory of one core", x_unit, y_unit: "bytes" };
         self.write_slope(&text, plays as usize, points, note)
@@ -289,7 +294,7 @@
 }
 
 /// Sizes of a slope that varies one count: each of `counts` with the size that `size_of` makes of it.
-fn varied(counts: &[usize], size_of: impl Fn(usize) -> Size) -> Vec<(usize, Size)> {
+fn sizes_by_count(counts: &[usize], size_of: impl Fn(usize) -> Size) -> Vec<(usize, Size)> {
     counts.iter().map(|&count| (count, size_of(count))).collect()
 }
 
--- a/crates/capacity/src/decisions/line.rs
+++ b/crates/capacity/src/decisions/linear_fit.rs
@@ -3,13 +3,13 @@
 use crate::slope::{Fit, Point};
 
 /// Largest relative residual at which a straight line is accepted as a fit.
-const STRAIGHT: f64 = 0.25;
+const MAX_RELATIVE_RESIDUAL: f64 = 0.25;
 
 /// Fits a straight line to the points and returns it if its residual is small enough. Otherwise appends to `note` how
 /// large the deviation is, a power law that fits the points, and the marginal cost between the two largest sizes.
 pub fn straight(points: &[Point], note: &mut String) -> Option<Fit> {
     let fit = Fit::through(points)?;
-    if fit.residual <= STRAIGHT {
+    if fit.residual <= MAX_RELATIVE_RESIDUAL {
         return Some(fit);
     }
     let logs: Vec<(f64, f64)> = points
@@ -30,17 +30,17 @@
         logs.iter().map(|log| log.0).sum::<f64>() / count,
         logs.iter().map(|log| log.1).sum::<f64>() / count,
     );
-    let over: f64 = logs.iter().map(|log| (log.0 - mean_x) * (log.1 - mean_y)).sum();
-    let under: f64 = logs.iter().map(|log| (log.0 - mean_x).powi(2)).sum();
-    let power = over / under;
-    let off = logs
+    let covariance_sum: f64 = logs.iter().map(|log| (log.0 - mean_x) * (log.1 - mean_y)).sum();
+    let variance_sum: f64 = logs.iter().map(|log| (log.0 - mean_x).powi(2)).sum();
+    let exponent = covariance_sum / variance_sum;
+    let max_deviation = logs
         .iter()
-        .map(|log| ((mean_y + power * (log.0 - mean_x) - log.1).exp() - 1.0).abs())
+        .map(|log| ((mean_y + exponent * (log.0 - mean_x) - log.1).exp() - 1.0).abs())
         .fold(0.0, f64::max);
     note.push_str(&format!(
-        " A power fits it: {:.3e} x size^{power:.2}, off by up to {:.0}%.",
-        (mean_y - power * mean_x).exp(),
-        off * 100.0
+        " A power fits it: {:.3e} x size^{exponent:.2}, off by up to {:.0}%.",
+        (mean_y - exponent * mean_x).exp(),
+        max_deviation * 100.0
     ));
     let (a, b) = (points[points.len() - 2], points[points.len() - 1]);
     note.push_str(&format!(" Between the last two sizes one more costs {:.2}.", (b.y - a.y) / (b.x - a.x)));
--- a/crates/capacity/src/decisions/loaded_core.rs
+++ b/crates/capacity/src/decisions/loaded_core.rs
@@ -14,22 +14,22 @@
 use crate::plan::Plan;
 
 /// Virtual time from the start of a request to its end, in seconds.
-pub(super) const CALL_S: f64 = 0.05;
+pub(super) const REQUEST_DURATION_S: f64 = 0.05;
 /// Number of balancers that send requests to the same tier.
 pub(super) const REPLICAS: u32 = 100;
 
-/// A decision core with its load: requests arrive evenly, and each ends after [`CALL_S`].
-pub(super) struct Played {
+/// A decision core with its load: requests arrive evenly, and each ends after [`REQUEST_DURATION_S`].
+pub(super) struct LoadedCore {
     pub(super) balancer: Balancer,
     /// Virtual time, in seconds.
     pub(super) now: f64,
     /// Virtual time of the next maintenance timer, in seconds.
-    pub(super) wake: f64,
+    pub(super) next_maintenance_s: f64,
     pub(super) size: Size,
     /// Number of requests so far, which is also the id of the latest.
     pub(super) number: u64,
     /// Ids of the requests that the core sent and that have not ended, oldest first.
-    pub(super) out: VecDeque<RequestId>,
+    pub(super) outstanding: VecDeque<RequestId>,
     /// Buffer for the actions of the core, cleared after each event.
     pub(super) actions: Vec<Action>,
 }
@@ -55,7 +55,7 @@
         idempotency: Idempotency::Idempotent,
     };
     // The quotas are higher than any tenant's rate, so that the measured path is that of an admitted request.
-    let rate = 100.0 * size.in_flight.max(1) as f64 / CALL_S * f64::from(REPLICAS);
+    let rate = 100.0 * size.in_flight.max(1) as f64 / REQUEST_DURATION_S * f64::from(REPLICAS);
     let tenants =
         (0..size.tenants).map(|_| Tenant { quota: Some(rate / size.tenants.max(1) as f64) }).collect();
     Settings {
@@ -69,16 +69,24 @@
     }
 }
 
-impl Played {
+impl LoadedCore {
     pub(super) fn new(plan: &Plan, size: Size, seed: u64) -> Result<Self, CapacityError> {
-        let wrong = |cause: SettingsError| CapacityError::run("decisions", cause);
-        let mut balancer = Balancer::new(settings(plan, size), seed).map_err(wrong)?;
+        let invalid_settings = |cause: SettingsError| CapacityError::run("decisions", cause);
+        let mut balancer = Balancer::new(settings(plan, size), seed).map_err(invalid_settings)?;
         let mut actions = Vec::new();
         let members = (0..size.upstreams).map(|number| member(number, plan.fleet.zones.value)).collect();
         balancer.handle(Duration::ZERO, Event::Started, &mut actions);
         balancer.handle(Duration::ZERO, Event::List(ListUpdate::Snapshot(members)), &mut actions);
         actions.clear();
-        Ok(Self { balancer, now: 1.0, wake: 1.2, size, number: 0, out: VecDeque::new(), actions })
+        Ok(Self {
+            balancer,
+            now: 1.0,
+            next_maintenance_s: 1.2,
+            size,
+            number: 0,
+            outstanding: VecDeque::new(),
+            actions,
+        })
     }
 
     pub(super) fn time(&self) -> Time {
@@ -86,7 +94,7 @@
     }
 
     /// Starts a request at the core, and counts it as in flight if the core sends it.
-    pub(super) fn take(&mut self) {
+    pub(super) fn start_request(&mut self) {
         self.number += 1;
         let id = RequestId(self.number);
         let tenant =
@@ -102,19 +110,19 @@
         };
         self.balancer.handle(self.time(), Event::Request(request), &mut self.actions);
         if self.actions.iter().any(|action| matches!(action, Action::Send { .. })) {
-            self.out.push_back(id);
+            self.outstanding.push_back(id);
         }
         self.actions.clear();
     }
 
     /// Ends the oldest request in flight with success.
     pub(super) fn end_oldest(&mut self) {
-        let Some(request) = self.out.pop_front() else { return };
+        let Some(request) = self.outstanding.pop_front() else { return };
         let ended = Event::AttemptEnded {
             request,
             attempt: AttemptNumber(0),
             outcome: Outcome::Success,
-            duration: Duration::from_secs_f64(CALL_S),
+            duration: Duration::from_secs_f64(REQUEST_DURATION_S),
             connect_wait: Duration::ZERO,
             request_finished: true,
             load: None,
@@ -126,28 +134,28 @@
     /// Advances the clock by one interval between requests, starts a request, and ends the oldest ones beyond the
     /// number that should be in flight.
     pub(super) fn step(&mut self) {
-        self.now += CALL_S / self.size.in_flight.max(1) as f64;
-        self.take();
-        while self.out.len() > self.size.in_flight.max(1) {
+        self.now += REQUEST_DURATION_S / self.size.in_flight.max(1) as f64;
+        self.start_request();
+        while self.outstanding.len() > self.size.in_flight.max(1) {
             self.end_oldest();
         }
     }
 
     /// Runs the maintenance timer of the core if its time has come, and schedules the next one 0.2 s later.
-    pub(super) fn wake_when_due(&mut self) {
-        if self.now >= self.wake {
+    pub(super) fn run_maintenance_when_due(&mut self) {
+        if self.now >= self.next_maintenance_s {
             self.balancer.handle(self.time(), Event::MaintenanceDue, &mut self.actions);
             self.actions.clear();
-            self.wake = self.now + 0.2;
+            self.next_maintenance_s = self.now + 0.2;
         }
     }
 
     /// Applies load until the time windows and latency estimates of the core are filled.
-    pub(super) fn settle(&mut self, small: bool) {
+    pub(super) fn warm_up(&mut self, small: bool) {
         let steps = self.size.in_flight.max(1) * if small { 4 } else { 20 } + 2000;
         for _ in 0..steps {
             self.step();
-            self.wake_when_due();
+            self.run_maintenance_when_due();
         }
     }
 }
--- a/crates/capacity/src/decisions/memory.rs
+++ b/crates/capacity/src/decisions/memory.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 use super::Size;
-use super::loaded_core::{CALL_S, Played};
+use super::loaded_core::{LoadedCore, REQUEST_DURATION_S};
 use crate::CapacityError;
 use crate::plan::Plan;
 
@@ -21,21 +21,21 @@
 }
 
 /// Builds `count` decision cores in this process and returns their mean size in bytes.
-pub(super) fn bytes_of_core(plan: &Plan, size: Size, count: usize, seed: u64) -> Result<u64, CapacityError> {
+pub(super) fn core_bytes(plan: &Plan, size: Size, count: usize, seed: u64) -> Result<u64, CapacityError> {
     let mut cores = Vec::with_capacity(count);
     let mut build = |number: u64| -> Result<(), CapacityError> {
-        let mut played = Played::new(plan, size, seed + number)?;
+        let mut core = LoadedCore::new(plan, size, seed + number)?;
         for _ in 0..size.in_flight {
-            played.now += CALL_S / size.in_flight as f64;
-            played.take();
+            core.now += REQUEST_DURATION_S / size.in_flight as f64;
+            core.start_request();
         }
-        if played.out.len() != size.in_flight {
+        if core.outstanding.len() != size.in_flight {
             return Err(CapacityError::run(
                 format!("decisions, {size:?}"),
                 "the core did not send all requests",
             ));
         }
-        cores.push(played.balancer);
+        cores.push(core.balancer);
         Ok(())
     };
     // The first core is built before the measurement, as it also brings in memory that is needed only once, such as
@@ -50,25 +50,26 @@
     Ok(after.saturating_sub(before) / count.max(1) as u64)
 }
 
-/// Measures the bytes of a decision core in a fresh process, which builds as many cores as take about `most` bytes.
-pub(super) fn bytes_in_child(size: Size, most: usize, seed: u64) -> Result<f64, CapacityError> {
+/// Measures the bytes of a decision core in a fresh process, which builds as many cores as take about `target_bytes`
+/// bytes.
+pub(super) fn core_bytes_in_child(size: Size, target_bytes: usize, seed: u64) -> Result<f64, CapacityError> {
     let place = format!("decisions, bytes of {size:?}");
-    let about = 2500 + size.upstreams * 250 + size.tenants * 400 + size.in_flight * 300;
-    let count = (most / about).max(4);
+    let estimated_core_bytes = 2500 + size.upstreams * 250 + size.tenants * 400 + size.in_flight * 300;
+    let count = (target_bytes / estimated_core_bytes).max(4);
     let Size { upstreams, tenants, in_flight } = size;
     let program = std::env::current_exe().map_err(|cause| CapacityError::run(&place, cause))?;
     // A `--plan` argument of this process is passed on to the child.
-    let named: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
-    let done = Command::new(program)
-        .args(named)
+    let plan_arguments: Vec<String> = std::env::args().skip_while(|word| word != "--plan").take(2).collect();
+    let child_output = Command::new(program)
+        .args(plan_arguments)
         .args(["decisions", "--seed", &seed.to_string(), "--hold"])
         .arg(format!("{upstreams},{tenants},{in_flight},{count}"))
         .output()
         .map_err(|cause| CapacityError::run(&place, cause))?;
-    if !done.status.success() {
-        return Err(CapacityError::run(place, String::from_utf8_lossy(&done.stderr).trim()));
+    if !child_output.status.success() {
+        return Err(CapacityError::run(place, String::from_utf8_lossy(&child_output.stderr).trim()));
     }
-    let text = String::from_utf8_lossy(&done.stdout);
+    let text = String::from_utf8_lossy(&child_output.stdout);
     text.trim()
         .parse()
         .map_err(|_| CapacityError::run(place, format!("the child process printed no number: {text}")))
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -30,18 +30,18 @@
 }
 
 /// Number of upstreams of each service.
-const SIZE: usize = 8;
+const UPSTREAMS_PER_SERVICE: usize = 8;
 /// Requests per second at the front.
-const RATE: f64 = 400.0;
+const REQUESTS_PER_S: f64 = 400.0;
 /// Simulated duration of a run, in seconds.
-const SECONDS: f64 = 20.0;
+const RUN_S: f64 = 20.0;
 /// Simulated duration of a quick (`--small`) run, in seconds.
-const SECONDS_SMALL: f64 = 6.0;
+const SMALL_RUN_S: f64 = 6.0;
 /// Memory limit of a run, in MB.
 const MEMORY_MB: u64 = 4096;
 
 /// Faults that the table has rows for.
-const KINDS: [Trouble; 3] = [Trouble::Failing, Trouble::Silent, Trouble::Halved];
+const FAULTS: [Trouble; 3] = [Trouble::Failing, Trouble::Silent, Trouble::Halved];
 
 /// Column headings of the results table.
 const COLUMNS: [&str; 10] = [
@@ -102,7 +102,7 @@
         plan.graph.depth.value = self.depth;
         // A single tenant, so that the figures show the course of a request and not the quotas of many tenants.
         plan.traffic.tenants.value = 1;
-        let topology = Topology::chain(&plan, self.depth, SIZE, RATE);
+        let topology = Topology::chain(&plan, self.depth, UPSTREAMS_PER_SERVICE, REQUESTS_PER_S);
         let play = Play {
             name: format!("a chain of {}", self.depth),
             seconds: self.seconds,
@@ -122,16 +122,16 @@
     pub fn figures(&self, report: &Report, at: usize) -> Figures {
         let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
         let served: u64 = report.seconds.iter().map(|second| second.served).sum();
-        let each = |count: u64| count as f64 / calls.max(1) as f64;
-        let ended: Vec<u64> = report.depths.iter().map(|depth| depth.refused + depth.failed).collect();
+        let per_front_request = |count: u64| count as f64 / calls.max(1) as f64;
+        let unsuccessful: Vec<u64> = report.depths.iter().map(|depth| depth.refused + depth.failed).collect();
         let deepest = report.depths.iter().rev().find(|depth| depth.calls > 0);
         Figures {
-            attempts: each(report.depths[at - 1].attempts),
-            refusals: each(ended.iter().sum()),
-            refusals_at_front: each(ended[0]),
+            attempts: per_front_request(report.depths[at - 1].attempts),
+            refusals: per_front_request(unsuccessful.iter().sum()),
+            refusals_at_front: per_front_request(unsuccessful[0]),
             left_ms: deepest.map_or(0.0, |depth| depth.left_s / depth.calls as f64 * 1e3),
-            served: each(served),
-            all_attempts: each(report.depths.iter().map(|depth| depth.attempts).sum()),
+            served: per_front_request(served),
+            all_attempts: per_front_request(report.depths.iter().map(|depth| depth.attempts).sum()),
         }
     }
 }
@@ -157,11 +157,11 @@
     /// Lengths of the chains for the slopes, and positions of the faulty service for the table.
     depths: Vec<usize>,
     /// Number of services in the longest chain.
-    longest: usize,
+    longest_chain: usize,
     /// Largest number of retries by a client for one request, from the plan.
     repeats: u32,
     /// Description of the simulated chains for the notes of the output files.
-    setting: String,
+    description: String,
     /// Command line that repeats the measurement.
     command: String,
 }
@@ -173,7 +173,7 @@
     refusals: Vec<Point>,
     left_ms: Vec<Point>,
     /// Attempts at the deepest service where clients do not retry, one text `depth: attempts` for each depth.
-    without_repeats: Vec<String>,
+    attempts_without_retries: Vec<String>,
 }
 
 /// Texts of a slope: its name, the quantity that it shows, the unit of that quantity, and the note.
@@ -187,15 +187,15 @@
 impl<'a> Session<'a> {
     fn new(arguments: &'a Arguments, plan: &'a Plan) -> Self {
         let small = arguments.small;
-        let seconds = if small { SECONDS_SMALL } else { SECONDS };
-        let longest = plan.graph.depth.value;
+        let seconds = if small { SMALL_RUN_S } else { RUN_S };
+        let longest_chain = plan.graph.depth.value;
         let depths = if small {
-            [1, 2, 6, longest].into_iter().filter(|&depth| depth <= longest).collect()
+            [1, 2, 6, longest_chain].into_iter().filter(|&depth| depth <= longest_chain).collect()
         } else {
-            (1..=longest).collect()
+            (1..=longest_chain).collect()
         };
-        let setting = format!(
-            "A chain of services of {SIZE} upstreams each, {RATE} calls a second at the front, {seconds} virtual s, each balancer with up to {} attempts",
+        let description = format!(
+            "A chain of services of {UPSTREAMS_PER_SERVICE} upstreams each, {REQUESTS_PER_S} calls a second at the front, {seconds} virtual s, each balancer with up to {} attempts",
             plan.traffic.attempts.value
         );
         let command = format!(
@@ -209,15 +209,15 @@
             seconds,
             plays: if small { 1 } else { 3 },
             depths,
-            longest,
+            longest_chain,
             repeats: plan.traffic.client_repeats.value,
-            setting,
+            description,
             command,
         }
     }
 
     /// A chain of `depth` services without a fault, in which all requests are idempotent.
-    fn calm(&self, depth: usize, play: u64) -> Chain {
+    fn healthy(&self, depth: usize, play: u64) -> Chain {
         Chain {
             depth,
             trouble: None,
@@ -230,7 +230,7 @@
 
     /// A chain of `depth` services whose last service fails each request at once; all requests are idempotent.
     fn failing(&self, depth: usize, play: u64) -> Chain {
-        Chain { trouble: Some((depth, Trouble::Failing)), ..self.calm(depth, play) }
+        Chain { trouble: Some((depth, Trouble::Failing)), ..self.healthy(depth, play) }
     }
 
     /// Creates the folder `name` below the output folder if it is missing, and returns its path.
@@ -248,14 +248,14 @@
             for play in 0..self.plays {
                 let failing = self.failing(depth, play);
                 let figures = failing.figures(&failing.play(self.plan)?, depth);
-                let calm = self.calm(depth, play);
+                let healthy = self.healthy(depth, play);
                 attempts.push(figures.attempts);
                 refusals.push(figures.refusals);
-                left_ms.push(calm.figures(&calm.play(self.plan)?, depth).left_ms);
+                left_ms.push(healthy.figures(&healthy.play(self.plan)?, depth).left_ms);
             }
-            let alone = Chain { repeats: 0, ..self.failing(depth, 0) };
-            let alone = alone.figures(&alone.play(self.plan)?, depth);
-            points.without_repeats.push(format!("{depth}: {:.2}", alone.attempts));
+            let no_retries = Chain { repeats: 0, ..self.failing(depth, 0) };
+            let no_retries = no_retries.figures(&no_retries.play(self.plan)?, depth);
+            points.attempts_without_retries.push(format!("{depth}: {:.2}", no_retries.attempts));
             let x = depth as f64;
             points.attempts.extend(Point::of(x, attempts));
             points.refusals.extend(Point::of(x, refusals));
@@ -265,19 +265,19 @@
     }
 
     fn write_slopes(&self) -> Result<(), CapacityError> {
-        let Points { attempts, refusals, left_ms, without_repeats } = self.points()?;
-        let [of_attempts, of_refusals, of_left] = self.slope_texts(&without_repeats);
+        let Points { attempts, refusals, left_ms, attempts_without_retries } = self.points()?;
+        let [of_attempts, of_refusals, of_left] = self.slope_texts(&attempts_without_retries);
         let folder = self.folder("slopes")?;
         self.write_slope(&folder, of_attempts, attempts)?;
         self.write_slope(&folder, of_refusals, refusals)?;
         self.write_slope(&folder, of_left, left_ms)
     }
 
-    /// Texts of the slopes of attempts, refusals and remaining deadline. `without_repeats` has the attempts without
-    /// client retries by depth.
-    fn slope_texts(&self, without_repeats: &[String]) -> [SlopeText; 3] {
-        let Self { setting, repeats: most, plan, .. } = self;
-        let beside = without_repeats;
+    /// Texts of the slopes of attempts, refusals and remaining deadline. `attempts_without_retries` has the attempts
+    /// without client retries by depth.
+    fn slope_texts(&self, attempts_without_retries: &[String]) -> [SlopeText; 3] {
+        let Self { description, repeats: max_retries, plan, .. } = self;
+        let by_depth = attempts_without_retries;
         let failing = "its last service fails each call at once, all calls may be repeated freely";
         [
             SlopeText {
@@ -285,22 +285,22 @@
                 what: "attempts at the deepest service for one call at the front, which fails all of them",
                 unit: "attempts",
                 note: format!(
-                    "{setting}; {failing}, clients come again up to {most} times (a new call at the front each time). Where clients don't, by depth: {}.",
-                    beside.join(", ")
+                    "{description}; {failing}, clients come again up to {max_retries} times (a new call at the front each time). Where clients don't, by depth: {}.",
+                    by_depth.join(", ")
                 ),
             },
             SlopeText {
                 name: "depth.refusals_by_depth",
                 what: "calls that balancers of all depths end as refused or failed, for one call at the front, with the deepest service failing",
                 unit: "calls",
-                note: format!("{setting}; {failing}, clients come again up to {most} times."),
+                note: format!("{description}; {failing}, clients come again up to {max_retries} times."),
             },
             SlopeText {
                 name: "depth.deadline_ms_by_depth",
                 what: "time that is left to a call when it comes to the balancer before the deepest service",
                 unit: "ms",
                 note: format!(
-                    "{setting}; nothing is in trouble, all in one zone; clients wait {} s.",
+                    "{description}; nothing is in trouble, all in one zone; clients wait {} s.",
                     plan.traffic.deadline_s.value
                 ),
             },
@@ -330,31 +330,31 @@
 
     /// Simulates the longest chain with this fault in its service at `depth`, and returns its row of the results table.
     fn row(&self, trouble: Trouble, depth: usize, repeats: u32) -> Result<Vec<String>, CapacityError> {
-        let longest = self.longest;
+        let longest_chain = self.longest_chain;
         let trouble_at = Some((depth, trouble));
-        let chain = Chain { trouble: trouble_at, repeats, safe: false, ..self.calm(longest, 0) };
+        let chain = Chain { trouble: trouble_at, repeats, safe: false, ..self.healthy(longest_chain, 0) };
         let report = chain.play(self.plan)?;
         let figures = chain.figures(&report, depth);
         let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
-        let per = |count: u64| format!("{:.3}", count as f64 / calls.max(1) as f64);
-        let left = report.depths[depth - 1];
+        let per_request = |count: u64| format!("{:.3}", count as f64 / calls.max(1) as f64);
+        let totals = report.depths[depth - 1];
         Ok(vec![
-            kind(trouble).to_owned(),
+            fault_name(trouble).to_owned(),
             depth.to_string(),
             repeats.to_string(),
             format!("{:.3}", figures.attempts),
-            per(report.depths[longest - 1].attempts),
+            per_request(report.depths[longest_chain - 1].attempts),
             format!("{:.2}", figures.all_attempts),
             format!("{:.3}", figures.refusals),
             format!("{:.3}", figures.refusals_at_front),
-            format!("{:.0}", left.left_s / left.calls.max(1) as f64 * 1e3),
+            format!("{:.0}", totals.left_s / totals.calls.max(1) as f64 * 1e3),
             format!("{:.2}", figures.served * 100.0),
         ])
     }
 
     fn write_table(&self) -> Result<(), CapacityError> {
         let mut rows = Vec::new();
-        for trouble in KINDS {
+        for trouble in FAULTS {
             for &depth in &self.depths {
                 for repeats in [0, self.repeats] {
                     let row = self.row(trouble, depth, repeats)?;
@@ -363,16 +363,16 @@
                 }
             }
         }
-        let setting = &self.setting;
+        let description = &self.description;
         Results {
             name: "depth".to_owned(),
-            what: format!("a chain of {} services with one in trouble", self.longest),
+            what: format!("a chain of {} services with one in trouble", self.longest_chain),
             command: self.command.clone(),
             commit: slope::commit(),
             columns: COLUMNS.map(str::to_owned).to_vec(),
             rows,
             note: format!(
-            "{setting}; 70% of the calls may be repeated freely, 15% with a key, 15% never. One play of each. failing: each call there is answered with an error at once. silent: no call there is ever answered. halved: half of the upstreams there are lost, and no list says so."
+            "{description}; 70% of the calls may be repeated freely, 15% with a key, 15% never. One play of each. failing: each call there is answered with an error at once. silent: no call there is ever answered. halved: half of the upstreams there are lost, and no list says so."
             ),
         }
         .write(&self.folder("results")?)
@@ -380,7 +380,7 @@
 }
 
 /// Name of a fault in the results table.
-fn kind(trouble: Trouble) -> &'static str {
+fn fault_name(trouble: Trouble) -> &'static str {
     match trouble {
         Trouble::Failing => "failing",
         Trouble::Silent => "silent",
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -48,50 +48,50 @@
 }
 
 /// Interval between heartbeats of an idle watch, from the plan.
-fn beat(plan: &Plan) -> Duration {
+fn heartbeat_interval(plan: &Plan) -> Duration {
     Duration::from_secs_f64(plan.list.beat_s.value)
 }
 
 /// Largest length of the list: with more upstreams, ports and file descriptors could run out.
-const SIZE_MOST: usize = 4000;
+const MAX_LIST_LENGTH: usize = 4000;
 /// Largest request rate, in requests per second.
-const RATE_MOST: f64 = 10_000.0;
+const MAX_REQUESTS_PER_S: f64 = 10_000.0;
 
 /// Runs the `process` command: takes the selected measurements, prints their slopes and writes them to files.
 ///
 /// # Errors
 /// An argument is invalid, a process does not start or serve, or a file cannot be written.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
-    let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
+    let invalid_argument = |name, expected: String| Err(CapacityError::Argument { name, expected });
     let mut sizes = arguments.sizes.clone();
     sizes.sort_unstable();
     sizes.dedup();
-    if sizes.len() < 2 || sizes[0] < 1 || sizes[sizes.len() - 1] > SIZE_MOST {
-        return wrong("sizes", format!("two at least, each 1 to {SIZE_MOST}"));
+    if sizes.len() < 2 || sizes[0] < 1 || sizes[sizes.len() - 1] > MAX_LIST_LENGTH {
+        return invalid_argument("sizes", format!("two at least, each 1 to {MAX_LIST_LENGTH}"));
     }
     if !(1..=100).contains(&arguments.plays) {
-        return wrong("plays", "1 to 100".to_owned());
+        return invalid_argument("plays", "1 to 100".to_owned());
     }
     let rate = arguments.rate.unwrap_or_else(|| plan.mean_rate(Reading::Front));
-    if !(1.0..=RATE_MOST).contains(&rate) {
-        return wrong("rate", format!("1 to {RATE_MOST} a second"));
+    if !(1.0..=MAX_REQUESTS_PER_S).contains(&rate) {
+        return invalid_argument("rate", format!("1 to {MAX_REQUESTS_PER_S} a second"));
     }
     let program = arguments.common.program(world::BALANCER)?;
     let (slopes, _) = arguments.common.folders()?;
     let (sizes, plays) = if arguments.common.small { (vec![6, 60], 1) } else { (sizes, arguments.plays) };
     let bench = Bench { arguments, plan, program: &program, sizes, plays, rate };
-    let wants = |part| arguments.part == part || arguments.part == Part::All;
-    let mut written = Vec::new();
-    if wants(Part::Start) {
-        written.extend(bench.start()?);
+    let is_selected = |part| arguments.part == part || arguments.part == Part::All;
+    let mut measured = Vec::new();
+    if is_selected(Part::Start) {
+        measured.extend(bench.start()?);
     }
-    if wants(Part::Idle) {
-        written.extend(bench.idle()?);
+    if is_selected(Part::Idle) {
+        measured.extend(bench.idle()?);
     }
-    if wants(Part::Request) {
-        written.extend(bench.request()?);
+    if is_selected(Part::Request) {
+        measured.extend(bench.request()?);
     }
-    for slope in written {
+    for slope in measured {
         println!("{}", slope.name);
         for point in &slope.points {
             println!(
@@ -158,7 +158,7 @@
     /// discovery with their list.
     fn world(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
         let upstreams = Upstreams::start(size, 2, calls)?;
-        let discovery = Discovery::start(upstreams.entries(), beat(self.plan))?;
+        let discovery = Discovery::start(upstreams.entries(), heartbeat_interval(self.plan))?;
         Ok((upstreams, discovery))
     }
 
@@ -167,16 +167,16 @@
         let (mut listens, mut serves, mut memory) = (Plays::new(), Plays::new(), Plays::new());
         for &size in &self.sizes {
             let (upstreams, discovery) = self.world(size, 0)?;
-            let mut of_size = [const { Vec::new() }; 3];
+            let mut samples = [const { Vec::new() }; 3];
             for _ in 0..self.plays {
                 let balancer = self.balancer(&upstreams, &discovery)?;
                 // Waits until the balancer has applied the list from discovery too.
                 thread::sleep(Duration::from_millis(300));
-                of_size[0].push(balancer.listens_after.as_secs_f64() * 1000.0);
-                of_size[1].push(balancer.serves_after.as_secs_f64() * 1000.0);
-                of_size[2].push(world::memory_kb(balancer.process.id())? as f64);
+                samples[0].push(balancer.listens_after.as_secs_f64() * 1000.0);
+                samples[1].push(balancer.serves_after.as_secs_f64() * 1000.0);
+                samples[2].push(world::memory_kb(balancer.process.id())? as f64);
             }
-            let [listens_ms, serves_ms, kb] = of_size;
+            let [listens_ms, serves_ms, kb] = samples;
             listens.push((size, listens_ms));
             serves.push((size, serves_ms));
             memory.push((size, kb));
@@ -215,19 +215,21 @@
     /// hardly affect each other.
     fn idle(&self) -> Result<Vec<Slope>, CapacityError> {
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
-        let mut shares: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
-        let mut worlds = Vec::new();
+        let mut core_fractions: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
+        let mut environments = Vec::new();
         for &size in &self.sizes {
             let (upstreams, discovery) = self.world(size, 0)?;
             let balancer = self.balancer(&upstreams, &discovery)?;
-            worlds.push((upstreams, discovery, balancer));
+            environments.push((upstreams, discovery, balancer));
         }
         thread::sleep(Duration::from_millis(500));
         for _ in 0..self.plays {
-            let before = self.usages(&worlds)?;
+            let before = self.usages(&environments)?;
             thread::sleep(span);
-            for ((before, after), (_, shares)) in before.iter().zip(self.usages(&worlds)?).zip(&mut shares) {
-                shares.push(after.since(*before).cpu_ns as f64 / span.as_nanos() as f64);
+            for ((before, after), (_, core_fractions)) in
+                before.iter().zip(self.usages(&environments)?).zip(&mut core_fractions)
+            {
+                core_fractions.push(after.since(*before).cpu_ns as f64 / span.as_nanos() as f64);
             }
         }
         let note = format!(
@@ -241,36 +243,36 @@
             "idle_core",
             "Share of a core of a balancer at rest.",
             "of a core",
-            shares,
+            core_fractions,
             &note,
         )])
     }
 
     /// Resource usage so far of the balancer process of each environment.
-    fn usages(&self, worlds: &[(Upstreams, Discovery, Balancer)]) -> Result<Vec<Usage>, CapacityError> {
-        worlds.iter().map(|(_, _, balancer)| Usage::of(balancer.process.id())).collect()
+    fn usages(&self, environments: &[(Upstreams, Discovery, Balancer)]) -> Result<Vec<Usage>, CapacityError> {
+        environments.iter().map(|(_, _, balancer)| Usage::of(balancer.process.id())).collect()
     }
 
     /// Measures processor time and memory of processes that serve requests, one length after the other, with a new
     /// process for each run.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
-        let (warm_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
+        let (warm_up_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
         let (mut request, mut memory, mut opened) = (Plays::new(), Plays::new(), Vec::new());
         let mut rng = Rand64::new(u128::from(self.arguments.common.seed));
         for &size in &self.sizes {
             let (mut request_us, mut memory_kb, mut new_connections) = (Vec::new(), Vec::new(), 0);
             for _ in 0..self.plays {
-                let served = self.serve(size, &mut rng, warm_s, span_s)?;
-                request_us.push(served.request_us);
-                memory_kb.push(served.memory_kb);
-                new_connections += served.new_connections;
+                let cost = self.serve(size, &mut rng, warm_up_s, span_s)?;
+                request_us.push(cost.request_us);
+                memory_kb.push(cost.memory_kb);
+                new_connections += cost.new_connections;
             }
             request.push((size, request_us));
             memory.push((size, memory_kb));
             opened.push(format!("{size}: {:.1}", new_connections as f64 / self.plays as f64));
         }
         let note = format!(
-            "Of all its threads, timers and log with it, at {:.0} calls a second (drawn times) for {span_s} s after {warm_s} s \
+            "Of all its threads, timers and log with it, at {:.0} calls a second (drawn times) for {span_s} s after {warm_up_s} s \
              of the same; its upstreams answer at once, callers keep their connections. New connections to upstreams \
              in that time, by length of the list: {}.",
             self.rate,
@@ -297,22 +299,22 @@
     }
 
     /// Starts a balancer and measures what it uses while it serves requests for `span_s` seconds, after a warm-up of
-    /// `warm_s` seconds under the same load.
+    /// `warm_up_s` seconds under the same load.
     fn serve(
         &self,
         size: usize,
         rng: &mut Rand64,
-        warm_s: f64,
+        warm_up_s: f64,
         span_s: f64,
-    ) -> Result<Served, CapacityError> {
-        let calls_most = (self.rate * 10.0) as usize + 1000;
-        let (upstreams, discovery) = self.world(size, calls_most)?;
+    ) -> Result<RequestCost, CapacityError> {
+        let max_calls = (self.rate * 10.0) as usize + 1000;
+        let (upstreams, discovery) = self.world(size, max_calls)?;
         let balancer = self.balancer(&upstreams, &discovery)?;
-        self.call(size, &upstreams, &balancer, rng, Duration::from_secs_f64(warm_s))?;
+        self.send_requests(size, &upstreams, &balancer, rng, Duration::from_secs_f64(warm_up_s))?;
         let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.seen.opened());
-        let calls = self.call(size, &upstreams, &balancer, rng, Duration::from_secs_f64(span_s))?;
+        let calls = self.send_requests(size, &upstreams, &balancer, rng, Duration::from_secs_f64(span_s))?;
         let used = Usage::of(balancer.process.id())?.since(before);
-        Ok(Served {
+        Ok(RequestCost {
             request_us: used.cpu_ns as f64 / 1000.0 / calls as f64,
             new_connections: upstreams.seen.opened() - opened,
             memory_kb: world::memory_kb(balancer.process.id())? as f64,
@@ -321,7 +323,7 @@
 
     /// Sends requests through a balancer for the duration `span` and returns their number. Fails unless each request
     /// gets its own response.
-    fn call(
+    fn send_requests(
         &self,
         size: usize,
         upstreams: &Upstreams,
@@ -349,7 +351,7 @@
 }
 
 /// Resources that a balancer used in one run under load.
-struct Served {
+struct RequestCost {
     /// Processor time per request, in microseconds.
     request_us: f64,
     /// Resident memory of the process at the end of the run, in KiB.
