--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -67,14 +67,14 @@
     sizes.sort_unstable();
     sizes.dedup();
     if sizes.len() < 2 || sizes[0] < 1 || sizes[sizes.len() - 1] > MAX_LIST_LENGTH {
-        return invalid_argument("sizes", format!("two at least, each 1 to {MAX_LIST_LENGTH}"));
+        return invalid_argument("sizes", format!("at least two lengths, each from 1 to {MAX_LIST_LENGTH}"));
     }
     if !(1..=100).contains(&arguments.plays) {
-        return invalid_argument("plays", "1 to 100".to_owned());
+        return invalid_argument("plays", "1 to 100 runs".to_owned());
     }
     let rate = arguments.rate.unwrap_or_else(|| plan.mean_rate(Reading::Front));
     if !(1.0..=MAX_REQUESTS_PER_S).contains(&rate) {
-        return invalid_argument("rate", format!("1 to {MAX_REQUESTS_PER_S} a second"));
+        return invalid_argument("rate", format!("1 to {MAX_REQUESTS_PER_S} requests per second"));
     }
     let program = arguments.common.program(world::BALANCER)?;
     let (slopes, _) = arguments.common.folders()?;
