--- a/crates/capacity/src/decisions/timing.rs
+++ b/crates/capacity/src/decisions/timing.rs
@@ -49,7 +49,7 @@
     let zones = plan.fleet.zones.value;
     let deltas: Vec<Event> = (0..count as usize)
         .map(|change| {
-            // The upstreams drain and become ready again, one after the other.
+            // Each pair of changes drains one upstream and then makes it ready again.
             let lifecycle = if change % 2 == 0 { Lifecycle::Draining } else { Lifecycle::Ready };
             let changed = Member { lifecycle, ..member(change / 2 % size.upstreams, zones) };
             Event::List(ListUpdate::Delta(vec![changed]))
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -170,7 +170,7 @@
             let mut samples = [const { Vec::new() }; 3];
             for _ in 0..self.plays {
                 let balancer = self.balancer(&upstreams, &discovery)?;
-                // Waits until the balancer has applied the list from discovery too.
+                // Gives the balancer time to apply the list from discovery too.
                 thread::sleep(Duration::from_millis(300));
                 samples[0].push(balancer.listens_after.as_secs_f64() * 1000.0);
                 samples[1].push(balancer.serves_after.as_secs_f64() * 1000.0);
