--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,5 +1,5 @@
-//! The capacity page: hand-written text, with blocks between markers that the rig writes from the plan and the measured
-//! figures, so that page and measurement can't part.
+//! The capacity page: hand-written text with generated blocks between markers. The capacity tool writes the blocks from
+//! the plan and the measured figures, so that the page cannot disagree with the measurements.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -31,28 +31,28 @@
 use plan_blocks::{deal_block, derived_block, plan_block};
 use ranking::{bases_block, tight_block};
 
-/// Writes the generated blocks of `docs/CAPACITY.md` and its plots from the plan and what was measured, and prints what
-/// is missing first.
+/// Writes the generated blocks of `docs/CAPACITY.md` and its plots from the plan and the measurements, and prints the
+/// ranking of the requirements, those that nothing implements first.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// Write nothing: end with an error that names the first block or plot that differs from what it should be.
+    /// Write nothing, and exit with an error that names the first block or plot that is out of date.
     #[arg(long)]
     pub check: bool,
-    /// Where CAPACITY.md is, and its folder of plots, capacity.
+    /// Folder that contains CAPACITY.md and the folder `capacity` with its plots.
     #[arg(long, default_value = "docs")]
     pub out: PathBuf,
-    /// Where the folders slopes and results are.
+    /// Folder that contains the folders `slopes` and `results`.
     #[arg(long, default_value = "crates/capacity")]
     pub from: PathBuf,
-    /// The checkout in which the mechanisms are looked for.
+    /// Checkout whose sources are searched for the mechanisms that implement the requirements.
     #[arg(long, default_value = ".")]
     pub tree: PathBuf,
 }
 
-/// Writes the page's blocks and the plots, or with `--check` compares them with what stands there.
+/// Writes the blocks of the page and the plots, or with `--check` compares them with the existing files.
 ///
 /// # Errors
-/// A file cannot be read, written or understood; a block has no marker; with `--check`, what differs.
+/// A file cannot be read, written or parsed, or a block has no marker. With `--check`, a block or plot is out of date.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let measured = Measured::read(&arguments.from)?;
     let blocks = blocks(plan, &measured, &arguments.tree);
@@ -79,14 +79,14 @@
 
 /// The plots of the page.
 struct Plots {
-    /// Each with its path and its SVG.
+    /// Path and SVG text of each plot.
     drawn: Vec<(PathBuf, String)>,
-    /// Files that no slope stands behind any more.
+    /// SVG files in the folder of plots that belong to no current slope.
     stale: Vec<PathBuf>,
 }
 
 impl Plots {
-    /// Draws a plot for each slope, and looks for files in the folder that none of them is.
+    /// Draws a plot for each slope, and lists the SVG files in the folder that belong to no slope.
     fn draw(measured: &Measured, folder: &Path) -> Result<Self, CapacityError> {
         let path = |slope: &Slope| folder.join(format!("{}.svg", slope.name));
         let draw = |slope: &Slope| Ok((path(slope), plots::svg(slope)?));
@@ -96,7 +96,7 @@
         Ok(Self { drawn, stale })
     }
 
-    /// Compares the files with the plots.
+    /// Compares the files in the folder with the plots; a difference or a stale file is an error.
     fn check(&self) -> Result<(), CapacityError> {
         for (path, svg) in &self.drawn {
             if fs::read_to_string(path).ok().as_ref() != Some(svg) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Writes the plots and removes stale files.
+    /// Writes the plots to the folder, and removes stale files from it.
     fn write(&self, folder: &Path) -> Result<(), CapacityError> {
         fs::create_dir_all(folder).map_err(|cause| CapacityError::file(folder, cause))?;
         for (path, svg) in &self.drawn {
@@ -122,7 +122,7 @@
     }
 }
 
-/// Plots that no slope stands behind.
+/// SVG files in `folder` that are not among the plots `drawn`; empty where the folder does not exist.
 fn stale_plots(folder: &Path, drawn: &[(PathBuf, String)]) -> Result<Vec<PathBuf>, CapacityError> {
     if !folder.is_dir() {
         return Ok(Vec::new());
@@ -136,7 +136,7 @@
         .collect())
 }
 
-/// All blocks by name.
+/// The texts of all generated blocks, by the name in their markers.
 #[must_use]
 pub fn blocks(plan: &Plan, measured: &Measured, tree: &Path) -> BTreeMap<&'static str, String> {
     BTreeMap::from([
--- a/crates/capacity/src/page/format.rs
+++ b/crates/capacity/src/page/format.rs
@@ -1,8 +1,8 @@
-//! Figures, bases and tables as text in Markdown.
+//! Formats figures, their bases and tables as Markdown.
 
 use crate::arithmetic::{Basis, Figure};
 
-/// A figure with three digits that count, thousands apart.
+/// Formats a number with three significant digits and with commas between groups of thousands.
 #[must_use]
 pub fn show(value: f64) -> String {
     let size = value.abs();
@@ -62,7 +62,7 @@
     }
 }
 
-/// A figure, its ratio in parentheses, and its basis as one letter.
+/// Formats a figure for a narrow cell: its value, its ratio to the budget in parentheses, and its basis as one letter.
 pub(super) fn short(figure: &Figure) -> String {
     let Some(value) = figure.value else { return "not measured".to_owned() };
     let ratio = figure.ratio.map_or(String::new(), |ratio| format!(" ({})", show(ratio)));
--- a/crates/capacity/src/page/markers.rs
+++ b/crates/capacity/src/page/markers.rs
@@ -1,4 +1,4 @@
-//! The markers of the generated blocks: fills the page's blocks in and finds a block that differs.
+//! Finds the markers of the generated blocks in the page, to replace the blocks or to find one that is out of date.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -6,10 +6,11 @@
 const BEGIN: &str = "<!-- generated: ";
 const END: &str = "<!-- end -->";
 
-/// The page with its blocks filled in; text outside the markers stays to the byte.
+/// Returns the page with the text between each pair of markers replaced by the block of that name. Text outside the
+/// markers stays byte for byte.
 ///
 /// # Errors
-/// A marker names no block, comes twice or has no end; a block has no marker.
+/// A marker names an unknown block, is duplicated or has no end marker, or a block has no marker in the page.
 pub fn filled(page: &str, blocks: &BTreeMap<&'static str, String>) -> Result<String, String> {
     let mut text = String::new();
     let mut rest = page;
@@ -17,22 +18,22 @@
     while let Some(start) = rest.find(BEGIN) {
         let (before, from) = rest.split_at(start);
         let (name, inside) =
-            from[BEGIN.len()..].split_once(" -->").ok_or("a marker without its end: expected ` -->`")?;
-        let block = blocks.get(name).ok_or_else(|| format!("no block is named {name}"))?;
+            from[BEGIN.len()..].split_once(" -->").ok_or("unterminated marker: expected ` -->`")?;
+        let block = blocks.get(name).ok_or_else(|| format!("marker for unknown block {name}"))?;
         if !seen.insert(name) {
-            return Err(format!("block {name}: a second marker"));
+            return Err(format!("block {name}: duplicate marker"));
         }
-        let (_, behind) = inside.split_once(END).ok_or_else(|| format!("block {name}: no `{END}`"))?;
+        let (_, behind) = inside.split_once(END).ok_or_else(|| format!("block {name}: missing end marker `{END}`"))?;
         let _ = write!(text, "{before}{BEGIN}{name} -->\n{}\n{END}", block.trim_end());
         rest = behind;
     }
     match blocks.keys().find(|name| !seen.contains(*name)) {
-        Some(name) => Err(format!("block {name}: no marker")),
+        Some(name) => Err(format!("block {name}: missing marker in the page")),
         None => Ok(text + rest),
     }
 }
 
-/// The first block, in the order of the page, whose text is not as it should be.
+/// The name of the first block, in the order of the page, whose text differs from the generated one.
 pub(super) fn first_difference(page: &str, blocks: &BTreeMap<&'static str, String>) -> Option<String> {
     page.split(BEGIN).skip(1).find_map(|part| {
         let (name, inside) = part.split_once(" -->")?;
--- a/crates/capacity/src/page/measured.rs
+++ b/crates/capacity/src/page/measured.rs
@@ -1,4 +1,4 @@
-//! Blocks of what was measured: the slopes and the tables of results.
+//! Generates the blocks for the measurements: the slopes and the tables of results.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
--- a/crates/capacity/src/page/needs.rs
+++ b/crates/capacity/src/page/needs.rs
@@ -1,4 +1,4 @@
-//! Blocks with a table for each role: its needs on the ordinary day, and at each peak.
+//! Generates the blocks with a table for each role: its needs on the ordinary day, and at each peak.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -9,10 +9,10 @@
 use crate::plan::Plan;
 use crate::slope::Results;
 
-/// What gives the figures that follow from the plan alone.
+/// The command that prints the figures calculated from the plan alone.
 const PLAN_COMMAND: &str = "target/release/capacity plan";
 
-/// The table that a need is read from, where it was played as such.
+/// The table of results that the figure of a need is read from; `None` where it is not read from a scenario's results.
 fn table_of<'a>(need: &Need, measured: &'a Measured) -> Option<&'a Results> {
     let played = need.played.filter(|_| matches!(need.figure(measured).basis, Basis::Played(_)))?;
     measured.results.get(played.results)
@@ -51,7 +51,7 @@
     names.into_iter().map(name).collect::<Vec<_>>().join(", ")
 }
 
-/// The roles, in the order of their needs.
+/// The distinct roles of the needs, in the order in which they first occur.
 fn roles(needs: &[Need]) -> Vec<&'static str> {
     let mut roles: Vec<&'static str> = Vec::new();
     for need in needs {
@@ -62,7 +62,7 @@
     roles
 }
 
-/// For each role a table: a row a cost.
+/// The needs on the ordinary day: a table for each role, with a row for each cost.
 pub(super) fn day_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let all = needs(plan, &Occasion::all(plan).swap_remove(0), tree);
     let head = [
@@ -104,7 +104,7 @@
     letters.next().map_or(String::new(), |first| first.to_uppercase().chain(letters).collect())
 }
 
-/// For each role a table: a row an occasion, a column a cost.
+/// The needs at the peaks: a table for each role, with a row for each occasion and a column for each cost.
 pub(super) fn peaks_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let occasions = Occasion::all(plan);
     let mut text = table(
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -1,4 +1,5 @@
-//! Blocks that follow from the plan alone: its figures, what is derived from them, the dealing of the control machines.
+//! Generates the blocks that need only the plan: its figures, the figures derived from them, and the placement of the
+//! control processes on machines.
 
 use std::path::Path;
 
@@ -14,14 +15,14 @@
     table(&["figure", "value", "unit", "source", "why"], rows)
 }
 
-/// A figure that follows from the plan.
+/// A figure calculated from the figures of the plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Derived {
-    /// What it is, with its unit.
+    /// Name of the figure, with its unit.
     pub name: String,
-    /// Its value as the page shows it.
+    /// Value of the figure, formatted for the page.
     pub value: String,
-    /// How it is made from figures of the plan.
+    /// Formula that calculates the value from figures of the plan.
     pub formula: String,
 }
 
@@ -29,7 +30,7 @@
     Derived { name: name.to_owned(), value, formula: formula.to_owned() }
 }
 
-/// All that follows from the plan.
+/// All figures calculated from the plan, in the order of the page.
 #[must_use]
 pub fn derived(plan: &Plan) -> Vec<Derived> {
     let mut rows = Vec::from(rates(plan, Reading::Front, "rate at the front"));
@@ -41,7 +42,7 @@
     rows
 }
 
-/// The rates of calls in one reading of the plan.
+/// The call rates under one reading of the plan's calls per second: as calls at the front, or over all hops.
 fn rates(plan: &Plan, reading: Reading, name: &str) -> [Derived; 5] {
     let (over_all_hops, at_the_front) = match reading {
         Reading::Front => ("traffic.calls_per_s x graph.depth", "traffic.calls_per_s"),
@@ -65,7 +66,7 @@
     ]
 }
 
-/// How many upstreams services, regions and zones have, and how long a call is in flight.
+/// Numbers of upstreams of services, regions and zones, and the time that a call is in flight.
 fn sizes(plan: &Plan) -> [Derived; 6] {
     let sizes = plan.service_sizes();
     let counted = |most: usize| sizes.iter().filter(|&&size| size <= most).count();
@@ -97,7 +98,7 @@
     ]
 }
 
-/// Bytes of lists and documents.
+/// Sizes in bytes of endpoint lists and configuration documents.
 fn bytes(plan: &Plan) -> [Derived; 4] {
     let whole_list = plan.whole_list_bytes() as f64;
     [
@@ -116,7 +117,7 @@
     ]
 }
 
-/// Changes of configuration, and the balancers that they concern.
+/// Rates of configuration changes, and the number of balancers that a change concerns.
 fn changes(plan: &Plan) -> [Derived; 4] {
     let changes_per_day = plan.configuration.changes_per_day.value;
     [
@@ -139,7 +140,8 @@
     ]
 }
 
-/// Balancers were there one for each service that a process calls, and the bound of the attempts for one call.
+/// The number of balancers if a process had one for each service that it calls, and the upper bound of the attempts for
+/// one call.
 fn balancers_and_attempts(plan: &Plan) -> [Derived; 3] {
     let destinations = plan.graph.destinations_mean.value;
     [
@@ -226,7 +228,7 @@
     text
 }
 
-/// Prints what `scale plan` tells.
+/// Prints the output of `capacity plan`: the plan, and the figures calculated from it alone.
 pub fn print_plan(plan: &Plan) {
     for printed in plan.printed() {
         let from = if printed.from == Source::Given { "given" } else { "assumed" };
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -1,4 +1,5 @@
-//! Blocks that compare all needs with their budgets: the ranking of the requirements, the tight rows, the bases.
+//! Generates the blocks that compare all needs with their budgets: the ranking of the requirements, the rows close to or
+//! over their budget, and the number of figures by basis.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -7,20 +8,24 @@
 use crate::arithmetic::{Basis, Cost, Figure, Measured, Need, Occasion, Requirement, needs};
 use crate::plan::Plan;
 
-/// From which part of its budget on a row is shown among the tight ones.
+/// Ratio of need to budget from which a row is listed as tight.
 const TIGHT: f64 = 0.8;
 
-/// The worst figure of a requirement.
+/// The need that ranks highest for a requirement, over all roles and occasions.
 struct Worst {
     requirement: Requirement,
+    /// Whether a mechanism that meets the need exists in the checkout.
     carried: bool,
+    /// Ratio of need to budget; `None` where the need has no figure or no budget.
     ratio: Option<f64>,
     need: Need,
     figure: Figure,
+    /// Name of the occasion on which the need arises.
     occasion: &'static str,
 }
 
-/// Requirements by what is missing first: those that nothing carries today, then by the largest ratio of need to budget.
+/// The requirements in order of urgency: first those that no mechanism meets today, then by the largest ratio of need to
+/// budget.
 fn ranked(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<Worst> {
     let mut worst: BTreeMap<Requirement, Worst> = BTreeMap::new();
     for occasion in Occasion::all(plan) {
@@ -42,7 +47,8 @@
     ranked
 }
 
-/// The table of what is missing first.
+/// The table of the requirements in order of urgency: those that no mechanism meets today come first, then the largest
+/// ratio of need to budget.
 #[must_use]
 pub fn ranking(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let rows = ranked(plan, measured, tree).into_iter().enumerate().map(|(rank, worst)| {
@@ -74,7 +80,7 @@
     )
 }
 
-/// Rows that need most of their budget or more, each on its worst occasion, the largest ratio first.
+/// The rows that need at least [`TIGHT`] of their budget, each on its worst occasion, the largest ratio first.
 pub(super) fn tight_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut worst: BTreeMap<(&str, Cost), (f64, Need, Figure, &str)> = BTreeMap::new();
     for occasion in Occasion::all(plan) {
@@ -104,7 +110,7 @@
     table(&["role", "cost", "its worst occasion", "need", "budget", "ratio", "", "basis"], rows)
 }
 
-/// How many figures, of all rows on all occasions, have which basis.
+/// A sentence with the number of figures of each basis, over all rows and occasions.
 pub(super) fn bases_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut counts = [0; 5];
     let mut furthest: f64 = 1.0;
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -142,13 +142,13 @@
 fn markers_that_do_not_fit_are_named() {
     let blocks = BTreeMap::from([("one", "text".to_owned())]);
     for (page, says) in [
-        ("nothing", "block one: no marker"),
-        ("<!-- generated: two -->\n<!-- end -->", "no block is named two"),
-        ("<!-- generated: one -->\n", "block one: no `<!-- end -->`"),
-        ("<!-- generated: one", "a marker without its end"),
+        ("nothing", "block one: missing marker in the page"),
+        ("<!-- generated: two -->\n<!-- end -->", "marker for unknown block two"),
+        ("<!-- generated: one -->\n", "block one: missing end marker `<!-- end -->`"),
+        ("<!-- generated: one", "unterminated marker: expected ` -->`"),
         (
             "<!-- generated: one --><!-- end --><!-- generated: one --><!-- end -->",
-            "block one: a second marker",
+            "block one: duplicate marker",
         ),
     ] {
         let error = filled(page, &blocks).unwrap_err();
