--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -1,5 +1,5 @@
-//! Generates the blocks that compare all needs with their budgets: the ranking of the requirements, the rows close to or
-//! over their budget, and the number of figures by basis.
+//! Generates the blocks that compare all needs with their budgets: the ranking of the requirements, the rows close to
+//! or over their budget, and the number of figures by basis.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -24,8 +24,8 @@
     occasion: &'static str,
 }
 
-/// The requirements in order of urgency: first those that no mechanism meets today, then by the largest ratio of need to
-/// budget.
+/// The requirements in order of urgency: first those that no mechanism meets today, then by the largest ratio of need
+/// to budget.
 fn ranked(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<Worst> {
     let mut worst: BTreeMap<Requirement, Worst> = BTreeMap::new();
     for occasion in Occasion::all(plan) {
--- a/crates/capacity/src/plots.rs
+++ b/crates/capacity/src/plots.rs
@@ -1,23 +1,25 @@
-//! Plots of slopes: points with their spread and the fit, as SVG whose bytes depend on nothing else.
+//! Draws slopes as SVG plots with their points, the range of each point and the fit. The same slope always gives the
+//! same bytes.
 
 use plotters::prelude::*;
 
 use crate::CapacityError;
 use crate::slope::{Fit, Slope};
 
-/// Steps in which a fit is drawn.
+/// Number of line segments that a fit is drawn with.
 const STEPS: u32 = 64;
 
-/// The plot of a slope, both axes by powers of ten where all figures allow it.
+/// Draws a slope as SVG, with logarithmic axes where all sizes and costs are positive and the sizes differ, else with
+/// linear axes.
 ///
 /// # Errors
-/// The slope has no points that could be drawn.
+/// The slope has no points, or a point with a figure that is not finite.
 pub fn svg(slope: &Slope) -> Result<String, CapacityError> {
     let fail = |cause: &dyn std::fmt::Display| CapacityError::run(format!("plot of {}", slope.name), cause);
     let points = &slope.points;
     let figures = || points.iter().flat_map(|point| [point.x, point.y, point.low, point.high]);
     if points.is_empty() || figures().any(|figure| !figure.is_finite()) {
-        return Err(fail(&"no points, or not finite"));
+        return Err(fail(&"the slope has no points, or a point is not finite"));
     }
     let range = |figures: &mut dyn Iterator<Item = f64>| {
         figures.fold((f64::MAX, f64::MIN), |(low, high), figure| (low.min(figure), high.max(figure)))
@@ -67,7 +69,8 @@
     Ok(text)
 }
 
-/// Points along a fit from one size to another, evenly spaced on the axis that is drawn.
+/// Points along a fit from size `x_low` to size `x_high`, evenly spaced on the x axis of the plot, which is logarithmic if
+/// `x_low` is positive.
 fn fit_points(fit: Fit, x_low: f64, x_high: f64) -> Vec<(f64, f64)> {
     let at = |step: u32| {
         let part = f64::from(step) / f64::from(STEPS);
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -1,4 +1,5 @@
-//! A slope: a measured cost against what it grows with, with a linear fit and its residual.
+//! Slopes: a measured cost as a function of the size that it grows with, with a linear fit and its residual. Slopes and
+//! tables of results are stored as JSON files.
 
 use std::fs;
 use std::path::Path;
@@ -9,21 +10,21 @@
 
 use crate::CapacityError;
 
-/// One measured size.
+/// The cost measured at one size, as the median and the range of several runs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size, in the slope's `x_unit`.
+    /// Size that was measured, in the slope's `x_unit`.
     pub x: f64,
-    /// The cost, in the slope's `y_unit`: the median of the plays.
+    /// Median cost over the runs, in the slope's `y_unit`.
     pub y: f64,
-    /// The least that a play gave, in the unit of the cost.
+    /// Lowest cost of a run, in the slope's `y_unit`.
     pub low: f64,
-    /// The most that a play gave.
+    /// Highest cost of a run, in the slope's `y_unit`.
     pub high: f64,
 }
 
 impl Point {
-    /// The median and the spread of some plays of one size; `None` without a play.
+    /// The point at size `x` with the median and the range of the costs of its runs; `None` without a run.
     #[must_use]
     pub fn of(x: f64, mut plays: Vec<f64>) -> Option<Self> {
         plays.sort_by(f64::total_cmp);
@@ -32,19 +33,20 @@
     }
 }
 
-/// A straight line through the points, by least squares of the relative deviations: each size counts alike.
+/// A straight line fitted to the points of a slope by least squares of the relative deviations, so that small and large
+/// sizes have the same weight.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// The cost at size 0.
+    /// Cost at size 0: the intercept of the line.
     pub base: f64,
-    /// The cost of one more.
+    /// Additional cost per unit of size: the gradient of the line.
     pub each: f64,
-    /// The largest deviation of a point, in parts of what was measured.
+    /// Largest deviation of the line from a point, as a fraction of the measured cost.
     pub residual: f64,
 }
 
 impl Fit {
-    /// Through at least two sizes that differ; `None` otherwise.
+    /// Fits a line to the points; `None` unless they have at least two different sizes.
     #[must_use]
     pub fn through(points: &[Point]) -> Option<Self> {
         let (mut w, mut wx, mut wy, mut wxx, mut wxy) = (0.0, 0.0, 0.0, 0.0, 0.0);
@@ -66,47 +68,47 @@
         Some(Self { base, each, residual: points.iter().map(off).fold(0.0, f64::max) })
     }
 
-    /// The cost at a size.
+    /// The cost that the line gives at size `x`.
     #[must_use]
     pub fn at(&self, x: f64) -> f64 {
         self.base + self.each * x
     }
 }
 
-/// A measured slope, as it is stored in `crates/capacity/slopes/NAME.json`.
+/// A measured slope, stored in `crates/capacity/slopes/NAME.json`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// Its name, also of its file: `part.what_by_what`.
+    /// Name of the slope and of its file, in the form `part.cost_by_size`.
     pub name: String,
-    /// What was measured, in one plain sentence.
+    /// Description of the measurement, in one plain sentence.
     pub what: String,
-    /// What it grows with.
+    /// Unit of the size, which is the quantity that the cost grows with.
     pub x_unit: String,
-    /// What it costs.
+    /// Unit of the cost.
     pub y_unit: String,
-    /// The command that gives it again.
+    /// Command that repeats the measurement.
     pub command: String,
-    /// The commit that it was measured on.
+    /// Commit that was measured.
     pub commit: String,
-    /// Plays of each size.
+    /// Number of runs for each size.
     pub plays: usize,
-    /// The measured sizes.
+    /// Cost at each measured size.
     pub points: Vec<Point>,
-    /// The fit, where a straight line makes sense.
+    /// Linear fit of the points; `None` where a straight line does not describe them.
     pub fit: Option<Fit>,
-    /// What a reader must know, such as what a figure is made of.
+    /// What a reader needs to know to interpret the figures, such as what they include.
     #[serde(default)]
     pub note: String,
 }
 
 impl Slope {
-    /// The largest size that was played.
+    /// The largest size that was measured; 0 without points.
     #[must_use]
     pub fn largest(&self) -> f64 {
         self.points.iter().map(|point| point.x).fold(0.0, f64::max)
     }
 
-    /// Reads it from its file.
+    /// Reads the slope `name` from its file in `folder`.
     ///
     /// # Errors
     /// The file is missing or cannot be parsed.
@@ -114,7 +116,7 @@
         read(folder, name)
     }
 
-    /// Writes it to its file.
+    /// Writes the slope to its file in `folder`.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -123,28 +125,29 @@
     }
 }
 
-/// Measured figures that are no slope, such as those of a scenario: a table, stored in `crates/capacity/results/NAME.json`.
+/// A table of measured figures that do not form a slope, such as those of a scenario, stored in
+/// `crates/capacity/results/NAME.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Results {
-    /// Its name, also of its file.
+    /// Name of the table and of its file.
     pub name: String,
-    /// What was measured, in one plain sentence.
+    /// Description of the measurement, in one plain sentence.
     pub what: String,
-    /// The command that gives it again.
+    /// Command that repeats the measurement.
     pub command: String,
-    /// The commit that it was measured on.
+    /// Commit that was measured.
     pub commit: String,
-    /// The heads of the columns, with units.
+    /// Headings of the columns, with units.
     pub columns: Vec<String>,
-    /// The rows.
+    /// Rows of the table, with one cell for each column.
     pub rows: Vec<Vec<String>>,
-    /// What a reader must know.
+    /// What a reader needs to know to interpret the figures.
     #[serde(default)]
     pub note: String,
 }
 
 impl Results {
-    /// Reads it from its file.
+    /// Reads the table `name` from its file in `folder`.
     ///
     /// # Errors
     /// The file is missing or cannot be parsed.
@@ -152,7 +155,7 @@
         read(folder, name)
     }
 
-    /// Writes it to its file.
+    /// Writes the table to its file in `folder`.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -173,7 +176,8 @@
     fs::write(&path, text + "\n").map_err(|cause| CapacityError::file(&path, cause))
 }
 
-/// The commit that the tree stands at, with `+` where it has changes; `unknown` outside a checkout.
+/// The short hash of the checked-out commit, with a `+` appended if the sources have uncommitted changes; `unknown`
+/// outside a git checkout.
 #[must_use]
 pub fn commit() -> String {
     let git = |arguments: &[&str]| {
