--- a/crates/capacity/src/page/markers.rs
+++ b/crates/capacity/src/page/markers.rs
@@ -23,7 +23,8 @@
         if !seen.insert(name) {
             return Err(format!("block {name}: duplicate marker"));
         }
-        let (_, behind) = inside.split_once(END).ok_or_else(|| format!("block {name}: missing end marker `{END}`"))?;
+        let (_, behind) =
+            inside.split_once(END).ok_or_else(|| format!("block {name}: missing end marker `{END}`"))?;
         let _ = write!(text, "{before}{BEGIN}{name} -->\n{}\n{END}", block.trim_end());
         rest = behind;
     }
--- a/crates/capacity/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of real processes share.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+//! Helpers for the tests that run the capacity tool and real balancer processes.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,43 +8,45 @@
 
 use capacity::plan::Plan;
 
-/// The plan of the repository.
+/// The plan file of the repository.
 pub fn plan() -> Plan {
-    Plan::read(&root().join("crates/capacity/plan.toml")).expect("a sound plan")
+    Plan::read(&root().join("crates/capacity/plan.toml")).expect("the plan is valid")
 }
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The balancer's program.
+/// Path of the balancer's program, which is built if it does not exist yet.
 pub fn balancer_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| program("balancer-proxy", "balancer-proxy")).clone()
 }
 
-/// The distribution's program, beside the balancer's.
+/// Path of the configuration distribution's program, in the folder of the balancer's program. It is built if it does
+/// not exist yet.
 pub fn distribution_program() -> PathBuf {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| program("config-distribution", "config-distribution")).clone()
 }
 
-/// A program of another package: cargo names a test only the programs of its own package, and builds the others only
-/// where their own tests are run too. So it is looked for beside this test's programs and built if it isn't there.
+/// Path of the program `name` of another package. Cargo passes a test the paths of only its own package's programs, and
+/// builds other programs only if the tests of their packages run too. So the program is searched for in the folder of
+/// the capacity tool, and built if it is missing there.
 fn program(package: &str, name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_BIN_EXE_capacity")).parent().expect("in a folder");
+    let folder = Path::new(env!("CARGO_BIN_EXE_capacity")).parent().expect("the program is in a folder");
     let program = folder.join(name);
     if !program.is_file() {
         let release = folder.file_name().is_some_and(|name| name == "release");
         let done = Command::new(env!("CARGO"))
             .args(["build", "--locked", "--package", package, "--bin", name])
-            // The profile of tests, so that nothing is built anew that stands already.
+            // Use the profile of the running tests, so that artifacts that already exist are not built again.
             .args(["--profile", if release { "release" } else { "test" }])
             .arg("--target-dir")
-            .arg(folder.parent().expect("in a target folder"))
+            .arg(folder.parent().expect("the folder is in a target folder"))
             .current_dir(root())
             .output()
-            .expect("cargo runs");
+            .expect("cargo starts");
         assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
     }
     program
@@ -55,35 +57,35 @@
         .args(arguments)
         .current_dir(root())
         .output()
-        .expect("the program runs")
+        .expect("the capacity tool starts")
 }
 
-/// Runs the rig, and gives what it prints.
+/// Runs the capacity tool, which must succeed, and returns its standard output.
 pub fn scale(arguments: &[&str]) -> String {
     let done = run(arguments);
     assert!(done.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&done.stderr));
-    String::from_utf8(done.stdout).expect("text")
+    String::from_utf8(done.stdout).expect("the output is UTF-8")
 }
 
-/// Runs the rig, which must fail with this in its words.
+/// Runs the capacity tool, which must fail and print `part` on standard error.
 pub fn fails_with(arguments: &[&str], part: &str) {
     let done = run(arguments);
     let words = String::from_utf8_lossy(&done.stderr);
     assert!(!done.status.success() && words.contains(part), "{arguments:?}: {words}");
 }
 
-/// A folder of one test.
+/// A temporary folder of one test, which is removed on drop.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Makes it.
+    /// Creates a folder whose path contains the process id and `name`.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("capacity-{}-{name}", std::process::id()));
-        fs::create_dir_all(&path).expect("made");
+        fs::create_dir_all(&path).expect("the folder is created");
         Self(path)
     }
 
-    /// Where it is.
+    /// Path of the folder.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/capacity/tests/decisions.rs
+++ b/crates/capacity/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The slopes of the decisions: enough sizes, costs that make sense, and a line only where one holds.
+//! Tests of `capacity decisions`: its slopes have enough sizes and plausible costs, and a linear fit only where the
+//! costs are linear.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -25,10 +26,10 @@
         .args(["--plan", "plan.toml", "decisions", "--small", "--out"])
         .arg(&out)
         .output()
-        .expect("the rig starts");
+        .expect("the capacity tool starts");
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
     for name in NAMES {
-        let slope = Slope::read(&out.join("slopes"), name).expect("written");
+        let slope = Slope::read(&out.join("slopes"), name).expect("the command wrote the slope");
         let sizes: Vec<f64> = slope.points.iter().map(|point| point.x).collect();
         assert!(sizes.len() >= 4, "{name}: {sizes:?}");
         assert!(sizes[sizes.len() - 1] >= 10.0 * sizes[0], "{name}: {sizes:?}");
@@ -45,9 +46,9 @@
         let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "decisions", "--hold", size])
             .output()
-            .expect("the rig starts");
+            .expect("the capacity tool starts");
         assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
-        String::from_utf8_lossy(&done.stdout).trim().parse().expect("a number")
+        String::from_utf8_lossy(&done.stdout).trim().parse().expect("the output is a number")
     };
     let base = held("20,0,0,1000");
     assert!(held("200,0,0,200") > base);
@@ -61,7 +62,7 @@
         let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "decisions", "--hold", wrong])
             .output()
-            .expect("the rig starts");
+            .expect("the capacity tool starts");
         let said = String::from_utf8_lossy(&done.stderr);
         assert!(!done.status.success() && said.contains("--hold"), "{wrong}: {said}");
     }
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -1,4 +1,5 @@
-//! Chains of services with one in trouble: repeats stay within their budgets, and the slopes are whole.
+//! Tests of `capacity depth`, which simulates chains of services with a faulty tier: retries stay within their budgets,
+//! and the command writes all slopes.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -9,7 +10,7 @@
 use capacity::slope::{Results, Slope};
 
 fn plan() -> Plan {
-    Plan::parse(include_str!("../plan.toml")).expect("the plan makes sense")
+    Plan::parse(include_str!("../plan.toml")).expect("the plan is valid")
 }
 
 fn chain(depth: usize, trouble: Option<(usize, Trouble)>) -> Chain {
@@ -34,7 +35,8 @@
 fn repeats_at_a_failing_tier_stay_within_their_budgets() {
     for depth in [1, 3, 6] {
         let figures = played(chain(depth, Some((depth, Trouble::Failing))), depth);
-        // A balancer has a tenth of an attempt more for each call, and ten saved up; the front denies much at last.
+        // The retry budget of a balancer is 0.1 attempts for each call, with 10 attempts saved up at the start. The
+        // front refuses most calls in the end.
         let most = 1.1_f64.powi(depth as i32) + 0.5;
         assert!(figures.attempts > 0.0 && figures.attempts < most, "{depth}: {figures:?}");
         assert!(figures.all_attempts < most * depth as f64, "{depth}: {figures:?}");
@@ -75,14 +77,14 @@
         .args(["--plan", "plan.toml", "depth", "--small", "--out"])
         .arg(&out)
         .output()
-        .expect("the rig starts");
+        .expect("the capacity tool starts");
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
     for name in ["depth.attempts_by_depth", "depth.refusals_by_depth", "depth.deadline_ms_by_depth"] {
-        let slope = Slope::read(&out.join("slopes"), name).expect("written");
+        let slope = Slope::read(&out.join("slopes"), name).expect("the command wrote the file");
         let sizes: Vec<f64> = slope.points.iter().map(|point| point.x).collect();
         assert!(sizes.len() >= 4 && sizes[sizes.len() - 1] >= 10.0 * sizes[0], "{name}: {sizes:?}");
     }
-    let table = Results::read(&out.join("results"), "depth").expect("written");
+    let table = Results::read(&out.join("results"), "depth").expect("the command wrote the file");
     assert!(table.rows.iter().all(|row| row.len() == table.columns.len()));
     assert_eq!(table.rows.len(), 3 * 4 * 2);
 }
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! Small hollow fleets: the same seed gives the same run, no call is lost, and a bad argument ends with its name.
+//! Tests of `capacity hollow` with small fleets of hollow processes (simulated, without real traffic): the same seed
+//! gives the same run, no call is lost, and the error for an invalid argument names it.
 
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -15,11 +16,11 @@
 use oorandom::Rand64;
 
 fn plan() -> Plan {
-    Plan::parse(include_str!("../plan.toml")).expect("the plan makes sense")
+    Plan::parse(include_str!("../plan.toml")).expect("the plan is valid")
 }
 
 fn small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
-    let plan = scaled(&plan(), 60).expect("enough upstreams");
+    let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario, reading: Reading::Hops, seed, seconds, memory_mb: 4096 };
     play(&plan, &run).expect("the run ends")
 }
@@ -49,7 +50,7 @@
             }
             let all = sum(&report.seconds, 0.0, f64::MAX);
             assert!(all.calls > 5000, "{scenario:?} with seed {seed}: {all:?}");
-            // Each attempt ended in some way, but for those of balancers that ended before them.
+            // Each attempt has an end, except those of balancers that stopped before the attempt ended.
             for depth in &report.depths {
                 assert!(depth.ends.iter().sum::<u64>() <= depth.attempts, "{scenario:?}: {depth:?}");
             }
@@ -70,10 +71,10 @@
 fn a_cut_swallows_calls_and_the_rest_is_served() {
     let played = small(Scenario::Region, 1, 24.0);
     let swallowed: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
-    assert!(swallowed > 0, "no attempt met the cut");
+    assert!(swallowed > 0, "no attempt was lost in the network partition");
     let Span { from_s: from, until_s: until } = played.trouble;
     let within = served_in_time(&played.report, from, until);
-    let reachable = played.reachable.expect("a cut leaves a part of the calls without an upstream");
+    let reachable = played.reachable.expect("a network partition leaves some calls without an upstream");
     assert!(0.5 < reachable && reachable < 1.0, "{reachable}");
     assert!(0.5 < within && within <= reachable + 0.02, "{within} within, {reachable} with an upstream");
 }
@@ -105,7 +106,7 @@
             assert!((last - 1.0).abs() < 1e-9);
             assert_eq!(service.calls.is_empty(), service.depth == plan.graph.depth.value);
         }
-        assert_eq!(called.len(), topology.services.len(), "each service has a caller");
+        assert_eq!(called.len(), topology.services.len(), "each service has a client");
         let hops: f64 = topology.services.iter().map(|service| service.rate).sum();
         assert!((hops / plan.hops_per_s(reading) - 1.0).abs() < 0.01, "{hops} calls a second over all hops");
         let busiest = topology.busiest_over_mean();
@@ -136,7 +137,7 @@
 
 #[test]
 fn a_run_past_its_memory_bound_names_the_place() {
-    let plan = scaled(&plan(), 60).expect("enough upstreams");
+    let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario: Scenario::Rack, reading: Reading::Hops, seed: 1, seconds: 6.0, memory_mb: 1 };
     match play(&plan, &run) {
         Err(CapacityError::Memory { place, used_mb, bound_mb: 1 }) => {
@@ -163,7 +164,7 @@
             .args(["--plan", "plan.toml", "hollow", "--out", env!("CARGO_TARGET_TMPDIR")])
             .args(wrong)
             .output()
-            .expect("the rig starts");
+            .expect("the capacity tool starts");
         let said = String::from_utf8_lossy(&done.stderr);
         assert!(!done.status.success() && said.contains(name), "{wrong:?}: {said}");
     }
@@ -179,11 +180,11 @@
             .args(["--seconds", "5", "--seed", seed, "--out"])
             .arg(&out)
             .output()
-            .expect("the rig starts");
+            .expect("the capacity tool starts");
         assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
     }
-    let results = Results::read(&out.join("results"), "hollow").expect("written");
+    let results = Results::read(&out.join("results"), "hollow").expect("the command wrote the table");
     let seeds: Vec<&str> = results.rows.iter().map(|row| row[3].as_str()).collect();
-    assert_eq!(seeds, ["1", "2"], "a run again takes the place of the one before");
+    assert_eq!(seeds, ["1", "2"], "a repeated run replaces the row of the earlier one");
     assert!(results.rows.iter().all(|row| row.len() == results.columns.len()));
 }
--- a/crates/capacity/tests/latency.rs
+++ b/crates/capacity/tests/latency.rs
@@ -1,17 +1,19 @@
-//! `scale latency`: what it writes, and that all calls of it are answered. No test looks at how long something took.
+//! Tests of `capacity latency`: the files that it writes, and that all its calls are answered. The tests check counts,
+//! not durations.
 
 mod common;
 
 use capacity::slope::{Results, Slope};
 use common::{balancer_program, distribution_program, fails_with, scale};
 
-/// Guards the command: each way of playing it writes its slopes, with every call answered by its own upstream.
+/// Guards the command `latency`: with each kind of background load it writes its slopes, and every call gets its own
+/// response.
 #[test]
 fn latency_writes_its_slopes() {
     let out = common::Folder::new("latency");
-    let (program, path) = (balancer_program(), out.path().to_str().expect("text").to_owned());
+    let (program, path) = (balancer_program(), out.path().to_str().expect("the path is UTF-8").to_owned());
     distribution_program();
-    let program = program.to_str().expect("text");
+    let program = program.to_str().expect("the path is UTF-8");
     for (beside, suffix) in [("nothing", ""), ("list", "_list"), ("configuration", "_configuration")] {
         scale(&[
             "latency",
@@ -27,7 +29,7 @@
         ]);
         for name in ["added_p50", "added_p99", "added_p999"] {
             let name = format!("latency.{name}_us_by_rate{suffix}");
-            let slope = Slope::read(&out.path().join("slopes"), &name).expect("written");
+            let slope = Slope::read(&out.path().join("slopes"), &name).expect("the command wrote the file");
             assert_eq!(
                 slope.points.iter().map(|point| point.x).collect::<Vec<_>>(),
                 [100.0, 300.0],
@@ -42,15 +44,16 @@
             assert_eq!(slope.note.contains(" 0 changes"), beside == "nothing", "{}", slope.note);
         }
     }
-    Slope::read(&out.path().join("slopes"), "latency.direct_p99_us_by_rate").expect("written");
+    Slope::read(&out.path().join("slopes"), "latency.direct_p99_us_by_rate")
+        .expect("the command wrote the file");
 }
 
-/// Guards the table of what the latency is made of: all ways of each rate, and as many calls on each.
+/// Guards the latency breakdown table: it has a row for every way at each rate, with about as many calls on each way.
 #[test]
 fn made_of_plays_every_way() {
     let out = common::Folder::new("made-of");
-    let (program, path) = (balancer_program(), out.path().to_str().expect("text").to_owned());
-    let program = program.to_str().expect("text");
+    let (program, path) = (balancer_program(), out.path().to_str().expect("the path is UTF-8").to_owned());
+    let program = program.to_str().expect("the path is UTF-8");
     scale(&[
         "latency",
         "--small",
@@ -63,15 +66,17 @@
         "--program",
         program,
     ]);
-    let table = Results::read(&out.path().join("results"), "latency_made_of").expect("written");
+    let table =
+        Results::read(&out.path().join("results"), "latency_made_of").expect("the command wrote the file");
     let calls = |rate: &str, part: &str| {
-        let row = table.rows.iter().find(|row| row[0] == rate && row[1] == part).expect("a row");
-        row[5].parse::<u64>().expect("a count")
+        let row =
+            table.rows.iter().find(|row| row[0] == rate && row[1] == part).expect("the table has the row");
+        row[5].parse::<u64>().expect("the cell is a count")
     };
     for rate in ["100", "300"] {
         let direct = calls(rate, "direct");
         let through = calls(rate, "through the balancer");
-        // The first calls of a play are left out, which may part a pair.
+        // The first calls of a run are left out, which may drop one call of a pair but not the others.
         assert!(direct > 0 && direct.abs_diff(through) <= 3, "{direct} {through}");
         assert!(calls(rate, "through a relay of bytes").abs_diff(direct) <= 3);
         let kept = calls(rate, "of these on kept connections");
@@ -79,11 +84,11 @@
     }
 }
 
-/// Guards bad arguments: they end with the place.
+/// Guards the errors for invalid arguments: each names the argument.
 #[test]
 fn bad_arguments_end_with_their_place() {
     let program = balancer_program();
-    let program = program.to_str().expect("text");
+    let program = program.to_str().expect("the path is UTF-8");
     fails_with(&["latency", "--rates", "50", "--program", program], "--rates: ");
     fails_with(&["latency", "--rates", "50,1000000", "--program", program], "--rates: ");
     fails_with(&["latency", "--plays", "0", "--program", program], "--plays: ");
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -1,4 +1,5 @@
-//! The capacity page: what stands on it is what the plan and the measurements give, and no figure is made up.
+//! Tests of the capacity page: its blocks and plots match the plan and the measurements, and a figure without a
+//! measurement is reported as not measured.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -40,7 +41,7 @@
     Measured { slopes, results: BTreeMap::new() }
 }
 
-/// A folder of its own, removed again.
+/// A temporary folder of one test, which is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -333,7 +334,7 @@
     has("crates/config-distribution/src/core/origin.rs", "pub struct Origin");
     has("crates/config-distribution/src/host/relay.rs", "pub struct RelayHost");
     has("crates/config-distribution/src/command.rs", "Publish {");
-    assert_eq!(rows()[0], today[0], "no balancer takes it in yet");
+    assert_eq!(rows()[0], today[0], "no balancer applies configuration changes yet");
     has("crates/proxy/src/reconfiguration.rs", "pub fn follow(");
     let then = rows();
     assert!(then.iter().all(|row| !row.contains("none today") && !row.contains("restarts")), "{then:#?}");
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -1,4 +1,5 @@
-//! The plan: checked as a whole, each fault with its place, and what follows from it follows from all of it.
+//! Tests of the plan: all its faults are reported together, each with its place, and the derived figures depend on the
+//! figures in their formulas and on no others.
 
 use std::path::Path;
 
@@ -12,10 +13,10 @@
     Plan::parse(PLAN).unwrap()
 }
 
-/// The plan with one figure changed.
+/// The text of the plan with the value of one figure replaced.
 fn with(text: &str, figure: &str, value: &str) -> String {
     let key = format!("\n{figure} = {{ value = ");
-    let from = text.find(&key).unwrap_or_else(|| panic!("{figure} is not there")) + key.len();
+    let from = text.find(&key).unwrap_or_else(|| panic!("the plan has no figure {figure}")) + key.len();
     let until = from + text[from..].find(", from = ").unwrap();
     format!("{}{value}{}", &text[..from], &text[until..])
 }
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -1,5 +1,4 @@
-//! The small world that real processes are played in, and `scale process` itself. Verdicts are counts; no test looks at
-//! how long something took.
+//! Tests of the test bench that runs real balancers, and of `capacity process`. The tests check counts, not durations.
 
 use std::fs;
 use std::net::TcpStream;
@@ -23,11 +22,12 @@
     world::play(calls, ways, first, zero, &AtomicUsize::new(0)).expect("connections come up")
 }
 
-/// Guards that calls are sent at their times whatever became of those before: a stand-in that stalls once holds up
-/// every call that was to be sent in that time, and each is counted from when it was to be sent.
+/// Guards against coordinated omission: calls are sent at their scheduled times even when earlier calls are unanswered.
+/// An upstream that stalls once delays every call scheduled in that time, and each latency counts from the scheduled
+/// time.
 #[test]
 fn a_stall_shows_in_every_call_it_held_up() {
-    let upstreams = Upstreams::start(1, 1, 300).expect("starts");
+    let upstreams = Upstreams::start(1, 1, 300).expect("the stand-in starts");
     let call = |number: u64| Call {
         at: Duration::from_millis(number),
         way: 0,
@@ -35,43 +35,45 @@
         pair: number as usize,
     };
     let calls: Vec<Call> = (0..300).map(call).collect();
-    let first = upstreams.seen.take_ids(calls.len()).expect("so many");
+    let first = upstreams.seen.take_ids(calls.len()).expect("enough ids are left");
     let stall = Duration::from_millis(100);
     upstreams.seen.stall(first + 100, stall);
-    // Two connections: callers that waited for answers would have two late calls.
+    // There are two warm connections: clients that waited for responses would have only two late calls.
     let played = play(&calls, &[way(upstreams.addresses.clone(), 2)], first);
     assert!(played.iter().all(Played::is_right));
     let late = calls.iter().zip(&played).filter(|(call, played)| played.latency(call) >= stall / 2).count();
-    // Those of its first half wait for half of it at least; one or two may have been read before it.
+    // The 50 calls of the first half of the stall wait for at least half of it. One or two calls may have been read
+    // before the stall began.
     assert!(late >= 45, "{late} of 50");
     assert!(played[101..145].iter().zip(&calls[101..145]).all(|(played, call)| played.sent >= call.at));
 }
 
-/// Guards what the verdicts rest on: what ran twice, ran unasked or never came is not counted as right.
+/// Guards the counts that other tests rely on: a call that ran twice, ran although it was refused, or never reached an
+/// upstream is not counted as right.
 #[test]
 fn each_call_is_counted_at_both_ends() {
-    let upstreams = Upstreams::start(2, 1, 30).expect("starts");
+    let upstreams = Upstreams::start(2, 1, 30).expect("the stand-in starts");
     let classes = [Class::Read, Class::Order];
     let calls: Vec<Call> = (0..10)
         .map(|number| Call { at: Duration::ZERO, way: 0, class: classes[number % 2], pair: number })
         .collect();
     let ways = [way(upstreams.addresses.clone(), 4)];
-    let first = upstreams.seen.take_ids(10).expect("so many");
+    let first = upstreams.seen.take_ids(10).expect("enough ids are left");
     let played = play(&calls, &ways, first);
     let counts = Counts::of(&calls, &played, &upstreams.seen, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, ..Counts::default() });
 
-    // The same ids once more.
+    // Send the same ids a second time: the calls that must not run twice are counted as such.
     let again = play(&calls, &ways, first);
     let counts = Counts::of(&calls, &again, &upstreams.seen, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, twice: 5, repeated: 5, ..Counts::default() });
 
-    // Ids that never ran, with answers that say otherwise.
-    let unseen = upstreams.seen.take_ids(10).expect("so many");
+    // Count ids that never reached an upstream, with responses that claim that they did.
+    let unseen = upstreams.seen.take_ids(10).expect("enough ids are left");
     let counts = Counts::of(&calls, &played, &upstreams.seen, unseen);
     assert_eq!(counts, Counts { calls: 10, wrong: 10, ..Counts::default() });
 
-    // Refused though they ran; lost.
+    // One call that ran is reported as refused, and one as lost.
     let mut ended = played;
     ended[0].end = End::Refused;
     ended[1].end = End::Lost;
@@ -80,7 +82,8 @@
     assert!(upstreams.seen.take_ids(11).is_err());
 }
 
-/// Guards the pairing: each call once on every way, in order of time, the same for the same seed.
+/// Guards the pairing of calls: each pair has one call on every way, the calls are in order of time, and the same seed
+/// gives the same calls.
 #[test]
 fn pairs_are_whole_and_drawn_by_the_seed() {
     let draw = |seed| {
@@ -97,30 +100,33 @@
         ways.sort_unstable();
         assert_eq!(ways, [0, 1, 2], "{pair}");
     }
-    // A thousand are expected; five deviations of a Poisson draw are 158.
+    // 1000 pairs are expected; five standard deviations of the Poisson distribution are 158.
     assert!((842..1158).contains(&pairs), "{pairs}");
 }
 
-/// Guards the process: it serves, what it uses can be read, and it is ended by its id when it is let go.
+/// Guards the balancer process of the test bench: it serves calls, its resource usage can be read, and it is ended when
+/// it is dropped.
 #[test]
 fn a_balancer_serves_and_is_ended() {
-    let upstreams = Upstreams::start(3, 1, 200).expect("starts");
-    let discovery = Discovery::start(upstreams.entries(), Duration::from_millis(500)).expect("starts");
+    let upstreams = Upstreams::start(3, 1, 200).expect("the stand-in starts");
+    let discovery =
+        Discovery::start(upstreams.entries(), Duration::from_millis(500)).expect("the stand-in starts");
     let settings = world::settings(&plan(), 3);
     let configuration = world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
-    let balancer = Balancer::start(&balancer_program(), &configuration, None, |_| ()).expect("serves");
+    let balancer =
+        Balancer::start(&balancer_program(), &configuration, None, |_| ()).expect("the balancer serves");
     let id = balancer.process.id();
-    let before = Usage::of(id).expect("there");
+    let before = Usage::of(id).expect("the process exists");
     let mut rng = oorandom::Rand64::new(7);
     let calls = world::paired(&mut rng, 1, 200.0, Duration::from_millis(500), false);
-    let first = upstreams.seen.take_ids(calls.len()).expect("so many");
+    let first = upstreams.seen.take_ids(calls.len()).expect("enough ids are left");
     let mut way = way(vec![balancer.address], 4);
     way.tenants = plan().traffic.tenants.value;
     let played = play(&calls, &[way], first);
     let counts = Counts::of(&calls, &played, &upstreams.seen, first);
     assert_eq!(counts, Counts { calls: calls.len(), right: calls.len(), ..Counts::default() });
-    assert!(Usage::of(id).expect("there").since(before).cpu_ns > 0);
-    assert!(world::memory_kb(id).expect("there") > 0);
+    assert!(Usage::of(id).expect("the process exists").since(before).cpu_ns > 0);
+    assert!(world::memory_kb(id).expect("the process exists") > 0);
     assert!(balancer.listens_after <= balancer.serves_after);
     let address = balancer.address;
     drop(balancer);
@@ -128,31 +134,32 @@
     assert!(TcpStream::connect(address).is_err());
 }
 
-/// Guards a start that fails: the error has the program's own words, and nothing is left of it.
+/// Guards the error of a balancer that fails to start: it contains the program's own message.
 #[test]
 fn a_balancer_that_does_not_start_is_told_with_its_reason() {
-    let upstreams = Upstreams::start(1, 1, 0).expect("starts");
+    let upstreams = Upstreams::start(1, 1, 0).expect("the stand-in starts");
     let mut settings = world::settings(&plan(), 1);
     settings["lanes"] = serde_json::json!([]);
     let configuration = world::configuration("b0", upstreams.addresses[0], &upstreams.entries(), &settings);
-    let error = Balancer::start(&balancer_program(), &configuration, None, |_| ()).expect_err("no class");
+    let error = Balancer::start(&balancer_program(), &configuration, None, |_| ())
+        .expect_err("a balancer without a class does not start");
     assert!(error.to_string().contains("class"), "{error}");
 }
 
-/// Guards the command: its slopes are written with all sizes, and bad arguments name their place.
+/// Guards the command `process`: it writes its slopes with all sizes, and the error for an invalid argument names it.
 #[test]
 fn process_writes_its_slopes() {
     let out = common::Folder::new("process");
     let program = balancer_program();
-    let program = program.to_str().expect("text");
-    let path = out.path().to_str().expect("text");
+    let program = program.to_str().expect("the path is UTF-8");
+    let path = out.path().to_str().expect("the path is UTF-8");
     scale(&["process", "--small", "--out", path, "--program", program]);
     for name in ["memory_kb", "start_ms", "request_us", "idle_core"] {
         let slope = Slope::read(&out.path().join("slopes"), &format!("process.{name}_by_upstreams"))
-            .expect("written");
+            .expect("the command wrote the file");
         assert_eq!((slope.points.len(), slope.plays), (2, 1), "{name}");
     }
-    assert!(fs::read_dir(out.path().join("results")).expect("there").next().is_none());
+    assert!(fs::read_dir(out.path().join("results")).expect("the folder exists").next().is_none());
     fails_with(&["process", "--program", "/nowhere/at/all"], "--program: no program at /nowhere/at/all");
     fails_with(&["process", "--sizes", "7", "--program", program], "--sizes: ");
     fails_with(&["process", "--plays", "0", "--program", program], "--plays: ");
--- a/crates/capacity/tests/real.rs
+++ b/crates/capacity/tests/real.rs
@@ -1,17 +1,17 @@
-//! `scale real` with three balancers: no call is lost, answered wrongly or run twice, whatever changes. No test looks at
-//! how long something took.
+//! Tests of `capacity real` with three balancers: no call is lost, answered wrongly or run twice while lists and
+//! configuration change. The tests check counts, not durations.
 
 mod common;
 
 use capacity::slope::Results;
 use common::{balancer_program, distribution_program, fails_with, scale};
 
-/// Guards the whole: every call through three real balancers has its own answer while the list changes, and while the
-/// configuration does over a real origin and relays, and each change comes to be in force at all of them.
+/// Guards that every call through three real balancers gets its own response while the endpoint list changes, and while
+/// the configuration changes through a real origin and relays, and that each change comes into force at all balancers.
 #[test]
 fn nothing_is_lost_through_changes() {
     let out = common::Folder::new("real");
-    let (program, path) = (balancer_program(), out.path().to_str().expect("text").to_owned());
+    let (program, path) = (balancer_program(), out.path().to_str().expect("the path is UTF-8").to_owned());
     distribution_program();
     scale(&[
         "real",
@@ -21,10 +21,12 @@
         "--out",
         &path,
         "--program",
-        program.to_str().expect("text"),
+        program.to_str().expect("the path is UTF-8"),
     ]);
-    let table = Results::read(&out.path().join("results"), "real").expect("written");
-    let column = |name: &str| table.columns.iter().position(|column| column == name).expect("a column");
+    let table = Results::read(&out.path().join("results"), "real").expect("the command wrote the table");
+    let column = |name: &str| {
+        table.columns.iter().position(|column| column == name).expect("the table has the column")
+    };
     assert_eq!(
         table.rows.iter().map(|row| row[0].as_str()).collect::<Vec<_>>(),
         ["the list", "configuration"]
@@ -39,11 +41,11 @@
     }
 }
 
-/// Guards bad arguments: they end with the place.
+/// Guards the errors for invalid arguments: each names the argument.
 #[test]
 fn bad_arguments_end_with_their_place() {
     let program = balancer_program();
-    let program = program.to_str().expect("text");
+    let program = program.to_str().expect("the path is UTF-8");
     fails_with(&["real", "--balancers", "0", "--program", program], "--balancers: ");
     fails_with(&["real", "--balancers", "151", "--program", program], "--balancers: ");
     fails_with(&["real", "--changes", "0", "--program", program], "--changes: ");
--- a/crates/capacity/tests/slope.rs
+++ b/crates/capacity/tests/slope.rs
@@ -1,4 +1,4 @@
-//! Slopes: what a fit says, and that a file gives back what was written.
+//! Tests of slopes: the fit and its residual, and that a file reads back as it was written.
 
 use std::fs;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
     sizes.iter().map(|&x| Point { x, y: of(x), low: of(x), high: of(x) }).collect()
 }
 
-/// A folder of its own, removed again.
+/// A temporary folder of one test, which is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Hollow balancers on real sockets, small: counts and order, no times.
+//! Tests of `capacity sockets`, which connects hollow balancers (simulated, without real traffic) to real control
+//! processes, with a small fleet. The tests check counts and order, not durations.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -12,7 +13,7 @@
 use capacity::sockets::plane::{self, Role};
 use capacity::sockets::{fleet, machine};
 
-/// Longer than anything takes that works.
+/// Time after which a test fails; every step that works is much faster.
 const LONG: Duration = Duration::from_secs(60);
 
 fn plan_path() -> PathBuf {
@@ -20,13 +21,13 @@
 }
 
 fn plan() -> Plan {
-    Plan::read(&plan_path()).expect("a sound plan")
+    Plan::read(&plan_path()).expect("the plan is valid")
 }
 
-/// A folder of the test's own.
+/// A folder for one test, which does not exist yet.
 fn folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    // Left by a run before.
+    // Remove the results of an earlier run.
     let _ = fs::remove_dir_all(&folder);
     folder
 }
@@ -37,21 +38,21 @@
     command
 }
 
-/// The row of a small play, as heads and values.
+/// Runs a small fleet through one scenario, and returns the row of its results as pairs of column heading and value.
 fn played(scenario: &str, seed: &str) -> Vec<(String, String)> {
     let out = folder(&format!("sockets-{scenario}"));
-    let out_text = out.to_str().expect("text");
+    let out_text = out.to_str().expect("the path is UTF-8");
     let arguments = ["sockets", "--small", "--scenario", scenario, "--seed", seed, "--out", out_text];
-    let done = scale(&arguments).output().expect("starts");
+    let done = scale(&arguments).output().expect("the process starts");
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
-    let results = Results::read(&out.join("results"), "sockets").expect("written");
-    let [row] = &results.rows[..] else { panic!("one row: {results:?}") };
+    let results = Results::read(&out.join("results"), "sockets").expect("the command wrote the table");
+    let [row] = &results.rows[..] else { panic!("expected one row: {results:?}") };
     results.columns.iter().cloned().zip(row.iter().cloned()).collect()
 }
 
 fn value(row: &[(String, String)], head: &str) -> usize {
-    let (_, value) = row.iter().find(|(column, _)| column == head).expect("the column");
-    value.parse().expect("a count")
+    let (_, value) = row.iter().find(|(column, _)| column == head).expect("the table has the column");
+    value.parse().expect("the cell is a count")
 }
 
 fn assert_whole(row: &[(String, String)]) {
@@ -79,9 +80,9 @@
 }
 
 fn refused(arguments: &[&str]) -> String {
-    let Output { status, stderr, .. } = scale(arguments).output().expect("starts");
+    let Output { status, stderr, .. } = scale(arguments).output().expect("the process starts");
     assert!(!status.success(), "{arguments:?}");
-    String::from_utf8(stderr).expect("text")
+    String::from_utf8(stderr).expect("the path is UTF-8")
 }
 
 #[test]
@@ -104,9 +105,9 @@
     assert!(told.contains("/dev/null/nowhere/results"), "{told}");
 }
 
-/// Children of a process, by what the kernel tells of all.
+/// Process ids of the children of a process, from `/proc`.
 fn children_of(parent: u32) -> BTreeSet<u32> {
-    let all = fs::read_dir("/proc").expect("there").flatten();
+    let all = fs::read_dir("/proc").expect("/proc is readable").flatten();
     let pids = all.filter_map(|entry| entry.file_name().to_str()?.parse::<u32>().ok());
     let is_child = |pid: &u32| {
         let stat = fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
@@ -127,46 +128,47 @@
         if let Some(value) = happened() {
             return value;
         }
-        assert!(start.elapsed() < LONG, "never happened: {what}");
+        assert!(start.elapsed() < LONG, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A play that would go on for long, with all of its processes.
+/// Starts a run that lasts longer than the test, and returns it with its child processes once all have started.
 fn long_play(name: &str) -> (Child, BTreeSet<u32>) {
     let out = folder(name);
-    let out = out.to_str().expect("text");
+    let out = out.to_str().expect("the path is UTF-8");
     let arguments =
         ["sockets", "--scenario", "none", "--balancers", "40", "--per-process", "20", "--out", out];
-    let play = scale(&arguments).stderr(Stdio::piped()).stdout(Stdio::null()).spawn().expect("starts");
+    let play =
+        scale(&arguments).stderr(Stdio::piped()).stdout(Stdio::null()).spawn().expect("the process starts");
     let processes = plan().budget.control_machines.value + 2;
-    let children = wait_for("all processes are there", || {
+    let children = wait_for("all processes to start", || {
         Some(children_of(play.id()))
             .filter(|all| all.len() == processes && all.iter().filter(|&&pid| is_hollow(pid)).count() == 2)
     });
     (play, children)
 }
 
-/// Ends one process at once, or asks it to end.
+/// Sends a signal to one process.
 fn end(pid: u32, signal: &str) {
-    let done = Command::new("kill").args([signal, &pid.to_string()]).status().expect("starts");
+    let done = Command::new("kill").args([signal, &pid.to_string()]).status().expect("the process starts");
     assert!(done.success());
 }
 
 fn assert_gone(play: Child, children: &BTreeSet<u32>, place: &str) {
-    let done = play.wait_with_output().expect("ends");
+    let done = play.wait_with_output().expect("the process ends");
     assert!(!done.status.success());
     let told = String::from_utf8_lossy(&done.stderr);
     assert!(told.contains(place), "{told}");
     for &pid in children {
-        assert_eq!(machine::usage(pid), None, "process {pid} is still there");
+        assert_eq!(machine::usage(pid), None, "process {pid} is still running");
     }
 }
 
 #[test]
 fn no_process_is_left_of_a_play_that_failed() {
     let (play, children) = long_play("sockets-failed");
-    let hollow = children.iter().copied().find(|&pid| is_hollow(pid)).expect("one");
+    let hollow = children.iter().copied().find(|&pid| is_hollow(pid)).expect("the run has a hollow process");
     end(hollow, "-KILL");
     assert_gone(play, &children, "hollow balancers, process");
 }
