--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -35,8 +35,8 @@
 fn repeats_at_a_failing_tier_stay_within_their_budgets() {
     for depth in [1, 3, 6] {
         let figures = played(chain(depth, Some((depth, Trouble::Failing))), depth);
-        // The retry budget of a balancer is 0.1 attempts for each call, with 10 attempts saved up at the start. The
-        // front refuses most calls in the end.
+        // The retry budget of a balancer allows 0.1 retries for each call and holds at most 10 retries. In the end the
+        // front refuses most calls.
         let most = 1.1_f64.powi(depth as i32) + 0.5;
         assert!(figures.attempts > 0.0 && figures.attempts < most, "{depth}: {figures:?}");
         assert!(figures.all_attempts < most * depth as f64, "{depth}: {figures:?}");
--- a/crates/capacity/tests/real.rs
+++ b/crates/capacity/tests/real.rs
@@ -24,9 +24,7 @@
         program.to_str().expect("the path is UTF-8"),
     ]);
     let table = Results::read(&out.path().join("results"), "real").expect("the command wrote the table");
-    let column = |name: &str| {
-        table.columns.iter().position(|column| column == name).expect("the table has the column")
-    };
+    let column = |name: &str| table.columns.iter().position(|column| column == name).expect("the column");
     assert_eq!(
         table.rows.iter().map(|row| row[0].as_str()).collect::<Vec<_>>(),
         ["the list", "configuration"]
