--- a/crates/capacity/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -61,23 +61,23 @@
 }
 
 /// Runs the capacity tool, which must succeed, and returns its standard output.
-pub fn scale(arguments: &[&str]) -> String {
+pub fn run_capacity(arguments: &[&str]) -> String {
     let done = run(arguments);
     assert!(done.status.success(), "{arguments:?}: {}", String::from_utf8_lossy(&done.stderr));
     String::from_utf8(done.stdout).expect("the output is UTF-8")
 }
 
 /// Runs the capacity tool, which must fail and print `part` on standard error.
-pub fn fails_with(arguments: &[&str], part: &str) {
+pub fn assert_fails_with(arguments: &[&str], part: &str) {
     let done = run(arguments);
-    let words = String::from_utf8_lossy(&done.stderr);
-    assert!(!done.status.success() && words.contains(part), "{arguments:?}: {words}");
+    let message = String::from_utf8_lossy(&done.stderr);
+    assert!(!done.status.success() && message.contains(part), "{arguments:?}: {message}");
 }
 
 /// A temporary folder of one test, which is removed on drop.
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     /// Creates a folder whose path contains the process id and `name`.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("capacity-{}-{name}", std::process::id()));
@@ -91,7 +91,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
--- a/crates/capacity/tests/decisions.rs
+++ b/crates/capacity/tests/decisions.rs
@@ -20,7 +20,7 @@
 ];
 
 #[test]
-fn each_slope_has_four_sizes_over_a_decade() {
+fn each_slope_has_four_sizes_that_span_a_factor_of_ten() {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("decisions");
     let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
         .args(["--plan", "plan.toml", "decisions", "--small", "--out"])
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn more_upstreams_tenants_and_calls_take_more_bytes() {
-    let held = |size: &str| -> u64 {
+fn memory_grows_with_upstreams_tenants_and_calls() {
+    let bytes_held = |size: &str| -> u64 {
         let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
             .args(["--plan", "plan.toml", "decisions", "--hold", size])
             .output()
@@ -50,26 +50,26 @@
         assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
         String::from_utf8_lossy(&done.stdout).trim().parse().expect("the output is a number")
     };
-    let base = held("20,0,0,1000");
-    assert!(held("200,0,0,200") > base);
-    assert!(held("20,100,0,200") > base);
-    assert!(held("20,0,200,200") > base);
+    let base = bytes_held("20,0,0,1000");
+    assert!(bytes_held("200,0,0,200") > base);
+    assert!(bytes_held("20,100,0,200") > base);
+    assert!(bytes_held("20,0,200,200") > base);
 }
 
 #[test]
-fn a_malformed_size_is_named() {
-    for wrong in ["1,2,3", "1,2,3,x"] {
+fn malformed_size_names_the_argument() {
+    for malformed in ["1,2,3", "1,2,3,x"] {
         let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
-            .args(["--plan", "plan.toml", "decisions", "--hold", wrong])
+            .args(["--plan", "plan.toml", "decisions", "--hold", malformed])
             .output()
             .expect("the capacity tool starts");
-        let said = String::from_utf8_lossy(&done.stderr);
-        assert!(!done.status.success() && said.contains("--hold"), "{wrong}: {said}");
+        let message = String::from_utf8_lossy(&done.stderr);
+        assert!(!done.status.success() && message.contains("--hold"), "{malformed}: {message}");
     }
 }
 
 #[test]
-fn a_curve_gets_no_line() {
+fn nonlinear_costs_get_no_linear_fit() {
     let points = |cost: fn(f64) -> f64| -> Vec<Point> {
         [1.0, 10.0, 100.0, 1000.0].map(|x| Point { x, y: cost(x), low: cost(x), high: cost(x) }).to_vec()
     };
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -17,51 +17,51 @@
     Chain { depth, trouble, repeats: 0, safe: true, seed: 1, seconds: 5.0 }
 }
 
-fn played(chain: Chain, at: usize) -> Figures {
+fn run_chain(chain: Chain, at: usize) -> Figures {
     let report = chain.play(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default(), "{chain:?}");
     chain.figures(&report, at)
 }
 
 #[test]
-fn a_chain_without_trouble_sends_one_attempt_a_tier() {
-    let figures = played(chain(6, None), 6);
+fn chain_without_fault_sends_one_attempt_per_tier() {
+    let figures = run_chain(chain(6, None), 6);
     assert!((figures.attempts - 1.0).abs() < 0.02, "{figures:?}");
     assert!(figures.served > 0.98, "{figures:?}");
     assert!(figures.left_ms > 1500.0 && figures.left_ms < 2000.0, "{figures:?}");
 }
 
 #[test]
-fn repeats_at_a_failing_tier_stay_within_their_budgets() {
+fn retries_at_a_failing_tier_stay_within_retry_budgets() {
     for depth in [1, 3, 6] {
-        let figures = played(chain(depth, Some((depth, Trouble::Failing))), depth);
+        let figures = run_chain(chain(depth, Some((depth, Trouble::Failing))), depth);
         // The retry budget of a balancer allows 0.1 retries for each call and holds at most 10 retries. In the end the
         // front refuses most calls.
-        let most = 1.1_f64.powi(depth as i32) + 0.5;
-        assert!(figures.attempts > 0.0 && figures.attempts < most, "{depth}: {figures:?}");
-        assert!(figures.all_attempts < most * depth as f64, "{depth}: {figures:?}");
+        let max_attempts = 1.1_f64.powi(depth as i32) + 0.5;
+        assert!(figures.attempts > 0.0 && figures.attempts < max_attempts, "{depth}: {figures:?}");
+        assert!(figures.all_attempts < max_attempts * depth as f64, "{depth}: {figures:?}");
         assert!(figures.served < 0.01, "{depth}: {figures:?}");
         assert!(figures.refusals_at_front > 0.9, "{depth}: {figures:?}");
     }
 }
 
 #[test]
-fn a_halved_tier_still_serves() {
-    let figures = played(chain(4, Some((3, Trouble::Halved))), 3);
+fn tier_that_lost_half_its_upstreams_still_serves() {
+    let figures = run_chain(chain(4, Some((3, Trouble::Halved))), 3);
     assert!(figures.served > 0.5, "{figures:?}");
 }
 
 #[test]
-fn nothing_below_a_silent_tier_is_called() {
-    let silent = chain(5, Some((3, Trouble::Silent)));
-    let report = silent.play(&plan()).expect("the run ends");
+fn tiers_below_an_unresponsive_tier_get_no_calls() {
+    let unresponsive = chain(5, Some((3, Trouble::Silent)));
+    let report = unresponsive.play(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default());
     assert_eq!((report.depths[3].calls, report.depths[4].calls), (0, 0));
     assert!(report.depths[2].reached > 0);
 }
 
 #[test]
-fn the_same_seed_gives_the_same_chain() {
+fn same_seed_gives_same_chain_run() {
     let digest = |seed| {
         let chain = Chain { seed, seconds: 3.0, ..chain(4, Some((2, Trouble::Failing))) };
         chain.play(&plan()).expect("the run ends").digest
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn the_command_writes_its_slopes_and_table() {
+fn command_writes_slopes_and_table() {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("depth");
     let done = Command::new(env!("CARGO_BIN_EXE_capacity"))
         .args(["--plan", "plan.toml", "depth", "--small", "--out"])
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -19,30 +19,30 @@
     Plan::parse(include_str!("../plan.toml")).expect("the plan is valid")
 }
 
-fn small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
+fn run_small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
     let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario, reading: Reading::Hops, seed, seconds, memory_mb: 4096 };
     play(&plan, &run).expect("the run ends")
 }
 
-fn served_in_time(report: &Report, from: f64, until: f64) -> f64 {
+fn served_fraction(report: &Report, from: f64, until: f64) -> f64 {
     let all = sum(&report.seconds, from, until);
     all.served as f64 / all.calls as f64
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
-    let [one, same, other] = [3, 3, 4].map(|seed| small(Scenario::Ordinary, seed, 8.0).report);
+fn same_seed_gives_same_run() {
+    let [one, same, other] = [3, 3, 4].map(|seed| run_small(Scenario::Ordinary, seed, 8.0).report);
     assert_eq!(one.digest, same.digest);
     assert_eq!((one.events, &one.seconds, &one.depths), (same.events, &same.seconds, &same.depths));
     assert_ne!(one.digest, other.digest);
 }
 
 #[test]
-fn every_call_gets_one_answer_and_no_unsafe_one_runs_twice() {
+fn every_call_gets_one_response_and_no_unsafe_call_runs_twice() {
     for scenario in Scenario::ALL {
         for seed in 1..=2 {
-            let report = small(scenario, seed, 12.0).report;
+            let report = run_small(scenario, seed, 12.0).report;
             assert_eq!(report.faults, Faults::default(), "{scenario:?} with seed {seed}");
             for second in &report.seconds {
                 let ended = second.served + second.late + second.refused + second.failed;
@@ -59,37 +59,37 @@
 }
 
 #[test]
-fn a_calm_replacement_pushes_no_cold_upstream_over() {
-    let played = small(Scenario::Replacement, 1, 50.0);
+fn planned_replacement_overloads_no_warming_upstream() {
+    let played = run_small(Scenario::Replacement, 1, 50.0);
     assert_eq!(played.report.cold_starts, 60, "each upstream was replaced once");
     assert_eq!(played.report.pushed_over, 0);
-    let served = served_in_time(&played.report, 3.0, 50.0);
+    let served = served_fraction(&played.report, 3.0, 50.0);
     assert!(served > 0.95, "{served}");
 }
 
 #[test]
-fn a_cut_swallows_calls_and_the_rest_is_served() {
-    let played = small(Scenario::Region, 1, 24.0);
-    let swallowed: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
-    assert!(swallowed > 0, "no attempt was lost in the network partition");
+fn network_partition_loses_calls_and_the_rest_is_served() {
+    let played = run_small(Scenario::Region, 1, 24.0);
+    let lost_attempts: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
+    assert!(lost_attempts > 0, "no attempt was lost in the network partition");
     let Span { from_s: from, until_s: until } = played.trouble;
-    let within = served_in_time(&played.report, from, until);
+    let within = served_fraction(&played.report, from, until);
     let reachable = played.reachable.expect("a network partition leaves some calls without an upstream");
     assert!(0.5 < reachable && reachable < 1.0, "{reachable}");
     assert!(0.5 < within && within <= reachable + 0.02, "{within} within, {reachable} with an upstream");
 }
 
 #[test]
-fn a_lost_zone_comes_back_cold() {
-    let played = small(Scenario::Zone, 2, 24.0);
+fn lost_zone_returns_with_upstreams_warming_up() {
+    let played = run_small(Scenario::Zone, 2, 24.0);
     assert!(played.report.cold_starts > 0);
     assert!(played.report.lists > 0);
-    let after = served_in_time(&played.report, played.trouble.until_s + 6.0, 24.0);
+    let after = served_fraction(&played.report, played.trouble.until_s + 6.0, 24.0);
     assert!(after > 0.9, "{after}");
 }
 
 #[test]
-fn the_fleet_is_drawn_whole() {
+fn topology_matches_the_plan() {
     let plan = plan();
     for reading in [Reading::Hops, Reading::Front] {
         let topology = Topology::draw(&plan, reading, 5);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn the_wheel_gives_events_by_time_and_then_as_they_came() {
+fn wheel_yields_events_by_time_then_insertion_order() {
     let mut rng = Rand64::new(7);
     let mut wheel = Wheel::default();
     let (mut before, mut got, mut put) = (None, 0, 0_u64);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_run_past_its_memory_bound_names_the_place() {
+fn run_over_its_memory_limit_names_the_place() {
     let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario: Scenario::Rack, reading: Reading::Hops, seed: 1, seconds: 6.0, memory_mb: 1 };
     match play(&plan, &run) {
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn bad_arguments_are_named() {
+fn invalid_arguments_are_named_in_the_error() {
     for (wrong, name) in [
         (&["--upstreams", "3"][..], "--upstreams"),
         (&["--upstreams", "1000000"], "--upstreams"),
@@ -165,13 +165,13 @@
             .args(wrong)
             .output()
             .expect("the capacity tool starts");
-        let said = String::from_utf8_lossy(&done.stderr);
-        assert!(!done.status.success() && said.contains(name), "{wrong:?}: {said}");
+        let message = String::from_utf8_lossy(&done.stderr);
+        assert!(!done.status.success() && message.contains(name), "{wrong:?}: {message}");
     }
 }
 
 #[test]
-fn the_command_writes_a_row_for_each_run() {
+fn command_writes_one_row_per_run() {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("hollow-rows");
     let _ = std::fs::remove_dir_all(&out);
     for seed in ["1", "2", "2"] {
--- a/crates/capacity/tests/latency.rs
+++ b/crates/capacity/tests/latency.rs
@@ -4,18 +4,18 @@
 mod common;
 
 use capacity::slope::{Results, Slope};
-use common::{balancer_program, distribution_program, fails_with, scale};
+use common::{assert_fails_with, balancer_program, distribution_program, run_capacity};
 
 /// Guards the command `latency`: with each kind of background load it writes its slopes, and every call gets its own
 /// response.
 #[test]
 fn latency_writes_its_slopes() {
-    let out = common::Folder::new("latency");
+    let out = common::TempDir::new("latency");
     let (program, path) = (balancer_program(), out.path().to_str().expect("the path is UTF-8").to_owned());
     distribution_program();
     let program = program.to_str().expect("the path is UTF-8");
     for (beside, suffix) in [("nothing", ""), ("list", "_list"), ("configuration", "_configuration")] {
-        scale(&[
+        run_capacity(&[
             "latency",
             "--small",
             "--rates",
@@ -50,11 +50,11 @@
 
 /// Guards the latency breakdown table: it has a row for every way at each rate, with about as many calls on each way.
 #[test]
-fn made_of_plays_every_way() {
-    let out = common::Folder::new("made-of");
+fn latency_breakdown_covers_every_way() {
+    let out = common::TempDir::new("made-of");
     let (program, path) = (balancer_program(), out.path().to_str().expect("the path is UTF-8").to_owned());
     let program = program.to_str().expect("the path is UTF-8");
-    scale(&[
+    run_capacity(&[
         "latency",
         "--small",
         "--rates",
@@ -79,19 +79,19 @@
         // The first calls of a run are left out, which may drop one call of a pair but not the others.
         assert!(direct > 0 && direct.abs_diff(through) <= 3, "{direct} {through}");
         assert!(calls(rate, "through a relay of bytes").abs_diff(direct) <= 3);
-        let kept = calls(rate, "of these on kept connections");
-        assert_eq!(kept + calls(rate, "of these on new connections"), through);
+        let reused = calls(rate, "of these on kept connections");
+        assert_eq!(reused + calls(rate, "of these on new connections"), through);
     }
 }
 
 /// Guards the errors for invalid arguments: each names the argument.
 #[test]
-fn bad_arguments_end_with_their_place() {
+fn invalid_arguments_are_named_in_the_error() {
     let program = balancer_program();
     let program = program.to_str().expect("the path is UTF-8");
-    fails_with(&["latency", "--rates", "50", "--program", program], "--rates: ");
-    fails_with(&["latency", "--rates", "50,1000000", "--program", program], "--rates: ");
-    fails_with(&["latency", "--plays", "0", "--program", program], "--plays: ");
-    fails_with(&["latency", "--upstreams", "0", "--program", program], "--upstreams: ");
-    fails_with(&["latency", "--beside", "noise", "--program", program], "--beside");
+    assert_fails_with(&["latency", "--rates", "50", "--program", program], "--rates: ");
+    assert_fails_with(&["latency", "--rates", "50,1000000", "--program", program], "--rates: ");
+    assert_fails_with(&["latency", "--plays", "0", "--program", program], "--plays: ");
+    assert_fails_with(&["latency", "--upstreams", "0", "--program", program], "--upstreams: ");
+    assert_fails_with(&["latency", "--beside", "noise", "--program", program], "--beside");
 }
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -42,9 +42,9 @@
 }
 
 /// A temporary folder of one test, which is removed on drop.
-struct Folder(PathBuf);
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("fennelhatch-page-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&path);
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_page_is_what_the_plan_and_the_measurements_give() {
+fn page_matches_plan_and_measurements() {
     let arguments = Arguments {
         check: true,
         out: tree().join("docs"),
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn a_page_that_differs_names_its_first_block() {
-    let (folder, plan) = (Folder::new("differs"), plan());
+fn check_names_the_first_block_that_differs() {
+    let (folder, plan) = (TempDir::new("differs"), plan());
     let path = folder.0.join("CAPACITY.md");
     fs::write(&path, empty_page(&plan)).unwrap();
     slope("latency.added_p99_us_by_rate", &[50.0, 5000.0], |x| x).write(&folder.0.join("slopes")).unwrap();
@@ -103,15 +103,15 @@
     error("CAPACITY.md, block bases");
     page::run(&folder.arguments(false), &plan).unwrap();
     page::run(&folder.arguments(true), &plan).unwrap();
-    let whole = fs::read_to_string(&path).unwrap();
-    assert!(whole.contains("by hand, plan\n") && whole.ends_with("the end\n"));
+    let generated = fs::read_to_string(&path).unwrap();
+    assert!(generated.contains("by hand, plan\n") && generated.ends_with("the end\n"));
 
-    let edited = whole.replace("`fleet.upstreams` | 1900", "`fleet.upstreams` | 1901");
+    let edited = generated.replace("`fleet.upstreams` | 1900", "`fleet.upstreams` | 1901");
     fs::write(&path, edited.replace("1,680,000", "1,680,001")).unwrap();
     error("CAPACITY.md, block derived");
     fs::write(&path, edited).unwrap();
     error("CAPACITY.md, block plan");
-    fs::write(&path, &whole).unwrap();
+    fs::write(&path, &generated).unwrap();
     let plot = folder.0.join("capacity/latency.added_p99_us_by_rate.svg");
     let svg = fs::read_to_string(&plot).unwrap();
     fs::write(&plot, svg.replacen("width", "height", 1)).unwrap();
@@ -121,12 +121,12 @@
     error("old.svg");
     page::run(&folder.arguments(false), &plan).unwrap();
     page::run(&folder.arguments(true), &plan).unwrap();
-    assert_eq!(fs::read_to_string(&path).unwrap(), whole);
+    assert_eq!(fs::read_to_string(&path).unwrap(), generated);
 }
 
 #[test]
-fn a_changed_measurement_makes_the_page_differ() {
-    let (folder, plan) = (Folder::new("measured"), plan());
+fn check_fails_after_a_measurement_changed() {
+    let (folder, plan) = (TempDir::new("measured"), plan());
     fs::write(folder.0.join("CAPACITY.md"), empty_page(&plan)).unwrap();
     let measured = |each: f64| {
         slope("control.change_sent_last_ms_by_watchers", &[100.0, 300.0, 1000.0, 1900.0], |x| each * x)
@@ -140,9 +140,9 @@
 }
 
 #[test]
-fn markers_that_do_not_fit_are_named() {
+fn invalid_markers_are_named_in_the_error() {
     let blocks = BTreeMap::from([("one", "text".to_owned())]);
-    for (page, says) in [
+    for (page, expected) in [
         ("nothing", "block one: missing marker in the page"),
         ("<!-- generated: two -->\n<!-- end -->", "marker for unknown block two"),
         ("<!-- generated: one -->\n", "block one: missing end marker `<!-- end -->`"),
@@ -153,14 +153,14 @@
         ),
     ] {
         let error = filled(page, &blocks).unwrap_err();
-        assert!(error.starts_with(says), "{page}: {error}");
+        assert!(error.starts_with(expected), "{page}: {error}");
     }
     let page = "a\n<!-- generated: one -->old<!-- end -->\nb";
     assert_eq!(filled(page, &blocks).unwrap(), "a\n<!-- generated: one -->\ntext\n<!-- end -->\nb");
 }
 
 #[test]
-fn what_is_not_measured_has_no_figure() {
+fn need_without_measurement_has_no_figure() {
     let plan = plan();
     let need = need(&plan, &day(&plan), "operator who publishes", Cost::Time);
     let figure = need.figure(&Measured::default());
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_figure_past_the_largest_size_says_how_far() {
+fn extrapolated_figure_reports_its_distance_from_the_largest_size() {
     let plan = plan();
     let need = need(&plan, &day(&plan), "operator who publishes", Cost::Time);
     let of = |sizes: &[f64]| {
@@ -183,20 +183,20 @@
 }
 
 #[test]
-fn between_two_sizes_the_points_count_and_not_the_fit() {
-    let bent = slopes([slope("x", &[10.0, 20.0, 200.0], |x| if x > 15.0 { 100.0 } else { 1.0 })]);
-    assert_eq!(bent.at("x", 15.0), Some(CostAt { cost: 50.5, times_past: 1.0 }));
-    assert_eq!(bent.at("x", 200.0), Some(CostAt { cost: 100.0, times_past: 1.0 }));
-    assert_eq!(bent.at("y", 200.0), None);
+fn cost_between_two_sizes_is_interpolated_from_the_points() {
+    let nonlinear = slopes([slope("x", &[10.0, 20.0, 200.0], |x| if x > 15.0 { 100.0 } else { 1.0 })]);
+    assert_eq!(nonlinear.at("x", 15.0), Some(CostAt { cost: 50.5, times_past: 1.0 }));
+    assert_eq!(nonlinear.at("x", 200.0), Some(CostAt { cost: 100.0, times_past: 1.0 }));
+    assert_eq!(nonlinear.at("y", 200.0), None);
 }
 
 #[test]
-fn a_slope_is_read_at_a_size_beyond_the_smallest_or_as_one_more() {
+fn slope_is_read_at_a_size_beyond_the_smallest_or_per_unit() {
     let plan = plan();
     let measured = slopes([slope("x", &[10.0, 100.0, 1000.0], |x| 50.0 + 2.0 * x)]);
     let mut need = need(&plan, &day(&plan), "operator who publishes", Cost::Processor);
     need.plain = 1.0;
-    let mut reads = |read, times| {
+    let mut read_value = |read, times| {
         need.terms = vec![Term { slope: "x", read, times }];
         need.figure(&measured).value.unwrap()
     };
@@ -207,13 +207,13 @@
         (Read::Beyond(1.0), 1.0, 1.0),
         (Read::OneMore, 100.0, 201.0),
     ] {
-        let got = reads(read, times);
+        let got = read_value(read, times);
         assert!((got - value).abs() < 1e-6, "{read:?}: {got}");
     }
 }
 
 #[test]
-fn a_rate_that_was_not_played_is_an_extrapolation() {
+fn rate_that_was_not_measured_is_an_extrapolation() {
     let plan = plan();
     let measured = slopes([slope("process.request_us_by_upstreams", &[6.0, 1900.0], |_| 100.0)]);
     let need = need(&plan, &day(&plan), "balancer, data path (rate at the front)", Cost::Processor);
@@ -223,18 +223,18 @@
 }
 
 #[test]
-fn a_slope_with_no_straight_line_is_not_read_past_its_sizes() {
+fn slope_without_fit_is_not_extrapolated() {
     let plan = plan();
-    let mut bent = slope("latency.added_p99_us_by_rate", &[50.0, 900.0], |x| x);
-    bent.fit = None;
+    let mut nonlinear = slope("latency.added_p99_us_by_rate", &[50.0, 900.0], |x| x);
+    nonlinear.fit = None;
     let need = need(&plan, &day(&plan), "balancer, data path (rate at the front)", Cost::Time);
-    let figure = need.figure(&slopes([bent]));
-    let says = "latency.added_p99_us_by_rate (played up to 900, and no straight line fits it)";
-    assert_eq!((figure.value, figure.basis), (None, Basis::NotMeasured(vec![says.to_owned()])));
+    let figure = need.figure(&slopes([nonlinear]));
+    let expected = "latency.added_p99_us_by_rate (played up to 900, and no straight line fits it)";
+    assert_eq!((figure.value, figure.basis), (None, Basis::NotMeasured(vec![expected.to_owned()])));
 }
 
 #[test]
-fn the_worst_play_goes_before_a_slope() {
+fn worst_scenario_run_takes_precedence_over_slope() {
     let plan = plan();
     let cells = |row: [&str; 3]| row.map(str::to_owned).to_vec();
     let table = Results {
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn every_role_has_a_row_of_each_cost_on_every_occasion() {
+fn every_role_has_a_row_for_each_cost_on_every_occasion() {
     let plan = plan();
     let occasions = Occasion::all(&plan);
     assert_eq!(occasions.len(), 10);
@@ -290,8 +290,8 @@
         "operator who publishes",
     ] {
         for cost in [Cost::State, Cost::Messages, Cost::Processor, Cost::Memory] {
-            let of_both = first.iter().filter(|need| need.role == role && need.cost == cost);
-            assert_eq!(of_both.count(), 1, "{role}, {cost:?}");
+            let matching = first.iter().filter(|need| need.role == role && need.cost == cost);
+            assert_eq!(matching.count(), 1, "{role}, {cost:?}");
         }
     }
     let kinds = |needs: &[Need]| needs.iter().map(|need| (need.role, need.cost)).collect::<Vec<_>>();
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_whole_list_and_the_documents_pass_the_bytes_of_a_return() {
+fn full_list_and_documents_exceed_the_byte_budget_of_a_reconnect() {
     let plan = plan();
     let all = Occasion::all(&plan);
     let on = all.iter().find(|on| on.name == "all balancers reconnecting").unwrap();
@@ -312,37 +312,37 @@
 }
 
 #[test]
-fn what_nothing_carries_is_missing_first_and_then_the_largest_ratio() {
-    let (plan, tree) = (plan(), Folder::new("ranking"));
+fn ranking_lists_unimplemented_requirements_first_then_by_ratio() {
+    let (plan, tree) = (plan(), TempDir::new("ranking"));
     let rows = || -> Vec<String> {
         let table = ranking(&plan, &Measured::default(), &tree.0);
         table.lines().skip(2).map(str::to_owned).collect()
     };
-    let has = |file: &str, text: &str| {
+    let add_source = |file: &str, text: &str| {
         let path = tree.0.join(file);
         fs::create_dir_all(path.parent().unwrap()).unwrap();
         fs::write(path, text).unwrap();
     };
-    has("crates/policy/src/balancer.rs", "pub struct Balancer;");
-    has("crates/proxy/src/discovery/watch.rs", "pub async fn watch(");
+    add_source("crates/policy/src/balancer.rs", "pub struct Balancer;");
+    add_source("crates/proxy/src/discovery/watch.rs", "pub async fn watch(");
     let today = rows();
     assert!(today[0].contains("a change of configuration") && today[0].contains("none today"), "{today:#?}");
     assert!(today[0].contains("138,904 restarts"), "{today:#?}");
     assert!(today[1..].iter().all(|row| !row.contains("none today")), "{today:#?}");
     assert!(today[1].contains("repeats stay bounded"), "{today:#?}");
 
-    has("crates/config-distribution/src/core/origin.rs", "pub struct Origin");
-    has("crates/config-distribution/src/host/relay.rs", "pub struct RelayHost");
-    has("crates/config-distribution/src/command.rs", "Publish {");
+    add_source("crates/config-distribution/src/core/origin.rs", "pub struct Origin");
+    add_source("crates/config-distribution/src/host/relay.rs", "pub struct RelayHost");
+    add_source("crates/config-distribution/src/command.rs", "Publish {");
     assert_eq!(rows()[0], today[0], "no balancer applies configuration changes yet");
-    has("crates/proxy/src/reconfiguration.rs", "pub fn follow(");
+    add_source("crates/proxy/src/reconfiguration.rs", "pub fn follow(");
     let then = rows();
     assert!(then.iter().all(|row| !row.contains("none today") && !row.contains("restarts")), "{then:#?}");
     assert!(then[0].contains("repeats stay bounded"), "{then:#?}");
 }
 
 #[test]
-fn figures_keep_three_digits() {
+fn figures_keep_three_significant_digits() {
     for (value, text) in [
         (0.0, "0"),
         (0.023, "0.023"),
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn a_plot_is_the_same_to_the_byte_and_shows_points_and_fit() {
+fn plot_is_deterministic_and_shows_points_and_fit() {
     let by_powers = slope("a.b_by_c", &[6.0, 60.0, 600.0, 1900.0], |x| 3.0 + x);
     let svg = plots::svg(&by_powers).unwrap();
     assert_eq!(svg, plots::svg(&by_powers).unwrap());
@@ -377,8 +377,8 @@
 }
 
 #[test]
-fn a_slope_under_another_name_is_refused() {
-    let folder = Folder::new("name");
+fn slope_file_with_a_different_name_is_rejected() {
+    let folder = TempDir::new("name");
     let slopes = folder.0.join("slopes");
     slope("a.b_by_c", &[1.0, 2.0], |x| x).write(&slopes).unwrap();
     fs::rename(slopes.join("a.b_by_c.json"), slopes.join("a.b_by_d.json")).unwrap();
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -14,7 +14,7 @@
 }
 
 /// The text of the plan with the value of one figure replaced.
-fn with(text: &str, figure: &str, value: &str) -> String {
+fn replace_figure(text: &str, figure: &str, value: &str) -> String {
     let key = format!("\n{figure} = {{ value = ");
     let from = text.find(&key).unwrap_or_else(|| panic!("the plan has no figure {figure}")) + key.len();
     let until = from + text[from..].find(", from = ").unwrap();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn both_readings_of_the_rate_are_carried() {
+fn both_readings_of_the_call_rate_are_supported() {
     let plan = plan();
     assert_eq!(plan.mean_rate(Reading::Hops).round(), 74.0);
     assert_eq!(plan.mean_rate(Reading::Front).round(), 884.0);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_was_asked_for_is_marked_as_given() {
+fn given_figures_are_marked_as_given() {
     let given: Vec<(String, String)> = plan()
         .printed()
         .into_iter()
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_assumption_is_marked_as_one_and_each_figure_says_its_unit() {
+fn assumptions_are_marked_and_each_figure_has_a_unit() {
     let printed = plan().printed();
     for place in [
         "fleet.size_skew",
@@ -87,16 +87,16 @@
 }
 
 #[test]
-fn services_are_of_skewed_sizes_that_sum_up_exactly() {
+fn service_sizes_are_skewed_and_sum_to_the_upstreams() {
     let sizes = plan().service_sizes();
     assert_eq!((sizes.len(), sizes.iter().sum::<usize>()), (310, 1900));
     assert!(sizes[0] > 20 * sizes[155] && sizes.iter().all(|&size| size >= 1), "{sizes:?}");
     for (upstreams, services, skew) in
         [(310, 310, "1.0"), (311, 310, "0.0"), (1900, 22, "2.5"), (99_991, 7001, "0.8")]
     {
-        let text = with(PLAN, "upstreams", &upstreams.to_string());
-        let text = with(&text, "services", &services.to_string());
-        let plan = Plan::parse(&with(&text, "size_skew", skew)).unwrap();
+        let text = replace_figure(PLAN, "upstreams", &upstreams.to_string());
+        let text = replace_figure(&text, "services", &services.to_string());
+        let plan = Plan::parse(&replace_figure(&text, "size_skew", skew)).unwrap();
         let sizes = plan.service_sizes();
         assert_eq!((sizes.len(), sizes.iter().sum::<usize>()), (services, upstreams));
         assert!(sizes.iter().all(|&size| size >= 1), "{services} services");
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_each_with_its_place() {
+fn all_faults_are_reported_together_with_their_places() {
     let text = [
         ("upstreams", "100"),
         ("zones_by_region", "[3, 2, 3]"),
@@ -113,7 +113,7 @@
         ("zone_relays", "13"),
     ]
     .iter()
-    .fold(PLAN.to_owned(), |text, (figure, value)| with(&text, figure, value));
+    .fold(PLAN.to_owned(), |text, (figure, value)| replace_figure(&text, figure, value));
     let faults = faults(&text);
     for place in [
         "fleet.upstreams:",
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_contradiction_names_its_place() {
+fn contradictory_figure_is_named() {
     for (figure, value, place) in [
         ("services", "0", "fleet.services"),
         ("upstreams", "100000000", "fleet.upstreams"),
@@ -155,15 +155,15 @@
         ("region_relays", "4", "deal.region_relays"),
         ("origins", "0", "deal.origins"),
     ] {
-        let faults = faults(&with(PLAN, figure, value));
+        let faults = faults(&replace_figure(PLAN, figure, value));
         let named = faults.iter().any(|fault| fault.starts_with(&format!("{place}:")));
         assert!(named, "{figure} {value}: {faults:?}");
     }
 }
 
 #[test]
-fn an_unknown_or_missing_key_is_refused_with_its_line() {
-    for (from, to, says) in [
+fn unknown_or_missing_key_is_rejected_with_its_line() {
+    for (from, to, message) in [
         ("[fleet]\n", "[fleet]\ncolour = { value = 1, from = \"given\", unit = \"\" }\n", "colour"),
         ("[failures]\n", "[weather]\n[failures]\n", "weather"),
         ("unit = \"services\" }", "unit = \"services\", note = \"\" }", "note"),
@@ -174,18 +174,18 @@
         let text = PLAN.replacen(from, to, 1);
         assert_ne!(text, PLAN, "{from}");
         let error = Plan::parse(&text).unwrap_err().to_string();
-        assert!(error.contains(says) && error.contains("line "), "{says}: {error}");
+        assert!(error.contains(message) && error.contains("line "), "{message}: {error}");
     }
 }
 
 #[test]
-fn a_plan_that_cannot_be_read_names_its_file() {
+fn unreadable_plan_names_its_file() {
     let error = Plan::read(Path::new("no/such/plan.toml")).unwrap_err().to_string();
     assert!(error.starts_with("no/such/plan.toml: "), "{error}");
 }
 
 #[test]
-fn a_changed_figure_changes_all_that_follows_from_it_and_nothing_else() {
+fn changed_figure_changes_only_the_figures_derived_from_it() {
     let before = derived(&plan());
     for (figure, value, rows) in [
         ("calls_per_s", "70000.0", 10),
@@ -202,7 +202,7 @@
         ("destinations_mean", "5.0", 2),
         ("work_ms", "1.0", 1),
     ] {
-        let after = derived(&Plan::parse(&with(PLAN, figure, value)).unwrap());
+        let after = derived(&Plan::parse(&replace_figure(PLAN, figure, value)).unwrap());
         let changed: Vec<&str> = before
             .iter()
             .zip(&after)
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn what_a_change_costs_follows_from_scopes_and_sizes() {
+fn cost_of_a_change_follows_from_scopes_and_sizes() {
     let plan = plan();
     let expected = 0.03 * 1900.0 + 0.07 * 1900.0 / 3.0 + 0.90 * 1900.0 / 310.0;
     assert!((plan.balancers_per_change() - expected).abs() < 1e-9);
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -11,7 +11,7 @@
 
 mod common;
 
-use common::{balancer_program, fails_with, plan, scale};
+use common::{assert_fails_with, balancer_program, plan, run_capacity};
 
 fn way(targets: Vec<std::net::SocketAddr>, warm: usize) -> Way {
     Way { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
@@ -26,7 +26,7 @@
 /// An upstream that stalls once delays every call scheduled in that time, and each latency counts from the scheduled
 /// time.
 #[test]
-fn a_stall_shows_in_every_call_it_held_up() {
+fn stall_shows_in_the_latency_of_every_delayed_call() {
     let upstreams = Upstreams::start(1, 1, 300).expect("the stand-in starts");
     let call = |number: u64| Call {
         at: Duration::from_millis(number),
@@ -51,7 +51,7 @@
 /// Guards the counts that other tests rely on: a call that ran twice, ran although it was refused, or never reached an
 /// upstream is not counted as right.
 #[test]
-fn each_call_is_counted_at_both_ends() {
+fn each_call_is_counted_at_client_and_upstream() {
     let upstreams = Upstreams::start(2, 1, 30).expect("the stand-in starts");
     let classes = [Class::Read, Class::Order];
     let calls: Vec<Call> = (0..10)
@@ -85,7 +85,7 @@
 /// Guards the pairing of calls: each pair has one call on every way, the calls are in order of time, and the same seed
 /// gives the same calls.
 #[test]
-fn pairs_are_whole_and_drawn_by_the_seed() {
+fn call_pairs_are_complete_and_determined_by_the_seed() {
     let draw = |seed| {
         let mut rng = oorandom::Rand64::new(seed);
         world::paired(&mut rng, 3, 500.0, Duration::from_secs(2), false)
@@ -107,7 +107,7 @@
 /// Guards the balancer process of the test bench: it serves calls, its resource usage can be read, and it is ended when
 /// it is dropped.
 #[test]
-fn a_balancer_serves_and_is_ended() {
+fn balancer_serves_and_is_stopped_on_drop() {
     let upstreams = Upstreams::start(3, 1, 200).expect("the stand-in starts");
     let discovery =
         Discovery::start(upstreams.entries(), Duration::from_millis(500)).expect("the stand-in starts");
@@ -136,7 +136,7 @@
 
 /// Guards the error of a balancer that fails to start: it contains the program's own message.
 #[test]
-fn a_balancer_that_does_not_start_is_told_with_its_reason() {
+fn failed_balancer_start_reports_the_reason() {
     let upstreams = Upstreams::start(1, 1, 0).expect("the stand-in starts");
     let mut settings = world::settings(&plan(), 1);
     settings["lanes"] = serde_json::json!([]);
@@ -149,19 +149,22 @@
 /// Guards the command `process`: it writes its slopes with all sizes, and the error for an invalid argument names it.
 #[test]
 fn process_writes_its_slopes() {
-    let out = common::Folder::new("process");
+    let out = common::TempDir::new("process");
     let program = balancer_program();
     let program = program.to_str().expect("the path is UTF-8");
     let path = out.path().to_str().expect("the path is UTF-8");
-    scale(&["process", "--small", "--out", path, "--program", program]);
+    run_capacity(&["process", "--small", "--out", path, "--program", program]);
     for name in ["memory_kb", "start_ms", "request_us", "idle_core"] {
         let slope = Slope::read(&out.path().join("slopes"), &format!("process.{name}_by_upstreams"))
             .expect("the command wrote the file");
         assert_eq!((slope.points.len(), slope.plays), (2, 1), "{name}");
     }
     assert!(fs::read_dir(out.path().join("results")).expect("the folder exists").next().is_none());
-    fails_with(&["process", "--program", "/nowhere/at/all"], "--program: no program at /nowhere/at/all");
-    fails_with(&["process", "--sizes", "7", "--program", program], "--sizes: ");
-    fails_with(&["process", "--plays", "0", "--program", program], "--plays: ");
-    fails_with(&["process", "--rate", "0", "--program", program], "--rate: ");
+    assert_fails_with(
+        &["process", "--program", "/nowhere/at/all"],
+        "--program: no program at /nowhere/at/all",
+    );
+    assert_fails_with(&["process", "--sizes", "7", "--program", program], "--sizes: ");
+    assert_fails_with(&["process", "--plays", "0", "--program", program], "--plays: ");
+    assert_fails_with(&["process", "--rate", "0", "--program", program], "--rate: ");
 }
--- a/crates/capacity/tests/real.rs
+++ b/crates/capacity/tests/real.rs
@@ -4,16 +4,16 @@
 mod common;
 
 use capacity::slope::Results;
-use common::{balancer_program, distribution_program, fails_with, scale};
+use common::{assert_fails_with, balancer_program, distribution_program, run_capacity};
 
 /// Guards that every call through three real balancers gets its own response while the endpoint list changes, and while
 /// the configuration changes through a real origin and relays, and that each change comes into force at all balancers.
 #[test]
-fn nothing_is_lost_through_changes() {
-    let out = common::Folder::new("real");
+fn no_call_is_lost_during_changes() {
+    let out = common::TempDir::new("real");
     let (program, path) = (balancer_program(), out.path().to_str().expect("the path is UTF-8").to_owned());
     distribution_program();
-    scale(&[
+    run_capacity(&[
         "real",
         "--small",
         "--upstreams",
@@ -41,12 +41,12 @@
 
 /// Guards the errors for invalid arguments: each names the argument.
 #[test]
-fn bad_arguments_end_with_their_place() {
+fn invalid_arguments_are_named_in_the_error() {
     let program = balancer_program();
     let program = program.to_str().expect("the path is UTF-8");
-    fails_with(&["real", "--balancers", "0", "--program", program], "--balancers: ");
-    fails_with(&["real", "--balancers", "151", "--program", program], "--balancers: ");
-    fails_with(&["real", "--changes", "0", "--program", program], "--changes: ");
-    fails_with(&["real", "--every", "0", "--program", program], "--every: ");
-    fails_with(&["real", "--rate", "1000", "--program", program], "--rate: ");
+    assert_fails_with(&["real", "--balancers", "0", "--program", program], "--balancers: ");
+    assert_fails_with(&["real", "--balancers", "151", "--program", program], "--balancers: ");
+    assert_fails_with(&["real", "--changes", "0", "--program", program], "--changes: ");
+    assert_fails_with(&["real", "--every", "0", "--program", program], "--every: ");
+    assert_fails_with(&["real", "--rate", "1000", "--program", program], "--rate: ");
 }
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -14,7 +14,7 @@
 use capacity::sockets::{fleet, machine};
 
 /// Time after which a test fails; every step that works is much faster.
-const LONG: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn plan_path() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("plan.toml")
@@ -32,18 +32,18 @@
     folder
 }
 
-fn scale(arguments: &[&str]) -> Command {
+fn capacity_command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_capacity"));
     command.arg("--plan").arg(plan_path()).args(arguments);
     command
 }
 
 /// Runs a small fleet through one scenario, and returns the row of its results as pairs of column heading and value.
-fn played(scenario: &str, seed: &str) -> Vec<(String, String)> {
+fn run_scenario(scenario: &str, seed: &str) -> Vec<(String, String)> {
     let out = folder(&format!("sockets-{scenario}"));
     let out_text = out.to_str().expect("the path is UTF-8");
     let arguments = ["sockets", "--small", "--scenario", scenario, "--seed", seed, "--out", out_text];
-    let done = scale(&arguments).output().expect("the process starts");
+    let done = capacity_command(&arguments).output().expect("the process starts");
     assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
     let results = Results::read(&out.join("results"), "sockets").expect("the command wrote the table");
     let [row] = &results.rows[..] else { panic!("expected one row: {results:?}") };
@@ -55,7 +55,7 @@
     value.parse().expect("the cell is a count")
 }
 
-fn assert_whole(row: &[(String, String)]) {
+fn assert_converged(row: &[(String, String)]) {
     assert_eq!(value(row, "balancers"), 60);
     assert_eq!(value(row, "changes"), 24);
     assert!(value(row, "changes in force at balancers") >= 24, "{row:?}");
@@ -65,28 +65,28 @@
 }
 
 #[test]
-fn all_end_at_the_last_change_with_a_relay_killed_in_the_middle() {
-    assert_whole(&played("relay", "3"));
+fn all_balancers_reach_the_last_change_after_a_relay_is_killed() {
+    assert_converged(&run_scenario("relay", "3"));
 }
 
 #[test]
-fn all_end_at_the_last_change_after_a_cut() {
-    assert_whole(&played("cut", "4"));
+fn all_balancers_reach_the_last_change_after_a_network_partition() {
+    assert_converged(&run_scenario("cut", "4"));
 }
 
 #[test]
-fn all_end_at_the_last_change_with_all_control_processes_started_anew() {
-    assert_whole(&played("reconnect", "5"));
+fn all_balancers_reach_the_last_change_after_all_control_processes_restart() {
+    assert_converged(&run_scenario("reconnect", "5"));
 }
 
-fn refused(arguments: &[&str]) -> String {
-    let Output { status, stderr, .. } = scale(arguments).output().expect("the process starts");
+fn error_of(arguments: &[&str]) -> String {
+    let Output { status, stderr, .. } = capacity_command(arguments).output().expect("the process starts");
     assert!(!status.success(), "{arguments:?}");
     String::from_utf8(stderr).expect("the path is UTF-8")
 }
 
 #[test]
-fn bad_arguments_end_with_the_place() {
+fn invalid_arguments_are_named_in_the_error() {
     for (arguments, place) in [
         (["sockets", "--balancers", "0"], "--balancers: 1 to 1900"),
         (["sockets", "--balancers", "1901"], "--balancers: 1 to 1900"),
@@ -98,11 +98,11 @@
         (["sockets", "--list", "0"], "--list: 1 to 10000"),
         (["sockets", "--scenario", "flood"], "'flood' for '--scenario"),
     ] {
-        let told = refused(&arguments);
-        assert!(told.contains(place), "{arguments:?}: {told}");
+        let message = error_of(&arguments);
+        assert!(message.contains(place), "{arguments:?}: {message}");
     }
-    let told = refused(&["sockets", "--small", "--out", "/dev/null/nowhere"]);
-    assert!(told.contains("/dev/null/nowhere/results"), "{told}");
+    let message = error_of(&["sockets", "--small", "--out", "/dev/null/nowhere"]);
+    assert!(message.contains("/dev/null/nowhere/results"), "{message}");
 }
 
 /// Process ids of the children of a process, from `/proc`.
@@ -122,80 +122,83 @@
         .is_ok_and(|line| String::from_utf8_lossy(&line).contains("--hollow-balancers"))
 }
 
-fn wait_for<T>(what: &str, mut happened: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(value) = happened() {
+        if let Some(value) = condition() {
             return value;
         }
-        assert!(start.elapsed() < LONG, "timed out waiting for: {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// Starts a run that lasts longer than the test, and returns it with its child processes once all have started.
-fn long_play(name: &str) -> (Child, BTreeSet<u32>) {
+fn start_long_run(name: &str) -> (Child, BTreeSet<u32>) {
     let out = folder(name);
     let out = out.to_str().expect("the path is UTF-8");
     let arguments =
         ["sockets", "--scenario", "none", "--balancers", "40", "--per-process", "20", "--out", out];
-    let play =
-        scale(&arguments).stderr(Stdio::piped()).stdout(Stdio::null()).spawn().expect("the process starts");
+    let run = capacity_command(&arguments)
+        .stderr(Stdio::piped())
+        .stdout(Stdio::null())
+        .spawn()
+        .expect("the process starts");
     let processes = plan().budget.control_machines.value + 2;
     let children = wait_for("all processes to start", || {
-        Some(children_of(play.id()))
+        Some(children_of(run.id()))
             .filter(|all| all.len() == processes && all.iter().filter(|&&pid| is_hollow(pid)).count() == 2)
     });
-    (play, children)
+    (run, children)
 }
 
 /// Sends a signal to one process.
-fn end(pid: u32, signal: &str) {
+fn send_signal(pid: u32, signal: &str) {
     let done = Command::new("kill").args([signal, &pid.to_string()]).status().expect("the process starts");
     assert!(done.success());
 }
 
-fn assert_gone(play: Child, children: &BTreeSet<u32>, place: &str) {
-    let done = play.wait_with_output().expect("the process ends");
+fn assert_all_ended(run: Child, children: &BTreeSet<u32>, place: &str) {
+    let done = run.wait_with_output().expect("the process ends");
     assert!(!done.status.success());
-    let told = String::from_utf8_lossy(&done.stderr);
-    assert!(told.contains(place), "{told}");
+    let message = String::from_utf8_lossy(&done.stderr);
+    assert!(message.contains(place), "{message}");
     for &pid in children {
         assert_eq!(machine::usage(pid), None, "process {pid} is still running");
     }
 }
 
 #[test]
-fn no_process_is_left_of_a_play_that_failed() {
-    let (play, children) = long_play("sockets-failed");
+fn failed_run_leaves_no_process_behind() {
+    let (run, children) = start_long_run("sockets-failed");
     let hollow = children.iter().copied().find(|&pid| is_hollow(pid)).expect("the run has a hollow process");
-    end(hollow, "-KILL");
-    assert_gone(play, &children, "hollow balancers, process");
+    send_signal(hollow, "-KILL");
+    assert_all_ended(run, &children, "hollow balancers, process");
 }
 
 #[test]
-fn no_process_is_left_of_a_play_that_is_asked_to_end() {
-    let (play, children) = long_play("sockets-asked");
-    end(play.id(), "-TERM");
-    assert_gone(play, &children, "asked to end");
+fn run_that_is_asked_to_end_leaves_no_process_behind() {
+    let (run, children) = start_long_run("sockets-asked");
+    send_signal(run.id(), "-TERM");
+    assert_all_ended(run, &children, "asked to end");
 }
 
 #[test]
-fn balancers_lie_over_services_and_zones_as_the_plan_has_it() {
+fn balancers_are_spread_over_services_and_zones_by_the_plan() {
     let plan = plan();
-    let dealt = fleet(&plan, plan.fleet.upstreams.value);
+    let balancers = fleet(&plan, plan.fleet.upstreams.value);
     for (service, &size) in plan.service_sizes().iter().enumerate() {
-        assert_eq!(dealt.iter().filter(|one| one.service == service).count(), size, "service {service}");
+        assert_eq!(balancers.iter().filter(|one| one.service == service).count(), size, "service {service}");
     }
     for region in 0..plan.fleet.regions.value {
-        let here = dealt.iter().filter(|one| plane::region_of(&plan, one.zone) == region).count();
-        let share = here as f64 / dealt.len() as f64;
+        let here = balancers.iter().filter(|one| plane::region_of(&plan, one.zone) == region).count();
+        let share = here as f64 / balancers.len() as f64;
         assert!((share - plan.fleet.region_shares.value[region]).abs() < 0.01, "region {region}: {share}");
     }
 }
 
 #[test]
-fn control_processes_are_dealt_without_loops_and_each_balancer_has_two_parents_at_least() {
+fn control_process_placement_has_no_loops_and_each_balancer_has_at_least_two_parents() {
     let plan = plan();
     let machines = plane::deal(&plan);
     assert_eq!(machines.len(), plan.budget.control_machines.value);
@@ -213,7 +216,7 @@
 }
 
 #[test]
-fn a_body_has_the_bytes_that_it_should_and_differs_from_turn_to_turn() {
+fn document_body_has_the_requested_size_and_differs_between_turns() {
     for bytes in [2048, 4096, 6144] {
         let body = plane::body(bytes, 1);
         assert!((bytes - 60..=bytes).contains(&body.len()), "{}", body.len());
