--- a/crates/capacity/tests/control.rs
+++ b/crates/capacity/tests/control.rs
@@ -35,6 +35,7 @@
     out.join("slopes")
 }
 
+/// Reads a slope, which must have at least four sizes.
 fn slope(folder: &Path, name: &str) -> Slope {
     let slope = Slope::read(folder, name).expect("the command wrote the slope");
     assert!(slope.points.len() >= 4, "{slope:?}");
@@ -127,6 +128,7 @@
         self.read_until(|text| text.matches("}]}\n\r\n").count() >= count);
     }
 
+    /// Reads until `complete` holds for the received text.
     fn read_until(&mut self, complete: impl Fn(&str) -> bool) {
         let mut part = [0; 4096];
         while !complete(&String::from_utf8_lossy(&self.text)) {
@@ -140,7 +142,7 @@
 #[test]
 fn list_server_sends_snapshot_then_deltas_and_counts_the_same_bytes_as_its_watches() {
     // The heartbeat interval is longer than the test, so that all bytes belong to lists.
-    let server = ListServer::start(20, 150, 2, TEST_TIMEOUT).expect("the process starts");
+    let server = ListServer::start(20, 150, 2, TEST_TIMEOUT).expect("the server starts");
     let mut watches: Vec<Watch> = (0..5).map(|_| Watch::new(&server, 0)).collect();
     for watch in &mut watches {
         watch.read_until_contains("\"index\":1,\"snapshot\":true");
@@ -159,7 +161,10 @@
             break;
         }
         // The server counts bytes only after it has written them, so its count may lag behind.
-        assert!(start.elapsed() < TEST_TIMEOUT, "{client_bytes} bytes here, {carried:?}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "{client_bytes} bytes at the clients, {carried:?} at the server"
+        );
         thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(server.asked(), [0; 5]);
@@ -167,7 +172,7 @@
 
 #[test]
 fn resumed_watch_receives_only_missed_changes() {
-    let server = ListServer::start(20, 150, 2, TEST_TIMEOUT).expect("the process starts");
+    let server = ListServer::start(20, 150, 2, TEST_TIMEOUT).expect("the server starts");
     server.change(4);
     let mut watch = Watch::new(&server, 3);
     watch.read_until_contains("\"index\":5,\"snapshot\":false");
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -17,6 +17,7 @@
     Chain { depth, trouble, repeats: 0, safe: true, seed: 1, seconds: 5.0 }
 }
 
+/// Simulates a chain, and returns the figures at depth `at`.
 fn run_chain(chain: Chain, at: usize) -> Figures {
     let report = chain.play(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default(), "{chain:?}");
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -19,12 +19,14 @@
     Plan::parse(include_str!("../plan.toml")).expect("the plan is valid")
 }
 
+/// Runs a scenario with a fleet of 60 upstreams.
 fn run_small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
     let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario, reading: Reading::Hops, seed, seconds, memory_mb: 4096 };
     play(&plan, &run).expect("the run ends")
 }
 
+/// Fraction of the calls between two virtual seconds that were served in time.
 fn served_fraction(report: &Report, from: f64, until: f64) -> f64 {
     let all = sum(&report.seconds, from, until);
     all.served as f64 / all.calls as f64
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -11,6 +11,7 @@
 use capacity::plots;
 use capacity::slope::{Fit, Point, Results, Slope};
 
+/// The root of the checkout.
 fn tree() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
@@ -19,6 +20,7 @@
     Plan::parse(include_str!("../plan.toml")).unwrap()
 }
 
+/// A slope with the cost `of(x)` at each size.
 fn slope(name: &str, sizes: &[f64], of: impl Fn(f64) -> f64) -> Slope {
     let points: Vec<Point> =
         sizes.iter().map(|&x| Point { x, y: of(x), low: of(x) * 0.9, high: of(x) * 1.1 }).collect();
@@ -63,6 +65,7 @@
     }
 }
 
+/// A page that has the markers of all blocks, with nothing between them.
 fn empty_page(plan: &Plan) -> String {
     let blocks = blocks(plan, &Measured::default(), Path::new("."));
     let parts =
@@ -70,6 +73,7 @@
     parts.collect::<String>() + "the end\n"
 }
 
+/// The ordinary day, which is the first occasion.
 fn day(plan: &Plan) -> Occasion {
     Occasion::all(plan).swap_remove(0)
 }
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -13,6 +13,7 @@
 
 use common::{assert_fails_with, balancer_program, plan, run_capacity};
 
+/// A way to the targets with `warm` connections opened before the first call.
 fn way(targets: Vec<std::net::SocketAddr>, warm: usize) -> Way {
     Way { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
 }
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -55,6 +55,7 @@
     value.parse().expect("the cell is a count")
 }
 
+/// Checks that every balancer of a run applied the last change, and none went back to an earlier index.
 fn assert_converged(row: &[(String, String)]) {
     assert_eq!(value(row, "balancers"), 60);
     assert_eq!(value(row, "changes"), 24);
@@ -79,6 +80,7 @@
     assert_converged(&run_scenario("reconnect", "5"));
 }
 
+/// Runs the capacity tool with invalid arguments, and returns its standard error.
 fn error_of(arguments: &[&str]) -> String {
     let Output { status, stderr, .. } = capacity_command(arguments).output().expect("the process starts");
     assert!(!status.success(), "{arguments:?}");
@@ -122,6 +124,7 @@
         .is_ok_and(|line| String::from_utf8_lossy(&line).contains("--hollow-balancers"))
 }
 
+/// Waits until `condition` returns a value.
 fn wait_for<T>(what: &str, mut condition: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
@@ -158,6 +161,7 @@
     assert!(done.success());
 }
 
+/// Checks that a run fails with an error that contains `place`, and that its child processes have ended.
 fn assert_all_ended(run: Child, children: &BTreeSet<u32>, place: &str) {
     let done = run.wait_with_output().expect("the process ends");
     assert!(!done.status.success());
