--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -20,15 +20,15 @@
 mod plan_blocks;
 mod ranking;
 
-pub use format::show;
-pub use markers::filled;
-pub use plan_blocks::{Derived, derived, print_plan};
+pub use format::format_number;
+pub use markers::fill_blocks;
+pub use plan_blocks::{DerivedFigure, derived_figures, print_plan};
 pub use ranking::ranking;
 
 use markers::first_difference;
 use measured::{results_block, slopes_block};
 use needs::{day_block, peaks_block};
-use plan_blocks::{deal_block, derived_block, plan_block};
+use plan_blocks::{derived_block, placement_block, plan_block};
 use ranking::{bases_block, tight_block};
 
 /// Writes the generated blocks of `docs/CAPACITY.md` and its plots from the plan and the measurements, and prints the
@@ -58,12 +58,12 @@
     let blocks = blocks(plan, &measured, &arguments.tree);
     let page = arguments.out.join("CAPACITY.md");
     let before = fs::read_to_string(&page).map_err(|cause| CapacityError::file(&page, cause))?;
-    let after = filled(&before, &blocks).map_err(|cause| CapacityError::file(&page, cause))?;
+    let after = fill_blocks(&before, &blocks).map_err(|cause| CapacityError::file(&page, cause))?;
     let folder = arguments.out.join("capacity");
     let plots = Plots::draw(&measured, &folder)?;
     if arguments.check {
         if let Some(name) = first_difference(&before, &blocks) {
-            return Err(differs(format!("{}, block {name}", page.display())));
+            return Err(out_of_date(format!("{}, block {name}", page.display())));
         }
         return plots.check();
     }
@@ -73,7 +73,7 @@
     Ok(())
 }
 
-fn differs(what: String) -> CapacityError {
+fn out_of_date(what: String) -> CapacityError {
     CapacityError::run(what, "differs from what the plan and the measurements give; run `capacity page`")
 }
 
@@ -100,11 +100,11 @@
     fn check(&self) -> Result<(), CapacityError> {
         for (path, svg) in &self.drawn {
             if fs::read_to_string(path).ok().as_ref() != Some(svg) {
-                return Err(differs(path.display().to_string()));
+                return Err(out_of_date(path.display().to_string()));
             }
         }
         match self.stale.first() {
-            Some(path) => Err(differs(path.display().to_string())),
+            Some(path) => Err(out_of_date(path.display().to_string())),
             None => Ok(()),
         }
     }
@@ -142,7 +142,7 @@
     BTreeMap::from([
         ("plan", plan_block(plan)),
         ("derived", derived_block(plan)),
-        ("deal", deal_block(plan)),
+        ("deal", placement_block(plan)),
         ("ranking", ranking(plan, measured, tree)),
         ("tight", tight_block(plan, measured, tree)),
         ("bases", bases_block(plan, measured, tree)),
--- a/crates/capacity/src/page/format.rs
+++ b/crates/capacity/src/page/format.rs
@@ -4,7 +4,7 @@
 
 /// Formats a number with three significant digits and with commas between groups of thousands.
 #[must_use]
-pub fn show(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     let size = value.abs();
     if !value.is_finite() {
         return "?".to_owned();
@@ -33,22 +33,22 @@
     if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
 }
 
-fn cell(text: &str) -> String {
+fn escape_cell(text: &str) -> String {
     text.replace('|', "\\|").replace('\n', " ")
 }
 
 pub(super) fn table(head: &[&str], rows: impl IntoIterator<Item = Vec<String>>) -> String {
     let line = |cells: Vec<String>| format!("| {} |\n", cells.join(" | "));
-    let mut text = line(head.iter().map(|&text| cell(text)).collect());
+    let mut text = line(head.iter().map(|&text| escape_cell(text)).collect());
     text += &line(head.iter().map(|_| "---".to_owned()).collect());
     for row in rows {
-        text += &line(row.iter().map(|text| cell(text)).collect());
+        text += &line(row.iter().map(|text| escape_cell(text)).collect());
     }
     text
 }
 
 pub(super) fn figure_text(figure: &Figure, unit: &str) -> String {
-    figure.value.map_or("not measured".to_owned(), |value| format!("{} {unit}", show(value)))
+    figure.value.map_or("not measured".to_owned(), |value| format!("{} {unit}", format_number(value)))
 }
 
 pub(super) fn basis_text(basis: &Basis) -> String {
@@ -57,21 +57,23 @@
         Basis::Reckoned(missing) => format!("reckoned from the plan; not measured: {}", missing.join(", ")),
         Basis::Played(plays) => format!("played, the worst of {plays}"),
         Basis::Measured => "measured".to_owned(),
-        Basis::Extrapolated(past) => format!("extrapolated, {} times the largest size played", show(*past)),
+        Basis::Extrapolated(past) => {
+            format!("extrapolated, {} times the largest size played", format_number(*past))
+        }
         Basis::NotMeasured(missing) => format!("not measured: {}", missing.join(", ")),
     }
 }
 
 /// Formats a figure for a narrow cell: its value, its ratio to the budget in parentheses, and its basis as one letter.
-pub(super) fn short(figure: &Figure) -> String {
+pub(super) fn compact_figure_text(figure: &Figure) -> String {
     let Some(value) = figure.value else { return "not measured".to_owned() };
-    let ratio = figure.ratio.map_or(String::new(), |ratio| format!(" ({})", show(ratio)));
+    let ratio = figure.ratio.map_or(String::new(), |ratio| format!(" ({})", format_number(ratio)));
     let basis = match &figure.basis {
         Basis::Reckoned(_) => "r".to_owned(),
         Basis::Played(_) => "p".to_owned(),
         Basis::Measured => "m".to_owned(),
-        Basis::Extrapolated(past) => format!("e{}", show(*past)),
+        Basis::Extrapolated(past) => format!("e{}", format_number(*past)),
         Basis::NotMeasured(_) => String::new(),
     };
-    format!("{}{ratio} {basis}", show(value))
+    format!("{}{ratio} {basis}", format_number(value))
 }
--- a/crates/capacity/src/page/measured.rs
+++ b/crates/capacity/src/page/measured.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use super::format::{show, table};
+use super::format::{format_number, table};
 use crate::arithmetic::{Measured, Occasion, needs};
 use crate::plan::Plan;
 use crate::slope::{Results, Slope};
@@ -12,21 +12,27 @@
 pub(super) fn slopes_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let fit = |slope: &Slope| {
         slope.fit.map_or(["no straight line".to_owned(), "–".to_owned()], |fit| {
-            [format!("{} + {} x", show(fit.base), show(fit.each)), format!("{:.1}%", fit.residual * 100.0)]
+            [
+                format!("{} + {} x", format_number(fit.base), format_number(fit.each)),
+                format!("{:.1}%", fit.residual * 100.0),
+            ]
         })
     };
     let rows = measured.slopes.values().map(|slope| {
-        let sizes: Vec<String> = slope.points.iter().map(|point| show(point.x)).collect();
-        let middles: Vec<String> = slope.points.iter().map(|point| show(point.y)).collect();
-        let spreads: Vec<String> =
-            slope.points.iter().map(|point| format!("{}–{}", show(point.low), show(point.high))).collect();
+        let sizes: Vec<String> = slope.points.iter().map(|point| format_number(point.x)).collect();
+        let medians: Vec<String> = slope.points.iter().map(|point| format_number(point.y)).collect();
+        let ranges: Vec<String> = slope
+            .points
+            .iter()
+            .map(|point| format!("{}–{}", format_number(point.low), format_number(point.high)))
+            .collect();
         let [line, residual] = fit(slope);
         vec![
             format!("[{}](capacity/{}.svg)", slope.name, slope.name),
             slope.what.clone(),
             format!("{} ({})", sizes.join(", "), slope.x_unit),
-            format!("{} ({})", middles.join(", "), slope.y_unit),
-            spreads.join(", "),
+            format!("{} ({})", medians.join(", "), slope.y_unit),
+            ranges.join(", "),
             slope.plays.to_string(),
             line,
             residual,
@@ -55,12 +61,13 @@
             rows,
         )
     };
-    let wanted: BTreeSet<&str> = Occasion::all(plan)
+    let required: BTreeSet<&str> = Occasion::all(plan)
         .iter()
         .flat_map(|occasion| needs(plan, occasion, tree))
         .flat_map(|need| need.terms.into_iter().map(|term| term.slope))
         .collect();
-    let missing: Vec<&str> = wanted.into_iter().filter(|name| !measured.slopes.contains_key(*name)).collect();
+    let missing: Vec<&str> =
+        required.into_iter().filter(|name| !measured.slopes.contains_key(*name)).collect();
     if !missing.is_empty() {
         let _ = write!(text, "\nNot measured, and asked for by the rows above: {}.\n", missing.join(", "));
     }
--- a/crates/capacity/src/page/needs.rs
+++ b/crates/capacity/src/page/needs.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use super::format::{basis_text, figure_text, short, show, table};
+use super::format::{basis_text, compact_figure_text, figure_text, format_number, table};
 use crate::arithmetic::{Basis, Measured, Need, Occasion, needs};
 use crate::plan::Plan;
 use crate::slope::Results;
@@ -13,13 +13,13 @@
 const PLAN_COMMAND: &str = "target/release/capacity plan";
 
 /// The table of results that the figure of a need is read from; `None` where it is not read from a scenario's results.
-fn table_of<'a>(need: &Need, measured: &'a Measured) -> Option<&'a Results> {
+fn results_table<'a>(need: &Need, measured: &'a Measured) -> Option<&'a Results> {
     let played = need.played.filter(|_| matches!(need.figure(measured).basis, Basis::Played(_)))?;
     measured.results.get(played.results)
 }
 
 fn command_text(need: &Need, measured: &Measured) -> String {
-    if let Some(table) = table_of(need, measured) {
+    if let Some(table) = results_table(need, measured) {
         return format!("`{}`", table.command);
     }
     if need.terms.is_empty() {
@@ -34,7 +34,7 @@
 }
 
 fn slope_text(need: &Need, measured: &Measured) -> String {
-    if let Some(table) = table_of(need, measured) {
+    if let Some(table) = results_table(need, measured) {
         return format!("[{}](#{})", table.name, table.name);
     }
     if need.terms.is_empty() {
@@ -86,8 +86,8 @@
                 need.formula.to_owned(),
                 slope_text(need, measured),
                 figure_text(&figure, need.unit),
-                need.budget.map_or("–".to_owned(), show),
-                figure.ratio.map_or("–".to_owned(), show),
+                need.budget.map_or("–".to_owned(), format_number),
+                figure.ratio.map_or("–".to_owned(), format_number),
                 need.mechanism.carried(tree).unwrap_or("none today").to_owned(),
                 basis_text(&figure.basis),
                 need.breaks().to_owned(),
@@ -122,8 +122,10 @@
             .collect();
         let head: Vec<&str> = head.iter().map(String::as_str).collect();
         let rows = occasions.iter().zip(&by_occasion).map(|(occasion, needs)| {
-            let cells =
-                of_role.iter().filter_map(|&(at, _)| needs.get(at)).map(|need| short(&need.figure(measured)));
+            let cells = of_role
+                .iter()
+                .filter_map(|&(at, _)| needs.get(at))
+                .map(|need| compact_figure_text(&need.figure(measured)));
             std::iter::once(occasion.name.to_owned()).chain(cells).collect()
         });
         text += &table(&head, rows);
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -3,7 +3,7 @@
 
 use std::path::Path;
 
-use super::format::{show, table};
+use super::format::{format_number, table};
 use crate::arithmetic::{Cost, Occasion, needs};
 use crate::plan::{Plan, Reading, Source};
 
@@ -17,7 +17,7 @@
 
 /// A figure calculated from the figures of the plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Derived {
+pub struct DerivedFigure {
     /// Name of the figure, with its unit.
     pub name: String,
     /// Value of the figure, formatted for the page.
@@ -26,13 +26,13 @@
     pub formula: String,
 }
 
-fn row(name: &str, value: String, formula: &str) -> Derived {
-    Derived { name: name.to_owned(), value, formula: formula.to_owned() }
+fn row(name: &str, value: String, formula: &str) -> DerivedFigure {
+    DerivedFigure { name: name.to_owned(), value, formula: formula.to_owned() }
 }
 
 /// All figures calculated from the plan, in the order of the page.
 #[must_use]
-pub fn derived(plan: &Plan) -> Vec<Derived> {
+pub fn derived_figures(plan: &Plan) -> Vec<DerivedFigure> {
     let mut rows = Vec::from(rates(plan, Reading::Front, "rate at the front"));
     rows.extend(rates(plan, Reading::Hops, "rate over all hops"));
     rows.extend(sizes(plan));
@@ -43,12 +43,13 @@
 }
 
 /// The call rates under one reading of the plan's calls per second: as calls at the front, or over all hops.
-fn rates(plan: &Plan, reading: Reading, name: &str) -> [Derived; 5] {
+fn rates(plan: &Plan, reading: Reading, name: &str) -> [DerivedFigure; 5] {
     let (over_all_hops, at_the_front) = match reading {
         Reading::Front => ("traffic.calls_per_s x graph.depth", "traffic.calls_per_s"),
         Reading::Hops => ("traffic.calls_per_s", "traffic.calls_per_s / graph.hops_per_call"),
     };
-    let rate = |what: &str, figure: f64, how: &str| row(&format!("{name}: {what}"), show(figure), how);
+    let rate =
+        |what: &str, figure: f64, how: &str| row(&format!("{name}: {what}"), format_number(figure), how);
     [
         rate("calls a second over all hops", plan.hops_per_s(reading), over_all_hops),
         rate("calls a second at the front", plan.front_per_s(reading), at_the_front),
@@ -67,74 +68,95 @@
 }
 
 /// Numbers of upstreams of services, regions and zones, and the time that a call is in flight.
-fn sizes(plan: &Plan) -> [Derived; 6] {
+fn sizes(plan: &Plan) -> [DerivedFigure; 6] {
     let sizes = plan.service_sizes();
-    let counted = |most: usize| sizes.iter().filter(|&&size| size <= most).count();
-    let of_rank = |rank: usize| sizes.get(rank).copied().unwrap_or(0);
-    let least = sizes.last().copied().unwrap_or(0);
+    let services_up_to = |max_size: usize| sizes.iter().filter(|&&size| size <= max_size).count();
+    let size_at_rank = |rank: usize| sizes.get(rank).copied().unwrap_or(0);
+    let smallest = sizes.last().copied().unwrap_or(0);
     [
         row(
             "upstreams of a service: largest, tenth, middle, least",
-            format!("{}, {}, {}, {least}", of_rank(0), of_rank(9), of_rank(sizes.len() / 2)),
+            format!(
+                "{}, {}, {}, {smallest}",
+                size_at_rank(0),
+                size_at_rank(9),
+                size_at_rank(sizes.len() / 2)
+            ),
             "fleet.size_skew, one at least each, fleet.upstreams in sum",
         ),
         row(
             "services of one upstream, of three at most",
-            format!("{}, {}", counted(1), counted(3)),
+            format!("{}, {}", services_up_to(1), services_up_to(3)),
             "the same",
         ),
-        row("upstreams at the front", show(plan.fronts()), "fleet.upstreams x graph.services_by_depth[0]"),
+        row(
+            "upstreams at the front",
+            format_number(plan.fronts()),
+            "fleet.upstreams x graph.services_by_depth[0]",
+        ),
         row(
             "upstreams of the largest region",
-            show(plan.largest_region()),
+            format_number(plan.largest_region()),
             "fleet.upstreams x fleet.region_shares",
         ),
-        row("upstreams of the largest zone", show(plan.largest_zone()), "largest region share / its zones"),
+        row(
+            "upstreams of the largest zone",
+            format_number(plan.largest_zone()),
+            "largest region share / its zones",
+        ),
         row(
             "a call that meets no trouble is held, ms",
-            show(plan.call_in_flight_s() * 1e3),
+            format_number(plan.call_in_flight_s() * 1e3),
             "graph.depth x (traffic.work_ms + 2 x network.region_ms)",
         ),
     ]
 }
 
 /// Sizes in bytes of endpoint lists and configuration documents.
-fn bytes(plan: &Plan) -> [Derived; 4] {
+fn bytes(plan: &Plan) -> [DerivedFigure; 4] {
     let whole_list = plan.whole_list_bytes() as f64;
     [
-        row("bytes of a whole list", show(whole_list), "fleet.upstreams x list.entry_bytes"),
+        row("bytes of a whole list", format_number(whole_list), "fleet.upstreams x list.entry_bytes"),
         row(
             "seconds that a whole list takes of a balancer's bytes",
-            show(whole_list / plan.budget.bytes_per_s.value),
+            format_number(whole_list / plan.budget.bytes_per_s.value),
             "whole list / budget.bytes_per_s",
         ),
         row(
             "bytes of the documents of one balancer",
-            show(plan.own_documents_bytes()),
+            format_number(plan.own_documents_bytes()),
             "fleet's + region's + service's",
         ),
-        row("bytes of all documents", show(plan.documents_bytes()), "fleet's + regions' + services'"),
+        row(
+            "bytes of all documents",
+            format_number(plan.documents_bytes()),
+            "fleet's + regions' + services'",
+        ),
     ]
 }
 
 /// Rates of configuration changes, and the number of balancers that a change concerns.
-fn changes(plan: &Plan) -> [Derived; 4] {
+fn changes(plan: &Plan) -> [DerivedFigure; 4] {
     let changes_per_day = plan.configuration.changes_per_day.value;
     [
-        row("changes a minute, mean", show(changes_per_day / 1440.0), "configuration.changes_per_day / 1440"),
+        row(
+            "changes a minute, mean",
+            format_number(changes_per_day / 1440.0),
+            "configuration.changes_per_day / 1440",
+        ),
         row(
             "moments a day at which changes come",
-            show(changes_per_day / plan.configuration.bunch.value),
+            format_number(changes_per_day / plan.configuration.bunch.value),
             "configuration.changes_per_day / configuration.bunch",
         ),
         row(
             "balancers that a change concerns, mean",
-            show(plan.balancers_per_change()),
+            format_number(plan.balancers_per_change()),
             "configuration.scope_shares, regions and services alike",
         ),
         row(
             "restarts a day, were a change a restart",
-            show(plan.balancers_per_change() * changes_per_day),
+            format_number(plan.balancers_per_change() * changes_per_day),
             "the row above x configuration.changes_per_day",
         ),
     ]
@@ -142,22 +164,22 @@
 
 /// The number of balancers if a process had one for each service that it calls, and the upper bound of the attempts for
 /// one call.
-fn balancers_and_attempts(plan: &Plan) -> [Derived; 3] {
+fn balancers_and_attempts(plan: &Plan) -> [DerivedFigure; 3] {
     let destinations = plan.graph.destinations_mean.value;
     [
         row(
             "balancers that a process needs, mean",
-            show(destinations),
+            format_number(destinations),
             "graph.destinations_mean: a balancer serves the list of one tier, so a process that calls several services needs one for each today",
         ),
         row(
             "balancers in all, were it so",
-            show(destinations * plan.fleet.upstreams.value as f64),
+            format_number(destinations * plan.fleet.upstreams.value as f64),
             "the row above x fleet.upstreams; the rows below count one for each upstream, as was given",
         ),
         row(
             "attempts at the deepest tier for one call, bound",
-            show(f64::from(plan.traffic.attempts.value).powf(plan.graph.depth.value as f64)),
+            format_number(f64::from(plan.traffic.attempts.value).powf(plan.graph.depth.value as f64)),
             "traffic.attempts to the power of graph.depth",
         ),
     ]
@@ -166,11 +188,13 @@
 pub(super) fn derived_block(plan: &Plan) -> String {
     table(
         &["what follows", "figure", "from"],
-        derived(plan).into_iter().map(|Derived { name, value, formula }| vec![name, value, formula]),
+        derived_figures(plan)
+            .into_iter()
+            .map(|DerivedFigure { name, value, formula }| vec![name, value, formula]),
     )
 }
 
-pub(super) fn deal_block(plan: &Plan) -> String {
+pub(super) fn placement_block(plan: &Plan) -> String {
     let day = Occasion::all(plan).swap_remove(0);
     let deal = &plan.deal;
     let relays = deal.zone_relays.value / plan.fleet.zones.value;
@@ -182,7 +206,7 @@
                 "origin".into(),
                 deal.origins.value.to_string(),
                 "the first region".into(),
-                format!("{} relays", show(day.origin_children)),
+                format!("{} relays", format_number(day.origin_children)),
                 "nothing can be published; everything in force stays".into(),
             ],
             vec![
@@ -196,14 +220,14 @@
                 "relay of a region".into(),
                 deal.region_relays.value.to_string(),
                 format!("{region_relays} in each region"),
-                format!("{} relays of zones", show(day.region_children)),
+                format!("{} relays of zones", format_number(day.region_children)),
                 "its zones' relays ask the origin".into(),
             ],
             vec![
                 "relay of a zone".into(),
                 deal.zone_relays.value.to_string(),
                 format!("{relays} in each zone"),
-                format!("{} balancers", show(day.zone_children)),
+                format!("{} balancers", format_number(day.zone_children)),
                 "its balancers go to the other of the zone; with both lost, to the region's".into(),
             ],
         ],
@@ -219,8 +243,8 @@
             vec![
                 (region + 1).to_string(),
                 zones.to_string(),
-                show(upstreams),
-                show(upstreams / zones as f64),
+                format_number(upstreams),
+                format_number(upstreams / zones as f64),
                 (origins + standbys + region_relays + zones * relays).to_string(),
             ]
         }),
@@ -235,18 +259,18 @@
         println!("{:<36} {:<60} {from}; {}", printed.place, printed.value, printed.unit);
     }
     println!();
-    for Derived { name, value, formula } in derived(plan) {
+    for DerivedFigure { name, value, formula } in derived_figures(plan) {
         println!("{name:<52} {value:<24} {formula}");
     }
     println!();
-    println!("{}", deal_block(plan));
+    println!("{}", placement_block(plan));
     for need in needs(plan, &Occasion::all(plan).swap_remove(0), Path::new(".")) {
         if need.terms.is_empty() && need.cost != Cost::Repeats {
             println!(
                 "{}, {}: {} {} ({})",
                 need.role,
                 need.cost.text(),
-                show(need.plain),
+                format_number(need.plain),
                 need.unit,
                 need.formula
             );
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -4,15 +4,15 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use super::format::{basis_text, figure_text, show, table};
+use super::format::{basis_text, figure_text, format_number, table};
 use crate::arithmetic::{Basis, Cost, Figure, Measured, Need, Occasion, Requirement, needs};
 use crate::plan::Plan;
 
 /// Ratio of need to budget from which a row is listed as tight.
-const TIGHT: f64 = 0.8;
+const TIGHT_RATIO: f64 = 0.8;
 
 /// The need that ranks highest for a requirement, over all roles and occasions.
-struct Worst {
+struct WorstNeed {
     requirement: Requirement,
     /// Whether a mechanism that meets the need exists in the checkout.
     carried: bool,
@@ -26,8 +26,8 @@
 
 /// The requirements in order of urgency: first those that no mechanism meets today, then by the largest ratio of need
 /// to budget.
-fn ranked(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<Worst> {
-    let mut worst: BTreeMap<Requirement, Worst> = BTreeMap::new();
+fn ranked_requirements(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<WorstNeed> {
+    let mut worst: BTreeMap<Requirement, WorstNeed> = BTreeMap::new();
     for occasion in Occasion::all(plan) {
         for need in needs(plan, &occasion, tree) {
             let carried = need.mechanism.carried(tree).is_some();
@@ -37,29 +37,29 @@
             let known = worst.get(&requirement).map(|known| rank(known.carried, known.ratio));
             if known.is_none_or(|known| rank(carried, ratio) > known) {
                 let occasion = occasion.name;
-                worst.insert(requirement, Worst { requirement, carried, ratio, need, figure, occasion });
+                worst.insert(requirement, WorstNeed { requirement, carried, ratio, need, figure, occasion });
             }
         }
     }
-    let mut ranked: Vec<Worst> = worst.into_values().collect();
-    let key = |worst: &Worst| (worst.carried, -worst.ratio.unwrap_or(-1.0));
-    ranked.sort_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(std::cmp::Ordering::Equal));
-    ranked
+    let mut ranked_requirements: Vec<WorstNeed> = worst.into_values().collect();
+    let key = |worst: &WorstNeed| (worst.carried, -worst.ratio.unwrap_or(-1.0));
+    ranked_requirements.sort_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(std::cmp::Ordering::Equal));
+    ranked_requirements
 }
 
 /// The table of the requirements in order of urgency: those that no mechanism meets today come first, then the largest
 /// ratio of need to budget.
 #[must_use]
 pub fn ranking(plan: &Plan, measured: &Measured, tree: &Path) -> String {
-    let rows = ranked(plan, measured, tree).into_iter().enumerate().map(|(rank, worst)| {
+    let rows = ranked_requirements(plan, measured, tree).into_iter().enumerate().map(|(rank, worst)| {
         vec![
             (rank + 1).to_string(),
             worst.requirement.text().to_owned(),
             format!("{}, {}", worst.need.role, worst.need.cost.text()),
             worst.occasion.to_owned(),
             figure_text(&worst.figure, worst.need.unit),
-            worst.need.budget.map_or("–".to_owned(), show),
-            worst.ratio.map_or("–".to_owned(), show),
+            worst.need.budget.map_or("–".to_owned(), format_number),
+            worst.ratio.map_or("–".to_owned(), format_number),
             worst.need.mechanism.carried(tree).unwrap_or("none today").to_owned(),
             basis_text(&worst.figure.basis),
         ]
@@ -80,14 +80,14 @@
     )
 }
 
-/// The rows that need at least [`TIGHT`] of their budget, each on its worst occasion, the largest ratio first.
+/// The rows that need at least [`TIGHT_RATIO`] of their budget, each on its worst occasion, the largest ratio first.
 pub(super) fn tight_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut worst: BTreeMap<(&str, Cost), (f64, Need, Figure, &str)> = BTreeMap::new();
     for occasion in Occasion::all(plan) {
         for need in needs(plan, &occasion, tree) {
             let figure = need.figure(measured);
             let key = (need.role, need.cost);
-            let Some(ratio) = figure.ratio.filter(|&ratio| ratio >= TIGHT) else { continue };
+            let Some(ratio) = figure.ratio.filter(|&ratio| ratio >= TIGHT_RATIO) else { continue };
             if worst.get(&key).is_none_or(|known| known.0 < ratio) {
                 worst.insert(key, (ratio, need, figure, occasion.name));
             }
@@ -101,8 +101,8 @@
             need.cost.text().to_owned(),
             occasion.to_owned(),
             figure_text(&figure, need.unit),
-            need.budget.map_or("–".to_owned(), show),
-            show(ratio),
+            need.budget.map_or("–".to_owned(), format_number),
+            format_number(ratio),
             if ratio > 1.0 { "not met" } else { "met" }.to_owned(),
             basis_text(&figure.basis),
         ]
@@ -133,6 +133,6 @@
         "Of {} figures, over all rows and occasions, {played} were played as such, {within} are measured, {past} \
          extrapolated (the furthest {} times past what was played), {reckoned} reckoned and {missing} not measured.\n",
         counts.iter().sum::<u32>(),
-        show(furthest)
+        format_number(furthest)
     )
 }
--- a/crates/capacity/src/plots.rs
+++ b/crates/capacity/src/plots.rs
@@ -7,7 +7,7 @@
 use crate::slope::{Fit, Slope};
 
 /// Number of line segments that a fit is drawn with.
-const STEPS: u32 = 64;
+const FIT_LINE_SEGMENTS: u32 = 64;
 
 /// Draws a slope as SVG, with logarithmic axes where all sizes and costs are positive and the sizes differ, else with
 /// linear axes.
@@ -47,22 +47,22 @@
                     .label_style(("sans-serif", 11))
                     .draw()
                     .map_err(|cause| fail(&cause))?;
-                let inside = fit.iter().copied().filter(|&(_, y)| y.is_finite());
-                chart.draw_series(LineSeries::new(inside, &BLUE)).map_err(|cause| fail(&cause))?;
+                let finite = fit.iter().copied().filter(|&(_, y)| y.is_finite());
+                chart.draw_series(LineSeries::new(finite, &BLUE)).map_err(|cause| fail(&cause))?;
                 let bars = points.iter().map(|point| {
                     PathElement::new(vec![(point.x, point.low), (point.x, point.high)], BLACK.stroke_width(2))
                 });
                 chart.draw_series(bars).map_err(|cause| fail(&cause))?;
-                let middles = points.iter().map(|point| Circle::new((point.x, point.y), 3, BLACK.filled()));
-                chart.draw_series(middles).map_err(|cause| fail(&cause))?;
+                let medians = points.iter().map(|point| Circle::new((point.x, point.y), 3, BLACK.filled()));
+                chart.draw_series(medians).map_err(|cause| fail(&cause))?;
             }};
         }
         if x_low > 0.0 && y_low > 0.0 && x_high > x_low {
             draw!((x_low / 1.2..x_high * 1.2).log_scale(), (y_low / 1.3..y_high * 1.3).log_scale());
         } else {
-            let wide = ((x_high - x_low) * 0.05).max(1e-9);
+            let x_margin = ((x_high - x_low) * 0.05).max(1e-9);
             let high = ((y_high - y_low) * 0.1).max(1e-9);
-            draw!((x_low - wide)..(x_high + wide), (y_low - high)..(y_high + high));
+            draw!((x_low - x_margin)..(x_high + x_margin), (y_low - high)..(y_high + high));
         }
         area.present().map_err(|cause| fail(&cause))?;
     }
@@ -73,10 +73,13 @@
 /// `x_low` is positive.
 fn fit_points(fit: Fit, x_low: f64, x_high: f64) -> Vec<(f64, f64)> {
     let at = |step: u32| {
-        let part = f64::from(step) / f64::from(STEPS);
-        let x =
-            if x_low > 0.0 { x_low * (x_high / x_low).powf(part) } else { x_low + (x_high - x_low) * part };
+        let fraction = f64::from(step) / f64::from(FIT_LINE_SEGMENTS);
+        let x = if x_low > 0.0 {
+            x_low * (x_high / x_low).powf(fraction)
+        } else {
+            x_low + (x_high - x_low) * fraction
+        };
         (x, fit.at(x))
     };
-    (0..=STEPS).map(at).collect()
+    (0..=FIT_LINE_SEGMENTS).map(at).collect()
 }
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -49,23 +49,24 @@
     /// Fits a line to the points; `None` unless they have at least two different sizes.
     #[must_use]
     pub fn through(points: &[Point]) -> Option<Self> {
-        let (mut w, mut wx, mut wy, mut wxx, mut wxy) = (0.0, 0.0, 0.0, 0.0, 0.0);
+        let (mut sum_w, mut sum_wx, mut sum_wy, mut sum_wxx, mut sum_wxy) = (0.0, 0.0, 0.0, 0.0, 0.0);
         for &Point { x, y, .. } in points {
             let weight = 1.0 / (y * y).max(1e-12);
-            w += weight;
-            wx += weight * x;
-            wy += weight * y;
-            wxx += weight * x * x;
-            wxy += weight * x * y;
+            sum_w += weight;
+            sum_wx += weight * x;
+            sum_wy += weight * y;
+            sum_wxx += weight * x * x;
+            sum_wxy += weight * x * y;
         }
-        let spread = w * wxx - wx * wx;
-        if points.len() < 2 || spread <= 0.0 {
+        let determinant = sum_w * sum_wxx - sum_wx * sum_wx;
+        if points.len() < 2 || determinant <= 0.0 {
             return None;
         }
-        let each = (w * wxy - wx * wy) / spread;
-        let base = (wy - each * wx) / w;
-        let off = |&Point { x, y, .. }: &Point| ((base + each * x - y) / y.abs().max(1e-9)).abs();
-        Some(Self { base, each, residual: points.iter().map(off).fold(0.0, f64::max) })
+        let each = (sum_w * sum_wxy - sum_wx * sum_wy) / determinant;
+        let base = (sum_wy - each * sum_wx) / sum_w;
+        let relative_deviation =
+            |&Point { x, y, .. }: &Point| ((base + each * x - y) / y.abs().max(1e-9)).abs();
+        Some(Self { base, each, residual: points.iter().map(relative_deviation).fold(0.0, f64::max) })
     }
 
     /// The cost that the line gives at size `x`.
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use capacity::arithmetic::{Basis, Cost, CostAt, Measured, Need, Occasion, Played, Read, Term, needs};
-use capacity::page::{self, Arguments, blocks, filled, ranking, show};
+use capacity::page::{self, Arguments, blocks, fill_blocks, format_number, ranking};
 use capacity::plan::Plan;
 use capacity::plots;
 use capacity::slope::{Fit, Point, Results, Slope};
@@ -156,11 +156,11 @@
             "block one: duplicate marker",
         ),
     ] {
-        let error = filled(page, &blocks).unwrap_err();
+        let error = fill_blocks(page, &blocks).unwrap_err();
         assert!(error.starts_with(expected), "{page}: {error}");
     }
     let page = "a\n<!-- generated: one -->old<!-- end -->\nb";
-    assert_eq!(filled(page, &blocks).unwrap(), "a\n<!-- generated: one -->\ntext\n<!-- end -->\nb");
+    assert_eq!(fill_blocks(page, &blocks).unwrap(), "a\n<!-- generated: one -->\ntext\n<!-- end -->\nb");
 }
 
 #[test]
@@ -361,7 +361,7 @@
         (-1234.0, "-1,234"),
         (0.000_012_3, "1.2e-5"),
     ] {
-        assert_eq!(show(value), text);
+        assert_eq!(format_number(value), text);
     }
 }
 
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use capacity::CapacityError;
-use capacity::page::derived;
+use capacity::page::derived_figures;
 use capacity::plan::{Plan, Reading, Source};
 
 const PLAN: &str = include_str!("../plan.toml");
@@ -186,7 +186,7 @@
 
 #[test]
 fn changed_figure_changes_only_the_figures_derived_from_it() {
-    let before = derived(&plan());
+    let before = derived_figures(&plan());
     for (figure, value, rows) in [
         ("calls_per_s", "70000.0", 10),
         ("depth", "12", 0),
@@ -202,7 +202,7 @@
         ("destinations_mean", "5.0", 2),
         ("work_ms", "1.0", 1),
     ] {
-        let after = derived(&Plan::parse(&replace_figure(PLAN, figure, value)).unwrap());
+        let after = derived_figures(&Plan::parse(&replace_figure(PLAN, figure, value)).unwrap());
         let changed: Vec<&str> = before
             .iter()
             .zip(&after)
