--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -43,8 +43,8 @@
     let played = play(&calls, &[way(upstreams.addresses.clone(), 2)], first);
     assert!(played.iter().all(Played::is_right));
     let late = calls.iter().zip(&played).filter(|(call, played)| played.latency(call) >= stall / 2).count();
-    // The 50 calls of the first half of the stall wait for at least half of it. One or two calls may have been read
-    // before the stall began.
+    // The 50 calls of the first half of the stall wait for at least half of its duration. One or two of them may have
+    // been read before the stall began.
     assert!(late >= 45, "{late} of 50");
     assert!(played[101..145].iter().zip(&calls[101..145]).all(|(played, call)| played.sent >= call.at));
 }
@@ -105,8 +105,8 @@
     assert!((842..1158).contains(&pairs), "{pairs}");
 }
 
-/// Guards the balancer process of the test bench: it serves calls, its resource usage can be read, and it is ended when
-/// it is dropped.
+/// Guards the balancer process of the test bench: it serves calls, and its resource usage can be read by its process id.
+/// After the drop no process with that id runs and its port is closed.
 #[test]
 fn balancer_serves_and_is_stopped_on_drop() {
     let upstreams = Upstreams::start(3, 1, 200).expect("the stand-in starts");
