--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -1,4 +1,5 @@
-//! Small hollow fleets: the same seed gives the same run, no call is lost, and a bad argument ends with its name.
+//! Tests of `capacity hollow` with small fleets of hollow processes (simulated, without real traffic): the same seed
+//! gives the same run, no call is lost, and the error for an invalid argument names it.
 
 use std::collections::HashSet;
 use std::path::PathBuf;
@@ -15,33 +16,35 @@
 use oorandom::Rand64;
 
 fn plan() -> Plan {
-    Plan::parse(include_str!("../plan.toml")).expect("the plan makes sense")
+    Plan::parse(include_str!("../plan.toml")).expect("the plan is valid")
 }
 
-fn small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
-    let plan = scaled(&plan(), 60).expect("enough upstreams");
+/// Runs a scenario with a fleet of 60 upstreams.
+fn run_small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
+    let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario, reading: Reading::Hops, seed, seconds, memory_mb: 4096 };
     play(&plan, &run).expect("the run ends")
 }
 
-fn served_in_time(report: &Report, from: f64, until: f64) -> f64 {
+/// Fraction of the calls between two virtual seconds that were served in time.
+fn served_fraction(report: &Report, from: f64, until: f64) -> f64 {
     let all = sum(&report.seconds, from, until);
     all.served as f64 / all.calls as f64
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
-    let [one, same, other] = [3, 3, 4].map(|seed| small(Scenario::Ordinary, seed, 8.0).report);
+fn same_seed_gives_same_run() {
+    let [one, same, other] = [3, 3, 4].map(|seed| run_small(Scenario::Ordinary, seed, 8.0).report);
     assert_eq!(one.digest, same.digest);
     assert_eq!((one.events, &one.seconds, &one.depths), (same.events, &same.seconds, &same.depths));
     assert_ne!(one.digest, other.digest);
 }
 
 #[test]
-fn every_call_gets_one_answer_and_no_unsafe_one_runs_twice() {
+fn every_call_gets_one_response_and_no_unsafe_call_runs_twice() {
     for scenario in Scenario::ALL {
         for seed in 1..=2 {
-            let report = small(scenario, seed, 12.0).report;
+            let report = run_small(scenario, seed, 12.0).report;
             assert_eq!(report.faults, Faults::default(), "{scenario:?} with seed {seed}");
             for second in &report.seconds {
                 let ended = second.served + second.late + second.refused + second.failed;
@@ -49,7 +52,7 @@
             }
             let all = sum(&report.seconds, 0.0, f64::MAX);
             assert!(all.calls > 5000, "{scenario:?} with seed {seed}: {all:?}");
-            // Each attempt ended in some way, but for those of balancers that ended before them.
+            // Each attempt has an end, except those of balancers that stopped before the attempt ended.
             for depth in &report.depths {
                 assert!(depth.ends.iter().sum::<u64>() <= depth.attempts, "{scenario:?}: {depth:?}");
             }
@@ -58,37 +61,37 @@
 }
 
 #[test]
-fn a_calm_replacement_pushes_no_cold_upstream_over() {
-    let played = small(Scenario::Replacement, 1, 50.0);
+fn planned_replacement_overloads_no_warming_upstream() {
+    let played = run_small(Scenario::Replacement, 1, 50.0);
     assert_eq!(played.report.cold_starts, 60, "each upstream was replaced once");
     assert_eq!(played.report.pushed_over, 0);
-    let served = served_in_time(&played.report, 3.0, 50.0);
+    let served = served_fraction(&played.report, 3.0, 50.0);
     assert!(served > 0.95, "{served}");
 }
 
 #[test]
-fn a_cut_swallows_calls_and_the_rest_is_served() {
-    let played = small(Scenario::Region, 1, 24.0);
-    let swallowed: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
-    assert!(swallowed > 0, "no attempt met the cut");
+fn network_partition_loses_calls_and_the_rest_is_served() {
+    let played = run_small(Scenario::Region, 1, 24.0);
+    let lost_attempts: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
+    assert!(lost_attempts > 0, "no attempt was lost in the network partition");
     let Span { from_s: from, until_s: until } = played.trouble;
-    let within = served_in_time(&played.report, from, until);
-    let reachable = played.reachable.expect("a cut leaves a part of the calls without an upstream");
+    let within = served_fraction(&played.report, from, until);
+    let reachable = played.reachable.expect("a network partition leaves some calls without an upstream");
     assert!(0.5 < reachable && reachable < 1.0, "{reachable}");
     assert!(0.5 < within && within <= reachable + 0.02, "{within} within, {reachable} with an upstream");
 }
 
 #[test]
-fn a_lost_zone_comes_back_cold() {
-    let played = small(Scenario::Zone, 2, 24.0);
+fn lost_zone_returns_with_upstreams_warming_up() {
+    let played = run_small(Scenario::Zone, 2, 24.0);
     assert!(played.report.cold_starts > 0);
     assert!(played.report.lists > 0);
-    let after = served_in_time(&played.report, played.trouble.until_s + 6.0, 24.0);
+    let after = served_fraction(&played.report, played.trouble.until_s + 6.0, 24.0);
     assert!(after > 0.9, "{after}");
 }
 
 #[test]
-fn the_fleet_is_drawn_whole() {
+fn topology_matches_the_plan() {
     let plan = plan();
     for reading in [Reading::Hops, Reading::Front] {
         let topology = Topology::draw(&plan, reading, 5);
@@ -105,7 +108,7 @@
             assert!((last - 1.0).abs() < 1e-9);
             assert_eq!(service.calls.is_empty(), service.depth == plan.graph.depth.value);
         }
-        assert_eq!(called.len(), topology.services.len(), "each service has a caller");
+        assert_eq!(called.len(), topology.services.len(), "each service has a client");
         let hops: f64 = topology.services.iter().map(|service| service.rate).sum();
         assert!((hops / plan.hops_per_s(reading) - 1.0).abs() < 0.01, "{hops} calls a second over all hops");
         let busiest = topology.busiest_over_mean();
@@ -114,7 +117,7 @@
 }
 
 #[test]
-fn the_wheel_gives_events_by_time_and_then_as_they_came() {
+fn wheel_yields_events_by_time_then_insertion_order() {
     let mut rng = Rand64::new(7);
     let mut wheel = Wheel::default();
     let (mut before, mut got, mut put) = (None, 0, 0_u64);
@@ -135,8 +138,8 @@
 }
 
 #[test]
-fn a_run_past_its_memory_bound_names_the_place() {
-    let plan = scaled(&plan(), 60).expect("enough upstreams");
+fn run_over_its_memory_limit_names_the_place() {
+    let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario: Scenario::Rack, reading: Reading::Hops, seed: 1, seconds: 6.0, memory_mb: 1 };
     match play(&plan, &run) {
         Err(CapacityError::Memory { place, used_mb, bound_mb: 1 }) => {
@@ -148,7 +151,7 @@
 }
 
 #[test]
-fn bad_arguments_are_named() {
+fn invalid_arguments_are_named_in_the_error() {
     for (wrong, name) in [
         (&["--upstreams", "3"][..], "--upstreams"),
         (&["--upstreams", "1000000"], "--upstreams"),
@@ -163,14 +166,14 @@
             .args(["--plan", "plan.toml", "hollow", "--out", env!("CARGO_TARGET_TMPDIR")])
             .args(wrong)
             .output()
-            .expect("the rig starts");
-        let said = String::from_utf8_lossy(&done.stderr);
-        assert!(!done.status.success() && said.contains(name), "{wrong:?}: {said}");
+            .expect("the capacity tool starts");
+        let message = String::from_utf8_lossy(&done.stderr);
+        assert!(!done.status.success() && message.contains(name), "{wrong:?}: {message}");
     }
 }
 
 #[test]
-fn the_command_writes_a_row_for_each_run() {
+fn command_writes_one_row_per_run() {
     let out = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("hollow-rows");
     let _ = std::fs::remove_dir_all(&out);
     for seed in ["1", "2", "2"] {
@@ -179,11 +182,11 @@
             .args(["--seconds", "5", "--seed", seed, "--out"])
             .arg(&out)
             .output()
-            .expect("the rig starts");
+            .expect("the capacity tool starts");
         assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
     }
-    let results = Results::read(&out.join("results"), "hollow").expect("written");
+    let results = Results::read(&out.join("results"), "hollow").expect("the command wrote the table");
     let seeds: Vec<&str> = results.rows.iter().map(|row| row[3].as_str()).collect();
-    assert_eq!(seeds, ["1", "2"], "a run again takes the place of the one before");
+    assert_eq!(seeds, ["1", "2"], "a repeated run replaces the row of the earlier one");
     assert!(results.rows.iter().all(|row| row.len() == results.columns.len()));
 }
