--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -1,5 +1,6 @@
-//! The environment of real balancers under test, on loopback sockets: stand-in upstreams and discovery, the balancer
-//! as a process, and a client that sends calls at random times, independent of the responses to earlier calls.
+//! A test bench for real balancer processes on loopback sockets: stand-in upstreams and service discovery, the balancer
+//! as a child process, and an open-loop client, which sends each call at its scheduled time whether or not earlier
+//! calls were answered.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -35,50 +36,52 @@
 mod upstreams;
 mod usage;
 
-/// The address to listen on: any free port of the loopback interface.
+/// Listen address of the bench's servers: any free port of the loopback interface.
 const ANYWHERE: (Ipv4Addr, u16) = (Ipv4Addr::LOCALHOST, 0);
-/// The most balancers that a play may start.
+/// Maximum number of balancer processes that one run may start.
 pub const BALANCERS_MOST: usize = 150;
 
-/// What the parts that play real processes are told alike.
+/// Command-line arguments that all commands which run real balancer processes share.
 #[derive(Debug, Clone, Args)]
 pub struct Common {
-    /// Folder that gets `slopes/` and `results/`.
+    /// Folder in which `slopes/` and `results/` are written.
     #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
-    /// Seed of all that is drawn.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// A quick version with few sizes and calls, whose figures are none.
+    /// Quick version for tests, with few sizes and calls; its figures are not usable as measurements.
     #[arg(long)]
     pub small: bool,
-    /// The balancer's program; without it `balancer-proxy` beside this one.
+    /// Path of the balancer program; by default `balancer-proxy` in the folder of this program.
     #[arg(long)]
     pub program: Option<PathBuf>,
 }
 
 impl Common {
-    /// The path of the balancer's program, or of the program `name` beside it.
+    /// Path of the balancer program, or of the program `name` in the same folder.
     ///
     /// # Errors
-    /// There is no such program.
+    /// The path is not a file, or the path of this program cannot be determined.
     pub fn program(&self, name: &'static str) -> Result<PathBuf, CapacityError> {
         let beside = |folder: &Path| folder.join(name);
         let path = match (&self.program, std::env::current_exe()) {
             (Some(path), _) if name == BALANCER => path.clone(),
             (Some(path), _) => beside(path.parent().unwrap_or(Path::new("."))),
             (None, Ok(own)) => beside(own.parent().unwrap_or(Path::new("."))),
-            (None, Err(cause)) => return Err(CapacityError::run("finding this program", cause)),
+            (None, Err(cause)) => {
+                return Err(CapacityError::run("determining the path of this program", cause));
+            }
         };
         if path.is_file() {
             Ok(path)
         } else {
-            let expected = format!("no program at {}: build it, or name it", path.display());
+            let expected = format!("no program at {}: build it, or give its path", path.display());
             Err(CapacityError::Argument { name: "program", expected })
         }
     }
 
-    /// Creates the folders of slopes and of results, and gives them in this order.
+    /// Creates the folders for slopes and for results, and returns their paths in this order.
     ///
     /// # Errors
     /// A folder cannot be created.
@@ -91,16 +94,18 @@
     }
 }
 
+/// Locks a mutex, also one that a panicked thread has poisoned.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A listener and its address.
+/// A listening socket and the address that it is bound to.
 struct Bound {
     listener: TcpListener,
     address: SocketAddr,
 }
 
+/// Listens on a free loopback port.
 fn listen() -> Result<Bound, CapacityError> {
     TcpListener::bind(ANYWHERE)
         .and_then(|listener| listener.local_addr().map(|address| Bound { listener, address }))
--- a/crates/capacity/src/world/balancer.rs
+++ b/crates/capacity/src/world/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer under test as a process, from its start until it serves.
+//! A balancer under test as a child process, from its start until its health check passes.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -13,28 +13,28 @@
 use super::child::{Listening, Process, START_TIMEOUT, own_path};
 use crate::CapacityError;
 
-/// The name of the balancer's program.
+/// File name of the balancer program.
 pub const BALANCER: &str = "balancer-proxy";
 
-/// A running balancer that is ready to serve.
+/// A running balancer process that has passed its health check.
 #[derive(Debug)]
 pub struct Balancer {
-    /// The process.
+    /// The child process of the balancer.
     pub process: Process,
-    /// The address that clients connect to.
+    /// Address on which the balancer accepts client connections.
     pub address: SocketAddr,
-    /// Time from the start of its process until it listened.
+    /// Time from the start of the process until the balancer listened on its address.
     pub listens_after: Duration,
-    /// Time from the start of its process until its health check first returned 200.
+    /// Time from the start of the process until the balancer's health check first returned 200.
     pub serves_after: Duration,
 }
 
 impl Balancer {
-    /// Starts a balancer with this configuration, pinned to `core` where one is given, and waits until it serves.
-    /// `line` is called with each line of its log.
+    /// Starts a balancer with this configuration, pinned to `core` if one is given, and waits until its health check
+    /// passes. `line` is called with each line of the balancer's log.
     ///
     /// # Errors
-    /// The process does not start, or does not serve in time.
+    /// The process does not start, or its health check does not pass within [`START_TIMEOUT`].
     pub fn start(
         program: &Path,
         configuration: &Value,
@@ -59,7 +59,7 @@
         let Listening { mut process, address, at } = Process::listening(command, Some(file), line)?;
         while !health(address) {
             if process.has_ended() || began.elapsed() > START_TIMEOUT {
-                let cause = format!("it does not serve: {}", process.last_words());
+                let cause = format!("its health check did not return 200; its log: {}", process.last_words());
                 return Err(CapacityError::run("starting a balancer", cause));
             }
             thread::sleep(Duration::from_micros(200));
@@ -72,7 +72,7 @@
 /// Whether the balancer's health check returns 200.
 fn health(address: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(address) else { return false };
-    // Only a duration of zero is rejected.
+    // `set_read_timeout` fails only for a duration of zero.
     let _ = stream.set_read_timeout(Some(Duration::from_secs(1)));
     let sent = stream.write_all(b"GET /_health HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     let mut status = [0; 12];
--- a/crates/capacity/src/world/call.rs
+++ b/crates/capacity/src/world/call.rs
@@ -1,4 +1,4 @@
-//! Calls at times that are drawn beforehand, and their outcomes.
+//! Calls of the open-loop client: their schedule, which is drawn before a run, and their outcomes.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use super::upstreams::Seen;
 
-/// Calls of a pair lie this far apart at least, so that neither waits for the other on the way.
+/// Minimum time between the calls of a pair, so that neither waits for the other on its way, in seconds.
 const OFFSET_LEAST_S: f64 = 0.001;
 
-/// And at most this much further.
+/// Maximum time that is added to [`OFFSET_LEAST_S`] at random, in seconds.
 const OFFSET_MORE_S: f64 = 0.002;
 
-/// What a call may do to its upstream.
+/// Class of a call, which determines whether the balancer may send it to an upstream more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
-    /// It may run any number of times.
+    /// An idempotent call, which may run any number of times.
     Read,
-    /// Its key makes one of several.
+    /// A call with an idempotency key, by which upstreams deduplicate repeated attempts.
     Pay,
-    /// It must not run twice.
+    /// A call that must run at most once.
     Order,
 }
 
 impl Class {
-    /// Seven of ten read, two pay, one orders.
+    /// Draws a class at random: on average, of ten calls seven read, two pay and one orders.
     fn draw(rng: &mut Rand64) -> Self {
         match rng.rand_range(0..10) {
             0..7 => Self::Read,
@@ -34,62 +34,64 @@
     }
 }
 
-/// A call to make.
+/// A scheduled call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
-    /// When it is to be sent, from the start of the play.
+    /// Time at which the call is to be sent, since the start of the run.
     pub at: Duration,
-    /// Which way.
+    /// Index of the route on which the call is sent.
     pub way: usize,
-    /// Its class.
+    /// Class of the call.
     pub class: Class,
-    /// Calls of one number belong together.
+    /// Number of the pair: the calls with the same number are sent on different routes at nearly the same time.
     pub pair: usize,
 }
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// With its own response.
+    /// The call received its own response.
     Right {
-        /// No request had come on that connection before.
+        /// Whether the call was the first request on its upstream connection, as the upstream reports.
         new_connection: bool,
     },
-    /// Turned away, not run.
+    /// The call was rejected with 503.
     Refused,
-    /// With another answer, or another call's.
+    /// The call received a response of another status or of another call.
     Wrong,
-    /// With none.
+    /// The call received no response.
     Lost,
 }
 
-/// A call that was made.
+/// Times and outcome of a call that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Played {
-    /// When its sending began, from the start of the play.
+    /// Time at which sending the call began, since the start of the run.
     pub sent: Duration,
-    /// When its answer was whole.
+    /// Time at which the response was complete, since the start of the run.
     pub done: Duration,
-    /// How it ended.
+    /// Outcome of the call.
     pub end: End,
 }
 
 impl Played {
-    /// From its scheduled time to its response, so that a client that sends late hides nothing.
+    /// Time from the scheduled time of the call to its response, so that the delay of a client that sends late is
+    /// included.
     #[must_use]
     pub fn latency(&self, call: &Call) -> Duration {
         self.done.saturating_sub(call.at)
     }
 
-    /// Whether it had its own answer.
+    /// Whether the call received its own response.
     #[must_use]
     pub fn is_right(&self) -> bool {
         matches!(self.end, End::Right { .. })
     }
 }
 
-/// Calls at drawn times with the mean `rate` a second, each once on every way: the first way at the times of a Poisson
-/// process, or `even`ly; each other way by a drawn offset later or sooner, which leaves a Poisson process one.
+/// Draws the schedule of calls with a mean of `rate` calls per second on each of `ways` routes. The calls of the first
+/// route are sent at the times of a Poisson process, or at equal intervals if `even` is set; those of each other route
+/// are sent a random offset earlier or later, and independent offsets of a Poisson process give a Poisson process.
 #[must_use]
 pub fn paired(rng: &mut Rand64, ways: usize, rate: f64, span: Duration, even: bool) -> Vec<Call> {
     let (mut at, mut calls) = (0.0, Vec::new());
@@ -109,34 +111,34 @@
     calls
 }
 
-/// Calls by how they ended, and how many ran other than they should.
+/// Numbers of calls by outcome, and of those that ran more than once.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Made.
+    /// Calls that were sent.
     pub calls: usize,
-    /// Had their own answer.
+    /// Calls that received their own response.
     pub right: usize,
-    /// Were turned away, and did not run.
+    /// Calls that were rejected and did not run.
     pub refused: usize,
-    /// Had another answer, or were turned away though they ran.
+    /// Calls that received a wrong response, or were rejected although they ran.
     pub wrong: usize,
-    /// Had none.
+    /// Calls that received no response.
     pub lost: usize,
-    /// Ran twice though they must not.
+    /// Calls that ran more than once although they must not.
     pub twice: usize,
-    /// Ran twice, and may.
+    /// Calls that ran more than once and may.
     pub repeated: usize,
 }
 
 impl Counts {
-    /// Of a play whose ids begin with `first_id`.
+    /// Counts the calls of a run. The request id of each call is `first_id` plus its index in `calls`.
     #[must_use]
     pub fn of(calls: &[Call], played: &[Played], seen: &Seen, first_id: usize) -> Self {
         let mut counts = Self { calls: calls.len(), ..Self::default() };
         for (number, (call, played)) in calls.iter().zip(played).enumerate() {
             let runs = seen.runs(first_id + number);
             match played.end {
-                // An answer that nobody computed is nobody's.
+                // A response to a request that reached no upstream is wrong, whatever it contains.
                 End::Right { .. } if runs > 0 => counts.right += 1,
                 End::Refused if runs == 0 => counts.refused += 1,
                 End::Lost => counts.lost += 1,
@@ -151,7 +153,7 @@
         counts
     }
 
-    /// Of two plays together.
+    /// Sums of the counts of two runs.
     #[must_use]
     pub fn and(self, other: Self) -> Self {
         Self {
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -1,4 +1,5 @@
-//! Child processes that end with the test that started them, and whose log is at hand when one does not come up.
+//! Child processes that are killed when the test that started them ends, and whose latest log lines are available for
+//! the error message when one does not start.
 
 use std::collections::VecDeque;
 use std::fs;
@@ -14,16 +15,16 @@
 use super::lock;
 use crate::CapacityError;
 
-/// How long a process may take to start.
+/// Time within which a process must listen, and a balancer must pass its health check.
 pub(super) const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many of the latest log lines of a process are retained.
+/// Number of the latest log lines of a process that are retained.
 const LOG_LINES: usize = 200;
 
-/// Called with each line of a process's output.
+/// Callback for each line that a process writes to its standard output or standard error.
 type Heard = dyn Fn(&str) + Send + Sync;
 
-/// A child process that is ended, by its id, when this is dropped.
+/// A child process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -32,21 +33,22 @@
     readers: Vec<JoinHandle<()>>,
 }
 
-/// A process that has come to listen.
+/// A process that has reported the address on which it listens.
 pub(super) struct Listening {
-    /// The process.
+    /// The listening process.
     pub(super) process: Process,
-    /// Where it listens.
+    /// Address on which the process listens.
     pub(super) address: SocketAddr,
-    /// When its line of that came.
+    /// Time at which the log line with the address was read.
     pub(super) at: Instant,
 }
 
 impl Process {
-    /// Starts a program whose lines, of both its outputs, are retained and passed to `line` as they arrive.
+    /// Starts a program. The lines of its standard output and standard error are passed to `line` as they arrive, and
+    /// the latest are retained.
     ///
     /// # Errors
-    /// It does not start.
+    /// The program cannot be started.
     fn start(mut command: Command, file: Option<PathBuf>, line: Arc<Heard>) -> Result<Self, CapacityError> {
         let started = command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
         let mut child =
@@ -59,7 +61,7 @@
         let mut readers = Vec::new();
         for output in outputs.into_iter().flatten() {
             let (log, line) = (Arc::clone(&log), Arc::clone(&line));
-            // Ends with the process, whose end closes the pipe.
+            // The thread ends when the process exits, because that closes the pipe.
             readers.push(thread::spawn(move || {
                 for text in BufReader::new(output).lines().map_while(Result::ok) {
                     line(&text);
@@ -74,11 +76,10 @@
         Ok(Self { child, file, log, readers })
     }
 
-    /// Starts a program, and waits until a line of it ends with the address where it listens; gives both, and when
-    /// that came.
+    /// Starts a program, and waits until a line of its output contains `listen` and ends with ` on ` and an address.
     ///
     /// # Errors
-    /// It does not start, or does not come to listen.
+    /// The program does not start, or does not report an address within [`START_TIMEOUT`].
     pub(super) fn listening(
         command: Command,
         file: Option<PathBuf>,
@@ -94,7 +95,7 @@
                     && text.contains("listen")
                     && let Ok(address) = address.trim().parse::<SocketAddr>()
                 {
-                    // The receiver is gone once the first address has arrived.
+                    // The receiver has been dropped if this is not the first address.
                     let _ = listens.send((address, Instant::now()));
                 }
                 line(text);
@@ -102,27 +103,30 @@
         )?;
         match listening.recv_timeout(START_TIMEOUT) {
             Ok((address, at)) => Ok(Listening { process, address, at }),
-            Err(_) => Err(CapacityError::run(place, format!("it does not listen: {}", process.last_words()))),
+            Err(_) => Err(CapacityError::run(
+                place,
+                format!("it did not listen in time; its log: {}", process.last_words()),
+            )),
         }
     }
 
-    /// Whether it has ended by itself.
+    /// Whether the process has exited.
     pub(super) fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// The process id.
+    /// Id of the child process.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Ends it, and gives the latest lines of its log up to its end.
+    /// Kills the process, and returns its latest log lines, including those written until it ended.
     pub(super) fn last_words(mut self) -> String {
         // The process may have exited already.
         let _ = self.child.kill();
         for reader in self.readers.drain(..) {
-            // A reader that panicked leaves the lines that it had read.
+            // If a reader has panicked, the lines that it read before are still in the log.
             let _ = reader.join();
         }
         let log = lock(&self.log);
@@ -136,13 +140,13 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if let Some(file) = &self.file {
-            // A file that stays lies among the temporary files.
+            // A file that cannot be removed is left in the temporary folder.
             let _ = fs::remove_file(file);
         }
     }
 }
 
-/// A path of this process's own among the temporary files.
+/// A path in the temporary folder that is unique to this process and this call.
 pub(super) fn own_path(name: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -1,5 +1,5 @@
-//! The client: an open loop that sends each call at its time whatever became of the calls before, so that a slow
-//! balancer does not slow the load that measures it.
+//! The open-loop client: it sends each call at its scheduled time, whether or not earlier calls were answered, so that
+//! a slow balancer does not reduce the load that it is measured with.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,31 +11,34 @@
 use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use crate::CapacityError;
 
-/// How long the connections of a play may take to open before it starts.
+/// Time between the start of the client and the start of the run, in which the client opens its connections.
 pub const CONNECT_FIRST: Duration = Duration::from_millis(200);
 
-/// How long after the last call its answer is waited for.
+/// Time for which the client waits for responses after the last call.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How long before a call the thread spins: longer than a sleep of [`PAUSE`] takes.
+/// Time before a call from which the thread spins. It is longer than a sleep of [`PAUSE`] takes, so that the thread
+/// is awake when the call is due.
 const SPIN_BEFORE: Duration = Duration::from_millis(2);
 
-/// How long the thread sleeps at once where no call is near.
+/// Duration of one sleep of the thread while no call is due soon.
 const PAUSE: Duration = Duration::from_micros(500);
 
-/// A way that calls can go: targets that take its connections in turn, and how many are opened beforehand.
+/// A route on which calls are sent, e.g. directly to the upstreams or through a balancer. Its connections are opened to
+/// its targets in turn.
 #[derive(Debug, Clone)]
 pub struct Way {
-    /// Where to.
+    /// Addresses to which the connections are opened.
     pub targets: Vec<SocketAddr>,
-    /// Connections that are opened before the first call.
+    /// Number of connections that are opened before the first call.
     pub warm: usize,
-    /// The deadline that each call passes on.
+    /// Deadline that each call carries in its `X-Deadline` header.
     pub deadline: Duration,
-    /// Tenants that calls are drawn from.
+    /// Number of tenants, to which the calls are assigned in turn.
     pub tenants: usize,
 }
 
+/// A connection with a call in flight.
 struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -43,12 +46,12 @@
     way: usize,
 }
 
-/// Sends calls at their times, independent of the responses to earlier calls: each on an idle connection, or on a new
-/// one. The play starts at `zero`. The thread spins, so that its own wake-up is not part of what it measures.
-/// `progress` counts the calls sent.
+/// Sends calls at their scheduled times, independent of the responses to earlier calls, each on an idle connection or
+/// on a new one. Scheduled times count from `zero`. The thread spins, so that the measured latencies do not include its
+/// own wake-up. `progress` counts the calls that were sent.
 ///
 /// # Errors
-/// A connection that must be open before the first call cannot be opened.
+/// A connection that is to be opened before the first call cannot be opened.
 pub fn play(
     calls: &[Call],
     ways: &[Way],
@@ -69,31 +72,33 @@
         next: 0,
         played: vec![lost; calls.len()],
     };
-    open_loop.connect_first().map_err(|cause| CapacityError::run("connecting a caller", cause))?;
+    open_loop
+        .connect_first()
+        .map_err(|cause| CapacityError::run("opening the connections of the client", cause))?;
     Ok(open_loop.run())
 }
 
-/// The open loop: calls in flight, and those still to be sent.
+/// State of the open-loop client: the calls in flight, and those that are still to be sent.
 struct OpenLoop<'a> {
     calls: &'a [Call],
     ways: &'a [Way],
     first_id: usize,
     zero: Instant,
     progress: &'a AtomicUsize,
-    /// By way: connections opened so far, by which targets take them in turn.
+    /// By route: number of connections opened so far, which determines the target of the next.
     opened: Vec<usize>,
-    /// By way: connections without a call.
+    /// By route: idle connections.
     idle: Vec<Vec<TcpStream>>,
-    /// Connections with a call.
+    /// Connections with a call in flight.
     busy: Vec<Connection>,
-    /// The first call that is not sent yet.
+    /// Index of the first call that has not been sent.
     next: usize,
-    /// By call; lost until its answer is whole.
+    /// Result of each call: lost until its response is complete.
     played: Vec<Played>,
 }
 
 impl OpenLoop<'_> {
-    /// Opens the connections that must be open before the first call.
+    /// Opens the connections that are to be open before the first call.
     fn connect_first(&mut self) -> std::io::Result<()> {
         for (way, opened) in self.ways.iter().zip(&mut self.opened) {
             let streams: std::io::Result<_> = (0..way.warm).map(|_| connect(way, opened)).collect();
@@ -102,6 +107,7 @@
         Ok(())
     }
 
+    /// Sends all calls, and returns once all are answered or [`ANSWER_TIMEOUT`] has passed since the last.
     fn run(mut self) -> Vec<Played> {
         let deadline = self.calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_TIMEOUT;
         loop {
@@ -115,11 +121,12 @@
         }
     }
 
-    /// From the start of the play.
+    /// Time since the start of the run; zero before it.
     fn elapsed(&self) -> Duration {
         Instant::now().saturating_duration_since(self.zero)
     }
 
+    /// Sends the calls whose scheduled time has come.
     fn send_due(&mut self, now: Duration) {
         while let Some(call) = self.calls.get(self.next).filter(|call| call.at <= now) {
             let text = request(self.first_id + self.next, call, &self.ways[call.way]);
@@ -135,7 +142,8 @@
         }
     }
 
-    /// Sends a request on an idle connection that is still open, or on a new one; `None` where that fails.
+    /// Sends a request on an idle connection that is still open, or on a new one, and returns the connection; `None` if
+    /// connecting or writing fails.
     fn send(&mut self, way: usize, text: &str) -> Option<TcpStream> {
         let idle = &mut self.idle[way];
         let stream = loop {
@@ -148,7 +156,7 @@
         (&stream).write_all(text.as_bytes()).is_ok().then_some(stream)
     }
 
-    /// Reads the responses that have arrived.
+    /// Reads the responses that have arrived, and returns connections that can be reused to the idle ones.
     fn receive(&mut self) {
         let mut place = 0;
         while let Some(connection) = self.busy.get_mut(place) {
@@ -165,7 +173,7 @@
         }
     }
 
-    /// Leaves the core for a moment where nothing is on its way and the next call is not near.
+    /// Sleeps for [`PAUSE`] if no call is in flight and none is due within [`SPIN_BEFORE`].
     fn pause(&self, now: Duration) {
         let is_near = |call: &Call| call.at <= now + SPIN_BEFORE;
         if self.busy.is_empty() && self.calls.get(self.next).is_some_and(|call| !is_near(call)) {
@@ -174,6 +182,7 @@
     }
 }
 
+/// Opens a connection to the next target of a route; `turn` counts the connections of the route.
 fn connect(way: &Way, turn: &mut usize) -> std::io::Result<TcpStream> {
     let target = way.targets[*turn % way.targets.len()];
     *turn += 1;
@@ -183,11 +192,12 @@
     Ok(stream)
 }
 
-/// Whether an idle connection is still open and has nothing to read.
+/// Whether an idle connection is still open and has no unread bytes.
 fn is_open(stream: &TcpStream) -> bool {
     matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
 
+/// The text of a call's HTTP request.
 fn request(id: usize, call: &Call, way: &Way) -> String {
     let (method, path) = match call.class {
         Class::Read => ("GET", "read"),
@@ -203,7 +213,8 @@
     )
 }
 
-/// The outcome of a call whose response is complete, and whether its connection can be reused.
+/// Reads what has arrived on a connection. If the response is then complete or the connection failed, returns the
+/// outcome of the call, and whether the connection can be reused.
 fn read_response(connection: &mut Connection, first_id: usize) -> Option<(End, bool)> {
     let mut part = [0; 2048];
     match connection.stream.read(&mut part) {
--- a/crates/capacity/src/world/configuration.rs
+++ b/crates/capacity/src/world/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a balancer under test, by the plan, and changes of it to publish.
+//! The configuration of a balancer under test, as the plan has it, and the documents by which it is changed.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use crate::plan::Plan;
 
-/// The settings, by the plan, of a balancer that is one of `replicas` replicas.
+/// The settings, as the plan has them, of a balancer that is one of `replicas` replicas.
 #[must_use]
 pub fn settings(plan: &Plan, replicas: usize) -> Value {
     let (latency_objective, deadline) = (plan.traffic.aim_s.value, plan.traffic.deadline_s.value);
@@ -28,7 +28,7 @@
                   "drainGraceS": 1.0, "fallMultiple": 3.0, "overloadForS": 2.0}})
 }
 
-/// The configuration of a balancer that starts with the endpoint list `known`.
+/// The configuration of a balancer that starts with the endpoint list `known` and watches it at `discovery`.
 #[must_use]
 pub fn configuration(name: &str, discovery: SocketAddr, known: &[Value], settings: &Value) -> Value {
     json!({"name": name, "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "8c1f",
@@ -36,7 +36,8 @@
            "known": {"index": 1, "snapshot": true, "endpoints": known}, "settings": settings})
 }
 
-/// The scope and the document of change `number`: of each scope and each kind of setting in turn.
+/// The scope and the document of the configuration change with this number. Successive numbers go through the scopes
+/// and the kinds of settings in turn.
 #[must_use]
 pub fn configuration_change(plan: &Plan, number: usize) -> (&'static str, Value) {
     let step = (number / 5 % 10) as f64;
--- a/crates/capacity/src/world/discovery.rs
+++ b/crates/capacity/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! A stand-in for service discovery: balancers under test watch a list of upstreams that the test changes.
+//! A stand-in for service discovery: balancers under test watch a list of upstreams that the test can change.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -14,6 +14,7 @@
 use super::{Bound, listen, lock};
 use crate::CapacityError;
 
+/// The endpoint list, and the watches that receive its changes.
 #[derive(Debug)]
 struct List {
     index: u64,
@@ -21,10 +22,11 @@
     watches: Vec<Sender<Arc<[u8]>>>,
 }
 
-/// A stand-in discovery: sends each watch a snapshot of the list, then each change, and an empty line as a heartbeat.
+/// A stand-in for service discovery. It sends each watch a snapshot of the list, then each change, and an empty line as
+/// a heartbeat while nothing changes.
 #[derive(Debug)]
 pub struct Discovery {
-    /// The address that it listens on.
+    /// Address on which the discovery server listens.
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
     stopped: Arc<AtomicBool>,
@@ -32,7 +34,7 @@
 }
 
 impl Discovery {
-    /// Starts a discovery with this list at index 1, and a heartbeat after each `beat` without a change.
+    /// Starts a discovery server with this list at index 1, which sends a heartbeat after each `beat` without a change.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
@@ -50,17 +52,17 @@
                 thread::spawn(move || serve_watch(stream, &list, beat));
             }
         });
-        let thread = thread.map_err(|cause| CapacityError::run("starting a discovery", cause))?;
+        let thread = thread.map_err(|cause| CapacityError::run("starting a discovery server", cause))?;
         Ok(Self { address, list, stopped, thread: Some(thread) })
     }
 
-    /// The number of open watches.
+    /// Number of registered watches.
     #[must_use]
     pub fn watches(&self) -> usize {
         lock(&self.list).watches.len()
     }
 
-    /// Publishes a change of one entry.
+    /// Replaces the entry at index `number` of the list, and sends the change to all watches.
     pub fn change(&self, number: usize, entry: Value) {
         let mut list = lock(&self.list);
         list.index += 1;
@@ -77,7 +79,7 @@
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Release);
         lock(&self.list).watches.clear();
-        // Wakes the thread that waits for a connection.
+        // This connection unblocks the thread that waits in `accept`, so that it sees `stopped`.
         let _ = TcpStream::connect(self.address);
         if let Some(thread) = self.thread.take() {
             // A thread that panicked has nothing left to clean up.
@@ -86,6 +88,8 @@
     }
 }
 
+/// Serves one watch: reads its request, then sends the snapshot, the changes and the heartbeats until either side
+/// closes.
 fn serve_watch(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
     let mut head = Vec::new();
     let mut part = [0; 512];
@@ -104,7 +108,7 @@
             changes,
         )
     };
-    // Without it the connection still works, only slower.
+    // Without `TCP_NODELAY` the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     if stream.write_all(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n").is_err() {
         return;
--- a/crates/capacity/src/world/distribution.rs
+++ b/crates/capacity/src/world/distribution.rs
@@ -1,4 +1,4 @@
-//! The distribution of configuration as processes, an origin and relays, to publish changes to balancers under test.
+//! Configuration distribution as child processes, an origin and relays, which publish changes to balancers under test.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -12,26 +12,26 @@
 use super::child::{Listening, Process, own_path};
 use crate::CapacityError;
 
-/// The name of the distribution's program.
+/// File name of the program that distributes configuration.
 pub const DISTRIBUTION: &str = "config-distribution";
 
-/// An origin and relays below it, as processes.
+/// An origin and the relays below it, as child processes.
 #[derive(Debug)]
 pub struct Distribution {
-    /// The address of the origin.
+    /// Address on which the origin listens.
     pub origin: SocketAddr,
-    /// The addresses of the relays.
+    /// Addresses on which the relays listen.
     pub relays: Vec<SocketAddr>,
-    /// Killed before the folder is removed.
+    /// The processes of the origin and the relays, which are killed before the origin's data folder is removed.
     processes: Vec<Process>,
     folder: PathBuf,
 }
 
 impl Distribution {
-    /// Starts an origin and `relays` relays that follow it.
+    /// Starts an origin, and `relays` relays whose parent it is.
     ///
     /// # Errors
-    /// A process does not listen in time.
+    /// A process does not start, or does not listen in time.
     pub fn start(program: &Path, relays: usize) -> Result<Self, CapacityError> {
         let folder = own_path("origin");
         let command = |arguments: &[&str]| {
@@ -52,17 +52,17 @@
         Ok(started)
     }
 
-    /// The section of a balancer's configuration that connects it to the relays.
+    /// The `distribution` section of a balancer's configuration, with the relays as its parents.
     #[must_use]
     pub fn named(&self) -> Value {
         let parents: Vec<String> = self.relays.iter().map(SocketAddr::to_string).collect();
         json!({"parents": parents, "region": "north", "service": "api"})
     }
 
-    /// Publishes a document, and returns the index of the change once it is acknowledged.
+    /// Publishes a document at the origin, and returns the index of the change once the origin acknowledges it.
     ///
     /// # Errors
-    /// The origin rejects it or does not answer.
+    /// The origin rejects the document, or does not respond within 5 s.
     pub fn publish(&self, scope: &str, request: &str, document: &Value) -> Result<u64, CapacityError> {
         let failed = |cause: String| CapacityError::run(format!("publishing {scope} {document}"), cause);
         let body = document.to_string();
@@ -90,7 +90,7 @@
 impl Drop for Distribution {
     fn drop(&mut self) {
         self.processes.clear();
-        // A folder that stays lies among the temporary files.
+        // A folder that cannot be removed is left in the temporary folder.
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
--- a/crates/capacity/src/world/message.rs
+++ b/crates/capacity/src/world/message.rs
@@ -1,13 +1,15 @@
-//! Just enough HTTP/1.1 to find where a message ends: the stand-ins and the clients need no more.
+//! A minimal HTTP/1.1 parser for the stand-in servers and the client. It finds headers and the end of a message; a body
+//! must have a `Content-Length`.
 
-/// The longest message that is accepted, in bytes.
+/// Maximum length of a message, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// The length of a message's head with the empty line, once it is whole.
+/// Length of the head of a message including the empty line, or `None` while the head is incomplete.
 pub(super) fn head_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4)
 }
 
+/// Value of the header `name` in the head of a message. Names are compared without regard to case.
 pub(super) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.split("\r\n").skip(1).find_map(|line| {
         let (key, value) = line.split_once(':')?;
@@ -15,17 +17,17 @@
     })
 }
 
-/// Where the parts of a message are in the bytes that begin with it.
+/// The head of a message, and the offsets of its body in the bytes that begin with the message.
 pub(super) struct Message<'a> {
-    /// The lines before the body, with the empty one.
+    /// The start line and the headers, including the empty line.
     pub(super) head: &'a str,
-    /// Where the body begins, in bytes.
+    /// Offset of the start of the body, in bytes.
     pub(super) body_start: usize,
-    /// Where the body ends, in bytes.
+    /// Offset of the end of the body, in bytes.
     pub(super) end: usize,
 }
 
-/// The message at the start of some bytes, once it is whole.
+/// Parses the message at the start of `bytes`; `None` while it is incomplete.
 pub(super) fn message(bytes: &[u8]) -> Option<Message<'_>> {
     let head_end = head_end(bytes)?;
     let head = std::str::from_utf8(&bytes[..head_end]).ok()?;
--- a/crates/capacity/src/world/relay.rs
+++ b/crates/capacity/src/world/relay.rs
@@ -1,5 +1,5 @@
-//! A relay of bytes: the floor of what any process between clients and upstreams costs on this machine, which the
-//! balancer is compared with.
+//! A byte relay, whose cost is the minimum that any process between clients and upstreams adds on this machine. The
+//! balancer is compared with it.
 
 use std::net::SocketAddr;
 use std::thread::{self, JoinHandle};
@@ -10,18 +10,18 @@
 use super::{Bound, listen};
 use crate::CapacityError;
 
-/// Copies bytes between clients and upstreams, on the same kind of runtime as the balancer, and does nothing else:
-/// what any process between the two costs on this machine.
+/// A relay that copies bytes between clients and upstreams on the same kind of runtime as the balancer, and does nothing
+/// else.
 #[derive(Debug)]
 pub struct ByteRelay {
-    /// The address that it listens on.
+    /// Address on which the relay accepts client connections.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ByteRelay {
-    /// Starts a relay that assigns its connections to `upstreams` in turn.
+    /// Starts a relay that connects its client connections to `upstreams` in turn.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
@@ -38,9 +38,9 @@
                         let upstream = *upstream;
                         tokio::task::spawn_local(async move {
                             let Ok(mut far) = tokio::net::TcpStream::connect(upstream).await else { return };
-                            // Without it the connection still works, only slower.
+                            // Without `TCP_NODELAY` the connections still work, only slower.
                             let _ = (near.set_nodelay(true), far.set_nodelay(true));
-                            // However the copy ends, both connections are closed with it.
+                            // Both connections are closed after the copy ends, also after an error.
                             let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
                         });
                     }
@@ -48,7 +48,7 @@
                 Ok(())
             });
         });
-        let thread = thread.map_err(|cause| CapacityError::run("starting a relay", cause))?;
+        let thread = thread.map_err(|cause| CapacityError::run("starting a byte relay", cause))?;
         Ok(Self { address, stop, thread: Some(thread) })
     }
 }
--- a/crates/capacity/src/world/times.rs
+++ b/crates/capacity/src/world/times.rs
@@ -1,4 +1,4 @@
-//! Latencies in a histogram, and their quantiles.
+//! A histogram of latencies, for their quantiles.
 
 use std::time::Duration;
 
@@ -6,39 +6,41 @@
 
 use crate::CapacityError;
 
+/// One minute in nanoseconds: the upper bound of the histogram.
 const MINUTE_NS: u64 = 60_000_000_000;
 
-/// A histogram of times.
+/// A histogram of latencies, with three significant digits.
 #[derive(Debug, Clone)]
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// The histogram of `times`; times over a minute count as a minute.
+    /// Creates the histogram of `times`. Times over a minute count as a minute.
     ///
     /// # Errors
-    /// The histogram cannot be made.
+    /// The histogram cannot be created.
     pub fn of(times: impl IntoIterator<Item = Duration>) -> Result<Self, CapacityError> {
         let made = Histogram::new_with_bounds(1, MINUTE_NS, 3);
-        let mut histogram = made.map_err(|cause| CapacityError::run("making a histogram", cause))?;
+        let mut histogram =
+            made.map_err(|cause| CapacityError::run("creating a latency histogram", cause))?;
         for time in times {
             histogram.saturating_record((time.as_nanos() as u64).clamp(1, MINUTE_NS));
         }
         Ok(Self(histogram))
     }
 
-    /// The time at a quantile from 0 to 1, in microseconds.
+    /// Time at `quantile`, a number from 0 to 1, in microseconds.
     #[must_use]
     pub fn us(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// The number of times.
+    /// Number of recorded times.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// The number of times over `time`.
+    /// Number of recorded times that are longer than `time`.
     #[must_use]
     pub fn over(&self, time: Duration) -> u64 {
         self.0.len() - self.0.count_between(0, time.as_nanos() as u64)
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -1,5 +1,5 @@
-//! Stand-in upstreams: servers that respond at once and record the requests that reached them, so that a call that ran
-//! twice, or not at all, is noticed.
+//! Stand-in upstreams: servers that respond at once and record the requests that reached them, so that calls which ran
+//! twice or not at all are detected.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU8, AtomicU64, AtomicUsize, Ordering};
@@ -19,57 +19,61 @@
 /// Records of the requests that reached the stand-in upstreams.
 #[derive(Debug)]
 pub struct Seen {
-    /// How many times each request ran, by its id.
+    /// By request id: number of times that the request ran.
     runs: Vec<AtomicU8>,
+    /// First request id that is not reserved.
     next_id: AtomicUsize,
-    /// Connections accepted.
+    /// Number of connections accepted by all upstreams.
     opened: AtomicU64,
+    /// Time at which the upstreams were started.
     zero: Instant,
-    /// By upstream: nanoseconds from `zero` to its latest request, 0 for none.
+    /// By upstream: nanoseconds from `zero` to the latest request, 0 if there was none.
     latest: Vec<AtomicU64>,
+    /// Request id that blocks the thread of its upstream, and the duration.
     stall: Mutex<Option<(usize, Duration)>>,
 }
 
 impl Seen {
-    /// Reserves ids for `count` calls, and returns the first of them.
+    /// Reserves `count` successive request ids, and returns the first.
     ///
     /// # Errors
-    /// More calls than [`Upstreams::start`] was given.
+    /// More ids are requested than were passed to [`Upstreams::start`].
     pub fn take_ids(&self, count: usize) -> Result<usize, CapacityError> {
         let first = self.next_id.fetch_add(count, Ordering::Relaxed);
         if first + count > self.runs.len() {
             return Err(CapacityError::run(
-                "giving ids to calls",
-                format!("only {} are there", self.runs.len()),
+                "reserving request ids",
+                format!("the upstreams record only {} ids", self.runs.len()),
             ));
         }
         Ok(first)
     }
 
-    /// How many times a request ran.
+    /// Number of times that the request with this id ran.
     #[must_use]
     pub fn runs(&self, id: usize) -> u8 {
         self.runs.get(id).map_or(0, |runs| runs.load(Ordering::Acquire))
     }
 
-    /// Connections accepted so far.
+    /// Number of connections that all upstreams have accepted so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
     }
 
-    /// When the latest request reached an upstream; `None` before the first.
+    /// Time at which the latest request reached the upstream with this index; `None` before the first.
     #[must_use]
     pub fn latest(&self, upstream: usize) -> Option<Instant> {
         let latest = self.latest.get(upstream)?.load(Ordering::Acquire);
         (latest > 0).then(|| self.zero + Duration::from_nanos(latest))
     }
 
-    /// Makes the request `id` block its upstream's thread for the duration `span`.
+    /// Lets the request with this id block the thread of its upstream for the duration `span`.
     pub fn stall(&self, id: usize, span: Duration) {
         *lock(&self.stall) = Some((id, span));
     }
 
+    /// Records that a request reached an upstream, and blocks the thread if the request is to stall.
     fn note(&self, id: usize, upstream: usize) {
         if let Some(runs) = self.runs.get(id) {
             runs.fetch_add(1, Ordering::AcqRel);
@@ -83,20 +87,20 @@
     }
 }
 
-/// Stand-in upstreams: each a port that answers each request at once with its id, how many its connection has had,
-/// and its own number.
+/// Stand-in upstreams, each on a port of its own. An upstream responds to each request at once with the request id, the
+/// number of requests that came on the connection so far, and its own index.
 #[derive(Debug)]
 pub struct Upstreams {
-    /// The addresses that they listen on, by upstream.
+    /// By upstream: address on which it listens.
     pub addresses: Vec<SocketAddr>,
-    /// Records of their requests.
+    /// Records of the requests that reached the upstreams.
     pub seen: Arc<Seen>,
     stop: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Upstreams {
-    /// Starts `count` upstreams on `threads` threads, for at most `calls` calls in all.
+    /// Starts `count` upstreams on `threads` threads, which record the requests of at most `calls` ids.
     ///
     /// # Errors
     /// No port is free, or a thread does not start.
@@ -129,13 +133,14 @@
         Ok(started)
     }
 
-    /// The list entries of all upstreams, with the status ready.
+    /// Entries of the endpoint list for all upstreams, with the status `ready`.
     #[must_use]
     pub fn entries(&self) -> Vec<Value> {
         (0..self.addresses.len()).map(|number| self.entry(number, "ready", 0)).collect()
     }
 
-    /// The list entry of an upstream with this status, since `since_ms` (milliseconds since the epoch).
+    /// Entry of the endpoint list for the upstream with this index, whose status has held since `since_ms`
+    /// (milliseconds since the epoch).
     #[must_use]
     pub fn entry(&self, number: usize, status: &str, since_ms: u64) -> Value {
         entry(number, self.addresses[number], status, since_ms)
@@ -153,13 +158,14 @@
     }
 }
 
-/// An entry of a list, as discovery writes it.
+/// An entry of the endpoint list, as service discovery writes it.
 #[must_use]
 pub fn entry(number: usize, address: SocketAddr, status: &str, since_ms: u64) -> Value {
     json!({"name": format!("api-{number:05}"), "address": address.to_string(), "zone": "north-1",
            "type": "std", "group": number % 8, "status": status, "weight": 1.0, "since_ms": since_ms})
 }
 
+/// Accepts connections to the upstreams of one thread. Each upstream is given with its index.
 fn serve_part(part: Vec<(usize, TcpListener)>, seen: &Arc<Seen>) -> std::io::Result<()> {
     for (number, listener) in part {
         listener.set_nonblocking(true)?;
@@ -175,8 +181,9 @@
     Ok(())
 }
 
+/// Responds to the requests of one connection until it is closed or a message is too long.
 async fn serve(mut stream: tokio::net::TcpStream, number: usize, seen: Arc<Seen>) {
-    // Without it the connection still works, only slower.
+    // Without `TCP_NODELAY` the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     let (mut bytes, mut count) = (Vec::with_capacity(1024), 0);
     loop {
--- a/crates/capacity/src/world/usage.rs
+++ b/crates/capacity/src/world/usage.rs
@@ -1,5 +1,5 @@
-//! Resources that a process uses, as the kernel counts them: processor time, waits for a core and memory; and the
-//! pinning of threads to cores, without which such figures are not comparable.
+//! Resource usage of a process as the kernel reports it: CPU time, time waiting for a core, and memory. Also pins
+//! threads to cores, without which such figures are not comparable.
 
 use std::fs;
 use std::path::PathBuf;
@@ -7,19 +7,19 @@
 
 use crate::CapacityError;
 
-/// Processor time and waits of all threads of a process until now.
+/// CPU time and scheduling statistics, summed over all threads of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time, in nanoseconds.
+    /// CPU time, in nanoseconds.
     pub cpu_ns: u64,
-    /// Time in which it was runnable and waited for a core, in nanoseconds.
+    /// Time in which threads were runnable and waited for a core, in nanoseconds.
     pub waited_ns: u64,
-    /// How many times it was scheduled on a core.
+    /// Number of times that a thread was scheduled on a core.
     pub slices: u64,
 }
 
 impl Usage {
-    /// The usage of the process with this id.
+    /// Usage of the process with this id since its start.
     ///
     /// # Errors
     /// There is no such process, or the kernel's figures cannot be read.
@@ -31,7 +31,7 @@
             let text = fs::read_to_string(&path).map_err(|cause| CapacityError::file(&path, cause))?;
             let figures: Vec<u64> = text.split_whitespace().filter_map(|part| part.parse().ok()).collect();
             let &[cpu, waited, slices] = figures.as_slice() else {
-                return Err(CapacityError::file(&path, "not three figures"));
+                return Err(CapacityError::file(&path, "expected three figures"));
             };
             usage.cpu_ns += cpu;
             usage.waited_ns += waited;
@@ -40,7 +40,7 @@
         Ok(usage)
     }
 
-    /// The usage since the earlier usage `before`.
+    /// Difference between this usage and the earlier usage `before`.
     #[must_use]
     pub fn since(self, before: Self) -> Self {
         Self {
@@ -64,12 +64,13 @@
         .ok_or_else(|| CapacityError::file(&path, "no VmRSS"))
 }
 
-/// Pins this thread, and all threads that it starts from now on, to these cores, in the syntax of `taskset`.
+/// Pins this thread, and all threads and processes that it starts from now on, to `cores`, a list in the syntax of
+/// `taskset`.
 ///
 /// # Errors
 /// `taskset` is missing or fails.
 pub fn hold_to(cores: &str) -> Result<(), CapacityError> {
-    let place = format!("holding a thread to cores {cores}");
+    let place = format!("pinning a thread to cores {cores}");
     let own = fs::read_link("/proc/thread-self").map_err(|cause| CapacityError::run(&place, cause))?;
     let thread = own.file_name().unwrap_or_default();
     let done = Command::new("taskset").args(["-c", "-p", cores]).arg(thread).output();
@@ -81,11 +82,11 @@
     }
 }
 
-/// Steal time since boot, in ms over all cores: the time that the hypervisor gave this machine's cores to others; 0
-/// where the kernel does not say.
+/// Steal time since boot, in ms, summed over all cores: the time in which the hypervisor ran something else on the cores
+/// of this machine; 0 if the kernel does not report it.
 #[must_use]
 pub fn stolen_ms() -> u64 {
-    // Told in hundredths of a second, as the eighth figure of the first line.
+    // Steal time is the eighth figure of the first line, in hundredths of a second.
     let text = fs::read_to_string("/proc/stat").unwrap_or_default();
     let stolen = text.lines().next().and_then(|line| line.split_whitespace().nth(8)?.parse::<u64>().ok());
     stolen.unwrap_or(0) * 10
