--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -69,9 +69,7 @@
             (Some(path), _) if name == BALANCER => path.clone(),
             (Some(path), _) => beside(path.parent().unwrap_or(Path::new("."))),
             (None, Ok(own)) => beside(own.parent().unwrap_or(Path::new("."))),
-            (None, Err(cause)) => {
-                return Err(CapacityError::run("determining the path of this program", cause));
-            }
+            (None, Err(cause)) => return Err(CapacityError::run("locating this program", cause)),
         };
         if path.is_file() {
             Ok(path)
--- a/crates/capacity/src/world/relay.rs
+++ b/crates/capacity/src/world/relay.rs
@@ -10,8 +10,8 @@
 use super::{Bound, listen};
 use crate::CapacityError;
 
-/// A relay that copies bytes between clients and upstreams on the same kind of runtime as the balancer, and does nothing
-/// else.
+/// A relay that copies bytes between clients and upstreams on the same kind of runtime as the balancer, and does
+/// nothing else.
 #[derive(Debug)]
 pub struct ByteRelay {
     /// Address on which the relay accepts client connections.
--- a/crates/capacity/src/world/usage.rs
+++ b/crates/capacity/src/world/usage.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// Steal time since boot, in ms, summed over all cores: the time in which the hypervisor ran something else on the cores
-/// of this machine; 0 if the kernel does not report it.
+/// Steal time since boot, in ms, summed over all cores: the time in which the hypervisor ran something else on the
+/// cores of this machine; 0 if the kernel does not report it.
 #[must_use]
 pub fn stolen_ms() -> u64 {
     // Steal time is the eighth figure of the first line, in hundredths of a second.
