--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -1,4 +1,5 @@
-//! The `control` command: what watches of the list and of the configuration cost at both ends, by their number.
+//! The `control` command: measures what watches of the endpoint list and of the configuration cost at the server and at
+//! the client, by the number of watches.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,44 +17,45 @@
 mod list_client;
 mod rig;
 
-/// How long a step may take before the run fails.
+/// Time after which a step of a run fails.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// The sizes that are played, in parts of the plan's upstreams: with its 1900 these are 100, 300, 1000 and all.
+/// Measured sizes as fractions of the plan's number of upstreams: of its 1900 upstreams, these are 100, 300, 1000 and
+/// all.
 const PARTS: [f64; 4] = [1.0 / 19.0, 3.0 / 19.0, 10.0 / 19.0, 1.0];
 
-/// What is measured.
+/// Kind of watches that is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Part {
-    /// Watches of the list.
+    /// Watches of the endpoint list.
     List,
     /// Watches of the configuration.
     Configuration,
 }
 
-/// Slopes of control: bytes, processor time and memory of watches at both ends.
+/// Measures bytes, CPU time and memory of watches of the list and of the configuration, at the server and the client.
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// What is measured; all, where it is not named.
+    /// Kind of watches to measure; both by default.
     #[arg(long, value_enum)]
     part: Option<Part>,
-    /// Plays of each size.
+    /// Runs of each size.
     #[arg(long, default_value_t = 3)]
     plays: usize,
-    /// Of the draws.
+    /// Seed of the random numbers.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// A quick version for tests: a twentieth of the sizes.
+    /// Quick version for tests, with a twentieth of the sizes.
     #[arg(long)]
     small: bool,
-    /// Where `slopes` is written.
+    /// Folder in which `slopes/` is written.
     #[arg(long, default_value = "crates/capacity")]
     out: PathBuf,
 }
 
-/// Runs the command: measures, and writes a file for each slope.
+/// Runs the command: measures the watches, and writes a file for each slope.
 ///
 /// # Errors
-/// An argument is out of range, or a play fails.
+/// An argument is out of range, or a run fails.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     if !(1..=100).contains(&arguments.plays) {
         return Err(CapacityError::Argument { name: "plays", expected: "1 to 100".to_owned() });
--- a/crates/capacity/src/control/configuration.rs
+++ b/crates/capacity/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! Slopes of watches of the configuration.
+//! Slopes of the cost of watches of the configuration.
 
 use super::rig::{About, Plays, Rig};
 use crate::CapacityError;
@@ -7,16 +7,16 @@
 
 use self::relay::RelayPlay;
 
-/// The part of the command that measures the configuration.
+/// Value of `--part` that measures watches of the configuration.
 const PART: &str = "configuration";
 
-/// What the sizes of the slopes over watchers count.
+/// Unit of the sizes of the slopes by watchers.
 const BALANCERS: &str = "balancers at the relay";
-/// What a reader of the figures at rest must know.
+/// Note of the slopes that are measured while nothing changes.
 const AT_REST_NOTE: &str = "One relay below an origin, balancers a hundred to a process, all on one machine. At rest: a sign of life every 2 s \
      and a report of what is in force every 5 s, on a connection of its own; payload both ways with the heads \
      of HTTP, without those of TCP/IP.";
-/// What a reader of the figures of a change must know.
+/// Note of the slopes that are measured over changes.
 const CHANGE_NOTE: &str = "Changes of the fleet's document, told to every balancer, one after another; a play is a change. From the \
      acknowledgement where nothing else is said. One relay below an origin, all on one machine: a fleet's \
      zone relays share this work.";
@@ -115,7 +115,7 @@
 };
 
 impl Rig<'_> {
-    /// Watches of the configuration at one relay below an origin.
+    /// Measures watches of the configuration at one relay below an origin, and writes their slopes.
     pub(super) fn configuration(&self) -> Result<(), CapacityError> {
         let mut all = Measured::default();
         for &watchers in &self.sizes {
@@ -126,6 +126,7 @@
         self.write(PART, &all.catch_up, CATCH_UP_BYTES)
     }
 
+    /// Writes the slopes that were measured while nothing changed.
     fn write_rest(&self, all: &Measured) -> Result<(), CapacityError> {
         self.write(PART, &all.rest_bytes, REST_BYTES)?;
         self.write(PART, &all.server_core, SERVER_CORE)?;
@@ -134,6 +135,7 @@
         self.write(PART, &all.client_kb, CLIENT_MEMORY)
     }
 
+    /// Writes the slopes that were measured over changes.
     fn write_changes(&self, all: &Measured) -> Result<(), CapacityError> {
         self.write(PART, &all.p50, CHANGE_MEDIAN)?;
         self.write(PART, &all.p99, CHANGE_P99)?;
@@ -145,7 +147,7 @@
     }
 }
 
-/// The plays of all figures, by size.
+/// Samples of all figures of watches of the configuration, by size.
 #[derive(Default)]
 struct Measured {
     rest_bytes: Plays,
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -1,4 +1,4 @@
-//! One play of the configuration: an origin, one relay below it, and balancers that watch the relay.
+//! Measurement of one number of balancers that watch the configuration at one relay below an origin.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,32 +16,33 @@
 use crate::sockets::swarm::{Swarm, Times};
 use crate::sockets::{region_name, service_name};
 
-/// The place of the origin among the control processes.
+/// Index of the origin among the control processes.
 const ORIGIN: usize = 0;
-/// The place of the relay among the control processes.
+/// Index of the relay among the control processes.
 const RELAY: usize = 1;
-/// Balancers of a process of a small run.
+/// Number of hollow balancers in one process, in a small run.
 const PER_PROCESS_SMALL: usize = 20;
-/// Services that have a document in a small run.
+/// Number of services that have a document, in a small run.
 const SERVICES_SMALL: usize = 30;
-/// Changes of a play.
+/// Number of changes over which the cost of a change is averaged.
 const CHANGES: u64 = 12;
-/// Changes of a play of a small run.
+/// Like [`CHANGES`], in a small run.
 const CHANGES_SMALL: u64 = 3;
-/// Changes that a relay has missed when it reconnects.
+/// Numbers of changes that a relay has missed when it reconnects, each measured once.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
-/// An origin and a relay that have all documents.
+/// A running origin and relay, for the measurement of one number of watching balancers.
 pub(super) struct RelayPlay<'a> {
     rig: &'a Rig<'a>,
+    /// Number of balancers that watch the relay.
     watchers: usize,
     plane: Plane,
-    /// The newest version of each scope.
+    /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
 }
 
 impl<'a> RelayPlay<'a> {
-    /// Starts both processes.
+    /// Starts the processes of the origin and the relay.
     pub(super) fn start(rig: &'a Rig<'a>, watchers: usize) -> Result<Self, CapacityError> {
         let machine = |role, parents| Machine { role, region: 0, zone: None, parents };
         let machines = vec![machine(Role::Origin, Vec::new()), machine(Role::Region, vec![ORIGIN])];
@@ -56,16 +57,18 @@
         }
         let relay = self.plane.address(RELAY);
         let mut swarm = self.rig.swarm(self.watchers, None, &|_, _| vec![relay])?;
-        self.wait_for_newest(&mut swarm, "not all have a configuration in time")?;
+        self.wait_for_newest(&mut swarm, "not all balancers received their configuration in time")?;
         self.wait_for_reports(&mut swarm)?;
         let at_rest = self.measure_rest(&mut swarm, all)?;
         self.measure_changes(&mut swarm, &at_rest, all)
     }
 
+    /// Whether this is a small run.
     fn is_small(&self) -> bool {
         self.rig.per_process <= PER_PROCESS_SMALL
     }
 
+    /// Publishes a document of this size at the origin; `turn` makes its content and request id unique.
     fn publish(&mut self, scope: Scope, bytes: usize, turn: u64) -> Result<Change, CapacityError> {
         let id = format!("{scope}-{turn}");
         let change = plane::publish(self.plane.address(ORIGIN), &scope, &plane::body(bytes, turn), &id)?;
@@ -90,7 +93,7 @@
         Ok(())
     }
 
-    /// Bytes of catch-ups, while each change so far made another document.
+    /// Measures the bytes of catch-ups. Each change so far has published another document, so that no changes merge.
     fn measure_catch_up(&self, all: &mut Measured) -> Result<(), CapacityError> {
         let index = self.newest.values().copied().max().unwrap_or(0);
         for missed in MISSED_CHANGES.map(|missed| missed.min(self.newest.len())) {
@@ -100,6 +103,8 @@
         Ok(())
     }
 
+    /// Waits until all balancers have the newest version of each scope; `otherwise` is the error if they do not in
+    /// time.
     fn wait_for_newest(&self, swarm: &mut Swarm, otherwise: &str) -> Result<(), CapacityError> {
         if swarm.receive_until(TIMEOUT, |swarm| swarm.missing(&self.newest) == 0)? {
             return Ok(());
@@ -107,12 +112,12 @@
         Err(CapacityError::run(format!("configuration to {} balancers", self.watchers), otherwise))
     }
 
-    /// Waits for the reports of a change, which follow within half a second.
+    /// Waits for the balancers' reports of a change, which follow within half a second.
     fn wait_for_reports(&self, swarm: &mut Swarm) -> Result<(), CapacityError> {
         swarm.receive_for(self.rig.window / 6)
     }
 
-    /// What the processes use while nothing changes, by play.
+    /// Measures what the processes use while nothing changes, and returns the rates of each run.
     fn measure_rest(&mut self, swarm: &mut Swarm, all: &mut Measured) -> Result<Vec<Rates>, CapacityError> {
         let mut at_rest = Vec::new();
         for _ in 0..self.rig.plays {
@@ -130,6 +135,7 @@
         Ok(at_rest)
     }
 
+    /// Measures the cost of changes of the fleet's document beyond the cost `at_rest`.
     fn measure_changes(
         &mut self,
         swarm: &mut Swarm,
@@ -153,6 +159,7 @@
         Ok(())
     }
 
+    /// Publishes one change of the fleet's document, and measures the times until it is in force at the balancers.
     fn measure_change(
         &mut self,
         swarm: &mut Swarm,
@@ -161,7 +168,7 @@
     ) -> Result<(), CapacityError> {
         let bytes = self.rig.plan.configuration.fleet_bytes.value;
         let change = self.publish(Scope::Fleet, bytes, turn)?;
-        self.wait_for_newest(swarm, "a change has not come to all in time")?;
+        self.wait_for_newest(swarm, "a change did not reach all balancers in time")?;
         let (mut times, mut sent) = (Times::new()?, Times::new()?);
         for arrival in swarm.times(&change) {
             let Some(at_ns) = arrival.at_ns else { continue };
@@ -176,27 +183,35 @@
     }
 }
 
-/// Totals at one moment.
+/// Total usage of the relay and of the balancers until one time.
 struct Moment {
     at: Instant,
+    /// Bytes that the balancers sent and received.
     bytes: u64,
+    /// Usage of the relay.
     server: Usage,
+    /// Usage of all processes of balancers.
     clients: Usage,
 }
 
-/// Rates a second: bytes, and nanoseconds of processor time.
+/// Rates of usage per second.
 struct Rates {
+    /// Bytes per second that the balancers sent and received.
     bytes: f64,
+    /// CPU time of the relay, in nanoseconds per second.
     server: f64,
+    /// CPU time of all processes of balancers, in nanoseconds per second.
     clients: f64,
 }
 
 impl Moment {
+    /// Reads the totals until now.
     fn of(swarm: &mut Swarm, plane: &mut Plane) -> Result<Self, CapacityError> {
         let bytes = swarm.carried()?.bytes;
         Ok(Self { at: Instant::now(), bytes, server: plane.usage(RELAY), clients: swarm.usage() })
     }
 
+    /// Rates of usage between this time and the later `to`.
     fn until(&self, to: &Self) -> Rates {
         let seconds = (to.at - self.at).as_secs_f64();
         let each = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
@@ -208,7 +223,8 @@
     }
 }
 
-/// Bytes of a relay's request for the changes since `since`, sent to an origin at `index`.
+/// Bytes of a relay's request for the changes after the index `since`, and of the response of an origin whose index is
+/// `index`. Retries until the origin responds with that index.
 fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the configuration from {since}");
     let head = format!("GET /configuration?since={since}&scopes=* HTTP/1.1\r\n");
@@ -219,7 +235,9 @@
         match serde_json::from_str::<Update>(body.trim()) {
             Ok(update) if status == 200 && update.index == index => return Ok(bytes as u64),
             _ if Instant::now() < until => thread::sleep(Duration::from_millis(10)),
-            _ => return Err(CapacityError::run(&place, format!("answered {status}"))),
+            _ => {
+                return Err(CapacityError::run(&place, format!("unexpected response with status {status}")));
+            }
         }
     }
 }
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -1,4 +1,4 @@
-//! Slopes of watches of the list.
+//! Slopes of the cost of watches of the endpoint list.
 
 use std::time::{Duration, Instant};
 
@@ -10,25 +10,25 @@
 use crate::sockets::machine;
 use crate::sockets::swarm::Swarm;
 
-/// The part of the command that measures the list.
+/// Value of `--part` that measures watches of the endpoint list.
 const PART: &str = "list";
-/// Turns of one client, each a whole list or a change, over which its processor time is the mean.
+/// Number of snapshots, and of changes, that one client receives, over which its CPU time is averaged.
 const TURNS: u32 = 20;
-/// Turns of one client in a small run.
+/// Like [`TURNS`], in a small run.
 const TURNS_SMALL: u32 = 2;
-/// Changes that a watch has missed when it reconnects.
+/// Numbers of changes that a watch has missed when it reconnects, each measured once.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
-/// What a reader of the bytes of one watch must know.
+/// Note of the slopes of the bytes of one watch.
 const BYTES_NOTE: &str = "Payload of the connection both ways, heads of HTTP included, those of TCP/IP not. The server is a \
      stand-in in the platform's form: the platform's own may write other heads, chunks and entries.";
-/// What a reader of the processor time of one client must know.
+/// Note of the slopes of the CPU time of one client.
 const CLIENT_TIME_NOTE: &str = "Processor time of the client's thread with the decisions, from the socket on, less that of the same \
      time at rest; one list or change every 30 ms.";
-/// What a reader of the figures of the connections and the server must know.
+/// Note of the slopes of the connections and of the server while nothing changes.
 const AT_REST_NOTE: &str = "An empty line every 2 s to each watch, 6 bytes as a chunk; heads of TCP/IP (some 100 bytes a beat with the \
      acknowledgement) are not counted. The server is a stand-in: the platform's own is not told by it.";
-/// What a reader of the figures of the clients must know.
+/// Note of the slopes of many clients while nothing changes.
 const CLIENTS_NOTE: &str = "Each client is the balancer's own with its decisions, a hundred to a process, and a list of a \
      nineteenth of the fleet; with the sweeps of the decisions, the line of the log, and the part of the process.";
 
@@ -96,7 +96,7 @@
     note: CLIENTS_NOTE,
 };
 
-/// What one client of the list costs.
+/// Samples of the cost of one client of the endpoint list, by list size.
 #[derive(Default)]
 struct ClientPlays {
     whole_bytes: Plays,
@@ -104,7 +104,7 @@
     change_us: Plays,
 }
 
-/// What many clients of the list cost at rest.
+/// Samples of the cost of many clients of the endpoint list while nothing changes, by number of watches.
 #[derive(Default)]
 struct RestPlays {
     bytes: Plays,
@@ -115,7 +115,8 @@
 }
 
 impl Rig<'_> {
-    /// One client of the list at a time: bytes of a whole list and of a catch-up, processor time to take them in.
+    /// Measures one client of the list at a time: the bytes of a snapshot and of a catch-up, and the CPU time to apply
+    /// a snapshot and a change.
     pub(super) fn lists(&self) -> Result<(), CapacityError> {
         let one = self.play_list_clients()?;
         let catch_up = self.play_list_catch_up()?;
@@ -125,6 +126,7 @@
         self.write(PART, &one.change_us, CHANGE_TIME)
     }
 
+    /// Measures one client with lists of all sizes.
     fn play_list_clients(&self) -> Result<ClientPlays, CapacityError> {
         let mut all = ClientPlays::default();
         let turns = if self.window < Duration::from_secs(1) { TURNS_SMALL } else { TURNS };
@@ -141,6 +143,7 @@
         Ok(all)
     }
 
+    /// Measures the bytes of a watch that reconnects after it has missed changes.
     fn play_list_catch_up(&self) -> Result<Plays, CapacityError> {
         let mut catch_up = Plays::default();
         let most = self.sizes[self.sizes.len() - 1];
@@ -153,7 +156,7 @@
         Ok(catch_up)
     }
 
-    /// Many clients of the list at rest.
+    /// Measures many clients of the list while nothing changes.
     pub(super) fn list_watchers(&self) -> Result<(), CapacityError> {
         let mut all = RestPlays::default();
         for &watchers in &self.sizes {
@@ -166,6 +169,7 @@
         self.write(PART, &all.client_kb, CLIENT_MEMORY)
     }
 
+    /// Measures one number of clients while nothing changes, in all runs.
     fn play_list_watchers(&self, watchers: usize, all: &mut RestPlays) -> Result<(), CapacityError> {
         let own_kb_before = own_kb();
         let server = self.server(self.sizes[0])?;
@@ -181,6 +185,7 @@
         Ok(())
     }
 
+    /// Measures bytes, CPU time and memory of the server and its clients over one window without changes.
     fn play_list_rest(
         &self,
         watchers: usize,
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -1,4 +1,4 @@
-//! The cost of one client of the endpoint list.
+//! Measurement of the cost of one client of the endpoint list.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -13,13 +13,14 @@
 use crate::sockets::list::ListServer;
 use crate::sockets::{machine, region_name, service_name, zone_names};
 
-/// A balancer's client of the endpoint list.
+/// A hollow balancer (a simulated one without real traffic) that is the only client of a list server.
 pub(super) struct Client<'a> {
     pub(super) plan: &'a Plan,
     pub(super) server: &'a ListServer,
     pub(super) seed: u64,
 }
 
+/// Cost of one client: bytes of its first snapshot, and mean CPU time to apply a snapshot and a change.
 pub(super) struct Costs {
     pub(super) whole_bytes: f64,
     pub(super) whole_us: f64,
@@ -27,7 +28,7 @@
 }
 
 impl Client<'_> {
-    /// Receives its first list, then `count` snapshots and `count` changes.
+    /// Lets the client receive its first list, then `count` snapshots and `count` changes, and measures their cost.
     pub(super) fn play(&self, count: u32) -> Result<Costs, CapacityError> {
         let place = "a client of the list";
         let zones = zone_names(self.plan);
@@ -41,7 +42,7 @@
         };
         let before = self.server.carried();
         let (server, (sender, costs)) = (self.server, channel());
-        // A thread of its own, so that its processor time is the client's alone.
+        // The client runs on a thread of its own, so that the CPU time of the thread is that of the client alone.
         thread::scope(|scope| {
             scope.spawn(move || {
                 let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -71,7 +72,7 @@
     }
 }
 
-/// Mean processor time of this thread over `count` turns, in microseconds.
+/// Mean CPU time of this thread per call of `turn`, over `count` calls 30 ms apart, in microseconds.
 async fn spent(count: u32, mut turn: impl FnMut()) -> f64 {
     let before = machine::thread_ns();
     for _ in 0..count {
@@ -81,7 +82,8 @@
     (machine::thread_ns() - before) as f64 / 1e3 / f64::from(count)
 }
 
-/// Bytes of a watch of the list from the index `since`, until the end of its first line, as both ends count them.
+/// Bytes of a watch of the list from the index `since` until the end of its first line, both ways. Client and server
+/// must count the same.
 pub(super) fn first_line(server: &ListServer, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the list from {since}");
     let wrong = |cause| CapacityError::run(&place, cause);
@@ -93,10 +95,10 @@
     stream.write_all(ask.as_bytes()).map_err(wrong)?;
     let mut answer = Vec::new();
     let mut part = [0; 64 << 10];
-    // A chunk ends with an empty line; so does the head.
+    // The chunk of a line ends with these bytes. The head also ends with an empty line, but has no `}` before it.
     while !answer.ends_with(b"}\n\r\n") {
         match stream.read(&mut part).map_err(wrong)? {
-            0 => return Err(CapacityError::run(&place, "the watch has ended")),
+            0 => return Err(CapacityError::run(&place, "the server closed the watch")),
             read => answer.extend_from_slice(&part[..read]),
         }
     }
@@ -108,9 +110,12 @@
         if there == here {
             return Ok(here);
         }
-        // The server counts once it has written.
+        // The server counts bytes only after it has written them, so that its count may lag behind.
         if Instant::now() > until {
-            return Err(CapacityError::run(&place, format!("{here} bytes here, {there} at the server")));
+            return Err(CapacityError::run(
+                &place,
+                format!("the client counted {here} bytes, the server {there}"),
+            ));
         }
         thread::sleep(Duration::from_millis(1));
     }
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -1,4 +1,5 @@
-//! What all measurements share: list servers, hollow balancers, and the writing of slopes.
+//! Parts that all measurements of the `control` command share: list servers, hollow balancers (simulated ones without
+//! real traffic), and the writing of slopes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,22 +13,28 @@
 use crate::sockets::swarm::Swarm;
 use crate::sockets::{fleet, hollow_balancers, zone_names};
 
+/// Parameters of all measurements of one run of the command.
 pub(super) struct Rig<'a> {
     pub(super) plan: &'a Plan,
+    /// Folder in which the slopes are written.
     pub(super) folder: PathBuf,
+    /// Number of runs of each size.
     pub(super) plays: usize,
     pub(super) seed: u64,
+    /// Sizes to measure: numbers of upstreams in the list, or of watches.
     pub(super) sizes: [usize; 4],
-    /// Duration of one measurement over time.
+    /// Duration of one measurement of a rate.
     pub(super) window: Duration,
+    /// Number of hollow balancers in one process.
     pub(super) per_process: usize,
 }
 
-/// The measured values of one kind, by size.
+/// Measured values of one figure, by size: each element has a size and the values of its runs.
 #[derive(Default)]
 pub(super) struct Plays(Vec<(f64, Vec<f64>)>);
 
 impl Plays {
+    /// Adds a value `y` for the size `x`; all values of a size must be added in succession.
     pub(super) fn add(&mut self, x: usize, y: f64) {
         let x = x as f64;
         match self.0.last_mut().filter(|last| last.0 == x) {
@@ -37,16 +44,22 @@
     }
 }
 
-/// The texts of a slope.
+/// Name and texts of a slope.
 pub(super) struct About {
+    /// Name of the slope, and of its file.
     pub(super) name: &'static str,
+    /// Description of the measured figure.
     pub(super) what: &'static str,
+    /// Unit of the sizes.
     pub(super) x: &'static str,
+    /// Unit of the measured values.
     pub(super) y: &'static str,
+    /// Conditions of the measurement.
     pub(super) note: &'static str,
 }
 
 impl Rig<'_> {
+    /// Fits a line through the samples, prints the slope and writes its file.
     pub(super) fn write(&self, part: &str, plays: &Plays, about: About) -> Result<(), CapacityError> {
         let most = plays.0.iter().map(|(_, plays)| plays.len()).max().unwrap_or(0);
         let points: Vec<Point> =
@@ -74,6 +87,7 @@
         slope.write(&self.folder)
     }
 
+    /// Starts a list server with this number of upstreams and with the plan's entry size, zones and heartbeat interval.
     pub(super) fn server(&self, upstreams: usize) -> Result<ListServer, CapacityError> {
         ListServer::start(
             upstreams,
@@ -83,7 +97,8 @@
         )
     }
 
-    /// Starts `watchers` balancers of the fleet; `parents` gives those of a region and a zone.
+    /// Starts `watchers` hollow balancers of the fleet, which watch the list at `list`, if there is one, and the
+    /// configuration at the parents that `parents` returns for a region and a zone.
     pub(super) fn swarm(
         &self,
         watchers: usize,
@@ -91,7 +106,8 @@
         parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
     ) -> Result<Swarm, CapacityError> {
         let balancers = hollow_balancers(self.plan, &fleet(self.plan, watchers), self.seed, parents);
-        // Reports come every 5 s from each balancer's start: spread over that, as a fleet's are.
+        // Each balancer reports every 5 s from its start. A hundred starts 48 ms apart spread the reports over that
+        // interval, as those of a fleet are.
         let apart_ms = if self.per_process > 20 { 48 } else { 0 };
         let job = Job { list, zones: zone_names(self.plan), apart_ms, balancers: Vec::new() };
         Swarm::start(&balancers, self.per_process, &job)
