--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -1,4 +1,5 @@
-//! Latency that a real process adds to a call, beside a direct connection.
+//! The `latency` command: measures the latency that a balancer process adds to a call, compared with a direct
+//! connection.
 
 use std::path::Path;
 use std::thread;
@@ -18,50 +19,51 @@
 
 use placement::{CORES_LEAST, Placement};
 
-/// What goes on beside the calls.
+/// Activity in the background of the calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Beside {
-    /// Nothing.
+    /// No activity in the background.
     Nothing,
-    /// An entry of the list changes ten times a second.
+    /// An entry of the endpoint list changes ten times a second.
     List,
     /// The configuration changes ten times a second.
     Configuration,
-    /// Nothing, and what the added latency is made of is found out.
+    /// No activity in the background; measures the parts that make up the added latency.
     MadeOf,
 }
 
-/// Latency that a real process adds to a call, beside a direct connection.
+/// Measures the latency that a balancer process adds to a call, compared with a direct connection.
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
     common: Common,
-    /// What goes on beside the calls.
+    /// Activity in the background of the calls.
     #[arg(long, value_enum, default_value_t = Beside::Nothing)]
     beside: Beside,
-    /// Calls a second through the balancer, at least two; without it the mean and the busiest of a
+    /// Calls a second through the balancer, at least two values; by default the mean and the busiest rate of a
     /// balancer in both readings of the plan.
     #[arg(long, value_delimiter = ',')]
     rates: Vec<f64>,
-    /// Plays of each rate.
+    /// Runs of each rate.
     #[arg(long, default_value_t = 3)]
     plays: usize,
-    /// Upstreams in the list, which as many balancers share.
+    /// Upstreams in the endpoint list; the balancer is configured as one of the same number of replicas.
     #[arg(long, default_value_t = 60)]
     upstreams: usize,
-    /// Let the system choose cores for all threads. Without it the caller's thread, which spins, has core 0 for itself
-    /// and all else the others (by `taskset`): what a caller wakes up would wait on its core for the system's next tick.
+    /// Let the system choose cores for all threads. By default the client's thread, which spins, has core 0 to itself,
+    /// and all other threads have the other cores (by `taskset`). Otherwise a thread that the client wakes up may be put
+    /// on the client's core, where it waits until the next tick of the system.
     #[arg(long)]
     anywhere: bool,
 }
 
-/// Calls a second at most: one caller's thread carries no more.
+/// Highest rate, in calls a second: the client's single thread sustains no more.
 const RATE_MOST: f64 = 10_000.0;
 
-/// Plays the rates and writes the slopes, or the table of what the added latency is made of.
+/// Runs the command: measures each rate, and writes the slopes or the breakdown of the added latency.
 ///
 /// # Errors
-/// With the place where it went wrong.
+/// An argument is out of range, or a run fails.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let rates = checked_rates(arguments, plan)?;
     check_counts(arguments)?;
@@ -93,15 +95,16 @@
     Ok(())
 }
 
+/// An error that names an argument and the values that it accepts.
 fn wrong<T>(name: &'static str, expected: impl Into<String>) -> Result<T, CapacityError> {
     Err(CapacityError::Argument { name, expected: expected.into() })
 }
 
-/// Calls a second that are played, from the arguments or the plan, the lowest first.
+/// Rates to measure, in calls a second and in ascending order, from the arguments or the plan.
 fn checked_rates(arguments: &Arguments, plan: &Plan) -> Result<Vec<f64>, CapacityError> {
     let mut rates = arguments.rates.clone();
     if rates.is_empty() {
-        // What it is made of takes many plays, so that only the higher reading is looked at.
+        // The breakdown takes many runs, so that it is made for the reading with the higher rates only.
         let readings = [Reading::Front, Reading::Hops];
         let looked_at = if arguments.beside == Beside::MadeOf { &readings[..1] } else { &readings };
         for &reading in looked_at {
@@ -110,11 +113,12 @@
     }
     rates.sort_by(f64::total_cmp);
     if rates.len() < 2 || !rates.iter().all(|rate| (1.0..=RATE_MOST).contains(rate)) {
-        return wrong("rates", format!("two at least, each 1 to {RATE_MOST} a second"));
+        return wrong("rates", format!("at least two values, each 1 to {RATE_MOST} a second"));
     }
     Ok(rates)
 }
 
+/// Checks the number of runs and of upstreams.
 fn check_counts(arguments: &Arguments) -> Result<(), CapacityError> {
     if !(1..=100).contains(&arguments.plays) {
         return wrong("plays", "1 to 100");
@@ -125,16 +129,18 @@
     Ok(())
 }
 
+/// The placement of threads that the arguments ask for, if the machine has enough cores for it.
 fn checked_placement(arguments: &Arguments, cores: usize) -> Result<Placement, CapacityError> {
     if arguments.anywhere || arguments.common.small {
         return Ok(Placement::Anywhere);
     }
     if cores < CORES_LEAST {
-        return wrong("anywhere", format!("needed with under {CORES_LEAST} cores"));
+        return wrong("anywhere", format!("required on a machine with fewer than {CORES_LEAST} cores"));
     }
     Ok(Placement::Apart)
 }
 
+/// Prints the points and the note of a slope.
 fn print_slope(slope: &Slope) {
     println!("{}", slope.name);
     for point in &slope.points {
@@ -143,17 +149,21 @@
     println!("  {}", slope.note);
 }
 
-/// What the plays of one run of the command have in common.
+/// Parameters that the runs of one invocation of the command share, and their random numbers.
 struct Bench<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
+    /// Path of the balancer program.
     program: &'a Path,
+    /// Number of cores of the machine.
     cores: usize,
+    /// Placement of threads on cores, unless a run of the breakdown overrides it.
     placement: Placement,
     rng: Rand64,
 }
 
 impl Bench<'_> {
+    /// The command line that repeats these measurements.
     fn command(&self) -> String {
         let beside = self.arguments.beside.to_possible_value();
         let beside = beside.as_ref().map_or("", |value| value.get_name());
--- a/crates/capacity/src/latency/made_of.rs
+++ b/crates/capacity/src/latency/made_of.rs
@@ -1,4 +1,4 @@
-//! What the added latency is made of: a table of plays that leave one thing out or change one thing.
+//! Breakdown of the added latency: a table of runs, each of which leaves out or changes one thing.
 
 use std::thread;
 use std::time::Duration;
@@ -11,7 +11,8 @@
 use crate::world::{self, Balancer, Discovery, Times, Upstreams, Usage};
 
 impl Bench<'_> {
-    /// What runs by itself: the watch, the decisions' timers, the sweeps of connections, the log.
+    /// The row with the CPU usage of an idle balancer: its watch, the timers of its decisions, the sweeps of its
+    /// connections and its log.
     fn timers(&self) -> Result<Vec<String>, CapacityError> {
         let upstreams = Upstreams::start(self.arguments.upstreams, 1, 0)?;
         let discovery =
@@ -33,7 +34,7 @@
         Ok(["0", "timers at rest", "-", "-", "-", "0", &tells].map(str::to_owned).to_vec())
     }
 
-    /// What the added latency is made of.
+    /// Measures the breakdown of the added latency at each rate.
     pub(super) fn made_of(&mut self, rates: &[f64]) -> Result<Results, CapacityError> {
         let mut rows = vec![self.timers()?];
         for &rate in rates {
@@ -54,7 +55,7 @@
         })
     }
 
-    /// A play for each thing that is changed, without the relay of bytes.
+    /// The rows of runs without the byte relay, each of which changes one thing in `plain`.
     fn variations(&mut self, plain: &Setup) -> Result<Vec<Vec<String>>, CapacityError> {
         let small = self.arguments.common.small;
         let mut rows = Vec::new();
@@ -75,15 +76,16 @@
     }
 }
 
-/// The heads of the table.
+/// Headings of the table.
 const COLUMNS: [&str; 7] =
     ["calls a second", "part", "50 in 100, us", "99 in 100, us", "99.9 in 100, us", "calls", "beside it"];
 
+/// Note below the table.
 const NOTE: &str = "One play each. Times count from when a call was to be sent. `added` is the quantile through the balancer \
     less that of direct calls in the same play. A relay of bytes is a thread of the rig that copies between \
     two sockets on the balancer's kind of runtime.";
 
-/// A row for each way of the calls of a play.
+/// The rows for each route of the calls of a run, and for the differences between them.
 fn ways_of(rate: f64, play: &Play) -> Vec<Vec<String>> {
     let row = |part: &str, times: &Times, beside: &str| {
         row_of(rate, part, QUANTILES.map(|q| times.us(q)), times.count(), beside)
@@ -116,7 +118,7 @@
     ]
 }
 
-/// What the relay of bytes and the balancer add to a direct call.
+/// The rows of the latency that the byte relay and the balancer add to a direct call.
 fn added_by_process(rate: f64, play: &Play) -> [Vec<String>; 2] {
     let relay_less_direct = QUANTILES.map(|q| play.relay.us(q) - play.direct.us(q));
     let costs = "what any process between costs here";
@@ -126,17 +128,18 @@
     ]
 }
 
-/// Microseconds that the balancer adds at each of [`QUANTILES`].
+/// Latency that the balancer adds at each of [`QUANTILES`], in microseconds.
 fn added(play: &Play) -> [f64; 3] {
     QUANTILES.map(|q| play.through.us(q) - play.direct.us(q))
 }
 
+/// A row of the table; `us` has the latencies at [`QUANTILES`], and `tells` is the text of the last column.
 fn row_of(rate: f64, part: &str, us: [f64; 3], calls: u64, tells: &str) -> Vec<String> {
     let [p50, p99, p999] = us.map(|us| format!("{us:.0}"));
     vec![format!("{rate:.0}"), part.to_owned(), p50, p99, p999, calls.to_string(), tells.to_owned()]
 }
 
-/// What the balancer used in a play.
+/// Text on the resources that the balancer used in a run.
 fn usage(play: &Play) -> String {
     let calls = play.through.count().max(1) as f64;
     format!(
--- a/crates/capacity/src/latency/placement.rs
+++ b/crates/capacity/src/latency/placement.rs
@@ -1,22 +1,22 @@
-//! Where the threads of a play run: on which cores of the machine.
+//! Placement of the threads of a run on the cores of the machine.
 
 use crate::CapacityError;
 use crate::world;
 
-/// Where threads run.
+/// Placement of the threads of a run on cores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Placement {
-    /// Where the system puts them.
+    /// The operating system chooses the cores of all threads.
     Anywhere,
-    /// The client on core 0, all else on the others.
+    /// The client has core 0 to itself; all other threads run on the other cores.
     Apart,
-    /// The same with the balancer alone on the last.
+    /// The client has core 0 and the balancer the last core to itself; all other threads run on the remaining cores.
     Alone,
 }
 
 impl Placement {
-    /// Binds this thread, and all that it starts apart from the client, to cores: the core of the balancer, where it has one
-    /// for itself. `placed_before` says whether an earlier play may have bound this thread.
+    /// Pins this thread, and so all that it starts except the client, to cores. Returns the core of the balancer if it
+    /// has one to itself. `placed_before` tells whether an earlier run may have pinned this thread.
     pub(super) fn place(self, cores: usize, placed_before: bool) -> Result<Option<usize>, CapacityError> {
         match self {
             Self::Anywhere if !placed_before => Ok(None),
@@ -27,5 +27,5 @@
     }
 }
 
-/// Cores that the placement needs: with fewer the client can't have one for itself.
+/// Minimum number of cores for a placement that gives the client a core to itself.
 pub(super) const CORES_LEAST: usize = 4;
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -1,4 +1,4 @@
-//! One play: calls directly and through a balancer side by side, and the times that each way gave.
+//! One run: sends calls directly and through a balancer side by side, and collects the latencies of each route.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread;
@@ -12,82 +12,100 @@
     Way,
 };
 
-/// Time between two changes.
+/// Time between two changes in the background.
 const CHANGE_EVERY: Duration = Duration::from_millis(100);
-/// The warm-up at the start of each play, whose calls do not count.
+/// Warm-up at the start of each run, whose calls are not counted.
 const WARM: Duration = Duration::from_millis(700);
-/// Connections of the client to each way that are open before the first call.
+/// Connections of the client on each route that are opened before the first call.
 const CLIENT_CONNECTIONS: usize = 256;
 
-/// How long a play counts: longer where calls are few.
+/// Duration of a run after its warm-up, which is longer at low rates, where there are fewer calls.
 fn span(rate: f64, small: bool) -> Duration {
     let calls = if small { 50.0 } else { 3000.0 };
     Duration::from_secs_f64((calls / rate).clamp(if small { 0.2 } else { 3.0 }, 7.0))
 }
 
-/// The quantiles that a table and a slope give.
+/// Quantiles for which the slopes and the breakdown have figures.
 pub(super) const QUANTILES: [f64; 3] = [0.5, 0.99, 0.999];
 
-/// One play.
+/// Parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Setup {
+    /// Calls a second on each route.
     pub(super) rate: f64,
+    /// Number of upstreams in the endpoint list.
     pub(super) upstreams: usize,
     pub(super) placement: Placement,
+    /// Whether calls are evenly spaced; otherwise their times are those of a Poisson process.
     pub(super) even: bool,
+    /// Whether calls are also sent through a byte relay.
     pub(super) relay: bool,
+    /// Changes that are made in the background.
     pub(super) changes: Option<Changes>,
 }
 
-/// What changes.
+/// Kind of the changes that are made in the background.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Changes {
+    /// An upstream of the endpoint list begins to drain, or returns.
     List,
+    /// A document of the configuration is published.
     Configuration,
 }
 
-/// What one play gave.
+/// Results of one run.
 pub(super) struct Play {
+    /// Latencies of direct calls.
     pub(super) direct: Times,
+    /// Latencies of calls through the balancer.
     pub(super) through: Times,
-    /// Through the relay of bytes, where one was played.
+    /// Latencies of calls through the byte relay; empty in a run without one.
     pub(super) relay: Times,
-    /// Through the balancer less direct, pair by pair; a pair whose direct call took longer counts as nothing.
+    /// By pair of calls: latency through the balancer less that of the direct call, or 0 if the direct call took
+    /// longer.
     pub(super) difference: Times,
-    /// Pairs whose direct call took longer.
+    /// Number of pairs whose direct call took longer.
     pub(super) inverted: usize,
-    /// How late calls were sent.
+    /// Delays of all calls from their scheduled time until they were sent.
     pub(super) late: Times,
+    /// Latencies of calls through the balancer that it sent on a reused upstream connection.
     pub(super) reused: Times,
+    /// Latencies of calls through the balancer that it sent on a new upstream connection.
     pub(super) new: Times,
+    /// Counts and resource usage of the run.
     pub(super) around: Around,
 }
 
-/// What happened beside the calls of a play.
+/// Counts and resource usage of a run, beside the latencies of its calls.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Around {
+    /// Outcomes of all calls, including those of the warm-up.
     pub(super) counts: Counts,
+    /// Resources that the balancer used after the warm-up.
     pub(super) used: Usage,
+    /// Duration of the run after the warm-up.
     pub(super) span: Duration,
-    /// Connections to upstreams.
+    /// Connections to upstreams that were opened after the warm-up.
     pub(super) opened: u64,
+    /// Number of changes made in the background.
     pub(super) changes: usize,
-    /// Ms of a core that the machine under this one took meanwhile, over all cores.
+    /// Steal time after the warm-up, in ms, summed over all cores.
     pub(super) stolen_ms: u64,
 }
 
-/// What a play runs beside its client. Fields are dropped in their order: the balancer ends before what it uses.
+/// Processes and stand-in servers of a run. Fields are dropped in order, so that the balancer ends before the servers
+/// that it uses.
 struct Servers {
     relay: Option<ByteRelay>,
     balancer: Balancer,
-    /// Where the configuration changes.
+    /// Present only in runs with changes of the configuration.
     distribution: Option<Distribution>,
     discovery: Discovery,
     upstreams: Upstreams,
 }
 
 impl Servers {
-    /// What has been used so far.
+    /// Reads the usage so far.
     fn mark(&self) -> Mark {
         Mark {
             stolen_ms: world::stolen_ms(),
@@ -97,26 +115,27 @@
     }
 }
 
-/// What had been used when the first call that counts was sent.
+/// Usage at the end of the warm-up, from which the usage of the run is counted.
 struct Mark {
-    /// Ms of a core that the machine under this one had taken, over all cores.
+    /// Steal time since boot, in ms, summed over all cores.
     stolen_ms: u64,
-    /// By the balancer.
+    /// Resources that the balancer had used.
     used: Result<Usage, CapacityError>,
-    /// Connections to upstreams.
+    /// Connections to upstreams that had been opened.
     opened: u64,
 }
 
-/// What happened beside the calls so far.
+/// State of the background activity while the client sends calls.
 struct Meanwhile {
+    /// Usage at the end of the warm-up, once that has been reached.
     mark: Option<Mark>,
-    /// Changes made.
+    /// Number of changes made so far.
     changes: usize,
-    /// The first failure of a change of the configuration.
+    /// Error of the first configuration change that failed.
     published: Result<(), CapacityError>,
 }
 
-/// What the calls of a play gave, with what happened beside them.
+/// Results of the calls of a run, and what was recorded in the background meanwhile.
 struct Run {
     played: Vec<Played>,
     mark: Mark,
@@ -124,6 +143,7 @@
 }
 
 impl Bench<'_> {
+    /// Parameters of a run at this rate, with the arguments of the command.
     pub(super) fn setup(&self, rate: f64) -> Setup {
         Setup {
             rate,
@@ -139,7 +159,7 @@
         }
     }
 
-    /// Plays calls directly and through a balancer at once, with fresh servers.
+    /// Starts new servers, and sends calls directly and through the balancer at the same time.
     pub(super) fn play(&mut self, setup: &Setup) -> Result<Play, CapacityError> {
         let warm = if self.arguments.common.small { WARM / 5 } else { WARM };
         let length = span(setup.rate, self.arguments.common.small) + warm;
@@ -162,7 +182,7 @@
         sort_out(&calls[first_counted..], &played[first_counted..], around)
     }
 
-    /// Starts what a play needs beside its client; what it starts inherits this thread's cores.
+    /// Starts the processes and stand-in servers of a run. They inherit the cores that this thread is pinned to.
     fn start_servers(
         &self,
         setup: &Setup,
@@ -189,7 +209,7 @@
         Ok(Servers { relay, balancer, distribution, discovery, upstreams })
     }
 
-    /// The ways that calls go, in the order of [`DIRECT`], [`THROUGH`] and [`RELAY`].
+    /// Routes of the calls, in the order of [`DIRECT`], [`THROUGH`] and [`RELAY`].
     fn ways(&self, servers: &Servers) -> Vec<Way> {
         let way = |targets| Way {
             targets,
@@ -202,7 +222,8 @@
         ways
     }
 
-    /// Sends the calls from a thread of their own, and meanwhile makes the changes and notes the start of what counts.
+    /// Sends the calls from a thread of their own. Meanwhile makes the changes, and records the usage at the end of the
+    /// warm-up.
     fn run(
         &self,
         setup: &Setup,
@@ -238,15 +259,15 @@
             }
             (client.join(), beside)
         });
-        let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
+        let played = played.map_err(|_| CapacityError::run("calling", "the client's thread panicked"))??;
         beside.published?;
         let Some(mark) = beside.mark else {
-            return Err(CapacityError::run("calling", "the play was over before its start"));
+            return Err(CapacityError::run("calling", "the run ended before its warm-up did"));
         };
         Ok(Run { played, mark, changes: beside.changes })
     }
 
-    /// Makes the next change; once one of the configuration has failed, none is published any more.
+    /// Makes the next change in the background. Once a configuration change has failed, no more are published.
     fn make_change(&self, kind: Changes, servers: &Servers, beside: &mut Meanwhile) {
         let number = beside.changes;
         match (kind, &servers.distribution) {
@@ -263,7 +284,7 @@
     }
 }
 
-/// The next change of the list: an upstream begins to drain, or comes back from its drain as a new process.
+/// Makes the next change of the endpoint list: an upstream begins to drain, or returns as a new process.
 fn change(upstreams: &Upstreams, discovery: &Discovery, number: usize) {
     let upstream = (number / 2) % upstreams.addresses.len();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -271,8 +292,9 @@
     discovery.change(upstream, upstreams.entry(upstream, status, since));
 }
 
+/// Computes the results of a run from its counted calls.
 fn sort_out(calls: &[Call], played: &[Played], around: Around) -> Result<Play, CapacityError> {
-    // A call without its own answer has no latency; how many there are is told beside it.
+    // A call without its own response has no latency; the counts tell how many there are.
     let right = || calls.iter().zip(played).filter(|(_, played)| played.is_right());
     let of = |way: usize| {
         Times::of(right().filter(|(call, _)| call.way == way).map(|(call, played)| played.latency(call)))
@@ -302,7 +324,9 @@
     })
 }
 
-/// The ways of calls.
+/// Index of the route of direct calls.
 const DIRECT: usize = 0;
+/// Index of the route of calls through the balancer.
 const THROUGH: usize = 1;
+/// Index of the route of calls through the byte relay.
 const RELAY: usize = 2;
--- a/crates/capacity/src/latency/slopes.rs
+++ b/crates/capacity/src/latency/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes of the latency that a balancer adds to a call, against the rate of calls.
+//! Slopes of the latency that a balancer adds to a call, by the rate of calls.
 
 use super::placement::Placement;
 use super::play::{Play, QUANTILES};
@@ -8,7 +8,7 @@
 use crate::world::Counts;
 
 impl Bench<'_> {
-    /// Added latency against the rate.
+    /// Measures the added latency at each rate.
     pub(super) fn slopes(&mut self, rates: &[f64]) -> Result<Vec<Slope>, CapacityError> {
         let plays = if self.arguments.common.small { 1 } else { self.arguments.plays };
         let mut points = Points::default();
@@ -21,7 +21,7 @@
         Ok(self.to_slopes(points, plays, &self.note(&rate_notes)))
     }
 
-    /// Plays one rate so many times.
+    /// Measures one rate in `plays` runs.
     fn play_rate(&mut self, rate: f64, plays: usize) -> Result<RatePlays, CapacityError> {
         let mut of_rate = RatePlays::default();
         for _ in 0..plays {
@@ -30,7 +30,7 @@
         Ok(of_rate)
     }
 
-    /// What a reader of the slopes must know, with what happened at each rate.
+    /// The note of the slopes: the conditions of the measurement, and the counts and resource usage at each rate.
     fn note(&self, rate_notes: &[String]) -> String {
         format!(
             "The quantile of calls through the balancer less the same quantile of calls that went directly in the same \
@@ -45,7 +45,7 @@
         )
     }
 
-    /// The slopes of the points; that of direct calls only where nothing goes on beside them.
+    /// The slopes of the points, including that of direct calls if there is no activity in the background.
     fn to_slopes(&self, points: Points, plays: usize, note: &str) -> Vec<Slope> {
         let (suffix, meanwhile) = match self.arguments.beside {
             Beside::List => ("_list", ", while an entry of the list drains or returns every 0.1 s"),
@@ -78,16 +78,17 @@
     }
 }
 
-/// The points of the slopes, in microseconds by calls a second.
+/// Points of the slopes: latencies in microseconds, by calls a second.
 #[derive(Default)]
 struct Points {
     /// Added latency at each of [`QUANTILES`].
     added: [Vec<Point>; 3],
-    /// Latency of direct calls at 99 in 100.
+    /// Latency of direct calls at the 99th percentile.
     direct_p99: Vec<Point>,
 }
 
 impl Points {
+    /// Adds the points of one rate.
     fn add(&mut self, rate: f64, plays: RatePlays) {
         for (points, plays) in self.added.iter_mut().zip(plays.added) {
             points.extend(Point::of(rate, plays));
@@ -96,27 +97,27 @@
     }
 }
 
-/// What the plays of one rate gave.
+/// Results of all runs of one rate.
 #[derive(Default)]
 struct RatePlays {
-    /// Microseconds that the balancer added at each of [`QUANTILES`], by play.
+    /// By quantile of [`QUANTILES`] and run: latency that the balancer added, in microseconds.
     added: [Vec<f64>; 3],
-    /// Microseconds of direct calls at 99 in 100, by play.
+    /// By run: latency of direct calls at the 99th percentile, in microseconds.
     direct_p99: Vec<f64>,
-    /// Over all plays.
+    /// Outcomes of the calls of all runs.
     counts: Counts,
-    /// Changes over all plays.
+    /// Number of background changes in all runs.
     changes: usize,
-    /// Part of a core that the balancer used, as the mean of the plays.
+    /// Number of cores that the balancer used, averaged over the runs.
     busy_cores: f64,
-    /// Cores that the machine under this one took, as the mean of the plays.
+    /// Steal time as a number of cores, averaged over the runs.
     stolen_cores: f64,
-    /// Microseconds after their time within which 99 in 100 calls were sent, in the worst play.
+    /// Delay from the scheduled time until a call was sent, at the 99th percentile of the worst run, in microseconds.
     sent_late_us: f64,
 }
 
 impl RatePlays {
-    /// Adds one of so many plays.
+    /// Adds the results of one of `plays` runs.
     fn add(&mut self, play: &Play, plays: f64) {
         let around = &play.around;
         for (added, quantile) in self.added.iter_mut().zip(QUANTILES) {
@@ -130,6 +131,7 @@
         self.sent_late_us = self.sent_late_us.max(play.late.us(0.99));
     }
 
+    /// The sentence of the slopes' note on this rate.
     fn note(&self, rate: f64) -> String {
         let Self { counts, changes, busy_cores, stolen_cores, sent_late_us, .. } = self;
         format!(
