--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -1,4 +1,4 @@
-//! The `real` command: real balancers under load, through changes of the endpoint list and of the configuration.
+//! The `real` command: runs real balancer processes under load while the endpoint list and the configuration change.
 
 use std::thread;
 use std::time::Duration;
@@ -17,63 +17,65 @@
 mod outcome;
 mod play;
 
-/// What changes.
+/// Kind of the changes that are made during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum What {
-    /// An upstream begins to drain, or comes back.
+    /// Changes of the endpoint list: an upstream begins to drain, or returns.
     List,
-    /// A document of the configuration.
+    /// Changes of the configuration: a document is published.
     Configuration,
-    /// One after the other.
+    /// A run with changes of the endpoint list, then one with changes of the configuration.
     Both,
 }
 
-/// Real balancers through changes of the list and of configuration, under load.
+/// Runs real balancers under load while the endpoint list and the configuration change.
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
     common: Common,
-    /// What changes.
+    /// Kind of the changes that are made.
     #[arg(long, value_enum, default_value_t = What::Both)]
     what: What,
-    /// Balancers.
+    /// Number of balancers.
     #[arg(long, default_value_t = 30)]
     balancers: usize,
-    /// Changes of each kind, in blocks of ten with as long a time without any before each.
+    /// Number of changes of each kind. They are made in blocks of ten; before each block, a time of the same length
+    /// passes without changes.
     #[arg(long, default_value_t = 50)]
     changes: usize,
-    /// Time between two changes, in seconds; without it 0.3 for the list, and for configuration that of the plan's
+    /// Time between two changes, in seconds; by default 0.3 for the list, and for the configuration that of the plan's
     /// busiest minute.
     #[arg(long)]
     every: Option<f64>,
-    /// Calls a second through each balancer; without it the mean, where the plan's calls are those over all hops.
+    /// Calls a second through each balancer; by default the mean rate in the reading in which the plan's calls are those
+    /// over all hops.
     #[arg(long)]
     rate: Option<f64>,
-    /// Upstreams in the list.
+    /// Number of upstreams in the endpoint list.
     #[arg(long, default_value_t = 60)]
     upstreams: usize,
-    /// Let the system choose cores for all threads. Without it the caller's thread, which spins, has core 0 for
+    /// Let the system choose cores for all threads. By default the client's thread, which spins, has core 0 to
     /// itself.
     #[arg(long)]
     anywhere: bool,
 }
 
-/// Changes of one block.
+/// Number of changes of one block.
 const BLOCK: usize = 10;
 /// The highest rate, in calls a second: the client's single thread sustains no more.
 const MAX_RATE: f64 = 5000.0;
 /// Time between two changes of the list, in seconds.
 const LIST_EVERY_S: f64 = 0.3;
-/// Balancers of a small play.
+/// Number of balancers in a small run.
 const BALANCERS_SMALL: usize = 3;
-/// Time between two changes of a small play, in seconds.
+/// Time between two changes in a small run, in seconds.
 const EVERY_SMALL_S: f64 = 0.03;
 
-/// Runs the command: plays the changes and writes the table of results.
+/// Runs the command: makes the changes under load, and writes the table of results.
 ///
 /// # Errors
-/// An argument is out of range or a play fails; also, after the table is written, where a call was lost, had a wrong
-/// response, or ran twice though it must not.
+/// An argument is out of range, or a run fails. Also, after the table is written, if a call was lost, had a wrong
+/// response, or ran more than once although it must not.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let size = Size::of(arguments, plan)?;
     let (_, results) = arguments.common.folders()?;
@@ -103,14 +105,16 @@
     Ok(())
 }
 
-/// The size of a play.
+/// Size of a run.
 #[derive(Clone, Copy)]
 struct Size {
+    /// Number of balancers.
     balancers: usize,
+    /// Number of changes.
     changes: usize,
-    /// Calls a second over all balancers.
+    /// Calls a second through all balancers together.
     rate: f64,
-    /// Cores of the machine, counted before a thread is pinned to some of them.
+    /// Number of cores of the machine, which is counted before any thread is pinned.
     cores: usize,
 }
 
@@ -141,14 +145,14 @@
         }
         let cores = thread::available_parallelism().map_or(1, usize::from);
         if cores < 2 && !arguments.anywhere && !small {
-            return wrong("anywhere", "needed with one core".to_owned());
+            return wrong("anywhere", "required on a machine with one core".to_owned());
         }
         let changes = if small { BLOCK.min(arguments.changes) } else { arguments.changes };
         Ok(Self { balancers, changes, rate, cores })
     }
 }
 
-/// The time between two changes.
+/// Time between two changes of this kind, from the arguments or by default.
 fn interval(arguments: &Arguments, plan: &Plan, what: What) -> Duration {
     let usual_s =
         if what == What::List { LIST_EVERY_S } else { 60.0 / plan.configuration.peak_per_minute.value };
@@ -156,6 +160,7 @@
     Duration::from_secs_f64(if small { EVERY_SMALL_S } else { arguments.every.unwrap_or(usual_s) })
 }
 
+/// The table of results, with one row for each kind of changes.
 fn table(arguments: &Arguments, size: &Size, rows: Vec<Vec<String>>) -> Results {
     let Size { balancers, changes, rate, .. } = size;
     Results {
--- a/crates/capacity/src/real/in_force.rs
+++ b/crates/capacity/src/real/in_force.rs
@@ -1,33 +1,35 @@
-//! Reports, in the logs of real balancers, that a version is in force.
+//! Reports that a configuration version is in force, read from the logs of real balancers.
 
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
 use super::play::Published;
 
-/// How long the reports are waited for after the last change.
+/// Time for which reports are awaited after the last change.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A balancer's report that a version of a scope is in force.
+/// A balancer's report that a version of a scope's document is in force.
 pub(super) struct InForce {
+    /// Number of the balancer.
     pub(super) balancer: usize,
     pub(super) scope: String,
     pub(super) version: u64,
+    /// Time at which the log line was read.
     pub(super) at: Instant,
 }
 
-/// Parses the lines of a balancer's log, and sends the reports in them.
+/// A callback for the lines of a balancer's log, which parses them and sends the reports in them.
 pub(super) fn reporter(balancer: usize, sender: mpsc::Sender<InForce>) -> impl Fn(&str) {
     move |line| {
         for (scope, version) in in_force(line) {
             let at = Instant::now();
-            // Once the play has ended, nobody wants to know.
+            // The receiver is dropped when the run has ended.
             let _ = sender.send(InForce { balancer, scope, version, at });
         }
     }
 }
 
-/// The scopes and versions in force, by a line of a balancer's log.
+/// Scopes and versions in force that a line of a balancer's log reports; empty for any other line.
 fn in_force(line: &str) -> Vec<(String, u64)> {
     let Some((_, list)) = line.split_once("in force over the file's own settings: ") else {
         return Vec::new();
@@ -39,7 +41,8 @@
     list.split(',').filter_map(read).collect()
 }
 
-/// Collects the reports of all balancers, until each has reported the last change of each scope or the time is over.
+/// Collects the reports of all balancers, until each has reported the last change of each scope or
+/// [`REPORT_TIMEOUT`] has passed.
 pub(super) fn collect_reports(
     reports: &mpsc::Receiver<InForce>,
     published: &[Published],
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a play of real balancers, as a row of the results.
+//! The outcome of a run of real balancers, as a row of the table of results.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use crate::CapacityError;
 use crate::world::{Call, Counts, Played, Times};
 
-/// The headings of the columns.
+/// Column headings of the table of results.
 pub(super) const COLUMNS: [&str; 18] = [
     "changes of",
     "balancers",
@@ -29,16 +29,18 @@
     "added p99 by block without changes, us",
 ];
 
-/// The outcome of a play.
+/// Outcome of a run.
 pub(super) struct Outcome {
     pub(super) calls: Vec<Call>,
+    /// Results of the calls, in the order of `calls`.
     pub(super) played: Vec<Played>,
     pub(super) counts: Counts,
-    /// By change, from its publication until it was in force at the last balancer.
+    /// By change: time from its publication until it was in force at the last balancer.
     pub(super) in_force: Vec<Duration>,
 }
 
 impl Outcome {
+    /// The row of the table of results, in the order of [`COLUMNS`].
     pub(super) fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, CapacityError> {
         let times = |through: bool, wanted: &dyn Fn(usize) -> bool| {
             let own = self.calls.iter().zip(&self.played).filter(|(call, played)| {
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -1,4 +1,4 @@
-//! One play of real balancers: its processes, its calls and its changes.
+//! One run of real balancers: its processes, its calls and its changes.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -15,56 +15,64 @@
 use crate::plan::Plan;
 use crate::world::{self, Balancer, Call, Counts, Discovery, Distribution, Played, Upstreams, Way};
 
-/// Stand-in upstreams of direct calls.
+/// Number of stand-in upstreams that receive direct calls only.
 const DIRECT: usize = 8;
-/// Connections of direct calls that are opened before the first call.
+/// Connections for direct calls that are opened before the first call.
 const DIRECT_CONNECTIONS: usize = 64;
 /// Connections to each balancer that are opened before the first call.
 const CONNECTIONS_PER_BALANCER: usize = 8;
 
+/// Parameters of one run.
 pub(super) struct Setup<'a> {
     pub(super) arguments: &'a Arguments,
     pub(super) plan: &'a Plan,
     pub(super) size: Size,
+    /// Kind of the changes that are made.
     pub(super) what: What,
+    /// Time between two changes.
     pub(super) every: Duration,
 }
 
-/// The processes and stand-ins of a play; the balancers end first.
+/// Processes and stand-in servers of a run. Fields are dropped in order, so that the balancers end first.
 struct Running {
     balancers: Vec<Balancer>,
+    /// Present only in runs with changes of the configuration.
     distribution: Option<Distribution>,
     discovery: Discovery,
     upstreams: Upstreams,
-    /// Reports, from the balancers' logs, of what is in force.
+    /// Reports in the balancers' logs of configuration versions in force.
     reports: mpsc::Receiver<InForce>,
 }
 
-/// The changes of a play.
+/// Changes that were made during a run.
 struct Changes {
-    /// Those of configuration.
+    /// Published changes of the configuration.
     published: Vec<Published>,
-    /// How long each drain took to be in force.
+    /// By drain: time from its publication until the last call reached the draining upstream.
     drained: Vec<Duration>,
 }
 
-/// A change that was published.
+/// A published change of the configuration.
 pub(super) struct Published {
     pub(super) scope: &'static str,
     pub(super) version: u64,
+    /// Time just before the change was sent to the origin.
     pub(super) at: Instant,
 }
 
 impl Setup<'_> {
-    /// The block that a time lies in; changes are made in every other one, beginning with the second.
+    /// Index of the block that contains the time `at` since the start of the run. Changes are made in every other block,
+    /// beginning with the second.
     pub(super) fn block(&self, at: Duration) -> usize {
         (at.as_secs_f64() / self.every.as_secs_f64() / BLOCK as f64) as usize
     }
 
+    /// Duration of the run: as many blocks without changes as with them.
     fn length(&self) -> Duration {
         self.every * (2 * BLOCK * self.size.changes.div_ceil(BLOCK)) as u32
     }
 
+    /// Starts the processes, sends the calls while the changes are made, and collects the results.
     pub(super) fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
         let program = self.arguments.common.program(world::BALANCER)?;
         if self.is_apart() {
@@ -85,12 +93,12 @@
         Ok(Outcome { calls, played, counts, in_force })
     }
 
-    /// Whether the client's thread has a core for itself.
+    /// Whether the client's thread has a core to itself.
     fn is_apart(&self) -> bool {
         !self.arguments.anywhere && !self.arguments.common.small
     }
 
-    /// Pairs of a direct call and one through a drawn balancer.
+    /// Draws pairs of a direct call and a call through a random balancer.
     fn draw_calls(&self, rng: &mut Rand64) -> Vec<Call> {
         let mut calls = world::paired(rng, 2, self.size.rate, self.length(), false);
         for call in calls.iter_mut().filter(|call| call.way > 0) {
@@ -99,9 +107,10 @@
         calls
     }
 
-    /// Starts everything that the calls need.
+    /// Starts the processes and stand-in servers for this number of calls.
     fn start(&self, program: &Path, calls: usize) -> Result<Running, CapacityError> {
-        // Direct calls go to some that no list has, so that a call to one that drains is a balancer's.
+        // Direct calls go to upstreams that are not in the list, so that any call which reaches a draining upstream was
+        // sent by a balancer.
         let listed = self.arguments.upstreams;
         let upstreams = Upstreams::start(listed + DIRECT, 2, calls)?;
         let entries = &upstreams.entries()[..listed];
@@ -130,7 +139,7 @@
         Ok(Running { balancers, distribution, discovery, upstreams, reports })
     }
 
-    /// The way of direct calls, then that of each balancer.
+    /// Routes of the calls: the direct one, then one through each balancer.
     fn ways(&self, running: &Running) -> Vec<Way> {
         let way = |targets, warm| Way {
             targets,
@@ -146,7 +155,7 @@
         ways
     }
 
-    /// Makes the calls on a thread of their own, and the changes meanwhile.
+    /// Sends the calls from a thread of their own, and makes the changes meanwhile.
     fn call_through_changes(
         &self,
         running: &Running,
@@ -165,13 +174,13 @@
                 played
             });
             let changes = self.make_changes(zero, &over, running);
-            let ended = |_| CapacityError::run("calling", "the caller's thread ended");
+            let ended = |_| CapacityError::run("calling", "the client's thread panicked");
             let played = client.join().map_err(ended)??;
             Ok((played, changes?))
         })
     }
 
-    /// Makes the changes at their times.
+    /// Makes each change at its scheduled time, or at once when the calls are over.
     fn make_changes(
         &self,
         zero: Instant,
@@ -182,7 +191,7 @@
         let (mut published, mut drained) = (Vec::new(), Vec::new());
         let mut drains: Option<(usize, Instant)> = None;
         for number in 0..self.size.changes {
-            // The first block of each two is without.
+            // The first of every two blocks is without changes.
             let slot = number / BLOCK * 2 * BLOCK + BLOCK + number % BLOCK;
             let at = zero + self.every * slot as u32;
             while Instant::now() < at && !over.load(Ordering::Acquire) {
@@ -207,7 +216,8 @@
         Ok(Changes { published, drained })
     }
 
-    /// When a change was in force at the last balancer: that version, or a later one of its scope.
+    /// Time from the publication of a change until this version, or a later one of its scope, was in force at the last
+    /// balancer.
     fn time_to_last(&self, change: &Published, reports: &[InForce]) -> Result<Duration, CapacityError> {
         let mut last = Duration::ZERO;
         for balancer in 0..self.size.balancers {
@@ -218,7 +228,7 @@
             });
             let Some(report) = report else {
                 let cause =
-                    format!("{} {} never came to be in force at b{balancer}", change.scope, change.version);
+                    format!("{} {} did not come into force at b{balancer}", change.scope, change.version);
                 return Err(CapacityError::run("changes of configuration", cause));
             };
             last = last.max(report.at.saturating_duration_since(change.at));
