--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -235,9 +235,7 @@
         match serde_json::from_str::<Update>(body.trim()) {
             Ok(update) if status == 200 && update.index == index => return Ok(bytes as u64),
             _ if Instant::now() < until => thread::sleep(Duration::from_millis(10)),
-            _ => {
-                return Err(CapacityError::run(&place, format!("unexpected response with status {status}")));
-            }
+            _ => return Err(CapacityError::run(&place, format!("responded with {status}"))),
         }
     }
 }
--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -51,8 +51,8 @@
     #[arg(long, default_value_t = 60)]
     upstreams: usize,
     /// Let the system choose cores for all threads. By default the client's thread, which spins, has core 0 to itself,
-    /// and all other threads have the other cores (by `taskset`). Otherwise a thread that the client wakes up may be put
-    /// on the client's core, where it waits until the next tick of the system.
+    /// and all other threads have the other cores (by `taskset`). Otherwise a thread that the client wakes up may be
+    /// put on the client's core, where it waits until the next tick of the system.
     #[arg(long)]
     anywhere: bool,
 }
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -47,8 +47,8 @@
     /// busiest minute.
     #[arg(long)]
     every: Option<f64>,
-    /// Calls a second through each balancer; by default the mean rate in the reading in which the plan's calls are those
-    /// over all hops.
+    /// Calls a second through each balancer; by default the mean rate in the reading in which the plan's calls are
+    /// those over all hops.
     #[arg(long)]
     rate: Option<f64>,
     /// Number of upstreams in the endpoint list.
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -61,8 +61,8 @@
 }
 
 impl Setup<'_> {
-    /// Index of the block that contains the time `at` since the start of the run. Changes are made in every other block,
-    /// beginning with the second.
+    /// Index of the block that contains the time `at` since the start of the run. Changes are made in every other
+    /// block, beginning with the second.
     pub(super) fn block(&self, at: Duration) -> usize {
         (at.as_secs_f64() / self.every.as_secs_f64() / BLOCK as f64) as usize
     }
--- a/crates/capacity/src/world/child.rs
+++ b/crates/capacity/src/world/child.rs
@@ -79,7 +79,7 @@
     /// Starts a program, and waits until a line of its output contains `listen` and ends with ` on ` and an address.
     ///
     /// # Errors
-    /// The program does not start, or does not report an address within [`START_TIMEOUT`].
+    /// The program does not start, or exits or takes longer than [`START_TIMEOUT`] before it reports an address.
     pub(super) fn listening(
         command: Command,
         file: Option<PathBuf>,
@@ -105,7 +105,7 @@
             Ok((address, at)) => Ok(Listening { process, address, at }),
             Err(_) => Err(CapacityError::run(
                 place,
-                format!("it did not listen in time; its log: {}", process.last_words()),
+                format!("it reported no address; its log: {}", process.last_words()),
             )),
         }
     }
