--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -169,7 +169,7 @@
         self.write(PART, &all.client_kb, CLIENT_MEMORY)
     }
 
-    /// Measures one number of clients while nothing changes, in all runs.
+    /// Measures this number of clients while nothing changes, in all runs.
     fn play_list_watchers(&self, watchers: usize, all: &mut IdleSamples) -> Result<(), CapacityError> {
         let own_memory_kb_before = own_memory_kb();
         let server = self.server(self.sizes[0])?;
--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// An error that names an argument and the values that it accepts.
+/// Returns an error that names an argument and the values that it accepts.
 fn invalid_argument<T>(name: &'static str, expected: impl Into<String>) -> Result<T, CapacityError> {
     Err(CapacityError::Argument { name, expected: expected.into() })
 }
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -72,11 +72,11 @@
     pub(super) reused: DurationHistogram,
     /// Latencies of calls through the balancer that it sent on a new upstream connection.
     pub(super) new: DurationHistogram,
-    /// Counts and resource usage of the run.
+    /// Outcomes of the calls and resource usage of the run.
     pub(super) stats: RunStats,
 }
 
-/// Counts and resource usage of a run, beside the latencies of its calls.
+/// Counts and resource usage of a run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunStats {
     /// Outcomes of all calls, including those of the warm-up.
--- a/crates/capacity/src/world/call.rs
+++ b/crates/capacity/src/world/call.rs
@@ -89,9 +89,9 @@
     }
 }
 
-/// Draws the schedule of calls with a mean of `rate` calls per second on each of `ways` routes. The calls of the first
-/// route are sent at the times of a Poisson process, or at equal intervals if `even` is set; those of each other route
-/// are sent a random offset earlier or later, and independent offsets of a Poisson process give a Poisson process.
+/// Draws the schedule of calls, with a mean of `rate` calls per second on each route. The calls of the first route are
+/// sent at the times of a Poisson process, or at equal intervals if `even` is set. Those of each other route are sent a
+/// random offset earlier or later; a Poisson process with independent random offsets remains a Poisson process.
 #[must_use]
 pub fn paired(rng: &mut Rand64, ways: usize, rate: f64, span: Duration, even: bool) -> Vec<Call> {
     let (mut at, mut calls) = (0.0, Vec::new());
