--- a/crates/capacity/src/control/configuration.rs
+++ b/crates/capacity/src/control/configuration.rs
@@ -119,7 +119,7 @@
     pub(super) fn configuration(&self) -> Result<(), CapacityError> {
         let mut all = Measured::default();
         for &watchers in &self.sizes {
-            RelayMeasurement::start(self, watchers)?.play(&mut all)?;
+            RelayMeasurement::start(self, watchers)?.run(&mut all)?;
         }
         self.write_rest(&all)?;
         self.write_changes(&all)?;
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -50,7 +50,7 @@
     }
 
     /// Publishes all documents, then measures balancers at rest and through changes.
-    pub(super) fn play(mut self, all: &mut Measured) -> Result<(), CapacityError> {
+    pub(super) fn run(mut self, all: &mut Measured) -> Result<(), CapacityError> {
         self.publish_first()?;
         if self.watchers == self.rig.sizes[self.rig.sizes.len() - 1] {
             self.measure_catch_up(all)?;
@@ -103,8 +103,8 @@
         Ok(())
     }
 
-    /// Waits until all balancers have the newest version of each scope; `timeout_message` is the error if they do not in
-    /// time.
+    /// Waits until all balancers have the newest version of each scope; `timeout_message` is the error if they do not
+    /// within [`TIMEOUT`].
     fn wait_for_newest(&self, swarm: &mut Swarm, timeout_message: &str) -> Result<(), CapacityError> {
         if swarm.receive_until(TIMEOUT, |swarm| swarm.missing(&self.newest) == 0)? {
             return Ok(());
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -118,8 +118,8 @@
     /// Measures one client of the list at a time: the bytes of a snapshot and of a catch-up, and the CPU time to apply
     /// a snapshot and a change.
     pub(super) fn lists(&self) -> Result<(), CapacityError> {
-        let one = self.play_list_clients()?;
-        let catch_up = self.play_list_catch_up()?;
+        let one = self.measure_list_clients()?;
+        let catch_up = self.measure_list_catch_up()?;
         self.write(PART, &one.whole_bytes, WHOLE_BYTES)?;
         self.write(PART, &catch_up, CATCH_UP_BYTES)?;
         self.write(PART, &one.whole_us, WHOLE_TIME)?;
@@ -127,14 +127,14 @@
     }
 
     /// Measures one client with lists of all sizes.
-    fn play_list_clients(&self) -> Result<ClientSamples, CapacityError> {
+    fn measure_list_clients(&self) -> Result<ClientSamples, CapacityError> {
         let mut all = ClientSamples::default();
         let turns = if self.window < Duration::from_secs(1) { TURNS_SMALL } else { TURNS };
         for &size in &self.sizes {
             let server = self.server(size)?;
-            for play in 0..self.plays {
-                let seed = self.seed + play as u64;
-                let costs = Client { plan: self.plan, server: &server, seed }.play(turns)?;
+            for run in 0..self.plays {
+                let seed = self.seed + run as u64;
+                let costs = Client { plan: self.plan, server: &server, seed }.run(turns)?;
                 all.whole_bytes.add(size, costs.whole_bytes);
                 all.whole_us.add(size, costs.whole_us);
                 all.change_us.add(size, costs.change_us);
@@ -144,7 +144,7 @@
     }
 
     /// Measures the bytes of a watch that reconnects after it has missed changes.
-    fn play_list_catch_up(&self) -> Result<Samples, CapacityError> {
+    fn measure_list_catch_up(&self) -> Result<Samples, CapacityError> {
         let mut catch_up = Samples::default();
         let largest = self.sizes[self.sizes.len() - 1];
         let server = self.server(largest)?;
@@ -160,7 +160,7 @@
     pub(super) fn list_watchers(&self) -> Result<(), CapacityError> {
         let mut all = IdleSamples::default();
         for &watchers in &self.sizes {
-            self.play_list_watchers(watchers, &mut all)?;
+            self.measure_list_watchers(watchers, &mut all)?;
         }
         self.write(PART, &all.bytes, REST_BYTES)?;
         self.write(PART, &all.server_core, SERVER_CORE)?;
@@ -170,7 +170,7 @@
     }
 
     /// Measures this number of clients while nothing changes, in all runs.
-    fn play_list_watchers(&self, watchers: usize, all: &mut IdleSamples) -> Result<(), CapacityError> {
+    fn measure_list_watchers(&self, watchers: usize, all: &mut IdleSamples) -> Result<(), CapacityError> {
         let own_memory_kb_before = own_memory_kb();
         let server = self.server(self.sizes[0])?;
         let mut swarm = self.swarm(watchers, Some(server.address), &|_, _| Vec::new())?;
@@ -179,14 +179,14 @@
         }
         swarm.receive_for(self.window / 6)?;
         for _ in 0..self.plays {
-            self.play_list_rest(watchers, &server, &mut swarm, all)?;
+            self.measure_list_rest(watchers, &server, &mut swarm, all)?;
             all.server_kb.add(watchers, own_memory_kb().saturating_sub(own_memory_kb_before) as f64);
         }
         Ok(())
     }
 
     /// Measures bytes, CPU time and memory of the server and its clients over one window without changes.
-    fn play_list_rest(
+    fn measure_list_rest(
         &self,
         watchers: usize,
         server: &ListServer,
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -29,7 +29,7 @@
 
 impl Client<'_> {
     /// Lets the client receive its first list, then `count` snapshots and `count` changes, and measures their cost.
-    pub(super) fn play(&self, count: u32) -> Result<Costs, CapacityError> {
+    pub(super) fn run(&self, count: u32) -> Result<Costs, CapacityError> {
         let place = "a client of the list";
         let zones = zone_names(self.plan);
         let hollow = Hollow {
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -47,8 +47,8 @@
 }
 
 /// Sends calls at their scheduled times, independent of the responses to earlier calls, each on an idle connection or
-/// on a new one. Scheduled times count from `start_time`. The thread spins, so that the measured latencies do not include
-/// its own wake-up. `progress` counts the calls that were sent.
+/// on a new one. Scheduled times count from `start_time`. The thread spins, so that the measured latencies do not
+/// include its own wake-up. `progress` counts the calls that were sent.
 ///
 /// # Errors
 /// A connection that is to be opened before the first call cannot be opened.
