--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -1,94 +1,94 @@
-//! Slopes of watches of the list.
+//! Slopes of the cost of watches of the endpoint list.
 
 use std::time::{Duration, Instant};
 
 use super::TIMEOUT;
-use super::list_client::{Client, first_line};
-use super::rig::{About, Plays, Rig};
+use super::list_client::{Client, catch_up_bytes};
+use super::rig::{Rig, Samples, SlopeInfo};
 use crate::CapacityError;
 use crate::sockets::list::ListServer;
 use crate::sockets::machine;
 use crate::sockets::swarm::Swarm;
 
-/// The part of the command that measures the list.
+/// Value of `--part` that measures watches of the endpoint list.
 const PART: &str = "list";
-/// Turns of one client, each a whole list or a change, over which its processor time is the mean.
+/// Number of snapshots, and of changes, that one client receives, over which its CPU time is averaged.
 const TURNS: u32 = 20;
-/// Turns of one client in a small run.
+/// Like [`TURNS`], in a small run.
 const TURNS_SMALL: u32 = 2;
-/// Changes that a watch has missed when it reconnects.
+/// Numbers of changes that a watch has missed when it reconnects, each measured once.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
-/// What a reader of the bytes of one watch must know.
+/// Note of the slopes of the bytes of one watch.
 const BYTES_NOTE: &str = "Payload of the connection both ways, heads of HTTP included, those of TCP/IP not. The server is a \
      stand-in in the platform's form: the platform's own may write other heads, chunks and entries.";
-/// What a reader of the processor time of one client must know.
+/// Note of the slopes of the CPU time of one client.
 const CLIENT_TIME_NOTE: &str = "Processor time of the client's thread with the decisions, from the socket on, less that of the same \
      time at rest; one list or change every 30 ms.";
-/// What a reader of the figures of the connections and the server must know.
+/// Note of the slopes of the connections and of the server while nothing changes.
 const AT_REST_NOTE: &str = "An empty line every 2 s to each watch, 6 bytes as a chunk; heads of TCP/IP (some 100 bytes a beat with the \
      acknowledgement) are not counted. The server is a stand-in: the platform's own is not told by it.";
-/// What a reader of the figures of the clients must know.
+/// Note of the slopes of many clients while nothing changes.
 const CLIENTS_NOTE: &str = "Each client is the balancer's own with its decisions, a hundred to a process, and a list of a \
      nineteenth of the fleet; with the sweeps of the decisions, the line of the log, and the part of the process.";
 
-const WHOLE_BYTES: About = About {
+const WHOLE_BYTES: SlopeInfo = SlopeInfo {
     name: "control.list_whole_bytes_by_upstreams",
     what: "bytes of a watch of the list from its asking to the whole list",
     x: "upstreams in the list",
     y: "bytes",
     note: BYTES_NOTE,
 };
-const CATCH_UP_BYTES: About = About {
+const CATCH_UP_BYTES: SlopeInfo = SlopeInfo {
     name: "control.list_change_bytes_by_changes",
     what: "bytes of a watch of the list that asks from where it stood, to the changes that it missed",
     x: "changes missed, each of another upstream",
     y: "bytes",
     note: BYTES_NOTE,
 };
-const WHOLE_TIME: About = About {
+const WHOLE_TIME: SlopeInfo = SlopeInfo {
     name: "control.list_client_us_by_upstreams",
     what: "processor time of a balancer to take in a whole list that comes on its watch",
     x: "upstreams in the list",
     y: "us",
     note: CLIENT_TIME_NOTE,
 };
-const CHANGE_TIME: About = About {
+const CHANGE_TIME: SlopeInfo = SlopeInfo {
     name: "control.list_client_change_us_by_upstreams",
     what: "processor time of a balancer to take in a change of one upstream",
     x: "upstreams in the list",
     y: "us",
     note: CLIENT_TIME_NOTE,
 };
-const REST_BYTES: About = About {
+const REST_BYTES: SlopeInfo = SlopeInfo {
     name: "control.list_rest_bytes_per_s_by_watchers",
     what: "bytes a second of all watches of the list together while nothing changes",
     x: "watches of the list",
     y: "bytes/s",
     note: AT_REST_NOTE,
 };
-const SERVER_CORE: About = About {
+const SERVER_CORE: SlopeInfo = SlopeInfo {
     name: "control.list_server_core_by_watchers",
     what: "share of a core of the stand-in list server while nothing changes",
     x: "watches of the list",
     y: "core",
     note: AT_REST_NOTE,
 };
-const SERVER_MEMORY: About = About {
+const SERVER_MEMORY: SlopeInfo = SlopeInfo {
     name: "control.list_server_kb_by_watchers",
     what: "memory that the stand-in list server grows by",
     x: "watches of the list",
     y: "KiB",
     note: AT_REST_NOTE,
 };
-const CLIENT_CORE: About = About {
+const CLIENT_CORE: SlopeInfo = SlopeInfo {
     name: "control.list_client_core_by_watchers",
     what: "share of a core of all clients of the list together while nothing changes",
     x: "watches of the list",
     y: "core",
     note: CLIENTS_NOTE,
 };
-const CLIENT_MEMORY: About = About {
+const CLIENT_MEMORY: SlopeInfo = SlopeInfo {
     name: "control.list_client_kb_by_watchers",
     what: "memory of all clients of the list together",
     x: "watches of the list",
@@ -96,43 +96,45 @@
     note: CLIENTS_NOTE,
 };
 
-/// What one client of the list costs.
+/// Samples of the cost of one client of the endpoint list, by list size.
 #[derive(Default)]
-struct ClientPlays {
-    whole_bytes: Plays,
-    whole_us: Plays,
-    change_us: Plays,
+struct ClientSamples {
+    whole_bytes: Samples,
+    whole_us: Samples,
+    change_us: Samples,
 }
 
-/// What many clients of the list cost at rest.
+/// Samples of the cost of many clients of the endpoint list while nothing changes, by number of watches.
 #[derive(Default)]
-struct RestPlays {
-    bytes: Plays,
-    server_core: Plays,
-    server_kb: Plays,
-    client_core: Plays,
-    client_kb: Plays,
+struct IdleSamples {
+    bytes: Samples,
+    server_core: Samples,
+    server_kb: Samples,
+    client_core: Samples,
+    client_kb: Samples,
 }
 
 impl Rig<'_> {
-    /// One client of the list at a time: bytes of a whole list and of a catch-up, processor time to take them in.
+    /// Measures one client of the list at a time: the bytes of a snapshot and of a catch-up, and the CPU time to apply
+    /// a snapshot and a change.
     pub(super) fn lists(&self) -> Result<(), CapacityError> {
-        let one = self.play_list_clients()?;
-        let catch_up = self.play_list_catch_up()?;
+        let one = self.measure_list_clients()?;
+        let catch_up = self.measure_list_catch_up()?;
         self.write(PART, &one.whole_bytes, WHOLE_BYTES)?;
         self.write(PART, &catch_up, CATCH_UP_BYTES)?;
         self.write(PART, &one.whole_us, WHOLE_TIME)?;
         self.write(PART, &one.change_us, CHANGE_TIME)
     }
 
-    fn play_list_clients(&self) -> Result<ClientPlays, CapacityError> {
-        let mut all = ClientPlays::default();
+    /// Measures one client with lists of all sizes.
+    fn measure_list_clients(&self) -> Result<ClientSamples, CapacityError> {
+        let mut all = ClientSamples::default();
         let turns = if self.window < Duration::from_secs(1) { TURNS_SMALL } else { TURNS };
         for &size in &self.sizes {
             let server = self.server(size)?;
-            for play in 0..self.plays {
-                let seed = self.seed + play as u64;
-                let costs = Client { plan: self.plan, server: &server, seed }.play(turns)?;
+            for run in 0..self.plays {
+                let seed = self.seed + run as u64;
+                let costs = Client { plan: self.plan, server: &server, seed }.run(turns)?;
                 all.whole_bytes.add(size, costs.whole_bytes);
                 all.whole_us.add(size, costs.whole_us);
                 all.change_us.add(size, costs.change_us);
@@ -141,23 +143,24 @@
         Ok(all)
     }
 
-    fn play_list_catch_up(&self) -> Result<Plays, CapacityError> {
-        let mut catch_up = Plays::default();
-        let most = self.sizes[self.sizes.len() - 1];
-        let server = self.server(most)?;
-        server.change(most);
-        for changes in MISSED_CHANGES.map(|changes| changes.min(most)) {
+    /// Measures the bytes of a watch that reconnects after it has missed changes.
+    fn measure_list_catch_up(&self) -> Result<Samples, CapacityError> {
+        let mut catch_up = Samples::default();
+        let largest = self.sizes[self.sizes.len() - 1];
+        let server = self.server(largest)?;
+        server.change(largest);
+        for changes in MISSED_CHANGES.map(|changes| changes.min(largest)) {
             let since = server.index() - changes as u64;
-            catch_up.add(changes, first_line(&server, since)? as f64);
+            catch_up.add(changes, catch_up_bytes(&server, since)? as f64);
         }
         Ok(catch_up)
     }
 
-    /// Many clients of the list at rest.
+    /// Measures many clients of the list while nothing changes.
     pub(super) fn list_watchers(&self) -> Result<(), CapacityError> {
-        let mut all = RestPlays::default();
+        let mut all = IdleSamples::default();
         for &watchers in &self.sizes {
-            self.play_list_watchers(watchers, &mut all)?;
+            self.measure_list_watchers(watchers, &mut all)?;
         }
         self.write(PART, &all.bytes, REST_BYTES)?;
         self.write(PART, &all.server_core, SERVER_CORE)?;
@@ -166,8 +169,9 @@
         self.write(PART, &all.client_kb, CLIENT_MEMORY)
     }
 
-    fn play_list_watchers(&self, watchers: usize, all: &mut RestPlays) -> Result<(), CapacityError> {
-        let own_kb_before = own_kb();
+    /// Measures this number of clients while nothing changes, in all runs.
+    fn measure_list_watchers(&self, watchers: usize, all: &mut IdleSamples) -> Result<(), CapacityError> {
+        let own_memory_kb_before = own_memory_kb();
         let server = self.server(self.sizes[0])?;
         let mut swarm = self.swarm(watchers, Some(server.address), &|_, _| Vec::new())?;
         if !swarm.receive_until(TIMEOUT, Swarm::all_listed)? {
@@ -175,18 +179,19 @@
         }
         swarm.receive_for(self.window / 6)?;
         for _ in 0..self.plays {
-            self.play_list_rest(watchers, &server, &mut swarm, all)?;
-            all.server_kb.add(watchers, own_kb().saturating_sub(own_kb_before) as f64);
+            self.measure_list_rest(watchers, &server, &mut swarm, all)?;
+            all.server_kb.add(watchers, own_memory_kb().saturating_sub(own_memory_kb_before) as f64);
         }
         Ok(())
     }
 
-    fn play_list_rest(
+    /// Measures bytes, CPU time and memory of the server and its clients over one window without changes.
+    fn measure_list_rest(
         &self,
         watchers: usize,
         server: &ListServer,
         swarm: &mut Swarm,
-        all: &mut RestPlays,
+        all: &mut IdleSamples,
     ) -> Result<(), CapacityError> {
         let (before, used) = (server.carried(), swarm.usage());
         let start = Instant::now();
@@ -203,6 +208,6 @@
 }
 
 /// Resident memory of this process, in KiB.
-fn own_kb() -> u64 {
+fn own_memory_kb() -> u64 {
     machine::usage(std::process::id()).unwrap_or_default().resident_kb
 }
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -1,129 +1,149 @@
-//! One play: calls directly and through a balancer side by side, and the times that each way gave.
+//! One run: sends calls directly and through a balancer side by side, and collects the latencies of each route.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use super::placement::Placement;
-use super::{Bench, Beside};
+use super::{Background, Bench};
 use crate::CapacityError;
 use crate::world::{
-    self, Balancer, ByteRelay, Call, Counts, Discovery, Distribution, End, Played, Times, Upstreams, Usage,
-    Way,
+    self, Balancer, ByteRelay, Call, Counts, Discovery, Distribution, DurationHistogram, End, Played,
+    Upstreams, Usage, Way,
 };
 
-/// Time between two changes.
-const CHANGE_EVERY: Duration = Duration::from_millis(100);
-/// The warm-up at the start of each play, whose calls do not count.
-const WARM: Duration = Duration::from_millis(700);
-/// Connections of the client to each way that are open before the first call.
+/// Time between two changes in the background.
+const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
+/// Warm-up at the start of each run, whose calls are not counted.
+const WARM_UP: Duration = Duration::from_millis(700);
+/// Connections of the client on each route that are opened before the first call.
 const CLIENT_CONNECTIONS: usize = 256;
 
-/// How long a play counts: longer where calls are few.
+/// Duration of a run after its warm-up, which is longer at low rates, where there are fewer calls.
 fn span(rate: f64, small: bool) -> Duration {
     let calls = if small { 50.0 } else { 3000.0 };
     Duration::from_secs_f64((calls / rate).clamp(if small { 0.2 } else { 3.0 }, 7.0))
 }
 
-/// The quantiles that a table and a slope give.
+/// Quantiles for which the slopes and the breakdown have figures.
 pub(super) const QUANTILES: [f64; 3] = [0.5, 0.99, 0.999];
 
-/// One play.
+/// Parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Setup {
+    /// Calls a second on each route.
     pub(super) rate: f64,
+    /// Number of upstreams in the endpoint list.
     pub(super) upstreams: usize,
     pub(super) placement: Placement,
+    /// Whether calls are evenly spaced; otherwise their times are those of a Poisson process.
     pub(super) even: bool,
+    /// Whether calls are also sent through a byte relay.
     pub(super) relay: bool,
+    /// Changes that are made in the background.
     pub(super) changes: Option<Changes>,
 }
 
-/// What changes.
+/// Kind of the changes that are made in the background.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Changes {
+    /// An upstream of the endpoint list begins to drain, or returns.
     List,
+    /// A document of the configuration is published.
     Configuration,
 }
 
-/// What one play gave.
-pub(super) struct Play {
-    pub(super) direct: Times,
-    pub(super) through: Times,
-    /// Through the relay of bytes, where one was played.
-    pub(super) relay: Times,
-    /// Through the balancer less direct, pair by pair; a pair whose direct call took longer counts as nothing.
-    pub(super) difference: Times,
-    /// Pairs whose direct call took longer.
+/// Results of one run.
+pub(super) struct Run {
+    /// Latencies of direct calls.
+    pub(super) direct: DurationHistogram,
+    /// Latencies of calls through the balancer.
+    pub(super) through: DurationHistogram,
+    /// Latencies of calls through the byte relay; empty in a run without one.
+    pub(super) relay: DurationHistogram,
+    /// By pair of calls: latency through the balancer less that of the direct call, or 0 if the direct call took
+    /// longer.
+    pub(super) difference: DurationHistogram,
+    /// Number of pairs whose direct call took longer.
     pub(super) inverted: usize,
-    /// How late calls were sent.
-    pub(super) late: Times,
-    pub(super) reused: Times,
-    pub(super) new: Times,
-    pub(super) around: Around,
+    /// Delays of all calls from their scheduled time until they were sent.
+    pub(super) late: DurationHistogram,
+    /// Latencies of calls through the balancer that it sent on a reused upstream connection.
+    pub(super) reused: DurationHistogram,
+    /// Latencies of calls through the balancer that it sent on a new upstream connection.
+    pub(super) new: DurationHistogram,
+    /// Outcomes of the calls and resource usage of the run.
+    pub(super) stats: RunStats,
 }
 
-/// What happened beside the calls of a play.
+/// Counts and resource usage of a run.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Around {
+pub(super) struct RunStats {
+    /// Outcomes of all calls, including those of the warm-up.
     pub(super) counts: Counts,
+    /// Resources that the balancer used after the warm-up.
     pub(super) used: Usage,
+    /// Duration of the run after the warm-up.
     pub(super) span: Duration,
-    /// Connections to upstreams.
+    /// Connections to upstreams that were opened after the warm-up.
     pub(super) opened: u64,
+    /// Number of changes made in the background.
     pub(super) changes: usize,
-    /// Ms of a core that the machine under this one took meanwhile, over all cores.
-    pub(super) stolen_ms: u64,
+    /// Steal time after the warm-up, in ms, summed over all cores.
+    pub(super) steal_time_ms: u64,
 }
 
-/// What a play runs beside its client. Fields are dropped in their order: the balancer ends before what it uses.
+/// Processes and stand-in servers of a run. Fields are dropped in order, so that the balancer ends before the servers
+/// that it uses.
 struct Servers {
     relay: Option<ByteRelay>,
     balancer: Balancer,
-    /// Where the configuration changes.
+    /// Present only in runs with changes of the configuration.
     distribution: Option<Distribution>,
     discovery: Discovery,
     upstreams: Upstreams,
 }
 
 impl Servers {
-    /// What has been used so far.
-    fn mark(&self) -> Mark {
-        Mark {
-            stolen_ms: world::stolen_ms(),
+    /// Reads the usage so far.
+    fn baseline(&self) -> UsageBaseline {
+        UsageBaseline {
+            steal_time_ms: world::steal_time_ms(),
             used: Usage::of(self.balancer.process.id()),
             opened: self.upstreams.seen.opened(),
         }
     }
 }
 
-/// What had been used when the first call that counts was sent.
-struct Mark {
-    /// Ms of a core that the machine under this one had taken, over all cores.
-    stolen_ms: u64,
-    /// By the balancer.
+/// Usage at the end of the warm-up, from which the usage of the run is counted.
+struct UsageBaseline {
+    /// Steal time since boot, in ms, summed over all cores.
+    steal_time_ms: u64,
+    /// Resources that the balancer had used.
     used: Result<Usage, CapacityError>,
-    /// Connections to upstreams.
+    /// Connections to upstreams that had been opened.
     opened: u64,
 }
 
-/// What happened beside the calls so far.
-struct Meanwhile {
-    mark: Option<Mark>,
-    /// Changes made.
+/// State of the background activity while the client sends calls.
+struct BackgroundState {
+    /// Usage at the end of the warm-up, once that has been reached.
+    baseline: Option<UsageBaseline>,
+    /// Number of changes made so far.
     changes: usize,
-    /// The first failure of a change of the configuration.
+    /// Error of the first configuration change that failed.
     published: Result<(), CapacityError>,
 }
 
-/// What the calls of a play gave, with what happened beside them.
-struct Run {
+/// Results of the calls of a run, and what was recorded in the background meanwhile.
+struct SentCalls {
     played: Vec<Played>,
-    mark: Mark,
+    baseline: UsageBaseline,
     changes: usize,
 }
 
 impl Bench<'_> {
+    /// Parameters of a run at this rate, with the arguments of the command.
     pub(super) fn setup(&self, rate: f64) -> Setup {
         Setup {
             rate,
@@ -131,17 +151,17 @@
             placement: self.placement,
             even: false,
             relay: false,
-            changes: match self.arguments.beside {
-                Beside::List => Some(Changes::List),
-                Beside::Configuration => Some(Changes::Configuration),
-                Beside::Nothing | Beside::MadeOf => None,
+            changes: match self.arguments.background {
+                Background::List => Some(Changes::List),
+                Background::Configuration => Some(Changes::Configuration),
+                Background::Nothing | Background::Breakdown => None,
             },
         }
     }
 
-    /// Plays calls directly and through a balancer at once, with fresh servers.
-    pub(super) fn play(&mut self, setup: &Setup) -> Result<Play, CapacityError> {
-        let warm = if self.arguments.common.small { WARM / 5 } else { WARM };
+    /// Starts new servers, and sends calls directly and through the balancer at the same time.
+    pub(super) fn play(&mut self, setup: &Setup) -> Result<Run, CapacityError> {
+        let warm = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
         let length = span(setup.rate, self.arguments.common.small) + warm;
         let calls =
             world::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
@@ -150,19 +170,20 @@
         let first_id = servers.upstreams.seen.take_ids(calls.len())?;
         let first_counted = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
 
-        let Run { played, mark, changes } = self.run(setup, &servers, &calls, first_id, first_counted)?;
-        let around = Around {
+        let SentCalls { played, baseline, changes } =
+            self.run(setup, &servers, &calls, first_id, first_counted)?;
+        let stats = RunStats {
             counts: Counts::of(&calls, &played, &servers.upstreams.seen, first_id),
-            used: Usage::of(servers.balancer.process.id())?.since(mark.used?),
+            used: Usage::of(servers.balancer.process.id())?.since(baseline.used?),
             span: length - warm,
-            opened: servers.upstreams.seen.opened() - mark.opened,
+            opened: servers.upstreams.seen.opened() - baseline.opened,
             changes,
-            stolen_ms: world::stolen_ms().saturating_sub(mark.stolen_ms),
+            steal_time_ms: world::steal_time_ms().saturating_sub(baseline.steal_time_ms),
         };
-        sort_out(&calls[first_counted..], &played[first_counted..], around)
+        summarize(&calls[first_counted..], &played[first_counted..], stats)
     }
 
-    /// Starts what a play needs beside its client; what it starts inherits this thread's cores.
+    /// Starts the processes and stand-in servers of a run. They inherit the cores that this thread is pinned to.
     fn start_servers(
         &self,
         setup: &Setup,
@@ -179,7 +200,7 @@
             Some(Changes::Configuration) => {
                 let program = self.arguments.common.program(world::DISTRIBUTION)?;
                 let distribution = Distribution::start(&program, 1)?;
-                configuration["distribution"] = distribution.named();
+                configuration["distribution"] = distribution.configuration_section();
                 Some(distribution)
             }
             _ => None,
@@ -189,7 +210,7 @@
         Ok(Servers { relay, balancer, distribution, discovery, upstreams })
     }
 
-    /// The ways that calls go, in the order of [`DIRECT`], [`THROUGH`] and [`RELAY`].
+    /// Routes of the calls, in the order of [`DIRECT`], [`THROUGH`] and [`RELAY`].
     fn ways(&self, servers: &Servers) -> Vec<Way> {
         let way = |targets| Way {
             targets,
@@ -202,7 +223,8 @@
         ways
     }
 
-    /// Sends the calls from a thread of their own, and meanwhile makes the changes and notes the start of what counts.
+    /// Sends the calls from a thread of their own. Meanwhile makes the changes, and records the usage at the end of the
+    /// warm-up.
     fn run(
         &self,
         setup: &Setup,
@@ -210,60 +232,60 @@
         calls: &[Call],
         first_id: usize,
         first_counted: usize,
-    ) -> Result<Run, CapacityError> {
+    ) -> Result<SentCalls, CapacityError> {
         let ways = self.ways(servers);
         let progress = AtomicUsize::new(0);
-        let over = AtomicBool::new(false);
+        let finished = AtomicBool::new(false);
         let core_0 = setup.placement != Placement::Anywhere;
-        let (played, beside) = thread::scope(|scope| {
+        let (played, background) = thread::scope(|scope| {
             let client = scope.spawn(|| {
-                let placed = if core_0 { world::hold_to("0") } else { Ok(()) };
-                let zero = Instant::now() + world::CONNECT_FIRST;
-                let played = placed.and_then(|()| world::play(calls, &ways, first_id, zero, &progress));
-                over.store(true, Ordering::Release);
+                let placed = if core_0 { world::pin_to_cores("0") } else { Ok(()) };
+                let start_time = Instant::now() + world::CONNECT_FIRST;
+                let played = placed.and_then(|()| world::play(calls, &ways, first_id, start_time, &progress));
+                finished.store(true, Ordering::Release);
                 played
             });
-            let mut beside = Meanwhile { mark: None, changes: 0, published: Ok(()) };
+            let mut background = BackgroundState { baseline: None, changes: 0, published: Ok(()) };
             let began = Instant::now();
-            while !over.load(Ordering::Acquire) {
+            while !finished.load(Ordering::Acquire) {
                 thread::sleep(Duration::from_millis(5));
-                if beside.mark.is_none() && progress.load(Ordering::Acquire) >= first_counted {
-                    beside.mark = Some(servers.mark());
+                if background.baseline.is_none() && progress.load(Ordering::Acquire) >= first_counted {
+                    background.baseline = Some(servers.baseline());
                 }
                 if let Some(kind) = setup.changes
-                    && began.elapsed() > CHANGE_EVERY * (beside.changes as u32 + 1)
+                    && began.elapsed() > CHANGE_INTERVAL * (background.changes as u32 + 1)
                 {
-                    self.make_change(kind, servers, &mut beside);
+                    self.make_change(kind, servers, &mut background);
                 }
             }
-            (client.join(), beside)
+            (client.join(), background)
         });
-        let played = played.map_err(|_| CapacityError::run("calling", "the caller's thread ended"))??;
-        beside.published?;
-        let Some(mark) = beside.mark else {
-            return Err(CapacityError::run("calling", "the play was over before its start"));
+        let played = played.map_err(|_| CapacityError::run("calling", "the client's thread panicked"))??;
+        background.published?;
+        let Some(baseline) = background.baseline else {
+            return Err(CapacityError::run("calling", "the run ended before its warm-up did"));
         };
-        Ok(Run { played, mark, changes: beside.changes })
+        Ok(SentCalls { played, baseline, changes: background.changes })
     }
 
-    /// Makes the next change; once one of the configuration has failed, none is published any more.
-    fn make_change(&self, kind: Changes, servers: &Servers, beside: &mut Meanwhile) {
-        let number = beside.changes;
+    /// Makes the next change in the background. Once a configuration change has failed, no more are published.
+    fn make_change(&self, kind: Changes, servers: &Servers, background: &mut BackgroundState) {
+        let number = background.changes;
         match (kind, &servers.distribution) {
             (Changes::Configuration, Some(distribution)) => {
-                if beside.published.is_ok() {
+                if background.published.is_ok() {
                     let (scope, document) = world::configuration_change(self.plan, number);
                     let published = distribution.publish(scope, &format!("change-{number}"), &document);
-                    beside.published = published.map(drop);
+                    background.published = published.map(drop);
                 }
             }
             _ => change(&servers.upstreams, &servers.discovery, number),
         }
-        beside.changes += 1;
+        background.changes += 1;
     }
 }
 
-/// The next change of the list: an upstream begins to drain, or comes back from its drain as a new process.
+/// Makes the next change of the endpoint list: an upstream begins to drain, or returns as a new process.
 fn change(upstreams: &Upstreams, discovery: &Discovery, number: usize) {
     let upstream = (number / 2) % upstreams.addresses.len();
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -271,16 +293,19 @@
     discovery.change(upstream, upstreams.entry(upstream, status, since));
 }
 
-fn sort_out(calls: &[Call], played: &[Played], around: Around) -> Result<Play, CapacityError> {
-    // A call without its own answer has no latency; how many there are is told beside it.
+/// Computes the results of a run from its counted calls.
+fn summarize(calls: &[Call], played: &[Played], stats: RunStats) -> Result<Run, CapacityError> {
+    // A call without its own response has no latency; the counts tell how many there are.
     let right = || calls.iter().zip(played).filter(|(_, played)| played.is_right());
     let of = |way: usize| {
-        Times::of(right().filter(|(call, _)| call.way == way).map(|(call, played)| played.latency(call)))
+        DurationHistogram::of(
+            right().filter(|(call, _)| call.way == way).map(|(call, played)| played.latency(call)),
+        )
     };
     let on = |new: bool| {
         let own = right()
             .filter(|(call, played)| call.way == THROUGH && played.end == End::Right { new_connection: new });
-        Times::of(own.map(|(call, played)| played.latency(call)))
+        DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
     };
     let pairs = calls.iter().map(|call| call.pair + 1).max().unwrap_or(0);
     let mut paired: Vec<[Option<Duration>; 2]> = vec![[None; 2]; pairs];
@@ -289,20 +314,26 @@
     }
     let both: Vec<(Duration, Duration)> =
         paired.into_iter().filter_map(|[direct, through]| Some((direct?, through?))).collect();
-    Ok(Play {
+    Ok(Run {
         direct: of(DIRECT)?,
         through: of(THROUGH)?,
         relay: of(RELAY)?,
         inverted: both.iter().filter(|(direct, through)| through < direct).count(),
-        difference: Times::of(both.iter().map(|(direct, through)| through.saturating_sub(*direct)))?,
-        late: Times::of(calls.iter().zip(played).map(|(call, played)| played.sent.saturating_sub(call.at)))?,
+        difference: DurationHistogram::of(
+            both.iter().map(|(direct, through)| through.saturating_sub(*direct)),
+        )?,
+        late: DurationHistogram::of(
+            calls.iter().zip(played).map(|(call, played)| played.sent.saturating_sub(call.at)),
+        )?,
         reused: on(false)?,
         new: on(true)?,
-        around,
+        stats,
     })
 }
 
-/// The ways of calls.
+/// Index of the route of direct calls.
 const DIRECT: usize = 0;
+/// Index of the route of calls through the balancer.
 const THROUGH: usize = 1;
+/// Index of the route of calls through the byte relay.
 const RELAY: usize = 2;
