--- a/crates/capacity/src/arithmetic.rs
+++ b/crates/capacity/src/arithmetic.rs
@@ -5,10 +5,10 @@
 
 use self::control::{balancer_control, control_machines, registrant};
 use self::data_path::{all_tiers, data_path};
-pub use self::load_scenario::Occasion;
+pub use self::load_scenario::LoadScenario;
 pub use self::measured::{CostAt, Measured};
 pub use self::mechanism::Mechanism;
-pub use self::need::{Basis, Cost, Figure, Need, Played, Read, Requirement, Term};
+pub use self::need::{Basis, Cost, Figure, Need, Requirement, ScenarioRuns, SlopeRead, Term};
 use self::operator::operator;
 use crate::plan::{Plan, Reading};
 
@@ -27,7 +27,7 @@
 /// Returns the needs of all roles in a load scenario. The order of the rows is the same for every scenario.
 /// `tree` is the checkout in which mechanisms are looked up.
 #[must_use]
-pub fn needs(plan: &Plan, scenario: &Occasion, tree: &Path) -> Vec<Need> {
+pub fn needs(plan: &Plan, scenario: &LoadScenario, tree: &Path) -> Vec<Need> {
     let mut rows = Vec::new();
     let upstreams = plan.fleet.upstreams.value as f64;
     let tenants = plan.traffic.tenants.value as f64;
@@ -41,7 +41,7 @@
             scenario,
             &mut rows,
             front,
-            plan.front_per_s(reading) / plan.fronts(),
+            plan.front_per_s(reading) / plan.front_upstreams(),
             tenants,
             upstreams,
         );
--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -2,9 +2,9 @@
 //! that distribute them, and for a registrant.
 
 use super::MB_PER_KIB;
-use super::load_scenario::Occasion;
+use super::load_scenario::LoadScenario;
 use super::mechanism::{CONFIGURATION_CLIENT, LIST_CLIENT, LIST_SERVICE, Mechanism, ORIGIN, RELAY};
-use super::need::{Cost, Need, Read, Requirement, Term};
+use super::need::{Cost, Need, Requirement, SlopeRead, Term};
 use super::role::Role;
 use crate::plan::Plan;
 
@@ -31,7 +31,7 @@
 }
 
 impl ControlTraffic {
-    fn of(plan: &Plan, scenario: &Occasion, balancers: f64) -> Self {
+    fn of(plan: &Plan, scenario: &LoadScenario, balancers: f64) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let time_limit_s = plan.configuration.in_force_s.value;
         let heartbeats = HEARTBEAT_BYTES / plan.list.beat_s.value;
@@ -46,20 +46,28 @@
         let changes = scenario.changes * scenario.concerned_fraction;
         Self {
             list: [
-                Term::of("control.list_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
-                Term::of("control.list_change_bytes_by_changes", Read::OneMore, balancers * scenario.lines),
+                Term::of("control.list_rest_bytes_per_s_by_watchers", SlopeRead::Marginal, balancers),
+                Term::of(
+                    "control.list_change_bytes_by_changes",
+                    SlopeRead::Marginal,
+                    balancers * scenario.lines,
+                ),
                 Term::of(
                     "control.list_whole_bytes_by_upstreams",
-                    Read::At(upstreams),
+                    SlopeRead::At(upstreams),
                     balancers * whole_lists,
                 ),
             ],
             list_estimate: balancers * (heartbeats + lines + whole_lists * list_bytes),
             configuration: [
-                Term::of("control.configuration_rest_bytes_per_s_by_watchers", Read::OneMore, balancers),
+                Term::of(
+                    "control.configuration_rest_bytes_per_s_by_watchers",
+                    SlopeRead::Marginal,
+                    balancers,
+                ),
                 Term::of(
                     "control.configuration_change_bytes_by_watchers",
-                    Read::OneMore,
+                    SlopeRead::Marginal,
                     balancers * changes,
                 ),
             ],
@@ -124,7 +132,7 @@
 }
 
 /// Adds the rows for the control traffic of one balancer.
-pub(super) fn balancer_control(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
+pub(super) fn balancer_control(plan: &Plan, scenario: &LoadScenario, rows: &mut Vec<Need>) {
     let control = BalancerControl::of(plan, scenario);
     control.list_client(rows);
     control.configuration_client(rows);
@@ -132,31 +140,35 @@
 }
 
 impl BalancerControl {
-    fn of(plan: &Plan, scenario: &Occasion) -> Self {
+    fn of(plan: &Plan, scenario: &LoadScenario) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
         let time_limit_s = plan.configuration.in_force_s.value;
         let traffic = ControlTraffic::of(plan, scenario, 1.0);
         let list_core: [Term; 3] = [
-            Term::of("process.idle_core_by_upstreams", Read::At(upstreams), 1.0),
+            Term::of("process.idle_core_by_upstreams", SlopeRead::At(upstreams), 1.0),
             Term::of(
                 "control.list_client_us_by_upstreams",
-                Read::At(upstreams),
+                SlopeRead::At(upstreams),
                 scenario.whole_lists / time_limit_s / 1e6,
             ),
-            Term::of("control.list_client_change_us_by_upstreams", Read::At(upstreams), scenario.lines / 1e6),
+            Term::of(
+                "control.list_client_change_us_by_upstreams",
+                SlopeRead::At(upstreams),
+                scenario.lines / 1e6,
+            ),
         ];
         let configuration_core: [Term; 2] = [
-            Term::of("control.configuration_client_core_by_watchers", Read::OneMore, 1.0),
+            Term::of("control.configuration_client_core_by_watchers", SlopeRead::Marginal, 1.0),
             Term::of(
                 "control.configuration_change_client_us_by_watchers",
-                Read::OneMore,
+                SlopeRead::Marginal,
                 traffic.changes_received / 1e6,
             ),
         ];
         let list_memory: [Term; 1] =
-            [Term::of("process.memory_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB)];
+            [Term::of("process.memory_kb_by_upstreams", SlopeRead::At(upstreams), MB_PER_KIB)];
         let configuration_memory: [Term; 1] =
-            [Term::of("control.configuration_client_kb_by_watchers", Read::OneMore, MB_PER_KIB)];
+            [Term::of("control.configuration_client_kb_by_watchers", SlopeRead::Marginal, MB_PER_KIB)];
         Self {
             traffic,
             list_bytes: plan.whole_list_bytes() as f64,
@@ -275,10 +287,10 @@
 }
 
 /// Adds the rows of the control machines: origin, standby, relays and the list service.
-pub(super) fn control_machines(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
+pub(super) fn control_machines(plan: &Plan, scenario: &LoadScenario, rows: &mut Vec<Need>) {
     let documents = plan.documents_bytes();
     // A relay watches all scopes and at worst catches up with all documents; a balancer, only with those of its scopes.
-    let relay_scenario = Occasion {
+    let relay_scenario = LoadScenario {
         concerned_fraction: 1.0,
         bytes_per_balancer: plan.change_bytes().max(scenario.bytes_per_balancer),
         catch_up_bytes: if scenario.catch_up_bytes > 0.0 { documents } else { 0.0 },
@@ -348,10 +360,10 @@
             "cores",
             0.0,
             &[
-                Term::of("control.configuration_server_core_by_watchers", Read::At(children), 1.0),
+                Term::of("control.configuration_server_core_by_watchers", SlopeRead::At(children), 1.0),
                 Term::of(
                     "control.configuration_change_server_us_by_watchers",
-                    Read::OneMore,
+                    SlopeRead::Marginal,
                     (to_relays.changes_received + to_balancers.changes_received) / 1e6,
                 ),
             ],
@@ -362,14 +374,14 @@
             "a relay with so many children and all documents",
             "MB",
             0.0,
-            &[Term::of("control.configuration_server_kb_by_watchers", Read::At(children), MB_PER_KIB)],
+            &[Term::of("control.configuration_server_kb_by_watchers", SlopeRead::At(children), MB_PER_KIB)],
             memory,
         );
     }
 }
 
 /// Adds the rows of the service that distributes upstream lists, which runs on the machines of the zone relays.
-fn list_machines(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
+fn list_machines(plan: &Plan, scenario: &LoadScenario, rows: &mut Vec<Need>) {
     let Budget { bytes, core, memory } = Budget::of_machine(plan);
     let mut role = Role {
         name: "control: lists, on the zone relays' machines",
@@ -395,10 +407,10 @@
         "cores",
         0.0,
         &[
-            Term::of("control.list_server_core_by_watchers", Read::At(readers), 1.0),
+            Term::of("control.list_server_core_by_watchers", SlopeRead::At(readers), 1.0),
             Term::of(
                 "control.list_change_server_us_by_watchers",
-                Read::OneMore,
+                SlopeRead::Marginal,
                 readers * scenario.lines / 1e6,
             ),
         ],
@@ -409,7 +421,7 @@
         "its readers' watches, at a stand-in",
         "MB",
         0.0,
-        &[Term::of("control.list_server_kb_by_watchers", Read::At(readers), MB_PER_KIB)],
+        &[Term::of("control.list_server_kb_by_watchers", SlopeRead::At(readers), MB_PER_KIB)],
         memory,
     );
 }
@@ -429,7 +441,7 @@
         Some(plan.budget.bytes_per_s.value),
     );
     let renewal_core: [Term; 1] =
-        [Term::of("control.registrant_core_by_rate", Read::At(1.0 / plan.list.renew_s.value), 1.0)];
+        [Term::of("control.registrant_core_by_rate", SlopeRead::At(1.0 / plan.list.renew_s.value), 1.0)];
     role.row(Cost::Processor, "renewals", "cores", 0.0, &renewal_core, Some(plan.budget.core_share.value));
     role.row(Cost::Memory, "its own entry", "MB", entry / 1e6, &[], Some(plan.budget.memory_mb.value));
 }
--- a/crates/capacity/src/arithmetic/data_path.rs
+++ b/crates/capacity/src/arithmetic/data_path.rs
@@ -1,16 +1,16 @@
 //! Needs of the data path: a balancer and a front at their call rates, and one call over all tiers.
 
 use super::MB_PER_KIB;
-use super::load_scenario::Occasion;
+use super::load_scenario::LoadScenario;
 use super::mechanism::DECISIONS;
-use super::need::{Cost, Need, Read, Requirement, Term};
+use super::need::{Cost, Need, Requirement, SlopeRead, Term};
 use super::role::Role;
 use crate::plan::{Plan, Reading};
 
 /// Adds the rows of the balancer role `name`, which carries `rate` calls per second on an ordinary day.
 pub(super) fn data_path(
     plan: &Plan,
-    scenario: &Occasion,
+    scenario: &LoadScenario,
     rows: &mut Vec<Need>,
     name: &'static str,
     rate: f64,
@@ -35,7 +35,7 @@
         "calls/s x time of one at all upstreams, which was played at the mean rate at the front; budget: its one thread",
         "cores",
         0.0,
-        &[Term::of("process.request_us_by_upstreams", Read::At(upstreams), rate / 1e6)],
+        &[Term::of("process.request_us_by_upstreams", SlopeRead::At(upstreams), rate / 1e6)],
         Some(1.0),
     )
     .extrapolation_ratio = (rate / plan.mean_rate(Reading::Front)).max(1.0);
@@ -45,9 +45,9 @@
         "MB",
         0.0,
         &[
-            Term::of("process.memory_loaded_kb_by_upstreams", Read::At(upstreams), MB_PER_KIB),
-            Term::of("decisions.bytes_by_tenants", Read::Beyond(tenants), 1e-6),
-            Term::of("decisions.bytes_by_in_flight", Read::Beyond(in_flight), 1e-6),
+            Term::of("process.memory_loaded_kb_by_upstreams", SlopeRead::At(upstreams), MB_PER_KIB),
+            Term::of("decisions.bytes_by_tenants", SlopeRead::AboveSmallest(tenants), 1e-6),
+            Term::of("decisions.bytes_by_in_flight", SlopeRead::AboveSmallest(in_flight), 1e-6),
         ],
         Some(memory),
     );
@@ -62,13 +62,13 @@
         "added to a call, 99 in 100, at this rate",
         "ms",
         0.0,
-        &[Term::of(slope, Read::At(rate), 1e-3)],
+        &[Term::of(slope, SlopeRead::At(rate), 1e-3)],
         Some(plan.traffic.added_ms.value),
     );
 }
 
 /// Adds the rows of one call that passes through all tiers.
-pub(super) fn all_tiers(plan: &Plan, scenario: &Occasion, rows: &mut Vec<Need>) {
+pub(super) fn all_tiers(plan: &Plan, scenario: &LoadScenario, rows: &mut Vec<Need>) {
     let mut role = Role {
         name: "one call, over all tiers",
         mechanism: DECISIONS,
@@ -79,7 +79,7 @@
     let headroom = Some(plan.traffic.headroom.value);
     let formula = "attempts at the deepest tier for one call at the front, while that tier fails all; reckoned: attempts to the power of depth";
     if scenario.tier_faulty {
-        let slope = Term::of("depth.attempts_by_depth", Read::At(depth), 1.0);
+        let slope = Term::of("depth.attempts_by_depth", SlopeRead::At(depth), 1.0);
         role.row(Cost::Repeats, formula, "attempts", 0.0, &[slope], headroom).estimate =
             Some(f64::from(plan.traffic.attempts.value).powf(depth));
         role.row(
@@ -87,7 +87,7 @@
             "calls refused or failed at all tiers for one call at the front, while the deepest fails all",
             "calls",
             0.0,
-            &[Term::of("depth.refusals_by_depth", Read::At(depth), 1.0)],
+            &[Term::of("depth.refusals_by_depth", SlopeRead::At(depth), 1.0)],
             None,
         );
     } else {
@@ -106,7 +106,7 @@
         "what the deadline told leaves to a call before the deepest tier, where nothing is in trouble",
         "ms",
         0.0,
-        &[Term::of("depth.deadline_ms_by_depth", Read::At(depth), 1.0)],
+        &[Term::of("depth.deadline_ms_by_depth", SlopeRead::At(depth), 1.0)],
         None,
     );
 }
--- a/crates/capacity/src/arithmetic/load_scenario.rs
+++ b/crates/capacity/src/arithmetic/load_scenario.rs
@@ -8,7 +8,7 @@
 
 /// Load scenario for which needs are calculated: the ordinary day or a peak. Rates are means over its duration.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Occasion {
+pub struct LoadScenario {
     /// Name of the scenario.
     pub name: &'static str,
     /// Description of the scenario, with figures of the plan.
@@ -47,7 +47,7 @@
     plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64
 }
 
-impl Occasion {
+impl LoadScenario {
     /// Returns all scenarios: the ordinary day first, then the peaks.
     #[must_use]
     pub fn all(plan: &Plan) -> Vec<Self> {
@@ -71,7 +71,7 @@
     fn ordinary_day(plan: &Plan) -> Self {
         let ChangePerBalancer { fraction: concerned_fraction, bytes: bytes_per_balancer } =
             plan.change_per_balancer();
-        let zone = plan.largest_zone();
+        let zone = plan.largest_zone_upstreams();
         let failures = &plan.failures;
         let list = &plan.list;
         let relays = relays_of_zone(plan);
@@ -132,7 +132,7 @@
 
     fn zone_lost(plan: &Plan, resync: &Self) -> Self {
         let upstreams = plan.fleet.upstreams.value as f64;
-        let zone = plan.largest_zone();
+        let zone = plan.largest_zone_upstreams();
         let within = plan.configuration.in_force_s.value;
         let deadline = plan.traffic.deadline_s.value;
         Self {
@@ -150,7 +150,7 @@
     }
 
     fn region_partition(plan: &Plan, resync: &Self) -> Self {
-        let region = plan.largest_region();
+        let region = plan.largest_region_upstreams();
         let deadline = plan.traffic.deadline_s.value;
         let cut = plan.failures.region_cut_s.value;
         Self {
@@ -176,7 +176,7 @@
     }
 
     fn control_zone_lost(plan: &Plan, resync: &Self) -> Self {
-        let zone = plan.largest_zone();
+        let zone = plan.largest_zone_upstreams();
         let relays = relays_of_zone(plan);
         Self {
             name: "a zone of control machines lost",
--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-use super::need::{Played, Read};
+use super::need::{ScenarioRuns, SlopeRead};
 use crate::CapacityError;
 use crate::slope::{Results, Slope};
 
@@ -23,7 +23,7 @@
     /// Cost in the slope's `y_unit`.
     pub cost: f64,
     /// Ratio of the size to the largest measured size; 1 where the size is not beyond the largest.
-    pub times_past: f64,
+    pub size_ratio: f64,
 }
 
 /// Largest value of a figure over all runs of a scenario.
@@ -56,40 +56,40 @@
         let mut points = slope.points.clone();
         points.sort_by(|a, b| a.x.total_cmp(&b.x));
         if let Some(point) = points.iter().find(|point| point.x == x) {
-            return Some(CostAt { cost: point.y, times_past: 1.0 });
+            return Some(CostAt { cost: point.y, size_ratio: 1.0 });
         }
         let between = points.windows(2).find(|pair| pair[0].x < x && x < pair[1].x);
         if let Some([a, b]) = between {
             let cost = a.y + (b.y - a.y) * (x - a.x) / (b.x - a.x);
-            return Some(CostAt { cost, times_past: 1.0 });
+            return Some(CostAt { cost, size_ratio: 1.0 });
         }
-        let largest = slope.largest();
-        let times_past = if x > largest && largest > 0.0 { x / largest } else { 1.0 };
-        slope.fit.map(|fit| CostAt { cost: fit.at(x).max(0.0), times_past })
+        let largest_size = slope.largest_size();
+        let size_ratio = if x > largest_size && largest_size > 0.0 { x / largest_size } else { 1.0 };
+        slope.fit.map(|fit| CostAt { cost: fit.at(x).max(0.0), size_ratio })
     }
 
     /// Returns the largest value of a figure over the runs in its result table, or `None` if the table has no such run.
-    pub(super) fn worst(&self, played: Played) -> Option<WorstRun> {
+    pub(super) fn worst(&self, played: ScenarioRuns) -> Option<WorstRun> {
         let table = self.results.get(played.results)?;
         let at = table.columns.iter().position(|column| column == played.column)?;
         let rows = table.rows.iter().filter(|row| row.first().is_some_and(|first| first == played.row));
         let figures: Vec<f64> = rows.filter_map(|row| row.get(at)?.parse().ok()).collect();
         let worst = figures.iter().copied().reduce(f64::max)?;
-        Some(WorstRun { value: worst * played.times, runs: figures.len() })
+        Some(WorstRun { value: worst * played.factor, runs: figures.len() })
     }
 
     /// Returns the cost that the slope `name` gives when it is read in the way of `read`.
-    pub(super) fn cost_of(&self, name: &str, read: Read) -> Option<CostAt> {
+    pub(super) fn cost_of(&self, name: &str, read: SlopeRead) -> Option<CostAt> {
         match read {
-            Read::At(x) => self.at(name, x),
-            Read::Beyond(x) => {
+            SlopeRead::At(x) => self.at(name, x),
+            SlopeRead::AboveSmallest(x) => {
                 let smallest =
                     self.slopes.get(name)?.points.iter().map(|point| point.x).fold(f64::MAX, f64::min);
                 let base_cost = self.at(name, smallest)?.cost;
                 self.at(name, x.max(smallest)).map(|at| CostAt { cost: at.cost - base_cost, ..at })
             }
-            Read::OneMore => {
-                Some(CostAt { cost: self.slopes.get(name)?.fit?.each.max(0.0), times_past: 1.0 })
+            SlopeRead::Marginal => {
+                Some(CostAt { cost: self.slopes.get(name)?.fit?.each.max(0.0), size_ratio: 1.0 })
             }
         }
     }
@@ -99,7 +99,9 @@
     pub(super) fn missing_slope(&self, name: &str) -> String {
         match self.slopes.get(name) {
             None => name.to_owned(),
-            Some(slope) => format!("{name} (played up to {}, and no straight line fits it)", slope.largest()),
+            Some(slope) => {
+                format!("{name} (played up to {}, and no straight line fits it)", slope.largest_size())
+            }
         }
     }
 }
--- a/crates/capacity/src/arithmetic/mechanism.rs
+++ b/crates/capacity/src/arithmetic/mechanism.rs
@@ -60,7 +60,7 @@
     /// Returns the name of the mechanism if it is present in the checkout `tree`, and `None` if nothing provides for
     /// the need today. Services of the platform always count as present.
     #[must_use]
-    pub fn carried(self, tree: &Path) -> Option<&'static str> {
+    pub fn available(self, tree: &Path) -> Option<&'static str> {
         match self {
             Self::Platform(what) => Some(what),
             Self::InRepository { what, file, marker } => {
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -78,13 +78,13 @@
 
 /// Way of reading a cost from a slope.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Read {
+pub enum SlopeRead {
     /// The cost at this size.
     At(f64),
     /// The cost at this size, minus the cost at the smallest measured size.
-    Beyond(f64),
+    AboveSmallest(f64),
     /// The cost of one additional unit of size: the gradient of the linear fit, or 0 if it is negative.
-    OneMore,
+    Marginal,
 }
 
 /// Part of a need that is calculated from a measured slope.
@@ -93,21 +93,21 @@
     /// Name of the slope.
     pub slope: &'static str,
     /// Way of reading the cost from the slope.
-    pub read: Read,
+    pub read: SlopeRead,
     /// Factor on the cost, including the conversion from the slope's unit to the unit of the need.
-    pub times: f64,
+    pub factor: f64,
 }
 
 impl Term {
-    /// Creates the term that reads `slope` in the way of `read` and multiplies the cost by `times`.
-    pub(super) const fn of(slope: &'static str, read: Read, times: f64) -> Self {
-        Self { slope, read, times }
+    /// Creates the term that reads `slope` in the way of `read` and multiplies the cost by `factor`.
+    pub(super) const fn of(slope: &'static str, read: SlopeRead, factor: f64) -> Self {
+        Self { slope, read, factor }
     }
 }
 
 /// Reference to a figure of a result table. The figure is the largest value over the runs in the matching rows.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Played {
+pub struct ScenarioRuns {
     /// Name of the result table.
     pub results: &'static str,
     /// Text of the first cell of the matching rows.
@@ -115,7 +115,7 @@
     /// Heading of the column that holds the figure.
     pub column: &'static str,
     /// Factor on the figure, including the conversion from the table's unit to the unit of the need.
-    pub times: f64,
+    pub factor: f64,
 }
 
 /// Need of a role for one kind of cost: a row of the page.
@@ -128,11 +128,11 @@
     /// Description of how the figure is calculated, as the page shows it.
     pub formula: &'static str,
     /// Result of scenario runs that measured the figure directly; if present, it takes precedence over `terms`.
-    pub played: Option<Played>,
+    pub played: Option<ScenarioRuns>,
     /// Unit of the figure.
     pub unit: &'static str,
     /// Part of the figure that follows from the plan alone.
-    pub plain: f64,
+    pub from_plan: f64,
     /// Parts of the figure that are calculated from measured slopes.
     pub terms: Vec<Term>,
     /// Extrapolation factor in a dimension other than the sizes of the slopes, such as the call rate: the ratio of the
@@ -152,9 +152,9 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Basis {
     /// Calculated from the plan alone; the field describes the missing slopes in whose place it was calculated, if any.
-    Reckoned(Vec<String>),
+    Calculated(Vec<String>),
     /// Measured directly in scenario runs; the field is the number of runs, of which the figure is the largest value.
-    Played(usize),
+    ScenarioRuns(usize),
     /// Calculated from slopes, without extrapolation beyond the measured sizes.
     Measured,
     /// Extrapolated with linear fits; the field is the largest ratio to a measured size or rate.
@@ -177,7 +177,7 @@
 impl Need {
     /// Describes the circumstances in which the figure would no longer hold.
     #[must_use]
-    pub fn breaks(&self) -> &'static str {
+    pub fn validity_limits(&self) -> &'static str {
         let of = |start: &str| self.terms.iter().any(|term| term.slope.starts_with(start));
         match self.cost {
             Cost::Time if of("latency.") => "a core or a queue that fills: the time then rises without bound",
@@ -209,16 +209,16 @@
     pub fn figure(&self, measured: &Measured) -> Figure {
         if let Some(WorstRun { value, runs }) = self.played.and_then(|played| measured.worst(played)) {
             let ratio = self.budget.map(|budget| value / budget);
-            return Figure { value: Some(value), ratio, basis: Basis::Played(runs) };
+            return Figure { value: Some(value), ratio, basis: Basis::ScenarioRuns(runs) };
         }
-        let mut value = self.plain;
+        let mut value = self.from_plan;
         let mut extrapolation_ratio = self.extrapolation_ratio;
         let mut missing: Vec<String> = Vec::new();
-        for &Term { slope, read, times } in &self.terms {
+        for &Term { slope, read, factor } in &self.terms {
             match measured.cost_of(slope, read) {
-                Some(CostAt { cost, times_past }) => {
-                    value += cost * times;
-                    extrapolation_ratio = extrapolation_ratio.max(times_past);
+                Some(CostAt { cost, size_ratio }) => {
+                    value += cost * factor;
+                    extrapolation_ratio = extrapolation_ratio.max(size_ratio);
                 }
                 None => {
                     let missing_slope = measured.missing_slope(slope);
@@ -229,10 +229,10 @@
             }
         }
         let (value, basis) = match (missing.is_empty(), self.estimate) {
-            (true, _) if self.terms.is_empty() => (Some(value), Basis::Reckoned(Vec::new())),
+            (true, _) if self.terms.is_empty() => (Some(value), Basis::Calculated(Vec::new())),
             (true, _) if extrapolation_ratio > 1.0 => (Some(value), Basis::Extrapolated(extrapolation_ratio)),
             (true, _) => (Some(value), Basis::Measured),
-            (false, Some(estimate)) => (Some(estimate), Basis::Reckoned(missing)),
+            (false, Some(estimate)) => (Some(estimate), Basis::Calculated(missing)),
             (false, None) => (None, Basis::NotMeasured(missing)),
         };
         let ratio = value.zip(self.budget).map(|(value, budget)| value / budget);
--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -2,14 +2,14 @@
 
 use std::path::Path;
 
-use super::load_scenario::Occasion;
+use super::load_scenario::LoadScenario;
 use super::mechanism::{CONFIGURATION_CLIENT, PUBLISHER};
-use super::need::{Cost, Need, Played, Read, Requirement, Term};
+use super::need::{Cost, Need, Requirement, ScenarioRuns, SlopeRead, Term};
 use super::role::Role;
 use crate::plan::Plan;
 
 /// Adds the rows of the operator who publishes configuration changes.
-pub(super) fn operator(plan: &Plan, scenario: &Occasion, tree: &Path, rows: &mut Vec<Need>) {
+pub(super) fn operator(plan: &Plan, scenario: &LoadScenario, tree: &Path, rows: &mut Vec<Need>) {
     let changes = &plan.configuration;
     let mut role = Role {
         name: "operator who publishes",
@@ -38,7 +38,11 @@
         "changes/s x time of the origin to check, keep and answer",
         "cores",
         0.0,
-        &[Term::of("control.publish_us_by_bytes", Read::At(plan.change_bytes()), scenario.changes / 1e6)],
+        &[Term::of(
+            "control.publish_us_by_bytes",
+            SlopeRead::At(plan.change_bytes()),
+            scenario.changes / 1e6,
+        )],
         Some(plan.budget.machine_cores.value),
     );
     role.row(Cost::Memory, "a document at a time", "MB", changes.service_bytes.value as f64 / 1e6, &[], None);
@@ -48,16 +52,16 @@
 
 /// Adds the row of the time until a change is in force everywhere. The figure was measured directly if the load
 /// scenario is one of those that the `sockets` command runs.
-fn time_in_force(plan: &Plan, scenario: &Occasion, role: &mut Role) {
+fn time_in_force(plan: &Plan, scenario: &LoadScenario, role: &mut Role) {
     role.row(
         Cost::Time,
         "from a change's acknowledgement to the last balancer, as played; else from its sending, one relay for all",
         "s",
         0.0,
-        &[Term::of("control.change_sent_last_ms_by_watchers", Read::At(plan.fleet.upstreams.value as f64), 1e-3)],
+        &[Term::of("control.change_sent_last_ms_by_watchers", SlopeRead::At(plan.fleet.upstreams.value as f64), 1e-3)],
         Some(plan.configuration.in_force_s.value),
     )
-    .played = Some(Played {
+    .played = Some(ScenarioRuns {
         results: "sockets",
         row: match scenario.name {
             "a region cut off and back" => "cut",
@@ -67,21 +71,21 @@
             _ => "none",
         },
         column: "last, ms",
-        times: 1e-3,
+        factor: 1e-3,
     });
 }
 
 /// Adds the row of the restarts that configuration changes would require if balancers could not apply a configuration
 /// while they run.
-fn restarts(plan: &Plan, scenario: &Occasion, tree: &Path, role: &mut Role) {
+fn restarts(plan: &Plan, scenario: &LoadScenario, tree: &Path, role: &mut Role) {
     // No restart is needed if balancers can apply a configuration while they serve calls.
-    let carried = CONFIGURATION_CLIENT.carried(tree).is_some();
+    let available = CONFIGURATION_CLIENT.available(tree).is_some();
     role.mechanism = CONFIGURATION_CLIENT;
     role.row(
         Cost::Restarts,
         "changes x balancers that each concerns, were a restart the only way; budget: those planned for a day",
         "restarts",
-        if carried {
+        if available {
             0.0
         } else {
             scenario.changes
--- a/crates/capacity/src/arithmetic/role.rs
+++ b/crates/capacity/src/arithmetic/role.rs
@@ -23,18 +23,18 @@
         cost: Cost,
         formula: &'static str,
         unit: &'static str,
-        plain: f64,
+        from_plan: f64,
         terms: &[Term],
         budget: Option<f64>,
     ) -> &mut Need {
         // A term with factor 0 in this load scenario adds nothing, so its slope need not be measured for it.
-        let terms = terms.iter().copied().filter(|term| term.times != 0.0).collect();
+        let terms = terms.iter().copied().filter(|term| term.factor != 0.0).collect();
         self.rows.push(Need {
             role: self.name,
             cost,
             formula,
             unit,
-            plain,
+            from_plan,
             terms,
             played: None,
             extrapolation_ratio: 1.0,
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -12,8 +12,8 @@
 use crate::control::TIMEOUT;
 use crate::control::rig::Rig;
 use crate::sockets::machine::Usage;
-use crate::sockets::plane::{self, Change, Machine, Plane, Response, Role};
-use crate::sockets::swarm::{Swarm, Times};
+use crate::sockets::plane::{self, Change, ControlPlane, ControlProcess, Response, Role};
+use crate::sockets::swarm::{DelayHistogram, HollowProcesses};
 use crate::sockets::{region_name, service_name};
 
 /// Index of the origin among the control processes.
@@ -36,7 +36,7 @@
     rig: &'a Rig<'a>,
     /// Number of balancers that watch the relay.
     watchers: usize,
-    plane: Plane,
+    plane: ControlPlane,
     /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
 }
@@ -44,9 +44,9 @@
 impl<'a> RelayMeasurement<'a> {
     /// Starts the processes of the origin and the relay.
     pub(super) fn start(rig: &'a Rig<'a>, watchers: usize) -> Result<Self, CapacityError> {
-        let machine = |role, parents| Machine { role, region: 0, zone: None, parents };
+        let machine = |role, parents| ControlProcess { role, region: 0, zone: None, parents };
         let machines = vec![machine(Role::Origin, Vec::new()), machine(Role::Region, vec![ORIGIN])];
-        Ok(Self { rig, watchers, plane: Plane::start(machines)?, newest: HashMap::new() })
+        Ok(Self { rig, watchers, plane: ControlPlane::start(machines)?, newest: HashMap::new() })
     }
 
     /// Publishes all documents, then measures balancers at rest and through changes.
@@ -105,7 +105,11 @@
 
     /// Waits until all balancers have the newest version of each scope; `timeout_message` is the error if they do not
     /// within [`TIMEOUT`].
-    fn wait_for_newest(&self, swarm: &mut Swarm, timeout_message: &str) -> Result<(), CapacityError> {
+    fn wait_for_newest(
+        &self,
+        swarm: &mut HollowProcesses,
+        timeout_message: &str,
+    ) -> Result<(), CapacityError> {
         if swarm.receive_until(TIMEOUT, |swarm| swarm.missing(&self.newest) == 0)? {
             return Ok(());
         }
@@ -113,12 +117,16 @@
     }
 
     /// Waits for the balancers' reports of a change, which follow within half a second.
-    fn wait_for_reports(&self, swarm: &mut Swarm) -> Result<(), CapacityError> {
+    fn wait_for_reports(&self, swarm: &mut HollowProcesses) -> Result<(), CapacityError> {
         swarm.receive_for(self.rig.window / 6)
     }
 
     /// Measures what the processes use while nothing changes, and returns the rates of each run.
-    fn measure_rest(&mut self, swarm: &mut Swarm, all: &mut Measured) -> Result<Vec<Rates>, CapacityError> {
+    fn measure_rest(
+        &mut self,
+        swarm: &mut HollowProcesses,
+        all: &mut Measured,
+    ) -> Result<Vec<Rates>, CapacityError> {
         let mut at_rest = Vec::new();
         for _ in 0..self.rig.plays {
             let from = UsageTotals::of(swarm, &mut self.plane)?;
@@ -138,7 +146,7 @@
     /// Measures the cost of changes of the fleet's document beyond the cost `at_rest`.
     fn measure_changes(
         &mut self,
-        swarm: &mut Swarm,
+        swarm: &mut HollowProcesses,
         at_rest: &[Rates],
         all: &mut Measured,
     ) -> Result<(), CapacityError> {
@@ -162,14 +170,14 @@
     /// Publishes one change of the fleet's document, and measures the times until it is in force at the balancers.
     fn measure_change(
         &mut self,
-        swarm: &mut Swarm,
+        swarm: &mut HollowProcesses,
         turn: u64,
         all: &mut Measured,
     ) -> Result<(), CapacityError> {
         let bytes = self.rig.plan.configuration.fleet_bytes.value;
         let change = self.publish(Scope::Fleet, bytes, turn)?;
         self.wait_for_newest(swarm, "a change did not reach all balancers in time")?;
-        let (mut times, mut sent) = (Times::new()?, Times::new()?);
+        let (mut times, mut sent) = (DelayHistogram::new()?, DelayHistogram::new()?);
         for arrival in swarm.times(&change) {
             let Some(at_ns) = arrival.at_ns else { continue };
             times.add(at_ns.saturating_sub(change.acknowledged_ns));
@@ -206,7 +214,7 @@
 
 impl UsageTotals {
     /// Reads the totals until now.
-    fn of(swarm: &mut Swarm, plane: &mut Plane) -> Result<Self, CapacityError> {
+    fn of(swarm: &mut HollowProcesses, plane: &mut ControlPlane) -> Result<Self, CapacityError> {
         let bytes = swarm.carried()?.bytes;
         Ok(Self { at: Instant::now(), bytes, server: plane.usage(RELAY), clients: swarm.usage() })
     }
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -8,7 +8,7 @@
 use crate::CapacityError;
 use crate::sockets::list::ListServer;
 use crate::sockets::machine;
-use crate::sockets::swarm::Swarm;
+use crate::sockets::swarm::HollowProcesses;
 
 /// Value of `--part` that measures watches of the endpoint list.
 const PART: &str = "list";
@@ -174,7 +174,7 @@
         let own_memory_kb_before = own_memory_kb();
         let server = self.server(self.sizes[0])?;
         let mut swarm = self.swarm(watchers, Some(server.address), &|_, _| Vec::new())?;
-        if !swarm.receive_until(TIMEOUT, Swarm::all_listed)? {
+        if !swarm.receive_until(TIMEOUT, HollowProcesses::all_listed)? {
             return Err(CapacityError::run("watches of the list", "not all have a list in time"));
         }
         swarm.receive_for(self.window / 6)?;
@@ -190,7 +190,7 @@
         &self,
         watchers: usize,
         server: &ListServer,
-        swarm: &mut Swarm,
+        swarm: &mut HollowProcesses,
         all: &mut IdleSamples,
     ) -> Result<(), CapacityError> {
         let (before, used) = (server.carried(), swarm.usage());
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -9,7 +9,7 @@
 use super::TIMEOUT;
 use crate::CapacityError;
 use crate::plan::Plan;
-use crate::sockets::hollow::{self, Hollow};
+use crate::sockets::hollow::{self, HollowBalancer};
 use crate::sockets::list::ListServer;
 use crate::sockets::{machine, region_name, service_name, zone_names};
 
@@ -32,7 +32,7 @@
     pub(super) fn run(&self, count: u32) -> Result<Costs, CapacityError> {
         let place = "a client of the list";
         let zones = zone_names(self.plan);
-        let hollow = Hollow {
+        let hollow = HollowBalancer {
             number: 0,
             service: service_name(0),
             region: region_name(0),
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -10,7 +10,7 @@
 use crate::slope::{Fit, Point, Slope, commit};
 use crate::sockets::hollow::Job;
 use crate::sockets::list::ListServer;
-use crate::sockets::swarm::Swarm;
+use crate::sockets::swarm::HollowProcesses;
 use crate::sockets::{fleet, hollow_balancers, zone_names};
 
 /// Parameters of all measurements of one run of the command.
@@ -104,12 +104,12 @@
         watchers: usize,
         list: Option<SocketAddr>,
         parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
-    ) -> Result<Swarm, CapacityError> {
+    ) -> Result<HollowProcesses, CapacityError> {
         let balancers = hollow_balancers(self.plan, &fleet(self.plan, watchers), self.seed, parents);
         // Each balancer reports every 5 s from its start. A hundred starts 48 ms apart spread the reports over that
         // interval, as those of a fleet are.
         let apart_ms = if self.per_process > 20 { 48 } else { 0 };
         let job = Job { list, zones: zone_names(self.plan), apart_ms, balancers: Vec::new() };
-        Swarm::start(&balancers, self.per_process, &job)
+        HollowProcesses::start(&balancers, self.per_process, &job)
     }
 }
--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -17,7 +17,7 @@
 mod memory;
 mod timing;
 
-pub use linear_fit::straight;
+pub use linear_fit::fit_line;
 pub use memory::resident_bytes;
 
 use loaded_core::REPLICAS;
@@ -269,7 +269,7 @@
         mut note: String,
     ) -> Result<(), CapacityError> {
         let &SlopeText { name, what, x_unit, y_unit } = text;
-        let fit = straight(&points, &mut note);
+        let fit = fit_line(&points, &mut note);
         for point in &points {
             println!(
                 "{name} {:>6} {x_unit}: {:.0} {y_unit} ({:.0} to {:.0})",
--- a/crates/capacity/src/decisions/linear_fit.rs
+++ b/crates/capacity/src/decisions/linear_fit.rs
@@ -7,7 +7,7 @@
 
 /// Fits a straight line to the points and returns it if its residual is small enough. Otherwise appends to `note` how
 /// large the deviation is, a power law that fits the points, and the marginal cost between the two largest sizes.
-pub fn straight(points: &[Point], note: &mut String) -> Option<Fit> {
+pub fn fit_line(points: &[Point], note: &mut String) -> Option<Fit> {
     let fit = Fit::through(points)?;
     if fit.residual <= MAX_RELATIVE_RESIDUAL {
         return Some(fit);
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -9,9 +9,11 @@
 use clap::Args;
 
 use crate::CapacityError;
-use crate::decisions::straight;
+use crate::decisions::fit_line;
 use crate::hollow::topology::Topology;
-use crate::hollow::world::{Effects, Play, Report, Trouble, TroubledService, World};
+use crate::hollow::world::{
+    FaultyService, FleetSimulation, IdempotencyFractions, Report, RunParameters, ServiceFault,
+};
 use crate::plan::Plan;
 use crate::slope::{self, Point, Results, Slope};
 
@@ -41,7 +43,7 @@
 const MEMORY_MB: u64 = 4096;
 
 /// Faults that the table has rows for.
-const FAULTS: [Trouble; 3] = [Trouble::Failing, Trouble::Silent, Trouble::Halved];
+const FAULTS: [ServiceFault; 3] = [ServiceFault::Failing, ServiceFault::Silent, ServiceFault::Halved];
 
 /// Column headings of the results table.
 const COLUMNS: [&str; 10] = [
@@ -63,11 +65,11 @@
     /// Number of services in the chain.
     pub depth: usize,
     /// Position of the faulty service, counted from 1 at the front, and its fault; `None` if all services are healthy.
-    pub trouble: Option<(usize, Trouble)>,
+    pub fault: Option<(usize, ServiceFault)>,
     /// Largest number of retries by a client for one request.
-    pub repeats: u32,
+    pub max_client_retries: u32,
     /// Whether all requests are idempotent; otherwise the usual fractions of the hollow fleet apply.
-    pub safe: bool,
+    pub all_idempotent: bool,
     /// Seed of all random draws of the run.
     pub seed: u64,
     /// Duration of the run, in simulated seconds.
@@ -85,7 +87,7 @@
     pub refusals_at_front: f64,
     /// Mean time left of the deadline when a request arrives at the balancers before the deepest service that requests
     /// reach, in ms.
-    pub left_ms: f64,
+    pub deadline_left_ms: f64,
     /// Fraction of the requests at the front that succeeded within the latency objective, 0 to 1.
     pub served: f64,
     /// Attempts sent at all depths together, per request at the front.
@@ -103,18 +105,20 @@
         // A single tenant, so that the figures show the course of a request and not the quotas of many tenants.
         plan.traffic.tenants.value = 1;
         let topology = Topology::chain(&plan, self.depth, UPSTREAMS_PER_SERVICE, REQUESTS_PER_S);
-        let play = Play {
+        let play = RunParameters {
             name: format!("a chain of {}", self.depth),
             seconds: self.seconds,
             seed: self.seed,
             memory_mb: MEMORY_MB,
             script: Vec::new(),
             cold: false,
-            trouble: self.trouble.map(|(depth, trouble)| TroubledService { service: depth - 1, trouble }),
-            repeats: self.repeats,
-            effects: self.safe.then_some(Effects { free: 1.0, keyed: 0.0 }),
+            fault: self.fault.map(|(depth, fault)| FaultyService { service: depth - 1, fault }),
+            max_client_retries: self.max_client_retries,
+            idempotency_fractions: self
+                .all_idempotent
+                .then_some(IdempotencyFractions { free: 1.0, keyed: 0.0 }),
         };
-        World::new(&plan, &topology, &play)?.run()
+        FleetSimulation::new(&plan, &topology, &play)?.run()
     }
 
     /// Figures of a report, with the attempts of the service at the depth `at`, counted from 1 at the front.
@@ -129,7 +133,7 @@
             attempts: per_front_request(report.depths[at - 1].attempts),
             refusals: per_front_request(unsuccessful.iter().sum()),
             refusals_at_front: per_front_request(unsuccessful[0]),
-            left_ms: deepest.map_or(0.0, |depth| depth.left_s / depth.calls as f64 * 1e3),
+            deadline_left_ms: deepest.map_or(0.0, |depth| depth.left_s / depth.calls as f64 * 1e3),
             served: per_front_request(served),
             all_attempts: per_front_request(report.depths.iter().map(|depth| depth.attempts).sum()),
         }
@@ -159,7 +163,7 @@
     /// Number of services in the longest chain.
     longest_chain: usize,
     /// Largest number of retries by a client for one request, from the plan.
-    repeats: u32,
+    max_client_retries: u32,
     /// Description of the simulated chains for the notes of the output files.
     description: String,
     /// Command line that repeats the measurement.
@@ -171,7 +175,7 @@
 struct Points {
     attempts: Vec<Point>,
     refusals: Vec<Point>,
-    left_ms: Vec<Point>,
+    deadline_left_ms: Vec<Point>,
     /// Attempts at the deepest service where clients do not retry, one text `depth: attempts` for each depth.
     attempts_without_retries: Vec<String>,
 }
@@ -210,7 +214,7 @@
             plays: if small { 1 } else { 3 },
             depths,
             longest_chain,
-            repeats: plan.traffic.client_repeats.value,
+            max_client_retries: plan.traffic.client_repeats.value,
             description,
             command,
         }
@@ -220,9 +224,9 @@
     fn healthy(&self, depth: usize, play: u64) -> Chain {
         Chain {
             depth,
-            trouble: None,
-            repeats: self.repeats,
-            safe: true,
+            fault: None,
+            max_client_retries: self.max_client_retries,
+            all_idempotent: true,
             seed: self.arguments.seed + play,
             seconds: self.seconds,
         }
@@ -230,7 +234,7 @@
 
     /// A chain of `depth` services whose last service fails each request at once; all requests are idempotent.
     fn failing(&self, depth: usize, play: u64) -> Chain {
-        Chain { trouble: Some((depth, Trouble::Failing)), ..self.healthy(depth, play) }
+        Chain { fault: Some((depth, ServiceFault::Failing)), ..self.healthy(depth, play) }
     }
 
     /// Creates the folder `name` below the output folder if it is missing, and returns its path.
@@ -244,39 +248,39 @@
     fn points(&self) -> Result<Points, CapacityError> {
         let mut points = Points::default();
         for &depth in &self.depths {
-            let (mut attempts, mut refusals, mut left_ms) = (Vec::new(), Vec::new(), Vec::new());
+            let (mut attempts, mut refusals, mut deadline_left_ms) = (Vec::new(), Vec::new(), Vec::new());
             for play in 0..self.plays {
                 let failing = self.failing(depth, play);
                 let figures = failing.figures(&failing.play(self.plan)?, depth);
                 let healthy = self.healthy(depth, play);
                 attempts.push(figures.attempts);
                 refusals.push(figures.refusals);
-                left_ms.push(healthy.figures(&healthy.play(self.plan)?, depth).left_ms);
+                deadline_left_ms.push(healthy.figures(&healthy.play(self.plan)?, depth).deadline_left_ms);
             }
-            let no_retries = Chain { repeats: 0, ..self.failing(depth, 0) };
+            let no_retries = Chain { max_client_retries: 0, ..self.failing(depth, 0) };
             let no_retries = no_retries.figures(&no_retries.play(self.plan)?, depth);
             points.attempts_without_retries.push(format!("{depth}: {:.2}", no_retries.attempts));
             let x = depth as f64;
             points.attempts.extend(Point::of(x, attempts));
             points.refusals.extend(Point::of(x, refusals));
-            points.left_ms.extend(Point::of(x, left_ms));
+            points.deadline_left_ms.extend(Point::of(x, deadline_left_ms));
         }
         Ok(points)
     }
 
     fn write_slopes(&self) -> Result<(), CapacityError> {
-        let Points { attempts, refusals, left_ms, attempts_without_retries } = self.points()?;
+        let Points { attempts, refusals, deadline_left_ms, attempts_without_retries } = self.points()?;
         let [of_attempts, of_refusals, of_left] = self.slope_texts(&attempts_without_retries);
         let folder = self.folder("slopes")?;
         self.write_slope(&folder, of_attempts, attempts)?;
         self.write_slope(&folder, of_refusals, refusals)?;
-        self.write_slope(&folder, of_left, left_ms)
+        self.write_slope(&folder, of_left, deadline_left_ms)
     }
 
     /// Texts of the slopes of attempts, refusals and remaining deadline. `attempts_without_retries` has the attempts
     /// without client retries by depth.
     fn slope_texts(&self, attempts_without_retries: &[String]) -> [SlopeText; 3] {
-        let Self { description, repeats: max_retries, plan, .. } = self;
+        let Self { description, max_client_retries: max_retries, plan, .. } = self;
         let by_depth = attempts_without_retries;
         let failing = "its last service fails each call at once, all calls may be repeated freely";
         [
@@ -309,7 +313,7 @@
 
     fn write_slope(&self, folder: &Path, text: SlopeText, points: Vec<Point>) -> Result<(), CapacityError> {
         let SlopeText { name, what, unit, mut note } = text;
-        let fit = straight(&points, &mut note);
+        let fit = fit_line(&points, &mut note);
         for point in &points {
             println!("{name} {}: {:.3} {unit} ({:.3} to {:.3})", point.x, point.y, point.low, point.high);
         }
@@ -329,19 +333,29 @@
     }
 
     /// Simulates the longest chain with this fault in its service at `depth`, and returns its row of the results table.
-    fn row(&self, trouble: Trouble, depth: usize, repeats: u32) -> Result<Vec<String>, CapacityError> {
+    fn row(
+        &self,
+        fault: ServiceFault,
+        depth: usize,
+        max_client_retries: u32,
+    ) -> Result<Vec<String>, CapacityError> {
         let longest_chain = self.longest_chain;
-        let trouble_at = Some((depth, trouble));
-        let chain = Chain { trouble: trouble_at, repeats, safe: false, ..self.healthy(longest_chain, 0) };
+        let trouble_at = Some((depth, fault));
+        let chain = Chain {
+            fault: trouble_at,
+            max_client_retries,
+            all_idempotent: false,
+            ..self.healthy(longest_chain, 0)
+        };
         let report = chain.play(self.plan)?;
         let figures = chain.figures(&report, depth);
         let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
         let per_request = |count: u64| format!("{:.3}", count as f64 / calls.max(1) as f64);
         let totals = report.depths[depth - 1];
         Ok(vec![
-            fault_name(trouble).to_owned(),
+            fault_name(fault).to_owned(),
             depth.to_string(),
-            repeats.to_string(),
+            max_client_retries.to_string(),
             format!("{:.3}", figures.attempts),
             per_request(report.depths[longest_chain - 1].attempts),
             format!("{:.2}", figures.all_attempts),
@@ -354,10 +368,10 @@
 
     fn write_table(&self) -> Result<(), CapacityError> {
         let mut rows = Vec::new();
-        for trouble in FAULTS {
+        for fault in FAULTS {
             for &depth in &self.depths {
-                for repeats in [0, self.repeats] {
-                    let row = self.row(trouble, depth, repeats)?;
+                for max_client_retries in [0, self.max_client_retries] {
+                    let row = self.row(fault, depth, max_client_retries)?;
                     println!("{}", row.join("  "));
                     rows.push(row);
                 }
@@ -380,10 +394,10 @@
 }
 
 /// Name of a fault in the results table.
-fn fault_name(trouble: Trouble) -> &'static str {
-    match trouble {
-        Trouble::Failing => "failing",
-        Trouble::Silent => "silent",
-        Trouble::Halved => "halved",
+fn fault_name(fault: ServiceFault) -> &'static str {
+    match fault {
+        ServiceFault::Failing => "failing",
+        ServiceFault::Silent => "silent",
+        ServiceFault::Halved => "halved",
     }
 }
--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow/mod.rs
@@ -24,7 +24,7 @@
 use scenario::{Scenario, Script, Span};
 use table::{COLUMNS, KEY_COLUMNS, NOTE, row};
 use topology::Topology;
-use world::{Play, Report, Second, Step, World};
+use world::{FleetSimulation, Report, RunParameters, Second, Step};
 
 /// Number of upstreams in a `--small` run.
 const SMALL_UPSTREAMS: usize = 120;
@@ -113,11 +113,11 @@
 
 /// Result of a simulation run, with the properties of the fleet that it was run on.
 #[derive(Debug, Clone)]
-pub struct Played {
+pub struct RunResult {
     /// Figures that the simulation collected.
     pub report: Report,
     /// Time span during which the scenario's fault lasted.
-    pub trouble: Span,
+    pub fault: Span,
     /// Number of upstreams in the fleet.
     pub upstreams: usize,
     /// Calls a second of the busiest upstream divided by the mean over all upstreams, in the drawn topology.
@@ -131,7 +131,7 @@
 ///
 /// # Errors
 /// The number of upstreams is below twice the plan's chain depth, or above 100000.
-pub fn scaled(plan: &Plan, upstreams: usize) -> Result<Plan, CapacityError> {
+pub fn scale_plan(plan: &Plan, upstreams: usize) -> Result<Plan, CapacityError> {
     let upstreams_min = plan.graph.depth.value * 2;
     if !(upstreams_min..=100_000).contains(&upstreams) {
         return Err(CapacityError::Argument {
@@ -155,7 +155,7 @@
 /// # Errors
 /// The duration is out of range, the plan has fewer services than depths, its figures give no valid settings, or the
 /// memory limit is exceeded.
-pub fn play(plan: &Plan, run: &Run) -> Result<Played, CapacityError> {
+pub fn play(plan: &Plan, run: &Run) -> Result<RunResult, CapacityError> {
     let Run { scenario, reading, seed, seconds, memory_mb } = *run;
     if !(5.0..=3600.0).contains(&seconds) {
         return Err(CapacityError::Argument { name: "seconds", expected: "5 to 3600".to_owned() });
@@ -167,22 +167,22 @@
         }]));
     }
     let topology = Topology::draw(plan, reading, seed);
-    let Script { steps, trouble } = scenario.script(plan, &topology, seconds, seed);
+    let Script { steps, fault } = scenario.script(plan, &topology, seconds, seed);
     let reachable = steps.iter().find_map(|timed| reachable_after(timed.step, &topology));
-    let play = Play {
+    let play = RunParameters {
         name: scenario.name().to_owned(),
         seconds,
         seed,
         memory_mb,
         script: steps,
         cold: scenario == Scenario::Cold,
-        trouble: None,
-        repeats: plan.traffic.client_repeats.value,
-        effects: None,
+        fault: None,
+        max_client_retries: plan.traffic.client_repeats.value,
+        idempotency_fractions: None,
     };
-    let report = World::new(plan, &topology, &play)?.run()?;
+    let report = FleetSimulation::new(plan, &topology, &play)?.run()?;
     let upstreams = plan.fleet.upstreams.value;
-    Ok(Played { report, trouble, upstreams, busiest_over_mean: topology.busiest_over_mean(), reachable })
+    Ok(RunResult { report, fault, upstreams, busiest_over_mean: topology.busiest_over_mean(), reachable })
 }
 
 /// Fraction of the calls that find an upstream at each step of their chain after a scenario step that loses a zone or
@@ -213,7 +213,7 @@
 /// An argument is out of range, a run fails, or the results file cannot be written; the error names which.
 pub fn run(arguments: &Arguments, plan: &Plan) -> Result<(), CapacityError> {
     let upstreams = arguments.upstreams.or(arguments.small.then_some(SMALL_UPSTREAMS));
-    let scaled_plan = upstreams.map(|upstreams| scaled(plan, upstreams)).transpose()?;
+    let scaled_plan = upstreams.map(|upstreams| scale_plan(plan, upstreams)).transpose()?;
     let plan = scaled_plan.as_ref().unwrap_or(plan);
     if arguments.seeds == 0 {
         return Err(CapacityError::Argument { name: "seeds", expected: "at least 1".to_owned() });
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -48,7 +48,7 @@
     /// Steps of the scenario, ordered by time.
     pub steps: Vec<TimedStep>,
     /// Time span during which the scenario's fault lasts.
-    pub trouble: Span,
+    pub fault: Span,
 }
 
 impl Scenario {
@@ -88,7 +88,7 @@
     #[must_use]
     pub fn script(self, plan: &Plan, topology: &Topology, seconds: f64, seed: u64) -> Script {
         let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
-        let trouble = match self {
+        let fault = match self {
             Self::Calm => Span { from_s: seconds, until_s: seconds },
             Self::Ordinary => writer.ordinary(),
             Self::Replacement => writer.replacement(),
@@ -99,7 +99,7 @@
         };
         let mut script = writer.script;
         script.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-        Script { steps: script, trouble }
+        Script { steps: script, fault }
     }
 }
 
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -3,7 +3,7 @@
 
 use super::scenario::{LEARNING_S, Scenario, Span};
 use super::world::{Depth, Faults, Report, Second, Signals};
-use super::{Played, Run, sum};
+use super::{Run, RunResult, sum};
 use crate::plan::Reading;
 
 /// Number of leading columns that identify a run.
@@ -73,8 +73,8 @@
 }
 
 /// Percentages of the calls that were served in time before, during and after the fault.
-fn phases(report: &Report, from: f64, trouble: Span) -> String {
-    let phases = [(from, trouble.from_s), (trouble.from_s, trouble.until_s), (trouble.until_s, f64::MAX)];
+fn phases(report: &Report, from: f64, fault: Span) -> String {
+    let phases = [(from, fault.from_s), (fault.from_s, fault.until_s), (fault.until_s, f64::MAX)];
     phases
         .map(|(from, until)| {
             let Second { calls, served, .. } = sum(&report.seconds, from, until);
@@ -99,11 +99,11 @@
 
 /// Recovery time: seconds from the end of the fault until the last second in which the fraction of calls served in time
 /// is below 99 % of that before the fault.
-fn recovery(run: &Run, report: &Report, from: f64, trouble: Span) -> String {
-    if trouble.until_s >= run.seconds {
+fn recovery(run: &Run, report: &Report, from: f64, fault: Span) -> String {
+    if fault.until_s >= run.seconds {
         return "-".to_owned();
     }
-    let before_fault = served_fraction(&sum(&report.seconds, from, trouble.from_s));
+    let before_fault = served_fraction(&sum(&report.seconds, from, fault.from_s));
     let target = 0.99 * if before_fault.is_nan() { 1.0 } else { before_fault };
     let below_target = |(_, second): &(u32, &Second)| second.calls > 0 && served_fraction(second) < target;
     let last = (0..)
@@ -115,7 +115,7 @@
     if last >= report.seconds.len() as f64 {
         return "not in the run".to_owned();
     }
-    format!("{:.0}", (last - trouble.until_s).max(0.0))
+    format!("{:.0}", (last - fault.until_s).max(0.0))
 }
 
 /// Formats one figure for each depth that calls reached, separated by spaces.
@@ -163,8 +163,8 @@
 }
 
 /// The table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in seconds.
-pub(super) fn row(run: &Run, played: &Played, wall_s: f64) -> Vec<String> {
-    let &Played { ref report, trouble, upstreams, busiest_over_mean, reachable } = played;
+pub(super) fn row(run: &Run, played: &RunResult, wall_s: f64) -> Vec<String> {
+    let &RunResult { ref report, fault, upstreams, busiest_over_mean, reachable } = played;
     let from = if run.scenario == Scenario::Cold { 0.0 } else { LEARNING_S };
     let all = sum(&report.seconds, from, f64::MAX);
     let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
@@ -183,11 +183,11 @@
         percent(all.late, all.calls),
         percent(all.refused, all.calls),
         percent(all.failed, all.calls),
-        phases(report, from, trouble),
+        phases(report, from, fault),
         worst_second(report, from),
         reachable.map_or("-".to_owned(), |part| format!("{:.2}", part * 100.0)),
         seconds_under_half(report).to_string(),
-        recovery(run, report, from, trouble),
+        recovery(run, report, from, fault),
         format!("{:.0}", report.time(0.5) * 1e3),
         format!("{:.0}", report.time(0.99) * 1e3),
         by_depth(report, |depth| format!("{:.3}", per_call(depth.attempts, depth.calls, 1.0))),
@@ -200,7 +200,7 @@
             percent(report.crossed_regions, attempts)
         ),
         report.cold_starts.to_string(),
-        report.pushed_over.to_string(),
+        report.overload_crashes.to_string(),
         signal(report, from, |signals| signals.limited),
         signal(report, from, |signals| signals.ejected),
         signal(report, from, |signals| signals.congested),
--- a/crates/capacity/src/hollow/wheel.rs
+++ b/crates/capacity/src/hollow/wheel.rs
@@ -41,7 +41,7 @@
 /// A timer wheel: returns events in the order of their times in ns, and events with equal times in the order of
 /// insertion.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<Entry<T>>>,
     /// Entries of the current slot, and those inserted with an earlier time.
     current: BinaryHeap<Reverse<Entry<T>>>,
@@ -55,7 +55,7 @@
     len: usize,
 }
 
-impl<T> Default for Wheel<T> {
+impl<T> Default for TimerWheel<T> {
     fn default() -> Self {
         Self {
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
@@ -68,7 +68,7 @@
     }
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Inserts an event that is due at the time `at`, in ns. An event whose time has already passed is returned as soon
     /// as possible.
     pub fn push(&mut self, at: u64, event: T) {
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/world.rs
@@ -12,7 +12,7 @@
 use self::slab::Slab;
 use self::state::{Client, Core, Hop, Process, Slot, State, WorkItem};
 use super::topology::Topology;
-use super::wheel::Wheel;
+use super::wheel::TimerWheel;
 use crate::CapacityError;
 use crate::decisions::resident_bytes;
 use crate::plan::Plan;
@@ -48,7 +48,7 @@
 
 /// A fault of a service that lasts for the whole run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ServiceFault {
     /// The service answers every request with an error at once.
     Failing,
     /// The service accepts requests and never answers.
@@ -59,7 +59,7 @@
 
 /// Fractions of the calls, 0 to 1, by idempotency class; the remaining calls must not be retried.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Effects {
+pub struct IdempotencyFractions {
     /// Fraction of idempotent calls, which may be retried freely.
     pub free: f64,
     /// Fraction of calls that may be retried with an idempotency key.
@@ -68,11 +68,11 @@
 
 /// A service with a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TroubledService {
+pub struct FaultyService {
     /// Index of the service in [`Topology::services`].
     pub service: usize,
     /// Fault of the service.
-    pub trouble: Trouble,
+    pub fault: ServiceFault,
 }
 
 /// A step of a scenario, with the time at which it happens.
@@ -86,7 +86,7 @@
 
 /// Parameters of a simulation run.
 #[derive(Debug, Clone)]
-pub struct Play {
+pub struct RunParameters {
     /// Name of the run in error messages.
     pub name: String,
     /// Virtual seconds during which clients send calls.
@@ -100,24 +100,24 @@
     /// Whether all processes have just started and are still warming up.
     pub cold: bool,
     /// The service with a fault, if any.
-    pub trouble: Option<TroubledService>,
+    pub fault: Option<FaultyService>,
     /// Maximum number of retries by a client.
-    pub repeats: u32,
+    pub max_client_retries: u32,
     /// Fractions of the calls by idempotency class; `None` for the default fractions.
-    pub effects: Option<Effects>,
+    pub idempotency_fractions: Option<IdempotencyFractions>,
 }
 
 /// State of a simulated fleet during a run.
 #[derive(Debug)]
-pub struct World<'a> {
+pub struct FleetSimulation<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
-    play: &'a Play,
+    play: &'a RunParameters,
     rng: Rand64,
     /// Current virtual time, in ns.
     now: u64,
     /// Queue of the events to come.
-    scheduled: Wheel<ScheduledEvent>,
+    scheduled: TimerWheel<ScheduledEvent>,
     slots: Vec<Slot>,
     /// All processes that have been started in the run, the ended ones among them.
     processes: Vec<Process>,
@@ -157,12 +157,16 @@
 /// Multiplier of the digest's hash function.
 const DIGEST_MULTIPLIER: u64 = 0x517c_c1b7_2722_0a95;
 
-impl<'a> World<'a> {
+impl<'a> FleetSimulation<'a> {
     /// Sets up the fleet before its first event.
     ///
     /// # Errors
     /// The plan's figures give no valid settings for a balancer.
-    pub fn new(plan: &'a Plan, topology: &'a Topology, play: &'a Play) -> Result<Self, CapacityError> {
+    pub fn new(
+        plan: &'a Plan,
+        topology: &'a Topology,
+        play: &'a RunParameters,
+    ) -> Result<Self, CapacityError> {
         let services = topology.services.len();
         let mut world = Self {
             plan,
@@ -170,7 +174,7 @@
             play,
             rng: Rand64::new(u128::from(play.seed) << 8 | 2),
             now: 0,
-            scheduled: Wheel::default(),
+            scheduled: TimerWheel::default(),
             slots: Vec::new(),
             processes: Vec::new(),
             listed: vec![Vec::new(); services],
@@ -239,7 +243,7 @@
     /// Starts a process in each slot, and all fronts. The balancers are added after all processes, so that their first
     /// lists are complete.
     fn add_first_processes(&mut self) -> Result<(), CapacityError> {
-        let halved = self.play.trouble.filter(|faulty| faulty.trouble == Trouble::Halved);
+        let halved = self.play.fault.filter(|faulty| faulty.fault == ServiceFault::Halved);
         let halved = halved.map(|faulty| faulty.service);
         let mut seen = vec![0; self.topology.services.len()];
         for slot in 0..self.slots.len() {
--- a/crates/capacity/src/hollow/world/attempts.rs
+++ b/crates/capacity/src/hollow/world/attempts.rs
@@ -9,14 +9,14 @@
 use super::event::ScheduledEvent;
 use super::settings::DRAIN_GRACE_S;
 use super::state::{Attempt, End, State};
-use super::{World, ns};
+use super::{FleetSimulation, ns};
 
 /// Connect timeout of a balancer in seconds, if another attempt may follow.
 const CONNECT_WAIT_S: f64 = 1.0 / 16.0;
 /// Connect timeout of a balancer in seconds for the last attempt of a call.
 const LAST_CONNECT_WAIT_S: f64 = 1.0;
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Whether a network partition separates two zones.
     pub(super) fn is_partitioned(&self, from: usize, to: usize) -> bool {
         let [from, to] = [from, to].map(|zone| self.topology.region_of[zone]);
--- a/crates/capacity/src/hollow/world/calls.rs
+++ b/crates/capacity/src/hollow/world/calls.rs
@@ -9,9 +9,9 @@
 
 use super::event::ScheduledEvent;
 use super::state::{Caller, End, Hop};
-use super::{World, seconds};
+use super::{FleetSimulation, seconds};
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Starts a call at a core: records it and passes its request to the decision core.
     pub(super) fn start_call(&mut self, core: u32, caller: Caller, class: u8, hops_left: u8, deadline: u64) {
         let attempts = Vec::with_capacity(1);
--- a/crates/capacity/src/hollow/world/clients.rs
+++ b/crates/capacity/src/hollow/world/clients.rs
@@ -3,15 +3,15 @@
 use super::event::ScheduledEvent;
 use super::report::Second;
 use super::state::{Caller, Client, End};
-use super::{Effects, World, ns};
+use super::{FleetSimulation, IdempotencyFractions, ns};
 use crate::hollow::topology::place;
 
 /// Default fractions of the calls by idempotency class.
-const DEFAULT_EFFECTS: Effects = Effects { free: 0.7, keyed: 0.15 };
+const DEFAULT_IDEMPOTENCY_FRACTIONS: IdempotencyFractions = IdempotencyFractions { free: 0.7, keyed: 0.15 };
 /// Minimum pause of a client before a retry, in seconds; the pause is drawn between this and twice as long.
 const RETRY_PAUSE_MIN_S: f64 = 0.1;
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Starts a client call, and schedules the next one after an exponentially distributed gap (a Poisson process)
     /// unless that is at `last` (ns) or later.
     pub(super) fn next_client(&mut self, last: u64) {
@@ -37,7 +37,8 @@
         let entry = place(topology.entries.iter().map(|entry| entry.until), self.rng.rand_float());
         let hops_left = 1 + place(topology.chain_lengths.iter().copied(), self.rng.rand_float());
         let draw = self.rng.rand_float();
-        let Effects { free, keyed } = self.play.effects.unwrap_or(DEFAULT_EFFECTS);
+        let IdempotencyFractions { free, keyed } =
+            self.play.idempotency_fractions.unwrap_or(DEFAULT_IDEMPOTENCY_FRACTIONS);
         let class = u8::from(draw >= free) + u8::from(draw >= free + keyed);
         let client = Client {
             first_sent: self.now,
@@ -90,7 +91,7 @@
         let Client { first_sent, class, tries, .. } = *client;
         let deadline = first_sent + ns(self.plan.traffic.deadline_s.value);
         let may_retry = end == End::Refused || (end == End::Failed && class < 2);
-        if may_retry && tries <= self.play.repeats && now + pause < deadline {
+        if may_retry && tries <= self.play.max_client_retries && now + pause < deadline {
             return self.scheduled.push(now + pause, ScheduledEvent::ClientRetry(number));
         }
         client.answered = true;
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -10,7 +10,7 @@
 
 use super::event::ScheduledEvent;
 use super::state::Process;
-use super::{World, ns};
+use super::{FleetSimulation, ns};
 
 /// Minimum delay of a list update on its way to a balancer, in seconds.
 pub(super) const LIST_DELAY_MIN_S: f64 = 0.2;
@@ -18,7 +18,7 @@
 /// served at the same time.
 pub(super) const LIST_DELAY_SPREAD_S: f64 = 0.3;
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// The list entry of a process, with its current lifecycle state.
     pub(super) fn member(&self, process: u32) -> Member {
         let Process { slot, lifecycle, started, .. } = self.processes[process as usize];
--- a/crates/capacity/src/hollow/world/processes.rs
+++ b/crates/capacity/src/hollow/world/processes.rs
@@ -10,13 +10,13 @@
 
 use super::event::ScheduledEvent;
 use super::state::{Core, Process, Slot, State};
-use super::{World, ns};
+use super::{FleetSimulation, ns};
 use crate::CapacityError;
 
 /// Virtual seconds from a machine's failure until service discovery removes its process from the list.
 const FAILURE_DETECTION_S: f64 = 1.5;
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Adds a process in a slot and to the list of its service, without its balancers. `started` is the time of a cold
     /// start in ns, `None` for a process at full capacity.
     pub(super) fn add_process(&mut self, slot: usize, started: Option<u64>) -> usize {
--- a/crates/capacity/src/hollow/world/report.rs
+++ b/crates/capacity/src/hollow/world/report.rs
@@ -74,7 +74,7 @@
     /// Counts by depth, starting with the services that clients call directly.
     pub depths: Vec<Depth>,
     /// Number of processes that crashed from overload while they were warming up.
-    pub pushed_over: u64,
+    pub overload_crashes: u64,
     /// Number of processes that started cold.
     pub cold_starts: u64,
     /// Number of list updates that balancers received.
--- a/crates/capacity/src/hollow/world/script.rs
+++ b/crates/capacity/src/hollow/world/script.rs
@@ -8,7 +8,7 @@
 use super::event::ScheduledEvent;
 use super::lists::{LIST_DELAY_MIN_S, LIST_DELAY_SPREAD_S};
 use super::state::State;
-use super::{World, ns};
+use super::{FleetSimulation, ns};
 use crate::CapacityError;
 
 /// Virtual seconds from a machine's failure until a new process starts in its slot.
@@ -33,7 +33,7 @@
     HealRegion(usize),
 }
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Applies the step `number` of the script.
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
         match self.play.script[number].step {
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -8,7 +8,7 @@
     ZoneId,
 };
 
-use super::World;
+use super::FleetSimulation;
 use super::upstreams::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_S, SLOW_START_MIN_FRACTION, SLOW_START_WINDOW_S};
 
 /// Grace period after the notification that an upstream is draining or removed, in seconds; after it, a balancer must
@@ -17,7 +17,7 @@
 /// Sum of the quotas of all tenants divided by the rate of calls.
 pub(super) const QUOTA_MULTIPLE: f64 = 1.5;
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Settings of the balancer with the replica index `index` that calls `service` from `zone`.
     pub(super) fn settings(&self, service: usize, zone: usize, index: u32) -> Settings {
         let traffic = &self.plan.traffic;
--- a/crates/capacity/src/hollow/world/signals.rs
+++ b/crates/capacity/src/hollow/world/signals.rs
@@ -8,9 +8,9 @@
 use super::report::Signals;
 use super::settings::QUOTA_MULTIPLE;
 use super::upstreams::SLOW_START_WINDOW_S;
-use super::{SIGNAL_SAMPLE_INTERVAL_S, World, ns};
+use super::{FleetSimulation, SIGNAL_SAMPLE_INTERVAL_S, ns};
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// Takes one sample of the signals from the stats snapshots of all running balancers.
     pub(super) fn sample_signals(&mut self) {
         self.scheduled.push(self.now + ns(SIGNAL_SAMPLE_INTERVAL_S), ScheduledEvent::SignalSample);
--- a/crates/capacity/src/hollow/world/upstreams.rs
+++ b/crates/capacity/src/hollow/world/upstreams.rs
@@ -5,7 +5,7 @@
 
 use super::event::ScheduledEvent;
 use super::state::{Caller, Process, Slot, State, WorkItem};
-use super::{Trouble, TroubledService, World, ns, seconds};
+use super::{FaultyService, FleetSimulation, ServiceFault, ns, seconds};
 use crate::hollow::topology::place;
 
 /// Fraction of its full capacity, 0 to 1, with which a process starts.
@@ -30,7 +30,7 @@
     (SLOW_START_MIN_FRACTION + (1.0 - SLOW_START_MIN_FRACTION) * age_s / SLOW_START_WINDOW_S).min(1.0)
 }
 
-impl World<'_> {
+impl FleetSimulation<'_> {
     /// The request of an attempt reaches its upstream: it is processed, queued or refused, or lost with a failed
     /// process or a network partition.
     pub(super) fn request_arrives(&mut self, id: u64, number: u8) {
@@ -52,18 +52,18 @@
         }
         let depth = self.topology.services[service].depth - 1;
         self.report.depths[depth].reached += 1;
-        match self.play.trouble {
-            Some(TroubledService { service: faulty, trouble: Trouble::Failing }) if faulty == service => {
+        match self.play.fault {
+            Some(FaultyService { service: faulty, fault: ServiceFault::Failing }) if faulty == service => {
                 self.count_execution(id);
                 return self.reply(zone, id, number, Outcome::Error);
             }
-            Some(TroubledService { service: faulty, trouble: Trouble::Silent }) if faulty == service => {
+            Some(FaultyService { service: faulty, fault: ServiceFault::Silent }) if faulty == service => {
                 return self.count_execution(id);
             }
             _ => {}
         }
         if self.is_overloaded_by_arrival(process) {
-            self.report.pushed_over += 1;
+            self.report.overload_crashes += 1;
             self.stop(process, State::Ended);
             self.scheduled.push(now + ns(CRASH_RESTART_S), ScheduledEvent::Start(slot as u32));
             return self.reply(zone, id, number, Outcome::Reset);
--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -10,7 +10,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::Slope;
-use crate::world::{self, Common};
+use crate::world::{self, CommonArguments};
 
 mod breakdown;
 mod placement;
@@ -37,7 +37,7 @@
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// Activity in the background of the calls.
     #[arg(long = "beside", value_name = "BESIDE", value_enum, default_value_t = Background::Nothing)]
     background: Background,
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -8,8 +8,8 @@
 use super::{Background, Bench};
 use crate::CapacityError;
 use crate::world::{
-    self, Balancer, ByteRelay, Call, Counts, Discovery, Distribution, DurationHistogram, End, Played,
-    Upstreams, Usage, Way,
+    self, Balancer, ByteRelay, Call, CallOutcome, CallResult, Counts, Discovery, Distribution,
+    DurationHistogram, Route, Upstreams, Usage,
 };
 
 /// Time between two changes in the background.
@@ -110,7 +110,7 @@
         UsageBaseline {
             steal_time_ms: world::steal_time_ms(),
             used: Usage::of(self.balancer.process.id()),
-            opened: self.upstreams.seen.opened(),
+            opened: self.upstreams.records.opened(),
         }
     }
 }
@@ -137,7 +137,7 @@
 
 /// Results of the calls of a run, and what was recorded in the background meanwhile.
 struct SentCalls {
-    played: Vec<Played>,
+    played: Vec<CallResult>,
     baseline: UsageBaseline,
     changes: usize,
 }
@@ -167,16 +167,16 @@
             world::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
         let core = setup.placement.place(self.cores, self.placement != Placement::Anywhere)?;
         let servers = self.start_servers(setup, calls.len(), core)?;
-        let first_id = servers.upstreams.seen.take_ids(calls.len())?;
+        let first_id = servers.upstreams.records.take_ids(calls.len())?;
         let first_counted = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
 
         let SentCalls { played, baseline, changes } =
             self.run(setup, &servers, &calls, first_id, first_counted)?;
         let stats = RunStats {
-            counts: Counts::of(&calls, &played, &servers.upstreams.seen, first_id),
+            counts: Counts::of(&calls, &played, &servers.upstreams.records, first_id),
             used: Usage::of(servers.balancer.process.id())?.since(baseline.used?),
             span: length - warm,
-            opened: servers.upstreams.seen.opened() - baseline.opened,
+            opened: servers.upstreams.records.opened() - baseline.opened,
             changes,
             steal_time_ms: world::steal_time_ms().saturating_sub(baseline.steal_time_ms),
         };
@@ -211,16 +211,17 @@
     }
 
     /// Routes of the calls, in the order of [`DIRECT`], [`THROUGH`] and [`RELAY`].
-    fn ways(&self, servers: &Servers) -> Vec<Way> {
-        let way = |targets| Way {
+    fn routes(&self, servers: &Servers) -> Vec<Route> {
+        let route = |targets| Route {
             targets,
             warm: CLIENT_CONNECTIONS,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
-        let mut ways = vec![way(servers.upstreams.addresses.clone()), way(vec![servers.balancer.address])];
-        ways.extend(servers.relay.iter().map(|relay| way(vec![relay.address])));
-        ways
+        let mut routes =
+            vec![route(servers.upstreams.addresses.clone()), route(vec![servers.balancer.address])];
+        routes.extend(servers.relay.iter().map(|relay| route(vec![relay.address])));
+        routes
     }
 
     /// Sends the calls from a thread of their own. Meanwhile makes the changes, and records the usage at the end of the
@@ -233,15 +234,16 @@
         first_id: usize,
         first_counted: usize,
     ) -> Result<SentCalls, CapacityError> {
-        let ways = self.ways(servers);
+        let routes = self.routes(servers);
         let progress = AtomicUsize::new(0);
         let finished = AtomicBool::new(false);
         let core_0 = setup.placement != Placement::Anywhere;
         let (played, background) = thread::scope(|scope| {
             let client = scope.spawn(|| {
                 let placed = if core_0 { world::pin_to_cores("0") } else { Ok(()) };
-                let start_time = Instant::now() + world::CONNECT_FIRST;
-                let played = placed.and_then(|()| world::play(calls, &ways, first_id, start_time, &progress));
+                let start_time = Instant::now() + world::CONNECT_LEAD_TIME;
+                let played =
+                    placed.and_then(|()| world::play(calls, &routes, first_id, start_time, &progress));
                 finished.store(true, Ordering::Release);
                 played
             });
@@ -294,23 +296,24 @@
 }
 
 /// Computes the results of a run from its counted calls.
-fn summarize(calls: &[Call], played: &[Played], stats: RunStats) -> Result<Run, CapacityError> {
+fn summarize(calls: &[Call], played: &[CallResult], stats: RunStats) -> Result<Run, CapacityError> {
     // A call without its own response has no latency; the counts tell how many there are.
     let right = || calls.iter().zip(played).filter(|(_, played)| played.is_right());
-    let of = |way: usize| {
+    let of = |route: usize| {
         DurationHistogram::of(
-            right().filter(|(call, _)| call.way == way).map(|(call, played)| played.latency(call)),
+            right().filter(|(call, _)| call.route == route).map(|(call, played)| played.latency(call)),
         )
     };
     let on = |new: bool| {
-        let own = right()
-            .filter(|(call, played)| call.way == THROUGH && played.end == End::Right { new_connection: new });
+        let own = right().filter(|(call, played)| {
+            call.route == THROUGH && played.end == CallOutcome::Right { new_connection: new }
+        });
         DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
     };
     let pairs = calls.iter().map(|call| call.pair + 1).max().unwrap_or(0);
     let mut paired: Vec<[Option<Duration>; 2]> = vec![[None; 2]; pairs];
-    for (call, played) in right().filter(|(call, _)| call.way <= THROUGH) {
-        paired[call.pair][call.way] = Some(played.latency(call));
+    for (call, played) in right().filter(|(call, _)| call.route <= THROUGH) {
+        paired[call.pair][call.route] = Some(played.latency(call));
     }
     let both: Vec<(Duration, Duration)> =
         paired.into_iter().filter_map(|[direct, through]| Some((direct?, through?))).collect();
--- a/crates/capacity/src/page/format.rs
+++ b/crates/capacity/src/page/format.rs
@@ -53,9 +53,9 @@
 
 pub(super) fn basis_text(basis: &Basis) -> String {
     match basis {
-        Basis::Reckoned(missing) if missing.is_empty() => "reckoned from the plan".to_owned(),
-        Basis::Reckoned(missing) => format!("reckoned from the plan; not measured: {}", missing.join(", ")),
-        Basis::Played(plays) => format!("played, the worst of {plays}"),
+        Basis::Calculated(missing) if missing.is_empty() => "reckoned from the plan".to_owned(),
+        Basis::Calculated(missing) => format!("reckoned from the plan; not measured: {}", missing.join(", ")),
+        Basis::ScenarioRuns(plays) => format!("played, the worst of {plays}"),
         Basis::Measured => "measured".to_owned(),
         Basis::Extrapolated(past) => {
             format!("extrapolated, {} times the largest size played", format_number(*past))
@@ -69,8 +69,8 @@
     let Some(value) = figure.value else { return "not measured".to_owned() };
     let ratio = figure.ratio.map_or(String::new(), |ratio| format!(" ({})", format_number(ratio)));
     let basis = match &figure.basis {
-        Basis::Reckoned(_) => "r".to_owned(),
-        Basis::Played(_) => "p".to_owned(),
+        Basis::Calculated(_) => "r".to_owned(),
+        Basis::ScenarioRuns(_) => "p".to_owned(),
         Basis::Measured => "m".to_owned(),
         Basis::Extrapolated(past) => format!("e{}", format_number(*past)),
         Basis::NotMeasured(_) => String::new(),
--- a/crates/capacity/src/page/measured.rs
+++ b/crates/capacity/src/page/measured.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use super::format::{format_number, table};
-use crate::arithmetic::{Measured, Occasion, needs};
+use crate::arithmetic::{LoadScenario, Measured, needs};
 use crate::plan::Plan;
 use crate::slope::{Results, Slope};
 
@@ -61,7 +61,7 @@
             rows,
         )
     };
-    let required: BTreeSet<&str> = Occasion::all(plan)
+    let required: BTreeSet<&str> = LoadScenario::all(plan)
         .iter()
         .flat_map(|occasion| needs(plan, occasion, tree))
         .flat_map(|need| need.terms.into_iter().map(|term| term.slope))
--- a/crates/capacity/src/page/needs.rs
+++ b/crates/capacity/src/page/needs.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use super::format::{basis_text, compact_figure_text, figure_text, format_number, table};
-use crate::arithmetic::{Basis, Measured, Need, Occasion, needs};
+use crate::arithmetic::{Basis, LoadScenario, Measured, Need, needs};
 use crate::plan::Plan;
 use crate::slope::Results;
 
@@ -14,7 +14,7 @@
 
 /// The table of results that the figure of a need is read from; `None` where it is not read from a scenario's results.
 fn results_table<'a>(need: &Need, measured: &'a Measured) -> Option<&'a Results> {
-    let played = need.played.filter(|_| matches!(need.figure(measured).basis, Basis::Played(_)))?;
+    let played = need.played.filter(|_| matches!(need.figure(measured).basis, Basis::ScenarioRuns(_)))?;
     measured.results.get(played.results)
 }
 
@@ -64,7 +64,7 @@
 
 /// The needs on the ordinary day: a table for each role, with a row for each cost.
 pub(super) fn day_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
-    let all = needs(plan, &Occasion::all(plan).swap_remove(0), tree);
+    let all = needs(plan, &LoadScenario::all(plan).swap_remove(0), tree);
     let head = [
         "cost",
         "formula",
@@ -88,9 +88,9 @@
                 figure_text(&figure, need.unit),
                 need.budget.map_or("–".to_owned(), format_number),
                 figure.ratio.map_or("–".to_owned(), format_number),
-                need.mechanism.carried(tree).unwrap_or("none today").to_owned(),
+                need.mechanism.available(tree).unwrap_or("none today").to_owned(),
                 basis_text(&figure.basis),
-                need.breaks().to_owned(),
+                need.validity_limits().to_owned(),
                 command_text(need, measured),
             ]
         });
@@ -106,7 +106,7 @@
 
 /// The needs at the peaks: a table for each role, with a row for each occasion and a column for each cost.
 pub(super) fn peaks_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
-    let occasions = Occasion::all(plan);
+    let occasions = LoadScenario::all(plan);
     let mut text = table(
         &["peak", "what it is"],
         occasions.iter().map(|occasion| vec![occasion.name.to_owned(), occasion.what.clone()]),
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 
 use super::format::{format_number, table};
-use crate::arithmetic::{Cost, Occasion, needs};
+use crate::arithmetic::{Cost, LoadScenario, needs};
 use crate::plan::{Plan, Reading, Source};
 
 pub(super) fn plan_block(plan: &Plan) -> String {
@@ -61,7 +61,7 @@
         rate("calls a second of the busiest", plan.busiest_rate(reading), "mean x traffic.busiest_over_mean"),
         rate(
             "calls a second of a front, mean",
-            plan.front_per_s(reading) / plan.fronts(),
+            plan.front_per_s(reading) / plan.front_upstreams(),
             "at the front / upstreams of the first depth",
         ),
     ]
@@ -91,17 +91,17 @@
         ),
         row(
             "upstreams at the front",
-            format_number(plan.fronts()),
+            format_number(plan.front_upstreams()),
             "fleet.upstreams x graph.services_by_depth[0]",
         ),
         row(
             "upstreams of the largest region",
-            format_number(plan.largest_region()),
+            format_number(plan.largest_region_upstreams()),
             "fleet.upstreams x fleet.region_shares",
         ),
         row(
             "upstreams of the largest zone",
-            format_number(plan.largest_zone()),
+            format_number(plan.largest_zone_upstreams()),
             "largest region share / its zones",
         ),
         row(
@@ -195,7 +195,7 @@
 }
 
 pub(super) fn placement_block(plan: &Plan) -> String {
-    let day = Occasion::all(plan).swap_remove(0);
+    let day = LoadScenario::all(plan).swap_remove(0);
     let deal = &plan.deal;
     let relays = deal.zone_relays.value / plan.fleet.zones.value;
     let region_relays = deal.region_relays.value / plan.fleet.regions.value;
@@ -264,13 +264,13 @@
     }
     println!();
     println!("{}", placement_block(plan));
-    for need in needs(plan, &Occasion::all(plan).swap_remove(0), Path::new(".")) {
+    for need in needs(plan, &LoadScenario::all(plan).swap_remove(0), Path::new(".")) {
         if need.terms.is_empty() && need.cost != Cost::Repeats {
             println!(
                 "{}, {}: {} {} ({})",
                 need.role,
                 need.cost.text(),
-                format_number(need.plain),
+                format_number(need.from_plan),
                 need.unit,
                 need.formula
             );
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use super::format::{basis_text, figure_text, format_number, table};
-use crate::arithmetic::{Basis, Cost, Figure, Measured, Need, Occasion, Requirement, needs};
+use crate::arithmetic::{Basis, Cost, Figure, LoadScenario, Measured, Need, Requirement, needs};
 use crate::plan::Plan;
 
 /// Ratio of need to budget from which a row is listed as tight.
@@ -15,7 +15,7 @@
 struct WorstNeed {
     requirement: Requirement,
     /// Whether a mechanism that meets the need exists in the checkout.
-    carried: bool,
+    available: bool,
     /// Ratio of need to budget; `None` where the need has no figure or no budget.
     ratio: Option<f64>,
     need: Need,
@@ -28,21 +28,22 @@
 /// to budget.
 fn ranked_requirements(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<WorstNeed> {
     let mut worst: BTreeMap<Requirement, WorstNeed> = BTreeMap::new();
-    for occasion in Occasion::all(plan) {
+    for occasion in LoadScenario::all(plan) {
         for need in needs(plan, &occasion, tree) {
-            let carried = need.mechanism.carried(tree).is_some();
+            let available = need.mechanism.available(tree).is_some();
             let figure = need.figure(measured);
             let (requirement, ratio) = (need.requirement, figure.ratio);
-            let rank = |carried: bool, ratio: Option<f64>| (!carried, ratio.unwrap_or(-1.0));
-            let known = worst.get(&requirement).map(|known| rank(known.carried, known.ratio));
-            if known.is_none_or(|known| rank(carried, ratio) > known) {
+            let rank = |available: bool, ratio: Option<f64>| (!available, ratio.unwrap_or(-1.0));
+            let known = worst.get(&requirement).map(|known| rank(known.available, known.ratio));
+            if known.is_none_or(|known| rank(available, ratio) > known) {
                 let occasion = occasion.name;
-                worst.insert(requirement, WorstNeed { requirement, carried, ratio, need, figure, occasion });
+                worst
+                    .insert(requirement, WorstNeed { requirement, available, ratio, need, figure, occasion });
             }
         }
     }
     let mut ranked_requirements: Vec<WorstNeed> = worst.into_values().collect();
-    let key = |worst: &WorstNeed| (worst.carried, -worst.ratio.unwrap_or(-1.0));
+    let key = |worst: &WorstNeed| (worst.available, -worst.ratio.unwrap_or(-1.0));
     ranked_requirements.sort_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(std::cmp::Ordering::Equal));
     ranked_requirements
 }
@@ -60,7 +61,7 @@
             figure_text(&worst.figure, worst.need.unit),
             worst.need.budget.map_or("–".to_owned(), format_number),
             worst.ratio.map_or("–".to_owned(), format_number),
-            worst.need.mechanism.carried(tree).unwrap_or("none today").to_owned(),
+            worst.need.mechanism.available(tree).unwrap_or("none today").to_owned(),
             basis_text(&worst.figure.basis),
         ]
     });
@@ -83,7 +84,7 @@
 /// The rows that need at least [`TIGHT_RATIO`] of their budget, each on its worst occasion, the largest ratio first.
 pub(super) fn tight_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut worst: BTreeMap<(&str, Cost), (f64, Need, Figure, &str)> = BTreeMap::new();
-    for occasion in Occasion::all(plan) {
+    for occasion in LoadScenario::all(plan) {
         for need in needs(plan, &occasion, tree) {
             let figure = need.figure(measured);
             let key = (need.role, need.cost);
@@ -114,16 +115,16 @@
 pub(super) fn bases_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut counts = [0; 5];
     let mut furthest: f64 = 1.0;
-    for occasion in Occasion::all(plan) {
+    for occasion in LoadScenario::all(plan) {
         for need in needs(plan, &occasion, tree) {
             counts[match need.figure(measured).basis {
-                Basis::Played(_) => 0,
+                Basis::ScenarioRuns(_) => 0,
                 Basis::Measured => 1,
                 Basis::Extrapolated(past) => {
                     furthest = furthest.max(past);
                     2
                 }
-                Basis::Reckoned(_) => 3,
+                Basis::Calculated(_) => 3,
                 Basis::NotMeasured(_) => 4,
             }] += 1;
         }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -381,20 +381,20 @@
 
     /// Returns the number of upstreams of the services at the front, at least 1.
     #[must_use]
-    pub fn fronts(&self) -> f64 {
+    pub fn front_upstreams(&self) -> f64 {
         let share = self.graph.services_by_depth.value.first().copied().unwrap_or(1.0);
         (self.fleet.upstreams.value as f64 * share).max(1.0)
     }
 
     /// Returns the number of upstreams of the largest region.
     #[must_use]
-    pub fn largest_region(&self) -> f64 {
+    pub fn largest_region_upstreams(&self) -> f64 {
         self.fleet.upstreams.value as f64 * self.fleet.region_shares.value.iter().copied().fold(0.0, f64::max)
     }
 
     /// Returns the number of upstreams of the largest zone. All zones of a region are taken to be of the same size.
     #[must_use]
-    pub fn largest_zone(&self) -> f64 {
+    pub fn largest_zone_upstreams(&self) -> f64 {
         let regions = self.fleet.region_shares.value.iter().zip(&self.fleet.zones_by_region.value);
         let shares = regions.map(|(share, &zones)| share / zones.max(1) as f64);
         self.fleet.upstreams.value as f64 * shares.fold(0.0, f64::max)
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -12,7 +12,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Fit, Point, Slope, commit};
-use crate::world::{self, Balancer, Common, Counts, Discovery, Upstreams, Usage, Way};
+use crate::world::{self, Balancer, CommonArguments, Counts, Discovery, Route, Upstreams, Usage};
 
 /// Part of the measurements of the `process` command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -31,7 +31,7 @@
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// Measurements to run.
     #[arg(long, value_enum, default_value_t = Part::All)]
     part: Part,
@@ -311,12 +311,12 @@
         let (upstreams, discovery) = self.world(size, max_calls)?;
         let balancer = self.balancer(&upstreams, &discovery)?;
         self.send_requests(size, &upstreams, &balancer, rng, Duration::from_secs_f64(warm_up_s))?;
-        let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.seen.opened());
+        let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.records.opened());
         let calls = self.send_requests(size, &upstreams, &balancer, rng, Duration::from_secs_f64(span_s))?;
         let used = Usage::of(balancer.process.id())?.since(before);
         Ok(RequestCost {
             request_us: used.cpu_ns as f64 / 1000.0 / calls as f64,
-            new_connections: upstreams.seen.opened() - opened,
+            new_connections: upstreams.records.opened() - opened,
             memory_kb: world::memory_kb(balancer.process.id())? as f64,
         })
     }
@@ -331,17 +331,17 @@
         rng: &mut Rand64,
         span: Duration,
     ) -> Result<usize, CapacityError> {
-        let ways = [Way {
+        let routes = [Route {
             targets: vec![balancer.address],
             warm: 32,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         }];
         let calls = world::paired(rng, 1, self.rate, span, false);
-        let first = upstreams.seen.take_ids(calls.len())?;
-        let zero = Instant::now() + world::CONNECT_FIRST;
-        let played = world::play(&calls, &ways, first, zero, &AtomicUsize::new(0))?;
-        let counts = Counts::of(&calls, &played, &upstreams.seen, first);
+        let first = upstreams.records.take_ids(calls.len())?;
+        let zero = Instant::now() + world::CONNECT_LEAD_TIME;
+        let played = world::play(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
+        let counts = Counts::of(&calls, &played, &upstreams.records, first);
         if counts.right < counts.calls {
             let place = format!("sending requests to a balancer with {size} upstreams");
             return Err(CapacityError::run(place, format!("{counts:?}")));
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -11,7 +11,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Results, commit};
-use crate::world::{self, Common, Counts};
+use crate::world::{self, CommonArguments, Counts};
 
 mod in_force;
 mod outcome;
@@ -32,7 +32,7 @@
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
-    common: Common,
+    common: CommonArguments,
     /// Kind of the changes that are made.
     #[arg(long, value_enum, default_value_t = ChangeKind::Both)]
     what: ChangeKind,
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -5,7 +5,7 @@
 use super::play::Setup;
 use super::{BLOCK_CHANGES, ChangeKind};
 use crate::CapacityError;
-use crate::world::{Call, Counts, DurationHistogram, Played};
+use crate::world::{Call, CallResult, Counts, DurationHistogram};
 
 /// Column headings of the table of results.
 pub(super) const COLUMNS: [&str; 18] = [
@@ -33,7 +33,7 @@
 pub(super) struct Outcome {
     pub(super) calls: Vec<Call>,
     /// Results of the calls, in the order of `calls`.
-    pub(super) played: Vec<Played>,
+    pub(super) played: Vec<CallResult>,
     pub(super) counts: Counts,
     /// By change: time from its publication until it was in force at the last balancer.
     pub(super) in_force: Vec<Duration>,
@@ -44,7 +44,7 @@
     pub(super) fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, CapacityError> {
         let times = |through: bool, wanted: &dyn Fn(usize) -> bool| {
             let own = self.calls.iter().zip(&self.played).filter(|(call, played)| {
-                played.is_right() && (call.way > 0) == through && wanted(setup.block(call.at))
+                played.is_right() && (call.route > 0) == through && wanted(setup.block(call.at))
             });
             DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
         };
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -13,7 +13,7 @@
 use super::{Arguments, BLOCK_CHANGES, ChangeKind, Size};
 use crate::CapacityError;
 use crate::plan::Plan;
-use crate::world::{self, Balancer, Call, Counts, Discovery, Distribution, Played, Upstreams, Way};
+use crate::world::{self, Balancer, Call, CallResult, Counts, Discovery, Distribution, Route, Upstreams};
 
 /// Number of stand-in upstreams that receive direct calls only.
 const DIRECT_UPSTREAMS: usize = 8;
@@ -80,7 +80,7 @@
         }
         let calls = self.draw_calls(rng);
         let running = self.start(&program, calls.len())?;
-        let first = running.upstreams.seen.take_ids(calls.len())?;
+        let first = running.upstreams.records.take_ids(calls.len())?;
         let (played, changes) = self.call_through_changes(&running, &calls, first)?;
         let Changes { published, drained: mut in_force } = changes;
         if running.distribution.is_some() {
@@ -89,7 +89,7 @@
                 in_force.push(self.time_to_last(change, &reports)?);
             }
         }
-        let counts = Counts::of(&calls, &played, &running.upstreams.seen, first);
+        let counts = Counts::of(&calls, &played, &running.upstreams.records, first);
         Ok(Outcome { calls, played, counts, in_force })
     }
 
@@ -101,8 +101,8 @@
     /// Draws pairs of a direct call and a call through a random balancer.
     fn draw_calls(&self, rng: &mut Rand64) -> Vec<Call> {
         let mut calls = world::paired(rng, 2, self.size.rate, self.length(), false);
-        for call in calls.iter_mut().filter(|call| call.way > 0) {
-            call.way = 1 + rng.rand_range(0..self.size.balancers as u64) as usize;
+        for call in calls.iter_mut().filter(|call| call.route > 0) {
+            call.route = 1 + rng.rand_range(0..self.size.balancers as u64) as usize;
         }
         calls
     }
@@ -140,19 +140,19 @@
     }
 
     /// Routes of the calls: the direct one, then one through each balancer.
-    fn ways(&self, running: &Running) -> Vec<Way> {
-        let way = |targets, warm| Way {
+    fn routes(&self, running: &Running) -> Vec<Route> {
+        let route = |targets, warm| Route {
             targets,
             warm,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
         let direct = running.upstreams.addresses[self.arguments.upstreams..].to_vec();
-        let mut ways = vec![way(direct, DIRECT_CONNECTIONS)];
-        ways.extend(
-            running.balancers.iter().map(|balancer| way(vec![balancer.address], CONNECTIONS_PER_BALANCER)),
+        let mut routes = vec![route(direct, DIRECT_CONNECTIONS)];
+        routes.extend(
+            running.balancers.iter().map(|balancer| route(vec![balancer.address], CONNECTIONS_PER_BALANCER)),
         );
-        ways
+        routes
     }
 
     /// Sends the calls from a thread of their own, and makes the changes meanwhile.
@@ -161,15 +161,15 @@
         running: &Running,
         calls: &[Call],
         first: usize,
-    ) -> Result<(Vec<Played>, Changes), CapacityError> {
-        let ways = self.ways(running);
-        let start_time = Instant::now() + world::CONNECT_FIRST * 2;
+    ) -> Result<(Vec<CallResult>, Changes), CapacityError> {
+        let routes = self.routes(running);
+        let start_time = Instant::now() + world::CONNECT_LEAD_TIME * 2;
         let finished = AtomicBool::new(false);
         thread::scope(|scope| {
             let client = scope.spawn(|| {
                 let placed = if self.client_has_own_core() { world::pin_to_cores("0") } else { Ok(()) };
                 let progress = AtomicUsize::new(0);
-                let played = placed.and_then(|()| world::play(calls, &ways, first, start_time, &progress));
+                let played = placed.and_then(|()| world::play(calls, &routes, first, start_time, &progress));
                 finished.store(true, Ordering::Release);
                 played
             });
@@ -203,7 +203,7 @@
                 let version = distribution.publish(scope, &format!("change-{number}"), &document)?;
                 published.push(Published { scope, version, at });
             } else if let Some((upstream, since)) = draining.take() {
-                let last = upstreams.seen.latest(upstream).unwrap_or(since);
+                let last = upstreams.records.latest(upstream).unwrap_or(since);
                 drained.push(last.saturating_duration_since(since));
                 let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
                 discovery.change(upstream, upstreams.entry(upstream, "ready", now.as_millis() as u64));
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -105,7 +105,7 @@
 impl Slope {
     /// The largest size that was measured; 0 without points.
     #[must_use]
-    pub fn largest(&self) -> f64 {
+    pub fn largest_size(&self) -> f64 {
         self.points.iter().map(|point| point.x).fold(0.0, f64::max)
     }
 
--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use super::machine;
-use super::plane::{Machine, Role};
+use super::plane::{ControlProcess, Role};
 
 /// Totals of all processes at one moment of a run.
 pub(super) struct Totals {
@@ -48,7 +48,7 @@
 }
 
 impl Cost {
-    pub(super) fn between(from: &Totals, to: &Totals, balancers: usize, machines: &[Machine]) -> Self {
+    pub(super) fn between(from: &Totals, to: &Totals, balancers: usize, machines: &[ControlProcess]) -> Self {
         let seconds = (to.at - from.at).as_secs_f64();
         let per_second = |from: u64, to: u64| to.saturating_sub(from) as f64 / seconds;
         let busiest = |cost: &dyn Fn(usize) -> f64| {
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use super::hollow::Hollow;
+use super::hollow::HollowBalancer;
 use super::plane;
 use crate::plan::Plan;
 
@@ -59,10 +59,10 @@
     placements: &[Placement],
     seed: u64,
     parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
-) -> Vec<Hollow> {
+) -> Vec<HollowBalancer> {
     let balancer = |(number, &Placement { service, zone }): (usize, &Placement)| {
         let region = plane::region_of(plan, zone);
-        Hollow {
+        HollowBalancer {
             number,
             service: service_name(service),
             region: region_name(region),
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow balancers, many in one process. Each runs the balancer's own endpoint list client with the balancer's
+//! HollowBalancer balancers, many in one process. Each runs the balancer's own endpoint list client with the balancer's
 //! decisions, and the real configuration client, but has no listener and no clients.
 
 use std::cell::{Cell, RefCell};
@@ -42,13 +42,13 @@
     pub zones: Vec<String>,
     /// Delay between the starts of two balancers of the process, in ms.
     pub apart_ms: u64,
-    /// Hollow balancers to run.
-    pub balancers: Vec<Hollow>,
+    /// HollowBalancer balancers to run.
+    pub balancers: Vec<HollowBalancer>,
 }
 
 /// Identity and parents of one hollow balancer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hollow {
+pub struct HollowBalancer {
     /// Number of the balancer in the fleet.
     pub number: usize,
     /// Name of the balancer's service.
@@ -64,7 +64,7 @@
     pub seed: u64,
 }
 
-impl Hollow {
+impl HollowBalancer {
     /// Returns the scopes whose documents the balancer subscribes to.
     #[must_use]
     pub fn wanted(&self) -> [Scope; 3] {
@@ -276,7 +276,7 @@
 ///
 /// # Errors
 /// The settings are invalid, or the event loop cannot be started.
-pub fn driver(list: SocketAddr, hollow: &Hollow, zones: &[String]) -> Result<Rc<EventLoop>, String> {
+pub fn driver(list: SocketAddr, hollow: &HollowBalancer, zones: &[String]) -> Result<Rc<EventLoop>, String> {
     let settings = json!({
         "balancers": 1, "me": 0, "tier": 0, "zone": zones.get(hollow.zone), "zones": zones, "kinds": ["std"],
         "lanes": [
@@ -301,7 +301,7 @@
     std::future::pending::<()>().await;
 }
 
-async fn run_configuration_client(hollow: Hollow, counts: Rc<Counts>) {
+async fn run_configuration_client(hollow: HollowBalancer, counts: Rc<Counts>) {
     let who: Box<str> = format!("balancer-{}", hollow.number).into();
     let client = Client {
         name: who.to_string(),
--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -90,7 +90,7 @@
 
 /// Traffic and processor time of the server since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Carried {
+pub struct Traffic {
     /// Bytes received on all connections.
     pub read: u64,
     /// Bytes sent on all connections.
@@ -216,9 +216,9 @@
 
     /// Returns the traffic and the processor time of the server since its start.
     #[must_use]
-    pub fn carried(&self) -> Carried {
+    pub fn carried(&self) -> Traffic {
         let Counts { read, written, connections, cpu_ns } = &self.shared.counts;
-        Carried {
+        Traffic {
             read: read.load(Ordering::Acquire),
             written: written.load(Ordering::Acquire),
             connections: connections.load(Ordering::Acquire),
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -3,7 +3,7 @@
 use super::Scenario;
 use super::cost::{Busiest, Cost};
 use super::hollow::WINDOW_S;
-use super::swarm::Times;
+use super::swarm::DelayHistogram;
 use crate::plan::Plan;
 
 /// Column headings of the results table.
@@ -40,9 +40,9 @@
     pub(super) balancers: usize,
     pub(super) changes: usize,
     /// Delays from the acknowledgement of a change, or the end of a partition if that is later, until it was in force.
-    pub(super) times: Times,
+    pub(super) times: DelayHistogram,
     /// Delays from the first sending of a change, or the end of a partition if that is later, until it was in force.
-    pub(super) from_sending: Times,
+    pub(super) from_sending: DelayHistogram,
     /// How often the index of a balancer decreased.
     pub(super) index_regressions: usize,
     /// Number of balancers without the last change of each scope at the end.
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/plane.rs
@@ -20,7 +20,7 @@
 mod forwarder;
 mod publication;
 
-pub use self::deal::{Machine, Role, deal, region_of};
+pub use self::deal::{ControlProcess, Role, deal, region_of};
 use self::forwarder::{Forwarder, Forwarders, forward_all};
 pub use self::publication::{Change, Response, body, publish, request};
 
@@ -33,7 +33,7 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Running {
-    machine: Machine,
+    machine: ControlProcess,
     address: SocketAddr,
     child: Option<Child>,
     /// Processor time used by earlier, killed processes of this entry, in nanoseconds.
@@ -49,7 +49,7 @@
 }
 
 /// The running control processes, which are killed when this is dropped.
-pub struct Plane {
+pub struct ControlPlane {
     running: Vec<Running>,
     edges: Vec<Edge>,
     partition: watch::Sender<Option<usize>>,
@@ -61,12 +61,12 @@
 /// Number of control planes that this process has started, which gives each of them its own ports and directory.
 static PLANE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-impl Plane {
+impl ControlPlane {
     /// Starts all processes and waits until each of them listens.
     ///
     /// # Errors
     /// The program is missing, or a process does not listen within the time-out.
-    pub fn start(machines: Vec<Machine>) -> Result<Self, CapacityError> {
+    pub fn start(machines: Vec<ControlProcess>) -> Result<Self, CapacityError> {
         let program = program()?;
         let plane_number = PLANE_COUNT.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
@@ -168,7 +168,7 @@
     }
 
     /// Iterates over the control processes of the plan, in the order of their indices.
-    pub fn machines(&self) -> impl Iterator<Item = &Machine> {
+    pub fn machines(&self) -> impl Iterator<Item = &ControlProcess> {
         self.running.iter().map(|running| &running.machine)
     }
 
@@ -186,7 +186,7 @@
     /// Returns the addresses of the parents of a balancer: the relays of its zone and of its region.
     #[must_use]
     pub fn parents_of(&self, region: usize, zone: usize) -> Vec<SocketAddr> {
-        let is_parent = |machine: &Machine| {
+        let is_parent = |machine: &ControlProcess| {
             machine.zone == Some(zone) || machine.role == Role::Region && machine.region == region
         };
         let parents = self.running.iter().filter(|running| is_parent(&running.machine));
@@ -219,7 +219,7 @@
     }
 }
 
-impl Drop for Plane {
+impl Drop for ControlPlane {
     fn drop(&mut self) {
         self.running.clear();
         if let Some((stop, thread)) = self.forwarders.take() {
--- a/crates/capacity/src/sockets/plane/deal.rs
+++ b/crates/capacity/src/sockets/plane/deal.rs
@@ -37,7 +37,7 @@
 
 /// A control process of the plan, with its location and its parents.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Machine {
+pub struct ControlProcess {
     /// Role of the process.
     pub role: Role,
     /// Number of the region that the process runs in.
@@ -51,10 +51,10 @@
 /// Lists the control processes of the plan: the origin in the first region, the standby in the next, the region relays,
 /// which follow both, and the zone relays, which follow the relays of their region and the standby.
 #[must_use]
-pub fn deal(plan: &Plan) -> Vec<Machine> {
+pub fn deal(plan: &Plan) -> Vec<ControlProcess> {
     let regions = plan.fleet.regions.value;
     let mut machines = Vec::new();
-    let machine = |role, region, zone, parents| Machine { role, region, zone, parents };
+    let machine = |role, region, zone, parents| ControlProcess { role, region, zone, parents };
     machines.extend((0..plan.deal.origins.value).map(|_| machine(Role::Origin, 0, None, Vec::new())));
     let origins: Vec<usize> = (0..machines.len()).collect();
     for _ in 0..plan.deal.standbys.value {
--- a/crates/capacity/src/sockets/run_scenario.rs
+++ b/crates/capacity/src/sockets/run_scenario.rs
@@ -11,10 +11,10 @@
 use super::hollow::Job;
 use super::list::ListServer;
 use super::outcome::Outcome;
-use super::plane::{self, Machine, Plane, Role};
+use super::plane::{self, ControlPlane, ControlProcess, Role};
 use super::schedule::schedule;
 use super::size::Size;
-use super::swarm::{Arrival, Swarm, Times};
+use super::swarm::{Arrival, DelayHistogram, HollowProcesses};
 use super::{Scenario, fleet, machine, region_name, service_name, zone_names};
 use crate::CapacityError;
 use crate::plan::Plan;
@@ -55,7 +55,7 @@
     let end = scenario_run.totals()?;
     let watches_at_wrong_index = scenario_run.reconnect_list_watches()?;
     let times = scenario_run.change_times(&record, &target)?;
-    let machines: Vec<Machine> = scenario_run.plane.machines().cloned().collect();
+    let machines: Vec<ControlProcess> = scenario_run.plane.machines().cloned().collect();
     let cost = |from, to| Cost::between(from, to, size.balancers, &machines);
     Ok(Outcome {
         scenario,
@@ -82,7 +82,7 @@
 }
 
 /// Returns the memory of the largest control process, in MiB, and the role of that process.
-fn largest_control_mb(end: &Totals, machines: &[Machine]) -> Busiest {
+fn largest_control_mb(end: &Totals, machines: &[ControlProcess]) -> Busiest {
     let sizes = end.control.iter().map(|one| one.process.resident_kb);
     let largest = sizes.zip(machines.iter().map(|machine| machine.role)).max();
     let (largest_kb, role) = largest.unwrap_or((0, Role::Origin));
@@ -97,8 +97,8 @@
     plan: &'a Plan,
     /// Service and zone of each balancer, by its number.
     placements: Vec<Placement>,
-    plane: Plane,
-    swarm: Swarm,
+    plane: ControlPlane,
+    swarm: HollowProcesses,
     list: ListServer,
     /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
@@ -108,15 +108,15 @@
 
 /// Delays until the changes were in force, for all changes and balancers.
 struct ChangeTimes {
-    from_acknowledgement: Times,
-    from_sending: Times,
+    from_acknowledgement: DelayHistogram,
+    from_sending: DelayHistogram,
 }
 
 impl<'a> ScenarioRun<'a> {
     /// Starts all processes. The first document of each scope is published before the balancers start.
     fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
         let placements = fleet(plan, size.balancers);
-        let plane = Plane::start(plane::deal(plan))?;
+        let plane = ControlPlane::start(plane::deal(plan))?;
         let newest = publish_first(plane.address(0), plan, &services(&placements))?;
         let list = start_list(size, plan)?;
         let balancers =
@@ -127,7 +127,7 @@
             apart_ms: if size.per_process > PER_PROCESS_SMALL { START_INTERVAL_MS } else { 0 },
             balancers: Vec::new(),
         };
-        let swarm = Swarm::start(&balancers, size.per_process, &job)?;
+        let swarm = HollowProcesses::start(&balancers, size.per_process, &job)?;
         let memory_bound_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MAX_MEMORY_FRACTION) as u64;
         let label = format!("sockets {} {seed}", scenario.name());
         Ok(Self {
@@ -148,7 +148,7 @@
     /// Waits until all balancers have received their endpoint list and their documents.
     fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
         let newest = &self.newest;
-        let is_ready = |swarm: &Swarm| swarm.all_listed() && swarm.missing(newest) == 0;
+        let is_ready = |swarm: &HollowProcesses| swarm.all_listed() && swarm.missing(newest) == 0;
         if self.swarm.receive_until(TIMEOUT, is_ready)? {
             return Ok(());
         }
@@ -189,7 +189,10 @@
     }
 
     fn change_times(&self, record: &RunRecord, target: &FaultTarget) -> Result<ChangeTimes, CapacityError> {
-        let mut times = ChangeTimes { from_acknowledgement: Times::new()?, from_sending: Times::new()? };
+        let mut times = ChangeTimes {
+            from_acknowledgement: DelayHistogram::new()?,
+            from_sending: DelayHistogram::new()?,
+        };
         for change in &record.changes {
             for Arrival { balancer, at_ns } in self.swarm.times(change) {
                 let Some(at_ns) = at_ns else { continue };
@@ -250,7 +253,7 @@
     }
 
     /// Kills the control processes that match.
-    fn kill(&mut self, matches: impl Fn(&Machine) -> bool) {
+    fn kill(&mut self, matches: impl Fn(&ControlProcess) -> bool) {
         let machines = self.plane.machines().enumerate();
         let process_indices: Vec<usize> = machines
             .filter_map(|(process_index, machine)| matches(machine).then_some(process_index))
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/swarm.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 
 use super::child::{self, Child, Output};
-use super::hollow::{Event, Figures, Hollow, Job};
+use super::hollow::{Event, Figures, HollowBalancer, Job};
 use super::machine::{self, Usage};
 use super::plane::Change;
 use crate::CapacityError;
@@ -22,7 +22,7 @@
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Processes of hollow balancers, which are killed when this is dropped.
-pub struct Swarm {
+pub struct HollowProcesses {
     children: Vec<Child>,
     output: Receiver<Output>,
     /// Whether each balancer has received its endpoint list, by the balancer's number.
@@ -55,7 +55,7 @@
 
 /// Traffic of the configuration connections of all balancers.
 #[derive(Debug, Clone, Default)]
-pub struct Carried {
+pub struct Traffic {
     /// Bytes on all connections, in both directions.
     pub bytes: u64,
     /// Number of connections opened.
@@ -63,16 +63,16 @@
     /// Bytes in both directions, by the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
     /// Bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since the previous
-    /// call of [`Swarm::carried`].
+    /// call of [`HollowProcesses::carried`].
     pub most_in_window: u64,
 }
 
-impl Swarm {
+impl HollowProcesses {
     /// Starts processes that run `balancers`, `per_process` of them in each.
     ///
     /// # Errors
     /// A process cannot be started.
-    pub fn start(balancers: &[Hollow], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
+    pub fn start(balancers: &[HollowBalancer], per_process: usize, job: &Job) -> Result<Self, CapacityError> {
         let executable =
             std::env::current_exe().map_err(|cause| CapacityError::run("path of this executable", cause))?;
         let (sender, output): (Sender<_>, _) = channel();
@@ -209,7 +209,7 @@
     ///
     /// # Errors
     /// A process does not respond within 20 s, has exited or has failed, or a signal has asked the run to end.
-    pub fn carried(&mut self) -> Result<Carried, CapacityError> {
+    pub fn carried(&mut self) -> Result<Traffic, CapacityError> {
         self.figures.iter_mut().for_each(|figures| *figures = None);
         for child in &mut self.children {
             child.send_line("figures")?;
@@ -221,7 +221,7 @@
                 "a process did not report its traffic within 20 s",
             ));
         }
-        let mut sum = Carried::default();
+        let mut sum = Traffic::default();
         for figures in self.figures.iter().flatten() {
             sum.bytes += figures.read + figures.written;
             sum.opened += figures.opened;
@@ -246,9 +246,9 @@
 
 /// A histogram of the delays until changes were in force.
 #[derive(Debug, Clone)]
-pub struct Times(Histogram<u64>);
+pub struct DelayHistogram(Histogram<u64>);
 
-impl Times {
+impl DelayHistogram {
     /// Creates an empty histogram.
     ///
     /// # Errors
--- a/crates/capacity/src/world.rs
+++ b/crates/capacity/src/world.rs
@@ -10,9 +10,9 @@
 use clap::Args;
 
 pub use self::balancer::{BALANCER, Balancer};
-pub use self::call::{Call, Class, Counts, End, Played, paired};
+pub use self::call::{Call, CallOutcome, CallResult, Class, Counts, paired};
 pub use self::child::Process;
-pub use self::client::{CONNECT_FIRST, Way, play};
+pub use self::client::{CONNECT_LEAD_TIME, Route, play};
 pub use self::configuration::{configuration, configuration_change, settings};
 pub use self::discovery::Discovery;
 pub use self::distribution::{DISTRIBUTION, Distribution};
@@ -43,7 +43,7 @@
 
 /// Command-line arguments that all commands which run real balancer processes share.
 #[derive(Debug, Clone, Args)]
-pub struct Common {
+pub struct CommonArguments {
     /// Folder in which `slopes/` and `results/` are written.
     #[arg(long, default_value = "crates/capacity")]
     pub out: PathBuf,
@@ -58,7 +58,7 @@
     pub program: Option<PathBuf>,
 }
 
-impl Common {
+impl CommonArguments {
     /// Path of the balancer program, or of the program `name` in the same folder.
     ///
     /// # Errors
--- a/crates/capacity/src/world/call.rs
+++ b/crates/capacity/src/world/call.rs
@@ -40,7 +40,7 @@
     /// Time at which the call is to be sent, since the start of the run.
     pub at: Duration,
     /// Index of the route on which the call is sent.
-    pub way: usize,
+    pub route: usize,
     /// Class of the call.
     pub class: Class,
     /// Number of the pair: the calls with the same number are sent on different routes at nearly the same time.
@@ -49,7 +49,7 @@
 
 /// Outcome of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum CallOutcome {
     /// The call received its own response.
     Right {
         /// Whether the call was the first request on its upstream connection, as the upstream reports.
@@ -65,16 +65,16 @@
 
 /// Times and outcome of a call that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Played {
+pub struct CallResult {
     /// Time at which sending the call began, since the start of the run.
     pub sent: Duration,
     /// Time at which the response was complete, since the start of the run.
     pub done: Duration,
     /// Outcome of the call.
-    pub end: End,
+    pub end: CallOutcome,
 }
 
-impl Played {
+impl CallResult {
     /// Time from the scheduled time of the call to its response, so that the delay of a client that sends late is
     /// included.
     #[must_use]
@@ -85,7 +85,7 @@
     /// Whether the call received its own response.
     #[must_use]
     pub fn is_right(&self) -> bool {
-        matches!(self.end, End::Right { .. })
+        matches!(self.end, CallOutcome::Right { .. })
     }
 }
 
@@ -93,7 +93,7 @@
 /// sent at the times of a Poisson process, or at equal intervals if `even` is set. Those of each other route are sent a
 /// random offset earlier or later; a Poisson process with independent random offsets remains a Poisson process.
 #[must_use]
-pub fn paired(rng: &mut Rand64, ways: usize, rate: f64, span: Duration, even: bool) -> Vec<Call> {
+pub fn paired(rng: &mut Rand64, routes: usize, rate: f64, span: Duration, even: bool) -> Vec<Call> {
     let (mut at, mut calls) = (0.0, Vec::new());
     for pair in 0.. {
         at += if even { 1.0 / rate } else { -(1.0 - rng.rand_float()).ln() / rate };
@@ -101,10 +101,10 @@
             break;
         }
         let class = Class::draw(rng);
-        for way in 0..ways {
-            let offset = if way == 0 { 0.0 } else { MIN_OFFSET_S + rng.rand_float() * OFFSET_RANGE_S };
+        for route in 0..routes {
+            let offset = if route == 0 { 0.0 } else { MIN_OFFSET_S + rng.rand_float() * OFFSET_RANGE_S };
             let offset = if rng.rand_u64() & 1 == 0 { offset } else { -offset };
-            calls.push(Call { at: Duration::from_secs_f64((at + offset).max(0.0)), way, class, pair });
+            calls.push(Call { at: Duration::from_secs_f64((at + offset).max(0.0)), route, class, pair });
         }
     }
     calls.sort_by_key(|call| call.at);
@@ -133,15 +133,15 @@
 impl Counts {
     /// Counts the calls of a run. The request id of each call is `first_id` plus its index in `calls`.
     #[must_use]
-    pub fn of(calls: &[Call], played: &[Played], seen: &RequestRecords, first_id: usize) -> Self {
+    pub fn of(calls: &[Call], played: &[CallResult], records: &RequestRecords, first_id: usize) -> Self {
         let mut counts = Self { calls: calls.len(), ..Self::default() };
         for (number, (call, played)) in calls.iter().zip(played).enumerate() {
-            let runs = seen.runs(first_id + number);
+            let runs = records.runs(first_id + number);
             match played.end {
                 // A response to a request that reached no upstream is wrong, whatever it contains.
-                End::Right { .. } if runs > 0 => counts.right += 1,
-                End::Refused if runs == 0 => counts.refused += 1,
-                End::Lost => counts.lost += 1,
+                CallOutcome::Right { .. } if runs > 0 => counts.right += 1,
+                CallOutcome::Refused if runs == 0 => counts.refused += 1,
+                CallOutcome::Lost => counts.lost += 1,
                 _ => counts.wrong += 1,
             }
             if runs > 1 && call.class == Class::Order {
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/world/client.rs
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::call::{Call, Class, End, Played};
+use super::call::{Call, CallOutcome, CallResult, Class};
 use super::message::{MAX_MESSAGE_BYTES, Message, header, message};
 use crate::CapacityError;
 
 /// Time between the start of the client and the start of the run, in which the client opens its connections.
-pub const CONNECT_FIRST: Duration = Duration::from_millis(200);
+pub const CONNECT_LEAD_TIME: Duration = Duration::from_millis(200);
 
 /// Time for which the client waits for responses after the last call.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
@@ -27,7 +27,7 @@
 /// A route on which calls are sent, e.g. directly to the upstreams or through a balancer. Its connections are opened to
 /// its targets in turn.
 #[derive(Debug, Clone)]
-pub struct Way {
+pub struct Route {
     /// Addresses to which the connections are opened.
     pub targets: Vec<SocketAddr>,
     /// Number of connections that are opened before the first call.
@@ -43,7 +43,7 @@
     stream: TcpStream,
     bytes: Vec<u8>,
     call: usize,
-    way: usize,
+    route: usize,
 }
 
 /// Sends calls at their scheduled times, independent of the responses to earlier calls, each on an idle connection or
@@ -54,19 +54,19 @@
 /// A connection that is to be opened before the first call cannot be opened.
 pub fn play(
     calls: &[Call],
-    ways: &[Way],
+    routes: &[Route],
     first_id: usize,
     start_time: Instant,
     progress: &AtomicUsize,
-) -> Result<Vec<Played>, CapacityError> {
-    let lost = Played { sent: Duration::ZERO, done: Duration::ZERO, end: End::Lost };
+) -> Result<Vec<CallResult>, CapacityError> {
+    let lost = CallResult { sent: Duration::ZERO, done: Duration::ZERO, end: CallOutcome::Lost };
     let mut open_loop = OpenLoop {
         calls,
-        ways,
+        routes,
         first_id,
         start_time,
         progress,
-        opened: vec![0; ways.len()],
+        opened: vec![0; routes.len()],
         idle: Vec::new(),
         busy: Vec::new(),
         next: 0,
@@ -81,7 +81,7 @@
 /// State of the open-loop client: the calls in flight, and those that are still to be sent.
 struct OpenLoop<'a> {
     calls: &'a [Call],
-    ways: &'a [Way],
+    routes: &'a [Route],
     first_id: usize,
     start_time: Instant,
     progress: &'a AtomicUsize,
@@ -94,21 +94,21 @@
     /// Index of the first call that has not been sent.
     next: usize,
     /// Result of each call: lost until its response is complete.
-    played: Vec<Played>,
+    played: Vec<CallResult>,
 }
 
 impl OpenLoop<'_> {
     /// Opens the connections that are to be open before the first call.
     fn connect_first(&mut self) -> std::io::Result<()> {
-        for (way, opened) in self.ways.iter().zip(&mut self.opened) {
-            let streams: std::io::Result<_> = (0..way.warm).map(|_| connect(way, opened)).collect();
+        for (route, opened) in self.routes.iter().zip(&mut self.opened) {
+            let streams: std::io::Result<_> = (0..route.warm).map(|_| connect(route, opened)).collect();
             self.idle.push(streams?);
         }
         Ok(())
     }
 
     /// Sends all calls, and returns once all are answered or [`ANSWER_TIMEOUT`] has passed since the last.
-    fn run(mut self) -> Vec<Played> {
+    fn run(mut self) -> Vec<CallResult> {
         let deadline = self.calls.last().map_or(Duration::ZERO, |call| call.at) + ANSWER_TIMEOUT;
         loop {
             let now = self.elapsed();
@@ -129,13 +129,13 @@
     /// Sends the calls whose scheduled time has come.
     fn send_due(&mut self, now: Duration) {
         while let Some(call) = self.calls.get(self.next).filter(|call| call.at <= now) {
-            let text = request(self.first_id + self.next, call, &self.ways[call.way]);
+            let text = request(self.first_id + self.next, call, &self.routes[call.route]);
             let sent = self.elapsed();
-            let stream = self.send(call.way, &text);
-            self.played[self.next] = Played { sent, done: sent, end: End::Lost };
+            let stream = self.send(call.route, &text);
+            self.played[self.next] = CallResult { sent, done: sent, end: CallOutcome::Lost };
             if let Some(stream) = stream {
                 let bytes = Vec::with_capacity(512);
-                self.busy.push(Connection { stream, bytes, call: self.next, way: call.way });
+                self.busy.push(Connection { stream, bytes, call: self.next, route: call.route });
             }
             self.next += 1;
             self.progress.store(self.next, Ordering::Release);
@@ -144,13 +144,13 @@
 
     /// Sends a request on an idle connection that is still open, or on a new one, and returns the connection; `None` if
     /// connecting or writing fails.
-    fn send(&mut self, way: usize, text: &str) -> Option<TcpStream> {
-        let idle = &mut self.idle[way];
+    fn send(&mut self, route: usize, text: &str) -> Option<TcpStream> {
+        let idle = &mut self.idle[route];
         let stream = loop {
             match idle.pop() {
                 Some(stream) if is_open(&stream) => break stream,
                 Some(_) => {}
-                None => break connect(&self.ways[way], &mut self.opened[way]).ok()?,
+                None => break connect(&self.routes[route], &mut self.opened[route]).ok()?,
             }
         };
         (&stream).write_all(text.as_bytes()).is_ok().then_some(stream)
@@ -166,9 +166,9 @@
             };
             let done = self.elapsed();
             let connection = self.busy.swap_remove(place);
-            self.played[connection.call] = Played { done, end, ..self.played[connection.call] };
+            self.played[connection.call] = CallResult { done, end, ..self.played[connection.call] };
             if reusable {
-                self.idle[connection.way].push(connection.stream);
+                self.idle[connection.route].push(connection.stream);
             }
         }
     }
@@ -183,8 +183,8 @@
 }
 
 /// Opens a connection to the next target of a route; `turn` counts the connections of the route.
-fn connect(way: &Way, turn: &mut usize) -> std::io::Result<TcpStream> {
-    let target = way.targets[*turn % way.targets.len()];
+fn connect(route: &Route, turn: &mut usize) -> std::io::Result<TcpStream> {
+    let target = route.targets[*turn % route.targets.len()];
     *turn += 1;
     let stream = TcpStream::connect(target)?;
     stream.set_nodelay(true)?;
@@ -198,7 +198,7 @@
 }
 
 /// The text of a call's HTTP request.
-fn request(id: usize, call: &Call, way: &Way) -> String {
+fn request(id: usize, call: &Call, route: &Route) -> String {
     let (method, path) = match call.class {
         Class::Read => ("GET", "read"),
         Class::Pay => ("POST", "pay"),
@@ -208,23 +208,23 @@
     format!(
         "{method} /{path}?k={id:x} HTTP/1.1\r\nHost: api\r\nX-Request-Id: {id}\r\nX-Tenant: t{}\r\n\
          X-Deadline: {:.3}\r\n{key}Content-Length: 0\r\n\r\n",
-        id % way.tenants.max(1),
-        way.deadline.as_secs_f64(),
+        id % route.tenants.max(1),
+        route.deadline.as_secs_f64(),
     )
 }
 
 /// Reads what has arrived on a connection. If the response is then complete or the connection failed, returns the
 /// outcome of the call, and whether the connection can be reused.
-fn read_response(connection: &mut Connection, first_id: usize) -> Option<(End, bool)> {
+fn read_response(connection: &mut Connection, first_id: usize) -> Option<(CallOutcome, bool)> {
     let mut part = [0; 2048];
     match connection.stream.read(&mut part) {
-        Ok(0) => return Some((End::Lost, false)),
+        Ok(0) => return Some((CallOutcome::Lost, false)),
         Ok(count) => connection.bytes.extend_from_slice(&part[..count]),
         Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
-        Err(_) => return Some((End::Lost, false)),
+        Err(_) => return Some((CallOutcome::Lost, false)),
     }
     if connection.bytes.len() > MAX_MESSAGE_BYTES {
-        return Some((End::Wrong, false));
+        return Some((CallOutcome::Wrong, false));
     }
     let Message { head, body_start, end } = message(&connection.bytes)?;
     let reusable = end == connection.bytes.len()
@@ -233,12 +233,12 @@
         let mut fields = std::str::from_utf8(body).ok()?.split(' ');
         let id: usize = fields.next()?.parse().ok()?;
         let count: u64 = fields.next()?.parse().ok()?;
-        (id == first_id + connection.call).then_some(End::Right { new_connection: count == 1 })
+        (id == first_id + connection.call).then_some(CallOutcome::Right { new_connection: count == 1 })
     };
     let outcome = match head.split(' ').nth(1) {
-        Some("200") => own(&connection.bytes[body_start..end]).unwrap_or(End::Wrong),
-        Some("503") => End::Refused,
-        _ => End::Wrong,
+        Some("200") => own(&connection.bytes[body_start..end]).unwrap_or(CallOutcome::Wrong),
+        Some("503") => CallOutcome::Refused,
+        _ => CallOutcome::Wrong,
     };
     Some((outcome, reusable))
 }
--- a/crates/capacity/src/world/upstreams.rs
+++ b/crates/capacity/src/world/upstreams.rs
@@ -94,7 +94,7 @@
     /// By upstream: address on which it listens.
     pub addresses: Vec<SocketAddr>,
     /// Records of the requests that reached the upstreams.
-    pub seen: Arc<RequestRecords>,
+    pub records: Arc<RequestRecords>,
     stop: watch::Sender<bool>,
     threads: Vec<JoinHandle<()>>,
 }
@@ -110,7 +110,7 @@
             listeners.push(listen()?);
         }
         let addresses = listeners.iter().map(|bound: &Bound| bound.address).collect();
-        let seen = Arc::new(RequestRecords {
+        let records = Arc::new(RequestRecords {
             runs: (0..calls).map(|_| AtomicU8::new(0)).collect(),
             next_id: AtomicUsize::new(0),
             opened: AtomicU64::new(0),
@@ -123,11 +123,11 @@
         for (number, Bound { listener, .. }) in listeners.into_iter().enumerate() {
             parts[number % threads].push((number, listener));
         }
-        let mut started = Self { addresses, seen, stop, threads: Vec::new() };
+        let mut started = Self { addresses, records, stop, threads: Vec::new() };
         for part in parts {
-            let (seen, stopped) = (Arc::clone(&started.seen), stopped.clone());
+            let (records, stopped) = (Arc::clone(&started.records), stopped.clone());
             let thread = thread::Builder::new().name("upstreams".to_owned());
-            let thread = thread.spawn(move || on_runtime(stopped, || serve_upstreams(part, &seen)));
+            let thread = thread.spawn(move || on_runtime(stopped, || serve_upstreams(part, &records)));
             started.threads.push(thread.map_err(|cause| CapacityError::run("starting upstreams", cause))?);
         }
         Ok(started)
@@ -166,15 +166,15 @@
 }
 
 /// Accepts connections to the upstreams of one thread. Each upstream is given with its index.
-fn serve_upstreams(part: Vec<(usize, TcpListener)>, seen: &Arc<RequestRecords>) -> std::io::Result<()> {
+fn serve_upstreams(part: Vec<(usize, TcpListener)>, records: &Arc<RequestRecords>) -> std::io::Result<()> {
     for (number, listener) in part {
         listener.set_nonblocking(true)?;
         let listener = tokio::net::TcpListener::from_std(listener)?;
-        let seen = Arc::clone(seen);
+        let records = Arc::clone(records);
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                seen.opened.fetch_add(1, Ordering::Relaxed);
-                tokio::task::spawn_local(serve(stream, number, Arc::clone(&seen)));
+                records.opened.fetch_add(1, Ordering::Relaxed);
+                tokio::task::spawn_local(serve(stream, number, Arc::clone(&records)));
             }
         });
     }
@@ -182,7 +182,7 @@
 }
 
 /// Responds to the requests of one connection until it is closed or a message is too long.
-async fn serve(mut stream: tokio::net::TcpStream, number: usize, seen: Arc<RequestRecords>) {
+async fn serve(mut stream: tokio::net::TcpStream, number: usize, records: Arc<RequestRecords>) {
     // Without `TCP_NODELAY` the connection still works, only slower.
     let _ = stream.set_nodelay(true);
     let (mut bytes, mut count) = (Vec::with_capacity(1024), 0);
@@ -190,7 +190,7 @@
         while let Some(Message { head, end, .. }) = message(&bytes) {
             let id = header(head, "x-request-id").and_then(|id| id.parse().ok()).unwrap_or(usize::MAX);
             bytes.drain(..end);
-            seen.record(id, number);
+            records.record(id, number);
             count += 1;
             let body = format!("{id} {count} {number}");
             let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
--- a/crates/capacity/tests/decisions.rs
+++ b/crates/capacity/tests/decisions.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use capacity::decisions::straight;
+use capacity::decisions::fit_line;
 use capacity::slope::{Point, Slope};
 
 const NAMES: [&str; 9] = [
@@ -74,8 +74,8 @@
         [1.0, 10.0, 100.0, 1000.0].map(|x| Point { x, y: cost(x), low: cost(x), high: cost(x) }).to_vec()
     };
     let mut note = String::new();
-    assert!(straight(&points(|x| 5.0 + 2.0 * x), &mut note).is_some());
+    assert!(fit_line(&points(|x| 5.0 + 2.0 * x), &mut note).is_some());
     assert_eq!(note, "");
-    assert!(straight(&points(|x| x * x), &mut note).is_none());
+    assert!(fit_line(&points(|x| x * x), &mut note).is_none());
     assert!(note.contains("size^2.00"), "{note}");
 }
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 
 use capacity::depth::{Chain, Figures};
-use capacity::hollow::world::{Faults, Trouble};
+use capacity::hollow::world::{Faults, ServiceFault};
 use capacity::plan::Plan;
 use capacity::slope::{Results, Slope};
 
@@ -13,8 +13,8 @@
     Plan::parse(include_str!("../plan.toml")).expect("the plan is valid")
 }
 
-fn chain(depth: usize, trouble: Option<(usize, Trouble)>) -> Chain {
-    Chain { depth, trouble, repeats: 0, safe: true, seed: 1, seconds: 5.0 }
+fn chain(depth: usize, fault: Option<(usize, ServiceFault)>) -> Chain {
+    Chain { depth, fault, max_client_retries: 0, all_idempotent: true, seed: 1, seconds: 5.0 }
 }
 
 /// Simulates a chain, and returns the figures at depth `at`.
@@ -29,13 +29,13 @@
     let figures = run_chain(chain(6, None), 6);
     assert!((figures.attempts - 1.0).abs() < 0.02, "{figures:?}");
     assert!(figures.served > 0.98, "{figures:?}");
-    assert!(figures.left_ms > 1500.0 && figures.left_ms < 2000.0, "{figures:?}");
+    assert!(figures.deadline_left_ms > 1500.0 && figures.deadline_left_ms < 2000.0, "{figures:?}");
 }
 
 #[test]
 fn retries_at_a_failing_tier_stay_within_retry_budgets() {
     for depth in [1, 3, 6] {
-        let figures = run_chain(chain(depth, Some((depth, Trouble::Failing))), depth);
+        let figures = run_chain(chain(depth, Some((depth, ServiceFault::Failing))), depth);
         // The retry budget of a balancer allows 0.1 retries for each call and holds at most 10 retries. In the end the
         // front refuses most calls.
         let max_attempts = 1.1_f64.powi(depth as i32) + 0.5;
@@ -48,13 +48,13 @@
 
 #[test]
 fn tier_that_lost_half_its_upstreams_still_serves() {
-    let figures = run_chain(chain(4, Some((3, Trouble::Halved))), 3);
+    let figures = run_chain(chain(4, Some((3, ServiceFault::Halved))), 3);
     assert!(figures.served > 0.5, "{figures:?}");
 }
 
 #[test]
 fn tiers_below_an_unresponsive_tier_get_no_calls() {
-    let unresponsive = chain(5, Some((3, Trouble::Silent)));
+    let unresponsive = chain(5, Some((3, ServiceFault::Silent)));
     let report = unresponsive.play(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default());
     assert_eq!((report.depths[3].calls, report.depths[4].calls), (0, 0));
@@ -64,7 +64,7 @@
 #[test]
 fn same_seed_gives_same_chain_run() {
     let digest = |seed| {
-        let chain = Chain { seed, seconds: 3.0, ..chain(4, Some((2, Trouble::Failing))) };
+        let chain = Chain { seed, seconds: 3.0, ..chain(4, Some((2, ServiceFault::Failing))) };
         chain.play(&plan()).expect("the run ends").digest
     };
     assert_eq!(digest(1), digest(1));
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -8,9 +8,9 @@
 use capacity::CapacityError;
 use capacity::hollow::scenario::{Scenario, Span};
 use capacity::hollow::topology::{Destination, Topology};
-use capacity::hollow::wheel::Wheel;
+use capacity::hollow::wheel::TimerWheel;
 use capacity::hollow::world::{Faults, Report};
-use capacity::hollow::{Played, Run, play, scaled, sum};
+use capacity::hollow::{Run, RunResult, play, scale_plan, sum};
 use capacity::plan::{Plan, Reading};
 use capacity::slope::Results;
 use oorandom::Rand64;
@@ -20,8 +20,8 @@
 }
 
 /// Runs a scenario with a fleet of 60 upstreams.
-fn run_small(scenario: Scenario, seed: u64, seconds: f64) -> Played {
-    let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
+fn run_small(scenario: Scenario, seed: u64, seconds: f64) -> RunResult {
+    let plan = scale_plan(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario, reading: Reading::Hops, seed, seconds, memory_mb: 4096 };
     play(&plan, &run).expect("the run ends")
 }
@@ -64,7 +64,7 @@
 fn planned_replacement_overloads_no_warming_upstream() {
     let played = run_small(Scenario::Replacement, 1, 50.0);
     assert_eq!(played.report.cold_starts, 60, "each upstream was replaced once");
-    assert_eq!(played.report.pushed_over, 0);
+    assert_eq!(played.report.overload_crashes, 0);
     let served = served_fraction(&played.report, 3.0, 50.0);
     assert!(served > 0.95, "{served}");
 }
@@ -74,7 +74,7 @@
     let played = run_small(Scenario::Region, 1, 24.0);
     let lost_attempts: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
     assert!(lost_attempts > 0, "no attempt was lost in the network partition");
-    let Span { from_s: from, until_s: until } = played.trouble;
+    let Span { from_s: from, until_s: until } = played.fault;
     let within = served_fraction(&played.report, from, until);
     let reachable = played.reachable.expect("a network partition leaves some calls without an upstream");
     assert!(0.5 < reachable && reachable < 1.0, "{reachable}");
@@ -86,7 +86,7 @@
     let played = run_small(Scenario::Zone, 2, 24.0);
     assert!(played.report.cold_starts > 0);
     assert!(played.report.lists > 0);
-    let after = served_fraction(&played.report, played.trouble.until_s + 6.0, 24.0);
+    let after = served_fraction(&played.report, played.fault.until_s + 6.0, 24.0);
     assert!(after > 0.9, "{after}");
 }
 
@@ -119,7 +119,7 @@
 #[test]
 fn wheel_yields_events_by_time_then_insertion_order() {
     let mut rng = Rand64::new(7);
-    let mut wheel = Wheel::default();
+    let mut wheel = TimerWheel::default();
     let (mut before, mut got, mut put) = (None, 0, 0_u64);
     for _ in 0..2000 {
         wheel.push(rng.rand_range(0..3) * rng.rand_range(0..10_000_000_000), put);
@@ -139,7 +139,7 @@
 
 #[test]
 fn run_over_its_memory_limit_names_the_place() {
-    let plan = scaled(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
+    let plan = scale_plan(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario: Scenario::Rack, reading: Reading::Hops, seed: 1, seconds: 6.0, memory_mb: 1 };
     match play(&plan, &run) {
         Err(CapacityError::Memory { place, used_mb, bound_mb: 1 }) => {
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -5,7 +5,9 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use capacity::arithmetic::{Basis, Cost, CostAt, Measured, Need, Occasion, Played, Read, Term, needs};
+use capacity::arithmetic::{
+    Basis, Cost, CostAt, LoadScenario, Measured, Need, ScenarioRuns, SlopeRead, Term, needs,
+};
 use capacity::page::{self, Arguments, blocks, fill_blocks, format_number, ranking};
 use capacity::plan::Plan;
 use capacity::plots;
@@ -74,11 +76,11 @@
 }
 
 /// The ordinary day, which is the first occasion.
-fn day(plan: &Plan) -> Occasion {
-    Occasion::all(plan).swap_remove(0)
+fn day(plan: &Plan) -> LoadScenario {
+    LoadScenario::all(plan).swap_remove(0)
 }
 
-fn need(plan: &Plan, on: &Occasion, role: &str, cost: Cost) -> Need {
+fn need(plan: &Plan, on: &LoadScenario, role: &str, cost: Cost) -> Need {
     let all = needs(plan, on, &tree());
     all.into_iter().find(|need| need.role == role && need.cost == cost).unwrap()
 }
@@ -189,8 +191,8 @@
 #[test]
 fn cost_between_two_sizes_is_interpolated_from_the_points() {
     let nonlinear = slopes([slope("x", &[10.0, 20.0, 200.0], |x| if x > 15.0 { 100.0 } else { 1.0 })]);
-    assert_eq!(nonlinear.at("x", 15.0), Some(CostAt { cost: 50.5, times_past: 1.0 }));
-    assert_eq!(nonlinear.at("x", 200.0), Some(CostAt { cost: 100.0, times_past: 1.0 }));
+    assert_eq!(nonlinear.at("x", 15.0), Some(CostAt { cost: 50.5, size_ratio: 1.0 }));
+    assert_eq!(nonlinear.at("x", 200.0), Some(CostAt { cost: 100.0, size_ratio: 1.0 }));
     assert_eq!(nonlinear.at("y", 200.0), None);
 }
 
@@ -199,19 +201,19 @@
     let plan = plan();
     let measured = slopes([slope("x", &[10.0, 100.0, 1000.0], |x| 50.0 + 2.0 * x)]);
     let mut need = need(&plan, &day(&plan), "operator who publishes", Cost::Processor);
-    need.plain = 1.0;
-    let mut read_value = |read, times| {
-        need.terms = vec![Term { slope: "x", read, times }];
+    need.from_plan = 1.0;
+    let mut read_value = |read, factor| {
+        need.terms = vec![Term { slope: "x", read, factor }];
         need.figure(&measured).value.unwrap()
     };
-    for (read, times, value) in [
-        (Read::At(100.0), 1.0, 251.0),
-        (Read::At(2000.0), 1.0, 4051.0),
-        (Read::Beyond(100.0), 1.0, 181.0),
-        (Read::Beyond(1.0), 1.0, 1.0),
-        (Read::OneMore, 100.0, 201.0),
+    for (read, factor, value) in [
+        (SlopeRead::At(100.0), 1.0, 251.0),
+        (SlopeRead::At(2000.0), 1.0, 4051.0),
+        (SlopeRead::AboveSmallest(100.0), 1.0, 181.0),
+        (SlopeRead::AboveSmallest(1.0), 1.0, 1.0),
+        (SlopeRead::Marginal, 100.0, 201.0),
     ] {
-        let got = read_value(read, times);
+        let got = read_value(read, factor);
         assert!((got - value).abs() < 1e-6, "{read:?}: {got}");
     }
 }
@@ -256,16 +258,16 @@
     };
     let mut measured = slopes([slope("control.change_sent_last_ms_by_watchers", &[100.0, 1900.0], |x| x)]);
     measured.results.insert(table.name.clone(), table);
-    let all = Occasion::all(&plan);
+    let all = LoadScenario::all(&plan);
     let figure = |name: &str| {
         let on = all.iter().find(|on| on.name == name).unwrap();
         need(&plan, on, "operator who publishes", Cost::Time).figure(&measured)
     };
     let lost = figure("one control machine lost");
-    assert_eq!((lost.value, lost.basis), (Some(0.9005), Basis::Played(2)));
+    assert_eq!((lost.value, lost.basis), (Some(0.9005), Basis::ScenarioRuns(2)));
     assert_eq!(figure("a zone of control machines lost").value, Some(9.0));
     assert_eq!(figure("ordinary day").basis, Basis::Measured);
-    let unknown = Played { results: "sockets", row: "relay", column: "first, ms", times: 1.0 };
+    let unknown = ScenarioRuns { results: "sockets", row: "relay", column: "first, ms", factor: 1.0 };
     let mut without = need(&plan, &all[0], "operator who publishes", Cost::Time);
     without.played = Some(unknown);
     assert_eq!(without.figure(&measured).basis, Basis::Measured);
@@ -274,7 +276,7 @@
 #[test]
 fn every_role_has_a_row_for_each_cost_on_every_occasion() {
     let plan = plan();
-    let occasions = Occasion::all(&plan);
+    let occasions = LoadScenario::all(&plan);
     assert_eq!(occasions.len(), 10);
     let first = needs(&plan, &occasions[0], &tree());
     for role in [
@@ -307,12 +309,12 @@
 #[test]
 fn full_list_and_documents_exceed_the_byte_budget_of_a_reconnect() {
     let plan = plan();
-    let all = Occasion::all(&plan);
+    let all = LoadScenario::all(&plan);
     let on = all.iter().find(|on| on.name == "all balancers reconnecting").unwrap();
     let figure = need(&plan, on, "balancer, all its control", Cost::Messages).figure(&Measured::default());
     let bytes = (285_000.0 + 12_288.0) / 13.0;
     assert!((figure.value.unwrap() - bytes).abs() < 20.0 && figure.ratio.unwrap() > 1.0, "{figure:?}");
-    assert!(matches!(figure.basis, Basis::Reckoned(_)), "{figure:?}");
+    assert!(matches!(figure.basis, Basis::Calculated(_)), "{figure:?}");
 }
 
 #[test]
--- a/crates/capacity/tests/plan.rs
+++ b/crates/capacity/tests/plan.rs
@@ -220,5 +220,5 @@
     assert!((plan.balancers_per_change() - expected).abs() < 1e-9);
     assert_eq!(plan.documents_bytes(), f64::from(4096 + 3 * 2048 + 310 * 6144));
     assert_eq!(plan.whole_list_bytes(), 285_000);
-    assert!((plan.largest_zone() - 1900.0 * 0.31 / 2.0).abs() < 1e-9);
+    assert!((plan.largest_zone_upstreams() - 1900.0 * 0.31 / 2.0).abs() < 1e-9);
 }
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -7,20 +7,22 @@
 use std::time::{Duration, Instant};
 
 use capacity::slope::Slope;
-use capacity::world::{self, Balancer, Call, Class, Counts, Discovery, End, Played, Upstreams, Usage, Way};
+use capacity::world::{
+    self, Balancer, Call, CallOutcome, CallResult, Class, Counts, Discovery, Route, Upstreams, Usage,
+};
 
 mod common;
 
 use common::{assert_fails_with, balancer_program, plan, run_capacity};
 
 /// A way to the targets with `warm` connections opened before the first call.
-fn way(targets: Vec<std::net::SocketAddr>, warm: usize) -> Way {
-    Way { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
+fn route(targets: Vec<std::net::SocketAddr>, warm: usize) -> Route {
+    Route { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
 }
 
-fn play(calls: &[Call], ways: &[Way], first: usize) -> Vec<Played> {
-    let zero = Instant::now() + world::CONNECT_FIRST;
-    world::play(calls, ways, first, zero, &AtomicUsize::new(0)).expect("connections come up")
+fn play(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
+    let zero = Instant::now() + world::CONNECT_LEAD_TIME;
+    world::play(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
 }
 
 /// Guards against coordinated omission: calls are sent at their scheduled times even when earlier calls are unanswered.
@@ -31,17 +33,17 @@
     let upstreams = Upstreams::start(1, 1, 300).expect("the stand-in starts");
     let call = |number: u64| Call {
         at: Duration::from_millis(number),
-        way: 0,
+        route: 0,
         class: Class::Read,
         pair: number as usize,
     };
     let calls: Vec<Call> = (0..300).map(call).collect();
-    let first = upstreams.seen.take_ids(calls.len()).expect("enough ids are left");
+    let first = upstreams.records.take_ids(calls.len()).expect("enough ids are left");
     let stall = Duration::from_millis(100);
-    upstreams.seen.stall(first + 100, stall);
+    upstreams.records.stall(first + 100, stall);
     // There are two warm connections: clients that waited for responses would have only two late calls.
-    let played = play(&calls, &[way(upstreams.addresses.clone(), 2)], first);
-    assert!(played.iter().all(Played::is_right));
+    let played = play(&calls, &[route(upstreams.addresses.clone(), 2)], first);
+    assert!(played.iter().all(CallResult::is_right));
     let late = calls.iter().zip(&played).filter(|(call, played)| played.latency(call) >= stall / 2).count();
     // The 50 calls of the first half of the stall wait for at least half of its duration. One or two of them may have
     // been read before the stall began.
@@ -56,31 +58,31 @@
     let upstreams = Upstreams::start(2, 1, 30).expect("the stand-in starts");
     let classes = [Class::Read, Class::Order];
     let calls: Vec<Call> = (0..10)
-        .map(|number| Call { at: Duration::ZERO, way: 0, class: classes[number % 2], pair: number })
+        .map(|number| Call { at: Duration::ZERO, route: 0, class: classes[number % 2], pair: number })
         .collect();
-    let ways = [way(upstreams.addresses.clone(), 4)];
-    let first = upstreams.seen.take_ids(10).expect("enough ids are left");
-    let played = play(&calls, &ways, first);
-    let counts = Counts::of(&calls, &played, &upstreams.seen, first);
+    let routes = [route(upstreams.addresses.clone(), 4)];
+    let first = upstreams.records.take_ids(10).expect("enough ids are left");
+    let played = play(&calls, &routes, first);
+    let counts = Counts::of(&calls, &played, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, ..Counts::default() });
 
     // Send the same ids a second time: the calls that must not run twice are counted as such.
-    let again = play(&calls, &ways, first);
-    let counts = Counts::of(&calls, &again, &upstreams.seen, first);
+    let again = play(&calls, &routes, first);
+    let counts = Counts::of(&calls, &again, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, twice: 5, repeated: 5, ..Counts::default() });
 
     // Count ids that never reached an upstream, with responses that claim that they did.
-    let unseen = upstreams.seen.take_ids(10).expect("enough ids are left");
-    let counts = Counts::of(&calls, &played, &upstreams.seen, unseen);
+    let unseen = upstreams.records.take_ids(10).expect("enough ids are left");
+    let counts = Counts::of(&calls, &played, &upstreams.records, unseen);
     assert_eq!(counts, Counts { calls: 10, wrong: 10, ..Counts::default() });
 
     // One call that ran is reported as refused, and one as lost.
     let mut ended = played;
-    ended[0].end = End::Refused;
-    ended[1].end = End::Lost;
-    let counts = Counts::of(&calls, &ended, &upstreams.seen, first);
+    ended[0].end = CallOutcome::Refused;
+    ended[1].end = CallOutcome::Lost;
+    let counts = Counts::of(&calls, &ended, &upstreams.records, first);
     assert_eq!((counts.right, counts.wrong, counts.lost, counts.refused), (8, 1, 1, 0));
-    assert!(upstreams.seen.take_ids(11).is_err());
+    assert!(upstreams.records.take_ids(11).is_err());
 }
 
 /// Guards the pairing of calls: each pair has one call on every way, the calls are in order of time, and the same seed
@@ -96,10 +98,10 @@
     assert_eq!((&calls, false), (&draw(1), calls == draw(2)));
     let pairs = calls.len() / 3;
     for pair in 0..pairs {
-        let mut ways: Vec<usize> =
-            calls.iter().filter(|call| call.pair == pair).map(|call| call.way).collect();
-        ways.sort_unstable();
-        assert_eq!(ways, [0, 1, 2], "{pair}");
+        let mut routes: Vec<usize> =
+            calls.iter().filter(|call| call.pair == pair).map(|call| call.route).collect();
+        routes.sort_unstable();
+        assert_eq!(routes, [0, 1, 2], "{pair}");
     }
     // 1000 pairs are expected; five standard deviations of the Poisson distribution are 158.
     assert!((842..1158).contains(&pairs), "{pairs}");
@@ -120,11 +122,11 @@
     let before = Usage::of(id).expect("the process exists");
     let mut rng = oorandom::Rand64::new(7);
     let calls = world::paired(&mut rng, 1, 200.0, Duration::from_millis(500), false);
-    let first = upstreams.seen.take_ids(calls.len()).expect("enough ids are left");
-    let mut way = way(vec![balancer.address], 4);
-    way.tenants = plan().traffic.tenants.value;
-    let played = play(&calls, &[way], first);
-    let counts = Counts::of(&calls, &played, &upstreams.seen, first);
+    let first = upstreams.records.take_ids(calls.len()).expect("enough ids are left");
+    let mut route = route(vec![balancer.address], 4);
+    route.tenants = plan().traffic.tenants.value;
+    let played = play(&calls, &[route], first);
+    let counts = Counts::of(&calls, &played, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: calls.len(), right: calls.len(), ..Counts::default() });
     assert!(Usage::of(id).expect("the process exists").since(before).cpu_ns > 0);
     assert!(world::memory_kb(id).expect("the process exists") > 0);
--- a/crates/capacity/tests/slope.rs
+++ b/crates/capacity/tests/slope.rs
@@ -77,7 +77,7 @@
     };
     slope.write(&folder.0).unwrap();
     assert_eq!(Slope::read(&folder.0, &slope.name).unwrap(), slope);
-    assert_eq!(slope.largest(), 10.0);
+    assert_eq!(slope.largest_size(), 10.0);
     let results = Results {
         name: "played".into(),
         what: "A test.".into(),
