--- a/crates/config-distribution/src/command/failure.rs
+++ b/crates/config-distribution/src/command/failure.rs
@@ -42,7 +42,7 @@
     #[error("cannot start the relay from the store in {}: {source}", directory.display())]
     Relay { directory: PathBuf, source: RelayError },
     /// The change was refused.
-    #[error("the change was refused: {0}")]
+    #[error("the change was refused and nothing was changed: {0}")]
     ChangeRejected(Rejection),
     /// The request for documents or for the report was refused.
     #[error("{to} refused the request: {rejection}")]
@@ -51,7 +51,9 @@
     #[error("the request to {to} failed: {source}")]
     ReadUnanswered { to: SocketAddr, source: CallError },
     /// No attempt at the change had a conclusive answer, so it is unknown whether the change was accepted.
-    #[error("no conclusive answer from {to}: {last}; repeat the change with --request {id}")]
+    #[error(
+        "{to} gave no conclusive answer, the change may have been made: {last}; repeat it with --request {id}"
+    )]
     ChangeUnknown { to: SocketAddr, last: Unanswered, id: String },
 }
 
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -131,7 +131,7 @@
         index: u64,
     },
     /// An index is above [`MAX_INDEX`].
-    #[error("index {index} is above the maximum of {MAX_INDEX}")]
+    #[error("index {index} of a record or of --index-at-least is above the maximum of {MAX_INDEX}")]
     TooHigh {
         /// The index that is too high.
         index: u64,
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -36,7 +36,7 @@
         have: u64,
     },
     /// The digest of a document does not match its content.
-    #[error("{scope}, version {version}: the digest does not match the document")]
+    #[error("document {scope} version {version}: the digest does not match the content")]
     Damaged {
         /// Scope of the document.
         scope: Scope,
@@ -45,7 +45,7 @@
     },
     /// A document contradicts the state: its version goes back, its content or its absence differs from what is known
     /// at the same index, or it occurs twice in the update.
-    #[error("{scope}: version {version} of the update conflicts with the known version {have}")]
+    #[error("document {scope}: version {version} of the update conflicts with the known version {have}")]
     Conflict {
         /// Scope of the document.
         scope: Scope,
@@ -55,7 +55,7 @@
         have: u64,
     },
     /// The version of a document is above the index of its update.
-    #[error("{scope}: version {version} is above the index {index} of the update")]
+    #[error("document {scope}: version {version} is above the index {index} of the update")]
     VersionAboveIndex {
         /// Scope of the document.
         scope: Scope,
@@ -65,7 +65,7 @@
         index: u64,
     },
     /// The update has a document of a scope that the reader did not request.
-    #[error("{scope}: the update has this scope, which was not requested")]
+    #[error("document {scope}: the update has this scope, which was not requested")]
     NotRequested {
         /// Scope of the document.
         scope: Scope,
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -23,13 +23,13 @@
 #[derive(Debug, Error)]
 pub enum CallError {
     /// The connection could not be opened, so the request was not sent.
-    #[error("cannot connect: {0}")]
+    #[error("cannot connect to the server: {0}")]
     Connect(io::Error),
     /// The connection failed before the whole response arrived.
-    #[error("the connection failed: {0}")]
+    #[error("the connection to the server failed: {0}")]
     Http(#[from] hyper::Error),
     /// The call took longer than its time limit.
-    #[error("timed out before the whole response arrived")]
+    #[error("the whole response did not arrive before the deadline")]
     TimedOut,
     /// The response body is larger than the limit.
     #[error("the response body exceeds {MAX_RESPONSE_BYTES} bytes")]
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -54,16 +54,16 @@
 #[derive(Debug, Error)]
 pub(crate) enum LeaveError {
     /// A line is neither empty nor a valid JSON update.
-    #[error("received a malformed line: {0}")]
+    #[error("the parent sent a malformed line: {0}")]
     Json(#[from] serde_json::Error),
     /// The core refused an update.
-    #[error("refused an update: {0}")]
+    #[error("refused an update from the parent: {0}")]
     Refused(#[from] Refusal),
     /// The parent has received nothing from its own parents for too long.
-    #[error("the parent is stale")]
+    #[error("the parent has received nothing from its own parents for too long")]
     Stale,
     /// The parent did not give its level, or its level is not below the level of this relay.
-    #[error("the parent's level is not below the level of this relay")]
+    #[error("the parent's level is not below the level of this relay, or is unknown")]
     LevelTooHigh,
 }
 
@@ -117,7 +117,10 @@
             let had_lines = self.current.take().is_some();
             self.parents.borrow_mut().ended(self.start.elapsed());
             if had_lines || last_logged.get(&address) != Some(&ended) {
-                log(format_args!("{}: lost the watch of parent {address}: {ended}", self.name));
+                log(format_args!(
+                    "{} lost the watch of parent {address}, keeps its documents and tries its parents again: {ended}",
+                    self.name
+                ));
                 last_logged.insert(address, ended);
             }
         }
@@ -137,8 +140,8 @@
     {
         let first_line_deadline = Instant::now() + FIRST_LINE_TIMEOUT;
         let stream = match timeout_at(first_line_deadline, connect(address)).await {
-            Err(_) => return "timed out connecting".to_owned(),
-            Ok(Err(error)) => return format!("cannot connect: {error}"),
+            Err(_) => return "the connection was not open before the deadline".to_owned(),
+            Ok(Err(error)) => return format!("the connection could not be opened: {error}"),
             Ok(Ok(stream)) => stream,
         };
         let (since, scopes, name) = (since(), self.scopes, sanitize_query_name(self.name));
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -38,7 +38,7 @@
     #[error("{0}")]
     Store(#[from] StoreError),
     /// The documents that the core reissued at the start could not be written.
-    #[error("cannot write the reissued documents: {0}")]
+    #[error("cannot write the documents that are published again at the start: {0}")]
     Reissue(StoreError),
 }
 
@@ -199,7 +199,8 @@
         });
         let Ok(outcome) = written.await else {
             log(format_args!(
-                "a write was aborted by a panic; no change is accepted until the write has been repeated"
+                "the write of a change was aborted by a panic; the next change repeats it first, \
+                 none is accepted until the write has been repeated"
             ));
             return Err(WriteError::Aborted);
         };
@@ -218,12 +219,15 @@
                 for &index in &indexes {
                     origin.not_written(index);
                 }
-                log(format_args!("changes {indexes:?} not written: {error}"));
+                log(format_args!(
+                    "changes {indexes:?} are dropped, because they were not written to the store: {error}"
+                ));
                 Err(WriteError::NotWritten(error))
             }
             Outcome::Unknown(error) => {
                 log(format_args!(
-                    "whether changes {indexes:?} are on disk is unknown; no change is accepted until it is known: {error}"
+                    "whether changes {indexes:?} are on disk is unknown; the next change writes them again \
+                     first, none is accepted until it is known: {error}"
                 ));
                 Err(WriteError::Unknown(error))
             }
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -59,7 +59,7 @@
     #[error("{0}")]
     Store(#[from] StoreError),
     /// The records on disk cannot be restored as a state.
-    #[error("the state on disk is damaged: {0}")]
+    #[error("the stored records are not a valid state: {0}")]
     Damaged(#[from] Refusal),
 }
 
@@ -135,7 +135,7 @@
         }
         Err(error) if error.is_transient() => {
             log(format_args!(
-                "cannot open the store, starting without a stored state and trying again later: {error}"
+                "cannot open the relay's store, starting without a stored state and trying again later: {error}"
             ));
             Ok(None)
         }
@@ -237,7 +237,11 @@
         let index = state.index();
         drop(state);
         if !source.has_state.replace(true) || index != before || !scopes.is_empty() {
-            log(format_args!("{}: now at index {index}, {} documents changed", options.name, scopes.len()));
+            log(format_args!(
+                "relay {} is now at index {index}, {} documents changed",
+                options.name,
+                scopes.len()
+            ));
             server.notify_changed();
         }
         Ok(())
@@ -289,7 +293,9 @@
 
 /// Error of storing a state, after which it is not known to be on disk.
 #[derive(Debug, Error)]
-#[error("index {index} is not known to be stored on disk, trying again: {cause}")]
+#[error(
+    "the state at index {index} may not be stored on disk, it is served and will be written again: {cause}"
+)]
 struct StoreStateError {
     /// Index of the state.
     index: u64,
@@ -354,12 +360,18 @@
                 match server.source.restore(found) {
                     Ok(true) => server.notify_changed(),
                     Ok(false) => {}
-                    Err(refusal) => log(format_args!("ignoring the state on disk: {refusal}")),
+                    Err(refusal) => log(format_args!(
+                        "ignoring the state in the relay's store, the state from the parents will replace it: {refusal}"
+                    )),
                 }
                 return store;
             }
-            Ok(Err(error)) => log(format_args!("cannot open the store, trying again: {error}")),
-            Err(error) => log(format_args!("cannot open the store, trying again: {error}")),
+            Ok(Err(error)) => log(format_args!(
+                "still cannot open the relay's store, trying again; nothing is stored until then: {error}"
+            )),
+            Err(error) => log(format_args!(
+                "opening the relay's store was aborted, trying again; nothing is stored until then: {error}"
+            )),
         }
     }
 }
--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -169,7 +169,10 @@
             }
             match accepted {
                 Ok(_) if connections.len() >= self.limits.max_connections() => {
-                    log(format_args!("refused a connection: {} are already open", connections.len()));
+                    log(format_args!(
+                        "refused a connection: {} are already open, raise --readers-most to allow more",
+                        connections.len()
+                    ));
                 }
                 Ok(stream) => {
                     connections.spawn_local(Rc::clone(self).serve_connection(stream));
@@ -177,7 +180,7 @@
                 Err(error) => {
                     let pause = failures.pause_after(&error);
                     if failures.is_first() {
-                        log(format_args!("cannot accept a connection: {error}"));
+                        log(format_args!("cannot accept a connection, accepting continues: {error}"));
                     }
                     // Open connections are not affected by the pause: each has its own task.
                     if pause.is_zero() { yield_now().await } else { sleep(pause).await }
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -147,7 +147,10 @@
             return Ok(Response::new(ResponseBody::Complete(line.map(|line| line.bytes))));
         }
         if self.open_watches.get() >= self.limits.max_readers {
-            log(format_args!("refused a reader: {} watches are already open", self.open_watches.get()));
+            log(format_args!(
+                "refused a watch: {} are already open, raise --readers-most to allow more",
+                self.open_watches.get()
+            ));
             return Err(RequestError::TooManyWatches);
         }
         control.stay_open();
@@ -166,7 +169,9 @@
             Err(error) => {
                 let Ok(RelayReport { who, sums }) = serde_json::from_slice(&text) else {
                     let error = RequestError::Report(error);
-                    log(format_args!("refused a report: {error}"));
+                    log(format_args!(
+                        "refused a malformed report of a child process, nothing of it is recorded: {error}"
+                    ));
                     return Err(error);
                 };
                 reports.record_sums(now, &who, &sums);
--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -82,7 +82,7 @@
                     SendOutcome::Stalled => {
                         let seconds = STALL_TIMEOUT.as_secs();
                         log(format_args!(
-                            "closed reader {:?}: it accepted no data for {seconds} s",
+                            "closed the watch of reader {:?}: it accepted no data for {seconds} s",
                             query.name
                         ));
                         control.close_stalled();
@@ -175,7 +175,9 @@
             Some(text.into())
         }
         Err(error) => {
-            log(format_args!("cannot encode an update: {error}"));
+            log(format_args!(
+                "cannot encode an update as JSON, the next change or heartbeat tries again: {error}"
+            ));
             None
         }
     }
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -24,16 +24,16 @@
     #[error("no line arrived before the deadline")]
     Silent,
     /// The response status was not 200.
-    #[error("unexpected response status {0}")]
+    #[error("the response status was {0} instead of 200 OK")]
     Status(StatusCode),
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Http(#[from] hyper::Error),
     /// The server ended the response in order.
-    #[error("ended")]
+    #[error("the server ended the watch")]
     Ended,
     /// A line exceeded the size limit, which keeps a faulty server from filling the memory.
-    #[error("a line exceeds the size limit")]
+    #[error("a received line exceeds the size limit")]
     LineTooLong,
     /// The reader rejected the response's headers or a line.
     #[error("{0}")]
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -162,7 +162,9 @@
             Err(error) if error.is_damage() => error,
             Err(error) => return Err(error),
         };
-        log(format_args!("renaming the store to {DAMAGED_FILE_NAME} and creating an empty one: {error}"));
+        log(format_args!(
+            "the store is damaged, renaming it to {DAMAGED_FILE_NAME} and creating an empty one: {error}"
+        ));
         fs::rename(directory.join(FILE_NAME), directory.join(DAMAGED_FILE_NAME))?;
         Self::at(directory)
     }
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -432,7 +432,7 @@
             child.wait_for_index(1).await;
         }
         let alone = Process::relay(1, &[one], address());
-        alone.wait_for_log("the parent's level is not below the level of this relay").await;
+        alone.wait_for_log("the parent's level is not below the level of this relay, or is unknown").await;
         let (status, _) = get(alone.address, "/configuration").await.unwrap();
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
     });
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -173,7 +173,7 @@
         child.wait_for_state("the first document", |state| state.documents().count() == 1).await;
         publish(origin.address, "service/s0", &document(1), "last").await;
         child.wait_for_index(13).await;
-        origin.wait_for_log("closed reader \"sleepy\"").await;
+        origin.wait_for_log("closed the watch of reader \"sleepy\"").await;
         // The stalled reader receives an incomplete body.
         let mut rest = Vec::new();
         let _ = wait_for("the connection to close", stalled.read_to_end(&mut rest)).await;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// `PROXY_CONFIG` is not set.
-    #[error("PROXY_CONFIG is not set: it names the configuration file")]
+    #[error("PROXY_CONFIG is not set; set it to the path of the configuration file")]
     NoPath,
     /// The configuration file cannot be read.
     #[error("cannot read the configuration file {path}: {cause}")]
@@ -42,13 +42,13 @@
     #[error("the configuration is malformed: {0}")]
     Json(#[from] serde_json::Error),
     /// The settings in the configuration file cannot be used.
-    #[error("the settings are malformed: {0}")]
+    #[error("the configuration file's settings are malformed: {0}")]
     Setup(#[from] ReadSettingsError),
     /// The region or the service cannot be the name of a scope.
-    #[error("invalid region or service in `distribution`: {0}")]
+    #[error("invalid region or service in `distribution` of the configuration file: {0}")]
     Scope(#[from] ScopeError),
     /// A value of the configuration is invalid.
-    #[error("invalid value for {name}: {value:?}")]
+    #[error("invalid value for {name} in the configuration file or the environment: {value:?}")]
     Value {
         /// Key of the value.
         name: &'static str,
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Error)]
 pub enum DiscoveryWatchError {
     /// No connection to discovery came up in time.
-    #[error("could not connect to discovery")]
+    #[error("the connection to discovery failed or was not open in time")]
     Connect,
     /// The call failed, its answer was invalid, or no line arrived in time.
     #[error("{0}")]
--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -24,7 +24,9 @@
     let read = |raw: &RawValue| {
         serde_json::from_str(raw.get())
             .inspect_err(|error| {
-                crate::log(format_args!("skipped a malformed entry of the endpoint list: {error}"));
+                crate::log(format_args!(
+                    "skipped an entry of the endpoint list, its JSON is malformed: {error}"
+                ));
             })
             .ok()
     };
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -59,7 +59,9 @@
 
     fn log(&mut self, error: &io::Error) {
         if self.last_logged_at.is_none_or(|at| at.elapsed() >= FAILURE_LOG_INTERVAL) {
-            crate::log(format_args!("a client connection could not be accepted: {error}"));
+            crate::log(format_args!(
+                "a client connection could not be accepted, accepting continues: {error}"
+            ));
             self.last_logged_at = Some(Instant::now());
         }
     }
--- a/crates/proxy/src/downstream/server.rs
+++ b/crates/proxy/src/downstream/server.rs
@@ -95,7 +95,7 @@
     while hangup.recv().await.is_some() {
         match Config::read_discovery_address(&path) {
             Ok(address) => event_loop.set_discovery_address(address),
-            Err(error) => crate::log(format_args!("not reloaded: {error}")),
+            Err(error) => crate::log(format_args!("not reloaded: {error}; nothing is changed")),
         }
     }
 }
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -158,7 +158,8 @@
         self.has_update = true;
         if update.index < self.index {
             crate::log(format_args!(
-                "discovery sent version {} of the endpoint list after version {}; an older list ends no drain",
+                "discovery sent version {} of the endpoint list, older than version {} in use: an older delta is \
+                 ignored, an older snapshot is applied but ends no drain",
                 update.index, self.index
             ));
             if !update.snapshot {
@@ -196,7 +197,9 @@
         let mut restarted = Vec::new();
         for entry in entries {
             let Some(applied) = self.apply_entry(&list_time, entry, names) else {
-                crate::log(format_args!("skipped a malformed entry of the endpoint list: {entry:?}"));
+                crate::log(format_args!(
+                    "skipped an entry of the endpoint list, its status or address is invalid: {entry:?}"
+                ));
                 continue;
             };
             if applied.restarted {
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -288,7 +288,7 @@
     /// continues until then.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         if self.discovery.replace(address) != address {
-            crate::log(format_args!("discovery address changed to {address}"));
+            crate::log(format_args!("discovery address changed to {address}; a watch will be opened there"));
             self.handle(Event::List(ListUpdate::Relocated));
         }
     }
@@ -347,7 +347,10 @@
             }
             watch.task = None;
         }
-        crate::log(format_args!("the watch on discovery ended and will be reopened: {cause}"));
+        crate::log(format_args!(
+            "the watch on discovery ended and will be reopened, the current endpoint list stays in use until then: \
+             {cause}"
+        ));
         self.handle(Event::List(ListUpdate::Broken));
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -15,7 +15,7 @@
     let config = match Config::from_environment() {
         Ok(config) => config,
         Err(error) => {
-            eprintln!("balancer-proxy: {error}");
+            eprintln!("balancer-proxy: cannot start: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -37,7 +37,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("balancer-proxy: {error}");
+            eprintln!("balancer-proxy: cannot start: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/proxy/src/upstream/acquire_error.rs
+++ b/crates/proxy/src/upstream/acquire_error.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Error)]
 pub enum AcquireError {
     /// The process's socket budget is used up, which says nothing about the upstream.
-    #[error("the socket budget of this process is used up")]
+    #[error("the socket budget of this process (limits.sockets) is used up")]
     SocketBudgetExhausted,
     /// This machine lacks a resource for the connect (port, descriptor or memory), which says nothing about the
     /// upstream.
-    #[error("this machine lacks the resources for a new connection: {0}")]
+    #[error("this machine lacks a port, a descriptor or memory for a new connection: {0}")]
     LocalShortage(io::Error),
     /// No connection was established within the attempt's connect timeout. The dial may still succeed later.
     #[error("the connection was not established within the connect timeout")]
@@ -24,7 +24,7 @@
     #[error("{0}")]
     Failed(#[from] io::Error),
     /// The connection broke during the HTTP handshake.
-    #[error("{0}")]
+    #[error("the connection broke during the HTTP handshake: {0}")]
     Broken(#[from] hyper::Error),
 }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -25,7 +25,7 @@
         cause: Malformed,
     },
     /// Standard input or output failed, most often because the simulator has exited.
-    #[error("reading input or writing output failed: {0}")]
+    #[error("cannot read standard input or write standard output: {0}")]
     Io(#[from] io::Error),
 }
 
@@ -33,10 +33,10 @@
 #[derive(Debug, Error)]
 pub enum Malformed {
     /// The line is not valid UTF-8.
-    #[error("not UTF-8 text")]
+    #[error("the line is not UTF-8 text")]
     NotText,
     /// The line ends before a required field, or the field is empty.
-    #[error("field {field} is missing")]
+    #[error("field {field} is missing or empty")]
     Missing {
         /// Name of the missing field.
         field: &'static str,
@@ -59,22 +59,22 @@
     #[error("{0} outside a batch")]
     OutsideBatch(&'static str),
     /// The input ends before the current batch does.
-    #[error("the input ends within a batch")]
+    #[error("the input ends within a batch, before its YOUR_TURN line")]
     IncompleteBatch,
     /// The clock of a batch is earlier than that of the previous batch.
-    #[error("the clock is earlier than in the previous batch")]
+    #[error("the clock is earlier than in the previous batch, it must not go back")]
     ClockWentBack,
     /// An event precedes the first `TO` line of its batch, so that its recipient is unknown.
-    #[error("no TO line before the first event")]
+    #[error("the batch has no TO line before its first event")]
     NoRecipient,
     /// An event is addressed to an instance that has not received a `START` message.
-    #[error("instance {0} has not started")]
+    #[error("instance {0} has not started, its first message must be START")]
     NotStarted(u32),
     /// A message refers to an endpoint list that has not been sent.
-    #[error("list {0} has not been sent")]
+    #[error("endpoint list {0} has not been sent, an INVENTORY line must precede this message")]
     UnknownList(u32),
     /// Another message follows before all entries of an endpoint list have been received.
-    #[error("list {list} is missing {missing} of its entries")]
+    #[error("endpoint list {list} is missing {missing} of its entries, which must follow its INVENTORY line")]
     IncompleteList {
         /// Number of the incomplete list.
         list: u32,
@@ -82,7 +82,7 @@
         missing: usize,
     },
     /// A list entry follows no list header, or exceeds the number of entries in the header.
-    #[error("list entry outside a list")]
+    #[error("endpoint list entry outside a list, no INVENTORY line announces it")]
     EntryOutsideList,
     /// A new request has the id of a request that has not ended or still has attempts in flight.
     #[error("duplicate request {0}: the earlier one has not ended or has attempts in flight")]
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -161,5 +161,9 @@
 }
 
 fn outside_batch(name: &str) -> Malformed {
-    Malformed::OutsideBatch(if name == "YOUR_TURN" { "YOUR_TURN" } else { "a message" })
+    Malformed::OutsideBatch(if name == "YOUR_TURN" {
+        "YOUR_TURN is not allowed"
+    } else {
+        "a message other than TURN is not allowed"
+    })
 }
