--- a/crates/config-distribution/src/command/serve.rs
+++ b/crates/config-distribution/src/command/serve.rs
@@ -34,8 +34,8 @@
     index_at_least: u64,
     limits: Limits,
 ) -> Result<(), Failure> {
-    let opened =
-        Store::at(directory).map_err(|source| Failure::Store { directory: directory.to_owned(), source })?;
+    let opened = Store::open_in(directory)
+        .map_err(|source| Failure::Store { directory: directory.to_owned(), source })?;
     let host =
         OriginHost::new(opened, Bounds::default(), limits, index_at_least, Box::new(check_settings), seed())
             .map_err(|source| Failure::Origin { directory: directory.to_owned(), source })?;
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -18,7 +18,7 @@
 use crate::fault::Fault;
 use crate::origin::{Accepted, Bounds, Origin, Publication, PublishError, Record, RestoreError};
 use crate::state::State;
-use crate::store::{Found, Outcome, Store, StoreError};
+use crate::store::{Outcome, Store, StoreContents, StoreError};
 
 /// Maximum number of publications in the queue, with the one being processed.
 const MAX_QUEUED_PUBLICATIONS: usize = 64;
@@ -54,7 +54,7 @@
     /// # Errors
     /// The records cannot be restored as the state of an origin, or the reissued documents cannot be written.
     pub fn new(
-        (mut store, found): (Store, Found),
+        (mut store, found): (Store, StoreContents),
         bounds: Bounds,
         limits: Limits,
         index_at_least: u64,
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -25,7 +25,7 @@
 use crate::parents::Parents;
 use crate::report::{REPORT_EVERY, Sums};
 use crate::state::{Refusal, State, Wanted};
-use crate::store::{Found, Outcome, Store, StoreError};
+use crate::store::{Outcome, Store, StoreContents, StoreError};
 
 /// Maximum size of a line sent to a relay: all documents at the origin's limit on their total size, and the JSON around
 /// each.
@@ -71,7 +71,7 @@
 }
 
 /// Opens the relay's store, and returns it with the records found in it.
-type OpenStore = Arc<dyn Fn() -> Result<(Store, Found), StoreError> + Send + Sync>;
+type OpenStore = Arc<dyn Fn() -> Result<(Store, StoreContents), StoreError> + Send + Sync>;
 
 /// Store of a relay, and the function that opens it.
 struct RelayDisk {
@@ -111,7 +111,7 @@
 impl RelaySource {
     /// Accepts the state found on disk, unless the current state is at least as new. Returns whether the state changed,
     /// so that watches must be notified.
-    fn restore(&self, found: Found) -> Result<bool, Refusal> {
+    fn restore(&self, found: StoreContents) -> Result<bool, Refusal> {
         let last = found.records.iter().map(|record| record.index).max().unwrap_or(0);
         let index = last.max(found.index);
         let mut state = self.state.borrow_mut();
@@ -151,7 +151,7 @@
     /// The directory cannot be used, or the records in it are not those of a relay.
     pub fn new(options: RelayOptions) -> Result<Self, RelayError> {
         let Some(directory) = options.directory.clone() else { return Self::with(options, None) };
-        Self::over(options, move || Store::open_or_recreate(&directory))
+        Self::with_opener(options, move || Store::open_or_recreate(&directory))
     }
 
     /// Creates a relay with the store that `open` opens, instead of one in a directory. `open` is called again for as
@@ -159,9 +159,9 @@
     ///
     /// # Errors
     /// As for [`RelayHost::new`].
-    pub fn over(
+    pub fn with_opener(
         options: RelayOptions,
-        open: impl Fn() -> Result<(Store, Found), StoreError> + Send + Sync + 'static,
+        open: impl Fn() -> Result<(Store, StoreContents), StoreError> + Send + Sync + 'static,
     ) -> Result<Self, RelayError> {
         let open: OpenStore = Arc::new(open);
         Self::with(options, Some(open))
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -118,14 +118,14 @@
 
 /// Content of a store when it was opened.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct StoreContents {
     /// The records, in the order of their indexes.
     pub records: Vec<Record>,
     /// The index that the process had reached; 0 if it stored none.
     pub index: u64,
 }
 
-impl Found {
+impl StoreContents {
     /// Whether the digests of all documents match.
     fn has_valid_digest(&self) -> bool {
         self.records.iter().all(|record| record.document.has_valid_digest())
@@ -137,25 +137,25 @@
     ///
     /// # Errors
     /// The disk fails, the file is not a valid store, or another process has it open.
-    pub fn at(directory: &Path) -> Result<(Self, Found), StoreError> {
+    pub fn open_in(directory: &Path) -> Result<(Self, StoreContents), StoreError> {
         fs::create_dir_all(directory)?;
         let path = directory.join(FILE_NAME);
         if !path.try_exists()? {
             create_empty(&directory.join(NEW_FILE_NAME), &path)?;
         }
-        let opened = Self::over(move || Builder::new().set_cache_size(CACHE_BYTES).open(&path))?;
+        let opened = Self::open_with(move || Builder::new().set_cache_size(CACHE_BYTES).open(&path))?;
         // Syncing the directory makes the file's name survive a power failure.
         File::open(directory)?.sync_all()?;
         Ok(opened)
     }
 
-    /// As [`Store::at`], for records that can be fetched again from another process: a damaged file is renamed and
+    /// As [`Store::open_in`], for records that can be fetched again from another process: a damaged file is renamed and
     /// replaced by an empty store.
     ///
     /// # Errors
-    /// As [`Store::at`], except that a damaged file is no error.
-    pub fn open_or_recreate(directory: &Path) -> Result<(Self, Found), StoreError> {
-        let error = match Self::at(directory) {
+    /// As [`Store::open_in`], except that a damaged file is no error.
+    pub fn open_or_recreate(directory: &Path) -> Result<(Self, StoreContents), StoreError> {
+        let error = match Self::open_in(directory) {
             Ok((store, found)) if found.has_valid_digest() => return Ok((store, found)),
             // Dropping the store closes the file before it is renamed.
             Ok(_) => StoreError::Damaged("a document does not match its digest".to_owned()),
@@ -164,16 +164,16 @@
         };
         log(format_args!("renaming the store to {DAMAGED_FILE_NAME} and creating an empty one: {error}"));
         fs::rename(directory.join(FILE_NAME), directory.join(DAMAGED_FILE_NAME))?;
-        Self::at(directory)
+        Self::open_in(directory)
     }
 
     /// Opens a store on the database that `open` returns. `open` is called again after each failure.
     ///
     /// # Errors
-    /// As [`Store::at`].
-    pub fn over(
+    /// As [`Store::open_in`].
+    pub fn open_with(
         open: impl Fn() -> Result<Database, DatabaseError> + Send + 'static,
-    ) -> Result<(Self, Found), StoreError> {
+    ) -> Result<(Self, StoreContents), StoreError> {
         let mut store = Self { open: Box::new(open), database: None, indexes: BTreeSet::new() };
         let found = store.read()?;
         Ok((store, found))
@@ -213,7 +213,7 @@
     }
 
     /// Reads all records from disk.
-    fn read(&mut self) -> Result<Found, StoreError> {
+    fn read(&mut self) -> Result<StoreContents, StoreError> {
         catch_panic(|| self.try_read())
     }
 
@@ -244,10 +244,10 @@
         Ok(())
     }
 
-    fn try_read(&mut self) -> Result<Found, StoreError> {
+    fn try_read(&mut self) -> Result<StoreContents, StoreError> {
         let transaction = self.database()?.begin_read()?;
         let is_missing = |error: &redb::TableError| matches!(error, redb::TableError::TableDoesNotExist(_));
-        let mut found = Found::default();
+        let mut found = StoreContents::default();
         match transaction.open_table(RECORDS) {
             Err(error) if is_missing(&error) => {}
             table => {
--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use config_distribution::document::Document;
-use config_distribution::host::store::{Found, Store};
+use config_distribution::host::store::{Store, StoreContents};
 use config_distribution::origin::Record;
 use redb::{Builder, Database, DatabaseError, StorageBackend};
 
@@ -85,9 +85,9 @@
     }
 
     /// Opens a store on this disk.
-    pub fn store(&self) -> (Store, Found) {
+    pub fn store(&self) -> (Store, StoreContents) {
         let disk = self.clone();
-        Store::over(move || disk.open()).expect("open the store on the in-memory disk")
+        Store::open_with(move || disk.open()).expect("open the store on the in-memory disk")
     }
 
     /// A disk without faults whose content is `image`, all of it synced.
@@ -169,7 +169,7 @@
     Record { index, document: Document::new(scope, index, body.into()), request: format!("r{index}").into() }
 }
 
-pub fn indexes(found: &Found) -> Vec<u64> {
+pub fn indexes(found: &StoreContents) -> Vec<u64> {
     found.records.iter().map(|record| record.index).collect()
 }
 
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -304,11 +304,11 @@
 impl Follower {
     /// Starts a child that follows one of `parents` for `scopes`.
     pub fn start(name: &str, parents: &[SocketAddr], scopes: &[&str], seed: u64) -> Self {
-        Self::over(name, parents, scopes, seed, TcpStream::connect::<SocketAddr>)
+        Self::with_connector(name, parents, scopes, seed, TcpStream::connect::<SocketAddr>)
     }
 
     /// Starts a child whose connections are opened by `connect`.
-    pub fn over<I, C>(
+    pub fn with_connector<I, C>(
         name: &str,
         parents: &[SocketAddr],
         scopes: &[&str],
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -37,7 +37,7 @@
     drop(store);
     let (mut store, found) = {
         let recording = recording.clone();
-        Store::over(move || Builder::new().create_with_backend(recording.clone())).unwrap()
+        Store::open_with(move || Builder::new().create_with_backend(recording.clone())).unwrap()
     };
     assert_eq!(indexes(&found), [1, 2, 3, 4, 5]);
     let recorded_before = recorded.lock().unwrap().len();
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -124,7 +124,8 @@
                 })
             }
         };
-        let mut child = Follower::over("slow", &parents, &SCOPES, seed_starting_with(0, 2), connect);
+        let mut child =
+            Follower::with_connector("slow", &parents, &SCOPES, seed_starting_with(0, 2), connect);
         child.wait_for_connect(first.address).await;
         wait_for("the reader to block in the middle of an update", gate.blocked.notified()).await;
         first.kill();
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -22,7 +22,7 @@
 
 /// Content of a relay's store file with one document after the store was closed normally.
 fn store_file_with_one_record(directory: &Directory) -> Vec<u8> {
-    let (mut store, _) = Store::at(directory.path()).unwrap();
+    let (mut store, _) = Store::open_in(directory.path()).unwrap();
     assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
     drop(store);
     fs::read(directory.path().join(FILE_NAME)).unwrap()
@@ -97,9 +97,9 @@
     let disk = disk.clone();
     let opened = move || {
         let disk = disk.clone();
-        Store::over(move || disk.open())
+        Store::open_with(move || disk.open())
     };
-    let host = RelayHost::over(options, opened).expect("create the relay");
+    let host = RelayHost::with_opener(options, opened).expect("create the relay");
     let (listener, own) = bind_listener().await;
     (own, spawn_local(host.run(listener, std::future::pending())))
 }
@@ -188,7 +188,8 @@
     drop(store);
     let recorded = Arc::new(Mutex::new(Vec::new()));
     let recording = RecordingBackend { disk: disk.clone(), recorded: Arc::clone(&recorded) };
-    let (mut store, _) = Store::over(move || Builder::new().create_with_backend(recording.clone())).unwrap();
+    let (mut store, _) =
+        Store::open_with(move || Builder::new().create_with_backend(recording.clone())).unwrap();
     let (recorded_before, before) = (recorded.lock().unwrap().len(), disk.disk().visible.clone());
     assert!(matches!(store.write(&[record(2, &document(2))], &[1], Some(2)), Outcome::Written));
     let writes: Vec<Write> = recorded.lock().unwrap()[recorded_before..].to_vec();
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -193,7 +193,7 @@
                 Ok(FailingConnection { stream, is_watch: false, has_written: false, injected })
             }
         };
-        let mut child = Follower::over("api-1", &[parent], &["fleet"], 1, connect);
+        let mut child = Follower::with_connector("api-1", &[parent], &["fleet"], 1, connect);
         publish(parent, "fleet", &document(1), "1").await;
         child.wait_for_index(1).await;
         for (number, code) in (2..).zip([ETIMEDOUT, EHOSTUNREACH, ENETUNREACH]) {
@@ -225,7 +225,7 @@
                 }
             }
         };
-        let mut child = Follower::over("api-1", &[origin.address], &["fleet"], 1, connect);
+        let mut child = Follower::with_connector("api-1", &[origin.address], &["fleet"], 1, connect);
         child.wait_for_index(1).await;
         assert!(left.borrow().is_empty());
         // The watch receives further updates, and reports use connections of their own.
--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -25,7 +25,7 @@
 
 /// Content of a store file with three records after the store was closed normally.
 fn store_file_with_three_records(directory: &Directory) -> Vec<u8> {
-    let (mut store, _) = Store::at(directory.path()).unwrap();
+    let (mut store, _) = Store::open_in(directory.path()).unwrap();
     for index in 1..=3 {
         let outcome = store.write(&[record(index, &document(index))], &[], Some(index));
         assert!(matches!(outcome, Outcome::Written));
@@ -58,14 +58,14 @@
     let whole = store_file_with_three_records(&source_directory);
     let path = cut.path().join(FILE_NAME);
     fs::write(&path, &whole).unwrap();
-    let found = Store::at(cut.path()).map(|(_, found)| indexes(&found));
+    let found = Store::open_in(cut.path()).map(|(_, found)| indexes(&found));
     assert_eq!(found.unwrap(), [1, 2, 3]);
     fs::write(&path, &whole).unwrap();
     let file = OpenOptions::new().write(true).open(&path).unwrap();
     // Truncates the same file further and further; a refused open does not change it.
     for length in truncated_lengths(whole.len()).rev() {
         file.set_len(length as u64).unwrap();
-        let found = Store::at(cut.path()).ok().map(|(_, found)| found);
+        let found = Store::open_in(cut.path()).ok().map(|(_, found)| found);
         assert!(
             found.is_none(),
             "file truncated to {length} of {} bytes was accepted: {found:?}",
--- a/crates/config-distribution/tests/hosts_stored_form.rs
+++ b/crates/config-distribution/tests/hosts_stored_form.rs
@@ -5,7 +5,7 @@
 use std::fs;
 
 use config_distribution::document::{Document, Scope};
-use config_distribution::host::store::{Found, Store};
+use config_distribution::host::store::{Store, StoreContents};
 use hosts_common::{Directory, Process, address, get, publish, run_test};
 use serde_json::json;
 
@@ -61,11 +61,11 @@
 }
 
 /// Opens the store in a directory and returns its content.
-fn found_in(directory: &Directory) -> Found {
-    Store::at(directory.path()).unwrap().1
+fn found_in(directory: &Directory) -> StoreContents {
+    Store::open_in(directory.path()).unwrap().1
 }
 
-fn documents(found: &Found) -> Vec<Document> {
+fn documents(found: &StoreContents) -> Vec<Document> {
     found.records.iter().map(|record| record.document.clone()).collect()
 }
 
