--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -38,7 +38,7 @@
 /// What a child does next while it has no open watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Follow the parent with this number. The host calls [`Parents::ended`] when the watch ends.
+    /// Follow the parent with this number. The host calls [`Parents::on_watch_ended`] when the watch ends.
     Follow(usize),
     /// Call [`Parents::next`] again after this time.
     Wait(Duration),
@@ -125,7 +125,7 @@
 
     /// Processes the arrival of a valid line, which may be an empty one (`stale_s` 0). The host does not call this for
     /// a line that was refused, but ends the watch.
-    pub fn line(&mut self, now: Duration, stale_s: u64) -> Verdict {
+    pub fn on_line(&mut self, now: Duration, stale_s: u64) -> Verdict {
         let stale = Duration::from_secs(stale_s);
         self.fresh_at = self.fresh_at.max(Some(now.saturating_sub(stale)));
         let others_failed_or_stale =
@@ -154,7 +154,7 @@
     }
 
     /// Processes the end of a watch: it ended, could not be opened, or was left by the child.
-    pub fn ended(&mut self, now: Duration) {
+    pub fn on_watch_ended(&mut self, now: Duration) {
         let Some(watch) = self.watch.take() else { return };
         if watch.is_established {
             self.wait = INITIAL_BACKOFF;
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -84,7 +84,7 @@
 impl Wanted {
     /// Whether a scope is among the requested ones.
     #[must_use]
-    pub fn has(&self, scope: &Scope) -> bool {
+    pub fn includes(&self, scope: &Scope) -> bool {
         match self {
             Self::All => true,
             Self::These(scopes) => scopes.contains(scope),
@@ -176,7 +176,7 @@
     /// Checks that a document can be accepted from an update with the given index.
     fn check(&self, document: &Document, index: u64, wanted: &Wanted) -> Result<(), Refusal> {
         let (scope, version) = (document.scope.clone(), document.version);
-        if !wanted.has(&scope) {
+        if !wanted.includes(&scope) {
             return Err(Refusal::NotRequested { scope });
         }
         if !document.has_valid_digest() {
@@ -234,7 +234,7 @@
         }
         let snapshot = since == 0 || since < self.min_delta_base;
         let is_sent = |document: &&Document| {
-            wanted.has(&document.scope)
+            wanted.includes(&document.scope)
                 && if snapshot { !document.is_withdrawn() } else { document.version > since }
         };
         let documents: Vec<Document> = self.documents.values().filter(is_sent).cloned().collect();
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -115,7 +115,7 @@
             };
             let ended = self.follow(address, connect, &since, &mut accept).await;
             let had_lines = self.current.take().is_some();
-            self.parents.borrow_mut().ended(self.start.elapsed());
+            self.parents.borrow_mut().on_watch_ended(self.start.elapsed());
             if had_lines || last_logged.get(&address) != Some(&ended) {
                 log(format_args!("{}: lost the watch of parent {address}: {ended}", self.name));
                 last_logged.insert(address, ended);
@@ -181,7 +181,7 @@
                 accept(Some(update))?;
             }
             self.current.set(Some(address));
-            let verdict = self.parents.borrow_mut().line(self.start.elapsed(), stale_s);
+            let verdict = self.parents.borrow_mut().on_line(self.start.elapsed(), stale_s);
             if verdict == Verdict::Leave { Err(LeaveError::Stale) } else { Ok(()) }
         };
         follow_checked(stream, request, head, line).await
--- a/crates/config-distribution/tests/core_common/mod.rs
+++ b/crates/config-distribution/tests/core_common/mod.rs
@@ -46,7 +46,7 @@
 /// Documents in `state` that belong to the wanted scopes and are not withdrawn.
 pub fn live(state: &State, wanted: &Wanted) -> Model {
     let documents =
-        state.documents().filter(|document| !document.is_withdrawn() && wanted.has(&document.scope));
+        state.documents().filter(|document| !document.is_withdrawn() && wanted.includes(&document.scope));
     documents
         .map(|document| (document.scope.clone(), (document.version, Arc::clone(&document.body))))
         .collect()
--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -468,7 +468,7 @@
     pub fn lagging(&self) -> Vec<String> {
         let Some((_, newest)) = self.models.last_key_value() else { return Vec::new() };
         let lags = |node: &&Node| {
-            let newest = newest.iter().filter(|(scope, _)| node.wanted.has(scope));
+            let newest = newest.iter().filter(|(scope, _)| node.wanted.includes(scope));
             node.up && !live(&node.state, &node.wanted).iter().eq(newest)
         };
         self.nodes.iter().filter(lags).map(|node| node.name.clone()).collect()
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -44,7 +44,7 @@
             self.send(node, parent, watch, Event::Left(watch));
         }
         let now = self.now;
-        self.nodes[node].parents.ended(now);
+        self.nodes[node].parents.on_watch_ended(now);
         self.follow_next(node);
     }
 
@@ -166,7 +166,7 @@
         }
         self.nodes[node].deadline = now + PARENT_SILENCE_TIMEOUT + self.nodes[node].line_delay;
         self.send(node, parent, watch, Event::LineProcessed(watch));
-        if self.nodes[node].parents.line(now, stale_s) == Verdict::Leave {
+        if self.nodes[node].parents.on_line(now, stale_s) == Verdict::Leave {
             self.watch_ended(node, true);
         }
     }
@@ -187,7 +187,7 @@
             .unwrap_or_else(|| panic!("{name}: index {} is not written yet", state.index()));
         let model: Model = model
             .iter()
-            .filter(|(scope, _)| wanted.has(scope))
+            .filter(|(scope, _)| wanted.includes(scope))
             .map(|(scope, content)| (scope.clone(), content.clone()))
             .collect();
         assert_eq!(
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -246,7 +246,7 @@
     let mut network = Network::settled(7, BALANCERS, SERVICES);
     let (slow, fast) = (balancer(0), balancer(ZONES));
     let wanted = network.nodes[slow].wanted.clone();
-    assert!(wanted.has(&scope("service/s0")));
+    assert!(wanted.includes(&scope("service/s0")));
     network.schedule(ms(20_001), Action::Slow(slow, ms(5000)));
     let delivered = network.delivered.clone();
     for second in 0..60 {
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -32,14 +32,14 @@
 
 /// Keeps a watch at an up-to-date parent open for this long, with regular heartbeats.
 fn hold_watch(parents: &mut Parents, now: &mut Duration, length: Duration) {
-    assert_eq!(parents.line(*now, 0), Verdict::Stay);
+    assert_eq!(parents.on_line(*now, 0), Verdict::Stay);
     let until = *now + length;
     while *now + HEARTBEAT_EVERY < until {
         *now += HEARTBEAT_EVERY;
-        assert_eq!(parents.line(*now, 0), Verdict::Stay);
+        assert_eq!(parents.on_line(*now, 0), Verdict::Stay);
     }
     *now = until;
-    assert_eq!(parents.line(*now, 0), Verdict::Stay);
+    assert_eq!(parents.on_line(*now, 0), Verdict::Stay);
 }
 
 #[test]
@@ -52,9 +52,9 @@
         };
         first_counts[first] += 1;
         let mut now = START;
-        parents.ended(now);
+        parents.on_watch_ended(now);
         let seen = BTreeSet::from([first, follow(&mut parents, &mut now), {
-            parents.ended(now);
+            parents.on_watch_ended(now);
             follow(&mut parents, &mut now)
         }]);
         assert_eq!(seen.len(), 3, "expected each parent once before any repeats");
@@ -73,7 +73,7 @@
         let first = follow(&mut parents, &mut now);
         hold_watch(&mut parents, &mut now, ms(10_000));
         let end = now;
-        parents.ended(now);
+        parents.on_watch_ended(now);
         assert_ne!(follow(&mut parents, &mut now), first);
         waits.push(now - end);
     }
@@ -95,7 +95,7 @@
         for most in &mut most {
             follow(&mut parents, &mut now);
             let end = now;
-            parents.ended(now);
+            parents.on_watch_ended(now);
             follow(&mut parents, &mut now);
             *most = (*most).max(now - end);
         }
@@ -117,8 +117,8 @@
         let (mut parents, mut now) = (Parents::new(1, seed), START);
         for _ in 0..20 {
             follow(&mut parents, &mut now);
-            assert_eq!(parents.line(now, 0), Verdict::Stay);
-            parents.ended(now);
+            assert_eq!(parents.on_line(now, 0), Verdict::Stay);
+            parents.on_watch_ended(now);
         }
         total += now - START;
     }
@@ -134,12 +134,12 @@
         let first = follow(&mut parents, &mut now);
         hold_watch(&mut parents, &mut now, ms(4000));
         let stale_s = (1..10)
-            .find(|stale_s| parents.line(now, *stale_s) == Verdict::Leave)
+            .find(|stale_s| parents.on_line(now, *stale_s) == Verdict::Leave)
             .expect("the parent is left below 10 s of staleness");
         left.push(stale_s);
-        parents.ended(now);
+        parents.on_watch_ended(now);
         assert_ne!(follow(&mut parents, &mut now), first);
-        assert_eq!(parents.line(now, 0), Verdict::Stay);
+        assert_eq!(parents.on_line(now, 0), Verdict::Stay);
     }
     let longest = 2 * MIN_STALE_LIMIT.as_secs();
     assert!(
@@ -168,10 +168,10 @@
                     seen = BTreeSet::from([parent]);
                     since = now;
                 }
-                while parents.line(now, 60) == Verdict::Stay && now < end {
+                while parents.on_line(now, 60) == Verdict::Stay && now < end {
                     now += HEARTBEAT_EVERY;
                 }
-                parents.ended(now);
+                parents.on_watch_ended(now);
             }
             let most = if count == 1 { 1 } else { 600 / MIN_STALE_GRACE.as_secs() as usize * count };
             assert!(calls <= most, "{count} parents: {calls} calls");
@@ -184,16 +184,16 @@
     for seed in 0..50 {
         let (mut parents, mut now) = (Parents::new(2, seed), START);
         let dead = follow(&mut parents, &mut now);
-        parents.ended(now);
+        parents.on_watch_ended(now);
         assert_ne!(follow(&mut parents, &mut now), dead);
         // The parent is stale, but the other one could not be reached, so the child stays for the grace time.
         for _ in 0..2 {
-            assert_eq!(parents.line(now, 30), Verdict::Stay);
+            assert_eq!(parents.on_line(now, 30), Verdict::Stay);
             now += ms(1900);
         }
         // Once the parent is up to date again, the grace time ends, and it is left as soon as it becomes stale.
-        assert_eq!(parents.line(now, 0), Verdict::Stay);
-        assert_eq!(parents.line(now, 30), Verdict::Leave);
+        assert_eq!(parents.on_line(now, 0), Verdict::Stay);
+        assert_eq!(parents.on_line(now, 30), Verdict::Leave);
     }
 }
 
@@ -204,18 +204,18 @@
     follow(&mut parents, &mut now);
     assert_eq!(parents.stale_s(now + PARENT_SILENCE_TIMEOUT), 0);
     assert_eq!(parents.stale_s(now + ms(7999)), 7, "without any line, staleness counts from the first call");
-    parents.line(now, 0);
+    parents.on_line(now, 0);
     now += HEARTBEAT_EVERY;
     assert_eq!(parents.stale_s(now), 0);
-    parents.line(now, 5);
+    parents.on_line(now, 5);
     // The earlier line proves a later up-to-date time than this one, which states 5 s of staleness.
     assert_eq!(parents.stale_s(now + ms(1000)), 0);
     assert_eq!(parents.stale_s(now + ms(2000)), 4);
     now += ms(20_000);
-    parents.line(now, 9);
+    parents.on_line(now, 9);
     assert_eq!(parents.stale_s(now), 9);
     assert_eq!(parents.stale_s(now + ms(3000)), 12);
-    parents.line(now, 0);
+    parents.on_line(now, 0);
     assert_eq!(parents.stale_s(now), 0);
 }
 
@@ -229,8 +229,8 @@
 fn child_without_parents_only_waits() {
     let mut parents = Parents::new(0, 1);
     assert!(matches!(parents.next(START), Step::Wait(wait) if wait > Duration::ZERO));
-    parents.ended(START);
-    assert_eq!(parents.line(START, 90), Verdict::Stay);
+    parents.on_watch_ended(START);
+    assert_eq!(parents.on_line(START, 90), Verdict::Stay);
 }
 
 proptest! {
@@ -260,8 +260,8 @@
                             seen.push(wait.as_nanos() as u64);
                         }
                     },
-                    1 => seen.push(u64::from(parents.line(now, *number) == Verdict::Leave)),
-                    _ => parents.ended(now),
+                    1 => seen.push(u64::from(parents.on_line(now, *number) == Verdict::Leave)),
+                    _ => parents.on_watch_ended(now),
                 }
                 seen.push(parents.stale_s(now));
             }
