--- a/crates/config-distribution/src/core/effective.rs
+++ b/crates/config-distribution/src/core/effective.rs
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// All faults in the form of the body, with the scope and the path of each.
-pub fn part(scope: &Scope, body: &str) -> Result<Map<String, Value>, Vec<FormFault>> {
+pub fn parse_settings(scope: &Scope, body: &str) -> Result<Map<String, Value>, Vec<FormFault>> {
     let fault = |kind| FormFault { scope: scope.clone(), kind };
     let mut body = match serde_json::from_str(body) {
         Ok(Value::Object(body)) => body,
@@ -47,8 +47,8 @@
     let mut settings = own_settings.clone();
     let mut faults = Vec::new();
     for document in documents.into_iter().flatten().filter(|document| !document.is_withdrawn()) {
-        match part(&document.scope, &document.body) {
-            Ok(part) => merge(&mut settings, Value::Object(part)),
+        match parse_settings(&document.scope, &document.body) {
+            Ok(overrides) => merge(&mut settings, Value::Object(overrides)),
             Err(more) => faults.extend(more),
         }
     }
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -95,26 +95,26 @@
     #[error("the request id has been used for something else")]
     RequestIdReused,
     /// The body is larger than [`Bounds::max_body_bytes`].
-    #[error("{bytes} bytes: at most {most}")]
-    TooLarge {
+    #[error("{bytes} bytes: at most {max}")]
+    DocumentTooLarge {
         /// Size of the body in bytes.
         bytes: usize,
         /// Maximum size of a body in bytes.
-        most: usize,
+        max: usize,
     },
     /// There are already [`Bounds::max_documents`] documents.
-    #[error("at most {most} documents")]
-    TooMany {
+    #[error("at most {max} documents")]
+    TooManyDocuments {
         /// Maximum number of documents.
-        most: usize,
+        max: usize,
     },
     /// All bodies together would be larger than [`Bounds::max_total_bytes`].
-    #[error("{bytes} bytes of documents together: at most {most}")]
-    Full {
+    #[error("{bytes} bytes of documents together: at most {max}")]
+    TotalTooLarge {
         /// Total size of the bodies in bytes that the publication would lead to.
         bytes: usize,
         /// Maximum total size of the bodies in bytes.
-        most: usize,
+        max: usize,
     },
     /// An earlier change is still being written; the publisher has to retry later.
     #[error("another change is being written")]
@@ -261,7 +261,7 @@
         if let Some(bytes) =
             body.as_ref().map(|body| body.len()).filter(|bytes| *bytes > self.bounds.max_body_bytes)
         {
-            return Err(PublishError::TooLarge { bytes, most: self.bounds.max_body_bytes });
+            return Err(PublishError::DocumentTooLarge { bytes, max: self.bounds.max_body_bytes });
         }
         let withdraws = body.is_none();
         let body: Arc<str> = body.map_or_else(|| "null".into(), |body| on_one_line(&body));
@@ -277,7 +277,7 @@
             return Err(PublishError::Busy);
         }
         if !withdraws {
-            let faults = match effective::part(&scope, &body) {
+            let faults = match effective::parse_settings(&scope, &body) {
                 Ok(_) => check(&scope, &body),
                 Err(faults) => faults.into_iter().map(Fault::Form).collect(),
             };
@@ -311,11 +311,11 @@
         let (count, bytes) =
             live.fold((0, 0), |(count, bytes), document| (count + 1, bytes + document.body.len()));
         if current.is_none() && count >= self.bounds.max_documents {
-            return Err(PublishError::TooMany { most: self.bounds.max_documents });
+            return Err(PublishError::TooManyDocuments { max: self.bounds.max_documents });
         }
         let bytes = bytes + body.len() - current.map_or(0, |current| current.body.len());
         if !withdraws && bytes > self.bounds.max_total_bytes {
-            return Err(PublishError::Full { bytes, most: self.bounds.max_total_bytes });
+            return Err(PublishError::TotalTooLarge { bytes, max: self.bounds.max_total_bytes });
         }
         Ok(())
     }
--- a/crates/config-distribution/src/host/accept.rs
+++ b/crates/config-distribution/src/host/accept.rs
@@ -14,12 +14,12 @@
 const FAILURES_BEFORE_PAUSE: u32 = 1000;
 
 /// Source of connections: a listening socket, or a test's replacement for one.
-pub trait Listen {
+pub trait Listener {
     /// Waits for the next connection.
     fn accept(&self) -> impl Future<Output = io::Result<TcpStream>>;
 }
 
-impl Listen for TcpListener {
+impl Listener for TcpListener {
     async fn accept(&self) -> io::Result<TcpStream> {
         Self::accept(self).await.map(|(stream, _)| stream)
     }
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::spawn_blocking;
 
-use super::accept::Listen;
+use super::accept::Listener;
 use super::log::log;
 use super::server::{Change, Limits, ResponseBody, Server, Source, error_response, json_response};
 use crate::document::Scope;
@@ -88,7 +88,7 @@
     /// Serves until `stop` completes, then ends all watches in order. Must run within a `LocalSet`. If the future is
     /// dropped, a change that is being written may be on disk although its request got no response; when the request is
     /// repeated, the response is the index of that change.
-    pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
+    pub async fn run(self, listener: impl Listener, stop: impl Future<Output = ()>) {
         self.server.run(listener, stop).await;
     }
 }
@@ -147,7 +147,9 @@
                 StatusCode::CONFLICT
             }
             Self::Rejected(
-                PublishError::TooLarge { .. } | PublishError::TooMany { .. } | PublishError::Full { .. },
+                PublishError::DocumentTooLarge { .. }
+                | PublishError::TooManyDocuments { .. }
+                | PublishError::TotalTooLarge { .. },
             ) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::Write(WriteError::NotWritten(error)) if error.is_full() => StatusCode::INSUFFICIENT_STORAGE,
             Self::QueueFull | Self::Rejected(PublishError::Busy) | Self::Write(_) => {
@@ -286,7 +288,7 @@
         self.max_body_bytes
     }
 
-    async fn change(self: Rc<Self>, change: Change) -> Response<ResponseBody> {
+    async fn apply_change(self: Rc<Self>, change: Change) -> Response<ResponseBody> {
         match self.queue_and_publish(change).await {
             Ok(index) => json_response(StatusCode::OK, &json!({ "index": index })),
             Err(error) => error.response(),
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -16,7 +16,7 @@
 use tokio::task::{JoinError, spawn_blocking};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
-use super::accept::Listen;
+use super::accept::Listener;
 use super::client::{ParentFollower, report};
 use super::log::log;
 use super::server::{Change, Limits, RelayReport, ResponseBody, Server, Source, error_response};
@@ -103,7 +103,7 @@
         0
     }
 
-    async fn change(self: Rc<Self>, _: Change) -> Response<ResponseBody> {
+    async fn apply_change(self: Rc<Self>, _: Change) -> Response<ResponseBody> {
         error_response(StatusCode::METHOD_NOT_ALLOWED, "a relay takes no publication: publish at the origin")
     }
 }
@@ -186,7 +186,7 @@
 
     /// Serves until `stop` completes, then ends all watches in order. Must run within a `LocalSet`. If the future is
     /// dropped, a write of the store continues in its thread.
-    pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
+    pub async fn run(self, listener: impl Listener, stop: impl Future<Output = ()>) {
         let Self { options, disk, server } = self;
         let current = Cell::new(None);
         let stored = async {
--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -36,7 +36,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use self::line_cache::LineCache;
-use super::accept::{ConsecutiveFailures, Listen};
+use super::accept::{ConsecutiveFailures, Listener};
 use super::log::log;
 use crate::document::Scope;
 use crate::report::{Reports, Sums};
@@ -58,7 +58,7 @@
     fn stale_s(&self) -> u64;
     /// Carries out a change and returns the response to it. Runs in a task of its own, so that it completes even if the
     /// client has disconnected.
-    fn change(self: Rc<Self>, change: Change) -> impl Future<Output = Response<ResponseBody>>;
+    fn apply_change(self: Rc<Self>, change: Change) -> impl Future<Output = Response<ResponseBody>>;
     /// Maximum size of a document.
     fn max_body_bytes(&self) -> usize;
 }
@@ -142,7 +142,7 @@
 
     /// Serves until `stop` completes, then ends all watches in order. If the future is dropped, all connections are
     /// closed at once.
-    pub(crate) async fn run(self: Rc<Self>, listener: impl Listen, stop: impl Future<Output = ()>) {
+    pub(crate) async fn run(self: Rc<Self>, listener: impl Listener, stop: impl Future<Output = ()>) {
         let mut connections = JoinSet::new();
         self.accept_until(stop, &listener, &mut connections).await;
         drop(listener);
@@ -153,7 +153,7 @@
     async fn accept_until(
         self: &Rc<Self>,
         stop: impl Future<Output = ()>,
-        listener: &impl Listen,
+        listener: &impl Listener,
         connections: &mut JoinSet<()>,
     ) {
         let mut failures = ConsecutiveFailures::default();
--- a/crates/config-distribution/tests/core_fault.rs
+++ b/crates/config-distribution/tests/core_fault.rs
@@ -2,12 +2,12 @@
 //! format and must not change.
 
 use config_distribution::document::Scope;
-use config_distribution::effective::part;
+use config_distribution::effective::parse_settings;
 use config_distribution::fault::{Fault, FormFault, JsonError, join};
 use serde_json::{Value, json};
 
 fn form_faults(body: &str) -> Vec<FormFault> {
-    part(&Scope::Fleet, body).expect_err("faults")
+    parse_settings(&Scope::Fleet, body).expect_err("faults")
 }
 
 #[test]
--- a/crates/config-distribution/tests/core_origin.rs
+++ b/crates/config-distribution/tests/core_origin.rs
@@ -184,18 +184,18 @@
     let mebibyte = sized("fleet", 1 << 20, "a");
     assert_eq!(
         origin.publish(mebibyte, no_faults),
-        Err(PublishError::TooLarge { bytes: 1 << 20, most: 100 })
+        Err(PublishError::DocumentTooLarge { bytes: 1 << 20, max: 100 })
     );
     write(&mut origin, sized("fleet", 100, "a"));
     assert_eq!(
         origin.publish(sized("service/a", 51, "b"), no_faults),
-        Err(PublishError::Full { bytes: 151, most: 150 })
+        Err(PublishError::TotalTooLarge { bytes: 151, max: 150 })
     );
     write(&mut origin, sized("service/a", 30, "b"));
     write(&mut origin, sized("service/b", 20, "c"));
     assert_eq!(
         origin.publish(sized("service/c", 15, "d"), no_faults),
-        Err(PublishError::TooMany { most: 3 })
+        Err(PublishError::TooManyDocuments { max: 3 })
     );
     // Published documents may be replaced, and a withdrawal makes room for another document.
     write(&mut origin, sized("fleet", 99, "d"));
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::{Duration, Instant};
 
-use config_distribution::host::accept::Listen;
+use config_distribution::host::accept::Listener;
 use config_distribution::origin::Bounds;
 use hosts_common::disk::SharedDisk;
 use hosts_common::in_process::{bind_listener, origin_host};
@@ -38,7 +38,7 @@
     codes: RefCell<VecDeque<i32>>,
 }
 
-impl Listen for FailingListener {
+impl Listener for FailingListener {
     async fn accept(&self) -> io::Result<TcpStream> {
         let code = self.codes.borrow_mut().pop_front();
         match code {
