--- a/crates/config-distribution/tests/core_common/network.rs
+++ b/crates/config-distribution/tests/core_common/network.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 enum Event {
     /// Time to choose the next parent, if no watch is open. Holds the run number.
-    Step(u64),
+    ChooseParent(u64),
     /// Call from a child that opens a watch with this id; `since` is the index of the child.
     Call { from: usize, watch: u64, since: u64 },
     /// Line from the parent on this watch.
@@ -106,7 +106,7 @@
     /// Node numbers of the possible parents, in the numbering of `parents`.
     pub parent_nodes: Vec<usize>,
     /// Whether the process is running.
-    pub up: bool,
+    pub is_running: bool,
     /// Reports received from children.
     pub reports: Reports,
     /// Whether the process accepts watches but sends nothing on them.
@@ -163,9 +163,9 @@
     /// Events by time, and by order of scheduling at the same time, with the node number of the receiver.
     queue: BTreeMap<(Duration, u64), (usize, Event)>,
     /// Last number given out, to an event or as id of a watch.
-    count: u64,
+    last_id: u64,
     /// Arrival time of the last message in each direction of a watch, so that messages keep their order.
-    last: BTreeMap<(u64, bool), Duration>,
+    last_arrivals: BTreeMap<(u64, bool), Duration>,
     /// Regions that are cut off from everything outside them.
     cut_regions: BTreeSet<usize>,
     /// Pairs of nodes that cannot reach each other, lower number first.
@@ -215,8 +215,8 @@
             delivered: BTreeMap::new(),
             rng: Rand64::new(u128::from(seed)),
             queue: BTreeMap::new(),
-            count: 0,
-            last: BTreeMap::new(),
+            last_id: 0,
+            last_arrivals: BTreeMap::new(),
             cut_regions: BTreeSet::new(),
             cut_pairs: BTreeSet::new(),
             undelivered: Vec::new(),
@@ -277,7 +277,7 @@
             state: State::default(),
             parents,
             parent_nodes,
-            up: true,
+            is_running: true,
             reports: Reports::new(),
             muted: false,
             run_number: 0,
@@ -301,7 +301,7 @@
         let heartbeat = self.random_duration(HEARTBEAT_EVERY);
         let report = self.random_duration(REPORT_EVERY);
         if !self.nodes[node].parent_nodes.is_empty() {
-            self.push(node, self.now, Event::Step(run_number));
+            self.push(node, self.now, Event::ChooseParent(run_number));
             self.push(node, self.now + report, Event::ReportDue(run_number));
         }
         if self.nodes[node].level.is_some() {
@@ -321,8 +321,8 @@
 
     /// Adds an event to the queue.
     fn push(&mut self, node: usize, at: Duration, event: Event) {
-        self.count += 1;
-        self.queue.insert((at, self.count), (node, event));
+        self.last_id += 1;
+        self.queue.insert((at, self.last_id), (node, event));
     }
 
     /// Schedules an action of the test.
@@ -352,7 +352,7 @@
         let jitter = self.random_duration(if cross_region { ms(60) } else { ms(2) });
         let line_delay =
             if matches!(event, Event::Line { .. }) { self.nodes[to].line_delay } else { Duration::ZERO };
-        let last = self.last.entry((watch, from < to)).or_default();
+        let last = self.last_arrivals.entry((watch, from < to)).or_default();
         *last = (self.now + min_delay + jitter + line_delay).max(*last + Duration::from_micros(1));
         let at = *last;
         self.push(to, at, event);
@@ -399,7 +399,7 @@
         if paused_until > at {
             return self.push(node, paused_until, event);
         }
-        if !self.nodes[node].up {
+        if !self.nodes[node].is_running {
             if let Event::Call { from, watch, .. } = event {
                 self.send(node, from, watch, Event::Closed(watch));
             }
@@ -412,13 +412,13 @@
     fn handle(&mut self, node: usize, event: Event) {
         let now = self.now;
         match event {
-            Event::Step(run_number) => {
+            Event::ChooseParent(run_number) => {
                 if self.nodes[node].run_number == run_number && self.nodes[node].watch.is_none() {
                     self.follow_next(node);
                 }
             }
             Event::Call { from, watch, since } => self.accept_watch(node, from, watch, since),
-            Event::Line { watch, line } => self.line(node, watch, line),
+            Event::Line { watch, line } => self.receive_line(node, watch, line),
             Event::LineProcessed(watch) => {
                 if let Some(reader) = self.nodes[node].readers.get_mut(&watch) {
                     reader.busy_since = None;
@@ -455,7 +455,7 @@
                     self.push(node, now + REPORT_EVERY, Event::ReportDue(run_number));
                 }
             }
-            Event::Report(up) => match up {
+            Event::Report(report_body) => match report_body {
                 ReportBody::Child(in_force) => self.nodes[node].reports.record(now, in_force),
                 ReportBody::Relay(who, sums) => self.nodes[node].reports.record_sums(now, &who, &sums),
             },
@@ -469,7 +469,7 @@
         let Some((_, newest)) = self.models.last_key_value() else { return Vec::new() };
         let lags = |node: &&Node| {
             let newest = newest.iter().filter(|(scope, _)| node.wanted.includes(scope));
-            node.up && !live(&node.state, &node.wanted).iter().eq(newest)
+            node.is_running && !live(&node.state, &node.wanted).iter().eq(newest)
         };
         self.nodes.iter().filter(lags).map(|node| node.name.clone()).collect()
     }
--- a/crates/config-distribution/tests/core_common/network/faults.rs
+++ b/crates/config-distribution/tests/core_common/network/faults.rs
@@ -94,7 +94,7 @@
 
     /// Kills a process and tells its children and its parent that the connections are closed.
     fn kill(&mut self, node: usize) {
-        if !std::mem::take(&mut self.nodes[node].up) {
+        if !std::mem::take(&mut self.nodes[node].is_running) {
             return;
         }
         self.changed = true;
@@ -110,13 +110,13 @@
 
     /// Starts a process that is down.
     fn start(&mut self, node: usize, with_disk: bool) {
-        if self.nodes[node].up {
+        if self.nodes[node].is_running {
             return;
         }
         self.changed = true;
         let seed = self.rng.rand_u64();
         let process = &mut self.nodes[node];
-        process.up = true;
+        process.is_running = true;
         process.parents = Parents::new(process.parent_nodes.len(), seed);
         process.reports = Reports::new();
         let before = std::mem::take(&mut process.state);
--- a/crates/config-distribution/tests/core_common/network/watch.rs
+++ b/crates/config-distribution/tests/core_common/network/watch.rs
@@ -20,12 +20,12 @@
         match self.nodes[node].parents.next(self.now) {
             Step::Wait(wait) => {
                 let run_number = self.nodes[node].run_number;
-                self.push(node, self.now + wait, Event::Step(run_number));
+                self.push(node, self.now + wait, Event::ChooseParent(run_number));
             }
             Step::Follow(number) => {
                 let parent = self.nodes[node].parent_nodes[number];
-                self.count += 1;
-                let watch = self.count;
+                self.last_id += 1;
+                let watch = self.last_id;
                 self.calls.push((self.now, node, parent));
                 let deadline = self.now + FIRST_LINE_TIMEOUT + self.nodes[node].line_delay;
                 self.nodes[node].watch = Some((watch, parent));
@@ -146,7 +146,7 @@
     }
 
     /// Handles a line that a child receives on a watch.
-    pub(super) fn line(&mut self, node: usize, watch: u64, line: Line) {
+    pub(super) fn receive_line(&mut self, node: usize, watch: u64, line: Line) {
         let Some((own, parent)) = self.nodes[node].watch else { return };
         if own != watch {
             return;
@@ -214,7 +214,7 @@
     pub(super) fn report(&mut self, node: usize) {
         let Some((watch, parent)) = self.nodes[node].watch else { return };
         let child = &self.nodes[node];
-        let up = match &child.wanted {
+        let report_body = match &child.wanted {
             Wanted::All => ReportBody::Relay(child.name.clone(), child.reports.sums(self.now, &child.state)),
             Wanted::These(scopes) => {
                 let version = |scope: &Scope| child.state.get(scope).map_or(0, |document| document.version);
@@ -225,6 +225,6 @@
                 })
             }
         };
-        self.send(node, parent, watch, Event::Report(up));
+        self.send(node, parent, watch, Event::Report(report_body));
     }
 }
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -212,8 +212,8 @@
     network.schedule(at, Action::Kill(zone_relay(0, 1)));
     network.run_until(at);
     let orphans: Vec<usize> = (0..network.nodes.len())
-        .filter(|node| network.nodes[*node].up)
-        .filter(|node| network.nodes[*node].follows().is_some_and(|parent| !network.nodes[parent].up))
+        .filter(|node| network.nodes[*node].is_running)
+        .filter(|node| network.nodes[*node].follows().is_some_and(|parent| !network.nodes[parent].is_running))
         .collect();
     assert!(orphans.len() > 60, "expected more than 60 children of killed relays, got {}", orphans.len());
     network.run_until(at + ms(260));
@@ -269,17 +269,17 @@
 #[test]
 fn repeated_update_is_applied_once_and_a_lost_one_is_fetched_again() {
     let mut network = Network::settled(8, BALANCERS, SERVICES);
-    let (twice, skips) = (balancer(1), balancer(2));
+    let (repeated, skipped) = (balancer(1), balancer(2));
     network.publish(ms(21_000), "fleet");
-    network.schedule(ms(22_000), Action::RepeatUpdate(twice));
-    network.schedule(ms(22_000), Action::DropUpdate(skips));
+    network.schedule(ms(22_000), Action::RepeatUpdate(repeated));
+    network.schedule(ms(22_000), Action::DropUpdate(skipped));
     network.publish(ms(23_000), "fleet");
     network.run_until(ms(24_000));
-    assert_eq!(network.lagging(), [network.nodes[skips].name.clone()]);
+    assert_eq!(network.lagging(), [network.nodes[skipped].name.clone()]);
     assert_eq!(network.refusals, []);
     network.publish(ms(25_000), "fleet");
     assert!(network.run_until_converged(ms(26_000)).is_some(), "not converged: {:?}", network.lagging());
-    assert!(matches!(network.refusals[..], [(node, Refusal::MissingChanges { .. })] if node == skips));
+    assert!(matches!(network.refusals[..], [(node, Refusal::MissingChanges { .. })] if node == skipped));
 }
 
 #[test]
@@ -390,10 +390,10 @@
         network.schedule(ms(30_000), Action::Reset(balancer(number)));
     }
     network.run_until(ms(30_000) + SILENT_AFTER);
-    let twice = counted(&network);
+    let count_after_move = counted(&network);
     assert!(
-        twice > BALANCERS,
-        "expected moved balancers to be counted at both parents for a while, got {twice} of {BALANCERS}"
+        count_after_move > BALANCERS,
+        "expected moved balancers to be counted at both parents for a while, got {count_after_move} of {BALANCERS}"
     );
     // Sums pass two levels of relays on the way to the origin.
     network.run_until(ms(30_500) + SILENT_AFTER + 2 * REPORT_EVERY);
--- a/crates/config-distribution/tests/core_parents.rs
+++ b/crates/config-distribution/tests/core_parents.rs
@@ -89,23 +89,23 @@
 
 #[test]
 fn failed_calls_back_off_up_to_a_maximum() {
-    let mut most = [Duration::ZERO; 8];
+    let mut longest_waits = [Duration::ZERO; 8];
     for seed in 0..500 {
         let (mut parents, mut now) = (Parents::new(3, seed), START);
-        for most in &mut most {
+        for longest_wait in &mut longest_waits {
             follow(&mut parents, &mut now);
             let end = now;
             parents.on_watch_ended(now);
             follow(&mut parents, &mut now);
-            *most = (*most).max(now - end);
+            *longest_wait = (*longest_wait).max(now - end);
         }
     }
     let bounds = [1, 2, 4, 4, 4, 4, 4, 4].map(|times| INITIAL_BACKOFF * times);
     assert_eq!(*bounds.last().expect("bounds"), MAX_BACKOFF);
-    for (most, bound) in most.iter().zip(bounds) {
+    for (longest_wait, bound) in longest_waits.iter().zip(bounds) {
         assert!(
-            *most <= bound && *most > bound * 9 / 10,
-            "longest wait {most:?}, expected close to the bound {bound:?}"
+            *longest_wait <= bound && *longest_wait > bound * 9 / 10,
+            "longest wait {longest_wait:?}, expected close to the bound {bound:?}"
         );
     }
 }
@@ -163,8 +163,12 @@
                 seen.insert(parent);
                 if seen.len() == count {
                     // A parent that becomes up to date is found within one grace time and one round of calls.
-                    let most = 2 * MIN_STALE_GRACE + HEARTBEAT_EVERY + count as u32 * MAX_BACKOFF;
-                    assert!(now - since <= most, "time between two calls of each parent: {:?}", now - since);
+                    let max_time = 2 * MIN_STALE_GRACE + HEARTBEAT_EVERY + count as u32 * MAX_BACKOFF;
+                    assert!(
+                        now - since <= max_time,
+                        "time between two calls of each parent: {:?}",
+                        now - since
+                    );
                     seen = BTreeSet::from([parent]);
                     since = now;
                 }
@@ -173,8 +177,8 @@
                 }
                 parents.on_watch_ended(now);
             }
-            let most = if count == 1 { 1 } else { 600 / MIN_STALE_GRACE.as_secs() as usize * count };
-            assert!(calls <= most, "{count} parents: {calls} calls");
+            let max_calls = if count == 1 { 1 } else { 600 / MIN_STALE_GRACE.as_secs() as usize * count };
+            assert!(calls <= max_calls, "{count} parents: {calls} calls");
         }
     }
 }
--- a/crates/config-distribution/tests/core_report.rs
+++ b/crates/config-distribution/tests/core_report.rs
@@ -111,7 +111,7 @@
     right.record(START, report("a", 3, 5));
     let ms = Duration::from_millis;
     let counted = |top: &Reports, at: Duration| top.sums(at, &state()).children;
-    let mut twice_until = START;
+    let mut counted_twice_until = START;
     let mut at = START;
     while at < START + Duration::from_secs(60) {
         // The child keeps reporting to its new relay. The old relay sends its sums just before it would drop the child.
@@ -121,16 +121,16 @@
         for within in 0..50 {
             let now = at + REPORT_EVERY * within / 50;
             if counted(&top, now) == 2 {
-                twice_until = now;
+                counted_twice_until = now;
             }
         }
         at += REPORT_EVERY;
     }
     assert_eq!(counted(&top, at), 1);
     assert!(
-        twice_until - START <= SILENT_AFTER + REPORT_EVERY,
+        counted_twice_until - START <= SILENT_AFTER + REPORT_EVERY,
         "time counted twice: {:?}",
-        twice_until - START
+        counted_twice_until - START
     );
     // If the child moves back, its old relay counts it once.
     left.record(at, report("a", 3, 5));
--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -70,12 +70,12 @@
 }
 
 impl SharedDisk {
-    pub fn disk(&self) -> MutexGuard<'_, Disk> {
+    pub fn lock_disk(&self) -> MutexGuard<'_, Disk> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn open(&self) -> Result<Database, DatabaseError> {
-        let mut disk = self.disk();
+        let mut disk = self.lock_disk();
         if disk.failing_openings > 0 {
             disk.failing_openings -= 1;
             return Err(io::Error::from_raw_os_error(EIO).into());
@@ -85,7 +85,7 @@
     }
 
     /// Opens a store on this disk.
-    pub fn store(&self) -> (Store, StoreContents) {
+    pub fn open_store(&self) -> (Store, StoreContents) {
         let disk = self.clone();
         Store::open_with(move || disk.open()).expect("open the store on the in-memory disk")
     }
@@ -97,7 +97,7 @@
 
     /// A new disk without faults with the content that survives a power failure.
     pub fn after_power_loss(&self) -> Self {
-        Self::with_image(self.disk().synced.clone())
+        Self::with_image(self.lock_disk().synced.clone())
     }
 }
 
@@ -107,21 +107,21 @@
 
 impl StorageBackend for SharedDisk {
     fn len(&self) -> io::Result<u64> {
-        let mut disk = self.disk();
+        let mut disk = self.lock_disk();
         disk.call()?;
         Ok(disk.visible.len() as u64)
     }
 
     fn read(&self, at: u64, length: usize) -> io::Result<Vec<u8>> {
         let at = offset(at);
-        let mut disk = self.disk();
+        let mut disk = self.lock_disk();
         disk.call()?;
         let part = disk.visible.get(at..at + length).map(<[u8]>::to_vec);
         part.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof))
     }
 
     fn set_len(&self, length: u64) -> io::Result<()> {
-        let (mut disk, length) = (self.disk(), offset(length));
+        let (mut disk, length) = (self.lock_disk(), offset(length));
         disk.call()?;
         if disk.capacity_bytes.is_some_and(|capacity_bytes| length > capacity_bytes) {
             return Err(io::ErrorKind::StorageFull.into());
@@ -132,7 +132,7 @@
     }
 
     fn sync_data(&self, _: bool) -> io::Result<()> {
-        let mut disk = self.disk();
+        let mut disk = self.lock_disk();
         if let Err(error) = disk.call() {
             disk.writes.clear();
             return Err(error);
@@ -152,7 +152,7 @@
     }
 
     fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
-        let (mut disk, at) = (self.disk(), offset(at));
+        let (mut disk, at) = (self.lock_disk(), offset(at));
         disk.call()?;
         if at + bytes.len() > disk.visible.len() {
             return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/config-distribution/tests/hosts_common/in_process.rs
+++ b/crates/config-distribution/tests/hosts_common/in_process.rs
@@ -9,18 +9,18 @@
 use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, spawn_local};
 
-use super::address;
 use super::disk::SharedDisk;
+use super::unique_address;
 
 /// An origin whose store is on `disk` and whose check accepts the settings of every document.
 pub fn origin_host(disk: &SharedDisk, bounds: Bounds) -> OriginHost {
     let check = Box::new(|_: &_, _: &str| Vec::new());
-    OriginHost::new(disk.store(), bounds, Limits::default(), 0, check, 1).expect("create the origin")
+    OriginHost::new(disk.open_store(), bounds, Limits::default(), 0, check, 1).expect("create the origin")
 }
 
 /// A listener on an address that no other test uses, and the address.
 pub async fn bind_listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind(address()).await.expect("bind the listener");
+    let listener = TcpListener::bind(unique_address()).await.expect("bind the listener");
     let own = listener.local_addr().expect("the address of the listener");
     (listener, own)
 }
--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// A loopback address that no other test uses, so that a restarted process can bind it again.
-pub fn address() -> SocketAddr {
+pub fn unique_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let next = NEXT.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -12,7 +12,8 @@
 use hosts_common::disk::{RecordingBackend, SharedDisk, Write, indexes, record};
 use hosts_common::in_process::start_origin;
 use hosts_common::{
-    Directory, Follower, Process, address, change, document, get, large_document, publish, run_test, wait_for,
+    Directory, Follower, Process, change, document, get, large_document, publish, run_test, unique_address,
+    wait_for,
 };
 use hyper::StatusCode;
 use redb::Builder;
@@ -24,14 +25,14 @@
 #[test]
 fn a_torn_last_write_leaves_all_acknowledged_records() {
     let disk = SharedDisk::default();
-    let (mut store, _) = disk.store();
+    let (mut store, _) = disk.open_store();
     for index in 1..=5 {
         let outcome = store.write(&[record(index, &document(index))], &[], None);
         assert!(matches!(outcome, Outcome::Written));
     }
     // Records the individual writes of the sixth record, to tear them below.
-    let before = disk.disk().synced.clone();
-    disk.disk().failing_syncs = 0;
+    let before = disk.lock_disk().synced.clone();
+    disk.lock_disk().failing_syncs = 0;
     let recorded = Arc::new(Mutex::new(Vec::new()));
     let recording = RecordingBackend { disk: disk.clone(), recorded: Arc::clone(&recorded) };
     drop(store);
@@ -41,7 +42,7 @@
     };
     assert_eq!(indexes(&found), [1, 2, 3, 4, 5]);
     let recorded_before = recorded.lock().unwrap().len();
-    let opened = disk.disk().synced.clone();
+    let opened = disk.lock_disk().synced.clone();
     assert!(matches!(store.write(&[record(6, &large_document(20_000))], &[], None), Outcome::Written));
     let writes: Vec<Write> = recorded.lock().unwrap()[recorded_before..].to_vec();
     assert!(
@@ -58,7 +59,7 @@
             if let Write::Bytes(at, bytes) = &writes[torn] {
                 Write::Bytes(*at, bytes[..bytes.len() * share / 4].to_vec()).apply(&mut image);
             }
-            let (mut store, found) = SharedDisk::with_image(image).store();
+            let (mut store, found) = SharedDisk::with_image(image).open_store();
             let kept = indexes(&found);
             assert_eq!(
                 kept[..5],
@@ -81,24 +82,24 @@
     // Covers failures of one, two and three successive syncs.
     for failing in 1..=3 {
         let disk = SharedDisk::default();
-        let (mut store, _) = disk.store();
+        let (mut store, _) = disk.open_store();
         assert!(matches!(store.write(&[record(1, &document(1))], &[], None), Outcome::Written));
-        disk.disk().failing_syncs = failing;
+        disk.lock_disk().failing_syncs = failing;
         let outcome = store.write(&[record(2, &document(2))], &[], None);
-        disk.disk().failing_syncs = 0;
-        let kept = indexes(&disk.after_power_loss().store().1);
+        disk.lock_disk().failing_syncs = 0;
+        let kept = indexes(&disk.after_power_loss().open_store().1);
         match outcome {
             Outcome::Written => assert_eq!(kept, [1, 2], "{failing} syncs failed"),
             Outcome::NotWritten(_) => {
                 assert_eq!(kept, [1], "{failing} syncs failed");
                 assert!(matches!(store.write(&[record(2, &document(3))], &[], None), Outcome::Written));
-                let found = disk.after_power_loss().store().1;
+                let found = disk.after_power_loss().open_store().1;
                 assert_eq!(&*found.records[1].document.body, document(3));
             }
             Outcome::Unknown(_) => {
                 // Repeating the write settles it.
                 assert!(matches!(store.write(&[record(2, &document(2))], &[], None), Outcome::Written));
-                assert_eq!(indexes(&disk.after_power_loss().store().1), [1, 2]);
+                assert_eq!(indexes(&disk.after_power_loss().open_store().1), [1, 2]);
             }
         }
     }
@@ -119,8 +120,8 @@
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
-        let full = disk.disk().visible.len();
-        disk.disk().capacity_bytes = Some(full);
+        let full = disk.lock_disk().visible.len();
+        disk.lock_disk().capacity_bytes = Some(full);
         let big = large_document(250_000);
         let mut refused = 0;
         // Publishes until the file would have to grow past the capacity.
@@ -146,7 +147,7 @@
         let index = whole["index"].as_u64().unwrap();
         let mut late = Follower::start("api-2", &[origin], &["service/api"], 2);
         late.wait_for_state("the first document", |state| state.documents().count() == 1).await;
-        disk.disk().capacity_bytes = None;
+        disk.lock_disk().capacity_bytes = None;
         // The repeated request is accepted and gets the next index.
         assert_eq!(publish(origin, &scope, &big, &format!("big {refused}")).await, index + 1);
         assert_eq!(publish(origin, "service/api", &document(2), "2").await, index + 2);
@@ -163,7 +164,7 @@
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
         {
-            let mut disk = disk.disk();
+            let mut disk = disk.lock_disk();
             (disk.failing_syncs, disk.failing_openings) = (1, 3);
         }
         for (id, number) in [("2", 2), ("3", 3)] {
@@ -183,7 +184,7 @@
         child.wait_for_index(3).await;
         assert_eq!(child.body("service/api"), Some(document(3)));
         running.abort();
-        let found = disk.after_power_loss().store().1;
+        let found = disk.after_power_loss().open_store().1;
         assert_eq!(indexes(&found), [1, 2, 3]);
     });
 }
@@ -194,13 +195,13 @@
         let disk = SharedDisk::default();
         let (origin, _running) = start_origin(&disk, Bounds::default()).await;
         publish(origin, "service/api", &document(1), "1").await;
-        disk.disk().failing_syncs = 1;
+        disk.lock_disk().failing_syncs = 1;
         let body = document(2);
         let (status, answer) = change(origin, "service/api", Some(&body), "2", None).await.unwrap();
         let index = publish(origin, "service/api", &body, "2").await;
         assert_eq!(index, 2, "first answer: {status} {answer}");
         assert_eq!(publish(origin, "service/api", &document(3), "3").await, 3);
-        assert_eq!(indexes(&disk.after_power_loss().store().1), [1, 2, 3]);
+        assert_eq!(indexes(&disk.after_power_loss().open_store().1), [1, 2, 3]);
     });
 }
 
@@ -215,7 +216,7 @@
             publish(origin, "service/api", &document(number), &number.to_string()).await;
         }
         running.abort();
-        let found = disk.after_power_loss().store().1;
+        let found = disk.after_power_loss().open_store().1;
         let kept = indexes(&found);
         // Kept are the newest record of each scope, the records of the remembered request ids, and those that became
         // unneeded only with the last write.
@@ -233,7 +234,7 @@
 fn an_origin_killed_right_after_an_acknowledgement_keeps_the_publication() {
     run_test(async {
         let directory = Directory::new("acknowledged");
-        let mut origin = Process::origin(&directory, address());
+        let mut origin = Process::origin(&directory, unique_address());
         let mut child = Follower::start("api-1", &[origin.address], &["service/api"], 1);
         for number in 1..=5 {
             assert_eq!(
@@ -253,9 +254,15 @@
 #[test]
 fn a_second_origin_on_the_same_directory_does_not_start() {
     let directory = Directory::new("second");
-    let _origin = Process::origin(&directory, address());
+    let _origin = Process::origin(&directory, unique_address());
     let output = hosts_common::binary()
-        .args(["origin", "--listen", &address().to_string(), "--dir", directory.path().to_str().unwrap()])
+        .args([
+            "origin",
+            "--listen",
+            &unique_address().to_string(),
+            "--dir",
+            directory.path().to_str().unwrap(),
+        ])
         .output()
         .unwrap();
     assert_eq!(output.status.code(), Some(2), "stderr: {}", String::from_utf8_lossy(&output.stderr));
@@ -265,7 +272,7 @@
 fn a_publication_repeated_after_a_lost_answer_is_applied_once() {
     run_test(async {
         let directory = Directory::new("repeated");
-        let mut origin = Process::origin(&directory, address());
+        let mut origin = Process::origin(&directory, unique_address());
         let body = document(1);
         // The publisher disconnects before it receives the answer.
         let mut stream = TcpStream::connect(origin.address).await.unwrap();
@@ -294,7 +301,7 @@
 fn of_two_concurrent_conditional_publications_exactly_one_is_accepted() {
     run_test(async {
         let directory = Directory::new("crossing");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let mut version = publish(origin.address, "fleet", &document(0), "0").await;
         for round in 1..=10 {
             let (left, right) = (document(2 * round), document(2 * round + 1));
@@ -330,7 +337,7 @@
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
-        disk.disk().failing_every_second_call = true;
+        disk.lock_disk().failing_every_second_call = true;
         let (mut acknowledged, mut refused) = (1, 0);
         for number in 2..=60 {
             let body = document(number);
@@ -353,13 +360,13 @@
             );
         }
         assert!(refused > 0, "no publication was refused");
-        disk.disk().failing_every_second_call = false;
+        disk.lock_disk().failing_every_second_call = false;
         let last = publish(origin, "service/api", &document(61), "61").await;
         assert!(last > acknowledged, "index {last} after acknowledged index {acknowledged}");
         child.wait_for_index(last).await;
         assert_eq!(child.body("service/api"), Some(document(61)));
         running.abort();
-        let found = disk.after_power_loss().store().1;
+        let found = disk.after_power_loss().open_store().1;
         assert_eq!(indexes(&found).last(), Some(&last));
         assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
     });
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -11,8 +11,8 @@
 
 use config_distribution::document::{Digest, Document, Scope, Update};
 use hosts_common::{
-    Directory, Follower, Process, address, document, get, large_document, publish, run_test,
-    seed_starting_with, wait_for, wait_for_report, wait_until_served,
+    Directory, Follower, Process, document, get, large_document, publish, run_test, seed_starting_with,
+    unique_address, wait_for, wait_for_report, wait_until_served,
 };
 use hyper::StatusCode;
 use serde_json::json;
@@ -102,9 +102,9 @@
 fn a_child_takes_in_no_partial_update_of_a_killed_relay() {
     run_test(async {
         let directory = Directory::new("middle");
-        let origin = Process::origin(&directory, address());
-        let mut first = Process::relay(1, &[origin.address], address());
-        let second = Process::relay(1, &[origin.address], address());
+        let origin = Process::origin(&directory, unique_address());
+        let mut first = Process::relay(1, &[origin.address], unique_address());
+        let second = Process::relay(1, &[origin.address], unique_address());
         // Together the documents are larger than the buffers between relay and child.
         let big = large_document(250 << 10);
         for scope in SCOPES {
@@ -143,8 +143,8 @@
 fn a_child_leaves_a_paused_relay() {
     run_test(async {
         let directory = Directory::new("paused");
-        let origin = Process::origin(&directory, address());
-        let relays = [1, 2].map(|_| Process::relay(1, &[origin.address], address()));
+        let origin = Process::origin(&directory, unique_address());
+        let relays = [1, 2].map(|_| Process::relay(1, &[origin.address], unique_address()));
         let parents = [relays[0].address, relays[1].address];
         publish(origin.address, "fleet", &document(1), "1").await;
         wait_until_served(parents[0], 1).await;
@@ -170,9 +170,9 @@
 fn children_follow_the_region_relay_when_both_zone_relays_are_killed() {
     run_test(async {
         let directory = Directory::new("zone");
-        let origin = Process::origin(&directory, address());
-        let region = Process::relay(1, &[origin.address], address());
-        let mut zone = [1, 2].map(|_| Process::relay(2, &[region.address], address()));
+        let origin = Process::origin(&directory, unique_address());
+        let region = Process::relay(1, &[origin.address], unique_address());
+        let mut zone = [1, 2].map(|_| Process::relay(2, &[region.address], unique_address()));
         let parents = [zone[0].address, zone[1].address, region.address];
         let start = |number: u64| Follower::start(&format!("api-{number}"), &parents, &SCOPES, number);
         let mut children: Vec<Follower> = (0..10).map(start).collect();
@@ -193,8 +193,8 @@
 fn all_children_can_reconnect_at_once() {
     run_test(async {
         let directory = Directory::new("all");
-        let origin = Process::origin(&directory, address());
-        let mut relays = [1, 2].map(|_| Process::relay(1, &[origin.address], address()));
+        let origin = Process::origin(&directory, unique_address());
+        let mut relays = [1, 2].map(|_| Process::relay(1, &[origin.address], unique_address()));
         let parents = [relays[0].address, relays[1].address];
         let start = |number: u64| Follower::start(&format!("api-{number}"), &parents, &SCOPES, number);
         let mut children: Vec<Follower> = (0..100).map(start).collect();
@@ -219,8 +219,8 @@
 fn a_relay_ends_its_watches_properly_on_sigterm() {
     run_test(async {
         let directory = Directory::new("sigterm");
-        let origin = Process::origin(&directory, address());
-        let mut relays = [1, 2].map(|_| Process::relay(1, &[origin.address], address()));
+        let origin = Process::origin(&directory, unique_address());
+        let mut relays = [1, 2].map(|_| Process::relay(1, &[origin.address], unique_address()));
         let parents = [relays[0].address, relays[1].address];
         publish(origin.address, "fleet", &document(1), "1").await;
         wait_until_served(parents[0], 1).await;
@@ -258,7 +258,7 @@
 
 /// Starts a parent that answers each watch with the bytes `response_body` and then keeps the connection open silently.
 async fn faulty_parent(response_body: Vec<u8>) -> SocketAddr {
-    let listener = TcpListener::bind(address()).await.unwrap();
+    let listener = TcpListener::bind(unique_address()).await.unwrap();
     let own = listener.local_addr().unwrap();
     spawn_local(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
@@ -286,7 +286,7 @@
 /// receives the configuration from another parent.
 async fn assert_child_leaves_parent(name: &str, response_body: Vec<u8>) {
     let directory = Directory::new(name);
-    let origin = Process::origin(&directory, address());
+    let origin = Process::origin(&directory, unique_address());
     publish(origin.address, "service/api", &document(1), "1").await;
     let faulty_address = faulty_parent(response_body).await;
     let parents = [faulty_address, origin.address];
@@ -356,8 +356,8 @@
 fn a_relay_that_never_reached_a_parent_serves_no_empty_snapshot() {
     run_test(async {
         let directory = Directory::new("wordless");
-        let unused_address = address();
-        let relay = Process::relay(1, &[unused_address], address());
+        let unused_address = unique_address();
+        let relay = Process::relay(1, &[unused_address], unique_address());
         for path in ["/configuration", "/configuration?follow=1&since=0"] {
             let (status, answer) = get(relay.address, path).await.unwrap();
             assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{answer}");
@@ -376,10 +376,10 @@
 fn a_relay_without_a_parent_serves_its_stored_state_and_reports_it_as_stale() {
     run_test(async {
         let (directory, relay_directory) = (Directory::new("cut-origin"), Directory::new("cut-relay"));
-        let mut origin = Process::origin(&directory, address());
+        let mut origin = Process::origin(&directory, unique_address());
         publish(origin.address, "fleet", &document(1), "1").await;
         publish(origin.address, "service/api", &document(2), "2").await;
-        let (parent_address, own) = (origin.address.to_string(), address());
+        let (parent_address, own) = (origin.address.to_string(), unique_address());
         let directory_path = relay_directory.path().to_str().unwrap();
         let arguments = ["relay", "--level", "1", "--parent", &parent_address, "--dir", directory_path];
         let mut relay = Process::start(&arguments, own);
@@ -423,8 +423,8 @@
 fn relays_that_are_each_others_parents_do_not_form_a_loop() {
     run_test(async {
         let directory = Directory::new("loop");
-        let origin = Process::origin(&directory, address());
-        let (one, other) = (address(), address());
+        let origin = Process::origin(&directory, unique_address());
+        let (one, other) = (unique_address(), unique_address());
         let first = Process::relay(2, &[other, origin.address], one);
         let second = Process::relay(2, &[one, origin.address], other);
         publish(origin.address, "fleet", &document(1), "1").await;
@@ -432,7 +432,7 @@
             let mut child = Follower::start("api-1", &[relay.address], &SCOPES, 1);
             child.wait_for_index(1).await;
         }
-        let alone = Process::relay(1, &[one], address());
+        let alone = Process::relay(1, &[one], unique_address());
         alone.wait_for_log("the parent's level is not below the level of this relay").await;
         let (status, _) = get(alone.address, "/configuration").await.unwrap();
         assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
--- a/crates/config-distribution/tests/hosts_path.rs
+++ b/crates/config-distribution/tests/hosts_path.rs
@@ -6,7 +6,8 @@
 use std::process::{Command, Stdio};
 
 use hosts_common::{
-    Directory, Follower, Process, address, binary, change, document, get, publish, run_test, wait_for_report,
+    Directory, Follower, Process, binary, change, document, get, publish, run_test, unique_address,
+    wait_for_report,
 };
 use hyper::StatusCode;
 use serde_json::json;
@@ -15,9 +16,9 @@
 fn a_publication_reaches_a_child_over_two_relays_and_is_reported_back() {
     run_test(async {
         let directory = Directory::new("path");
-        let origin = Process::origin(&directory, address());
-        let region = Process::relay(1, &[origin.address], address());
-        let zone = Process::relay(2, &[region.address], address());
+        let origin = Process::origin(&directory, unique_address());
+        let region = Process::relay(1, &[origin.address], unique_address());
+        let zone = Process::relay(2, &[region.address], unique_address());
         let scopes = ["fleet", "region/north", "service/api"];
         let mut child = Follower::start("api-1", &[zone.address], &scopes, 5);
         child.wait_for_state("the first snapshot", |state| state.index() == 0).await;
@@ -47,7 +48,7 @@
 fn commands_publish_withdraw_and_return_their_exit_status() {
     run_test(async {
         let directory = Directory::new("commands");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let to = origin.address.to_string();
         let run = |arguments: Vec<&str>, input: &str| {
             let mut child = binary()
@@ -81,7 +82,7 @@
         assert_eq!(got.1, "{\"index\":2,\"snapshot\":true,\"after\":0,\"documents\":[]}\n");
         assert_eq!(run(vec!["status", "--to", &to], "").0, Some(0));
         assert_eq!(run(vec!["publish", "--to", &to, "services/api", "-"], "").0, Some(2));
-        let unused_address = address().to_string();
+        let unused_address = unique_address().to_string();
         assert_eq!(run(vec!["status", "--to", &unused_address], "").0, Some(3));
         let version = Command::new(env!("CARGO_BIN_EXE_config-distribution")).arg("--help").output();
         assert!(String::from_utf8(version.unwrap().stdout).unwrap().contains("EXIT STATUS"));
--- a/crates/config-distribution/tests/hosts_relay_disk.rs
+++ b/crates/config-distribution/tests/hosts_relay_disk.rs
@@ -13,7 +13,9 @@
 use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{RecordingBackend, SharedDisk, Write, indexes, record};
 use hosts_common::in_process::bind_listener;
-use hosts_common::{Directory, Follower, Process, address, document, get, publish, run_test, wait_for};
+use hosts_common::{
+    Directory, Follower, Process, document, get, publish, run_test, unique_address, wait_for,
+};
 use redb::Builder;
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
@@ -31,10 +33,10 @@
 /// Starts a relay on a directory whose store file is `image`. No process listens at the address of its parent.
 fn relay_on(directory: &Directory, image: &[u8]) -> Process {
     fs::write(directory.path().join(FILE_NAME), image).unwrap();
-    let (directory_path, unused_address) = (directory.path().to_str().unwrap(), address().to_string());
+    let (directory_path, unused_address) = (directory.path().to_str().unwrap(), unique_address().to_string());
     Process::start(
         &["relay", "--level", "1", "--parent", &unused_address, "--dir", directory_path],
-        address(),
+        unique_address(),
     )
 }
 
@@ -46,8 +48,8 @@
         for length in [0, 1, 9, 300, 4096, whole.len() / 2, whole.len() - 1] {
             let directory = Directory::new(&format!("relay-cut-{length}"));
             drop(relay_on(&directory, &whole[..length]));
-            let (origin_directory, relay_address) = (Directory::new("relay-cut-above"), address());
-            let origin = Process::origin(&origin_directory, address());
+            let (origin_directory, relay_address) = (Directory::new("relay-cut-above"), unique_address());
+            let origin = Process::origin(&origin_directory, unique_address());
             assert_eq!(publish(origin.address, "fleet", &document(7), "7").await, 1);
             let (directory_path, parent) = (directory.path().to_str().unwrap(), origin.address.to_string());
             let arguments = ["relay", "--level", "1", "--parent", &parent, "--dir", directory_path];
@@ -107,7 +109,7 @@
 /// Waits until a document of this version is synced to the disk.
 async fn wait_until_stored(disk: &SharedDisk, version: u64) {
     wait_for("the document to be synced to disk", async {
-        while disk.after_power_loss().store().1.records.iter().all(|record| record.index != version) {
+        while disk.after_power_loss().open_store().1.records.iter().all(|record| record.index != version) {
             sleep(Duration::from_millis(20)).await;
         }
     })
@@ -118,13 +120,13 @@
 fn a_relay_serves_updates_while_its_disk_fails_and_stores_them_afterwards() {
     run_test(async {
         let (origin_directory, disk) = (Directory::new("relay-failing"), SharedDisk::default());
-        let mut origin = Process::origin(&origin_directory, address());
+        let mut origin = Process::origin(&origin_directory, unique_address());
         publish(origin.address, "service/api", &document(1), "1").await;
         let (relay, running) = start_relay(&disk, origin.address).await;
         let mut child = Follower::start("api-1", &[relay], &["service/api"], 1);
         child.wait_for_index(1).await;
         wait_until_stored(&disk, 1).await;
-        disk.disk().failing_every_second_call = true;
+        disk.lock_disk().failing_every_second_call = true;
         for number in 2..=20 {
             assert_eq!(
                 publish(origin.address, "service/api", &document(number), &number.to_string()).await,
@@ -133,7 +135,7 @@
             child.wait_for_index(number).await;
             assert_eq!(child.body("service/api"), Some(document(number)));
         }
-        disk.disk().failing_every_second_call = false;
+        disk.lock_disk().failing_every_second_call = false;
         wait_until_stored(&disk, 20).await;
         // A restarted relay without a running parent serves the newest document.
         running.abort();
@@ -149,9 +151,9 @@
 fn a_relay_started_while_its_disk_fails_serves_its_parents_updates_and_stores_them_later() {
     run_test(async {
         let (origin_directory, disk) = (Directory::new("relay-begins"), SharedDisk::default());
-        let origin = Process::origin(&origin_directory, address());
+        let origin = Process::origin(&origin_directory, unique_address());
         publish(origin.address, "fleet", &document(1), "1").await;
-        disk.disk().failing_openings = 1;
+        disk.lock_disk().failing_openings = 1;
         let (relay, _running) = start_relay(&disk, origin.address).await;
         let mut child = Follower::start("api-1", &[relay], &["fleet"], 1);
         child.wait_for_index(1).await;
@@ -162,11 +164,11 @@
 #[test]
 fn a_relay_loads_its_stored_state_once_its_disk_works_again() {
     run_test(async {
-        let (disk, unused_address) = (SharedDisk::default(), address());
-        let (mut store, _) = disk.store();
+        let (disk, unused_address) = (SharedDisk::default(), unique_address());
+        let (mut store, _) = disk.open_store();
         assert!(matches!(store.write(&[record(3, &document(3))], &[], Some(3)), Outcome::Written));
         drop(store);
-        disk.disk().failing_openings = 1;
+        disk.lock_disk().failing_openings = 1;
         let (relay, _running) = start_relay(&disk, unused_address).await;
         let mut child = Follower::start("api-1", &[relay], &["service/api"], 1);
         child.wait_for_index(3).await;
@@ -183,14 +185,14 @@
 #[test]
 fn a_relays_torn_write_leaves_either_the_previous_or_the_new_state() {
     let disk = SharedDisk::default();
-    let (mut store, _) = disk.store();
+    let (mut store, _) = disk.open_store();
     assert!(matches!(store.write(&[record(1, &document(1))], &[], Some(1)), Outcome::Written));
     drop(store);
     let recorded = Arc::new(Mutex::new(Vec::new()));
     let recording = RecordingBackend { disk: disk.clone(), recorded: Arc::clone(&recorded) };
     let (mut store, _) =
         Store::open_with(move || Builder::new().create_with_backend(recording.clone())).unwrap();
-    let (recorded_before, before) = (recorded.lock().unwrap().len(), disk.disk().visible.clone());
+    let (recorded_before, before) = (recorded.lock().unwrap().len(), disk.lock_disk().visible.clone());
     assert!(matches!(store.write(&[record(2, &document(2))], &[1], Some(2)), Outcome::Written));
     let writes: Vec<Write> = recorded.lock().unwrap()[recorded_before..].to_vec();
     let mut image = before;
@@ -201,7 +203,7 @@
             for length in (0..bytes.len()).step_by(step) {
                 let mut torn = image.clone();
                 Write::Bytes(*at, bytes[..length].to_vec()).apply(&mut torn);
-                let (_, found) = SharedDisk::with_image(torn).store();
+                let (_, found) = SharedDisk::with_image(torn).open_store();
                 // The index and the document come from the same write.
                 assert!(found.records.iter().all(|record| record.document.has_valid_digest()));
                 assert_eq!(
@@ -223,14 +225,14 @@
     run_test(async {
         let (origin_directory, directory) =
             (Directory::new("relay-kills-above"), Directory::new("relay-kills"));
-        let origin = Process::origin(&origin_directory, address());
+        let origin = Process::origin(&origin_directory, unique_address());
         let to = origin.address;
         let directory_path = directory.path().to_str().unwrap().to_owned();
         let started = |parent: SocketAddr| {
             let parent = parent.to_string();
             Process::start(
                 &["relay", "--level", "1", "--parent", &parent, "--dir", &directory_path],
-                address(),
+                unique_address(),
             )
         };
         publish(to, "service/api", &document(1), "1").await;
@@ -246,7 +248,7 @@
             sleep(Duration::from_micros(20_000 + 3_700 * round)).await;
             relay.kill();
             // No process listens at the address of its parent, so the relay serves what it stored.
-            let restarted = started(address());
+            let restarted = started(unique_address());
             let whole = get(restarted.address, "/configuration").await.unwrap().1;
             let index = whole["index"].as_u64().unwrap();
             assert!(index > stored_index, "round {round}: index {index} after {stored_index}");
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -6,8 +6,8 @@
 
 use config_distribution::report::Sums;
 use hosts_common::{
-    Directory, Follower, Process, address, change, document, get, large_document, padded_document, publish,
-    run_test, wait_for, wait_until_served,
+    Directory, Follower, Process, change, document, get, large_document, padded_document, publish, run_test,
+    unique_address, wait_for, wait_until_served,
 };
 use hyper::StatusCode;
 use serde_json::json;
@@ -36,7 +36,7 @@
 fn a_document_of_one_mebibyte_is_refused_and_one_of_the_maximum_size_accepted() {
     run_test(async {
         let directory = Directory::new("mebibyte");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let body = large_document(1 << 20);
         let (status, answer) = change(origin.address, "service/api", Some(&body), "1", None).await.unwrap();
         assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
@@ -56,7 +56,7 @@
 fn invalid_requests_are_refused_and_change_nothing() {
     run_test(async {
         let directory = Directory::new("garbage");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let to = origin.address;
         let put = |path: &str, more: &str, body: &[u8]| {
             let head =
@@ -116,7 +116,7 @@
 fn the_connection_of_a_sender_that_is_too_slow_is_closed() {
     run_test(async {
         let directory = Directory::new("slow-sender");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let head =
             b"PUT /configuration/fleet HTTP/1.1\r\nhost: x\r\nx-request-id: 1\r\ncontent-length: 9\r\n\r\n{";
         let (one, other, none) = tokio::join!(
@@ -134,7 +134,8 @@
     run_test(async {
         let directory = Directory::new("readers");
         let directory_path = directory.path().to_str().unwrap();
-        let origin = Process::start(&["origin", "--dir", directory_path, "--readers-most", "2"], address());
+        let origin =
+            Process::start(&["origin", "--dir", directory_path, "--readers-most", "2"], unique_address());
         let mut readers = Vec::new();
         for _ in 0..2 {
             let mut reader = open_watch(origin.address, "since=0").await;
@@ -156,7 +157,7 @@
 fn a_stalled_reader_is_closed_and_delays_no_other_reader() {
     run_test(async {
         let directory = Directory::new("stalled");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let big = large_document(250 << 10);
         for number in 0..12 {
             publish(origin.address, &format!("service/s{number}"), &big, &number.to_string()).await;
@@ -189,7 +190,7 @@
 fn a_slow_reader_receives_the_newest_version_but_not_every_one() {
     run_test(async {
         let directory = Directory::new("merged");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let socket = TcpSocket::new_v4().unwrap();
         socket.set_recv_buffer_size(4096).unwrap();
         let mut slow = socket.connect(origin.address).await.unwrap();
@@ -220,7 +221,7 @@
 fn heartbeats_arrive_and_are_spread_over_time() {
     run_test(async {
         let directory = Directory::new("signs");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         publish(origin.address, "fleet", &document(1), "1").await;
         let start = tokio::time::Instant::now();
         let mut heartbeats = Vec::new();
@@ -251,8 +252,8 @@
 fn reports_of_children_and_relays_are_summed() {
     run_test(async {
         let directory = Directory::new("reports");
-        let origin = Process::origin(&directory, address());
-        let relay = Process::relay(1, &[origin.address], address());
+        let origin = Process::origin(&directory, unique_address());
+        let relay = Process::relay(1, &[origin.address], unique_address());
         publish(origin.address, "fleet", &document(1), "1").await;
         wait_until_served(relay.address, 1).await;
         let start =
--- a/crates/config-distribution/tests/hosts_sockets.rs
+++ b/crates/config-distribution/tests/hosts_sockets.rs
@@ -15,7 +15,9 @@
 use config_distribution::origin::Bounds;
 use hosts_common::disk::SharedDisk;
 use hosts_common::in_process::{bind_listener, origin_host};
-use hosts_common::{Directory, Follower, Process, address, document, get, publish, run_test, wait_for};
+use hosts_common::{
+    Directory, Follower, Process, document, get, publish, run_test, unique_address, wait_for,
+};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
@@ -93,7 +95,7 @@
 fn a_connection_with_an_incomplete_request_head_is_closed_within_three_seconds() {
     run_test(async {
         let directory = Directory::new("half-head");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let whole = "GET /configuration HTTP/1.1\r\nhost: x\r\n\r\n";
         let half = "GET /configuration HTTP/1.1\r\nho";
         let second = format!("{whole}{half}");
@@ -183,7 +185,7 @@
 fn a_broken_watch_is_reopened_and_continues_over_short_reads_and_writes() {
     run_test(async {
         let directory = Directory::new("breaking");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let (parent, injected) = (origin.address, Rc::new(InjectedError::default()));
         let injected_of_connections = Rc::clone(&injected);
         let connect = move |address| {
@@ -211,7 +213,7 @@
 fn a_connect_that_fails_locally_is_retried() {
     run_test(async {
         let directory = Directory::new("connecting");
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         publish(origin.address, "fleet", &document(1), "1").await;
         let codes = [EADDRNOTAVAIL, ENOBUFS, EMFILE, ENFILE, ENOMEM, ENETUNREACH];
         let left = Rc::new(RefCell::new(VecDeque::from(codes)));
--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -11,7 +11,9 @@
 
 use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{indexes, record};
-use hosts_common::{Directory, Process, address, binary, change, document, get, publish, run_test, wait_for};
+use hosts_common::{
+    Directory, Process, binary, change, document, get, publish, run_test, unique_address, wait_for,
+};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -78,7 +80,7 @@
 fn kill_during_first_start(arguments: &[&str], directory: &Path) {
     let mut child = binary()
         .args(arguments)
-        .args(["--listen", &address().to_string()])
+        .args(["--listen", &unique_address().to_string()])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
@@ -99,7 +101,7 @@
             let directory = Directory::new(&format!("first-{round}"));
             let directory_path = directory.path().to_str().unwrap();
             kill_during_first_start(&["origin", "--dir", directory_path], directory.path());
-            let origin = Process::origin(&directory, address());
+            let origin = Process::origin(&directory, unique_address());
             assert_eq!(publish(origin.address, "fleet", &document(1), "1").await, 1);
         }
     });
@@ -109,7 +111,7 @@
 fn ten_kills_during_publications_lose_no_acknowledged_publication() {
     run_test(async {
         let directory = Directory::new("ten-kills");
-        let own = address();
+        let own = unique_address();
         let mut acknowledged = 0;
         let mut number = 0;
         for round in 0..10_u64 {
--- a/crates/config-distribution/tests/hosts_store_upgrade.rs
+++ b/crates/config-distribution/tests/hosts_store_upgrade.rs
@@ -6,7 +6,7 @@
 
 use config_distribution::document::{Document, Scope};
 use config_distribution::host::store::{Store, StoreContents};
-use hosts_common::{Directory, Process, address, get, publish, run_test};
+use hosts_common::{Directory, Process, get, publish, run_test, unique_address};
 use serde_json::json;
 
 /// Store file of an origin, run-length encoded; see `data/README.md`.
@@ -94,7 +94,7 @@
 fn an_origin_continues_from_the_store_of_an_earlier_version() {
     run_test(async {
         let directory = directory_with("stored-origin-goes-on", ORIGIN_STORE);
-        let origin = Process::origin(&directory, address());
+        let origin = Process::origin(&directory, unique_address());
         let snapshot = get(origin.address, "/configuration").await.unwrap().1;
         assert_eq!(snapshot["index"], 4);
         let scopes: Vec<&str> = snapshot["documents"]
@@ -115,9 +115,10 @@
 fn a_relay_without_a_parent_serves_the_store_of_an_earlier_version() {
     run_test(async {
         let directory = directory_with("stored-relay-serves", RELAY_STORE);
-        let (directory_path, unused_address) = (directory.path().to_str().unwrap(), address().to_string());
+        let (directory_path, unused_address) =
+            (directory.path().to_str().unwrap(), unique_address().to_string());
         let arguments = ["relay", "--level", "1", "--parent", &unused_address, "--dir", directory_path];
-        let relay = Process::start(&arguments, address());
+        let relay = Process::start(&arguments, unique_address());
         let snapshot = get(relay.address, "/configuration").await.unwrap().1;
         let fleet: Scope = "fleet".parse().unwrap();
         assert_eq!(snapshot["index"], 4);
