--- a/crates/config-distribution/src/command.rs
+++ b/crates/config-distribution/src/command.rs
@@ -211,10 +211,10 @@
         }
         Command::Publish { target, scope, file, options } => {
             let document = publisher::read_document(&file)?;
-            publisher::change(target.to, &scope, Some(document), options).await
+            publisher::send_change(target.to, &scope, Some(document), options).await
         }
         Command::Withdraw { target, scope, options } => {
-            publisher::change(target.to, &scope, None, options).await
+            publisher::send_change(target.to, &scope, None, options).await
         }
         Command::Get { target, scopes } => publisher::get(target.to, &scopes).await,
         Command::Status { target } => publisher::status(target.to).await,
--- a/crates/config-distribution/src/command/publisher.rs
+++ b/crates/config-distribution/src/command/publisher.rs
@@ -52,7 +52,7 @@
 
 /// Publishes a document, or withdraws it if `body` is `None`, and prints the index of the change. Repeats the request
 /// with the same id if there is no answer.
-pub(super) async fn change(
+pub(super) async fn send_change(
     to: SocketAddr,
     scope: &Scope,
     body: Option<Bytes>,
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -67,7 +67,7 @@
     /// Time before which no parent is called.
     not_before: Duration,
     /// Upper bound of the random wait after the next watch ends, unless that watch is established.
-    wait: Duration,
+    max_wait: Duration,
     /// The watch that is open, or the call that is to open it.
     watch: Option<Watch>,
     /// Latest time at which a parent was known to be up to date, from all lines: the arrival of a line less the
@@ -104,7 +104,7 @@
             current: 0,
             failed_or_stale: vec![false; count],
             not_before: Duration::ZERO,
-            wait: INITIAL_BACKOFF,
+            max_wait: INITIAL_BACKOFF,
             watch: None,
             fresh_at: None,
         }
@@ -157,12 +157,12 @@
     pub fn on_watch_ended(&mut self, now: Duration) {
         let Some(watch) = self.watch.take() else { return };
         if watch.is_established {
-            self.wait = INITIAL_BACKOFF;
+            self.max_wait = INITIAL_BACKOFF;
         } else {
             self.failed_or_stale[self.current] = true;
         }
-        self.not_before = now + self.random_up_to(self.wait);
-        self.wait = (2 * self.wait).min(MAX_BACKOFF);
+        self.not_before = now + self.random_up_to(self.max_wait);
+        self.max_wait = (2 * self.max_wait).min(MAX_BACKOFF);
         self.current = (self.current + 1) % self.order.len();
     }
 
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -150,7 +150,7 @@
     /// # Errors
     /// The directory cannot be used, or the records in it are not those of a relay.
     pub fn new(options: RelayOptions) -> Result<Self, RelayError> {
-        let Some(directory) = options.directory.clone() else { return Self::with(options, None) };
+        let Some(directory) = options.directory.clone() else { return Self::create(options, None) };
         Self::with_opener(options, move || Store::open_or_recreate(&directory))
     }
 
@@ -164,11 +164,11 @@
         open: impl Fn() -> Result<(Store, StoreContents), StoreError> + Send + Sync + 'static,
     ) -> Result<Self, RelayError> {
         let open: OpenStore = Arc::new(open);
-        Self::with(options, Some(open))
+        Self::create(options, Some(open))
     }
 
     /// Creates a relay, with a store if `open` is given.
-    fn with(options: RelayOptions, open: Option<OpenStore>) -> Result<Self, RelayError> {
+    fn create(options: RelayOptions, open: Option<OpenStore>) -> Result<Self, RelayError> {
         let source = RelaySource {
             start: Instant::now(),
             has_state: Cell::new(false),
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -183,7 +183,7 @@
     ) -> Result<Response<ResponseBody>, RequestError> {
         let change = read_change(request, self.source.max_body_bytes()).await?;
         control.expect_response();
-        // In a task of its own, so that the change completes even if the client has disconnected.
+        // The change runs in a task of its own, so that it completes even if the client has disconnected.
         let result = spawn_local(Rc::clone(&self.source).apply_change(change)).await;
         result.map_err(|_| RequestError::ChangeAborted)
     }
--- a/crates/config-distribution/tests/core_effective.rs
+++ b/crates/config-distribution/tests/core_effective.rs
@@ -12,7 +12,8 @@
 
 #[test]
 fn rfc_7396_examples_hold() {
-    // Examples of appendix A without those whose whole patch is null: below a key such a patch removes the key.
+    // Examples of appendix A of RFC 7396, without those whose whole patch is null: below a key such a patch removes the
+    // key.
     let examples = json!([
         [{"a":"b"}, {"a":"c"}, {"a":"c"}],
         [{"a":"b"}, {"b":"c"}, {"a":"b", "b":"c"}],
--- a/crates/config-distribution/tests/core_network.rs
+++ b/crates/config-distribution/tests/core_network.rs
@@ -132,7 +132,7 @@
             network.publish(at + ms(20), &format!("service/s{minute}"));
             network.withdraw(at + ms(90), "region/r0");
         }
-        // Publications just before and just after the cut ends.
+        // Publishes just before and just after the cut ends.
         for before in [10, 1, 0] {
             network.publish(heal - ms(before), "fleet");
         }
