--- a/crates/config-distribution/tests/hosts_common/mod.rs
+++ b/crates/config-distribution/tests/hosts_common/mod.rs
@@ -205,7 +205,7 @@
 
 /// Requests a change of a document and returns the status and body of the answer. A `body` of `None` withdraws the
 /// document; `if_version` is sent as `If-Match`.
-pub async fn change(
+pub async fn request_change(
     to: SocketAddr,
     scope: &str,
     body: Option<&str>,
@@ -244,7 +244,7 @@
 
 /// Publishes a document, asserts that it is accepted, and returns its index.
 pub async fn publish(to: SocketAddr, scope: &str, body: &str, id: &str) -> u64 {
-    let (status, answer) = change(to, scope, Some(body), id, None).await.expect("an answer");
+    let (status, answer) = request_change(to, scope, Some(body), id, None).await.expect("an answer");
     assert_eq!(status, StatusCode::OK, "publication not accepted: {answer}");
     answer["index"].as_u64().expect("an index in the answer")
 }
@@ -292,9 +292,9 @@
 
 /// A child (the balancer's client side) that runs in the test process.
 pub struct Follower {
-    /// States that the child has taken in, not yet read by the test.
+    /// States that the child has applied and the test has not read yet.
     states: mpsc::UnboundedReceiver<State>,
-    /// Addresses that the child has opened connections to, not yet read by the test.
+    /// Addresses that the child has opened connections to and the test has not read yet.
     connects: mpsc::UnboundedReceiver<SocketAddr>,
     /// The last state that the test has read.
     pub state: State,
@@ -366,7 +366,7 @@
         self.wait_for_state(&format!("index {index}"), |state| state.index() >= index).await;
     }
 
-    /// Whether the child has taken in no state that the test has not read.
+    /// Whether the child has applied no state that the test has not read.
     pub fn has_received_nothing(&self) -> bool {
         self.states.is_empty()
     }
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -12,8 +12,8 @@
 use hosts_common::disk::{RecordingBackend, SharedDisk, Write, indexes, record};
 use hosts_common::in_process::start_origin;
 use hosts_common::{
-    Directory, Follower, Process, change, document, get, large_document, publish, run_test, unique_address,
-    wait_for,
+    Directory, Follower, Process, document, get, large_document, publish, request_change, run_test,
+    unique_address, wait_for,
 };
 use hyper::StatusCode;
 use redb::Builder;
@@ -128,7 +128,7 @@
         for number in 2..40 {
             let id = format!("big {number}");
             let (status, answer) =
-                change(origin, &format!("service/s{number}"), Some(&big), &id, None).await.unwrap();
+                request_change(origin, &format!("service/s{number}"), Some(&big), &id, None).await.unwrap();
             if status == StatusCode::INSUFFICIENT_STORAGE {
                 assert!(
                     answer["error"].as_str().unwrap().starts_with("not written"),
@@ -169,7 +169,8 @@
         }
         for (id, number) in [("2", 2), ("3", 3)] {
             let body = document(number);
-            let (status, answer) = change(origin, "service/api", Some(&body), id, None).await.unwrap();
+            let (status, answer) =
+                request_change(origin, "service/api", Some(&body), id, None).await.unwrap();
             assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE, "{answer}");
             assert!(answer["error"].as_str().unwrap().contains("is unknown"), "unexpected error: {answer}");
         }
@@ -197,7 +198,7 @@
         publish(origin, "service/api", &document(1), "1").await;
         disk.lock_disk().failing_syncs = 1;
         let body = document(2);
-        let (status, answer) = change(origin, "service/api", Some(&body), "2", None).await.unwrap();
+        let (status, answer) = request_change(origin, "service/api", Some(&body), "2", None).await.unwrap();
         let index = publish(origin, "service/api", &body, "2").await;
         assert_eq!(index, 2, "first answer: {status} {answer}");
         assert_eq!(publish(origin, "service/api", &document(3), "3").await, 3);
@@ -289,7 +290,7 @@
         let origin = Process::origin(&directory, origin.address);
         assert_eq!(publish(origin.address, "service/api", &body, "one").await, 1);
         let (status, answer) =
-            change(origin.address, "service/api", Some(&document(3)), "one", None).await.unwrap();
+            request_change(origin.address, "service/api", Some(&document(3)), "one", None).await.unwrap();
         assert_eq!(status, StatusCode::CONFLICT, "{answer}");
         let whole = get(origin.address, "/configuration").await.unwrap().1;
         assert_eq!(whole["index"], 2);
@@ -308,8 +309,8 @@
             let (left_id, right_id) = (format!("left {round}"), format!("right {round}"));
             let to = origin.address;
             let (left, right) = tokio::join!(
-                change(to, "fleet", Some(&left), &left_id, Some(version)),
-                change(to, "fleet", Some(&right), &right_id, Some(version)),
+                request_change(to, "fleet", Some(&left), &left_id, Some(version)),
+                request_change(to, "fleet", Some(&right), &right_id, Some(version)),
             );
             let mut answers = [left.unwrap(), right.unwrap()];
             answers.sort_by_key(|(status, _)| *status);
@@ -342,7 +343,7 @@
         for number in 2..=60 {
             let body = document(number);
             let (status, answer) =
-                change(origin, "service/api", Some(&body), &number.to_string(), None).await.unwrap();
+                request_change(origin, "service/api", Some(&body), &number.to_string(), None).await.unwrap();
             if status == StatusCode::OK {
                 let index = answer["index"].as_u64().unwrap();
                 assert!(index > acknowledged, "acknowledged index {index} after {acknowledged}");
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -131,7 +131,7 @@
         first.kill();
         gate.release();
         child.wait_for_connect(second.address).await;
-        assert!(child.has_received_nothing(), "a partial update was taken in");
+        assert!(child.has_received_nothing(), "a partial update was applied");
         child.wait_for_index(3).await;
         for scope in SCOPES {
             assert_eq!(child.body(scope).as_ref(), Some(&big));
@@ -282,7 +282,7 @@
     own
 }
 
-/// Asserts that a child whose first parent sends `response_body` leaves that parent, takes in nothing from it, and
+/// Asserts that a child whose first parent sends `response_body` leaves that parent, applies nothing from it, and
 /// receives the configuration from another parent.
 async fn assert_child_leaves_parent(name: &str, response_body: Vec<u8>) {
     let directory = Directory::new(name);
@@ -293,7 +293,7 @@
     let mut child = Follower::start("api-1", &parents, &SCOPES, seed_starting_with(0, 2));
     child.wait_for_connect(faulty_address).await;
     child.wait_for_connect(origin.address).await;
-    assert!(child.has_received_nothing(), "an update of the faulty parent was taken in");
+    assert!(child.has_received_nothing(), "an update of the faulty parent was applied");
     child.wait_for_index(1).await;
     assert_eq!(child.state.documents().count(), 1);
     assert_eq!(child.body("service/api"), Some(document(1)));
--- a/crates/config-distribution/tests/hosts_path.rs
+++ b/crates/config-distribution/tests/hosts_path.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 
 use hosts_common::{
-    Directory, Follower, Process, binary, change, document, get, publish, run_test, unique_address,
+    Directory, Follower, Process, binary, document, get, publish, request_change, run_test, unique_address,
     wait_for_report,
 };
 use hyper::StatusCode;
@@ -28,7 +28,8 @@
         child.wait_for_index(2).await;
         assert_eq!(child.body("fleet"), Some(document(1)));
         assert_eq!(child.body("service/api"), Some(document(2)));
-        let (status, answer) = change(origin.address, "service/api", None, "d", Some(2)).await.unwrap();
+        let (status, answer) =
+            request_change(origin.address, "service/api", None, "d", Some(2)).await.unwrap();
         assert_eq!((status, answer), (StatusCode::OK, json!({ "index": 4 })));
         child.wait_for_index(4).await;
         assert_eq!(child.body("service/api"), None);
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -6,8 +6,8 @@
 
 use config_distribution::report::Sums;
 use hosts_common::{
-    Directory, Follower, Process, change, document, get, large_document, padded_document, publish, run_test,
-    unique_address, wait_for, wait_until_served,
+    Directory, Follower, Process, document, get, large_document, padded_document, publish, request_change,
+    run_test, unique_address, wait_for, wait_until_served,
 };
 use hyper::StatusCode;
 use serde_json::json;
@@ -38,7 +38,8 @@
         let directory = Directory::new("mebibyte");
         let origin = Process::origin(&directory, unique_address());
         let body = large_document(1 << 20);
-        let (status, answer) = change(origin.address, "service/api", Some(&body), "1", None).await.unwrap();
+        let (status, answer) =
+            request_change(origin.address, "service/api", Some(&body), "1", None).await.unwrap();
         assert_eq!(status, StatusCode::PAYLOAD_TOO_LARGE);
         assert!(answer["error"].as_str().unwrap().contains("262144"), "limit not named: {answer}");
         assert_eq!(get(origin.address, "/configuration").await.unwrap().1["index"], 0);
--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -12,7 +12,7 @@
 use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{indexes, record};
 use hosts_common::{
-    Directory, Process, binary, change, document, get, publish, run_test, unique_address, wait_for,
+    Directory, Process, binary, document, get, publish, request_change, run_test, unique_address, wait_for,
 };
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -129,7 +129,7 @@
                     number += 1;
                     let body = document(number);
                     let id = format!("{round} {number}");
-                    match change(own, "service/api", Some(&body), &id, None).await {
+                    match request_change(own, "service/api", Some(&body), &id, None).await {
                         Ok((status, answer)) if status.is_success() => {
                             let index = answer["index"].as_u64().unwrap();
                             assert!(index > last, "acknowledged index {index} after {last}");
