--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -38,7 +38,7 @@
 /// What a child does next while it has no open watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Follow the parent with this number. The host calls [`Parents::ended`] when the watch ends.
+    /// Follow the parent with this number. The host calls [`Parents::on_watch_ended`] when the watch ends.
     Follow(usize),
     /// Call [`Parents::next`] again after this time.
     Wait(Duration),
@@ -67,7 +67,7 @@
     /// Time before which no parent is called.
     not_before: Duration,
     /// Upper bound of the random wait after the next watch ends, unless that watch is established.
-    wait: Duration,
+    max_wait: Duration,
     /// The watch that is open, or the call that is to open it.
     watch: Option<Watch>,
     /// Latest time at which a parent was known to be up to date, from all lines: the arrival of a line less the
@@ -104,7 +104,7 @@
             current: 0,
             failed_or_stale: vec![false; count],
             not_before: Duration::ZERO,
-            wait: INITIAL_BACKOFF,
+            max_wait: INITIAL_BACKOFF,
             watch: None,
             fresh_at: None,
         }
@@ -125,7 +125,7 @@
 
     /// Processes the arrival of a valid line, which may be an empty one (`stale_s` 0). The host does not call this for
     /// a line that was refused, but ends the watch.
-    pub fn line(&mut self, now: Duration, stale_s: u64) -> Verdict {
+    pub fn on_line(&mut self, now: Duration, stale_s: u64) -> Verdict {
         let stale = Duration::from_secs(stale_s);
         self.fresh_at = self.fresh_at.max(Some(now.saturating_sub(stale)));
         let others_failed_or_stale =
@@ -154,15 +154,15 @@
     }
 
     /// Processes the end of a watch: it ended, could not be opened, or was left by the child.
-    pub fn ended(&mut self, now: Duration) {
+    pub fn on_watch_ended(&mut self, now: Duration) {
         let Some(watch) = self.watch.take() else { return };
         if watch.is_established {
-            self.wait = INITIAL_BACKOFF;
+            self.max_wait = INITIAL_BACKOFF;
         } else {
             self.failed_or_stale[self.current] = true;
         }
-        self.not_before = now + self.random_up_to(self.wait);
-        self.wait = (2 * self.wait).min(MAX_BACKOFF);
+        self.not_before = now + self.random_up_to(self.max_wait);
+        self.max_wait = (2 * self.max_wait).min(MAX_BACKOFF);
         self.current = (self.current + 1) % self.order.len();
     }
 
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -16,7 +16,7 @@
 use tokio::task::{JoinError, spawn_blocking};
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
 
-use super::accept::Listen;
+use super::accept::Listener;
 use super::client::{ParentFollower, report};
 use super::log::log;
 use super::server::{Change, Limits, RelayReport, ResponseBody, Server, Source, error_response};
@@ -25,7 +25,7 @@
 use crate::parents::Parents;
 use crate::report::{REPORT_EVERY, Sums};
 use crate::state::{Refusal, State, Wanted};
-use crate::store::{Found, Outcome, Store, StoreError};
+use crate::store::{Outcome, Store, StoreContents, StoreError};
 
 /// Maximum size of a line sent to a relay: all documents at the origin's limit on their total size, and the JSON around
 /// each.
@@ -71,7 +71,7 @@
 }
 
 /// Opens the relay's store, and returns it with the records found in it.
-type OpenStore = Arc<dyn Fn() -> Result<(Store, Found), StoreError> + Send + Sync>;
+type OpenStore = Arc<dyn Fn() -> Result<(Store, StoreContents), StoreError> + Send + Sync>;
 
 /// Store of a relay, and the function that opens it.
 struct RelayDisk {
@@ -103,7 +103,7 @@
         0
     }
 
-    async fn change(self: Rc<Self>, _: Change) -> Response<ResponseBody> {
+    async fn apply_change(self: Rc<Self>, _: Change) -> Response<ResponseBody> {
         error_response(StatusCode::METHOD_NOT_ALLOWED, "a relay takes no publication: publish at the origin")
     }
 }
@@ -111,7 +111,7 @@
 impl RelaySource {
     /// Accepts the state found on disk, unless the current state is at least as new. Returns whether the state changed,
     /// so that watches must be notified.
-    fn restore(&self, found: Found) -> Result<bool, Refusal> {
+    fn restore(&self, found: StoreContents) -> Result<bool, Refusal> {
         let last = found.records.iter().map(|record| record.index).max().unwrap_or(0);
         let index = last.max(found.index);
         let mut state = self.state.borrow_mut();
@@ -150,8 +150,8 @@
     /// # Errors
     /// The directory cannot be used, or the records in it are not those of a relay.
     pub fn new(options: RelayOptions) -> Result<Self, RelayError> {
-        let Some(directory) = options.directory.clone() else { return Self::with(options, None) };
-        Self::over(options, move || Store::open_or_recreate(&directory))
+        let Some(directory) = options.directory.clone() else { return Self::create(options, None) };
+        Self::with_opener(options, move || Store::open_or_recreate(&directory))
     }
 
     /// Creates a relay with the store that `open` opens, instead of one in a directory. `open` is called again for as
@@ -159,16 +159,16 @@
     ///
     /// # Errors
     /// As for [`RelayHost::new`].
-    pub fn over(
+    pub fn with_opener(
         options: RelayOptions,
-        open: impl Fn() -> Result<(Store, Found), StoreError> + Send + Sync + 'static,
+        open: impl Fn() -> Result<(Store, StoreContents), StoreError> + Send + Sync + 'static,
     ) -> Result<Self, RelayError> {
         let open: OpenStore = Arc::new(open);
-        Self::with(options, Some(open))
+        Self::create(options, Some(open))
     }
 
     /// Creates a relay, with a store if `open` is given.
-    fn with(options: RelayOptions, open: Option<OpenStore>) -> Result<Self, RelayError> {
+    fn create(options: RelayOptions, open: Option<OpenStore>) -> Result<Self, RelayError> {
         let source = RelaySource {
             start: Instant::now(),
             has_state: Cell::new(false),
@@ -186,7 +186,7 @@
 
     /// Serves until `stop` completes, then ends all watches in order. Must run within a `LocalSet`. If the future is
     /// dropped, a write of the store continues in its thread.
-    pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
+    pub async fn run(self, listener: impl Listener, stop: impl Future<Output = ()>) {
         let Self { options, disk, server } = self;
         let current = Cell::new(None);
         let stored = async {
--- a/crates/config-distribution/tests/hosts_store.rs
+++ b/crates/config-distribution/tests/hosts_store.rs
@@ -11,7 +11,9 @@
 
 use config_distribution::host::store::{Outcome, Store};
 use hosts_common::disk::{indexes, record};
-use hosts_common::{Directory, Process, address, binary, change, document, get, publish, run_test, wait_for};
+use hosts_common::{
+    Directory, Process, binary, document, get, publish, request_change, run_test, unique_address, wait_for,
+};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -25,7 +27,7 @@
 
 /// Content of a store file with three records after the store was closed normally.
 fn store_file_with_three_records(directory: &Directory) -> Vec<u8> {
-    let (mut store, _) = Store::at(directory.path()).unwrap();
+    let (mut store, _) = Store::open_in(directory.path()).unwrap();
     for index in 1..=3 {
         let outcome = store.write(&[record(index, &document(index))], &[], Some(index));
         assert!(matches!(outcome, Outcome::Written));
@@ -58,14 +60,14 @@
     let whole = store_file_with_three_records(&source_directory);
     let path = cut.path().join(FILE_NAME);
     fs::write(&path, &whole).unwrap();
-    let found = Store::at(cut.path()).map(|(_, found)| indexes(&found));
+    let found = Store::open_in(cut.path()).map(|(_, found)| indexes(&found));
     assert_eq!(found.unwrap(), [1, 2, 3]);
     fs::write(&path, &whole).unwrap();
     let file = OpenOptions::new().write(true).open(&path).unwrap();
     // Truncates the same file further and further; a refused open does not change it.
     for length in truncated_lengths(whole.len()).rev() {
         file.set_len(length as u64).unwrap();
-        let found = Store::at(cut.path()).ok().map(|(_, found)| found);
+        let found = Store::open_in(cut.path()).ok().map(|(_, found)| found);
         assert!(
             found.is_none(),
             "file truncated to {length} of {} bytes was accepted: {found:?}",
@@ -78,7 +80,7 @@
 fn kill_during_first_start(arguments: &[&str], directory: &Path) {
     let mut child = binary()
         .args(arguments)
-        .args(["--listen", &address().to_string()])
+        .args(["--listen", &unique_address().to_string()])
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
@@ -99,7 +101,7 @@
             let directory = Directory::new(&format!("first-{round}"));
             let directory_path = directory.path().to_str().unwrap();
             kill_during_first_start(&["origin", "--dir", directory_path], directory.path());
-            let origin = Process::origin(&directory, address());
+            let origin = Process::origin(&directory, unique_address());
             assert_eq!(publish(origin.address, "fleet", &document(1), "1").await, 1);
         }
     });
@@ -109,7 +111,7 @@
 fn ten_kills_during_publications_lose_no_acknowledged_publication() {
     run_test(async {
         let directory = Directory::new("ten-kills");
-        let own = address();
+        let own = unique_address();
         let mut acknowledged = 0;
         let mut number = 0;
         for round in 0..10_u64 {
@@ -127,7 +129,7 @@
                     number += 1;
                     let body = document(number);
                     let id = format!("{round} {number}");
-                    match change(own, "service/api", Some(&body), &id, None).await {
+                    match request_change(own, "service/api", Some(&body), &id, None).await {
                         Ok((status, answer)) if status.is_success() => {
                             let index = answer["index"].as_u64().unwrap();
                             assert!(index > last, "acknowledged index {index} after {last}");
