--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -10,10 +10,10 @@
 
 use crate::CapacityError;
 use crate::decisions::fit_line;
-use crate::hollow::topology::Topology;
-use crate::hollow::world::{
+use crate::hollow::simulation::{
     FaultyService, FleetSimulation, IdempotencyFractions, Report, RunParameters, ServiceFault,
 };
+use crate::hollow::topology::Topology;
 use crate::plan::Plan;
 use crate::slope::{self, Point, Results, Slope};
 
--- a/crates/capacity/src/hollow/mod.rs
+++ b/crates/capacity/src/hollow.rs
@@ -16,15 +16,15 @@
 use crate::slope::{self, Results};
 
 pub mod scenario;
+pub mod simulation;
 mod table;
+pub mod timer_wheel;
 pub mod topology;
-pub mod wheel;
-pub mod world;
 
 use scenario::{Scenario, Script, Span};
+use simulation::{FleetSimulation, Report, RunParameters, Second, Step};
 use table::{COLUMNS, KEY_COLUMNS, NOTE, row};
 use topology::Topology;
-use world::{FleetSimulation, Report, RunParameters, Second, Step};
 
 /// Number of upstreams in a `--small` run.
 const SMALL_UPSTREAMS: usize = 120;
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -3,8 +3,8 @@
 use clap::ValueEnum;
 use oorandom::Rand64;
 
+use super::simulation::{DRAIN_S, Step, TimedStep};
 use super::topology::Topology;
-use super::world::{DRAIN_S, Step, TimedStep};
 use crate::plan::Plan;
 
 /// Virtual seconds before the first step of a scenario, in which the balancers learn the normal state.
--- a/crates/capacity/src/hollow/world.rs
+++ b/crates/capacity/src/hollow/simulation.rs
@@ -11,8 +11,8 @@
 pub use self::script::{DRAIN_S, Step};
 use self::slab::Slab;
 use self::state::{Client, Core, Hop, Process, Slot, State, WorkItem};
+use super::timer_wheel::TimerWheel;
 use super::topology::Topology;
-use super::wheel::TimerWheel;
 use crate::CapacityError;
 use crate::decisions::resident_bytes;
 use crate::plan::Plan;
@@ -168,7 +168,7 @@
         play: &'a RunParameters,
     ) -> Result<Self, CapacityError> {
         let services = topology.services.len();
-        let mut world = Self {
+        let mut simulation = Self {
             plan,
             topology,
             play,
@@ -199,11 +199,11 @@
                 ..Report::default()
             },
         };
-        world.draw_tenants();
-        world.add_slots();
-        world.add_first_processes()?;
-        world.schedule_first_events();
-        Ok(world)
+        simulation.draw_tenants();
+        simulation.add_slots();
+        simulation.add_first_processes()?;
+        simulation.schedule_first_events();
+        Ok(simulation)
     }
 
     /// Calculates the tenants' shares of the calls: the tenant of rank n has a weight of 1 / sqrt(n).
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -2,7 +2,7 @@
 //! row.
 
 use super::scenario::{LEARNING_S, Scenario, Span};
-use super::world::{Depth, Faults, Report, Second, Signals};
+use super::simulation::{Depth, Faults, Report, Second, Signals};
 use super::{Run, RunResult, sum};
 use crate::plan::Reading;
 
--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -10,7 +10,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::Slope;
-use crate::world::{self, CommonArguments};
+use crate::testbed::{self, CommonArguments};
 
 mod breakdown;
 mod placement;
@@ -71,7 +71,7 @@
     let cores =
         thread::available_parallelism().map_err(|cause| CapacityError::run("counting cores", cause))?.get();
     let placement = checked_placement(arguments, cores)?;
-    let program = arguments.common.program(world::BALANCER)?;
+    let program = arguments.common.program(testbed::BALANCER)?;
     let (slopes, results) = arguments.common.folders()?;
     let mut bench = Bench {
         arguments,
--- a/crates/capacity/src/latency/breakdown.rs
+++ b/crates/capacity/src/latency/breakdown.rs
@@ -8,7 +8,7 @@
 use super::play::{QUANTILES, Run, RunStats, Setup};
 use crate::CapacityError;
 use crate::slope::{Results, commit};
-use crate::world::{self, Balancer, Discovery, DurationHistogram, Upstreams, Usage};
+use crate::testbed::{self, Balancer, Discovery, DurationHistogram, Upstreams, Usage};
 
 impl Bench<'_> {
     /// The row with the CPU usage of an idle balancer: its watch, the timers of its decisions, the sweeps of its
@@ -17,8 +17,8 @@
         let upstreams = Upstreams::start(self.arguments.upstreams, 1, 0)?;
         let discovery =
             Discovery::start(upstreams.entries(), Duration::from_secs_f64(self.plan.list.beat_s.value))?;
-        let settings = world::settings(self.plan, self.arguments.upstreams);
-        let configuration = world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
+        let settings = testbed::settings(self.plan, self.arguments.upstreams);
+        let configuration = testbed::configuration("b0", discovery.address, &upstreams.entries(), &settings);
         let balancer = Balancer::start(self.program, &configuration, None, |_| ())?;
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
         thread::sleep(span / 6);
--- a/crates/capacity/src/latency/placement.rs
+++ b/crates/capacity/src/latency/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of the threads of a run on the cores of the machine.
 
 use crate::CapacityError;
-use crate::world;
+use crate::testbed;
 
 /// Placement of the threads of a run on cores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,9 +20,9 @@
     pub(super) fn place(self, cores: usize, placed_before: bool) -> Result<Option<usize>, CapacityError> {
         match self {
             Self::Anywhere if !placed_before => Ok(None),
-            Self::Anywhere => world::pin_to_cores(&format!("0-{}", cores - 1)).map(|()| None),
-            Self::Apart => world::pin_to_cores(&format!("1-{}", cores - 1)).map(|()| None),
-            Self::Alone => world::pin_to_cores(&format!("1-{}", cores - 2)).map(|()| Some(cores - 1)),
+            Self::Anywhere => testbed::pin_to_cores(&format!("0-{}", cores - 1)).map(|()| None),
+            Self::Apart => testbed::pin_to_cores(&format!("1-{}", cores - 1)).map(|()| None),
+            Self::Alone => testbed::pin_to_cores(&format!("1-{}", cores - 2)).map(|()| Some(cores - 1)),
         }
     }
 }
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/play.rs
@@ -7,7 +7,7 @@
 use super::placement::Placement;
 use super::{Background, Bench};
 use crate::CapacityError;
-use crate::world::{
+use crate::testbed::{
     self, Balancer, ByteRelay, Call, CallOutcome, CallResult, Counts, Discovery, Distribution,
     DurationHistogram, Route, Upstreams, Usage,
 };
@@ -108,7 +108,7 @@
     /// Reads the usage so far.
     fn baseline(&self) -> UsageBaseline {
         UsageBaseline {
-            steal_time_ms: world::steal_time_ms(),
+            steal_time_ms: testbed::steal_time_ms(),
             used: Usage::of(self.balancer.process.id()),
             opened: self.upstreams.records.opened(),
         }
@@ -164,7 +164,7 @@
         let warm = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
         let length = span(setup.rate, self.arguments.common.small) + warm;
         let calls =
-            world::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
+            testbed::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
         let core = setup.placement.place(self.cores, self.placement != Placement::Anywhere)?;
         let servers = self.start_servers(setup, calls.len(), core)?;
         let first_id = servers.upstreams.records.take_ids(calls.len())?;
@@ -178,7 +178,7 @@
             span: length - warm,
             opened: servers.upstreams.records.opened() - baseline.opened,
             changes,
-            steal_time_ms: world::steal_time_ms().saturating_sub(baseline.steal_time_ms),
+            steal_time_ms: testbed::steal_time_ms().saturating_sub(baseline.steal_time_ms),
         };
         summarize(&calls[first_counted..], &played[first_counted..], stats)
     }
@@ -193,12 +193,12 @@
         let upstreams = Upstreams::start(setup.upstreams, 2, calls)?;
         let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
         let discovery = Discovery::start(upstreams.entries(), beat)?;
-        let settings = world::settings(self.plan, setup.upstreams);
+        let settings = testbed::settings(self.plan, setup.upstreams);
         let mut configuration =
-            world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
+            testbed::configuration("b0", discovery.address, &upstreams.entries(), &settings);
         let distribution = match setup.changes {
             Some(Changes::Configuration) => {
-                let program = self.arguments.common.program(world::DISTRIBUTION)?;
+                let program = self.arguments.common.program(testbed::DISTRIBUTION)?;
                 let distribution = Distribution::start(&program, 1)?;
                 configuration["distribution"] = distribution.configuration_section();
                 Some(distribution)
@@ -240,10 +240,10 @@
         let core_0 = setup.placement != Placement::Anywhere;
         let (played, background) = thread::scope(|scope| {
             let client = scope.spawn(|| {
-                let placed = if core_0 { world::pin_to_cores("0") } else { Ok(()) };
-                let start_time = Instant::now() + world::CONNECT_LEAD_TIME;
+                let placed = if core_0 { testbed::pin_to_cores("0") } else { Ok(()) };
+                let start_time = Instant::now() + testbed::CONNECT_LEAD_TIME;
                 let played =
-                    placed.and_then(|()| world::play(calls, &routes, first_id, start_time, &progress));
+                    placed.and_then(|()| testbed::play(calls, &routes, first_id, start_time, &progress));
                 finished.store(true, Ordering::Release);
                 played
             });
@@ -276,7 +276,7 @@
         match (kind, &servers.distribution) {
             (Changes::Configuration, Some(distribution)) => {
                 if background.published.is_ok() {
-                    let (scope, document) = world::configuration_change(self.plan, number);
+                    let (scope, document) = testbed::configuration_change(self.plan, number);
                     let published = distribution.publish(scope, &format!("change-{number}"), &document);
                     background.published = published.map(drop);
                 }
--- a/crates/capacity/src/latency/slopes.rs
+++ b/crates/capacity/src/latency/slopes.rs
@@ -5,7 +5,7 @@
 use super::{Background, Bench};
 use crate::CapacityError;
 use crate::slope::{Fit, Point, Slope, commit};
-use crate::world::Counts;
+use crate::testbed::Counts;
 
 impl Bench<'_> {
     /// Measures the added latency at each rate.
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod real;
 pub mod slope;
 pub mod sockets;
-pub mod world;
+pub mod testbed;
 
 /// Joins faults of a plan into one text, one fault per line, with every line but the first indented by two spaces.
 fn join_faults(faults: &[PlanFault]) -> String {
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -12,7 +12,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Fit, Point, Slope, commit};
-use crate::world::{self, Balancer, CommonArguments, Counts, Discovery, Route, Upstreams, Usage};
+use crate::testbed::{self, Balancer, CommonArguments, Counts, Discovery, Route, Upstreams, Usage};
 
 /// Part of the measurements of the `process` command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -76,7 +76,7 @@
     if !(1.0..=MAX_REQUESTS_PER_S).contains(&rate) {
         return invalid_argument("rate", format!("1 to {MAX_REQUESTS_PER_S} requests per second"));
     }
-    let program = arguments.common.program(world::BALANCER)?;
+    let program = arguments.common.program(testbed::BALANCER)?;
     let (slopes, _) = arguments.common.folders()?;
     let (sizes, plays) = if arguments.common.small { (vec![6, 60], 1) } else { (sizes, arguments.plays) };
     let bench = Bench { arguments, plan, program: &program, sizes, plays, rate };
@@ -149,14 +149,14 @@
     /// Starts a balancer that gets the same list of upstreams from its configuration and from discovery.
     fn balancer(&self, upstreams: &Upstreams, discovery: &Discovery) -> Result<Balancer, CapacityError> {
         let entries = upstreams.entries();
-        let settings = world::settings(self.plan, entries.len());
-        let configuration = world::configuration("b0", discovery.address, &entries, &settings);
+        let settings = testbed::settings(self.plan, entries.len());
+        let configuration = testbed::configuration("b0", discovery.address, &entries, &settings);
         Balancer::start(self.program, &configuration, None, |_| ())
     }
 
     /// Starts the servers around a balancer: `size` stand-in upstreams, for at most `calls` requests, and a stand-in
     /// discovery with their list.
-    fn world(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
+    fn start_servers(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
         let upstreams = Upstreams::start(size, 2, calls)?;
         let discovery = Discovery::start(upstreams.entries(), heartbeat_interval(self.plan))?;
         Ok((upstreams, discovery))
@@ -166,7 +166,7 @@
     fn start(&self) -> Result<Vec<Slope>, CapacityError> {
         let (mut listens, mut serves, mut memory) = (Plays::new(), Plays::new(), Plays::new());
         for &size in &self.sizes {
-            let (upstreams, discovery) = self.world(size, 0)?;
+            let (upstreams, discovery) = self.start_servers(size, 0)?;
             let mut samples = [const { Vec::new() }; 3];
             for _ in 0..self.plays {
                 let balancer = self.balancer(&upstreams, &discovery)?;
@@ -174,7 +174,7 @@
                 thread::sleep(Duration::from_millis(300));
                 samples[0].push(balancer.listens_after.as_secs_f64() * 1000.0);
                 samples[1].push(balancer.serves_after.as_secs_f64() * 1000.0);
-                samples[2].push(world::memory_kb(balancer.process.id())? as f64);
+                samples[2].push(testbed::memory_kb(balancer.process.id())? as f64);
             }
             let [listens_ms, serves_ms, kb] = samples;
             listens.push((size, listens_ms));
@@ -218,7 +218,7 @@
         let mut core_fractions: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
         let mut environments = Vec::new();
         for &size in &self.sizes {
-            let (upstreams, discovery) = self.world(size, 0)?;
+            let (upstreams, discovery) = self.start_servers(size, 0)?;
             let balancer = self.balancer(&upstreams, &discovery)?;
             environments.push((upstreams, discovery, balancer));
         }
@@ -308,7 +308,7 @@
         span_s: f64,
     ) -> Result<RequestCost, CapacityError> {
         let max_calls = (self.rate * 10.0) as usize + 1000;
-        let (upstreams, discovery) = self.world(size, max_calls)?;
+        let (upstreams, discovery) = self.start_servers(size, max_calls)?;
         let balancer = self.balancer(&upstreams, &discovery)?;
         self.send_requests(size, &upstreams, &balancer, rng, Duration::from_secs_f64(warm_up_s))?;
         let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.records.opened());
@@ -317,7 +317,7 @@
         Ok(RequestCost {
             request_us: used.cpu_ns as f64 / 1000.0 / calls as f64,
             new_connections: upstreams.records.opened() - opened,
-            memory_kb: world::memory_kb(balancer.process.id())? as f64,
+            memory_kb: testbed::memory_kb(balancer.process.id())? as f64,
         })
     }
 
@@ -337,10 +337,10 @@
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         }];
-        let calls = world::paired(rng, 1, self.rate, span, false);
+        let calls = testbed::paired(rng, 1, self.rate, span, false);
         let first = upstreams.records.take_ids(calls.len())?;
-        let zero = Instant::now() + world::CONNECT_LEAD_TIME;
-        let played = world::play(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
+        let zero = Instant::now() + testbed::CONNECT_LEAD_TIME;
+        let played = testbed::play(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
         let counts = Counts::of(&calls, &played, &upstreams.records, first);
         if counts.right < counts.calls {
             let place = format!("sending requests to a balancer with {size} upstreams");
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -11,7 +11,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Results, commit};
-use crate::world::{self, CommonArguments, Counts};
+use crate::testbed::{self, CommonArguments, Counts};
 
 mod in_force;
 mod outcome;
@@ -126,8 +126,8 @@
     fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
         let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
         let small = arguments.common.small;
-        if !(1..=world::MAX_BALANCERS).contains(&arguments.balancers) {
-            return wrong("balancers", format!("1 to {}", world::MAX_BALANCERS));
+        if !(1..=testbed::MAX_BALANCERS).contains(&arguments.balancers) {
+            return wrong("balancers", format!("1 to {}", testbed::MAX_BALANCERS));
         }
         if !(1..=1000).contains(&arguments.changes) {
             return wrong("changes", "1 to 1000".to_owned());
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -5,7 +5,7 @@
 use super::play::Setup;
 use super::{BLOCK_CHANGES, ChangeKind};
 use crate::CapacityError;
-use crate::world::{Call, CallResult, Counts, DurationHistogram};
+use crate::testbed::{Call, CallResult, Counts, DurationHistogram};
 
 /// Column headings of the table of results.
 pub(super) const COLUMNS: [&str; 18] = [
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/play.rs
@@ -13,7 +13,7 @@
 use super::{Arguments, BLOCK_CHANGES, ChangeKind, Size};
 use crate::CapacityError;
 use crate::plan::Plan;
-use crate::world::{self, Balancer, Call, CallResult, Counts, Discovery, Distribution, Route, Upstreams};
+use crate::testbed::{self, Balancer, Call, CallResult, Counts, Discovery, Distribution, Route, Upstreams};
 
 /// Number of stand-in upstreams that receive direct calls only.
 const DIRECT_UPSTREAMS: usize = 8;
@@ -74,9 +74,9 @@
 
     /// Starts the processes, sends the calls while the changes are made, and collects the results.
     pub(super) fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
-        let program = self.arguments.common.program(world::BALANCER)?;
+        let program = self.arguments.common.program(testbed::BALANCER)?;
         if self.client_has_own_core() {
-            world::pin_to_cores(&format!("1-{}", self.size.cores - 1))?;
+            testbed::pin_to_cores(&format!("1-{}", self.size.cores - 1))?;
         }
         let calls = self.draw_calls(rng);
         let running = self.start(&program, calls.len())?;
@@ -100,7 +100,7 @@
 
     /// Draws pairs of a direct call and a call through a random balancer.
     fn draw_calls(&self, rng: &mut Rand64) -> Vec<Call> {
-        let mut calls = world::paired(rng, 2, self.size.rate, self.length(), false);
+        let mut calls = testbed::paired(rng, 2, self.size.rate, self.length(), false);
         for call in calls.iter_mut().filter(|call| call.route > 0) {
             call.route = 1 + rng.rand_range(0..self.size.balancers as u64) as usize;
         }
@@ -118,16 +118,16 @@
         let discovery = Discovery::start(entries.to_vec(), beat)?;
         let distribution = match self.what {
             ChangeKind::Configuration => {
-                Some(Distribution::start(&self.arguments.common.program(world::DISTRIBUTION)?, 2)?)
+                Some(Distribution::start(&self.arguments.common.program(testbed::DISTRIBUTION)?, 2)?)
             }
             _ => None,
         };
-        let settings = world::settings(self.plan, self.size.balancers);
+        let settings = testbed::settings(self.plan, self.size.balancers);
         let (sender, reports) = mpsc::channel();
         let mut balancers = Vec::new();
         for number in 0..self.size.balancers {
             let name = format!("b{number}");
-            let mut configuration = world::configuration(&name, discovery.address, entries, &settings);
+            let mut configuration = testbed::configuration(&name, discovery.address, entries, &settings);
             configuration["settings"]["me"] = number.into();
             configuration["seed"] = format!("{:x}", 0x8c1f + number).into();
             if let Some(distribution) = &distribution {
@@ -163,13 +163,14 @@
         first: usize,
     ) -> Result<(Vec<CallResult>, Changes), CapacityError> {
         let routes = self.routes(running);
-        let start_time = Instant::now() + world::CONNECT_LEAD_TIME * 2;
+        let start_time = Instant::now() + testbed::CONNECT_LEAD_TIME * 2;
         let finished = AtomicBool::new(false);
         thread::scope(|scope| {
             let client = scope.spawn(|| {
-                let placed = if self.client_has_own_core() { world::pin_to_cores("0") } else { Ok(()) };
+                let placed = if self.client_has_own_core() { testbed::pin_to_cores("0") } else { Ok(()) };
                 let progress = AtomicUsize::new(0);
-                let played = placed.and_then(|()| world::play(calls, &routes, first, start_time, &progress));
+                let played =
+                    placed.and_then(|()| testbed::play(calls, &routes, first, start_time, &progress));
                 finished.store(true, Ordering::Release);
                 played
             });
@@ -199,7 +200,7 @@
             }
             let at = Instant::now();
             if let Some(distribution) = distribution {
-                let (scope, document) = world::configuration_change(self.plan, number);
+                let (scope, document) = testbed::configuration_change(self.plan, number);
                 let version = distribution.publish(scope, &format!("change-{number}"), &document)?;
                 published.push(Published { scope, version, at });
             } else if let Some((upstream, since)) = draining.take() {
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 
 use capacity::depth::{Chain, Figures};
-use capacity::hollow::world::{Faults, ServiceFault};
+use capacity::hollow::simulation::{Faults, ServiceFault};
 use capacity::plan::Plan;
 use capacity::slope::{Results, Slope};
 
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -7,9 +7,9 @@
 
 use capacity::CapacityError;
 use capacity::hollow::scenario::{Scenario, Span};
+use capacity::hollow::simulation::{Faults, Report};
+use capacity::hollow::timer_wheel::TimerWheel;
 use capacity::hollow::topology::{Destination, Topology};
-use capacity::hollow::wheel::TimerWheel;
-use capacity::hollow::world::{Faults, Report};
 use capacity::hollow::{Run, RunResult, play, scale_plan, sum};
 use capacity::plan::{Plan, Reading};
 use capacity::slope::Results;
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use capacity::slope::Slope;
-use capacity::world::{
+use capacity::testbed::{
     self, Balancer, Call, CallOutcome, CallResult, Class, Counts, Discovery, Route, Upstreams, Usage,
 };
 
@@ -21,8 +21,8 @@
 }
 
 fn play(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
-    let zero = Instant::now() + world::CONNECT_LEAD_TIME;
-    world::play(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
+    let zero = Instant::now() + testbed::CONNECT_LEAD_TIME;
+    testbed::play(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
 }
 
 /// Guards against coordinated omission: calls are sent at their scheduled times even when earlier calls are unanswered.
@@ -91,7 +91,7 @@
 fn call_pairs_are_complete_and_determined_by_the_seed() {
     let draw = |seed| {
         let mut rng = oorandom::Rand64::new(seed);
-        world::paired(&mut rng, 3, 500.0, Duration::from_secs(2), false)
+        testbed::paired(&mut rng, 3, 500.0, Duration::from_secs(2), false)
     };
     let calls = draw(1);
     assert!(calls.is_sorted_by_key(|call| call.at));
@@ -114,14 +114,14 @@
     let upstreams = Upstreams::start(3, 1, 200).expect("the stand-in starts");
     let discovery =
         Discovery::start(upstreams.entries(), Duration::from_millis(500)).expect("the stand-in starts");
-    let settings = world::settings(&plan(), 3);
-    let configuration = world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
+    let settings = testbed::settings(&plan(), 3);
+    let configuration = testbed::configuration("b0", discovery.address, &upstreams.entries(), &settings);
     let balancer =
         Balancer::start(&balancer_program(), &configuration, None, |_| ()).expect("the balancer serves");
     let id = balancer.process.id();
     let before = Usage::of(id).expect("the process exists");
     let mut rng = oorandom::Rand64::new(7);
-    let calls = world::paired(&mut rng, 1, 200.0, Duration::from_millis(500), false);
+    let calls = testbed::paired(&mut rng, 1, 200.0, Duration::from_millis(500), false);
     let first = upstreams.records.take_ids(calls.len()).expect("enough ids are left");
     let mut route = route(vec![balancer.address], 4);
     route.tenants = plan().traffic.tenants.value;
@@ -129,7 +129,7 @@
     let counts = Counts::of(&calls, &played, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: calls.len(), right: calls.len(), ..Counts::default() });
     assert!(Usage::of(id).expect("the process exists").since(before).cpu_ns > 0);
-    assert!(world::memory_kb(id).expect("the process exists") > 0);
+    assert!(testbed::memory_kb(id).expect("the process exists") > 0);
     assert!(balancer.listens_after <= balancer.serves_after);
     let address = balancer.address;
     drop(balancer);
@@ -141,9 +141,9 @@
 #[test]
 fn failed_balancer_start_reports_the_reason() {
     let upstreams = Upstreams::start(1, 1, 0).expect("the stand-in starts");
-    let mut settings = world::settings(&plan(), 1);
+    let mut settings = testbed::settings(&plan(), 1);
     settings["lanes"] = serde_json::json!([]);
-    let configuration = world::configuration("b0", upstreams.addresses[0], &upstreams.entries(), &settings);
+    let configuration = testbed::configuration("b0", upstreams.addresses[0], &upstreams.entries(), &settings);
     let error = Balancer::start(&balancer_program(), &configuration, None, |_| ())
         .expect_err("a balancer without a class does not start");
     assert!(error.to_string().contains("class"), "{error}");
