--- a/crates/capacity/src/arithmetic/control.rs
+++ b/crates/capacity/src/arithmetic/control.rs
@@ -296,7 +296,7 @@
         catch_up_bytes: if scenario.catch_up_bytes > 0.0 { documents } else { 0.0 },
         ..scenario.clone()
     };
-    let relays = plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64;
+    let relays = plan.control_placement.zone_relays.value as f64 / plan.fleet.zones.value as f64;
     let zones = plan.fleet.zones_by_region.value.iter().copied().max().unwrap_or(1) as f64;
     let child_relays = scenario.region_children.min(relays * zones);
     let machine = |name, mechanism, relays: f64, balancers: f64, children: f64| ConfigurationMachine {
--- a/crates/capacity/src/arithmetic/load_scenario.rs
+++ b/crates/capacity/src/arithmetic/load_scenario.rs
@@ -44,7 +44,7 @@
 
 /// Returns the number of relays in one zone.
 fn relays_of_zone(plan: &Plan) -> f64 {
-    plan.deal.zone_relays.value as f64 / plan.fleet.zones.value as f64
+    plan.control_placement.zone_relays.value as f64 / plan.fleet.zones.value as f64
 }
 
 impl LoadScenario {
@@ -98,7 +98,7 @@
             call_in_flight_s: plan.call_in_flight_s(),
             zone_children: zone / relays,
             region_children: zones * relays,
-            origin_children: regions + plan.deal.standbys.value as f64,
+            origin_children: regions + plan.control_placement.standbys.value as f64,
             tier_faulty: false,
         }
     }
--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -10,7 +10,7 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 use crate::sockets::child;
-use crate::sockets::plane;
+use crate::sockets::control_plane;
 
 mod configuration;
 mod list;
@@ -63,7 +63,7 @@
     child::handle_signals()?;
     let rig = Rig {
         plan,
-        folder: plane::folder(&arguments.out, "slopes")?,
+        folder: control_plane::folder(&arguments.out, "slopes")?,
         plays: if arguments.small { 1 } else { arguments.plays },
         seed: arguments.seed,
         sizes: SIZE_FRACTIONS.map(|part| {
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -11,9 +11,9 @@
 use crate::CapacityError;
 use crate::control::TIMEOUT;
 use crate::control::rig::Rig;
+use crate::sockets::control_plane::{self, Change, ControlPlane, ControlProcess, Response, Role};
+use crate::sockets::hollow_processes::{DelayHistogram, HollowProcesses};
 use crate::sockets::machine::Usage;
-use crate::sockets::plane::{self, Change, ControlPlane, ControlProcess, Response, Role};
-use crate::sockets::swarm::{DelayHistogram, HollowProcesses};
 use crate::sockets::{region_name, service_name};
 
 /// Index of the origin among the control processes.
@@ -36,7 +36,7 @@
     rig: &'a Rig<'a>,
     /// Number of balancers that watch the relay.
     watchers: usize,
-    plane: ControlPlane,
+    control_plane: ControlPlane,
     /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
 }
@@ -46,7 +46,7 @@
     pub(super) fn start(rig: &'a Rig<'a>, watchers: usize) -> Result<Self, CapacityError> {
         let machine = |role, parents| ControlProcess { role, region: 0, zone: None, parents };
         let machines = vec![machine(Role::Origin, Vec::new()), machine(Role::Region, vec![ORIGIN])];
-        Ok(Self { rig, watchers, plane: ControlPlane::start(machines)?, newest: HashMap::new() })
+        Ok(Self { rig, watchers, control_plane: ControlPlane::start(machines)?, newest: HashMap::new() })
     }
 
     /// Publishes all documents, then measures balancers at rest and through changes.
@@ -55,12 +55,15 @@
         if self.watchers == self.rig.sizes[self.rig.sizes.len() - 1] {
             self.measure_catch_up(all)?;
         }
-        let relay = self.plane.address(RELAY);
-        let mut swarm = self.rig.swarm(self.watchers, None, &|_, _| vec![relay])?;
-        self.wait_for_newest(&mut swarm, "not all balancers received their configuration in time")?;
-        self.wait_for_reports(&mut swarm)?;
-        let at_rest = self.measure_rest(&mut swarm, all)?;
-        self.measure_changes(&mut swarm, &at_rest, all)
+        let relay = self.control_plane.address(RELAY);
+        let mut hollow_processes = self.rig.hollow_processes(self.watchers, None, &|_, _| vec![relay])?;
+        self.wait_for_newest(
+            &mut hollow_processes,
+            "not all balancers received their configuration in time",
+        )?;
+        self.wait_for_reports(&mut hollow_processes)?;
+        let at_rest = self.measure_rest(&mut hollow_processes, all)?;
+        self.measure_changes(&mut hollow_processes, &at_rest, all)
     }
 
     /// Whether this is a small run.
@@ -71,7 +74,12 @@
     /// Publishes a document of this size at the origin; `turn` makes its content and request id unique.
     fn publish(&mut self, scope: Scope, bytes: usize, turn: u64) -> Result<Change, CapacityError> {
         let id = format!("{scope}-{turn}");
-        let change = plane::publish(self.plane.address(ORIGIN), &scope, &plane::body(bytes, turn), &id)?;
+        let change = control_plane::publish(
+            self.control_plane.address(ORIGIN),
+            &scope,
+            &control_plane::body(bytes, turn),
+            &id,
+        )?;
         self.newest.insert(scope, change.version);
         Ok(change)
     }
@@ -97,7 +105,7 @@
     fn measure_catch_up(&self, all: &mut Measured) -> Result<(), CapacityError> {
         let index = self.newest.values().copied().max().unwrap_or(0);
         for missed in MISSED_CHANGES.map(|missed| missed.min(self.newest.len())) {
-            let bytes = catch_up(self.plane.address(ORIGIN), index, index - missed as u64)?;
+            let bytes = catch_up(self.control_plane.address(ORIGIN), index, index - missed as u64)?;
             all.catch_up.add(missed, bytes as f64);
         }
         Ok(())
@@ -107,31 +115,33 @@
     /// within [`TIMEOUT`].
     fn wait_for_newest(
         &self,
-        swarm: &mut HollowProcesses,
+        hollow_processes: &mut HollowProcesses,
         timeout_message: &str,
     ) -> Result<(), CapacityError> {
-        if swarm.receive_until(TIMEOUT, |swarm| swarm.missing(&self.newest) == 0)? {
+        if hollow_processes
+            .receive_until(TIMEOUT, |hollow_processes| hollow_processes.missing(&self.newest) == 0)?
+        {
             return Ok(());
         }
         Err(CapacityError::run(format!("configuration to {} balancers", self.watchers), timeout_message))
     }
 
     /// Waits for the balancers' reports of a change, which follow within half a second.
-    fn wait_for_reports(&self, swarm: &mut HollowProcesses) -> Result<(), CapacityError> {
-        swarm.receive_for(self.rig.window / 6)
+    fn wait_for_reports(&self, hollow_processes: &mut HollowProcesses) -> Result<(), CapacityError> {
+        hollow_processes.receive_for(self.rig.window / 6)
     }
 
     /// Measures what the processes use while nothing changes, and returns the rates of each run.
     fn measure_rest(
         &mut self,
-        swarm: &mut HollowProcesses,
+        hollow_processes: &mut HollowProcesses,
         all: &mut Measured,
     ) -> Result<Vec<Rates>, CapacityError> {
         let mut at_rest = Vec::new();
         for _ in 0..self.rig.plays {
-            let from = UsageTotals::of(swarm, &mut self.plane)?;
-            swarm.receive_for(self.rig.window)?;
-            let to = UsageTotals::of(swarm, &mut self.plane)?;
+            let from = UsageTotals::of(hollow_processes, &mut self.control_plane)?;
+            hollow_processes.receive_for(self.rig.window)?;
+            let to = UsageTotals::of(hollow_processes, &mut self.control_plane)?;
             let rest = from.until(&to);
             all.rest_bytes.add(self.watchers, rest.bytes);
             all.server_core.add(self.watchers, rest.server / 1e9);
@@ -146,17 +156,17 @@
     /// Measures the cost of changes of the fleet's document beyond the cost `at_rest`.
     fn measure_changes(
         &mut self,
-        swarm: &mut HollowProcesses,
+        hollow_processes: &mut HollowProcesses,
         at_rest: &[Rates],
         all: &mut Measured,
     ) -> Result<(), CapacityError> {
         let changes = if self.is_small() { CHANGES_SMALL } else { CHANGES };
-        let from = UsageTotals::of(swarm, &mut self.plane)?;
+        let from = UsageTotals::of(hollow_processes, &mut self.control_plane)?;
         for turn in 1..=changes {
-            self.measure_change(swarm, turn, all)?;
-            self.wait_for_reports(swarm)?;
+            self.measure_change(hollow_processes, turn, all)?;
+            self.wait_for_reports(hollow_processes)?;
         }
-        let to = UsageTotals::of(swarm, &mut self.plane)?;
+        let to = UsageTotals::of(hollow_processes, &mut self.control_plane)?;
         let rates = from.until(&to);
         let seconds = (to.at - from.at).as_secs_f64() / changes as f64;
         let mean = |cost: fn(&Rates) -> f64| at_rest.iter().map(cost).sum::<f64>() / at_rest.len() as f64;
@@ -170,15 +180,15 @@
     /// Publishes one change of the fleet's document, and measures the times until it is in force at the balancers.
     fn measure_change(
         &mut self,
-        swarm: &mut HollowProcesses,
+        hollow_processes: &mut HollowProcesses,
         turn: u64,
         all: &mut Measured,
     ) -> Result<(), CapacityError> {
         let bytes = self.rig.plan.configuration.fleet_bytes.value;
         let change = self.publish(Scope::Fleet, bytes, turn)?;
-        self.wait_for_newest(swarm, "a change did not reach all balancers in time")?;
+        self.wait_for_newest(hollow_processes, "a change did not reach all balancers in time")?;
         let (mut times, mut sent) = (DelayHistogram::new()?, DelayHistogram::new()?);
-        for arrival in swarm.times(&change) {
+        for arrival in hollow_processes.times(&change) {
             let Some(at_ns) = arrival.at_ns else { continue };
             times.add(at_ns.saturating_sub(change.acknowledged_ns));
             sent.add(at_ns.saturating_sub(change.sent_ns));
@@ -214,9 +224,17 @@
 
 impl UsageTotals {
     /// Reads the totals until now.
-    fn of(swarm: &mut HollowProcesses, plane: &mut ControlPlane) -> Result<Self, CapacityError> {
-        let bytes = swarm.carried()?.bytes;
-        Ok(Self { at: Instant::now(), bytes, server: plane.usage(RELAY), clients: swarm.usage() })
+    fn of(
+        hollow_processes: &mut HollowProcesses,
+        control_plane: &mut ControlPlane,
+    ) -> Result<Self, CapacityError> {
+        let bytes = hollow_processes.carried()?.bytes;
+        Ok(Self {
+            at: Instant::now(),
+            bytes,
+            server: control_plane.usage(RELAY),
+            clients: hollow_processes.usage(),
+        })
     }
 
     /// Rates of usage between this time and the later `to`.
@@ -239,7 +257,7 @@
     let until = Instant::now() + TIMEOUT;
     loop {
         let Response { status, body, bytes } =
-            plane::request(origin, &head, "").map_err(|cause| CapacityError::run(&place, cause))?;
+            control_plane::request(origin, &head, "").map_err(|cause| CapacityError::run(&place, cause))?;
         match serde_json::from_str::<Update>(body.trim()) {
             Ok(update) if status == 200 && update.index == index => return Ok(bytes as u64),
             _ if Instant::now() < until => thread::sleep(Duration::from_millis(10)),
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -6,9 +6,9 @@
 use super::list_client::{Client, catch_up_bytes};
 use super::rig::{Rig, Samples, SlopeInfo};
 use crate::CapacityError;
+use crate::sockets::hollow_processes::HollowProcesses;
 use crate::sockets::list::ListServer;
 use crate::sockets::machine;
-use crate::sockets::swarm::HollowProcesses;
 
 /// Value of `--part` that measures watches of the endpoint list.
 const PART: &str = "list";
@@ -173,13 +173,14 @@
     fn measure_list_watchers(&self, watchers: usize, all: &mut IdleSamples) -> Result<(), CapacityError> {
         let own_memory_kb_before = own_memory_kb();
         let server = self.server(self.sizes[0])?;
-        let mut swarm = self.swarm(watchers, Some(server.address), &|_, _| Vec::new())?;
-        if !swarm.receive_until(TIMEOUT, HollowProcesses::all_listed)? {
+        let mut hollow_processes =
+            self.hollow_processes(watchers, Some(server.address), &|_, _| Vec::new())?;
+        if !hollow_processes.receive_until(TIMEOUT, HollowProcesses::all_listed)? {
             return Err(CapacityError::run("watches of the list", "not all have a list in time"));
         }
-        swarm.receive_for(self.window / 6)?;
+        hollow_processes.receive_for(self.window / 6)?;
         for _ in 0..self.plays {
-            self.measure_list_rest(watchers, &server, &mut swarm, all)?;
+            self.measure_list_rest(watchers, &server, &mut hollow_processes, all)?;
             all.server_kb.add(watchers, own_memory_kb().saturating_sub(own_memory_kb_before) as f64);
         }
         Ok(())
@@ -190,14 +191,14 @@
         &self,
         watchers: usize,
         server: &ListServer,
-        swarm: &mut HollowProcesses,
+        hollow_processes: &mut HollowProcesses,
         all: &mut IdleSamples,
     ) -> Result<(), CapacityError> {
-        let (before, used) = (server.carried(), swarm.usage());
+        let (before, used) = (server.carried(), hollow_processes.usage());
         let start = Instant::now();
-        swarm.receive_for(self.window)?;
+        hollow_processes.receive_for(self.window)?;
         let (after, seconds) = (server.carried(), start.elapsed().as_secs_f64());
-        let now = swarm.usage();
+        let now = hollow_processes.usage();
         let carried = after.read + after.written - before.read - before.written;
         all.bytes.add(watchers, carried as f64 / seconds);
         all.server_core.add(watchers, (after.cpu_ns - before.cpu_ns) as f64 / 1e9 / seconds);
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -9,8 +9,8 @@
 use crate::plan::Plan;
 use crate::slope::{Fit, Point, Slope, commit};
 use crate::sockets::hollow::Job;
+use crate::sockets::hollow_processes::HollowProcesses;
 use crate::sockets::list::ListServer;
-use crate::sockets::swarm::HollowProcesses;
 use crate::sockets::{fleet, hollow_balancers, zone_names};
 
 /// Parameters of all measurements of one run of the command.
@@ -99,7 +99,7 @@
 
     /// Starts `watchers` hollow balancers of the fleet, which watch the list at `list`, if there is one, and the
     /// configuration at the parents that `parents` returns for a region and a zone.
-    pub(super) fn swarm(
+    pub(super) fn hollow_processes(
         &self,
         watchers: usize,
         list: Option<SocketAddr>,
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -196,36 +196,36 @@
 
 pub(super) fn placement_block(plan: &Plan) -> String {
     let day = LoadScenario::all(plan).swap_remove(0);
-    let deal = &plan.deal;
-    let relays = deal.zone_relays.value / plan.fleet.zones.value;
-    let region_relays = deal.region_relays.value / plan.fleet.regions.value;
+    let placement = &plan.control_placement;
+    let relays = placement.zone_relays.value / plan.fleet.zones.value;
+    let region_relays = placement.region_relays.value / plan.fleet.regions.value;
     let mut text = table(
         &["kind", "machines", "where", "children of one at most", "what the loss of one costs"],
         [
             vec![
                 "origin".into(),
-                deal.origins.value.to_string(),
+                placement.origins.value.to_string(),
                 "the first region".into(),
                 format!("{} relays", format_number(day.origin_children)),
                 "nothing can be published; everything in force stays".into(),
             ],
             vec![
                 "standby".into(),
-                deal.standbys.value.to_string(),
+                placement.standbys.value.to_string(),
                 "the second region".into(),
                 "none".into(),
                 "no copy outside the origin's region but the relays' own".into(),
             ],
             vec![
                 "relay of a region".into(),
-                deal.region_relays.value.to_string(),
+                placement.region_relays.value.to_string(),
                 format!("{region_relays} in each region"),
                 format!("{} relays of zones", format_number(day.region_children)),
                 "its zones' relays ask the origin".into(),
             ],
             vec![
                 "relay of a zone".into(),
-                deal.zone_relays.value.to_string(),
+                placement.zone_relays.value.to_string(),
                 format!("{relays} in each zone"),
                 format!("{} balancers", format_number(day.zone_children)),
                 "its balancers go to the other of the zone; with both lost, to the region's".into(),
@@ -238,8 +238,8 @@
         &["region", "zones", "upstreams", "upstreams a zone", "control machines"],
         zones.map(|(region, (&zones, share))| {
             let upstreams = plan.fleet.upstreams.value as f64 * share;
-            let origins = if region == 0 { deal.origins.value } else { 0 };
-            let standbys = if region == 1 { deal.standbys.value } else { 0 };
+            let origins = if region == 0 { placement.origins.value } else { 0 };
+            let standbys = if region == 1 { placement.standbys.value } else { 0 };
             vec![
                 (region + 1).to_string(),
                 zones.to_string(),
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -222,7 +222,7 @@
 
 section! {
     /// Number of control machines in each role.
-    Deal {
+    ControlPlacement {
         /// Number of origins, which accept publications.
         origins: usize,
         /// Number of standbys: replicas of the origin that can take over from it.
@@ -273,7 +273,8 @@
     /// Resource budgets of the control traffic.
     pub budget: Budget,
     /// Number of control machines in each role.
-    pub deal: Deal,
+    #[serde(rename = "deal")]
+    pub control_placement: ControlPlacement,
     /// Failures that are planned for, and how often they happen.
     pub failures: Failures,
 }
@@ -334,7 +335,7 @@
         self.list.printed("list", &mut printed);
         self.configuration.printed("configuration", &mut printed);
         self.budget.printed("budget", &mut printed);
-        self.deal.printed("deal", &mut printed);
+        self.control_placement.printed("deal", &mut printed);
         self.failures.printed("failures", &mut printed);
         printed
     }
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -3,7 +3,7 @@
 
 use thiserror::Error;
 
-use super::{Deal, MAX_UPSTREAMS, Plan};
+use super::{ControlPlacement, MAX_UPSTREAMS, Plan};
 
 /// Tolerance for the sum of fractions that must be 1: decimal fractions do not add up exactly in binary floating point.
 const SHARE_SUM_TOLERANCE: f64 = 1e-6;
@@ -149,8 +149,8 @@
     }
 
     fn check_control_machines(&self, faults: &mut Faults) {
-        let Self { fleet, budget, deal, .. } = self;
-        let Deal { origins, standbys, region_relays, zone_relays } = deal;
+        let Self { fleet, budget, control_placement, .. } = self;
+        let ControlPlacement { origins, standbys, region_relays, zone_relays } = control_placement;
         faults.require(origins.value >= 1, "deal.origins", "at least 1");
         faults.require(
             origins.value + standbys.value + region_relays.value + zone_relays.value
--- a/crates/capacity/src/sockets.rs
+++ b/crates/capacity/src/sockets.rs
@@ -10,17 +10,17 @@
 use crate::slope::{Results, commit};
 
 pub mod child;
+pub mod control_plane;
 mod cost;
 mod fleet;
 pub mod hollow;
+pub mod hollow_processes;
 pub mod list;
 pub mod machine;
 mod outcome;
-pub mod plane;
 mod run_scenario;
 mod schedule;
 mod size;
-pub mod swarm;
 
 pub use self::fleet::{Placement, fleet, hollow_balancers, region_name, service_name, zone_names};
 use self::outcome::COLUMNS;
@@ -103,7 +103,7 @@
     }
     let size = Size::of(arguments, plan)?;
     child::handle_signals()?;
-    let folder = plane::folder(&arguments.out, "results")?;
+    let folder = control_plane::folder(&arguments.out, "results")?;
     let scenarios = match &arguments.scenario[..] {
         [] => Scenario::value_variants(),
         named => named,
--- a/crates/capacity/src/sockets/plane.rs
+++ b/crates/capacity/src/sockets/control_plane.rs
@@ -16,12 +16,12 @@
 use super::machine::{self, Usage};
 use crate::CapacityError;
 
-mod deal;
 mod forwarder;
+mod placement;
 mod publication;
 
-pub use self::deal::{ControlProcess, Role, deal, region_of};
 use self::forwarder::{Forwarder, Forwarders, forward_all};
+pub use self::placement::{ControlProcess, Role, placement, region_of};
 pub use self::publication::{Change, Response, body, publish, request};
 
 /// Name of the control processes' program.
@@ -59,7 +59,7 @@
 }
 
 /// Number of control planes that this process has started, which gives each of them its own ports and directory.
-static PLANE_COUNT: AtomicUsize = AtomicUsize::new(0);
+static CONTROL_PLANE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 impl ControlPlane {
     /// Starts all processes and waits until each of them listens.
@@ -68,13 +68,14 @@
     /// The program is missing, or a process does not listen within the time-out.
     pub fn start(machines: Vec<ControlProcess>) -> Result<Self, CapacityError> {
         let program = program()?;
-        let plane_number = PLANE_COUNT.fetch_add(1, Ordering::Relaxed);
+        let control_plane_number = CONTROL_PLANE_COUNT.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
         // A loopback address derived from the process id, so that the ports do not collide with those of another run.
         let [_, high, middle, low] = pid.to_be_bytes();
         let ip = IpAddr::V4(Ipv4Addr::new(127, 64 + high % 64, middle, low));
-        let port = |process_index: usize| FIRST_PORT + ((plane_number % 64) * 128 + process_index) as u16;
-        let directory = std::env::temp_dir().join(format!("capacity-{pid}-{plane_number}"));
+        let port =
+            |process_index: usize| FIRST_PORT + ((control_plane_number % 64) * 128 + process_index) as u16;
+        let directory = std::env::temp_dir().join(format!("capacity-{pid}-{control_plane_number}"));
         fs::create_dir_all(&directory).map_err(|cause| CapacityError::file(&directory, cause))?;
         let (partition, partitions) = watch::channel(None);
         let mut edges = Vec::new();
@@ -104,12 +105,12 @@
             })
             .collect::<Vec<_>>();
         let forwarders = Some(forward_all(forwarders, partitions)?);
-        let mut plane = Self { running, edges, partition, program, directory, forwarders };
-        for process_index in 0..plane.running.len() {
-            plane.launch(process_index)?;
+        let mut control_plane = Self { running, edges, partition, program, directory, forwarders };
+        for process_index in 0..control_plane.running.len() {
+            control_plane.launch(process_index)?;
         }
-        plane.wait_listening()?;
-        Ok(plane)
+        control_plane.wait_listening()?;
+        Ok(control_plane)
     }
 
     /// Starts the control process `process_index`, which must not be running.
--- a/crates/capacity/src/sockets/plane/deal.rs
+++ b/crates/capacity/src/sockets/control_plane/placement.rs
@@ -51,21 +51,23 @@
 /// Lists the control processes of the plan: the origin in the first region, the standby in the next, the region relays,
 /// which follow both, and the zone relays, which follow the relays of their region and the standby.
 #[must_use]
-pub fn deal(plan: &Plan) -> Vec<ControlProcess> {
+pub fn placement(plan: &Plan) -> Vec<ControlProcess> {
     let regions = plan.fleet.regions.value;
     let mut machines = Vec::new();
     let machine = |role, region, zone, parents| ControlProcess { role, region, zone, parents };
-    machines.extend((0..plan.deal.origins.value).map(|_| machine(Role::Origin, 0, None, Vec::new())));
+    machines.extend(
+        (0..plan.control_placement.origins.value).map(|_| machine(Role::Origin, 0, None, Vec::new())),
+    );
     let origins: Vec<usize> = (0..machines.len()).collect();
-    for _ in 0..plan.deal.standbys.value {
+    for _ in 0..plan.control_placement.standbys.value {
         machines.push(machine(Role::Standby, 1 % regions, None, origins.clone()));
     }
     let origins_and_standbys: Vec<usize> = (0..machines.len()).collect();
     let standbys = &origins_and_standbys[origins.len()..];
-    for number in 0..plan.deal.region_relays.value {
+    for number in 0..plan.control_placement.region_relays.value {
         machines.push(machine(Role::Region, number % regions, None, origins_and_standbys.clone()));
     }
-    let per_zone = plan.deal.zone_relays.value / plan.fleet.zones.value.max(1);
+    let per_zone = plan.control_placement.zone_relays.value / plan.fleet.zones.value.max(1);
     for zone in 0..plan.fleet.zones.value {
         let region = region_of(plan, zone);
         let region_parents = (0..machines.len())
--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
+use super::control_plane::{ControlProcess, Role};
 use super::machine;
-use super::plane::{ControlProcess, Role};
 
 /// Totals of all processes at one moment of a run.
 pub(super) struct Totals {
--- a/crates/capacity/src/sockets/fleet.rs
+++ b/crates/capacity/src/sockets/fleet.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
+use super::control_plane;
 use super::hollow::HollowBalancer;
-use super::plane;
 use crate::plan::Plan;
 
 /// Fractional part of the golden ratio. Steps of this size modulo 1 spread the balancers evenly over the shares of the
@@ -34,7 +34,7 @@
         sizes.iter().enumerate().flat_map(|(service, &size)| std::iter::repeat_n(service, size)).collect();
     let fractions: Vec<f64> = (0..plan.fleet.zones.value)
         .map(|zone| {
-            let region = plane::region_of(plan, zone);
+            let region = control_plane::region_of(plan, zone);
             plan.fleet.region_shares.value[region] / plan.fleet.zones_by_region.value[region] as f64
         })
         .collect();
@@ -61,7 +61,7 @@
     parents: &dyn Fn(usize, usize) -> Vec<SocketAddr>,
 ) -> Vec<HollowBalancer> {
     let balancer = |(number, &Placement { service, zone }): (usize, &Placement)| {
-        let region = plane::region_of(plan, zone);
+        let region = control_plane::region_of(plan, zone);
         HollowBalancer {
             number,
             service: service_name(service),
--- a/crates/capacity/src/sockets/swarm.rs
+++ b/crates/capacity/src/sockets/hollow_processes.rs
@@ -10,9 +10,9 @@
 use hdrhistogram::Histogram;
 
 use super::child::{self, Child, Output};
+use super::control_plane::Change;
 use super::hollow::{Event, Figures, HollowBalancer, Job};
 use super::machine::{self, Usage};
-use super::plane::Change;
 use crate::CapacityError;
 
 /// Longest time that the histogram can record, in microseconds.
@@ -214,7 +214,7 @@
         for child in &mut self.children {
             child.send_line("figures")?;
         }
-        let all = |swarm: &Self| swarm.figures.iter().all(Option::is_some);
+        let all = |hollow_processes: &Self| hollow_processes.figures.iter().all(Option::is_some);
         if !self.receive_until(Duration::from_secs(20), all)? {
             return Err(CapacityError::run(
                 "hollow balancers",
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -3,7 +3,7 @@
 use super::Scenario;
 use super::cost::{Busiest, Cost};
 use super::hollow::WINDOW_S;
-use super::swarm::DelayHistogram;
+use super::hollow_processes::DelayHistogram;
 use crate::plan::Plan;
 
 /// Column headings of the results table.
--- a/crates/capacity/src/sockets/run_scenario.rs
+++ b/crates/capacity/src/sockets/run_scenario.rs
@@ -6,15 +6,15 @@
 
 use config_distribution::document::Scope;
 
+use super::control_plane::{self, ControlPlane, ControlProcess, Role};
 use super::cost::{Busiest, ControlUsage, Cost, Totals};
 use super::fleet::{Placement, hollow_balancers};
 use super::hollow::Job;
+use super::hollow_processes::{Arrival, DelayHistogram, HollowProcesses};
 use super::list::ListServer;
 use super::outcome::Outcome;
-use super::plane::{self, ControlPlane, ControlProcess, Role};
 use super::schedule::schedule;
 use super::size::Size;
-use super::swarm::{Arrival, DelayHistogram, HollowProcesses};
 use super::{Scenario, fleet, machine, region_name, service_name, zone_names};
 use crate::CapacityError;
 use crate::plan::Plan;
@@ -55,7 +55,7 @@
     let end = scenario_run.totals()?;
     let watches_at_wrong_index = scenario_run.reconnect_list_watches()?;
     let times = scenario_run.change_times(&record, &target)?;
-    let machines: Vec<ControlProcess> = scenario_run.plane.machines().cloned().collect();
+    let machines: Vec<ControlProcess> = scenario_run.control_plane.machines().cloned().collect();
     let cost = |from, to| Cost::between(from, to, size.balancers, &machines);
     Ok(Outcome {
         scenario,
@@ -64,7 +64,7 @@
         changes: record.changes.len(),
         times: times.from_acknowledgement,
         from_sending: times.from_sending,
-        index_regressions: scenario_run.swarm.index_regressions,
+        index_regressions: scenario_run.hollow_processes.index_regressions,
         missing,
         watches_at_wrong_index,
         idle: cost(&idle_start, &idle_end),
@@ -97,8 +97,8 @@
     plan: &'a Plan,
     /// Service and zone of each balancer, by its number.
     placements: Vec<Placement>,
-    plane: ControlPlane,
-    swarm: HollowProcesses,
+    control_plane: ControlPlane,
+    hollow_processes: HollowProcesses,
     list: ListServer,
     /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
@@ -116,18 +116,18 @@
     /// Starts all processes. The first document of each scope is published before the balancers start.
     fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
         let placements = fleet(plan, size.balancers);
-        let plane = ControlPlane::start(plane::deal(plan))?;
-        let newest = publish_first(plane.address(0), plan, &services(&placements))?;
+        let control_plane = ControlPlane::start(control_plane::placement(plan))?;
+        let newest = publish_first(control_plane.address(0), plan, &services(&placements))?;
         let list = start_list(size, plan)?;
         let balancers =
-            hollow_balancers(plan, &placements, seed, &|region, zone| plane.parents_of(region, zone));
+            hollow_balancers(plan, &placements, seed, &|region, zone| control_plane.parents_of(region, zone));
         let job = Job {
             list: Some(list.address),
             zones: zone_names(plan),
             apart_ms: if size.per_process > PER_PROCESS_SMALL { START_INTERVAL_MS } else { 0 },
             balancers: Vec::new(),
         };
-        let swarm = HollowProcesses::start(&balancers, size.per_process, &job)?;
+        let hollow_processes = HollowProcesses::start(&balancers, size.per_process, &job)?;
         let memory_bound_kb = (machine::memory_kb().unwrap_or(u64::MAX) as f64 * MAX_MEMORY_FRACTION) as u64;
         let label = format!("sockets {} {seed}", scenario.name());
         Ok(Self {
@@ -136,8 +136,8 @@
             size,
             plan,
             placements,
-            plane,
-            swarm,
+            control_plane,
+            hollow_processes,
             list,
             newest,
             memory_bound_kb,
@@ -148,11 +148,13 @@
     /// Waits until all balancers have received their endpoint list and their documents.
     fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
         let newest = &self.newest;
-        let is_ready = |swarm: &HollowProcesses| swarm.all_listed() && swarm.missing(newest) == 0;
-        if self.swarm.receive_until(TIMEOUT, is_ready)? {
+        let is_ready = |hollow_processes: &HollowProcesses| {
+            hollow_processes.all_listed() && hollow_processes.missing(newest) == 0
+        };
+        if self.hollow_processes.receive_until(TIMEOUT, is_ready)? {
             return Ok(());
         }
-        let missing = self.swarm.missing(newest);
+        let missing = self.hollow_processes.missing(newest);
         let cause = format!("timed out at the start: {missing} balancers lack the current configuration");
         Err(CapacityError::run(self.label.clone(), cause))
     }
@@ -160,9 +162,9 @@
     /// Measures the totals at the start and the end of a span in which no configuration changes.
     fn idle(&mut self) -> Result<(Totals, Totals), CapacityError> {
         // The lists and documents of the start have been processed after this pause.
-        self.swarm.receive_for(self.size.idle / 2)?;
+        self.hollow_processes.receive_for(self.size.idle / 2)?;
         let from = self.totals()?;
-        self.swarm.receive_for(self.size.idle)?;
+        self.hollow_processes.receive_for(self.size.idle)?;
         Ok((from, self.totals()?))
     }
 
@@ -172,8 +174,9 @@
             self.newest.insert(change.scope.clone(), change.version);
         }
         let newest = &self.newest;
-        self.swarm.receive_until(TIMEOUT, |swarm| swarm.missing(newest) == 0)?;
-        Ok(self.swarm.missing(newest))
+        self.hollow_processes
+            .receive_until(TIMEOUT, |hollow_processes| hollow_processes.missing(newest) == 0)?;
+        Ok(self.hollow_processes.missing(newest))
     }
 
     /// Closes all watches of the endpoint list, which then reconnect; returns how many do not continue from the current
@@ -183,7 +186,7 @@
         let (requests_before, index) = (list.asked().len(), list.index());
         list.close_all();
         let reconnected = || list.asked().len().saturating_sub(requests_before);
-        self.swarm.receive_until(TIMEOUT, |_| reconnected() >= balancers)?;
+        self.hollow_processes.receive_until(TIMEOUT, |_| reconnected() >= balancers)?;
         let asked = list.asked();
         Ok(balancers.abs_diff(asked[requests_before..].iter().filter(|&&since| since == index).count()))
     }
@@ -194,10 +197,10 @@
             from_sending: DelayHistogram::new()?,
         };
         for change in &record.changes {
-            for Arrival { balancer, at_ns } in self.swarm.times(change) {
+            for Arrival { balancer, at_ns } in self.hollow_processes.times(change) {
                 let Some(at_ns) = at_ns else { continue };
                 let zone = self.placements[balancer].zone;
-                let is_partitioned = plane::region_of(self.plan, zone) == target.partitioned_region;
+                let is_partitioned = control_plane::region_of(self.plan, zone) == target.partitioned_region;
                 // A change published during the partition can reach these balancers only after its end, so the delay
                 // counts from there.
                 let partition = record
@@ -216,19 +219,20 @@
     /// # Errors
     /// The processes use more memory than the limit allows.
     fn totals(&mut self) -> Result<Totals, CapacityError> {
-        let carried = self.swarm.carried()?;
-        let process_count = self.plane.machines().count();
+        let carried = self.hollow_processes.carried()?;
+        let process_count = self.control_plane.machines().count();
         let control = (0..process_count)
             .map(|process_index| {
-                let used = self.plane.usage(process_index);
-                let below = carried.by_parent.get(&self.plane.address(process_index)).copied().unwrap_or(0);
-                ControlUsage { process: used, bytes: self.plane.bytes(process_index) + below }
+                let used = self.control_plane.usage(process_index);
+                let below =
+                    carried.by_parent.get(&self.control_plane.address(process_index)).copied().unwrap_or(0);
+                ControlUsage { process: used, bytes: self.control_plane.bytes(process_index) + below }
             })
             .collect();
         let list = self.list.carried();
         let totals = Totals {
             at: Instant::now(),
-            balancers: self.swarm.usage(),
+            balancers: self.hollow_processes.usage(),
             configuration_bytes: carried.bytes,
             list_bytes: list.read + list.written,
             most_in_window: carried.most_in_window,
@@ -254,12 +258,12 @@
 
     /// Kills the control processes that match.
     fn kill(&mut self, matches: impl Fn(&ControlProcess) -> bool) {
-        let machines = self.plane.machines().enumerate();
+        let machines = self.control_plane.machines().enumerate();
         let process_indices: Vec<usize> = machines
             .filter_map(|(process_index, machine)| matches(machine).then_some(process_index))
             .collect();
         for process_index in process_indices {
-            self.plane.kill(process_index);
+            self.control_plane.kill(process_index);
         }
     }
 }
@@ -286,7 +290,12 @@
     documents.extend(services.iter().map(service));
     let mut newest = HashMap::new();
     for (number, (scope, bytes)) in documents.into_iter().enumerate() {
-        let change = plane::publish(origin, &scope, &plane::body(bytes, 0), &format!("first-{number}"))?;
+        let change = control_plane::publish(
+            origin,
+            &scope,
+            &control_plane::body(bytes, 0),
+            &format!("first-{number}"),
+        )?;
         newest.insert(scope, change.version);
     }
     Ok(newest)
--- a/crates/capacity/src/sockets/run_scenario/fault.rs
+++ b/crates/capacity/src/sockets/run_scenario/fault.rs
@@ -8,8 +8,8 @@
 use super::{ScenarioRun, recovery_window, schedule, services};
 use crate::CapacityError;
 use crate::plan::Plan;
+use crate::sockets::control_plane::{Change, Role};
 use crate::sockets::cost::Totals;
-use crate::sockets::plane::{Change, Role};
 use crate::sockets::schedule::publish_all;
 use crate::sockets::{Scenario, machine};
 
@@ -91,7 +91,7 @@
             &services(&scenario_run.placements),
         );
         let change_count = planned.len();
-        let published = publish_all(scenario_run.plane.address(0), planned);
+        let published = publish_all(scenario_run.control_plane.address(0), planned);
         Self {
             scenario_run,
             target,
@@ -112,7 +112,7 @@
         while self.changes.len() < self.change_count || self.recovery_end.is_none() {
             self.receive_published()?;
             self.run_due_actions(self.start.elapsed())?;
-            self.scenario_run.swarm.receive_for(CHECK_INTERVAL)?;
+            self.scenario_run.hollow_processes.receive_for(CHECK_INTERVAL)?;
         }
         let not_measured = || {
             CapacityError::run(
@@ -190,16 +190,16 @@
                 .scenario_run
                 .kill(|machine| machine.role == Role::Region && machine.region == target.region),
             Scenario::Zone => self.scenario_run.kill(|machine| machine.zone == Some(target.zone)),
-            Scenario::Partition => self.scenario_run.plane.partition(Some(target.partitioned_region)),
+            Scenario::Partition => self.scenario_run.control_plane.partition(Some(target.partitioned_region)),
             Scenario::Reconnect => self.restart_control()?,
         }
         Ok(())
     }
 
     fn kill_first_relay(&mut self, zone: usize) {
-        let first = self.scenario_run.plane.machines().position(|machine| machine.zone == Some(zone));
+        let first = self.scenario_run.control_plane.machines().position(|machine| machine.zone == Some(zone));
         if let Some(process_index) = first {
-            self.scenario_run.plane.kill(process_index);
+            self.scenario_run.control_plane.kill(process_index);
         }
     }
 
@@ -207,8 +207,8 @@
     fn restart_control(&mut self) -> Result<(), CapacityError> {
         self.scenario_run.kill(|_| true);
         self.scenario_run.list.close_all();
-        for process_index in 0..self.scenario_run.plane.machines().count() {
-            self.scenario_run.plane.launch(process_index)?;
+        for process_index in 0..self.scenario_run.control_plane.machines().count() {
+            self.scenario_run.control_plane.launch(process_index)?;
         }
         Ok(())
     }
@@ -217,7 +217,7 @@
         self.recovery_start = Some(self.scenario_run.totals()?);
         let begin_ns = self.fault_begin_ns.unwrap_or(0);
         self.partition = Some(Partition { begin_ns, end_ns: machine::now_ns() });
-        self.scenario_run.plane.partition(None);
+        self.scenario_run.control_plane.partition(None);
         Ok(())
     }
 }
--- a/crates/capacity/src/sockets/schedule.rs
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -8,7 +8,7 @@
 use config_distribution::document::Scope;
 use oorandom::Rand64;
 
-use super::plane::{self, Change};
+use super::control_plane::{self, Change};
 use super::size::Size;
 use super::{region_name, service_name};
 use crate::CapacityError;
@@ -62,8 +62,8 @@
         let start = Instant::now();
         for (number, PlannedChange { at, scope, bytes }) in planned.into_iter().enumerate() {
             thread::sleep(at.saturating_sub(start.elapsed()));
-            let body = plane::body(bytes, 1 + number as u64);
-            let change = plane::publish(origin, &scope, &body, &format!("change-{number}"));
+            let body = control_plane::body(bytes, 1 + number as u64);
+            let change = control_plane::publish(origin, &scope, &body, &format!("change-{number}"));
             let failed = change.is_err();
             if sender.send(change).is_err() || failed {
                 return;
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -10,7 +10,7 @@
 
 use capacity::plan::Plan;
 use capacity::slope::Results;
-use capacity::sockets::plane::{self, Role};
+use capacity::sockets::control_plane::{self, Role};
 use capacity::sockets::{fleet, machine};
 
 /// Time after which a test fails; every step that works is much faster.
@@ -195,7 +195,7 @@
         assert_eq!(balancers.iter().filter(|one| one.service == service).count(), size, "service {service}");
     }
     for region in 0..plan.fleet.regions.value {
-        let here = balancers.iter().filter(|one| plane::region_of(&plan, one.zone) == region).count();
+        let here = balancers.iter().filter(|one| control_plane::region_of(&plan, one.zone) == region).count();
         let share = here as f64 / balancers.len() as f64;
         assert!((share - plan.fleet.region_shares.value[region]).abs() < 0.01, "region {region}: {share}");
     }
@@ -204,14 +204,14 @@
 #[test]
 fn control_process_placement_has_no_loops_and_each_balancer_has_at_least_two_parents() {
     let plan = plan();
-    let machines = plane::deal(&plan);
+    let machines = control_plane::placement(&plan);
     assert_eq!(machines.len(), plan.budget.control_machines.value);
     for machine in &machines {
         assert_eq!(machine.parents.is_empty(), machine.role == Role::Origin, "{machine:?}");
         assert!(machine.parents.iter().all(|&parent| machines[parent].role < machine.role), "{machine:?}");
     }
     for zone in 0..plan.fleet.zones.value {
-        let region = plane::region_of(&plan, zone);
+        let region = control_plane::region_of(&plan, zone);
         let own = machines.iter().filter(|machine| {
             machine.zone == Some(zone) || machine.role == Role::Region && machine.region == region
         });
@@ -222,8 +222,8 @@
 #[test]
 fn document_body_has_the_requested_size_and_differs_between_turns() {
     for bytes in [2048, 4096, 6144] {
-        let body = plane::body(bytes, 1);
+        let body = control_plane::body(bytes, 1);
         assert!((bytes - 60..=bytes).contains(&body.len()), "{}", body.len());
-        assert_ne!(body, plane::body(bytes, 2));
+        assert_ne!(body, control_plane::body(bytes, 2));
     }
 }
