--- a/crates/capacity/src/page/measured.rs
+++ b/crates/capacity/src/page/measured.rs
@@ -63,7 +63,7 @@
     };
     let required: BTreeSet<&str> = LoadScenario::all(plan)
         .iter()
-        .flat_map(|occasion| needs(plan, occasion, tree))
+        .flat_map(|load_scenario| needs(plan, load_scenario, tree))
         .flat_map(|need| need.terms.into_iter().map(|term| term.slope))
         .collect();
     let missing: Vec<&str> =
--- a/crates/capacity/src/page/needs.rs
+++ b/crates/capacity/src/page/needs.rs
@@ -104,15 +104,18 @@
     letters.next().map_or(String::new(), |first| first.to_uppercase().chain(letters).collect())
 }
 
-/// The needs at the peaks: a table for each role, with a row for each occasion and a column for each cost.
+/// The needs at the peaks: a table for each role, with a row for each load scenario and a column for each cost.
 pub(super) fn peaks_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
-    let occasions = LoadScenario::all(plan);
+    let load_scenarios = LoadScenario::all(plan);
     let mut text = table(
         &["peak", "what it is"],
-        occasions.iter().map(|occasion| vec![occasion.name.to_owned(), occasion.what.clone()]),
+        load_scenarios
+            .iter()
+            .map(|load_scenario| vec![load_scenario.name.to_owned(), load_scenario.what.clone()]),
     );
-    let by_occasion: Vec<Vec<Need>> = occasions.iter().map(|on| needs(plan, on, tree)).collect();
-    let Some(first) = by_occasion.first() else { return text };
+    let needs_by_load_scenario: Vec<Vec<Need>> =
+        load_scenarios.iter().map(|load_scenario| needs(plan, load_scenario, tree)).collect();
+    let Some(first) = needs_by_load_scenario.first() else { return text };
     for role in roles(first) {
         let of_role: Vec<(usize, &Need)> =
             first.iter().enumerate().filter(|(_, need)| need.role == role).collect();
@@ -121,12 +124,12 @@
             .chain(of_role.iter().map(|(_, need)| format!("{}, {}", need.cost.text(), need.unit)))
             .collect();
         let head: Vec<&str> = head.iter().map(String::as_str).collect();
-        let rows = occasions.iter().zip(&by_occasion).map(|(occasion, needs)| {
+        let rows = load_scenarios.iter().zip(&needs_by_load_scenario).map(|(load_scenario, needs)| {
             let cells = of_role
                 .iter()
                 .filter_map(|&(at, _)| needs.get(at))
                 .map(|need| compact_figure_text(&need.figure(measured)));
-            std::iter::once(occasion.name.to_owned()).chain(cells).collect()
+            std::iter::once(load_scenario.name.to_owned()).chain(cells).collect()
         });
         text += &table(&head, rows);
     }
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -11,7 +11,7 @@
 /// Ratio of need to budget from which a row is listed as tight.
 const TIGHT_RATIO: f64 = 0.8;
 
-/// The need that ranks highest for a requirement, over all roles and occasions.
+/// The need that ranks highest for a requirement, over all roles and load scenarios.
 struct WorstNeed {
     requirement: Requirement,
     /// Whether a mechanism that meets the need exists in the checkout.
@@ -20,25 +20,27 @@
     ratio: Option<f64>,
     need: Need,
     figure: Figure,
-    /// Name of the occasion on which the need arises.
-    occasion: &'static str,
+    /// Name of the load scenario in which the need arises.
+    load_scenario: &'static str,
 }
 
 /// The requirements in order of urgency: first those that no mechanism meets today, then by the largest ratio of need
 /// to budget.
 fn ranked_requirements(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<WorstNeed> {
     let mut worst: BTreeMap<Requirement, WorstNeed> = BTreeMap::new();
-    for occasion in LoadScenario::all(plan) {
-        for need in needs(plan, &occasion, tree) {
+    for load_scenario in LoadScenario::all(plan) {
+        for need in needs(plan, &load_scenario, tree) {
             let available = need.mechanism.available(tree).is_some();
             let figure = need.figure(measured);
             let (requirement, ratio) = (need.requirement, figure.ratio);
             let rank = |available: bool, ratio: Option<f64>| (!available, ratio.unwrap_or(-1.0));
             let known = worst.get(&requirement).map(|known| rank(known.available, known.ratio));
             if known.is_none_or(|known| rank(available, ratio) > known) {
-                let occasion = occasion.name;
-                worst
-                    .insert(requirement, WorstNeed { requirement, available, ratio, need, figure, occasion });
+                let load_scenario = load_scenario.name;
+                worst.insert(
+                    requirement,
+                    WorstNeed { requirement, available, ratio, need, figure, load_scenario },
+                );
             }
         }
     }
@@ -57,7 +59,7 @@
             (rank + 1).to_string(),
             worst.requirement.text().to_owned(),
             format!("{}, {}", worst.need.role, worst.need.cost.text()),
-            worst.occasion.to_owned(),
+            worst.load_scenario.to_owned(),
             figure_text(&worst.figure, worst.need.unit),
             worst.need.budget.map_or("–".to_owned(), format_number),
             worst.ratio.map_or("–".to_owned(), format_number),
@@ -81,26 +83,26 @@
     )
 }
 
-/// The rows that need at least [`TIGHT_RATIO`] of their budget, each on its worst occasion, the largest ratio first.
+/// The rows that need at least [`TIGHT_RATIO`] of their budget, each in its worst load scenario, the largest ratio first.
 pub(super) fn tight_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut worst: BTreeMap<(&str, Cost), (f64, Need, Figure, &str)> = BTreeMap::new();
-    for occasion in LoadScenario::all(plan) {
-        for need in needs(plan, &occasion, tree) {
+    for load_scenario in LoadScenario::all(plan) {
+        for need in needs(plan, &load_scenario, tree) {
             let figure = need.figure(measured);
             let key = (need.role, need.cost);
             let Some(ratio) = figure.ratio.filter(|&ratio| ratio >= TIGHT_RATIO) else { continue };
             if worst.get(&key).is_none_or(|known| known.0 < ratio) {
-                worst.insert(key, (ratio, need, figure, occasion.name));
+                worst.insert(key, (ratio, need, figure, load_scenario.name));
             }
         }
     }
     let mut rows: Vec<_> = worst.into_values().collect();
     rows.sort_by(|a, b| b.0.total_cmp(&a.0));
-    let rows = rows.into_iter().map(|(ratio, need, figure, occasion)| {
+    let rows = rows.into_iter().map(|(ratio, need, figure, load_scenario)| {
         vec![
             need.role.to_owned(),
             need.cost.text().to_owned(),
-            occasion.to_owned(),
+            load_scenario.to_owned(),
             figure_text(&figure, need.unit),
             need.budget.map_or("–".to_owned(), format_number),
             format_number(ratio),
@@ -111,12 +113,12 @@
     table(&["role", "cost", "its worst occasion", "need", "budget", "ratio", "", "basis"], rows)
 }
 
-/// A sentence with the number of figures of each basis, over all rows and occasions.
+/// A sentence with the number of figures of each basis, over all rows and load scenarios.
 pub(super) fn bases_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut counts = [0; 5];
     let mut furthest: f64 = 1.0;
-    for occasion in LoadScenario::all(plan) {
-        for need in needs(plan, &occasion, tree) {
+    for load_scenario in LoadScenario::all(plan) {
+        for need in needs(plan, &load_scenario, tree) {
             counts[match need.figure(measured).basis {
                 Basis::ScenarioRuns(_) => 0,
                 Basis::Measured => 1,
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -75,7 +75,7 @@
     parts.collect::<String>() + "the end\n"
 }
 
-/// The ordinary day, which is the first occasion.
+/// The ordinary day, which is the first load scenario.
 fn day(plan: &Plan) -> LoadScenario {
     LoadScenario::all(plan).swap_remove(0)
 }
@@ -274,11 +274,11 @@
 }
 
 #[test]
-fn every_role_has_a_row_for_each_cost_on_every_occasion() {
+fn every_role_has_a_row_for_each_cost_in_every_load_scenario() {
     let plan = plan();
-    let occasions = LoadScenario::all(&plan);
-    assert_eq!(occasions.len(), 10);
-    let first = needs(&plan, &occasions[0], &tree());
+    let load_scenarios = LoadScenario::all(&plan);
+    assert_eq!(load_scenarios.len(), 10);
+    let first = needs(&plan, &load_scenarios[0], &tree());
     for role in [
         "balancer, data path (rate at the front)",
         "balancer, data path (rate over all hops)",
@@ -301,8 +301,8 @@
         }
     }
     let kinds = |needs: &[Need]| needs.iter().map(|need| (need.role, need.cost)).collect::<Vec<_>>();
-    for occasion in &occasions {
-        assert_eq!(kinds(&needs(&plan, occasion, &tree())), kinds(&first), "{}", occasion.name);
+    for load_scenario in &load_scenarios {
+        assert_eq!(kinds(&needs(&plan, load_scenario, &tree())), kinds(&first), "{}", load_scenario.name);
     }
 }
 
