--- a/crates/capacity/src/sockets/control_plane.rs
+++ b/crates/capacity/src/sockets/control_plane.rs
@@ -21,7 +21,7 @@
 mod publication;
 
 use self::forwarder::{Forwarder, Forwarders, forward_all};
-pub use self::placement::{ControlProcess, Role, placement, region_of};
+pub use self::placement::{ControlProcess, Role, control_processes, region_of};
 pub use self::publication::{Change, Response, body, publish, request};
 
 /// Name of the control processes' program.
--- a/crates/capacity/src/sockets/control_plane/placement.rs
+++ b/crates/capacity/src/sockets/control_plane/placement.rs
@@ -51,7 +51,7 @@
 /// Lists the control processes of the plan: the origin in the first region, the standby in the next, the region relays,
 /// which follow both, and the zone relays, which follow the relays of their region and the standby.
 #[must_use]
-pub fn placement(plan: &Plan) -> Vec<ControlProcess> {
+pub fn control_processes(plan: &Plan) -> Vec<ControlProcess> {
     let regions = plan.fleet.regions.value;
     let mut machines = Vec::new();
     let machine = |role, region, zone, parents| ControlProcess { role, region, zone, parents };
--- a/crates/capacity/src/sockets/run_scenario.rs
+++ b/crates/capacity/src/sockets/run_scenario.rs
@@ -116,7 +116,7 @@
     /// Starts all processes. The first document of each scope is published before the balancers start.
     fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
         let placements = fleet(plan, size.balancers);
-        let control_plane = ControlPlane::start(control_plane::placement(plan))?;
+        let control_plane = ControlPlane::start(control_plane::control_processes(plan))?;
         let newest = publish_first(control_plane.address(0), plan, &services(&placements))?;
         let list = start_list(size, plan)?;
         let balancers =
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -204,7 +204,7 @@
 #[test]
 fn control_process_placement_has_no_loops_and_each_balancer_has_at_least_two_parents() {
     let plan = plan();
-    let machines = control_plane::placement(&plan);
+    let machines = control_plane::control_processes(&plan);
     assert_eq!(machines.len(), plan.budget.control_machines.value);
     for machine in &machines {
         assert_eq!(machine.parents.is_empty(), machine.role == Role::Origin, "{machine:?}");
