--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -99,13 +99,13 @@
     ///
     /// # Errors
     /// The plan's figures give no valid settings, or the memory limit is exceeded.
-    pub fn play(&self, plan: &Plan) -> Result<Report, CapacityError> {
+    pub fn simulate(&self, plan: &Plan) -> Result<Report, CapacityError> {
         let mut plan = plan.clone();
         plan.graph.depth.value = self.depth;
         // A single tenant, so that the figures show the course of a request and not the quotas of many tenants.
         plan.traffic.tenants.value = 1;
         let topology = Topology::chain(&plan, self.depth, UPSTREAMS_PER_SERVICE, REQUESTS_PER_S);
-        let play = RunParameters {
+        let parameters = RunParameters {
             name: format!("a chain of {}", self.depth),
             seconds: self.seconds,
             seed: self.seed,
@@ -118,7 +118,7 @@
                 .all_idempotent
                 .then_some(IdempotencyFractions { free: 1.0, keyed: 0.0 }),
         };
-        FleetSimulation::new(&plan, &topology, &play)?.run()
+        FleetSimulation::new(&plan, &topology, &parameters)?.run()
     }
 
     /// Figures of a report, with the attempts of the service at the depth `at`, counted from 1 at the front.
@@ -157,7 +157,7 @@
     /// Simulated duration of each run, in seconds.
     seconds: f64,
     /// Number of runs for each point of a slope, each with its own seed.
-    plays: u64,
+    runs: u64,
     /// Lengths of the chains for the slopes, and positions of the faulty service for the table.
     depths: Vec<usize>,
     /// Number of services in the longest chain.
@@ -211,7 +211,7 @@
             arguments,
             plan,
             seconds,
-            plays: if small { 1 } else { 3 },
+            runs: if small { 1 } else { 3 },
             depths,
             longest_chain,
             max_client_retries: plan.traffic.client_repeats.value,
@@ -221,20 +221,20 @@
     }
 
     /// A chain of `depth` services without a fault, in which all requests are idempotent.
-    fn healthy(&self, depth: usize, play: u64) -> Chain {
+    fn healthy(&self, depth: usize, run: u64) -> Chain {
         Chain {
             depth,
             fault: None,
             max_client_retries: self.max_client_retries,
             all_idempotent: true,
-            seed: self.arguments.seed + play,
+            seed: self.arguments.seed + run,
             seconds: self.seconds,
         }
     }
 
     /// A chain of `depth` services whose last service fails each request at once; all requests are idempotent.
-    fn failing(&self, depth: usize, play: u64) -> Chain {
-        Chain { fault: Some((depth, ServiceFault::Failing)), ..self.healthy(depth, play) }
+    fn failing(&self, depth: usize, run: u64) -> Chain {
+        Chain { fault: Some((depth, ServiceFault::Failing)), ..self.healthy(depth, run) }
     }
 
     /// Creates the folder `name` below the output folder if it is missing, and returns its path.
@@ -249,16 +249,16 @@
         let mut points = Points::default();
         for &depth in &self.depths {
             let (mut attempts, mut refusals, mut deadline_left_ms) = (Vec::new(), Vec::new(), Vec::new());
-            for play in 0..self.plays {
-                let failing = self.failing(depth, play);
-                let figures = failing.figures(&failing.play(self.plan)?, depth);
-                let healthy = self.healthy(depth, play);
+            for run in 0..self.runs {
+                let failing = self.failing(depth, run);
+                let figures = failing.figures(&failing.simulate(self.plan)?, depth);
+                let healthy = self.healthy(depth, run);
                 attempts.push(figures.attempts);
                 refusals.push(figures.refusals);
-                deadline_left_ms.push(healthy.figures(&healthy.play(self.plan)?, depth).deadline_left_ms);
+                deadline_left_ms.push(healthy.figures(&healthy.simulate(self.plan)?, depth).deadline_left_ms);
             }
             let no_retries = Chain { max_client_retries: 0, ..self.failing(depth, 0) };
-            let no_retries = no_retries.figures(&no_retries.play(self.plan)?, depth);
+            let no_retries = no_retries.figures(&no_retries.simulate(self.plan)?, depth);
             points.attempts_without_retries.push(format!("{depth}: {:.2}", no_retries.attempts));
             let x = depth as f64;
             points.attempts.extend(Point::of(x, attempts));
@@ -324,7 +324,7 @@
             y_unit: unit.to_owned(),
             command: self.command.clone(),
             commit: slope::commit(),
-            plays: self.plays as usize,
+            plays: self.runs as usize,
             points,
             fit,
             note,
@@ -347,7 +347,7 @@
             all_idempotent: false,
             ..self.healthy(longest_chain, 0)
         };
-        let report = chain.play(self.plan)?;
+        let report = chain.simulate(self.plan)?;
         let figures = chain.figures(&report, depth);
         let calls: u64 = report.seconds.iter().map(|second| second.calls).sum();
         let per_request = |count: u64| format!("{:.3}", count as f64 / calls.max(1) as f64);
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -155,7 +155,7 @@
 /// # Errors
 /// The duration is out of range, the plan has fewer services than depths, its figures give no valid settings, or the
 /// memory limit is exceeded.
-pub fn play(plan: &Plan, run: &Run) -> Result<RunResult, CapacityError> {
+pub fn simulate(plan: &Plan, run: &Run) -> Result<RunResult, CapacityError> {
     let Run { scenario, reading, seed, seconds, memory_mb } = *run;
     if !(5.0..=3600.0).contains(&seconds) {
         return Err(CapacityError::Argument { name: "seconds", expected: "5 to 3600".to_owned() });
@@ -169,7 +169,7 @@
     let topology = Topology::draw(plan, reading, seed);
     let Script { steps, fault } = scenario.script(plan, &topology, seconds, seed);
     let reachable = steps.iter().find_map(|timed| reachable_after(timed.step, &topology));
-    let play = RunParameters {
+    let parameters = RunParameters {
         name: scenario.name().to_owned(),
         seconds,
         seed,
@@ -180,7 +180,7 @@
         max_client_retries: plan.traffic.client_repeats.value,
         idempotency_fractions: None,
     };
-    let report = FleetSimulation::new(plan, &topology, &play)?.run()?;
+    let report = FleetSimulation::new(plan, &topology, &parameters)?.run()?;
     let upstreams = plan.fleet.upstreams.value;
     Ok(RunResult { report, fault, upstreams, busiest_over_mean: topology.busiest_over_mean(), reachable })
 }
@@ -250,8 +250,8 @@
         return Err(CapacityError::Argument { name: "row", expected: "one scenario and seed".to_owned() });
     };
     let began = Instant::now();
-    let played = play(plan, run)?;
-    let row = row(run, &played, began.elapsed().as_secs_f64());
+    let run_result = simulate(plan, run)?;
+    let row = row(run, &run_result, began.elapsed().as_secs_f64());
     let text = serde_json::to_string(&row).map_err(|cause| CapacityError::run("hollow", cause))?;
     println!("{text}");
     Ok(())
--- a/crates/capacity/src/hollow/simulation.rs
+++ b/crates/capacity/src/hollow/simulation.rs
@@ -112,7 +112,7 @@
 pub struct FleetSimulation<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
-    play: &'a RunParameters,
+    parameters: &'a RunParameters,
     rng: Rand64,
     /// Current virtual time, in ns.
     now: u64,
@@ -165,14 +165,14 @@
     pub fn new(
         plan: &'a Plan,
         topology: &'a Topology,
-        play: &'a RunParameters,
+        parameters: &'a RunParameters,
     ) -> Result<Self, CapacityError> {
         let services = topology.services.len();
         let mut simulation = Self {
             plan,
             topology,
-            play,
-            rng: Rand64::new(u128::from(play.seed) << 8 | 2),
+            parameters,
+            rng: Rand64::new(u128::from(parameters.seed) << 8 | 2),
             now: 0,
             scheduled: TimerWheel::default(),
             slots: Vec::new(),
@@ -243,11 +243,11 @@
     /// Starts a process in each slot, and all fronts. The balancers are added after all processes, so that their first
     /// lists are complete.
     fn add_first_processes(&mut self) -> Result<(), CapacityError> {
-        let halved = self.play.fault.filter(|faulty| faulty.fault == ServiceFault::Halved);
+        let halved = self.parameters.fault.filter(|faulty| faulty.fault == ServiceFault::Halved);
         let halved = halved.map(|faulty| faulty.service);
         let mut seen = vec![0; self.topology.services.len()];
         for slot in 0..self.slots.len() {
-            let process = self.add_process(slot, self.play.cold.then_some(0));
+            let process = self.add_process(slot, self.parameters.cold.then_some(0));
             let service = self.slots[slot].service;
             seen[service] += 1;
             if halved == Some(service) && seen[service] % 2 == 0 {
@@ -268,7 +268,7 @@
         self.scheduled.push(0, ScheduledEvent::Client);
         self.scheduled.push(ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
         self.scheduled.push(ns(SIGNAL_SAMPLE_INTERVAL_S), ScheduledEvent::SignalSample);
-        for (number, timed) in self.play.script.iter().enumerate() {
+        for (number, timed) in self.parameters.script.iter().enumerate() {
             self.scheduled.push(ns(timed.at_s), ScheduledEvent::Script(number as u32));
         }
     }
@@ -278,7 +278,7 @@
     /// # Errors
     /// The memory limit is exceeded, or a process cannot start because the plan's figures give no valid settings.
     pub fn run(mut self) -> Result<Report, CapacityError> {
-        let last = ns(self.play.seconds);
+        let last = ns(self.parameters.seconds);
         // No client sends a call after `last`, and each call ends by its deadline.
         let end = last + ns(self.plan.traffic.deadline_s.value * 1.5 + 0.5);
         while let Some((at, scheduled)) = self.scheduled.pop() {
@@ -335,11 +335,11 @@
         self.scheduled.push(self.now + ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
         let used_mb = resident_bytes()? >> 20;
         self.report.memory_mb = self.report.memory_mb.max(used_mb);
-        if used_mb > self.play.memory_mb {
+        if used_mb > self.parameters.memory_mb {
             return Err(CapacityError::Memory {
-                place: format!("hollow fleet, {} at {:.2} s", self.play.name, seconds(self.now)),
+                place: format!("hollow fleet, {} at {:.2} s", self.parameters.name, seconds(self.now)),
                 used_mb,
-                bound_mb: self.play.memory_mb,
+                bound_mb: self.parameters.memory_mb,
             });
         }
         Ok(())
--- a/crates/capacity/src/hollow/simulation/clients.rs
+++ b/crates/capacity/src/hollow/simulation/clients.rs
@@ -38,7 +38,7 @@
         let hops_left = 1 + place(topology.chain_lengths.iter().copied(), self.rng.rand_float());
         let draw = self.rng.rand_float();
         let IdempotencyFractions { free, keyed } =
-            self.play.idempotency_fractions.unwrap_or(DEFAULT_IDEMPOTENCY_FRACTIONS);
+            self.parameters.idempotency_fractions.unwrap_or(DEFAULT_IDEMPOTENCY_FRACTIONS);
         let class = u8::from(draw >= free) + u8::from(draw >= free + keyed);
         let client = Client {
             first_sent: self.now,
@@ -91,7 +91,7 @@
         let Client { first_sent, class, tries, .. } = *client;
         let deadline = first_sent + ns(self.plan.traffic.deadline_s.value);
         let may_retry = end == End::Refused || (end == End::Failed && class < 2);
-        if may_retry && tries <= self.play.max_client_retries && now + pause < deadline {
+        if may_retry && tries <= self.parameters.max_client_retries && now + pause < deadline {
             return self.scheduled.push(now + pause, ScheduledEvent::ClientRetry(number));
         }
         client.answered = true;
--- a/crates/capacity/src/hollow/simulation/script.rs
+++ b/crates/capacity/src/hollow/simulation/script.rs
@@ -36,7 +36,7 @@
 impl FleetSimulation<'_> {
     /// Applies the step `number` of the script.
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
-        match self.play.script[number].step {
+        match self.parameters.script[number].step {
             Step::Replace(slot) => self.replace(slot),
             Step::FailMachine(slot) => {
                 self.fail_slot(slot);
--- a/crates/capacity/src/hollow/simulation/upstreams.rs
+++ b/crates/capacity/src/hollow/simulation/upstreams.rs
@@ -52,7 +52,7 @@
         }
         let depth = self.topology.services[service].depth - 1;
         self.report.depths[depth].reached += 1;
-        match self.play.fault {
+        match self.parameters.fault {
             Some(FaultyService { service: faulty, fault: ServiceFault::Failing }) if faulty == service => {
                 self.count_execution(id);
                 return self.reply(zone, id, number, Outcome::Error);
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -163,8 +163,8 @@
 }
 
 /// The table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in seconds.
-pub(super) fn row(run: &Run, played: &RunResult, wall_s: f64) -> Vec<String> {
-    let &RunResult { ref report, fault, upstreams, busiest_over_mean, reachable } = played;
+pub(super) fn row(run: &Run, run_result: &RunResult, wall_s: f64) -> Vec<String> {
+    let &RunResult { ref report, fault, upstreams, busiest_over_mean, reachable } = run_result;
     let from = if run.scenario == Scenario::Cold { 0.0 } else { LEARNING_S };
     let all = sum(&report.seconds, from, f64::MAX);
     let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -14,7 +14,7 @@
 
 mod breakdown;
 mod placement;
-mod play;
+mod single_run;
 mod slopes;
 
 use placement::{MIN_CORES, Placement};
--- a/crates/capacity/src/latency/breakdown.rs
+++ b/crates/capacity/src/latency/breakdown.rs
@@ -5,7 +5,7 @@
 
 use super::Bench;
 use super::placement::Placement;
-use super::play::{QUANTILES, Run, RunStats, Setup};
+use super::single_run::{QUANTILES, Run, RunStats, Setup};
 use crate::CapacityError;
 use crate::slope::{Results, commit};
 use crate::testbed::{self, Balancer, Discovery, DurationHistogram, Upstreams, Usage};
@@ -39,9 +39,9 @@
         let mut rows = vec![self.timers()?];
         for &rate in rates {
             let unchanged = Setup { relay: true, ..self.setup(rate) };
-            let play = self.play(&unchanged)?;
-            rows.extend(route_rows(rate, &play));
-            rows.extend(added_by_process(rate, &play));
+            let run = self.measure(&unchanged)?;
+            rows.extend(route_rows(rate, &run));
+            rows.extend(added_by_process(rate, &run));
             rows.extend(self.variations(&unchanged)?);
         }
         Ok(Results {
@@ -69,8 +69,8 @@
             if small && setup.placement != unchanged.placement {
                 continue;
             }
-            let play = self.play(&Setup { relay: false, ..setup })?;
-            rows.push(row_of(unchanged.rate, part, added(&play), play.through.count(), &usage(&play)));
+            let run = self.measure(&Setup { relay: false, ..setup })?;
+            rows.push(row_of(unchanged.rate, part, added(&run), run.through.count(), &usage(&run)));
         }
         Ok(rows)
     }
@@ -86,51 +86,51 @@
     two sockets on the balancer's kind of runtime.";
 
 /// The rows for each route of the calls of a run, and for the differences between them.
-fn route_rows(rate: f64, play: &Run) -> Vec<Vec<String>> {
+fn route_rows(rate: f64, run: &Run) -> Vec<Vec<String>> {
     let row = |part: &str, times: &DurationHistogram, remark: &str| {
         row_of(rate, part, QUANTILES.map(|q| times.us(q)), times.count(), remark)
     };
-    let RunStats { counts, opened, span, .. } = play.stats;
+    let RunStats { counts, opened, span, .. } = run.stats;
     vec![
-        row("direct", &play.direct, "the upstream, the caller and the machine"),
+        row("direct", &run.direct, "the upstream, the caller and the machine"),
         row(
             "through a relay of bytes",
-            &play.relay,
+            &run.relay,
             "the same runtime, no HTTP, no decisions, no choice of connection",
         ),
-        row("through the balancer", &play.through, &format!("{counts:?}")),
+        row("through the balancer", &run.through, &format!("{counts:?}")),
         row(
             "of these on kept connections",
-            &play.reused,
-            &format!("to upstreams, of {}", play.through.count()),
+            &run.reused,
+            &format!("to upstreams, of {}", run.through.count()),
         ),
         row(
             "of these on new connections",
-            &play.new,
+            &run.new,
             &format!("{opened} opened in {:.0} s", span.as_secs_f64()),
         ),
         row(
             "through less direct, pair by pair",
-            &play.difference,
-            &format!("{} pairs the other way round count as 0", play.inverted),
+            &run.difference,
+            &format!("{} pairs the other way round count as 0", run.inverted),
         ),
-        row("sent after its time", &play.late, "the caller's own lateness, in all of the above"),
+        row("sent after its time", &run.late, "the caller's own lateness, in all of the above"),
     ]
 }
 
 /// The rows of the latency that the byte relay and the balancer add to a direct call.
-fn added_by_process(rate: f64, play: &Run) -> [Vec<String>; 2] {
-    let relay_less_direct = QUANTILES.map(|q| play.relay.us(q) - play.direct.us(q));
+fn added_by_process(rate: f64, run: &Run) -> [Vec<String>; 2] {
+    let relay_less_direct = QUANTILES.map(|q| run.relay.us(q) - run.direct.us(q));
     let costs = "what any process between costs here";
     [
-        row_of(rate, "relay less direct", relay_less_direct, play.relay.count(), costs),
-        row_of(rate, "added", added(play), play.through.count(), &usage(play)),
+        row_of(rate, "relay less direct", relay_less_direct, run.relay.count(), costs),
+        row_of(rate, "added", added(run), run.through.count(), &usage(run)),
     ]
 }
 
 /// Latency that the balancer adds at each of [`QUANTILES`], in microseconds.
-fn added(play: &Run) -> [f64; 3] {
-    QUANTILES.map(|q| play.through.us(q) - play.direct.us(q))
+fn added(run: &Run) -> [f64; 3] {
+    QUANTILES.map(|q| run.through.us(q) - run.direct.us(q))
 }
 
 /// A row of the table; `us` has the latencies at [`QUANTILES`], and `last_column` is the text of the last column.
@@ -140,16 +140,16 @@
 }
 
 /// Text on the resources that the balancer used in a run.
-fn usage(play: &Run) -> String {
-    let calls = play.through.count().max(1) as f64;
+fn usage(run: &Run) -> String {
+    let calls = run.through.count().max(1) as f64;
     format!(
         "{:.0} us of a core a call, {:.3} of a core; woken {:.1} times a call, waited {:.1} us for a core each time; \
          {} connections opened to upstreams; {} ms of a core taken by the machine below",
-        play.stats.used.cpu_ns as f64 / 1000.0 / calls,
-        play.stats.used.cpu_ns as f64 / play.stats.span.as_nanos() as f64,
-        play.stats.used.slices as f64 / calls,
-        play.stats.used.waited_ns as f64 / 1000.0 / play.stats.used.slices.max(1) as f64,
-        play.stats.opened,
-        play.stats.steal_time_ms,
+        run.stats.used.cpu_ns as f64 / 1000.0 / calls,
+        run.stats.used.cpu_ns as f64 / run.stats.span.as_nanos() as f64,
+        run.stats.used.slices as f64 / calls,
+        run.stats.used.waited_ns as f64 / 1000.0 / run.stats.used.slices.max(1) as f64,
+        run.stats.opened,
+        run.stats.steal_time_ms,
     )
 }
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/single_run.rs
@@ -137,7 +137,7 @@
 
 /// Results of the calls of a run, and what was recorded in the background meanwhile.
 struct SentCalls {
-    played: Vec<CallResult>,
+    call_results: Vec<CallResult>,
     baseline: UsageBaseline,
     changes: usize,
 }
@@ -160,7 +160,7 @@
     }
 
     /// Starts new servers, and sends calls directly and through the balancer at the same time.
-    pub(super) fn play(&mut self, setup: &Setup) -> Result<Run, CapacityError> {
+    pub(super) fn measure(&mut self, setup: &Setup) -> Result<Run, CapacityError> {
         let warm = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
         let length = span(setup.rate, self.arguments.common.small) + warm;
         let calls =
@@ -170,17 +170,17 @@
         let first_id = servers.upstreams.records.take_ids(calls.len())?;
         let first_counted = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
 
-        let SentCalls { played, baseline, changes } =
+        let SentCalls { call_results, baseline, changes } =
             self.run(setup, &servers, &calls, first_id, first_counted)?;
         let stats = RunStats {
-            counts: Counts::of(&calls, &played, &servers.upstreams.records, first_id),
+            counts: Counts::of(&calls, &call_results, &servers.upstreams.records, first_id),
             used: Usage::of(servers.balancer.process.id())?.since(baseline.used?),
             span: length - warm,
             opened: servers.upstreams.records.opened() - baseline.opened,
             changes,
             steal_time_ms: testbed::steal_time_ms().saturating_sub(baseline.steal_time_ms),
         };
-        summarize(&calls[first_counted..], &played[first_counted..], stats)
+        summarize(&calls[first_counted..], &call_results[first_counted..], stats)
     }
 
     /// Starts the processes and stand-in servers of a run. They inherit the cores that this thread is pinned to.
@@ -238,14 +238,14 @@
         let progress = AtomicUsize::new(0);
         let finished = AtomicBool::new(false);
         let core_0 = setup.placement != Placement::Anywhere;
-        let (played, background) = thread::scope(|scope| {
+        let (call_results, background) = thread::scope(|scope| {
             let client = scope.spawn(|| {
                 let placed = if core_0 { testbed::pin_to_cores("0") } else { Ok(()) };
                 let start_time = Instant::now() + testbed::CONNECT_LEAD_TIME;
-                let played =
-                    placed.and_then(|()| testbed::play(calls, &routes, first_id, start_time, &progress));
+                let call_results = placed
+                    .and_then(|()| testbed::send_calls(calls, &routes, first_id, start_time, &progress));
                 finished.store(true, Ordering::Release);
-                played
+                call_results
             });
             let mut background = BackgroundState { baseline: None, changes: 0, published: Ok(()) };
             let began = Instant::now();
@@ -262,12 +262,13 @@
             }
             (client.join(), background)
         });
-        let played = played.map_err(|_| CapacityError::run("calling", "the client's thread panicked"))??;
+        let call_results =
+            call_results.map_err(|_| CapacityError::run("calling", "the client's thread panicked"))??;
         background.published?;
         let Some(baseline) = background.baseline else {
             return Err(CapacityError::run("calling", "the run ended before its warm-up did"));
         };
-        Ok(SentCalls { played, baseline, changes: background.changes })
+        Ok(SentCalls { call_results, baseline, changes: background.changes })
     }
 
     /// Makes the next change in the background. Once a configuration change has failed, no more are published.
@@ -296,24 +297,26 @@
 }
 
 /// Computes the results of a run from its counted calls.
-fn summarize(calls: &[Call], played: &[CallResult], stats: RunStats) -> Result<Run, CapacityError> {
+fn summarize(calls: &[Call], call_results: &[CallResult], stats: RunStats) -> Result<Run, CapacityError> {
     // A call without its own response has no latency; the counts tell how many there are.
-    let right = || calls.iter().zip(played).filter(|(_, played)| played.is_right());
+    let right = || calls.iter().zip(call_results).filter(|(_, call_result)| call_result.is_right());
     let of = |route: usize| {
         DurationHistogram::of(
-            right().filter(|(call, _)| call.route == route).map(|(call, played)| played.latency(call)),
+            right()
+                .filter(|(call, _)| call.route == route)
+                .map(|(call, call_result)| call_result.latency(call)),
         )
     };
     let on = |new: bool| {
-        let own = right().filter(|(call, played)| {
-            call.route == THROUGH && played.end == CallOutcome::Right { new_connection: new }
+        let own = right().filter(|(call, call_result)| {
+            call.route == THROUGH && call_result.end == CallOutcome::Right { new_connection: new }
         });
-        DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
+        DurationHistogram::of(own.map(|(call, call_result)| call_result.latency(call)))
     };
     let pairs = calls.iter().map(|call| call.pair + 1).max().unwrap_or(0);
     let mut paired: Vec<[Option<Duration>; 2]> = vec![[None; 2]; pairs];
-    for (call, played) in right().filter(|(call, _)| call.route <= THROUGH) {
-        paired[call.pair][call.route] = Some(played.latency(call));
+    for (call, call_result) in right().filter(|(call, _)| call.route <= THROUGH) {
+        paired[call.pair][call.route] = Some(call_result.latency(call));
     }
     let both: Vec<(Duration, Duration)> =
         paired.into_iter().filter_map(|[direct, through]| Some((direct?, through?))).collect();
@@ -326,7 +329,10 @@
             both.iter().map(|(direct, through)| through.saturating_sub(*direct)),
         )?,
         late: DurationHistogram::of(
-            calls.iter().zip(played).map(|(call, played)| played.sent.saturating_sub(call.at)),
+            calls
+                .iter()
+                .zip(call_results)
+                .map(|(call, call_result)| call_result.sent.saturating_sub(call.at)),
         )?,
         reused: on(false)?,
         new: on(true)?,
--- a/crates/capacity/src/latency/slopes.rs
+++ b/crates/capacity/src/latency/slopes.rs
@@ -1,7 +1,7 @@
 //! Slopes of the latency that a balancer adds to a call, by the rate of calls.
 
 use super::placement::Placement;
-use super::play::{QUANTILES, Run};
+use super::single_run::{QUANTILES, Run};
 use super::{Background, Bench};
 use crate::CapacityError;
 use crate::slope::{Fit, Point, Slope, commit};
@@ -10,24 +10,24 @@
 impl Bench<'_> {
     /// Measures the added latency at each rate.
     pub(super) fn slopes(&mut self, rates: &[f64]) -> Result<Vec<Slope>, CapacityError> {
-        let plays = if self.arguments.common.small { 1 } else { self.arguments.plays };
+        let runs = if self.arguments.common.small { 1 } else { self.arguments.plays };
         let mut points = Points::default();
         let mut rate_notes = Vec::new();
         for &rate in rates {
-            let rate_plays = self.play_rate(rate, plays)?;
-            rate_notes.push(rate_plays.note(rate));
-            points.add(rate, rate_plays);
+            let rate_runs = self.measure_rate(rate, runs)?;
+            rate_notes.push(rate_runs.note(rate));
+            points.add(rate, rate_runs);
         }
-        Ok(self.to_slopes(points, plays, &self.note(&rate_notes)))
+        Ok(self.to_slopes(points, runs, &self.note(&rate_notes)))
     }
 
-    /// Measures one rate in `plays` runs.
-    fn play_rate(&mut self, rate: f64, plays: usize) -> Result<RatePlays, CapacityError> {
-        let mut rate_plays = RatePlays::default();
-        for _ in 0..plays {
-            rate_plays.add(&self.play(&self.setup(rate))?, plays as f64);
+    /// Measures one rate in `runs` runs.
+    fn measure_rate(&mut self, rate: f64, runs: usize) -> Result<RateRuns, CapacityError> {
+        let mut rate_runs = RateRuns::default();
+        for _ in 0..runs {
+            rate_runs.add(&self.measure(&self.setup(rate))?, runs as f64);
         }
-        Ok(rate_plays)
+        Ok(rate_runs)
     }
 
     /// The note of the slopes: the conditions of the measurement, and the counts and resource usage at each rate.
@@ -46,7 +46,7 @@
     }
 
     /// The slopes of the points, including that of direct calls if there is no activity in the background.
-    fn to_slopes(&self, points: Points, plays: usize, note: &str) -> Vec<Slope> {
+    fn to_slopes(&self, points: Points, runs: usize, note: &str) -> Vec<Slope> {
         let (suffix, meanwhile) = match self.arguments.background {
             Background::List => ("_list", ", while an entry of the list drains or returns every 0.1 s"),
             Background::Configuration => ("_configuration", ", while its configuration changes every 0.1 s"),
@@ -59,7 +59,7 @@
             y_unit: "us".to_owned(),
             command: self.command(),
             commit: commit(),
-            plays,
+            plays: runs,
             fit: Fit::through(&points),
             points,
             note: note.to_owned(),
@@ -89,17 +89,17 @@
 
 impl Points {
     /// Adds the points of one rate.
-    fn add(&mut self, rate: f64, plays: RatePlays) {
-        for (points, plays) in self.added.iter_mut().zip(plays.added) {
-            points.extend(Point::of(rate, plays));
+    fn add(&mut self, rate: f64, runs: RateRuns) {
+        for (points, runs) in self.added.iter_mut().zip(runs.added) {
+            points.extend(Point::of(rate, runs));
         }
-        self.direct_p99.extend(Point::of(rate, plays.direct_p99));
+        self.direct_p99.extend(Point::of(rate, runs.direct_p99));
     }
 }
 
 /// Results of all runs of one rate.
 #[derive(Default)]
-struct RatePlays {
+struct RateRuns {
     /// By quantile of [`QUANTILES`] and run: latency that the balancer added, in microseconds.
     added: [Vec<f64>; 3],
     /// By run: latency of direct calls at the 99th percentile, in microseconds.
@@ -116,19 +116,19 @@
     sent_late_us: f64,
 }
 
-impl RatePlays {
-    /// Adds the results of one of `plays` runs.
-    fn add(&mut self, play: &Run, plays: f64) {
-        let stats = &play.stats;
+impl RateRuns {
+    /// Adds the results of one of `runs` runs.
+    fn add(&mut self, run: &Run, runs: f64) {
+        let stats = &run.stats;
         for (added, quantile) in self.added.iter_mut().zip(QUANTILES) {
-            added.push(play.through.us(quantile) - play.direct.us(quantile));
+            added.push(run.through.us(quantile) - run.direct.us(quantile));
         }
-        self.direct_p99.push(play.direct.us(0.99));
+        self.direct_p99.push(run.direct.us(0.99));
         self.counts = self.counts.and(stats.counts);
         self.changes += stats.changes;
-        self.busy_cores += stats.used.cpu_ns as f64 / stats.span.as_nanos() as f64 / plays;
-        self.stolen_cores += stats.steal_time_ms as f64 / stats.span.as_millis() as f64 / plays;
-        self.sent_late_us = self.sent_late_us.max(play.late.us(0.99));
+        self.busy_cores += stats.used.cpu_ns as f64 / stats.span.as_nanos() as f64 / runs;
+        self.stolen_cores += stats.steal_time_ms as f64 / stats.span.as_millis() as f64 / runs;
+        self.sent_late_us = self.sent_late_us.max(run.late.us(0.99));
     }
 
     /// The sentence of the slopes' note on this rate.
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -340,8 +340,8 @@
         let calls = testbed::paired(rng, 1, self.rate, span, false);
         let first = upstreams.records.take_ids(calls.len())?;
         let zero = Instant::now() + testbed::CONNECT_LEAD_TIME;
-        let played = testbed::play(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
-        let counts = Counts::of(&calls, &played, &upstreams.records, first);
+        let call_results = testbed::send_calls(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
+        let counts = Counts::of(&calls, &call_results, &upstreams.records, first);
         if counts.right < counts.calls {
             let place = format!("sending requests to a balancer with {size} upstreams");
             return Err(CapacityError::run(place, format!("{counts:?}")));
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 
 use self::outcome::COLUMNS;
-use self::play::Setup;
+use self::single_run::Setup;
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Results, commit};
@@ -15,7 +15,7 @@
 
 mod in_force;
 mod outcome;
-mod play;
+mod single_run;
 
 /// Kind of the changes that are made during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -88,9 +88,9 @@
     for what in kinds {
         let every = interval(arguments, plan, what);
         let setup = Setup { arguments, plan, size, what, every };
-        let played = setup.play(&mut rng)?;
-        counts = counts.and(played.counts);
-        rows.push(played.row(&setup)?);
+        let run_outcome = setup.run(&mut rng)?;
+        counts = counts.and(run_outcome.counts);
+        rows.push(run_outcome.row(&setup)?);
     }
     let table = table(arguments, &size, rows);
     for row in &table.rows {
--- a/crates/capacity/src/real/in_force.rs
+++ b/crates/capacity/src/real/in_force.rs
@@ -3,7 +3,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use super::play::Published;
+use super::single_run::Published;
 
 /// Time for which reports are awaited after the last change.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::play::Setup;
+use super::single_run::Setup;
 use super::{BLOCK_CHANGES, ChangeKind};
 use crate::CapacityError;
 use crate::testbed::{Call, CallResult, Counts, DurationHistogram};
@@ -33,7 +33,7 @@
 pub(super) struct Outcome {
     pub(super) calls: Vec<Call>,
     /// Results of the calls, in the order of `calls`.
-    pub(super) played: Vec<CallResult>,
+    pub(super) call_results: Vec<CallResult>,
     pub(super) counts: Counts,
     /// By change: time from its publication until it was in force at the last balancer.
     pub(super) in_force: Vec<Duration>,
@@ -43,10 +43,10 @@
     /// The row of the table of results, in the order of [`COLUMNS`].
     pub(super) fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, CapacityError> {
         let times = |through: bool, wanted: &dyn Fn(usize) -> bool| {
-            let own = self.calls.iter().zip(&self.played).filter(|(call, played)| {
-                played.is_right() && (call.route > 0) == through && wanted(setup.block(call.at))
+            let own = self.calls.iter().zip(&self.call_results).filter(|(call, call_result)| {
+                call_result.is_right() && (call.route > 0) == through && wanted(setup.block(call.at))
             });
-            DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
+            DurationHistogram::of(own.map(|(call, call_result)| call_result.latency(call)))
         };
         let added = |quantile: f64, wanted: &dyn Fn(usize) -> bool| -> Result<f64, CapacityError> {
             Ok(times(true, wanted)?.us(quantile) - times(false, wanted)?.us(quantile))
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/single_run.rs
@@ -73,7 +73,7 @@
     }
 
     /// Starts the processes, sends the calls while the changes are made, and collects the results.
-    pub(super) fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
+    pub(super) fn run(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
         let program = self.arguments.common.program(testbed::BALANCER)?;
         if self.client_has_own_core() {
             testbed::pin_to_cores(&format!("1-{}", self.size.cores - 1))?;
@@ -81,7 +81,7 @@
         let calls = self.draw_calls(rng);
         let running = self.start(&program, calls.len())?;
         let first = running.upstreams.records.take_ids(calls.len())?;
-        let (played, changes) = self.call_through_changes(&running, &calls, first)?;
+        let (call_results, changes) = self.call_through_changes(&running, &calls, first)?;
         let Changes { published, drained: mut in_force } = changes;
         if running.distribution.is_some() {
             let reports = collect_reports(&running.reports, &published, self.size.balancers);
@@ -89,8 +89,8 @@
                 in_force.push(self.time_to_last(change, &reports)?);
             }
         }
-        let counts = Counts::of(&calls, &played, &running.upstreams.records, first);
-        Ok(Outcome { calls, played, counts, in_force })
+        let counts = Counts::of(&calls, &call_results, &running.upstreams.records, first);
+        Ok(Outcome { calls, call_results, counts, in_force })
     }
 
     /// Whether the client's thread has a core to itself.
@@ -169,15 +169,15 @@
             let client = scope.spawn(|| {
                 let placed = if self.client_has_own_core() { testbed::pin_to_cores("0") } else { Ok(()) };
                 let progress = AtomicUsize::new(0);
-                let played =
-                    placed.and_then(|()| testbed::play(calls, &routes, first, start_time, &progress));
+                let call_results =
+                    placed.and_then(|()| testbed::send_calls(calls, &routes, first, start_time, &progress));
                 finished.store(true, Ordering::Release);
-                played
+                call_results
             });
             let changes = self.make_changes(start_time, &finished, running);
             let ended = |_| CapacityError::run("calling", "the client's thread panicked");
-            let played = client.join().map_err(ended)??;
-            Ok((played, changes?))
+            let call_results = client.join().map_err(ended)??;
+            Ok((call_results, changes?))
         })
     }
 
--- a/crates/capacity/src/testbed.rs
+++ b/crates/capacity/src/testbed.rs
@@ -12,7 +12,7 @@
 pub use self::balancer::{BALANCER, Balancer};
 pub use self::call::{Call, CallOutcome, CallResult, Class, Counts, paired};
 pub use self::child::Process;
-pub use self::client::{CONNECT_LEAD_TIME, Route, play};
+pub use self::client::{CONNECT_LEAD_TIME, Route, send_calls};
 pub use self::configuration::{configuration, configuration_change, settings};
 pub use self::discovery::Discovery;
 pub use self::distribution::{DISTRIBUTION, Distribution};
--- a/crates/capacity/src/testbed/call.rs
+++ b/crates/capacity/src/testbed/call.rs
@@ -133,11 +133,16 @@
 impl Counts {
     /// Counts the calls of a run. The request id of each call is `first_id` plus its index in `calls`.
     #[must_use]
-    pub fn of(calls: &[Call], played: &[CallResult], records: &RequestRecords, first_id: usize) -> Self {
+    pub fn of(
+        calls: &[Call],
+        call_results: &[CallResult],
+        records: &RequestRecords,
+        first_id: usize,
+    ) -> Self {
         let mut counts = Self { calls: calls.len(), ..Self::default() };
-        for (number, (call, played)) in calls.iter().zip(played).enumerate() {
+        for (number, (call, call_result)) in calls.iter().zip(call_results).enumerate() {
             let runs = records.runs(first_id + number);
-            match played.end {
+            match call_result.end {
                 // A response to a request that reached no upstream is wrong, whatever it contains.
                 CallOutcome::Right { .. } if runs > 0 => counts.right += 1,
                 CallOutcome::Refused if runs == 0 => counts.refused += 1,
--- a/crates/capacity/src/testbed/client.rs
+++ b/crates/capacity/src/testbed/client.rs
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// A connection that is to be opened before the first call cannot be opened.
-pub fn play(
+pub fn send_calls(
     calls: &[Call],
     routes: &[Route],
     first_id: usize,
@@ -70,7 +70,7 @@
         idle: Vec::new(),
         busy: Vec::new(),
         next: 0,
-        played: vec![lost; calls.len()],
+        call_results: vec![lost; calls.len()],
     };
     open_loop
         .connect_first()
@@ -94,7 +94,7 @@
     /// Index of the first call that has not been sent.
     next: usize,
     /// Result of each call: lost until its response is complete.
-    played: Vec<CallResult>,
+    call_results: Vec<CallResult>,
 }
 
 impl OpenLoop<'_> {
@@ -115,7 +115,7 @@
             self.send_due(now);
             self.receive();
             if self.next == self.calls.len() && self.busy.is_empty() || now > deadline {
-                return self.played;
+                return self.call_results;
             }
             self.pause(now);
         }
@@ -132,7 +132,7 @@
             let text = request(self.first_id + self.next, call, &self.routes[call.route]);
             let sent = self.elapsed();
             let stream = self.send(call.route, &text);
-            self.played[self.next] = CallResult { sent, done: sent, end: CallOutcome::Lost };
+            self.call_results[self.next] = CallResult { sent, done: sent, end: CallOutcome::Lost };
             if let Some(stream) = stream {
                 let bytes = Vec::with_capacity(512);
                 self.busy.push(Connection { stream, bytes, call: self.next, route: call.route });
@@ -166,7 +166,8 @@
             };
             let done = self.elapsed();
             let connection = self.busy.swap_remove(place);
-            self.played[connection.call] = CallResult { done, end, ..self.played[connection.call] };
+            self.call_results[connection.call] =
+                CallResult { done, end, ..self.call_results[connection.call] };
             if reusable {
                 self.idle[connection.route].push(connection.stream);
             }
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -19,7 +19,7 @@
 
 /// Simulates a chain, and returns the figures at depth `at`.
 fn run_chain(chain: Chain, at: usize) -> Figures {
-    let report = chain.play(&plan()).expect("the run ends");
+    let report = chain.simulate(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default(), "{chain:?}");
     chain.figures(&report, at)
 }
@@ -55,7 +55,7 @@
 #[test]
 fn tiers_below_an_unresponsive_tier_get_no_calls() {
     let unresponsive = chain(5, Some((3, ServiceFault::Silent)));
-    let report = unresponsive.play(&plan()).expect("the run ends");
+    let report = unresponsive.simulate(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default());
     assert_eq!((report.depths[3].calls, report.depths[4].calls), (0, 0));
     assert!(report.depths[2].reached > 0);
@@ -65,7 +65,7 @@
 fn same_seed_gives_same_chain_run() {
     let digest = |seed| {
         let chain = Chain { seed, seconds: 3.0, ..chain(4, Some((2, ServiceFault::Failing))) };
-        chain.play(&plan()).expect("the run ends").digest
+        chain.simulate(&plan()).expect("the run ends").digest
     };
     assert_eq!(digest(1), digest(1));
     assert_ne!(digest(1), digest(2));
--- a/crates/capacity/tests/hollow.rs
+++ b/crates/capacity/tests/hollow.rs
@@ -10,7 +10,7 @@
 use capacity::hollow::simulation::{Faults, Report};
 use capacity::hollow::timer_wheel::TimerWheel;
 use capacity::hollow::topology::{Destination, Topology};
-use capacity::hollow::{Run, RunResult, play, scale_plan, sum};
+use capacity::hollow::{Run, RunResult, scale_plan, simulate, sum};
 use capacity::plan::{Plan, Reading};
 use capacity::slope::Results;
 use oorandom::Rand64;
@@ -23,7 +23,7 @@
 fn run_small(scenario: Scenario, seed: u64, seconds: f64) -> RunResult {
     let plan = scale_plan(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario, reading: Reading::Hops, seed, seconds, memory_mb: 4096 };
-    play(&plan, &run).expect("the run ends")
+    simulate(&plan, &run).expect("the run ends")
 }
 
 /// Fraction of the calls between two virtual seconds that were served in time.
@@ -62,31 +62,31 @@
 
 #[test]
 fn planned_replacement_overloads_no_warming_upstream() {
-    let played = run_small(Scenario::Replacement, 1, 50.0);
-    assert_eq!(played.report.cold_starts, 60, "each upstream was replaced once");
-    assert_eq!(played.report.overload_crashes, 0);
-    let served = served_fraction(&played.report, 3.0, 50.0);
+    let run_result = run_small(Scenario::Replacement, 1, 50.0);
+    assert_eq!(run_result.report.cold_starts, 60, "each upstream was replaced once");
+    assert_eq!(run_result.report.overload_crashes, 0);
+    let served = served_fraction(&run_result.report, 3.0, 50.0);
     assert!(served > 0.95, "{served}");
 }
 
 #[test]
 fn network_partition_loses_calls_and_the_rest_is_served() {
-    let played = run_small(Scenario::Region, 1, 24.0);
-    let lost_attempts: u64 = played.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
+    let run_result = run_small(Scenario::Region, 1, 24.0);
+    let lost_attempts: u64 = run_result.report.depths.iter().map(|depth| depth.ends[3] + depth.ends[4]).sum();
     assert!(lost_attempts > 0, "no attempt was lost in the network partition");
-    let Span { from_s: from, until_s: until } = played.fault;
-    let within = served_fraction(&played.report, from, until);
-    let reachable = played.reachable.expect("a network partition leaves some calls without an upstream");
+    let Span { from_s: from, until_s: until } = run_result.fault;
+    let within = served_fraction(&run_result.report, from, until);
+    let reachable = run_result.reachable.expect("a network partition leaves some calls without an upstream");
     assert!(0.5 < reachable && reachable < 1.0, "{reachable}");
     assert!(0.5 < within && within <= reachable + 0.02, "{within} within, {reachable} with an upstream");
 }
 
 #[test]
 fn lost_zone_returns_with_upstreams_warming_up() {
-    let played = run_small(Scenario::Zone, 2, 24.0);
-    assert!(played.report.cold_starts > 0);
-    assert!(played.report.lists > 0);
-    let after = served_fraction(&played.report, played.fault.until_s + 6.0, 24.0);
+    let run_result = run_small(Scenario::Zone, 2, 24.0);
+    assert!(run_result.report.cold_starts > 0);
+    assert!(run_result.report.lists > 0);
+    let after = served_fraction(&run_result.report, run_result.fault.until_s + 6.0, 24.0);
     assert!(after > 0.9, "{after}");
 }
 
@@ -141,7 +141,7 @@
 fn run_over_its_memory_limit_names_the_place() {
     let plan = scale_plan(&plan(), 60).expect("the plan can be scaled down to 60 upstreams");
     let run = Run { scenario: Scenario::Rack, reading: Reading::Hops, seed: 1, seconds: 6.0, memory_mb: 1 };
-    match play(&plan, &run) {
+    match simulate(&plan, &run) {
         Err(CapacityError::Memory { place, used_mb, bound_mb: 1 }) => {
             assert!(place.contains("rack at 0.25 s"), "{place}");
             assert!(used_mb > 1);
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -20,9 +20,9 @@
     Route { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
 }
 
-fn play(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
+fn send_calls(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
     let zero = Instant::now() + testbed::CONNECT_LEAD_TIME;
-    testbed::play(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
+    testbed::send_calls(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
 }
 
 /// Guards against coordinated omission: calls are sent at their scheduled times even when earlier calls are unanswered.
@@ -42,13 +42,22 @@
     let stall = Duration::from_millis(100);
     upstreams.records.stall(first + 100, stall);
     // There are two warm connections: clients that waited for responses would have only two late calls.
-    let played = play(&calls, &[route(upstreams.addresses.clone(), 2)], first);
-    assert!(played.iter().all(CallResult::is_right));
-    let late = calls.iter().zip(&played).filter(|(call, played)| played.latency(call) >= stall / 2).count();
+    let call_results = send_calls(&calls, &[route(upstreams.addresses.clone(), 2)], first);
+    assert!(call_results.iter().all(CallResult::is_right));
+    let late = calls
+        .iter()
+        .zip(&call_results)
+        .filter(|(call, call_result)| call_result.latency(call) >= stall / 2)
+        .count();
     // The 50 calls of the first half of the stall wait for at least half of its duration. One or two of them may have
     // been read before the stall began.
     assert!(late >= 45, "{late} of 50");
-    assert!(played[101..145].iter().zip(&calls[101..145]).all(|(played, call)| played.sent >= call.at));
+    assert!(
+        call_results[101..145]
+            .iter()
+            .zip(&calls[101..145])
+            .all(|(call_result, call)| call_result.sent >= call.at)
+    );
 }
 
 /// Guards the counts that other tests rely on: a call that ran twice, ran although it was refused, or never reached an
@@ -62,22 +71,22 @@
         .collect();
     let routes = [route(upstreams.addresses.clone(), 4)];
     let first = upstreams.records.take_ids(10).expect("enough ids are left");
-    let played = play(&calls, &routes, first);
-    let counts = Counts::of(&calls, &played, &upstreams.records, first);
+    let call_results = send_calls(&calls, &routes, first);
+    let counts = Counts::of(&calls, &call_results, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, ..Counts::default() });
 
     // Send the same ids a second time: the calls that must not run twice are counted as such.
-    let again = play(&calls, &routes, first);
+    let again = send_calls(&calls, &routes, first);
     let counts = Counts::of(&calls, &again, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, twice: 5, repeated: 5, ..Counts::default() });
 
     // Count ids that never reached an upstream, with responses that claim that they did.
     let unseen = upstreams.records.take_ids(10).expect("enough ids are left");
-    let counts = Counts::of(&calls, &played, &upstreams.records, unseen);
+    let counts = Counts::of(&calls, &call_results, &upstreams.records, unseen);
     assert_eq!(counts, Counts { calls: 10, wrong: 10, ..Counts::default() });
 
     // One call that ran is reported as refused, and one as lost.
-    let mut ended = played;
+    let mut ended = call_results;
     ended[0].end = CallOutcome::Refused;
     ended[1].end = CallOutcome::Lost;
     let counts = Counts::of(&calls, &ended, &upstreams.records, first);
@@ -125,8 +134,8 @@
     let first = upstreams.records.take_ids(calls.len()).expect("enough ids are left");
     let mut route = route(vec![balancer.address], 4);
     route.tenants = plan().traffic.tenants.value;
-    let played = play(&calls, &[route], first);
-    let counts = Counts::of(&calls, &played, &upstreams.records, first);
+    let call_results = send_calls(&calls, &[route], first);
+    let counts = Counts::of(&calls, &call_results, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: calls.len(), right: calls.len(), ..Counts::default() });
     assert!(Usage::of(id).expect("the process exists").since(before).cpu_ns > 0);
     assert!(testbed::memory_kb(id).expect("the process exists") > 0);
