--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -69,13 +69,14 @@
     }
 
     /// Returns the largest value of a figure over the runs in its result table, or `None` if the table has no such run.
-    pub(super) fn worst(&self, played: ScenarioRuns) -> Option<WorstRun> {
-        let table = self.results.get(played.results)?;
-        let at = table.columns.iter().position(|column| column == played.column)?;
-        let rows = table.rows.iter().filter(|row| row.first().is_some_and(|first| first == played.row));
+    pub(super) fn worst(&self, scenario_runs: ScenarioRuns) -> Option<WorstRun> {
+        let table = self.results.get(scenario_runs.results)?;
+        let at = table.columns.iter().position(|column| column == scenario_runs.column)?;
+        let rows =
+            table.rows.iter().filter(|row| row.first().is_some_and(|first| first == scenario_runs.row));
         let figures: Vec<f64> = rows.filter_map(|row| row.get(at)?.parse().ok()).collect();
         let worst = figures.iter().copied().reduce(f64::max)?;
-        Some(WorstRun { value: worst * played.factor, runs: figures.len() })
+        Some(WorstRun { value: worst * scenario_runs.factor, runs: figures.len() })
     }
 
     /// Returns the cost that the slope `name` gives when it is read in the way of `read`.
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -128,7 +128,7 @@
     /// Description of how the figure is calculated, as the page shows it.
     pub formula: &'static str,
     /// Result of scenario runs that measured the figure directly; if present, it takes precedence over `terms`.
-    pub played: Option<ScenarioRuns>,
+    pub scenario_runs: Option<ScenarioRuns>,
     /// Unit of the figure.
     pub unit: &'static str,
     /// Part of the figure that follows from the plan alone.
@@ -207,7 +207,9 @@
     /// Calculates the figure of the need from the measurements.
     #[must_use]
     pub fn figure(&self, measured: &Measured) -> Figure {
-        if let Some(WorstRun { value, runs }) = self.played.and_then(|played| measured.worst(played)) {
+        if let Some(WorstRun { value, runs }) =
+            self.scenario_runs.and_then(|scenario_runs| measured.worst(scenario_runs))
+        {
             let ratio = self.budget.map(|budget| value / budget);
             return Figure { value: Some(value), ratio, basis: Basis::ScenarioRuns(runs) };
         }
--- a/crates/capacity/src/arithmetic/operator.rs
+++ b/crates/capacity/src/arithmetic/operator.rs
@@ -61,7 +61,7 @@
         &[Term::of("control.change_sent_last_ms_by_watchers", SlopeRead::At(plan.fleet.upstreams.value as f64), 1e-3)],
         Some(plan.configuration.in_force_s.value),
     )
-    .played = Some(ScenarioRuns {
+    .scenario_runs = Some(ScenarioRuns {
         results: "sockets",
         row: match scenario.name {
             "a region cut off and back" => "cut",
--- a/crates/capacity/src/arithmetic/role.rs
+++ b/crates/capacity/src/arithmetic/role.rs
@@ -36,7 +36,7 @@
             unit,
             from_plan,
             terms,
-            played: None,
+            scenario_runs: None,
             extrapolation_ratio: 1.0,
             estimate: None,
             budget,
--- a/crates/capacity/src/control.rs
+++ b/crates/capacity/src/control.rs
@@ -64,7 +64,7 @@
     let rig = Rig {
         plan,
         folder: control_plane::folder(&arguments.out, "slopes")?,
-        plays: if arguments.small { 1 } else { arguments.plays },
+        runs: if arguments.small { 1 } else { arguments.plays },
         seed: arguments.seed,
         sizes: SIZE_FRACTIONS.map(|part| {
             let size = (plan.fleet.upstreams.value as f64 * part).round() as usize;
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -138,7 +138,7 @@
         all: &mut Measured,
     ) -> Result<Vec<Rates>, CapacityError> {
         let mut at_rest = Vec::new();
-        for _ in 0..self.rig.plays {
+        for _ in 0..self.rig.runs {
             let from = UsageTotals::of(hollow_processes, &mut self.control_plane)?;
             hollow_processes.receive_for(self.rig.window)?;
             let to = UsageTotals::of(hollow_processes, &mut self.control_plane)?;
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -132,7 +132,7 @@
         let turns = if self.window < Duration::from_secs(1) { TURNS_SMALL } else { TURNS };
         for &size in &self.sizes {
             let server = self.server(size)?;
-            for run in 0..self.plays {
+            for run in 0..self.runs {
                 let seed = self.seed + run as u64;
                 let costs = Client { plan: self.plan, server: &server, seed }.run(turns)?;
                 all.whole_bytes.add(size, costs.whole_bytes);
@@ -179,7 +179,7 @@
             return Err(CapacityError::run("watches of the list", "not all have a list in time"));
         }
         hollow_processes.receive_for(self.window / 6)?;
-        for _ in 0..self.plays {
+        for _ in 0..self.runs {
             self.measure_list_rest(watchers, &server, &mut hollow_processes, all)?;
             all.server_kb.add(watchers, own_memory_kb().saturating_sub(own_memory_kb_before) as f64);
         }
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -19,7 +19,7 @@
     /// Folder in which the slopes are written.
     pub(super) folder: PathBuf,
     /// Number of runs of each size.
-    pub(super) plays: usize,
+    pub(super) runs: usize,
     pub(super) seed: u64,
     /// Sizes to measure: numbers of upstreams in the list, or of watches.
     pub(super) sizes: [usize; 4],
@@ -38,7 +38,7 @@
     pub(super) fn add(&mut self, x: usize, y: f64) {
         let x = x as f64;
         match self.0.last_mut().filter(|last| last.0 == x) {
-            Some((_, plays)) => plays.push(y),
+            Some((_, values)) => values.push(y),
             None => self.0.push((x, vec![y])),
         }
     }
@@ -60,10 +60,10 @@
 
 impl Rig<'_> {
     /// Fits a line through the samples, prints the slope and writes its file.
-    pub(super) fn write(&self, part: &str, plays: &Samples, about: SlopeInfo) -> Result<(), CapacityError> {
-        let max_plays = plays.0.iter().map(|(_, plays)| plays.len()).max().unwrap_or(0);
+    pub(super) fn write(&self, part: &str, samples: &Samples, about: SlopeInfo) -> Result<(), CapacityError> {
+        let max_runs = samples.0.iter().map(|(_, values)| values.len()).max().unwrap_or(0);
         let points: Vec<Point> =
-            plays.0.iter().filter_map(|(x, plays)| Point::of(*x, plays.clone())).collect();
+            samples.0.iter().filter_map(|(x, values)| Point::of(*x, values.clone())).collect();
         let fit = Fit::through(&points);
         let slope = Slope {
             name: about.name.to_owned(),
@@ -72,7 +72,7 @@
             y_unit: about.y.to_owned(),
             command: format!("target/release/capacity control --part {part}"),
             commit: commit(),
-            plays: max_plays,
+            plays: max_runs,
             points,
             fit,
             note: about.note.to_owned(),
--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -207,11 +207,11 @@
     fn write_time_slope(&self, slope: &TimeSlope) -> Result<(), CapacityError> {
         let &TimeSlope { name, what, x_unit, sizes, cost, fixed_counts } = slope;
         let Arguments { small, seed, .. } = *self.arguments;
-        let plays = if small { 2 } else { 5 };
-        let points = measure(sizes, plays, |size, play| cost(self.plan, size, seed + play, small))?;
+        let runs = if small { 2 } else { 5 };
+        let points = measure(sizes, runs, |size, run| cost(self.plan, size, seed + run, small))?;
         let note = format!("Wall time of tight loops with the machine alone. {fixed_counts}");
         let text = SlopeText { name, what, x_unit, y_unit: "ns" };
-        self.write_slope(&text, plays as usize, points, note)
+        self.write_slope(&text, runs as usize, points, note)
     }
 
     fn write_memory_slopes(&self) -> Result<(), CapacityError> {
@@ -241,13 +241,13 @@
     fn write_memory_slope(&self, slope: &MemorySlope) -> Result<(), CapacityError> {
         let &MemorySlope { name, x_unit, sizes, in_flight } = slope;
         let Arguments { small, seed, .. } = *self.arguments;
-        let plays = if small { 1 } else { 3 };
+        let runs = if small { 1 } else { 3 };
         let target_bytes = if small { SMALL_RUN_MEMORY_BYTES } else { RUN_MEMORY_BYTES };
-        let points = measure(sizes, plays, |mut size, play| {
+        let points = measure(sizes, runs, |mut size, run| {
             if !in_flight {
                 size.in_flight = 0;
             }
-            core_bytes_in_child(size, target_bytes, seed + play)
+            core_bytes_in_child(size, target_bytes, seed + run)
         })?;
         let calls = if in_flight { "each call with one attempt out" } else { "no calls held" };
         let note = format!(
@@ -256,7 +256,7 @@
             DEFAULT_SIZE.upstreams
         );
         let text = SlopeText { name, what: "memory of one core", x_unit, y_unit: "bytes" };
-        self.write_slope(&text, plays as usize, points, note)
+        self.write_slope(&text, runs as usize, points, note)
     }
 
     /// Prints the points of a slope and writes the slope to its file, with a linear fit where the points are close to a
@@ -264,7 +264,7 @@
     fn write_slope(
         &self,
         text: &SlopeText,
-        plays: usize,
+        runs: usize,
         points: Vec<Point>,
         mut note: String,
     ) -> Result<(), CapacityError> {
@@ -284,7 +284,7 @@
             y_unit: y_unit.to_owned(),
             command: format!("target/release/capacity decisions{small} --seed {}", self.arguments.seed),
             commit: slope::commit(),
-            plays,
+            plays: runs,
             points,
             fit,
             note,
@@ -298,19 +298,19 @@
     counts.iter().map(|&count| (count, size_of(count))).collect()
 }
 
-/// Measures each size `plays` times with `cost`, which is given the size and the number of the run. Returns a point for
+/// Measures each size `runs` times with `cost`, which is given the size and the number of the run. Returns a point for
 /// each size, with the median and the range of its costs.
 fn measure(
     sizes: &[(usize, Size)],
-    plays: u64,
+    runs: u64,
     mut cost: impl FnMut(Size, u64) -> Result<f64, CapacityError>,
 ) -> Result<Vec<Point>, CapacityError> {
     // Each round measures all sizes once, so that a disturbance of some seconds on the machine affects all sizes and
     // not only one.
     let mut costs: Vec<Vec<f64>> = vec![Vec::new(); sizes.len()];
-    for play in 0..plays {
+    for run in 0..runs {
         for (costs, &(_, size)) in costs.iter_mut().zip(sizes) {
-            costs.push(cost(size, play)?);
+            costs.push(cost(size, run)?);
         }
     }
     Ok(sizes.iter().zip(costs).filter_map(|(&(x, _), costs)| Point::of(x as f64, costs)).collect())
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -111,7 +111,7 @@
             seed: self.seed,
             memory_mb: MEMORY_MB,
             script: Vec::new(),
-            cold: false,
+            starts_warming_up: false,
             fault: self.fault.map(|(depth, fault)| FaultyService { service: depth - 1, fault }),
             max_client_retries: self.max_client_retries,
             idempotency_fractions: self
@@ -340,9 +340,9 @@
         max_client_retries: u32,
     ) -> Result<Vec<String>, CapacityError> {
         let longest_chain = self.longest_chain;
-        let trouble_at = Some((depth, fault));
+        let fault_at = Some((depth, fault));
         let chain = Chain {
-            fault: trouble_at,
+            fault: fault_at,
             max_client_retries,
             all_idempotent: false,
             ..self.healthy(longest_chain, 0)
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -175,7 +175,7 @@
         seed,
         memory_mb,
         script: steps,
-        cold: scenario == Scenario::Cold,
+        starts_warming_up: scenario == Scenario::Cold,
         fault: None,
         max_client_retries: plan.traffic.client_repeats.value,
         idempotency_fractions: None,
--- a/crates/capacity/src/hollow/simulation.rs
+++ b/crates/capacity/src/hollow/simulation.rs
@@ -98,7 +98,7 @@
     /// Steps of the scenario, ordered by time.
     pub script: Vec<TimedStep>,
     /// Whether all processes have just started and are still warming up.
-    pub cold: bool,
+    pub starts_warming_up: bool,
     /// The service with a fault, if any.
     pub fault: Option<FaultyService>,
     /// Maximum number of retries by a client.
@@ -247,7 +247,7 @@
         let halved = halved.map(|faulty| faulty.service);
         let mut seen = vec![0; self.topology.services.len()];
         for slot in 0..self.slots.len() {
-            let process = self.add_process(slot, self.parameters.cold.then_some(0));
+            let process = self.add_process(slot, self.parameters.starts_warming_up.then_some(0));
             let service = self.slots[slot].service;
             seen[service] += 1;
             if halved == Some(service) && seen[service] % 2 == 0 {
--- a/crates/capacity/src/hollow/simulation/calls.rs
+++ b/crates/capacity/src/hollow/simulation/calls.rs
@@ -8,25 +8,32 @@
 use balancer_policy::{Action, Event};
 
 use super::event::ScheduledEvent;
-use super::state::{Caller, End, Hop};
+use super::state::{CallSource, End, Hop};
 use super::{FleetSimulation, seconds};
 
 impl FleetSimulation<'_> {
     /// Starts a call at a core: records it and passes its request to the decision core.
-    pub(super) fn start_call(&mut self, core: u32, caller: Caller, class: u8, hops_left: u8, deadline: u64) {
+    pub(super) fn start_call(
+        &mut self,
+        core: u32,
+        source: CallSource,
+        class: u8,
+        hops_left: u8,
+        deadline: u64,
+    ) {
         let attempts = Vec::with_capacity(1);
-        let hop = Hop { core, caller, class, hops_left, answered: false, executions: 0, deadline, attempts };
+        let hop = Hop { core, source, class, hops_left, answered: false, executions: 0, deadline, attempts };
         let id = self.hops.insert(hop);
         let depth = self.depth_of(core);
         let time_left = deadline.saturating_sub(self.now);
         self.report.depths[depth].calls += 1;
         self.report.depths[depth].left_s += seconds(time_left);
-        let (tenant, is_client_retry) = match caller {
-            Caller::Client(client) => {
+        let (tenant, is_client_retry) = match source {
+            CallSource::Client(client) => {
                 let client = &self.clients[client as usize];
                 (Some(TenantId(client.tenant as usize)), client.tries > 1)
             }
-            Caller::WorkItem(_) => (None, false),
+            CallSource::WorkItem(_) => (None, false),
         };
         let request = Request {
             id: RequestId(id),
@@ -93,7 +100,7 @@
         self.actions = actions;
     }
 
-    /// Sends the answer of a call to its caller, a client or an upstream's work item.
+    /// Sends the answer of a call to its source, a client or an upstream's work item.
     pub(super) fn answer_call(&mut self, id: u64, end: End) {
         let Some(hop) = self.hops.get(id) else { return };
         if hop.answered {
@@ -101,13 +108,13 @@
             return;
         }
         hop.answered = true;
-        let (caller, executions, class) = (hop.caller, hop.executions, hop.class);
+        let (source, executions, class) = (hop.source, hop.executions, hop.class);
         if class == 2 && executions > 1 {
             self.report.faults.run_twice += 1;
         }
-        match caller {
-            Caller::Client(client) => self.client_answered(client, end),
-            Caller::WorkItem(work) => {
+        match source {
+            CallSource::Client(client) => self.client_answered(client, end),
+            CallSource::WorkItem(work) => {
                 let outcome = if end == End::Good { Outcome::Success } else { Outcome::Error };
                 self.finish_work(work, outcome);
             }
@@ -122,12 +129,12 @@
         if hop.attempts.iter().any(|attempt| !attempt.is_over) {
             return;
         }
-        let (answered, caller, core) = (hop.answered, hop.caller, hop.core);
+        let (answered, source, core) = (hop.answered, hop.source, hop.core);
         if answered {
             self.hops.remove(id);
         } else if self.cores[core as usize].balancer.is_none() {
             self.hops.remove(id);
-            if let Caller::Client(client) = caller {
+            if let CallSource::Client(client) = source {
                 self.client_answered(client, End::Failed);
             }
         }
--- a/crates/capacity/src/hollow/simulation/clients.rs
+++ b/crates/capacity/src/hollow/simulation/clients.rs
@@ -2,7 +2,7 @@
 
 use super::event::ScheduledEvent;
 use super::report::Second;
-use super::state::{Caller, Client, End};
+use super::state::{CallSource, Client, End};
 use super::{FleetSimulation, IdempotencyFractions, ns};
 use crate::hollow::topology::place;
 
@@ -76,7 +76,7 @@
             return self.client_answered(number, End::Failed);
         }
         let core = self.fronts[front as usize][entry as usize];
-        self.start_call(core, Caller::Client(number), class, hops_left, deadline);
+        self.start_call(core, CallSource::Client(number), class, hops_left, deadline);
     }
 
     /// Handles the answer to a client: schedules a retry, or counts the call as ended.
--- a/crates/capacity/src/hollow/simulation/signals.rs
+++ b/crates/capacity/src/hollow/simulation/signals.rs
@@ -20,13 +20,13 @@
         let late = ns(LIST_DELAY_MIN_S + LIST_DELAY_SPREAD_S);
         let uncertain: Vec<bool> = (0..self.listed.len())
             .map(|service| {
-                let cold = |&process: &u32| {
+                let is_warming_up = |&process: &u32| {
                     let started = self.processes[process as usize].started;
                     started.is_some_and(|started| self.now < started + ns(SLOW_START_WINDOW_S) + late)
                 };
                 self.partition.is_some()
                     || self.list_changed_at[service].is_some_and(|at| self.now < at + 2 * late)
-                    || self.listed[service].iter().any(cold)
+                    || self.listed[service].iter().any(is_warming_up)
             })
             .collect();
         for core in &self.cores {
--- a/crates/capacity/src/hollow/simulation/state.rs
+++ b/crates/capacity/src/hollow/simulation/state.rs
@@ -77,9 +77,9 @@
     pub(super) index: Vec<u32>,
 }
 
-/// The caller that a call is answered to.
+/// Source of a call, which its answer goes to.
 #[derive(Debug, Clone, Copy)]
-pub(super) enum Caller {
+pub(super) enum CallSource {
     /// A client, by its index in the clients of the simulation.
     Client(u32),
     /// A work item of an upstream, by its identifier.
@@ -103,7 +103,7 @@
 #[derive(Debug)]
 pub(super) struct Hop {
     pub(super) core: u32,
-    pub(super) caller: Caller,
+    pub(super) source: CallSource,
     /// Idempotency class: 0 idempotent, 1 with an idempotency key, 2 not idempotent.
     pub(super) class: u8,
     /// Number of services still to be called in the chain, including the one that this call goes to.
--- a/crates/capacity/src/hollow/simulation/upstreams.rs
+++ b/crates/capacity/src/hollow/simulation/upstreams.rs
@@ -4,7 +4,7 @@
 use balancer_policy::interface::Outcome;
 
 use super::event::ScheduledEvent;
-use super::state::{Caller, Process, Slot, State, WorkItem};
+use super::state::{CallSource, Process, Slot, State, WorkItem};
 use super::{FaultyService, FleetSimulation, ServiceFault, ns, seconds};
 use crate::hollow::topology::place;
 
@@ -96,9 +96,9 @@
     /// received more requests from all balancers together than its limit allows for the window.
     pub(super) fn is_overloaded_by_arrival(&mut self, number: usize) -> bool {
         let now = self.now;
-        let cold = ns(SLOW_START_WINDOW_S);
+        let warm_up = ns(SLOW_START_WINDOW_S);
         let Process { started: Some(started), slot, .. } = self.processes[number] else { return false };
-        if now - started >= cold {
+        if now - started >= warm_up {
             return false;
         }
         let arrivals = &mut self.processes[number].arrivals;
@@ -119,7 +119,7 @@
     pub(super) fn count_execution(&mut self, hop: u64) {
         let Some(hop) = self.hops.get(hop) else { return };
         hop.executions += 1;
-        if let Caller::Client(client) = hop.caller {
+        if let CallSource::Client(client) = hop.source {
             self.clients[client as usize].executions += 1;
         }
     }
@@ -171,7 +171,7 @@
         } else {
             let call = place(calls.iter().map(|call| call.until), self.rng.rand_float());
             let core = self.processes[process].cores[call];
-            self.start_call(core, Caller::WorkItem(id), class, hops_left - 1, deadline);
+            self.start_call(core, CallSource::WorkItem(id), class, hops_left - 1, deadline);
         }
         if self.processes[process].state == State::Up {
             self.next(process);
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -112,7 +112,7 @@
 /// Splits `count` into whole numbers proportional to `shares`, each of them at least 1.
 fn apportion(shares: &[f64], count: usize) -> Vec<usize> {
     let mut numbers: Vec<usize> =
-        shares.iter().map(|share| ((share * count as f64).floor() as usize).max(1)).collect();
+        shares.iter().map(|fraction| ((fraction * count as f64).floor() as usize).max(1)).collect();
     while numbers.iter().sum::<usize>() != count {
         let missing = |place: &usize| shares[*place] * count as f64 - numbers[*place] as f64;
         let places = 0..shares.len();
@@ -289,9 +289,9 @@
     let mut region_of = Vec::new();
     let mut shares = Vec::new();
     let by_region = plan.fleet.zones_by_region.value.iter().zip(&plan.fleet.region_shares.value);
-    for (region, (&zones, share)) in by_region.enumerate() {
+    for (region, (&zones, fraction)) in by_region.enumerate() {
         region_of.extend(vec![region; zones]);
-        shares.extend(vec![share / zones as f64; zones]);
+        shares.extend(vec![fraction / zones as f64; zones]);
     }
     (region_of, shares)
 }
--- a/crates/capacity/src/page/format.rs
+++ b/crates/capacity/src/page/format.rs
@@ -55,7 +55,7 @@
     match basis {
         Basis::Calculated(missing) if missing.is_empty() => "reckoned from the plan".to_owned(),
         Basis::Calculated(missing) => format!("reckoned from the plan; not measured: {}", missing.join(", ")),
-        Basis::ScenarioRuns(plays) => format!("played, the worst of {plays}"),
+        Basis::ScenarioRuns(runs) => format!("played, the worst of {runs}"),
         Basis::Measured => "measured".to_owned(),
         Basis::Extrapolated(past) => {
             format!("extrapolated, {} times the largest size played", format_number(*past))
--- a/crates/capacity/src/page/needs.rs
+++ b/crates/capacity/src/page/needs.rs
@@ -14,8 +14,9 @@
 
 /// The table of results that the figure of a need is read from; `None` where it is not read from a scenario's results.
 fn results_table<'a>(need: &Need, measured: &'a Measured) -> Option<&'a Results> {
-    let played = need.played.filter(|_| matches!(need.figure(measured).basis, Basis::ScenarioRuns(_)))?;
-    measured.results.get(played.results)
+    let scenario_runs =
+        need.scenario_runs.filter(|_| matches!(need.figure(measured).basis, Basis::ScenarioRuns(_)))?;
+    measured.results.get(scenario_runs.results)
 }
 
 fn command_text(need: &Need, measured: &Measured) -> String {
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -236,8 +236,8 @@
     let zones = plan.fleet.zones_by_region.value.iter().zip(&plan.fleet.region_shares.value).enumerate();
     text += &table(
         &["region", "zones", "upstreams", "upstreams a zone", "control machines"],
-        zones.map(|(region, (&zones, share))| {
-            let upstreams = plan.fleet.upstreams.value as f64 * share;
+        zones.map(|(region, (&zones, fraction))| {
+            let upstreams = plan.fleet.upstreams.value as f64 * fraction;
             let origins = if region == 0 { placement.origins.value } else { 0 };
             let standbys = if region == 1 { placement.standbys.value } else { 0 };
             vec![
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -131,9 +131,9 @@
             }] += 1;
         }
     }
-    let [played, within, past, reckoned, missing] = counts;
+    let [scenario_runs, within, past, reckoned, missing] = counts;
     format!(
-        "Of {} figures, over all rows and occasions, {played} were played as such, {within} are measured, {past} \
+        "Of {} figures, over all rows and occasions, {scenario_runs} were played as such, {within} are measured, {past} \
          extrapolated (the furthest {} times past what was played), {reckoned} reckoned and {missing} not measured.\n",
         counts.iter().sum::<u32>(),
         format_number(furthest)
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -374,17 +374,18 @@
     /// tier if all calls go to the full depth, and then for the front if the rate is counted over all hops.
     fn tier_loads_over_mean(&self) -> Vec<f64> {
         let Graph { depth, services_by_depth, hops_per_call, .. } = &self.graph;
-        let deep = services_by_depth.value.iter().map(|share| 1.0 / (depth.value as f64 * share.max(1e-9)));
+        let deep =
+            services_by_depth.value.iter().map(|fraction| 1.0 / (depth.value as f64 * fraction.max(1e-9)));
         let front =
-            services_by_depth.value.first().map(|share| 1.0 / (hops_per_call.value * share.max(1e-9)));
+            services_by_depth.value.first().map(|fraction| 1.0 / (hops_per_call.value * fraction.max(1e-9)));
         deep.chain(front).collect()
     }
 
     /// Returns the number of upstreams of the services at the front, at least 1.
     #[must_use]
     pub fn front_upstreams(&self) -> f64 {
-        let share = self.graph.services_by_depth.value.first().copied().unwrap_or(1.0);
-        (self.fleet.upstreams.value as f64 * share).max(1.0)
+        let fraction = self.graph.services_by_depth.value.first().copied().unwrap_or(1.0);
+        (self.fleet.upstreams.value as f64 * fraction).max(1.0)
     }
 
     /// Returns the number of upstreams of the largest region.
@@ -397,7 +398,7 @@
     #[must_use]
     pub fn largest_zone_upstreams(&self) -> f64 {
         let regions = self.fleet.region_shares.value.iter().zip(&self.fleet.zones_by_region.value);
-        let shares = regions.map(|(share, &zones)| share / zones.max(1) as f64);
+        let shares = regions.map(|(fraction, &zones)| fraction / zones.max(1) as f64);
         self.fleet.upstreams.value as f64 * shares.fold(0.0, f64::max)
     }
 
@@ -423,7 +424,7 @@
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
             &self.configuration;
         let bytes = [fleet_bytes.value, region_bytes.value, service_bytes.value];
-        scope_shares.value.iter().zip(bytes).map(|(share, bytes)| share * bytes as f64).sum()
+        scope_shares.value.iter().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64).sum()
     }
 
     /// Returns the share of one change that falls on one balancer, on average. All regions are taken to change equally
@@ -434,7 +435,7 @@
             &self.configuration;
         let scope_counts = [1.0, self.fleet.regions.value as f64, self.fleet.services.value as f64];
         let bytes = [fleet_bytes.value, region_bytes.value, service_bytes.value];
-        let fractions = scope_shares.value.iter().zip(scope_counts).map(|(share, all)| share / all);
+        let fractions = scope_shares.value.iter().zip(scope_counts).map(|(fraction, all)| fraction / all);
         let lengths = fractions.clone().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64);
         ChangePerBalancer { fraction: fractions.sum(), bytes: lengths.sum() }
     }
--- a/crates/capacity/src/plan/checks.rs
+++ b/crates/capacity/src/plan/checks.rs
@@ -6,7 +6,7 @@
 use super::{ControlPlacement, MAX_UPSTREAMS, Plan};
 
 /// Tolerance for the sum of fractions that must be 1: decimal fractions do not add up exactly in binary floating point.
-const SHARE_SUM_TOLERANCE: f64 = 1e-6;
+const FRACTION_SUM_TOLERANCE: f64 = 1e-6;
 
 /// A fault of a plan: a figure that contradicts another one or is out of its range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
@@ -32,8 +32,8 @@
 
 /// Returns whether `shares` are fractions of 0 to 1 whose sum is 1.
 fn sums_to_one(shares: &[f64]) -> bool {
-    shares.iter().all(|share| (0.0..=1.0).contains(share))
-        && (shares.iter().sum::<f64>() - 1.0).abs() < SHARE_SUM_TOLERANCE
+    shares.iter().all(|fraction| (0.0..=1.0).contains(fraction))
+        && (shares.iter().sum::<f64>() - 1.0).abs() < FRACTION_SUM_TOLERANCE
 }
 
 impl Plan {
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -78,8 +78,8 @@
     }
     let program = arguments.common.program(testbed::BALANCER)?;
     let (slopes, _) = arguments.common.folders()?;
-    let (sizes, plays) = if arguments.common.small { (vec![6, 60], 1) } else { (sizes, arguments.plays) };
-    let bench = Bench { arguments, plan, program: &program, sizes, plays, rate };
+    let (sizes, runs) = if arguments.common.small { (vec![6, 60], 1) } else { (sizes, arguments.plays) };
+    let bench = Bench { arguments, plan, program: &program, sizes, runs, rate };
     let is_selected = |part| arguments.part == part || arguments.part == Part::All;
     let mut measured = Vec::new();
     if is_selected(Part::Start) {
@@ -116,19 +116,27 @@
     /// Lengths of the list to measure, in ascending order.
     sizes: Vec<usize>,
     /// Number of runs for each length.
-    plays: usize,
+    runs: usize,
     /// Request rate under load, in requests per second.
     rate: f64,
 }
 
 /// Values measured for each length of the list, one value per run.
-type Plays = Vec<(usize, Vec<f64>)>;
+type SamplesBySize = Vec<(usize, Vec<f64>)>;
 
 impl Bench<'_> {
     /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement.
-    fn slope(&self, part: &str, name: &str, what: &str, unit: &str, plays: Plays, note: &str) -> Slope {
+    fn slope(
+        &self,
+        part: &str,
+        name: &str,
+        what: &str,
+        unit: &str,
+        samples: SamplesBySize,
+        note: &str,
+    ) -> Slope {
         let points: Vec<Point> =
-            plays.into_iter().filter_map(|(size, plays)| Point::of(size as f64, plays)).collect();
+            samples.into_iter().filter_map(|(size, values)| Point::of(size as f64, values)).collect();
         Slope {
             name: format!("process.{name}_by_upstreams"),
             what: what.to_owned(),
@@ -136,10 +144,10 @@
             y_unit: unit.to_owned(),
             command: format!(
                 "target/release/capacity process --part {part} --plays {} --seed {}",
-                self.plays, self.arguments.common.seed
+                self.runs, self.arguments.common.seed
             ),
             commit: commit(),
-            plays: self.plays,
+            plays: self.runs,
             fit: Fit::through(&points),
             points,
             note: note.to_owned(),
@@ -164,11 +172,12 @@
 
     /// Measures start time and memory of processes that have not served a request, one process after the other.
     fn start(&self) -> Result<Vec<Slope>, CapacityError> {
-        let (mut listens, mut serves, mut memory) = (Plays::new(), Plays::new(), Plays::new());
+        let (mut listens, mut serves, mut memory) =
+            (SamplesBySize::new(), SamplesBySize::new(), SamplesBySize::new());
         for &size in &self.sizes {
             let (upstreams, discovery) = self.start_servers(size, 0)?;
             let mut samples = [const { Vec::new() }; 3];
-            for _ in 0..self.plays {
+            for _ in 0..self.runs {
                 let balancer = self.balancer(&upstreams, &discovery)?;
                 // Gives the balancer time to apply the list from discovery too.
                 thread::sleep(Duration::from_millis(300));
@@ -215,7 +224,7 @@
     /// hardly affect each other.
     fn idle(&self) -> Result<Vec<Slope>, CapacityError> {
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
-        let mut core_fractions: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
+        let mut core_fractions: SamplesBySize = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
         let mut environments = Vec::new();
         for &size in &self.sizes {
             let (upstreams, discovery) = self.start_servers(size, 0)?;
@@ -223,7 +232,7 @@
             environments.push((upstreams, discovery, balancer));
         }
         thread::sleep(Duration::from_millis(500));
-        for _ in 0..self.plays {
+        for _ in 0..self.runs {
             let before = self.usages(&environments)?;
             thread::sleep(span);
             for ((before, after), (_, core_fractions)) in
@@ -257,11 +266,11 @@
     /// process for each run.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
         let (warm_up_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
-        let (mut request, mut memory, mut opened) = (Plays::new(), Plays::new(), Vec::new());
+        let (mut request, mut memory, mut opened) = (SamplesBySize::new(), SamplesBySize::new(), Vec::new());
         let mut rng = Rand64::new(u128::from(self.arguments.common.seed));
         for &size in &self.sizes {
             let (mut request_us, mut memory_kb, mut new_connections) = (Vec::new(), Vec::new(), 0);
-            for _ in 0..self.plays {
+            for _ in 0..self.runs {
                 let cost = self.serve(size, &mut rng, warm_up_s, span_s)?;
                 request_us.push(cost.request_us);
                 memory_kb.push(cost.memory_kb);
@@ -269,7 +278,7 @@
             }
             request.push((size, request_us));
             memory.push((size, memory_kb));
-            opened.push(format!("{size}: {:.1}", new_connections as f64 / self.plays as f64));
+            opened.push(format!("{size}: {:.1}", new_connections as f64 / self.runs as f64));
         }
         let note = format!(
             "Of all its threads, timers and log with it, at {:.0} calls a second (drawn times) for {span_s} s after {warm_up_s} s \
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -26,10 +26,10 @@
 impl Point {
     /// The point at size `x` with the median and the range of the costs of its runs; `None` without a run.
     #[must_use]
-    pub fn of(x: f64, mut plays: Vec<f64>) -> Option<Self> {
-        plays.sort_by(f64::total_cmp);
-        let (low, high) = (*plays.first()?, *plays.last()?);
-        Some(Self { x, y: plays[plays.len() / 2], low, high })
+    pub fn of(x: f64, mut costs: Vec<f64>) -> Option<Self> {
+        costs.sort_by(f64::total_cmp);
+        let (low, high) = (*costs.first()?, *costs.last()?);
+        Some(Self { x, y: costs[costs.len() / 2], low, high })
     }
 }
 
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -269,7 +269,7 @@
     assert_eq!(figure("ordinary day").basis, Basis::Measured);
     let unknown = ScenarioRuns { results: "sockets", row: "relay", column: "first, ms", factor: 1.0 };
     let mut without = need(&plan, &all[0], "operator who publishes", Cost::Time);
-    without.played = Some(unknown);
+    without.scenario_runs = Some(unknown);
     assert_eq!(without.figure(&measured).basis, Basis::Measured);
 }
 
--- a/crates/capacity/tests/sockets.rs
+++ b/crates/capacity/tests/sockets.rs
@@ -196,8 +196,11 @@
     }
     for region in 0..plan.fleet.regions.value {
         let here = balancers.iter().filter(|one| control_plane::region_of(&plan, one.zone) == region).count();
-        let share = here as f64 / balancers.len() as f64;
-        assert!((share - plan.fleet.region_shares.value[region]).abs() < 0.01, "region {region}: {share}");
+        let fraction = here as f64 / balancers.len() as f64;
+        assert!(
+            (fraction - plan.fleet.region_shares.value[region]).abs() < 0.01,
+            "region {region}: {fraction}"
+        );
     }
 }
 
