--- a/crates/capacity/src/arithmetic/measured.rs
+++ b/crates/capacity/src/arithmetic/measured.rs
@@ -79,7 +79,7 @@
         Some(WorstRun { value: worst * scenario_runs.factor, runs: figures.len() })
     }
 
-    /// Returns the cost that the slope `name` gives when it is read in the way of `read`.
+    /// Returns the cost of the slope `name`, read from it as `read` says.
     pub(super) fn cost_of(&self, name: &str, read: SlopeRead) -> Option<CostAt> {
         match read {
             SlopeRead::At(x) => self.at(name, x),
--- a/crates/capacity/src/arithmetic/need.rs
+++ b/crates/capacity/src/arithmetic/need.rs
@@ -99,7 +99,7 @@
 }
 
 impl Term {
-    /// Creates the term that reads `slope` in the way of `read` and multiplies the cost by `factor`.
+    /// Creates the term that reads the cost of `slope` as `read` says and multiplies the cost by `factor`.
     pub(super) const fn of(slope: &'static str, read: SlopeRead, factor: f64) -> Self {
         Self { slope, read, factor }
     }
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -82,8 +82,8 @@
     (machine::thread_ns() - before) as f64 / 1e3 / f64::from(count)
 }
 
-/// Bytes of a watch of the list from the index `since` until the end of its first line, both ways. Client and server
-/// must count the same.
+/// Bytes of a watch of the list from the index `since` until the end of its first line, in both directions. Client
+/// and server must count the same.
 pub(super) fn catch_up_bytes(server: &ListServer, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the list from {since}");
     let failed = |cause| CapacityError::run(&place, cause);
--- a/crates/capacity/src/decisions.rs
+++ b/crates/capacity/src/decisions.rs
@@ -208,7 +208,7 @@
         let &TimeSlope { name, what, x_unit, sizes, cost, fixed_counts } = slope;
         let Arguments { small, seed, .. } = *self.arguments;
         let runs = if small { 2 } else { 5 };
-        let points = measure(sizes, runs, |size, run| cost(self.plan, size, seed + run, small))?;
+        let points = measure(sizes, runs, |size, run_index| cost(self.plan, size, seed + run_index, small))?;
         let note = format!("Wall time of tight loops with the machine alone. {fixed_counts}");
         let text = SlopeText { name, what, x_unit, y_unit: "ns" };
         self.write_slope(&text, runs as usize, points, note)
@@ -243,11 +243,11 @@
         let Arguments { small, seed, .. } = *self.arguments;
         let runs = if small { 1 } else { 3 };
         let target_bytes = if small { SMALL_RUN_MEMORY_BYTES } else { RUN_MEMORY_BYTES };
-        let points = measure(sizes, runs, |mut size, run| {
+        let points = measure(sizes, runs, |mut size, run_index| {
             if !in_flight {
                 size.in_flight = 0;
             }
-            core_bytes_in_child(size, target_bytes, seed + run)
+            core_bytes_in_child(size, target_bytes, seed + run_index)
         })?;
         let calls = if in_flight { "each call with one attempt out" } else { "no calls held" };
         let note = format!(
@@ -308,9 +308,9 @@
     // Each round measures all sizes once, so that a disturbance of some seconds on the machine affects all sizes and
     // not only one.
     let mut costs: Vec<Vec<f64>> = vec![Vec::new(); sizes.len()];
-    for run in 0..runs {
+    for run_index in 0..runs {
         for (costs, &(_, size)) in costs.iter_mut().zip(sizes) {
-            costs.push(cost(size, run)?);
+            costs.push(cost(size, run_index)?);
         }
     }
     Ok(sizes.iter().zip(costs).filter_map(|(&(x, _), costs)| Point::of(x as f64, costs)).collect())
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -221,20 +221,20 @@
     }
 
     /// A chain of `depth` services without a fault, in which all requests are idempotent.
-    fn healthy(&self, depth: usize, run: u64) -> Chain {
+    fn healthy(&self, depth: usize, run_index: u64) -> Chain {
         Chain {
             depth,
             fault: None,
             max_client_retries: self.max_client_retries,
             all_idempotent: true,
-            seed: self.arguments.seed + run,
+            seed: self.arguments.seed + run_index,
             seconds: self.seconds,
         }
     }
 
     /// A chain of `depth` services whose last service fails each request at once; all requests are idempotent.
-    fn failing(&self, depth: usize, run: u64) -> Chain {
-        Chain { fault: Some((depth, ServiceFault::Failing)), ..self.healthy(depth, run) }
+    fn failing(&self, depth: usize, run_index: u64) -> Chain {
+        Chain { fault: Some((depth, ServiceFault::Failing)), ..self.healthy(depth, run_index) }
     }
 
     /// Creates the folder `name` below the output folder if it is missing, and returns its path.
@@ -249,10 +249,10 @@
         let mut points = Points::default();
         for &depth in &self.depths {
             let (mut attempts, mut refusals, mut deadline_left_ms) = (Vec::new(), Vec::new(), Vec::new());
-            for run in 0..self.runs {
-                let failing = self.failing(depth, run);
+            for run_index in 0..self.runs {
+                let failing = self.failing(depth, run_index);
                 let figures = failing.figures(&failing.simulate(self.plan)?, depth);
-                let healthy = self.healthy(depth, run);
+                let healthy = self.healthy(depth, run_index);
                 attempts.push(figures.attempts);
                 refusals.push(figures.refusals);
                 deadline_left_ms.push(healthy.figures(&healthy.simulate(self.plan)?, depth).deadline_left_ms);
--- a/crates/capacity/src/hollow/simulation.rs
+++ b/crates/capacity/src/hollow/simulation.rs
@@ -206,7 +206,7 @@
         Ok(simulation)
     }
 
-    /// Calculates the tenants' shares of the calls: the tenant of rank n has a weight of 1 / sqrt(n).
+    /// Calculates the cumulative fractions of the calls by tenant: the tenant of rank n has a weight of 1 / sqrt(n).
     fn draw_tenants(&mut self) {
         let mut sum = 0.0;
         let weights: Vec<f64> =
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -83,7 +83,8 @@
     )
 }
 
-/// The rows that need at least [`TIGHT_RATIO`] of their budget, each in its worst load scenario, the largest ratio first.
+/// The rows that need at least [`TIGHT_RATIO`] of their budget, each in its worst load scenario, with the largest ratio
+/// first.
 pub(super) fn tight_block(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let mut worst: BTreeMap<(&str, Cost), (f64, Need, Figure, &str)> = BTreeMap::new();
     for load_scenario in LoadScenario::all(plan) {
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -291,7 +291,7 @@
     Hops,
 }
 
-/// Share of one configuration change that falls on one balancer, on average.
+/// Mean fraction of the configuration changes, and mean bytes of one change, that concern one balancer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChangePerBalancer {
     /// Fraction of the changes that concern the balancer, 0 to 1.
@@ -427,7 +427,7 @@
         scope_shares.value.iter().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64).sum()
     }
 
-    /// Returns the share of one change that falls on one balancer, on average. All regions are taken to change equally
+    /// Returns what one configuration change means for one balancer on average. All regions are taken to change equally
     /// often, and so are all services.
     #[must_use]
     pub fn change_per_balancer(&self) -> ChangePerBalancer {
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -122,7 +122,7 @@
 }
 
 /// Values measured for each length of the list, one value per run.
-type SamplesBySize = Vec<(usize, Vec<f64>)>;
+type ValuesBySize = Vec<(usize, Vec<f64>)>;
 
 impl Bench<'_> {
     /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement.
@@ -132,11 +132,11 @@
         name: &str,
         what: &str,
         unit: &str,
-        samples: SamplesBySize,
+        values_by_size: ValuesBySize,
         note: &str,
     ) -> Slope {
         let points: Vec<Point> =
-            samples.into_iter().filter_map(|(size, values)| Point::of(size as f64, values)).collect();
+            values_by_size.into_iter().filter_map(|(size, values)| Point::of(size as f64, values)).collect();
         Slope {
             name: format!("process.{name}_by_upstreams"),
             what: what.to_owned(),
@@ -173,7 +173,7 @@
     /// Measures start time and memory of processes that have not served a request, one process after the other.
     fn start(&self) -> Result<Vec<Slope>, CapacityError> {
         let (mut listens, mut serves, mut memory) =
-            (SamplesBySize::new(), SamplesBySize::new(), SamplesBySize::new());
+            (ValuesBySize::new(), ValuesBySize::new(), ValuesBySize::new());
         for &size in &self.sizes {
             let (upstreams, discovery) = self.start_servers(size, 0)?;
             let mut samples = [const { Vec::new() }; 3];
@@ -224,7 +224,7 @@
     /// hardly affect each other.
     fn idle(&self) -> Result<Vec<Slope>, CapacityError> {
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
-        let mut core_fractions: SamplesBySize = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
+        let mut core_fractions: ValuesBySize = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
         let mut environments = Vec::new();
         for &size in &self.sizes {
             let (upstreams, discovery) = self.start_servers(size, 0)?;
@@ -266,7 +266,7 @@
     /// process for each run.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
         let (warm_up_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
-        let (mut request, mut memory, mut opened) = (SamplesBySize::new(), SamplesBySize::new(), Vec::new());
+        let (mut request, mut memory, mut opened) = (ValuesBySize::new(), ValuesBySize::new(), Vec::new());
         let mut rng = Rand64::new(u128::from(self.arguments.common.seed));
         for &size in &self.sizes {
             let (mut request_us, mut memory_kb, mut new_connections) = (Vec::new(), Vec::new(), 0);
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -88,7 +88,7 @@
     for what in kinds {
         let every = interval(arguments, plan, what);
         let setup = Setup { arguments, plan, size, what, every };
-        let run_outcome = setup.run(&mut rng)?;
+        let run_outcome = setup.measure(&mut rng)?;
         counts = counts.and(run_outcome.counts);
         rows.push(run_outcome.row(&setup)?);
     }
--- a/crates/capacity/src/real/single_run.rs
+++ b/crates/capacity/src/real/single_run.rs
@@ -73,7 +73,7 @@
     }
 
     /// Starts the processes, sends the calls while the changes are made, and collects the results.
-    pub(super) fn run(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
+    pub(super) fn measure(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
         let program = self.arguments.common.program(testbed::BALANCER)?;
         if self.client_has_own_core() {
             testbed::pin_to_cores(&format!("1-{}", self.size.cores - 1))?;
--- a/crates/capacity/src/sockets/control_plane.rs
+++ b/crates/capacity/src/sockets/control_plane.rs
@@ -32,19 +32,28 @@
 /// Maximum time until a process listens, and until a publication is accepted.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A control process of the plan, with its child process while it runs.
 struct Running {
     machine: ControlProcess,
+    /// Address that the process listens on.
     address: SocketAddr,
+    /// The child process; `None` while the control process is killed.
     child: Option<Child>,
     /// Processor time used by earlier, killed processes of this entry, in nanoseconds.
     earlier_cpu_ns: u64,
+    /// Largest resident memory that [`ControlPlane::usage`] has read, in KiB.
     max_resident_kb: u64,
 }
 
+/// A connection from a control process to one of its parents, through a forwarder.
 struct Edge {
+    /// Index of the control process that connects.
     child: usize,
+    /// Index of the parent.
     parent: usize,
+    /// Address of the forwarder.
     address: SocketAddr,
+    /// Bytes that the forwarder has passed on, in both directions.
     bytes: Arc<AtomicU64>,
 }
 
@@ -52,8 +61,11 @@
 pub struct ControlPlane {
     running: Vec<Running>,
     edges: Vec<Edge>,
+    /// Region that is partitioned from the others, for the forwarders; `None` without a partition.
     partition: watch::Sender<Option<usize>>,
+    /// Path of the control processes' program.
     program: PathBuf,
+    /// Directory for the data of the origin and the standbys.
     directory: PathBuf,
     forwarders: Option<Forwarders>,
 }
--- a/crates/capacity/src/sockets/control_plane/forwarder.rs
+++ b/crates/capacity/src/sockets/control_plane/forwarder.rs
@@ -14,12 +14,15 @@
 
 pub(super) struct Forwarder {
     pub(super) listener: std::net::TcpListener,
+    /// Address of the process that connections are forwarded to.
     pub(super) target: SocketAddr,
     /// Regions of the two processes that the forwarder connects.
     pub(super) regions: [usize; 2],
+    /// Bytes forwarded so far, in both directions.
     pub(super) bytes: Arc<AtomicU64>,
 }
 
+/// The thread that runs all forwarders, and the sender that stops it.
 pub(super) type Forwarders = (oneshot::Sender<()>, JoinHandle<()>);
 
 pub(super) fn forward_all(
--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -1,5 +1,5 @@
-//! HollowBalancer balancers, many in one process. Each runs the balancer's own endpoint list client with the balancer's
-//! decisions, and the real configuration client, but has no listener and no clients.
+//! Hollow balancers (simulated, without real traffic), many in one process. Each runs the balancer's own endpoint list
+//! client with the balancer's decisions, and the real configuration client, but has no listener and no clients.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
     pub zones: Vec<String>,
     /// Delay between the starts of two balancers of the process, in ms.
     pub apart_ms: u64,
-    /// HollowBalancer balancers to run.
+    /// Hollow balancers that the process runs.
     pub balancers: Vec<HollowBalancer>,
 }
 
--- a/crates/capacity/src/sockets/hollow_processes.rs
+++ b/crates/capacity/src/sockets/hollow_processes.rs
@@ -29,7 +29,9 @@
     listed: Vec<bool>,
     /// Versions of each scope that came into force at each balancer, in their order, by the balancer's number.
     in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
+    /// Scopes that each balancer subscribes to, by the balancer's number.
     wanted: Vec<[Scope; 3]>,
+    /// Response of each process to the latest command `figures`; `None` until it arrives.
     figures: Vec<Option<Figures>>,
     /// How often the index of a balancer decreased, which must never happen.
     pub index_regressions: usize,
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -34,6 +34,7 @@
     "control, largest, MB",
 ];
 
+/// Outcome of a run: how the changes came into force, and what the processes used.
 pub(super) struct Outcome {
     pub(super) scenario: Scenario,
     pub(super) seed: u64,
--- a/crates/capacity/src/sockets/run_scenario.rs
+++ b/crates/capacity/src/sockets/run_scenario.rs
@@ -102,13 +102,17 @@
     list: ListServer,
     /// Newest published version of each scope.
     newest: HashMap<Scope, u64>,
+    /// Memory limit of all processes of the run together, in KiB.
     memory_bound_kb: u64,
+    /// Name of the run in error messages.
     label: String,
 }
 
 /// Delays until the changes were in force, for all changes and balancers.
 struct ChangeTimes {
+    /// Delays from the origin's acknowledgement of a change.
     from_acknowledgement: DelayHistogram,
+    /// Delays from the first sending of a change.
     from_sending: DelayHistogram,
 }
 
--- a/crates/capacity/src/sockets/run_scenario/fault.rs
+++ b/crates/capacity/src/sockets/run_scenario/fault.rs
@@ -24,7 +24,9 @@
 
 /// The randomly chosen target of a run's fault.
 pub(super) struct FaultTarget {
+    /// Zone that loses one relay or all its relays, by the scenario.
     zone: usize,
+    /// Region whose region relays are killed in that scenario.
     region: usize,
     /// Region that is partitioned from the others; not the origin's region.
     pub(super) partitioned_region: usize,
--- a/crates/capacity/src/testbed/child.rs
+++ b/crates/capacity/src/testbed/child.rs
@@ -1,5 +1,5 @@
-//! Child processes that are killed when the test that started them ends, and whose latest log lines are available for
-//! the error message when one does not start.
+//! Child processes that are killed when the value that owns them is dropped, and whose latest log lines are available
+//! for the error message when one does not start.
 
 use std::collections::VecDeque;
 use std::fs;
--- a/crates/capacity/tests/latency.rs
+++ b/crates/capacity/tests/latency.rs
@@ -48,7 +48,8 @@
         .expect("the command wrote the file");
 }
 
-/// Guards the latency breakdown table: it has a row for every way at each rate, with about as many calls on each way.
+/// Guards the latency breakdown table: it has a row for every route at each rate, with about as many calls on each
+/// route.
 #[test]
 fn latency_breakdown_covers_every_way() {
     let out = common::TempDir::new("made-of");
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -15,7 +15,7 @@
 
 use common::{assert_fails_with, balancer_program, plan, run_capacity};
 
-/// A way to the targets with `warm` connections opened before the first call.
+/// A route to the targets with `warm` connections opened before the first call.
 fn route(targets: Vec<std::net::SocketAddr>, warm: usize) -> Route {
     Route { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
 }
@@ -94,8 +94,8 @@
     assert!(upstreams.records.take_ids(11).is_err());
 }
 
-/// Guards the pairing of calls: each pair has one call on every way, the calls are in order of time, and the same seed
-/// gives the same calls.
+/// Guards the pairing of calls: each pair has one call on every route, the calls are in order of time, and the same
+/// seed gives the same calls.
 #[test]
 fn call_pairs_are_complete_and_determined_by_the_seed() {
     let draw = |seed| {
