--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -138,15 +138,15 @@
 /// second with the signal.
 fn signal(report: &Report, from: f64, figure: impl Fn(&Signals) -> usize) -> String {
     let seen = || report.signals.iter().filter(|signals| signals.at_s as f64 >= from && figure(signals) > 0);
-    let Some(most) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
+    let Some(peak) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
         return "none".to_owned();
     };
     let at = |signals: Option<&Signals>| signals.map_or(0, |signals| signals.at_s);
     format!(
         "{} of {} at {} s; {} to {} s",
-        figure(most),
-        most.cores,
-        most.at_s,
+        figure(peak),
+        peak.cores,
+        peak.at_s,
         at(seen().next()),
         at(seen().next_back())
     )
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -278,9 +278,9 @@
     pub fn busiest_over_mean(&self) -> f64 {
         let upstreams: usize = self.services.iter().map(|service| service.zones.len()).sum();
         let mean = self.services.iter().map(|service| service.rate).sum::<f64>() / upstreams as f64;
-        let most =
+        let busiest =
             self.services.iter().map(|service| service.rate / service.zones.len() as f64).fold(0.0, f64::max);
-        most / mean
+        busiest / mean
     }
 }
 
@@ -314,11 +314,13 @@
 /// between them.
 fn connect_depths(services: &mut [Service], upper: &[usize], lower: &[usize], plan: &Plan, rng: &mut Rand64) {
     let mean = plan.graph.destinations_mean.value;
-    let most = plan.graph.destinations_most.value.min(lower.len());
+    let max_destinations = plan.graph.destinations_most.value.min(lower.len());
     // The number of destinations is geometrically distributed: one, and each further one with the same probability. The
     // largest services get the most destinations.
-    let mut counts: Vec<usize> =
-        upper.iter().map(|_| 1 + (1..most).take_while(|_| rng.rand_float() * mean >= 1.0).count()).collect();
+    let mut counts: Vec<usize> = upper
+        .iter()
+        .map(|_| 1 + (1..max_destinations).take_while(|_| rng.rand_float() * mean >= 1.0).count())
+        .collect();
     counts.sort_unstable();
     let mut order: Vec<usize> = (0..upper.len()).collect();
     order.sort_by_key(|&at| services[upper[at]].zones.len());
--- a/crates/capacity/src/latency/single_run.rs
+++ b/crates/capacity/src/latency/single_run.rs
@@ -161,21 +161,21 @@
 
     /// Starts new servers, and sends calls directly and through the balancer at the same time.
     pub(super) fn measure(&mut self, setup: &Setup) -> Result<Run, CapacityError> {
-        let warm = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
-        let length = span(setup.rate, self.arguments.common.small) + warm;
+        let warm_up = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
+        let length = span(setup.rate, self.arguments.common.small) + warm_up;
         let calls =
             testbed::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
         let core = setup.placement.place(self.cores, self.placement != Placement::Anywhere)?;
         let servers = self.start_servers(setup, calls.len(), core)?;
         let first_id = servers.upstreams.records.take_ids(calls.len())?;
-        let first_counted = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
+        let first_counted = calls.iter().position(|call| call.at >= warm_up).unwrap_or(calls.len());
 
         let SentCalls { call_results, baseline, changes } =
             self.run(setup, &servers, &calls, first_id, first_counted)?;
         let stats = RunStats {
             counts: Counts::of(&calls, &call_results, &servers.upstreams.records, first_id),
             used: Usage::of(servers.balancer.process.id())?.since(baseline.used?),
-            span: length - warm,
+            span: length - warm_up,
             opened: servers.upstreams.records.opened() - baseline.opened,
             changes,
             steal_time_ms: testbed::steal_time_ms().saturating_sub(baseline.steal_time_ms),
@@ -214,7 +214,7 @@
     fn routes(&self, servers: &Servers) -> Vec<Route> {
         let route = |targets| Route {
             targets,
-            warm: CLIENT_CONNECTIONS,
+            initial_connections: CLIENT_CONNECTIONS,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
@@ -300,14 +300,14 @@
 fn summarize(calls: &[Call], call_results: &[CallResult], stats: RunStats) -> Result<Run, CapacityError> {
     // A call without its own response has no latency; the counts tell how many there are.
     let right = || calls.iter().zip(call_results).filter(|(_, call_result)| call_result.is_right());
-    let of = |route: usize| {
+    let latencies_of_route = |route: usize| {
         DurationHistogram::of(
             right()
                 .filter(|(call, _)| call.route == route)
                 .map(|(call, call_result)| call_result.latency(call)),
         )
     };
-    let on = |new: bool| {
+    let latencies_by_connection = |new: bool| {
         let own = right().filter(|(call, call_result)| {
             call.route == THROUGH && call_result.end == CallOutcome::Right { new_connection: new }
         });
@@ -321,9 +321,9 @@
     let both: Vec<(Duration, Duration)> =
         paired.into_iter().filter_map(|[direct, through]| Some((direct?, through?))).collect();
     Ok(Run {
-        direct: of(DIRECT)?,
-        through: of(THROUGH)?,
-        relay: of(RELAY)?,
+        direct: latencies_of_route(DIRECT)?,
+        through: latencies_of_route(THROUGH)?,
+        relay: latencies_of_route(RELAY)?,
         inverted: both.iter().filter(|(direct, through)| through < direct).count(),
         difference: DurationHistogram::of(
             both.iter().map(|(direct, through)| through.saturating_sub(*direct)),
@@ -334,8 +334,8 @@
                 .zip(call_results)
                 .map(|(call, call_result)| call_result.sent.saturating_sub(call.at)),
         )?,
-        reused: on(false)?,
-        new: on(true)?,
+        reused: latencies_by_connection(false)?,
+        new: latencies_by_connection(true)?,
         stats,
     })
 }
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -342,7 +342,7 @@
     ) -> Result<usize, CapacityError> {
         let routes = [Route {
             targets: vec![balancer.address],
-            warm: 32,
+            initial_connections: 32,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         }];
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -85,9 +85,9 @@
         one => vec![one],
     };
     let (mut rows, mut counts) = (Vec::new(), Counts::default());
-    for what in kinds {
-        let every = interval(arguments, plan, what);
-        let setup = Setup { arguments, plan, size, what, every };
+    for change_kind in kinds {
+        let change_interval = interval(arguments, plan, change_kind);
+        let setup = Setup { arguments, plan, size, change_kind, change_interval };
         let run_outcome = setup.measure(&mut rng)?;
         counts = counts.and(run_outcome.counts);
         rows.push(run_outcome.row(&setup)?);
@@ -153,8 +153,8 @@
 }
 
 /// Time between two changes of this kind, from the arguments or by default.
-fn interval(arguments: &Arguments, plan: &Plan, what: ChangeKind) -> Duration {
-    let default_s = if what == ChangeKind::List {
+fn interval(arguments: &Arguments, plan: &Plan, change_kind: ChangeKind) -> Duration {
+    let default_s = if change_kind == ChangeKind::List {
         LIST_INTERVAL_S
     } else {
         60.0 / plan.configuration.peak_per_minute.value
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -62,10 +62,10 @@
         let ms = |value: Option<&f64>| value.map_or("-".to_owned(), |ms| format!("{ms:.1}"));
         let counts = self.counts;
         Ok(vec![
-            if setup.what == ChangeKind::List { "the list" } else { "configuration" }.to_owned(),
+            if setup.change_kind == ChangeKind::List { "the list" } else { "configuration" }.to_owned(),
             setup.size.balancers.to_string(),
             setup.size.changes.to_string(),
-            format!("{:.2}", setup.every.as_secs_f64()),
+            format!("{:.2}", setup.change_interval.as_secs_f64()),
             counts.calls.to_string(),
             counts.right.to_string(),
             counts.refused.to_string(),
--- a/crates/capacity/src/real/single_run.rs
+++ b/crates/capacity/src/real/single_run.rs
@@ -28,9 +28,9 @@
     pub(super) plan: &'a Plan,
     pub(super) size: Size,
     /// Kind of the changes that are made.
-    pub(super) what: ChangeKind,
+    pub(super) change_kind: ChangeKind,
     /// Time between two changes.
-    pub(super) every: Duration,
+    pub(super) change_interval: Duration,
 }
 
 /// Processes and stand-in servers of a run. Fields are dropped in order, so that the balancers end first.
@@ -64,12 +64,12 @@
     /// Index of the block that contains the time `at` since the start of the run. Changes are made in every other
     /// block, beginning with the second.
     pub(super) fn block(&self, at: Duration) -> usize {
-        (at.as_secs_f64() / self.every.as_secs_f64() / BLOCK_CHANGES as f64) as usize
+        (at.as_secs_f64() / self.change_interval.as_secs_f64() / BLOCK_CHANGES as f64) as usize
     }
 
     /// Duration of the run: as many blocks without changes as with them.
     fn length(&self) -> Duration {
-        self.every * (2 * BLOCK_CHANGES * self.size.changes.div_ceil(BLOCK_CHANGES)) as u32
+        self.change_interval * (2 * BLOCK_CHANGES * self.size.changes.div_ceil(BLOCK_CHANGES)) as u32
     }
 
     /// Starts the processes, sends the calls while the changes are made, and collects the results.
@@ -116,7 +116,7 @@
         let entries = &upstreams.entries()[..listed];
         let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
         let discovery = Discovery::start(entries.to_vec(), beat)?;
-        let distribution = match self.what {
+        let distribution = match self.change_kind {
             ChangeKind::Configuration => {
                 Some(Distribution::start(&self.arguments.common.program(testbed::DISTRIBUTION)?, 2)?)
             }
@@ -141,9 +141,9 @@
 
     /// Routes of the calls: the direct one, then one through each balancer.
     fn routes(&self, running: &Running) -> Vec<Route> {
-        let route = |targets, warm| Route {
+        let route = |targets, initial_connections| Route {
             targets,
-            warm,
+            initial_connections,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
@@ -194,7 +194,7 @@
         for number in 0..self.size.changes {
             // The first of every two blocks is without changes.
             let slot = number / BLOCK_CHANGES * 2 * BLOCK_CHANGES + BLOCK_CHANGES + number % BLOCK_CHANGES;
-            let at = start_time + self.every * slot as u32;
+            let at = start_time + self.change_interval * slot as u32;
             while Instant::now() < at && !finished.load(Ordering::Acquire) {
                 thread::sleep(Duration::from_millis(1));
             }
--- a/crates/capacity/src/testbed/client.rs
+++ b/crates/capacity/src/testbed/client.rs
@@ -31,7 +31,7 @@
     /// Addresses to which the connections are opened.
     pub targets: Vec<SocketAddr>,
     /// Number of connections that are opened before the first call.
-    pub warm: usize,
+    pub initial_connections: usize,
     /// Deadline that each call carries in its `X-Deadline` header.
     pub deadline: Duration,
     /// Number of tenants, to which the calls are assigned in turn.
@@ -101,7 +101,8 @@
     /// Opens the connections that are to be open before the first call.
     fn connect_first(&mut self) -> std::io::Result<()> {
         for (route, opened) in self.routes.iter().zip(&mut self.opened) {
-            let streams: std::io::Result<_> = (0..route.warm).map(|_| connect(route, opened)).collect();
+            let streams: std::io::Result<_> =
+                (0..route.initial_connections).map(|_| connect(route, opened)).collect();
             self.idle.push(streams?);
         }
         Ok(())
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -15,9 +15,9 @@
 
 use common::{assert_fails_with, balancer_program, plan, run_capacity};
 
-/// A route to the targets with `warm` connections opened before the first call.
-fn route(targets: Vec<std::net::SocketAddr>, warm: usize) -> Route {
-    Route { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
+/// A route to the targets with `initial_connections` connections opened before the first call.
+fn route(targets: Vec<std::net::SocketAddr>, initial_connections: usize) -> Route {
+    Route { targets, initial_connections, deadline: Duration::from_secs(2), tenants: 1 }
 }
 
 fn send_calls(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
