--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -2,7 +2,7 @@
 //! row.
 
 use super::scenario::{LEARNING_S, Scenario, Span};
-use super::world::{Depth, Faults, Report, Second, Signals};
+use super::simulation::{Depth, Faults, Report, Second, Signals};
 use super::{Run, RunResult, sum};
 use crate::plan::Reading;
 
@@ -138,15 +138,15 @@
 /// second with the signal.
 fn signal(report: &Report, from: f64, figure: impl Fn(&Signals) -> usize) -> String {
     let seen = || report.signals.iter().filter(|signals| signals.at_s as f64 >= from && figure(signals) > 0);
-    let Some(most) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
+    let Some(peak) = seen().max_by_key(|signals| (figure(signals), u64::MAX - signals.at_s)) else {
         return "none".to_owned();
     };
     let at = |signals: Option<&Signals>| signals.map_or(0, |signals| signals.at_s);
     format!(
         "{} of {} at {} s; {} to {} s",
-        figure(most),
-        most.cores,
-        most.at_s,
+        figure(peak),
+        peak.cores,
+        peak.at_s,
         at(seen().next()),
         at(seen().next_back())
     )
@@ -163,8 +163,8 @@
 }
 
 /// The table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in seconds.
-pub(super) fn row(run: &Run, played: &RunResult, wall_s: f64) -> Vec<String> {
-    let &RunResult { ref report, fault, upstreams, busiest_over_mean, reachable } = played;
+pub(super) fn row(run: &Run, run_result: &RunResult, wall_s: f64) -> Vec<String> {
+    let &RunResult { ref report, fault, upstreams, busiest_over_mean, reachable } = run_result;
     let from = if run.scenario == Scenario::Cold { 0.0 } else { LEARNING_S };
     let all = sum(&report.seconds, from, f64::MAX);
     let attempts: u64 = report.depths.iter().map(|depth| depth.attempts).sum();
--- a/crates/capacity/src/latency/play.rs
+++ b/crates/capacity/src/latency/single_run.rs
@@ -7,7 +7,7 @@
 use super::placement::Placement;
 use super::{Background, Bench};
 use crate::CapacityError;
-use crate::world::{
+use crate::testbed::{
     self, Balancer, ByteRelay, Call, CallOutcome, CallResult, Counts, Discovery, Distribution,
     DurationHistogram, Route, Upstreams, Usage,
 };
@@ -108,7 +108,7 @@
     /// Reads the usage so far.
     fn baseline(&self) -> UsageBaseline {
         UsageBaseline {
-            steal_time_ms: world::steal_time_ms(),
+            steal_time_ms: testbed::steal_time_ms(),
             used: Usage::of(self.balancer.process.id()),
             opened: self.upstreams.records.opened(),
         }
@@ -137,7 +137,7 @@
 
 /// Results of the calls of a run, and what was recorded in the background meanwhile.
 struct SentCalls {
-    played: Vec<CallResult>,
+    call_results: Vec<CallResult>,
     baseline: UsageBaseline,
     changes: usize,
 }
@@ -160,27 +160,27 @@
     }
 
     /// Starts new servers, and sends calls directly and through the balancer at the same time.
-    pub(super) fn play(&mut self, setup: &Setup) -> Result<Run, CapacityError> {
-        let warm = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
-        let length = span(setup.rate, self.arguments.common.small) + warm;
+    pub(super) fn measure(&mut self, setup: &Setup) -> Result<Run, CapacityError> {
+        let warm_up = if self.arguments.common.small { WARM_UP / 5 } else { WARM_UP };
+        let length = span(setup.rate, self.arguments.common.small) + warm_up;
         let calls =
-            world::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
+            testbed::paired(&mut self.rng, 2 + usize::from(setup.relay), setup.rate, length, setup.even);
         let core = setup.placement.place(self.cores, self.placement != Placement::Anywhere)?;
         let servers = self.start_servers(setup, calls.len(), core)?;
         let first_id = servers.upstreams.records.take_ids(calls.len())?;
-        let first_counted = calls.iter().position(|call| call.at >= warm).unwrap_or(calls.len());
+        let first_counted = calls.iter().position(|call| call.at >= warm_up).unwrap_or(calls.len());
 
-        let SentCalls { played, baseline, changes } =
+        let SentCalls { call_results, baseline, changes } =
             self.run(setup, &servers, &calls, first_id, first_counted)?;
         let stats = RunStats {
-            counts: Counts::of(&calls, &played, &servers.upstreams.records, first_id),
+            counts: Counts::of(&calls, &call_results, &servers.upstreams.records, first_id),
             used: Usage::of(servers.balancer.process.id())?.since(baseline.used?),
-            span: length - warm,
+            span: length - warm_up,
             opened: servers.upstreams.records.opened() - baseline.opened,
             changes,
-            steal_time_ms: world::steal_time_ms().saturating_sub(baseline.steal_time_ms),
+            steal_time_ms: testbed::steal_time_ms().saturating_sub(baseline.steal_time_ms),
         };
-        summarize(&calls[first_counted..], &played[first_counted..], stats)
+        summarize(&calls[first_counted..], &call_results[first_counted..], stats)
     }
 
     /// Starts the processes and stand-in servers of a run. They inherit the cores that this thread is pinned to.
@@ -193,12 +193,12 @@
         let upstreams = Upstreams::start(setup.upstreams, 2, calls)?;
         let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
         let discovery = Discovery::start(upstreams.entries(), beat)?;
-        let settings = world::settings(self.plan, setup.upstreams);
+        let settings = testbed::settings(self.plan, setup.upstreams);
         let mut configuration =
-            world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
+            testbed::configuration("b0", discovery.address, &upstreams.entries(), &settings);
         let distribution = match setup.changes {
             Some(Changes::Configuration) => {
-                let program = self.arguments.common.program(world::DISTRIBUTION)?;
+                let program = self.arguments.common.program(testbed::DISTRIBUTION)?;
                 let distribution = Distribution::start(&program, 1)?;
                 configuration["distribution"] = distribution.configuration_section();
                 Some(distribution)
@@ -214,7 +214,7 @@
     fn routes(&self, servers: &Servers) -> Vec<Route> {
         let route = |targets| Route {
             targets,
-            warm: CLIENT_CONNECTIONS,
+            initial_connections: CLIENT_CONNECTIONS,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
@@ -238,14 +238,14 @@
         let progress = AtomicUsize::new(0);
         let finished = AtomicBool::new(false);
         let core_0 = setup.placement != Placement::Anywhere;
-        let (played, background) = thread::scope(|scope| {
+        let (call_results, background) = thread::scope(|scope| {
             let client = scope.spawn(|| {
-                let placed = if core_0 { world::pin_to_cores("0") } else { Ok(()) };
-                let start_time = Instant::now() + world::CONNECT_LEAD_TIME;
-                let played =
-                    placed.and_then(|()| world::play(calls, &routes, first_id, start_time, &progress));
+                let placed = if core_0 { testbed::pin_to_cores("0") } else { Ok(()) };
+                let start_time = Instant::now() + testbed::CONNECT_LEAD_TIME;
+                let call_results = placed
+                    .and_then(|()| testbed::send_calls(calls, &routes, first_id, start_time, &progress));
                 finished.store(true, Ordering::Release);
-                played
+                call_results
             });
             let mut background = BackgroundState { baseline: None, changes: 0, published: Ok(()) };
             let began = Instant::now();
@@ -262,12 +262,13 @@
             }
             (client.join(), background)
         });
-        let played = played.map_err(|_| CapacityError::run("calling", "the client's thread panicked"))??;
+        let call_results =
+            call_results.map_err(|_| CapacityError::run("calling", "the client's thread panicked"))??;
         background.published?;
         let Some(baseline) = background.baseline else {
             return Err(CapacityError::run("calling", "the run ended before its warm-up did"));
         };
-        Ok(SentCalls { played, baseline, changes: background.changes })
+        Ok(SentCalls { call_results, baseline, changes: background.changes })
     }
 
     /// Makes the next change in the background. Once a configuration change has failed, no more are published.
@@ -276,7 +277,7 @@
         match (kind, &servers.distribution) {
             (Changes::Configuration, Some(distribution)) => {
                 if background.published.is_ok() {
-                    let (scope, document) = world::configuration_change(self.plan, number);
+                    let (scope, document) = testbed::configuration_change(self.plan, number);
                     let published = distribution.publish(scope, &format!("change-{number}"), &document);
                     background.published = published.map(drop);
                 }
@@ -296,40 +297,45 @@
 }
 
 /// Computes the results of a run from its counted calls.
-fn summarize(calls: &[Call], played: &[CallResult], stats: RunStats) -> Result<Run, CapacityError> {
+fn summarize(calls: &[Call], call_results: &[CallResult], stats: RunStats) -> Result<Run, CapacityError> {
     // A call without its own response has no latency; the counts tell how many there are.
-    let right = || calls.iter().zip(played).filter(|(_, played)| played.is_right());
-    let of = |route: usize| {
+    let right = || calls.iter().zip(call_results).filter(|(_, call_result)| call_result.is_right());
+    let latencies_of_route = |route: usize| {
         DurationHistogram::of(
-            right().filter(|(call, _)| call.route == route).map(|(call, played)| played.latency(call)),
+            right()
+                .filter(|(call, _)| call.route == route)
+                .map(|(call, call_result)| call_result.latency(call)),
         )
     };
-    let on = |new: bool| {
-        let own = right().filter(|(call, played)| {
-            call.route == THROUGH && played.end == CallOutcome::Right { new_connection: new }
+    let latencies_by_connection = |new: bool| {
+        let own = right().filter(|(call, call_result)| {
+            call.route == THROUGH && call_result.end == CallOutcome::Right { new_connection: new }
         });
-        DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
+        DurationHistogram::of(own.map(|(call, call_result)| call_result.latency(call)))
     };
     let pairs = calls.iter().map(|call| call.pair + 1).max().unwrap_or(0);
     let mut paired: Vec<[Option<Duration>; 2]> = vec![[None; 2]; pairs];
-    for (call, played) in right().filter(|(call, _)| call.route <= THROUGH) {
-        paired[call.pair][call.route] = Some(played.latency(call));
+    for (call, call_result) in right().filter(|(call, _)| call.route <= THROUGH) {
+        paired[call.pair][call.route] = Some(call_result.latency(call));
     }
     let both: Vec<(Duration, Duration)> =
         paired.into_iter().filter_map(|[direct, through]| Some((direct?, through?))).collect();
     Ok(Run {
-        direct: of(DIRECT)?,
-        through: of(THROUGH)?,
-        relay: of(RELAY)?,
+        direct: latencies_of_route(DIRECT)?,
+        through: latencies_of_route(THROUGH)?,
+        relay: latencies_of_route(RELAY)?,
         inverted: both.iter().filter(|(direct, through)| through < direct).count(),
         difference: DurationHistogram::of(
             both.iter().map(|(direct, through)| through.saturating_sub(*direct)),
         )?,
         late: DurationHistogram::of(
-            calls.iter().zip(played).map(|(call, played)| played.sent.saturating_sub(call.at)),
+            calls
+                .iter()
+                .zip(call_results)
+                .map(|(call, call_result)| call_result.sent.saturating_sub(call.at)),
         )?,
-        reused: on(false)?,
-        new: on(true)?,
+        reused: latencies_by_connection(false)?,
+        new: latencies_by_connection(true)?,
         stats,
     })
 }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -222,7 +222,7 @@
 
 section! {
     /// Number of control machines in each role.
-    Deal {
+    ControlPlacement {
         /// Number of origins, which accept publications.
         origins: usize,
         /// Number of standbys: replicas of the origin that can take over from it.
@@ -273,7 +273,8 @@
     /// Resource budgets of the control traffic.
     pub budget: Budget,
     /// Number of control machines in each role.
-    pub deal: Deal,
+    #[serde(rename = "deal")]
+    pub control_placement: ControlPlacement,
     /// Failures that are planned for, and how often they happen.
     pub failures: Failures,
 }
@@ -290,7 +291,7 @@
     Hops,
 }
 
-/// Share of one configuration change that falls on one balancer, on average.
+/// Mean fraction of the configuration changes, and mean bytes of one change, that concern one balancer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChangePerBalancer {
     /// Fraction of the changes that concern the balancer, 0 to 1.
@@ -334,7 +335,7 @@
         self.list.printed("list", &mut printed);
         self.configuration.printed("configuration", &mut printed);
         self.budget.printed("budget", &mut printed);
-        self.deal.printed("deal", &mut printed);
+        self.control_placement.printed("deal", &mut printed);
         self.failures.printed("failures", &mut printed);
         printed
     }
@@ -373,17 +374,18 @@
     /// tier if all calls go to the full depth, and then for the front if the rate is counted over all hops.
     fn tier_loads_over_mean(&self) -> Vec<f64> {
         let Graph { depth, services_by_depth, hops_per_call, .. } = &self.graph;
-        let deep = services_by_depth.value.iter().map(|share| 1.0 / (depth.value as f64 * share.max(1e-9)));
+        let deep =
+            services_by_depth.value.iter().map(|fraction| 1.0 / (depth.value as f64 * fraction.max(1e-9)));
         let front =
-            services_by_depth.value.first().map(|share| 1.0 / (hops_per_call.value * share.max(1e-9)));
+            services_by_depth.value.first().map(|fraction| 1.0 / (hops_per_call.value * fraction.max(1e-9)));
         deep.chain(front).collect()
     }
 
     /// Returns the number of upstreams of the services at the front, at least 1.
     #[must_use]
     pub fn front_upstreams(&self) -> f64 {
-        let share = self.graph.services_by_depth.value.first().copied().unwrap_or(1.0);
-        (self.fleet.upstreams.value as f64 * share).max(1.0)
+        let fraction = self.graph.services_by_depth.value.first().copied().unwrap_or(1.0);
+        (self.fleet.upstreams.value as f64 * fraction).max(1.0)
     }
 
     /// Returns the number of upstreams of the largest region.
@@ -396,7 +398,7 @@
     #[must_use]
     pub fn largest_zone_upstreams(&self) -> f64 {
         let regions = self.fleet.region_shares.value.iter().zip(&self.fleet.zones_by_region.value);
-        let shares = regions.map(|(share, &zones)| share / zones.max(1) as f64);
+        let shares = regions.map(|(fraction, &zones)| fraction / zones.max(1) as f64);
         self.fleet.upstreams.value as f64 * shares.fold(0.0, f64::max)
     }
 
@@ -422,10 +424,10 @@
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
             &self.configuration;
         let bytes = [fleet_bytes.value, region_bytes.value, service_bytes.value];
-        scope_shares.value.iter().zip(bytes).map(|(share, bytes)| share * bytes as f64).sum()
+        scope_shares.value.iter().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64).sum()
     }
 
-    /// Returns the share of one change that falls on one balancer, on average. All regions are taken to change equally
+    /// Returns what one configuration change means for one balancer on average. All regions are taken to change equally
     /// often, and so are all services.
     #[must_use]
     pub fn change_per_balancer(&self) -> ChangePerBalancer {
@@ -433,7 +435,7 @@
             &self.configuration;
         let scope_counts = [1.0, self.fleet.regions.value as f64, self.fleet.services.value as f64];
         let bytes = [fleet_bytes.value, region_bytes.value, service_bytes.value];
-        let fractions = scope_shares.value.iter().zip(scope_counts).map(|(share, all)| share / all);
+        let fractions = scope_shares.value.iter().zip(scope_counts).map(|(fraction, all)| fraction / all);
         let lengths = fractions.clone().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64);
         ChangePerBalancer { fraction: fractions.sum(), bytes: lengths.sum() }
     }
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -12,7 +12,7 @@
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Fit, Point, Slope, commit};
-use crate::world::{self, Balancer, CommonArguments, Counts, Discovery, Route, Upstreams, Usage};
+use crate::testbed::{self, Balancer, CommonArguments, Counts, Discovery, Route, Upstreams, Usage};
 
 /// Part of the measurements of the `process` command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -76,10 +76,10 @@
     if !(1.0..=MAX_REQUESTS_PER_S).contains(&rate) {
         return invalid_argument("rate", format!("1 to {MAX_REQUESTS_PER_S} requests per second"));
     }
-    let program = arguments.common.program(world::BALANCER)?;
+    let program = arguments.common.program(testbed::BALANCER)?;
     let (slopes, _) = arguments.common.folders()?;
-    let (sizes, plays) = if arguments.common.small { (vec![6, 60], 1) } else { (sizes, arguments.plays) };
-    let bench = Bench { arguments, plan, program: &program, sizes, plays, rate };
+    let (sizes, runs) = if arguments.common.small { (vec![6, 60], 1) } else { (sizes, arguments.plays) };
+    let bench = Bench { arguments, plan, program: &program, sizes, runs, rate };
     let is_selected = |part| arguments.part == part || arguments.part == Part::All;
     let mut measured = Vec::new();
     if is_selected(Part::Start) {
@@ -116,19 +116,27 @@
     /// Lengths of the list to measure, in ascending order.
     sizes: Vec<usize>,
     /// Number of runs for each length.
-    plays: usize,
+    runs: usize,
     /// Request rate under load, in requests per second.
     rate: f64,
 }
 
 /// Values measured for each length of the list, one value per run.
-type Plays = Vec<(usize, Vec<f64>)>;
+type ValuesBySize = Vec<(usize, Vec<f64>)>;
 
 impl Bench<'_> {
     /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement.
-    fn slope(&self, part: &str, name: &str, what: &str, unit: &str, plays: Plays, note: &str) -> Slope {
+    fn slope(
+        &self,
+        part: &str,
+        name: &str,
+        what: &str,
+        unit: &str,
+        values_by_size: ValuesBySize,
+        note: &str,
+    ) -> Slope {
         let points: Vec<Point> =
-            plays.into_iter().filter_map(|(size, plays)| Point::of(size as f64, plays)).collect();
+            values_by_size.into_iter().filter_map(|(size, values)| Point::of(size as f64, values)).collect();
         Slope {
             name: format!("process.{name}_by_upstreams"),
             what: what.to_owned(),
@@ -136,10 +144,10 @@
             y_unit: unit.to_owned(),
             command: format!(
                 "target/release/capacity process --part {part} --plays {} --seed {}",
-                self.plays, self.arguments.common.seed
+                self.runs, self.arguments.common.seed
             ),
             commit: commit(),
-            plays: self.plays,
+            plays: self.runs,
             fit: Fit::through(&points),
             points,
             note: note.to_owned(),
@@ -149,14 +157,14 @@
     /// Starts a balancer that gets the same list of upstreams from its configuration and from discovery.
     fn balancer(&self, upstreams: &Upstreams, discovery: &Discovery) -> Result<Balancer, CapacityError> {
         let entries = upstreams.entries();
-        let settings = world::settings(self.plan, entries.len());
-        let configuration = world::configuration("b0", discovery.address, &entries, &settings);
+        let settings = testbed::settings(self.plan, entries.len());
+        let configuration = testbed::configuration("b0", discovery.address, &entries, &settings);
         Balancer::start(self.program, &configuration, None, |_| ())
     }
 
     /// Starts the servers around a balancer: `size` stand-in upstreams, for at most `calls` requests, and a stand-in
     /// discovery with their list.
-    fn world(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
+    fn start_servers(&self, size: usize, calls: usize) -> Result<(Upstreams, Discovery), CapacityError> {
         let upstreams = Upstreams::start(size, 2, calls)?;
         let discovery = Discovery::start(upstreams.entries(), heartbeat_interval(self.plan))?;
         Ok((upstreams, discovery))
@@ -164,17 +172,18 @@
 
     /// Measures start time and memory of processes that have not served a request, one process after the other.
     fn start(&self) -> Result<Vec<Slope>, CapacityError> {
-        let (mut listens, mut serves, mut memory) = (Plays::new(), Plays::new(), Plays::new());
+        let (mut listens, mut serves, mut memory) =
+            (ValuesBySize::new(), ValuesBySize::new(), ValuesBySize::new());
         for &size in &self.sizes {
-            let (upstreams, discovery) = self.world(size, 0)?;
+            let (upstreams, discovery) = self.start_servers(size, 0)?;
             let mut samples = [const { Vec::new() }; 3];
-            for _ in 0..self.plays {
+            for _ in 0..self.runs {
                 let balancer = self.balancer(&upstreams, &discovery)?;
                 // Gives the balancer time to apply the list from discovery too.
                 thread::sleep(Duration::from_millis(300));
                 samples[0].push(balancer.listens_after.as_secs_f64() * 1000.0);
                 samples[1].push(balancer.serves_after.as_secs_f64() * 1000.0);
-                samples[2].push(world::memory_kb(balancer.process.id())? as f64);
+                samples[2].push(testbed::memory_kb(balancer.process.id())? as f64);
             }
             let [listens_ms, serves_ms, kb] = samples;
             listens.push((size, listens_ms));
@@ -215,15 +224,15 @@
     /// hardly affect each other.
     fn idle(&self) -> Result<Vec<Slope>, CapacityError> {
         let span = Duration::from_secs(if self.arguments.common.small { 1 } else { 6 });
-        let mut core_fractions: Plays = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
+        let mut core_fractions: ValuesBySize = self.sizes.iter().map(|&size| (size, Vec::new())).collect();
         let mut environments = Vec::new();
         for &size in &self.sizes {
-            let (upstreams, discovery) = self.world(size, 0)?;
+            let (upstreams, discovery) = self.start_servers(size, 0)?;
             let balancer = self.balancer(&upstreams, &discovery)?;
             environments.push((upstreams, discovery, balancer));
         }
         thread::sleep(Duration::from_millis(500));
-        for _ in 0..self.plays {
+        for _ in 0..self.runs {
             let before = self.usages(&environments)?;
             thread::sleep(span);
             for ((before, after), (_, core_fractions)) in
@@ -257,11 +266,11 @@
     /// process for each run.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
         let (warm_up_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
-        let (mut request, mut memory, mut opened) = (Plays::new(), Plays::new(), Vec::new());
+        let (mut request, mut memory, mut opened) = (ValuesBySize::new(), ValuesBySize::new(), Vec::new());
         let mut rng = Rand64::new(u128::from(self.arguments.common.seed));
         for &size in &self.sizes {
             let (mut request_us, mut memory_kb, mut new_connections) = (Vec::new(), Vec::new(), 0);
-            for _ in 0..self.plays {
+            for _ in 0..self.runs {
                 let cost = self.serve(size, &mut rng, warm_up_s, span_s)?;
                 request_us.push(cost.request_us);
                 memory_kb.push(cost.memory_kb);
@@ -269,7 +278,7 @@
             }
             request.push((size, request_us));
             memory.push((size, memory_kb));
-            opened.push(format!("{size}: {:.1}", new_connections as f64 / self.plays as f64));
+            opened.push(format!("{size}: {:.1}", new_connections as f64 / self.runs as f64));
         }
         let note = format!(
             "Of all its threads, timers and log with it, at {:.0} calls a second (drawn times) for {span_s} s after {warm_up_s} s \
@@ -308,7 +317,7 @@
         span_s: f64,
     ) -> Result<RequestCost, CapacityError> {
         let max_calls = (self.rate * 10.0) as usize + 1000;
-        let (upstreams, discovery) = self.world(size, max_calls)?;
+        let (upstreams, discovery) = self.start_servers(size, max_calls)?;
         let balancer = self.balancer(&upstreams, &discovery)?;
         self.send_requests(size, &upstreams, &balancer, rng, Duration::from_secs_f64(warm_up_s))?;
         let (before, opened) = (Usage::of(balancer.process.id())?, upstreams.records.opened());
@@ -317,7 +326,7 @@
         Ok(RequestCost {
             request_us: used.cpu_ns as f64 / 1000.0 / calls as f64,
             new_connections: upstreams.records.opened() - opened,
-            memory_kb: world::memory_kb(balancer.process.id())? as f64,
+            memory_kb: testbed::memory_kb(balancer.process.id())? as f64,
         })
     }
 
@@ -333,15 +342,15 @@
     ) -> Result<usize, CapacityError> {
         let routes = [Route {
             targets: vec![balancer.address],
-            warm: 32,
+            initial_connections: 32,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         }];
-        let calls = world::paired(rng, 1, self.rate, span, false);
+        let calls = testbed::paired(rng, 1, self.rate, span, false);
         let first = upstreams.records.take_ids(calls.len())?;
-        let zero = Instant::now() + world::CONNECT_LEAD_TIME;
-        let played = world::play(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
-        let counts = Counts::of(&calls, &played, &upstreams.records, first);
+        let zero = Instant::now() + testbed::CONNECT_LEAD_TIME;
+        let call_results = testbed::send_calls(&calls, &routes, first, zero, &AtomicUsize::new(0))?;
+        let counts = Counts::of(&calls, &call_results, &upstreams.records, first);
         if counts.right < counts.calls {
             let place = format!("sending requests to a balancer with {size} upstreams");
             return Err(CapacityError::run(place, format!("{counts:?}")));
--- a/crates/capacity/src/real.rs
+++ b/crates/capacity/src/real.rs
@@ -7,15 +7,15 @@
 use oorandom::Rand64;
 
 use self::outcome::COLUMNS;
-use self::play::Setup;
+use self::single_run::Setup;
 use crate::CapacityError;
 use crate::plan::{Plan, Reading};
 use crate::slope::{Results, commit};
-use crate::world::{self, CommonArguments, Counts};
+use crate::testbed::{self, CommonArguments, Counts};
 
 mod in_force;
 mod outcome;
-mod play;
+mod single_run;
 
 /// Kind of the changes that are made during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -85,12 +85,12 @@
         one => vec![one],
     };
     let (mut rows, mut counts) = (Vec::new(), Counts::default());
-    for what in kinds {
-        let every = interval(arguments, plan, what);
-        let setup = Setup { arguments, plan, size, what, every };
-        let played = setup.play(&mut rng)?;
-        counts = counts.and(played.counts);
-        rows.push(played.row(&setup)?);
+    for change_kind in kinds {
+        let change_interval = interval(arguments, plan, change_kind);
+        let setup = Setup { arguments, plan, size, change_kind, change_interval };
+        let run_outcome = setup.measure(&mut rng)?;
+        counts = counts.and(run_outcome.counts);
+        rows.push(run_outcome.row(&setup)?);
     }
     let table = table(arguments, &size, rows);
     for row in &table.rows {
@@ -126,8 +126,8 @@
     fn of(arguments: &Arguments, plan: &Plan) -> Result<Self, CapacityError> {
         let wrong = |name, expected: String| Err(CapacityError::Argument { name, expected });
         let small = arguments.common.small;
-        if !(1..=world::MAX_BALANCERS).contains(&arguments.balancers) {
-            return wrong("balancers", format!("1 to {}", world::MAX_BALANCERS));
+        if !(1..=testbed::MAX_BALANCERS).contains(&arguments.balancers) {
+            return wrong("balancers", format!("1 to {}", testbed::MAX_BALANCERS));
         }
         if !(1..=1000).contains(&arguments.changes) {
             return wrong("changes", "1 to 1000".to_owned());
@@ -153,8 +153,8 @@
 }
 
 /// Time between two changes of this kind, from the arguments or by default.
-fn interval(arguments: &Arguments, plan: &Plan, what: ChangeKind) -> Duration {
-    let default_s = if what == ChangeKind::List {
+fn interval(arguments: &Arguments, plan: &Plan, change_kind: ChangeKind) -> Duration {
+    let default_s = if change_kind == ChangeKind::List {
         LIST_INTERVAL_S
     } else {
         60.0 / plan.configuration.peak_per_minute.value
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use super::play::Setup;
+use super::single_run::Setup;
 use super::{BLOCK_CHANGES, ChangeKind};
 use crate::CapacityError;
-use crate::world::{Call, CallResult, Counts, DurationHistogram};
+use crate::testbed::{Call, CallResult, Counts, DurationHistogram};
 
 /// Column headings of the table of results.
 pub(super) const COLUMNS: [&str; 18] = [
@@ -33,7 +33,7 @@
 pub(super) struct Outcome {
     pub(super) calls: Vec<Call>,
     /// Results of the calls, in the order of `calls`.
-    pub(super) played: Vec<CallResult>,
+    pub(super) call_results: Vec<CallResult>,
     pub(super) counts: Counts,
     /// By change: time from its publication until it was in force at the last balancer.
     pub(super) in_force: Vec<Duration>,
@@ -43,10 +43,10 @@
     /// The row of the table of results, in the order of [`COLUMNS`].
     pub(super) fn row(&self, setup: &Setup<'_>) -> Result<Vec<String>, CapacityError> {
         let times = |through: bool, wanted: &dyn Fn(usize) -> bool| {
-            let own = self.calls.iter().zip(&self.played).filter(|(call, played)| {
-                played.is_right() && (call.route > 0) == through && wanted(setup.block(call.at))
+            let own = self.calls.iter().zip(&self.call_results).filter(|(call, call_result)| {
+                call_result.is_right() && (call.route > 0) == through && wanted(setup.block(call.at))
             });
-            DurationHistogram::of(own.map(|(call, played)| played.latency(call)))
+            DurationHistogram::of(own.map(|(call, call_result)| call_result.latency(call)))
         };
         let added = |quantile: f64, wanted: &dyn Fn(usize) -> bool| -> Result<f64, CapacityError> {
             Ok(times(true, wanted)?.us(quantile) - times(false, wanted)?.us(quantile))
@@ -62,10 +62,10 @@
         let ms = |value: Option<&f64>| value.map_or("-".to_owned(), |ms| format!("{ms:.1}"));
         let counts = self.counts;
         Ok(vec![
-            if setup.what == ChangeKind::List { "the list" } else { "configuration" }.to_owned(),
+            if setup.change_kind == ChangeKind::List { "the list" } else { "configuration" }.to_owned(),
             setup.size.balancers.to_string(),
             setup.size.changes.to_string(),
-            format!("{:.2}", setup.every.as_secs_f64()),
+            format!("{:.2}", setup.change_interval.as_secs_f64()),
             counts.calls.to_string(),
             counts.right.to_string(),
             counts.refused.to_string(),
--- a/crates/capacity/src/real/play.rs
+++ b/crates/capacity/src/real/single_run.rs
@@ -13,7 +13,7 @@
 use super::{Arguments, BLOCK_CHANGES, ChangeKind, Size};
 use crate::CapacityError;
 use crate::plan::Plan;
-use crate::world::{self, Balancer, Call, CallResult, Counts, Discovery, Distribution, Route, Upstreams};
+use crate::testbed::{self, Balancer, Call, CallResult, Counts, Discovery, Distribution, Route, Upstreams};
 
 /// Number of stand-in upstreams that receive direct calls only.
 const DIRECT_UPSTREAMS: usize = 8;
@@ -28,9 +28,9 @@
     pub(super) plan: &'a Plan,
     pub(super) size: Size,
     /// Kind of the changes that are made.
-    pub(super) what: ChangeKind,
+    pub(super) change_kind: ChangeKind,
     /// Time between two changes.
-    pub(super) every: Duration,
+    pub(super) change_interval: Duration,
 }
 
 /// Processes and stand-in servers of a run. Fields are dropped in order, so that the balancers end first.
@@ -64,24 +64,24 @@
     /// Index of the block that contains the time `at` since the start of the run. Changes are made in every other
     /// block, beginning with the second.
     pub(super) fn block(&self, at: Duration) -> usize {
-        (at.as_secs_f64() / self.every.as_secs_f64() / BLOCK_CHANGES as f64) as usize
+        (at.as_secs_f64() / self.change_interval.as_secs_f64() / BLOCK_CHANGES as f64) as usize
     }
 
     /// Duration of the run: as many blocks without changes as with them.
     fn length(&self) -> Duration {
-        self.every * (2 * BLOCK_CHANGES * self.size.changes.div_ceil(BLOCK_CHANGES)) as u32
+        self.change_interval * (2 * BLOCK_CHANGES * self.size.changes.div_ceil(BLOCK_CHANGES)) as u32
     }
 
     /// Starts the processes, sends the calls while the changes are made, and collects the results.
-    pub(super) fn play(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
-        let program = self.arguments.common.program(world::BALANCER)?;
+    pub(super) fn measure(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
+        let program = self.arguments.common.program(testbed::BALANCER)?;
         if self.client_has_own_core() {
-            world::pin_to_cores(&format!("1-{}", self.size.cores - 1))?;
+            testbed::pin_to_cores(&format!("1-{}", self.size.cores - 1))?;
         }
         let calls = self.draw_calls(rng);
         let running = self.start(&program, calls.len())?;
         let first = running.upstreams.records.take_ids(calls.len())?;
-        let (played, changes) = self.call_through_changes(&running, &calls, first)?;
+        let (call_results, changes) = self.call_through_changes(&running, &calls, first)?;
         let Changes { published, drained: mut in_force } = changes;
         if running.distribution.is_some() {
             let reports = collect_reports(&running.reports, &published, self.size.balancers);
@@ -89,8 +89,8 @@
                 in_force.push(self.time_to_last(change, &reports)?);
             }
         }
-        let counts = Counts::of(&calls, &played, &running.upstreams.records, first);
-        Ok(Outcome { calls, played, counts, in_force })
+        let counts = Counts::of(&calls, &call_results, &running.upstreams.records, first);
+        Ok(Outcome { calls, call_results, counts, in_force })
     }
 
     /// Whether the client's thread has a core to itself.
@@ -100,7 +100,7 @@
 
     /// Draws pairs of a direct call and a call through a random balancer.
     fn draw_calls(&self, rng: &mut Rand64) -> Vec<Call> {
-        let mut calls = world::paired(rng, 2, self.size.rate, self.length(), false);
+        let mut calls = testbed::paired(rng, 2, self.size.rate, self.length(), false);
         for call in calls.iter_mut().filter(|call| call.route > 0) {
             call.route = 1 + rng.rand_range(0..self.size.balancers as u64) as usize;
         }
@@ -116,18 +116,18 @@
         let entries = &upstreams.entries()[..listed];
         let beat = Duration::from_secs_f64(self.plan.list.beat_s.value);
         let discovery = Discovery::start(entries.to_vec(), beat)?;
-        let distribution = match self.what {
+        let distribution = match self.change_kind {
             ChangeKind::Configuration => {
-                Some(Distribution::start(&self.arguments.common.program(world::DISTRIBUTION)?, 2)?)
+                Some(Distribution::start(&self.arguments.common.program(testbed::DISTRIBUTION)?, 2)?)
             }
             _ => None,
         };
-        let settings = world::settings(self.plan, self.size.balancers);
+        let settings = testbed::settings(self.plan, self.size.balancers);
         let (sender, reports) = mpsc::channel();
         let mut balancers = Vec::new();
         for number in 0..self.size.balancers {
             let name = format!("b{number}");
-            let mut configuration = world::configuration(&name, discovery.address, entries, &settings);
+            let mut configuration = testbed::configuration(&name, discovery.address, entries, &settings);
             configuration["settings"]["me"] = number.into();
             configuration["seed"] = format!("{:x}", 0x8c1f + number).into();
             if let Some(distribution) = &distribution {
@@ -141,9 +141,9 @@
 
     /// Routes of the calls: the direct one, then one through each balancer.
     fn routes(&self, running: &Running) -> Vec<Route> {
-        let route = |targets, warm| Route {
+        let route = |targets, initial_connections| Route {
             targets,
-            warm,
+            initial_connections,
             deadline: Duration::from_secs_f64(self.plan.traffic.deadline_s.value),
             tenants: self.plan.traffic.tenants.value,
         };
@@ -163,20 +163,21 @@
         first: usize,
     ) -> Result<(Vec<CallResult>, Changes), CapacityError> {
         let routes = self.routes(running);
-        let start_time = Instant::now() + world::CONNECT_LEAD_TIME * 2;
+        let start_time = Instant::now() + testbed::CONNECT_LEAD_TIME * 2;
         let finished = AtomicBool::new(false);
         thread::scope(|scope| {
             let client = scope.spawn(|| {
-                let placed = if self.client_has_own_core() { world::pin_to_cores("0") } else { Ok(()) };
+                let placed = if self.client_has_own_core() { testbed::pin_to_cores("0") } else { Ok(()) };
                 let progress = AtomicUsize::new(0);
-                let played = placed.and_then(|()| world::play(calls, &routes, first, start_time, &progress));
+                let call_results =
+                    placed.and_then(|()| testbed::send_calls(calls, &routes, first, start_time, &progress));
                 finished.store(true, Ordering::Release);
-                played
+                call_results
             });
             let changes = self.make_changes(start_time, &finished, running);
             let ended = |_| CapacityError::run("calling", "the client's thread panicked");
-            let played = client.join().map_err(ended)??;
-            Ok((played, changes?))
+            let call_results = client.join().map_err(ended)??;
+            Ok((call_results, changes?))
         })
     }
 
@@ -193,13 +194,13 @@
         for number in 0..self.size.changes {
             // The first of every two blocks is without changes.
             let slot = number / BLOCK_CHANGES * 2 * BLOCK_CHANGES + BLOCK_CHANGES + number % BLOCK_CHANGES;
-            let at = start_time + self.every * slot as u32;
+            let at = start_time + self.change_interval * slot as u32;
             while Instant::now() < at && !finished.load(Ordering::Acquire) {
                 thread::sleep(Duration::from_millis(1));
             }
             let at = Instant::now();
             if let Some(distribution) = distribution {
-                let (scope, document) = world::configuration_change(self.plan, number);
+                let (scope, document) = testbed::configuration_change(self.plan, number);
                 let version = distribution.publish(scope, &format!("change-{number}"), &document)?;
                 published.push(Published { scope, version, at });
             } else if let Some((upstream, since)) = draining.take() {
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -3,7 +3,7 @@
 use super::Scenario;
 use super::cost::{Busiest, Cost};
 use super::hollow::WINDOW_S;
-use super::swarm::DelayHistogram;
+use super::hollow_processes::DelayHistogram;
 use crate::plan::Plan;
 
 /// Column headings of the results table.
@@ -34,6 +34,7 @@
     "control, largest, MB",
 ];
 
+/// Outcome of a run: how the changes came into force, and what the processes used.
 pub(super) struct Outcome {
     pub(super) scenario: Scenario,
     pub(super) seed: u64,
--- a/crates/capacity/src/world/client.rs
+++ b/crates/capacity/src/testbed/client.rs
@@ -31,7 +31,7 @@
     /// Addresses to which the connections are opened.
     pub targets: Vec<SocketAddr>,
     /// Number of connections that are opened before the first call.
-    pub warm: usize,
+    pub initial_connections: usize,
     /// Deadline that each call carries in its `X-Deadline` header.
     pub deadline: Duration,
     /// Number of tenants, to which the calls are assigned in turn.
@@ -52,7 +52,7 @@
 ///
 /// # Errors
 /// A connection that is to be opened before the first call cannot be opened.
-pub fn play(
+pub fn send_calls(
     calls: &[Call],
     routes: &[Route],
     first_id: usize,
@@ -70,7 +70,7 @@
         idle: Vec::new(),
         busy: Vec::new(),
         next: 0,
-        played: vec![lost; calls.len()],
+        call_results: vec![lost; calls.len()],
     };
     open_loop
         .connect_first()
@@ -94,14 +94,15 @@
     /// Index of the first call that has not been sent.
     next: usize,
     /// Result of each call: lost until its response is complete.
-    played: Vec<CallResult>,
+    call_results: Vec<CallResult>,
 }
 
 impl OpenLoop<'_> {
     /// Opens the connections that are to be open before the first call.
     fn connect_first(&mut self) -> std::io::Result<()> {
         for (route, opened) in self.routes.iter().zip(&mut self.opened) {
-            let streams: std::io::Result<_> = (0..route.warm).map(|_| connect(route, opened)).collect();
+            let streams: std::io::Result<_> =
+                (0..route.initial_connections).map(|_| connect(route, opened)).collect();
             self.idle.push(streams?);
         }
         Ok(())
@@ -115,7 +116,7 @@
             self.send_due(now);
             self.receive();
             if self.next == self.calls.len() && self.busy.is_empty() || now > deadline {
-                return self.played;
+                return self.call_results;
             }
             self.pause(now);
         }
@@ -132,7 +133,7 @@
             let text = request(self.first_id + self.next, call, &self.routes[call.route]);
             let sent = self.elapsed();
             let stream = self.send(call.route, &text);
-            self.played[self.next] = CallResult { sent, done: sent, end: CallOutcome::Lost };
+            self.call_results[self.next] = CallResult { sent, done: sent, end: CallOutcome::Lost };
             if let Some(stream) = stream {
                 let bytes = Vec::with_capacity(512);
                 self.busy.push(Connection { stream, bytes, call: self.next, route: call.route });
@@ -166,7 +167,8 @@
             };
             let done = self.elapsed();
             let connection = self.busy.swap_remove(place);
-            self.played[connection.call] = CallResult { done, end, ..self.played[connection.call] };
+            self.call_results[connection.call] =
+                CallResult { done, end, ..self.call_results[connection.call] };
             if reusable {
                 self.idle[connection.route].push(connection.stream);
             }
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -75,7 +75,7 @@
     parts.collect::<String>() + "the end\n"
 }
 
-/// The ordinary day, which is the first occasion.
+/// The ordinary day, which is the first load scenario.
 fn day(plan: &Plan) -> LoadScenario {
     LoadScenario::all(plan).swap_remove(0)
 }
@@ -269,16 +269,16 @@
     assert_eq!(figure("ordinary day").basis, Basis::Measured);
     let unknown = ScenarioRuns { results: "sockets", row: "relay", column: "first, ms", factor: 1.0 };
     let mut without = need(&plan, &all[0], "operator who publishes", Cost::Time);
-    without.played = Some(unknown);
+    without.scenario_runs = Some(unknown);
     assert_eq!(without.figure(&measured).basis, Basis::Measured);
 }
 
 #[test]
-fn every_role_has_a_row_for_each_cost_on_every_occasion() {
+fn every_role_has_a_row_for_each_cost_in_every_load_scenario() {
     let plan = plan();
-    let occasions = LoadScenario::all(&plan);
-    assert_eq!(occasions.len(), 10);
-    let first = needs(&plan, &occasions[0], &tree());
+    let load_scenarios = LoadScenario::all(&plan);
+    assert_eq!(load_scenarios.len(), 10);
+    let first = needs(&plan, &load_scenarios[0], &tree());
     for role in [
         "balancer, data path (rate at the front)",
         "balancer, data path (rate over all hops)",
@@ -301,8 +301,8 @@
         }
     }
     let kinds = |needs: &[Need]| needs.iter().map(|need| (need.role, need.cost)).collect::<Vec<_>>();
-    for occasion in &occasions {
-        assert_eq!(kinds(&needs(&plan, occasion, &tree())), kinds(&first), "{}", occasion.name);
+    for load_scenario in &load_scenarios {
+        assert_eq!(kinds(&needs(&plan, load_scenario, &tree())), kinds(&first), "{}", load_scenario.name);
     }
 }
 
--- a/crates/capacity/tests/process.rs
+++ b/crates/capacity/tests/process.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use capacity::slope::Slope;
-use capacity::world::{
+use capacity::testbed::{
     self, Balancer, Call, CallOutcome, CallResult, Class, Counts, Discovery, Route, Upstreams, Usage,
 };
 
@@ -15,14 +15,14 @@
 
 use common::{assert_fails_with, balancer_program, plan, run_capacity};
 
-/// A way to the targets with `warm` connections opened before the first call.
-fn route(targets: Vec<std::net::SocketAddr>, warm: usize) -> Route {
-    Route { targets, warm, deadline: Duration::from_secs(2), tenants: 1 }
+/// A route to the targets with `initial_connections` connections opened before the first call.
+fn route(targets: Vec<std::net::SocketAddr>, initial_connections: usize) -> Route {
+    Route { targets, initial_connections, deadline: Duration::from_secs(2), tenants: 1 }
 }
 
-fn play(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
-    let zero = Instant::now() + world::CONNECT_LEAD_TIME;
-    world::play(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
+fn send_calls(calls: &[Call], routes: &[Route], first: usize) -> Vec<CallResult> {
+    let zero = Instant::now() + testbed::CONNECT_LEAD_TIME;
+    testbed::send_calls(calls, routes, first, zero, &AtomicUsize::new(0)).expect("connections come up")
 }
 
 /// Guards against coordinated omission: calls are sent at their scheduled times even when earlier calls are unanswered.
@@ -42,13 +42,22 @@
     let stall = Duration::from_millis(100);
     upstreams.records.stall(first + 100, stall);
     // There are two warm connections: clients that waited for responses would have only two late calls.
-    let played = play(&calls, &[route(upstreams.addresses.clone(), 2)], first);
-    assert!(played.iter().all(CallResult::is_right));
-    let late = calls.iter().zip(&played).filter(|(call, played)| played.latency(call) >= stall / 2).count();
+    let call_results = send_calls(&calls, &[route(upstreams.addresses.clone(), 2)], first);
+    assert!(call_results.iter().all(CallResult::is_right));
+    let late = calls
+        .iter()
+        .zip(&call_results)
+        .filter(|(call, call_result)| call_result.latency(call) >= stall / 2)
+        .count();
     // The 50 calls of the first half of the stall wait for at least half of its duration. One or two of them may have
     // been read before the stall began.
     assert!(late >= 45, "{late} of 50");
-    assert!(played[101..145].iter().zip(&calls[101..145]).all(|(played, call)| played.sent >= call.at));
+    assert!(
+        call_results[101..145]
+            .iter()
+            .zip(&calls[101..145])
+            .all(|(call_result, call)| call_result.sent >= call.at)
+    );
 }
 
 /// Guards the counts that other tests rely on: a call that ran twice, ran although it was refused, or never reached an
@@ -62,22 +71,22 @@
         .collect();
     let routes = [route(upstreams.addresses.clone(), 4)];
     let first = upstreams.records.take_ids(10).expect("enough ids are left");
-    let played = play(&calls, &routes, first);
-    let counts = Counts::of(&calls, &played, &upstreams.records, first);
+    let call_results = send_calls(&calls, &routes, first);
+    let counts = Counts::of(&calls, &call_results, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, ..Counts::default() });
 
     // Send the same ids a second time: the calls that must not run twice are counted as such.
-    let again = play(&calls, &routes, first);
+    let again = send_calls(&calls, &routes, first);
     let counts = Counts::of(&calls, &again, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: 10, right: 10, twice: 5, repeated: 5, ..Counts::default() });
 
     // Count ids that never reached an upstream, with responses that claim that they did.
     let unseen = upstreams.records.take_ids(10).expect("enough ids are left");
-    let counts = Counts::of(&calls, &played, &upstreams.records, unseen);
+    let counts = Counts::of(&calls, &call_results, &upstreams.records, unseen);
     assert_eq!(counts, Counts { calls: 10, wrong: 10, ..Counts::default() });
 
     // One call that ran is reported as refused, and one as lost.
-    let mut ended = played;
+    let mut ended = call_results;
     ended[0].end = CallOutcome::Refused;
     ended[1].end = CallOutcome::Lost;
     let counts = Counts::of(&calls, &ended, &upstreams.records, first);
@@ -85,13 +94,13 @@
     assert!(upstreams.records.take_ids(11).is_err());
 }
 
-/// Guards the pairing of calls: each pair has one call on every way, the calls are in order of time, and the same seed
-/// gives the same calls.
+/// Guards the pairing of calls: each pair has one call on every route, the calls are in order of time, and the same
+/// seed gives the same calls.
 #[test]
 fn call_pairs_are_complete_and_determined_by_the_seed() {
     let draw = |seed| {
         let mut rng = oorandom::Rand64::new(seed);
-        world::paired(&mut rng, 3, 500.0, Duration::from_secs(2), false)
+        testbed::paired(&mut rng, 3, 500.0, Duration::from_secs(2), false)
     };
     let calls = draw(1);
     assert!(calls.is_sorted_by_key(|call| call.at));
@@ -114,22 +123,22 @@
     let upstreams = Upstreams::start(3, 1, 200).expect("the stand-in starts");
     let discovery =
         Discovery::start(upstreams.entries(), Duration::from_millis(500)).expect("the stand-in starts");
-    let settings = world::settings(&plan(), 3);
-    let configuration = world::configuration("b0", discovery.address, &upstreams.entries(), &settings);
+    let settings = testbed::settings(&plan(), 3);
+    let configuration = testbed::configuration("b0", discovery.address, &upstreams.entries(), &settings);
     let balancer =
         Balancer::start(&balancer_program(), &configuration, None, |_| ()).expect("the balancer serves");
     let id = balancer.process.id();
     let before = Usage::of(id).expect("the process exists");
     let mut rng = oorandom::Rand64::new(7);
-    let calls = world::paired(&mut rng, 1, 200.0, Duration::from_millis(500), false);
+    let calls = testbed::paired(&mut rng, 1, 200.0, Duration::from_millis(500), false);
     let first = upstreams.records.take_ids(calls.len()).expect("enough ids are left");
     let mut route = route(vec![balancer.address], 4);
     route.tenants = plan().traffic.tenants.value;
-    let played = play(&calls, &[route], first);
-    let counts = Counts::of(&calls, &played, &upstreams.records, first);
+    let call_results = send_calls(&calls, &[route], first);
+    let counts = Counts::of(&calls, &call_results, &upstreams.records, first);
     assert_eq!(counts, Counts { calls: calls.len(), right: calls.len(), ..Counts::default() });
     assert!(Usage::of(id).expect("the process exists").since(before).cpu_ns > 0);
-    assert!(world::memory_kb(id).expect("the process exists") > 0);
+    assert!(testbed::memory_kb(id).expect("the process exists") > 0);
     assert!(balancer.listens_after <= balancer.serves_after);
     let address = balancer.address;
     drop(balancer);
@@ -141,9 +150,9 @@
 #[test]
 fn failed_balancer_start_reports_the_reason() {
     let upstreams = Upstreams::start(1, 1, 0).expect("the stand-in starts");
-    let mut settings = world::settings(&plan(), 1);
+    let mut settings = testbed::settings(&plan(), 1);
     settings["lanes"] = serde_json::json!([]);
-    let configuration = world::configuration("b0", upstreams.addresses[0], &upstreams.entries(), &settings);
+    let configuration = testbed::configuration("b0", upstreams.addresses[0], &upstreams.entries(), &settings);
     let error = Balancer::start(&balancer_program(), &configuration, None, |_| ())
         .expect_err("a balancer without a class does not start");
     assert!(error.to_string().contains("class"), "{error}");
