--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -22,7 +22,8 @@
 /// Increase of the limit, in requests per second, for each request served in time: about 5% per second at the limit.
 const INCREASE_RPS: f64 = 0.05;
 /// Increase of the limit, in requests per second, for each request served in time while the limit is below the
-/// replica's quota: about 15% per second, so that it recovers from a quarter of the quota in ten seconds.
+/// replica's quota with its margin: about 15% per second, so that it recovers from a quarter of the quota in ten
+/// seconds.
 const INCREASE_BELOW_QUOTA_RPS: f64 = 0.15;
 /// Factor that a maintenance pass applies to a decreased limit while all requests are denied: about 30% per second.
 const REOPEN_FACTOR: f64 = 1.05;
@@ -30,12 +31,14 @@
 const DECREASE_FACTOR: f64 = 0.85;
 /// Factor that a decrease applies to the limit in overload, where servers become unresponsive within seconds.
 const DECREASE_FACTOR_OVERLOADED: f64 = 0.7;
-/// Congestion level from which a limit decreases.
+/// Congestion level from which a limit with a quota decreases. A limit without a quota decreases only from
+/// `OVERLOADED_LEVEL`.
 pub const CONGESTED_LEVEL: f64 = 0.2;
-/// Congestion level of an overload, at which the floor of the limit is at its lowest.
+/// Congestion level of an overload, at which the floor of the limit is at its lowest. A limit without a quota decreases
+/// only from this level.
 const OVERLOADED_LEVEL: f64 = 0.7;
-/// Floor of the limit in overload, as a fraction of the replica's quota: the rate that an overloaded tier can still
-/// serve.
+/// Floor of the limit in overload, as a fraction of the replica's quota with its margin: the rate that an overloaded
+/// tier can still serve.
 const OVERLOADED_FLOOR_FRACTION: f64 = 0.25;
 /// Floor of a limit without a quota, as a fraction of the recently admitted rate. It is high because a request that is
 /// denied below the first tier wastes the work done for it in the tiers above.
@@ -132,21 +135,23 @@
     /// Raises the limit after a request was served in time.
     pub fn increase(&mut self) {
         // Requests denied below the replica's quota are within what was promised, so recover faster there after an
-        // overload.
+        // overload. The comparison is with the quota plus its margin for random variation.
         let is_below_quota = self.quota_with_margin.is_some_and(|quota| self.rate < quota);
         let increase = if is_below_quota { INCREASE_BELOW_QUOTA_RPS } else { INCREASE_RPS };
         self.rate = (self.rate + increase).min(self.ceiling);
     }
 
-    /// Lowers the limit because of congestion, where `accepted` requests per second were admitted.
+    /// Lowers the limit because of the level `congestion`. `accepted` is the admitted rate in requests per second; for
+    /// the limit of all tenants together it is divided by the available fraction of the tier's capacity, because that
+    /// limit was multiplied by it at admission.
     pub fn decrease(&mut self, congestion: f64, accepted: f64) {
         // Isolated refusals and slow requests also happen without overload. A decrease for each of them would deny
         // requests needlessly, and a request denied below the first tier fails the whole client request above.
         if congestion < self.quota_with_margin.map_or(OVERLOADED_LEVEL, |_| CONGESTED_LEVEL) {
             return;
         }
-        // In light congestion the floor is the replica's quota. The higher the congestion, the less the quota reflects
-        // what the servers can do, and overloaded servers recover only under a much lower rate.
+        // In light congestion the floor is the replica's quota with its margin. The higher the congestion, the less the
+        // quota reflects what the servers can do, and overloaded servers recover only under a much lower rate.
         let overload = ((congestion - CONGESTED_LEVEL) / (OVERLOADED_LEVEL - CONGESTED_LEVEL)).min(1.0);
         let floor_fraction = 1.0 - (1.0 - OVERLOADED_FLOOR_FRACTION) * overload;
         let floor = match self.quota_with_margin {
@@ -154,6 +159,8 @@
             None => (self.recent_rate * FLOOR_WITHOUT_QUOTA_FRACTION).max(MIN_FLOOR_WITHOUT_QUOTA_RPS),
         };
         let factor = DECREASE_FACTOR + (DECREASE_FACTOR_OVERLOADED - DECREASE_FACTOR) * overload;
+        // A limit above the admitted rate and the floor decreases from the higher of these two. The result is not below
+        // the floor, unless the limit already was: a decrease never raises it.
         self.rate = (self.rate.min(accepted.max(floor)) * factor).max(floor).min(self.rate);
     }
 
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -89,6 +89,8 @@
     assert!((24.0..30.0).contains(&overload), "{overload}");
 }
 
+/// A limit below the replica's quota with its margin rises by 0.15 requests per second for each request served in time.
+/// A new limit is at its ceiling and does not rise. The increase of a limit between the two is not tested here.
 #[test]
 fn a_limit_below_the_replicas_quota_rises_faster() {
     let mut limit = limits(&[100.0])[0];
@@ -99,6 +101,7 @@
     };
     let ceiling_gain = gain(&mut limit);
     limit.decrease(0.7, 1.0);
+    // The gain of a limit that is below the quota.
     let below = gain(&mut limit);
     assert_eq!(ceiling_gain, 0.0, "a new limit starts at its ceiling");
     assert!((below - 0.15).abs() < 1e-9, "{below}");
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -219,6 +219,7 @@
         left >= expected || left > expected * self.rng.rand_float()
     }
 
+    /// Selects an endpoint for a request and sends an attempt to it. Returns whether an attempt was sent.
     fn send_to_selected(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let selection = Selection {
@@ -234,7 +235,8 @@
         selection.select().is_some_and(|slot| self.send(now, id, slot, actions))
     }
 
-    /// Sends an attempt of a request to the endpoint in `slot`, unless a rule on idempotency, draining, slow start or
+    /// Sends an attempt of a request to the endpoint in `slot`, unless the request is closed, has begun to stream its
+    /// answer or has too little time left, the endpoint is not ready, or a rule on idempotency, slow start, hedging or
     /// the number of attempts forbids it. Every attempt passes through this method. Returns whether the attempt was
     /// sent.
     fn send(&mut self, now: f64, id: RequestId, slot: usize, actions: &mut Vec<Action>) -> bool {
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Whether the endpoint is ejected, that is, used only when no other endpoint is left.
+    /// Whether the endpoint is ejected. The random draws of a selection skip it; if they find no endpoint, the least
+    /// loaded eligible one is taken, which may be ejected.
     #[must_use]
     pub fn is_ejected(&self, now: f64) -> bool {
         self.ejected_until > now
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -23,7 +23,8 @@
 /// Number of sends that an answer past its latency objective earns. Below 1, because a queue has formed that must
 /// shrink.
 const LATE_ANSWER_SENDS: f64 = 0.5;
-/// Number of sends that all replicas together may make in each overload window before any answer has earned one.
+/// Number of sends that all replicas together may make in each overload window, in addition to the sends that answers
+/// earn, for as long as no peer is warm.
 const INITIAL_SENDS: f64 = 1.0;
 /// Seconds' worth of sends that may be saved up while peers are warm.
 const MAX_SAVED_SENDS_S: f64 = 0.5;
@@ -98,9 +99,11 @@
     ///
     /// The budget grows by the endpoint's warm fraction of the rate that this replica gets from a warm peer. The sum
     /// over all replicas then stays within the endpoint's capacity, regardless of how the load is spread over the
-    /// replicas. Where no peer is warm, the endpoint's own answers earn slightly more sends than they are themselves.
-    /// The endpoint cannot answer more than its capacity to all replicas together, so the sum of their sends stays
-    /// little above it. `replicas_per_endpoint` is the average number of replicas that send to the endpoint.
+    /// replicas. Where no peer is warm, each answer of the endpoint earns slightly more than one send if it was in
+    /// time, and less than one if it was late (see [`Self::earn`]). The endpoint cannot answer more than its capacity
+    /// to all replicas together, so the sum of their sends stays little above it. In addition the budget then grows by
+    /// this replica's part of [`INITIAL_SENDS`] per overload window, and by a small fraction of the last known rate of
+    /// warm peers. `replicas_per_endpoint` is the average number of replicas that send to the endpoint.
     #[must_use]
     pub fn allows_send(
         &mut self,
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -170,7 +170,7 @@
     let rules = settings().rules;
     let mut peers = WarmPeers::default();
     for _ in 0..100 {
-        // Each of two warm members answers 20 requests per second.
+        // With one pass per maintenance period of 0.2 s, 8 answers of two warm members are 20 per second for each.
         (0..8).for_each(|_| peers.record_answer());
         peers.maintain(2);
     }
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -56,7 +56,8 @@
         }
     }
 
-    /// The settings of the request's class.
+    /// The settings of the request's class, as they were when the request arrived. Not to be confused with the field
+    /// `rules` of the settings, which applies to all classes.
     #[must_use]
     pub fn rules(&self) -> &Class {
         &self.settings.classes[self.class.0]
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -171,6 +171,8 @@
     for number in 0..2 {
         assert!(table.contains(id));
         table.get_mut(id).expect("in flight").end_attempt(&attempt_end(number, Outcome::Cancelled));
+        // As in the balancer, the end of an attempt of a closed request calls `close` again, which removes the request
+        // once no attempt is in flight.
         table.close(id, true, &mut actions);
     }
     assert!(!table.contains(id));
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -1,10 +1,11 @@
 //! Selection of the endpoint of an attempt, by the power of two choices.
 //!
 //! The least loaded of all endpoints would be the same for many replicas at the same time, and a random one may be
-//! loaded. The less loaded of two random endpoints is nearly as good as the least loaded one, and spreads the
-//! requests of many replicas like a random one. The probability of an endpoint depends on its weight, slow start,
-//! slowness and recovery after an ejection. Ejected and stalled endpoints are selected only if no other is left. The
-//! module has no state: a selection borrows what it reads.
+//! loaded. The less loaded of two random endpoints is nearly as good as the least loaded one, and spreads the requests
+//! of many replicas like a random one. The probability of an endpoint depends on its weight, slow start, slowness and
+//! recovery after an ejection. Ejected and stalled endpoints are never drawn. If the draws find no endpoint, the least
+//! loaded eligible one is taken, even if it is ejected or stalled. The module has no state: a selection borrows what it
+//! reads.
 
 use oorandom::Rand64;
 
@@ -46,7 +47,9 @@
     ///
     /// Depending on the locality, the members of the own zone or those of the other zones come first. Two random
     /// members of the first group are compared, then two of the second group. If that finds none, the least loaded
-    /// eligible member of the first group or else of the second one is taken.
+    /// eligible member of the first group or else of the second one is taken. A request that is restricted to a
+    /// deduplication scope is different: two random members of the scope are compared, and there are no groups and no
+    /// least loaded member to fall back to.
     #[must_use]
     pub fn select(mut self) -> Option<usize> {
         if let Some(members) = self.members_in_scope() {
@@ -63,7 +66,8 @@
     }
 
     /// The ready endpoints in the deduplication scope of a request with an idempotency key, once an attempt of it may
-    /// have run; `None` if the request may be sent to any endpoint.
+    /// have run; `None` if no scope restricts the selection. That includes a request that must not be repeated at all,
+    /// which [`may_repeat`](crate::requests::idempotency::may_repeat) refuses after the selection.
     fn members_in_scope(&self) -> Option<Vec<usize>> {
         let Idempotency::IdempotencyKey { scope, .. } = self.request.rules().idempotency else { return None };
         let first = self.request.first_possible_run()?.member;
@@ -102,8 +106,9 @@
         self.endpoints.get(slot).cost(self.now, self.settings)
     }
 
-    /// Draws a member of `from` that is eligible for an attempt and is neither ejected nor stalled. Members that warm
-    /// up, recover or are slow are drawn with a lower probability.
+    /// Draws a member of `from` that is eligible for an attempt and is neither ejected nor stalled. Members that have a
+    /// low weight, warm up, recover or are slow are drawn with a lower probability, and a member that warms up only if
+    /// its send budget allows another send.
     fn draw_candidate(&mut self, from: &[usize]) -> Option<usize> {
         if from.is_empty() {
             return None;
--- a/crates/policy/tests/embedding_mistakes.rs
+++ b/crates/policy/tests/embedding_mistakes.rs
@@ -1,4 +1,5 @@
-//! Mistakes of the embedding program: invalid settings give typed errors, and unknown identifiers are ignored.
+//! Mistakes of the embedding program: invalid settings give typed errors, a request of an unknown class is refused, and
+//! other events with unknown identifiers cause no panic.
 
 mod common;
 #[path = "common/two_zones.rs"]
@@ -11,6 +12,7 @@
 
 #[test]
 fn invalid_settings_give_typed_errors() {
+    // Changes valid settings, and returns the error of a balancer that is created with them.
     let with = |change: fn(&mut Settings)| {
         let mut settings = settings(false, false);
         change(&mut settings);
@@ -27,16 +29,20 @@
     );
     assert_eq!(
         with(|settings| settings.rules.slow_start_min_fraction = f64::NAN),
+        // The error names the rule `slow_start_min_fraction` by its outer name.
         Some(SettingsError::OutOfRange("cold share"))
     );
 }
 
-/// Events that refer to unknown classes, upstreams or requests are refused or ignored and cause no panic.
+/// A request of an unknown class is refused. An unknown tenant is no mistake for the balancer: it counts as the last
+/// tenant. Events for an unknown request, attempt or upstream cause no panic, and no action but the cancellation of
+/// attempts of a known request.
 #[test]
 fn unknown_classes_upstreams_and_requests_are_refused_or_ignored() {
     let mut balancer = Balancer::new(settings(false, false), 1).expect("the settings should be valid");
     let mut actions = Vec::new();
     balancer.handle(START, Event::List(ListUpdate::Snapshot(Vec::new())), &mut actions);
+    // The class is unknown, so the request is refused.
     let request = Request {
         id: RequestId(7),
         class: ClassId(99),
@@ -55,6 +61,7 @@
     balancer.handle(START, Event::Request(request), &mut actions);
     assert_eq!(actions.len(), 1, "a request with an identifier in use should be ignored");
     actions.clear();
+    // Request 7 is in flight, but attempts 5 and 9 of it were never sent. Request 8 is unknown.
     for id in [7, 8] {
         balancer.handle(START, Event::ClientDisconnected(RequestId(id)), &mut actions);
         let ended = Event::AttemptEnded {
@@ -70,6 +77,7 @@
         let started = Event::StreamStarted { request: RequestId(id), attempt: AttemptNumber(9) };
         balancer.handle(START, started, &mut actions);
     }
+    // Upstream 99 is not in the list.
     let unknown_upstream = Event::HealthChecked {
         upstream: EndpointId(99),
         outcome: Outcome::Success,
@@ -78,5 +86,6 @@
     };
     balancer.handle(START, unknown_upstream, &mut actions);
     balancer.handle(START, Event::Connected(EndpointId(99)), &mut actions);
+    // Only the attempt of request 7, whose client has disconnected, may be cancelled.
     assert!(actions.iter().all(|action| matches!(action, Action::CancelAttempt { .. })));
 }
--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -121,7 +121,8 @@
 }
 
 /// Guards clients against changed timeouts: the latency objective and the weight of a late answer stay those that the
-/// request arrived with.
+/// request arrived with. The test leaves the deadline of 3 s as it is: with a late weight above 0, an attempt may last
+/// until the deadline instead of the latency objective.
 #[test]
 fn a_request_in_flight_keeps_its_latency_objective_and_deadline() {
     let timeout = |actions: &[Action]| {
@@ -144,6 +145,7 @@
         retry_timeout <= millis(600) && retry_timeout > millis(599),
         "expected the remaining 600 ms of the latency objective, saw {retry_timeout:?}"
     );
+    // The next request has the new late weight, so its attempt may last until the deadline.
     let (_, next) = bench.offer(None);
     assert_eq!(timeout(&next), Some(millis(3000)));
 }
