--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -39,8 +39,8 @@
     now: Time,
     /// Best estimate of the Unix time in milliseconds at `now`.
     unix_ms: u64,
-    /// Earliest possible time of a start that this list is the first to name. `None` until the first list of
-    /// discovery has been applied, as nothing bounds earlier starts.
+    /// Time of the previous line of discovery. A start that this list names, and no earlier list did, is not before it.
+    /// `None` until the first list of discovery has been applied, as nothing bounds earlier starts.
     earliest: Option<Time>,
 }
 
@@ -103,7 +103,8 @@
         ListTime { now, unix_ms: self.clock.unix_ms().max(least_ms), earliest: self.last_line_at }
     }
 
-    /// Records that discovery has sent a line, possibly an empty one, and that its content has been applied.
+    /// Records that discovery has sent a line, empty or not, whose update has been applied or ignored as older than the
+    /// current list. Does nothing until a list has named an upstream.
     pub fn note_line(&mut self, now: Time) {
         if self.first_list_at.is_some() {
             self.last_line_at = Some(now);
@@ -149,9 +150,11 @@
     /// Whether a list that may be older than the current one names a new start of an upstream rather than a previous
     /// one.
     ///
-    /// A stamp earlier than the current one can be either, as the clock that stamps may have stepped back. It counts as
-    /// a new start if no list has named it although it appears to lie after the first list; starts before the first
-    /// list may never have been named.
+    /// A stamp that a list has named before is a previous start, and an unknown stamp later than the current one is a
+    /// new start. An unknown stamp earlier than the current one can be either, as the clock that stamps may have
+    /// stepped back. It counts as a new start if it appears to lie after the first list, because the lists since then
+    /// would have named a previous start. From before the first list it counts as a previous start that no list has
+    /// named.
     #[must_use]
     pub fn is_new_start(&self, now: Time, id: EndpointId, since_ms: u64) -> bool {
         let listed_ms = self.listed.get(&id).map_or(0, |start| start.since_ms);
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -29,10 +29,11 @@
     /// watch started from, and `update` has that version and no entries.
     fn on_update(self: &Rc<Self>, update: Update);
 
-    /// Called for each empty line after the first line: the watch is alive.
+    /// Called for each empty line after the first line: the watch is alive. Other lines are passed to
+    /// [`Self::on_update`].
     fn on_heartbeat(&self);
 
-    /// Called when the watch with this number has ended; it makes no further calls.
+    /// Called when the watch with this number has ended. The watch makes no further calls of the observer after it.
     fn on_watch_ended(self: &Rc<Self>, number: u64, cause: &DiscoveryWatchError);
 }
 
@@ -43,7 +44,7 @@
     pub address: SocketAddr,
     /// Time that the watch may take until its first whole line.
     pub first_line_timeout: FirstLineTimeout,
-    /// Version of the current list, from which on changes are requested.
+    /// Version of the current list; the changes after it are requested.
     pub since: u64,
     /// Number that distinguishes this watch from earlier ones.
     pub number: u64,
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -141,8 +141,8 @@
         self.ids.retain(|id| listed.contains_key(id) || in_attempts.contains(id) || remembered.contains(id));
     }
 
-    /// Records that discovery has sent a line, possibly an empty one: a start that a later line is the first to name
-    /// lies after this time.
+    /// Records that discovery has sent a line, empty or not, after the line's update has been applied. If a later line
+    /// names a start that no line before has named, the start lies after this time.
     pub fn note_heartbeat(&mut self, now: Time) {
         self.starts.note_line(now);
     }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -279,7 +279,8 @@
         }
     }
 
-    /// Records that discovery has sent a line, possibly an empty one.
+    /// Records that discovery has sent a line, empty or not. For a line with an update it is called once the update has
+    /// been applied; a delta that is ignored is recorded by [`EndpointTable::accept_update`].
     pub fn note_heartbeat(&self) {
         self.state.borrow_mut().endpoints.note_heartbeat(self.now());
     }
@@ -342,6 +343,8 @@
     fn on_watch_ended(self: &Rc<Self>, number: u64, cause: &DiscoveryWatchError) {
         {
             let watch = &mut self.state.borrow_mut().watch;
+            // An update can abort the watch that delivers it, and the task then still runs up to its next await. If the
+            // watch ends before that, a newer one may already have replaced it.
             if watch.number != number {
                 return;
             }
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -191,15 +191,16 @@
         self.requests.get_mut(&id)
     }
 
-    /// Whether a request still awaits its answer: false if its client has disconnected or another attempt has answered
-    /// it.
+    /// Whether a request still awaits its final answer. It is false once another attempt has served the request, the
+    /// request has been refused or has failed, its time is up, or its client has disconnected.
     #[must_use]
     pub fn needs_answer(&self, id: RequestId) -> bool {
         self.requests.get(&id).is_some_and(InFlight::is_unanswered)
     }
 
-    /// Whether a request still awaits its answer and its client is still connected. This queries the socket, because
-    /// the client's close may be unread there after the process was suspended or while other tasks ran.
+    /// Whether a request still awaits its answer and its client is still connected. This reads the client's socket,
+    /// because the close may be unread there after the process was suspended or while other tasks ran. Bytes that it
+    /// takes out of the socket are stored and later passed to hyper.
     #[must_use]
     pub fn is_client_waiting(&self, id: RequestId) -> bool {
         let request = self.requests.get(&id).filter(|request| request.is_unanswered());
--- a/crates/proxy/src/upstream/context.rs
+++ b/crates/proxy/src/upstream/context.rs
@@ -24,13 +24,13 @@
     /// Whether discovery's latest update allows new requests to an upstream at this address.
     fn may_send(&self, upstream: EndpointId, address: SocketAddr) -> bool;
 
-    /// Whether a request has no final answer yet and still needs one. It does not once its client has disconnected or
-    /// another attempt has served it.
+    /// Whether a request has no final answer yet and still needs one. A request needs none once another attempt has
+    /// served it, it has been refused or has failed, its time is up, or its client has disconnected.
     fn needs_answer(&self, request: RequestId) -> bool;
 
-    /// Whether a request still needs an answer and its client is still connected. This reads the client's socket: the
-    /// client may have closed its connection while the process was suspended or other tasks ran, without the runtime
-    /// having noticed yet.
+    /// Whether a request still needs an answer and its client is still connected. This reads the client's socket,
+    /// because the client may have closed its connection while the process was suspended or other tasks ran, without
+    /// the runtime having noticed yet. Bytes that it takes out of the socket are stored and later passed to hyper.
     fn is_client_waiting(&self, request: RequestId) -> bool;
 
     /// Whether the settings define a load report field of this name.
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -33,7 +33,7 @@
     pub(super) since: Instant,
 }
 
-/// A dial that continues in the background because the attempt that started it no longer waits for it.
+/// A background dial: it continues although the attempt that started it no longer waits for it.
 pub(super) struct LateDial {
     pub(super) connecting: Connecting,
     /// The task that waits for the connect; `None` until the task has been spawned.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -34,8 +34,9 @@
 const OTHER_DESCRIPTORS: usize = 16;
 /// Connections to upstreams leave one in this many sockets of the budget to clients.
 const CLIENT_RESERVE_DIVISOR: usize = 4;
-/// How long a dial that no attempt waits for continues, counted from its start. TCP repeats its SYN after 1 s and after
-/// 3 s (RFC 6298, with doubling), and the reply to the second repeat takes another round trip.
+/// Least time that a background dial may take, counted from its start; a longer connect timeout extends it. TCP repeats
+/// its SYN after 1 s and after 3 s (RFC 6298, with doubling), and the reply to the second repeat takes another round
+/// trip.
 const LATE_DIAL_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// A snapshot of the state of a pool, for the log.
@@ -43,7 +44,7 @@
 pub struct PoolStats {
     /// Number of idle connections.
     pub idle_connections: usize,
-    /// Number of dials that continue although no attempt waits for them.
+    /// Number of background dials: those that continue although no attempt waits for them.
     pub late_dials: usize,
     /// Number of open sockets, including those of clients and of discovery.
     pub sockets: usize,
@@ -110,14 +111,16 @@
 
     // --- Sockets ---
 
-    /// Counts a connection that is opened even if the budget is used up: a client connection, which the kernel has
-    /// already accepted, or a connection to discovery, without which drains would be missed.
+    /// Counts a connection without checking the budget: a client connection, which the kernel has already accepted, a
+    /// connection to discovery, without which drains would be missed, or a connection to a source of settings. Also
+    /// counts a connection to an upstream, after [`Self::permit`] has checked the budget for it.
     #[must_use]
     pub fn reserved_permit(&self) -> Permit {
         Permit::of(&self.sockets)
     }
 
-    /// Whether so many sockets are open that idle connections must be closed.
+    /// Whether so many sockets are open that idle connections must be closed: at most half of the sockets that
+    /// upstream connections leave to clients ([`CLIENT_RESERVE_DIVISOR`]) remain.
     #[must_use]
     pub fn is_nearly_full(&self) -> bool {
         self.sockets.get() >= self.max_sockets - self.max_sockets / (2 * CLIENT_RESERVE_DIVISOR)
@@ -130,8 +133,9 @@
         self.sockets.get() > self.max_sockets
     }
 
-    /// Takes a socket for a connection to an upstream from the budget, closing an unused one if the budget is nearly
-    /// used up; `None` if no socket is left.
+    /// Takes a socket for a connection to an upstream from the budget; `None` if no socket is left. If only the sockets
+    /// left to clients ([`CLIENT_RESERVE_DIVISOR`]) remain, it first gives up a background dial or closes an idle
+    /// connection.
     pub(super) fn permit(&self) -> Option<Permit> {
         let limit = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
         if self.sockets.get() >= limit {
@@ -296,7 +300,7 @@
     }
 
     /// Adds the connection of a background dial to the idle connections if there are fewer of them than waiting
-    /// attempts, or none at all.
+    /// attempts, or none at all. The policy is notified of the connect even if the connection is not kept.
     async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting_attempts.get().max(1)
             && let Ok(connection) = handshake(stream, self.reserved_permit()).await
--- a/crates/proxy/tests/common/late_upstream.rs
+++ b/crates/proxy/tests/common/late_upstream.rs
@@ -36,12 +36,13 @@
 /// Reads the local ports of the pending connects to an address from the system's list of sockets once.
 fn listed_connecting(address: SocketAddr) -> Vec<u16> {
     let SocketAddr::V4(address) = address else { panic!("expected an IPv4 address, got {address}") };
+    // The system writes the IP address as a native-endian integer and the port as a plain number, both in hexadecimal.
     let remote = format!("{:08X}:{:04X}", u32::from_ne_bytes(address.ip().octets()), address.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system lists its sockets");
     let mut ports = Vec::new();
     for line in sockets.lines().skip(1) {
         let fields: Vec<&str> = line.split_whitespace().collect();
-        // State 02 is SYN_SENT.
+        // Field 1 is the local address, field 2 the remote address and field 3 the state, where 02 is SYN_SENT.
         if fields[2] == remote && fields[3] == "02" {
             let port = fields[1].rsplit(':').next().expect("an address");
             ports.push(u16::from_str_radix(port, 16).expect("a port"));
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -293,8 +293,8 @@
 }
 
 /// Guards against mistaking a new process for an old one. Where discovery restarts its index, a list that seems older
-/// may name a new process. A stamp that stepped back by less than the time since the first list is a new start, not one
-/// from before the first list.
+/// may name a new process. If the clock that stamps is set back by less than the time since the first list, the stamp
+/// of a new process is earlier than that of its predecessor, but still after the first list. It counts as a new start.
 #[test]
 fn an_earlier_stamp_after_the_first_list_is_a_new_start() {
     for step_ms in STEPS_MS.into_iter().filter(|&step_ms| step_ms < 0) {
