--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,11 +1,11 @@
 //! Checks settings before they are applied, and reports all faults together, each with its path and the
 //! expected value.
 //!
-//! Reading stops at the first fault, which is not enough for a balancer that changes its settings at run time:
-//! a fault must not be found when half of them are applied. The check compares the JSON with a table of all
-//! keys ([`fields`]) and collects the differences. Rules that involve several values have a function each, for
-//! example that a latency objective is not longer than its deadline, or that the zone is one of the zones. A new
-//! key must be added both to the table and to `schema.rs`.
+//! Deserialization stops at the first fault, but a report must name all of them. A balancer that changes its
+//! settings at run time must also find a fault before it has applied part of the new settings. The check
+//! compares the JSON with a table of all keys ([`fields`]) and collects the differences. Rules that involve
+//! several values have a function each, for example that a latency objective is not longer than its deadline,
+//! or that the zone is one of the zones. A new key must be added both to the table and to `schema.rs`.
 
 mod field;
 mod fields;
@@ -133,6 +133,7 @@
         }
     }
 
+    /// Checks a value against its kind, and records a fault if it does not fit.
     fn value(&mut self, path: &str, value: &Value, kind: &ValueKind) {
         let valid = match kind {
             ValueKind::Bool => value.is_boolean(),
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -1,8 +1,10 @@
 //! Converts the messages of the simulator's protocol to events of the policy.
 //!
-//! The protocol identifies requests by text, and classes, tenants and load values by their names in the settings;
-//! the policy uses numeric ids and indexes. A late message may refer to a request that has ended: its fields are
-//! validated as usual, but it produces no event. The module owns no state.
+//! The protocol identifies requests by text, and classes, tenants and load values by their names in the
+//! settings; the policy uses numeric ids and indexes. A message for a request that has ended still gives an
+//! event while attempts of the request are in flight. After the last of them the request is removed from the
+//! table: the fields of a later message are validated as usual, but it produces no event. The module owns no
+//! state.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -54,7 +56,8 @@
     }
 }
 
-/// Reads the fields of an event. Returns `None` if it refers to a request that has ended or is unknown.
+/// Reads the fields of an event. Returns `None` if it refers to a request that is unknown, or was removed
+/// because it and its last attempt have ended.
 pub fn read(
     kind: EventKind,
     instance: &mut Instance,
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -22,7 +22,7 @@
 /// All balancer instances of the process, and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Host {
-    /// Instances by number; `None` for an instance that was killed.
+    /// Instances by number; `None` for an instance that a `DESTROY` message has ended.
     instances: FxHashMap<u32, Option<Instance>>,
     lists: EndpointLists,
     /// Time of the current or latest batch; it never decreases.
@@ -126,7 +126,7 @@
             return fields.ensure_end();
         }
         let kind: EventKind = name.parse()?;
-        // A killed instance needs no further events; their fields are dropped without being read.
+        // An instance ended by `DESTROY` needs no further events; their fields are dropped without being read.
         let Some(instance) = instance else { return Ok(()) };
         let event = event::read(kind, instance, &self.lists, &mut fields)?;
         fields.ensure_end()?;
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -36,9 +36,10 @@
         Ok(Self { balancer, names, requests: RequestTable::default() })
     }
 
-    /// Passes an event to the balancer and appends the resulting actions to `actions`, which the caller writes
-    /// before the next event.
+    /// Passes an event to the balancer and adds the resulting actions to `actions`, which must be empty. The
+    /// caller passes them to [`Self::write`] and empties the list before the next event.
     pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        // Request that may have ended with this event; `remove_if_finished` checks whether it has.
         let ended = maybe_ended_request(&event);
         self.balancer.handle(now, event, actions);
         for action in &*actions {
