--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -12,7 +12,8 @@
 use crate::document::Scope;
 use crate::state::State;
 
-/// How often a child reports. It also reports immediately after a change.
+/// How often a child reports, to within a second. It also reports soon after a change: a balancer after a random delay
+/// of up to 0.5 s, a relay at its next check, which it makes once per second.
 pub const REPORT_EVERY: Duration = Duration::from_secs(5);
 /// A child that has not reported for this long counts as silent and is no longer included in the sums, because it may
 /// have moved to another parent. A child is therefore counted twice for at most this long, plus [`REPORT_EVERY`] for
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -83,6 +83,7 @@
     tokio::select! {
         biased;
         result = result.as_mut() => return result,
+        // The connection has ended. The request gets the response if it arrived whole, and otherwise the error.
         _ = connection.as_mut() => {}
     }
     result.await
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -268,6 +268,7 @@
 }
 
 /// Reports what is in force to the parent whose watch is open: after each change with a random delay, and at intervals.
+/// If no watch is open then, the report is skipped, and the next one is due after the next change or interval.
 async fn report_in_force<I, C>(
     connect: &impl Fn(SocketAddr) -> C,
     in_force: &RefCell<Option<InForce>>,
@@ -280,6 +281,7 @@
     I: AsyncRead + AsyncWrite + Unpin,
 {
     loop {
+        // Between 90% and 100% of `REPORT_EVERY` at random. Like `REPORT_JITTER`, this spreads the children's reports.
         let every = REPORT_EVERY.mul_f64(0.9 + 0.1 * rng.rand_float());
         if timeout(every, changed.notified()).await.is_ok() {
             sleep(REPORT_JITTER.mul_f64(rng.rand_float())).await;
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -184,8 +184,8 @@
         Ok(Self { options, disk, server })
     }
 
-    /// Serves until `stop` completes, then ends all watches in order. Must run within a `LocalSet`. If the future is
-    /// dropped, a write of the store continues in its thread.
+    /// Serves until `stop` completes, then ends all watches and waits a limited time for the connections to close. Must
+    /// run within a `LocalSet`. If the future is dropped, a write of the store continues in its thread.
     pub async fn run(self, listener: impl Listen, stop: impl Future<Output = ()>) {
         let Self { options, disk, server } = self;
         let current = Cell::new(None);
@@ -198,6 +198,7 @@
         tokio::select! {
             () = Rc::clone(&server).run(listener, stop) => {}
             never = follow_parents(&server, &options, &current) => match never {},
+            // Never finishes: it waits forever without a disk, and `store_changes` ends only when `server` is dropped.
             () = stored => {}
             never = report_sums(&server, &options.name, &current) => match never {},
         }
--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -140,8 +140,8 @@
         self.source.with_state(sums).unwrap_or_else(|| sums(&State::default()))
     }
 
-    /// Serves until `stop` completes, then ends all watches in order. If the future is dropped, all connections are
-    /// closed at once.
+    /// Serves until `stop` completes, then ends all watches and waits for the connections to close, for at most
+    /// `SHUTDOWN_TIMEOUT`. If the future is dropped, all connections are closed at once.
     pub(crate) async fn run(self: Rc<Self>, listener: impl Listen, stop: impl Future<Output = ()>) {
         let mut connections = JoinSet::new();
         self.accept_until(stop, &listener, &mut connections).await;
--- a/crates/config-distribution/tests/hosts_common/disk.rs
+++ b/crates/config-distribution/tests/hosts_common/disk.rs
@@ -21,9 +21,9 @@
     pub failing_syncs: u32,
     /// Number of next attempts to open the database that fail.
     pub failing_openings: u32,
-    /// Whether every second call fails, with `ENOSPC` and `EIO` in turn.
+    /// Whether every second disk operation fails, with `ENOSPC` and `EIO` in turn.
     pub failing_every_second_call: bool,
-    /// Number of calls made while every second call fails.
+    /// Number of disk operations made while every second one fails.
     calls: usize,
     /// Maximum size of the disk in bytes; `None` is unlimited.
     pub capacity_bytes: Option<usize>,
@@ -52,13 +52,13 @@
 #[derive(Debug, Default, Clone)]
 pub struct SharedDisk(Arc<Mutex<Disk>>);
 
-/// Error codes (errno) of successive calls while every second call fails, in a cycle; 0 is success.
+/// Error codes (errno) of successive disk operations while every second one fails, in a cycle; 0 is success.
 const FAULT_CYCLE: [i32; 4] = [0, ENOSPC, 0, EIO];
 const ENOSPC: i32 = 28;
 const EIO: i32 = 5;
 
 impl Disk {
-    /// Counts a call and returns the error injected into it, if any.
+    /// Counts a disk operation and returns the error injected into it, if any.
     fn call(&mut self) -> io::Result<()> {
         if !self.failing_every_second_call {
             return Ok(());
--- a/crates/config-distribution/tests/hosts_disk.rs
+++ b/crates/config-distribution/tests/hosts_disk.rs
@@ -325,8 +325,10 @@
     });
 }
 
+/// While every second disk operation fails, the origin acknowledges some publications and refuses at least one. All
+/// that it acknowledged stay visible, and it recovers once the disk no longer fails.
 #[test]
-fn an_origin_refuses_publications_while_its_disk_fails_and_recovers_by_itself() {
+fn an_origin_refuses_some_publications_while_its_disk_fails_and_recovers_by_itself() {
     run_test(async {
         let disk = SharedDisk::default();
         let (origin, running, mut child) = origin_and_child(&disk).await;
--- a/crates/config-distribution/tests/hosts_faults.rs
+++ b/crates/config-distribution/tests/hosts_faults.rs
@@ -424,6 +424,7 @@
         let directory = Directory::new("loop");
         let origin = Process::origin(&directory, address());
         let (one, other) = (address(), address());
+        // Both relays have level 2, so each refuses the other as its parent and reads from the origin.
         let first = Process::relay(2, &[other, origin.address], one);
         let second = Process::relay(2, &[one, origin.address], other);
         publish(origin.address, "fleet", &document(1), "1").await;
@@ -431,6 +432,7 @@
             let mut child = Follower::start("api-1", &[relay.address], &SCOPES, 1);
             child.wait_for_index(1).await;
         }
+        // The only parent of this relay has a higher level, so it follows none and has no state to serve.
         let alone = Process::relay(1, &[one], address());
         alone.wait_for_log("the parent's level is not below the level of this relay, or is unknown").await;
         let (status, _) = get(alone.address, "/configuration").await.unwrap();
--- a/crates/config-distribution/tests/hosts_requests.rs
+++ b/crates/config-distribution/tests/hosts_requests.rs
@@ -138,13 +138,14 @@
         let mut readers = Vec::new();
         for _ in 0..2 {
             let mut reader = open_watch(origin.address, "since=0").await;
+            // Any bytes of the response show that the reader was accepted.
             let mut text = [0; 1024];
             assert_ne!(wait_for("the first update", reader.read(&mut text)).await.unwrap(), 0);
             readers.push(reader);
         }
         let third = get(origin.address, "/configuration?follow=1&since=0").await.unwrap();
         assert_eq!(third, (StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "too many readers" })));
-        // One reader disconnects, so another is accepted.
+        // One reader disconnects. The follower tries until it is accepted in its place.
         readers.pop();
         let mut child = Follower::start("api-1", &[origin.address], &["fleet"], 1);
         publish(origin.address, "fleet", &document(1), "1").await;
