--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -102,7 +102,7 @@
     /// replicas. Where no peer is warm, each answer of the endpoint earns slightly more than one send if it was in
     /// time, and less than one if it was late (see [`Self::earn`]). The endpoint cannot answer more than its capacity
     /// to all replicas together, so the sum of their sends stays little above it. In addition the budget then grows by
-    /// this replica's part of [`INITIAL_SENDS`] per overload window, and by a small fraction of the last known rate of
+    /// this replica's part of `INITIAL_SENDS` per overload window, and by a small fraction of the last known rate of
     /// warm peers. `replicas_per_endpoint` is the average number of replicas that send to the endpoint.
     #[must_use]
     pub fn allows_send(
