--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -113,14 +113,14 @@
 
     /// Counts a connection without checking the budget: a client connection, which the kernel has already accepted, a
     /// connection to discovery, without which drains would be missed, or a connection to a source of settings. Also
-    /// counts a connection to an upstream, after [`Self::permit`] has checked the budget for it.
+    /// counts a connection to an upstream, after `permit` has checked the budget for it.
     #[must_use]
     pub fn reserved_permit(&self) -> Permit {
         Permit::of(&self.sockets)
     }
 
     /// Whether so many sockets are open that idle connections must be closed: at most half of the sockets that
-    /// upstream connections leave to clients ([`CLIENT_RESERVE_DIVISOR`]) remain.
+    /// upstream connections leave to clients (`CLIENT_RESERVE_DIVISOR`) remain.
     #[must_use]
     pub fn is_nearly_full(&self) -> bool {
         self.sockets.get() >= self.max_sockets - self.max_sockets / (2 * CLIENT_RESERVE_DIVISOR)
@@ -134,7 +134,7 @@
     }
 
     /// Takes a socket for a connection to an upstream from the budget; `None` if no socket is left. If only the sockets
-    /// left to clients ([`CLIENT_RESERVE_DIVISOR`]) remain, it first gives up a background dial or closes an idle
+    /// left to clients (`CLIENT_RESERVE_DIVISOR`) remain, it first gives up a background dial or closes an idle
     /// connection.
     pub(super) fn permit(&self) -> Option<Permit> {
         let limit = self.max_sockets - self.max_sockets / CLIENT_RESERVE_DIVISOR;
