--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -12,7 +12,7 @@
 use crate::endpoints::outlier::UNREACHABLE_AFTER;
 use crate::interface::Outcome;
 use crate::maintenance::MAINTENANCE_PERIOD_S;
-use crate::random::between;
+use crate::random::uniform;
 
 /// Averaging time of the congestion signal in seconds, short because servers become unresponsive within two seconds.
 const WINDOW_S: f64 = 2.0;
@@ -219,7 +219,7 @@
 
     /// Records that the limits decrease now, and draws the time until they may decrease again.
     pub fn record_decrease(&mut self, now: f64, rng: &mut Rand64) {
-        let interval_s = between(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
+        let interval_s = uniform(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
         self.decreases = DecreaseTimes { latest: now, next: now + interval_s };
     }
 
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -113,9 +113,9 @@
         let all_tenants = self.all_tenants();
         let rate = self.controls[all_tenants].limit.rate * available_capacity;
         // Each tenant's part of the shared limit is guaranteed to that tenant.
-        let level = (rate / self.controls[all_tenants].limit.replica_quota).min(1.0);
+        let quota_scale = (rate / self.controls[all_tenants].limit.replica_quota).min(1.0);
         let RateControl { suppressor, limit } = &mut self.controls[tenant];
-        let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * level, rng);
+        let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * quota_scale, rng);
         let mut admitted = can_meet_deadline && suppressor.admit(now, limit.rate, rng);
         if admitted && all_tenants != tenant {
             let shared_suppressor = &mut self.controls[all_tenants].suppressor;
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -6,7 +6,7 @@
 use oorandom::Rand64;
 
 use crate::interface::{DiscoveryMode, Settings};
-use crate::random::between;
+use crate::random::uniform;
 
 /// Longest pause in seconds before the first retry of a failed subscription, and the lower bound of later ones.
 const MIN_BACKOFF_S: f64 = 0.5;
@@ -57,7 +57,7 @@
         let max_backoff_s = if has_own_agent { 0.0 } else { max_wait_s(settings).max(MIN_BACKOFF_S) };
         let previous_backoff_s = if interruption == Interruption::Relocated { 0.0 } else { self.backoff_s };
         self.backoff_s = (previous_backoff_s * 2.0).max(MIN_BACKOFF_S).min(max_backoff_s);
-        self.next_at = now + between(rng, self.backoff_s / 2.0..self.backoff_s);
+        self.next_at = now + uniform(rng, self.backoff_s / 2.0..self.backoff_s);
     }
 }
 
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -9,7 +9,7 @@
 use oorandom::Rand64;
 
 use crate::interface::Outcome;
-use crate::random::between;
+use crate::random::uniform;
 use crate::requests::attempt::AttemptEnd;
 
 /// Weight of one outcome in an endpoint's failure rate. With this weight the second failed connect in a row makes an
@@ -128,7 +128,7 @@
 
     /// Ejects the endpoint from now on, for a random time around the current ejection length.
     pub fn eject(&mut self, now: f64, rng: &mut Rand64) {
-        self.ejected_until = now + self.ejection_s * between(rng, EJECTION_JITTER);
+        self.ejected_until = now + self.ejection_s * uniform(rng, EJECTION_JITTER);
         self.ejection_s = (self.ejection_s * 2.0).min(MAX_EJECTION_S);
         self.recovery_chance = INITIAL_RECOVERY_CHANCE;
     }
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 
 /// Draws a number from a range, uniformly distributed.
-pub fn between(rng: &mut Rand64, range: Range<f64>) -> f64 {
+pub fn uniform(rng: &mut Rand64, range: Range<f64>) -> f64 {
     range.start + (range.end - range.start) * rng.rand_float()
 }
 
--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -7,7 +7,7 @@
 
 use oorandom::Rand64;
 
-use crate::random::between;
+use crate::random::uniform;
 
 /// Difference in delay, in latency objectives, by which the own zone must be slower than the others before the local
 /// fraction falls. It is above the noise of an average over some twenty requests.
@@ -61,6 +61,6 @@
         let Some(fraction) = &mut self.local_fraction else { return };
         let is_slower = local_delay > remote_delay + MIN_SLOWDOWN + cross_zone_cost * MIN_SLOWDOWN_PER_COST;
         let step = if is_slower { -STEP_DOWN } else { STEP_UP };
-        *fraction = (*fraction + step * between(rng, STEP_JITTER)).clamp(even_fraction.min(1.0), 1.0);
+        *fraction = (*fraction + step * uniform(rng, STEP_JITTER)).clamp(even_fraction.min(1.0), 1.0);
     }
 }
