--- a/crates/capacity/src/decisions/loaded_core.rs
+++ b/crates/capacity/src/decisions/loaded_core.rs
@@ -39,7 +39,7 @@
     Member {
         id: EndpointId(number as u32 + 1),
         zone: Some(ZoneId(number % zones)),
-        kind: None,
+        machine_kind: None,
         cell: 0,
         lifecycle: Lifecycle::Ready,
         weight: 1.0,
--- a/crates/capacity/src/hollow/world/lists.rs
+++ b/crates/capacity/src/hollow/world/lists.rs
@@ -25,7 +25,7 @@
         Member {
             id: EndpointId(process),
             zone: Some(ZoneId(self.slots[slot].zone)),
-            kind: None,
+            machine_kind: None,
             cell: 0,
             lifecycle,
             weight: 1.0,
--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -41,7 +41,7 @@
             tier,
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
-            kinds: 1,
+            machine_kinds: 1,
             classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NotIdempotent)],
             tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
             over_quota_weight: 0.3,
--- a/crates/policy/examples/embed.rs
+++ b/crates/policy/examples/embed.rs
@@ -24,7 +24,7 @@
     let members = (1..=3).map(|id| Member {
         id: EndpointId(id),
         zone: Some(ZoneId(0)),
-        kind: None,
+        machine_kind: None,
         cell: 0,
         lifecycle: Lifecycle::Ready,
         weight: 1.0,
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -61,7 +61,7 @@
             baselines: vec![BaselineLatency::default(); settings.classes.len()],
             endpoints: EndpointList::new(),
             subscription: ListSubscription::default(),
-            outliers: OutlierDetector::new(settings.kinds),
+            outliers: OutlierDetector::new(settings.machine_kinds),
             subset: Subset::new(),
             requests: RequestTable::default(),
             retry_budgets: RetryBudgets::new(),
@@ -366,7 +366,7 @@
         }
         self.subset.record_attempt(now, endpoint, end, &self.settings);
         let baseline_s = self.baselines[class.0].seconds();
-        let fault = self.outliers.record(&mut endpoint.health, endpoint.kind, end, baseline_s);
+        let fault = self.outliers.record(&mut endpoint.health, endpoint.machine_kind, end, baseline_s);
         if let Some(fault) = fault {
             self.eject_if_outlier(now, slot, fault);
         }
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -25,7 +25,7 @@
     /// Whether the endpoint is in the replica's own zone.
     pub is_local: bool,
     /// Index of the endpoint's machine type in [`OutlierDetector`](crate::endpoints::outlier::OutlierDetector).
-    pub kind: usize,
+    pub machine_kind: usize,
     /// Number of attempts of this replica in flight to the endpoint.
     pub in_flight: u32,
     /// Estimated open connections to the endpoint.
@@ -44,7 +44,7 @@
         Self {
             member,
             is_local: false,
-            kind: 0,
+            machine_kind: 0,
             in_flight: 0,
             connections: Connections::new(now),
             last_answer: now,
@@ -59,8 +59,8 @@
         let is_restarted = member.started != self.member.started;
         self.member = member;
         if is_restarted {
-            let Self { is_local, kind, in_flight, .. } = *self;
-            *self = Self { is_local, kind, in_flight, ..Self::new(member, now, rng) };
+            let Self { is_local, machine_kind, in_flight, .. } = *self;
+            *self = Self { is_local, machine_kind, in_flight, ..Self::new(member, now, rng) };
         }
     }
 
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -134,8 +134,10 @@
                 continue;
             }
             endpoint.is_local = endpoint.member.zone == Some(settings.zone);
-            endpoint.kind =
-                endpoint.member.kind.map_or(settings.kinds, |MachineKindId(kind)| kind.min(settings.kinds));
+            endpoint.machine_kind =
+                endpoint.member.machine_kind.map_or(settings.machine_kinds, |MachineKindId(machine_kind)| {
+                    machine_kind.min(settings.machine_kinds)
+                });
             self.largest_weight = self.largest_weight.max(endpoint.member.weight);
             self.ready.push(slot);
             let zone = if endpoint.is_local { &mut by_zone.local } else { &mut by_zone.remote };
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -152,10 +152,10 @@
 }
 
 impl OutlierDetector {
-    /// Creates a detector without any attempts, for `kinds` machine types.
+    /// Creates a detector without any attempts, for `machine_kinds` machine types.
     #[must_use]
-    pub fn new(kinds: usize) -> Self {
-        Self { tier_failure_rate: 0.0, tier_slowness: 1.0, kind_slowness: vec![1.0; kinds + 1] }
+    pub fn new(machine_kinds: usize) -> Self {
+        Self { tier_failure_rate: 0.0, tier_slowness: 1.0, kind_slowness: vec![1.0; machine_kinds + 1] }
     }
 
     /// Recent fraction of attempts to the tier that failed.
@@ -164,12 +164,12 @@
         self.tier_failure_rate
     }
 
-    /// Factor for the selection probability of an endpoint of machine type `kind`, by its slowness.
+    /// Factor for the selection probability of an endpoint of machine type `machine_kind`, by its slowness.
     #[must_use]
-    pub fn slowness_chance(&self, health: &Health, kind: usize) -> f64 {
+    pub fn slowness_chance(&self, health: &Health, machine_kind: usize) -> f64 {
         // Use the endpoint's own slowness or, before its first latency, the slowness of its machine type.
         let is_known = health.latency_samples > 0.0;
-        let slowness = if is_known { health.slowness } else { self.kind_slowness[kind] };
+        let slowness = if is_known { health.slowness } else { self.kind_slowness[machine_kind] };
         (self.tier_slowness / slowness).powi(2).clamp(MIN_SLOWNESS_CHANCE, 1.0)
     }
 
@@ -178,7 +178,7 @@
     pub fn record(
         &mut self,
         health: &mut Health,
-        kind: usize,
+        machine_kind: usize,
         end: &AttemptEnd,
         baseline_s: f64,
     ) -> Option<Fault> {
@@ -196,7 +196,7 @@
         self.record_failure(health, outcome, f64::from(u8::from(has_failed)));
         if baseline_s > 0.0 && matches!(outcome, Outcome::Success | Outcome::TimedOut) {
             let slowness = (connected_duration / baseline_s).min(MAX_SLOWNESS);
-            self.record_slowness(health, kind, slowness, outcome == Outcome::Success);
+            self.record_slowness(health, machine_kind, slowness, outcome == Outcome::Success);
         }
         match outcome {
             Outcome::Success => {
@@ -217,8 +217,8 @@
         }
     }
 
-    fn record_slowness(&mut self, health: &mut Health, kind: usize, slowness: f64, is_success: bool) {
-        let kind_slowness = &mut self.kind_slowness[kind];
+    fn record_slowness(&mut self, health: &mut Health, machine_kind: usize, slowness: f64, is_success: bool) {
+        let kind_slowness = &mut self.kind_slowness[machine_kind];
         if health.latency_samples == 0.0 {
             health.slowness = *kind_slowness;
         }
--- a/crates/policy/src/endpoints/tests.rs
+++ b/crates/policy/src/endpoints/tests.rs
@@ -38,7 +38,15 @@
 }
 
 fn member(id: u32, lifecycle: Lifecycle, started: Option<Duration>) -> Member {
-    Member { id: EndpointId(id), zone: Some(ZoneId(0)), kind: None, cell: 0, lifecycle, weight: 1.0, started }
+    Member {
+        id: EndpointId(id),
+        zone: Some(ZoneId(0)),
+        machine_kind: None,
+        cell: 0,
+        lifecycle,
+        weight: 1.0,
+        started,
+    }
 }
 
 /// Whether an endpoint is an outlier after `errors` errors in a row, where other endpoints returned `tier_errors`
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -38,7 +38,7 @@
 //! let member = Member {
 //!     id: EndpointId(42),
 //!     zone: Some(ZoneId(0)),
-//!     kind: None,
+//!     machine_kind: None,
 //!     cell: 0,
 //!     lifecycle: Lifecycle::Ready,
 //!     weight: 1.0,
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -24,7 +24,7 @@
     /// Zone of the endpoint; `None` if the settings do not name that zone.
     pub zone: Option<ZoneId>,
     /// Kind of machine that the endpoint runs on; `None` if the settings do not name that kind.
-    pub kind: Option<MachineKindId>,
+    pub machine_kind: Option<MachineKindId>,
     /// Cell of the endpoint, for classes whose idempotency keys are shared within a cell.
     pub cell: u32,
     /// Lifecycle state of the endpoint.
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -17,7 +17,7 @@
     Member {
         id: EndpointId(0),
         zone,
-        kind: None,
+        machine_kind: None,
         cell,
         lifecycle: Lifecycle::Ready,
         weight: 1.0,
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -129,7 +129,7 @@
         self.endpoints.relative_weight(slot)
             * endpoint.warm_fraction(self.now, &self.settings.rules)
             * endpoint.health.recovery_chance()
-            * self.outliers.slowness_chance(&endpoint.health, endpoint.kind)
+            * self.outliers.slowness_chance(&endpoint.health, endpoint.machine_kind)
     }
 
     /// Whether the endpoint in `slot` is ready and no attempt of this request has been sent to it yet.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -143,7 +143,7 @@
     /// Number of zones.
     pub zones: usize,
     /// Number of kinds of machine.
-    pub kinds: usize,
+    pub machine_kinds: usize,
     /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
@@ -204,7 +204,7 @@
             tier: 0,
             zone: ZoneId(0),
             zones: 1,
-            kinds: 1,
+            machine_kinds: 1,
             classes,
             tenants: Vec::new(),
             over_quota_weight: 1.0,
@@ -283,7 +283,7 @@
     /// # Errors
     /// Returns the first fault that was found in the settings.
     pub fn validate_change_from(&self, current: &Self) -> Result<(), SettingsError> {
-        let identity = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.kinds);
+        let identity = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.machine_kinds);
         if identity(self) != identity(current) {
             return Err(SettingsError::IdentityChanged);
         }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -21,7 +21,7 @@
     Member {
         id: EndpointId(id),
         zone: Some(ZoneId(0)),
-        kind: None,
+        machine_kind: None,
         cell: 0,
         lifecycle: Lifecycle::Ready,
         weight: 1.0,
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -160,7 +160,7 @@
         Member {
             id: EndpointId(id),
             zone: (id % 7 != 6).then_some(ZoneId(id as usize % self.settings.zones)),
-            kind: (id % 5 != 4).then_some(MachineKindId(id as usize % self.settings.kinds)),
+            machine_kind: (id % 5 != 4).then_some(MachineKindId(id as usize % self.settings.machine_kinds)),
             cell: id % 4,
             lifecycle: Lifecycle::Ready,
             weight: 1.0 + f64::from(id % 3),
@@ -411,7 +411,7 @@
     settings.replica_index = 1;
     settings.replicas = 4;
     settings.zones = 3;
-    settings.kinds = 2;
+    settings.machine_kinds = 2;
     settings.tenants =
         vec![Tenant { quota: Some(120.0) }, Tenant { quota: Some(60.0) }, Tenant { quota: None }];
     settings.over_quota_weight = 0.2;
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -285,7 +285,7 @@
         settings_with(|settings| settings.tier = 1),
         settings_with(|settings| settings.zone = ZoneId(1)),
         settings_with(|settings| settings.zones = 1),
-        settings_with(|settings| settings.kinds = 0),
+        settings_with(|settings| settings.machine_kinds = 0),
         settings_with(|settings| settings.replicas = 0),
         settings_with(|settings| settings.permissions.max_attempts = 0),
         settings_with(|settings| settings.permissions.streams_per_connection = 0),
--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -44,7 +44,7 @@
     pub zone: String,
     /// Name of the upstream's kind of machine.
     #[serde(default, rename = "type")]
-    pub kind: String,
+    pub machine_kind: String,
     /// Number of the cell that the upstream belongs to.
     #[serde(default)]
     pub group: u32,
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -250,7 +250,7 @@
         let member = Member {
             id,
             zone,
-            kind: names.kinds.get(&entry.kind).copied().map(MachineKindId),
+            machine_kind: names.machine_kinds.get(&entry.machine_kind).copied().map(MachineKindId),
             cell: entry.group,
             lifecycle,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -30,7 +30,7 @@
         tier: setup.tier,
         zone: local_zone(setup)?,
         zones: setup.zones.len(),
-        kinds: setup.machine_kinds.len(),
+        machine_kinds: setup.machine_kinds.len(),
         classes: setup.classes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: setup.tenants.iter().map(tenant).collect(),
         over_quota_weight: setup.over_quota_weight,
@@ -47,7 +47,7 @@
         classes: index_by_name(setup.classes.into_iter().map(|class| class.name)),
         tenants: index_by_name(setup.tenants.into_iter().map(|tenant| tenant.name)),
         zones: index_by_name(setup.zones),
-        kinds: index_by_name(setup.machine_kinds),
+        machine_kinds: index_by_name(setup.machine_kinds),
         load_fields: setup.load_reports.fields,
     }
 }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -42,7 +42,7 @@
     /// Indexes of the zones by name (`zones`).
     pub zones: FxHashMap<String, usize>,
     /// Indexes of the machine kinds by name (`kinds`).
-    pub kinds: FxHashMap<String, usize>,
+    pub machine_kinds: FxHashMap<String, usize>,
     /// Names of the values in a load report, in the order in which reports list them (`loadInfo.fields`).
     pub load_fields: Vec<String>,
 }
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -33,7 +33,7 @@
 /// An entry of a list whose zone and machine kind are not yet resolved to the indexes of an instance.
 struct ListEntry {
     zone: String,
-    kind: String,
+    machine_kind: String,
     member: Member,
 }
 
@@ -93,20 +93,20 @@
     fn read(mut fields: Fields) -> Result<Self, Malformed> {
         let id = EndpointId(fields.number("upstream")?);
         let zone = fields.optional("regionPart")?.unwrap_or_default().to_owned();
-        let kind = fields.optional("machine")?.unwrap_or_default().to_owned();
+        let machine_kind = fields.optional("machine")?.unwrap_or_default().to_owned();
         let cell = fields.optional_number("cluster")?.unwrap_or_default();
         let lifecycle = wire::lifecycle(fields.text("phase")?)?;
         let weight = fields.optional("nominal")?.map_or(Ok(DEFAULT_WEIGHT), weight)?;
         let started = fields.optional_seconds("readyAtS")?.filter(|start| !start.is_zero());
         fields.ensure_end()?;
-        let member = Member { id, zone: None, kind: None, cell, lifecycle, weight, started };
-        Ok(Self { zone, kind, member })
+        let member = Member { id, zone: None, machine_kind: None, cell, lifecycle, weight, started };
+        Ok(Self { zone, machine_kind, member })
     }
 
     fn member(&self, names: &Names) -> Member {
         Member {
             zone: names.zones.get(&self.zone).copied().map(ZoneId),
-            kind: names.kinds.get(&self.kind).copied().map(MachineKindId),
+            machine_kind: names.machine_kinds.get(&self.machine_kind).copied().map(MachineKindId),
             ..self.member
         }
     }
