--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use balancer_policy::interface::{EndpointId, Lifecycle, ListUpdate, MachineKindId, Member, Time, ZoneId};
-use balancer_settings::Names;
+use balancer_settings::NameIndexes;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::clock::{ListTime, MAX_PAST_STARTS, StartTimes, WallClock};
@@ -187,7 +187,7 @@
         now: Time,
         entries: &[Endpoint],
         source: ListSource,
-        names: &Names,
+        names: &NameIndexes,
         in_attempts: impl FnOnce() -> FxHashSet<EndpointId>,
     ) -> AppliedList {
         let newest_ms = entries.iter().map(|entry| entry.since_ms).max().unwrap_or(0);
@@ -221,7 +221,12 @@
         AppliedList { update, restarted }
     }
 
-    fn apply_entry(&mut self, list_time: &ListTime, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
+    fn apply_entry(
+        &mut self,
+        list_time: &ListTime,
+        entry: &Endpoint,
+        names: &NameIndexes,
+    ) -> Option<AppliedEntry> {
         let lifecycle = match entry.status.as_str() {
             "ready" => Lifecycle::Ready,
             "draining" => Lifecycle::Draining,
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -16,7 +16,7 @@
 
 use balancer_policy::interface::{DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time};
 use balancer_policy::{Balancer, Event, Settings};
-use balancer_settings::{LoadedSettings, Names};
+use balancer_settings::{LoadedSettings, NameIndexes};
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -87,7 +87,7 @@
     state: RefCell<State>,
     /// Names from the settings of the start. Only those of zones, kinds of machine and load report fields are used,
     /// which never change.
-    names: Names,
+    names: NameIndexes,
     /// Classes and tenants that requests may name under the settings in force.
     name_registry: RefCell<Rc<NameRegistry>>,
     /// Longest deadline of any class under any settings since the start.
--- a/crates/proxy/src/name_registry.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -5,7 +5,7 @@
 
 use balancer_policy::Settings;
 use balancer_policy::interface::{Class, ClassId, Tenant, TenantId};
-use balancer_settings::Names;
+use balancer_settings::NameIndexes;
 use rustc_hash::{FxHashMap, FxHashSet};
 use thiserror::Error;
 
@@ -58,7 +58,7 @@
 impl NameRegistry {
     /// Takes the names and ids from the settings that the process starts with.
     #[must_use]
-    pub fn new(names: &Names, settings: &Settings) -> Self {
+    pub fn new(names: &NameIndexes, settings: &Settings) -> Self {
         Self {
             class_names: names_by_position(&names.classes, settings.classes.len()),
             tenant_names: names_by_position(&names.tenants, settings.tenants.len()),
@@ -74,7 +74,7 @@
     ///
     /// # Errors
     /// There would be too many names since the start of the process; `settings` are unchanged then.
-    pub fn updated(&self, names: &Names, settings: &mut Settings) -> Result<Self, TooManyNames> {
+    pub fn updated(&self, names: &NameIndexes, settings: &mut Settings) -> Result<Self, TooManyNames> {
         let (class_names, classes) =
             assign_indices(&self.class_names, &names.classes, settings.classes.len());
         let (tenant_names, tenants) =
--- a/crates/proxy/tests/endpoint_names.rs
+++ b/crates/proxy/tests/endpoint_names.rs
@@ -10,7 +10,7 @@
 use balancer_proxy::clock::{MAX_PAST_STARTS, SystemClock};
 use balancer_proxy::discovery::Update;
 use balancer_proxy::endpoint_table::{EndpointTable, ListSource, MIN_NAMES_TO_PRUNE};
-use balancer_settings::Names;
+use balancer_settings::NameIndexes;
 use common::settings;
 use rustc_hash::FxHashSet;
 use serde_json::json;
@@ -23,7 +23,7 @@
 /// An endpoint table to which the test applies deltas, and the endpoints that have attempts in flight.
 struct TestTable {
     table: EndpointTable,
-    names: Names,
+    names: NameIndexes,
     now: Time,
     /// Endpoints with attempts in flight; the table must keep their names.
     in_attempts: FxHashSet<EndpointId>,
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -12,7 +12,7 @@
 };
 use rustc_hash::FxHashMap;
 
-use crate::read::{LoadedSettings, Names, ReadSettingsError};
+use crate::read::{LoadedSettings, NameIndexes, ReadSettingsError};
 use crate::schema::{Caps, Discovery, EffectName, Lane, PriceFigures, Project, RuleFigures, Setup};
 
 /// Converts the complete settings object.
@@ -42,8 +42,8 @@
     })
 }
 
-fn names(setup: Setup) -> Names {
-    Names {
+fn names(setup: Setup) -> NameIndexes {
+    NameIndexes {
         classes: index_by_name(setup.classes.into_iter().map(|class| class.name)),
         tenants: index_by_name(setup.tenants.into_iter().map(|tenant| tenant.name)),
         zones: index_by_name(setup.zones),
@@ -53,7 +53,7 @@
 }
 
 fn local_zone(setup: &Setup) -> Result<ZoneId, ReadSettingsError> {
-    // If two zones have the same name, the last one is used, as in `Names`.
+    // If two zones have the same name, the last one is used, as in `NameIndexes`.
     let position = setup.zones.iter().rposition(|zone| *zone == setup.zone);
     position.map(ZoneId).ok_or_else(|| invalid("zone", &setup.zone))
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -37,4 +37,4 @@
 pub use check::{check, check_document};
 pub use fault::{Fault, Faults, Found};
 pub use load_report::set_load_field;
-pub use read::{LoadedSettings, Names, ReadSettingsError, read};
+pub use read::{LoadedSettings, NameIndexes, ReadSettingsError, read};
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -34,7 +34,7 @@
 /// If two entries have the same name, the later one is used; [`check`](crate::check) refuses duplicate names of
 /// classes and tenants.
 #[derive(Debug)]
-pub struct Names {
+pub struct NameIndexes {
     /// Indexes of the request classes by name (`lanes`).
     pub classes: FxHashMap<String, usize>,
     /// Indexes of the tenants by name (`projects`).
@@ -53,7 +53,7 @@
     /// Settings for the policy. They are not validated yet; `Balancer::new` validates them.
     pub settings: Settings,
     /// Names of the classes, tenants, zones and machine kinds that `settings` refers to by index.
-    pub names: Names,
+    pub names: NameIndexes,
     /// Time-out for the establishment of a connection (`caps.dialTimeoutS`). Only hosts with real sockets use
     /// it; the policy does not.
     pub connect_timeout: Duration,
--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -6,7 +6,7 @@
 //! an instance receives the list. The module owns the lists by number.
 
 use balancer_policy::interface::{EndpointId, ListUpdate, MachineKindId, Member, ZoneId};
-use balancer_settings::Names;
+use balancer_settings::NameIndexes;
 use rustc_hash::FxHashMap;
 
 use crate::error::Malformed;
@@ -70,7 +70,7 @@
     }
 
     /// Reads an update of the endpoint list for the instance whose settings contain `names`.
-    pub fn update(&self, names: &Names, fields: &mut Fields) -> Result<ListUpdate, Malformed> {
+    pub fn update(&self, names: &NameIndexes, fields: &mut Fields) -> Result<ListUpdate, Malformed> {
         let scope = fields.text("scope")?;
         fields.number::<u64>("version")?;
         let buffer = fields.text("buffer")?;
@@ -103,7 +103,7 @@
         Ok(Self { zone, machine_kind, member })
     }
 
-    fn member(&self, names: &Names) -> Member {
+    fn member(&self, names: &NameIndexes) -> Member {
         Member {
             zone: names.zones.get(&self.zone).copied().map(ZoneId),
             machine_kind: names.machine_kinds.get(&self.machine_kind).copied().map(MachineKindId),
--- a/crates/simulator-adapter/src/event.rs
+++ b/crates/simulator-adapter/src/event.rs
@@ -9,7 +9,7 @@
 
 use balancer_policy::Event;
 use balancer_policy::interface::{AttemptNumber, ClassId, EndpointId, LoadReport, Request, TenantId};
-use balancer_settings::Names;
+use balancer_settings::NameIndexes;
 
 use crate::endpoint_lists::EndpointLists;
 use crate::error::Malformed;
@@ -74,7 +74,11 @@
     }
 }
 
-fn request(names: &Names, requests: &mut RequestTable, fields: &mut Fields) -> Result<Event, Malformed> {
+fn request(
+    names: &NameIndexes,
+    requests: &mut RequestTable,
+    fields: &mut Fields,
+) -> Result<Event, Malformed> {
     let wire_id = fields.text("ticket")?;
     if requests.contains(wire_id) {
         return Err(Malformed::DuplicateRequest(wire_id.to_owned()));
@@ -109,7 +113,7 @@
 }
 
 fn attempt_ended(
-    names: &Names,
+    names: &NameIndexes,
     requests: &mut RequestTable,
     fields: &mut Fields,
 ) -> Result<Option<Event>, Malformed> {
@@ -151,7 +155,7 @@
     Ok(Event::MaintenanceDue)
 }
 
-fn health_checked(names: &Names, fields: &mut Fields) -> Result<Event, Malformed> {
+fn health_checked(names: &NameIndexes, fields: &mut Fields) -> Result<Event, Malformed> {
     let outcome = wire::outcome(fields.text("outcome")?)?;
     let duration = fields.seconds("durationS")?;
     let upstream = EndpointId(fields.number("upstream")?);
@@ -166,7 +170,7 @@
 }
 
 /// Reads a load report, whose values are in the order of `loadInfo.fields` in the settings.
-fn load_report(names: &Names, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
+fn load_report(names: &NameIndexes, fields: &mut Fields) -> Result<Option<LoadReport>, Malformed> {
     let Some(text) = fields.optional("stats")? else { return Ok(None) };
     let mut report = LoadReport::default();
     for (position, value) in text.split(',').enumerate() {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -8,7 +8,7 @@
 
 use balancer_policy::interface::{RequestId, SettingsError, Time};
 use balancer_policy::{Action, Balancer, Event};
-use balancer_settings::{LoadedSettings, Names};
+use balancer_settings::{LoadedSettings, NameIndexes};
 
 use crate::action::{request_id, write_action};
 use crate::requests::RequestTable;
@@ -17,7 +17,7 @@
 pub struct Instance {
     balancer: Balancer,
     /// Names in the settings of the instance, used to resolve names in messages to indexes.
-    pub names: Names,
+    pub names: NameIndexes,
     /// Requests of the instance, by protocol id and by policy id.
     pub requests: RequestTable,
 }
