--- a/crates/capacity/src/hollow/world/settings.rs
+++ b/crates/capacity/src/hollow/world/settings.rs
@@ -55,7 +55,7 @@
                 messages: false,
                 idle_timeout: Duration::from_secs(30),
                 streams_per_connection: 1,
-                retry_after: None,
+                max_retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -90,7 +90,7 @@
     /// Creates the limits of a new replica: one for each tenant and, last, one for all tenants together. The last one
     /// starts from the sum of the tenants' quotas and may rise above it until congestion is detected.
     #[must_use]
-    pub fn all_tenants(settings: &Settings) -> Vec<Self> {
+    pub fn for_settings(settings: &Settings) -> Vec<Self> {
         let quotas = settings.tenants.iter().map(|tenant| tenant.quota);
         let mut limits: Vec<_> = quotas.clone().map(|quota| Self::new(settings, quota)).collect();
         let mut all_tenants = Self::new(settings, quotas.sum());
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -48,7 +48,7 @@
     /// congestion is known.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        let mut limits = AdaptiveLimit::all_tenants(settings);
+        let mut limits = AdaptiveLimit::for_settings(settings);
         let all_tenants = limits.pop();
         let tenants = limits.into_iter();
         let mut controls: Vec<_> =
@@ -62,7 +62,7 @@
 
     /// Changes to other settings. New tenants are inserted behind the existing ones, and what was learned is kept.
     pub fn reconfigure(&mut self, settings: &Settings) {
-        let fresh = AdaptiveLimit::all_tenants(settings);
+        let fresh = AdaptiveLimit::for_settings(settings);
         let (old_tenant_count, new_tenant_count) = (self.all_tenants(), settings.tenants.len());
         let new_tenants = fresh[old_tenant_count..new_tenant_count]
             .iter()
--- a/crates/policy/src/admission/tests.rs
+++ b/crates/policy/src/admission/tests.rs
@@ -35,7 +35,7 @@
     let mut settings = Settings::single_zone(vec![class]);
     settings.over_quota_weight = 0.2;
     settings.tenants = quotas.iter().map(|&quota| Tenant { quota: Some(quota) }).collect();
-    AdaptiveLimit::all_tenants(&settings)
+    AdaptiveLimit::for_settings(&settings)
 }
 
 fn call(outcome: Outcome, connected_duration: f64) -> RequestEnd {
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -338,7 +338,7 @@
         );
         let may_be_retried = is_safe_anywhere || pending.first_possible_run().is_none();
         actions.push(if may_be_retried && !is_invalid {
-            Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
+            Action::Refuse { request: id, retry_after: self.settings.permissions.max_retry_after }
         } else {
             Action::Fail { request: id }
         });
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -89,7 +89,7 @@
     /// Number of requests that one connection to an endpoint can carry at the same time; at least 1.
     pub streams_per_connection: u32,
     /// Largest value of Retry-After that clients honour; `None` if refusals carry no Retry-After.
-    pub retry_after: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
 }
 
 /// Limits and durations of the rules that the balancer must keep.
@@ -218,7 +218,7 @@
                 messages: false,
                 idle_timeout: Duration::from_secs(15),
                 streams_per_connection: 100,
-                retry_after: None,
+                max_retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -418,7 +418,7 @@
     settings.discovery = DiscoveryMode::Subscribe;
     settings.rules.poll_interval_max = Some(Duration::from_secs(4));
     settings.permissions.hedging = true;
-    settings.permissions.retry_after = Some(Duration::from_millis(250));
+    settings.permissions.max_retry_after = Some(Duration::from_millis(250));
     settings.costs.cross_zone = 0.05;
     settings.costs.handshake = 0.01;
     settings
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -108,13 +108,13 @@
         messages: capabilities.gossip,
         idle_timeout: duration("caps.keepaliveS", capabilities.keepalive_s)?,
         streams_per_connection: capabilities.streams_per_connection,
-        retry_after: max_retry_after(capabilities)?,
+        max_retry_after: longest_retry_after(capabilities)?,
     })
 }
 
 /// Returns the longest Retry-After that clients honour. `None` if clients are sent no Retry-After; the configured
 /// maximum is then not validated.
-fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, ReadSettingsError> {
+fn longest_retry_after(capabilities: &Caps) -> Result<Option<Duration>, ReadSettingsError> {
     if !capabilities.retry_after {
         return Ok(None);
     }
