--- a/crates/policy/tests/adaptive_limit.rs
+++ b/crates/policy/tests/adaptive_limit.rs
@@ -32,8 +32,8 @@
     for call in 0..200 {
         bench.advance(gap);
         let (id, actions) = bench.offer(Some(0));
-        assert!(sent(&actions).is_some(), "request {call} was denied within the quota");
-        bench.end(id, 0, if call % 5 == 0 { Outcome::Reset } else { Outcome::Success }, millis(20));
+        assert!(sent_upstream(&actions).is_some(), "request {call} was denied within the quota");
+        bench.end_attempt(id, 0, if call % 5 == 0 { Outcome::Reset } else { Outcome::Success }, millis(20));
     }
     let overloaded = admitted_fraction(&mut bench, 9.5, 15.0, 30.0, Outcome::TimedOut);
     assert!(overloaded < 0.5, "a fraction of {overloaded} was admitted in overload, expected less than 0.5");
@@ -52,14 +52,14 @@
     for call in 0..2000 {
         bench.advance(millis(20));
         let (id, mut actions) = bench.offer(Some(0));
-        assert!(sent(&actions).is_some(), "request {call} was denied");
+        assert!(sent_upstream(&actions).is_some(), "request {call} was denied");
         let mut number = 0;
         if call % 10 == 0 {
-            actions = bench.end(id, number, Outcome::Refused, millis(1));
-            assert!(sent(&actions).is_some(), "request {call} was not sent to another upstream");
+            actions = bench.end_attempt(id, number, Outcome::Refused, millis(1));
+            assert!(sent_upstream(&actions).is_some(), "request {call} was not sent to another upstream");
             number += 1;
         }
-        bench.end(id, number, Outcome::Success, millis(20));
+        bench.end_attempt(id, number, Outcome::Success, millis(20));
     }
 }
 
@@ -75,14 +75,14 @@
     for call in 0..280 {
         bench.advance(millis(71));
         let (id, mut actions) = bench.offer(Some(0));
-        denied += u32::from(sent(&actions).is_none());
+        denied += u32::from(sent_upstream(&actions).is_none());
         let mut number = 0;
-        while call % 2 == 0 && number < refusals && sent(&actions).is_some() {
-            actions = bench.end(id, number, outcome, millis(1));
+        while call % 2 == 0 && number < refusals && sent_upstream(&actions).is_some() {
+            actions = bench.end_attempt(id, number, outcome, millis(1));
             number += 1;
         }
-        if sent(&actions).is_some() {
-            bench.end(id, number, Outcome::Success, millis(duration));
+        if sent_upstream(&actions).is_some() {
+            bench.end_attempt(id, number, Outcome::Success, millis(duration));
         }
     }
     denied
@@ -121,8 +121,8 @@
     for _ in 0..2000 {
         bench.advance(millis(10));
         let (id, actions) = bench.offer(Some(1));
-        if sent(&actions).is_some() {
-            bench.end(id, 0, Outcome::TimedOut, LATENCY_OBJECTIVE);
+        if sent_upstream(&actions).is_some() {
+            bench.end_attempt(id, 0, Outcome::TimedOut, LATENCY_OBJECTIVE);
         }
     }
     let small = admitted_fraction(&mut bench, 20.0, 0.0, 1.5, Outcome::Success);
@@ -145,12 +145,12 @@
     for call in 0..3000 {
         bench.advance(millis(40));
         let (id, actions) = bench.offer(Some(call % 6));
-        if sent(&actions).is_some() {
+        if sent_upstream(&actions).is_some() {
             passed[usize::from(call >= 1000)] += 1;
             let slow = call >= 1000 && call.is_multiple_of(5);
             let (outcome, duration) =
                 if slow { (Outcome::TimedOut, LATENCY_OBJECTIVE) } else { (Outcome::Success, millis(20)) };
-            bench.end(id, 0, outcome, duration);
+            bench.end_attempt(id, 0, outcome, duration);
         }
     }
     let (generous, congested) = (f64::from(passed[0]) / 40.0, f64::from(passed[1]) / 80.0);
@@ -177,9 +177,9 @@
         for call in 0..900 {
             bench.advance(millis(28));
             let (id, actions) = bench.offer(Some(call % 2));
-            if sent(&actions).is_some() {
+            if sent_upstream(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(20));
+                bench.end_attempt(id, 0, Outcome::Success, millis(20));
             }
         }
         passed
@@ -207,9 +207,9 @@
         for call in 0..calls {
             bench.advance(millis(10));
             let (id, actions) = bench.offer(Some(call % 2));
-            if sent(&actions).is_some() {
+            if sent_upstream(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(duration));
+                bench.end_attempt(id, 0, Outcome::Success, millis(duration));
             }
         }
         passed
@@ -233,9 +233,14 @@
         for _ in 0..seconds * 8 {
             bench.advance(millis(125));
             let (id, actions) = bench.offer(Some(0));
-            if sent(&actions).is_some() {
+            if sent_upstream(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(duration[passed % 7] * tenths_of_usual / 10));
+                bench.end_attempt(
+                    id,
+                    0,
+                    Outcome::Success,
+                    millis(duration[passed % 7] * tenths_of_usual / 10),
+                );
             }
         }
         passed
@@ -263,12 +268,12 @@
         bench.advance(millis(125));
         let (id, actions) = bench.offer(Some(0));
         let EndpointId(upstream) =
-            sent(&actions).expect("every request should be sent, as the rate is below the limit");
+            sent_upstream(&actions).expect("every request should be sent, as the rate is below the limit");
         tried[upstream as usize] += 1;
         let outcome = if call % 2 == 0 { Outcome::InvalidRequest } else { Outcome::Success };
-        let actions = bench.end(id, 0, outcome, millis(20));
+        let actions = bench.end_attempt(id, 0, outcome, millis(20));
         assert_eq!(actions.contains(&Action::Fail { request: id }), outcome == Outcome::InvalidRequest);
-        assert!(sent(&actions).is_none() && !refused(&actions));
+        assert!(sent_upstream(&actions).is_none() && !is_refused(&actions));
     }
     assert!(
         tried.iter().all(|&calls| calls > 40),
@@ -289,9 +294,9 @@
             let duration = std::time::Duration::from_micros(if round < 1 { 200 } else { 10_000 });
             let calls: Vec<_> = (0..8).map(|_| bench.offer(Some(0))).collect();
             bench.advance(duration);
-            let sent: Vec<_> = calls.iter().filter(|(_, actions)| sent(actions).is_some()).collect();
+            let sent: Vec<_> = calls.iter().filter(|(_, actions)| sent_upstream(actions).is_some()).collect();
             for (id, _) in &sent {
-                bench.end(*id, 0, Outcome::Success, duration);
+                bench.end_attempt(*id, 0, Outcome::Success, duration);
             }
             bench.advance(millis(4));
             sent.len()
--- a/crates/policy/tests/common/calls.rs
+++ b/crates/policy/tests/common/calls.rs
@@ -4,7 +4,7 @@
 use balancer_policy::Settings;
 use balancer_policy::interface::*;
 
-use crate::common::{Bench, class, member, millis, sent};
+use crate::common::{Bench, class, member, millis, sent_upstream};
 
 /// Latency objective of the only request class in these tests.
 pub const LATENCY_OBJECTIVE: std::time::Duration = millis(1000);
@@ -28,10 +28,10 @@
         let (id, actions) = bench.offer(Some(0));
         let counted = f64::from(call) / rate >= warm_up;
         offered += u32::from(counted);
-        if sent(&actions).is_some() {
+        if sent_upstream(&actions).is_some() {
             passed += u32::from(counted);
             // An attempt that times out lasts for the whole latency objective.
-            bench.end(
+            bench.end_attempt(
                 id,
                 0,
                 outcome,
--- a/crates/policy/tests/common/connecting.rs
+++ b/crates/policy/tests/common/connecting.rs
@@ -8,7 +8,7 @@
 use balancer_policy::{Action, Event, Settings};
 use oorandom::Rand64;
 
-use crate::common::{Bench, class, member, sent};
+use crate::common::{Bench, class, member, sent_upstream};
 
 /// Simulated course of an attempt: the time until its connection is established (`None` if it never is), the outcome,
 /// and the time from the connection to that outcome.
@@ -64,7 +64,7 @@
                         self.schedule(Duration::from_secs_f64(gap), Pending::Call);
                         let (request, actions) = self.bench.offer(Some(0));
                         counts.offered += 1;
-                        counts.admitted += u32::from(sent(&actions).is_some());
+                        counts.admitted += u32::from(sent_upstream(&actions).is_some());
                         self.send(request, 0, &actions, &mut counts, &mut draw_attempt);
                     }
                 }
@@ -196,7 +196,7 @@
 }
 
 /// Draws the latency of an upstream with little load: 15 to 30 ms.
-pub fn usual(rng: &mut Rand64) -> Duration {
+pub fn low_load_latency(rng: &mut Rand64) -> Duration {
     Duration::from_secs_f64(0.015 + 0.015 * rng.rand_float())
 }
 
@@ -208,10 +208,10 @@
 
 /// Course of an attempt at an upstream with little load whose connection is established at once.
 pub fn idle(_: EndpointId, rng: &mut Rand64) -> AttemptCourse {
-    (Some(Duration::ZERO), Outcome::Success, usual(rng))
+    (Some(Duration::ZERO), Outcome::Success, low_load_latency(rng))
 }
 
 /// Course of an attempt at an upstream with little load, where a third of the connections are late.
 pub fn idle_third_late(_: EndpointId, rng: &mut Rand64) -> AttemptCourse {
-    (third_late(rng), Outcome::Success, usual(rng))
+    (third_late(rng), Outcome::Success, low_load_latency(rng))
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -85,7 +85,7 @@
         (id, self.report(Event::Request(request)))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         request: RequestId,
         number: u32,
@@ -121,10 +121,10 @@
     pub fn run(&mut self, outcome: impl Fn(EndpointId) -> (Outcome, Duration)) -> Vec<EndpointId> {
         let (id, mut actions) = self.offer(None);
         let mut tried = Vec::new();
-        while let Some(upstream) = sent(&actions) {
+        while let Some(upstream) = sent_upstream(&actions) {
             let (attempt_outcome, duration) = outcome(upstream);
             self.advance(duration);
-            actions = self.end(id, tried.len() as u32, attempt_outcome, duration);
+            actions = self.end_attempt(id, tried.len() as u32, attempt_outcome, duration);
             tried.push(upstream);
         }
         tried
@@ -132,7 +132,7 @@
 }
 
 /// Upstream of the first [`Action::Send`] among the actions; `None` if nothing is sent.
-pub fn sent(actions: &[Action]) -> Option<EndpointId> {
+pub fn sent_upstream(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
         _ => None,
@@ -140,6 +140,6 @@
 }
 
 /// Whether the actions refuse a request.
-pub fn refused(actions: &[Action]) -> bool {
+pub fn is_refused(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse { .. }))
 }
--- a/crates/policy/tests/common/oracle.rs
+++ b/crates/policy/tests/common/oracle.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone)]
 pub enum Step {
     /// Advances the clock.
-    Pass(u64),
+    Advance(u64),
     /// Sends a request of the class with this index.
     Request { class: usize, time_left: u64 },
     /// Ends one of the attempts in flight, which `which` selects modulo their number.
@@ -22,8 +22,8 @@
     Disconnect { which: usize },
     /// Sends a delta of the list that sets the lifecycle of one upstream and may report that it has restarted.
     Change { upstream: u32, lifecycle: Lifecycle, restarted: bool },
-    /// Replaces the list by the first `keep` upstreams; the new list comes from a cache if `stale` is set.
-    Replace { keep: u32, stale: bool },
+    /// Replaces the list by the first `keep` upstreams; the new list comes from a cache if `cached` is set.
+    Replace { keep: u32, cached: bool },
     /// Breaks the subscription to the list.
     Broken,
     /// Reports a connection to the upstream that was established late.
@@ -214,7 +214,7 @@
             let Some(next) = next.filter(|&next| next <= end) else { break };
             self.now = self.now.max(next);
             match late.filter(|&(at, ..)| at <= self.now) {
-                Some((_, id, n)) => self.end(id, n, Outcome::TimedOut),
+                Some((_, id, n)) => self.end_attempt(id, n, Outcome::TimedOut),
                 None => {
                     self.next_maintenance = None;
                     self.report(Event::MaintenanceDue);
@@ -252,7 +252,7 @@
     }
 
     /// Ends attempt number `n` of the request and reports its outcome to the balancer.
-    pub fn end(&mut self, request: RequestId, n: usize, outcome: Outcome) {
+    pub fn end_attempt(&mut self, request: RequestId, n: usize, outcome: Outcome) {
         let tracked = self.requests.get_mut(&request).expect("the request should be tracked");
         tracked.attempts[n].ended = Some(outcome);
         let duration = self.now - tracked.attempts[n].at;
@@ -277,19 +277,19 @@
         );
     }
 
-    /// Replaces the list of upstreams; `stale` marks it as coming from a cache.
-    pub fn replace(&mut self, members: Vec<Member>, stale: bool) {
+    /// Replaces the list of upstreams; `cached` marks it as coming from a cache.
+    pub fn replace(&mut self, members: Vec<Member>, cached: bool) {
         self.list = members.iter().map(|member| (member.id, *member)).collect();
-        if !stale {
+        if !cached {
             self.unsubscribed_since = None;
         }
-        let update = if stale { ListUpdate::CachedSnapshot(members) } else { ListUpdate::Snapshot(members) };
+        let update = if cached { ListUpdate::CachedSnapshot(members) } else { ListUpdate::Snapshot(members) };
         self.report(Event::List(update));
     }
 
     pub fn step(&mut self, step: Step) {
         match step {
-            Step::Pass(span) => self.advance(millis(span)),
+            Step::Advance(span) => self.advance(millis(span)),
             Step::Request { class, time_left } => {
                 let id = RequestId(self.next);
                 self.next += 1;
@@ -320,7 +320,7 @@
             Step::End { which, outcome } => {
                 let attempts_in_flight = self.attempts_in_flight();
                 if let Some(&(id, n)) = attempts_in_flight.get(which % attempts_in_flight.len().max(1)) {
-                    self.end(id, n, outcome);
+                    self.end_attempt(id, n, outcome);
                 }
             }
             Step::Disconnect { which } => {
@@ -337,7 +337,7 @@
                 self.unsubscribed_since = None;
                 self.report(Event::List(ListUpdate::Delta(vec![member])));
             }
-            Step::Replace { keep, stale } => self.replace((0..keep).map(member).collect(), stale),
+            Step::Replace { keep, cached } => self.replace((0..keep).map(member).collect(), cached),
             Step::Connected { upstream } => self.report(Event::Connected(EndpointId(upstream))),
             Step::Broken => {
                 if self.settings.discovery == DiscoveryMode::Subscribe {
--- a/crates/policy/tests/connect_timeouts.rs
+++ b/crates/policy/tests/connect_timeouts.rs
@@ -62,7 +62,7 @@
         let mut requests = 0;
         for _ in 0..400 {
             let (id, actions) = bench.offer(None);
-            let first = sent(&actions) == Some(EndpointId(0));
+            let first = sent_upstream(&actions) == Some(EndpointId(0));
             requests += u32::from(first);
             events_at_first += u32::from(first);
             let late = first && events_at_first % 3 != 0;
@@ -72,7 +72,7 @@
             }
             bench.advance(millis(2));
             let outcome = if late { Outcome::ConnectTimedOut } else { between.unwrap_or(Outcome::Success) };
-            bench.end(id, 0, if first { outcome } else { Outcome::Success }, millis(2));
+            bench.end_attempt(id, 0, if first { outcome } else { Outcome::Success }, millis(2));
             if late {
                 bench.report(Event::ClientDisconnected(id));
             }
@@ -92,7 +92,7 @@
     let requests = (0..60).filter(|&seed| {
         let mut bench = Bench::new(settings.clone(), seed, (0..8).map(member).collect());
         prepare(&mut bench);
-        sent(&bench.offer(None).1) == Some(EndpointId(3))
+        sent_upstream(&bench.offer(None).1) == Some(EndpointId(3))
     });
     requests.count()
 }
@@ -109,7 +109,7 @@
     let lost = requests_to_fourth(|bench| {
         bench.report(Event::Connected(EndpointId(3)));
         let (id, _) = bench.offer(None);
-        bench.end(id, 0, Outcome::ConnectTimedOut, millis(2));
+        bench.end_attempt(id, 0, Outcome::ConnectTimedOut, millis(2));
         bench.report(Event::ClientDisconnected(id));
     });
     assert!(lost < 15, "expected below 15 of 60 requests with a connection that was lost, saw {lost}");
--- a/crates/policy/tests/deadline.rs
+++ b/crates/policy/tests/deadline.rs
@@ -31,14 +31,14 @@
         let (id, actions) = bench.offer(Some(0));
         let (sent_count, offered) = &mut out[usize::from(left >= needed_ms)];
         *offered += 1;
-        if sent(&actions).is_some() {
+        if sent_upstream(&actions).is_some() {
             *sent_count += 1;
             let (outcome, duration) = if left < needed_ms {
                 (Outcome::TimedOut, left.min(1000))
             } else {
                 (Outcome::Success, USUAL_LATENCY_MS)
             };
-            bench.end(id, 0, outcome, millis(duration));
+            bench.end_attempt(id, 0, outcome, millis(duration));
         }
     }
     out.map(|(sent_count, offered)| f64::from(sent_count) / f64::from(offered.max(1)))
@@ -84,7 +84,7 @@
         for call in 0..400 {
             bench.advance(millis(100));
             let (id, actions) = bench.offer(Some(0));
-            if sent(&actions).is_some() {
+            if sent_upstream(&actions).is_some() {
                 sent_count += 1;
                 let disconnects = call % 2 == 0;
                 if disconnects {
@@ -95,7 +95,7 @@
                 } else {
                     (Outcome::Success, USUAL_LATENCY_MS)
                 };
-                bench.end(id, 0, outcome, millis(duration));
+                bench.end_attempt(id, 0, outcome, millis(duration));
             }
         }
         f64::from(sent_count) / 400.0
@@ -137,12 +137,12 @@
         let short = call % 4 == 0;
         bench.time_left = millis(if short { 25 } else { 3000 });
         let (id, actions) = bench.offer(Some(0));
-        if sent(&actions).is_some() {
+        if sent_upstream(&actions).is_some() {
             admitted[usize::from(!short)] += 1;
             let late = call % 4 == 1;
             let (outcome, duration) =
                 if late { (Outcome::TimedOut, 1000) } else { (Outcome::Success, USUAL_LATENCY_MS) };
-            bench.end(id, 0, outcome, millis(duration));
+            bench.end_attempt(id, 0, outcome, millis(duration));
         }
     }
     let [short, whole] = [f64::from(admitted[0]) / 100.0, f64::from(admitted[1]) / 300.0];
@@ -158,7 +158,7 @@
 fn a_baseline_learned_too_high_does_not_deny_all_requests() {
     let mut bench = bench();
     let (id, _) = bench.offer(Some(0));
-    bench.end(id, 0, Outcome::Success, millis(50 * USUAL_LATENCY_MS));
+    bench.end_attempt(id, 0, Outcome::Success, millis(50 * USUAL_LATENCY_MS));
     let first = run(&mut bench, 100, 0, |_| 100);
     let later = run(&mut bench, 100, 0, |_| 100);
     assert!(
@@ -181,8 +181,14 @@
             let (id, _) = bench.offer(Some(0));
             // 2 of the 40 ms are left, a tenth of the usual latency.
             bench.advance(millis(38));
-            sent(&bench.end_with_connect_wait(id, 0, Outcome::ConnectTimedOut, millis(38), millis(38)))
-                .is_some()
+            sent_upstream(&bench.end_with_connect_wait(
+                id,
+                0,
+                Outcome::ConnectTimedOut,
+                millis(38),
+                millis(38),
+            ))
+            .is_some()
         })
         .count();
     assert!((5..50).contains(&retried), "{retried} of 200 requests were retried, expected 5 to 49");
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -227,7 +227,13 @@
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
             Action::CancelAttempt { request, attempt } => {
                 let duration = Duration::from_millis(30);
-                self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, duration, Duration::ZERO);
+                self.end_attempt(
+                    Duration::ZERO,
+                    (request, attempt),
+                    Outcome::Cancelled,
+                    duration,
+                    Duration::ZERO,
+                );
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 self.open_requests.remove(&request);
@@ -276,16 +282,22 @@
             self.schedule_event(duration + Duration::from_millis(200), Event::Connected(upstream));
         }
         if duration > timeout {
-            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connect_wait.min(timeout));
+            self.end_attempt(
+                timeout,
+                (request, attempt),
+                Outcome::TimedOut,
+                timeout,
+                connect_wait.min(timeout),
+            );
             return;
         }
         if outcome == Outcome::Success && self.chance(0.05) {
             self.schedule_event(duration / 2, Event::StreamStarted { request, attempt });
         }
-        self.end(duration, (request, attempt), outcome, duration, connect_wait.min(duration));
+        self.end_attempt(duration, (request, attempt), outcome, duration, connect_wait.min(duration));
     }
 
-    fn end(
+    fn end_attempt(
         &mut self,
         after: Duration,
         (request, attempt): (RequestId, AttemptNumber),
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -8,7 +8,7 @@
 
 use balancer_policy::interface::*;
 use common::*;
-use connecting::{SimulatedHost, idle, idle_third_late, settings, usual};
+use connecting::{SimulatedHost, idle, idle_third_late, low_load_latency, settings};
 
 /// Guards against late connections that are taken for overload. With a third of the connections late and upstreams that
 /// answered in 13 to 30 ms, the limits fell to their floors, and 80 to 95 of 100 requests were denied.
@@ -105,7 +105,7 @@
             late += u32::from(is_late);
             // About a third of these time out, with 10 ms left for the upstream, which takes 15 to 30 ms.
             let after = if is_late { millis(350 + rng.rand_range(0..60)) } else { Duration::ZERO };
-            (Some(after), Outcome::Success, usual(rng))
+            (Some(after), Outcome::Success, low_load_latency(rng))
         });
         let case = format!("{rate}/s, {replicas} replicas, {late} late: {counts:?}");
         assert!(
@@ -126,7 +126,7 @@
         host.run(3.0, 60, idle);
         let counts = host.run(3.0, 600, |id, rng| {
             let late = id == EndpointId(0) && rng.rand_float() < 0.5;
-            (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Success, usual(rng))
+            (Some(if late { millis(wait) } else { Duration::ZERO }), Outcome::Success, low_load_latency(rng))
         });
         let part = counts.fraction_sent_to(0..1) * 6.0;
         assert!(
@@ -161,18 +161,18 @@
         let limit_settled = request_index >= 540;
         bench.advance(millis(if limit_settled { 71 } else { 111 }));
         let (id, mut actions) = bench.offer(Some(0));
-        assert!(!limit_settled || sent(&actions).is_some(), "request {request_index} was denied");
+        assert!(!limit_settled || sent_upstream(&actions).is_some(), "request {request_index} was denied");
         let mut number = 0;
         if limit_settled && request_index % 4 == 0 {
             for outcome in [Outcome::ConnectTimedOut, Outcome::Refused] {
-                actions = bench.end(id, number, outcome, millis(2));
+                actions = bench.end_attempt(id, number, outcome, millis(2));
                 number += 1;
             }
         }
         assert!(
-            !limit_settled || sent(&actions).is_some(),
+            !limit_settled || sent_upstream(&actions).is_some(),
             "request {request_index} was not retried after a refusal"
         );
-        bench.end(id, number, Outcome::Success, millis(20));
+        bench.end_attempt(id, number, Outcome::Success, millis(20));
     }
 }
--- a/crates/policy/tests/many_replicas.rs
+++ b/crates/policy/tests/many_replicas.rs
@@ -44,9 +44,9 @@
         bench.advance(millis(50));
         let (id, actions) = bench.offer(Some(request_index % 2));
         offered += u32::from(request_index >= 200);
-        if sent(&actions).is_some() {
+        if sent_upstream(&actions).is_some() {
             admitted_count += u32::from(request_index >= 200);
-            bench.end(id, 0, Outcome::Success, millis(durations(150)));
+            bench.end_attempt(id, 0, Outcome::Success, millis(durations(150)));
         }
     }
     // Twenty requests per second are 1 2/3 times this replica's part of the quotas. One of twenty replicas may happen
@@ -92,11 +92,11 @@
                 while let Some((end, id, span)) = in_flight.pop_if(|&mut (end, ..)| end <= due) {
                     bench.advance(end.saturating_sub(bench.now));
                     let outcome = if span < latency_objective { Outcome::Success } else { Outcome::TimedOut };
-                    bench.end(id, 0, outcome, span);
+                    bench.end_attempt(id, 0, outcome, span);
                 }
                 bench.advance(due.saturating_sub(bench.now));
                 let (id, actions) = bench.offer(Some(request_index as usize % 2));
-                if sent(&actions).is_some() {
+                if sent_upstream(&actions).is_some() {
                     admitted_fraction += 1;
                     let span = millis(duration(second)).min(latency_objective);
                     in_flight.push((due + span, id, span));
--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -9,7 +9,7 @@
 
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Event, Settings};
-use common::{Bench, class, member, millis, sent};
+use common::{Bench, class, member, millis, sent_upstream};
 use reconfigured::{bench, request, settings, single};
 
 /// Idempotency key that the endpoints of a cell remember for 300 ms.
@@ -19,12 +19,12 @@
 /// Ends each attempt of a request with a reset after `duration` and returns the number of attempts. `first` are the
 /// actions that the request caused when it arrived.
 fn attempts_under_resets(bench: &mut Bench, id: RequestId, first: &[Action], duration: Duration) -> usize {
-    let (mut sends, mut out) = (0, sent(first));
+    let (mut sends, mut out) = (0, sent_upstream(first));
     while out.is_some() {
         sends += 1;
         bench.advance(duration);
-        let actions = bench.end(id, sends as u32 - 1, Outcome::Reset, duration);
-        out = sent(&actions);
+        let actions = bench.end_attempt(id, sends as u32 - 1, Outcome::Reset, duration);
+        out = sent_upstream(&actions);
     }
     sends
 }
@@ -40,9 +40,9 @@
         let mut bench = bench(single(Idempotency::NotIdempotent));
         let (id, actions) = bench.offer(None);
         assert!(bench.report(Event::Reconfigured(single(other))).is_empty());
-        let upstream = sent(&actions).expect("the request is sent");
+        let upstream = sent_upstream(&actions).expect("the request is sent");
         bench.advance(millis(10));
-        let actions = bench.end(id, 0, Outcome::Reset, millis(10));
+        let actions = bench.end_attempt(id, 0, Outcome::Reset, millis(10));
         assert_eq!(actions, [Action::Fail { request: id }], "retried after its class changed to {other:?}");
         let (id, actions) = bench.offer(None);
         assert!(
@@ -102,13 +102,13 @@
     let members = (0..8).map(member).collect();
     let mut bench = Bench::new(single(CELL_KEY_300_MS), 7, members);
     let (id, actions) = bench.offer(None);
-    assert!(sent(&actions).is_some());
+    assert!(sent_upstream(&actions).is_some());
     bench.report(Event::Reconfigured(single(Idempotency::IdempotencyKey {
         scope: DeduplicationScope::Cell,
         window: millis(60_000),
     })));
     bench.advance(millis(100));
-    let actions = bench.end(id, 0, Outcome::Reset, millis(100));
+    let actions = bench.end_attempt(id, 0, Outcome::Reset, millis(100));
     let first_byte_deadline = actions.iter().find_map(|action| match action {
         Action::Send { first_byte_deadline, .. } => *first_byte_deadline,
         _ => None,
@@ -138,8 +138,8 @@
     assert_eq!(timeout(&first), Some(millis(1000)));
     bench.report(Event::Reconfigured(longer));
     bench.advance(millis(400));
-    let retry_timeout =
-        timeout(&bench.end(id, 0, Outcome::Refused, millis(400))).expect("expected a retry with a timeout");
+    let retry_timeout = timeout(&bench.end_attempt(id, 0, Outcome::Refused, millis(400)))
+        .expect("expected a retry with a timeout");
     assert!(
         retry_timeout <= millis(600) && retry_timeout > millis(599),
         "expected the remaining 600 ms of the latency objective, saw {retry_timeout:?}"
@@ -187,12 +187,12 @@
     after.classes.push(class(Idempotency::Idempotent));
     let mut bench = bench(settings());
     let actions = bench.report(Event::Request(request(900, 0, Some(1))));
-    assert!(sent(&actions).is_some());
+    assert!(sent_upstream(&actions).is_some());
     bench.report(Event::Reconfigured(after));
     bench.advance(millis(20));
-    assert!(sent(&bench.end(RequestId(900), 0, Outcome::Refused, millis(20))).is_some());
+    assert!(sent_upstream(&bench.end_attempt(RequestId(900), 0, Outcome::Refused, millis(20))).is_some());
     bench.advance(millis(20));
-    assert!(bench.end(RequestId(900), 1, Outcome::Success, millis(20)).is_empty());
+    assert!(bench.end_attempt(RequestId(900), 1, Outcome::Success, millis(20)).is_empty());
     let actions = bench.report(Event::Request(request(901, 3, Some(0))));
-    assert!(sent(&actions).is_some());
+    assert!(sent_upstream(&actions).is_some());
 }
--- a/crates/policy/tests/reconfiguration_limits.rs
+++ b/crates/policy/tests/reconfiguration_limits.rs
@@ -9,7 +9,7 @@
 
 use balancer_policy::interface::*;
 use balancer_policy::{Event, Settings};
-use common::{Bench, class, millis, sent};
+use common::{Bench, class, millis, sent_upstream};
 use reconfigured::bench;
 
 /// Returns the current limits of the tenants and, last, the one of all tenants together, in requests per second.
@@ -36,17 +36,17 @@
         bench.advance(Duration::from_secs_f64(1.0 / rate));
         let due = answers.iter().take_while(|(at, _)| *at <= bench.now).count();
         for (_, id) in answers.drain(..due) {
-            bench.end(id, 0, Outcome::Success, millis(10));
+            bench.end_attempt(id, 0, Outcome::Success, millis(10));
         }
         let (id, actions) = bench.offer(Some(tenant));
-        if sent(&actions).is_some() {
+        if sent_upstream(&actions).is_some() {
             admitted += 1;
             answers.push((bench.now + millis(10), id));
         }
     }
     bench.advance(millis(20));
     for (_, id) in answers {
-        bench.end(id, 0, Outcome::Success, millis(10));
+        bench.end_attempt(id, 0, Outcome::Success, millis(10));
     }
     f64::from(admitted) / seconds
 }
@@ -57,8 +57,8 @@
         bench.advance(millis(10));
         let (id, mut actions) = bench.offer(Some(0));
         let mut number = 0;
-        while sent(&actions).is_some() {
-            actions = bench.end(id, number, Outcome::Refused, millis(1));
+        while sent_upstream(&actions).is_some() {
+            actions = bench.end_attempt(id, number, Outcome::Refused, millis(1));
             number += 1;
         }
     }
@@ -163,10 +163,10 @@
 fn tenants_can_be_added_to_a_replica_without_tenants() {
     let mut bench = bench(quotas(&[]));
     let (early, actions) = bench.offer(None);
-    assert!(sent(&actions).is_some());
+    assert!(sent_upstream(&actions).is_some());
     bench.report(Event::Reconfigured(quotas(&[Some(50.0), Some(20.0)])));
     bench.advance(millis(10));
-    bench.end(early, 0, Outcome::Success, millis(10));
+    bench.end_attempt(early, 0, Outcome::Success, millis(10));
     let mut fresh = self::bench(quotas(&[Some(50.0), Some(20.0)]));
     for tenant in [0, 1] {
         let (limited, usual) =
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -35,13 +35,13 @@
 fn step() -> impl Strategy<Value = Step> {
     let lifecycle = prop_oneof![3 => Just(Lifecycle::Ready), 1 => Just(Lifecycle::Draining), 1 => Just(Lifecycle::Removed)];
     prop_oneof![
-        4 => (1u64..400).prop_map(Step::Pass),
+        4 => (1u64..400).prop_map(Step::Advance),
         8 => (0usize..5, 1u64..3000).prop_map(|(class, time_left)| Step::Request { class, time_left }),
         8 => (any::<usize>(), outcome()).prop_map(|(which, outcome)| Step::End { which, outcome }),
         1 => any::<usize>().prop_map(|which| Step::Disconnect { which }),
         2 => (0u32..8, lifecycle, any::<bool>())
             .prop_map(|(upstream, lifecycle, restarted)| Step::Change { upstream, lifecycle, restarted }),
-        1 => (0u32..9, any::<bool>()).prop_map(|(keep, stale)| Step::Replace { keep, stale }),
+        1 => (0u32..9, any::<bool>()).prop_map(|(keep, cached)| Step::Replace { keep, cached }),
         1 => Just(Step::Broken),
         1 => (0u32..10).prop_map(|upstream| Step::Connected { upstream }),
     ]
@@ -88,7 +88,7 @@
             for (id, n) in checker.attempts_in_flight() {
                 sends.push((checker.now, checker.requests[&id].attempts[n].upstream.0));
                 let is_warming_up = checker.requests[&id].attempts[n].upstream.0 < warming_up;
-                checker.end(id, n, if refusing && is_warming_up { Outcome::Refused } else { Outcome::Success });
+                checker.end_attempt(id, n, if refusing && is_warming_up { Outcome::Refused } else { Outcome::Success });
             }
             checker.advance(millis(gap));
         }
--- a/crates/policy/tests/selection.rs
+++ b/crates/policy/tests/selection.rs
@@ -53,7 +53,7 @@
 #[test]
 fn without_upstreams_a_request_is_refused_at_once() {
     let mut bench = Bench::new(settings(), 1, Vec::new());
-    assert!(refused(&bench.offer(None).1));
+    assert!(is_refused(&bench.offer(None).1));
 }
 
 /// Guards against requests that pile up on a few servers by chance. Many replicas that each saw few requests overloaded
@@ -65,7 +65,7 @@
         let mut bench = Bench::new(settings(), seed, (0..10).map(member).collect());
         let mut in_flight = BTreeMap::new();
         for _ in 0..6 {
-            let upstream = sent(&bench.offer(None).1).unwrap();
+            let upstream = sent_upstream(&bench.offer(None).1).unwrap();
             *in_flight.entry(upstream).or_insert(0) += 1;
         }
         members_with_two += in_flight.values().filter(|&&calls| calls > 1).count();
@@ -131,9 +131,9 @@
     for _ in 0..200 {
         let (id, actions) = bench.offer(None);
         bench.advance(millis(20));
-        match sent(&actions) {
+        match sent_upstream(&actions) {
             Some(EndpointId(0)) => unanswered += 1,
-            _ => drop(bench.end(id, 0, Outcome::Success, millis(20))),
+            _ => drop(bench.end_attempt(id, 0, Outcome::Success, millis(20))),
         }
     }
     assert!(unanswered <= 2, "the hung upstream got {unanswered} requests, expected at most 2");
@@ -231,13 +231,13 @@
         bench.advance(millis(5));
         let (id, mut actions) = bench.offer(Some(0));
         let mut number = 0;
-        while sent(&actions).is_some() {
+        while sent_upstream(&actions).is_some() {
             if number == 0 {
                 first += 1
             } else {
                 retries += 1
             }
-            actions = bench.end(id, number, Outcome::Error, millis(5));
+            actions = bench.end_attempt(id, number, Outcome::Error, millis(5));
             number += 1;
         }
     }
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -42,8 +42,8 @@
     for _ in 0..200 {
         bench.advance(millis(10));
         let (_, actions) = bench.offer(Some(0));
-        assert_ne!(sent(&actions).is_some(), refused(&actions));
-        denied += u32::from(refused(&actions));
+        assert_ne!(sent_upstream(&actions).is_some(), is_refused(&actions));
+        denied += u32::from(is_refused(&actions));
     }
     assert!(denied > 100);
     // If denied requests counted as accepted, the window would stay over its soft limit for ever.
@@ -92,9 +92,9 @@
         for call in 0..200 {
             bench.advance(millis(50));
             let (id, actions) = bench.offer(Some(call % 4));
-            if sent(&actions).is_some() {
+            if sent_upstream(&actions).is_some() {
                 passed += 1;
-                bench.end(id, 0, Outcome::Success, millis(20));
+                bench.end_attempt(id, 0, Outcome::Success, millis(20));
             }
         }
     }
--- a/crates/policy/tests/unreachable_tier.rs
+++ b/crates/policy/tests/unreachable_tier.rs
@@ -9,7 +9,7 @@
 
 use balancer_policy::interface::*;
 use common::millis;
-use connecting::{SimulatedHost, idle, settings, third_late, usual};
+use connecting::{SimulatedHost, idle, low_load_latency, settings, third_late};
 use oorandom::Rand64;
 
 /// Returns the fractions of the requests that two replicas admit whose upstreams are overloaded, so that a fraction
@@ -21,8 +21,11 @@
         host.run(rate, 20, idle);
         let overloaded = |_: EndpointId, rng: &mut Rand64| {
             let connect_wait = if late { third_late(rng) } else { Some(Duration::ZERO) };
-            let (how, duration) =
-                if rng.rand_float() < part { (outcome, millis(900)) } else { (Outcome::Success, usual(rng)) };
+            let (how, duration) = if rng.rand_float() < part {
+                (outcome, millis(900))
+            } else {
+                (Outcome::Success, low_load_latency(rng))
+            };
             (connect_wait, how, if how == Outcome::Refused { millis(2) } else { duration })
         };
         host.run(rate, 15, overloaded);
@@ -53,7 +56,7 @@
         let mut host = SimulatedHost::new(settings(2, rate * 2.0), 5, 8, millis(12));
         host.run(rate, 20, idle);
         let half = |id: EndpointId, rng: &mut Rand64| {
-            (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Success, usual(rng))
+            (Some(Duration::ZERO).filter(|_| id.0 >= 4), Outcome::Success, low_load_latency(rng))
         };
         // The unreachable upstreams are only found by sending to them, so a few requests fail at first.
         let first = host.run(rate, 20, half);
--- a/crates/proxy/tests/long_durations.rs
+++ b/crates/proxy/tests/long_durations.rs
@@ -10,7 +10,7 @@
     DiscoveryMode, EndpointId, Event, Idempotency, Lifecycle, ListUpdate, Member, Outcome,
 };
 use balancer_policy::{Action, Settings};
-use virtual_time::{Bench, class, member, millis, sent};
+use virtual_time::{Bench, class, member, millis, sent_upstream};
 
 /// Creates a test bench with one replica of the first tier and eight upstreams, in this discovery mode.
 fn replica(discovery: DiscoveryMode) -> Bench {
@@ -125,10 +125,10 @@
         let mut seen: BTreeMap<u32, u32> = BTreeMap::new();
         for _ in 0..200 {
             let (id, actions) = bench.offer(None);
-            let upstream = sent(&actions).expect("four upstreams are ready");
+            let upstream = sent_upstream(&actions).expect("four upstreams are ready");
             *seen.entry(upstream.0).or_default() += 1;
             bench.advance(millis(20));
-            bench.end(id, 0, Outcome::Success, millis(20));
+            bench.end_attempt(id, 0, Outcome::Success, millis(20));
         }
         assert!(
             seen.keys().all(|&upstream| upstream >= 4),
