--- a/crates/policy/tests/adaptive_limit.rs
+++ b/crates/policy/tests/adaptive_limit.rs
@@ -1,13 +1,13 @@
 //! The adaptive limit of a tenant: what lowers it, what does not, and how it rises again.
 
-#[path = "common/calls.rs"]
-mod calls;
 mod common;
+#[path = "common/steady_rate.rs"]
+mod steady_rate;
 
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Event, Settings};
-use calls::{LATENCY_OBJECTIVE, admitted_fraction, ten_per_second};
 use common::*;
+use steady_rate::{LATENCY_OBJECTIVE, admitted_fraction, ten_per_second};
 
 /// Guards against a limit that stays low for ever. After a short time of long latencies had lowered it, a client that
 /// retried at once kept its demand above the hard limit, and as every request was denied, none could show that the
--- a/crates/policy/tests/late_connections.rs
+++ b/crates/policy/tests/late_connections.rs
@@ -1,14 +1,14 @@
 //! Connections that come up late: they decrease no limit, eject no endpoint and do not count as latency of upstreams.
 
 mod common;
-#[path = "common/connecting.rs"]
-mod connecting;
+#[path = "common/connection_delays.rs"]
+mod connection_delays;
 
 use std::time::Duration;
 
 use balancer_policy::interface::*;
 use common::*;
-use connecting::{SimulatedHost, idle, idle_third_late, low_load_latency, settings};
+use connection_delays::{SimulatedHost, idle, idle_third_late, low_load_latency, settings};
 
 /// Guards against late connections that are taken for overload. With a third of the connections late and upstreams that
 /// answered in 13 to 30 ms, the limits fell to their floors, and 80 to 95 of 100 requests were denied.
--- a/crates/policy/tests/many_replicas.rs
+++ b/crates/policy/tests/many_replicas.rs
@@ -1,13 +1,13 @@
 //! Limits of a replica that is one of many: it sees few requests, and may receive more of them than other replicas.
 
-#[path = "common/calls.rs"]
-mod calls;
 mod common;
+#[path = "common/steady_rate.rs"]
+mod steady_rate;
 
 use balancer_policy::interface::*;
 use balancer_policy::{Event, Settings};
-use calls::admitted_fraction;
 use common::*;
+use steady_rate::admitted_fraction;
 
 /// Guards against refusals by a replica that happens to have many clients. With fifty fronts, five of them received
 /// several times the mean load and denied two of three requests while the tier was not overloaded. With two replicas
--- a/crates/policy/tests/reconfiguration.rs
+++ b/crates/policy/tests/reconfiguration.rs
@@ -2,8 +2,8 @@
 //! effect on the subset of endpoints that the replica sends to.
 
 mod common;
-#[path = "common/reconfigured.rs"]
-mod reconfigured;
+#[path = "common/reconfiguration_fixture.rs"]
+mod reconfiguration_fixture;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use balancer_policy::{Action, Balancer, Event, Settings};
 use common::{Bench, START, member, millis};
 use oorandom::Rand64;
-use reconfigured::{bench, request, settings, single};
+use reconfiguration_fixture::{bench, request, settings, single};
 
 /// A replica with a virtual clock, to which random requests, answers, lists and maintenance passes are delivered.
 struct Simulation {
--- a/crates/policy/tests/reconfiguration_in_flight.rs
+++ b/crates/policy/tests/reconfiguration_in_flight.rs
@@ -2,15 +2,15 @@
 //! arrived.
 
 mod common;
-#[path = "common/reconfigured.rs"]
-mod reconfigured;
+#[path = "common/reconfiguration_fixture.rs"]
+mod reconfiguration_fixture;
 
 use std::time::Duration;
 
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Event, Settings};
 use common::{Bench, class, member, millis, sent_upstream};
-use reconfigured::{bench, request, settings, single};
+use reconfiguration_fixture::{bench, request, settings, single};
 
 /// Idempotency key that the endpoints of a cell remember for 300 ms.
 const CELL_KEY_300_MS: Idempotency =
--- a/crates/policy/tests/reconfiguration_limits.rs
+++ b/crates/policy/tests/reconfiguration_limits.rs
@@ -2,15 +2,15 @@
 //! adapted to.
 
 mod common;
-#[path = "common/reconfigured.rs"]
-mod reconfigured;
+#[path = "common/reconfiguration_fixture.rs"]
+mod reconfiguration_fixture;
 
 use std::time::Duration;
 
 use balancer_policy::interface::*;
 use balancer_policy::{Event, Settings};
 use common::{Bench, class, millis, sent_upstream};
-use reconfigured::bench;
+use reconfiguration_fixture::bench;
 
 /// Returns the current limits of the tenants and, last, the one of all tenants together, in requests per second.
 fn limits(bench: &Bench) -> Vec<f64> {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -2,8 +2,8 @@
 //! independent oracle checks each action.
 
 mod common;
-#[path = "common/oracle.rs"]
-mod oracle;
+#[path = "common/rule_checker.rs"]
+mod rule_checker;
 #[path = "common/two_zones.rs"]
 mod two_zones;
 
@@ -12,9 +12,9 @@
 use balancer_policy::interface::*;
 use balancer_policy::{Action, Balancer, Event, Settings};
 use common::{START, millis};
-use oracle::{RuleChecker, Step};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use rule_checker::{RuleChecker, Step};
 use two_zones::{member, settings};
 
 /// Generates the outcome of an attempt.
--- a/crates/policy/tests/suppression.rs
+++ b/crates/policy/tests/suppression.rs
@@ -1,13 +1,13 @@
 //! The suppressor, checked against the figures of the source page.
 
-#[path = "common/calls.rs"]
-mod calls;
 mod common;
+#[path = "common/steady_rate.rs"]
+mod steady_rate;
 
 use balancer_policy::Settings;
 use balancer_policy::interface::*;
-use calls::{admitted_fraction, ten_per_second};
 use common::*;
+use steady_rate::{admitted_fraction, ten_per_second};
 
 #[test]
 fn every_request_is_admitted_below_the_limit() {
--- a/crates/policy/tests/unreachable_tier.rs
+++ b/crates/policy/tests/unreachable_tier.rs
@@ -2,14 +2,14 @@
 //! rise again once requests succeed.
 
 mod common;
-#[path = "common/connecting.rs"]
-mod connecting;
+#[path = "common/connection_delays.rs"]
+mod connection_delays;
 
 use std::time::Duration;
 
 use balancer_policy::interface::*;
 use common::millis;
-use connecting::{SimulatedHost, idle, low_load_latency, settings, third_late};
+use connection_delays::{SimulatedHost, idle, low_load_latency, settings, third_late};
 use oorandom::Rand64;
 
 /// Returns the fractions of the requests that two replicas admit whose upstreams are overloaded, so that a fraction
