--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -112,7 +112,7 @@
 
     /// Records that a list names an upstream with the stamp `since_ms`, and returns the upstream's start time; `None`
     /// if it started long ago.
-    pub fn listed(&mut self, list_time: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
+    pub fn note_listed(&mut self, list_time: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
         self.first_list_at.get_or_insert(list_time.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
             return start.time;
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -247,7 +247,7 @@
             let before = self.listed.insert(id, ListedEndpoint { address, zone, since_ms, ready });
             restarted = before.is_some_and(|before| before.since_ms != since_ms);
         }
-        let started = self.starts.listed(list_time, id, entry.since_ms);
+        let started = self.starts.note_listed(list_time, id, entry.since_ms);
         if lifecycle == Lifecycle::Removed {
             self.starts.delist(id);
         }
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -209,11 +209,11 @@
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
         let State { balancer, requests, endpoints, .. } = &*state;
-        let PoolStats { idle_connections, late_dials, sockets, max_sockets, trusted_idle } =
+        let PoolStats { idle_connections, background_dials, sockets, max_sockets, trusted_idle } =
             self.pool.stats();
         crate::log(format_args!(
             "{counters}; now: {} held, {} attempts out, {idle_connections} connections idle (trusted for {} ms) \
-             and {late_dials} late, {sockets} of {max_sockets} sockets, {} of {} upstreams ready, list {}; {}",
+             and {background_dials} late, {sockets} of {max_sockets} sockets, {} of {} upstreams ready, list {}; {}",
             requests.len(),
             requests.attempts_out(),
             trusted_idle.as_millis(),
@@ -256,7 +256,7 @@
             if !state.requests.abandon(id) {
                 return;
             }
-            state.counters.left += 1;
+            state.counters.abandoned += 1;
         }
         self.handle(Event::ClientDisconnected(id));
     }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -120,7 +120,7 @@
 impl State {
     fn refuse(&mut self, id: RequestId, retry_after: Option<Duration>) {
         match self.requests.answer(id, Answer::Refused { retry_after }) {
-            Some(0) => self.counters.denied += 1,
+            Some(0) => self.counters.refused_without_attempt += 1,
             Some(_) => self.counters.refused += 1,
             None => {}
         }
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -18,13 +18,13 @@
     /// Requests that were answered with the answer of an upstream.
     pub served: u32,
     /// Requests that were refused without any attempt.
-    pub denied: u32,
+    pub refused_without_attempt: u32,
     /// Requests that were refused after at least one attempt.
     pub refused: u32,
     /// Requests that were answered as failed.
     pub failed: u32,
     /// Requests without an answer because the client disconnected or its time was up.
-    pub left: u32,
+    pub abandoned: u32,
     /// Connections to upstreams that came up.
     pub opened: u32,
     /// Attempts that were reset on a connection that had been idle before.
@@ -56,10 +56,10 @@
         let Self {
             accepted,
             served,
-            denied,
+            refused_without_attempt,
             refused,
             failed,
-            left,
+            abandoned,
             opened,
             reused_reset,
             unreachable_logged: _,
@@ -67,13 +67,23 @@
             good_total,
             good_max,
         } = self;
-        let [good, error, full, rejected, late, unreachable, unconnected, reset, withdrawn, unsent] =
-            *outcomes;
+        let [
+            good,
+            error,
+            refused_attempts,
+            rejected,
+            timed_out,
+            unreachable,
+            unconnected,
+            reset,
+            withdrawn,
+            unsent,
+        ] = *outcomes;
         write!(
             f,
-            "requests: {accepted} taken, {served} served, {denied} denied, {refused} refused, {failed} failed, \
-             {left} left; attempts: {good} good ({:.0} ms, {:.0} at most), {error} error, {full} full, \
-             {rejected} rejected, {late} late, {unreachable} unreached, {unconnected} not connected in time, \
+            "requests: {accepted} taken, {served} served, {refused_without_attempt} denied, {refused} refused, {failed} failed, \
+             {abandoned} left; attempts: {good} good ({:.0} ms, {:.0} at most), {error} error, {refused_attempts} full, \
+             {rejected} rejected, {timed_out} late, {unreachable} unreached, {unconnected} not connected in time, \
              {reset} reset ({reused_reset} on kept connections), {withdrawn} withdrawn, \
              {unsent} unsent; {opened} connections opened",
             good_total.as_secs_f64() * 1000.0 / f64::from(good.max(1)),
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -44,7 +44,7 @@
     /// Number of idle connections.
     pub idle_connections: usize,
     /// Number of dials that continue although no attempt waits for them.
-    pub late_dials: usize,
+    pub background_dials: usize,
     /// Number of open sockets, including those of clients and of discovery.
     pub sockets: usize,
     /// Socket budget: the number of sockets that may be open.
@@ -219,7 +219,7 @@
         let hosts = self.hosts.borrow();
         PoolStats {
             idle_connections: hosts.values().map(|host| host.idle.borrow().len()).sum(),
-            late_dials: hosts.values().filter(|host| host.late_dial.borrow().is_some()).count(),
+            background_dials: hosts.values().filter(|host| host.late_dial.borrow().is_some()).count(),
             sockets: self.sockets.get(),
             max_sockets: self.max_sockets,
             trusted_idle: self.trusted_idle(),
--- a/crates/proxy/tests/start_times.rs
+++ b/crates/proxy/tests/start_times.rs
@@ -88,7 +88,7 @@
         let list_time = self.starts.list_time(self.now, newest_ms);
         entries
             .iter()
-            .map(|&(id, since_ms)| self.starts.listed(&list_time, EndpointId(id), since_ms))
+            .map(|&(id, since_ms)| self.starts.note_listed(&list_time, EndpointId(id), since_ms))
             .collect()
     }
 
