--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -101,7 +101,7 @@
     /// Addresses of the parents, one of which the balancer follows at a time.
     pub parents: Vec<SocketAddr>,
     /// Scopes whose documents the balancer requests, the narrowest last: fleet, region, service.
-    pub wanted: [Scope; 3],
+    pub scopes: [Scope; 3],
     /// The settings object of the configuration file, over which the documents are merged.
     pub own_settings: Value,
 }
@@ -194,7 +194,7 @@
     let named = |kind: &str, name: &str| format!("{kind}/{name}").parse::<Scope>();
     Ok(Distribution {
         parents: section.parents.iter().map(parent).collect::<Result<_, _>>()?,
-        wanted: [Scope::Fleet, named("region", &section.region)?, named("service", &section.service)?],
+        scopes: [Scope::Fleet, named("region", &section.region)?, named("service", &section.service)?],
         own_settings: serde_json::from_str(settings)?,
     })
 }
--- a/crates/proxy/src/event_loop/actions.rs
+++ b/crates/proxy/src/event_loop/actions.rs
@@ -98,12 +98,13 @@
             address: endpoint.address,
             call: Rc::clone(in_flight.call()),
             requested_at,
-            begin_by: first_byte_deadline.map(|span| requested_at + span),
-            until: timeout.map_or(in_flight.deadline(), |span| in_flight.deadline().min(requested_at + span)),
+            write_deadline: first_byte_deadline.map(|span| requested_at + span),
+            attempt_deadline: timeout
+                .map_or(in_flight.deadline(), |span| in_flight.deadline().min(requested_at + span)),
             is_last_attempt,
         };
         // Detached: the request table holds the sender that cancels the attempt. The task ends by itself soon after
-        // `until`, and reports its end.
+        // `attempt_deadline`, and reports its end.
         spawn_local(upstream::attempt(Rc::clone(self), job, attempt.cancelled));
     }
 }
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -76,16 +76,16 @@
     seed: u64,
     distribution: Distribution,
 ) {
-    let Distribution { parents, wanted, own_settings } = distribution;
+    let Distribution { parents, scopes, own_settings } = distribution;
     // The name is hashed into the seed so that balancers without a configured seed do not all follow the same parent.
     let mut hasher = FxHasher::default();
     (seed, name).hash(&mut hasher);
-    let client = Client { name: name.to_owned(), parents, wanted: wanted.to_vec(), seed: hasher.finish() };
+    let client = Client { name: name.to_owned(), parents, wanted: scopes.to_vec(), seed: hasher.finish() };
     let mut follower = Follower {
         target,
         name: name.into(),
         own_settings,
-        wanted,
+        scopes,
         in_force: [const { None }; 3],
         refused: [const { None }; 3],
     };
@@ -96,7 +96,7 @@
     ));
 }
 
-/// A document, if there is one, for each scope of [`Distribution::wanted`].
+/// A document, if there is one, for each scope of [`Distribution::scopes`].
 type Documents = [Option<Document>; 3];
 
 /// Applies the documents of the scopes that concern this balancer, and keeps which of them are in force.
@@ -105,7 +105,7 @@
     name: Box<str>,
     own_settings: Value,
     /// Scopes that concern this balancer, the narrowest last.
-    wanted: [Scope; 3],
+    scopes: [Scope; 3],
     /// For each scope, the document in force: the latest one that could be applied.
     in_force: Documents,
     /// For each scope, the latest document, if it could not be applied.
@@ -115,7 +115,7 @@
 impl<T: Reconfigurable> Follower<T> {
     /// Applies the newest documents of a state, and returns the report of what is in force.
     fn on_state(&mut self, state: &State) -> InForce {
-        let newest: Documents = self.wanted.each_ref().map(|scope| state.get(scope).cloned());
+        let newest: Documents = self.scopes.each_ref().map(|scope| state.get(scope).cloned());
         if newest != self.in_force && !self.apply_all(newest.clone()) {
             // The documents are not valid together. Each that is valid with those in force is applied; for the other
             // scopes the document in force stays.
@@ -131,7 +131,7 @@
         let refused = self.refused.iter().flatten().max_by_key(|refused| refused.version);
         InForce {
             who: self.name.clone(),
-            versions: self.wanted.iter().cloned().zip(versions).collect(),
+            versions: self.scopes.iter().cloned().zip(versions).collect(),
             refused: refused.cloned(),
         }
     }
@@ -153,7 +153,7 @@
         documents[scope_index] = document;
         let refused = self.apply(documents).err().map(|error| {
             let why = error.to_string();
-            let scope = self.wanted[scope_index].clone();
+            let scope = self.scopes[scope_index].clone();
             let refused = Refused { scope, version, why: why.chars().take(MAX_REASON_CHARS).collect() };
             if self.refused[scope_index].as_ref() != Some(&refused) {
                 crate::log(format_args!(
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -23,7 +23,7 @@
 
 impl Pool {
     /// Acquires a connection for an attempt. A connect that fails for lack of a local resource is retried, because a
-    /// connect to another upstream would fail too: until `until`, and for at most the connect timeout of the settings.
+    /// connect to another upstream would fail too: until `attempt_deadline`, and for at most the connect timeout of the settings.
     ///
     /// # Errors
     /// No connection is available within the timeout derived from earlier connects to the zone or, if
@@ -33,14 +33,14 @@
         host: &Rc<Host>,
         must_not_repeat: bool,
         is_last_attempt: bool,
-        until: Instant,
+        attempt_deadline: Instant,
     ) -> Result<Acquired, AcquireError> {
         if let Some(acquired) = self.take_idle(host, must_not_repeat) {
             return Ok(acquired);
         }
         let limit = self.connect_timeout();
         let mut since = Instant::now();
-        let local_retry_deadline = until.min(since + limit);
+        let local_retry_deadline = attempt_deadline.min(since + limit);
         let attempt_connect_timeout =
             if is_last_attempt { limit } else { self.attempt_connect_timeout(host) };
         let mut dial = Dial::start(self, host, self.permit().ok_or(AcquireError::SocketBudgetExhausted)?);
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -30,19 +30,19 @@
     request: RequestId,
     upstream: EndpointId,
     address: SocketAddr,
-    begin_by: Option<Instant>,
-    until: Instant,
+    write_deadline: Option<Instant>,
+    attempt_deadline: Instant,
 }
 
 impl<C: AttemptContext> AttemptWriteCheck<C> {
     fn of(context: &Rc<C>, job: &Job) -> Self {
-        let &Job { request, upstream, address, begin_by, until, .. } = job;
-        Self { context: Rc::clone(context), request, upstream, address, begin_by, until }
+        let &Job { request, upstream, address, write_deadline, attempt_deadline, .. } = job;
+        Self { context: Rc::clone(context), request, upstream, address, write_deadline, attempt_deadline }
     }
 
     /// Whether the window in which upstreams deduplicate a repeated request has ended.
-    fn is_past_begin_by(&self) -> bool {
-        self.begin_by.is_some_and(|by| Instant::now() > by)
+    fn is_past_write_deadline(&self) -> bool {
+        self.write_deadline.is_some_and(|by| Instant::now() > by)
     }
 
     /// The outcome of an attempt that must not send its request any more; `None` if it may.
@@ -53,18 +53,19 @@
             return Some(Outcome::ConnectFailed);
         }
         // Meanwhile the client may have disconnected, or another attempt may have served the request.
-        (!self.context.needs_answer(self.request) || self.is_past_begin_by()).then_some(Outcome::NotSent)
+        (!self.context.needs_answer(self.request) || self.is_past_write_deadline())
+            .then_some(Outcome::NotSent)
     }
 }
 
 impl<C: AttemptContext> WriteCheck for AttemptWriteCheck<C> {
     fn time_left_to_begin(&self) -> Option<Duration> {
         let may_begin = self.refusal().is_none() && self.context.is_client_waiting(self.request);
-        may_begin.then(|| self.until.saturating_duration_since(Instant::now()))
+        may_begin.then(|| self.attempt_deadline.saturating_duration_since(Instant::now()))
     }
 
     fn may_continue(&self) -> bool {
-        !self.is_past_begin_by() && self.context.is_client_waiting(self.request)
+        !self.is_past_write_deadline() && self.context.is_client_waiting(self.request)
     }
 }
 
@@ -94,7 +95,7 @@
     let ExchangeResult { end, connection } = tokio::select! {
         biased;
         // At the attempt's deadline the exchange is dropped, which closes its connection.
-        done = timeout_at(job.until, exchange) => done.unwrap_or_else(|_| outcome_at_deadline(&progress).into()),
+        done = timeout_at(job.attempt_deadline, exchange) => done.unwrap_or_else(|_| outcome_at_deadline(&progress).into()),
         Ok(()) = cancelled => Outcome::Cancelled.into(),
     };
     context.on_attempt_ended(&job, AttemptEnd { connect_wait: progress.connect_wait.get(), ..end });
@@ -143,7 +144,11 @@
     job: &Job,
     host: &Rc<Host>,
 ) -> Result<Acquired, Outcome> {
-    match context.pool().acquire(host, job.call.must_not_repeat, job.is_last_attempt, job.until).await {
+    match context
+        .pool()
+        .acquire(host, job.call.must_not_repeat, job.is_last_attempt, job.attempt_deadline)
+        .await
+    {
         Ok(acquired) => {
             if acquired.idle.is_none() {
                 context.on_connected();
@@ -176,7 +181,7 @@
     if let Some(outcome) = write_check.refusal() {
         return Some(outcome.into());
     }
-    let request = job.call.request(job.until.saturating_duration_since(Instant::now()));
+    let request = job.call.request(job.attempt_deadline.saturating_duration_since(Instant::now()));
     connection.written.set(0);
     connection.gate.set(Box::new(write_check));
     progress.start(&connection.written, size_on_wire(&request, job.call.body.len()));
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -27,9 +27,9 @@
     pub requested_at: Instant,
     /// Time after which no byte of the request may be written any more, because upstreams would not recognise it as a
     /// repeat; `None` if there is no such limit.
-    pub begin_by: Option<Instant>,
+    pub write_deadline: Option<Instant>,
     /// Deadline at which the attempt is given up.
-    pub until: Instant,
+    pub attempt_deadline: Instant,
     /// Whether no other attempt can follow, so that this one waits for a connection for the whole connect timeout of
     /// the settings.
     pub is_last_attempt: bool,
