--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -81,11 +81,11 @@
         ] = *outcomes;
         write!(
             f,
-            "requests: {accepted} taken, {served} served, {refused_without_attempt} denied, {refused} refused, {failed} failed, \
-             {abandoned} left; attempts: {good} good ({:.0} ms, {:.0} at most), {error} error, {refused_attempts} full, \
-             {rejected} rejected, {timed_out} late, {unreachable} unreached, {unconnected} not connected in time, \
-             {reset} reset ({reused_reset} on kept connections), {withdrawn} withdrawn, \
-             {unsent} unsent; {opened} connections opened",
+            "requests: {accepted} taken, {served} served, {refused_without_attempt} denied, {refused} refused, \
+             {failed} failed, {abandoned} left; attempts: {good} good ({:.0} ms, {:.0} at most), {error} error, \
+             {refused_attempts} full, {rejected} rejected, {timed_out} late, {unreachable} unreached, \
+             {unconnected} not connected in time, {reset} reset ({reused_reset} on kept connections), \
+             {withdrawn} withdrawn, {unsent} unsent; {opened} connections opened",
             good_total.as_secs_f64() * 1000.0 / f64::from(good.max(1)),
             good_max.as_secs_f64() * 1000.0,
         )
