--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -73,7 +73,7 @@
 pub struct Signal {
     /// Congestion signal: 0 for a request with the baseline latency, up to [`MAX_SIGNAL`] for a failed request.
     pub value: f64,
-    /// Whether the request failed or came late.
+    /// Whether the request failed or was answered too late.
     pub is_failed_or_late: bool,
 }
 
@@ -191,7 +191,7 @@
         (1.0 / (rate * WINDOW_S)).min(MAX_WEIGHT) * age_factor
     }
 
-    /// Adds a signal to the average.
+    /// Adds a congestion signal to the moving average.
     pub fn record(&mut self, signal: f64, weight: f64) {
         let deviation = signal - self.average.mean;
         self.average.variance += weight * (deviation * deviation - self.average.variance);
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -40,7 +40,7 @@
 pub struct Suppressor {
     bucket_s: f64,
     buckets: [RequestCounts; BUCKETS],
-    /// Sums of the counts of all buckets.
+    /// Request counts of the whole window: the sums over all buckets.
     window: RequestCounts,
     /// Number of the latest bucket, counted from the start of the clock.
     current_bucket: u64,
--- a/crates/policy/src/endpoints/endpoint_list.rs
+++ b/crates/policy/src/endpoints/endpoint_list.rs
@@ -22,7 +22,7 @@
     pub remote: Vec<usize>,
 }
 
-/// Endpoints by slot.
+/// The known endpoints, by slot.
 #[derive(Debug)]
 pub struct EndpointList {
     endpoints: Vec<Endpoint>,
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -29,7 +29,7 @@
 pub struct ListSubscription {
     /// Time at which to subscribe next; `f64::MAX` while a subscription is open.
     next_at: f64,
-    /// Upper bound of the latest pause.
+    /// Upper bound of the latest pause before a new attempt to subscribe.
     backoff_s: f64,
 }
 
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -78,7 +78,7 @@
 /// Send budget of an endpoint that is warming up.
 #[derive(Debug)]
 pub struct SendBudget {
-    /// Number of sends saved up.
+    /// Number of attempts that may be sent to the endpoint now (the level of a token bucket).
     tokens: f64,
     /// Time at which the tokens were last refilled, in seconds of the clock.
     refilled_at: f64,
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -92,9 +92,9 @@
     },
     /// Another replica has sent a message to this one.
     PeerMessage {
-        /// The sender's [`replica_index`](Settings::replica_index).
+        /// [`replica_index`](Settings::replica_index) of the replica that sent the message.
         from: u32,
-        /// Bytes of the message.
+        /// Content of the message, as the other replica sent it.
         content: Vec<u8>,
     },
 }
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -42,7 +42,7 @@
     Snapshot(Vec<Member>),
     /// The complete list that the replica cached last, which may be stale.
     CachedSnapshot(Vec<Member>),
-    /// Only the entries that have changed.
+    /// A delta of the list: only the entries that have changed.
     Delta(Vec<Member>),
     /// The request for the list failed, or the subscription broke. The list stays as it is.
     Broken,
--- a/crates/policy/src/requests/retry_budget.rs
+++ b/crates/policy/src/requests/retry_budget.rs
@@ -24,7 +24,7 @@
     balance: f64,
     /// Fraction of a retry that each admitted request adds.
     per_request: f64,
-    /// Upper bound of the balance.
+    /// Largest number of retries that the balance can hold.
     max: f64,
 }
 
--- a/crates/policy/src/requests/tests.rs
+++ b/crates/policy/src/requests/tests.rs
@@ -77,7 +77,7 @@
     }
     (0..9).for_each(|_| budgets.deposit());
     assert!(!budgets.allow_retry_after(Outcome::Error));
-    // The tenth request, and another one since the sum of ten tenths is subject to rounding.
+    // Deposits for the tenth request and for one more, because the sum of ten tenths is subject to rounding.
     (0..2).for_each(|_| budgets.deposit());
     assert!(budgets.allow_retry_after(Outcome::Error));
 }
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -25,7 +25,7 @@
 pub struct Selection<'a> {
     /// Current time, in seconds of the clock.
     pub now: f64,
-    /// Current settings.
+    /// Settings in force.
     pub settings: &'a Settings,
     /// Request that the attempt belongs to.
     pub request: &'a PendingRequest,
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -59,9 +59,9 @@
 /// The part of the tier's endpoints that this replica sends to.
 #[derive(Debug)]
 pub struct Subset {
-    /// Members in the replica's own zone.
+    /// Members of the subset in the replica's own zone.
     pub local: Group,
-    /// Members in other zones.
+    /// Members of the subset in other zones.
     pub remote: Group,
     /// Fraction of the requests that stays in the own zone.
     pub locality: Locality,
@@ -103,7 +103,7 @@
         self.available_capacity
     }
 
-    /// Number of members in both groups.
+    /// Number of members of the subset, in both groups together.
     fn size(&self) -> usize {
         self.local.members.len() + self.remote.members.len()
     }
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -72,9 +72,9 @@
     clock: Box<dyn WallClock>,
     listed: FxHashMap<EndpointId, Start>,
     past: PastStarts,
-    /// When a list first named an upstream. Starts that later lists add are new.
+    /// Time at which a list first named an upstream. Starts that later lists add are new.
     first_list_at: Option<Time>,
-    /// When discovery last sent a line. The current list has everything that discovery knew by then.
+    /// Time at which discovery last sent a line. The current list has everything that discovery knew by then.
     last_line_at: Option<Time>,
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -34,7 +34,7 @@
     Read {
         /// Path of the configuration file.
         path: PathBuf,
-        /// Error of the read.
+        /// The error with which reading the configuration file failed.
         #[source]
         cause: io::Error,
     },
@@ -50,9 +50,9 @@
     /// A value of the configuration is invalid.
     #[error("invalid value for {name}: {value:?}")]
     Value {
-        /// Key of the value.
+        /// Key of the invalid value in the configuration.
         name: &'static str,
-        /// The invalid value.
+        /// The value that is invalid for its key.
         value: String,
     },
 }
--- a/crates/proxy/src/downstream/accept.rs
+++ b/crates/proxy/src/downstream/accept.rs
@@ -23,18 +23,18 @@
 pub(super) struct FailedAccepts {
     /// Number of failed accepts since the last one that succeeded.
     consecutive_failures: u32,
-    /// When the latest failed accept occurred, even if an accept has succeeded since.
+    /// Time at which the latest failed accept occurred, even if an accept has succeeded since.
     pub(super) last_failed_at: Option<Instant>,
-    /// When descriptors ran short; `None` if an accept has succeeded since.
+    /// Time at which descriptors ran short; `None` if an accept has succeeded since.
     short_since: Option<Instant>,
-    /// When a failed accept was last logged.
+    /// Time at which a failed accept was last logged.
     last_logged_at: Option<Instant>,
 }
 
 /// How the accept loop reacts to a failed accept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct AcceptReaction {
-    /// Whether to evict an idle connection.
+    /// Whether to evict an idle client connection.
     pub(super) evict: bool,
     /// Whether to pause before the next accept.
     pub(super) pause: bool,
--- a/crates/proxy/src/downstream/connection_state.rs
+++ b/crates/proxy/src/downstream/connection_state.rs
@@ -42,7 +42,7 @@
     /// Whether the connection has carried a request; a health check alone does not count.
     pub(super) has_carried_request: Cell<bool>,
     opened_at: Instant,
-    /// When the connection was accepted or, later, when its latest answer was ready.
+    /// Time at which the connection was accepted or, later, at which its latest answer was ready.
     idle_since: Cell<Instant>,
     /// Notified to close the connection once it is between requests.
     close: Notify,
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -51,7 +51,7 @@
         &self.connections
     }
 
-    /// When the latest failed accept occurred; `None` if no accept has failed.
+    /// Time at which the latest failed accept occurred; `None` if no accept has failed.
     pub(super) fn last_failure(&self) -> Option<Instant> {
         self.failed.last_failed_at
     }
@@ -62,7 +62,7 @@
         loop {
             let accepted = tokio::select! {
                 biased;
-                // Polled first: during a flood there is always another connection, and `until` would never be polled.
+                // `until` is polled first: in a flood there is always another connection, so it would never be polled.
                 () = until.as_mut() => return,
                 accepted = self.next_connection() => accepted,
             };
@@ -80,7 +80,7 @@
     /// Cancel safe: no connection is lost if the future is dropped.
     async fn next_connection(&self) -> io::Result<TcpStream> {
         while self.connections.event_loop().pool().is_full() {
-            // Only a few at a time, because each connection may take a moment to close.
+            // Evicts only a few connections at a time, because each may take a moment to close.
             for _ in 0..EVICTIONS_PER_CHECK {
                 self.connections.evict_idle_connection();
             }
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -269,7 +269,7 @@
 #[derive(Debug)]
 struct EndpointIds {
     by_name: FxHashMap<Box<str>, EndpointId>,
-    /// The ids in `by_name`.
+    /// All ids that are assigned to a name in `by_name`.
     assigned: FxHashSet<EndpointId>,
     /// Number of names at which unused ones are removed: twice the number that the last removal left, but at least
     /// [`MIN_NAMES_TO_PRUNE`].
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -78,7 +78,7 @@
 pub struct PendingAnswer {
     /// Id of the request.
     pub id: RequestId,
-    /// Receives the final answer.
+    /// Receives the final answer to the request.
     pub answer: oneshot::Receiver<Answer>,
 }
 
--- a/crates/proxy/src/reconfiguration.rs
+++ b/crates/proxy/src/reconfiguration.rs
@@ -42,7 +42,7 @@
 /// Why settings that are valid by themselves cannot follow those in force.
 #[derive(Debug, Error)]
 pub enum ReconfigureError {
-    /// With those of earlier settings, there would be too many names of classes or tenants.
+    /// There would be too many names of classes or tenants, counting those of earlier settings.
     #[error(transparent)]
     Names(#[from] TooManyNames),
     /// The policy does not accept the settings.
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -16,7 +16,7 @@
 /// The final answer to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
-    /// Body of the answer of an upstream.
+    /// The request was served, with this body of the answer of an upstream.
     Served(Bytes),
     /// The request was refused: no attempt has had an effect, so a retry is safe.
     Refused {
@@ -40,7 +40,7 @@
     pub expected_work: Option<Duration>,
     /// Whether the client has marked the request as a retry.
     pub is_client_retry: bool,
-    /// When the answer must have been sent to the client.
+    /// Time by which the answer must have been sent to the client.
     pub deadline: Instant,
     /// The part of the request that is forwarded to upstreams.
     pub call: Rc<Call>,
@@ -56,9 +56,9 @@
     deadline: Instant,
     /// Sends the final answer; `None` once the request has it or needs none.
     answer: Option<oneshot::Sender<Answer>>,
-    /// All attempts so far, by number.
+    /// All attempts of the request so far, by number.
     attempts: Vec<Attempt>,
-    /// Number of attempts in progress.
+    /// Number of attempts of the request that are in progress.
     attempts_out: u32,
 }
 
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -103,7 +103,7 @@
         self.0.limit.replace(ReadLimit::ToHeadEnd(HeadEnd::default()));
     }
 
-    /// Since when the head of a request has been partly received; `None` if it has not.
+    /// Time since which the head of a request has been partly received; `None` if no head is partly received.
     #[must_use]
     pub fn head_since(&self) -> Option<Instant> {
         self.0.head_since.get()
--- a/crates/proxy/src/socket/framing.rs
+++ b/crates/proxy/src/socket/framing.rs
@@ -14,7 +14,7 @@
 
 /// How many bytes a [`ReadLimit`] lets through, and whether they belong to a head.
 pub(super) struct Advance {
-    /// Number of bytes that are delivered.
+    /// Number of the given bytes that are delivered.
     pub(super) bytes: usize,
     /// Whether the bytes belong to a request's head whose first line has begun.
     pub(super) in_head: bool,
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -25,7 +25,7 @@
 pub(super) struct Retry {
     /// The error of the failed connect.
     pub(super) error: io::Error,
-    /// When the connect is retried.
+    /// Time at which the failed connect is retried.
     pub(super) at: Instant,
 }
 
--- a/crates/proxy/src/upstream/gate.rs
+++ b/crates/proxy/src/upstream/gate.rs
@@ -11,9 +11,9 @@
 /// Decides whether the bytes of a request may be sent. It is asked immediately before each write, because other tasks
 /// may have run, or the process may have been suspended, since the request was handed to the connection.
 pub trait WriteCheck {
-    /// Asked before the first byte: the time left for the attempt from now on; `None` if the request must not be sent.
+    /// Time left for the attempt, asked before the first byte is written; `None` if the request must not be sent.
     fn time_left_to_begin(&self) -> Option<Duration>;
-    /// Asked before further bytes: whether they may be sent.
+    /// Whether further bytes of the request may be sent, asked before they are written.
     fn may_continue(&self) -> bool;
 }
 
--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -19,9 +19,9 @@
 /// An idle connection, which waits in the pool for the next attempt.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    /// When the connection became idle.
+    /// Time at which the connection became idle.
     pub(super) since: Instant,
-    /// When the connection may carry the next request, after its reuse delay.
+    /// Time at which the connection may carry the next request, after its reuse delay.
     pub(super) reusable_at: Instant,
 }
 
@@ -29,7 +29,7 @@
 pub(super) struct Connecting {
     pub(super) stream: Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>,
     pub(super) permit: Permit,
-    /// When the connect started.
+    /// Time at which the connect started.
     pub(super) since: Instant,
 }
 
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -23,7 +23,7 @@
     pub address: SocketAddr,
     /// The forwarded parts of the client's request.
     pub call: Rc<Call>,
-    /// When the policy requested the attempt.
+    /// Time at which the policy requested the attempt.
     pub requested_at: Instant,
     /// Time after which no byte of the request may be written any more, because upstreams would not recognise it as a
     /// repeat; `None` if there is no such limit.
