--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -199,7 +199,7 @@
             // keep a reduced limit in place for good.
             if limit.is_decreased() && accepted == 0.0 && suppressor.is_over_hard_limit(limit.rate) {
                 limit.reopen();
-                // Denied requests do not show whether the congestion measured a window ago persists.
+                // Denied requests are no evidence either that the congestion of a window ago persists.
                 self.congestion.set_level(level);
             }
         }
