--- a/crates/capacity/src/hollow/simulation/settings.rs
+++ b/crates/capacity/src/hollow/simulation/settings.rs
@@ -41,7 +41,7 @@
             tier,
             zone: ZoneId(zone),
             zones: self.topology.region_of.len(),
-            kinds: 1,
+            machine_kinds: 1,
             classes: vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NotIdempotent)],
             tenants: if tier == 0 { self.tenants.iter().map(quota).collect() } else { Vec::new() },
             over_quota_weight: 0.3,
@@ -55,7 +55,7 @@
                 messages: false,
                 idle_timeout: Duration::from_secs(30),
                 streams_per_connection: 1,
-                retry_after: None,
+                max_retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -12,7 +12,7 @@
 use crate::endpoints::outlier::UNREACHABLE_AFTER;
 use crate::interface::Outcome;
 use crate::maintenance::MAINTENANCE_PERIOD_S;
-use crate::random::between;
+use crate::random::uniform;
 
 /// Averaging time of the congestion signal in seconds, short because servers become unresponsive within two seconds.
 const WINDOW_S: f64 = 2.0;
@@ -73,7 +73,7 @@
 pub struct Signal {
     /// Congestion signal: 0 for a request with the baseline latency, up to [`MAX_SIGNAL`] for a failed request.
     pub value: f64,
-    /// Whether the request failed or came late.
+    /// Whether the request failed or was answered too late.
     pub is_failed_or_late: bool,
 }
 
@@ -191,7 +191,7 @@
         (1.0 / (rate * WINDOW_S)).min(MAX_WEIGHT) * age_factor
     }
 
-    /// Adds a signal to the average.
+    /// Adds a congestion signal to the moving average.
     pub fn record(&mut self, signal: f64, weight: f64) {
         let deviation = signal - self.average.mean;
         self.average.variance += weight * (deviation * deviation - self.average.variance);
@@ -219,7 +219,7 @@
 
     /// Records that the limits decrease now, and draws the time until they may decrease again.
     pub fn record_decrease(&mut self, now: f64, rng: &mut Rand64) {
-        let interval_s = between(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
+        let interval_s = uniform(rng, MIN_DECREASE_INTERVAL_S..MAX_DECREASE_INTERVAL_S);
         self.decreases = DecreaseTimes { latest: now, next: now + interval_s };
     }
 
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -48,7 +48,7 @@
     /// congestion is known.
     #[must_use]
     pub fn new(settings: &Settings) -> Self {
-        let mut limits = AdaptiveLimit::all_tenants(settings);
+        let mut limits = AdaptiveLimit::for_settings(settings);
         let all_tenants = limits.pop();
         let tenants = limits.into_iter();
         let mut controls: Vec<_> =
@@ -62,7 +62,7 @@
 
     /// Changes to other settings. New tenants are inserted behind the existing ones, and what was learned is kept.
     pub fn reconfigure(&mut self, settings: &Settings) {
-        let fresh = AdaptiveLimit::all_tenants(settings);
+        let fresh = AdaptiveLimit::for_settings(settings);
         let (old_tenant_count, new_tenant_count) = (self.all_tenants(), settings.tenants.len());
         let new_tenants = fresh[old_tenant_count..new_tenant_count]
             .iter()
@@ -113,9 +113,9 @@
         let all_tenants = self.all_tenants();
         let rate = self.controls[all_tenants].limit.rate * available_capacity;
         // Each tenant's part of the shared limit is guaranteed to that tenant.
-        let level = (rate / self.controls[all_tenants].limit.replica_quota).min(1.0);
+        let quota_scale = (rate / self.controls[all_tenants].limit.replica_quota).min(1.0);
         let RateControl { suppressor, limit } = &mut self.controls[tenant];
-        let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * level, rng);
+        let fits_quota = suppressor.fits_soft_limit(now, limit.replica_quota * quota_scale, rng);
         let mut admitted = can_meet_deadline && suppressor.admit(now, limit.rate, rng);
         if admitted && all_tenants != tenant {
             let shared_suppressor = &mut self.controls[all_tenants].suppressor;
@@ -199,7 +199,7 @@
             // keep a reduced limit in place for good.
             if limit.is_decreased() && accepted == 0.0 && suppressor.is_over_hard_limit(limit.rate) {
                 limit.reopen();
-                // Denied requests do not show either that the congestion of a window ago persists.
+                // Denied requests are no evidence either that the congestion of a window ago persists.
                 self.congestion.set_level(level);
             }
         }
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -61,7 +61,7 @@
             baselines: vec![BaselineLatency::default(); settings.classes.len()],
             endpoints: EndpointList::new(),
             subscription: ListSubscription::default(),
-            outliers: OutlierDetector::new(settings.kinds),
+            outliers: OutlierDetector::new(settings.machine_kinds),
             subset: Subset::new(),
             requests: RequestTable::default(),
             retry_budgets: RetryBudgets::new(),
@@ -340,7 +340,7 @@
         );
         let may_be_retried = is_safe_anywhere || pending.first_possible_run().is_none();
         actions.push(if may_be_retried && !is_invalid {
-            Action::Refuse { request: id, retry_after: self.settings.permissions.retry_after }
+            Action::Refuse { request: id, retry_after: self.settings.permissions.max_retry_after }
         } else {
             Action::Fail { request: id }
         });
@@ -368,7 +368,7 @@
         }
         self.subset.record_attempt(now, endpoint, end, &self.settings);
         let baseline_s = self.baselines[class.0].seconds();
-        let fault = self.outliers.record(&mut endpoint.health, endpoint.kind, end, baseline_s);
+        let fault = self.outliers.record(&mut endpoint.health, endpoint.machine_kind, end, baseline_s);
         if let Some(fault) = fault {
             self.eject_if_outlier(now, slot, fault);
         }
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -9,7 +9,7 @@
 use oorandom::Rand64;
 
 use crate::interface::Outcome;
-use crate::random::between;
+use crate::random::uniform;
 use crate::requests::attempt::AttemptEnd;
 
 /// Weight of one outcome in an endpoint's failure rate. With this weight the second failed connect in a row makes an
@@ -129,7 +129,7 @@
 
     /// Ejects the endpoint from now on, for a random time around the current ejection length.
     pub fn eject(&mut self, now: f64, rng: &mut Rand64) {
-        self.ejected_until = now + self.ejection_s * between(rng, EJECTION_JITTER);
+        self.ejected_until = now + self.ejection_s * uniform(rng, EJECTION_JITTER);
         self.ejection_s = (self.ejection_s * 2.0).min(MAX_EJECTION_S);
         self.recovery_chance = INITIAL_RECOVERY_CHANCE;
     }
@@ -153,10 +153,10 @@
 }
 
 impl OutlierDetector {
-    /// Creates a detector without any attempts, for `kinds` machine types.
+    /// Creates a detector without any attempts, for `machine_kinds` machine types.
     #[must_use]
-    pub fn new(kinds: usize) -> Self {
-        Self { tier_failure_rate: 0.0, tier_slowness: 1.0, kind_slowness: vec![1.0; kinds + 1] }
+    pub fn new(machine_kinds: usize) -> Self {
+        Self { tier_failure_rate: 0.0, tier_slowness: 1.0, kind_slowness: vec![1.0; machine_kinds + 1] }
     }
 
     /// Recent fraction of attempts to the tier that failed.
@@ -165,12 +165,12 @@
         self.tier_failure_rate
     }
 
-    /// Factor for the selection probability of an endpoint of machine type `kind`, by its slowness.
+    /// Factor for the selection probability of an endpoint of machine type `machine_kind`, by its slowness.
     #[must_use]
-    pub fn slowness_chance(&self, health: &Health, kind: usize) -> f64 {
+    pub fn slowness_chance(&self, health: &Health, machine_kind: usize) -> f64 {
         // Use the endpoint's own slowness or, before its first latency, the slowness of its machine type.
         let is_known = health.latency_samples > 0.0;
-        let slowness = if is_known { health.slowness } else { self.kind_slowness[kind] };
+        let slowness = if is_known { health.slowness } else { self.kind_slowness[machine_kind] };
         (self.tier_slowness / slowness).powi(2).clamp(MIN_SLOWNESS_CHANCE, 1.0)
     }
 
@@ -179,7 +179,7 @@
     pub fn record(
         &mut self,
         health: &mut Health,
-        kind: usize,
+        machine_kind: usize,
         end: &AttemptEnd,
         baseline_s: f64,
     ) -> Option<Fault> {
@@ -197,7 +197,7 @@
         self.record_failure(health, outcome, f64::from(u8::from(has_failed)));
         if baseline_s > 0.0 && matches!(outcome, Outcome::Success | Outcome::TimedOut) {
             let slowness = (connected_duration / baseline_s).min(MAX_SLOWNESS);
-            self.record_slowness(health, kind, slowness, outcome == Outcome::Success);
+            self.record_slowness(health, machine_kind, slowness, outcome == Outcome::Success);
         }
         match outcome {
             Outcome::Success => {
@@ -218,8 +218,8 @@
         }
     }
 
-    fn record_slowness(&mut self, health: &mut Health, kind: usize, slowness: f64, is_success: bool) {
-        let kind_slowness = &mut self.kind_slowness[kind];
+    fn record_slowness(&mut self, health: &mut Health, machine_kind: usize, slowness: f64, is_success: bool) {
+        let kind_slowness = &mut self.kind_slowness[machine_kind];
         if health.latency_samples == 0.0 {
             health.slowness = *kind_slowness;
         }
--- a/crates/policy/src/routing/selection.rs
+++ b/crates/policy/src/routing/selection.rs
@@ -26,7 +26,7 @@
 pub struct Selection<'a> {
     /// Current time, in seconds of the clock.
     pub now: f64,
-    /// Current settings.
+    /// Settings in force.
     pub settings: &'a Settings,
     /// Request that the attempt belongs to.
     pub request: &'a PendingRequest,
@@ -134,7 +134,7 @@
         self.endpoints.relative_weight(slot)
             * endpoint.warm_fraction(self.now, &self.settings.rules)
             * endpoint.health.recovery_chance()
-            * self.outliers.slowness_chance(&endpoint.health, endpoint.kind)
+            * self.outliers.slowness_chance(&endpoint.health, endpoint.machine_kind)
     }
 
     /// Whether the endpoint in `slot` is ready and no attempt of this request has been sent to it yet.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -89,7 +89,7 @@
     /// Number of requests that one connection to an endpoint can carry at the same time; at least 1.
     pub streams_per_connection: u32,
     /// Largest value of Retry-After that clients honour; `None` if refusals carry no Retry-After.
-    pub retry_after: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
 }
 
 /// Limits and durations of the rules that the balancer must keep.
@@ -143,7 +143,7 @@
     /// Number of zones.
     pub zones: usize,
     /// Number of kinds of machine.
-    pub kinds: usize,
+    pub machine_kinds: usize,
     /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
@@ -204,7 +204,7 @@
             tier: 0,
             zone: ZoneId(0),
             zones: 1,
-            kinds: 1,
+            machine_kinds: 1,
             classes,
             tenants: Vec::new(),
             over_quota_weight: 1.0,
@@ -218,7 +218,7 @@
                 messages: false,
                 idle_timeout: Duration::from_secs(15),
                 streams_per_connection: 100,
-                retry_after: None,
+                max_retry_after: None,
             },
             rules: Rules {
                 answer_slack: Duration::from_millis(20),
@@ -283,7 +283,7 @@
     /// # Errors
     /// Returns the first fault that was found in the settings.
     pub fn validate_change_from(&self, current: &Self) -> Result<(), SettingsError> {
-        let identity = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.kinds);
+        let identity = |of: &Self| (of.replica_index, of.tier, of.zone, of.zones, of.machine_kinds);
         if identity(self) != identity(current) {
             return Err(SettingsError::IdentityChanged);
         }
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -160,7 +160,7 @@
         Member {
             id: EndpointId(id),
             zone: (id % 7 != 6).then_some(ZoneId(id as usize % self.settings.zones)),
-            kind: (id % 5 != 4).then_some(MachineKindId(id as usize % self.settings.kinds)),
+            machine_kind: (id % 5 != 4).then_some(MachineKindId(id as usize % self.settings.machine_kinds)),
             cell: id % 4,
             lifecycle: Lifecycle::Ready,
             weight: 1.0 + f64::from(id % 3),
@@ -227,7 +227,13 @@
             Action::Send { request, upstream, timeout, .. } => self.attempt(request, upstream, timeout),
             Action::CancelAttempt { request, attempt } => {
                 let duration = Duration::from_millis(30);
-                self.end(Duration::ZERO, (request, attempt), Outcome::Cancelled, duration, Duration::ZERO);
+                self.end_attempt(
+                    Duration::ZERO,
+                    (request, attempt),
+                    Outcome::Cancelled,
+                    duration,
+                    Duration::ZERO,
+                );
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 self.open_requests.remove(&request);
@@ -276,16 +282,22 @@
             self.schedule_event(duration + Duration::from_millis(200), Event::Connected(upstream));
         }
         if duration > timeout {
-            self.end(timeout, (request, attempt), Outcome::TimedOut, timeout, connect_wait.min(timeout));
+            self.end_attempt(
+                timeout,
+                (request, attempt),
+                Outcome::TimedOut,
+                timeout,
+                connect_wait.min(timeout),
+            );
             return;
         }
         if outcome == Outcome::Success && self.chance(0.05) {
             self.schedule_event(duration / 2, Event::StreamStarted { request, attempt });
         }
-        self.end(duration, (request, attempt), outcome, duration, connect_wait.min(duration));
+        self.end_attempt(duration, (request, attempt), outcome, duration, connect_wait.min(duration));
     }
 
-    fn end(
+    fn end_attempt(
         &mut self,
         after: Duration,
         (request, attempt): (RequestId, AttemptNumber),
@@ -411,14 +423,14 @@
     settings.replica_index = 1;
     settings.replicas = 4;
     settings.zones = 3;
-    settings.kinds = 2;
+    settings.machine_kinds = 2;
     settings.tenants =
         vec![Tenant { quota: Some(120.0) }, Tenant { quota: Some(60.0) }, Tenant { quota: None }];
     settings.over_quota_weight = 0.2;
     settings.discovery = DiscoveryMode::Subscribe;
     settings.rules.poll_interval_max = Some(Duration::from_secs(4));
     settings.permissions.hedging = true;
-    settings.permissions.retry_after = Some(Duration::from_millis(250));
+    settings.permissions.max_retry_after = Some(Duration::from_millis(250));
     settings.costs.cross_zone = 0.05;
     settings.costs.handshake = 0.01;
     settings
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -72,9 +72,9 @@
     clock: Box<dyn WallClock>,
     listed: FxHashMap<EndpointId, Start>,
     past: PastStarts,
-    /// When a list first named an upstream. Starts that later lists add are new.
+    /// Time at which a list first named an upstream. Starts that later lists add are new.
     first_list_at: Option<Time>,
-    /// When discovery last sent a line. The current list has everything that discovery knew by then.
+    /// Time at which discovery last sent a line. The current list has everything that discovery knew by then.
     last_line_at: Option<Time>,
 }
 
@@ -113,7 +113,7 @@
 
     /// Records that a list names an upstream with the stamp `since_ms`, and returns the upstream's start time; `None`
     /// if it started long ago.
-    pub fn listed(&mut self, list_time: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
+    pub fn note_listed(&mut self, list_time: &ListTime, id: EndpointId, since_ms: u64) -> Option<Time> {
         self.first_list_at.get_or_insert(list_time.now);
         if let Some(start) = self.listed.get(&id).filter(|start| start.since_ms == since_ms) {
             return start.time;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -34,7 +34,7 @@
     Read {
         /// Path of the configuration file.
         path: PathBuf,
-        /// Error of the read.
+        /// The error with which reading the configuration file failed.
         #[source]
         cause: io::Error,
     },
@@ -50,9 +50,9 @@
     /// A value of the configuration is invalid.
     #[error("invalid value for {name} in the configuration file or the environment: {value:?}")]
     Value {
-        /// Key of the value.
+        /// Key of the invalid value in the configuration.
         name: &'static str,
-        /// The invalid value.
+        /// The value that is invalid for its key.
         value: String,
     },
 }
@@ -101,7 +101,7 @@
     /// Addresses of the parents, one of which the balancer follows at a time.
     pub parents: Vec<SocketAddr>,
     /// Scopes whose documents the balancer requests, the narrowest last: fleet, region, service.
-    pub wanted: [Scope; 3],
+    pub scopes: [Scope; 3],
     /// The settings object of the configuration file, over which the documents are merged.
     pub own_settings: Value,
 }
@@ -194,7 +194,7 @@
     let named = |kind: &str, name: &str| format!("{kind}/{name}").parse::<Scope>();
     Ok(Distribution {
         parents: section.parents.iter().map(parent).collect::<Result<_, _>>()?,
-        wanted: [Scope::Fleet, named("region", &section.region)?, named("service", &section.service)?],
+        scopes: [Scope::Fleet, named("region", &section.region)?, named("service", &section.service)?],
         own_settings: serde_json::from_str(settings)?,
     })
 }
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use balancer_policy::interface::{EndpointId, Lifecycle, ListUpdate, MachineKindId, Member, Time, ZoneId};
-use balancer_settings::Names;
+use balancer_settings::NameIndexes;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::clock::{ListTime, MAX_PAST_STARTS, StartTimes, WallClock};
@@ -188,7 +188,7 @@
         now: Time,
         entries: &[Endpoint],
         source: ListSource,
-        names: &Names,
+        names: &NameIndexes,
         in_attempts: impl FnOnce() -> FxHashSet<EndpointId>,
     ) -> AppliedList {
         let newest_ms = entries.iter().map(|entry| entry.since_ms).max().unwrap_or(0);
@@ -224,7 +224,12 @@
         AppliedList { update, restarted }
     }
 
-    fn apply_entry(&mut self, list_time: &ListTime, entry: &Endpoint, names: &Names) -> Option<AppliedEntry> {
+    fn apply_entry(
+        &mut self,
+        list_time: &ListTime,
+        entry: &Endpoint,
+        names: &NameIndexes,
+    ) -> Option<AppliedEntry> {
         let lifecycle = match entry.status.as_str() {
             "ready" => Lifecycle::Ready,
             "draining" => Lifecycle::Draining,
@@ -245,7 +250,7 @@
             let before = self.listed.insert(id, ListedEndpoint { address, zone, since_ms, ready });
             restarted = before.is_some_and(|before| before.since_ms != since_ms);
         }
-        let started = self.starts.listed(list_time, id, entry.since_ms);
+        let started = self.starts.note_listed(list_time, id, entry.since_ms);
         if lifecycle == Lifecycle::Removed {
             self.starts.delist(id);
         }
@@ -253,7 +258,7 @@
         let member = Member {
             id,
             zone,
-            kind: names.kinds.get(&entry.kind).copied().map(MachineKindId),
+            machine_kind: names.machine_kinds.get(&entry.machine_kind).copied().map(MachineKindId),
             cell: entry.group,
             lifecycle,
             weight: if weight.is_finite() && weight >= 0.0 { weight } else { 1.0 },
@@ -267,7 +272,7 @@
 #[derive(Debug)]
 struct EndpointIds {
     by_name: FxHashMap<Box<str>, EndpointId>,
-    /// The ids in `by_name`.
+    /// All ids that are assigned to a name in `by_name`.
     assigned: FxHashSet<EndpointId>,
     /// Number of names at which unused ones are removed: twice the number that the last removal left, but at least
     /// [`MIN_NAMES_TO_PRUNE`].
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -16,7 +16,7 @@
 
 use balancer_policy::interface::{DiscoveryMode, ListUpdate, Request, RequestId, SettingsError, Time};
 use balancer_policy::{Balancer, Event, Settings};
-use balancer_settings::{LoadedSettings, Names};
+use balancer_settings::{LoadedSettings, NameIndexes};
 use tokio::sync::oneshot;
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep};
@@ -78,7 +78,7 @@
 pub struct PendingAnswer {
     /// Id of the request.
     pub id: RequestId,
-    /// Receives the final answer.
+    /// Receives the final answer to the request.
     pub answer: oneshot::Receiver<Answer>,
 }
 
@@ -87,7 +87,7 @@
     state: RefCell<State>,
     /// Names from the settings of the start. Only those of zones, kinds of machine and load report fields are used,
     /// which never change.
-    names: Names,
+    names: NameIndexes,
     /// Classes and tenants that requests may name under the settings in force.
     name_registry: RefCell<Rc<NameRegistry>>,
     /// Longest deadline of any class under any settings since the start.
@@ -209,11 +209,11 @@
         let mut state = self.state.borrow_mut();
         let counters = std::mem::take(&mut state.counters);
         let State { balancer, requests, endpoints, .. } = &*state;
-        let PoolStats { idle_connections, late_dials, sockets, max_sockets, trusted_idle } =
+        let PoolStats { idle_connections, background_dials, sockets, max_sockets, trusted_idle } =
             self.pool.stats();
         crate::log(format_args!(
             "{counters}; now: {} held, {} attempts out, {idle_connections} connections idle (trusted for {} ms) \
-             and {late_dials} late, {sockets} of {max_sockets} sockets, {} of {} upstreams ready, list {}; {}",
+             and {background_dials} late, {sockets} of {max_sockets} sockets, {} of {} upstreams ready, list {}; {}",
             requests.len(),
             requests.attempts_out(),
             trusted_idle.as_millis(),
@@ -256,7 +256,7 @@
             if !state.requests.abandon(id) {
                 return;
             }
-            state.counters.left += 1;
+            state.counters.abandoned += 1;
         }
         self.handle(Event::ClientDisconnected(id));
     }
--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -12,7 +12,7 @@
 };
 use rustc_hash::FxHashMap;
 
-use crate::read::{LoadedSettings, Names, ReadSettingsError};
+use crate::read::{LoadedSettings, NameIndexes, ReadSettingsError};
 use crate::schema::{Caps, Discovery, EffectName, Lane, PriceFigures, Project, RuleFigures, Setup};
 
 /// Converts the complete settings object.
@@ -30,7 +30,7 @@
         tier: setup.tier,
         zone: local_zone(setup)?,
         zones: setup.zones.len(),
-        kinds: setup.machine_kinds.len(),
+        machine_kinds: setup.machine_kinds.len(),
         classes: setup.classes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: setup.tenants.iter().map(tenant).collect(),
         over_quota_weight: setup.over_quota_weight,
@@ -42,18 +42,18 @@
     })
 }
 
-fn names(setup: Setup) -> Names {
-    Names {
+fn names(setup: Setup) -> NameIndexes {
+    NameIndexes {
         classes: index_by_name(setup.classes.into_iter().map(|class| class.name)),
         tenants: index_by_name(setup.tenants.into_iter().map(|tenant| tenant.name)),
         zones: index_by_name(setup.zones),
-        kinds: index_by_name(setup.machine_kinds),
+        machine_kinds: index_by_name(setup.machine_kinds),
         load_fields: setup.load_reports.fields,
     }
 }
 
 fn local_zone(setup: &Setup) -> Result<ZoneId, ReadSettingsError> {
-    // If two zones have the same name, the last one is used, as in `Names`.
+    // If two zones have the same name, the last one is used, as in `NameIndexes`.
     let position = setup.zones.iter().rposition(|zone| *zone == setup.zone);
     position.map(ZoneId).ok_or_else(|| invalid("zone", &setup.zone))
 }
@@ -108,13 +108,13 @@
         messages: capabilities.gossip,
         idle_timeout: duration("caps.keepaliveS", capabilities.keepalive_s)?,
         streams_per_connection: capabilities.streams_per_connection,
-        retry_after: max_retry_after(capabilities)?,
+        max_retry_after: longest_retry_after(capabilities)?,
     })
 }
 
 /// Returns the longest Retry-After that clients honour. `None` if clients are sent no Retry-After; the configured
 /// maximum is then not validated.
-fn max_retry_after(capabilities: &Caps) -> Result<Option<Duration>, ReadSettingsError> {
+fn longest_retry_after(capabilities: &Caps) -> Result<Option<Duration>, ReadSettingsError> {
     if !capabilities.retry_after {
         return Ok(None);
     }
