--- a/crates/proxy/src/upstream/host.rs
+++ b/crates/proxy/src/upstream/host.rs
@@ -34,13 +34,13 @@
 }
 
 /// A background dial: it continues although the attempt that started it no longer waits for it.
-pub(super) struct LateDial {
+pub(super) struct BackgroundDial {
     pub(super) connecting: Connecting,
     /// The task that waits for the connect; `None` until the task has been spawned.
     pub(super) task: Option<AbortHandle>,
 }
 
-impl Drop for LateDial {
+impl Drop for BackgroundDial {
     fn drop(&mut self) {
         if let Some(task) = self.task.take() {
             task.abort();
@@ -56,7 +56,7 @@
     /// Idle connections, the most recently used last.
     pub(super) idle: RefCell<Vec<IdleConnection>>,
     /// The background dial. There is at most one, so that an unreachable upstream uses only one socket.
-    pub(super) late_dial: RefCell<Option<LateDial>>,
+    pub(super) background_dial: RefCell<Option<BackgroundDial>>,
     /// Number of attempts that wait for a connection to this host.
     pub(super) waiting_attempts: Cell<usize>,
     /// Whether the upstream has been removed from the pool, so that no connection to it is kept.
@@ -80,7 +80,7 @@
     pub(super) fn close(&self) {
         self.closed.set(true);
         self.idle.take();
-        self.late_dial.take();
+        self.background_dial.take();
         self.changed.notify_waiters();
     }
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -18,7 +18,7 @@
 
 use super::connect_time::ConnectTime;
 use super::connection::{Connection, Permit, handshake};
-use super::host::{Connecting, IdleConnection, LateDial};
+use super::host::{BackgroundDial, Connecting, IdleConnection};
 use super::idle_trust::IdleTrust;
 
 pub use super::acquire_error::AcquireError;
@@ -37,7 +37,7 @@
 /// Least time that a background dial may take, counted from its start; a longer connect timeout extends it. TCP repeats
 /// its SYN after 1 s and after 3 s (RFC 6298, with doubling), and the reply to the second repeat takes another round
 /// trip.
-const LATE_DIAL_TIMEOUT: Duration = Duration::from_millis(3500);
+const BACKGROUND_DIAL_TIMEOUT: Duration = Duration::from_millis(3500);
 
 /// A snapshot of the state of a pool, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -148,7 +148,7 @@
     /// there was one to close.
     pub fn close_unused(&self) -> bool {
         let hosts = self.hosts.borrow();
-        if hosts.values().any(|host| host.late_dial.take().is_some()) {
+        if hosts.values().any(|host| host.background_dial.take().is_some()) {
             return true;
         }
         let oldest = |host: &&Rc<Host>| host.idle.borrow().first().map(|oldest| oldest.since);
@@ -170,7 +170,7 @@
             address,
             zone,
             idle: RefCell::default(),
-            late_dial: RefCell::default(),
+            background_dial: RefCell::default(),
             waiting_attempts: Cell::new(0),
             closed: Cell::new(false),
             changed: Notify::new(),
@@ -223,7 +223,7 @@
         let hosts = self.hosts.borrow();
         PoolStats {
             idle_connections: hosts.values().map(|host| host.idle.borrow().len()).sum(),
-            background_dials: hosts.values().filter(|host| host.late_dial.borrow().is_some()).count(),
+            background_dials: hosts.values().filter(|host| host.background_dial.borrow().is_some()).count(),
             sockets: self.sockets.get(),
             max_sockets: self.max_sockets,
             trusted_idle: self.trusted_idle(),
@@ -275,33 +275,33 @@
     /// Continues a dial in the background after its attempt stopped waiting, unless the host is closed, has such a dial
     /// already, or sockets are scarce.
     pub(super) fn continue_dial(self: &Rc<Self>, host: &Rc<Host>, connecting: Connecting) {
-        if host.closed.get() || host.late_dial.borrow().is_some() || self.is_nearly_full() {
+        if host.closed.get() || host.background_dial.borrow().is_some() || self.is_nearly_full() {
             return;
         }
-        let give_up_at = connecting.since + LATE_DIAL_TIMEOUT.max(self.connect_timeout.get());
-        host.late_dial.replace(Some(LateDial { connecting, task: None }));
+        let give_up_at = connecting.since + BACKGROUND_DIAL_TIMEOUT.max(self.connect_timeout.get());
+        host.background_dial.replace(Some(BackgroundDial { connecting, task: None }));
         let (pool, owner) = (Rc::clone(self), Rc::clone(host));
         let task = spawn_local(async move {
-            let connect = poll_fn(|context| match &mut *owner.late_dial.borrow_mut() {
-                Some(late_dial) => late_dial.connecting.stream.as_mut().poll(context),
+            let connect = poll_fn(|context| match &mut *owner.background_dial.borrow_mut() {
+                Some(background_dial) => background_dial.connecting.stream.as_mut().poll(context),
                 None => Poll::Pending,
             });
             let connected = timeout_at(give_up_at, connect).await;
             // Dropping the dial aborts its task, which is this one, so its handle is removed first.
-            let Some(mut late_dial) = owner.late_dial.take() else { return };
-            late_dial.task = None;
+            let Some(mut background_dial) = owner.background_dial.take() else { return };
+            background_dial.task = None;
             if let Ok(Ok(stream)) = connected {
-                pool.on_late_connect(&owner, stream).await;
+                pool.on_background_connect(&owner, stream).await;
             }
         });
-        if let Some(late_dial) = &mut *host.late_dial.borrow_mut() {
-            late_dial.task = Some(task.abort_handle());
+        if let Some(background_dial) = &mut *host.background_dial.borrow_mut() {
+            background_dial.task = Some(task.abort_handle());
         }
     }
 
     /// Adds the connection of a background dial to the idle connections if there are fewer of them than waiting
     /// attempts, or none at all. The policy is notified of the connect even if the connection is not kept.
-    async fn on_late_connect(&self, host: &Host, stream: TcpStream) {
+    async fn on_background_connect(&self, host: &Host, stream: TcpStream) {
         if host.idle.borrow().len() < host.waiting_attempts.get().max(1)
             && let Ok(connection) = handshake(stream, self.reserved_permit()).await
             && !host.closed.get()
