--- a/crates/fault-injection/src/descriptors.rs
+++ b/crates/fault-injection/src/descriptors.rs
@@ -9,8 +9,11 @@
 /// The registration of a socket with an epoll instance.
 #[derive(Debug, Clone, Copy)]
 pub struct EpollRegistration {
+    /// Descriptor of the epoll instance.
     pub epoll: RawFd,
+    /// Events that the socket is registered for, as in `epoll_event`.
     pub events: u32,
+    /// User data of the registration, as in `epoll_event`.
     pub data: u64,
 }
 
@@ -25,6 +28,7 @@
     pub broken: Option<c_int>,
 }
 
+/// The program's open TCP sockets, by descriptor.
 static SOCKETS: Mutex<BTreeMap<RawFd, Socket>> = Mutex::new(BTreeMap::new());
 
 fn sockets() -> MutexGuard<'static, BTreeMap<RawFd, Socket>> {
--- a/crates/fault-injection/src/faults.rs
+++ b/crates/fault-injection/src/faults.rs
@@ -44,17 +44,25 @@
 /// A kind of system call, which one environment variable affects.
 #[derive(Debug, Clone, Copy)]
 pub enum Call {
+    /// `accept4`; variable `FAULT_ACCEPT`.
     Accept,
+    /// `socket` for IPv4 and IPv6; variable `FAULT_SOCKET`.
     Socket,
+    /// `connect`; variable `FAULT_CONNECT`.
     Connect,
+    /// `read`, `recv` and `recvfrom`; variable `FAULT_READ`.
     Read,
+    /// `write`, `send`, `sendto`, `writev` and `sendmsg`; variable `FAULT_WRITE`.
     Write,
+    /// `epoll_wait`; variable `FAULT_WAIT`.
     Wait,
+    /// `getsockopt` of `SO_ERROR`; variable `FAULT_SO_ERROR`.
     SoError,
+    /// `setsockopt`; variable `FAULT_SETSOCKOPT`.
     SetSockOpt,
 }
 
-/// Suffixes of the environment variables, in the order of the variants of [`Call`].
+/// Suffixes of the `FAULT_` environment variables that select calls, in the order of the variants of [`Call`].
 const CALLS: [&str; 8] = ["ACCEPT", "SOCKET", "CONNECT", "READ", "WRITE", "WAIT", "SO_ERROR", "SETSOCKOPT"];
 
 /// The fault that is injected into a call.
@@ -70,14 +78,23 @@
 /// The faults for one kind of call, as parsed from its environment variable, and the counts of its calls so far.
 #[derive(Debug, Default)]
 struct Plan {
+    /// Suffix of the environment variable, such as `READ`.
     name: &'static str,
+    /// Errors to inject in turn, as name and number; empty if affected calls are only shortened.
     errors: Vec<(String, c_int)>,
+    /// Maximum number of bytes that an affected call transfers; `None` if affected calls fail instead.
     short: Option<usize>,
+    /// One in this many calls is affected.
     every: u64,
+    /// Number of first calls that are not affected.
     skip: u64,
+    /// Maximum number of calls that are affected.
     count: u64,
+    /// Ports to which a socket must connect for its calls to be affected; empty if all sockets are meant.
     ports: Vec<u16>,
+    /// Number of calls so far on sockets that match `ports`.
     calls: AtomicU64,
+    /// Number of calls so far that `every` and `skip` selected, including those beyond `count`.
     affected: AtomicU64,
 }
 
--- a/crates/fault-injection/src/wrappers.rs
+++ b/crates/fault-injection/src/wrappers.rs
@@ -92,7 +92,8 @@
 
 // --- Sockets ---
 
-/// `socket(2)`.
+/// Wrapper that replaces the C library's `socket(2)`: for IPv4 and IPv6 it injects the fault that `FAULT_SOCKET`
+/// selects; otherwise it calls the original and adds the new IPv4 or IPv6 socket to the table of sockets.
 ///
 /// # Safety
 /// As for the C library function.
@@ -109,7 +110,8 @@
     descriptor
 }
 
-/// `accept4(2)`.
+/// Wrapper that replaces the C library's `accept4(2)`: fails with the error that `FAULT_ACCEPT` selects, or calls the
+/// original and adds the accepted socket to the table of sockets.
 ///
 /// # Safety
 /// As for the C library function.
@@ -148,7 +150,8 @@
     }
 }
 
-/// `connect(2)`.
+/// Wrapper that replaces the C library's `connect(2)`: records the port of an IPv4 or IPv6 address, and fails with the
+/// error that `FAULT_CONNECT` selects or calls the original.
 ///
 /// # Safety
 /// As for the C library function.
@@ -164,7 +167,8 @@
     real!(connect(descriptor => c_int, address => *const sockaddr, length => socklen_t) -> c_int)
 }
 
-/// `close(2)`.
+/// Wrapper that replaces the C library's `close(2)`: removes the descriptor from the table of sockets and calls the
+/// original. No variable makes it fail.
 ///
 /// # Safety
 /// As for the C library function.
@@ -174,7 +178,8 @@
     real!(close(descriptor => c_int) -> c_int)
 }
 
-/// `getsockopt(2)`.
+/// Wrapper that replaces the C library's `getsockopt(2)`: always calls the original, and for `SO_ERROR` replaces the
+/// returned value by the error that `FAULT_SO_ERROR` selects, if any.
 ///
 /// # Safety
 /// As for the C library function.
@@ -199,7 +204,8 @@
     returned
 }
 
-/// `setsockopt(2)`.
+/// Wrapper that replaces the C library's `setsockopt(2)`: fails with the error that `FAULT_SETSOCKOPT` selects, or
+/// calls the original.
 ///
 /// # Safety
 /// As for the C library function.
@@ -221,7 +227,8 @@
 
 // --- Reads ---
 
-/// `read(2)`.
+/// Wrapper that replaces the C library's `read(2)`: on a TCP socket it fails or reads fewer bytes as `FAULT_READ`
+/// selects; otherwise it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -235,7 +242,8 @@
     )
 }
 
-/// `recv(2)`.
+/// Wrapper that replaces the C library's `recv(2)`: on a TCP socket it fails or reads fewer bytes as `FAULT_READ`
+/// selects; otherwise, and with `MSG_PEEK`, it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -257,7 +265,8 @@
     transfer(Call::Read, descriptor, length, call_real)
 }
 
-/// `recvfrom(2)`.
+/// Wrapper that replaces the C library's `recvfrom(2)`: on a TCP socket it fails or reads fewer bytes as `FAULT_READ`
+/// selects; otherwise, and with `MSG_PEEK`, it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -284,7 +293,8 @@
 
 // --- Writes ---
 
-/// `write(2)`.
+/// Wrapper that replaces the C library's `write(2)`: on a TCP socket it fails or writes fewer bytes as `FAULT_WRITE`
+/// selects; otherwise it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -298,7 +308,8 @@
     )
 }
 
-/// `send(2)`.
+/// Wrapper that replaces the C library's `send(2)`: on a TCP socket it fails or writes fewer bytes as `FAULT_WRITE`
+/// selects; otherwise it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -316,7 +327,8 @@
     })
 }
 
-/// `sendto(2)`.
+/// Wrapper that replaces the C library's `sendto(2)`: on a TCP socket it fails or writes fewer bytes as `FAULT_WRITE`
+/// selects; otherwise it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -354,7 +366,8 @@
     (length, first)
 }
 
-/// `writev(2)`.
+/// Wrapper that replaces the C library's `writev(2)`: on a TCP socket it fails or writes fewer bytes as `FAULT_WRITE`
+/// selects; otherwise it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -370,7 +383,8 @@
     })
 }
 
-/// `sendmsg(2)`.
+/// Wrapper that replaces the C library's `sendmsg(2)`: on a TCP socket it fails or writes fewer bytes as `FAULT_WRITE`
+/// selects; otherwise it calls the original unchanged.
 ///
 /// # Safety
 /// As for the C library function.
@@ -389,7 +403,8 @@
 
 // --- Events ---
 
-/// `epoll_ctl(2)`.
+/// Wrapper that replaces the C library's `epoll_ctl(2)`: calls the original and records the socket's registration, with
+/// which an edge is triggered after a shortened transfer. No variable makes it fail.
 ///
 /// # Safety
 /// As for the C library function.
@@ -415,7 +430,8 @@
     returned
 }
 
-/// `epoll_wait(2)`.
+/// Wrapper that replaces the C library's `epoll_wait(2)`: fails with the error that `FAULT_WAIT` selects, or calls the
+/// original.
 ///
 /// # Safety
 /// As for the C library function.
@@ -436,7 +452,8 @@
 
 // --- Clock ---
 
-/// `clock_gettime(2)`.
+/// Wrapper that replaces the C library's `clock_gettime(2)`: calls the original, and adds the offset in the file that
+/// `FAULT_CLOCK` names to the time of `CLOCK_REALTIME`.
 ///
 /// # Safety
 /// As for the C library function.
