--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -18,10 +18,10 @@
         request: RequestId,
         /// The endpoint to send the attempt to.
         upstream: EndpointId,
-        /// Timeout of the attempt; `None` means as long as the client waits.
+        /// Timeout of the attempt, counted from this action; `None` means as long as the client waits.
         timeout: Option<Duration>,
-        /// Time within which the first byte of the attempt must be sent; `None` means no bound. An attempt that starts
-        /// later could repeat the effect of an earlier one.
+        /// Time, counted from this action, within which the first byte of the attempt must be sent; `None` means no
+        /// bound. An attempt that starts later could repeat the effect of an earlier one.
         first_byte_deadline: Option<Duration>,
         /// Whether no retry can follow if this attempt gets no connection. Such an attempt waits for a connection for
         /// as long as the settings allow.
--- a/crates/policy/src/admission/adaptive_limit.rs
+++ b/crates/policy/src/admission/adaptive_limit.rs
@@ -51,14 +51,14 @@
 /// A rate limit that adapts to how the admitted requests end.
 #[derive(Debug, Clone, Copy)]
 pub struct AdaptiveLimit {
-    /// Current limit, in requests per second.
+    /// Current limit on the rate of admitted requests, in requests per second.
     pub rate: f64,
     /// This replica's part of the quota, in requests per second; `f64::MAX` without a quota.
     pub replica_quota: f64,
     /// This replica's part of the quota plus the margin for random variation, in requests per second; `None` without a
     /// quota.
     quota_with_margin: Option<f64>,
-    /// Largest value that the limit may rise to, in requests per second.
+    /// Largest value that the rate limit may rise to, in requests per second.
     ceiling: f64,
     /// Recently admitted requests per second; the floor of a limit without a quota is a fraction of it.
     recent_rate: f64,
--- a/crates/policy/src/admission/baseline_latency.rs
+++ b/crates/policy/src/admission/baseline_latency.rs
@@ -6,7 +6,8 @@
 
 /// Averaging time of the baseline in seconds, much longer than congestion can last undetected.
 pub const BASELINE_WINDOW_S: f64 = 20.0;
-/// Largest weight of one request, except for the first requests, which count more while few samples are known.
+/// Largest weight of one request in the moving average of the baseline latency, except for the first requests, which
+/// count more while few samples are known.
 const MAX_WEIGHT: f64 = 0.02;
 /// Divisor for the weight of a request that ends during congestion, so that congested latencies do not become the
 /// baseline.
@@ -17,9 +18,9 @@
 /// Estimate of the median latency of a class without congestion.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BaselineLatency {
-    /// Natural logarithm of the estimated latency in seconds.
+    /// Natural logarithm of the estimated baseline latency in seconds.
     pub ln_seconds: f64,
-    /// Number of requests that the estimate was learned from.
+    /// Number of requests that the baseline latency was learned from.
     pub samples: f64,
 }
 
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -16,7 +16,7 @@
 
 /// Averaging time of the congestion signal in seconds, short because servers become unresponsive within two seconds.
 const WINDOW_S: f64 = 2.0;
-/// Largest weight of one request in the average.
+/// Largest weight of one request in the moving average of the congestion signal.
 const MAX_WEIGHT: f64 = 0.15;
 /// Weight of a request admitted before the latest decrease, relative to a request admitted after it. Soon after a
 /// decrease mostly the slow earlier requests are still to end and few new ones end, so at full weight one decrease
@@ -47,13 +47,13 @@
     pub tenant: usize,
     /// Outcome of the request's last attempt.
     pub outcome: Outcome,
-    /// Time that the last attempt spent with a connection.
+    /// Time in seconds that the request's last attempt spent with a connection.
     pub connected_duration: f64,
-    /// Latency objective of the request's class.
+    /// Latency objective of the request's class, in seconds.
     pub latency_objective: f64,
-    /// Time at which the request arrived.
+    /// Time at which the request arrived at this replica, in seconds of the clock.
     pub arrived: f64,
-    /// Total time that the request's attempts waited for connections.
+    /// Total time in seconds that the request's attempts waited for connections.
     pub connect_wait: f64,
 }
 
--- a/crates/policy/src/admission/suppression.rs
+++ b/crates/policy/src/admission/suppression.rs
@@ -10,11 +10,11 @@
 
 use oorandom::Rand64;
 
-/// Length of a bucket of the sliding window in seconds. The suppression factor is cached for the same time, so that it
-/// covers whole buckets.
+/// Length in seconds of a bucket of the sliding window in which requests are counted. The suppression factor is cached
+/// for the same time, so that it covers whole buckets.
 pub const BUCKET_S: f64 = 0.1;
-/// Number of buckets in the window. Three seconds smooth the random variation of a few requests per second and forget a
-/// burst before it has denied many requests.
+/// Number of buckets in the sliding window in which requests are counted. Three seconds smooth the random variation of
+/// a few requests per second and forget a burst before it has denied many requests.
 const BUCKETS: usize = 30;
 /// Length in seconds of a window with buckets of [`BUCKET_S`].
 pub const WINDOW_S: f64 = BUCKET_S * BUCKETS as f64;
--- a/crates/policy/src/endpoints/endpoint.rs
+++ b/crates/policy/src/endpoints/endpoint.rs
@@ -30,7 +30,8 @@
     pub in_flight: u32,
     /// Estimated open connections to the endpoint.
     pub connections: Connections,
-    /// Time of the endpoint's latest answer, or of the attempt that ended a period without attempts in flight.
+    /// Time of the endpoint's latest answer, or of the attempt that ended a period without attempts in flight, in
+    /// seconds of the clock.
     last_answer: f64,
     /// Failure rate, slowness and ejection state of the endpoint.
     pub health: Health,
--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -12,7 +12,7 @@
 const MIN_BACKOFF_S: f64 = 0.5;
 /// Longest wait for a subscription, as a fraction of the longest poll interval allowed.
 const MAX_WAIT_FRACTION: f64 = 0.4;
-/// Poll interval in seconds where the settings do not specify one.
+/// Longest poll interval for the endpoint list, in seconds, where the settings do not specify one.
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
 
 /// Why the subscription was interrupted.
@@ -27,9 +27,10 @@
 /// Subscription to the endpoint list. Times are in seconds.
 #[derive(Debug, Default)]
 pub struct ListSubscription {
-    /// Time at which to subscribe next; `f64::MAX` while a subscription is open.
+    /// Time at which to subscribe to the endpoint list next, in seconds of the clock; `f64::MAX` while a subscription
+    /// is open.
     next_at: f64,
-    /// Upper bound of the latest pause before a new attempt to subscribe.
+    /// Upper bound of the latest pause before a new attempt to subscribe to the endpoint list, in seconds.
     backoff_s: f64,
 }
 
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -65,9 +65,10 @@
     connect_timeouts: u32,
     /// Average latency of the endpoint relative to the baseline latencies of the classes.
     slowness: f64,
-    /// Number of latencies that the slowness was learned from.
+    /// Number of measured latencies that `slowness` was learned from.
     latency_samples: f64,
-    /// Time at which the endpoint's ejection ends, in seconds of the clock.
+    /// Time at which the endpoint's latest ejection ends, in seconds of the clock; 0 before the first ejection and
+    /// after one that was cut short.
     ejected_until: f64,
     /// Length of the endpoint's next ejection in seconds, before jitter.
     ejection_s: f64,
--- a/crates/policy/src/endpoints/slow_start.rs
+++ b/crates/policy/src/endpoints/slow_start.rs
@@ -53,7 +53,7 @@
     /// Answers per second of one warm member to this replica. Summed over all replicas it cannot exceed the member's
     /// capacity, however much the member is sent.
     rate: f64,
-    /// Number of answers of warm members since the last maintenance pass.
+    /// Number of answers of warm members to this replica since the last maintenance pass.
     answers: u32,
     /// Whether no member is warm. Members then earn sends with their own answers, and `rate` keeps its last value.
     are_all_warming_up: bool,
@@ -83,9 +83,9 @@
     tokens: f64,
     /// Time at which the tokens were last refilled, in seconds of the clock.
     refilled_at: f64,
-    /// Number of answers of the endpoint since the last maintenance pass.
+    /// Number of answers of the endpoint to this replica since the last maintenance pass.
     answers: u32,
-    /// Recent answers of the endpoint per second.
+    /// Recent answers of the endpoint to this replica per second.
     answer_rate: f64,
 }
 
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -21,7 +21,7 @@
     pub tenant: Option<TenantId>,
     /// Subject of the request, if it carries one.
     pub subject: Option<u64>,
-    /// How much longer the client waits for an answer.
+    /// How much longer the client waits for an answer, from the time of the event on.
     pub time_left: Duration,
     /// Work that the request is expected to cost, as processor time on a standard core; `None` if it is unknown.
     pub expected_work: Option<Duration>,
--- a/crates/policy/src/member.rs
+++ b/crates/policy/src/member.rs
@@ -25,13 +25,13 @@
     pub zone: Option<ZoneId>,
     /// Kind of machine that the endpoint runs on; `None` if the settings do not name that kind.
     pub machine_kind: Option<MachineKindId>,
-    /// Cell of the endpoint, for classes whose idempotency keys are shared within a cell.
+    /// Number of the endpoint's cell, for classes whose idempotency keys are shared within a cell.
     pub cell: u32,
     /// Lifecycle state of the endpoint.
     pub lifecycle: Lifecycle,
     /// Capacity of the endpoint relative to the others; 1 if capacities are not known.
     pub weight: f64,
-    /// Time at which the endpoint's process last started; `None` if that was long ago.
+    /// Time on the policy's clock at which the endpoint's process last started; `None` if that was long ago.
     pub started: Option<Time>,
 }
 
--- a/crates/policy/src/requests/attempt.rs
+++ b/crates/policy/src/requests/attempt.rs
@@ -45,11 +45,11 @@
     pub number: AttemptNumber,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Total duration of the attempt, including the wait for a connection.
+    /// Total duration of the attempt in seconds, including the wait for a connection.
     pub duration: f64,
-    /// Part of `duration` during which the attempt had a connection.
+    /// Part of `duration`, in seconds, during which the attempt had a connection.
     pub connected_duration: f64,
-    /// Latency objective of the class of the request.
+    /// Latency objective of the class of the request, in seconds.
     pub latency_objective: f64,
     /// Whether the request has ended too.
     pub request_finished: bool,
--- a/crates/policy/src/requests/request_table.rs
+++ b/crates/policy/src/requests/request_table.rs
@@ -21,15 +21,15 @@
     pub class: ClassId,
     /// Index of the request's tenant in the rate limits of admission.
     pub tenant: usize,
-    /// Time at which the request arrived.
+    /// Time at which the request arrived at this replica, in seconds of the clock.
     pub arrived: f64,
-    /// Time at which the client stops waiting.
+    /// Time at which the client stops waiting for the answer, in seconds of the clock.
     deadline: f64,
     /// Attempts of the request, indexed by attempt number.
     pub attempts: Vec<Attempt>,
     /// Total time that the attempts of the request spent without a connection, in seconds.
     pub connect_wait: f64,
-    /// Number of attempts in flight.
+    /// Number of the request's attempts in flight.
     pub in_flight: u32,
     /// Whether the request has ended. Attempts of a closed request may still be in flight.
     pub closed: bool,
--- a/crates/policy/src/routing/locality.rs
+++ b/crates/policy/src/routing/locality.rs
@@ -15,10 +15,12 @@
 /// Further difference in delay, in latency objectives, that is required for each unit of the cost of an attempt that
 /// crosses zones.
 const MIN_SLOWDOWN_PER_COST: f64 = 0.5;
-/// Amount that a maintenance pass adds to the local fraction if the own zone is no slower than the others.
+/// Amount that a maintenance pass adds to the fraction of requests that stays in the own zone, if the own zone is no
+/// slower than the others.
 const STEP_UP: f64 = 0.004;
-/// Amount that a maintenance pass subtracts from the local fraction if the own zone is slower. It is larger than
-/// [`STEP_UP`], since endpoints become overloaded faster than the cost of crossing zones adds up.
+/// Amount that a maintenance pass subtracts from the fraction of requests that stays in the own zone, if the own zone
+/// is slower. It is larger than [`STEP_UP`], since endpoints become overloaded faster than the cost of crossing zones
+/// adds up.
 const STEP_DOWN: f64 = 0.03;
 /// Range of the random factor by which each step is multiplied, so that replicas do not move in lockstep.
 const STEP_JITTER: std::ops::Range<f64> = 0.5..1.5;
--- a/crates/policy/src/routing/subset.rs
+++ b/crates/policy/src/routing/subset.rs
@@ -65,9 +65,9 @@
     pub remote: Group,
     /// Fraction of the requests that stays in the own zone.
     pub locality: Locality,
-    /// Number of ready endpoints in the first list that had any.
+    /// Number of ready endpoints in the first list of endpoints that had any.
     initial_ready_count: usize,
-    /// Fraction of the tier's capacity that is available, compared with the first list.
+    /// Fraction of the tier's capacity that is available, compared with the first list that had a ready endpoint.
     available_capacity: f64,
     /// Number of this replica's attempts in flight, to any endpoint.
     in_flight: u32,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -45,7 +45,7 @@
     pub latency_objective: Duration,
     /// Total time that a client waits for the answer to a request of the class.
     pub deadline: Duration,
-    /// Fraction of its weight, from 0 to 1, with which an answer after the latency objective still counts.
+    /// Fraction of the request's weight, from 0 to 1, that an answer after the latency objective still counts.
     pub late_weight: f64,
     /// Whether a request of the class may run more than once.
     pub idempotency: Idempotency,
@@ -84,7 +84,7 @@
     pub health_checks: bool,
     /// Whether replicas may send messages to each other.
     pub messages: bool,
-    /// Time after which an idle connection to an endpoint is closed.
+    /// Time since its last use after which a connection to an endpoint is closed.
     pub idle_timeout: Duration,
     /// Number of requests that one connection to an endpoint can carry at the same time; at least 1.
     pub streams_per_connection: u32,
@@ -116,15 +116,16 @@
 /// Costs that the balancer weighs against each other, as fractions of the weight of one request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Costs {
-    /// Cost of an attempt that is sent to another zone.
+    /// Cost of an attempt that is sent to another zone, where 1 is the weight of one request.
     pub cross_zone: f64,
-    /// Cost of wasting the work of one request.
+    /// Cost of wasting the work of one request, where 1 is the weight of one request.
     pub wasted_work: f64,
-    /// Cost of a request that ends without being served after its latency objective.
+    /// Cost of a request that ends without being served after its latency objective, where 1 is the weight of one
+    /// request.
     pub late_failure: f64,
-    /// Cost of opening a connection.
+    /// Cost of opening a connection to an endpoint, where 1 is the weight of one request.
     pub handshake: f64,
-    /// Cost of a health check.
+    /// Cost of a health check that is sent to an endpoint, where 1 is the weight of one request.
     pub health_check: f64,
 }
 
@@ -134,21 +135,21 @@
 pub struct Settings {
     /// Index of this replica among the replicas that send to the same tier, counted from 0.
     pub replica_index: u32,
-    /// Number of replicas that send to the same tier.
+    /// Number of replicas that send to the same tier, including this one.
     pub replicas: u32,
     /// Tier that this replica sends to; 0 is the tier that the clients' requests reach first.
     pub tier: usize,
     /// Zone in which this replica runs.
     pub zone: ZoneId,
-    /// Number of zones.
+    /// Number of zones that the settings name; each zone's index is below it.
     pub zones: usize,
-    /// Number of kinds of machine.
+    /// Number of kinds of machine that the settings name; each kind's index is below it.
     pub machine_kinds: usize,
     /// The classes of requests; at least one.
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Fraction of its weight, from 0 to 1, with which a request beyond its tenant's quota counts.
+    /// Fraction of a request's weight, from 0 to 1, that still counts if the request is beyond its tenant's quota.
     pub over_quota_weight: f64,
     /// How this replica receives the list of endpoints.
     pub discovery: DiscoveryMode,
@@ -188,7 +189,7 @@
     /// The replica index, tier, zone, number of zones or number of kinds of machine differs from the current settings.
     #[error("they are those of another place: its number, tier, zone, zones and kinds stay for life")]
     IdentityChanged,
-    /// The named number is outside its valid range.
+    /// The setting that this text names is outside its valid range.
     #[error("{0} is out of range")]
     OutOfRange(&'static str),
 }
