--- a/crates/config-distribution/src/core/document.rs
+++ b/crates/config-distribution/src/core/document.rs
@@ -167,7 +167,7 @@
 /// One line of a watch, in the same format as an update of the platform's endpoint list, with documents as its entries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The reader's index after it has applied this update.
+    /// The reader's index after it has applied this update: that of the newest change that the reader then has.
     pub index: u64,
     /// Whether the update contains all documents of the reader's scopes, so that a document missing from it has been
     /// withdrawn. Otherwise the update is a delta.
--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -53,14 +53,16 @@
     pub body: Option<Arc<str>>,
     /// Request id, 1 to 128 bytes. A repeated request with the same id gets the same answer as before.
     pub request: Box<str>,
-    /// If set, the change is only accepted while this is the current version of the document; 0 stands for no document.
+    /// If set, the publication is only accepted while this is the current version of the document; 0 stands for no
+    /// document.
     pub if_version: Option<u64>,
 }
 
 /// An accepted change, as it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Index of the change, which is also the version of its document.
+    /// Index of the change in the origin's sequence of changes to all documents, which is also the version of its
+    /// document.
     pub index: u64,
     /// The document as published; its body is `null` if the change withdraws it.
     pub document: Document,
@@ -74,7 +76,7 @@
     /// The publication is accepted once this record is on disk. The host writes it and then calls [`Origin::written`]
     /// or [`Origin::not_written`].
     Write(Record),
-    /// The publication is a repeat of a request that was already accepted at this index.
+    /// The publication is a repeat of a request that was already accepted; its change has this index.
     AlreadyAccepted(u64),
 }
 
@@ -127,7 +129,7 @@
     /// A record's index is 0 or differs from its document's version, or the digest does not match the document.
     #[error("record {index} is damaged: its index or digest does not match its document")]
     Damaged {
-        /// Index of the damaged record.
+        /// Index of the change that the damaged record holds.
         index: u64,
     },
     /// An index is above [`MAX_INDEX`].
@@ -139,7 +141,7 @@
     /// Two records have the same index.
     #[error("there are two records with index {index}")]
     Duplicate {
-        /// Index of both records.
+        /// Index of the change that both records hold.
         index: u64,
     },
 }
@@ -147,7 +149,7 @@
 /// The newest change that was made with a remembered request id.
 #[derive(Debug)]
 struct KnownRequest {
-    /// Index of the change.
+    /// Index of the accepted change in the origin's sequence of all changes, in which each change has the next index.
     index: u64,
     /// Digest of the requested change, which tells a repeat of the request from another use of its id.
     content: Digest,
@@ -159,7 +161,7 @@
     bounds: Bounds,
     /// The documents that readers see.
     state: State,
-    /// Remembered request ids, by the index of their change.
+    /// Remembered request ids, by the index of the newest change that was made with each.
     requests: BTreeMap<u64, Box<str>>,
     /// The newest change of each remembered request id.
     by_request: HashMap<Box<str>, KnownRequest>,
--- a/crates/config-distribution/src/core/parents.rs
+++ b/crates/config-distribution/src/core/parents.rs
@@ -38,9 +38,10 @@
 /// What a child does next while it has no open watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// Follow the parent with this number. The host calls [`Parents::on_watch_ended`] when the watch ends.
+    /// Follow the parent with this index in the host's list of addresses. The host calls [`Parents::on_watch_ended`]
+    /// when the watch ends.
     Follow(usize),
-    /// Call [`Parents::next`] again after this time.
+    /// Call [`Parents::next`] again after this duration.
     Wait(Duration),
 }
 
@@ -57,21 +58,21 @@
 #[derive(Debug, Clone)]
 pub struct Parents {
     rng: Rand64,
-    /// Numbers of the parents in the random order in which they are tried.
+    /// Indexes of the parents in the host's list of addresses, in the random order in which they are tried.
     order: Vec<usize>,
     /// Position in `order` of the parent that is followed now, or next.
     current: usize,
     /// For each position in `order`, whether that parent was found stale or unreachable. Cleared when a parent is up to
     /// date, and when every parent is marked and the grace time of a stale one has passed.
     failed_or_stale: Vec<bool>,
-    /// Time before which no parent is called.
+    /// Time on the host's clock before which no parent is called.
     not_before: Duration,
     /// Upper bound of the random wait after the next watch ends, unless that watch is established.
     max_wait: Duration,
     /// The watch that is open, or the call that is to open it.
     watch: Option<Watch>,
-    /// Latest time at which a parent was known to be up to date, from all lines: the arrival of a line less the
-    /// staleness it states. Before the first line, the time of the first call of [`Parents::next`].
+    /// Latest time on the host's clock at which a parent was known to be up to date, from all lines: the arrival of a
+    /// line less the staleness it states. Before the first line, the time of the first call of [`Parents::next`].
     fresh_at: Option<Duration>,
 }
 
@@ -81,9 +82,10 @@
     began_at: Duration,
     /// Whether a line arrived at least [`ESTABLISHED_AFTER`] after the watch began.
     is_established: bool,
-    /// The parent is left once it is staler than this.
+    /// The parent is left once it is stale for longer than this, unless the child has no better one.
     max_stale: Duration,
-    /// End of the grace time in which a stale parent is kept because no other is known to be better.
+    /// Time on the host's clock until which a stale parent is kept because no other is known to be better; `None` while
+    /// there is no such grace time.
     grace_until: Option<Duration>,
 }
 
--- a/crates/config-distribution/src/core/report.rs
+++ b/crates/config-distribution/src/core/report.rs
@@ -93,7 +93,7 @@
 /// Sums over the reports of all balancers below a process, directly or through relays.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sums {
-    /// Number of balancers that report.
+    /// Number of balancers below the process whose reports are included in the sums; silent ones are not.
     pub children: u64,
     /// Number of balancers that hold each version, by scope.
     #[serde(default)]
@@ -104,7 +104,7 @@
     /// The first few balancers that lag behind the state of their parent, at most [`MAX_NAMED`].
     #[serde(default)]
     pub laggards: Vec<Laggard>,
-    /// Number of balancers that refuse a document.
+    /// Number of balancers below the process that refuse a document.
     #[serde(default)]
     pub refusing: u64,
     /// The first few balancers that refuse a document, at most [`MAX_NAMED`].
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -20,7 +20,7 @@
     /// The index of the update is below the index of the state.
     #[error("index {index} of the update is below the current index {have}; an index never goes back")]
     IndexWentBack {
-        /// Index of the update.
+        /// Index of the refused update: the index that the state would have after it.
         index: u64,
         /// Current index of the state.
         have: u64,
@@ -30,7 +30,7 @@
         "the update builds on index {after}, but the current index is {have}; changes in between are missing"
     )]
     MissingChanges {
-        /// The index that the update builds on.
+        /// The index that the state must have reached for the update to apply.
         after: u64,
         /// Current index of the state.
         have: u64,
@@ -61,7 +61,7 @@
         scope: Scope,
         /// Version of the document.
         version: u64,
-        /// Index of the update.
+        /// Index of the refused update: the index that the state would have after it.
         index: u64,
     },
     /// The update has a document of a scope that the reader did not request.
--- a/crates/config-distribution/src/host/accept.rs
+++ b/crates/config-distribution/src/host/accept.rs
@@ -70,7 +70,7 @@
 /// Counts the failed accepts since the last successful one.
 #[derive(Debug, Default)]
 pub(crate) struct ConsecutiveFailures {
-    /// Number of failures since the last connection was accepted.
+    /// Number of failed accepts since the last connection was accepted.
     count: u32,
 }
 
--- a/crates/config-distribution/src/host/log.rs
+++ b/crates/config-distribution/src/host/log.rs
@@ -28,7 +28,7 @@
     sender
 });
 
-/// Number of lines dropped since the last line that was queued.
+/// Number of log lines dropped since the last one that was queued.
 static DROPPED: AtomicU32 = AtomicU32::new(0);
 
 /// Writes the queued lines to standard error, and confirms flushes.
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -298,7 +298,7 @@
     "the state at index {index} may not be stored on disk, it is served and will be written again: {cause}"
 )]
 struct StoreStateError {
-    /// Index of the state.
+    /// Index of the newest change in the state that was to be stored.
     index: u64,
     cause: StoreStateCause,
 }
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -40,7 +40,7 @@
     /// A record cannot be decoded from JSON, or encoded as JSON.
     #[error("record {index}: {error}")]
     Record {
-        /// Index of the record.
+        /// Index of the change that the record holds.
         index: u64,
         /// The JSON error.
         error: serde_json::Error,
@@ -112,7 +112,7 @@
     open: Open,
     /// The open database; `None` after a failure, until it is opened again.
     database: Option<Database>,
-    /// Indexes of the records on disk.
+    /// Indexes of the changes whose records are on disk.
     indexes: BTreeSet<u64>,
 }
 
@@ -121,7 +121,7 @@
 pub struct StoreContents {
     /// The records, in the order of their indexes.
     pub records: Vec<Record>,
-    /// The index that the process had reached; 0 if it stored none.
+    /// The index that the process's state had reached when it was last stored; 0 if none was stored.
     pub index: u64,
 }
 
