--- a/crates/policy/src/endpoints/list_subscription.rs
+++ b/crates/policy/src/endpoints/list_subscription.rs
@@ -10,7 +10,8 @@
 
 /// Longest pause in seconds before the first retry of a failed subscription, and the lower bound of later ones.
 const MIN_BACKOFF_S: f64 = 0.5;
-/// Longest wait for a subscription, as a fraction of the longest poll interval allowed.
+/// Longest wait for the list after a try to subscribe, and longest backoff, as a fraction of the longest poll interval
+/// allowed.
 const MAX_WAIT_FRACTION: f64 = 0.4;
 /// Longest poll interval for the endpoint list, in seconds, where the settings do not specify one.
 const DEFAULT_POLL_INTERVAL_S: f64 = 10.0;
