--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -159,7 +159,7 @@
 #[derive(Debug)]
 pub struct Origin {
     bounds: Bounds,
-    /// The documents that readers see.
+    /// The documents that readers see, without the changes in `pending`.
     state: State,
     /// Remembered request ids, by the index of the newest change that was made with each.
     requests: BTreeMap<u64, Box<str>>,
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -96,7 +96,7 @@
 /// empty state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
-    /// Index of the newest change in the state.
+    /// Index of the newest change in the state, in the origin's sequence of all changes.
     index: u64,
     /// Lowest index from which a reader can be sent a delta. Withdrawals of earlier changes may be unknown, so a reader
     /// with a lower index is sent a snapshot.
