--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/clock.rs
@@ -39,8 +39,9 @@
     now: Time,
     /// Best estimate of the Unix time in milliseconds at `now`.
     unix_ms: u64,
-    /// Time of the previous line of discovery. A start that this list names, and no earlier list did, is not before it.
-    /// `None` until the first list of discovery has been applied, as nothing bounds earlier starts.
+    /// Time on the policy's clock of the previous line of discovery. A start that this list names, and no earlier list
+    /// did, is not before it. `None` until the first list of discovery has been applied, as nothing bounds earlier
+    /// starts.
     earliest: Option<Time>,
 }
 
@@ -72,9 +73,10 @@
     clock: Box<dyn WallClock>,
     listed: FxHashMap<EndpointId, Start>,
     past: PastStarts,
-    /// Time at which a list first named an upstream. Starts that later lists add are new.
+    /// Time on the policy's clock at which a list first named an upstream. Starts that later lists add are new.
     first_list_at: Option<Time>,
-    /// Time at which discovery last sent a line. The current list has everything that discovery knew by then.
+    /// Time on the policy's clock at which discovery last sent a line. The current list has everything that discovery
+    /// knew by then.
     last_line_at: Option<Time>,
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -115,17 +115,17 @@
     pub listen: SocketAddr,
     /// Address on which discovery listens.
     pub discovery: SocketAddr,
-    /// Seed of the random choices.
+    /// Seed of the balancer's random choices.
     pub seed: u64,
     /// Maximum number of file descriptors that the process may hold.
     pub sockets: usize,
     /// The list of upstreams as last known, which may be stale.
     pub known: Option<Update>,
-    /// The settings, read from the settings object of the file.
+    /// The balancer's settings, read from the settings object of the configuration file.
     pub loaded: LoadedSettings,
     /// Where changes of the settings come from, if they are distributed.
     pub distribution: Option<Distribution>,
-    /// The file that the configuration was read from, which a reload reads again.
+    /// Path of the file that the configuration was read from, which a reload reads again.
     pub path: Option<PathBuf>,
     /// Source of the time of day: the machine's clock, except in tests.
     pub wall_clock: Box<dyn WallClock>,
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -44,9 +44,9 @@
     pub address: SocketAddr,
     /// Time that the watch may take until its first whole line.
     pub first_line_timeout: FirstLineTimeout,
-    /// Version of the current list; the changes after it are requested.
+    /// Version of the list of endpoints that the balancer has; the changes after it are requested.
     pub since: u64,
-    /// Number that distinguishes this watch from earlier ones.
+    /// Number that distinguishes this watch on discovery from earlier ones.
     pub number: u64,
 }
 
--- a/crates/proxy/src/endpoint_table.rs
+++ b/crates/proxy/src/endpoint_table.rs
@@ -22,7 +22,8 @@
     pub address: SocketAddr,
     /// Zone of the endpoint, if the settings name it.
     pub zone: Option<ZoneId>,
-    /// Stamp of the latest start of the endpoint's process, as discovery gives it.
+    /// Unix time in milliseconds of the latest start of the endpoint's process, as discovery gives it; 0 if it started
+    /// long ago.
     since_ms: u64,
     /// Whether new work may be sent to the endpoint; it drains otherwise.
     ready: bool,
@@ -42,7 +43,7 @@
 /// Result of applying a list.
 #[derive(Debug)]
 pub struct AppliedList {
-    /// Update to pass to the policy.
+    /// Update of the list of endpoints to pass to the policy.
     pub update: ListUpdate,
     /// Endpoints whose process has been replaced by a new one, so that connections to the old process are dead.
     pub restarted: Vec<EndpointId>,
@@ -61,11 +62,11 @@
     ids: EndpointIds,
     listed: FxHashMap<EndpointId, ListedEndpoint>,
     starts: StartTimes,
-    /// Version of the current list.
+    /// Version of the current list of endpoints, as discovery numbers it.
     index: u64,
-    /// Whether any list has been applied, from the configuration or from discovery.
+    /// Whether any list of endpoints has been applied, from the configuration or from discovery.
     has_list: bool,
-    /// Whether discovery has sent an update.
+    /// Whether discovery has sent an update of the list of endpoints.
     has_update: bool,
 }
 
@@ -274,8 +275,8 @@
     by_name: FxHashMap<Box<str>, EndpointId>,
     /// All ids that are assigned to a name in `by_name`.
     assigned: FxHashSet<EndpointId>,
-    /// Number of names at which unused ones are removed: twice the number that the last removal left, but at least
-    /// [`MIN_NAMES_TO_PRUNE`].
+    /// Number of names in `by_name` at which unused ones are removed: twice the number that the last removal left, but
+    /// at least [`MIN_NAMES_TO_PRUNE`].
     prune_at: usize,
 }
 
--- a/crates/proxy/src/event_loop.rs
+++ b/crates/proxy/src/event_loop.rs
@@ -59,7 +59,7 @@
 struct Watch {
     /// Handle to abort the task of the watch; `None` once the watch has ended.
     task: Option<AbortHandle>,
-    /// Number that distinguishes this watch from earlier ones.
+    /// Number that distinguishes this watch on discovery from earlier ones.
     number: u64,
     /// Address of discovery that the watch was opened to.
     address: SocketAddr,
@@ -85,12 +85,12 @@
 /// A running balancer: its state, its connections to upstreams, and the settings in force.
 pub struct EventLoop {
     state: RefCell<State>,
-    /// Names from the settings of the start. Only those of zones, kinds of machine and load report fields are used,
-    /// which never change.
+    /// Names in the settings with which the process started. Only those of zones, kinds of machine and load report
+    /// fields are used, which never change.
     names: NameIndexes,
     /// Classes and tenants that requests may name under the settings in force.
     name_registry: RefCell<Rc<NameRegistry>>,
-    /// Longest deadline of any class under any settings since the start.
+    /// Longest deadline of any class under any settings since the start of the process.
     longest_deadline: Cell<Duration>,
     /// Whether the distribution of settings has sent its first state, or no distribution is configured.
     settings_received: Cell<bool>,
--- a/crates/proxy/src/name_registry.rs
+++ b/crates/proxy/src/name_registry.rs
@@ -23,9 +23,9 @@
      at most: a restart forgets those that went"
 )]
 pub struct TooManyNames {
-    /// Number of class names since the start, including those of the refused settings.
+    /// Number of class names since the start of the process, including those of the refused settings.
     pub classes: usize,
-    /// Number of tenant names since the start, including those of the refused settings.
+    /// Number of tenant names since the start of the process, including those of the refused settings.
     pub tenants: usize,
 }
 
@@ -34,15 +34,15 @@
 /// requests can no longer name it.
 #[derive(Debug)]
 pub struct NameRegistry {
-    /// Ids of the classes that requests may name.
+    /// Ids of the classes that requests may name, by class name.
     classes: FxHashMap<String, usize>,
-    /// Ids of the tenants that requests may name.
+    /// Ids of the tenants that requests may name, by tenant name.
     tenants: FxHashMap<String, usize>,
-    /// Names of all classes since the start, by id.
+    /// Names of all classes since the start of the process, indexed by class id.
     class_names: Vec<String>,
-    /// Names of all tenants since the start, by id.
+    /// Names of all tenants since the start of the process, indexed by tenant id.
     tenant_names: Vec<String>,
-    /// Parameters of all classes since the start, by id.
+    /// Parameters of all classes since the start of the process, indexed by class id.
     parameters: Vec<Class>,
 }
 
--- a/crates/proxy/src/request_table.rs
+++ b/crates/proxy/src/request_table.rs
@@ -23,7 +23,7 @@
         /// How long the client should wait before it retries.
         retry_after: Option<Duration>,
     },
-    /// The request failed: it may or may not have had an effect.
+    /// The request failed: it may or may not have had an effect at an upstream.
     Failed,
 }
 
@@ -44,7 +44,7 @@
     pub deadline: Instant,
     /// The part of the request that is forwarded to upstreams.
     pub call: Rc<Call>,
-    /// Connection of the client.
+    /// Connection on which the client sent the request.
     pub client: WeakSocket,
 }
 
@@ -56,9 +56,9 @@
     deadline: Instant,
     /// Sends the final answer; `None` once the request has it or needs none.
     answer: Option<oneshot::Sender<Answer>>,
-    /// All attempts of the request so far, by number.
+    /// All attempts of the request so far, including ended ones, indexed by attempt number.
     attempts: Vec<Attempt>,
-    /// Number of attempts of the request that are in progress.
+    /// Number of attempts of the request that have been started and have not ended.
     attempts_out: u32,
 }
 
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -23,7 +23,7 @@
 /// Largest number of bytes per socket that are read before hyper asks for them, which are the next requests. Bytes that
 /// a peer sends beyond that while it awaits an answer are discarded, and its connection is closed after the answer.
 const READ_AHEAD_MAX_BYTES: usize = 32 * 1024;
-/// Number of consecutive reads from one socket before other tasks may run.
+/// Maximum number of consecutive reads from one socket before other tasks may run.
 const READS_PER_TURN: usize = 16;
 
 /// A shared handle to a socket. The socket is closed when the last handle is dropped.
--- a/crates/proxy/src/telemetry/counters.rs
+++ b/crates/proxy/src/telemetry/counters.rs
@@ -13,30 +13,32 @@
 /// Counts of what happened since the last line of counters.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// Requests that were accepted.
+    /// Number of requests that the event loop received from clients and handed to the policy since the last line of
+    /// counters.
     pub accepted: u32,
-    /// Requests that were answered with the answer of an upstream.
+    /// Number of requests that were answered with the answer of an upstream since the last line of counters.
     pub served: u32,
-    /// Requests that were refused without any attempt.
+    /// Number of requests that were refused without any attempt since the last line of counters.
     pub refused_without_attempt: u32,
-    /// Requests that were refused after at least one attempt.
+    /// Number of requests that were refused after at least one attempt since the last line of counters.
     pub refused: u32,
-    /// Requests that were answered as failed.
+    /// Number of requests that were answered as failed since the last line of counters.
     pub failed: u32,
-    /// Requests without an answer because the client disconnected or its time was up.
+    /// Number of requests that ended without an answer since the last line of counters, because the client disconnected
+    /// or its time was up.
     pub abandoned: u32,
-    /// Connections to upstreams that came up.
+    /// Number of connections to upstreams that were established since the last line of counters.
     pub opened: u32,
-    /// Attempts that were reset on a connection that had been idle before.
+    /// Number of attempts that were reset on a connection that had been idle before since the last line of counters.
     pub reused_reset: u32,
     /// Whether a failure to connect to an upstream has been logged since the last line of counters.
     pub unreachable_logged: bool,
-    /// Number of attempts by [`Outcome`], in the words of the line: good, error, full, rejected, late, unreached, not
-    /// connected in time, reset, withdrawn, unsent.
+    /// Number of attempts that ended since the last line of counters, by [`Outcome`]. In the words of the line: good,
+    /// error, full, rejected, late, unreached, not connected in time, reset, withdrawn, unsent.
     outcomes: [u32; 10],
-    /// Total duration of the successful attempts.
+    /// Total duration of the successful attempts that ended since the last line of counters.
     good_total: Duration,
-    /// Longest duration of a successful attempt.
+    /// Longest duration of a successful attempt that ended since the last line of counters.
     good_max: Duration,
 }
 
--- a/crates/proxy/src/upstream/job.rs
+++ b/crates/proxy/src/upstream/job.rs
@@ -44,7 +44,7 @@
     pub body: Option<Bytes>,
     /// The load report of the response, if it carried one.
     pub load: Option<LoadReport>,
-    /// How long the attempt waited for a connection; `None` if it never got one.
+    /// How long the attempt waited for a connection to the upstream; `None` if it never got one.
     pub connect_wait: Option<Duration>,
 }
 
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -42,15 +42,15 @@
 /// A snapshot of the state of a pool, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PoolStats {
-    /// Number of idle connections.
+    /// Number of idle connections to upstreams.
     pub idle_connections: usize,
     /// Number of background dials: those that continue although no attempt waits for them.
     pub background_dials: usize,
-    /// Number of open sockets, including those of clients and of discovery.
+    /// Number of open sockets of the process, including those of clients and of discovery.
     pub sockets: usize,
-    /// Socket budget: the number of sockets that may be open.
+    /// Socket budget: the number of sockets that the process may have open.
     pub max_sockets: usize,
-    /// Longest idle time after which a connection may carry a request that must not run twice.
+    /// Longest time that a connection may have been idle and still carry a request that must not run twice.
     pub trusted_idle: Duration,
 }
 
