--- a/crates/settings/src/schema.rs
+++ b/crates/settings/src/schema.rs
@@ -10,11 +10,11 @@
 
 /// Default priority weight of requests beyond their tenant's quota. At full weight, the quota has no effect.
 const DEFAULT_OVER_QUOTA_WEIGHT: f64 = 1.0;
-/// Default time after which an idle connection is closed.
+/// Default time in seconds without use after which a connection to an upstream is closed.
 const DEFAULT_KEEPALIVE_S: f64 = 15.0;
-/// Default number of concurrent attempts on one connection.
+/// Default number of concurrent attempts on one connection to an upstream.
 const DEFAULT_STREAMS_PER_CONNECTION: u32 = 100;
-/// Default time-out for the establishment of a connection.
+/// Default time-out in seconds for the establishment of a connection to an upstream.
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 
 /// The complete settings object of one balancer.
@@ -150,13 +150,19 @@
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub struct PriceFigures {
+    /// Cost of an attempt that is sent to another zone, in units of one request of full priority weight.
     #[serde(rename = "crossZone")]
     pub cross_zone: f64,
+    /// Cost of wasting the work of one request, in units of one request of full priority weight.
     #[serde(rename = "waste")]
     pub wasted_work: f64,
+    /// Cost of a request that ends without being served after its latency objective, in units of one request of full
+    /// priority weight.
     #[serde(rename = "lateFail")]
     pub late_failure: f64,
+    /// Cost of opening a connection to an upstream, in units of one request of full priority weight.
     pub handshake: f64,
+    /// Cost of a health check, in units of one request of full priority weight.
     #[serde(rename = "probe")]
     pub health_check: f64,
 }
