--- a/crates/simulator-adapter/src/endpoint_lists.rs
+++ b/crates/simulator-adapter/src/endpoint_lists.rs
@@ -13,7 +13,7 @@
 use crate::fields::Fields;
 use crate::wire;
 
-/// Weight of an entry that has no weight in the list.
+/// Weight, that is relative capacity, of an endpoint whose list entry has none.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// All endpoint lists of the process, by number.
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -18,7 +18,7 @@
     /// An input line is malformed or not allowed at its position.
     #[error("line {line}: {cause}")]
     Line {
-        /// Number of the malformed line, counted from 1.
+        /// Number of the malformed input line, counted from 1.
         line: u64,
         /// Reason why the line was rejected.
         #[source]
@@ -76,9 +76,9 @@
     /// Another message follows before all entries of an endpoint list have been received.
     #[error("endpoint list {list} is missing {missing} of its entries, which must follow its INVENTORY line")]
     IncompleteList {
-        /// Number of the incomplete list.
+        /// Number of the incomplete endpoint list.
         list: u32,
-        /// Number of entries that have not been received.
+        /// Number of entries of the list that have not been received.
         missing: usize,
     },
     /// A list entry follows no list header, or exceeds the number of entries in the header.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -22,10 +22,11 @@
 /// All balancer instances of the process, and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Host {
-    /// Instances by number; `None` for an instance that a `DESTROY` message has ended.
+    /// Balancer instances by the number that the simulator gave them; `None` for an instance that a `DESTROY` message
+    /// has ended.
     instances: FxHashMap<u32, Option<Instance>>,
     lists: EndpointLists,
-    /// Time of the current or latest batch; it never decreases.
+    /// Simulated time of the current or latest batch of events; it never decreases.
     clock: Time,
     batch: Option<Batch>,
     /// Actions that the latest event produced and that have not been written yet.
