--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -31,7 +31,7 @@
     CancelAttempt {
         /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt to cancel.
+        /// Number, within the request, of the attempt to cancel.
         attempt: AttemptNumber,
     },
     /// Answer the client that its request is refused. The client may safely retry.
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -95,8 +95,8 @@
         self.congestion.record_answer(now);
     }
 
-    /// Decides whether to admit a request of `tenant`, where the fraction `available_capacity` of the tier's capacity is
-    /// available.
+    /// Decides whether to admit a request of `tenant`, where the fraction `available_capacity` of the tier's capacity
+    /// is available.
     ///
     /// A tenant over the replica's part of its quota must also fit into the shared limit of all tenants of this
     /// replica. Otherwise the margins for random variation of many small limits would add up, over all replicas, to
--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -35,7 +35,7 @@
 pub const UNREACHABLE_AFTER: u32 = 3;
 /// Factor for the selection probability of an endpoint that returns from ejection; each success doubles it.
 const INITIAL_RECOVERY_CHANCE: f64 = 0.1;
-/// Weight of one latency in an endpoint's slowness.
+/// Weight of one measured latency in the moving average of an endpoint's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.15;
 /// Weight of one latency in the slowness of a machine type. It is learned after some ten requests, before the slowness
 /// of single endpoints is known.
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -42,14 +42,14 @@
     StreamStarted {
         /// The request that is being answered.
         request: RequestId,
-        /// Number of the attempt that answers.
+        /// Number, within the request, of the attempt that answers.
         attempt: AttemptNumber,
     },
     /// An attempt has ended.
     AttemptEnded {
         /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within its request.
         attempt: AttemptNumber,
         /// How the attempt ended.
         outcome: Outcome,
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -65,8 +65,8 @@
     pub utilization: Option<f64>,
     /// Recent latency of the endpoint's requests, without the time spent in its queue.
     pub latency: Option<Duration>,
-    /// Requests that the endpoint serves per second.
+    /// Number of requests that the endpoint serves per second.
     pub rate: Option<f64>,
-    /// Errors that the endpoint answers with per second.
+    /// Number of errors that the endpoint answers with per second.
     pub error_rate: Option<f64>,
 }
--- a/crates/policy/src/requests/retry_budget.rs
+++ b/crates/policy/src/requests/retry_budget.rs
@@ -20,9 +20,9 @@
 /// A budget that admitted requests fill and retries use up.
 #[derive(Debug)]
 struct RetryBudget {
-    /// Number of retries that may be sent now.
+    /// Number of retries that this budget allows to be sent now.
     balance: f64,
-    /// Fraction of a retry that each admitted request adds.
+    /// Fraction of a retry that each admitted request adds to the balance.
     per_request: f64,
     /// Largest number of retries that the balance can hold.
     max: f64,
