--- a/crates/config-distribution/src/core/origin.rs
+++ b/crates/config-distribution/src/core/origin.rs
@@ -99,15 +99,15 @@
     /// The body is larger than [`Bounds::max_body_bytes`].
     #[error("{bytes} bytes: at most {max}")]
     DocumentTooLarge {
-        /// Size of the body in bytes.
+        /// Size in bytes of the body in the publication.
         bytes: usize,
-        /// Maximum size of a body in bytes.
+        /// Maximum size in bytes of a document's body.
         max: usize,
     },
     /// There are already [`Bounds::max_documents`] documents.
     #[error("at most {max} documents")]
     TooManyDocuments {
-        /// Maximum number of documents.
+        /// Maximum number of documents, not counting withdrawn ones.
         max: usize,
     },
     /// All bodies together would be larger than [`Bounds::max_total_bytes`].
@@ -135,7 +135,7 @@
     /// An index is above [`MAX_INDEX`].
     #[error("index {index} of a record or of --index-at-least is above the maximum of {MAX_INDEX}")]
     TooHigh {
-        /// The index that is too high.
+        /// The index of the record, or of `--index-at-least`, that is too high.
         index: u64,
     },
     /// Two records have the same index.
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -40,7 +40,7 @@
     Damaged {
         /// Scope of the document.
         scope: Scope,
-        /// Version of the document.
+        /// Version of the damaged document.
         version: u64,
     },
     /// A document contradicts the state: its version goes back, its content or its absence differs from what is known
@@ -59,7 +59,7 @@
     VersionAboveIndex {
         /// Scope of the document.
         scope: Scope,
-        /// Version of the document.
+        /// Version of the document in the update.
         version: u64,
         /// Index of the refused update: the index that the state would have after it.
         index: u64,
@@ -67,7 +67,7 @@
     /// The update has a document of a scope that the reader did not request.
     #[error("document {scope}: the update has this scope, which was not requested")]
     NotRequested {
-        /// Scope of the document.
+        /// Scope of the document that was not requested.
         scope: Scope,
     },
 }
--- a/crates/config-distribution/src/host/call.rs
+++ b/crates/config-distribution/src/host/call.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Maximum size of a response body.
+/// Maximum size in bytes of the response body of a call.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// Why a call got no response. The server may have carried out the request all the same, except after
--- a/crates/config-distribution/src/host/client.rs
+++ b/crates/config-distribution/src/host/client.rs
@@ -77,7 +77,7 @@
     pub scopes: &'a str,
     /// Level of this process if it is a relay; `None` for a balancer.
     pub level: Option<u8>,
-    /// Maximum size of a line of a watch.
+    /// Maximum size in bytes of a line of a watch.
     pub max_line_bytes: usize,
     /// Start of the clock of `parents`, which counts time from this instant.
     pub start: Instant,
--- a/crates/config-distribution/src/host/origin.rs
+++ b/crates/config-distribution/src/host/origin.rs
@@ -176,7 +176,7 @@
 /// Core and store of the origin, as the server sees them.
 struct OriginSource {
     origin: RefCell<Origin>,
-    /// Maximum size of a document's body.
+    /// Maximum size in bytes of a document's body.
     max_body_bytes: usize,
     store: Arc<Mutex<Store>>,
     /// Held while a publication is processed, so that only one is at a time.
--- a/crates/config-distribution/src/host/server.rs
+++ b/crates/config-distribution/src/host/server.rs
@@ -101,7 +101,7 @@
     lines: RefCell<LineCache>,
     /// Reports received from balancers and relays.
     reports: RefCell<Reports>,
-    /// Number of open watches.
+    /// Number of watches that are open on this server.
     open_watches: Cell<usize>,
     /// Random numbers that spread the heartbeats of the watches.
     rng: RefCell<Rand64>,
--- a/crates/config-distribution/src/host/server/connection.rs
+++ b/crates/config-distribution/src/host/server/connection.rs
@@ -20,8 +20,8 @@
 /// Response header with the level of the process that sends the response.
 pub const LEVEL_HEADER: &str = "x-level";
 
-/// Time limit for receiving the head of a request, so that a client that stops in the middle of it cannot keep the
-/// connection open.
+/// Time limit for receiving the head of an HTTP request, so that a client that stops in the middle of it cannot keep
+/// the connection open.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time limit for receiving the whole request, counted from the start of the connection.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/config-distribution/src/host/server/line_cache.rs
+++ b/crates/config-distribution/src/host/server/line_cache.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 
-/// Maximum total size of the cached lines. A line that would exceed it first empties the cache, because a new index
-/// makes most lines useless anyway.
+/// Maximum total size of the cached lines in bytes. A line that would exceed it first empties the cache, because a new
+/// index makes most lines useless anyway.
 const MAX_CACHED_BYTES: usize = 32 << 20;
 
 /// Key of a cached line: watches with the same key are sent the same line.
@@ -13,16 +13,17 @@
 pub(super) struct LineKey {
     /// Scopes of the watch, as written in its query.
     pub scopes: Box<str>,
-    /// Index that the reader of the watch has reached.
+    /// Index of the newest change that the reader of the watch has.
     pub since: u64,
-    /// Staleness of this process in seconds, which the line contains.
+    /// Staleness of this process, which the line contains: seconds since it last received anything from its own parent,
+    /// 0 while the parent is up to date.
     pub stale_s: u64,
 }
 
 /// Encoded lines of the current state; the cache is replaced when the state changes.
 #[derive(Default)]
 pub(super) struct LineCache {
-    /// Total size of the cached lines.
+    /// Total size of the cached lines in bytes.
     bytes: usize,
     lines: HashMap<LineKey, Bytes>,
 }
--- a/crates/config-distribution/src/host/server/query.rs
+++ b/crates/config-distribution/src/host/server/query.rs
@@ -26,7 +26,7 @@
 pub(super) struct WatchQuery {
     /// Whether the request is a watch, and not one for a single response.
     pub follow: bool,
-    /// Index that the reader has reached; 0 if it has no state.
+    /// Index of the newest change that the reader has; 0 if it has no state.
     pub since: u64,
     /// Scopes as written in the query, by which watches share encoded lines.
     pub scopes: Box<str>,
--- a/crates/config-distribution/src/host/server/stream.rs
+++ b/crates/config-distribution/src/host/server/stream.rs
@@ -20,14 +20,14 @@
 use crate::parents::HEARTBEAT_EVERY;
 use crate::state::State;
 
-/// Time after which a reader that accepts no bytes of a line is disconnected.
+/// Time without any accepted byte of a line after which the reader of a watch is disconnected.
 const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Encoded line of a watch.
 pub(super) struct EncodedLine {
     /// Bytes of the line, with its line break.
     pub bytes: Bytes,
-    /// Index that the reader has reached once it has received the line.
+    /// Index of the newest change that the reader has once it has received the line.
     pub index: u64,
 }
 
--- a/crates/config-distribution/src/host/watch.rs
+++ b/crates/config-distribution/src/host/watch.rs
@@ -47,11 +47,11 @@
     pub host: String,
     /// Path and query of the request.
     pub path: String,
-    /// Deadline for the first whole line.
+    /// Deadline for the first whole line of the watch.
     pub first_line_deadline: Instant,
-    /// Longest time from one whole line to the next.
+    /// Longest time from one whole line of the watch to the next, after which the watch ends.
     pub silence_timeout: Duration,
-    /// Maximum size of a line.
+    /// Maximum size in bytes of a line of the watch.
     pub max_line_bytes: usize,
 }
 
@@ -127,7 +127,7 @@
 struct LineBuffer {
     /// Bytes of the current, incomplete line.
     text: Vec<u8>,
-    /// Maximum size of a line, in bytes.
+    /// Maximum size in bytes of a line of the watch.
     max_bytes: usize,
 }
 
