--- a/crates/proxy/src/discovery/update.rs
+++ b/crates/proxy/src/discovery/update.rs
@@ -47,7 +47,7 @@
     /// Name of the upstream's kind of machine.
     #[serde(default, rename = "type")]
     pub machine_kind: String,
-    /// Number of the cell that the upstream belongs to.
+    /// Number of the cell that the upstream belongs to; upstreams of a cell may share their idempotency keys.
     #[serde(default)]
     pub group: u32,
     /// State of the upstream: `ready`, `draining` or `gone`.
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -53,8 +53,8 @@
 /// Watches the endpoint list until the watch ends, then notifies the observer of the end. The connection counts towards
 /// the socket limit of `pool`.
 ///
-/// Cancellation: dropping the future closes the connection without a call of `on_watch_ended`. The observer handles each
-/// whole line without an await in between, so no line is handled in part.
+/// Cancellation: dropping the future closes the connection without a call of `on_watch_ended`. The observer handles
+/// each whole line without an await in between, so no line is handled in part.
 pub async fn watch(observer: Rc<impl WatchObserver>, pool: Rc<Pool>, start: WatchStart) {
     let WatchStart { address, first_line_timeout, since, number } = start;
     let mut established = false;
--- a/crates/proxy/src/upstream/acquire.rs
+++ b/crates/proxy/src/upstream/acquire.rs
@@ -23,7 +23,8 @@
 
 impl Pool {
     /// Acquires a connection for an attempt. A connect that fails for lack of a local resource is retried, because a
-    /// connect to another upstream would fail too: until `attempt_deadline`, and for at most the connect timeout of the settings.
+    /// connect to another upstream would fail too: until `attempt_deadline`, and for at most the connect timeout of the
+    /// settings.
     ///
     /// # Errors
     /// No connection is available within the timeout derived from earlier connects to the zone or, if
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -47,7 +47,8 @@
 pub struct Connection {
     /// hyper's handle for sending requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Number of bytes that the socket has accepted since the counter was last reset.
+    /// Number of bytes that the socket has accepted since the counter was last reset, which happens before each
+    /// request.
     pub written: Rc<Cell<u64>>,
     /// Decides before each write whether the bytes of a request may be sent.
     pub gate: Rc<Gate>,
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -35,7 +35,7 @@
     pub(super) pool: &'a Rc<Pool>,
     pub(super) host: &'a Rc<Host>,
     pub(super) connecting: Option<Connecting>,
-    /// The retry after the latest local failure, until it starts.
+    /// The scheduled retry after the latest local failure; `None` once the retry has started.
     pub(super) retry: Option<Retry>,
     /// The latest backoff before a retry; zero before the first local failure.
     pub(super) backoff: Duration,
--- a/crates/proxy/src/upstream/idle_trust.rs
+++ b/crates/proxy/src/upstream/idle_trust.rs
@@ -18,7 +18,7 @@
 /// The trusted idle time: the longest idle time after which a connection may carry a request that must not run twice.
 #[derive(Debug)]
 pub struct IdleTrust {
-    /// Idle time after which connections are closed, which is the upper bound of the trusted idle time.
+    /// Idle time after which connections to upstreams are closed, which is the upper bound of the trusted idle time.
     idle_limit: Duration,
     trusted: Duration,
     answers: u32,
--- a/crates/proxy/src/upstream/progress.rs
+++ b/crates/proxy/src/upstream/progress.rs
@@ -9,9 +9,9 @@
 pub struct Progress {
     /// Counter of the bytes that the connection's socket has accepted; `None` until the attempt has a connection.
     written: RefCell<Option<Rc<Cell<u64>>>>,
-    /// Size of the request in bytes, as a lower bound.
+    /// Size of the attempt's request in bytes, as a lower bound.
     size: Cell<u64>,
-    /// How long the attempt waited for a connection; `None` until it has one.
+    /// How long the attempt waited for a connection to the upstream; `None` until it has one.
     pub(super) connect_wait: Cell<Option<Duration>>,
 }
 
