--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -36,7 +36,7 @@
 /// The batch that is being read.
 struct Batch {
     number: String,
-    /// Number of the instance that receives the next events; `None` before the first `TO` line.
+    /// Number of the instance that receives the next events; `None` before the first `TO` line of the batch.
     recipient: Option<u32>,
     /// Number of the instance whose actions were written last in this batch.
     last_writer: Option<u32>,
--- a/crates/simulator-adapter/src/requests.rs
+++ b/crates/simulator-adapter/src/requests.rs
@@ -14,7 +14,7 @@
 pub struct RequestTable {
     ids_by_wire_id: FxHashMap<Box<str>, RequestId>,
     requests: FxHashMap<RequestId, TrackedRequest>,
-    /// Policy id of the next request. Ids are never reused.
+    /// Policy id that the next request added to the table is given. Ids are never reused.
     next_id: u64,
 }
 
