--- a/crates/policy/src/endpoints/outlier.rs
+++ b/crates/policy/src/endpoints/outlier.rs
@@ -35,7 +35,7 @@
 pub const UNREACHABLE_AFTER: u32 = 3;
 /// Factor for the selection probability of an endpoint that returns from ejection; each success doubles it.
 const INITIAL_RECOVERY_CHANCE: f64 = 0.1;
-/// Weight of one latency in an endpoint's slowness.
+/// Weight of one measured latency in the moving average of an endpoint's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.15;
 /// Weight of one latency in the slowness of a machine type. It is learned after some ten requests, before the slowness
 /// of single endpoints is known.
@@ -65,9 +65,10 @@
     connect_timeouts: u32,
     /// Average latency of the endpoint relative to the baseline latencies of the classes.
     slowness: f64,
-    /// Number of latencies that the slowness was learned from.
+    /// Number of measured latencies that `slowness` was learned from.
     latency_samples: f64,
-    /// Time at which the endpoint's ejection ends, in seconds of the clock.
+    /// Time at which the endpoint's latest ejection ends, in seconds of the clock; 0 before the first ejection and
+    /// after one that was cut short.
     ejected_until: f64,
     /// Length of the endpoint's next ejection in seconds, before jitter.
     ejection_s: f64,
--- a/crates/policy/src/event.rs
+++ b/crates/policy/src/event.rs
@@ -21,7 +21,7 @@
     pub tenant: Option<TenantId>,
     /// Subject of the request, if it carries one.
     pub subject: Option<u64>,
-    /// How much longer the client waits for an answer.
+    /// How much longer the client waits for an answer, from the time of the event on.
     pub time_left: Duration,
     /// Work that the request is expected to cost, as processor time on a standard core; `None` if it is unknown.
     pub expected_work: Option<Duration>,
@@ -42,14 +42,14 @@
     StreamStarted {
         /// The request that is being answered.
         request: RequestId,
-        /// Number of the attempt that answers.
+        /// Number, within the request, of the attempt that answers.
         attempt: AttemptNumber,
     },
     /// An attempt has ended.
     AttemptEnded {
         /// The request that the attempt belongs to.
         request: RequestId,
-        /// Number of the attempt.
+        /// Number of the attempt within its request.
         attempt: AttemptNumber,
         /// How the attempt ended.
         outcome: Outcome,
--- a/crates/proxy/src/discovery/watch.rs
+++ b/crates/proxy/src/discovery/watch.rs
@@ -44,17 +44,17 @@
     pub address: SocketAddr,
     /// Time that the watch may take until its first whole line.
     pub first_line_timeout: FirstLineTimeout,
-    /// Version of the current list; the changes after it are requested.
+    /// Version of the list of endpoints that the balancer has; the changes after it are requested.
     pub since: u64,
-    /// Number that distinguishes this watch from earlier ones.
+    /// Number that distinguishes this watch on discovery from earlier ones.
     pub number: u64,
 }
 
 /// Watches the endpoint list until the watch ends, then notifies the observer of the end. The connection counts towards
 /// the socket limit of `pool`.
 ///
-/// Cancellation: dropping the future closes the connection without a call of `on_watch_ended`. The observer handles each
-/// whole line without an await in between, so no line is handled in part.
+/// Cancellation: dropping the future closes the connection without a call of `on_watch_ended`. The observer handles
+/// each whole line without an await in between, so no line is handled in part.
 pub async fn watch(observer: Rc<impl WatchObserver>, pool: Rc<Pool>, start: WatchStart) {
     let WatchStart { address, first_line_timeout, since, number } = start;
     let mut established = false;
