--- a/crates/capacity/src/latency.rs
+++ b/crates/capacity/src/latency.rs
@@ -168,7 +168,9 @@
 }
 
 impl Bench<'_> {
-    /// The command line that repeats these measurements.
+    /// The command line that repeats these measurements, with the arguments `--beside`, `--plays`, `--rates` (if
+    /// given), `--anywhere` (if given) and `--seed`. It omits `--upstreams`, `--small`, `--program`, `--out` and
+    /// `--plan`, so that values of these other than the defaults have to be added by hand.
     fn command(&self) -> String {
         let background = self.arguments.background.to_possible_value();
         let background = background.as_ref().map_or("", |value| value.get_name());
--- a/crates/capacity/src/latency/slopes.rs
+++ b/crates/capacity/src/latency/slopes.rs
@@ -50,6 +50,7 @@
         let (suffix, meanwhile) = match self.arguments.background {
             Background::List => ("_list", ", while an entry of the list drains or returns every 0.1 s"),
             Background::Configuration => ("_configuration", ", while its configuration changes every 0.1 s"),
+            // `Breakdown` does not get here: `latency::run` writes its table instead of slopes.
             Background::Nothing | Background::Breakdown => ("", ""),
         };
         let slope = |name: String, what: String, points: Vec<Point>| Slope {
--- a/crates/capacity/src/page/format.rs
+++ b/crates/capacity/src/page/format.rs
@@ -2,7 +2,9 @@
 
 use crate::arithmetic::{Basis, Figure};
 
-/// Formats a number with three significant digits and with commas between groups of thousands.
+/// Formats a number for the page. Absolute values below 99.95 get three significant digits without trailing zeros, and
+/// those below 0.0001 two digits in scientific notation. Values from 99.95 on are rounded to a whole number, which
+/// keeps all its digits, with commas between groups of thousands. A value that is not finite becomes `?`.
 #[must_use]
 pub fn format_number(value: f64) -> String {
     let size = value.abs();
--- a/crates/capacity/src/page/plan_blocks.rs
+++ b/crates/capacity/src/page/plan_blocks.rs
@@ -22,7 +22,8 @@
     pub name: String,
     /// Value of the figure, formatted for the page.
     pub value: String,
-    /// Formula that calculates the value from figures of the plan.
+    /// Description of how the value follows from the plan: a formula, the names of the figures that it depends on, or a
+    /// reference to another row.
     pub formula: String,
 }
 
@@ -67,7 +68,8 @@
     ]
 }
 
-/// Numbers of upstreams of services, regions and zones, and the time that a call is in flight.
+/// Numbers of upstreams of services, of the front, of the largest region and of the largest zone, the numbers of
+/// services with one and with at most three upstreams, and the time that a call is in flight.
 fn sizes(plan: &Plan) -> [DerivedFigure; 6] {
     let sizes = plan.service_sizes();
     let services_up_to = |max_size: usize| sizes.iter().filter(|&&size| size <= max_size).count();
--- a/crates/capacity/src/page/ranking.rs
+++ b/crates/capacity/src/page/ranking.rs
@@ -24,8 +24,9 @@
     load_scenario: &'static str,
 }
 
-/// The requirements in order of urgency: first those that no mechanism meets today, then by the largest ratio of need
-/// to budget.
+/// The requirements in order of urgency: first those with at least one need whose mechanism does not exist in the
+/// checkout, then the others; in both groups by ratio of need to budget, the largest first. Each requirement is ranked
+/// by one need: a need without its mechanism goes before all needs with one, then the largest ratio decides.
 fn ranked_requirements(plan: &Plan, measured: &Measured, tree: &Path) -> Vec<WorstNeed> {
     let mut worst: BTreeMap<Requirement, WorstNeed> = BTreeMap::new();
     for load_scenario in LoadScenario::all(plan) {
@@ -50,8 +51,8 @@
     ranked_requirements
 }
 
-/// The table of the requirements in order of urgency: those that no mechanism meets today come first, then the largest
-/// ratio of need to budget.
+/// The table of the requirements in order of urgency: first those with at least one need whose mechanism does not exist
+/// in the checkout, then the others; in both groups by ratio of need to budget, the largest first.
 #[must_use]
 pub fn ranking(plan: &Plan, measured: &Measured, tree: &Path) -> String {
     let rows = ranked_requirements(plan, measured, tree).into_iter().enumerate().map(|(rank, worst)| {
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -125,7 +125,9 @@
 type ValuesBySize = Vec<(usize, Vec<f64>)>;
 
 impl Bench<'_> {
-    /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement.
+    /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement. The
+    /// command has the arguments `--part`, `--plays` and `--seed`; it omits `--sizes`, `--rate`, `--small`,
+    /// `--program`, `--out` and `--plan`, so that values of these other than the defaults have to be added by hand.
     fn slope(
         &self,
         part: &str,
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn figures_keep_three_significant_digits() {
+fn figures_are_rounded_by_magnitude() {
     for (value, text) in [
         (0.0, "0"),
         (0.023, "0.023"),
