--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -371,7 +371,8 @@
                 "still cannot open the relay's store, trying again; nothing is stored until then: {error}"
             )),
             Err(error) => log(format_args!(
-                "opening the relay's store was aborted, trying again; nothing is stored until then: {error}"
+                "the task that opens the relay's store panicked or was cancelled (the disk may be fine), trying again; \
+                 nothing is stored until the store is open: {error}"
             )),
         }
     }
--- a/crates/config-distribution/src/host/server/request.rs
+++ b/crates/config-distribution/src/host/server/request.rs
@@ -170,7 +170,7 @@
                 let Ok(RelayReport { who, sums }) = serde_json::from_slice(&text) else {
                     let error = RequestError::Report(error);
                     log(format_args!(
-                        "refused a malformed report of a child process, nothing of it is recorded: {error}"
+                        "refused a malformed report from a balancer or relay below, none of it is recorded: {error}"
                     ));
                     return Err(error);
                 };
