--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -13,7 +13,7 @@
 
 pub use checks::PlanFault;
 
-/// Source of a figure of the plan.
+/// Where a figure of the plan comes from: a requirement or an estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
@@ -111,9 +111,9 @@
     Graph {
         /// Maximum number of calls in a chain, which is also the number of tiers.
         depth: usize,
-        /// Mean number of services that one service calls.
+        /// Mean number of different services that one service calls.
         destinations_mean: f64,
-        /// Maximum number of services that one service calls.
+        /// Maximum number of different services that one service calls.
         destinations_most: usize,
         /// Fraction of the services at each depth of the call graph, 0 to 1; the front comes first.
         services_by_depth: Vec<f64>,
@@ -129,21 +129,21 @@
         calls_per_s: f64,
         /// Call rate of the busiest balancer as a multiple of the mean rate.
         busiest_over_mean: f64,
-        /// Processor time of one call in ms, without the calls that it makes in turn.
+        /// Processor time of one call at the upstream that serves it, in ms, without the calls that it makes in turn.
         work_ms: f64,
         /// Time that a client at the front waits for an answer, in seconds.
         deadline_s: f64,
-        /// Latency objective at the front, in seconds: a later answer counts as late.
+        /// Latency objective of a call at the front, in seconds; an answer that takes longer counts as late.
         aim_s: f64,
         /// Number of tenants at the front.
         tenants: usize,
         /// Maximum number of times that a client repeats a failed call.
         client_repeats: u32,
-        /// Maximum number of attempts that a balancer makes for one call.
+        /// Maximum number of attempts, including the first, that a balancer makes for one call.
         attempts: u32,
         /// Maximum time that a balancer may add to a call, in ms, at the quantile `added_quantile`.
         added_ms: f64,
-        /// Quantile of the calls for which `added_ms` must hold.
+        /// Quantile, 0 to 1, of the latency that a balancer adds to a call, at which `added_ms` must hold.
         added_quantile: f64,
         /// Load that a service can carry, as a multiple of its usual load.
         headroom: f64,
@@ -167,13 +167,13 @@
     List {
         /// Bytes of one upstream's entry in the list.
         entry_bytes: usize,
-        /// Interval between the heartbeats (empty lines) of a watch, in seconds.
+        /// Interval between the heartbeats (empty lines) of a watch of the upstream list, in seconds.
         beat_s: f64,
-        /// Number of list updates (lines) that the replacement of an upstream causes.
+        /// Number of upstream list updates (lines) that the planned replacement of one upstream causes.
         lines_per_replacement: f64,
-        /// Number of list updates (lines) that the failure of an upstream and its return cause.
+        /// Number of upstream list updates (lines) that the failure of one upstream and its return cause.
         lines_per_failure: f64,
-        /// Interval between the renewals of a registrant's entry, in seconds.
+        /// Interval at which a registrant renews its entry in the upstream list, in seconds.
         renew_s: f64,
     }
 }
@@ -183,19 +183,21 @@
     Configuration {
         /// Number of configuration changes per day.
         changes_per_day: f64,
-        /// Time within which a change must be in force everywhere, in seconds.
+        /// Time from the publication of a configuration change within which it must be in force at all balancers, in
+        /// seconds.
         in_force_s: f64,
-        /// Number of changes in the busiest minute.
+        /// Number of configuration changes in the busiest minute.
         peak_per_minute: f64,
-        /// Fractions of the changes that concern the whole fleet, one region and one service, in this order.
+        /// Fractions of the configuration changes that concern the whole fleet, one region and one service, in this
+        /// order.
         scope_shares: Vec<f64>,
-        /// Mean number of changes that are published together.
+        /// Mean number of configuration changes that are published together in one burst.
         bunch: f64,
-        /// Bytes of the document for the whole fleet.
+        /// Bytes of the configuration document for the whole fleet.
         fleet_bytes: usize,
-        /// Bytes of the document of one region.
+        /// Bytes of the configuration document of one region.
         region_bytes: usize,
-        /// Bytes of the document of one service.
+        /// Bytes of the configuration document of one service.
         service_bytes: usize,
     }
 }
@@ -203,33 +205,34 @@
 section! {
     /// Resource budgets of the control traffic: upstream lists and configuration.
     Budget {
-        /// Fraction of a core that control may use in one balancer.
+        /// Fraction of a core, 0 to 1, that control traffic (upstream list and configuration) may use in one balancer.
         core_share: f64,
-        /// Memory that control may use in one balancer, in MB.
+        /// Memory that control traffic (upstream list and configuration) may use in one balancer, in MB.
         memory_mb: f64,
-        /// Bytes per second that control may send and receive in one balancer.
+        /// Bytes per second of control traffic (upstream list and configuration) that one balancer may send and
+        /// receive.
         bytes_per_s: f64,
-        /// Number of machines reserved for control.
+        /// Number of machines reserved for control processes, which distribute upstream lists and configuration.
         control_machines: usize,
-        /// Cores of one control machine.
+        /// Number of cores of one machine that is reserved for control processes.
         machine_cores: f64,
-        /// Memory of one control machine, in MB.
+        /// Memory of one machine that is reserved for control processes, in MB.
         machine_memory_mb: f64,
-        /// Network capacity of one control machine, in bytes per second.
+        /// Network capacity of one machine that is reserved for control processes, in bytes per second.
         machine_bytes_per_s: f64,
     }
 }
 
 section! {
-    /// Number of control machines in each role.
+    /// Number of machines in each role of the configuration distribution: origins, standbys and relays.
     ControlPlacement {
-        /// Number of origins, which accept publications.
+        /// Number of origins, which accept publications of configuration documents.
         origins: usize,
-        /// Number of standbys: replicas of the origin that can take over from it.
+        /// Number of standbys: replicas of the configuration origin that can take over from it.
         standbys: usize,
-        /// Number of relays that serve a region, in all regions together.
+        /// Number of configuration relays that serve a region, in all regions together.
         region_relays: usize,
-        /// Number of relays that serve the balancers of a zone, in all zones together.
+        /// Number of configuration relays that serve the balancers of a zone, in all zones together.
         zone_relays: usize,
     }
 }
@@ -237,9 +240,9 @@
 section! {
     /// Failures that are planned for, and how often they happen.
     Failures {
-        /// Number of machines that fail on an ordinary day.
+        /// Number of machines in the whole fleet that fail on an ordinary day.
         machines_per_day: f64,
-        /// Number of planned restarts or replacements of machines on an ordinary day.
+        /// Number of planned restarts or replacements of machines in the whole fleet on an ordinary day.
         replaced_per_day: f64,
         /// Number of rack failures per year.
         racks_per_year: f64,
@@ -247,7 +250,8 @@
         zones_per_year: f64,
         /// Number of network partitions between regions per year.
         region_cuts_per_year: f64,
-        /// Duration of the network partition of a region that is planned for, in seconds.
+        /// Duration, in seconds, of the network partition between one region and the others that the plan must
+        /// withstand.
         region_cut_s: f64,
         /// Time in which a rolling replacement replaces every upstream, in seconds.
         replace_all_s: f64,
@@ -264,15 +268,15 @@
     pub graph: Graph,
     /// Traffic of the fleet, and the limits on its latency and retries.
     pub traffic: Traffic,
-    /// One-way network delays.
+    /// One-way network delays within a zone, between zones and between regions.
     pub network: Network,
     /// The upstream list as it is sent to balancers.
     pub list: List,
     /// Configuration documents, and how they change.
     pub configuration: Configuration,
-    /// Resource budgets of the control traffic.
+    /// Resource budgets of the control traffic: upstream lists and configuration.
     pub budget: Budget,
-    /// Number of control machines in each role.
+    /// Number of machines in each role of the configuration distribution: origins, standbys and relays.
     #[serde(rename = "deal")]
     pub control_placement: ControlPlacement,
     /// Failures that are planned for, and how often they happen.
@@ -294,9 +298,10 @@
 /// Mean fraction of the configuration changes, and mean bytes of one change, that concern one balancer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChangePerBalancer {
-    /// Fraction of the changes that concern the balancer, 0 to 1.
+    /// Fraction of all configuration changes of the fleet that concern the balancer, 0 to 1.
     pub fraction: f64,
-    /// Mean bytes of documents that the balancer receives per change, counting changes that do not concern it as 0.
+    /// Mean bytes of configuration documents that the balancer receives per configuration change of the fleet, counting
+    /// changes that do not concern it as 0.
     pub bytes: f64,
 }
 
