--- a/crates/capacity/src/real/in_force.rs
+++ b/crates/capacity/src/real/in_force.rs
@@ -5,16 +5,16 @@
 
 use super::single_run::Published;
 
-/// Time for which reports are awaited after the last change.
+/// Maximum time that [`collect_reports`] waits for the balancers' reports of configuration versions in force.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A balancer's report that a version of a scope's document is in force.
+/// A balancer's report that a version of a scope's configuration document is in force.
 pub(super) struct InForce {
-    /// Number of the balancer.
+    /// Number in the run of the balancer that reports the version, as passed to [`reporter`].
     pub(super) balancer: usize,
     pub(super) scope: String,
     pub(super) version: u64,
-    /// Time at which the log line was read.
+    /// Time at which the balancer's log line with the report was read.
     pub(super) at: Instant,
 }
 
@@ -29,7 +29,8 @@
     }
 }
 
-/// Scopes and versions in force that a line of a balancer's log reports; empty for any other line.
+/// Scopes and versions of the configuration documents that a line of a balancer's log reports as in force; empty for a
+/// line without such a report.
 fn in_force(line: &str) -> Vec<(String, u64)> {
     let Some((_, list)) = line.split_once("in force over the file's own settings: ") else {
         return Vec::new();
--- a/crates/capacity/src/real/outcome.rs
+++ b/crates/capacity/src/real/outcome.rs
@@ -29,13 +29,15 @@
     "added p99 by block without changes, us",
 ];
 
-/// Outcome of a run.
+/// Outcome of a run of real balancers while the endpoint list or the configuration changes.
 pub(super) struct Outcome {
     pub(super) calls: Vec<Call>,
     /// Results of the calls, in the order of `calls`.
     pub(super) call_results: Vec<CallResult>,
     pub(super) counts: Counts,
-    /// By change: time from its publication until it was in force at the last balancer.
+    /// For each configuration change: time from its publication until it was in force at the last balancer. In a run
+    /// that changes the endpoint list, for each drain: time from its publication until the last call reached the
+    /// draining upstream.
     pub(super) in_force: Vec<Duration>,
 }
 
--- a/crates/capacity/src/real/single_run.rs
+++ b/crates/capacity/src/real/single_run.rs
@@ -1,4 +1,4 @@
-//! One run of real balancers: its processes, its calls and its changes.
+//! One run of real balancers: its processes, its calls and its changes of the endpoint list or the configuration.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -17,38 +17,40 @@
 
 /// Number of stand-in upstreams that receive direct calls only.
 const DIRECT_UPSTREAMS: usize = 8;
-/// Connections for direct calls that are opened before the first call.
+/// Number of connections for direct calls to stand-in upstreams that are opened before the first call.
 const DIRECT_CONNECTIONS: usize = 64;
-/// Connections to each balancer that are opened before the first call.
+/// Number of client connections to each balancer that are opened before the first call.
 const CONNECTIONS_PER_BALANCER: usize = 8;
 
-/// Parameters of one run.
+/// Parameters of one run of real balancers.
 pub(super) struct Setup<'a> {
     pub(super) arguments: &'a Arguments,
     pub(super) plan: &'a Plan,
     pub(super) size: Size,
-    /// Kind of the changes that are made.
+    /// Whether the run changes the endpoint list or the configuration.
     pub(super) change_kind: ChangeKind,
-    /// Time between two changes.
+    /// Time between two successive changes of the endpoint list or the configuration in a block with changes.
     pub(super) change_interval: Duration,
 }
 
 /// Processes and stand-in servers of a run. Fields are dropped in order, so that the balancers end first.
 struct Running {
     balancers: Vec<Balancer>,
-    /// Present only in runs with changes of the configuration.
+    /// Origin and relays of the configuration distribution; present only in runs with changes of the configuration.
     distribution: Option<Distribution>,
     discovery: Discovery,
     upstreams: Upstreams,
-    /// Reports in the balancers' logs of configuration versions in force.
+    /// Receiver of the reports, read from the balancers' logs, that a configuration version is in force.
     reports: mpsc::Receiver<InForce>,
 }
 
-/// Changes that were made during a run.
+/// Changes of the configuration or the endpoint list that a run made, with the times needed to compute how long each
+/// took to come into force.
 struct Changes {
-    /// Published changes of the configuration.
+    /// Changes of the configuration, in the order of their publication; empty in a run that changes the endpoint list.
     published: Vec<Published>,
-    /// By drain: time from its publication until the last call reached the draining upstream.
+    /// For each endpoint list change that made an upstream drain: time from sending the change to the watches until the
+    /// last call reached that upstream.
     drained: Vec<Duration>,
 }
 
@@ -56,23 +58,25 @@
 pub(super) struct Published {
     pub(super) scope: &'static str,
     pub(super) version: u64,
-    /// Time just before the change was sent to the origin.
+    /// Time just before the configuration change was sent to the origin.
     pub(super) at: Instant,
 }
 
 impl Setup<'_> {
-    /// Index of the block that contains the time `at` since the start of the run. Changes are made in every other
-    /// block, beginning with the second.
+    /// Index of the block (a span of [`BLOCK_CHANGES`] change intervals) that contains the time `at` since the start of
+    /// the run. Changes of the endpoint list or the configuration are made in every other block, beginning with the
+    /// second.
     pub(super) fn block(&self, at: Duration) -> usize {
         (at.as_secs_f64() / self.change_interval.as_secs_f64() / BLOCK_CHANGES as f64) as usize
     }
 
-    /// Duration of the run: as many blocks without changes as with them.
+    /// Duration of the run: as many blocks without changes of the endpoint list or the configuration as with them.
     fn length(&self) -> Duration {
         self.change_interval * (2 * BLOCK_CHANGES * self.size.changes.div_ceil(BLOCK_CHANGES)) as u32
     }
 
-    /// Starts the processes, sends the calls while the changes are made, and collects the results.
+    /// Starts the processes, sends the calls while the endpoint list or the configuration changes, and collects the
+    /// results.
     pub(super) fn measure(&self, rng: &mut Rand64) -> Result<Outcome, CapacityError> {
         let program = self.arguments.common.program(testbed::BALANCER)?;
         if self.client_has_own_core() {
@@ -155,7 +159,7 @@
         routes
     }
 
-    /// Sends the calls from a thread of their own, and makes the changes meanwhile.
+    /// Sends the calls from a thread of their own, and meanwhile changes the endpoint list or the configuration.
     fn call_through_changes(
         &self,
         running: &Running,
@@ -181,7 +185,8 @@
         })
     }
 
-    /// Makes each change at its scheduled time, or at once when the calls are over.
+    /// Makes each change of the endpoint list or the configuration at its scheduled time, or at once when the calls are
+    /// over.
     fn make_changes(
         &self,
         start_time: Instant,
@@ -217,8 +222,8 @@
         Ok(Changes { published, drained })
     }
 
-    /// Time from the publication of a change until this version, or a later one of its scope, was in force at the last
-    /// balancer.
+    /// Time from the publication of a configuration change until its version, or a later one of its scope, was in force
+    /// at the last balancer.
     fn time_to_last(&self, change: &Published, reports: &[InForce]) -> Result<Duration, CapacityError> {
         let mut last = Duration::ZERO;
         for balancer in 0..self.size.balancers {
