--- a/crates/capacity/src/sockets/cost.rs
+++ b/crates/capacity/src/sockets/cost.rs
@@ -5,9 +5,9 @@
 use super::control_plane::{ControlProcess, Role};
 use super::machine;
 
-/// Totals of all processes at one moment of a run.
+/// Resources that all processes have used up to one moment of a run.
 pub(super) struct Totals {
-    /// Time at which the totals were taken.
+    /// Time at which the resource totals were read.
     pub(super) at: Instant,
     /// Sum of the usage of all processes of hollow balancers.
     pub(super) balancers: machine::Usage,
@@ -15,7 +15,7 @@
     pub(super) configuration_bytes: u64,
     /// Bytes on all connections of the list server, in both directions.
     pub(super) list_bytes: u64,
-    /// Bytes of the busiest balancer in its busiest window since the previous totals.
+    /// Configuration bytes of the busiest balancer in its busiest window since the previous totals were read.
     pub(super) most_in_window: u64,
     /// Usage of each control process, by its index.
     pub(super) control: Vec<ControlUsage>,
@@ -23,7 +23,7 @@
 
 /// Resources that a control process has used since its start.
 pub(super) struct ControlUsage {
-    /// Processor time and memory of the process.
+    /// Processor time and memory that the control process has used.
     pub(super) process: machine::Usage,
     /// Bytes in both directions on the connections of this process to other control processes and to balancers.
     pub(super) bytes: u64,
@@ -37,13 +37,13 @@
 
 /// The resources used per second in the span between two [`Totals`]s.
 pub(super) struct Cost {
-    /// Bytes per second on the connections of one balancer, on average.
+    /// Bytes per second on the configuration and endpoint list connections of one balancer, on average.
     pub(super) bytes_per_s: f64,
-    /// Cores used by one balancer, on average.
+    /// Number of cores used by one hollow balancer, on average.
     pub(super) cpu_cores: f64,
-    /// Cores used by the control process that used the most processor time.
+    /// Number of cores used by the control process that used the most processor time.
     pub(super) control_cpu_cores: Busiest,
-    /// Bytes per second of the control process with the most bytes.
+    /// Bytes per second on the connections of the control process with the most bytes, in both directions.
     pub(super) control_bytes_per_s: Busiest,
 }
 
--- a/crates/capacity/src/sockets/outcome.rs
+++ b/crates/capacity/src/sockets/outcome.rs
@@ -1,4 +1,4 @@
-//! The outcome of a run, as a row of the results table.
+//! The outcome of a run with configuration changes, as a row of the results table.
 
 use super::Scenario;
 use super::cost::{Busiest, Cost};
@@ -34,33 +34,36 @@
     "control, largest, MB",
 ];
 
-/// Outcome of a run: how the changes came into force, and what the processes used.
+/// Outcome of a run: how the configuration changes came into force, and what resources the processes used.
 pub(super) struct Outcome {
     pub(super) scenario: Scenario,
     pub(super) seed: u64,
     pub(super) balancers: usize,
     pub(super) changes: usize,
-    /// Delays from the acknowledgement of a change, or the end of a partition if that is later, until it was in force.
+    /// Delays from the origin's acknowledgement of a configuration change, or the end of a partition if that is later,
+    /// until it was in force at a balancer.
     pub(super) times: DelayHistogram,
-    /// Delays from the first sending of a change, or the end of a partition if that is later, until it was in force.
+    /// Delays from the first sending of a configuration change to the origin, or the end of a partition if that is
+    /// later, until it was in force at a balancer.
     pub(super) from_sending: DelayHistogram,
-    /// How often the index of a balancer decreased.
+    /// How often during the run the configuration index of any balancer decreased.
     pub(super) index_regressions: usize,
-    /// Number of balancers without the last change of each scope at the end.
+    /// Number of balancers that lack the last configuration change of a scope at the end of the run.
     pub(super) missing: usize,
-    /// Number of list watches that did not continue from the current index when they reconnected at the end.
+    /// Number of endpoint list watches that did not continue from the list's current index when they reconnected at the
+    /// end of the run.
     pub(super) watches_at_wrong_index: usize,
-    /// Cost in a span without configuration changes.
+    /// Resources used per second in a span without configuration changes.
     pub(super) idle: Cost,
-    /// Cost from the end of the idle span until all balancers have the last changes.
+    /// Resources used per second from the end of the idle span until all balancers have the last configuration changes.
     pub(super) during_changes: Cost,
-    /// Cost in the recovery window after the fault.
+    /// Resources used per second in the recovery window after the scenario's fault.
     pub(super) recovery: Cost,
     /// Configuration bytes of the busiest balancer in its busiest window of the recovery.
     pub(super) most_in_window: u64,
-    /// Average memory of a balancer, in MiB.
+    /// Average resident memory of a hollow balancer, in MiB.
     pub(super) balancer_mb: f64,
-    /// Memory of the largest control process, in MiB.
+    /// Resident memory of the control process that uses the most, in MiB.
     pub(super) control_mb: Busiest,
 }
 
@@ -101,8 +104,8 @@
         COLUMNS.iter().zip(self.row()).map(|(head, value)| format!("{head}: {value}\n")).collect()
     }
 
-    /// Lists the objectives of the plan that the run did not meet. The delay of changes is checked only if `timed` is
-    /// set, because a run that shares the machine with other work has no meaningful times.
+    /// Lists the objectives of the plan that the run did not meet. The delay of configuration changes is checked only
+    /// if `timed` is set, because a run that shares the machine with other work has no meaningful times.
     pub(super) fn unmet_objectives(&self, plan: &Plan, timed: bool) -> Vec<String> {
         let place = format!("{} {}", self.scenario.name(), self.seed);
         let limit_s = plan.configuration.in_force_s.value;
--- a/crates/capacity/src/sockets/schedule.rs
+++ b/crates/capacity/src/sockets/schedule.rs
@@ -14,15 +14,15 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// A change that is to be published.
+/// A configuration change that is to be published, with its time since the start of the publications.
 pub(super) struct PlannedChange {
     at: Duration,
     scope: Scope,
     bytes: usize,
 }
 
-/// Draws the changes of a run, sorted by time: bursts at random moments, with scopes by the plan's shares. Services are
-/// drawn from those that have balancers in the run.
+/// Draws the configuration changes of a run, sorted by time: bursts at random moments, with scopes by the plan's
+/// shares. Services are drawn from those that have balancers in the run.
 pub(super) fn schedule(plan: &Plan, seed: u64, size: &Size, services: &[usize]) -> Vec<PlannedChange> {
     let mut rng = Rand64::new(u128::from(seed) << 8);
     let configuration = &plan.configuration;
@@ -51,8 +51,8 @@
     planned
 }
 
-/// Publishes each change when it is due, on a thread of its own. Stops at the first error, which is sent as the last
-/// item.
+/// Publishes each configuration change when it is due, on a thread of its own. Stops at the first error, which is sent
+/// as the last item.
 pub(super) fn publish_all(
     origin: SocketAddr,
     planned: Vec<PlannedChange>,
