--- a/crates/capacity/src/sockets/hollow.rs
+++ b/crates/capacity/src/sockets/hollow.rs
@@ -38,9 +38,9 @@
 pub struct Job {
     /// Address of the list server; `None` if the balancers do not watch an endpoint list.
     pub list: Option<SocketAddr>,
-    /// Names of the fleet's zones.
+    /// Names of the fleet's zones, by zone number.
     pub zones: Vec<String>,
-    /// Delay between the starts of two balancers of the process, in ms.
+    /// Delay between the starts of two successive hollow balancers of the process, in ms.
     pub apart_ms: u64,
     /// Hollow balancers that the process runs.
     pub balancers: Vec<HollowBalancer>,
@@ -55,7 +55,7 @@
     pub service: String,
     /// Name of the balancer's region.
     pub region: String,
-    /// Number of the balancer's zone.
+    /// Number of the balancer's zone: its index in [`Job::zones`].
     pub zone: usize,
     /// Addresses of the relays that the balancer gets its configuration from; if empty, it runs no configuration
     /// client.
@@ -81,45 +81,47 @@
 pub enum Event {
     /// The balancer with this number has received its endpoint list.
     Listed(usize),
-    /// A balancer has a version of a document in force.
+    /// A balancer has a version of a configuration document in force.
     InForce {
         /// Number of the balancer that has the document in force.
         balancer: usize,
-        /// Scope of the document.
+        /// Scope of the configuration document that came into force.
         scope: Scope,
-        /// Version of the document.
+        /// Version of the configuration document that came into force.
         version: u64,
-        /// Time at which the document came into force, in nanoseconds on the clock of [`machine::now_ns`].
+        /// Time at which the configuration document came into force at the balancer, in nanoseconds on the clock of
+        /// [`machine::now_ns`].
         at_ns: u64,
     },
     /// The index of a balancer's configuration decreased.
     Back {
-        /// Number of the balancer whose index decreased.
+        /// Number of the balancer whose configuration index decreased.
         balancer: usize,
-        /// Index before the decrease.
+        /// Configuration index of the balancer before the decrease.
         from: u64,
-        /// Index after the decrease.
+        /// Configuration index of the balancer after the decrease.
         to: u64,
     },
     /// Response to the command `figures`.
     Figures(Figures),
-    /// The process cannot continue, for the given reason.
+    /// The process of hollow balancers cannot continue, for the given reason.
     Failed(String),
 }
 
 /// Traffic of the configuration connections of a process since its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Bytes received by all balancers of the process.
+    /// Bytes received on the configuration connections by all balancers of the process since its start.
     pub read: u64,
-    /// Bytes sent by all balancers of the process.
+    /// Bytes sent on the configuration connections by all balancers of the process since its start.
     pub written: u64,
-    /// Connections opened by all balancers of the process.
+    /// Number of configuration connections opened by all balancers of the process since its start.
     pub opened: u64,
-    /// Bytes in both directions, by the address of the parent.
+    /// Bytes in both directions on the configuration connections to each parent (relay) since the process started, by
+    /// the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// Largest number of bytes that one balancer exchanged within [`WINDOW_S`] seconds, since the previous response to
-    /// `figures`.
+    /// Largest number of configuration bytes that one balancer sent and received within [`WINDOW_S`] seconds, since the
+    /// previous response to `figures`.
     pub most_in_window: u64,
 }
 
@@ -131,7 +133,7 @@
     by_parent: RefCell<BTreeMap<SocketAddr, u64>>,
 }
 
-/// A connection to a parent whose bytes are counted.
+/// A configuration connection to a parent (relay) whose bytes are counted.
 struct CountingStream {
     stream: TcpStream,
     parent: SocketAddr,
--- a/crates/capacity/src/sockets/hollow_processes.rs
+++ b/crates/capacity/src/sockets/hollow_processes.rs
@@ -15,57 +15,58 @@
 use super::machine::{self, Usage};
 use crate::CapacityError;
 
-/// Longest time that the histogram can record, in microseconds.
+/// Longest delay that a [`DelayHistogram`] can record, in microseconds.
 const MAX_TIME_US: u64 = 600_000_000;
 
 /// Interval of the check whether a signal has asked the run to end.
 const SIGNAL_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Processes of hollow balancers, which are killed when this is dropped.
+/// Processes of hollow balancers, which are killed when this value is dropped.
 pub struct HollowProcesses {
     children: Vec<Child>,
     output: Receiver<Output>,
     /// Whether each balancer has received its endpoint list, by the balancer's number.
     listed: Vec<bool>,
-    /// Versions of each scope that came into force at each balancer, in their order, by the balancer's number.
+    /// Versions of the configuration document of each scope that came into force at each balancer, in the order in
+    /// which they did, by the balancer's number.
     in_force: Vec<HashMap<Scope, Vec<VersionInForce>>>,
-    /// Scopes that each balancer subscribes to, by the balancer's number.
+    /// Configuration scopes that each balancer subscribes to, by the balancer's number.
     wanted: Vec<[Scope; 3]>,
     /// Response of each process to the latest command `figures`; `None` until it arrives.
     figures: Vec<Option<Figures>>,
-    /// How often the index of a balancer decreased, which must never happen.
+    /// How often the configuration index of any balancer decreased, which must never happen.
     pub index_regressions: usize,
 }
 
-/// A version of a document that came into force at a balancer.
+/// A version of a configuration document that came into force at a balancer.
 #[derive(Debug, Clone, Copy)]
 struct VersionInForce {
     version: u64,
-    /// Time at which the version came into force, in nanoseconds on the clock of [`machine::now_ns`].
+    /// Time at which the version came into force at the balancer, in nanoseconds on the clock of [`machine::now_ns`].
     at_ns: u64,
 }
 
-/// The time at which a balancer had a change, or a newer one of the same scope, in force.
+/// The time at which a balancer had a configuration change, or a newer one of the same scope, in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Arrival {
-    /// Number of the balancer.
+    /// Number of the balancer at which the configuration change came into force.
     pub balancer: usize,
-    /// Time at which the change was in force, in nanoseconds on the clock of [`machine::now_ns`]; `None` if it never
-    /// was.
+    /// Time at which the configuration change was in force at the balancer, in nanoseconds on the clock of
+    /// [`machine::now_ns`]; `None` if it never was.
     pub at_ns: Option<u64>,
 }
 
-/// Traffic of the configuration connections of all balancers.
+/// Traffic of the configuration connections of all hollow balancers since their start.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    /// Bytes on all connections, in both directions.
+    /// Bytes on the configuration connections of all balancers, in both directions.
     pub bytes: u64,
-    /// Number of connections opened.
+    /// Number of configuration connections that all balancers have opened.
     pub opened: u64,
-    /// Bytes in both directions, by the address of the parent.
+    /// Bytes in both directions on the configuration connections to each parent (relay), by the address of the parent.
     pub by_parent: BTreeMap<SocketAddr, u64>,
-    /// Bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since the previous
-    /// call of [`HollowProcesses::carried`].
+    /// Configuration bytes of the busiest balancer in its busiest window of [`super::hollow::WINDOW_S`] seconds since
+    /// the previous call of [`HollowProcesses::carried`].
     pub most_in_window: u64,
 }
 
@@ -178,7 +179,7 @@
         self.listed.iter().all(|listed| *listed)
     }
 
-    /// Returns the number of balancers that lack the newest version of a scope that they subscribe to.
+    /// Returns the number of balancers that lack the newest version of a configuration scope that they subscribe to.
     #[must_use]
     pub fn missing(&self, newest: &HashMap<Scope, u64>) -> usize {
         let has = |balancer: usize, scope: &Scope| {
@@ -194,7 +195,8 @@
         self.in_force[balancer].get(scope)?.last().copied()
     }
 
-    /// Returns, for each balancer that subscribes to the change's scope, when the change or a newer one was in force.
+    /// Returns, for each balancer that subscribes to the scope of the configuration change, when the change or a newer
+    /// one was in force.
     pub fn times<'a>(&'a self, change: &'a Change) -> impl Iterator<Item = Arrival> + 'a {
         (0..self.wanted.len()).filter(|&balancer| self.wanted[balancer].contains(&change.scope)).map(
             |balancer| {
@@ -235,7 +237,7 @@
         Ok(sum)
     }
 
-    /// Returns the sum of the resources that the child processes have used.
+    /// Returns the sum of the resources that the processes of hollow balancers have used.
     #[must_use]
     pub fn usage(&self) -> Usage {
         let each = self.pids().filter_map(machine::usage);
@@ -246,7 +248,7 @@
     }
 }
 
-/// A histogram of the delays until changes were in force.
+/// A histogram of the delays until configuration changes were in force at the balancers.
 #[derive(Debug, Clone)]
 pub struct DelayHistogram(Histogram<u64>);
 
@@ -260,12 +262,12 @@
         histogram.map(Self).map_err(|cause| CapacityError::run("histogram", cause))
     }
 
-    /// Records a time given in nanoseconds.
+    /// Records a delay given in nanoseconds.
     pub fn add(&mut self, ns: u64) {
         self.0.saturating_record((ns / 1000).max(1));
     }
 
-    /// Returns the time at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
+    /// Returns the delay at a quantile from 0 to 1, in ms; 1 gives the exact maximum.
     #[must_use]
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
         if quantile >= 1.0 {
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Returns the number of recorded times.
+    /// Returns the number of recorded delays.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
