--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -19,7 +19,7 @@
 use super::machine;
 use crate::CapacityError;
 
-/// Maximum length of a request head, in bytes.
+/// Maximum length of the HTTP request head of a watch, in bytes.
 const MAX_HEAD_BYTES: usize = 8192;
 
 struct Entry {
@@ -31,15 +31,16 @@
 struct ListState {
     index: u64,
     entries: Vec<Entry>,
-    /// A watch at an index below this gets a snapshot.
+    /// Index of the endpoint list below which a watch gets a snapshot instead of the changes since its index.
     snapshot_before: u64,
-    /// Cached lines that bring a watch to the current index, by the index that the watch is at. Each line is formatted
-    /// once for all watches.
+    /// Cached lines that bring a watch to the current index of the endpoint list, by the index that the watch is at.
+    /// Each line is formatted once for all watches.
     line_cache: HashMap<u64, Bytes>,
 }
 
 impl ListState {
-    /// Returns the line, as an HTTP chunk, that brings a watch from the index `since` to the current one.
+    /// Returns the line, as an HTTP chunk, that brings a watch from the index `since` of the endpoint list to the
+    /// current one.
     fn line_since(&mut self, since: u64) -> Bytes {
         let is_snapshot = since == 0 || since > self.index || since < self.snapshot_before;
         let Self { index, entries, line_cache, .. } = self;
@@ -79,7 +80,7 @@
     text
 }
 
-/// Counters of the server's connections.
+/// Counters of the list server's connections.
 #[derive(Debug, Default)]
 struct Counts {
     read: AtomicU64,
@@ -88,16 +89,16 @@
     cpu_ns: AtomicU64,
 }
 
-/// Traffic and processor time of the server since its start.
+/// Traffic and processor time of the list server since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes received on all connections.
+    /// Bytes that the list server has received on all connections since its start.
     pub read: u64,
-    /// Bytes sent on all connections.
+    /// Bytes that the list server has sent on all connections since its start.
     pub written: u64,
-    /// Number of open connections.
+    /// Number of connections to the list server that are open now.
     pub connections: usize,
-    /// Processor time of the server's thread, in nanoseconds.
+    /// Processor time of the list server's thread since its start, in nanoseconds.
     pub cpu_ns: u64,
 }
 
@@ -111,11 +112,11 @@
 
 /// An endpoint list server, which runs on a thread of its own until this is dropped.
 pub struct ListServer {
-    /// Address that the server listens on.
+    /// Address that the list server listens on.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     index: watch::Sender<u64>,
-    /// Counter that is incremented to close all connections.
+    /// Counter that is incremented to close all connections of the list server.
     close_count: watch::Sender<u64>,
     stop: Option<tokio::sync::oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
@@ -176,14 +177,14 @@
         })
     }
 
-    /// Returns the current index of the list.
+    /// Returns the current index of the endpoint list.
     #[must_use]
     pub fn index(&self) -> u64 {
         *self.index.borrow()
     }
 
-    /// Changes the next `count` entries in list order, starting again at the first after the last. Each change
-    /// increments the index; the watches are notified once, after the last change.
+    /// Changes the next `count` entries of the endpoint list in its order, starting again at the first after the last.
+    /// Each change increments the index; the watches are notified once, after the last change.
     pub fn change(&self, count: usize) {
         let mut state = lock(&self.shared.state);
         for _ in 0..count {
@@ -200,7 +201,7 @@
         self.index.send_replace(state.index);
     }
 
-    /// Sends a snapshot of the list to all watches, at the next index.
+    /// Sends a snapshot of the endpoint list to all watches, at the next index of the list.
     pub fn send_snapshot(&self) {
         let mut state = lock(&self.shared.state);
         state.index += 1;
@@ -209,12 +210,12 @@
         self.index.send_replace(state.index);
     }
 
-    /// Closes all connections at once.
+    /// Closes all connections of the list server at once.
     pub fn close_all(&self) {
         self.close_count.send_modify(|count| *count += 1);
     }
 
-    /// Returns the traffic and the processor time of the server since its start.
+    /// Returns the traffic and the processor time of the list server since its start.
     #[must_use]
     pub fn carried(&self) -> Traffic {
         let Counts { read, written, connections, cpu_ns } = &self.shared.counts;
--- a/crates/capacity/src/sockets/machine.rs
+++ b/crates/capacity/src/sockets/machine.rs
@@ -26,9 +26,9 @@
 /// Resources used by a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Processor time used so far, in nanoseconds.
+    /// Processor time that the process has used since its start, in nanoseconds.
     pub cpu_ns: u64,
-    /// Resident memory, in KiB.
+    /// Resident memory of the process, in KiB.
     pub resident_kb: u64,
 }
 
--- a/crates/capacity/src/sockets/size.rs
+++ b/crates/capacity/src/sockets/size.rs
@@ -1,4 +1,4 @@
-//! The size of a run, from the command line and the plan.
+//! The size of a run of hollow balancers, from the command line and the plan.
 
 use std::time::Duration;
 
@@ -6,20 +6,21 @@
 use crate::CapacityError;
 use crate::plan::Plan;
 
-/// Maximum number of processes that a run may start.
+/// Maximum number of child processes that a run may start.
 const MAX_PROCESSES: usize = 200;
 
-/// Number of balancers, processes, changes and list entries of a run, and the length of its phases.
+/// Number of hollow balancers, balancers per process, configuration changes and endpoint list entries of a run, and the
+/// length of its phases.
 pub(super) struct Size {
-    /// Number of hollow balancers.
+    /// Number of hollow balancers in the run.
     pub(super) balancers: usize,
     /// Number of hollow balancers in each process.
     pub(super) per_process: usize,
-    /// Number of configuration changes.
+    /// Number of configuration changes that the run publishes.
     pub(super) changes: usize,
     /// Number of entries in the endpoint list.
     pub(super) list: usize,
-    /// Time over which the changes are published, in seconds.
+    /// Length of the span over which the configuration changes are published, in seconds.
     pub(super) seconds: f64,
     /// Length of the span without configuration changes in which the idle cost is measured.
     pub(super) idle: Duration,
