--- a/crates/capacity/src/sockets/control_plane.rs
+++ b/crates/capacity/src/sockets/control_plane.rs
@@ -29,7 +29,7 @@
 /// First port of the control processes. It is below the kernel's ephemeral ports, so that no outgoing connection takes
 /// a port of theirs.
 const FIRST_PORT: u16 = 7100;
-/// Maximum time until a process listens, and until a publication is accepted.
+/// Maximum time until a control process listens, and until the origin accepts a publication.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A control process of the plan, with its child process while it runs.
@@ -41,7 +41,7 @@
     child: Option<Child>,
     /// Processor time used by earlier, killed processes of this entry, in nanoseconds.
     earlier_cpu_ns: u64,
-    /// Largest resident memory that [`ControlPlane::usage`] has read, in KiB.
+    /// Largest resident memory of the process that [`ControlPlane::usage`] has read, in KiB.
     max_resident_kb: u64,
 }
 
@@ -49,9 +49,9 @@
 struct Edge {
     /// Index of the control process that connects.
     child: usize,
-    /// Index of the parent.
+    /// Index of the control process that is connected to: the parent.
     parent: usize,
-    /// Address of the forwarder.
+    /// Address of the forwarder that the connection goes through.
     address: SocketAddr,
     /// Bytes that the forwarder has passed on, in both directions.
     bytes: Arc<AtomicU64>,
@@ -65,7 +65,7 @@
     partition: watch::Sender<Option<usize>>,
     /// Path of the control processes' program.
     program: PathBuf,
-    /// Directory for the data of the origin and the standbys.
+    /// Directory for the stored data of the origin and the standbys.
     directory: PathBuf,
     forwarders: Option<Forwarders>,
 }
@@ -74,7 +74,7 @@
 static CONTROL_PLANE_COUNT: AtomicUsize = AtomicUsize::new(0);
 
 impl ControlPlane {
-    /// Starts all processes and waits until each of them listens.
+    /// Starts all control processes and waits until each of them listens.
     ///
     /// # Errors
     /// The program is missing, or a process does not listen within the time-out.
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Waits until all running processes accept connections.
+    /// Waits until all running control processes accept connections.
     ///
     /// # Errors
     /// A process does not accept connections within the time-out, or a signal has asked the run to end.
--- a/crates/capacity/src/sockets/control_plane/forwarder.rs
+++ b/crates/capacity/src/sockets/control_plane/forwarder.rs
@@ -14,11 +14,11 @@
 
 pub(super) struct Forwarder {
     pub(super) listener: std::net::TcpListener,
-    /// Address of the process that connections are forwarded to.
+    /// Address of the control process that connections are forwarded to.
     pub(super) target: SocketAddr,
-    /// Regions of the two processes that the forwarder connects.
+    /// Regions of the two control processes that the forwarder connects.
     pub(super) regions: [usize; 2],
-    /// Bytes forwarded so far, in both directions.
+    /// Bytes that the forwarder has passed on so far, in both directions.
     pub(super) bytes: Arc<AtomicU64>,
 }
 
--- a/crates/capacity/src/sockets/control_plane/placement.rs
+++ b/crates/capacity/src/sockets/control_plane/placement.rs
@@ -5,18 +5,18 @@
 /// Role of a control process. The order of the variants is from the origin down to the zone relays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Accepts publications.
+    /// Accepts publications of configuration documents.
     Origin,
-    /// Follows the origin, and can replace it.
+    /// Replicates the origin's configuration documents, and can replace the origin.
     Standby,
-    /// Relays documents to a region.
+    /// Relays configuration documents to a region.
     Region,
-    /// Relays documents to a zone.
+    /// Relays configuration documents to a zone.
     Zone,
 }
 
 impl Role {
-    /// All roles, from the origin down.
+    /// All roles of control processes, from the origin down.
     pub const ALL: [Self; 4] = [Self::Origin, Self::Standby, Self::Region, Self::Zone];
 
     /// Returns the name of the role, as used in results and messages.
@@ -38,13 +38,13 @@
 /// A control process of the plan, with its location and its parents.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlProcess {
-    /// Role of the process.
+    /// Role of the control process.
     pub role: Role,
-    /// Number of the region that the process runs in.
+    /// Number of the region that the control process runs in.
     pub region: usize,
-    /// Number of the zone that the process serves; only a zone relay has one.
+    /// Number of the zone that the control process serves; only a zone relay has one.
     pub zone: Option<usize>,
-    /// Indices of the processes that this process follows.
+    /// Indices of the control processes that this control process gets its documents from.
     pub parents: Vec<usize>,
 }
 
--- a/crates/capacity/src/sockets/control_plane/publication.rs
+++ b/crates/capacity/src/sockets/control_plane/publication.rs
@@ -1,4 +1,4 @@
-//! Publication of documents to the origin over HTTP.
+//! Publication of configuration documents to the origin over HTTP.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,16 +12,18 @@
 use crate::CapacityError;
 use crate::sockets::machine;
 
-/// A change of a document that the origin has accepted.
+/// A change of a configuration document that the origin has accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// Scope of the document.
+    /// Scope of the changed configuration document.
     pub scope: Scope,
-    /// Version that the origin assigned to the document.
+    /// Version that the origin assigned to the changed configuration document.
     pub version: u64,
-    /// Time at which the publication was first sent, in nanoseconds on the clock of [`machine::now_ns`].
+    /// Time at which the publication of the change was first sent to the origin, in nanoseconds on the clock of
+    /// [`machine::now_ns`].
     pub sent_ns: u64,
-    /// Time at which the origin acknowledged the publication, in nanoseconds on the clock of [`machine::now_ns`].
+    /// Time at which the origin acknowledged the publication of the change, in nanoseconds on the clock of
+    /// [`machine::now_ns`].
     pub acknowledged_ns: u64,
 }
 
@@ -30,7 +32,7 @@
     index: u64,
 }
 
-/// Publishes a document, and repeats the request under the same id while the origin is unavailable.
+/// Publishes a configuration document, and repeats the request under the same id while the origin is unavailable.
 ///
 /// # Errors
 /// The origin rejects the document, or is unavailable for 30 s.
@@ -70,7 +72,7 @@
     pub status: u16,
     /// Body of the response.
     pub body: String,
-    /// Length of request and response together, in bytes.
+    /// Length of the HTTP request and its response together, in bytes.
     pub bytes: usize,
 }
 
@@ -95,7 +97,7 @@
     Ok(Response { status, body: body.to_owned(), bytes })
 }
 
-/// Returns a document body of at most `bytes` bytes; its content differs for each `revision`.
+/// Returns the body of a configuration document, of at most `bytes` bytes; its content differs for each `revision`.
 #[must_use]
 pub fn body(bytes: usize, revision: u64) -> String {
     let mut text = format!(
--- a/crates/capacity/src/sockets/run_scenario.rs
+++ b/crates/capacity/src/sockets/run_scenario.rs
@@ -25,15 +25,16 @@
 
 /// Maximum fraction of the machine's memory that all processes of a run may use.
 const MAX_MEMORY_FRACTION: f64 = 0.5;
-/// Maximum time to wait for the start, for the last change and for the reconnected watches. After it the run fails or
-/// counts the balancers that are behind.
+/// Maximum time to wait for each of these: the start of the balancers, the last configuration change at all balancers,
+/// and the reconnected watches of the endpoint list. After it the run fails or counts the balancers that are behind.
 const TIMEOUT: Duration = Duration::from_secs(40);
-/// Length of the recovery window after a fault, as a fraction of the time over which the changes are published.
+/// Length of the recovery window after a fault, as a fraction of the time over which the configuration changes are
+/// published.
 const RECOVERY_FRACTION: f64 = 0.35;
-/// Delay between the starts of two balancers of a process, in ms. A small run, whose processes have fewer balancers,
-/// has none.
+/// Delay between the starts of two successive hollow balancers of a process, in ms. A small run, whose processes have
+/// fewer balancers, has none.
 const START_INTERVAL_MS: u64 = 20;
-/// Number of balancers in each process of a small run.
+/// Number of hollow balancers in each process of a small run.
 const PER_PROCESS_SMALL: usize = 20;
 
 /// Runs one scenario with one seed.
@@ -81,7 +82,7 @@
     Duration::from_secs_f64((seconds * RECOVERY_FRACTION).min(super::hollow::WINDOW_S as f64))
 }
 
-/// Returns the memory of the largest control process, in MiB, and the role of that process.
+/// Returns the resident memory of the control process that uses the most, in MiB, and the role of that process.
 fn largest_control_mb(end: &Totals, machines: &[ControlProcess]) -> Busiest {
     let sizes = end.control.iter().map(|one| one.process.resident_kb);
     let largest = sizes.zip(machines.iter().map(|machine| machine.role)).max();
@@ -89,7 +90,7 @@
     Busiest { figure: largest_kb as f64 / 1024.0, role }
 }
 
-/// The running processes of a run.
+/// The running control processes, list server and hollow balancers of a scenario run.
 struct ScenarioRun<'a> {
     scenario: Scenario,
     seed: u64,
@@ -100,7 +101,7 @@
     control_plane: ControlPlane,
     hollow_processes: HollowProcesses,
     list: ListServer,
-    /// Newest published version of each scope.
+    /// Newest published version of the configuration document of each scope.
     newest: HashMap<Scope, u64>,
     /// Memory limit of all processes of the run together, in KiB.
     memory_bound_kb: u64,
@@ -108,16 +109,16 @@
     label: String,
 }
 
-/// Delays until the changes were in force, for all changes and balancers.
+/// Delays until the configuration changes were in force at the balancers, for all changes and balancers.
 struct ChangeTimes {
-    /// Delays from the origin's acknowledgement of a change.
+    /// Delays from the origin's acknowledgement of a configuration change until it was in force at a balancer.
     from_acknowledgement: DelayHistogram,
-    /// Delays from the first sending of a change.
+    /// Delays from the first sending of a configuration change to the origin until it was in force at a balancer.
     from_sending: DelayHistogram,
 }
 
 impl<'a> ScenarioRun<'a> {
-    /// Starts all processes. The first document of each scope is published before the balancers start.
+    /// Starts all processes. The first configuration document of each scope is published before the balancers start.
     fn start(scenario: Scenario, seed: u64, size: &'a Size, plan: &'a Plan) -> Result<Self, CapacityError> {
         let placements = fleet(plan, size.balancers);
         let control_plane = ControlPlane::start(control_plane::control_processes(plan))?;
@@ -149,7 +150,7 @@
         })
     }
 
-    /// Waits until all balancers have received their endpoint list and their documents.
+    /// Waits until all balancers have received their endpoint list and have their configuration documents in force.
     fn wait_until_ready(&mut self) -> Result<(), CapacityError> {
         let newest = &self.newest;
         let is_ready = |hollow_processes: &HollowProcesses| {
@@ -163,7 +164,7 @@
         Err(CapacityError::run(self.label.clone(), cause))
     }
 
-    /// Measures the totals at the start and the end of a span in which no configuration changes.
+    /// Measures the resource totals of all processes at the start and the end of a span without configuration changes.
     fn idle(&mut self) -> Result<(Totals, Totals), CapacityError> {
         // The lists and documents of the start have been processed after this pause.
         self.hollow_processes.receive_for(self.size.idle / 2)?;
@@ -172,7 +173,8 @@
         Ok((from, self.totals()?))
     }
 
-    /// Waits until all balancers have the last change of each scope; returns the number of balancers that do not.
+    /// Waits until all balancers have the last configuration change of each scope in force; returns the number of
+    /// balancers that do not.
     fn wait_for_last_changes(&mut self, record: &RunRecord) -> Result<usize, CapacityError> {
         for change in &record.changes {
             self.newest.insert(change.scope.clone(), change.version);
@@ -184,7 +186,7 @@
     }
 
     /// Closes all watches of the endpoint list, which then reconnect; returns how many do not continue from the current
-    /// index.
+    /// index of the list.
     fn reconnect_list_watches(&mut self) -> Result<usize, CapacityError> {
         let (list, balancers) = (&self.list, self.size.balancers);
         let (requests_before, index) = (list.asked().len(), list.index());
@@ -218,7 +220,7 @@
         Ok(times)
     }
 
-    /// Measures the current totals of all processes.
+    /// Measures the resources that all processes have used so far.
     ///
     /// # Errors
     /// The processes use more memory than the limit allows.
@@ -279,7 +281,7 @@
     services
 }
 
-/// Publishes the first document of each scope; returns the versions of the documents.
+/// Publishes the first configuration document of each scope; returns the versions of the documents.
 fn publish_first(
     origin: SocketAddr,
     plan: &Plan,
--- a/crates/capacity/src/sockets/run_scenario/fault.rs
+++ b/crates/capacity/src/sockets/run_scenario/fault.rs
@@ -13,13 +13,15 @@
 use crate::sockets::schedule::publish_all;
 use crate::sockets::{Scenario, machine};
 
-/// Time of the fault, as a fraction of the time over which the changes are published.
+/// Time from the start of the publications until the fault, as a fraction of the time over which the configuration
+/// changes are published.
 const FAULT_TIME_FRACTION: f64 = 0.25;
-/// Time at which a partition ends, as a fraction of the time over which the changes are published.
+/// Time from the start of the publications until a partition ends, as a fraction of the time over which the
+/// configuration changes are published.
 const PARTITION_END_FRACTION: f64 = 0.65;
 /// Interval between two changes of the endpoint list.
 const LIST_CHANGE_INTERVAL: Duration = Duration::from_secs(2);
-/// Interval between two checks for due actions.
+/// Interval between two checks whether a list change, the fault or the end of a measurement is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The randomly chosen target of a run's fault.
@@ -57,7 +59,8 @@
     }
 }
 
-/// The published changes, and the spans of the partition and of the recovery.
+/// The published configuration changes of a run, the span of its partition, and the resource totals at the start and
+/// the end of its recovery window.
 pub(super) struct RunRecord {
     pub(super) changes: Vec<Change>,
     pub(super) partition: Option<Partition>,
@@ -65,16 +68,16 @@
     pub(super) recovery_end: Totals,
 }
 
-/// State of the publication of a run's changes and of its fault.
+/// State of the publication of a run's configuration changes, and of the fault that is injected among them.
 pub(super) struct ChangesAndFault<'p, 'a> {
     scenario_run: &'p mut ScenarioRun<'a>,
     target: &'p FaultTarget,
     published: Receiver<Result<Change, CapacityError>>,
-    /// Number of changes that are published in total.
+    /// Number of configuration changes that the run publishes in total.
     change_count: usize,
     changes: Vec<Change>,
     start: Instant,
-    /// Time of the next change of the endpoint list, from the start.
+    /// Time of the next change of the endpoint list, from the start of the publications.
     next_list_change: Duration,
     /// Time at which the fault began, in nanoseconds on the clock of [`machine::now_ns`]; `None` before the fault.
     fault_begin_ns: Option<u64>,
@@ -84,7 +87,7 @@
 }
 
 impl<'p, 'a> ChangesAndFault<'p, 'a> {
-    /// Starts publishing the changes.
+    /// Starts publishing the configuration changes of the run.
     pub(super) fn start(scenario_run: &'p mut ScenarioRun<'a>, target: &'p FaultTarget) -> Self {
         let planned = schedule(
             scenario_run.plan,
@@ -109,7 +112,7 @@
         }
     }
 
-    /// Runs until all changes are published and the recovery window is over.
+    /// Runs until all configuration changes are published and the recovery window is over.
     pub(super) fn run(mut self) -> Result<RunRecord, CapacityError> {
         while self.changes.len() < self.change_count || self.recovery_end.is_none() {
             self.receive_published()?;
@@ -165,7 +168,8 @@
         Ok(())
     }
 
-    /// Returns the time from the start to this fraction of the time over which the changes are published.
+    /// Returns the time from the start of the publications to this fraction of the time over which the configuration
+    /// changes are published.
     fn time_at(&self, fraction: f64) -> Duration {
         Duration::from_secs_f64(self.scenario_run.size.seconds * fraction)
     }
@@ -174,7 +178,8 @@
         self.scenario_run.scenario == Scenario::Partition
     }
 
-    /// Returns the time from the start to the start of the recovery: the fault, or the end of a partition.
+    /// Returns the time from the start of the publications to the start of the recovery: the fault, or the end of a
+    /// partition.
     fn recovery_begin(&self) -> Duration {
         self.time_at(if self.is_partition() { PARTITION_END_FRACTION } else { FAULT_TIME_FRACTION })
     }
