--- a/crates/capacity/src/control/configuration.rs
+++ b/crates/capacity/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! Slopes of the cost of watches of the configuration.
+//! Slopes of the cost of balancers that watch the configuration.
 
 use super::rig::{Rig, Samples, SlopeInfo};
 use crate::CapacityError;
@@ -12,11 +12,11 @@
 
 /// Unit of the sizes of the slopes by watchers.
 const BALANCERS: &str = "balancers at the relay";
-/// Note of the slopes that are measured while nothing changes.
+/// Note of the slopes that are measured while the configuration does not change.
 const AT_REST_NOTE: &str = "One relay below an origin, balancers a hundred to a process, all on one machine. At rest: a sign of life every 2 s \
      and a report of what is in force every 5 s, on a connection of its own; payload both ways with the heads \
      of HTTP, without those of TCP/IP.";
-/// Note of the slopes that are measured over changes.
+/// Note of the slopes that are measured over changes of the configuration.
 const CHANGE_NOTE: &str = "Changes of the fleet's document, told to every balancer, one after another; a play is a change. From the \
      acknowledgement where nothing else is said. One relay below an origin, all on one machine: a fleet's \
      zone relays share this work.";
@@ -126,7 +126,7 @@
         self.write(PART, &all.catch_up, CATCH_UP_BYTES)
     }
 
-    /// Writes the slopes that were measured while nothing changed.
+    /// Writes the slopes that were measured while the configuration did not change.
     fn write_rest(&self, all: &Measured) -> Result<(), CapacityError> {
         self.write(PART, &all.rest_bytes, REST_BYTES)?;
         self.write(PART, &all.server_core, SERVER_CORE)?;
@@ -135,7 +135,7 @@
         self.write(PART, &all.client_kb, CLIENT_MEMORY)
     }
 
-    /// Writes the slopes that were measured over changes.
+    /// Writes the slopes that were measured over changes of the configuration.
     fn write_changes(&self, all: &Measured) -> Result<(), CapacityError> {
         self.write(PART, &all.p50, CHANGE_MEDIAN)?;
         self.write(PART, &all.p99, CHANGE_P99)?;
@@ -147,7 +147,7 @@
     }
 }
 
-/// Samples of all figures of watches of the configuration, by size.
+/// Samples of all figures of balancers that watch the configuration, by the number of balancers or of missed changes.
 #[derive(Default)]
 struct Measured {
     rest_bytes: Samples,
--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -22,22 +22,22 @@
 const RELAY: usize = 1;
 /// Number of hollow balancers in one process, in a small run.
 const PER_PROCESS_SMALL: usize = 20;
-/// Number of services that have a document, in a small run.
+/// Number of services that have a configuration document, in a small run.
 const SERVICES_SMALL: usize = 30;
-/// Number of changes over which the cost of a change is averaged.
+/// Number of configuration changes over which the cost of one change is averaged.
 const CHANGES: u64 = 12;
 /// Like [`CHANGES`], in a small run.
 const CHANGES_SMALL: u64 = 3;
-/// Numbers of changes that a relay has missed when it reconnects, each measured once.
+/// Numbers of configuration changes that a relay has missed when it reconnects to the origin, each measured once.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
 /// A running origin and relay, for the measurement of one number of watching balancers.
 pub(super) struct RelayMeasurement<'a> {
     rig: &'a Rig<'a>,
-    /// Number of balancers that watch the relay.
+    /// Number of balancers that watch the configuration at the relay.
     watchers: usize,
     control_plane: ControlPlane,
-    /// Newest published version of each scope.
+    /// Newest published version of the configuration document of each scope.
     newest: HashMap<Scope, u64>,
 }
 
@@ -49,7 +49,8 @@
         Ok(Self { rig, watchers, control_plane: ControlPlane::start(machines)?, newest: HashMap::new() })
     }
 
-    /// Publishes all documents, then measures balancers at rest and through changes.
+    /// Publishes all configuration documents, then measures the balancers while the configuration does not change and
+    /// through changes of it.
     pub(super) fn run(mut self, all: &mut Measured) -> Result<(), CapacityError> {
         self.publish_first()?;
         if self.watchers == self.rig.sizes[self.rig.sizes.len() - 1] {
@@ -66,12 +67,12 @@
         self.measure_changes(&mut hollow_processes, &at_rest, all)
     }
 
-    /// Whether this is a small run.
+    /// Whether this is a small run of the `control` command.
     fn is_small(&self) -> bool {
         self.rig.per_process <= PER_PROCESS_SMALL
     }
 
-    /// Publishes a document of this size at the origin; `turn` makes its content and request id unique.
+    /// Publishes a configuration document of this size at the origin; `turn` makes its content and request id unique.
     fn publish(&mut self, scope: Scope, bytes: usize, turn: u64) -> Result<Change, CapacityError> {
         let id = format!("{scope}-{turn}");
         let change = control_plane::publish(
@@ -84,7 +85,7 @@
         Ok(change)
     }
 
-    /// Publishes the first document of each scope.
+    /// Publishes the first configuration document of each scope.
     fn publish_first(&mut self) -> Result<(), CapacityError> {
         let plan = self.rig.plan;
         let configuration = &plan.configuration;
@@ -101,7 +102,8 @@
         Ok(())
     }
 
-    /// Measures the bytes of catch-ups. Each change so far has published another document, so that no changes merge.
+    /// Measures the bytes of catch-ups of a relay that has missed configuration changes. Each change so far has
+    /// published another document, so that no changes merge.
     fn measure_catch_up(&self, all: &mut Measured) -> Result<(), CapacityError> {
         let index = self.newest.values().copied().max().unwrap_or(0);
         for missed in MISSED_CHANGES.map(|missed| missed.min(self.newest.len())) {
@@ -111,8 +113,8 @@
         Ok(())
     }
 
-    /// Waits until all balancers have the newest version of each scope; `timeout_message` is the error if they do not
-    /// within [`TIMEOUT`].
+    /// Waits until all balancers have the newest configuration version of each scope; `timeout_message` is the error if
+    /// they do not within [`TIMEOUT`].
     fn wait_for_newest(
         &self,
         hollow_processes: &mut HollowProcesses,
@@ -126,12 +128,13 @@
         Err(CapacityError::run(format!("configuration to {} balancers", self.watchers), timeout_message))
     }
 
-    /// Waits for the balancers' reports of a change, which follow within half a second.
+    /// Waits for the balancers' reports of a configuration change, which follow within half a second.
     fn wait_for_reports(&self, hollow_processes: &mut HollowProcesses) -> Result<(), CapacityError> {
         hollow_processes.receive_for(self.rig.window / 6)
     }
 
-    /// Measures what the processes use while nothing changes, and returns the rates of each run.
+    /// Measures what the relay and the balancers use while the configuration does not change, and returns the rates of
+    /// each run.
     fn measure_rest(
         &mut self,
         hollow_processes: &mut HollowProcesses,
@@ -153,7 +156,8 @@
         Ok(at_rest)
     }
 
-    /// Measures the cost of changes of the fleet's document beyond the cost `at_rest`.
+    /// Measures the cost of changes of the fleet's configuration document beyond the cost `at_rest`, which is that
+    /// without changes.
     fn measure_changes(
         &mut self,
         hollow_processes: &mut HollowProcesses,
@@ -177,7 +181,8 @@
         Ok(())
     }
 
-    /// Publishes one change of the fleet's document, and measures the times until it is in force at the balancers.
+    /// Publishes one change of the fleet's configuration document, and measures the times until it is in force at the
+    /// balancers.
     fn measure_change(
         &mut self,
         hollow_processes: &mut HollowProcesses,
@@ -201,20 +206,20 @@
     }
 }
 
-/// Total usage of the relay and of the balancers until one time.
+/// Resources that the relay and the balancers have used from their start until one moment.
 struct UsageTotals {
     at: Instant,
-    /// Bytes that the balancers sent and received.
+    /// Bytes that the balancers have sent and received on their configuration connections.
     bytes: u64,
-    /// Usage of the relay.
+    /// Processor time and memory that the relay has used.
     server: Usage,
-    /// Usage of all processes of balancers.
+    /// Processor time and memory that all processes of hollow balancers have used.
     clients: Usage,
 }
 
-/// Rates of usage per second.
+/// Resources that the relay and the balancers use per second.
 struct Rates {
-    /// Bytes per second that the balancers sent and received.
+    /// Bytes per second that all balancers together sent and received on their configuration connections.
     bytes: f64,
     /// CPU time of the relay, in nanoseconds per second.
     server: f64,
@@ -223,7 +228,7 @@
 }
 
 impl UsageTotals {
-    /// Reads the totals until now.
+    /// Reads what the relay and the balancers have used until now.
     fn of(
         hollow_processes: &mut HollowProcesses,
         control_plane: &mut ControlPlane,
@@ -249,8 +254,8 @@
     }
 }
 
-/// Bytes of a relay's request for the changes after the index `since`, and of the response of an origin whose index is
-/// `index`. Retries until the origin responds with that index.
+/// Bytes of a relay's request for the configuration changes after the index `since`, and of the response of an origin
+/// whose index is `index`. Retries until the origin responds with that index.
 fn catch_up(origin: SocketAddr, index: u64, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the configuration from {since}");
     let head = format!("GET /configuration?since={since}&scopes=* HTTP/1.1\r\n");
--- a/crates/capacity/src/control/list.rs
+++ b/crates/capacity/src/control/list.rs
@@ -12,23 +12,24 @@
 
 /// Value of `--part` that measures watches of the endpoint list.
 const PART: &str = "list";
-/// Number of snapshots, and of changes, that one client receives, over which its CPU time is averaged.
+/// Number of snapshots, and of changes of the endpoint list, that one client receives, over which its CPU time is
+/// averaged.
 const TURNS: u32 = 20;
 /// Like [`TURNS`], in a small run.
 const TURNS_SMALL: u32 = 2;
-/// Numbers of changes that a watch has missed when it reconnects, each measured once.
+/// Numbers of endpoint list changes that a watch has missed when it reconnects, each measured once.
 const MISSED_CHANGES: [usize; 6] = [1, 3, 10, 30, 100, 300];
 
-/// Note of the slopes of the bytes of one watch.
+/// Note of the slopes of the bytes of one watch of the endpoint list.
 const BYTES_NOTE: &str = "Payload of the connection both ways, heads of HTTP included, those of TCP/IP not. The server is a \
      stand-in in the platform's form: the platform's own may write other heads, chunks and entries.";
-/// Note of the slopes of the CPU time of one client.
+/// Note of the slopes of the CPU time of one endpoint list client.
 const CLIENT_TIME_NOTE: &str = "Processor time of the client's thread with the decisions, from the socket on, less that of the same \
      time at rest; one list or change every 30 ms.";
-/// Note of the slopes of the connections and of the server while nothing changes.
+/// Note of the slopes of the connections and of the list server while the endpoint list does not change.
 const AT_REST_NOTE: &str = "An empty line every 2 s to each watch, 6 bytes as a chunk; heads of TCP/IP (some 100 bytes a beat with the \
      acknowledgement) are not counted. The server is a stand-in: the platform's own is not told by it.";
-/// Note of the slopes of many clients while nothing changes.
+/// Note of the slopes of many endpoint list clients while the list does not change.
 const CLIENTS_NOTE: &str = "Each client is the balancer's own with its decisions, a hundred to a process, and a list of a \
      nineteenth of the fleet; with the sweeps of the decisions, the line of the log, and the part of the process.";
 
@@ -104,7 +105,7 @@
     change_us: Samples,
 }
 
-/// Samples of the cost of many clients of the endpoint list while nothing changes, by number of watches.
+/// Samples of the cost of many clients of the endpoint list while the list does not change, by number of watches.
 #[derive(Default)]
 struct IdleSamples {
     bytes: Samples,
@@ -126,7 +127,7 @@
         self.write(PART, &one.change_us, CHANGE_TIME)
     }
 
-    /// Measures one client with lists of all sizes.
+    /// Measures one endpoint list client with lists of all sizes.
     fn measure_list_clients(&self) -> Result<ClientSamples, CapacityError> {
         let mut all = ClientSamples::default();
         let turns = if self.window < Duration::from_secs(1) { TURNS_SMALL } else { TURNS };
@@ -143,7 +144,7 @@
         Ok(all)
     }
 
-    /// Measures the bytes of a watch that reconnects after it has missed changes.
+    /// Measures the bytes of an endpoint list watch that reconnects after it has missed changes.
     fn measure_list_catch_up(&self) -> Result<Samples, CapacityError> {
         let mut catch_up = Samples::default();
         let largest = self.sizes[self.sizes.len() - 1];
@@ -156,7 +157,7 @@
         Ok(catch_up)
     }
 
-    /// Measures many clients of the list while nothing changes.
+    /// Measures many clients of the endpoint list while the list does not change.
     pub(super) fn list_watchers(&self) -> Result<(), CapacityError> {
         let mut all = IdleSamples::default();
         for &watchers in &self.sizes {
@@ -169,7 +170,7 @@
         self.write(PART, &all.client_kb, CLIENT_MEMORY)
     }
 
-    /// Measures this number of clients while nothing changes, in all runs.
+    /// Measures `watchers` clients of the endpoint list while the list does not change, in all runs.
     fn measure_list_watchers(&self, watchers: usize, all: &mut IdleSamples) -> Result<(), CapacityError> {
         let own_memory_kb_before = own_memory_kb();
         let server = self.server(self.sizes[0])?;
@@ -186,7 +187,7 @@
         Ok(())
     }
 
-    /// Measures bytes, CPU time and memory of the server and its clients over one window without changes.
+    /// Measures bytes, CPU time and memory of the list server and its clients over one window without list changes.
     fn measure_list_rest(
         &self,
         watchers: usize,
--- a/crates/capacity/src/control/list_client.rs
+++ b/crates/capacity/src/control/list_client.rs
@@ -20,7 +20,7 @@
     pub(super) seed: u64,
 }
 
-/// Cost of one client: bytes of its first snapshot, and mean CPU time to apply a snapshot and a change.
+/// Cost of one endpoint list client: bytes of its first snapshot, and mean CPU time to apply a snapshot and a change.
 pub(super) struct Costs {
     pub(super) whole_bytes: f64,
     pub(super) whole_us: f64,
@@ -28,7 +28,8 @@
 }
 
 impl Client<'_> {
-    /// Lets the client receive its first list, then `count` snapshots and `count` changes, and measures their cost.
+    /// Lets the client receive its first endpoint list, then `count` snapshots and `count` changes of it, and measures
+    /// their cost.
     pub(super) fn run(&self, count: u32) -> Result<Costs, CapacityError> {
         let place = "a client of the list";
         let zones = zone_names(self.plan);
@@ -82,8 +83,8 @@
     (machine::thread_ns() - before) as f64 / 1e3 / f64::from(count)
 }
 
-/// Bytes of a watch of the list from the index `since` until the end of its first line, in both directions. Client
-/// and server must count the same.
+/// Bytes of a watch of the endpoint list from the index `since` until the end of its first line, in both directions.
+/// Client and server must count the same.
 pub(super) fn catch_up_bytes(server: &ListServer, since: u64) -> Result<u64, CapacityError> {
     let place = format!("a catch-up of the list from {since}");
     let failed = |cause| CapacityError::run(&place, cause);
--- a/crates/capacity/src/control/rig.rs
+++ b/crates/capacity/src/control/rig.rs
@@ -13,17 +13,17 @@
 use crate::sockets::list::ListServer;
 use crate::sockets::{fleet, hollow_balancers, zone_names};
 
-/// Parameters of all measurements of one run of the command.
+/// Parameters that all measurements of one run of the `control` command share.
 pub(super) struct Rig<'a> {
     pub(super) plan: &'a Plan,
     /// Folder in which the slopes are written.
     pub(super) folder: PathBuf,
-    /// Number of runs of each size.
+    /// Number of runs for each size.
     pub(super) runs: usize,
     pub(super) seed: u64,
-    /// Sizes to measure: numbers of upstreams in the list, or of watches.
+    /// Sizes to measure: numbers of upstreams in the endpoint list, or numbers of watches.
     pub(super) sizes: [usize; 4],
-    /// Duration of one measurement of a rate.
+    /// Duration of one measurement of bytes or CPU time per second.
     pub(super) window: Duration,
     /// Number of hollow balancers in one process.
     pub(super) per_process: usize,
@@ -48,13 +48,13 @@
 pub(super) struct SlopeInfo {
     /// Name of the slope, and of its file.
     pub(super) name: &'static str,
-    /// Description of the measured figure.
+    /// Description of the figure that the slope shows.
     pub(super) what: &'static str,
-    /// Unit of the sizes.
+    /// Unit of the sizes, on the x axis of the slope.
     pub(super) x: &'static str,
-    /// Unit of the measured values.
+    /// Unit of the measured values, on the y axis of the slope.
     pub(super) y: &'static str,
-    /// Conditions of the measurement.
+    /// Conditions of the measurement that gave the slope.
     pub(super) note: &'static str,
 }
 
