--- a/crates/capacity/src/latency/breakdown.rs
+++ b/crates/capacity/src/latency/breakdown.rs
@@ -1,4 +1,4 @@
-//! Breakdown of the added latency: a table of runs, each of which leaves out or changes one thing.
+//! Breakdown of the latency that the balancer adds: a table of runs, each of which leaves out or changes one condition.
 
 use std::thread;
 use std::time::Duration;
@@ -34,7 +34,7 @@
         Ok(["0", "timers at rest", "-", "-", "-", "0", &last_column].map(str::to_owned).to_vec())
     }
 
-    /// Measures the breakdown of the added latency at each rate.
+    /// Measures the breakdown of the added latency at each rate of calls.
     pub(super) fn breakdown(&mut self, rates: &[f64]) -> Result<Results, CapacityError> {
         let mut rows = vec![self.timers()?];
         for &rate in rates {
@@ -55,7 +55,7 @@
         })
     }
 
-    /// The rows of runs without the byte relay, each of which changes one thing in `unchanged`.
+    /// The rows of runs without the byte relay, each of which changes one parameter of `unchanged`.
     fn variations(&mut self, unchanged: &Setup) -> Result<Vec<Vec<String>>, CapacityError> {
         let small = self.arguments.common.small;
         let mut rows = Vec::new();
@@ -76,11 +76,11 @@
     }
 }
 
-/// Headings of the table.
+/// Column headings of the breakdown table.
 const COLUMNS: [&str; 7] =
     ["calls a second", "part", "50 in 100, us", "99 in 100, us", "99.9 in 100, us", "calls", "beside it"];
 
-/// Note below the table.
+/// Note below the breakdown table.
 const NOTE: &str = "One play each. Times count from when a call was to be sent. `added` is the quantile through the balancer \
     less that of direct calls in the same play. A relay of bytes is a thread of the rig that copies between \
     two sockets on the balancer's kind of runtime.";
@@ -133,7 +133,8 @@
     QUANTILES.map(|q| run.through.us(q) - run.direct.us(q))
 }
 
-/// A row of the table; `us` has the latencies at [`QUANTILES`], and `last_column` is the text of the last column.
+/// A row of the breakdown table; `us` has the latencies at [`QUANTILES`], and `last_column` is the text of the last
+/// column.
 fn row_of(rate: f64, part: &str, us: [f64; 3], calls: u64, last_column: &str) -> Vec<String> {
     let [p50, p99, p999] = us.map(|us| format!("{us:.0}"));
     vec![format!("{rate:.0}"), part.to_owned(), p50, p99, p999, calls.to_string(), last_column.to_owned()]
--- a/crates/capacity/src/latency/single_run.rs
+++ b/crates/capacity/src/latency/single_run.rs
@@ -12,11 +12,11 @@
     DurationHistogram, Route, Upstreams, Usage,
 };
 
-/// Time between two changes in the background.
+/// Time between two successive changes of the endpoint list or the configuration in the background.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(100);
 /// Warm-up at the start of each run, whose calls are not counted.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// Connections of the client on each route that are opened before the first call.
+/// Number of client connections on each route that are opened before the first call.
 const CLIENT_CONNECTIONS: usize = 256;
 
 /// Duration of a run after its warm-up, which is longer at low rates, where there are fewer calls.
@@ -25,10 +25,10 @@
     Duration::from_secs_f64((calls / rate).clamp(if small { 0.2 } else { 3.0 }, 7.0))
 }
 
-/// Quantiles for which the slopes and the breakdown have figures.
+/// Quantiles of the latency for which the slopes and the breakdown have figures.
 pub(super) const QUANTILES: [f64; 3] = [0.5, 0.99, 0.999];
 
-/// Parameters of one run.
+/// Parameters of one run of the latency measurement.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Setup {
     /// Calls a second on each route.
@@ -40,11 +40,11 @@
     pub(super) even: bool,
     /// Whether calls are also sent through a byte relay.
     pub(super) relay: bool,
-    /// Changes that are made in the background.
+    /// Whether the endpoint list or the configuration changes in the background; `None` if neither does.
     pub(super) changes: Option<Changes>,
 }
 
-/// Kind of the changes that are made in the background.
+/// What changes in the background of a run: the endpoint list or the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Changes {
     /// An upstream of the endpoint list begins to drain, or returns.
@@ -53,7 +53,7 @@
     Configuration,
 }
 
-/// Results of one run.
+/// Results of one run of the latency measurement.
 pub(super) struct Run {
     /// Latencies of direct calls.
     pub(super) direct: DurationHistogram,
@@ -61,10 +61,10 @@
     pub(super) through: DurationHistogram,
     /// Latencies of calls through the byte relay; empty in a run without one.
     pub(super) relay: DurationHistogram,
-    /// By pair of calls: latency through the balancer less that of the direct call, or 0 if the direct call took
+    /// For each pair of calls: latency through the balancer less that of the direct call, or 0 if the direct call took
     /// longer.
     pub(super) difference: DurationHistogram,
-    /// Number of pairs whose direct call took longer.
+    /// Number of pairs of calls whose direct call took longer than the call through the balancer.
     pub(super) inverted: usize,
     /// Delays of all calls from their scheduled time until they were sent.
     pub(super) late: DurationHistogram,
@@ -72,22 +72,22 @@
     pub(super) reused: DurationHistogram,
     /// Latencies of calls through the balancer that it sent on a new upstream connection.
     pub(super) new: DurationHistogram,
-    /// Outcomes of the calls and resource usage of the run.
+    /// Outcomes of the calls, and resources that the balancer used in the run.
     pub(super) stats: RunStats,
 }
 
-/// Counts and resource usage of a run.
+/// Counts of calls and changes, and resource usage, of a run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RunStats {
     /// Outcomes of all calls, including those of the warm-up.
     pub(super) counts: Counts,
     /// Resources that the balancer used after the warm-up.
     pub(super) used: Usage,
-    /// Duration of the run after the warm-up.
+    /// Duration of the run without its warm-up.
     pub(super) span: Duration,
-    /// Connections to upstreams that were opened after the warm-up.
+    /// Number of connections that the stand-in upstreams accepted after the warm-up.
     pub(super) opened: u64,
-    /// Number of changes made in the background.
+    /// Number of changes of the endpoint list or the configuration that were made in the background.
     pub(super) changes: usize,
     /// Steal time after the warm-up, in ms, summed over all cores.
     pub(super) steal_time_ms: u64,
@@ -98,14 +98,14 @@
 struct Servers {
     relay: Option<ByteRelay>,
     balancer: Balancer,
-    /// Present only in runs with changes of the configuration.
+    /// Origin and relay of the configuration distribution; present only in runs with changes of the configuration.
     distribution: Option<Distribution>,
     discovery: Discovery,
     upstreams: Upstreams,
 }
 
 impl Servers {
-    /// Reads the usage so far.
+    /// Reads the steal time, the balancer's usage and the number of upstream connections so far.
     fn baseline(&self) -> UsageBaseline {
         UsageBaseline {
             steal_time_ms: testbed::steal_time_ms(),
@@ -115,23 +115,23 @@
     }
 }
 
-/// Usage at the end of the warm-up, from which the usage of the run is counted.
+/// Totals at the end of the warm-up, which are subtracted from those at the end of the run.
 struct UsageBaseline {
     /// Steal time since boot, in ms, summed over all cores.
     steal_time_ms: u64,
-    /// Resources that the balancer had used.
+    /// Resources that the balancer had used by the end of the warm-up.
     used: Result<Usage, CapacityError>,
-    /// Connections to upstreams that had been opened.
+    /// Number of connections that the stand-in upstreams had accepted by the end of the warm-up.
     opened: u64,
 }
 
-/// State of the background activity while the client sends calls.
+/// State of the background changes and measurements while the client sends calls.
 struct BackgroundState {
-    /// Usage at the end of the warm-up, once that has been reached.
+    /// Totals at the end of the warm-up; `None` before that.
     baseline: Option<UsageBaseline>,
-    /// Number of changes made so far.
+    /// Number of changes of the endpoint list or the configuration made so far.
     changes: usize,
-    /// Error of the first configuration change that failed.
+    /// `Ok`, or the error of the first configuration change whose publication failed.
     published: Result<(), CapacityError>,
 }
 
@@ -224,8 +224,8 @@
         routes
     }
 
-    /// Sends the calls from a thread of their own. Meanwhile makes the changes, and records the usage at the end of the
-    /// warm-up.
+    /// Sends the calls from a thread of their own. Meanwhile makes the background changes of `setup`, if it has any,
+    /// and records the usage at the end of the warm-up.
     fn run(
         &self,
         setup: &Setup,
@@ -271,7 +271,8 @@
         Ok(SentCalls { call_results, baseline, changes: background.changes })
     }
 
-    /// Makes the next change in the background. Once a configuration change has failed, no more are published.
+    /// Makes the next change of the endpoint list or the configuration in the background. Once a configuration change
+    /// has failed, no more are published.
     fn make_change(&self, kind: Changes, servers: &Servers, background: &mut BackgroundState) {
         let number = background.changes;
         match (kind, &servers.distribution) {
--- a/crates/capacity/src/latency/slopes.rs
+++ b/crates/capacity/src/latency/slopes.rs
@@ -8,7 +8,7 @@
 use crate::testbed::Counts;
 
 impl Bench<'_> {
-    /// Measures the added latency at each rate.
+    /// Measures the latency that the balancer adds at each rate of calls.
     pub(super) fn slopes(&mut self, rates: &[f64]) -> Result<Vec<Slope>, CapacityError> {
         let runs = if self.arguments.common.small { 1 } else { self.arguments.plays };
         let mut points = Points::default();
@@ -21,7 +21,7 @@
         Ok(self.to_slopes(points, runs, &self.note(&rate_notes)))
     }
 
-    /// Measures one rate in `runs` runs.
+    /// Measures the added latency at one rate of calls in `runs` runs.
     fn measure_rate(&mut self, rate: f64, runs: usize) -> Result<RateRuns, CapacityError> {
         let mut rate_runs = RateRuns::default();
         for _ in 0..runs {
@@ -78,17 +78,17 @@
     }
 }
 
-/// Points of the slopes: latencies in microseconds, by calls a second.
+/// Points of the slopes: latencies in microseconds, by the number of calls a second on each route.
 #[derive(Default)]
 struct Points {
-    /// Added latency at each of [`QUANTILES`].
+    /// Latency that the balancer added at each of [`QUANTILES`], in microseconds.
     added: [Vec<Point>; 3],
-    /// Latency of direct calls at the 99th percentile.
+    /// Latency of direct calls at the 99th percentile, in microseconds.
     direct_p99: Vec<Point>,
 }
 
 impl Points {
-    /// Adds the points of one rate.
+    /// Adds the points of the runs at one rate of calls.
     fn add(&mut self, rate: f64, runs: RateRuns) {
         for (points, runs) in self.added.iter_mut().zip(runs.added) {
             points.extend(Point::of(rate, runs));
@@ -97,20 +97,20 @@
     }
 }
 
-/// Results of all runs of one rate.
+/// Results of all runs at one rate of calls.
 #[derive(Default)]
 struct RateRuns {
-    /// By quantile of [`QUANTILES`] and run: latency that the balancer added, in microseconds.
+    /// Latency that the balancer added, in microseconds: for each of [`QUANTILES`], one value per run.
     added: [Vec<f64>; 3],
-    /// By run: latency of direct calls at the 99th percentile, in microseconds.
+    /// Latency of direct calls at the 99th percentile, in microseconds: one value per run.
     direct_p99: Vec<f64>,
-    /// Outcomes of the calls of all runs.
+    /// Numbers of the calls of all runs, by outcome.
     counts: Counts,
-    /// Number of background changes in all runs.
+    /// Number of changes of the endpoint list or the configuration in the background of all runs.
     changes: usize,
     /// Number of cores that the balancer used, averaged over the runs.
     busy_cores: f64,
-    /// Steal time as a number of cores, averaged over the runs.
+    /// Steal time (time that the hypervisor gave to others) as a number of cores, averaged over the runs.
     stolen_cores: f64,
     /// Delay from the scheduled time until a call was sent, at the 99th percentile of the worst run, in microseconds.
     sent_late_us: f64,
@@ -131,7 +131,7 @@
         self.sent_late_us = self.sent_late_us.max(run.late.us(0.99));
     }
 
-    /// The sentence of the slopes' note on this rate.
+    /// The sentence of the slopes' note on the runs at this rate of calls.
     fn note(&self, rate: f64) -> String {
         let Self { counts, changes, busy_cores, stolen_cores, sent_late_us, .. } = self;
         format!(
