--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -20,7 +20,7 @@
 /// Simulates chains of services and measures attempts, refusals and remaining deadline by the depth of the chain.
 #[derive(Debug, Clone, Args)]
 pub struct Arguments {
-    /// Simulate fewer depths, for a shorter time and with one seed.
+    /// Simulate chains of fewer depths, for a shorter time and with one seed.
     #[arg(long)]
     pub small: bool,
     /// Seed of the random draws of the first run; each further run uses the next seed.
@@ -31,21 +31,21 @@
     pub out: PathBuf,
 }
 
-/// Number of upstreams of each service.
+/// Number of upstreams of each service in a simulated chain.
 const UPSTREAMS_PER_SERVICE: usize = 8;
-/// Requests per second at the front.
+/// Requests per second that clients send to the front of a simulated chain.
 const REQUESTS_PER_S: f64 = 400.0;
 /// Simulated duration of a run, in seconds.
 const RUN_S: f64 = 20.0;
 /// Simulated duration of a quick (`--small`) run, in seconds.
 const SMALL_RUN_S: f64 = 6.0;
-/// Memory limit of a run, in MB.
+/// Memory limit of the process during a simulated run, in MB.
 const MEMORY_MB: u64 = 4096;
 
-/// Faults that the table has rows for.
+/// Faults of a service that the results table has rows for.
 const FAULTS: [ServiceFault; 3] = [ServiceFault::Failing, ServiceFault::Silent, ServiceFault::Halved];
 
-/// Column headings of the results table.
+/// Column headings of the results table of the `depth` command.
 const COLUMNS: [&str; 10] = [
     "trouble",
     "of the service at depth",
@@ -76,7 +76,7 @@
     pub seconds: f64,
 }
 
-/// Figures of one run of a chain.
+/// Figures of one simulated run of a chain of services.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Figures {
     /// Attempts sent to the service at the examined depth, per request at the front.
@@ -85,8 +85,8 @@
     pub refusals: f64,
     /// Requests that the balancers before the first service ended as refused or failed, per request at the front.
     pub refusals_at_front: f64,
-    /// Mean time left of the deadline when a request arrives at the balancers before the deepest service that requests
-    /// reach, in ms.
+    /// Mean time until the request's deadline when a request arrives at the balancers before the deepest service that
+    /// requests reach, in ms.
     pub deadline_left_ms: f64,
     /// Fraction of the requests at the front that succeeded within the latency objective, 0 to 1.
     pub served: f64,
@@ -170,7 +170,7 @@
     command: String,
 }
 
-/// Points of all slopes, with the attempts without client retries for a note.
+/// Points of all slopes of the `depth` command, with the attempts without client retries for a note.
 #[derive(Default)]
 struct Points {
     attempts: Vec<Point>,
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -14,7 +14,7 @@
 use crate::slope::{Fit, Point, Slope, commit};
 use crate::testbed::{self, Balancer, CommonArguments, Counts, Discovery, Route, Upstreams, Usage};
 
-/// Part of the measurements of the `process` command.
+/// Selection of the measurements of the `process` command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Part {
     /// Start time and memory of processes that have not served a request.
@@ -23,11 +23,11 @@
     Request,
     /// Processor time of idle processes, as a fraction of a core.
     Idle,
-    /// All measurements.
+    /// All measurements of the `process` command.
     All,
 }
 
-/// Measures memory, start time and processor time of a real balancer process by the length of its list.
+/// Measures memory, start time and processor time of a real balancer process by the length of its endpoint list.
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
@@ -38,7 +38,7 @@
     /// Lengths of the endpoint list to measure, at least two.
     #[arg(long, value_delimiter = ',', default_values_t = [6, 60, 190, 600, 1900])]
     sizes: Vec<usize>,
-    /// Number of runs for each length.
+    /// Number of runs for each length of the endpoint list.
     #[arg(long, default_value_t = 5)]
     plays: usize,
     /// Requests per second; by default the mean rate of a balancer, with the plan's requests taken as those at the
@@ -47,14 +47,14 @@
     rate: Option<f64>,
 }
 
-/// Interval between heartbeats of an idle watch, from the plan.
+/// Interval between heartbeats of an idle watch of the endpoint list, from the plan.
 fn heartbeat_interval(plan: &Plan) -> Duration {
     Duration::from_secs_f64(plan.list.beat_s.value)
 }
 
-/// Largest length of the list: with more upstreams, ports and file descriptors could run out.
+/// Largest length of the endpoint list: with more upstreams, ports and file descriptors could run out.
 const MAX_LIST_LENGTH: usize = 4000;
-/// Largest request rate, in requests per second.
+/// Largest rate of requests to a balancer, in requests per second.
 const MAX_REQUESTS_PER_S: f64 = 10_000.0;
 
 /// Runs the `process` command: takes the selected measurements, prints their slopes and writes them to files.
@@ -111,21 +111,22 @@
 struct Bench<'a> {
     arguments: &'a Arguments,
     plan: &'a Plan,
-    /// Program of the balancer.
+    /// Path of the balancer's program.
     program: &'a Path,
-    /// Lengths of the list to measure, in ascending order.
+    /// Lengths of the endpoint list to measure, in ascending order.
     sizes: Vec<usize>,
-    /// Number of runs for each length.
+    /// Number of runs for each length of the endpoint list.
     runs: usize,
-    /// Request rate under load, in requests per second.
+    /// Rate of requests to the balancer in the measurements under load, in requests per second.
     rate: f64,
 }
 
-/// Values measured for each length of the list, one value per run.
+/// Values of one figure measured for each length of the endpoint list, one value per run.
 type ValuesBySize = Vec<(usize, Vec<f64>)>;
 
 impl Bench<'_> {
-    /// Makes the slope `name` of the measured values of each length, with the command that repeats the measurement.
+    /// Makes the slope `name` of the values measured for each length of the endpoint list, with the command that
+    /// repeats the measurement.
     fn slope(
         &self,
         part: &str,
@@ -359,12 +360,12 @@
     }
 }
 
-/// Resources that a balancer used in one run under load.
+/// Resources that a balancer used after the warm-up in one run under load.
 struct RequestCost {
-    /// Processor time per request, in microseconds.
+    /// Processor time of the balancer per request, in microseconds.
     request_us: f64,
-    /// Resident memory of the process at the end of the run, in KiB.
+    /// Resident memory of the balancer process at the end of the run, in KiB.
     memory_kb: f64,
-    /// Connections to upstreams that the balancer opened after the warm-up.
+    /// Number of connections to upstreams that the balancer opened after the warm-up.
     new_connections: u64,
 }
