--- a/crates/capacity/src/testbed/balancer.rs
+++ b/crates/capacity/src/testbed/balancer.rs
@@ -19,7 +19,7 @@
 /// A running balancer process that has passed its health check.
 #[derive(Debug)]
 pub struct Balancer {
-    /// The child process of the balancer.
+    /// Child process that runs the balancer.
     pub process: Process,
     /// Address on which the balancer accepts client connections.
     pub address: SocketAddr,
--- a/crates/capacity/src/testbed/call.rs
+++ b/crates/capacity/src/testbed/call.rs
@@ -37,7 +37,7 @@
 /// A scheduled call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
-    /// Time at which the call is to be sent, since the start of the run.
+    /// Time from the start of the run until the call is due to be sent.
     pub at: Duration,
     /// Index of the route on which the call is sent.
     pub route: usize,
@@ -66,9 +66,9 @@
 /// Times and outcome of a call that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallResult {
-    /// Time at which sending the call began, since the start of the run.
+    /// Time from the start of the run until the client began to send the call.
     pub sent: Duration,
-    /// Time at which the response was complete, since the start of the run.
+    /// Time from the start of the run until the response was complete.
     pub done: Duration,
     /// Outcome of the call.
     pub end: CallOutcome,
@@ -111,27 +111,27 @@
     calls
 }
 
-/// Numbers of calls by outcome, and of those that ran more than once.
+/// Numbers of calls by outcome, and of those that ran more than once at upstreams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Calls that were sent.
+    /// Number of calls that were counted, whatever their outcome.
     pub calls: usize,
-    /// Calls that received their own response.
+    /// Number of calls that received their own response.
     pub right: usize,
-    /// Calls that were rejected and did not run.
+    /// Number of calls that were rejected with 503 and did not run at any upstream.
     pub refused: usize,
-    /// Calls that received a wrong response, or were rejected although they ran.
+    /// Number of calls that received a wrong response, or were rejected although they ran at an upstream.
     pub wrong: usize,
-    /// Calls that received no response.
+    /// Number of calls that received no response.
     pub lost: usize,
-    /// Calls that ran more than once although they must not.
+    /// Number of calls that ran more than once at upstreams although their class forbids it.
     pub twice: usize,
-    /// Calls that ran more than once and may.
+    /// Number of calls that ran more than once at upstreams, as their class allows.
     pub repeated: usize,
 }
 
 impl Counts {
-    /// Counts the calls of a run. The request id of each call is `first_id` plus its index in `calls`.
+    /// Counts the calls of a run by outcome. The request id of each call is `first_id` plus its index in `calls`.
     #[must_use]
     pub fn of(
         calls: &[Call],
--- a/crates/capacity/src/testbed/child.rs
+++ b/crates/capacity/src/testbed/child.rs
@@ -15,7 +15,7 @@
 use super::lock;
 use crate::CapacityError;
 
-/// Time within which a process must listen, and a balancer must pass its health check.
+/// Time after its start within which a process must listen, and a balancer must pass its health check.
 pub(super) const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Number of the latest log lines of a process that are retained.
@@ -39,7 +39,7 @@
     pub(super) process: Process,
     /// Address on which the process listens.
     pub(super) address: SocketAddr,
-    /// Time at which the log line with the address was read.
+    /// Time at which the log line with the process's address was read.
     pub(super) at: Instant,
 }
 
--- a/crates/capacity/src/testbed/client.rs
+++ b/crates/capacity/src/testbed/client.rs
@@ -14,31 +14,31 @@
 /// Time between the start of the client and the start of the run, in which the client opens its connections.
 pub const CONNECT_LEAD_TIME: Duration = Duration::from_millis(200);
 
-/// Time for which the client waits for responses after the last call.
+/// Time for which the client waits for responses after it has sent the last call of the run.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// Time before a call from which the thread spins. It is longer than a sleep of [`SLEEP`] takes, so that the thread
-/// is awake when the call is due.
+/// Time before a call is due from which the client's thread spins instead of sleeping. It is longer than a sleep of
+/// [`SLEEP`] takes, so that the thread is awake when the call is due.
 const SPIN_BEFORE: Duration = Duration::from_millis(2);
 
-/// Duration of one sleep of the thread while no call is due soon.
+/// Duration of one sleep of the client's thread while no call is due soon.
 const SLEEP: Duration = Duration::from_micros(500);
 
 /// A route on which calls are sent, e.g. directly to the upstreams or through a balancer. Its connections are opened to
 /// its targets in turn.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Addresses to which the connections are opened.
+    /// Addresses to which the connections of the route are opened in turn.
     pub targets: Vec<SocketAddr>,
-    /// Number of connections that are opened before the first call.
+    /// Number of connections of the route that are opened before the first call.
     pub initial_connections: usize,
     /// Deadline that each call carries in its `X-Deadline` header.
     pub deadline: Duration,
-    /// Number of tenants, to which the calls are assigned in turn.
+    /// Number of tenants, to which the calls of the route are assigned in turn.
     pub tenants: usize,
 }
 
-/// A connection with a call in flight.
+/// A client connection with a call in flight.
 struct Connection {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -85,20 +85,20 @@
     first_id: usize,
     start_time: Instant,
     progress: &'a AtomicUsize,
-    /// By route: number of connections opened so far, which determines the target of the next.
+    /// Number of connections opened so far on each route, by route index; it determines the target of the next.
     opened: Vec<usize>,
-    /// By route: idle connections.
+    /// Idle connections of each route, by route index.
     idle: Vec<Vec<TcpStream>>,
     /// Connections with a call in flight.
     busy: Vec<Connection>,
-    /// Index of the first call that has not been sent.
+    /// Index in the schedule of the first call that has not been sent.
     next: usize,
-    /// Result of each call: lost until its response is complete.
+    /// Result of each call, in the order of the schedule: lost until its response is complete.
     call_results: Vec<CallResult>,
 }
 
 impl OpenLoop<'_> {
-    /// Opens the connections that are to be open before the first call.
+    /// Opens the connections of all routes that are to be open before the first call.
     fn connect_first(&mut self) -> std::io::Result<()> {
         for (route, opened) in self.routes.iter().zip(&mut self.opened) {
             let streams: std::io::Result<_> =
--- a/crates/capacity/src/testbed/discovery.rs
+++ b/crates/capacity/src/testbed/discovery.rs
@@ -14,7 +14,7 @@
 use super::{Bound, listen, lock};
 use crate::CapacityError;
 
-/// The endpoint list, and the watches that receive its changes.
+/// The endpoint list of the discovery server, and the watches that receive its changes.
 #[derive(Debug)]
 struct List {
     index: u64,
@@ -34,7 +34,8 @@
 }
 
 impl Discovery {
-    /// Starts a discovery server with this list at index 1, which sends a heartbeat after each `beat` without a change.
+    /// Starts a discovery server with this endpoint list at index 1, which sends a heartbeat to each watch after each
+    /// `beat` without a change.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
@@ -56,13 +57,13 @@
         Ok(Self { address, list, stopped, thread: Some(thread) })
     }
 
-    /// Number of registered watches.
+    /// Number of watches of the endpoint list that are registered with the discovery server.
     #[must_use]
     pub fn watches(&self) -> usize {
         lock(&self.list).watches.len()
     }
 
-    /// Replaces the entry at index `number` of the list, and sends the change to all watches.
+    /// Replaces the entry at position `number` of the endpoint list, and sends the change to all watches.
     pub fn change(&self, number: usize, entry: Value) {
         let mut list = lock(&self.list);
         list.index += 1;
@@ -88,8 +89,8 @@
     }
 }
 
-/// Serves one watch: reads its request, then sends the snapshot, the changes and the heartbeats until either side
-/// closes.
+/// Serves one watch of the endpoint list: reads its request, then sends the snapshot, the changes and the heartbeats
+/// until either side closes.
 fn serve_watch(mut stream: TcpStream, list: &Mutex<List>, beat: Duration) {
     let mut head = Vec::new();
     let mut part = [0; 512];
--- a/crates/capacity/src/testbed/distribution.rs
+++ b/crates/capacity/src/testbed/distribution.rs
@@ -59,7 +59,8 @@
         json!({"parents": parents, "region": "north", "service": "api"})
     }
 
-    /// Publishes a document at the origin, and returns the index of the change once the origin acknowledges it.
+    /// Publishes a configuration document at the origin, and returns the index of the change once the origin
+    /// acknowledges it.
     ///
     /// # Errors
     /// The origin rejects the document, or does not respond within 5 s.
--- a/crates/capacity/src/testbed/histogram.rs
+++ b/crates/capacity/src/testbed/histogram.rs
@@ -6,7 +6,7 @@
 
 use crate::CapacityError;
 
-/// One minute in nanoseconds: the upper bound of the histogram.
+/// One minute in nanoseconds: the largest latency that the histogram records.
 const MINUTE_NS: u64 = 60_000_000_000;
 
 /// A histogram of latencies, with three significant digits.
@@ -28,19 +28,19 @@
         Ok(Self(histogram))
     }
 
-    /// Time at `quantile`, a number from 0 to 1, in microseconds.
+    /// Latency at `quantile`, a number from 0 to 1, in microseconds.
     #[must_use]
     pub fn us(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// Number of recorded times.
+    /// Number of recorded latencies.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.0.len()
     }
 
-    /// Number of recorded times that are longer than `time`.
+    /// Number of recorded latencies that are longer than `time`.
     #[must_use]
     pub fn over(&self, time: Duration) -> u64 {
         self.0.len() - self.0.count_between(0, time.as_nanos() as u64)
--- a/crates/capacity/src/testbed/message.rs
+++ b/crates/capacity/src/testbed/message.rs
@@ -1,10 +1,10 @@
 //! A minimal HTTP/1.1 parser for the stand-in servers and the client. It finds headers and the end of a message; a body
 //! must have a `Content-Length`.
 
-/// Maximum length of a message, in bytes.
+/// Maximum length of an HTTP message, head and body together, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Length of the head of a message including the empty line, or `None` while the head is incomplete.
+/// Length of the head of an HTTP message including the empty line, in bytes, or `None` while the head is incomplete.
 pub(super) fn head_end(bytes: &[u8]) -> Option<usize> {
     bytes.windows(4).position(|four| four == b"\r\n\r\n").map(|at| at + 4)
 }
@@ -17,13 +17,13 @@
     })
 }
 
-/// The head of a message, and the offsets of its body in the bytes that begin with the message.
+/// The head of an HTTP message, and the offsets of its body in the bytes that begin with the message.
 pub(super) struct Message<'a> {
-    /// The start line and the headers, including the empty line.
+    /// The start line and the headers of the HTTP message, including the empty line.
     pub(super) head: &'a str,
-    /// Offset of the start of the body, in bytes.
+    /// Offset of the start of the HTTP body from the start of the message, in bytes.
     pub(super) body_start: usize,
-    /// Offset of the end of the body, in bytes.
+    /// Offset of the end of the HTTP body from the start of the message, in bytes.
     pub(super) end: usize,
 }
 
--- a/crates/capacity/src/testbed/relay.rs
+++ b/crates/capacity/src/testbed/relay.rs
@@ -14,14 +14,14 @@
 /// nothing else.
 #[derive(Debug)]
 pub struct ByteRelay {
-    /// Address on which the relay accepts client connections.
+    /// Address on which the byte relay accepts client connections.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl ByteRelay {
-    /// Starts a relay that connects its client connections to `upstreams` in turn.
+    /// Starts a byte relay that connects its client connections to `upstreams` in turn.
     ///
     /// # Errors
     /// No port is free, or the thread does not start.
--- a/crates/capacity/src/testbed/upstreams.rs
+++ b/crates/capacity/src/testbed/upstreams.rs
@@ -19,17 +19,18 @@
 /// Records of the requests that reached the stand-in upstreams.
 #[derive(Debug)]
 pub struct RequestRecords {
-    /// By request id: number of times that the request ran.
+    /// Number of times that each request ran at any stand-in upstream, by request id.
     runs: Vec<AtomicU8>,
-    /// First request id that is not reserved.
+    /// First request id that no run has reserved yet.
     next_id: AtomicUsize,
-    /// Number of connections accepted by all upstreams.
+    /// Number of connections that all stand-in upstreams have accepted so far.
     opened: AtomicU64,
-    /// Time at which the upstreams were started.
+    /// Time at which the stand-in upstreams were started.
     started_at: Instant,
-    /// By upstream: nanoseconds from `started_at` to the latest request, 0 if there was none.
+    /// Time from `started_at` to the latest request that reached each upstream, in nanoseconds, by upstream index; 0 if
+    /// there was none.
     latest: Vec<AtomicU64>,
-    /// Request id that blocks the thread of its upstream, and the duration.
+    /// Id of the request that is to block the thread of its upstream, and for how long; `None` if no request is to.
     stall: Mutex<Option<(usize, Duration)>>,
 }
 
@@ -49,13 +50,13 @@
         Ok(first)
     }
 
-    /// Number of times that the request with this id ran.
+    /// Number of times that the request with this id ran at any stand-in upstream.
     #[must_use]
     pub fn runs(&self, id: usize) -> u8 {
         self.runs.get(id).map_or(0, |runs| runs.load(Ordering::Acquire))
     }
 
-    /// Number of connections that all upstreams have accepted so far.
+    /// Number of connections that all stand-in upstreams have accepted so far.
     #[must_use]
     pub fn opened(&self) -> u64 {
         self.opened.load(Ordering::Relaxed)
@@ -91,7 +92,7 @@
 /// number of requests that came on the connection so far, and its own index.
 #[derive(Debug)]
 pub struct Upstreams {
-    /// By upstream: address on which it listens.
+    /// Address on which each stand-in upstream listens, by upstream index.
     pub addresses: Vec<SocketAddr>,
     /// Records of the requests that reached the upstreams.
     pub records: Arc<RequestRecords>,
--- a/crates/capacity/src/testbed/usage.rs
+++ b/crates/capacity/src/testbed/usage.rs
@@ -10,11 +10,11 @@
 /// CPU time and scheduling statistics, summed over all threads of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Usage {
-    /// CPU time, in nanoseconds.
+    /// CPU time that all threads of the process have used, in nanoseconds.
     pub cpu_ns: u64,
-    /// Time in which threads were runnable and waited for a core, in nanoseconds.
+    /// Time in which threads of the process were runnable and waited for a core, summed over them, in nanoseconds.
     pub waited_ns: u64,
-    /// Number of times that a thread was scheduled on a core.
+    /// Number of times that a thread of the process was scheduled on a core.
     pub slices: u64,
 }
 
