--- a/crates/capacity/src/hollow/simulation/report.rs
+++ b/crates/capacity/src/hollow/simulation/report.rs
@@ -4,45 +4,47 @@
 /// Counts of the client calls that arrived in one second, by how they ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Second {
-    /// All client calls that arrived in this second.
+    /// Number of client calls that arrived in this second.
     pub calls: u64,
-    /// Calls served within the latency objective.
+    /// Number of client calls of this second that were served within the latency objective.
     pub served: u64,
-    /// Calls served after the latency objective but within the deadline.
+    /// Number of client calls of this second that were served after the latency objective but within the deadline.
     pub late: u64,
-    /// Calls that were refused, after all retries.
+    /// Number of client calls of this second that were refused, after all retries of the client.
     pub refused: u64,
-    /// Calls that failed, after all retries.
+    /// Number of client calls of this second that failed, after all retries of the client.
     pub failed: u64,
 }
 
 /// Counts of the calls and attempts to the services at one depth.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Depth {
-    /// Calls that arrived at the balancers that call this depth.
+    /// Number of calls that arrived at the balancers that call this depth.
     pub calls: u64,
-    /// Attempts that these balancers sent.
+    /// Number of attempts that the balancers that call this depth sent.
     pub attempts: u64,
-    /// Attempts that reached a running upstream of this depth.
+    /// Number of attempts that reached a running upstream of this depth.
     pub reached: u64,
-    /// Calls that the balancers refused.
+    /// Number of calls that the balancers that call this depth refused.
     pub refused: u64,
-    /// Refused calls for which no attempt was sent.
+    /// Number of calls that the balancers that call this depth refused without sending an attempt.
     pub denied: u64,
-    /// Calls that the balancers ended as failed.
+    /// Number of calls that the balancers that call this depth ended as failed.
     pub failed: u64,
-    /// Sum over all calls of the time left until the deadline on arrival, in seconds.
+    /// Sum over all calls to this depth of the time from the arrival at the balancer until the call's deadline, in
+    /// seconds.
     pub left_s: f64,
-    /// Attempts by outcome: success, error, refused by the upstream, timed out, not connected, connection reset.
+    /// Number of attempts to this depth by outcome: success, error, refused by the upstream, timed out, not connected,
+    /// connection reset.
     pub ends: [u64; 6],
 }
 
 /// Number of balancers that reported each signal, in one sample.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Signals {
-    /// Time of the sample, in virtual seconds.
+    /// Time of the sample, in virtual seconds from the start of the run.
     pub at_s: u64,
-    /// Number of running balancers.
+    /// Number of balancers that were running when the sample was taken.
     pub cores: usize,
     /// Number of balancers that have reduced their limit on all calls together.
     pub limited: usize,
@@ -55,14 +57,14 @@
 /// Counts of violated invariants; every count is 0 in a correct run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Calls that got no answer although their balancer was running.
+    /// Number of calls that got no answer although their balancer was running.
     pub unanswered: u64,
-    /// Calls that got more than one answer.
+    /// Number of calls that got more than one answer.
     pub answered_twice: u64,
-    /// Non-idempotent calls that were executed more than once.
+    /// Number of non-idempotent calls that upstreams executed more than once.
     pub run_twice: u64,
-    /// Attempts to an upstream sent after the drain grace period, counted from when the balancer was notified that the
-    /// upstream is draining or removed.
+    /// Number of attempts to an upstream sent after the drain grace period, counted from when the balancer was notified
+    /// that the upstream is draining or removed.
     pub after_grace: u64,
 }
 
@@ -71,32 +73,32 @@
 pub struct Report {
     /// Counts of client calls, by the second in which they arrived.
     pub seconds: Vec<Second>,
-    /// Counts by depth, starting with the services that clients call directly.
+    /// Counts of calls and attempts by depth, starting with the services that clients call directly.
     pub depths: Vec<Depth>,
-    /// Number of processes that crashed from overload while they were warming up.
+    /// Number of upstream processes that crashed from overload while they were warming up.
     pub overload_crashes: u64,
-    /// Number of processes that started cold.
+    /// Number of upstream processes that started cold.
     pub cold_starts: u64,
-    /// Number of list updates that balancers received.
+    /// Number of endpoint list updates that all balancers received.
     pub lists: u64,
     /// Samples of the balancers' signals, one a second.
     pub signals: Vec<Signals>,
     /// Counts of violated invariants.
     pub faults: Faults,
-    /// Attempts that crossed zones within a region.
+    /// Number of attempts that crossed zones within a region.
     pub crossed_zones: u64,
-    /// Attempts that crossed regions.
+    /// Number of attempts that crossed regions.
     pub crossed_regions: u64,
     /// Histogram of the times from a client's call to its successful answer, in us. The buckets are logarithmic, with
     /// eight buckets to a power of two.
     pub times: Vec<u64>,
-    /// Number of decision cores at the start.
+    /// Number of decision cores at the start of the run.
     pub cores: usize,
-    /// Number of events processed in the run.
+    /// Number of simulation events processed in the run.
     pub events: u64,
-    /// Hash over all events and actions; equal for two runs that made the same decisions.
+    /// Hash over all simulation events and balancer actions; equal for two runs that made the same decisions.
     pub digest: u64,
-    /// Maximum resident memory, in MB.
+    /// Maximum resident memory of the simulating process during the run, in MB.
     pub memory_mb: u64,
 }
 
--- a/crates/capacity/src/hollow/table.rs
+++ b/crates/capacity/src/hollow/table.rs
@@ -6,10 +6,10 @@
 use super::{Run, RunResult, sum};
 use crate::plan::Reading;
 
-/// Number of leading columns that identify a run.
+/// Number of leading columns of the results table that identify a run.
 pub(super) const KEY_COLUMNS: usize = 4;
 
-/// Column headings of the table.
+/// Column headings of the results table.
 pub(super) const COLUMNS: [&str; 33] = [
     "scenario",
     "calls a second read as",
@@ -62,7 +62,8 @@
     if all == 0 { "-".to_owned() } else { format!("{:.2}", 100.0 * part as f64 / all as f64) }
 }
 
-/// Fraction of the calls that were served within the latency objective; NaN if there were no calls.
+/// Fraction of the client calls of one second that were served within the latency objective; NaN if there were no
+/// calls.
 fn served_fraction(second: &Second) -> f64 {
     second.served as f64 / second.calls as f64
 }
@@ -72,7 +73,7 @@
     part as f64 * times / calls.max(1) as f64
 }
 
-/// Percentages of the calls that were served in time before, during and after the fault.
+/// Percentages of the client calls that were served within the latency objective before, during and after the fault.
 fn phases(report: &Report, from: f64, fault: Span) -> String {
     let phases = [(from, fault.from_s), (fault.from_s, fault.until_s), (fault.until_s, f64::MAX)];
     phases
@@ -83,7 +84,7 @@
         .join(" / ")
 }
 
-/// The second with the smallest fraction of calls served in time, with that percentage.
+/// The second with the smallest fraction of client calls served within the latency objective, with that percentage.
 fn worst_second(report: &Report, from: f64) -> String {
     let worst = (0..)
         .zip(&report.seconds)
@@ -92,13 +93,13 @@
     worst.map_or("-".to_owned(), |(at, second)| format!("{} at {at} s", percent(second.served, second.calls)))
 }
 
-/// Number of seconds in which less than half of the calls were served in time.
+/// Number of seconds in which less than half of the client calls were served within the latency objective.
 fn seconds_under_half(report: &Report) -> usize {
     report.seconds.iter().filter(|second| second.calls > 0 && 2 * second.served < second.calls).count()
 }
 
-/// Recovery time: seconds from the end of the fault until the last second in which the fraction of calls served in time
-/// is below 99 % of that before the fault.
+/// Recovery time: seconds from the end of the fault until the last second in which the fraction of client calls served
+/// within the latency objective is below 99 % of that before the fault.
 fn recovery(run: &Run, report: &Report, from: f64, fault: Span) -> String {
     if fault.until_s >= run.seconds {
         return "-".to_owned();
@@ -123,7 +124,7 @@
     report.depths.iter().filter(|depth| depth.calls > 0).map(figure).collect::<Vec<_>>().join(" ")
 }
 
-/// Numbers of attempts over all depths, by outcome, in the order of [`Depth::ends`].
+/// Numbers of attempts at all depths together, by outcome, in the order of [`Depth::ends`].
 fn ends(report: &Report) -> String {
     let mut ends = [0; 6];
     for depth in &report.depths {
@@ -162,7 +163,8 @@
     )
 }
 
-/// The table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in seconds.
+/// The results table row of a run, in the order of [`COLUMNS`]; `wall_s` is the wall-clock time that the run took, in
+/// seconds.
 pub(super) fn row(run: &Run, run_result: &RunResult, wall_s: f64) -> Vec<String> {
     let &RunResult { ref report, fault, upstreams, busiest_over_mean, reachable } = run_result;
     let from = if run.scenario == Scenario::Cold { 0.0 } else { LEARNING_S };
