--- a/crates/capacity/src/hollow/simulation/event.rs
+++ b/crates/capacity/src/hollow/simulation/event.rs
@@ -3,36 +3,36 @@
 
 use balancer_policy::interface::Outcome;
 
-/// An event that is scheduled for a point in virtual time.
+/// A simulation event that is scheduled for a point in virtual time.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum ScheduledEvent {
     /// A new client sends a call.
     Client,
     /// The client with this index retries its call.
     ClientRetry(u32),
-    /// The maintenance timer of this core fires.
+    /// The maintenance timer of the decision core with this index fires.
     MaintenanceTimer(u32),
     /// The request of an attempt reaches its upstream.
     RequestArrival { hop: u64, attempt: u8 },
-    /// A work item has finished its local processing.
+    /// A work item has finished its local processing at its upstream.
     WorkDone { work: u64 },
     /// The outcome of an attempt reaches the balancer that sent it.
     Reply { hop: u64, attempt: u8, outcome: Outcome },
     /// The timeout of an attempt expires.
     Timeout { hop: u64, attempt: u8 },
-    /// A list change, by its index, reaches a core as a delta.
+    /// An endpoint list change, by its index in `list_changes` of the simulation, reaches a core as a delta.
     List { core: u32, change: u32 },
-    /// A snapshot of a full list reaches this core.
+    /// A snapshot of a full endpoint list reaches the decision core with this index.
     FullList(u32),
     /// The scenario step with this index is applied.
     Script(u32),
-    /// This process ends after draining.
+    /// The process with this index ends after draining.
     Stop(u32),
-    /// A new process starts in this slot.
+    /// A new process starts in the slot with this index.
     Start(u32),
-    /// Service discovery removes this process from its list.
+    /// Service discovery removes the process with this index from the endpoint list of its service.
     Unlist(u32),
-    /// The memory in use is checked.
+    /// The memory that the simulating process uses is checked against its limit.
     MemoryCheck,
     /// The signals of the balancers are sampled.
     SignalSample,
--- a/crates/capacity/src/hollow/simulation/lists.rs
+++ b/crates/capacity/src/hollow/simulation/lists.rs
@@ -12,14 +12,14 @@
 use super::state::Process;
 use super::{FleetSimulation, ns};
 
-/// Minimum delay of a list update on its way to a balancer, in seconds.
+/// Minimum delay of an endpoint list update on its way to a balancer, in virtual seconds.
 pub(super) const LIST_DELAY_MIN_S: f64 = 0.2;
-/// Maximum additional delay of a list update, in seconds. It is drawn for each balancer, because watches are not all
-/// served at the same time.
+/// Maximum additional delay of an endpoint list update, in virtual seconds. It is drawn for each balancer, because
+/// watches are not all served at the same time.
 pub(super) const LIST_DELAY_SPREAD_S: f64 = 0.3;
 
 impl FleetSimulation<'_> {
-    /// The list entry of a process, with its current lifecycle state.
+    /// The endpoint list entry of a process, with its current lifecycle state.
     pub(super) fn member(&self, process: u32) -> Member {
         let Process { slot, lifecycle, started, .. } = self.processes[process as usize];
         Member {
@@ -33,24 +33,25 @@
         }
     }
 
-    /// The current list of a service.
+    /// The current endpoint list of a service.
     pub(super) fn members(&self, service: usize) -> Vec<Member> {
         self.listed[service].iter().map(|&process| self.member(process)).collect()
     }
 
-    /// Delivers a list change to a core as a delta; `change` is its index in `list_changes`.
+    /// Delivers an endpoint list change to a core as a delta; `change` is its index in `list_changes`.
     pub(super) fn deliver_list_change(&mut self, core: u32, change: u32) {
         let members = self.list_changes[change as usize].clone();
         self.deliver_list(core, ListUpdate::Delta(members));
     }
 
-    /// Delivers the current list to a core as a snapshot.
+    /// Delivers the current endpoint list of the service that a core calls to that core as a snapshot.
     pub(super) fn deliver_full_list(&mut self, core: u32) {
         let members = self.members(self.cores[core as usize].service);
         self.deliver_list(core, ListUpdate::Snapshot(members));
     }
 
-    /// Passes a list update to a core, and records when the core was notified of draining and removed members.
+    /// Passes an endpoint list update to a core, and records when the core was notified of draining and removed
+    /// members.
     pub(super) fn deliver_list(&mut self, core: u32, update: ListUpdate) {
         let core_state = &mut self.cores[core as usize];
         if core_state.balancer.is_none() {
--- a/crates/capacity/src/hollow/simulation/state.rs
+++ b/crates/capacity/src/hollow/simulation/state.rs
@@ -14,19 +14,21 @@
     pub(super) balancer: Option<Balancer>,
     /// Whether the core belongs to a front rather than to an upstream's process.
     pub(super) front: bool,
-    /// Zone that the core runs in.
+    /// Zone that the decision core runs in.
     pub(super) zone: usize,
-    /// Service that the core calls.
+    /// Service that the decision core calls.
     pub(super) service: usize,
-    /// Processes to which the core has an open connection.
+    /// Indices of the processes to which the core has an open connection.
     pub(super) connected: FxHashSet<u32>,
-    /// Time at which the core was first notified that a process is draining or removed, in ns, by process.
+    /// Virtual time at which the core was first notified that a process is draining or removed, in ns, by process
+    /// index.
     pub(super) notified: FxHashMap<u32, u64>,
-    /// Arrival time of the latest list update sent to the core, in ns; later updates do not arrive before it.
+    /// Virtual time at which the latest endpoint list update sent to the core arrives, in ns; later updates do not
+    /// arrive before it.
     pub(super) list_arrives_at: u64,
-    /// Whether the core missed list updates because of a network partition.
+    /// Whether the core missed endpoint list updates because of a network partition.
     pub(super) missed_updates: bool,
-    /// Number of ready upstreams in the first list that the core received.
+    /// Number of ready upstreams in the first endpoint list that the core received.
     pub(super) initial_ready: usize,
 }
 
@@ -44,24 +46,24 @@
 /// A process of an upstream.
 #[derive(Debug)]
 pub(super) struct Process {
-    /// Slot that the process runs in.
+    /// Index of the slot that the process runs in.
     pub(super) slot: usize,
     pub(super) state: State,
     /// Lifecycle state that service discovery lists for the process.
     pub(super) lifecycle: Lifecycle,
-    /// Time at which the process started cold, in ns; `None` for a process that has its full capacity from the
+    /// Virtual time at which the process started cold, in ns; `None` for a process that has its full capacity from the
     /// beginning.
     pub(super) started: Option<u64>,
-    /// Number of CPU cores in use.
+    /// Number of CPU cores of the process that are in use.
     pub(super) busy: usize,
     /// Identifiers of the work items that wait for a CPU core.
     pub(super) queue: VecDeque<u64>,
     /// Number of work items at the process: waiting, running, or waiting for another service. The items themselves are
     /// not tracked here: when a process ends they are found by a scan over all work items, which costs less than a set.
     pub(super) in_flight: usize,
-    /// Decision cores of the process, in the order of the destinations of its service.
+    /// Indices of the decision cores of the process, in the order of the destinations of its service.
     pub(super) cores: Vec<u32>,
-    /// Arrival times in the overload window, in ns, while the process is warming up.
+    /// Virtual times, in ns, at which requests arrived within the overload window, while the process is warming up.
     pub(super) arrivals: VecDeque<u64>,
 }
 
@@ -70,7 +72,7 @@
 pub(super) struct Slot {
     pub(super) service: usize,
     pub(super) zone: usize,
-    /// The process that runs in the slot, if any.
+    /// Index of the process that runs in the slot; `None` if there is none.
     pub(super) process: Option<usize>,
     /// Replica index of each balancer of the slot among all balancers that call the same service, in the order of the
     /// destinations of the slot's service.
@@ -89,11 +91,11 @@
 /// An attempt of a call, at the balancer that sent it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Attempt {
-    /// Process that the attempt was sent to.
+    /// Index of the process that the attempt was sent to.
     pub(super) process: u32,
-    /// Time at which the attempt was sent, in ns.
+    /// Virtual time at which the attempt was sent, in ns.
     pub(super) sent: u64,
-    /// Time that the attempt waits for a connection, in ns.
+    /// Duration for which the attempt waits for a connection, in ns.
     pub(super) connect_wait: u64,
     /// Whether the attempt has ended.
     pub(super) is_over: bool,
@@ -104,14 +106,14 @@
 pub(super) struct Hop {
     pub(super) core: u32,
     pub(super) source: CallSource,
-    /// Idempotency class: 0 idempotent, 1 with an idempotency key, 2 not idempotent.
+    /// Idempotency class of the call: 0 idempotent, 1 with an idempotency key, 2 not idempotent.
     pub(super) class: u8,
-    /// Number of services still to be called in the chain, including the one that this call goes to.
+    /// Number of services still to be called in the call chain, including the one that this call goes to.
     pub(super) hops_left: u8,
     pub(super) answered: bool,
-    /// Number of attempts of the call that an upstream has started to execute.
+    /// Number of attempts of this call that upstreams have started to execute.
     pub(super) executions: u8,
-    /// Deadline of the call, in ns.
+    /// Virtual time of the deadline of the call, in ns.
     pub(super) deadline: u64,
     pub(super) attempts: Vec<Attempt>,
 }
@@ -121,32 +123,32 @@
 pub(super) struct WorkItem {
     pub(super) process: u32,
     pub(super) hop: u64,
-    /// Number of the attempt within its call.
+    /// Number of the work item's attempt within its call.
     pub(super) attempt: u8,
     pub(super) class: u8,
-    /// Number of services still to be called in the chain, including this one.
+    /// Number of services still to be called in the call chain, including the one that the work item runs at.
     pub(super) hops_left: u8,
     /// Whether the work item has left the queue: it is running or waiting for another service.
     pub(super) begun: bool,
-    /// Deadline of the call, in ns.
+    /// Virtual time of the deadline of the call, in ns.
     pub(super) deadline: u64,
 }
 
 /// A client's call, over all its retries.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Client {
-    /// Time at which the client first sent the call, in ns.
+    /// Virtual time at which the client first sent the call, in ns.
     pub(super) first_sent: u64,
     pub(super) front: u32,
     /// Index of the called service in the topology's entries.
     pub(super) entry: u32,
     pub(super) tenant: u32,
     pub(super) class: u8,
-    /// Number of services in the chain of the call.
+    /// Number of services in the chain of the client's call.
     pub(super) hops_left: u8,
     /// Number of times that the client has sent the call.
     pub(super) tries: u32,
-    /// Number of attempts of the call that an upstream has started to execute, over all retries.
+    /// Number of attempts of the client's call that upstreams have started to execute, over all retries.
     pub(super) executions: u32,
     pub(super) answered: bool,
 }
