--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -7,11 +7,12 @@
 use super::topology::Topology;
 use crate::plan::Plan;
 
-/// Virtual seconds before the first step of a scenario, in which the balancers learn the normal state.
+/// Virtual seconds from the start of a run until the first step of its scenario, in which the balancers learn the
+/// normal state.
 pub const LEARNING_S: f64 = 3.0;
 /// Number of steps in which the whole fleet is replaced; each step replaces one upstream in eight.
 const REPLACEMENT_STEPS: usize = 8;
-/// Minimum virtual seconds between two planned replacements within a service.
+/// Minimum virtual seconds between two planned replacements of upstreams within a service.
 const REPLACEMENT_GAP_MIN_S: f64 = 12.0;
 
 /// A scenario: the sequence of events that the fleet goes through.
@@ -23,7 +24,7 @@
     Ordinary,
     /// The whole fleet is replaced, one upstream in eight at a time.
     Replacement,
-    /// A rack fails.
+    /// A rack fails, with all its upstreams.
     Rack,
     /// A whole zone fails, and later restarts with cold processes.
     Zone,
@@ -33,12 +34,12 @@
     Cold,
 }
 
-/// A span of time, in virtual seconds from the start of the run.
+/// A span of virtual time, measured from the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Span {
-    /// Start of the span, in virtual seconds.
+    /// Start of the span, in virtual seconds from the start of the run.
     pub from_s: f64,
-    /// End of the span, exclusive, in virtual seconds.
+    /// End of the span, exclusive, in virtual seconds from the start of the run.
     pub until_s: f64,
 }
 
@@ -52,11 +53,11 @@
 }
 
 impl Scenario {
-    /// All scenarios, in the order in which they run and in which the table lists them.
+    /// All scenarios, in the order in which they run and in which the results table lists them.
     pub const ALL: [Self; 7] =
         [Self::Calm, Self::Ordinary, Self::Replacement, Self::Rack, Self::Zone, Self::Region, Self::Cold];
 
-    /// Name of the scenario on the command line and in the table.
+    /// Name of the scenario on the command line and in the results table.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -107,12 +108,12 @@
 struct ScriptWriter<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
-    /// Duration of the run, in virtual seconds.
+    /// Duration of the scenario's run, in virtual seconds.
     seconds: f64,
     rng: Rand64,
-    /// Zone of each slot.
+    /// Zone of each slot, by slot index.
     zones: Vec<usize>,
-    /// Service of each slot.
+    /// Service of each slot, by slot index.
     services: Vec<usize>,
     script: Vec<TimedStep>,
 }
@@ -155,7 +156,7 @@
         Span { from_s: from, until_s: until }
     }
 
-    /// Adds a day's planned replacements, spread evenly over the time from `from` to `until`.
+    /// Adds a day's planned replacements, spread evenly over the time from `from` to `until`, in virtual seconds.
     fn planned_replacements(&mut self, from: f64, until: f64) {
         let replaced = self.plan.failures.replaced_per_day.value.round() as usize;
         let mut latest = vec![f64::MIN; self.topology.services.len()];
--- a/crates/capacity/src/hollow/simulation.rs
+++ b/crates/capacity/src/hollow/simulation.rs
@@ -31,7 +31,8 @@
 mod state;
 mod upstreams;
 
-/// Virtual seconds between checks of the memory in use: short, so that a run ends soon after it exceeds its limit.
+/// Virtual seconds between checks of the memory that the simulating process uses: short, so that a run ends soon after
+/// it exceeds its limit.
 const MEMORY_CHECK_INTERVAL_S: f64 = 0.25;
 /// Virtual seconds between samples of the balancers' signals; one sample for each second of the report.
 const SIGNAL_SAMPLE_INTERVAL_S: f64 = 1.0;
@@ -60,9 +61,9 @@
 /// Fractions of the calls, 0 to 1, by idempotency class; the remaining calls must not be retried.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct IdempotencyFractions {
-    /// Fraction of idempotent calls, which may be retried freely.
+    /// Fraction of the calls, 0 to 1, that are idempotent and may be retried freely.
     pub free: f64,
-    /// Fraction of calls that may be retried with an idempotency key.
+    /// Fraction of the calls, 0 to 1, that may be retried with an idempotency key.
     pub keyed: f64,
 }
 
@@ -80,7 +81,7 @@
 pub struct TimedStep {
     /// Time of the step, in virtual seconds from the start of the run.
     pub at_s: f64,
-    /// The change to the fleet.
+    /// The change that the step makes to the fleet.
     pub step: Step,
 }
 
@@ -91,9 +92,9 @@
     pub name: String,
     /// Virtual seconds during which clients send calls.
     pub seconds: f64,
-    /// Seed of all random draws.
+    /// Seed of all random draws of the run.
     pub seed: u64,
-    /// Memory limit of the process, in MB.
+    /// Memory limit of the process that runs the simulation, in MB.
     pub memory_mb: u64,
     /// Steps of the scenario, ordered by time.
     pub script: Vec<TimedStep>,
@@ -101,7 +102,7 @@
     pub starts_warming_up: bool,
     /// The service with a fault, if any.
     pub fault: Option<FaultyService>,
-    /// Maximum number of retries by a client.
+    /// Maximum number of retries by a client for one call.
     pub max_client_retries: u32,
     /// Fractions of the calls by idempotency class; `None` for the default fractions.
     pub idempotency_fractions: Option<IdempotencyFractions>,
@@ -114,28 +115,29 @@
     topology: &'a Topology,
     parameters: &'a RunParameters,
     rng: Rand64,
-    /// Current virtual time, in ns.
+    /// Current virtual time, in ns from the start of the run.
     now: u64,
-    /// Queue of the events to come.
+    /// Queue of the simulation events that are still to be handled.
     scheduled: TimerWheel<ScheduledEvent>,
     slots: Vec<Slot>,
     /// All processes that have been started in the run, the ended ones among them.
     processes: Vec<Process>,
-    /// Processes in the service discovery list of each service.
+    /// Indices of the processes in the service discovery list of each service, by service.
     listed: Vec<Vec<u32>>,
     /// All decision cores that have been started in the run, the ended ones among them.
     cores: Vec<Core>,
-    /// Virtual time of the latest change to the list of each service, in ns; `None` before the first change.
+    /// Virtual time of the latest change to the endpoint list of each service, in ns, by service; `None` before the
+    /// first change.
     list_changed_at: Vec<Option<u64>>,
-    /// Cores that watch the list of each service.
+    /// Indices of the decision cores that watch the endpoint list of each service, by service.
     watchers: Vec<Vec<u32>>,
-    /// Number of balancers that call each service.
+    /// Number of balancers that call each service, by service.
     replicas: Vec<u32>,
-    /// Cores of each front, in the order of [`Topology::entries`].
+    /// Indices of the decision cores of each front, in the order of [`Topology::entries`], by front.
     fronts: Vec<Vec<u32>>,
-    /// Whether each front is running.
+    /// Whether each front is running, by front.
     front_up: Vec<bool>,
-    /// Changed list members of each list change, indexed by the number in [`ScheduledEvent::List`].
+    /// Changed members of each endpoint list change, indexed by the number in [`ScheduledEvent::List`].
     list_changes: Vec<Vec<Member>>,
     hops: Slab<Hop>,
     work_items: Slab<WorkItem>,
@@ -143,13 +145,13 @@
     clients: Vec<Client>,
     /// Indices of the unused entries of `clients`.
     clients_free: Vec<u32>,
-    /// Cumulative fractions of the calls by tenant.
+    /// Cumulative fractions of the clients' calls by tenant: those of each tenant and of the tenants before it.
     tenants: Vec<f64>,
     /// Region that a network partition separates from the others, if any.
     partition: Option<usize>,
     /// Zone that has failed, if any.
     failed_zone: Option<usize>,
-    /// Buffer for the actions of a decision core, reused between events.
+    /// Buffer for the actions that a decision core returns, reused between events.
     actions: Vec<Action>,
     report: Report,
 }
@@ -303,7 +305,7 @@
         Ok(self.report)
     }
 
-    /// Adds a word to the digest of the run.
+    /// Adds a word to the digest over the events and actions of the run.
     fn update_digest(&mut self, word: u64) {
         self.report.digest = (self.report.digest.rotate_left(5) ^ word).wrapping_mul(DIGEST_MULTIPLIER);
     }
@@ -330,7 +332,7 @@
         Ok(())
     }
 
-    /// Records the memory in use, and ends the run with an error if it exceeds the limit.
+    /// Records the memory that the simulating process uses, and ends the run with an error if it exceeds the limit.
     fn check_memory(&mut self) -> Result<(), CapacityError> {
         self.scheduled.push(self.now + ns(MEMORY_CHECK_INTERVAL_S), ScheduledEvent::MemoryCheck);
         let used_mb = resident_bytes()? >> 20;
--- a/crates/capacity/src/hollow/simulation/attempts.rs
+++ b/crates/capacity/src/hollow/simulation/attempts.rs
@@ -11,9 +11,9 @@
 use super::state::{Attempt, End, State};
 use super::{FleetSimulation, ns};
 
-/// Connect timeout of a balancer in seconds, if another attempt may follow.
+/// Time that a balancer waits for a connection to an upstream, in virtual seconds, if another attempt may follow.
 const CONNECT_WAIT_S: f64 = 1.0 / 16.0;
-/// Connect timeout of a balancer in seconds for the last attempt of a call.
+/// Time that a balancer waits for a connection to an upstream, in virtual seconds, for the last attempt of a call.
 const LAST_CONNECT_WAIT_S: f64 = 1.0;
 
 impl FleetSimulation<'_> {
--- a/crates/capacity/src/hollow/simulation/clients.rs
+++ b/crates/capacity/src/hollow/simulation/clients.rs
@@ -6,9 +6,9 @@
 use super::{FleetSimulation, IdempotencyFractions, ns};
 use crate::hollow::topology::place;
 
-/// Default fractions of the calls by idempotency class.
+/// Default fractions of the clients' calls by idempotency class.
 const DEFAULT_IDEMPOTENCY_FRACTIONS: IdempotencyFractions = IdempotencyFractions { free: 0.7, keyed: 0.15 };
-/// Minimum pause of a client before a retry, in seconds; the pause is drawn between this and twice as long.
+/// Minimum pause of a client before a retry, in virtual seconds; the pause is drawn between this and twice as long.
 const RETRY_PAUSE_MIN_S: f64 = 0.1;
 
 impl FleetSimulation<'_> {
--- a/crates/capacity/src/hollow/simulation/processes.rs
+++ b/crates/capacity/src/hollow/simulation/processes.rs
@@ -38,7 +38,7 @@
         process
     }
 
-    /// Adds the balancers of a process, each with the current list of the service that it calls.
+    /// Adds the balancers of a process, each with the current endpoint list of the service that it calls.
     pub(super) fn add_cores(&mut self, process: usize) -> Result<(), CapacityError> {
         let topology = self.topology;
         let slot = self.processes[process].slot;
@@ -64,7 +64,7 @@
     }
 
     /// Adds a decision core that calls `service` from `zone` with the replica index `index`, and passes it its first
-    /// list.
+    /// endpoint list.
     pub(super) fn add_core(
         &mut self,
         front: bool,
--- a/crates/capacity/src/hollow/simulation/script.rs
+++ b/crates/capacity/src/hollow/simulation/script.rs
@@ -34,7 +34,7 @@
 }
 
 impl FleetSimulation<'_> {
-    /// Applies the step `number` of the script.
+    /// Applies the scenario step with the index `number`.
     pub(super) fn step(&mut self, number: usize) -> Result<(), CapacityError> {
         match self.parameters.script[number].step {
             Step::Replace(slot) => self.replace(slot),
--- a/crates/capacity/src/hollow/simulation/settings.rs
+++ b/crates/capacity/src/hollow/simulation/settings.rs
@@ -14,7 +14,7 @@
 /// Grace period after the notification that an upstream is draining or removed, in seconds; after it, a balancer must
 /// send no further attempts to the upstream.
 pub(super) const DRAIN_GRACE_S: f64 = 1.0;
-/// Sum of the quotas of all tenants divided by the rate of calls.
+/// Sum of the quotas of all tenants divided by the rate of calls that the called service is sized for.
 pub(super) const QUOTA_MULTIPLE: f64 = 1.5;
 
 impl FleetSimulation<'_> {
--- a/crates/capacity/src/hollow/simulation/slab.rs
+++ b/crates/capacity/src/hollow/simulation/slab.rs
@@ -5,16 +5,16 @@
 #[derive(Debug)]
 pub(super) struct Slab<T> {
     pub(super) entries: Vec<Entry<T>>,
-    /// Indices of the unoccupied entries.
+    /// Indices of the slab's unoccupied entries.
     pub(super) free: Vec<u32>,
 }
 
 /// An entry of the slab, with the latest value stored in it.
 #[derive(Debug)]
 pub(super) struct Entry<T> {
-    /// Number of values that have been removed from the entry, wrapping around.
+    /// Number of values that have been removed from the slab entry so far, wrapping around.
     pub(super) generation: u32,
-    /// Whether the value is in use; false after its removal.
+    /// Whether the slab entry holds a value that is in use; false after its removal.
     pub(super) occupied: bool,
     pub(super) value: T,
 }
--- a/crates/capacity/src/hollow/simulation/upstreams.rs
+++ b/crates/capacity/src/hollow/simulation/upstreams.rs
@@ -8,16 +8,16 @@
 use super::{FaultyService, FleetSimulation, ServiceFault, ns, seconds};
 use crate::hollow::topology::place;
 
-/// Fraction of its full capacity, 0 to 1, with which a process starts.
+/// Fraction of its full capacity, 0 to 1, with which a cold upstream process starts.
 pub(super) const SLOW_START_MIN_FRACTION: f64 = 0.3;
-/// Seconds from its start until a process has its full capacity.
+/// Virtual seconds from its start until a process has its full capacity.
 pub(super) const SLOW_START_WINDOW_S: f64 = 8.0;
 /// A process that is warming up crashes when it receives more than this multiple of its capacity within
 /// [`OVERLOAD_WINDOW_S`].
 pub(super) const OVERLOAD_MULTIPLE: f64 = 2.8;
-/// Length of the window in which the overload of a process that is warming up is measured, in seconds.
+/// Length of the window in which the overload of a process that is warming up is measured, in virtual seconds.
 pub(super) const OVERLOAD_WINDOW_S: f64 = 1.6;
-/// Seconds from the crash of an overloaded process until a new one starts in its slot.
+/// Virtual seconds from the crash of an overloaded process until a new one starts in its slot.
 const CRASH_RESTART_S: f64 = 2.0;
 /// Maximum queue length of an upstream for each of its CPU cores; further requests are refused without being processed.
 const QUEUE_PER_CORE: usize = 16;
@@ -150,7 +150,7 @@
         self.scheduled.push(now + ns(work_s), ScheduledEvent::WorkDone { work: id });
     }
 
-    /// Starts the next work item in the queue of a process.
+    /// Starts the next work item in the queue of an upstream process.
     pub(super) fn next(&mut self, process: usize) {
         if let Some(work) = self.processes[process].queue.pop_front() {
             self.start_work(work);
--- a/crates/capacity/src/hollow/timer_wheel.rs
+++ b/crates/capacity/src/hollow/timer_wheel.rs
@@ -7,7 +7,8 @@
 
 /// Base-2 logarithm of the width of a slot in ns: a slot is 2^16 ns, about 65 us, wide.
 const SLOT_BITS: u32 = 16;
-/// Number of slots; together they cover about 4.3 s. Events that are due later are held in a heap.
+/// Number of slots of the wheel; together they cover about 4.3 s of virtual time. Events that are due later are held in
+/// a heap.
 const SLOTS: u64 = 1 << 16;
 
 /// An event in the queue, ordered by its time and then by the order of insertion.
@@ -43,13 +44,13 @@
 #[derive(Debug)]
 pub struct TimerWheel<T> {
     slots: Vec<Vec<Entry<T>>>,
-    /// Entries of the current slot, and those inserted with an earlier time.
+    /// Entries of the current slot of the wheel, and those inserted with an earlier time.
     current: BinaryHeap<Reverse<Entry<T>>>,
     /// Entries that are due after the last slot of the wheel.
     overflow: BinaryHeap<Reverse<Entry<T>>>,
-    /// Number of the current slot, counted from time 0.
+    /// Number of the wheel's current slot, counted from virtual time 0.
     at: u64,
-    /// Number of entries inserted so far; the sequence number of the latest one.
+    /// Number of entries inserted into the queue so far; the sequence number of the latest one.
     sequence: u64,
     /// Number of entries in the queue.
     len: usize,
--- a/crates/capacity/src/hollow/topology.rs
+++ b/crates/capacity/src/hollow/topology.rs
@@ -9,7 +9,7 @@
 const TARGET_UTILIZATION: f64 = 0.6;
 /// Number of fronts in each zone.
 const FRONTS_PER_ZONE: usize = 3;
-/// Number of iterations that fit the traffic split between services to the sizes of the services.
+/// Number of iterations of the calculation that fits the traffic split between services to the sizes of the services.
 const FIT_ITERATIONS: usize = 20;
 
 /// A destination service with its entry in the cumulative traffic split over all destinations of the same caller.
@@ -26,33 +26,33 @@
 pub struct Service {
     /// Position of the service in a call chain; 1 for services that clients call directly.
     pub depth: usize,
-    /// Zone of each upstream of the service.
+    /// Index of the zone of each upstream of the service.
     pub zones: Vec<usize>,
     /// Number of CPU cores of each upstream of the service.
     pub cores: usize,
     /// Services that this service calls.
     pub calls: Vec<Destination>,
-    /// Calls a second that the service is sized for.
+    /// Calls a second to the service, over all its upstreams, that it is sized for.
     pub rate: f64,
 }
 
 /// A randomly drawn fleet.
 #[derive(Debug, Clone)]
 pub struct Topology {
-    /// The services, those of depth 1 first.
+    /// The services of the fleet, those of depth 1 first.
     pub services: Vec<Service>,
-    /// Services that clients call directly.
+    /// Services that clients call directly, with the traffic split between them.
     pub entries: Vec<Destination>,
     /// Region of each zone, indexed by zone.
     pub region_of: Vec<usize>,
-    /// Cumulative fraction of the clients by zone: those in each zone or in a zone before it.
+    /// Cumulative fraction of the clients, 0 to 1, by zone: those in each zone or in a zone before it.
     pub clients: Vec<f64>,
-    /// Zone of each front.
+    /// Index of the zone of each front.
     pub fronts: Vec<usize>,
-    /// Cumulative distribution of the chain lengths: fraction of the calls whose chain is at most 1, 2, ... services
-    /// long.
+    /// Cumulative distribution of the lengths of call chains: fraction of the calls whose chain is at most 1, 2, ...
+    /// services long.
     pub chain_lengths: Vec<f64>,
-    /// Total calls a second from clients.
+    /// Calls a second that all clients together send to the fronts.
     pub front_per_s: f64,
 }
 
