--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -212,7 +212,8 @@
         /// Bytes per second of control traffic (upstream list and configuration) that one balancer may send and
         /// receive.
         bytes_per_s: f64,
-        /// Number of machines reserved for control processes, which distribute upstream lists and configuration.
+        /// Number of machines reserved for control processes: the origins, standbys and relays of the configuration
+        /// distribution.
         control_machines: usize,
         /// Number of cores of one machine that is reserved for control processes.
         machine_cores: f64,
@@ -250,8 +251,8 @@
         zones_per_year: f64,
         /// Number of network partitions between regions per year.
         region_cuts_per_year: f64,
-        /// Duration, in seconds, of the network partition between one region and the others that the plan must
-        /// withstand.
+        /// Duration, in seconds, of the network partition between one region and the others that the fleet is planned
+        /// for.
         region_cut_s: f64,
         /// Time in which a rolling replacement replaces every upstream, in seconds.
         replace_all_s: f64,
