--- a/crates/capacity/src/control/configuration/relay.rs
+++ b/crates/capacity/src/control/configuration/relay.rs
@@ -128,7 +128,8 @@
         Err(CapacityError::run(format!("configuration to {} balancers", self.watchers), timeout_message))
     }
 
-    /// Waits for the balancers' reports of a configuration change, which follow within half a second.
+    /// Waits for the balancers' reports of a configuration change, which follow within half a second. The wait is a
+    /// sixth of the measurement window: 1 s in a full run, but only 33 ms in a small one, which may miss some reports.
     fn wait_for_reports(&self, hollow_processes: &mut HollowProcesses) -> Result<(), CapacityError> {
         hollow_processes.receive_for(self.rig.window / 6)
     }
@@ -211,7 +212,7 @@
     at: Instant,
     /// Bytes that the balancers have sent and received on their configuration connections.
     bytes: u64,
-    /// Processor time and memory that the relay has used.
+    /// Processor time and memory that the relay, the server of the balancers' watches, has used.
     server: Usage,
     /// Processor time and memory that all processes of hollow balancers have used.
     clients: Usage,
@@ -221,7 +222,7 @@
 struct Rates {
     /// Bytes per second that all balancers together sent and received on their configuration connections.
     bytes: f64,
-    /// CPU time of the relay, in nanoseconds per second.
+    /// CPU time of the relay, the server of the balancers' watches, in nanoseconds per second.
     server: f64,
     /// CPU time of all processes of balancers, in nanoseconds per second.
     clients: f64,
--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -2,7 +2,9 @@
 //! hollow fleet (balancers without real traffic).
 //!
 //! Simulates chains of services with a fault in one of them, and reports how many attempts reach the deepest service
-//! for each request at the front, how many requests are refused or fail, and how much of the deadline remains there.
+//! for each request at the front, and how many requests are refused or fail. The remaining deadline at the deepest
+//! service is a slope from chains of healthy services; the results table has the remaining deadline at the faulty
+//! service.
 
 use std::path::{Path, PathBuf};
 
@@ -174,9 +176,11 @@
 #[derive(Default)]
 struct Points {
     attempts: Vec<Point>,
+    /// Requests that were refused or failed, at all depths together, per request at the front.
     refusals: Vec<Point>,
     deadline_left_ms: Vec<Point>,
-    /// Attempts at the deepest service where clients do not retry, one text `depth: attempts` for each depth.
+    /// Attempts at the deepest service if clients do not retry but balancers still do, one text `depth: attempts` for
+    /// each depth.
     attempts_without_retries: Vec<String>,
 }
 
@@ -257,6 +261,7 @@
                 refusals.push(figures.refusals);
                 deadline_left_ms.push(healthy.figures(&healthy.simulate(self.plan)?, depth).deadline_left_ms);
             }
+            // Only the clients do not retry; the balancers still do.
             let no_retries = Chain { max_client_retries: 0, ..self.failing(depth, 0) };
             let no_retries = no_retries.figures(&no_retries.simulate(self.plan)?, depth);
             points.attempts_without_retries.push(format!("{depth}: {:.2}", no_retries.attempts));
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -7,12 +7,15 @@
 use super::topology::Topology;
 use crate::plan::Plan;
 
-/// Virtual seconds from the start of a run until the first step of its scenario, in which the balancers learn the
-/// normal state.
+/// Virtual seconds from the start of a run until the events of the scenarios `ordinary` and `replacement` begin, in
+/// which the balancers learn the normal state. The events of `rack`, `zone` and `region` begin at a fraction of the
+/// run's duration, which may be earlier in a short run. The totals in the results table leave out this time, except for
+/// `cold`.
 pub const LEARNING_S: f64 = 3.0;
-/// Number of steps in which the whole fleet is replaced; each step replaces one upstream in eight.
+/// Number of waves in which the scenario `replacement` replaces the whole fleet; each replaces one upstream in eight.
 const REPLACEMENT_STEPS: usize = 8;
-/// Minimum virtual seconds between two planned replacements of upstreams within a service.
+/// Minimum virtual seconds between two planned replacements within a service in the scenario `ordinary`. The scenario
+/// `replacement` does not use it: its waves divide the run, and a wave may replace several upstreams of a service.
 const REPLACEMENT_GAP_MIN_S: f64 = 12.0;
 
 /// A scenario: the sequence of events that the fleet goes through.
@@ -43,12 +46,13 @@
     pub until_s: f64,
 }
 
-/// The timed steps that a scenario applies to the fleet.
+/// The timed events that a scenario applies to the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Script {
-    /// Steps of the scenario, ordered by time.
+    /// Events of the scenario (replacements, failures and network partitions), ordered by time.
     pub steps: Vec<TimedStep>,
-    /// Time span during which the scenario's fault lasts.
+    /// Time span of the scenario's fault, or of its replacements if it has none; empty for `calm`. For `cold` it is the
+    /// first 10 s of the run.
     pub fault: Span,
 }
 
@@ -85,7 +89,8 @@
         }
     }
 
-    /// Draws the steps of the scenario for a run of `seconds` virtual seconds, and the time span of its fault.
+    /// Draws the events of the scenario for a run of `seconds` virtual seconds, and the time span of its fault or
+    /// of its replacements.
     #[must_use]
     pub fn script(self, plan: &Plan, topology: &Topology, seconds: f64, seed: u64) -> Script {
         let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
@@ -104,7 +109,8 @@
     }
 }
 
-/// Builder of a scenario's script. The method of each scenario adds its steps and returns the time span of its fault.
+/// Builder of a scenario's script. The method of each scenario adds its events and returns the time span of its fault
+/// or of its replacements.
 struct ScriptWriter<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
@@ -162,7 +168,8 @@
         let mut latest = vec![f64::MIN; self.topology.services.len()];
         for number in 0..replaced {
             let at = from + (until - from) * number as f64 / replaced as f64;
-            // A rolling replacement takes the upstreams of a service one after another.
+            // In this scenario, the upstreams of a service are replaced one after another, at least
+            // `REPLACEMENT_GAP_MIN_S` apart.
             let eligible = (0..50).find_map(|_| {
                 let slot = self.draw(self.zones.len());
                 (at - latest[self.services[slot]] >= REPLACEMENT_GAP_MIN_S).then_some(slot)
@@ -181,7 +188,7 @@
             let service = self.services[slot];
             let step = (before[service] + service) % REPLACEMENT_STEPS;
             before[service] += 1;
-            // Within a step, the replacements are spread over one second.
+            // Within a wave, the replacements are spread over one second.
             let at = LEARNING_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
             self.add(at, Step::Replace(slot));
         }
--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -126,7 +126,7 @@
 
 impl Bench<'_> {
     /// Makes the slope `name` of the values measured for each length of the endpoint list, with the command that
-    /// repeats the measurement.
+    /// repeats the measurement. The command leaves out flags such as `--sizes` and `--rate`.
     fn slope(
         &self,
         part: &str,
@@ -264,7 +264,8 @@
     }
 
     /// Measures processor time and memory of processes that serve requests, one length after the other, with a new
-    /// process for each run.
+    /// process for each run. The notes of the slopes list, for each length, the mean over the runs of the number of new
+    /// connections to upstreams.
     fn request(&self) -> Result<Vec<Slope>, CapacityError> {
         let (warm_up_s, span_s) = if self.arguments.common.small { (0.2, 0.5) } else { (1.5, 2.0) };
         let (mut request, mut memory, mut opened) = (ValuesBySize::new(), ValuesBySize::new(), Vec::new());
@@ -309,7 +310,8 @@
     }
 
     /// Starts a balancer and measures what it uses while it serves requests for `span_s` seconds, after a warm-up of
-    /// `warm_up_s` seconds under the same load.
+    /// `warm_up_s` seconds under the same load. The measured processor time includes 32 new client connections and the
+    /// [`testbed::CONNECT_LEAD_TIME`] of 0.2 s before the first request.
     fn serve(
         &self,
         size: usize,
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -87,7 +87,7 @@
     pub x_unit: String,
     /// Unit of the cost.
     pub y_unit: String,
-    /// Command that repeats the measurement.
+    /// Command that repeats the measurement. It may leave out flags that were given.
     pub command: String,
     /// Commit that was measured.
     pub commit: String,
@@ -134,7 +134,7 @@
     pub name: String,
     /// Description of the measurement, in one plain sentence.
     pub what: String,
-    /// Command that repeats the measurement.
+    /// Command that repeats the measurement. It may leave out flags that were given.
     pub command: String,
     /// Commit that was measured.
     pub commit: String,
--- a/crates/capacity/src/sockets/list.rs
+++ b/crates/capacity/src/sockets/list.rs
@@ -33,14 +33,14 @@
     entries: Vec<Entry>,
     /// Index of the endpoint list below which a watch gets a snapshot instead of the changes since its index.
     snapshot_before: u64,
-    /// Cached lines that bring a watch to the current index of the endpoint list, by the index that the watch is at.
-    /// Each line is formatted once for all watches.
+    /// Cached lines that bring a watch to the current index of the endpoint list, by the index that the watch is at; a
+    /// snapshot has the key 0, whichever index the watch is at. Each line is formatted once for all watches.
     line_cache: HashMap<u64, Bytes>,
 }
 
 impl ListState {
     /// Returns the line, as an HTTP chunk, that brings a watch from the index `since` of the endpoint list to the
-    /// current one.
+    /// current one. For a watch that is at the current index, this is an empty line, which serves as a heartbeat.
     fn line_since(&mut self, since: u64) -> Bytes {
         let is_snapshot = since == 0 || since > self.index || since < self.snapshot_before;
         let Self { index, entries, line_cache, .. } = self;
@@ -80,7 +80,7 @@
     text
 }
 
-/// Counters of the list server's connections.
+/// Bytes received and sent by the list server, its number of open connections and its processor time.
 #[derive(Debug, Default)]
 struct Counts {
     read: AtomicU64,
@@ -89,7 +89,7 @@
     cpu_ns: AtomicU64,
 }
 
-/// Traffic and processor time of the list server since its start.
+/// Traffic and processor time of the list server since its start, and the number of connections that are open now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Bytes that the list server has received on all connections since its start.
@@ -131,7 +131,8 @@
 
 impl ListServer {
     /// Starts a server whose list has `upstreams` entries of `entry_bytes` bytes each, in `zones` zones, at index 1. It
-    /// sends an empty line as a heartbeat to each watch that has received nothing for the duration `heartbeat`.
+    /// sends an empty line as a heartbeat to each watch that has received nothing for the duration `heartbeat`, and at
+    /// once to a watch that connects with the current index.
     ///
     /// # Errors
     /// No port is free, or the runtime cannot be started.
@@ -215,7 +216,8 @@
         self.close_count.send_modify(|count| *count += 1);
     }
 
-    /// Returns the traffic and the processor time of the list server since its start.
+    /// Returns the traffic and the processor time of the list server since its start, and the number of its open
+    /// connections.
     #[must_use]
     pub fn carried(&self) -> Traffic {
         let Counts { read, written, connections, cpu_ns } = &self.shared.counts;
@@ -263,7 +265,8 @@
     });
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        // Disables Nagle's algorithm: several watches may be notified in one turn of the event loop, each by one write.
+        // Disables Nagle's algorithm, which could delay a line until the client has acknowledged the previous write.
+        // Each watch is notified by one write, also where one turn of the event loop notifies several watches.
         let _ = stream.set_nodelay(true);
         let (shared, indices, mut close_signals) =
             (Arc::clone(&shared), indices.clone(), close_signals.clone());
