--- a/crates/capacity/src/process.rs
+++ b/crates/capacity/src/process.rs
@@ -126,8 +126,8 @@
 
 impl Bench<'_> {
     /// Makes the slope `name` of the values measured for each length of the endpoint list, with the command that
-    /// repeats the measurement. The command omits `--sizes`, `--rate`,
-    /// `--small`, `--program`, `--out` and `--plan`, so that values other than the defaults have to be added by hand.
+    /// repeats the measurement. The command omits `--sizes`, `--rate`, `--small`, `--program`, `--out` and `--plan`, so
+    /// that values other than the defaults have to be added by hand.
     fn slope(
         &self,
         part: &str,
