--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -85,7 +85,7 @@
 }
 
 section! {
-    /// Size of the fleet, and its distribution over regions, zones and racks.
+    /// Section `[fleet]` of the plan file: size of the fleet, and its distribution over regions, zones and racks.
     Fleet {
         /// Number of upstream processes, each with its own balancer.
         upstreams: usize,
@@ -107,7 +107,7 @@
 }
 
 section! {
-    /// Call graph of the services.
+    /// Section `[graph]` of the plan file: shape of the graph of calls between services.
     Graph {
         /// Maximum number of calls in a chain, which is also the number of tiers.
         depth: usize,
@@ -123,7 +123,7 @@
 }
 
 section! {
-    /// Traffic of the fleet, and the limits on its latency and retries.
+    /// Section `[traffic]` of the plan file: rate and cost of the calls, and the limits on their latency and retries.
     Traffic {
         /// Calls per second, counted at the front or over all hops (see [`Reading`]).
         calls_per_s: f64,
@@ -151,7 +151,7 @@
 }
 
 section! {
-    /// One-way network delays, in ms.
+    /// Section `[network]` of the plan file: one-way delays within a zone, between zones and between regions.
     Network {
         /// One-way delay within a zone, in ms.
         zone_ms: f64,
@@ -163,7 +163,7 @@
 }
 
 section! {
-    /// The upstream list as it is sent to balancers.
+    /// Section `[list]` of the plan file: size of the upstream list, and how often it is updated and renewed.
     List {
         /// Bytes of one upstream's entry in the list.
         entry_bytes: usize,
@@ -179,7 +179,7 @@
 }
 
 section! {
-    /// Configuration documents, and how they change.
+    /// Section `[configuration]` of the plan file: sizes of the configuration documents, and how often they change.
     Configuration {
         /// Number of configuration changes per day.
         changes_per_day: f64,
@@ -203,7 +203,7 @@
 }
 
 section! {
-    /// Resource budgets of the control traffic: upstream lists and configuration.
+    /// Section `[budget]` of the plan file: resources that upstream lists and configuration may use.
     Budget {
         /// Fraction of a core, 0 to 1, that control traffic (upstream list and configuration) may use in one balancer.
         core_share: f64,
@@ -225,7 +225,7 @@
 }
 
 section! {
-    /// Number of machines in each role of the configuration distribution: origins, standbys and relays.
+    /// Section `[deal]` of the plan file: number of machines in each role of the configuration distribution.
     ControlPlacement {
         /// Number of origins, which accept publications of configuration documents.
         origins: usize,
@@ -239,7 +239,7 @@
 }
 
 section! {
-    /// Failures that are planned for, and how often they happen.
+    /// Section `[failures]` of the plan file: planned-for failures and replacements, and how often they happen.
     Failures {
         /// Number of machines in the whole fleet that fail on an ordinary day.
         machines_per_day: f64,
@@ -263,31 +263,32 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Size of the fleet, and its distribution over regions, zones and racks.
+    /// Section `[fleet]` of the plan file: size of the fleet, and its distribution over regions, zones and racks.
     pub fleet: Fleet,
-    /// Call graph of the services.
+    /// Section `[graph]` of the plan file: shape of the graph of calls between services.
     pub graph: Graph,
-    /// Traffic of the fleet, and the limits on its latency and retries.
+    /// Section `[traffic]` of the plan file: rate and cost of the calls, and the limits on their latency and retries.
     pub traffic: Traffic,
-    /// One-way network delays within a zone, between zones and between regions.
+    /// Section `[network]` of the plan file: one-way delays within a zone, between zones and between regions.
     pub network: Network,
-    /// The upstream list as it is sent to balancers.
+    /// Section `[list]` of the plan file: size of the upstream list, and how often it is updated and renewed.
     pub list: List,
-    /// Configuration documents, and how they change.
+    /// Section `[configuration]` of the plan file: sizes of the configuration documents, and how often they change.
     pub configuration: Configuration,
-    /// Resource budgets of the control traffic: upstream lists and configuration.
+    /// Section `[budget]` of the plan file: resources that upstream lists and configuration may use.
     pub budget: Budget,
-    /// Number of machines in each role of the configuration distribution: origins, standbys and relays.
+    /// Section `[deal]` of the plan file: number of machines in each role of the configuration distribution.
     #[serde(rename = "deal")]
     pub control_placement: ControlPlacement,
-    /// Failures that are planned for, and how often they happen.
+    /// Section `[failures]` of the plan file: planned-for failures and replacements, and how often they happen.
     pub failures: Failures,
 }
 
 /// Maximum number of upstreams in a plan, so that a mistyped figure cannot exhaust memory.
 const MAX_UPSTREAMS: usize = 1_000_000;
 
-/// Interpretation of `traffic.calls_per_s`, which the requirement leaves open.
+/// Interpretation of `traffic.calls_per_s`, which the requirement leaves open. A hop is one call in a chain: the call
+/// at the front, or a call from one service to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
     /// The rate counts calls at the front; each of them causes `graph.depth` calls over all hops.
@@ -346,7 +347,7 @@
         printed
     }
 
-    /// Returns the calls per second over all hops.
+    /// Returns the calls per second over all hops: the calls at the front and the calls between services.
     #[must_use]
     pub fn hops_per_s(&self, reading: Reading) -> f64 {
         match reading {
@@ -376,8 +377,9 @@
         self.mean_rate(reading) * self.traffic.busiest_over_mean.value
     }
 
-    /// Returns the load of an upstream of each tier as a multiple of the mean load over all upstreams: first for each
-    /// tier if all calls go to the full depth, and then for the front if the rate is counted over all hops.
+    /// Returns the load of an upstream as a multiple of the mean load over all upstreams: one value per tier if every
+    /// call at the front passes through all tiers, and as the last element the value for the front if each call at the
+    /// front causes `graph.hops_per_call` calls in all, as for [`Reading::Hops`].
     fn tier_loads_over_mean(&self) -> Vec<f64> {
         let Graph { depth, services_by_depth, hops_per_call, .. } = &self.graph;
         let deep =
@@ -408,7 +410,7 @@
         self.fleet.upstreams.value as f64 * shares.fold(0.0, f64::max)
     }
 
-    /// Returns the bytes of all documents together: the fleet's, each region's and each service's.
+    /// Returns the bytes of all configuration documents together: the fleet's, each region's and each service's.
     #[must_use]
     pub fn documents_bytes(&self) -> f64 {
         let Configuration { fleet_bytes, region_bytes, service_bytes, .. } = &self.configuration;
@@ -417,14 +419,15 @@
             + self.fleet.services.value * service_bytes.value) as f64
     }
 
-    /// Returns the bytes of the documents that one balancer uses: the fleet's, its region's and its service's.
+    /// Returns the bytes of the configuration documents that one balancer uses: the fleet's, its region's and its
+    /// service's.
     #[must_use]
     pub fn own_documents_bytes(&self) -> f64 {
         let Configuration { fleet_bytes, region_bytes, service_bytes, .. } = &self.configuration;
         (fleet_bytes.value + region_bytes.value + service_bytes.value) as f64
     }
 
-    /// Returns the mean bytes of the document that a change replaces.
+    /// Returns the mean bytes of the configuration document that a configuration change replaces.
     #[must_use]
     pub fn change_bytes(&self) -> f64 {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
@@ -433,8 +436,9 @@
         scope_shares.value.iter().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64).sum()
     }
 
-    /// Returns what one configuration change means for one balancer on average. All regions are taken to change equally
-    /// often, and so are all services.
+    /// Returns the mean fraction of the configuration changes that concern one balancer, and the mean bytes that it
+    /// receives per configuration change of the fleet. The configurations of all regions are taken to change equally
+    /// often, and so are those of all services.
     #[must_use]
     pub fn change_per_balancer(&self) -> ChangePerBalancer {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
--- a/crates/capacity/tests/depth.rs
+++ b/crates/capacity/tests/depth.rs
@@ -17,7 +17,8 @@
     Chain { depth, fault, max_client_retries: 0, all_idempotent: true, seed: 1, seconds: 5.0 }
 }
 
-/// Simulates a chain, and returns the figures at depth `at`.
+/// Simulates a chain of services, each of which calls the next, and asserts that the run violated no invariant. Returns
+/// the attempts sent to the service at depth `at`, where the front has depth 1, with the figures of the whole chain.
 fn run_chain(chain: Chain, at: usize) -> Figures {
     let report = chain.simulate(&plan()).expect("the run ends");
     assert_eq!(report.faults, Faults::default(), "{chain:?}");
--- a/crates/policy/src/admission/congestion.rs
+++ b/crates/policy/src/admission/congestion.rs
@@ -1,9 +1,10 @@
 //! Detects congestion in the tier from how requests end, and paces the decreases of the limits.
 //!
-//! No server reports that it is overloaded. Overload shows in requests that fail, come late or take longer than the
-//! baseline latency of their class. A single such request means nothing, so the signal is a moving average over the
-//! last seconds with its variance, and congestion is detected only where the average exceeds what random variation
-//! explains. The module owns this average, the times of the decreases and the time of the latest answer.
+//! No server reports that it is overloaded. Overload shows in requests that fail, exceed the latency objective of their
+//! class or take longer than its baseline latency. A single such request means nothing, so the signal is a moving
+//! average over the last seconds with its variance, and congestion is detected only where the average exceeds what
+//! random variation explains. The module owns this average, the times of the decreases and the time of the latest
+//! answer.
 
 use oorandom::Rand64;
 
@@ -20,16 +21,17 @@
 const MAX_WEIGHT: f64 = 0.15;
 /// Weight of a request admitted before the latest decrease, relative to a request admitted after it. Soon after a
 /// decrease mostly the slow earlier requests are still to end and few new ones end, so at full weight one decrease
-/// would cause the next. The weight is not 0 because new requests end too late during an overload.
+/// would cause the next. The weight is not 0, because during an overload the requests admitted after a decrease take so
+/// long to end that the average would react too late if they alone counted.
 const WEIGHT_BEFORE_DECREASE: f64 = 0.3;
 /// Bounds of the time between decreases in seconds. The time is random so that replicas do not decrease in step.
 const MIN_DECREASE_INTERVAL_S: f64 = 0.25;
 const MAX_DECREASE_INTERVAL_S: f64 = 0.5;
-/// Signal of a request that failed or came late, and the upper bound for all others. The signal of other requests is
-/// the natural logarithm of their latency over the baseline, so that a few expensive requests count little and a
-/// general delay counts much.
+/// Signal of a request that failed or exceeded its latency objective, and the upper bound for all others. The signal of
+/// other requests is the natural logarithm of their latency over the baseline, so that a few expensive requests count
+/// little and a general delay counts much.
 const MAX_SIGNAL: f64 = 2.0;
-/// Lower bound of the signal of a request served in time.
+/// Lower bound of the signal of a request that succeeded within its latency objective.
 const MIN_SIGNAL: f64 = -1.0;
 /// Fraction of the latency objective for which an attempt must have had a connection before its timeout counts as a
 /// timeout over the whole objective. The remaining time may have been spent on connecting.
@@ -71,9 +73,11 @@
 /// Contribution of one request to the congestion average.
 #[derive(Debug, Clone, Copy)]
 pub struct Signal {
-    /// Congestion signal: 0 for a request with the baseline latency, up to [`MAX_SIGNAL`] for a failed request.
+    /// Congestion signal: 0 for a request that succeeded with the baseline latency, and at most [`MAX_SIGNAL`], for one
+    /// that exceeded its latency objective or failed for a reason that may be congestion. A request that was cancelled
+    /// or timed out early counts by its duration instead.
     pub value: f64,
-    /// Whether the request failed or was answered too late.
+    /// Whether the request failed for a reason that may be congestion, or succeeded but exceeded its latency objective.
     pub is_failed_or_late: bool,
 }
 
@@ -91,7 +95,8 @@
     next: f64,
 }
 
-/// Time of the latest answer of any endpoint, and the number of requests since then that got no connection in time.
+/// Time of the latest answer of any endpoint, and the number of requests since then that ended because no connection
+/// was established before the connect timeout.
 #[derive(Debug, Clone, Copy)]
 struct LatestAnswer {
     answered_at: f64,
@@ -167,8 +172,9 @@
         Some(Signal { value, is_failed_or_late })
     }
 
-    /// Whether a request failed or came late for a reason that may be congestion; `None` where its end says nothing
-    /// about congestion.
+    /// Whether a request failed for a reason that may be congestion, or succeeded later than its latency objective. The
+    /// time counts from its arrival, without the time in which its attempts waited for connections. `None` where its
+    /// end says nothing about congestion.
     fn is_failed_or_late(&mut self, now: f64, end: &RequestEnd, tier_failure_rate: f64) -> Option<bool> {
         let answer = &mut self.latest_answer;
         answer.connect_timeouts_since += u32::from(end.outcome == Outcome::ConnectTimedOut);
@@ -176,7 +182,7 @@
             now - answer.answered_at > WINDOW_S && answer.connect_timeouts_since >= UNREACHABLE_AFTER;
         match end.outcome {
             Outcome::Refused | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Cancelled => Some(true),
-            // Late connections say nothing about a tier that answers other requests.
+            // A connect timeout says nothing about congestion while the tier answers other requests.
             Outcome::ConnectTimedOut if is_silent => Some(true),
             Outcome::Error => Some(tier_failure_rate > CONGESTED_FAILURE_RATE),
             Outcome::Success => Some(now - end.arrived - end.connect_wait > end.latency_objective),
--- a/crates/proxy/tests/accept.rs
+++ b/crates/proxy/tests/accept.rs
@@ -203,7 +203,7 @@
 
 /// Guards requests that arrive while the program is blocked: the connection that would be evicted next is not closed if
 /// such a request is on it. The number of connections at which an eviction occurs depends on the socket budget, so the
-/// test tries each number up to the first at which a connection is closed.
+/// test tries each number up to the first at which the balancer evicts one of the connections.
 #[test]
 fn a_request_that_arrives_during_a_pause_is_answered_before_its_connection_is_evicted() {
     let upstream = Upstream::start(|_, _| ok("served"));
@@ -216,7 +216,8 @@
         let mut balancer =
             Balancer::start_on(parsed(&text), move |listener| BlockingListener { listener, pauses });
         let mut clients: Vec<Client> = (0..count).map(|_| balancer.client()).collect();
-        // If there are too many connections, a busy machine may close one before its request is sent.
+        // If the connections exceed the socket budget, the balancer evicts idle ones. On a busy machine it may evict
+        // one before its client sends a request; the test then ends, as it does if the oldest connection is evicted.
         let all_answered = clients.iter_mut().all(|client| client.try_ask("order", "one").is_some());
         // The first connection has been idle for longest and is the first to be evicted.
         let oldest = &mut clients[0];
