--- a/crates/capacity/src/depth.rs
+++ b/crates/capacity/src/depth.rs
@@ -2,7 +2,9 @@
 //! hollow fleet (balancers without real traffic).
 //!
 //! Simulates chains of services with a fault in one of them, and reports how many attempts reach the deepest service
-//! for each request at the front, how many requests are refused or fail, and how much of the deadline remains there.
+//! for each request at the front, and how many requests are refused or fail. The remaining deadline at the deepest
+//! service is a slope from chains of healthy services; the results table has the remaining deadline at the faulty
+//! service.
 
 use std::path::{Path, PathBuf};
 
@@ -20,7 +22,7 @@
 /// Simulates chains of services and measures attempts, refusals and remaining deadline by the depth of the chain.
 #[derive(Debug, Clone, Args)]
 pub struct Arguments {
-    /// Simulate fewer depths, for a shorter time and with one seed.
+    /// Simulate chains of fewer depths, for a shorter time and with one seed.
     #[arg(long)]
     pub small: bool,
     /// Seed of the random draws of the first run; each further run uses the next seed.
@@ -31,21 +33,21 @@
     pub out: PathBuf,
 }
 
-/// Number of upstreams of each service.
+/// Number of upstreams of each service in a simulated chain.
 const UPSTREAMS_PER_SERVICE: usize = 8;
-/// Requests per second at the front.
+/// Requests per second that clients send to the front of a simulated chain.
 const REQUESTS_PER_S: f64 = 400.0;
 /// Simulated duration of a run, in seconds.
 const RUN_S: f64 = 20.0;
 /// Simulated duration of a quick (`--small`) run, in seconds.
 const SMALL_RUN_S: f64 = 6.0;
-/// Memory limit of a run, in MB.
+/// Memory limit of the process during a simulated run, in MB.
 const MEMORY_MB: u64 = 4096;
 
-/// Faults that the table has rows for.
+/// Faults of a service that the results table has rows for.
 const FAULTS: [ServiceFault; 3] = [ServiceFault::Failing, ServiceFault::Silent, ServiceFault::Halved];
 
-/// Column headings of the results table.
+/// Column headings of the results table of the `depth` command.
 const COLUMNS: [&str; 10] = [
     "trouble",
     "of the service at depth",
@@ -76,7 +78,7 @@
     pub seconds: f64,
 }
 
-/// Figures of one run of a chain.
+/// Figures of one simulated run of a chain of services.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Figures {
     /// Attempts sent to the service at the examined depth, per request at the front.
@@ -85,8 +87,8 @@
     pub refusals: f64,
     /// Requests that the balancers before the first service ended as refused or failed, per request at the front.
     pub refusals_at_front: f64,
-    /// Mean time left of the deadline when a request arrives at the balancers before the deepest service that requests
-    /// reach, in ms.
+    /// Mean time until the request's deadline when a request arrives at the balancers before the deepest service that
+    /// requests reach, in ms.
     pub deadline_left_ms: f64,
     /// Fraction of the requests at the front that succeeded within the latency objective, 0 to 1.
     pub served: f64,
@@ -170,13 +172,15 @@
     command: String,
 }
 
-/// Points of all slopes, with the attempts without client retries for a note.
+/// Points of all slopes of the `depth` command, with the attempts without client retries for a note.
 #[derive(Default)]
 struct Points {
     attempts: Vec<Point>,
+    /// Requests that were refused or failed, at all depths together, per request at the front.
     refusals: Vec<Point>,
     deadline_left_ms: Vec<Point>,
-    /// Attempts at the deepest service where clients do not retry, one text `depth: attempts` for each depth.
+    /// Attempts at the deepest service if clients do not retry but balancers still do, one text `depth: attempts` for
+    /// each depth.
     attempts_without_retries: Vec<String>,
 }
 
@@ -257,6 +261,7 @@
                 refusals.push(figures.refusals);
                 deadline_left_ms.push(healthy.figures(&healthy.simulate(self.plan)?, depth).deadline_left_ms);
             }
+            // Only the clients do not retry; the balancers still do.
             let no_retries = Chain { max_client_retries: 0, ..self.failing(depth, 0) };
             let no_retries = no_retries.figures(&no_retries.simulate(self.plan)?, depth);
             points.attempts_without_retries.push(format!("{depth}: {:.2}", no_retries.attempts));
--- a/crates/capacity/src/hollow/scenario.rs
+++ b/crates/capacity/src/hollow/scenario.rs
@@ -7,11 +7,15 @@
 use super::topology::Topology;
 use crate::plan::Plan;
 
-/// Virtual seconds before the first step of a scenario, in which the balancers learn the normal state.
+/// Virtual seconds from the start of a run until the events of the scenarios `ordinary` and `replacement` begin, in
+/// which the balancers learn the normal state. The events of `rack`, `zone` and `region` begin at a fraction of the
+/// run's duration, which may be earlier in a short run. The totals in the results table leave out this time, except for
+/// `cold`.
 pub const LEARNING_S: f64 = 3.0;
-/// Number of steps in which the whole fleet is replaced; each step replaces one upstream in eight.
+/// Number of waves in which the scenario `replacement` replaces the whole fleet; each replaces one upstream in eight.
 const REPLACEMENT_STEPS: usize = 8;
-/// Minimum virtual seconds between two planned replacements within a service.
+/// Minimum virtual seconds between two planned replacements within a service in the scenario `ordinary`. The scenario
+/// `replacement` does not use it: its waves divide the run, and a wave may replace several upstreams of a service.
 const REPLACEMENT_GAP_MIN_S: f64 = 12.0;
 
 /// A scenario: the sequence of events that the fleet goes through.
@@ -23,7 +27,7 @@
     Ordinary,
     /// The whole fleet is replaced, one upstream in eight at a time.
     Replacement,
-    /// A rack fails.
+    /// A rack fails, with all its upstreams.
     Rack,
     /// A whole zone fails, and later restarts with cold processes.
     Zone,
@@ -33,30 +37,31 @@
     Cold,
 }
 
-/// A span of time, in virtual seconds from the start of the run.
+/// A span of virtual time, measured from the start of the run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Span {
-    /// Start of the span, in virtual seconds.
+    /// Start of the span, in virtual seconds from the start of the run.
     pub from_s: f64,
-    /// End of the span, exclusive, in virtual seconds.
+    /// End of the span, exclusive, in virtual seconds from the start of the run.
     pub until_s: f64,
 }
 
-/// The timed steps that a scenario applies to the fleet.
+/// The timed events that a scenario applies to the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Script {
-    /// Steps of the scenario, ordered by time.
+    /// Events of the scenario (replacements, failures and network partitions), ordered by time.
     pub steps: Vec<TimedStep>,
-    /// Time span during which the scenario's fault lasts.
+    /// Time span of the scenario's fault, or of its replacements if it has none; empty for `calm`. For `cold` it is the
+    /// first 10 s of the run.
     pub fault: Span,
 }
 
 impl Scenario {
-    /// All scenarios, in the order in which they run and in which the table lists them.
+    /// All scenarios, in the order in which they run and in which the results table lists them.
     pub const ALL: [Self; 7] =
         [Self::Calm, Self::Ordinary, Self::Replacement, Self::Rack, Self::Zone, Self::Region, Self::Cold];
 
-    /// Name of the scenario on the command line and in the table.
+    /// Name of the scenario on the command line and in the results table.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -84,7 +89,8 @@
         }
     }
 
-    /// Draws the steps of the scenario for a run of `seconds` virtual seconds, and the time span of its fault.
+    /// Draws the events of the scenario for a run of `seconds` virtual seconds, and the time span of its fault or
+    /// of its replacements.
     #[must_use]
     pub fn script(self, plan: &Plan, topology: &Topology, seconds: f64, seed: u64) -> Script {
         let mut writer = ScriptWriter::new(plan, topology, seconds, seed);
@@ -103,16 +109,17 @@
     }
 }
 
-/// Builder of a scenario's script. The method of each scenario adds its steps and returns the time span of its fault.
+/// Builder of a scenario's script. The method of each scenario adds its events and returns the time span of its fault
+/// or of its replacements.
 struct ScriptWriter<'a> {
     plan: &'a Plan,
     topology: &'a Topology,
-    /// Duration of the run, in virtual seconds.
+    /// Duration of the scenario's run, in virtual seconds.
     seconds: f64,
     rng: Rand64,
-    /// Zone of each slot.
+    /// Zone of each slot, by slot index.
     zones: Vec<usize>,
-    /// Service of each slot.
+    /// Service of each slot, by slot index.
     services: Vec<usize>,
     script: Vec<TimedStep>,
 }
@@ -155,13 +162,14 @@
         Span { from_s: from, until_s: until }
     }
 
-    /// Adds a day's planned replacements, spread evenly over the time from `from` to `until`.
+    /// Adds a day's planned replacements, spread evenly over the time from `from` to `until`, in virtual seconds.
     fn planned_replacements(&mut self, from: f64, until: f64) {
         let replaced = self.plan.failures.replaced_per_day.value.round() as usize;
         let mut latest = vec![f64::MIN; self.topology.services.len()];
         for number in 0..replaced {
             let at = from + (until - from) * number as f64 / replaced as f64;
-            // A rolling replacement takes the upstreams of a service one after another.
+            // In this scenario, the upstreams of a service are replaced one after another, at least
+            // `REPLACEMENT_GAP_MIN_S` apart.
             let eligible = (0..50).find_map(|_| {
                 let slot = self.draw(self.zones.len());
                 (at - latest[self.services[slot]] >= REPLACEMENT_GAP_MIN_S).then_some(slot)
@@ -180,7 +188,7 @@
             let service = self.services[slot];
             let step = (before[service] + service) % REPLACEMENT_STEPS;
             before[service] += 1;
-            // Within a step, the replacements are spread over one second.
+            // Within a wave, the replacements are spread over one second.
             let at = LEARNING_S + each * step as f64 + self.draw(1000) as f64 / 1000.0;
             self.add(at, Step::Replace(slot));
         }
--- a/crates/capacity/src/plan.rs
+++ b/crates/capacity/src/plan.rs
@@ -13,7 +13,7 @@
 
 pub use checks::PlanFault;
 
-/// Source of a figure of the plan.
+/// Where a figure of the plan comes from: a requirement or an estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Source {
@@ -85,7 +85,7 @@
 }
 
 section! {
-    /// Size of the fleet, and its distribution over regions, zones and racks.
+    /// Section `[fleet]` of the plan file: size of the fleet, and its distribution over regions, zones and racks.
     Fleet {
         /// Number of upstream processes, each with its own balancer.
         upstreams: usize,
@@ -107,13 +107,13 @@
 }
 
 section! {
-    /// Call graph of the services.
+    /// Section `[graph]` of the plan file: shape of the graph of calls between services.
     Graph {
         /// Maximum number of calls in a chain, which is also the number of tiers.
         depth: usize,
-        /// Mean number of services that one service calls.
+        /// Mean number of different services that one service calls.
         destinations_mean: f64,
-        /// Maximum number of services that one service calls.
+        /// Maximum number of different services that one service calls.
         destinations_most: usize,
         /// Fraction of the services at each depth of the call graph, 0 to 1; the front comes first.
         services_by_depth: Vec<f64>,
@@ -123,27 +123,27 @@
 }
 
 section! {
-    /// Traffic of the fleet, and the limits on its latency and retries.
+    /// Section `[traffic]` of the plan file: rate and cost of the calls, and the limits on their latency and retries.
     Traffic {
         /// Calls per second, counted at the front or over all hops (see [`Reading`]).
         calls_per_s: f64,
         /// Call rate of the busiest balancer as a multiple of the mean rate.
         busiest_over_mean: f64,
-        /// Processor time of one call in ms, without the calls that it makes in turn.
+        /// Processor time of one call at the upstream that serves it, in ms, without the calls that it makes in turn.
         work_ms: f64,
         /// Time that a client at the front waits for an answer, in seconds.
         deadline_s: f64,
-        /// Latency objective at the front, in seconds: a later answer counts as late.
+        /// Latency objective of a call at the front, in seconds; an answer that takes longer counts as late.
         aim_s: f64,
         /// Number of tenants at the front.
         tenants: usize,
         /// Maximum number of times that a client repeats a failed call.
         client_repeats: u32,
-        /// Maximum number of attempts that a balancer makes for one call.
+        /// Maximum number of attempts, including the first, that a balancer makes for one call.
         attempts: u32,
         /// Maximum time that a balancer may add to a call, in ms, at the quantile `added_quantile`.
         added_ms: f64,
-        /// Quantile of the calls for which `added_ms` must hold.
+        /// Quantile, 0 to 1, of the latency that a balancer adds to a call, at which `added_ms` must hold.
         added_quantile: f64,
         /// Load that a service can carry, as a multiple of its usual load.
         headroom: f64,
@@ -151,7 +151,7 @@
 }
 
 section! {
-    /// One-way network delays, in ms.
+    /// Section `[network]` of the plan file: one-way delays within a zone, between zones and between regions.
     Network {
         /// One-way delay within a zone, in ms.
         zone_ms: f64,
@@ -163,83 +163,87 @@
 }
 
 section! {
-    /// The upstream list as it is sent to balancers.
+    /// Section `[list]` of the plan file: size of the upstream list, and how often it is updated and renewed.
     List {
         /// Bytes of one upstream's entry in the list.
         entry_bytes: usize,
-        /// Interval between the heartbeats (empty lines) of a watch, in seconds.
+        /// Interval between the heartbeats (empty lines) of a watch of the upstream list, in seconds.
         beat_s: f64,
-        /// Number of list updates (lines) that the replacement of an upstream causes.
+        /// Number of upstream list updates (lines) that the planned replacement of one upstream causes.
         lines_per_replacement: f64,
-        /// Number of list updates (lines) that the failure of an upstream and its return cause.
+        /// Number of upstream list updates (lines) that the failure of one upstream and its return cause.
         lines_per_failure: f64,
-        /// Interval between the renewals of a registrant's entry, in seconds.
+        /// Interval at which a registrant renews its entry in the upstream list, in seconds.
         renew_s: f64,
     }
 }
 
 section! {
-    /// Configuration documents, and how they change.
+    /// Section `[configuration]` of the plan file: sizes of the configuration documents, and how often they change.
     Configuration {
         /// Number of configuration changes per day.
         changes_per_day: f64,
-        /// Time within which a change must be in force everywhere, in seconds.
+        /// Time from the publication of a configuration change within which it must be in force at all balancers, in
+        /// seconds.
         in_force_s: f64,
-        /// Number of changes in the busiest minute.
+        /// Number of configuration changes in the busiest minute.
         peak_per_minute: f64,
-        /// Fractions of the changes that concern the whole fleet, one region and one service, in this order.
+        /// Fractions of the configuration changes that concern the whole fleet, one region and one service, in this
+        /// order.
         scope_shares: Vec<f64>,
-        /// Mean number of changes that are published together.
+        /// Mean number of configuration changes that are published together in one burst.
         bunch: f64,
-        /// Bytes of the document for the whole fleet.
+        /// Bytes of the configuration document for the whole fleet.
         fleet_bytes: usize,
-        /// Bytes of the document of one region.
+        /// Bytes of the configuration document of one region.
         region_bytes: usize,
-        /// Bytes of the document of one service.
+        /// Bytes of the configuration document of one service.
         service_bytes: usize,
     }
 }
 
 section! {
-    /// Resource budgets of the control traffic: upstream lists and configuration.
+    /// Section `[budget]` of the plan file: resources that upstream lists and configuration may use.
     Budget {
-        /// Fraction of a core that control may use in one balancer.
+        /// Fraction of a core, 0 to 1, that control traffic (upstream list and configuration) may use in one balancer.
         core_share: f64,
-        /// Memory that control may use in one balancer, in MB.
+        /// Memory that control traffic (upstream list and configuration) may use in one balancer, in MB.
         memory_mb: f64,
-        /// Bytes per second that control may send and receive in one balancer.
+        /// Bytes per second of control traffic (upstream list and configuration) that one balancer may send and
+        /// receive.
         bytes_per_s: f64,
-        /// Number of machines reserved for control.
+        /// Number of machines reserved for control processes: the origins, standbys and relays of the configuration
+        /// distribution.
         control_machines: usize,
-        /// Cores of one control machine.
+        /// Number of cores of one machine that is reserved for control processes.
         machine_cores: f64,
-        /// Memory of one control machine, in MB.
+        /// Memory of one machine that is reserved for control processes, in MB.
         machine_memory_mb: f64,
-        /// Network capacity of one control machine, in bytes per second.
+        /// Network capacity of one machine that is reserved for control processes, in bytes per second.
         machine_bytes_per_s: f64,
     }
 }
 
 section! {
-    /// Number of control machines in each role.
+    /// Section `[deal]` of the plan file: number of machines in each role of the configuration distribution.
     ControlPlacement {
-        /// Number of origins, which accept publications.
+        /// Number of origins, which accept publications of configuration documents.
         origins: usize,
-        /// Number of standbys: replicas of the origin that can take over from it.
+        /// Number of standbys: replicas of the configuration origin that can take over from it.
         standbys: usize,
-        /// Number of relays that serve a region, in all regions together.
+        /// Number of configuration relays that serve a region, in all regions together.
         region_relays: usize,
-        /// Number of relays that serve the balancers of a zone, in all zones together.
+        /// Number of configuration relays that serve the balancers of a zone, in all zones together.
         zone_relays: usize,
     }
 }
 
 section! {
-    /// Failures that are planned for, and how often they happen.
+    /// Section `[failures]` of the plan file: planned-for failures and replacements, and how often they happen.
     Failures {
-        /// Number of machines that fail on an ordinary day.
+        /// Number of machines in the whole fleet that fail on an ordinary day.
         machines_per_day: f64,
-        /// Number of planned restarts or replacements of machines on an ordinary day.
+        /// Number of planned restarts or replacements of machines in the whole fleet on an ordinary day.
         replaced_per_day: f64,
         /// Number of rack failures per year.
         racks_per_year: f64,
@@ -247,7 +251,8 @@
         zones_per_year: f64,
         /// Number of network partitions between regions per year.
         region_cuts_per_year: f64,
-        /// Duration of the network partition of a region that is planned for, in seconds.
+        /// Duration, in seconds, of the network partition between one region and the others that the fleet is planned
+        /// for.
         region_cut_s: f64,
         /// Time in which a rolling replacement replaces every upstream, in seconds.
         replace_all_s: f64,
@@ -258,31 +263,32 @@
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Size of the fleet, and its distribution over regions, zones and racks.
+    /// Section `[fleet]` of the plan file: size of the fleet, and its distribution over regions, zones and racks.
     pub fleet: Fleet,
-    /// Call graph of the services.
+    /// Section `[graph]` of the plan file: shape of the graph of calls between services.
     pub graph: Graph,
-    /// Traffic of the fleet, and the limits on its latency and retries.
+    /// Section `[traffic]` of the plan file: rate and cost of the calls, and the limits on their latency and retries.
     pub traffic: Traffic,
-    /// One-way network delays.
+    /// Section `[network]` of the plan file: one-way delays within a zone, between zones and between regions.
     pub network: Network,
-    /// The upstream list as it is sent to balancers.
+    /// Section `[list]` of the plan file: size of the upstream list, and how often it is updated and renewed.
     pub list: List,
-    /// Configuration documents, and how they change.
+    /// Section `[configuration]` of the plan file: sizes of the configuration documents, and how often they change.
     pub configuration: Configuration,
-    /// Resource budgets of the control traffic.
+    /// Section `[budget]` of the plan file: resources that upstream lists and configuration may use.
     pub budget: Budget,
-    /// Number of control machines in each role.
+    /// Section `[deal]` of the plan file: number of machines in each role of the configuration distribution.
     #[serde(rename = "deal")]
     pub control_placement: ControlPlacement,
-    /// Failures that are planned for, and how often they happen.
+    /// Section `[failures]` of the plan file: planned-for failures and replacements, and how often they happen.
     pub failures: Failures,
 }
 
 /// Maximum number of upstreams in a plan, so that a mistyped figure cannot exhaust memory.
 const MAX_UPSTREAMS: usize = 1_000_000;
 
-/// Interpretation of `traffic.calls_per_s`, which the requirement leaves open.
+/// Interpretation of `traffic.calls_per_s`, which the requirement leaves open. A hop is one call in a chain: the call
+/// at the front, or a call from one service to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
     /// The rate counts calls at the front; each of them causes `graph.depth` calls over all hops.
@@ -294,9 +300,10 @@
 /// Mean fraction of the configuration changes, and mean bytes of one change, that concern one balancer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChangePerBalancer {
-    /// Fraction of the changes that concern the balancer, 0 to 1.
+    /// Fraction of all configuration changes of the fleet that concern the balancer, 0 to 1.
     pub fraction: f64,
-    /// Mean bytes of documents that the balancer receives per change, counting changes that do not concern it as 0.
+    /// Mean bytes of configuration documents that the balancer receives per configuration change of the fleet, counting
+    /// changes that do not concern it as 0.
     pub bytes: f64,
 }
 
@@ -340,7 +347,7 @@
         printed
     }
 
-    /// Returns the calls per second over all hops.
+    /// Returns the calls per second over all hops: the calls at the front and the calls between services.
     #[must_use]
     pub fn hops_per_s(&self, reading: Reading) -> f64 {
         match reading {
@@ -370,8 +377,9 @@
         self.mean_rate(reading) * self.traffic.busiest_over_mean.value
     }
 
-    /// Returns the load of an upstream of each tier as a multiple of the mean load over all upstreams: first for each
-    /// tier if all calls go to the full depth, and then for the front if the rate is counted over all hops.
+    /// Returns the load of an upstream as a multiple of the mean load over all upstreams: one value per tier if every
+    /// call at the front passes through all tiers, and as the last element the value for the front if each call at the
+    /// front causes `graph.hops_per_call` calls in all, as for [`Reading::Hops`].
     fn tier_loads_over_mean(&self) -> Vec<f64> {
         let Graph { depth, services_by_depth, hops_per_call, .. } = &self.graph;
         let deep =
@@ -402,7 +410,7 @@
         self.fleet.upstreams.value as f64 * shares.fold(0.0, f64::max)
     }
 
-    /// Returns the bytes of all documents together: the fleet's, each region's and each service's.
+    /// Returns the bytes of all configuration documents together: the fleet's, each region's and each service's.
     #[must_use]
     pub fn documents_bytes(&self) -> f64 {
         let Configuration { fleet_bytes, region_bytes, service_bytes, .. } = &self.configuration;
@@ -411,14 +419,15 @@
             + self.fleet.services.value * service_bytes.value) as f64
     }
 
-    /// Returns the bytes of the documents that one balancer uses: the fleet's, its region's and its service's.
+    /// Returns the bytes of the configuration documents that one balancer uses: the fleet's, its region's and its
+    /// service's.
     #[must_use]
     pub fn own_documents_bytes(&self) -> f64 {
         let Configuration { fleet_bytes, region_bytes, service_bytes, .. } = &self.configuration;
         (fleet_bytes.value + region_bytes.value + service_bytes.value) as f64
     }
 
-    /// Returns the mean bytes of the document that a change replaces.
+    /// Returns the mean bytes of the configuration document that a configuration change replaces.
     #[must_use]
     pub fn change_bytes(&self) -> f64 {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
@@ -427,8 +436,9 @@
         scope_shares.value.iter().zip(bytes).map(|(fraction, bytes)| fraction * bytes as f64).sum()
     }
 
-    /// Returns what one configuration change means for one balancer on average. All regions are taken to change equally
-    /// often, and so are all services.
+    /// Returns the mean fraction of the configuration changes that concern one balancer, and the mean bytes that it
+    /// receives per configuration change of the fleet. The configurations of all regions are taken to change equally
+    /// often, and so are those of all services.
     #[must_use]
     pub fn change_per_balancer(&self) -> ChangePerBalancer {
         let Configuration { scope_shares, fleet_bytes, region_bytes, service_bytes, .. } =
--- a/crates/config-distribution/src/core/state.rs
+++ b/crates/config-distribution/src/core/state.rs
@@ -20,7 +20,7 @@
     /// The index of the update is below the index of the state.
     #[error("index {index} of the update is below the current index {have}; an index never goes back")]
     IndexWentBack {
-        /// Index of the update.
+        /// Index of the refused update: the index that the state would have after it.
         index: u64,
         /// Current index of the state.
         have: u64,
@@ -30,7 +30,7 @@
         "the update builds on index {after}, but the current index is {have}; changes in between are missing"
     )]
     MissingChanges {
-        /// The index that the update builds on.
+        /// The index that the state must have reached for the update to apply.
         after: u64,
         /// Current index of the state.
         have: u64,
@@ -40,7 +40,7 @@
     Damaged {
         /// Scope of the document.
         scope: Scope,
-        /// Version of the document.
+        /// Version of the damaged document.
         version: u64,
     },
     /// A document contradicts the state: its version goes back, its content or its absence differs from what is known
@@ -59,15 +59,15 @@
     VersionAboveIndex {
         /// Scope of the document.
         scope: Scope,
-        /// Version of the document.
+        /// Version of the document in the update.
         version: u64,
-        /// Index of the update.
+        /// Index of the refused update: the index that the state would have after it.
         index: u64,
     },
     /// The update has a document of a scope that the reader did not request.
     #[error("document {scope}: the update has this scope, which was not requested")]
     NotRequested {
-        /// Scope of the document.
+        /// Scope of the document that was not requested.
         scope: Scope,
     },
 }
@@ -96,7 +96,7 @@
 /// empty state.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
-    /// Index of the newest change in the state.
+    /// Index of the newest change in the state, in the origin's sequence of all changes.
     index: u64,
     /// Lowest index from which a reader can be sent a delta. Withdrawals of earlier changes may be unknown, so a reader
     /// with a lower index is sent a snapshot.
--- a/crates/config-distribution/src/host/relay.rs
+++ b/crates/config-distribution/src/host/relay.rs
@@ -298,7 +298,7 @@
     "the state at index {index} may not be stored on disk, it is served and will be written again: {cause}"
 )]
 struct StoreStateError {
-    /// Index of the state.
+    /// Index of the newest change in the state that was to be stored.
     index: u64,
     cause: StoreStateCause,
 }
@@ -371,7 +371,8 @@
                 "still cannot open the relay's store, trying again; nothing is stored until then: {error}"
             )),
             Err(error) => log(format_args!(
-                "opening the relay's store was aborted, trying again; nothing is stored until then: {error}"
+                "the task that opens the relay's store panicked or was cancelled (the disk may be fine), trying again; \
+                 nothing is stored until the store is open: {error}"
             )),
         }
     }
